--- a/crates/rookpulley-chain/src/lib.rs
+++ b/crates/rookpulley-chain/src/lib.rs
@@ -26,7 +26,7 @@
 pub use disk::Disk;
 pub use flaws::{Flaw, flaws};
 pub use kept::{Kept, Record};
-pub use message::{Asked, Entry, Fill, Message, Standing};
+pub use message::{Asked, Entry, Fill, Message, Question, Standing};
 pub use shown::{Heard, Shown, ShownKept, ShownMember};
 pub use view::{Ballot, Member, View};
 
--- /dev/null
+++ b/crates/rookpulley-control/tests/compatibility/rows.rs
@@ -0,0 +1,152 @@
+//! What two members of a chain have on their disks after a few updates, row by row.
+
+use crate::{Encoded, read};
+use rookpulley_chain::{Boot, CallKind, Chain, Effect, Input, Member, Outcome, Record, flaws};
+use rookpulley_control::Kept;
+use rookpulley_state::{Answer, Update};
+use std::collections::{BTreeMap, VecDeque};
+
+type Rows = BTreeMap<Vec<u8>, Vec<u8>>;
+
+fn member(at: usize) -> Member {
+    let id = at as u64 + 1;
+    Member { id, life: 1 << 20 | id, address: format!("10.0.0.{id}:7332").parse().unwrap() }
+}
+
+/// Controllers whose messages and disks take no time.
+#[derive(Default)]
+struct Cluster {
+    now: u64,
+    chains: Vec<(Chain<Kept>, Rows)>,
+    token: u64,
+}
+
+impl Cluster {
+    fn start(&mut self) {
+        let at = self.chains.len();
+        let boot = Boot { me: member(at), founder: at == 0, losses: 1, seed: 7, kept: None };
+        self.chains.push((Chain::start(self.now, boot, Kept::default()), Rows::new()));
+        for other in 0..at {
+            self.give(other, Input::Met { member: member(at) });
+            self.give(at, Input::Met { member: member(other) });
+        }
+    }
+
+    fn run(&mut self, ms: u64) {
+        let until = self.now + ms;
+        while self.now < until {
+            self.now += 50;
+            for at in 0..self.chains.len() {
+                self.give(at, Input::Tick);
+            }
+        }
+    }
+
+    /// Hands an input to one member, and everything that follows from it to whom it concerns.
+    fn give(&mut self, at: usize, input: Input) -> Option<Outcome> {
+        let mut inputs = VecDeque::from([(at, input)]);
+        let mut answer = None;
+        while let Some((at, input)) = inputs.pop_front() {
+            let members = self.chains.len();
+            let (chain, rows) = &mut self.chains[at];
+            for effect in chain.handle(self.now, input) {
+                match effect {
+                    Effect::Send { to, message } if to as usize <= members => {
+                        let from = member(at).id;
+                        inputs.push_back((to as usize - 1, Input::Heard { from, message }));
+                    }
+                    Effect::Write { ticket, records } => {
+                        write(rows, records);
+                        inputs.push_back((at, Input::Synced { ticket }));
+                    }
+                    Effect::Answer { outcome, .. } => answer = Some(outcome),
+                    _ => {}
+                }
+            }
+        }
+        answer
+    }
+
+    fn update(&mut self, update: &Update) -> Answer {
+        self.token += 1;
+        let body = update.encode();
+        let outcome = self.give(1, Input::Call { token: self.token, kind: CallKind::Update, body });
+        let Some(Outcome::Done(answer)) = outcome else { panic!("{update:?}: {outcome:?}") };
+        Answer::decode(&answer).unwrap()
+    }
+}
+
+fn write(rows: &mut Rows, records: Vec<Record>) {
+    for record in records {
+        match record {
+            Record::Put { key, value } => _ = rows.insert(key, value),
+            Record::Delete { key } => _ = rows.remove(&key),
+        }
+    }
+}
+
+fn put(name: &str, value: &str) -> Update {
+    Update::PutCell { name: name.into(), value: value.into(), active: None }
+}
+
+fn updates() -> Vec<Update> {
+    let lock = Update::TakeLock { name: "hearing".into(), holder: "counter".into(), hold_ms: 5_000 };
+    let configuration = Update::PutConfiguration { version: 17, body: b"{\"version\":17}".to_vec() };
+    let number = Update::NextNumber { name: "permits".into() };
+    vec![configuration, lock, number, put("lots.7", "open"), put("lots.8", "sold"), put("lots.7", "sold")]
+}
+
+/// Two members, with 600 updates so that a snapshot was written behind the first of them.
+fn played() -> Cluster {
+    let mut cluster = Cluster::default();
+    cluster.start();
+    cluster.run(500);
+    cluster.start();
+    cluster.run(1_500);
+    for update in updates() {
+        cluster.update(&update);
+    }
+    for n in 0..600 {
+        cluster.update(&put("lots.9", &format!("bid {n}")));
+        cluster.run(if n % 100 == 0 { 50 } else { 0 });
+    }
+    cluster.run(500);
+    cluster
+}
+
+#[test]
+fn a_disk_keeps_its_rows() {
+    let mut encoded = Encoded::default();
+    for (at, (_, rows)) in played().chains.into_iter().enumerate() {
+        for (key, value) in rows {
+            encoded.add_bytes(&format!("member {at}, row {}", crate::hex(&key)), value);
+        }
+    }
+    encoded.matches("disk.txt");
+}
+
+#[test]
+fn a_disk_of_an_earlier_build_is_read_whole_and_goes_on() {
+    let fixture = read("disk.txt");
+    for at in 0..2 {
+        let prefix = format!("member {at}, row ");
+        let row = |(name, value): (&String, &Vec<u8>)| {
+            let key = crate::unhex(name.strip_prefix(&prefix)?);
+            Some((key, value.clone()))
+        };
+        let rows: Vec<(Vec<u8>, Vec<u8>)> = fixture.iter().filter_map(row).collect();
+        assert!(rows.len() > 80, "{} rows", rows.len());
+        assert_eq!(flaws(&rows, Some(member(at).id)), Vec::new());
+        let kept = rookpulley_chain::Kept::read(rows);
+        assert!(kept.sound());
+        let me = Member { life: 2 << 20, ..member(at) };
+        let boot = Boot { me, founder: false, losses: 1, seed: 7, kept: Some(kept) };
+        let started = Chain::start(0, boot, Kept::default());
+        let ledger = &started.state().ledger;
+        let sizes = ledger.sizes();
+        assert_eq!((sizes.locks, sizes.numbers, sizes.cells), (1, 1, 3));
+        // That the last of 603 puts was agreed on is not on the disk yet.
+        assert_eq!((ledger.version(), ledger.revision("lots.")), (17, 602));
+        assert_eq!(started.view().map(|view| view.number), Some(2));
+    }
+}
--- /dev/null
+++ b/crates/rookpulley-store/tests/earlier_build.rs
@@ -0,0 +1,53 @@
+//! A store that an earlier build wrote is opened with all that it holds.
+//!
+//! `fixtures/store` is the folder of such a store, file by file: as `sled` left it, packed by zstd. The build of commit
+//! 3e09636 wrote it: two rows of the chain, one of which is long, and one note on an instance.
+
+use rookpulley_store::{Store, look};
+use std::path::{Path, PathBuf};
+use tokio::sync::mpsc::unbounded_channel;
+
+const IDENTITY: u64 = 0x1234_5678_9abc_def0;
+
+fn fixtures() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/store")
+}
+
+/// Longer than a row may be, and cut into chunks.
+fn long_value() -> Vec<u8> {
+    (0..40_000u32).flat_map(|n| n.wrapping_mul(0x9e37_79b9).to_be_bytes()).take(30 << 10).collect()
+}
+
+fn unpack(into: &Path) {
+    std::fs::create_dir(into).unwrap();
+    for entry in std::fs::read_dir(fixtures()).unwrap() {
+        let from = entry.unwrap().path();
+        let name = from.file_stem().unwrap();
+        let bytes = zstd::decode_all(std::fs::File::open(&from).unwrap()).unwrap();
+        std::fs::write(into.join(name), bytes).unwrap();
+    }
+}
+
+#[test]
+fn a_store_of_an_earlier_build_is_opened_with_all_that_it_holds() {
+    let folder = tempfile::tempdir().unwrap();
+    unpack(&folder.path().join("store"));
+    let (said, mut heard) = unbounded_channel();
+    let store = Store::open(folder.path(), 7, None, said).unwrap();
+    assert_eq!((store.new, store.identity), (false, IDENTITY));
+    assert_eq!(store.founding.as_deref(), Some(&b"founding"[..]));
+    let rows = vec![(b"x-long".to_vec(), long_value()), (b"x-short".to_vec(), b"short".to_vec())];
+    assert_eq!(store.held, rows);
+    assert_eq!(store.lives, vec![(b"i-1".to_vec(), b"note".to_vec())]);
+    drop(store);
+    while heard.blocking_recv().is_some() {}
+}
+
+#[test]
+fn a_store_of_an_earlier_build_is_inspected_without_a_process() {
+    let folder = tempfile::tempdir().unwrap();
+    unpack(&folder.path().join("store"));
+    let contents = look(folder.path()).unwrap();
+    assert_eq!(contents.identity, Some(IDENTITY));
+    assert_eq!((contents.chain.len(), contents.lives.len()), (2, 1));
+}
