--- a/crates/rookpulley-api/src/bounds.rs
+++ b/crates/rookpulley-api/src/bounds.rs
@@ -44,7 +44,10 @@
     }
 
     pub fn share(&self) -> Share {
-        Share { room: self.clone(), taken: 0 }
+        Share {
+            room: self.clone(),
+            taken: 0,
+        }
     }
 }
 
@@ -58,7 +61,9 @@
 impl Share {
     /// Takes for bytes that have come, not for those that are only announced: words alone fill no memory.
     pub fn take(&mut self, bytes: usize) -> bool {
-        let Some(left) = self.room.0.get().checked_sub(bytes) else { return false };
+        let Some(left) = self.room.0.get().checked_sub(bytes) else {
+            return false;
+        };
         self.room.0.set(left);
         self.taken += bytes;
         true
--- a/crates/rookpulley-api/src/call.rs
+++ b/crates/rookpulley-api/src/call.rs
@@ -4,7 +4,11 @@
 use tinyjson::JsonValue;
 
 /// Deeper values are refused. How long a body may be is seen to before there is a call.
-const BOUNDS: Bounds = Bounds { bytes: usize::MAX, nesting: Nesting::Levels(64), values: usize::MAX };
+const BOUNDS: Bounds = Bounds {
+    bytes: usize::MAX,
+    nesting: Nesting::Levels(64),
+    values: usize::MAX,
+};
 
 /// One call, whole. Path and query are raw, as they were sent; header names are in small letters.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -19,14 +23,22 @@
 impl Call {
     /// The first header of this name, in capitals or not.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(held, _)| held.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(held, _)| held.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
     }
 
     /// The body as a value, or the reply to a caller whose body is none.
     pub fn json(&self) -> Result<JsonValue, Reply> {
         read(&self.body, BOUNDS).map_err(|why| match why {
-            Unread::Deep { .. } => Reply::error(400, "the body nests too deeply: send a flatter value"),
-            _ => Reply::error(400, "the body can't be read: send one whole JSON value in UTF-8"),
+            Unread::Deep { .. } => {
+                Reply::error(400, "the body nests too deeply: send a flatter value")
+            }
+            _ => Reply::error(
+                400,
+                "the body can't be read: send one whole JSON value in UTF-8",
+            ),
         })
     }
 }
@@ -49,15 +61,25 @@
 
     /// JSON that stands already, such as a configuration as it was sent.
     pub fn bytes(status: u16, body: Vec<u8>) -> Reply {
-        Reply { status, headers: vec![("content-type", "application/json".to_owned())], body }
+        Reply {
+            status,
+            headers: vec![("content-type", "application/json".to_owned())],
+            body,
+        }
     }
 
     pub fn empty(status: u16) -> Reply {
-        Reply { status, headers: Vec::new(), body: Vec::new() }
+        Reply {
+            status,
+            headers: Vec::new(),
+            body: Vec::new(),
+        }
     }
 
     pub fn error(status: u16, sentence: &str) -> Reply {
-        let text = JsonValue::from(sentence.to_owned()).stringify().unwrap_or_else(|_| "\"\"".to_owned());
+        let text = JsonValue::from(sentence.to_owned())
+            .stringify()
+            .unwrap_or_else(|_| "\"\"".to_owned());
         Reply::bytes(status, format!("{{\"errorMessage\":{text}}}").into_bytes())
     }
 
@@ -67,8 +89,14 @@
     }
 
     pub(crate) fn closes(&self) -> bool {
-        let is_close = |value: &str| value.split(',').any(|word| word.trim().eq_ignore_ascii_case("close"));
-        self.headers.iter().any(|(name, value)| name.eq_ignore_ascii_case("connection") && is_close(value))
+        let is_close = |value: &str| {
+            value
+                .split(',')
+                .any(|word| word.trim().eq_ignore_ascii_case("close"))
+        };
+        self.headers
+            .iter()
+            .any(|(name, value)| name.eq_ignore_ascii_case("connection") && is_close(value))
     }
 }
 
@@ -78,10 +106,20 @@
 
     #[test]
     fn a_body_that_nests_beyond_measure_is_refused_and_brackets_in_words_do_not_count() {
-        let call = |body: &str| Call { body: body.as_bytes().to_vec(), ..Call::default() };
+        let call = |body: &str| Call {
+            body: body.as_bytes().to_vec(),
+            ..Call::default()
+        };
         assert_eq!(call(&"[".repeat(1 << 20)).json().unwrap_err().status, 400);
-        assert!(call(&format!("[\"\\\"{}\"]", "[".repeat(500))).json().is_ok());
+        assert!(
+            call(&format!("[\"\\\"{}\"]", "[".repeat(500)))
+                .json()
+                .is_ok()
+        );
         assert_eq!(call("{\"a\":").json().unwrap_err().status, 400);
-        assert_eq!(Reply::error(409, "a \"word\"").body, b"{\"errorMessage\":\"a \\\"word\\\"\"}");
+        assert_eq!(
+            Reply::error(409, "a \"word\"").body,
+            b"{\"errorMessage\":\"a \\\"word\\\"\"}"
+        );
     }
 }
--- a/crates/rookpulley-api/src/chunks.rs
+++ b/crates/rookpulley-api/src/chunks.rs
@@ -31,7 +31,13 @@
     /// For a body of `most` bytes, with as much as a head may take beside it.
     pub fn new(most: usize, beside: usize) -> Chunks {
         let state = State::Size { digits: 0, size: 0 };
-        Chunks { state, most, beside, trailer: Vec::new(), trailer_most: beside }
+        Chunks {
+            state,
+            most,
+            beside,
+            trailer: Vec::new(),
+            trailer_most: beside,
+        }
     }
 
     /// Reads on: how many bytes were used, and whether the body is whole. What isn't used belongs to what follows.
@@ -43,7 +49,11 @@
                 body.extend_from_slice(data);
                 used += data.len();
                 let left = left - data.len();
-                self.state = if left == 0 { State::DataReturn } else { State::Data { left } };
+                self.state = if left == 0 {
+                    State::DataReturn
+                } else {
+                    State::Data { left }
+                };
                 continue;
             }
             let Some(byte) = rest.first() else { break };
@@ -59,14 +69,19 @@
         self.state = match (self.state, byte) {
             (State::Size { digits, size }, b'0'..=b'9' | b'a'..=b'f' | b'A'..=b'F') => {
                 let digit = char::from(byte).to_digit(16).unwrap_or_default() as usize;
-                let size =
-                    size.checked_mul(16).and_then(|size| size.checked_add(digit)).ok_or(Refusal::LongBody)?;
+                let size = size
+                    .checked_mul(16)
+                    .and_then(|size| size.checked_add(digit))
+                    .ok_or(Refusal::LongBody)?;
                 if size > self.most.saturating_sub(held) {
                     return Err(Refusal::LongBody);
                 }
                 // Leading zeros could go on for ever.
                 State::Size {
-                    digits: digits.checked_add(1).filter(|digits| *digits <= 16).ok_or(Refusal::Chunk)?,
+                    digits: digits
+                        .checked_add(1)
+                        .filter(|digits| *digits <= 16)
+                        .ok_or(Refusal::Chunk)?,
                     size,
                 }
             }
--- a/crates/rookpulley-api/src/guard.rs
+++ b/crates/rookpulley-api/src/guard.rs
@@ -34,14 +34,24 @@
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Guard<S> {
     pub fn new(stream: S, bounds: Bounds, room: Room) -> Guard<S> {
-        Guard { stream, held: Vec::new(), bounds, room }
+        Guard {
+            stream,
+            held: Vec::new(),
+            bounds,
+            room,
+        }
     }
 
     /// Waits until a message begins; false when none will. Empty lines between messages are dropped.
     /// Nothing is lost when this is given up.
     pub async fn arrive(&mut self) -> bool {
         loop {
-            let empty = self.held.chunks_exact(2).take_while(|pair| *pair == b"\r\n").count() * 2;
+            let empty = self
+                .held
+                .chunks_exact(2)
+                .take_while(|pair| *pair == b"\r\n")
+                .count()
+                * 2;
             self.held.drain(..empty);
             if !matches!(self.held.as_slice(), [] | b"\r") {
                 return true;
@@ -57,10 +67,13 @@
 
     /// Reads one message. After a refusal nothing more can be read here.
     pub async fn message(&mut self) -> Result<Message, Refusal> {
-        let head = within(self.bounds.head_time, self.head()).await.ok_or(Refusal::Slow)??;
+        let head = within(self.bounds.head_time, self.head())
+            .await
+            .ok_or(Refusal::Slow)??;
         let mut share = self.room.share();
-        let body =
-            within(self.bounds.body_time, self.body(&head, &mut share)).await.ok_or(Refusal::Slow)??;
+        let body = within(self.bounds.body_time, self.body(&head, &mut share))
+            .await
+            .ok_or(Refusal::Slow)??;
         Ok(Message { head, body, share })
     }
 
@@ -102,7 +115,10 @@
     /// Asks for a body that its caller holds back.
     async fn invite(&mut self, head: &Head) -> Result<(), Refusal> {
         if head.waits && self.held.is_empty() {
-            self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(|_| Refusal::Cut)?;
+            self.stream
+                .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
+                .await
+                .map_err(|_| Refusal::Cut)?;
         }
         Ok(())
     }
@@ -115,7 +131,10 @@
         while body.len() < length {
             let left = length - body.len();
             body.reserve(left.min(SLICE.max(body.len())));
-            let got = (&mut self.stream).take(left as u64).read_buf(&mut body).await;
+            let got = (&mut self.stream)
+                .take(left as u64)
+                .read_buf(&mut body)
+                .await;
             let got = got.ok().filter(|got| *got > 0).ok_or(Refusal::Cut)?;
             if !share.take(got) {
                 return Err(Refusal::NoRoom);
@@ -155,7 +174,10 @@
 
     /// Writes an answer; false when the caller doesn't take it.
     pub async fn write(&mut self, bytes: &[u8]) -> bool {
-        matches!(within(self.bounds.write_time, self.stream.write_all(bytes)).await, Some(Ok(())))
+        matches!(
+            within(self.bounds.write_time, self.stream.write_all(bytes)).await,
+            Some(Ok(()))
+        )
     }
 
     /// Ends the connection so that the last answer arrives: what still comes is read and dropped for a moment.
--- a/crates/rookpulley-api/src/hall.rs
+++ b/crates/rookpulley-api/src/hall.rs
@@ -45,14 +45,19 @@
     /// Tells all to leave once their call is answered.
     pub fn stop(&self) {
         self.stopping.set(true);
-        self.seats.borrow().values().for_each(|seat| seat.leave.notify_one());
+        self.seats
+            .borrow()
+            .values()
+            .for_each(|seat| seat.leave.notify_one());
     }
 
     /// Sends away the one that has waited longest; false if all are at work.
     pub fn send_one_away(&self) -> bool {
         let seats = self.seats.borrow();
-        let longest =
-            seats.values().filter(|seat| seat.waits.get().is_some()).min_by_key(|seat| seat.waits.get());
+        let longest = seats
+            .values()
+            .filter(|seat| seat.waits.get().is_some())
+            .min_by_key(|seat| seat.waits.get());
         if let Some(seat) = longest {
             seat.waits.set(None);
             seat.leave.notify_one();
@@ -67,7 +72,11 @@
         }
         let (number, seat) = (self.turn(), Rc::new(Seat::default()));
         self.seats.borrow_mut().insert(number, seat.clone());
-        Some(Guest { hall: self.clone(), number, seat })
+        Some(Guest {
+            hall: self.clone(),
+            number,
+            seat,
+        })
     }
 }
 
--- a/crates/rookpulley-api/src/head.rs
+++ b/crates/rookpulley-api/src/head.rs
@@ -46,17 +46,26 @@
 /// Another version of HTTP is told from something else only once the line is whole.
 fn version(window: &[u8], most: usize) -> Result<Option<(Head, usize)>, Refusal> {
     let Some(end) = window.iter().position(|byte| *byte == b'\n') else {
-        return if window.len() == most { Err(Refusal::LongHead) } else { Ok(None) };
+        return if window.len() == most {
+            Err(Refusal::LongHead)
+        } else {
+            Ok(None)
+        };
     };
     let line = window.get(..end).unwrap_or_default().trim_ascii_end();
     match line.rsplit(|byte| *byte == b' ').next() {
-        Some([b'H', b'T', b'T', b'P', b'/', b'0'..=b'9', b'.', b'0'..=b'9']) => Err(Refusal::Version),
+        Some([b'H', b'T', b'T', b'P', b'/', b'0'..=b'9', b'.', b'0'..=b'9']) => {
+            Err(Refusal::Version)
+        }
         _ => Err(Refusal::Head),
     }
 }
 
 fn checked(request: &httparse::Request<'_, '_>) -> Result<Head, Refusal> {
-    let (method, newer) = (request.method.unwrap_or_default(), request.version == Some(1));
+    let (method, newer) = (
+        request.method.unwrap_or_default(),
+        request.version == Some(1),
+    );
     // Methods are told apart by their letters, so `get` is none, though async-h1 would take it for GET.
     let known = http_types::Method::from_str(method).is_ok_and(|known| known.as_ref() == method);
     if !known || method == "CONNECT" {
@@ -72,7 +81,9 @@
             "host" => hosts.push(line.value),
             "content-length" => lengths.push(line.value),
             "transfer-encoding" => codings.push(line.value),
-            "connection" => keep &= !words(line.value).any(|word| word.eq_ignore_ascii_case(b"close")),
+            "connection" => {
+                keep &= !words(line.value).any(|word| word.eq_ignore_ascii_case(b"close"))
+            }
             "expect" if newer && line.value.eq_ignore_ascii_case(b"100-continue") => waits = true,
             "expect" if newer => return Err(Refusal::Expectation),
             _ => {}
@@ -83,7 +94,15 @@
         return Err(Refusal::Host);
     }
     let length = length(&lengths, &codings, newer)?;
-    Ok(Head { method: method.to_owned(), path, query, headers, length, keep, waits })
+    Ok(Head {
+        method: method.to_owned(),
+        path,
+        query,
+        headers,
+        length,
+        keep,
+        waits,
+    })
 }
 
 fn words(value: &[u8]) -> impl Iterator<Item = &[u8]> {
@@ -91,7 +110,9 @@
 }
 
 fn is_host(value: &[u8]) -> bool {
-    value.iter().all(|byte| byte.is_ascii_graphic() && !b"/\\?#@,<>\"".contains(byte))
+    value
+        .iter()
+        .all(|byte| byte.is_ascii_graphic() && !b"/\\?#@,<>\"".contains(byte))
 }
 
 /// The raw path and query. A target with a scheme and a name in front means what it means without them.
@@ -99,15 +120,26 @@
     if target.contains('#') {
         return Err(Refusal::Target);
     }
-    let scheme = target.get(..7).filter(|scheme| scheme.eq_ignore_ascii_case("http://"));
-    let target = match (target.as_bytes().first(), scheme.and_then(|_| target.get(7..))) {
+    let scheme = target
+        .get(..7)
+        .filter(|scheme| scheme.eq_ignore_ascii_case("http://"));
+    let target = match (
+        target.as_bytes().first(),
+        scheme.and_then(|_| target.get(7..)),
+    ) {
         (Some(b'/'), _) => target,
-        (_, Some(rest)) => rest.find(['/', '?']).and_then(|at| rest.get(at..)).unwrap_or_default(),
+        (_, Some(rest)) => rest
+            .find(['/', '?'])
+            .and_then(|at| rest.get(at..))
+            .unwrap_or_default(),
         _ if target == "*" && method == "OPTIONS" => target,
         _ => return Err(Refusal::Target),
     };
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    Ok((if path.is_empty() { "/" } else { path }.to_owned(), query.to_owned()))
+    Ok((
+        if path.is_empty() { "/" } else { path }.to_owned(),
+        query.to_owned(),
+    ))
 }
 
 fn length(lengths: &[&[u8]], codings: &[&[u8]], newer: bool) -> Result<Length, Refusal> {
@@ -119,7 +151,10 @@
                 return Err(Refusal::Length);
             }
             let digits = std::str::from_utf8(first).unwrap_or_default();
-            digits.parse().map(Length::Bytes).map_err(|_| Refusal::LongBody)
+            digits
+                .parse()
+                .map(Length::Bytes)
+                .map_err(|_| Refusal::LongBody)
         }
         ([], [coding]) if newer && coding.eq_ignore_ascii_case(b"chunked") => Ok(Length::Chunks),
         ([], codings) if newer => {
@@ -127,7 +162,11 @@
                 .iter()
                 .flat_map(|coding| words(coding))
                 .all(|word| word.eq_ignore_ascii_case(b"chunked"));
-            Err(if known { Refusal::Length } else { Refusal::Coding })
+            Err(if known {
+                Refusal::Length
+            } else {
+                Refusal::Coding
+            })
         }
         _ => Err(Refusal::Length),
     }
--- a/crates/rookpulley-api/src/letter.rs
+++ b/crates/rookpulley-api/src/letter.rs
@@ -25,7 +25,11 @@
 }
 
 impl AsyncRead for Letter {
-    fn poll_read(self: Pin<&mut Self>, _: &mut Context<'_>, into: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        _: &mut Context<'_>,
+        into: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         let Parts { head, body, read } = &*self.0;
         let at = read.load(Ordering::Relaxed);
         let part = match at.checked_sub(head.len()) {
@@ -43,7 +47,11 @@
 }
 
 impl AsyncWrite for Letter {
-    fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        _: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Poll::Ready(Ok(bytes.len()))
     }
 
@@ -59,10 +67,16 @@
 /// Hands a message to `async-h1`: its method, and its body as it was read.
 pub async fn open(method: &str, body: Vec<u8>) -> http_types::Result<Option<(Method, Vec<u8>)>> {
     let length = body.len();
-    let head =
-        format!("{method} / HTTP/1.1\r\nhost: counter\r\ncontent-length: {length}\r\n\r\n").into_bytes();
-    let letter = Letter(Arc::new(Parts { head, body, read: AtomicUsize::new(0) }));
-    let Some((mut request, _)) = decode(letter).await? else { return Ok(None) };
+    let head = format!("{method} / HTTP/1.1\r\nhost: counter\r\ncontent-length: {length}\r\n\r\n")
+        .into_bytes();
+    let letter = Letter(Arc::new(Parts {
+        head,
+        body,
+        read: AtomicUsize::new(0),
+    }));
+    let Some((mut request, _)) = decode(letter).await? else {
+        return Ok(None);
+    };
     // A little more room than needed: with none to spare the reader would double it to find the end.
     let mut body = Vec::with_capacity(if length == 0 { 0 } else { length + 32 });
     if length > 0 {
@@ -88,7 +102,9 @@
         let ours = ["connection", "content-length", "transfer-encoding"]
             .iter()
             .any(|ours| name.eq_ignore_ascii_case(ours));
-        let plain = value.bytes().all(|byte| byte == b'\t' || matches!(byte, b' '..=b'~'));
+        let plain = value
+            .bytes()
+            .all(|byte| byte == b'\t' || matches!(byte, b' '..=b'~'));
         if !ours && plain && name.is_ascii() {
             response.append_header(*name, value.as_str());
         }
@@ -96,6 +112,8 @@
     if close {
         response.insert_header("connection", "close");
     }
-    Encoder::new(response, method).read_to_end(&mut bytes).await?;
+    Encoder::new(response, method)
+        .read_to_end(&mut bytes)
+        .await?;
     Ok(bytes)
 }
--- a/crates/rookpulley-api/src/matcher.rs
+++ b/crates/rookpulley-api/src/matcher.rs
@@ -32,14 +32,22 @@
 
 impl<T> Node<T> {
     fn new() -> Node<T> {
-        Node { words: Vec::new(), any: None, methods: Vec::new() }
+        Node {
+            words: Vec::new(),
+            any: None,
+            methods: Vec::new(),
+        }
     }
 
     fn grow(&mut self, segment: &str) -> &mut Node<T> {
         if segment == "{}" {
             return self.any.get_or_insert_with(|| Box::new(Node::new()));
         }
-        let at = self.words.iter().position(|(word, _)| word == segment).unwrap_or(self.words.len());
+        let at = self
+            .words
+            .iter()
+            .position(|(word, _)| word == segment)
+            .unwrap_or(self.words.len());
         if at == self.words.len() {
             self.words.push((segment.to_owned(), Node::new()));
         }
@@ -57,13 +65,21 @@
     pub fn new(patterns: &[(&str, T)]) -> Result<Tree<T>, TreeError> {
         let mut root = Node::new();
         for (pattern, value) in patterns {
-            let parts = pattern.split_once(" /").filter(|(method, _)| !method.is_empty());
-            let Some((method, path)) = parts else { return Err(TreeError::Pattern((*pattern).to_owned())) };
-            let captures = path.split('/').filter(|segment| segment.contains(['{', '}']));
+            let parts = pattern
+                .split_once(" /")
+                .filter(|(method, _)| !method.is_empty());
+            let Some((method, path)) = parts else {
+                return Err(TreeError::Pattern((*pattern).to_owned()));
+            };
+            let captures = path
+                .split('/')
+                .filter(|segment| segment.contains(['{', '}']));
             if captures.clone().count() > 1 || captures.clone().any(|segment| segment != "{}") {
                 return Err(TreeError::Captures((*pattern).to_owned()));
             }
-            let node = path.split('/').fold(&mut root, |node, segment| node.grow(segment));
+            let node = path
+                .split('/')
+                .fold(&mut root, |node, segment| node.grow(segment));
             if node.methods.iter().any(|(held, _)| held == method) {
                 return Err(TreeError::Twice((*pattern).to_owned()));
             }
@@ -77,7 +93,8 @@
         self.visit(path, &mut |node, captured| {
             known = true;
             let ends = node.methods.iter().find(|(held, _)| held == method);
-            found = ends.map(|(_, value)| (*value, captured.map(str::to_owned).unwrap_or_default()));
+            found =
+                ends.map(|(_, value)| (*value, captured.map(str::to_owned).unwrap_or_default()));
             found.is_some()
         });
         match found {
@@ -113,14 +130,18 @@
     captured: Option<&str>,
     enough: &mut dyn FnMut(&'a Node<T>, Option<&str>) -> bool,
 ) -> bool {
-    let Some(segment) = rest.next() else { return !node.methods.is_empty() && enough(node, captured) };
+    let Some(segment) = rest.next() else {
+        return !node.methods.is_empty() && enough(node, captured);
+    };
     if let Some((_, next)) = node.words.iter().find(|(word, _)| word == segment)
         && walk(next, rest.clone(), captured, enough)
     {
         return true;
     }
     match &node.any {
-        Some(next) => decoded(segment).is_some_and(|captured| walk(next, rest, Some(&captured), enough)),
+        Some(next) => {
+            decoded(segment).is_some_and(|captured| walk(next, rest, Some(&captured), enough))
+        }
         None => false,
     }
 }
@@ -132,19 +153,29 @@
     }
     let mut bytes = Vec::with_capacity(segment.len());
     let mut rest = segment.bytes();
-    let digit = |byte: Option<u8>| char::from(byte?).to_digit(16).and_then(|digit| u8::try_from(digit).ok());
+    let digit = |byte: Option<u8>| {
+        char::from(byte?)
+            .to_digit(16)
+            .and_then(|digit| u8::try_from(digit).ok())
+    };
     while let Some(byte) = rest.next() {
-        bytes.push(if byte == b'%' { digit(rest.next())? << 4 | digit(rest.next())? } else { byte });
+        bytes.push(if byte == b'%' {
+            digit(rest.next())? << 4 | digit(rest.next())?
+        } else {
+            byte
+        });
     }
     String::from_utf8(bytes).ok()
 }
 
 /// The raw value of a name in a query; of several, the first.
 pub fn query<'a>(query: &'a str, name: &str) -> Option<&'a str> {
-    query.split('&').find_map(|pair| match pair.split_once('=') {
-        Some((held, value)) => (held == name).then_some(value),
-        None => (pair == name).then_some(""),
-    })
+    query
+        .split('&')
+        .find_map(|pair| match pair.split_once('=') {
+            Some((held, value)) => (held == name).then_some(value),
+            None => (pair == name).then_some(""),
+        })
 }
 
 #[cfg(test)]
@@ -152,18 +183,29 @@
     use super::*;
 
     fn fits(pattern: &str, path: &str) -> Option<Vec<String>> {
-        let (pattern, path): (Vec<_>, Vec<_>) = (pattern.split('/').collect(), path.split('/').collect());
+        let (pattern, path): (Vec<_>, Vec<_>) =
+            (pattern.split('/').collect(), path.split('/').collect());
         let fits = |(word, segment): (&&str, &&str)| match *word {
             "{}" => decoded(segment).map(Some),
             word => (word == *segment).then_some(None),
         };
         let same = pattern.len() == path.len();
-        same.then(|| pattern.iter().zip(&path).map(fits).collect::<Option<Vec<_>>>()).flatten().map(
-            |captured| {
-                let captured = captured.into_iter().flatten().collect::<Vec<_>>();
-                if captured.is_empty() { vec![String::new()] } else { captured }
-            },
-        )
+        same.then(|| {
+            pattern
+                .iter()
+                .zip(&path)
+                .map(fits)
+                .collect::<Option<Vec<_>>>()
+        })
+        .flatten()
+        .map(|captured| {
+            let captured = captured.into_iter().flatten().collect::<Vec<_>>();
+            if captured.is_empty() {
+                vec![String::new()]
+            } else {
+                captured
+            }
+        })
     }
 
     #[test]
@@ -184,8 +226,11 @@
                     patterns.push(pattern);
                 }
             }
-            let numbered: Vec<(&str, usize)> =
-                patterns.iter().enumerate().map(|(number, pattern)| (pattern.as_str(), number)).collect();
+            let numbered: Vec<(&str, usize)> = patterns
+                .iter()
+                .enumerate()
+                .map(|(number, pattern)| (pattern.as_str(), number))
+                .collect();
             let tree = Tree::new(&numbered).unwrap();
             for _ in 0..20 {
                 let mut path = String::new();
@@ -200,8 +245,10 @@
                     .filter_map(|(number, pattern)| {
                         let (held, pattern) = pattern.split_once(' ')?;
                         // Where two patterns fit, the one whose capture comes later goes first.
-                        let rank: Vec<bool> = pattern.split('/').map(|segment| segment == "{}").collect();
-                        fits(pattern, &path).map(|captured| (rank, held.to_owned(), number, captured))
+                        let rank: Vec<bool> =
+                            pattern.split('/').map(|segment| segment == "{}").collect();
+                        fits(pattern, &path)
+                            .map(|captured| (rank, held.to_owned(), number, captured))
                     })
                     .collect::<Vec<_>>();
                 known.sort();
@@ -211,7 +258,11 @@
                     None if !known.is_empty() => Match::WrongMethod,
                     None => Match::Nothing,
                 };
-                assert_eq!(tree.lookup(method, &path), expected, "{method} {path} in {patterns:?}");
+                assert_eq!(
+                    tree.lookup(method, &path),
+                    expected,
+                    "{method} {path} in {patterns:?}"
+                );
                 assert_eq!(tree.allowed(&path).is_empty(), known.is_empty());
             }
             Ok(())
@@ -221,10 +272,22 @@
 
     #[test]
     fn patterns_that_mean_nothing_or_two_things_are_refused() {
-        assert!(matches!(Tree::new(&[("GET rookpulley", 0)]), Err(TreeError::Pattern(_))));
-        assert!(matches!(Tree::new(&[("GET /{}/{}", 0)]), Err(TreeError::Captures(_))));
-        assert!(matches!(Tree::new(&[("GET /a{}", 0)]), Err(TreeError::Captures(_))));
-        assert!(matches!(Tree::new(&[("GET /{}", 0), ("GET /{}", 1)]), Err(TreeError::Twice(_))));
+        assert!(matches!(
+            Tree::new(&[("GET rookpulley", 0)]),
+            Err(TreeError::Pattern(_))
+        ));
+        assert!(matches!(
+            Tree::new(&[("GET /{}/{}", 0)]),
+            Err(TreeError::Captures(_))
+        ));
+        assert!(matches!(
+            Tree::new(&[("GET /a{}", 0)]),
+            Err(TreeError::Captures(_))
+        ));
+        assert!(matches!(
+            Tree::new(&[("GET /{}", 0), ("GET /{}", 1)]),
+            Err(TreeError::Twice(_))
+        ));
         assert_eq!(query("after=930&waitMs=2000&after=1", "after"), Some("930"));
         assert_eq!(query("after=930", "aft"), None);
     }
--- a/crates/rookpulley-api/src/serve.rs
+++ b/crates/rookpulley-api/src/serve.rs
@@ -24,8 +24,12 @@
 
 /// Serves until `stop` turns true and every call at work is answered. Dropping this ends all connections at once.
 /// It must run inside a `LocalSet`. A sender that is dropped without a word means that there is no stop.
-pub async fn serve<H, F>(listener: TcpListener, bounds: Bounds, stop: watch::Receiver<bool>, handler: Rc<H>)
-where
+pub async fn serve<H, F>(
+    listener: TcpListener,
+    bounds: Bounds,
+    stop: watch::Receiver<bool>,
+    handler: Rc<H>,
+) where
     H: Fn(Call) -> F + 'static,
     F: Future<Output = Reply> + 'static,
 {
@@ -50,7 +54,9 @@
     }
     // Those who stand in the queue by now have been let in by the system, and are answered.
     for _ in 0..bounds.connections {
-        let Some(Ok((stream, _))) = futures_lite::future::poll_once(listener.accept()).await else { break };
+        let Some(Ok((stream, _))) = futures_lite::future::poll_once(listener.accept()).await else {
+            break;
+        };
         admit(&mut guests, &hall, &handler, stream);
     }
     drop(listener);
@@ -73,7 +79,10 @@
 }
 
 fn is_passing(kind: ErrorKind) -> bool {
-    matches!(kind, ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset | ErrorKind::Interrupted)
+    matches!(
+        kind,
+        ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset | ErrorKind::Interrupted
+    )
 }
 
 fn admit<H, F>(guests: &mut JoinSet<()>, hall: &Rc<Hall>, handler: &Rc<H>, stream: TcpStream)
@@ -111,12 +120,19 @@
             tracing::warn!("counter: a message that the guard let through can't be read");
             return refuse(guard, Refusal::Head).await;
         };
-        let call =
-            Call { method: head.method, path: head.path, query: head.query, body, headers: head.headers };
+        let call = Call {
+            method: head.method,
+            path: head.path,
+            query: head.query,
+            body,
+            headers: head.headers,
+        };
         let reply = handler(call).await;
         drop(share);
         let close = !head.keep || reply.closes() || hall.is_stopping();
-        let Ok(bytes) = letter::seal(reply, method, close).await else { return };
+        let Ok(bytes) = letter::seal(reply, method, close).await else {
+            return;
+        };
         if !guard.write(&bytes).await {
             return;
         }
@@ -150,9 +166,15 @@
 
 async fn refuse<S: AsyncRead + AsyncWrite + Unpin>(mut guard: Guard<S>, refusal: Refusal) {
     tracing::debug!("counter: a message is refused: {refusal}");
-    let help = miette::Diagnostic::help(&refusal).map(|help| help.to_string()).unwrap_or_default();
+    let help = miette::Diagnostic::help(&refusal)
+        .map(|help| help.to_string())
+        .unwrap_or_default();
     let reply = Reply::error(refusal.status(), &format!("{refusal}: {help}"));
-    let reply = if refusal == Refusal::NoRoom { reply.with("retry-after", "0.5") } else { reply };
+    let reply = if refusal == Refusal::NoRoom {
+        reply.with("retry-after", "0.5")
+    } else {
+        reply
+    };
     if let Ok(bytes) = letter::seal(reply, http_types::Method::Get, true).await
         && guard.write(&bytes).await
     {
--- a/crates/rookpulley-api/tests/guarded.rs
+++ b/crates/rookpulley-api/tests/guarded.rs
@@ -28,7 +28,12 @@
 }
 
 fn told(message: Message) -> Told {
-    (message.head.method, message.head.path, message.head.query, message.body)
+    (
+        message.head.method,
+        message.head.path,
+        message.head.query,
+        message.body,
+    )
 }
 
 /// Sends bytes through a pipe that holds so many at once, and ends it.
@@ -42,7 +47,10 @@
         _ = ours.read_to_end(&mut sink).await;
     };
     let take = async move {
-        let mut taken = Taken { messages: Vec::new(), refused: None };
+        let mut taken = Taken {
+            messages: Vec::new(),
+            refused: None,
+        };
         while guard.arrive().await {
             match guard.message().await {
                 Ok(message) => taken.messages.push(told(message)),
@@ -66,7 +74,10 @@
 /// The status of a refusal of the first message, or 200.
 fn status(bytes: &[u8]) -> u16 {
     let taken = taken(bytes);
-    assert!(taken.messages.is_empty() || taken.refused.is_none(), "{taken:?}");
+    assert!(
+        taken.messages.is_empty() || taken.refused.is_none(),
+        "{taken:?}"
+    );
     taken.refused.map_or(200, Refusal::status)
 }
 
@@ -76,20 +87,60 @@
         status(format!("POST /a HTTP/1.1\r\nHost: h\r\n{lines}\r\n{body}").as_bytes())
     };
     assert_eq!(post("Content-Length: 3\r\n", "abc"), 200);
-    assert_eq!(post("Content-Length: 3\r\nContent-Length: 3\r\n", "abc"), 200);
-    assert_eq!(post("Content-Length: 3\r\nContent-Length: 4\r\n", "abcd"), 400);
+    assert_eq!(
+        post("Content-Length: 3\r\nContent-Length: 3\r\n", "abc"),
+        200
+    );
+    assert_eq!(
+        post("Content-Length: 3\r\nContent-Length: 4\r\n", "abcd"),
+        400
+    );
     for length in ["+3", "-3", "3, 3", "0x3", "3 3", "", "٣"] {
-        assert_eq!(post(&format!("Content-Length: {length}\r\n"), "abc"), 400, "{length}");
+        assert_eq!(
+            post(&format!("Content-Length: {length}\r\n"), "abc"),
+            400,
+            "{length}"
+        );
     }
-    assert_eq!(post("Content-Length: 99999999999999999999999\r\n", "abc"), 413);
+    assert_eq!(
+        post("Content-Length: 99999999999999999999999\r\n", "abc"),
+        413
+    );
     assert_eq!(post("Content-Length: 9999999999\r\n", "abc"), 413);
     assert_eq!(post("Content-Length: 4\r\n", "abc"), 400);
-    assert_eq!(post("Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n0\r\n\r\n"), 200);
-    assert_eq!(post("Transfer-Encoding: CHUNKED\r\n", "3;x=\"y\"\r\nabc\r\n0\r\nT: v\r\n\r\n"), 200);
-    assert_eq!(post("Transfer-Encoding: chunked\r\nContent-Length: 3\r\n", "0\r\n\r\n"), 400);
-    assert_eq!(post("Transfer-Encoding: chunked, chunked\r\n", "0\r\n\r\n"), 400);
-    for coding in ["gzip, chunked", "identity", "xchunked", "chunked\r\nTransfer-Encoding: gzip"] {
-        assert_eq!(post(&format!("Transfer-Encoding: {coding}\r\n"), "0\r\n\r\n"), 501, "{coding}");
+    assert_eq!(
+        post("Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n0\r\n\r\n"),
+        200
+    );
+    assert_eq!(
+        post(
+            "Transfer-Encoding: CHUNKED\r\n",
+            "3;x=\"y\"\r\nabc\r\n0\r\nT: v\r\n\r\n"
+        ),
+        200
+    );
+    assert_eq!(
+        post(
+            "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n",
+            "0\r\n\r\n"
+        ),
+        400
+    );
+    assert_eq!(
+        post("Transfer-Encoding: chunked, chunked\r\n", "0\r\n\r\n"),
+        400
+    );
+    for coding in [
+        "gzip, chunked",
+        "identity",
+        "xchunked",
+        "chunked\r\nTransfer-Encoding: gzip",
+    ] {
+        assert_eq!(
+            post(&format!("Transfer-Encoding: {coding}\r\n"), "0\r\n\r\n"),
+            501,
+            "{coding}"
+        );
     }
     for body in [
         "0x3\r\nabc",
@@ -102,11 +153,30 @@
         "3\r\nabcd\r\n",
         "-1\r\n",
     ] {
-        assert_eq!(post("Transfer-Encoding: chunked\r\n", &format!("{body}\r\n0\r\n\r\n")), 400, "{body:?}");
+        assert_eq!(
+            post(
+                "Transfer-Encoding: chunked\r\n",
+                &format!("{body}\r\n0\r\n\r\n")
+            ),
+            400,
+            "{body:?}"
+        );
     }
-    assert_eq!(post("Transfer-Encoding: chunked\r\n", "ffffffffffffffffff\r\n"), 413);
-    assert_eq!(post("Transfer-Encoding: chunked\r\n", "00000000000000000000\r\n\r\n"), 400);
-    assert_eq!(post("Transfer-Encoding: chunked\r\n", "0\r\nno trailer\r\n\r\n"), 400);
+    assert_eq!(
+        post("Transfer-Encoding: chunked\r\n", "ffffffffffffffffff\r\n"),
+        413
+    );
+    assert_eq!(
+        post(
+            "Transfer-Encoding: chunked\r\n",
+            "00000000000000000000\r\n\r\n"
+        ),
+        400
+    );
+    assert_eq!(
+        post("Transfer-Encoding: chunked\r\n", "0\r\nno trailer\r\n\r\n"),
+        400
+    );
     assert_eq!(post("Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n"), 400);
     assert_eq!(post("A: b\r\n folded\r\n", ""), 400);
     assert_eq!(post("Content-Length : 3\r\n", "abc"), 400);
@@ -119,17 +189,27 @@
 fn what_is_no_call_gets_a_status_that_says_so() {
     assert_eq!(status(b"GET / HTTP/1.1\r\n\r\n"), 400);
     assert_eq!(status(b"GET / HTTP/1.0\r\n\r\n"), 200);
-    assert_eq!(status(b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), 400);
+    assert_eq!(
+        status(b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
+        400
+    );
     assert_eq!(status(b"GET / HTTP/1.1\r\nHost: a b\r\n\r\n"), 400);
     assert_eq!(status(b"GET / HTTP/3.0\r\nHost: h\r\n\r\n"), 505);
     assert_eq!(status(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"), 505);
     assert_eq!(status(b"GET / HTTP/one\r\nHost: h\r\n\r\n"), 400);
     assert_eq!(status(b"GET /\r\nHost: h\r\n\r\n"), 400);
     for method in ["get", "BREW", "CONNECT"] {
-        assert_eq!(status(format!("{method} / HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes()), 501);
+        assert_eq!(
+            status(format!("{method} / HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes()),
+            501
+        );
     }
     for target in ["a", "*", "/a#b", "https://h/"] {
-        assert_eq!(status(format!("GET {target} HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes()), 400, "{target}");
+        assert_eq!(
+            status(format!("GET {target} HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes()),
+            400,
+            "{target}"
+        );
     }
     assert_eq!(status(b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03"), 400);
     assert_eq!(status(b"GET / HTTP/1.1\r\nHo"), 400);
@@ -146,10 +226,21 @@
         ("http://other?c", "/", "c"),
     ] {
         let taken = taken(format!("GET {target} HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes());
-        assert_eq!(taken.messages, [("GET".to_owned(), path.to_owned(), query.to_owned(), Vec::new())]);
+        assert_eq!(
+            taken.messages,
+            [(
+                "GET".to_owned(),
+                path.to_owned(),
+                query.to_owned(),
+                Vec::new()
+            )]
+        );
     }
     let padded = |length: usize| {
-        let head = format!("GET / HTTP/1.1\r\nHost: h\r\nA: {}\r\n\r\n", "é".repeat(7_000));
+        let head = format!(
+            "GET / HTTP/1.1\r\nHost: h\r\nA: {}\r\n\r\n",
+            "é".repeat(7_000)
+        );
         let fill = "b".repeat(length - head.len());
         head.replace("A: ", &format!("A: {fill}"))
     };
@@ -160,7 +251,13 @@
 /// A proper message and what is to come of it.
 fn message(u: &mut Unstructured) -> Result<(Vec<u8>, Told)> {
     let method = *u.choose(&["GET", "PUT", "POST", "DELETE"])?;
-    let target = *u.choose(&["/", "/a/../b", "/%2e%2e", "/x?y=z&w", "/rookpulley/cells/g1.2d"])?;
+    let target = *u.choose(&[
+        "/",
+        "/a/../b",
+        "/%2e%2e",
+        "/x?y=z&w",
+        "/rookpulley/cells/g1.2d",
+    ])?;
     // A body may look like another call, and stays a body.
     let smuggled = b"\r\nGET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n0\r\n\r\n".to_vec();
     let body: Vec<u8> = match u.int_in_range(0..=3)? {
@@ -181,7 +278,11 @@
             bytes.extend_from_slice(b"\r\n");
             rest = left;
         }
-        bytes.extend_from_slice(if u.arbitrary()? { b"0\r\n\r\n" } else { b"00\r\nA: b\r\n\r\n" });
+        bytes.extend_from_slice(if u.arbitrary()? {
+            b"0\r\n\r\n"
+        } else {
+            b"00\r\nA: b\r\n\r\n"
+        });
     } else if body.is_empty() {
         bytes.extend_from_slice(b"\r\n");
     } else {
@@ -192,7 +293,10 @@
         bytes.extend_from_slice(b"\r\n");
     }
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    Ok((bytes, (method.to_owned(), path.to_owned(), query.to_owned(), body)))
+    Ok((
+        bytes,
+        (method.to_owned(), path.to_owned(), query.to_owned(), body),
+    ))
 }
 
 #[test]
@@ -207,7 +311,13 @@
         let width = *u.choose(&[1, 2, 3, 7, 64, 1_000, 5_000, 100_000])?;
         in_time(async {
             let taken = through(&bytes, width, Bounds::default()).await;
-            assert_eq!(taken, Taken { messages, refused: None });
+            assert_eq!(
+                taken,
+                Taken {
+                    messages,
+                    refused: None
+                }
+            );
         });
         Ok(())
     });
@@ -228,11 +338,17 @@
                 _ => bytes.insert(at, *u.choose(b"\r\n :;\0+,0A\xff")?),
             }
         }
-        let bounds =
-            Bounds { head_bytes: *u.choose(&[60, 200, 16 << 10])?, body_bytes: 5_000, ..Bounds::default() };
+        let bounds = Bounds {
+            head_bytes: *u.choose(&[60, 200, 16 << 10])?,
+            body_bytes: 5_000,
+            ..Bounds::default()
+        };
         let (narrow, wide) = (*u.choose(&[1, 5, 50])?, 1 << 20);
         in_time(async {
-            assert_eq!(through(&bytes, narrow, bounds).await, through(&bytes, wide, bounds).await);
+            assert_eq!(
+                through(&bytes, narrow, bounds).await,
+                through(&bytes, wide, bounds).await
+            );
         });
         Ok(())
     });
@@ -242,9 +358,13 @@
 fn a_caller_that_stalls_is_told_and_one_that_waits_for_a_word_gets_it() {
     in_time(async {
         let bounds = Bounds::default();
-        for (sent, patience) in
-            [("GET / HT", 5), ("PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc", 10)]
-        {
+        for (sent, patience) in [
+            ("GET / HT", 5),
+            (
+                "PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc",
+                10,
+            ),
+        ] {
             let (mut ours, theirs) = tokio::io::duplex(1 << 10);
             let mut guard = Guard::new(theirs, bounds, Room::new(100));
             ours.write_all(sent.as_bytes()).await.unwrap();
@@ -256,9 +376,11 @@
         let (mut ours, theirs) = tokio::io::duplex(1 << 10);
         let mut guard = Guard::new(theirs, bounds, Room::new(100));
         let call = async {
-            ours.write_all(b"PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n")
-                .await
-                .unwrap();
+            ours.write_all(
+                b"PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n",
+            )
+            .await
+            .unwrap();
             let mut word = [0; 25];
             ours.read_exact(&mut word).await.unwrap();
             assert_eq!(&word, b"HTTP/1.1 100 Continue\r\n\r\n");
@@ -272,7 +394,10 @@
 #[test]
 fn bodies_share_one_room_and_give_it_back() {
     in_time(async {
-        let bounds = Bounds { body_time: Duration::from_secs(1), ..Bounds::default() };
+        let bounds = Bounds {
+            body_time: Duration::from_secs(1),
+            ..Bounds::default()
+        };
         let room = Room::new(10);
         for chunked in [false, true] {
             let mut first = None;
--- a/crates/rookpulley-assigner/examples/file_latency.rs
+++ b/crates/rookpulley-assigner/examples/file_latency.rs
@@ -24,16 +24,25 @@
         weight: 1.0 + (generation % 100) as f64 / 64.0,
         ..Entry::default()
     };
-    written(&Candidate { generation, loss: Some(1.0), entries: (10..14).map(entry).collect() })
+    written(&Candidate {
+        generation,
+        loss: Some(1.0),
+        entries: (10..14).map(entry).collect(),
+    })
 }
 
 async fn follow(servers: &Path) -> Rc<Dispatcher> {
     let agent = Agent::new().await;
     let told = lists::told(agent.place);
     let told = config::read(&told.to_string()).unwrap();
-    let operators =
-        file::read(Path::new("o"), &format!("servers(file = {:?})", servers.to_str().unwrap())).unwrap();
-    let assigner = Assigner::bind(told, "none".into(), Signals::take().unwrap(), &operators).await.unwrap();
+    let operators = file::read(
+        Path::new("o"),
+        &format!("servers(file = {:?})", servers.to_str().unwrap()),
+    )
+    .unwrap();
+    let assigner = Assigner::bind(told, "none".into(), Signals::take().unwrap(), &operators)
+        .await
+        .unwrap();
     let place = assigner.places().0.unwrap();
     spawn_local(assigner.serve());
     let dispatcher = Dispatcher::new(0, "a", &["read", "write"], false, 1, Rc::new(|_| ()));
@@ -66,10 +75,17 @@
 }
 
 fn main() {
-    let rounds = std::env::args().nth(1).and_then(|r| r.parse().ok()).unwrap_or(60);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let rounds = std::env::args()
+        .nth(1)
+        .and_then(|r| r.parse().ok())
+        .unwrap_or(60);
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, async {
-        let folder = std::env::temp_dir().join(format!("rookpulley-latency-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("rookpulley-latency-{}", std::process::id()));
         for (name, plain) in [("the watch", false), ("once a second", true)] {
             std::fs::create_dir_all(&folder).unwrap();
             let (followed, source) = (folder.join("servers.star"), folder.join("source.star"));
@@ -90,7 +106,11 @@
             }
             let took = measure(write, &dispatcher, rounds).await;
             let at = |part: f64| took[((took.len() - 1) as f64 * part) as usize];
-            println!("{name}: median {:.0} ms, 99th percentile {:.0} ms, {rounds} files", at(0.5), at(0.99));
+            println!(
+                "{name}: median {:.0} ms, 99th percentile {:.0} ms, {rounds} files",
+                at(0.5),
+                at(0.99)
+            );
             std::fs::remove_dir_all(&folder).unwrap();
         }
     });
--- a/crates/rookpulley-assigner/examples/tick.rs
+++ b/crates/rookpulley-assigner/examples/tick.rs
@@ -37,7 +37,11 @@
         effects: &[Effect],
         names: &Names,
     ) -> Vec<(ProxyId, usize)> {
-        orders.carry_out(effects, names).into_iter().map(|w| (w.proxy, w.bytes.len())).collect()
+        orders
+            .carry_out(effects, names)
+            .into_iter()
+            .map(|w| (w.proxy, w.bytes.len()))
+            .collect()
     }
 }
 
@@ -48,9 +52,18 @@
     use rookpulley_versions::{Book, Bounds, Issuer, Patience};
 
     pub fn new(kinds: Vec<String>, versions: bool) -> Orders {
-        let issuer = Issuer { assigner: "n0".into(), start: 1 };
-        let bounds = Bounds { each: 8, bytes: 16 << 20 };
-        Orders::new(kinds, versions.then(|| Book::new(issuer, 1, bounds, Patience::for_transit(400.0))))
+        let issuer = Issuer {
+            assigner: "n0".into(),
+            start: 1,
+        };
+        let bounds = Bounds {
+            each: 8,
+            bytes: 16 << 20,
+        };
+        Orders::new(
+            kinds,
+            versions.then(|| Book::new(issuer, 1, bounds, Patience::for_transit(400.0))),
+        )
     }
 
     pub fn join(orders: &mut Orders, now: f64, proxy: ProxyId) {
@@ -70,7 +83,11 @@
         if let Some(book) = &mut orders.book {
             assert!(book.due_by_now(now).is_empty() && book.take_uncounted().is_empty());
         }
-        orders.carry_out(now, effects, names).into_iter().map(|w| (w.proxy, w.bytes.len())).collect()
+        orders
+            .carry_out(now, effects, names)
+            .into_iter()
+            .map(|w| (w.proxy, w.bytes.len()))
+            .collect()
     }
 }
 
@@ -79,7 +96,13 @@
 
 fn server(n: usize, stage: Stage, started_ms: f64) -> Listed {
     let zone = (n % 3) as ZoneId;
-    Listed { server: server_id(&format!("s-{n}")), stage, weight: 1.0, started_ms, ..listed(0, zone) }
+    Listed {
+        server: server_id(&format!("s-{n}")),
+        stage,
+        weight: 1.0,
+        started_ms,
+        ..listed(0, zone)
+    }
 }
 
 fn start() -> Start {
@@ -97,11 +120,17 @@
 fn main() {
     let versions = std::env::args().nth(1).is_some_and(|a| a == "versions");
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let names: Names = (0..SERVERS).map(|n| (server_id(&format!("s-{n}")), format!("s-{n}"))).collect();
+    let names: Names = (0..SERVERS)
+        .map(|n| (server_id(&format!("s-{n}")), format!("s-{n}")))
+        .collect();
     let mut controller = Controller::new(0.0, start());
     let mut orders = api::new(vec!["view".into(), "book".into()], versions);
     let lines = (0..SERVERS).map(|n| server(n, Stage::Ready, 0.0)).collect();
-    let mut inputs = vec![Input::List { scope: ListScope::Cached, version: 1, lines }];
+    let mut inputs = vec![Input::List {
+        scope: ListScope::Cached,
+        version: 1,
+        lines,
+    }];
     let mut alarms: Vec<(f64, u64)> = Vec::new();
     let mut answers: Vec<(f64, ProxyId, u64)> = Vec::new();
     let (mut took, mut calls, mut bytes, mut messages) = (0.0, 0, 0, 0);
@@ -110,7 +139,12 @@
         if tick < u32::from(PROXIES) {
             let proxy = tick as ProxyId;
             api::join(&mut orders, now, proxy);
-            inputs.push(Input::Joined { proxy, zone: proxy % 3, usual_per_s: 10.0, fresh: true });
+            inputs.push(Input::Joined {
+                proxy,
+                zone: proxy % 3,
+                usual_per_s: 10.0,
+                fresh: true,
+            });
         }
         for _ in 0..3 {
             let server = server_id(&format!("s-{}", rng.random_range(0..SERVERS)));
@@ -125,13 +159,27 @@
                 load,
             });
             let (proxy, kind) = (rng.random_range(0..PROXIES), rng.random_range(0..2));
-            inputs.push(Input::Usage { proxy, kind, came: 10.0, bad: 0.0, span_ms: 1e3 });
+            inputs.push(Input::Usage {
+                proxy,
+                kind,
+                came: 10.0,
+                bad: 0.0,
+                span_ms: 1e3,
+            });
         }
         if tick % 200 == 199 {
             let n = rng.random_range(0..SERVERS);
-            let stage = if rng.random_range(0..2) == 0 { Stage::Draining } else { Stage::Ready };
+            let stage = if rng.random_range(0..2) == 0 {
+                Stage::Draining
+            } else {
+                Stage::Ready
+            };
             let lines = vec![server(n, stage, now)];
-            inputs.push(Input::List { scope: ListScope::Changes, version: 2, lines });
+            inputs.push(Input::List {
+                scope: ListScope::Changes,
+                version: 2,
+                lines,
+            });
         }
         alarms.retain(|(due, name)| {
             _ = (*due <= now).then(|| inputs.push(Input::Alarm { name: *name }));
@@ -141,15 +189,24 @@
         let from = Instant::now();
         for (_, proxy, mark) in due {
             api::answered(&mut orders, now, proxy, mark);
-            inputs.push(Input::Applied { proxy, mark, took_ms: 90.0 });
+            inputs.push(Input::Applied {
+                proxy,
+                mark,
+                took_ms: 90.0,
+            });
         }
         let effects = controller.handle(now, &inputs);
         let written = api::carry_out(&mut orders, now, &effects, &names);
         took += from.elapsed().as_secs_f64();
         calls += 1;
         inputs.clear();
-        let mark =
-            effects.iter().find_map(|e| if let Effect::Mark { mark, .. } = e { Some(*mark) } else { None });
+        let mark = effects.iter().find_map(|e| {
+            if let Effect::Mark { mark, .. } = e {
+                Some(*mark)
+            } else {
+                None
+            }
+        });
         for (proxy, size) in written {
             (bytes, messages) = (bytes + size, messages + 1);
             answers.extend(mark.map(|mark| (now + 90.0, proxy, mark)));
--- a/crates/rookpulley-assigner/src/config.rs
+++ b/crates/rookpulley-assigner/src/config.rs
@@ -54,7 +54,15 @@
 }
 
 /// What is told once: it takes a restart to change it.
-const FIXED: [&str; 7] = ["name", "listen", "limits", "peer_listen", "peers", "peers_all", "settings"];
+const FIXED: [&str; 7] = [
+    "name",
+    "listen",
+    "limits",
+    "peer_listen",
+    "peers",
+    "peers_all",
+    "settings",
+];
 
 pub struct Told {
     /// The fields that are told once, as they were written.
@@ -75,7 +83,8 @@
     let file: File = serde_json::from_str(text)?;
     let mut fixed: BTreeMap<String, Value> = serde_json::from_str(text)?;
     fixed.retain(|field, _| FIXED.contains(&field.as_str()));
-    let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| Unusable::Seed(file.seed.clone()))?;
+    let seed =
+        u64::from_str_radix(&file.seed, 16).map_err(|_| Unusable::Seed(file.seed.clone()))?;
     let mut start = rookpulley_start::read_value(seed, &file.settings)?;
     // Each may have to let back a server that the proxy shut out on another assigner's word.
     start.channel.bind_lines = 2.0;
@@ -98,11 +107,24 @@
         }),
     };
     let (name, listen, discovery, limits) = (file.name, file.listen, file.discovery, file.limits);
-    Ok(Told { fixed, name, listen, discovery, limits, peers, known, words, tick_ms: facts.tick_ms, start })
+    Ok(Told {
+        fixed,
+        name,
+        listen,
+        discovery,
+        limits,
+        peers,
+        known,
+        words,
+        tick_ms: facts.tick_ms,
+        start,
+    })
 }
 
 pub fn path_from_env() -> Result<PathBuf, Unusable> {
-    std::env::var_os("PROXY_CONFIG").map(PathBuf::from).ok_or(Unusable::NotNamed)
+    std::env::var_os("PROXY_CONFIG")
+        .map(PathBuf::from)
+        .ok_or(Unusable::NotNamed)
 }
 
 pub fn load(path: &Path) -> Result<Told, Unusable> {
--- a/crates/rookpulley-assigner/src/counters.rs
+++ b/crates/rookpulley-assigner/src/counters.rs
@@ -34,6 +34,10 @@
 
     /// All of them on one line each.
     pub fn lines(&self) -> Vec<String> {
-        self.counts.borrow().iter().map(|(what, count)| format!("{what} {count}")).collect()
+        self.counts
+            .borrow()
+            .iter()
+            .map(|(what, count)| format!("{what} {count}"))
+            .collect()
     }
 }
--- a/crates/rookpulley-assigner/src/driver.rs
+++ b/crates/rookpulley-assigner/src/driver.rs
@@ -26,13 +26,33 @@
 /// What connections, the list and peers tell the driver.
 pub enum Event {
     Joined(Joined),
-    OnStream { conn: ConnId, proxy: ProxyId, input: Input, holds: Holds },
-    Refused { conn: ConnId, proxy: ProxyId, kinds: Kinds, holds: Option<Claim> },
-    Ended { conn: ConnId, proxy: ProxyId, ending: Ending },
+    OnStream {
+        conn: ConnId,
+        proxy: ProxyId,
+        input: Input,
+        holds: Holds,
+    },
+    Refused {
+        conn: ConnId,
+        proxy: ProxyId,
+        kinds: Kinds,
+        holds: Option<Claim>,
+    },
+    Ended {
+        conn: ConnId,
+        proxy: ProxyId,
+        ending: Ending,
+    },
     Report(Input),
-    List { scope: ListScope, list: List },
+    List {
+        scope: ListScope,
+        list: List,
+    },
     ListFailed,
-    Note { from: u16, bytes: Vec<u8> },
+    Note {
+        from: u16,
+        bytes: Vec<u8>,
+    },
     Asked(Asked),
     File(Found),
 }
@@ -66,15 +86,25 @@
     /// Prints the counters, and the most memory that the system says was held.
     pub fn print(&self) {
         let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-        let most = status.lines().find_map(|line| line.strip_prefix("VmHWM:")?.split_whitespace().next());
-        self.counters.most("most memory kB", most.and_then(|kb| kb.parse().ok()).unwrap_or(0));
-        self.counters.lines().iter().for_each(|line| say!(self.log, "count", "{line}"));
+        let most = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:")?.split_whitespace().next());
+        self.counters.most(
+            "most memory kB",
+            most.and_then(|kb| kb.parse().ok()).unwrap_or(0),
+        );
+        self.counters
+            .lines()
+            .iter()
+            .for_each(|line| say!(self.log, "count", "{line}"));
     }
 }
 
 /// Unix time in milliseconds, by the system's clock.
 pub fn unix_ms() -> f64 {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     unix.as_secs_f64() * 1e3
 }
 
@@ -86,7 +116,10 @@
 
 impl Clock {
     pub fn start() -> Self {
-        Self { origin_ms: unix_ms(), origin: Instant::now() }
+        Self {
+            origin_ms: unix_ms(),
+            origin: Instant::now(),
+        }
     }
 
     pub fn now_ms(&self) -> f64 {
@@ -168,7 +201,10 @@
             ways_back: WaysBack::default(),
             servers,
         };
-        driver.take(Event::List { scope: ListScope::Cached, list: known });
+        driver.take(Event::List {
+            scope: ListScope::Cached,
+            list: known,
+        });
         driver.call();
         driver
     }
@@ -180,10 +216,16 @@
     /// One turn: waits for something to come, gathers all up to the next tick, calls the module.
     pub async fn turn(&mut self, events: &mut mpsc::Receiver<Event>) {
         let next_tick = Instant::now() + Duration::from_secs_f64(self.tick_ms / 1e3);
-        let due = self.alarms.keys().next().map(|(us, _)| self.clock.at_ms(*us as f64 / 1e3));
+        let due = self
+            .alarms
+            .keys()
+            .next()
+            .map(|(us, _)| self.clock.at_ms(*us as f64 / 1e3));
         let idle = self.orders.book.as_ref().map_or(3_600_000.0, Book::look_ms);
         let idle = Duration::from_secs_f64(idle / 1e3);
-        let due = due.unwrap_or_else(|| Instant::now() + idle).min(Instant::now() + idle);
+        let due = due
+            .unwrap_or_else(|| Instant::now() + idle)
+            .min(Instant::now() + idle);
         if self.inputs.is_empty() {
             tokio::select! {
                 Some(event) = events.recv() => self.take(event),
@@ -203,42 +245,79 @@
     /// Turns what came into the module's input.
     fn take(&mut self, event: Event) {
         match event {
-            Event::Joined(Joined { conn, outbox, proxy, zone, usual_per_s, fresh, holds }) => {
+            Event::Joined(Joined {
+                conn,
+                outbox,
+                proxy,
+                zone,
+                usual_per_s,
+                fresh,
+                holds,
+            }) => {
                 if let Some(before) = self.streams.insert(proxy, Stream { conn, outbox }) {
                     before.outbox.end(Ending::Replaced);
                     self.inputs.extend(Ending::Replaced.input(proxy));
                 }
                 self.orders.join(self.clock.now_ms(), proxy, fresh, holds);
-                self.front.counters.most("most proxies joined", self.streams.len() as u64);
-                self.inputs.push(Input::Joined { proxy, zone, usual_per_s, fresh });
+                self.front
+                    .counters
+                    .most("most proxies joined", self.streams.len() as u64);
+                self.inputs.push(Input::Joined {
+                    proxy,
+                    zone,
+                    usual_per_s,
+                    fresh,
+                });
             }
-            Event::OnStream { conn, proxy, input, holds } => match self.streams.get(&proxy) {
+            Event::OnStream {
+                conn,
+                proxy,
+                input,
+                holds,
+            } => match self.streams.get(&proxy) {
                 Some(stream) if stream.conn == conn => match input {
                     Input::Applied { mark, .. }
-                        if !self.orders.answered(self.clock.now_ms(), proxy, mark, &holds) =>
+                        if !self
+                            .orders
+                            .answered(self.clock.now_ms(), proxy, mark, &holds) =>
                     {
                         self.front.counters.one("bad input: mark not asked for");
-                        say!(self.front.log, "bad input", "from proxy {proxy}: mark {mark} not asked for");
+                        say!(
+                            self.front.log,
+                            "bad input",
+                            "from proxy {proxy}: mark {mark} not asked for"
+                        );
                     }
                     input => self.inputs.push(input),
                 },
                 _ => self.front.counters.one("late input of old streams"),
             },
-            Event::Refused { conn, proxy, kinds, holds } => {
-                match (self.streams.get(&proxy), &mut self.orders.book) {
-                    (Some(stream), Some(book)) if stream.conn == conn => {
-                        say!(self.front.log, "version", "proxy {proxy} refused an order, it holds {holds:?}");
-                        book.refuses(self.clock.now_ms(), proxy, kinds, holds);
-                    }
-                    _ => self.front.counters.one("late input of old streams"),
+            Event::Refused {
+                conn,
+                proxy,
+                kinds,
+                holds,
+            } => match (self.streams.get(&proxy), &mut self.orders.book) {
+                (Some(stream), Some(book)) if stream.conn == conn => {
+                    say!(
+                        self.front.log,
+                        "version",
+                        "proxy {proxy} refused an order, it holds {holds:?}"
+                    );
+                    book.refuses(self.clock.now_ms(), proxy, kinds, holds);
                 }
-            }
+                _ => self.front.counters.one("late input of old streams"),
+            },
             Event::Asked(asked) => {
                 let (now, servers) = (self.clock.now_ms(), self.servers.as_ref());
                 let inputs = self.ways_back.take(now, asked, &self.orders, servers);
                 self.inputs.extend(inputs);
             }
-            Event::Ended { conn, proxy, ending } => {
+            Event::Ended {
+                conn,
+                proxy,
+                ending,
+            } => {
                 if self.streams.get(&proxy).is_some_and(|s| s.conn == conn) {
                     self.streams.remove(&proxy);
                     self.orders.leave(self.clock.now_ms(), proxy);
@@ -248,7 +327,11 @@
             Event::Report(input) => match &input {
                 Input::Heard { server, .. } if !self.names.contains_key(server) => {
                     self.front.counters.one("bad input: unknown server");
-                    say!(self.front.log, "bad input", "from a collector: a server that was never listed");
+                    say!(
+                        self.front.log,
+                        "bad input",
+                        "from a collector: a server that was never listed"
+                    );
                 }
                 _ => self.inputs.push(input),
             },
@@ -262,14 +345,21 @@
             }
             Event::File(found) => {
                 let now = self.clock.now_ms();
-                let taken = self.servers.as_mut().and_then(|s| s.take(now, found, &self.front));
+                let taken = self
+                    .servers
+                    .as_mut()
+                    .and_then(|s| s.take(now, found, &self.front));
                 if let Some((scope, list)) = taken {
                     self.list(scope, list);
                 }
             }
             Event::ListFailed => {
                 let (scope, version, lines) = (ListScope::Failed, 0, Vec::new());
-                self.inputs.push(Input::List { scope, version, lines });
+                self.inputs.push(Input::List {
+                    scope,
+                    version,
+                    lines,
+                });
             }
             Event::Note { from, bytes } => self.inputs.push(Input::Note { from, bytes }),
         }
@@ -277,7 +367,9 @@
 
     /// Tells the module of tables that did not reach their proxy, or that it holds otherwise.
     fn owed(&mut self, now: f64) {
-        let Some(book) = &mut self.orders.book else { return };
+        let Some(book) = &mut self.orders.book else {
+            return;
+        };
         let mut owed = book.take_uncounted();
         for (proxy, table) in book.due_by_now(now) {
             say!(
@@ -288,21 +380,34 @@
             owed.insert(table);
         }
         self.front.counters.add("tables owed", owed.len() as u64);
-        self.inputs.extend(owed.into_iter().map(|table| Input::Lost { table }));
+        self.inputs
+            .extend(owed.into_iter().map(|table| Input::Lost { table }));
     }
 
     /// A list for the module; names are learnt from it.
     fn list(&mut self, scope: ListScope, list: List) {
         for (line, name) in list.lines.iter().zip(list.names) {
             if line.zone == ELSEWHERE || line.machine == ELSEWHERE {
-                self.front.counters.one("servers of unknown zone or machine");
-                say!(self.front.log, "list", "{name} is of a zone or machine that the settings don't name");
+                self.front
+                    .counters
+                    .one("servers of unknown zone or machine");
+                say!(
+                    self.front.log,
+                    "list",
+                    "{name} is of a zone or machine that the settings don't name"
+                );
             }
             debug_assert_eq!(line.server, server_id(&name));
-            self.shown.entry(rookpulley::state::show(line.server)).or_insert(line.server);
+            self.shown
+                .entry(rookpulley::state::show(line.server))
+                .or_insert(line.server);
             self.names.entry(line.server).or_insert(name);
         }
-        self.inputs.push(Input::List { scope, version: list.version, lines: list.lines });
+        self.inputs.push(Input::List {
+            scope,
+            version: list.version,
+            lines: list.lines,
+        });
     }
 
     /// Calls the module with what came and the alarms that are due, and carries out what it orders.
@@ -310,7 +415,9 @@
         let now = self.clock.now_ms();
         let due = (now * 1e3) as u64;
         while let Some(alarm) = self.alarms.first_entry().filter(|a| a.key().0 <= due) {
-            self.inputs.push(Input::Alarm { name: alarm.remove() });
+            self.inputs.push(Input::Alarm {
+                name: alarm.remove(),
+            });
         }
         self.owed(now);
         if let Some((scope, list)) = self.servers.as_mut().and_then(|s| s.pass(now, &self.front)) {
@@ -325,7 +432,9 @@
         for written in self.orders.carry_out(now, &effects, &self.names) {
             self.front.counters.one("out messages");
             self.front.counters.add("out lines", written.lines as u64);
-            self.front.counters.add("out bytes", written.bytes.len() as u64);
+            self.front
+                .counters
+                .add("out bytes", written.bytes.len() as u64);
             if let Some(stream) = self.streams.get(&written.proxy) {
                 stream.outbox.put(written.bytes);
             }
@@ -334,7 +443,8 @@
             match effect {
                 Effect::Alarm { in_ms, name } => {
                     self.alarms_set += 1;
-                    self.alarms.insert((due + (in_ms * 1e3) as u64, self.alarms_set), name);
+                    self.alarms
+                        .insert((due + (in_ms * 1e3) as u64, self.alarms_set), name);
                 }
                 Effect::Log(text) => {
                     say!(self.front.log, "module", "{}", self.named(&text));
@@ -361,7 +471,12 @@
                 Effect::Probe { server } => {
                     self.front.counters.one("probes not possible");
                     let (answer, took_ms, load) = (ProbeAnswer::Void, 0.0, Vec::new());
-                    self.inputs.push(Input::Probed { server, answer, took_ms, load });
+                    self.inputs.push(Input::Probed {
+                        server,
+                        answer,
+                        took_ms,
+                        load,
+                    });
                 }
                 _ => {}
             }
@@ -370,7 +485,15 @@
 
     /// The module's line, with servers by their names.
     fn named(&self, text: &str) -> String {
-        let name = |word| self.shown.get(word).and_then(|id| self.names.get(id)).map(String::as_str);
-        text.split(' ').map(|word| name(word).unwrap_or(word)).collect::<Vec<_>>().join(" ")
+        let name = |word| {
+            self.shown
+                .get(word)
+                .and_then(|id| self.names.get(id))
+                .map(String::as_str)
+        };
+        text.split(' ')
+            .map(|word| name(word).unwrap_or(word))
+            .collect::<Vec<_>>()
+            .join(" ")
     }
 }
--- a/crates/rookpulley-assigner/src/ending.rs
+++ b/crates/rookpulley-assigner/src/ending.rs
@@ -43,7 +43,9 @@
     /// What the module is told when the stream of a joined proxy ends like this.
     pub fn input(self, proxy: ProxyId) -> Option<Input> {
         match self {
-            Self::Closed | Self::Reset | Self::Unreadable | Self::TooLong => Some(Input::Left { proxy }),
+            Self::Closed | Self::Reset | Self::Unreadable | Self::TooLong => {
+                Some(Input::Left { proxy })
+            }
             Self::Replaced | Self::Unread => Some(Input::Left { proxy }),
             // Those have not joined.
             Self::OutOfTurn | Self::NotJoined | Self::Crowded => None,
--- a/crates/rookpulley-assigner/src/lib.rs
+++ b/crates/rookpulley-assigner/src/lib.rs
@@ -48,7 +48,11 @@
     #[error("the operators' file {0}")]
     Operators(#[from] BadFile),
     #[error("{what} {place} can't be used: {why}")]
-    Address { what: &'static str, place: SocketAddr, why: std::io::Error },
+    Address {
+        what: &'static str,
+        place: SocketAddr,
+        why: std::io::Error,
+    },
     #[error("the system gives no {0}: {1}")]
     System(&'static str, std::io::Error),
 }
@@ -64,8 +68,15 @@
     /// Called within a runtime.
     pub fn take() -> Result<Self, CannotRun> {
         let take = |kind| signal(kind).map_err(|e| CannotRun::System("signals", e));
-        let (stop, print) = (take(SignalKind::terminate())?, take(SignalKind::user_defined1())?);
-        Ok(Self { stop, print, reload: take(SignalKind::hangup())? })
+        let (stop, print) = (
+            take(SignalKind::terminate())?,
+            take(SignalKind::user_defined1())?,
+        );
+        Ok(Self {
+            stop,
+            print,
+            reload: take(SignalKind::hangup())?,
+        })
     }
 }
 
@@ -96,18 +107,42 @@
         signals: Signals,
         operators: &Operators,
     ) -> Result<Self, CannotRun> {
-        let Told { fixed, name, listen, discovery, limits, peers, known, mut words, tick_ms, start } = told;
+        let Told {
+            fixed,
+            name,
+            listen,
+            discovery,
+            limits,
+            peers,
+            known,
+            mut words,
+            tick_ms,
+            start,
+        } = told;
         // Both are off, and hold nothing, unless the operators' own file names them.
         let asking = Asking::bind(operators.address.as_ref()).await?;
-        let book = operators.versions.map(|keep| operators::book(&name, keep, &start.channel));
+        let book = operators
+            .versions
+            .map(|keep| operators::book(&name, keep, &start.channel));
         words.versions = book.is_some();
-        let servers = operators.servers.clone().map(|file| Servers::new(file, &start, &words));
-        let listener = TcpListener::bind(listen).await.map_err(at("the address to listen at", listen))?;
+        let servers = operators
+            .servers
+            .clone()
+            .map(|file| Servers::new(file, &start, &words));
+        let listener = TcpListener::bind(listen)
+            .await
+            .map_err(at("the address to listen at", listen))?;
         let mut notes = None;
         if let Some(places) = peers {
             let place = places.listen;
-            let socket = UdpSocket::bind(place).await.map_err(at("the address for notes", place))?;
-            notes = Some(Rc::new(Peers { socket, places, own: start.place.index }));
+            let socket = UdpSocket::bind(place)
+                .await
+                .map_err(at("the address for notes", place))?;
+            notes = Some(Rc::new(Peers {
+                socket,
+                places,
+                own: start.place.index,
+            }));
         }
         let (sender, events) = mpsc::channel(EVENTS);
         let most = limits.sockets.saturating_sub(OTHER_SOCKETS).max(1);
@@ -149,8 +184,23 @@
     /// Serves until SIGTERM. Called within a `LocalSet`.
     pub async fn serve(self) {
         let place = self.places().0;
-        let Self { front, listener, notes, signals, mut events, known, start, asking, switched, .. } = self;
-        let Signals { mut stop, mut print, reload } = signals;
+        let Self {
+            front,
+            listener,
+            notes,
+            signals,
+            mut events,
+            known,
+            start,
+            asking,
+            switched,
+            ..
+        } = self;
+        let Signals {
+            mut stop,
+            mut print,
+            reload,
+        } = signals;
         let ask = start.list.asked;
         let roster = Roster::new(self.discovery, known.version, ask, front.clone());
         if !ask {
@@ -167,9 +217,22 @@
             asking.begin(&front);
         }
         if let Some(place) = place {
-            say!(front.log, "start", "listening at {place}, {} servers known", known.lines.len());
+            say!(
+                front.log,
+                "start",
+                "listening at {place}, {} servers known",
+                known.lines.len()
+            );
         }
-        let mut driver = Driver::start(front.clone(), start, known, self.tick_ms, notes, roster, switched);
+        let mut driver = Driver::start(
+            front.clone(),
+            start,
+            known,
+            self.tick_ms,
+            notes,
+            roster,
+            switched,
+        );
         let mut listener = Some(listener);
         loop {
             // Nobody is answered before the list is known.
@@ -183,7 +246,9 @@
             }
         }
         say!(front.log, "stop", "told to end");
-        front.counters.add(Ending::Stopping.count(), front.conns.count() as u64);
+        front
+            .counters
+            .add(Ending::Stopping.count(), front.conns.count() as u64);
         front.print();
     }
 }
--- a/crates/rookpulley-assigner/src/log.rs
+++ b/crates/rookpulley-assigner/src/log.rs
@@ -38,7 +38,11 @@
 impl Log {
     /// At most so many lines of one kind in a stretch.
     pub fn new(name: String, most: u32) -> Self {
-        Self { name, most, said: RefCell::default() }
+        Self {
+            name,
+            most,
+            said: RefCell::default(),
+        }
     }
 
     /// Lines that were asked for are printed all.
@@ -47,7 +51,11 @@
     /// None: not now. Otherwise what to say of the lines left out before.
     pub fn may_say(&self, kind: &'static str) -> Option<String> {
         let mut kinds = self.said.borrow_mut();
-        let fresh = || Said { from: Instant::now(), lines: 0, left_out: 0 };
+        let fresh = || Said {
+            from: Instant::now(),
+            lines: 0,
+            left_out: 0,
+        };
         let said = kinds.entry(kind).or_insert_with(fresh);
         let mut note = String::new();
         if said.from.elapsed() >= STRETCH {
@@ -67,11 +75,17 @@
 
 /// Takes the lines of this process to standard error from now on. Called once, by the program itself.
 pub fn begin(form: LogForm) {
-    let lines = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
+    let lines = tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_ansi(false);
     let set = match form {
         LogForm::Text => tracing::subscriber::set_global_default(lines.event_format(Text).finish()),
         LogForm::Json => {
-            let lines = lines.json().flatten_event(true).with_target(false).with_current_span(false);
+            let lines = lines
+                .json()
+                .flatten_event(true)
+                .with_target(false)
+                .with_current_span(false);
             tracing::subscriber::set_global_default(lines.with_span_list(false).finish())
         }
     };
--- a/crates/rookpulley-assigner/src/main.rs
+++ b/crates/rookpulley-assigner/src/main.rs
@@ -31,14 +31,19 @@
         return Ok(());
     }
     log::begin(operators.log);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| CannotRun::System("runtime", e))?;
     let ended = tokio::task::LocalSet::new().block_on(&runtime, async {
         // Before anything else, lest a signal that comes early ends the program.
         let signals = Signals::take()?;
         let path = config::path_from_env()?;
         let told = config::load(&path)?;
-        Assigner::bind(told, path, signals, &operators).await?.serve().await;
+        Assigner::bind(told, path, signals, &operators)
+            .await?
+            .serve()
+            .await;
         Ok(())
     });
     // Tasks that still run are dropped: their connections end with the process, and a file that
--- a/crates/rookpulley-assigner/src/messages.rs
+++ b/crates/rookpulley-assigner/src/messages.rs
@@ -75,7 +75,10 @@
             Self::Beat => "beats",
             Self::Collector { .. } => "collectors",
             Self::Joining { .. } => "joinings",
-            Self::OfProxy { input: Input::Applied { .. }, .. } => "marks answered",
+            Self::OfProxy {
+                input: Input::Applied { .. },
+                ..
+            } => "marks answered",
             Self::OfProxy { .. } => "usage",
             Self::Refused { .. } => "orders refused",
             Self::Heard(_) => "heard",
@@ -130,30 +133,56 @@
 impl<'a> Fields<'a> {
     fn of(line: &'a [u8]) -> Result<Self, Bad> {
         let text = std::str::from_utf8(line).map_err(|e| Bad::Unreadable(e.to_string()))?;
-        serde_json::from_str(text).map(Self).map_err(|e| Bad::Unreadable(e.to_string()))
+        serde_json::from_str(text)
+            .map(Self)
+            .map_err(|e| Bad::Unreadable(e.to_string()))
     }
 
     fn raw(&self, field: &'static str) -> Result<&'a str, Bad> {
-        let told = self.0.get(field).map(|raw| raw.get()).filter(|raw| *raw != "null");
-        told.ok_or(Bad::Spoilt { field, wrong: Wrong::Missing })
+        let told = self
+            .0
+            .get(field)
+            .map(|raw| raw.get())
+            .filter(|raw| *raw != "null");
+        told.ok_or(Bad::Spoilt {
+            field,
+            wrong: Wrong::Missing,
+        })
     }
 
     fn get<T: Deserialize<'a>>(&self, field: &'static str) -> Result<T, Bad> {
-        serde_json::from_str(self.raw(field)?).map_err(|_| Bad::Spoilt { field, wrong: Wrong::OtherType })
+        serde_json::from_str(self.raw(field)?).map_err(|_| Bad::Spoilt {
+            field,
+            wrong: Wrong::OtherType,
+        })
     }
 
     /// The place of a name among those that the settings list.
     fn place(&self, field: &'static str, names: &[String]) -> Result<u16, Bad> {
         let name: Cow<str> = self.get(field)?;
-        place(names, &name).ok_or(Bad::Spoilt { field, wrong: Wrong::Unknown })
+        place(names, &name).ok_or(Bad::Spoilt {
+            field,
+            wrong: Wrong::Unknown,
+        })
     }
 
     /// A number that is as it should be; one that its type can't hold is out of range, too.
-    fn number<T: Deserialize<'a>>(&self, field: &'static str, sound: impl Fn(&T) -> bool) -> Result<T, Bad> {
+    fn number<T: Deserialize<'a>>(
+        &self,
+        field: &'static str,
+        sound: impl Fn(&T) -> bool,
+    ) -> Result<T, Bad> {
         let raw = self.raw(field)?;
         let number = raw.starts_with(|c: char| c == '-' || c.is_ascii_digit());
-        let wrong = if number { Wrong::OutOfRange } else { Wrong::OtherType };
-        serde_json::from_str(raw).ok().filter(sound).ok_or(Bad::Spoilt { field, wrong })
+        let wrong = if number {
+            Wrong::OutOfRange
+        } else {
+            Wrong::OtherType
+        };
+        serde_json::from_str(raw)
+            .ok()
+            .filter(sound)
+            .ok_or(Bad::Spoilt { field, wrong })
     }
 
     fn figure(&self, field: &'static str) -> Result<f64, Bad> {
@@ -194,16 +223,25 @@
 
 fn claim(field: &'static str, version: Option<Cow<str>>, digest: &str) -> Result<Claim, Bad> {
     let wrong = Wrong::OutOfRange;
-    let version = version.map(|v| v.parse().map_err(|_| Bad::Spoilt { field, wrong })).transpose()?;
-    Ok(Claim { version, digest: digest.parse().map_err(|_| Bad::Spoilt { field, wrong })? })
+    let version = version
+        .map(|v| v.parse().map_err(|_| Bad::Spoilt { field, wrong }))
+        .transpose()?;
+    Ok(Claim {
+        version,
+        digest: digest.parse().map_err(|_| Bad::Spoilt { field, wrong })?,
+    })
 }
 
 impl Words {
     /// Request kinds by their names, as bits.
     fn mask(&self, field: &'static str, names: &[Cow<str>]) -> Result<Kinds, Bad> {
-        let place = |name: &Cow<str>| place(&self.kinds, name).filter(|at| *at < Kinds::BITS as u16);
+        let place =
+            |name: &Cow<str>| place(&self.kinds, name).filter(|at| *at < Kinds::BITS as u16);
         let bits = names.iter().map(|n| place(n).map(|at| 1 << at));
-        bits.sum::<Option<Kinds>>().ok_or(Bad::Spoilt { field, wrong: Wrong::Unknown })
+        bits.sum::<Option<Kinds>>().ok_or(Bad::Spoilt {
+            field,
+            wrong: Wrong::Unknown,
+        })
     }
 
     fn holds(&self, told: &Fields) -> Result<Option<Holds>, Bad> {
@@ -211,9 +249,12 @@
             return Ok(None);
         }
         let held: Vec<Held> = told.get("holds")?;
-        let each = held
-            .into_iter()
-            .map(|h| Ok((self.mask("holds", &h.classes)?, claim("holds", h.version, &h.digest)?)));
+        let each = held.into_iter().map(|h| {
+            Ok((
+                self.mask("holds", &h.classes)?,
+                claim("holds", h.version, &h.digest)?,
+            ))
+        });
         each.collect::<Result<_, _>>().map(Some)
     }
 
@@ -224,19 +265,30 @@
 
     /// The figures of a load report in the order of the settings.
     fn load(&self, told: &Fields) -> Result<Vec<f64>, Bad> {
-        let spoilt = |wrong| Bad::Spoilt { field: "load", wrong };
+        let spoilt = |wrong| Bad::Spoilt {
+            field: "load",
+            wrong,
+        };
         if told.raw("load").is_err() {
             return Ok(Vec::new());
         }
         let fields: BTreeMap<String, Value> = told.get("load")?;
         let mut load = vec![None; self.load.len()];
         for (name, figure) in &fields {
-            let Some(at) = self.load.iter().position(|field| *field == load_field(name)) else { continue };
+            let Some(at) = self
+                .load
+                .iter()
+                .position(|field| *field == load_field(name))
+            else {
+                continue;
+            };
             let figure = figure.as_f64().ok_or(spoilt(Wrong::OtherType))?;
             load[at] = Some(figure).filter(|x| (0.0..=MOST).contains(x));
             load[at].ok_or(spoilt(Wrong::OutOfRange))?;
         }
-        load.into_iter().collect::<Option<_>>().ok_or(spoilt(Wrong::Missing))
+        load.into_iter()
+            .collect::<Option<_>>()
+            .ok_or(spoilt(Wrong::Missing))
     }
 
     pub fn decode(&self, line: &[u8]) -> Result<Message, Bad> {
@@ -244,7 +296,9 @@
         let kind: Cow<str> = told.get("msg")?;
         Ok(match &*kind {
             "hb" => Message::Beat,
-            "telemetry" => Message::Collector { zone: told.place("zone", &self.zones)? },
+            "telemetry" => Message::Collector {
+                zone: told.place("zone", &self.zones)?,
+            },
             "attach" => Message::Joining {
                 proxy: self.proxy(&told)?,
                 zone: told.place("zone", &self.zones)?,
@@ -256,40 +310,84 @@
                 let (proxy, mark) = (self.proxy(&told)?, told.number("mark", |_| true)?);
                 let took_ms = told.figure("took_ms")?;
                 let holds = self.holds(&told)?.unwrap_or_default();
-                Message::OfProxy { proxy, input: Input::Applied { proxy, mark, took_ms }, holds }
+                Message::OfProxy {
+                    proxy,
+                    input: Input::Applied {
+                        proxy,
+                        mark,
+                        took_ms,
+                    },
+                    holds,
+                }
             }
             "client_stats" => {
                 let (proxy, kind) = (self.proxy(&told)?, told.place("class", &self.kinds)?.into());
                 // Those that could not be served may have come in a span before.
                 let [came, bad, span_ms] = told.figures(["tries", "failed", "span_ms"])?;
-                let input = Input::Usage { proxy, kind, came, bad, span_ms };
-                Message::OfProxy { proxy, input, holds: Holds::new() }
+                let input = Input::Usage {
+                    proxy,
+                    kind,
+                    came,
+                    bad,
+                    span_ms,
+                };
+                Message::OfProxy {
+                    proxy,
+                    input,
+                    holds: Holds::new(),
+                }
             }
             "upstream_stats" => {
                 let [tries, bad, span_ms] = told.figures(["tries", "failed", "span_ms"])?;
                 if bad > tries {
-                    return Err(Bad::Spoilt { field: "failed", wrong: Wrong::OutOfRange });
+                    return Err(Bad::Spoilt {
+                        field: "failed",
+                        wrong: Wrong::OutOfRange,
+                    });
                 }
                 // Where none of the tries was good there is no mean of the good ones.
-                let mean_ms = if bad < tries { told.figure("mean_ms")? } else { 0.0 };
+                let mean_ms = if bad < tries {
+                    told.figure("mean_ms")?
+                } else {
+                    0.0
+                };
                 let zone = told.place("zone", &self.zones)?;
                 let server = server_id(&told.get::<Cow<str>>("server")?);
                 let load = self.load(&told)?;
-                Message::Heard(Input::Heard { zone, server, tries, bad, mean_ms, span_ms, load })
+                Message::Heard(Input::Heard {
+                    zone,
+                    server,
+                    tries,
+                    bad,
+                    mean_ms,
+                    span_ms,
+                    load,
+                })
             }
             "refused" if self.versions => {
                 let proxy = self.proxy(&told)?;
                 let classes: Vec<Cow<str>> = told.get("classes")?;
                 let kinds = self.mask("classes", &classes)?;
                 let holds = match told.raw("digest") {
-                    Ok(_) => {
-                        Some(claim("digest", told.get("version").ok(), &told.get::<Cow<str>>("digest")?)?)
-                    }
+                    Ok(_) => Some(claim(
+                        "digest",
+                        told.get("version").ok(),
+                        &told.get::<Cow<str>>("digest")?,
+                    )?),
                     Err(_) => None,
                 };
-                Message::Refused { proxy, kinds, holds }
+                Message::Refused {
+                    proxy,
+                    kinds,
+                    holds,
+                }
+            }
+            _ => {
+                return Err(Bad::Spoilt {
+                    field: "msg",
+                    wrong: Wrong::Unknown,
+                });
             }
-            _ => return Err(Bad::Spoilt { field: "msg", wrong: Wrong::Unknown }),
         })
     }
 }
@@ -343,8 +441,13 @@
 
 impl Words {
     pub fn decode_list(&self, text: &str) -> Result<List, Bad> {
-        let told: Endpoints = serde_json::from_str(text).map_err(|e| Bad::Unreadable(e.to_string()))?;
-        let mut list = List { version: told.index, whole: told.snapshot, ..List::default() };
+        let told: Endpoints =
+            serde_json::from_str(text).map_err(|e| Bad::Unreadable(e.to_string()))?;
+        let mut list = List {
+            version: told.index,
+            whole: told.snapshot,
+            ..List::default()
+        };
         for server in told.endpoints {
             let [weight, started_ms] = [server.weight, server.since_ms];
             if !(weight >= 0.0 && started_ms >= 0.0) {
--- a/crates/rookpulley-assigner/src/operators.rs
+++ b/crates/rookpulley-assigner/src/operators.rs
@@ -8,8 +8,8 @@
 use rookpulley::facts::{Back, ChannelFacts, Input, TableId};
 use rookpulley_operators::address;
 use rookpulley_operators::asks::{
-    Answer, Ask, Asked, BackList, BackRow, DiffList, DiffRow, HolderList, HolderRow, Refusal, VersionList,
-    VersionRow,
+    Answer, Ask, Asked, BackList, BackRow, DiffList, DiffRow, HolderList, HolderRow, Refusal,
+    VersionList, VersionRow,
 };
 use rookpulley_operators::file::{Reach, Token};
 use rookpulley_versions::version::start_of;
@@ -33,9 +33,19 @@
 impl Asking {
     /// Nothing is opened where the operators' file names no address.
     pub async fn bind(reach: Option<&Reach>) -> Result<Option<Self>, CannotRun> {
-        let Some(Reach { listen: place, token_file }) = reach else { return Ok(None) };
+        let Some(Reach {
+            listen: place,
+            token_file,
+        }) = reach
+        else {
+            return Ok(None);
+        };
         let token = token_file.as_deref().map(Token::load).transpose()?;
-        let why = |why| CannotRun::Address { what: "the operators' address", place: *place, why };
+        let why = |why| CannotRun::Address {
+            what: "the operators' address",
+            place: *place,
+            why,
+        };
         let listener = TcpListener::bind(place).await.map_err(why)?;
         Ok(Some(Self { listener, token }))
     }
@@ -65,7 +75,10 @@
     let chance = RandomState::new().hash_one(std::process::id()) as u32;
     let start = start_of(unix_ms(), chance);
     Book::new(
-        Issuer { assigner: name.into(), start },
+        Issuer {
+            assigner: name.into(),
+            start,
+        },
         1,
         keep,
         Patience::for_transit(channel.transit_most_ms),
@@ -88,26 +101,55 @@
 }
 
 fn refused(status: u16, what: impl Into<String>, instead: &str) -> Answer {
-    Answer::Refused { refusal: Refusal::new(status, what, Some(instead)) }
+    Answer::Refused {
+        refusal: Refusal::new(status, what, Some(instead)),
+    }
 }
 
 fn row(table: TableId, what: &Back) -> BackRow {
-    let blank = BackRow { table, what: String::new(), why: None, usable: None, of: None };
+    let blank = BackRow {
+        table,
+        what: String::new(),
+        why: None,
+        usable: None,
+        of: None,
+    };
     match what {
-        Back::Held { lines, of } => {
-            BackRow { what: "held".into(), usable: Some(*lines), of: Some(*of), ..blank }
-        }
-        Back::Refused(why) => BackRow { what: "refused".into(), why: Some(why.to_string()), ..blank },
-        Back::Ended(why) => BackRow { what: "ended".into(), why: Some(why.to_string()), ..blank },
+        Back::Held { lines, of } => BackRow {
+            what: "held".into(),
+            usable: Some(*lines),
+            of: Some(*of),
+            ..blank
+        },
+        Back::Refused(why) => BackRow {
+            what: "refused".into(),
+            why: Some(why.to_string()),
+            ..blank
+        },
+        Back::Ended(why) => BackRow {
+            what: "ended".into(),
+            why: Some(why.to_string()),
+            ..blank
+        },
     }
 }
 
 impl WaysBack {
     /// Answers an ask at once, or gives what the module is to be told for it.
-    pub fn take(&mut self, now: f64, asked: Asked, orders: &Orders, servers: Option<&Servers>) -> Vec<Input> {
+    pub fn take(
+        &mut self,
+        now: f64,
+        asked: Asked,
+        orders: &Orders,
+        servers: Option<&Servers>,
+    ) -> Vec<Input> {
         let Asked { ask, answer } = asked;
         let off = |what: &str, word: &str| {
-            refused(409, what, &format!("write {word} into the operators' file and start the assigner anew"))
+            refused(
+                409,
+                what,
+                &format!("write {word} into the operators' file and start the assigner anew"),
+            )
         };
         let said = match (ask, &orders.book, servers) {
             (Ask::Servers, _, Some(servers)) => Ok(Answer::Servers(servers.shown(now))),
@@ -121,9 +163,11 @@
             (Ask::Release { .. }, ..) if self.held.is_empty() => {
                 Ok(refused(409, "no table is held back", "see holders"))
             }
-            (Ask::Release { .. }, ..) => {
-                Err(self.held.iter().map(|table| Input::Release { table: *table }).collect())
-            }
+            (Ask::Release { .. }, ..) => Err(self
+                .held
+                .iter()
+                .map(|table| Input::Release { table: *table })
+                .collect()),
         };
         match said {
             Ok(now_known) => {
@@ -138,7 +182,12 @@
                 };
                 let releases = inputs.iter().any(|i| matches!(i, Input::Release { .. }));
                 let tables = inputs.iter().filter_map(table).collect();
-                self.waiting.push(Waiting { tables, releases, rows: Vec::new(), answer });
+                self.waiting.push(Waiting {
+                    tables,
+                    releases,
+                    rows: Vec::new(),
+                    answer,
+                });
                 inputs
             }
         }
@@ -153,17 +202,23 @@
         }
         let ended = matches!(what, Back::Ended(_));
         let waits = |w: &&mut Waiting| w.tables.contains(&table) && (w.releases || !ended);
-        let Some(waiting) = self.waiting.iter_mut().find(waits) else { return };
+        let Some(waiting) = self.waiting.iter_mut().find(waits) else {
+            return;
+        };
         waiting.tables.remove(&table);
         waiting.rows.push(row(table, what));
         for done in self.waiting.extract_if(.., |w| w.tables.is_empty()) {
-            _ = done.answer.send(Answer::Back(BackList { tables: done.rows }));
+            _ = done
+                .answer
+                .send(Answer::Back(BackList { tables: done.rows }));
         }
     }
 }
 
 fn versions(history: &History, table: Option<TableId>) -> Answer {
-    let kept = history.all().filter(|(id, _)| table.is_none_or(|t| t == *id));
+    let kept = history
+        .all()
+        .filter(|(id, _)| table.is_none_or(|t| t == *id));
     let rows = kept.map(|(id, issued)| VersionRow {
         version: issued.version.to_string(),
         table: id,
@@ -174,8 +229,15 @@
         in_use: issued.pinned(),
     });
     let issuer = history.issuer();
-    let (assigner, start) = (issuer.assigner.to_string(), format!("{:016x}", issuer.start));
-    Answer::Versions(VersionList { assigner, start, versions: rows.collect() })
+    let (assigner, start) = (
+        issuer.assigner.to_string(),
+        format!("{:016x}", issuer.start),
+    );
+    Answer::Versions(VersionList {
+        assigner,
+        start,
+        versions: rows.collect(),
+    })
 }
 
 fn judged(judged: Judged) -> &'static str {
@@ -198,24 +260,39 @@
                 dispatcher,
                 joined: entry.joined,
                 speaks: entry.speaks,
-                kinds: kinds.filter_map(|k| orders.kinds().get(k).cloned()).collect(),
+                kinds: kinds
+                    .filter_map(|k| orders.kinds().get(k).cloned())
+                    .collect(),
                 table,
                 judged: judged(held.judged).into(),
                 told: named(held.told),
                 confirmed: named(held.confirmed),
-                claimed: held.claimed.as_ref().and_then(|c| c.version.as_ref()).map(Version::to_string),
-                waits_ms: entry.waits_since_ms().map(|since| (now - since).max(0.0).round()),
+                claimed: held
+                    .claimed
+                    .as_ref()
+                    .and_then(|c| c.version.as_ref())
+                    .map(Version::to_string),
+                waits_ms: entry
+                    .waits_since_ms()
+                    .map(|since| (now - since).max(0.0).round()),
                 back: held_back.contains(&table),
             });
         }
     }
-    Answer::Holders(HolderList { assigner: book.history.issuer().assigner.to_string(), holders })
+    Answer::Holders(HolderList {
+        assigner: book.history.issuer().assigner.to_string(),
+        holders,
+    })
 }
 
 fn diff(history: &History, from: &str, to: &str) -> Answer {
     let find = |text: &str| {
-        let version: Version = text.parse().map_err(|e| refused(400, format!("{e}"), "see versions"))?;
-        let found = history.find(&version).map_err(|e| refused(404, format!("{e}"), "see versions"))?;
+        let version: Version = text
+            .parse()
+            .map_err(|e| refused(400, format!("{e}"), "see versions"))?;
+        let found = history
+            .find(&version)
+            .map_err(|e| refused(404, format!("{e}"), "see versions"))?;
         Ok::<_, Answer>(found.1.table.clone())
     };
     let (a, b) = match (find(from), find(to)) {
@@ -223,10 +300,20 @@
         (Err(answer), _) | (_, Err(answer)) => return answer,
     };
     let delta = Delta::between(&a, &b);
-    let row = |name: &str| DiffRow { server: name.into(), from: a.weight(name), to: b.weight(name) };
+    let row = |name: &str| DiffRow {
+        server: name.into(),
+        from: a.weight(name),
+        to: b.weight(name),
+    };
     let lines = delta.changes.iter().map(|(name, _)| row(name)).collect();
     let (delta_bytes, whole_bytes) = (delta.canonical_len(), b.canonical_len());
-    Answer::Diff(DiffList { from: from.into(), to: to.into(), lines, delta_bytes, whole_bytes })
+    Answer::Diff(DiffList {
+        from: from.into(),
+        to: to.into(),
+        lines,
+        delta_bytes,
+        whole_bytes,
+    })
 }
 
 fn go_back(book: &Book, to: &str, table: Option<TableId>, all: bool) -> Result<Answer, Vec<Input>> {
@@ -238,6 +325,14 @@
         Ok(ways) => ways,
         Err(e) => return Ok(refused(404, format!("{e}"), "see versions")),
     };
-    let lines = |table: &rookpulley_versions::Table| table.lines().map(|(n, w)| (server_id(n), w)).collect();
-    Err(ways.iter().map(|(id, table)| Input::GoBack { table: *id, lines: lines(table) }).collect())
+    let lines = |table: &rookpulley_versions::Table| {
+        table.lines().map(|(n, w)| (server_id(n), w)).collect()
+    };
+    Err(ways
+        .iter()
+        .map(|(id, table)| Input::GoBack {
+            table: *id,
+            lines: lines(table),
+        })
+        .collect())
 }
--- a/crates/rookpulley-assigner/src/orders.rs
+++ b/crates/rookpulley-assigner/src/orders.rs
@@ -86,18 +86,29 @@
 fn runs_that_fit<'a>(lines: &[(&'a str, f64)]) -> impl Iterator<Item = Vec<(&'a str, f64)>> {
     let longest = lines.iter().map(|(name, _)| name.len()).max().unwrap_or(0);
     let fit = LINE_MOST / 2 / (6 * longest + 32);
-    lines.chunks(fit.max(1)).map(<[_]>::to_vec).collect::<Vec<_>>().into_iter()
+    lines
+        .chunks(fit.max(1))
+        .map(<[_]>::to_vec)
+        .collect::<Vec<_>>()
+        .into_iter()
 }
 
 impl Draft {
     /// The last piece that touches these kinds, where it is for just these.
     fn last(&mut self, kinds: Kinds) -> Option<&mut Piece> {
-        self.pieces.iter_mut().rfind(|p| p.kinds & kinds != 0).filter(|p| p.kinds == kinds)
+        self.pieces
+            .iter_mut()
+            .rfind(|p| p.kinds & kinds != 0)
+            .filter(|p| p.kinds == kinds)
     }
 
     fn line(&mut self, kinds: Kinds, server: ServerId, weight: f64) {
         let Some(piece) = self.last(kinds) else {
-            self.pieces.push(Piece { kinds, lines: vec![(server, weight)], ..Piece::default() });
+            self.pieces.push(Piece {
+                kinds,
+                lines: vec![(server, weight)],
+                ..Piece::default()
+            });
             return;
         };
         // Of two orders for one line the later one stands.
@@ -110,7 +121,11 @@
     fn level(&mut self, kinds: Kinds, level: Level) {
         match self.last(kinds) {
             Some(piece) => piece.level = Some(level),
-            None => self.pieces.push(Piece { kinds, level: Some(level), ..Piece::default() }),
+            None => self.pieces.push(Piece {
+                kinds,
+                level: Some(level),
+                ..Piece::default()
+            }),
         }
     }
 }
@@ -120,7 +135,16 @@
         let all = ((1_u32 << kinds.len().min(16)) - 1) as Kinds;
         let (tables, levels, streams) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let (shut, known) = (BTreeSet::new(), BTreeMap::new());
-        Self { kinds, all, tables, levels, shut, streams, book, known }
+        Self {
+            kinds,
+            all,
+            tables,
+            levels,
+            shut,
+            streams,
+            book,
+            known,
+        }
     }
 
     pub fn kinds(&self) -> &[String] {
@@ -136,7 +160,14 @@
         let (tables, levels, shut) = (BTreeSet::new(), BTreeMap::new(), BTreeMap::new());
         self.streams.insert(
             proxy,
-            Stream { tables, bound: 0, levels, shut, brought: !fresh, marks: VecDeque::new() },
+            Stream {
+                tables,
+                bound: 0,
+                levels,
+                shut,
+                brought: !fresh,
+                marks: VecDeque::new(),
+            },
         );
     }
 
@@ -144,7 +175,12 @@
         if let Some(book) = &mut self.book {
             book.leaves(now, proxy);
         }
-        for id in self.streams.remove(&proxy).into_iter().flat_map(|s| s.tables) {
+        for id in self
+            .streams
+            .remove(&proxy)
+            .into_iter()
+            .flat_map(|s| s.tables)
+        {
             if let Some(table) = self.tables.get_mut(&id) {
                 table.users.remove(&proxy);
             }
@@ -153,7 +189,9 @@
 
     /// Whether a mark was ordered of this stream and waits for its answer, as do those before it.
     pub fn answered(&mut self, now: f64, proxy: ProxyId, mark: u64, holds: &Holds) -> bool {
-        let Some(stream) = self.streams.get_mut(&proxy) else { return false };
+        let Some(stream) = self.streams.get_mut(&proxy) else {
+            return false;
+        };
         let at = stream.marks.iter().position(|m| *m == mark);
         let waited = at.is_some_and(|at| stream.marks.drain(..=at).len() > 0);
         if let Some(book) = self.book.as_mut().filter(|_| waited) {
@@ -166,7 +204,9 @@
     pub fn forget(&mut self, server: &ServerId) {
         self.shut.remove(server);
         self.known.remove(server);
-        self.tables.values_mut().for_each(|table| _ = table.lines.remove(server));
+        self.tables
+            .values_mut()
+            .for_each(|table| _ = table.lines.remove(server));
         for stream in self.streams.values_mut() {
             stream.brought |= stream.shut.remove(server) == Some(true);
         }
@@ -188,8 +228,12 @@
     fn tell_levels(&mut self, proxy: ProxyId, kinds: Kinds, again: bool, draft: &mut Draft) {
         let mut alike: Vec<(Kinds, Level)> = Vec::new();
         for kind in places(kinds & self.all) {
-            let Some(level) = self.level_of(proxy, kind) else { continue };
-            let Some(stream) = self.streams.get_mut(&proxy) else { return };
+            let Some(level) = self.level_of(proxy, kind) else {
+                continue;
+            };
+            let Some(stream) = self.streams.get_mut(&proxy) else {
+                return;
+            };
             if stream.levels.insert(kind, level) == Some(level) && !again {
                 continue;
             }
@@ -198,15 +242,23 @@
                 None => alike.push((1 << kind, level)),
             }
         }
-        alike.into_iter().for_each(|(kinds, level)| draft.level(kinds, level));
+        alike
+            .into_iter()
+            .for_each(|(kinds, level)| draft.level(kinds, level));
     }
 
     /// A line is of no use while its server is shut out, and what was shut out before must not stick.
     fn settle(&mut self, proxy: ProxyId, server: ServerId, draft: &mut Draft) {
         let out = self.shut.contains(&server);
-        let Some(stream) = self.streams.get_mut(&proxy) else { return };
+        let Some(stream) = self.streams.get_mut(&proxy) else {
+            return;
+        };
         let told = stream.shut.get(&server).copied();
-        let wrong = if out { told != Some(true) } else { told.unwrap_or(stream.brought) };
+        let wrong = if out {
+            told != Some(true)
+        } else {
+            told.unwrap_or(stream.brought)
+        };
         if wrong {
             stream.shut.insert(server, out);
             draft.shut.insert(server, out);
@@ -215,7 +267,9 @@
 
     /// Whether a proxy may send to a server by the tables it holds; what it brought is not known.
     fn may_use(&self, proxy: ProxyId, server: &ServerId) -> bool {
-        let Some(stream) = self.streams.get(&proxy) else { return false };
+        let Some(stream) = self.streams.get(&proxy) else {
+            return false;
+        };
         let mut tables = stream.tables.iter().filter_map(|id| self.tables.get(id));
         stream.bound & self.all != self.all || tables.any(|t| t.lines.contains_key(server))
     }
@@ -226,7 +280,11 @@
         let (mut mark, mut changed, mut binds) = (None, BTreeSet::new(), Vec::new());
         for effect in effects {
             match *effect {
-                Effect::Line { table, server, weight } => {
+                Effect::Line {
+                    table,
+                    server,
+                    weight,
+                } => {
                     changed.insert(table);
                     let table = self.tables.entry(table).or_default();
                     match weight > 0.0 {
@@ -249,8 +307,16 @@
                         self.start_anew(proxy, kinds, Vec::new(), drafts.entry(proxy).or_default());
                     }
                 }
-                Effect::Bind { proxy, table, kinds } => {
-                    let kinds = if kinds == 0 { self.all } else { kinds & self.all };
+                Effect::Bind {
+                    proxy,
+                    table,
+                    kinds,
+                } => {
+                    let kinds = if kinds == 0 {
+                        self.all
+                    } else {
+                        kinds & self.all
+                    };
                     if self.streams.contains_key(&proxy) {
                         changed.insert(table);
                         self.distrust_shut(proxy, table);
@@ -265,16 +331,34 @@
                     } else {
                         self.shut.remove(&server)
                     };
-                    let users = self.streams.keys().copied().filter(|p| self.may_use(*p, &server));
+                    let users = self
+                        .streams
+                        .keys()
+                        .copied()
+                        .filter(|p| self.may_use(*p, &server));
                     for proxy in users.collect::<Vec<_>>() {
                         drafts.entry(proxy).or_default().shut.insert(server, out);
-                        self.streams.entry(proxy).and_modify(|s| _ = s.shut.insert(server, out));
+                        self.streams
+                            .entry(proxy)
+                            .and_modify(|s| _ = s.shut.insert(server, out));
                     }
                 }
-                Effect::Admit { table, kinds, level, retry } => {
-                    let kinds = if kinds == 0 { self.all } else { kinds & self.all };
+                Effect::Admit {
+                    table,
+                    kinds,
+                    level,
+                    retry,
+                } => {
+                    let kinds = if kinds == 0 {
+                        self.all
+                    } else {
+                        kinds & self.all
+                    };
                     let (levels, users) = match table {
-                        None => (&mut self.levels, self.streams.keys().map(|p| (*p, self.all)).collect()),
+                        None => (
+                            &mut self.levels,
+                            self.streams.keys().map(|p| (*p, self.all)).collect(),
+                        ),
                         Some(id) => {
                             let table = self.tables.entry(id).or_default();
                             (&mut table.levels, table.users.clone())
@@ -309,17 +393,25 @@
                 book.wrote(now, proxy, &told, mark);
             }
             let (bytes, lines) = self.write(draft, mark, names);
-            written.push(Written { proxy, bytes, lines });
+            written.push(Written {
+                proxy,
+                bytes,
+                lines,
+            });
         }
         written
     }
 
     /// Puts a proxy on a table for these kinds; gives the table's lines.
     fn bind(&mut self, proxy: ProxyId, id: TableId, kinds: Kinds) -> Vec<(ServerId, f64)> {
-        let Some(stream) = self.streams.get_mut(&proxy) else { return Vec::new() };
+        let Some(stream) = self.streams.get_mut(&proxy) else {
+            return Vec::new();
+        };
         stream.bound |= kinds;
         for other in std::mem::take(&mut stream.tables) {
-            let Some(table) = self.tables.get_mut(&other) else { continue };
+            let Some(table) = self.tables.get_mut(&other) else {
+                continue;
+            };
             let left = table.users.get(&proxy).copied().unwrap_or(0) & !kinds;
             table.users.insert(proxy, left);
             table.users.retain(|_, kinds| *kinds != 0);
@@ -342,7 +434,9 @@
     ) {
         let Some(book) = &mut self.book else { return };
         for id in changed {
-            let Some(table) = self.tables.get(id) else { continue };
+            let Some(table) = self.tables.get(id) else {
+                continue;
+            };
             let mut lines = Vec::with_capacity(table.lines.len());
             for (server, weight) in &table.lines {
                 let known = self.known.get(server).cloned();
@@ -352,7 +446,9 @@
                 lines.push((name, *weight));
             }
             // The module's lines are above 0 and a server has one name: there is no other case.
-            let Ok(issued) = versions::Table::of(lines) else { continue };
+            let Ok(issued) = versions::Table::of(lines) else {
+                continue;
+            };
             book.issue(now, *id, issued);
         }
         for (proxy, kinds, id) in binds {
@@ -372,12 +468,18 @@
     /// version. A whole table that the module has not counted is not written: it is owed. Gives the tables
     /// that the message brings up to date.
     fn name_versions(&mut self, proxy: ProxyId, draft: &mut Draft) -> Vec<TableId> {
-        let Some(book) = &mut self.book else { return Vec::new() };
-        let Some(stream) = self.streams.get(&proxy) else { return Vec::new() };
+        let Some(book) = &mut self.book else {
+            return Vec::new();
+        };
+        let Some(stream) = self.streams.get(&proxy) else {
+            return Vec::new();
+        };
         let (mut told, mut retell) = (Vec::new(), 0);
         for id in &stream.tables {
             let users = self.tables.get(id).and_then(|t| t.users.get(&proxy));
-            let Some(kinds) = users.copied() else { continue };
+            let Some(kinds) = users.copied() else {
+                continue;
+            };
             let touched = |p: &Piece| p.kinds == kinds && (p.whole || !p.lines.is_empty());
             if !book.speaks(proxy) {
                 told.extend(draft.pieces.iter().any(touched).then_some(*id));
@@ -398,17 +500,24 @@
             let (whole, lines) = match &order.update {
                 Update::Same(_) => (false, Vec::new()),
                 Update::Delta(delta) => (false, delta.changes.clone()),
-                Update::Whole(table) => (true, table.lines().map(|(n, w)| (n.clone(), w)).collect()),
+                Update::Whole(table) => {
+                    (true, table.lines().map(|(n, w)| (n.clone(), w)).collect())
+                }
             };
             retell |= if whole && !counted { kinds } else { 0 };
             piece.whole = whole;
-            piece.lines = lines.into_iter().map(|(n, w)| (crate::messages::server_id(&n), w)).collect();
+            piece.lines = lines
+                .into_iter()
+                .map(|(n, w)| (crate::messages::server_id(&n), w))
+                .collect();
             // A delta on what this stream was told goes on from a version that is known there.
             piece.short = matches!(order.update, Update::Delta(_)) && book.told(proxy, *id);
             piece.order = Some(order);
             told.push(*id);
         }
-        draft.pieces.retain(|p| p.whole || !p.lines.is_empty() || p.level.is_some() || p.order.is_some());
+        draft
+            .pieces
+            .retain(|p| p.whole || !p.lines.is_empty() || p.level.is_some() || p.order.is_some());
         // A whole table makes the proxy forget its levels.
         if retell != 0 {
             self.tell_levels(proxy, retell, true, draft);
@@ -417,22 +526,49 @@
     }
 
     /// A whole table for these kinds, with the levels that it makes the proxy forget.
-    fn start_anew(&mut self, proxy: ProxyId, kinds: Kinds, lines: Vec<(ServerId, f64)>, draft: &mut Draft) {
-        lines.iter().for_each(|(server, _)| self.settle(proxy, *server, draft));
-        draft.pieces.push(Piece { kinds, whole: true, lines, ..Piece::default() });
+    fn start_anew(
+        &mut self,
+        proxy: ProxyId,
+        kinds: Kinds,
+        lines: Vec<(ServerId, f64)>,
+        draft: &mut Draft,
+    ) {
+        lines
+            .iter()
+            .for_each(|(server, _)| self.settle(proxy, *server, draft));
+        draft.pieces.push(Piece {
+            kinds,
+            whole: true,
+            lines,
+            ..Piece::default()
+        });
         self.tell_levels(proxy, kinds, true, draft);
     }
 
     fn write(&self, draft: Draft, mark: Option<u64>, names: &Names) -> (Vec<u8>, usize) {
         let name = |server: &ServerId| names.get(server).map(String::as_str);
-        let side =
-            |out: bool| draft.shut.iter().filter(move |(_, o)| **o == out).filter_map(|(s, _)| name(s));
+        let side = |out: bool| {
+            draft
+                .shut
+                .iter()
+                .filter(move |(_, o)| **o == out)
+                .filter_map(|(s, _)| name(s))
+        };
         let mut parts: Vec<Part> = Vec::new();
         for piece in &draft.pieces {
-            let kinds = places(piece.kinds).filter_map(|k| self.kinds.get(k).map(String::as_str)).collect();
+            let kinds = places(piece.kinds)
+                .filter_map(|k| self.kinds.get(k).map(String::as_str))
+                .collect();
             let kinds: Option<Vec<&str>> = (piece.kinds != self.all).then_some(kinds);
-            let lines: Vec<_> = piece.lines.iter().filter_map(|(s, w)| Some((name(s)?, *w))).collect();
-            let (level, retry) = (piece.level.map(|(l, _)| l), piece.level.map(|(_, r)| r as u8));
+            let lines: Vec<_> = piece
+                .lines
+                .iter()
+                .filter_map(|(s, w)| Some((name(s)?, *w)))
+                .collect();
+            let (level, retry) = (
+                piece.level.map(|(l, _)| l),
+                piece.level.map(|(_, r)| r as u8),
+            );
             let mut runs = runs_that_fit(&lines);
             let first = runs.next().or(piece.whole.then(Vec::new));
             let order = piece.order.as_ref();
@@ -446,12 +582,22 @@
                 lines: first,
                 level,
                 retry,
-                version: order.map(|o| if piece.short { o.version.short() } else { o.version.to_string() }),
+                version: order.map(|o| {
+                    if piece.short {
+                        o.version.short()
+                    } else {
+                        o.version.to_string()
+                    }
+                }),
                 to: order.map(|o| o.update.digest().to_string()),
                 from,
                 ..Part::default()
             };
-            let rest = runs.map(|lines| Part { kinds: kinds.clone(), lines: Some(lines), ..Part::default() });
+            let rest = runs.map(|lines| Part {
+                kinds: kinds.clone(),
+                lines: Some(lines),
+                ..Part::default()
+            });
             parts.extend([opening].into_iter().chain(rest));
         }
         if parts.is_empty() {
--- a/crates/rookpulley-assigner/src/peers.rs
+++ b/crates/rookpulley-assigner/src/peers.rs
@@ -23,11 +23,18 @@
         };
         let Some(place) = place.filter(|_| bytes.len() <= NOTE_MOST) else {
             front.counters.one("notes not sendable");
-            say!(front.log, "note", "{} bytes to {to:?} can't be sent", bytes.len());
+            say!(
+                front.log,
+                "note",
+                "{} bytes to {to:?} can't be sent",
+                bytes.len()
+            );
             return;
         };
         let sent = self.socket.try_send_to(bytes, *place).is_ok();
-        front.counters.one(if sent { "out notes" } else { "notes lost here" });
+        front
+            .counters
+            .one(if sent { "out notes" } else { "notes lost here" });
     }
 
     /// Takes notes in, from the peers' addresses only.
@@ -35,12 +42,24 @@
         let mut bytes = [0; NOTE_MOST + 1];
         loop {
             // An error here tells of an earlier note that nobody took.
-            let Ok((size, from)) = self.socket.recv_from(&mut bytes).await else { continue };
-            let sender = self.places.each.iter().position(|place| *place == from).map(|at| at as u16);
+            let Ok((size, from)) = self.socket.recv_from(&mut bytes).await else {
+                continue;
+            };
+            let sender = self
+                .places
+                .each
+                .iter()
+                .position(|place| *place == from)
+                .map(|at| at as u16);
             match sender.filter(|at| *at != self.own && size <= NOTE_MOST) {
                 Some(from) => {
                     front.counters.one("in notes");
-                    front.tell(Event::Note { from, bytes: bytes[..size].to_vec() }).await;
+                    front
+                        .tell(Event::Note {
+                            from,
+                            bytes: bytes[..size].to_vec(),
+                        })
+                        .await;
                 }
                 None => front.counters.one("notes refused"),
             }
--- a/crates/rookpulley-assigner/src/reload.rs
+++ b/crates/rookpulley-assigner/src/reload.rs
@@ -22,7 +22,8 @@
         while asked.recv().await.is_some() {
             let path = self.path.clone();
             // On a thread of its own: the disk may be slow, and proxies don't wait for it.
-            let read = tokio::task::spawn_blocking(move || config::load(&path).map_err(|e| e.to_string()));
+            let read =
+                tokio::task::spawn_blocking(move || config::load(&path).map_err(|e| e.to_string()));
             match read.await.unwrap_or_else(|e| Err(e.to_string())) {
                 Ok(told) => self.take(told, &roster, &front),
                 Err(why) => {
@@ -34,15 +35,29 @@
     }
 
     fn take(&self, told: Told, roster: &Rc<Roster>, front: &Front) {
-        let names = self.fixed.keys().chain(told.fixed.keys().filter(|f| !self.fixed.contains_key(*f)));
-        let differ: Vec<&str> =
-            names.filter(|f| self.fixed.get(*f) != told.fixed.get(*f)).map(String::as_str).collect();
+        let names = self
+            .fixed
+            .keys()
+            .chain(told.fixed.keys().filter(|f| !self.fixed.contains_key(*f)));
+        let differ: Vec<&str> = names
+            .filter(|f| self.fixed.get(*f) != told.fixed.get(*f))
+            .map(String::as_str)
+            .collect();
         if !differ.is_empty() {
             let fields = differ.join(", ");
-            say!(front.log, "configuration", "{fields} can't change while it runs: that takes a restart");
+            say!(
+                front.log,
+                "configuration",
+                "{fields} can't change while it runs: that takes a restart"
+            );
         }
         front.counters.one("configurations taken");
-        say!(front.log, "configuration", "taken, discovery is at {}", told.discovery);
+        say!(
+            front.log,
+            "configuration",
+            "taken, discovery is at {}",
+            told.discovery
+        );
         roster.move_to(told.discovery);
     }
 }
--- a/crates/rookpulley-assigner/src/roster.rs
+++ b/crates/rookpulley-assigner/src/roster.rs
@@ -53,7 +53,10 @@
 
 impl Pauses {
     pub fn new(seed: u64) -> Self {
-        Self { next_ms: PAUSE_MS, rng: ChaCha8Rng::seed_from_u64(seed) }
+        Self {
+            next_ms: PAUSE_MS,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+        }
     }
 
     pub fn next(&mut self, heard: bool) -> Duration {
@@ -76,7 +79,14 @@
 impl Roster {
     pub fn new(place: SocketAddr, version: u64, asked: bool, front: Rc<Front>) -> Rc<Self> {
         let (place, version, moved) = (Cell::new(place), Cell::new(version), Notify::new());
-        Rc::new(Self { place, moved, version, front, asked, watch: RefCell::default() })
+        Rc::new(Self {
+            place,
+            moved,
+            version,
+            front,
+            asked,
+            watch: RefCell::default(),
+        })
     }
 
     /// Follows the list for as long as the assigner runs, dialling anew after growing pauses.
@@ -86,7 +96,11 @@
                 let mut heard = false;
                 let broken = self.watch(&mut heard).await;
                 self.front.counters.one("watches broken");
-                say!(self.front.log, "list", "the watch broke: {broken}; the list stays as it is");
+                say!(
+                    self.front.log,
+                    "list",
+                    "the watch broke: {broken}; the list stays as it is"
+                );
                 tokio::time::sleep(pauses.next(heard)).await;
             };
             // What a watch that is given up had not handed on yet comes first on the next.
@@ -138,7 +152,11 @@
 
     async fn failed(&self, broken: Broken) {
         self.front.counters.one("list calls failed");
-        say!(self.front.log, "list", "a call failed: {broken}; the list stays as it is");
+        say!(
+            self.front.log,
+            "list",
+            "a call failed: {broken}; the list stays as it is"
+        );
         self.front.tell(Event::ListFailed).await;
     }
 
@@ -150,7 +168,9 @@
         dialled.spawn_local(async move { _ = connection.await });
         let req = hyper::Request::get(path).header("host", place.to_string());
         // Built of fixed text, an address and numbers: there is nothing in it to refuse.
-        let Ok(req) = req.body(Empty::<Bytes>::new()) else { return Err(Broken::Ended) };
+        let Ok(req) = req.body(Empty::<Bytes>::new()) else {
+            return Err(Broken::Ended);
+        };
         let answer = sender.send_request(req).await?;
         // The sender goes; the connection stays for as long as the answer is read.
         match answer.status().as_u16() {
@@ -161,7 +181,8 @@
 
     async fn call(&self) -> Result<(), Broken> {
         let mut dialled = JoinSet::new();
-        let mut body = tokio::time::timeout(SILENT, self.get("/catalog/members", &mut dialled)).await??;
+        let mut body =
+            tokio::time::timeout(SILENT, self.get("/catalog/members", &mut dialled)).await??;
         let mut text = Vec::new();
         while let Some(piece) = tokio::time::timeout(SILENT, body.frame()).await? {
             text.extend_from_slice(&piece?.into_data().unwrap_or_default());
@@ -211,20 +232,38 @@
         let mut list = self.front.words.decode_list(std::str::from_utf8(text)?)?;
         // From here on nothing waits: a watch that is given up has handed a change on and holds its
         // version, or neither.
-        let Ok(place) = self.front.events.reserve().await else { return Ok(()) };
+        let Ok(place) = self.front.events.reserve().await else {
+            return Ok(());
+        };
         let held = self.version.get();
         let new = list.version > held || (list.whole && list.version == held);
         if list.whole && !new {
             self.front.counters.one("whole lists passed over");
-            say!(self.front.log, "list", "a whole list of version {} is older than {held}", list.version);
+            say!(
+                self.front.log,
+                "list",
+                "a whole list of version {} is older than {held}",
+                list.version
+            );
         }
         if !new {
-            list = List { version: held, ..List::default() };
+            list = List {
+                version: held,
+                ..List::default()
+            };
         }
         self.version.set(list.version);
-        self.front.counters.one(if list.whole { "in whole lists" } else { "in list changes" });
+        self.front.counters.one(if list.whole {
+            "in whole lists"
+        } else {
+            "in list changes"
+        });
         if answer || list.whole || !list.lines.is_empty() {
-            let scope = if list.whole { ListScope::Full } else { ListScope::Changes };
+            let scope = if list.whole {
+                ListScope::Full
+            } else {
+                ListScope::Changes
+            };
             place.send(Event::List { scope, list });
         }
         Ok(())
--- a/crates/rookpulley-assigner/src/servers.rs
+++ b/crates/rookpulley-assigner/src/servers.rs
@@ -20,8 +20,16 @@
 
 impl Servers {
     pub fn new(file: PathBuf, start: &Start, words: &Words) -> Self {
-        let lists = Lists::new(Facts::of(start, &words.machines), start.bounds.drain_grace_ms);
-        Self { file, lists, not_taken: None, pass_at_ms: 0.0 }
+        let lists = Lists::new(
+            Facts::of(start, &words.machines),
+            start.bounds.drain_grace_ms,
+        );
+        Self {
+            file,
+            lists,
+            not_taken: None,
+            pass_at_ms: 0.0,
+        }
     }
 
     /// Follows the file from now on; what is found comes as events. Called within a `LocalSet`.
@@ -45,7 +53,11 @@
                     Ok((scope, told)) => {
                         self.not_taken = None;
                         front.counters.one("server files taken");
-                        say!(front.log, "servers", "generation {generation} taken, {count} servers");
+                        say!(
+                            front.log,
+                            "servers",
+                            "generation {generation} taken, {count} servers"
+                        );
                         return Some((scope, list(told, &front.words)));
                     }
                     Err(refused) => format!("generation {generation} is refused: {refused}"),
@@ -55,14 +67,29 @@
             Found::Gone(why) => format!("there is no file to read: {why}"),
         };
         front.counters.one("server files not taken");
-        say!(front.log, "servers", "{}: {why}; the last good list stays", self.file.display());
+        say!(
+            front.log,
+            "servers",
+            "{}: {why}; the last good list stays",
+            self.file.display()
+        );
         self.not_taken = Some(why);
         None
     }
 
     /// Discovery's list: before a file was taken it counts as ever, after that for drains and starts alone.
-    pub fn seen(&mut self, now: f64, scope: ListScope, seen: List, front: &Front) -> (ListScope, List) {
-        let lines = seen.lines.iter().zip(&seen.names).map(|(l, n)| (n.as_str(), l.stage, l.started_ms));
+    pub fn seen(
+        &mut self,
+        now: f64,
+        scope: ListScope,
+        seen: List,
+        front: &Front,
+    ) -> (ListScope, List) {
+        let lines = seen
+            .lines
+            .iter()
+            .zip(&seen.names)
+            .map(|(l, n)| (n.as_str(), l.stage, l.started_ms));
         match self.lists.seen_list(now, lines) {
             Some(told) => (ListScope::Changes, list(told, &front.words)),
             None => (scope, seen),
@@ -87,7 +114,12 @@
             machine: t.entry.machine,
             bay: t.entry.bay,
             weight: t.entry.weight,
-            stage: if t.stage == Stage::Ready { "ready" } else { "draining" }.into(),
+            stage: if t.stage == Stage::Ready {
+                "ready"
+            } else {
+                "draining"
+            }
+            .into(),
             started_ms: t.entry.started_ms,
         });
         let held = self.lists.held();
@@ -104,8 +136,11 @@
 fn list(told: Vec<Told>, words: &Words) -> List {
     let mut list = List::default();
     for Told { entry, stage } in told {
-        let place =
-            |of: &[String], name: &str| of.iter().position(|n| n == name).map_or(ELSEWHERE, |p| p as u16);
+        let place = |of: &[String], name: &str| {
+            of.iter()
+                .position(|n| n == name)
+                .map_or(ELSEWHERE, |p| p as u16)
+        };
         list.lines.push(Listed {
             server: server_id(&entry.name),
             zone: place(&words.zones, &entry.zone),
--- a/crates/rookpulley-assigner/src/streams.rs
+++ b/crates/rookpulley-assigner/src/streams.rs
@@ -65,7 +65,14 @@
 impl Conns {
     pub fn new(most: usize, held_most: usize) -> Self {
         let (open, held, next) = (RefCell::default(), Cell::new(0), Cell::new(0));
-        Self { open, most, ended: Notify::new(), held, held_most, next }
+        Self {
+            open,
+            most,
+            ended: Notify::new(),
+            held,
+            held_most,
+            next,
+        }
     }
 
     fn full(&self) -> bool {
@@ -88,8 +95,11 @@
 
     fn enter(&self) -> (ConnId, Rc<Conn>) {
         let id = self.next.replace(self.next.get() + 1);
-        let conn =
-            Rc::new(Conn { taken: Instant::now(), role: Cell::new(Role::Silent), outbox: Rc::default() });
+        let conn = Rc::new(Conn {
+            taken: Instant::now(),
+            role: Cell::new(Role::Silent),
+            outbox: Rc::default(),
+        });
         self.open.borrow_mut().insert(id, conn.clone());
         (id, conn)
     }
@@ -106,7 +116,9 @@
         });
         let spare: Vec<_> = spare.collect();
         if !spare.iter().any(|(_, c)| c.outbox.ordered().is_some()) {
-            let old = spare.iter().filter(|(_, c)| c.taken.elapsed() >= SPEAK_WITHIN);
+            let old = spare
+                .iter()
+                .filter(|(_, c)| c.taken.elapsed() >= SPEAK_WITHIN);
             let first = old.min_by_key(|(id, c)| (c.role.get(), **id));
             _ = first.inspect(|(_, c)| c.outbox.end(Ending::Crowded));
         }
@@ -139,7 +151,12 @@
         }
         if !room {
             front.counters.one("connections turned away");
-            say!(front.log, "listen", "turned away: all {} connections have joined", front.conns.count());
+            say!(
+                front.log,
+                "listen",
+                "turned away: all {} connections have joined",
+                front.conns.count()
+            );
             continue;
         }
         let (id, conn) = front.conns.enter();
@@ -149,29 +166,48 @@
 
 async fn serve(socket: TcpStream, id: ConnId, conn: Rc<Conn>, front: Rc<Front>) {
     front.counters.one("connections taken");
-    front.counters.most("most connections at once", front.conns.count() as u64);
+    front
+        .counters
+        .most("most connections at once", front.conns.count() as u64);
     let mut held = Vec::new();
     let ending = live(&socket, id, &conn, &mut held, &front).await;
     drop(socket);
     front.conns.leave(id, held.len());
     front.counters.one(ending.count());
     let role = conn.role.get();
-    if role > Role::Stranger || !matches!(ending, Ending::Closed | Ending::Crowded | Ending::NotJoined) {
+    if role > Role::Stranger
+        || !matches!(ending, Ending::Closed | Ending::Crowded | Ending::NotJoined)
+    {
         say!(front.log, "connection", "{role:?} {}", ending.count());
     }
     if let Role::Stream(proxy) = role {
-        front.tell(Event::Ended { conn: id, proxy, ending }).await;
+        front
+            .tell(Event::Ended {
+                conn: id,
+                proxy,
+                ending,
+            })
+            .await;
     }
 }
 
 /// The life of a connection, from its first byte to its end.
-async fn live(socket: &TcpStream, id: ConnId, conn: &Conn, held: &mut Vec<u8>, front: &Front) -> Ending {
+async fn live(
+    socket: &TcpStream,
+    id: ConnId,
+    conn: &Conn,
+    held: &mut Vec<u8>,
+    front: &Front,
+) -> Ending {
     let outbox = &conn.outbox;
     let late = conn.taken + JOIN_WITHIN;
     loop {
         // Wait for bytes, for room to write, or for an order to end.
-        let interest =
-            if outbox.waits() { Interest::READABLE | Interest::WRITABLE } else { Interest::READABLE };
+        let interest = if outbox.waits() {
+            Interest::READABLE | Interest::WRITABLE
+        } else {
+            Interest::READABLE
+        };
         tokio::select! {
             biased;
             () = outbox.stirred() => {}
@@ -193,14 +229,23 @@
             Err(e) if e.kind() == ErrorKind::WouldBlock => continue,
             Err(_) => return Ending::Reset,
         }
-        front.conns.held.set(front.conns.held.get() + held.len() - was);
+        front
+            .conns
+            .held
+            .set(front.conns.held.get() + held.len() - was);
         // Take the lines that have come whole, one after the other.
         let (mut from, mut search) = (0, was);
         while let Some(at) = held[search..].iter().position(|b| *b == b'\n') {
             let end = search + at;
             let line = &held[from..end];
             (from, search) = (end + 1, end + 1);
-            if line.len() >= if conn.joined() { LINE_MOST } else { FIRST_LINE_MOST } {
+            if line.len()
+                >= if conn.joined() {
+                    LINE_MOST
+                } else {
+                    FIRST_LINE_MOST
+                }
+            {
                 return Ending::TooLong;
             }
             if line.trim_ascii().is_empty() {
@@ -230,27 +275,80 @@
                 }
                 (
                     Role::Silent | Role::Stranger,
-                    Message::Joining { proxy, zone, usual_per_s, fresh, holds },
+                    Message::Joining {
+                        proxy,
+                        zone,
+                        usual_per_s,
+                        fresh,
+                        holds,
+                    },
                 ) => {
                     conn.role.set(Role::Stream(proxy));
                     let outbox = outbox.clone();
-                    let joined = Joined { conn: id, outbox, proxy, zone, usual_per_s, fresh, holds };
+                    let joined = Joined {
+                        conn: id,
+                        outbox,
+                        proxy,
+                        zone,
+                        usual_per_s,
+                        fresh,
+                        holds,
+                    };
                     front.tell(Event::Joined(joined)).await;
                 }
-                (Role::Stream(own), Message::OfProxy { proxy, input, holds }) if own == proxy => {
-                    front.tell(Event::OnStream { conn: id, proxy, input, holds }).await;
+                (
+                    Role::Stream(own),
+                    Message::OfProxy {
+                        proxy,
+                        input,
+                        holds,
+                    },
+                ) if own == proxy => {
+                    front
+                        .tell(Event::OnStream {
+                            conn: id,
+                            proxy,
+                            input,
+                            holds,
+                        })
+                        .await;
                 }
-                (Role::Stream(own), Message::Refused { proxy, kinds, holds }) if own == proxy => {
-                    front.tell(Event::Refused { conn: id, proxy, kinds, holds }).await;
+                (
+                    Role::Stream(own),
+                    Message::Refused {
+                        proxy,
+                        kinds,
+                        holds,
+                    },
+                ) if own == proxy => {
+                    front
+                        .tell(Event::Refused {
+                            conn: id,
+                            proxy,
+                            kinds,
+                            holds,
+                        })
+                        .await;
                 }
                 (Role::Collector(_), Message::Heard(input))
-                | (Role::Collector(_), Message::OfProxy { input: input @ Input::Usage { .. }, .. }) => {
+                | (
+                    Role::Collector(_),
+                    Message::OfProxy {
+                        input: input @ Input::Usage { .. },
+                        ..
+                    },
+                ) => {
                     front.tell(Event::Report(input)).await;
                 }
                 (Role::Silent | Role::Stranger, _) => return Ending::OutOfTurn,
                 (role, message) => {
                     front.counters.one("bad input: out of turn");
-                    say!(front.log, "bad input", "from {role:?}: {} out of turn", message.name());
+                    say!(
+                        front.log,
+                        "bad input",
+                        "from {role:?}: {} out of turn",
+                        message.name()
+                    );
                 }
             }
         }
--- a/crates/rookpulley-assigner/tests/orders.rs
+++ b/crates/rookpulley-assigner/tests/orders.rs
@@ -17,7 +17,9 @@
 }
 
 fn names() -> Names {
-    (0..SERVERS).map(|n| (server_id(&name(n)), name(n))).collect()
+    (0..SERVERS)
+        .map(|n| (server_id(&name(n)), name(n)))
+        .collect()
 }
 
 fn orders() -> Orders {
@@ -25,19 +27,35 @@
 }
 
 fn line(table: TableId, n: usize, weight: f64) -> Effect {
-    Effect::Line { table, server: server_id(&name(n)), weight }
+    Effect::Line {
+        table,
+        server: server_id(&name(n)),
+        weight,
+    }
 }
 
 fn withdraw(n: usize, out: bool) -> Effect {
-    Effect::Withdraw { server: server_id(&name(n)), out }
+    Effect::Withdraw {
+        server: server_id(&name(n)),
+        out,
+    }
 }
 
 fn bind(proxy: ProxyId, table: TableId, kinds: u16) -> Effect {
-    Effect::Bind { proxy, table, kinds }
+    Effect::Bind {
+        proxy,
+        table,
+        kinds,
+    }
 }
 
 fn admit(table: Option<TableId>, kinds: u16, level: f64, retry: Retry) -> Effect {
-    Effect::Admit { table, kinds, level, retry }
+    Effect::Admit {
+        table,
+        kinds,
+        level,
+        retry,
+    }
 }
 
 fn mark(mark: u64, all: bool) -> Effect {
@@ -57,22 +75,73 @@
     orders.join(0.0, 0, true, None);
     orders.join(0.0, 1, false, None);
     let all = admit(None, 0, 1.0, Retry::IfUnrun);
-    step(&mut orders, "a level for all reaches the joined", vec![all, mark(1, false)]);
-    let first = vec![line(0, 0, 2.0), line(0, 1, 0.5), bind(0, 0, 0), mark(2, false)];
+    step(
+        &mut orders,
+        "a level for all reaches the joined",
+        vec![all, mark(1, false)],
+    );
+    let first = vec![
+        line(0, 0, 2.0),
+        line(0, 1, 0.5),
+        bind(0, 0, 0),
+        mark(2, false),
+    ];
     step(&mut orders, "a fresh proxy is bound for all kinds", first);
-    let second = vec![line(1, 2, 1.0), bind(1, 0, 0b001), bind(1, 1, 0b110), mark(3, false)];
-    step(&mut orders, "one that held tables before: what was shut out must not stick", second);
-    step(&mut orders, "a later change goes to both", vec![line(0, 3, 1.5), line(0, 1, 0.0), mark(4, false)]);
-    step(&mut orders, "a drain: only p1 holds s-2", vec![withdraw(2, true), line(1, 2, 0.0), mark(5, false)]);
-    step(&mut orders, "let back: nobody holds it", vec![withdraw(2, false), mark(6, false)]);
-    step(&mut orders, "in a table again: let back with its line", vec![line(1, 2, 0.25), mark(7, false)]);
+    let second = vec![
+        line(1, 2, 1.0),
+        bind(1, 0, 0b001),
+        bind(1, 1, 0b110),
+        mark(3, false),
+    ];
+    step(
+        &mut orders,
+        "one that held tables before: what was shut out must not stick",
+        second,
+    );
+    step(
+        &mut orders,
+        "a later change goes to both",
+        vec![line(0, 3, 1.5), line(0, 1, 0.0), mark(4, false)],
+    );
+    step(
+        &mut orders,
+        "a drain: only p1 holds s-2",
+        vec![withdraw(2, true), line(1, 2, 0.0), mark(5, false)],
+    );
+    step(
+        &mut orders,
+        "let back: nobody holds it",
+        vec![withdraw(2, false), mark(6, false)],
+    );
+    step(
+        &mut orders,
+        "in a table again: let back with its line",
+        vec![line(1, 2, 0.25), mark(7, false)],
+    );
     let lower = vec![admit(Some(1), 0b010, 0.5, Retry::Never), mark(8, true)];
-    step(&mut orders, "a level for one kind of one table, and a mark for all", lower);
+    step(
+        &mut orders,
+        "a level for one kind of one table, and a mark for all",
+        lower,
+    );
     orders.join(0.0, 1, false, None);
-    step(&mut orders, "p1 came anew: changes wait until it is bound", vec![line(0, 4, 1.0), mark(9, false)]);
-    step(&mut orders, "then it gets the whole table", vec![bind(1, 0, 0), mark(10, false)]);
+    step(
+        &mut orders,
+        "p1 came anew: changes wait until it is bound",
+        vec![line(0, 4, 1.0), mark(9, false)],
+    );
+    step(
+        &mut orders,
+        "then it gets the whole table",
+        vec![bind(1, 0, 0), mark(10, false)],
+    );
     orders.leave(0.0, 1);
-    let gone = vec![line(0, 4, 0.0), bind(1, 0, 0), withdraw(4, true), mark(11, true)];
+    let gone = vec![
+        line(0, 4, 0.0),
+        bind(1, 0, 0),
+        withdraw(4, true),
+        mark(11, true),
+    ];
     step(&mut orders, "p1 left: nothing goes there", gone);
     let wipe = vec![Effect::Wipe { table: 0 }, line(0, 5, 1.0), mark(12, false)];
     step(&mut orders, "a table wiped and written again", wipe);
@@ -82,16 +151,29 @@
 #[test]
 fn a_table_over_a_megabyte_goes_in_parts() {
     let long = |n: usize| format!("server-{n:0200}");
-    let names: Names = (0..12_000).map(|n| (server_id(&long(n)), long(n))).collect();
+    let names: Names = (0..12_000)
+        .map(|n| (server_id(&long(n)), long(n)))
+        .collect();
     let mut orders = orders();
     orders.join(0.0, 0, true, None);
-    let mut effects: Vec<Effect> =
-        names.keys().map(|server| Effect::Line { table: 0, server: *server, weight: 1.0 }).collect();
+    let mut effects: Vec<Effect> = names
+        .keys()
+        .map(|server| Effect::Line {
+            table: 0,
+            server: *server,
+            weight: 1.0,
+        })
+        .collect();
     effects.extend([bind(0, 0, 0), mark(1, false)]);
     let written = orders.carry_out(0.0, &effects, &names).remove(0);
     let mut proxy = Proxy::default();
     let parts = proxy.hear(&written);
-    assert!(written.bytes.split(|b| *b == b'\n').all(|part| part.len() < LINE_MOST));
+    assert!(
+        written
+            .bytes
+            .split(|b| *b == b'\n')
+            .all(|part| part.len() < LINE_MOST)
+    );
     assert!(parts > 1 && parts <= 64, "{parts}");
     assert_eq!((proxy.tables[0].len(), written.lines), (12_000, 12_000 + 2));
 }
@@ -100,7 +182,11 @@
 fn what_was_shut_out_is_let_back_also_after_it_was_forgotten() {
     let mut orders = orders();
     orders.join(0.0, 0, true, None);
-    orders.carry_out(0.0, &[line(0, 0, 1.0), line(0, 1, 1.0), bind(0, 0, 0)], &names());
+    orders.carry_out(
+        0.0,
+        &[line(0, 0, 1.0), line(0, 1, 1.0), bind(0, 0, 0)],
+        &names(),
+    );
     orders.carry_out(0.0, &[withdraw(1, true), line(0, 1, 0.0)], &names());
     orders.carry_out(0.0, &[withdraw(1, false)], &names());
     orders.forget(&server_id(&name(1)));
@@ -121,12 +207,22 @@
     /// Applies a message; gives the number of its parts.
     fn hear(&mut self, written: &Written) -> usize {
         let text = std::str::from_utf8(&written.bytes).unwrap();
-        let parts: Vec<Value> = text.lines().map(|part| serde_json::from_str(part).unwrap()).collect();
+        let parts: Vec<Value> = text
+            .lines()
+            .map(|part| serde_json::from_str(part).unwrap())
+            .collect();
         let mut counted = 0;
         for (at, part) in parts.iter().enumerate() {
             assert_eq!(part["msg"], "assign");
-            assert_eq!(part["more"].as_bool().unwrap_or(false), at + 1 < parts.len());
-            let named = |kind| part["classes"].as_array().is_none_or(|some| some.iter().any(|k| k == kind));
+            assert_eq!(
+                part["more"].as_bool().unwrap_or(false),
+                at + 1 < parts.len()
+            );
+            let named = |kind| {
+                part["classes"]
+                    .as_array()
+                    .is_none_or(|some| some.iter().any(|k| k == kind))
+            };
             let whole = part["whole"].as_bool().unwrap_or(false);
             let lines = part["lines"].as_array().cloned().unwrap_or_default();
             for (k, _) in KINDS.iter().enumerate().filter(|(_, kind)| named(**kind)) {
@@ -134,7 +230,8 @@
                     (self.tables[k], self.levels[k]) = (BTreeMap::new(), None);
                 }
                 for line in &lines {
-                    self.tables[k].insert(line[0].as_str().unwrap().into(), line[1].as_f64().unwrap());
+                    self.tables[k]
+                        .insert(line[0].as_str().unwrap().into(), line[1].as_f64().unwrap());
                 }
                 self.tables[k].retain(|_, weight| *weight > 0.0);
                 if let Some(level) = part["level"].as_f64() {
@@ -143,17 +240,27 @@
             }
             let listed = |key: &str| part[key].as_array().cloned().unwrap_or_default();
             counted += lines.len() + listed("out").len() + listed("back").len();
-            counted += ["whole", "level", "ticket"].iter().filter(|key| !part[**key].is_null()).count();
-            listed("out").iter().for_each(|s| _ = self.out.insert(s.as_str().unwrap().into()));
-            listed("back").iter().for_each(|s| _ = self.out.remove(s.as_str().unwrap()));
+            counted += ["whole", "level", "ticket"]
+                .iter()
+                .filter(|key| !part[**key].is_null())
+                .count();
+            listed("out")
+                .iter()
+                .for_each(|s| _ = self.out.insert(s.as_str().unwrap().into()));
+            listed("back")
+                .iter()
+                .for_each(|s| _ = self.out.remove(s.as_str().unwrap()));
         }
         assert_eq!(counted, written.lines, "{text}");
         parts.len()
     }
 
     fn usable(&self, kind: KindId) -> Vec<(String, f64)> {
-        let open = self.tables[kind].iter().filter(|(server, _)| !self.out.contains(*server));
-        open.map(|(server, weight)| (server.clone(), *weight)).collect()
+        let open = self.tables[kind]
+            .iter()
+            .filter(|(server, _)| !self.out.contains(*server));
+        open.map(|(server, weight)| (server.clone(), *weight))
+            .collect()
     }
 }
 
@@ -171,7 +278,9 @@
 impl Wire {
     fn usable(&self, table: TableId) -> Vec<(String, f64)> {
         let names = names();
-        let open = self.tables[&table].iter().filter(|(s, _)| !self.out.contains(*s));
+        let open = self.tables[&table]
+            .iter()
+            .filter(|(s, _)| !self.out.contains(*s));
         let mut usable: Vec<_> = open.map(|(s, w)| (names[s].clone(), *w)).collect();
         usable.sort_by(|a, b| a.0.cmp(&b.0));
         usable
@@ -189,23 +298,46 @@
     fn carry_out(&mut self, effects: &[Effect]) -> BTreeMap<ProxyId, (usize, usize)> {
         let mut cost: BTreeMap<ProxyId, (usize, usize)> = BTreeMap::new();
         for effect in effects {
-            let uses = |bound: &BTreeMap<KindId, TableId>, t: &TableId| bound.values().any(|b| b == t);
-            let kinds = |mask: u16| (0..KINDS.len()).filter(move |k| mask == 0 || mask >> k & 1 == 1);
+            let uses =
+                |bound: &BTreeMap<KindId, TableId>, t: &TableId| bound.values().any(|b| b == t);
+            let kinds =
+                |mask: u16| (0..KINDS.len()).filter(move |k| mask == 0 || mask >> k & 1 == 1);
             let mut reached: BTreeMap<ProxyId, usize> = BTreeMap::new();
             let mut tables = 0;
             match *effect {
-                Effect::Line { table, server, weight } => {
+                Effect::Line {
+                    table,
+                    server,
+                    weight,
+                } => {
                     self.tables.entry(table).or_default().insert(server, weight);
-                    self.tables.entry(table).or_default().retain(|_, weight| *weight > 0.0);
+                    self.tables
+                        .entry(table)
+                        .or_default()
+                        .retain(|_, weight| *weight > 0.0);
                     tables = 1;
-                    reached.extend(self.joined.iter().filter(|(_, b)| uses(b, &table)).map(|(p, _)| (*p, 1)));
+                    reached.extend(
+                        self.joined
+                            .iter()
+                            .filter(|(_, b)| uses(b, &table))
+                            .map(|(p, _)| (*p, 1)),
+                    );
                 }
                 Effect::Wipe { table } => {
                     self.tables.insert(table, BTreeMap::new());
                     self.own.retain(|(of, _), _| *of != table);
-                    reached.extend(self.joined.iter().filter(|(_, b)| uses(b, &table)).map(|(p, _)| (*p, 1)));
+                    reached.extend(
+                        self.joined
+                            .iter()
+                            .filter(|(_, b)| uses(b, &table))
+                            .map(|(p, _)| (*p, 1)),
+                    );
                 }
-                Effect::Bind { proxy, table, kinds: mask } => {
+                Effect::Bind {
+                    proxy,
+                    table,
+                    kinds: mask,
+                } => {
                     let lines = self.tables.entry(table).or_default();
                     if let Some(bound) = self.joined.get_mut(&proxy) {
                         let shut = lines.keys().filter(|s| self.out.contains(*s)).count();
@@ -221,18 +353,32 @@
                         self.out.remove(&server)
                     };
                     let holds = |b: &BTreeMap<KindId, TableId>| {
-                        b.len() < KINDS.len() || b.values().any(|t| self.tables[t].contains_key(&server))
+                        b.len() < KINDS.len()
+                            || b.values().any(|t| self.tables[t].contains_key(&server))
                     };
-                    reached.extend(self.joined.iter().filter(|(_, b)| holds(b)).map(|(p, _)| (*p, 1)));
+                    reached.extend(
+                        self.joined
+                            .iter()
+                            .filter(|(_, b)| holds(b))
+                            .map(|(p, _)| (*p, 1)),
+                    );
                 }
-                Effect::Admit { table, kinds: mask, level, retry } => {
+                Effect::Admit {
+                    table,
+                    kinds: mask,
+                    level,
+                    retry,
+                } => {
                     for kind in kinds(mask) {
                         match table {
                             None => _ = self.all.insert(kind, (level, retry as u64)),
                             Some(of) => _ = self.own.insert((of, kind), (level, retry as u64)),
                         }
                     }
-                    let concerned = self.joined.iter().filter(|(_, b)| table.is_none_or(|t| uses(b, &t)));
+                    let concerned = self
+                        .joined
+                        .iter()
+                        .filter(|(_, b)| table.is_none_or(|t| uses(b, &t)));
                     reached.extend(concerned.map(|(p, _)| (*p, 0)));
                 }
                 Effect::Mark { all, .. } => {
@@ -260,8 +406,18 @@
             0..9 => line(table, n, f64::from(rng.random_range(0..4_u8)) / 2.0),
             9..14 => bind(proxy, table, kinds),
             14..17 => withdraw(n, rng.random_bool(0.5)),
-            17 => admit(None, kinds, f64::from(rng.random_range(0..3_u8)), Retry::IfUnrun),
-            18 => admit(Some(table), kinds, f64::from(rng.random_range(0..3_u8)), Retry::Never),
+            17 => admit(
+                None,
+                kinds,
+                f64::from(rng.random_range(0..3_u8)),
+                Retry::IfUnrun,
+            ),
+            18 => admit(
+                Some(table),
+                kinds,
+                f64::from(rng.random_range(0..3_u8)),
+                Retry::Never,
+            ),
             _ => Effect::Wipe { table },
         });
     }
@@ -274,7 +430,8 @@
     for seed in 0..300 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let (mut orders, mut wire) = (orders(), Wire::default());
-        let mut proxies: BTreeMap<ProxyId, Proxy> = (0..PROXIES).map(|p| (p, Proxy::default())).collect();
+        let mut proxies: BTreeMap<ProxyId, Proxy> =
+            (0..PROXIES).map(|p| (p, Proxy::default())).collect();
         for number in 0..40 {
             let id = rng.random_range(0..PROXIES);
             let proxy = proxies.get_mut(&id).unwrap();
@@ -287,7 +444,11 @@
                 }
                 1 | 2 => {
                     let fresh = rng.random_bool(0.3);
-                    *proxy = if fresh { Proxy::default() } else { proxy.clone() };
+                    *proxy = if fresh {
+                        Proxy::default()
+                    } else {
+                        proxy.clone()
+                    };
                     orders.join(0.0, id, fresh, None);
                     wire.joined.insert(id, BTreeMap::new());
                 }
@@ -301,22 +462,40 @@
                 // What the protocol adds: levels in pieces, and servers let back or shut with a line.
                 let text = String::from_utf8(written.bytes).unwrap();
                 let of = |part: &Value, key: &str| part[key].as_array().map_or(0, Vec::len);
-                let parts: Vec<Value> =
-                    text.lines().map(|part| serde_json::from_str(part).unwrap()).collect();
+                let parts: Vec<Value> = text
+                    .lines()
+                    .map(|part| serde_json::from_str(part).unwrap())
+                    .collect();
                 let levels = parts.iter().filter(|p| !p["level"].is_null()).count();
                 let settled: usize = parts.iter().map(|p| of(p, "out") + of(p, "back")).sum();
-                let (most, tables) = cost.remove(&written.proxy).expect("a message that nobody ordered");
+                let (most, tables) = cost
+                    .remove(&written.proxy)
+                    .expect("a message that nobody ordered");
                 let lines = written.lines - levels;
-                assert!(lines - settled <= most, "seed {seed}: {lines} lines for {most}: {text}");
+                assert!(
+                    lines - settled <= most,
+                    "seed {seed}: {lines} lines for {most}: {text}"
+                );
                 // One more for each line of a table: what `bind_lines` has the module count.
-                assert!(lines <= most + tables, "seed {seed}: {lines} for {most} + {tables}: {text}");
+                assert!(
+                    lines <= most + tables,
+                    "seed {seed}: {lines} for {most} + {tables}: {text}"
+                );
             }
             assert!(cost.is_empty(), "seed {seed}: no message for {cost:?}");
             for (id, bound) in &wire.joined {
                 for (kind, table) in bound {
                     let proxy = &proxies[id];
-                    assert_eq!(proxy.usable(*kind), wire.usable(*table), "seed {seed}, p{id}, {kind}");
-                    assert_eq!(proxy.levels[*kind], wire.level(*table, *kind), "seed {seed}, p{id}, {kind}");
+                    assert_eq!(
+                        proxy.usable(*kind),
+                        wire.usable(*table),
+                        "seed {seed}, p{id}, {kind}"
+                    );
+                    assert_eq!(
+                        proxy.levels[*kind],
+                        wire.level(*table, *kind),
+                        "seed {seed}, p{id}, {kind}"
+                    );
                 }
             }
         }
--- a/crates/rookpulley-assigner/tests/servers.rs
+++ b/crates/rookpulley-assigner/tests/servers.rs
@@ -31,7 +31,11 @@
 }
 
 fn list(generation: u64, servers: impl Iterator<Item = usize>, weight: f64) -> Candidate {
-    Candidate { generation, loss: Some(1.0), entries: servers.map(|n| entry(n, weight)).collect() }
+    Candidate {
+        generation,
+        loss: Some(1.0),
+        entries: servers.map(|n| entry(n, weight)).collect(),
+    }
 }
 
 struct Running {
@@ -48,11 +52,15 @@
     settings["limits"]["sockets"] = json!(256);
     settings["settings"]["limits"]["peers"] = json!(false);
     settings["settings"]["family_info"]["agents"] = json!(dispatchers);
-    let operators =
-        file::read(Path::new("o"), &format!("servers(file = {:?})", servers.to_str().unwrap())).unwrap();
+    let operators = file::read(
+        Path::new("o"),
+        &format!("servers(file = {:?})", servers.to_str().unwrap()),
+    )
+    .unwrap();
     let told = config::read(&settings.to_string()).unwrap();
-    let assigner =
-        Assigner::bind(told, "no file".into(), Signals::take().unwrap(), &operators).await.unwrap();
+    let assigner = Assigner::bind(told, "no file".into(), Signals::take().unwrap(), &operators)
+        .await
+        .unwrap();
     let (place, front) = (assigner.places().0.unwrap(), assigner.front.clone());
     spawn_local(assigner.serve());
     let dispatchers = (0..dispatchers).map(|id| {
@@ -61,24 +69,39 @@
         dispatcher.run();
         dispatcher
     });
-    Running { dispatchers: dispatchers.collect(), front, agent }
+    Running {
+        dispatchers: dispatchers.collect(),
+        front,
+        agent,
+    }
 }
 
 impl Running {
     fn tables(&self) -> Vec<BTreeMap<String, f64>> {
-        self.dispatchers.iter().flat_map(|d| d.tables().into_values()).collect()
+        self.dispatchers
+            .iter()
+            .flat_map(|d| d.tables().into_values())
+            .collect()
     }
 
     /// Waits until every table names just these servers.
     async fn until(&self, servers: &[usize]) {
         let wanted: BTreeSet<String> = servers.iter().map(|n| format!("s-{n}")).collect();
         let wait = async {
-            while !self.tables().iter().all(|t| t.keys().cloned().collect::<BTreeSet<_>>() == wanted) {
+            while !self
+                .tables()
+                .iter()
+                .all(|t| t.keys().cloned().collect::<BTreeSet<_>>() == wanted)
+            {
                 sleep(Duration::from_millis(10)).await;
             }
         };
         if timeout(LONG, wait).await.is_err() {
-            panic!("not all tables name {wanted:?}: {:?}\n{:#?}", self.tables(), self.front.counters.lines());
+            panic!(
+                "not all tables name {wanted:?}: {:?}\n{:#?}",
+                self.tables(),
+                self.front.counters.lines()
+            );
         }
     }
 
@@ -91,9 +114,14 @@
 
 fn on_sockets(test: impl AsyncFnOnce(&Path)) {
     let folder = tempfile::tempdir().unwrap();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, async {
-        timeout(3 * LONG, test(&folder.path().join("servers.star"))).await.expect("it hangs");
+        timeout(3 * LONG, test(&folder.path().join("servers.star")))
+            .await
+            .expect("it hangs");
     });
 }
 
@@ -105,7 +133,11 @@
         std::fs::write(file, written(&list(1, 11..=14, 1.0))).unwrap();
         running.until(&[11, 12, 13, 14]).await;
         // What discovery lists is none of the file's; a drain that it sees of the file's own counts.
-        running.agent.say(8, false, &[server(5, "SERVING", 0.0), server(12, "DRAINING", 0.0)]);
+        running.agent.say(
+            8,
+            false,
+            &[server(5, "SERVING", 0.0), server(12, "DRAINING", 0.0)],
+        );
         running.until(&[11, 13, 14]).await;
         // Every weight zero, a truncated file, an older one: the last good list stays.
         for (text, count) in [
@@ -136,7 +168,10 @@
 #[test]
 fn a_file_rewritten_five_thousand_times_with_truncations_and_bad_values() {
     on_sockets(async |file| {
-        let seed: u64 = std::env::var("SEED").ok().and_then(|s| s.parse().ok()).unwrap_or(3);
+        let seed: u64 = std::env::var("SEED")
+            .ok()
+            .and_then(|s| s.parse().ok())
+            .unwrap_or(3);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         // Each good list has a pair of servers of its own, one in each zone, so a mixture would show.
         let pair = |generation: u64| [100 + 2 * generation as usize, 101 + 2 * generation as usize];
@@ -149,7 +184,10 @@
             let text = written(&next);
             let spoilt = match rng.random_range(0..6) {
                 0 | 1 => text[..rng.random_range(0..text.trim_end().len())].to_string(),
-                2 => text.replace("weight = 1.0", ["weight = -1", "weight = 0", "weight = 1e300"][n % 3]),
+                2 => text.replace(
+                    "weight = 1.0",
+                    ["weight = -1", "weight = 0", "weight = 1e300"][n % 3],
+                ),
                 3 => written(&list(generation + 1, pair(generation + 1).into_iter(), 0.0)),
                 4 => written(&list(generation - 1, pair(generation - 1).into_iter(), 1.0)),
                 _ => text.replacen("s-", "s", 1),
@@ -160,8 +198,12 @@
             } else {
                 tokio::task::yield_now().await;
             }
-            let names: BTreeSet<usize> =
-                running.tables().iter().flat_map(|t| t.keys()).map(|s| s[2..].parse().unwrap()).collect();
+            let names: BTreeSet<usize> = running
+                .tables()
+                .iter()
+                .flat_map(|t| t.keys())
+                .map(|s| s[2..].parse().unwrap())
+                .collect();
             let newest = pair(generation);
             assert!(
                 names.iter().all(|n| newest.contains(n)),
@@ -189,11 +231,21 @@
     use std::io::{BufRead, BufReader};
     use std::process::{Command, Stdio};
     let folder = tempfile::tempdir().unwrap();
-    let (config, servers, operators) =
-        (folder.path().join("c.json"), folder.path().join("servers.star"), folder.path().join("o.star"));
-    let gone = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let (config, servers, operators) = (
+        folder.path().join("c.json"),
+        folder.path().join("servers.star"),
+        folder.path().join("o.star"),
+    );
+    let gone = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     std::fs::write(&config, told(gone).to_string()).unwrap();
-    std::fs::write(&operators, format!("servers(file = {:?})", servers.to_str().unwrap())).unwrap();
+    std::fs::write(
+        &operators,
+        format!("servers(file = {:?})", servers.to_str().unwrap()),
+    )
+    .unwrap();
     std::fs::write(&servers, written(&list(1, 11..=14, 1.0))).unwrap();
     let mut child = Command::new(env!("CARGO_BIN_EXE_rookpulley-assigner"))
         .env("PROXY_CONFIG", &config)
@@ -202,13 +254,24 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map(Result::unwrap);
-    let mut until =
-        |what: &str| lines.find(|line| line.contains(what)).unwrap_or_else(|| panic!("no {what}"));
+    let mut lines = BufReader::new(child.stderr.take().unwrap())
+        .lines()
+        .map(Result::unwrap);
+    let mut until = |what: &str| {
+        lines
+            .find(|line| line.contains(what))
+            .unwrap_or_else(|| panic!("no {what}"))
+    };
     until("generation 1 taken");
     let hang_up = || {
         let kill = format!("kill -HUP {}", child.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
+        assert!(
+            Command::new("sh")
+                .args(["-c", &kill])
+                .status()
+                .unwrap()
+                .success()
+        );
     };
     // Half a file, a signal, the other half, a signal.
     let text = written(&list(2, 11..=15, 1.0));
--- a/crates/rookpulley-assigner/tests/sockets.rs
+++ b/crates/rookpulley-assigner/tests/sockets.rs
@@ -31,13 +31,22 @@
 
 async fn run(told: &Value) -> Running {
     let told = config::read(&told.to_string()).unwrap();
-    let assigner = Assigner::bind(told, "no file".into(), Signals::take().unwrap(), &Operators::default())
-        .await
-        .unwrap();
+    let assigner = Assigner::bind(
+        told,
+        "no file".into(),
+        Signals::take().unwrap(),
+        &Operators::default(),
+    )
+    .await
+    .unwrap();
     let (place, notes) = assigner.places();
     let front = assigner.front.clone();
     spawn_local(assigner.serve());
-    Running { place: place.unwrap(), notes, front }
+    Running {
+        place: place.unwrap(),
+        notes,
+        front,
+    }
 }
 
 impl Running {
@@ -56,7 +65,10 @@
             }
         };
         if timeout(LONG, wait).await.is_err() {
-            panic!("{what} was not counted {count} times: {:#?}", self.front.counters.lines());
+            panic!(
+                "{what} was not counted {count} times: {:#?}",
+                self.front.counters.lines()
+            );
         }
     }
 }
@@ -70,7 +82,9 @@
 }
 
 fn on_sockets(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let test = async { timeout(2 * LONG, test).await.expect("it hangs") };
     LocalSet::new().block_on(&runtime.unwrap(), test);
 }
@@ -91,7 +105,9 @@
         proxy.until("s-3 shut out", names("s-3")).await;
         // Back with a new start: let back with the line that brings it into the table again.
         agent.say(10, true, &serving(1..=3));
-        proxy.until("s-2 back", |m| m["back"].to_string().contains("s-2")).await;
+        proxy
+            .until("s-2 back", |m| m["back"].to_string().contains("s-2"))
+            .await;
     });
 }
 
@@ -106,7 +122,9 @@
         running.counted("in joinings", 1).await;
         let usage = r#"{"msg":"client_stats","proxy":1,"class":"read","tries":19,"failed":0,"span_ms":1000.0,"new":[1]}"#;
         proxy.say(&[usage, usage, BEAT, usage].join("\n")).await;
-        proxy.until("an answer to the beat", |m| m["msg"] == "hb_ok").await;
+        proxy
+            .until("an answer to the beat", |m| m["msg"] == "hb_ok")
+            .await;
         running.counted("in usage", 3).await;
         proxy.table().await;
     });
@@ -120,8 +138,20 @@
         let mut new = Wire::join(running.place, 2, false).await;
         new.table().await;
         // Input of the old one that was read before its end and comes after the joining of the new.
-        let input = Input::Applied { proxy: 2, mark: 0, took_ms: 1.0 };
-        running.front.tell(Event::OnStream { conn: 0, proxy: 2, input, holds: Default::default() }).await;
+        let input = Input::Applied {
+            proxy: 2,
+            mark: 0,
+            took_ms: 1.0,
+        };
+        running
+            .front
+            .tell(Event::OnStream {
+                conn: 0,
+                proxy: 2,
+                input,
+                holds: Default::default(),
+            })
+            .await;
         running.counted("late input of old streams", 1).await;
         assert!(old.hear().await.is_none());
         running.counted(Ending::Replaced.count(), 1).await;
@@ -136,7 +166,11 @@
     with_assigner(|running, _agent| async move {
         let mut proxy = Wire::join(running.place, 0, true).await;
         proxy.table().await;
-        proxy.socket.write_all(br#"{"msg":"done","pro"#).await.unwrap();
+        proxy
+            .socket
+            .write_all(br#"{"msg":"done","pro"#)
+            .await
+            .unwrap();
         proxy.socket.set_zero_linger().unwrap();
         drop(proxy);
         running.counted(Ending::Reset.count(), 1).await;
@@ -216,7 +250,10 @@
         late.say(rest).await;
         late.table().await;
         for closed in closed {
-            timeout(LONG, closed).await.expect("it was never closed").unwrap();
+            timeout(LONG, closed)
+                .await
+                .expect("it was never closed")
+                .unwrap();
         }
         running.counted(Ending::NotJoined.count(), 5).await;
         running.counted(Ending::TooLong.count(), 1).await;
@@ -233,7 +270,13 @@
         let running = run(&told).await;
         let mut proxy = Wire::join(running.place, 0, true).await;
         proxy.table().await;
-        assert!(Wire::join(running.place, 1, true).await.hear().await.is_none());
+        assert!(
+            Wire::join(running.place, 1, true)
+                .await
+                .hear()
+                .await
+                .is_none()
+        );
         running.counted("connections turned away", 1).await;
         assert!(proxy.beats().await);
         drop(proxy);
@@ -296,7 +339,11 @@
         let mut trace = String::new();
         for (what, bytes) in bad {
             trace += &format!("{what}:");
-            for (who, first) in [("stranger", ""), ("collector", COLLECTOR), ("proxy", &joining(0, true))] {
+            for (who, first) in [
+                ("stranger", ""),
+                ("collector", COLLECTOR),
+                ("proxy", &joining(0, true)),
+            ] {
                 let before = running.front.counters.lines();
                 let mut wire = Wire::dial(running.place).await;
                 if !first.is_empty() {
@@ -308,11 +355,24 @@
                     running.alone(1).await;
                 }
                 let bad = |line: &&String| line.starts_with("bad") || line.starts_with("ended");
-                let news: Vec<String> = running.front.counters.lines().iter().filter(bad).cloned().collect();
-                let news: Vec<&str> =
-                    news.iter().filter(|l| !before.contains(l)).map(|l| count_name(l)).collect();
-                trace +=
-                    &format!("\n  a {who} {} ({})", if kept { "stays" } else { "goes" }, news.join(", "));
+                let news: Vec<String> = running
+                    .front
+                    .counters
+                    .lines()
+                    .iter()
+                    .filter(bad)
+                    .cloned()
+                    .collect();
+                let news: Vec<&str> = news
+                    .iter()
+                    .filter(|l| !before.contains(l))
+                    .map(|l| count_name(l))
+                    .collect();
+                trace += &format!(
+                    "\n  a {who} {} ({})",
+                    if kept { "stays" } else { "goes" },
+                    news.join(", ")
+                );
                 drop(wire);
                 running.alone(1).await;
             }
@@ -367,7 +427,11 @@
         let mut wire = Wire::dial(running.place).await;
         wire.say(BEAT).await;
         let mut watch = discovery.watch().await;
-        assert_eq!(running.front.counters.get("connections taken"), 0, "taken without a list");
+        assert_eq!(
+            running.front.counters.get("connections taken"),
+            0,
+            "taken without a list"
+        );
         watch.say(&list(8, true, &serving(1..=2))).await;
         assert_eq!(wire.hear().await.unwrap()["msg"], "hb_ok");
     });
@@ -386,8 +450,13 @@
         let change = list(8, false, &[server(1, "DRAINING", 0.0)]);
         watch.say(&change[..40]).await;
         drop(watch);
-        for what in ["refuses with an error", "no list", "a negative weight", "goes silent", "silent at once"]
-        {
+        for what in [
+            "refuses with an error",
+            "no list",
+            "a negative weight",
+            "goes silent",
+            "silent at once",
+        ] {
             let call = discovery.call().await;
             trace += &format!("{}: {what}\n", call.path);
             match what {
@@ -432,8 +501,18 @@
         // One change fits; the next waits for the driver.
         let (events, mut taken) = mpsc::channel(1);
         let (log, conns) = (Log::new("n0".into(), 9), Conns::new(1, 1));
-        let front = Rc::new(Front { log, counters: Counters::default(), words: read.words, conns, events });
-        let running = Running { place: here.place, notes: None, front: front.clone() };
+        let front = Rc::new(Front {
+            log,
+            counters: Counters::default(),
+            words: read.words,
+            conns,
+            events,
+        });
+        let running = Running {
+            place: here.place,
+            notes: None,
+            front: front.clone(),
+        };
         let roster = Roster::new(here.place, 7, false, front);
         spawn_local(roster.clone().follow(Pauses::new(1)));
         let mut watch = here.watch().await;
@@ -445,10 +524,14 @@
         assert_eq!(call.path, "/catalog/members?follow=1&since=8");
         // That agent lags behind at first: what it says last is older than what is held.
         let mut watch = call.watch();
-        watch.say(&[list(6, true, &serving(1..=3)), change(8, 1), change(9, 2)].concat()).await;
+        watch
+            .say(&[list(6, true, &serving(1..=3)), change(8, 1), change(9, 2)].concat())
+            .await;
         let mut versions = Vec::new();
         while versions.last() != Some(&9) {
-            let Some(Event::List { list, .. }) = taken.recv().await else { panic!("no list") };
+            let Some(Event::List { list, .. }) = taken.recv().await else {
+                panic!("no list")
+            };
             versions.push(list.version);
         }
         assert_eq!(versions, [8, 9]);
@@ -474,7 +557,9 @@
         collector.say(&[COLLECTOR, heard].join("\n")).await;
         running.counted("bad input: unknown server", 1).await;
         agent.say(9, false, &[server(3, "SERVING", 0.0)]);
-        proxy.until("s-3 back", |m| m["back"].to_string().contains("s-3")).await;
+        proxy
+            .until("s-3 back", |m| m["back"].to_string().contains("s-3"))
+            .await;
     });
 }
 
@@ -490,17 +575,28 @@
         running.counted("watches broken", 2).await;
         let listener = socket.listen(8).unwrap();
         let mut discovery = Discovery::at(listener);
-        assert_eq!(discovery.call().await.path, "/catalog/members?follow=1&since=7");
+        assert_eq!(
+            discovery.call().await.path,
+            "/catalog/members?follow=1&since=7"
+        );
     });
 }
 
 #[test]
 fn pauses_grow_while_nothing_is_heard() {
     let mut pauses = Pauses::new(1);
-    let heard = [true, false, false, false, false, false, false, false, true, false];
-    let trace: Vec<String> = heard.map(|h| format!("{:.0}", pauses.next(h).as_secs_f64() * 1e3)).to_vec();
+    let heard = [
+        true, false, false, false, false, false, false, false, true, false,
+    ];
+    let trace: Vec<String> = heard
+        .map(|h| format!("{:.0}", pauses.next(h).as_secs_f64() * 1e3))
+        .to_vec();
     insta::assert_snapshot!(trace.join(" "));
-    assert_ne!(Pauses::new(2).next(true), Pauses::new(3).next(true), "not in step");
+    assert_ne!(
+        Pauses::new(2).next(true),
+        Pauses::new(3).next(true),
+        "not in step"
+    );
 }
 
 #[test]
@@ -516,10 +612,15 @@
         let mut watch = discovery.watch().await;
         assert_eq!(running.front.counters.get("list calls failed"), 1);
         proxy.table().await;
-        watch.say(&list(8, false, &[server(2, "DRAINING", 0.0)])).await;
+        watch
+            .say(&list(8, false, &[server(2, "DRAINING", 0.0)]))
+            .await;
         proxy.until("s-2 shut out", names("s-2")).await;
         drop(watch);
-        assert_eq!(discovery.call().await.path, "/catalog/members?follow=1&since=8");
+        assert_eq!(
+            discovery.call().await.path,
+            "/catalog/members?follow=1&since=8"
+        );
     });
 }
 
@@ -560,7 +661,12 @@
     };
     let mut forbidden = told(place);
     forbidden["settings"]["limits"]["peers"] = json!(false);
-    assert!(config::read(&forbidden.to_string()).unwrap().peers.is_none());
+    assert!(
+        config::read(&forbidden.to_string())
+            .unwrap()
+            .peers
+            .is_none()
+    );
     let said: Vec<String> = [
         String::new(),
         "{}".into(),
@@ -569,19 +675,28 @@
         change("/settings/tick_us", json!(null)),
         change("/settings/tick_us", json!(-5)),
         change("/settings/family_info/backlog", json!("many")),
-        change("/known/endpoints/0/zone", json!("an unknown one is passed over")),
+        change(
+            "/known/endpoints/0/zone",
+            json!("an unknown one is passed over"),
+        ),
         change("/known/endpoints/0/weight", json!(-1)),
         change("/peers", json!(null)),
     ]
     .iter()
-    .map(|text| config::read(text).err().map_or("fine".into(), |e| e.to_string()))
+    .map(|text| {
+        config::read(text)
+            .err()
+            .map_or("fine".into(), |e| e.to_string())
+    })
     .collect();
     insta::assert_snapshot!(said.join("\n"));
 }
 
 #[test]
 fn messages_are_read_in_the_words_and_the_order_of_the_settings() {
-    let words = config::read(&told("127.0.0.1:1".parse().unwrap()).to_string()).unwrap().words;
+    let words = config::read(&told("127.0.0.1:1".parse().unwrap()).to_string())
+        .unwrap()
+        .words;
     let heard = |load: &str| {
         r#"{"msg":"upstream_stats","zone":"b","server":"s-1","tries":4,"failed":4,"span_ms":1000.5"#
             .to_string()
@@ -589,8 +704,10 @@
     };
     let lines = [
         joining(3, false),
-        r#"{"msg":"client_stats","proxy":1,"class":"write","tries":7,"failed":1,"span_ms":1000}"#.into(),
-        r#"{"msg":"client_stats","proxy":1,"class":"read","tries":0,"failed":2,"span_ms":1000}"#.into(),
+        r#"{"msg":"client_stats","proxy":1,"class":"write","tries":7,"failed":1,"span_ms":1000}"#
+            .into(),
+        r#"{"msg":"client_stats","proxy":1,"class":"read","tries":0,"failed":2,"span_ms":1000}"#
+            .into(),
         heard(r#","mean_ms":null,"load":{"queue":3.5,"more":1,"util":0.25}}"#),
         heard(r#","mean_ms":0,"load":{"load_share":0.25,"depth":0}}"#),
         heard("}"),
@@ -608,7 +725,9 @@
 #[test]
 fn a_kind_of_log_line_has_its_share() {
     let log = Log::new("n0".into(), 2);
-    let said: Vec<bool> = ["a", "a", "a", "b"].map(|kind| log.may_say(kind).is_some()).to_vec();
+    let said: Vec<bool> = ["a", "a", "a", "b"]
+        .map(|kind| log.may_say(kind).is_some())
+        .to_vec();
     assert_eq!(said, [true, true, false, true]);
 }
 
@@ -633,9 +752,15 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("config.json");
         std::fs::write(&path, told).unwrap();
-        let run = format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_rookpulley-assigner"));
+        let run = format!(
+            "ulimit -n {descriptors}; exec {}",
+            env!("CARGO_BIN_EXE_rookpulley-assigner")
+        );
         let mut command = Command::new("sh");
-        command.args(["-c", &run]).env("PROXY_CONFIG", path).stderr(Stdio::piped());
+        command
+            .args(["-c", &run])
+            .env("PROXY_CONFIG", path)
+            .stderr(Stdio::piped());
         let mut child = command.spawn().unwrap();
         let log = BufReader::new(child.stderr.take().unwrap()).lines();
         Program { child, log, folder }
@@ -650,7 +775,9 @@
     impl Program {
         fn line(&mut self, with: &str) -> String {
             let mut lines = self.log.by_ref().map(Result::unwrap);
-            lines.find(|line| line.contains(with)).unwrap_or_else(|| panic!("it never said {with}"))
+            lines
+                .find(|line| line.contains(with))
+                .unwrap_or_else(|| panic!("it never said {with}"))
         }
 
         /// Replaces its configuration and has it read again.
@@ -663,12 +790,24 @@
 
         fn place(&mut self) -> String {
             let line = self.line("listening at ");
-            line.split("listening at ").nth(1).unwrap().split(',').next().unwrap().to_string()
+            line.split("listening at ")
+                .nth(1)
+                .unwrap()
+                .split(',')
+                .next()
+                .unwrap()
+                .to_string()
         }
 
         fn signal(&self, name: &str) {
             let kill = format!("kill -s {name} {}", self.child.id());
-            assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
+            assert!(
+                Command::new("sh")
+                    .args(["-c", &kill])
+                    .status()
+                    .unwrap()
+                    .success()
+            );
         }
     }
 
@@ -715,12 +854,18 @@
             let mut watch = here.watch().await;
             let mut proxy = Wire::join(place.parse().unwrap(), 0, true).await;
             proxy.table().await;
-            watch.say(&list(8, false, &[server(1, "DRAINING", 0.0)])).await;
+            watch
+                .say(&list(8, false, &[server(1, "DRAINING", 0.0)]))
+                .await;
             proxy.until("s-1 shut out", names("s-1")).await;
             program.reload("{");
             program.line("all stays as it was");
-            watch.say(&list(9, false, &[server(1, "SERVING", 9.0)])).await;
-            proxy.until("s-1 back", |m| m["back"].to_string().contains("s-1")).await;
+            watch
+                .say(&list(9, false, &[server(1, "SERVING", 9.0)]))
+                .await;
+            proxy
+                .until("s-1 back", |m| m["back"].to_string().contains("s-1"))
+                .await;
             told["discovery"] = json!(there.place);
             told["limits"]["sockets"] = json!(64);
             program.reload(&told.to_string());
@@ -728,18 +873,30 @@
             let call = there.call().await;
             assert_eq!(call.path, "/catalog/members?follow=1&since=9");
             let mut moved = call.watch();
-            moved.say(&list(10, false, &[server(2, "DRAINING", 0.0)])).await;
+            moved
+                .say(&list(10, false, &[server(2, "DRAINING", 0.0)]))
+                .await;
             proxy.until("s-2 shut out", names("s-2")).await;
             assert!(proxy.beats().await, "the stream is the one it joined on");
             // A file that is never read to its end holds up neither the proxies nor the end.
             let fifo = program.folder.path().join("config.json");
             std::fs::remove_file(&fifo).unwrap();
-            assert!(Command::new("mkfifo").arg(&fifo).status().unwrap().success());
+            assert!(
+                Command::new("mkfifo")
+                    .arg(&fifo)
+                    .status()
+                    .unwrap()
+                    .success()
+            );
             program.signal("HUP");
             assert!(proxy.beats().await);
             program.signal("TERM");
             program.line("told to end");
-            assert!(program.line("count: configurations refused").ends_with(" 1"));
+            assert!(
+                program
+                    .line("count: configurations refused")
+                    .ends_with(" 1")
+            );
             assert!(program.line("count: configurations taken").ends_with(" 2"));
             assert!(program.line("count: in joinings").ends_with(" 1"));
             assert!(program.line("count: watches moved").ends_with(" 1"));
@@ -752,15 +909,22 @@
         let mut program = start_within(&told("127.0.0.1:1".parse().unwrap()).to_string(), 24);
         let place = program.place();
         let mut joined = TcpStream::connect(&place).unwrap();
-        joined.write_all(format!("{}\n", super::joining(0, true)).as_bytes()).unwrap();
-        let strangers: Vec<_> = (0..40).map(|_| TcpStream::connect(&place).unwrap()).collect();
+        joined
+            .write_all(format!("{}\n", super::joining(0, true)).as_bytes())
+            .unwrap();
+        let strangers: Vec<_> = (0..40)
+            .map(|_| TcpStream::connect(&place).unwrap())
+            .collect();
         program.line("a connection was not taken");
         joined.write_all(b"{\"msg\":\"hb\"}\n").unwrap();
         let mut lines = BufReader::new(joined).lines();
         assert!(lines.any(|line| line.unwrap().contains("hb_ok")));
         // Each of them is closed in the end, and the next is served.
         for mut stranger in strangers {
-            assert!(matches!(std::io::Read::read(&mut stranger, &mut [0; 9]), Ok(0) | Err(_)));
+            assert!(matches!(
+                std::io::Read::read(&mut stranger, &mut [0; 9]),
+                Ok(0) | Err(_)
+            ));
         }
         assert!(beats(&place));
         program.child.kill().unwrap();
