--- a/crates/rookpulley-assigner/tests/versions.rs
+++ b/crates/rookpulley-assigner/tests/versions.rs
@@ -26,8 +26,12 @@
 use tokio::time::{Instant, sleep, timeout};
 
 fn on_sockets<T>(test: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    LocalSet::new().block_on(&runtime.unwrap(), async { timeout(2 * LONG, test).await.expect("it hangs") })
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
+    LocalSet::new().block_on(&runtime.unwrap(), async {
+        timeout(2 * LONG, test).await.expect("it hangs")
+    })
 }
 
 struct Running {
@@ -44,21 +48,37 @@
 async fn run(told: &Value) -> Running {
     let told = config::read(&told.to_string()).unwrap();
     let signals = Signals::take().unwrap();
-    let assigner = Assigner::bind(told, "no file".into(), signals, &switched_on()).await.unwrap();
-    let (place, operators) = (assigner.places().0.unwrap(), assigner.operators_place().unwrap());
+    let assigner = Assigner::bind(told, "no file".into(), signals, &switched_on())
+        .await
+        .unwrap();
+    let (place, operators) = (
+        assigner.places().0.unwrap(),
+        assigner.operators_place().unwrap(),
+    );
     let front = assigner.front.clone();
     spawn_local(assigner.serve());
-    Running { place, operators, front }
+    Running {
+        place,
+        operators,
+        front,
+    }
 }
 
 /// Calls the operators' address.
 async fn call(place: SocketAddr, method: &str, path: &str, body: Value) -> (u16, Value) {
     let socket = TcpStream::connect(place).await.unwrap();
-    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(socket)).await.unwrap();
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(socket))
+        .await
+        .unwrap();
     spawn_local(connection);
-    let request = hyper::Request::builder().method(method).uri(path).header("host", "127.0.0.1");
+    let request = hyper::Request::builder()
+        .method(method)
+        .uri(path)
+        .header("host", "127.0.0.1");
     let request = request.header("content-type", "application/json");
-    let request = request.body(Full::new(Bytes::from(body.to_string()))).unwrap();
+    let request = request
+        .body(Full::new(Bytes::from(body.to_string())))
+        .unwrap();
     let answer = sender.send_request(request).await.unwrap();
     let status = answer.status().as_u16();
     let bytes = answer.into_body().collect().await.unwrap().to_bytes();
@@ -80,7 +100,12 @@
     async fn until_all(&self, judged: &str, count: usize) -> Vec<HolderRow> {
         let wait = async {
             loop {
-                let rows: Vec<_> = self.holders().await.into_iter().filter(|r| r.joined).collect();
+                let rows: Vec<_> = self
+                    .holders()
+                    .await
+                    .into_iter()
+                    .filter(|r| r.joined)
+                    .collect();
                 if rows.len() == count && rows.iter().all(|r| r.judged == judged) {
                     return rows;
                 }
@@ -113,8 +138,14 @@
     told
 }
 
-const TROUBLE: Faults =
-    Faults { lose: 0.12, double: 0.06, delay: 0.3, late_ms: 60.0, cut: 0.02, cut_pause_ms: 2_500.0 };
+const TROUBLE: Faults = Faults {
+    lose: 0.12,
+    double: 0.06,
+    delay: 0.3,
+    late_ms: 60.0,
+    cut: 0.02,
+    cut_pause_ms: 2_500.0,
+};
 
 #[derive(Debug, Default)]
 struct Tally {
@@ -142,24 +173,42 @@
         for row in rows.into_iter().filter(|r| r.joined) {
             let who = format!("dispatcher {}, {:?}", row.dispatcher, row.kinds);
             let told = row.told.clone().ok_or(format!("{who} was told nothing"))?;
-            let version =
-                kept.versions.iter().find(|v| v.version == told).ok_or(format!("{told} unknown"))?;
+            let version = kept
+                .versions
+                .iter()
+                .find(|v| v.version == told)
+                .ok_or(format!("{told} unknown"))?;
             let dispatcher = &dispatchers[usize::from(row.dispatcher)];
             let held = &dispatcher.tables()[&row.kinds[0]];
-            if rookpulley_standin::checker::digest(held) != version.digest || row.judged != "in step" {
-                return Err(format!("{who} is {} and holds {held:?}, told {version:?}", row.judged));
+            if rookpulley_standin::checker::digest(held) != version.digest
+                || row.judged != "in step"
+            {
+                return Err(format!(
+                    "{who} is {} and holds {held:?}, told {version:?}",
+                    row.judged
+                ));
             }
             if !row.speaks {
                 continue;
             }
             let must = checker.borrow().must_hold(dispatcher.id);
             let found = must.iter().find(|(name, ..)| *name == version.version);
-            let (_, digest, lines) = found.ok_or(format!("{who}: {version:?} never reached it: {must:?}"))?;
+            let (_, digest, lines) =
+                found.ok_or(format!("{who}: {version:?} never reached it: {must:?}"))?;
             if (digest, lines) != (&version.digest, held) {
-                return Err(format!("{who} holds {held:?}, by the sockets it must hold {lines:?}"));
+                return Err(format!(
+                    "{who} holds {held:?}, by the sockets it must hold {lines:?}"
+                ));
             }
-            if !dispatcher.versions().values().any(|v| *v == version.version) {
-                return Err(format!("{who} names {:?}, told {version:?}", dispatcher.versions()));
+            if !dispatcher
+                .versions()
+                .values()
+                .any(|v| *v == version.version)
+            {
+                return Err(format!(
+                    "{who} names {:?}, told {version:?}",
+                    dispatcher.versions()
+                ));
             }
         }
     }
@@ -173,8 +222,10 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let agent = Agent::new().await;
     let all = (SPEAKING + PLAIN) as u32;
-    let assigners =
-        [run(&settings(agent.place, "n0", all)).await, run(&settings(agent.place, "n1", all)).await];
+    let assigners = [
+        run(&settings(agent.place, "n0", all)).await,
+        run(&settings(agent.place, "n1", all)).await,
+    ];
     let checker = Rc::new(RefCell::new(Checker::new(GRACE_MS)));
     let see = checker.clone();
     let seen: Rc<dyn Fn(_)> = Rc::new(move |what| see.borrow_mut().see(what));
@@ -182,13 +233,25 @@
     let mut links = Vec::new();
     for (n, assigner) in assigners.iter().enumerate() {
         let seed = seed << 4 | n as u64;
-        links.push(Link::open(assigner.place, seed, TROUBLE, streams.clone(), seen.clone()).await.unwrap());
+        links.push(
+            Link::open(assigner.place, seed, TROUBLE, streams.clone(), seen.clone())
+                .await
+                .unwrap(),
+        );
     }
     // What the platform's dispatchers speak runs on streams that lose nothing.
     let mut clean = Vec::new();
     for assigner in &assigners {
-        let faults = Faults { cut: 0.02, cut_pause_ms: 1_000.0, ..Faults::default() };
-        clean.push(Link::open(assigner.place, seed, faults, streams.clone(), seen.clone()).await.unwrap());
+        let faults = Faults {
+            cut: 0.02,
+            cut_pause_ms: 1_000.0,
+            ..Faults::default()
+        };
+        clean.push(
+            Link::open(assigner.place, seed, faults, streams.clone(), seen.clone())
+                .await
+                .unwrap(),
+        );
     }
     let mut dispatchers = Vec::new();
     for id in 0..SPEAKING + PLAIN {
@@ -218,9 +281,15 @@
             }
             2 if !drained.is_empty() && rng.random_range(0..2) == 0 => {
                 let n = drained.remove(0);
-                let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
+                let unix = std::time::SystemTime::now()
+                    .duration_since(std::time::UNIX_EPOCH)
+                    .unwrap();
                 checker.borrow_mut().starts(&format!("s-{n}"));
-                agent.say(index, false, &[server(n, "SERVING", unix.as_secs_f64() * 1e3)]);
+                agent.say(
+                    index,
+                    false,
+                    &[server(n, "SERVING", unix.as_secs_f64() * 1e3)],
+                );
             }
             3 | 4 => {
                 // A new weight: a change of the list that is neither a drain nor a start.
@@ -239,20 +308,34 @@
                 }
                 let to = &kept[rng.random_range(0..kept.len())].version;
                 let all = rng.random_range(0..2) == 0;
-                let (_, answer) =
-                    call(assigner.operators, "POST", "/v1/rollback", json!({"to": to, "all": all})).await;
+                let (_, answer) = call(
+                    assigner.operators,
+                    "POST",
+                    "/v1/rollback",
+                    json!({"to": to, "all": all}),
+                )
+                .await;
                 let rows = answer["tables"].as_array().cloned().unwrap_or_default();
                 tally.rollbacks += 1;
                 tally.held += rows.iter().filter(|r| r["what"] == "held").count() as u64;
             }
             _ => {
                 let assigner = &assigners[rng.random_range(0..2)];
-                call(assigner.operators, "POST", "/v1/release", json!({"all": true})).await;
+                call(
+                    assigner.operators,
+                    "POST",
+                    "/v1/release",
+                    json!({"all": true}),
+                )
+                .await;
             }
         }
     }
     // The links lose nothing any more; who was cut off joins again and stays.
-    links.iter().chain(&clean).for_each(|link| link.set(Faults::default()));
+    links
+        .iter()
+        .chain(&clean)
+        .for_each(|link| link.set(Faults::default()));
     dispatchers.iter().for_each(|d| d.rest());
     let settled = async {
         loop {
@@ -260,7 +343,12 @@
             let joined: Vec<_> = a.iter().chain(&b).filter(|r| r.joined).collect();
             let tables: usize = joined.len();
             // Each dispatcher is joined to one assigner, with one table for its kinds or one each.
-            let at = |id: u64| joined.iter().filter(|r| u64::from(r.dispatcher) == id).count();
+            let at = |id: u64| {
+                joined
+                    .iter()
+                    .filter(|r| u64::from(r.dispatcher) == id)
+                    .count()
+            };
             if tables > 0
                 && (0..SPEAKING + PLAIN).all(|id| at(id) == KINDS.len())
                 && joined.iter().all(|r| r.judged == "in step")
@@ -286,7 +374,13 @@
     }
     let checker = checker.borrow();
     if !checker.broken.is_empty() {
-        return Err(checker.broken.iter().take(3).cloned().collect::<Vec<_>>().join("; "));
+        return Err(checker
+            .broken
+            .iter()
+            .take(3)
+            .cloned()
+            .collect::<Vec<_>>()
+            .join("; "));
     }
     for link in links.iter().chain(&clean) {
         tally.lost += link.lost.get();
@@ -340,10 +434,26 @@
         }
     }
     println!("{sums:?}");
-    assert!(failed.is_empty(), "{} seeds fail:\n{}", failed.len(), failed.join("\n"));
-    let met =
-        [sums.rollbacks, sums.held, sums.lost, sums.doubled, sums.cuts, sums.refused, sums.deltas, sums.same];
-    assert!(only.is_some() || met.iter().all(|n| *n > 20), "too little was met: {sums:?}");
+    assert!(
+        failed.is_empty(),
+        "{} seeds fail:\n{}",
+        failed.len(),
+        failed.join("\n")
+    );
+    let met = [
+        sums.rollbacks,
+        sums.held,
+        sums.lost,
+        sums.doubled,
+        sums.cuts,
+        sums.refused,
+        sums.deltas,
+        sums.same,
+    ];
+    assert!(
+        only.is_some() || met.iter().all(|n| *n > 20),
+        "too little was met: {sums:?}"
+    );
 }
 
 // ---- By hand ------------------------------------------------------------------------------
@@ -360,14 +470,23 @@
 }
 
 async fn back(running: &Running, to: &str, all: bool) -> (u16, Value) {
-    call(running.operators, "POST", "/v1/rollback", json!({"to": to, "all": all})).await
+    call(
+        running.operators,
+        "POST",
+        "/v1/rollback",
+        json!({"to": to, "all": all}),
+    )
+    .await
 }
 
 #[test]
 fn one_that_answers_marks_alone_is_in_step_by_them_and_unknown_once_it_falls_silent() {
     by_hand(|running, agent, mut proxy| async move {
         let rows = running.until_all("in step", 2).await;
-        assert!(rows.iter().all(|r| !r.speaks && r.claimed.is_none() && r.told == r.confirmed));
+        assert!(
+            rows.iter()
+                .all(|r| !r.speaks && r.claimed.is_none() && r.told == r.confirmed)
+        );
         // It hears of a change and answers nothing from now on.
         agent.say(101, false, &[server(1, "DRAINING", 0.0)]);
         let listen = async { while proxy.hear().await.is_some_and(|m| m["out"].is_null()) {} };
@@ -388,28 +507,63 @@
         agent.say(101, false, &[server(2, "DRAINING", 0.0)]);
         proxy.until("s-2 shut out", names("s-2")).await;
         let (status, answer) = back(&running, &first, false).await;
-        assert_eq!((status, &answer["tables"][0]["what"]), (200, &json!("held")), "{answer}");
+        assert_eq!(
+            (status, &answer["tables"][0]["what"]),
+            (200, &json!("held")),
+            "{answer}"
+        );
         assert_eq!(answer["tables"][0]["usable"], json!(SERVERS - 1));
         // A newer list: a drain among it acts at once, a new server stays out of what is held.
-        let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
+        let unix = std::time::SystemTime::now()
+            .duration_since(std::time::UNIX_EPOCH)
+            .unwrap();
         let fresh = server(9, "SERVING", unix.as_secs_f64() * 1e3 - 60_000.0);
         agent.say(102, false, &[server(3, "DRAINING", 0.0)]);
         proxy.until("s-3 shut out", names("s-3")).await;
         agent.say(103, false, &[fresh]);
-        proxy.until("s-9 in the other table", |m| m["lines"].to_string().contains("s-9")).await;
+        proxy
+            .until("s-9 in the other table", |m| {
+                m["lines"].to_string().contains("s-9")
+            })
+            .await;
         let rows = running.until_all("in step", 2).await;
         let held: Vec<_> = rows.iter().filter(|r| r.back).collect();
         assert_eq!(held.len(), 1);
         let newest = held[0].told.clone().unwrap();
-        let (_, diff) =
-            call(running.operators, "GET", &format!("/v1/diff?from={first}&to={newest}"), Value::Null).await;
-        let gone: Vec<&str> =
-            diff["lines"].as_array().unwrap().iter().map(|l| l["server"].as_str().unwrap()).collect();
+        let (_, diff) = call(
+            running.operators,
+            "GET",
+            &format!("/v1/diff?from={first}&to={newest}"),
+            Value::Null,
+        )
+        .await;
+        let gone: Vec<&str> = diff["lines"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .map(|l| l["server"].as_str().unwrap())
+            .collect();
         assert_eq!(gone, ["s-2", "s-3"], "{diff}");
-        let (status, _) = call(running.operators, "POST", "/v1/release", json!({"all": true})).await;
+        let (status, _) = call(
+            running.operators,
+            "POST",
+            "/v1/release",
+            json!({"all": true}),
+        )
+        .await;
         assert_eq!(status, 200);
-        proxy.until("s-9 in its own lines again", |m| m["lines"].to_string().contains("s-9")).await;
-        let (status, _) = call(running.operators, "POST", "/v1/release", json!({"all": true})).await;
+        proxy
+            .until("s-9 in its own lines again", |m| {
+                m["lines"].to_string().contains("s-9")
+            })
+            .await;
+        let (status, _) = call(
+            running.operators,
+            "POST",
+            "/v1/release",
+            json!({"all": true}),
+        )
+        .await;
         assert_eq!(status, 409, "nothing is held any more");
     });
 }
@@ -426,7 +580,10 @@
             ("yesterday".to_string(), 400, "write it as"),
         ] {
             let (got, answer) = back(&running, &to, false).await;
-            assert!(got == status && answer.to_string().contains(why), "{got} {answer}");
+            assert!(
+                got == status && answer.to_string().contains(why),
+                "{got} {answer}"
+            );
         }
         // All its servers drain; others come in their place.
         let mut lines: Vec<Value> = (1..=SERVERS).map(|n| server(n, "DRAINING", 0.0)).collect();
@@ -436,7 +593,11 @@
         let (status, answer) = back(&running, &first, true).await;
         assert_eq!(status, 409, "{answer}");
         let rows = answer["tables"].as_array().unwrap();
-        assert!(rows.iter().all(|r| r["why"].as_str().unwrap().contains("bare")), "{answer}");
+        assert!(
+            rows.iter()
+                .all(|r| r["why"].as_str().unwrap().contains("bare")),
+            "{answer}"
+        );
         assert!(running.holders().await.iter().all(|r| !r.back));
     });
 }
@@ -453,8 +614,15 @@
         let seen: Rc<dyn Fn(_)> = Rc::new(move |what| see.borrow_mut().see(what));
         let mut links = Vec::new();
         for at in [&one, &other] {
-            let link =
-                Link::open(at.place, 1, Faults::default(), streams.clone(), seen.clone()).await.unwrap();
+            let link = Link::open(
+                at.place,
+                1,
+                Faults::default(),
+                streams.clone(),
+                seen.clone(),
+            )
+            .await
+            .unwrap();
             links.push(link);
         }
         let dispatcher = Dispatcher::new(0, "a", &KINDS, true, 1, seen);
@@ -466,7 +634,10 @@
         // Cut off, it comes to the other with both tables.
         links[0].cut_all();
         let rows = other.until_all("in step", KINDS.len()).await;
-        assert!(rows.iter().all(|r| r.told.as_ref().unwrap().starts_with("n1~")));
+        assert!(
+            rows.iter()
+                .all(|r| r.told.as_ref().unwrap().starts_with("n1~"))
+        );
         let checker = checker.borrow();
         assert_eq!(checker.whole, whole, "no table was sent again");
         assert!(checker.same >= 2 && checker.broken.is_empty());
@@ -480,21 +651,33 @@
     use std::process::{Command, Stdio};
     let folder = tempfile::tempdir().unwrap();
     // Nobody listens there: the watch breaks again and again, which is one line after the other.
-    let gone = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let gone = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let config = folder.path().join("config.json");
     std::fs::write(&config, settings(gone, "n0", 4).to_string()).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_rookpulley-assigner"));
-    command.env("PROXY_CONFIG", &config).env_remove("ROOKPULLEY_OPERATORS").stderr(Stdio::piped());
+    command
+        .env("PROXY_CONFIG", &config)
+        .env_remove("ROOKPULLEY_OPERATORS")
+        .stderr(Stdio::piped());
     if let Some(text) = operators {
         let file = folder.path().join("operators.star");
         std::fs::write(&file, text).unwrap();
         command.arg("--operators").arg(file);
     }
     let mut child = command.spawn().unwrap();
-    let lines = BufReader::new(child.stderr.take().unwrap()).lines().map(Result::unwrap);
+    let lines = BufReader::new(child.stderr.take().unwrap())
+        .lines()
+        .map(Result::unwrap);
     let lines: Vec<String> = lines.take(3).collect();
     // Between two dials of the watch: the fewest of many counts.
-    let count = |_| std::fs::read_dir(format!("/proc/{}/fd", child.id())).unwrap().count();
+    let count = |_| {
+        std::fs::read_dir(format!("/proc/{}/fd", child.id()))
+            .unwrap()
+            .count()
+    };
     let descriptors = (0..200).map(count).min().unwrap();
     child.kill().unwrap();
     child.wait().unwrap();
@@ -504,7 +687,10 @@
 #[test]
 fn what_is_off_costs_no_descriptor_and_lines_are_text_or_json() {
     let (plain, off) = program(None);
-    assert!(plain[0].starts_with("n0 start: listening at 127.0.0.1:"), "{plain:?}");
+    assert!(
+        plain[0].starts_with("n0 start: listening at 127.0.0.1:"),
+        "{plain:?}"
+    );
     let (_, empty) = program(Some("# nothing\n"));
     assert_eq!(off, empty);
     let all = "address(listen = \"127.0.0.1:0\")\nversions()\nlog(form = \"json\")\n";
@@ -512,8 +698,14 @@
     assert_eq!(on, off + 1, "the operators' address");
     for line in &lines {
         let said: Value = serde_json::from_str(line).expect(line);
-        assert!(said["name"] == "n0" && said["kind"].is_string() && said["message"].is_string(), "{line}");
+        assert!(
+            said["name"] == "n0" && said["kind"].is_string() && said["message"].is_string(),
+            "{line}"
+        );
     }
     let (lines, _) = program(Some("versions(keep = 1)\n"));
-    assert!(lines[0].contains("operators.star:1:1: keep = 1 is out of range; write a figure"), "{lines:?}");
+    assert!(
+        lines[0].contains("operators.star:1:1: keep = 1 is out of range; write a figure"),
+        "{lines:?}"
+    );
 }
--- a/crates/rookpulley-balancer/src/budget.rs
+++ b/crates/rookpulley-balancer/src/budget.rs
@@ -27,7 +27,13 @@
 impl Budget {
     /// `ratio` and `slack` as the users state them for all couriers together.
     pub fn new(ratio: f64, slack: f64) -> Budget {
-        let sane = |value: f64| if value.is_finite() { value.max(0.0) } else { 0.0 };
+        let sane = |value: f64| {
+            if value.is_finite() {
+                value.max(0.0)
+            } else {
+                0.0
+            }
+        };
         Budget {
             tokens: 0.0,
             deposit: 0.8 * sane(ratio),
@@ -72,7 +78,9 @@
     }
 
     fn bound(&mut self) {
-        self.tokens = self.tokens.min(self.share.filter(|share| *share >= 1.0).unwrap_or(SAVED));
+        self.tokens = self
+            .tokens
+            .min(self.share.filter(|share| *share >= 1.0).unwrap_or(SAVED));
     }
 
     fn leak(&mut self, now_ms: f64) {
--- a/crates/rookpulley-balancer/src/fleet.rs
+++ b/crates/rookpulley-balancer/src/fleet.rs
@@ -46,7 +46,14 @@
         assert_eq!(fleet.connections(130), 130);
         assert!(fleet.heard(0.0, 12));
         assert!(!fleet.heard(59_000.0, 3));
-        assert_eq!((fleet.couriers(), fleet.connections(130), fleet.connections(0)), (12, 11, 16));
+        assert_eq!(
+            (
+                fleet.couriers(),
+                fleet.connections(130),
+                fleet.connections(0)
+            ),
+            (12, 11, 16)
+        );
         assert!(fleet.heard(61_000.0, 3));
         assert_eq!(fleet.connections(9), 4);
     }
--- a/crates/rookpulley-balancer/src/offices.rs
+++ b/crates/rookpulley-balancer/src/offices.rs
@@ -67,14 +67,22 @@
             return false;
         }
         let (connected, in_touch, touched_ms) = (false, false, 0.0);
-        let seen = Seen { connected, in_touch, touched_ms, named_ms: now_ms };
+        let seen = Seen {
+            connected,
+            in_touch,
+            touched_ms,
+            named_ms: now_ms,
+        };
         self.seen.insert(office, seen);
         true
     }
 
     /// True where nobody has named it for long: it is forgotten.
     pub fn forgotten(&mut self, now_ms: f64, office: Ipv4Addr) -> bool {
-        let old = self.seen.get(&office).is_none_or(|seen| now_ms - seen.named_ms > NAMED_MS);
+        let old = self
+            .seen
+            .get(&office)
+            .is_none_or(|seen| now_ms - seen.named_ms > NAMED_MS);
         if old {
             self.seen.remove(&office);
         }
@@ -96,12 +104,24 @@
     /// Those that said no longer than so ago that they are in touch.
     pub fn in_touch(&self, now_ms: f64, within_ms: f64) -> impl Iterator<Item = Ipv4Addr> {
         let fit = move |seen: &Seen| seen.fit() && now_ms - seen.touched_ms <= within_ms;
-        self.seen.iter().filter(move |(_, seen)| fit(seen)).map(|(&ip, _)| ip)
+        self.seen
+            .iter()
+            .filter(move |(_, seen)| fit(seen))
+            .map(|(&ip, _)| ip)
     }
 
     /// An office says how it stands; true where its newer configuration is to be asked for.
-    pub fn pulse(&mut self, now_ms: f64, office: Ipv4Addr, in_touch: bool, config: u64, held: u64) -> bool {
-        let Some(seen) = self.seen.get_mut(&office) else { return false };
+    pub fn pulse(
+        &mut self,
+        now_ms: f64,
+        office: Ipv4Addr,
+        in_touch: bool,
+        config: u64,
+        held: u64,
+    ) -> bool {
+        let Some(seen) = self.seen.get_mut(&office) else {
+            return false;
+        };
         seen.in_touch = in_touch;
         if in_touch {
             seen.touched_ms = now_ms;
@@ -109,15 +129,19 @@
         if config <= held {
             return false;
         }
-        let (_, since_ms) =
-            *self.newer.insert(self.newer.filter(|(at, _)| *at == held).unwrap_or((held, now_ms)));
+        let (_, since_ms) = *self.newer.insert(
+            self.newer
+                .filter(|(at, _)| *at == held)
+                .unwrap_or((held, now_ms)),
+        );
         let late_ms = match self.home {
             Some(home) if !self.seen.get(&home).is_some_and(Seen::fit) => 0.0,
             Some(home) if home == office => HOME_LATE_MS,
             Some(_) => LATE_MS,
             None => 0.0,
         };
-        let wants = now_ms - since_ms >= late_ms && self.asked_ms.is_none_or(|at| now_ms - at >= ASKED_MS);
+        let wants =
+            now_ms - since_ms >= late_ms && self.asked_ms.is_none_or(|at| now_ms - at >= ASKED_MS);
         if wants {
             self.asked_ms = Some(now_ms);
         }
@@ -128,7 +152,10 @@
     /// tables then knows the whole of the demand, and hears of each task from all.
     pub fn choose(&mut self, now_ms: f64) -> Option<Move> {
         let from = self.home;
-        if from.and_then(|home| self.seen.get(&home)).is_some_and(|home| home.bearable(now_ms)) {
+        if from
+            .and_then(|home| self.seen.get(&home))
+            .is_some_and(|home| home.bearable(now_ms))
+        {
             return None;
         }
         let rank = |office: Ipv4Addr| {
@@ -136,8 +163,14 @@
             office.hash(&mut hasher);
             hasher.finish()
         };
-        let fit = self.seen.iter().filter(|(_, seen)| seen.fit()).map(|(&ip, _)| ip);
-        let to = fit.max_by_key(|&ip| rank(ip)).filter(|to| from != Some(*to))?;
+        let fit = self
+            .seen
+            .iter()
+            .filter(|(_, seen)| seen.fit())
+            .map(|(&ip, _)| ip);
+        let to = fit
+            .max_by_key(|&ip| rank(ip))
+            .filter(|to| from != Some(*to))?;
         self.home = Some(to);
         Some(Move { from, to })
     }
@@ -161,7 +194,13 @@
         };
         let (mut one, mut other) = (known(&ips), known(&[ips[2], ips[0], ips[1]]));
         let home = one.choose(0.0).unwrap().to;
-        assert_eq!(other.choose(0.0), Some(Move { from: None, to: home }));
+        assert_eq!(
+            other.choose(0.0),
+            Some(Move {
+                from: None,
+                to: home
+            })
+        );
         one.pulse(100.0, home, false, 0, 0);
         assert_eq!(one.choose(500.0), None);
         let moved = one.choose(601.0).unwrap();
@@ -171,7 +210,8 @@
     }
 
     #[test]
-    fn a_newer_configuration_is_asked_for_once_at_a_time_and_not_while_the_home_may_be_sending_it() {
+    fn a_newer_configuration_is_asked_for_once_at_a_time_and_not_while_the_home_may_be_sending_it()
+    {
         let ips: Vec<Ipv4Addr> = (1..=3).map(|n| Ipv4Addr::new(10, n, 0, 1)).collect();
         let mut offices = Offices::default();
         for ip in &ips {
@@ -181,11 +221,14 @@
         // Without a home whoever has it is asked.
         let asked = [0.0, 100.0, 500.0].map(|now| offices.pulse(now, ips[0], true, 7, 6));
         assert_eq!(asked, [true, false, true]);
-        ips.iter().for_each(|ip| _ = offices.pulse(600.0, *ip, true, 7, 7));
+        ips.iter()
+            .for_each(|ip| _ = offices.pulse(600.0, *ip, true, 7, 7));
         let home = offices.choose(600.0).unwrap().to;
         let other = *ips.iter().find(|ip| **ip != home).unwrap();
         // All say that there is a newer one; only one copy is asked for, of the home first.
-        assert!(!offices.pulse(2_000.0, other, true, 9, 7) && !offices.pulse(2_100.0, home, true, 9, 7));
+        assert!(
+            !offices.pulse(2_000.0, other, true, 9, 7) && !offices.pulse(2_100.0, home, true, 9, 7)
+        );
         assert!(!offices.pulse(2_300.0, other, true, 9, 7));
         assert!(offices.pulse(2_400.0, home, true, 9, 7));
         assert!(!offices.pulse(2_700.0, other, true, 9, 7));
--- a/crates/rookpulley-balancer/src/post.rs
+++ b/crates/rookpulley-balancer/src/post.rs
@@ -71,8 +71,11 @@
 
     /// Puts a whole table in the place of the one before. Returns the lives that are in no table any more.
     pub fn table(&mut self, service: &str, lines: Vec<Line>) -> Vec<Life> {
-        let before =
-            self.tables.get_mut(service).map(|table| std::mem::take(&mut table.spots)).unwrap_or_default();
+        let before = self
+            .tables
+            .get_mut(service)
+            .map(|table| std::mem::take(&mut table.spots))
+            .unwrap_or_default();
         let mut spots = Vec::with_capacity(lines.len());
         for line in lines {
             let at = self.place(line);
@@ -84,7 +87,10 @@
         before.iter().for_each(|&at| self.list(at, -1));
         self.tables.entry(service.to_owned()).or_default().spots = spots;
         let left: Vec<usize> = before.into_iter().filter(|&at| !self.listed(at)).collect();
-        let lives = left.iter().filter_map(|&at| Some(self.spot(at)?.line.life.clone())).collect();
+        let lives = left
+            .iter()
+            .filter_map(|&at| Some(self.spot(at)?.line.life.clone()))
+            .collect();
         for at in left {
             self.tidy(at);
         }
@@ -130,16 +136,29 @@
 
     /// Whether any table has a line that may be used.
     pub fn any(&self) -> bool {
-        self.tables
-            .values()
-            .any(|table| table.spots.iter().any(|&at| self.spot(at).is_some_and(|spot| !spot.gone)))
+        self.tables.values().any(|table| {
+            table
+                .spots
+                .iter()
+                .any(|&at| self.spot(at).is_some_and(|spot| !spot.gone))
+        })
     }
 
     /// A task of this service that the round hasn't tried, and its try begins.
-    pub fn pick(&mut self, service: &str, round: &Round, kind: RouteKind, now_ms: f64) -> Option<Pick> {
+    pub fn pick(
+        &mut self,
+        service: &str,
+        round: &Round,
+        kind: RouteKind,
+        now_ms: f64,
+    ) -> Option<Pick> {
         let table = self.tables.get(service)?;
         let usual_ms = table.usual_ms.unwrap_or(UNKNOWN_MS);
-        let far = if kind == RouteKind::Download { FAR_DOWNLOAD } else { FAR };
+        let far = if kind == RouteKind::Download {
+            FAR_DOWNLOAD
+        } else {
+            FAR
+        };
         let spots = &self.spots;
         let look = |at: usize, chance: f64| {
             let spot = spots.get(at)?.as_ref()?;
@@ -147,7 +166,11 @@
                 return None;
             }
             let held = spot.held(now_ms, round.repeatable());
-            let zone = if spot.line.zone == self.zone { 1.0 } else { far };
+            let zone = if spot.line.zone == self.zone {
+                1.0
+            } else {
+                far
+            };
             let cost = spot.cost(now_ms, usual_ms) * zone * (1.0 + 0.1 * chance);
             Some((held, cost, at))
         };
@@ -155,10 +178,18 @@
         let chance = &mut self.chance;
         let sampled = table.spots.len() > LOOKED_AT;
         for turn in 0..if sampled { SAMPLE } else { table.spots.len() } {
-            let turn = if sampled { chance.random_range(0..table.spots.len()) } else { turn };
-            let seen = table.spots.get(turn).and_then(|&at| look(at, chance.random()));
+            let turn = if sampled {
+                chance.random_range(0..table.spots.len())
+            } else {
+                turn
+            };
+            let seen = table
+                .spots
+                .get(turn)
+                .and_then(|&at| look(at, chance.random()));
             if let Some((held, cost, _)) = seen
-                && best.is_none_or(|(best_held, best_cost, _)| (held, cost) < (best_held, best_cost))
+                && best
+                    .is_none_or(|(best_held, best_cost, _)| (held, cost) < (best_held, best_cost))
             {
                 best = seen;
             }
@@ -171,7 +202,11 @@
         let spot = self.spots.get_mut(at)?.as_mut()?;
         let habit_ms = spot.habit_ms(now_ms, usual_ms);
         spot.in_flight += 1;
-        Some(Pick { spot: at, line: spot.line.clone(), habit_ms })
+        Some(Pick {
+            spot: at,
+            line: spot.line.clone(),
+            habit_ms,
+        })
     }
 
     /// Whether `pick` would find a task.
--- a/crates/rookpulley-balancer/src/round.rs
+++ b/crates/rookpulley-balancer/src/round.rs
@@ -160,7 +160,9 @@
     /// A promise is made only where no task can have begun.
     fn give_up(&self, now_ms: f64) -> Next {
         match (self.may_have_run, now_ms + 1.0 >= self.until_ms) {
-            (false, _) => Next::Refuse { retry_after_ms: self.retry_after_ms },
+            (false, _) => Next::Refuse {
+                retry_after_ms: self.retry_after_ms,
+            },
             (true, true) => Next::TimedOut,
             (true, false) => Next::BadGateway,
         }
--- a/crates/rookpulley-balancer/src/spot.rs
+++ b/crates/rookpulley-balancer/src/spot.rs
@@ -47,7 +47,9 @@
 
     /// How long an answer takes here; what is long ago says less than what is `usual` in the service.
     pub fn habit_ms(&self, now_ms: f64, usual_ms: f64) -> f64 {
-        let Some(habit_ms) = self.habit_ms else { return usual_ms };
+        let Some(habit_ms) = self.habit_ms else {
+            return usual_ms;
+        };
         let idle_ms = now_ms - self.measured_ms;
         if self.in_flight > 0 || idle_ms < 0.2 * STALE_MS {
             return habit_ms;
@@ -69,8 +71,15 @@
         let weight = f64::from(self.line.weight).max(0.01);
         let slots = u32::from(self.line.slots.max(1));
         let beyond = f64::from((self.in_flight + 1).saturating_sub(slots)) / f64::from(slots);
-        let full = if now_ms < self.full_until_ms { 3.0 } else { 1.0 };
-        f64::from(self.in_flight + 1) * (1.0 + beyond) * self.habit_ms(now_ms, usual_ms).max(1.0) * full
+        let full = if now_ms < self.full_until_ms {
+            3.0
+        } else {
+            1.0
+        };
+        f64::from(self.in_flight + 1)
+            * (1.0 + beyond)
+            * self.habit_ms(now_ms, usual_ms).max(1.0)
+            * full
             / weight
     }
 
@@ -121,7 +130,11 @@
         if self.hold_ms > 0.0 && now_ms < self.held_until_ms {
             return;
         }
-        let doubled_ms = if self.hold_ms > 0.0 { 2.0 * self.hold_ms } else { 0.0 };
+        let doubled_ms = if self.hold_ms > 0.0 {
+            2.0 * self.hold_ms
+        } else {
+            0.0
+        };
         self.hold_ms = doubled_ms.clamp(first_ms, LONGEST_HOLD_MS);
         self.held_until_ms = now_ms + self.hold_ms;
     }
--- a/crates/rookpulley-balancer/tests/picks.rs
+++ b/crates/rookpulley-balancer/tests/picks.rs
@@ -39,22 +39,34 @@
             };
             match u.int_in_range(0..=5)? {
                 0 => {
-                    let lives: BTreeSet<String> =
-                        (0..most).filter(|_| u.ratio(1, 2).unwrap_or(true)).map(life).collect();
-                    let left = post.table(service, lives.iter().map(|life| line(life, "a")).collect());
-                    let want =
-                        listed[table].difference(&lives).filter(|life| !listed[1 - table].contains(*life));
+                    let lives: BTreeSet<String> = (0..most)
+                        .filter(|_| u.ratio(1, 2).unwrap_or(true))
+                        .map(life)
+                        .collect();
+                    let left =
+                        post.table(service, lives.iter().map(|life| line(life, "a")).collect());
+                    let want = listed[table]
+                        .difference(&lives)
+                        .filter(|life| !listed[1 - table].contains(*life));
                     assert_eq!(left.iter().collect::<BTreeSet<_>>(), want.collect());
                     listed[table] = lives;
                 }
                 1 => {
                     let life = life(u.int_in_range(0..=most - 1)?);
-                    assert_eq!(post.gone(vec![life.clone()], now_ms).is_empty(), !gone.insert(life));
+                    assert_eq!(
+                        post.gone(vec![life.clone()], now_ms).is_empty(),
+                        !gone.insert(life)
+                    );
                 }
                 2 if !flying.is_empty() => {
                     let (table, pick) = flying.swap_remove(u.choose_index(flying.len())?);
-                    let fates =
-                        [Fate::Answered(200), Fate::Broken, Fate::Unsent, Fate::NotExecuted, Fate::TimedOut];
+                    let fates = [
+                        Fate::Answered(200),
+                        Fate::Broken,
+                        Fate::Unsent,
+                        Fate::NotExecuted,
+                        Fate::TimedOut,
+                    ];
                     match u.int_in_range(0..=7)? {
                         5 => post.full(pick, now_ms),
                         6 => post.stranger(pick, now_ms),
@@ -69,11 +81,15 @@
                             .iter()
                             .any(|life| !gone.contains(life) && !round.tried().contains(life));
                         assert_eq!(post.another(service, &round), open);
-                        let Some(pick) = post.pick(service, &round, RouteKind::ReadOnly, now_ms) else {
+                        let Some(pick) = post.pick(service, &round, RouteKind::ReadOnly, now_ms)
+                        else {
                             assert!(!open);
                             break;
                         };
-                        assert!(listed[table].contains(&pick.line.life) && !gone.contains(&pick.line.life));
+                        assert!(
+                            listed[table].contains(&pick.line.life)
+                                && !gone.contains(&pick.line.life)
+                        );
                         assert!(!round.tried().contains(&pick.line.life));
                         round.goes_to(&pick.line.life);
                         flying.push((table, pick));
@@ -109,13 +125,26 @@
 #[test]
 fn a_task_that_fails_is_left_alone_for_longer_and_longer_and_comes_back_once_it_works() {
     let mut post = Post::new("a", 1);
-    post.table("s", (0..4).map(|number| line(&format!("t{number}"), "a")).collect());
+    post.table(
+        "s",
+        (0..4)
+            .map(|number| line(&format!("t{number}"), "a"))
+            .collect(),
+    );
     let got = play(&mut post, 2_000, RouteKind::ReadOnly, |life, now_ms| {
-        if life == "t0" && now_ms < 25_000.0 { (Fate::Broken, 1.0) } else { (Fate::Answered(200), 10.0) }
+        if life == "t0" && now_ms < 25_000.0 {
+            (Fate::Broken, 1.0)
+        } else {
+            (Fate::Answered(200), 10.0)
+        }
     });
     assert!((150..=400).contains(&got[0]), "{got:?}");
     let got = play(&mut post, 400, RouteKind::ReadOnly, |life, _| {
-        if life == "t0" { (Fate::Unsent, 1.0) } else { (Fate::Answered(200), 10.0) }
+        if life == "t0" {
+            (Fate::Unsent, 1.0)
+        } else {
+            (Fate::Answered(200), 10.0)
+        }
     });
     assert!(got[0] <= 6, "{got:?}");
 }
@@ -125,13 +154,24 @@
     let mut post = Post::new("a", 1);
     post.table(
         "s",
-        (0..4).map(|number| line(&format!("t{number}"), if number < 2 { "a" } else { "b" })).collect(),
+        (0..4)
+            .map(|number| line(&format!("t{number}"), if number < 2 { "a" } else { "b" }))
+            .collect(),
     );
-    let got = play(&mut post, 200, RouteKind::Download, |_, _| (Fate::Answered(200), 10.0));
+    let got = play(&mut post, 200, RouteKind::Download, |_, _| {
+        (Fate::Answered(200), 10.0)
+    });
     assert_eq!(got[0] + got[1], 200, "{got:?}");
     // With all that was sent still under way, the other zone gets its part.
     let picks: Vec<Pick> = (0..16)
-        .filter_map(|_| post.pick("s", &round(RouteKind::ReadOnly), RouteKind::ReadOnly, 5_000.0))
+        .filter_map(|_| {
+            post.pick(
+                "s",
+                &round(RouteKind::ReadOnly),
+                RouteKind::ReadOnly,
+                5_000.0,
+            )
+        })
         .collect();
     let far = picks.iter().filter(|pick| pick.line.zone == "b").count();
     assert!((4..=8).contains(&far), "{far}");
@@ -140,7 +180,12 @@
 #[test]
 fn faster_tasks_get_more() {
     let mut post = Post::new("a", 1);
-    post.table("s", (0..2).map(|number| line(&format!("t{number}"), "a")).collect());
+    post.table(
+        "s",
+        (0..2)
+            .map(|number| line(&format!("t{number}"), "a"))
+            .collect(),
+    );
     let mut flying: Vec<(f64, Pick)> = Vec::new();
     let mut got = [0, 0];
     for turn in 0..2_000 {
@@ -150,7 +195,14 @@
             let took_ms = if pick.line.life == "t0" { 20.0 } else { 60.0 };
             post.settle("s", pick, Fate::Answered(200), took_ms, end_ms);
         }
-        let pick = post.pick("s", &round(RouteKind::ReadOnly), RouteKind::ReadOnly, now_ms).unwrap();
+        let pick = post
+            .pick(
+                "s",
+                &round(RouteKind::ReadOnly),
+                RouteKind::ReadOnly,
+                now_ms,
+            )
+            .unwrap();
         let fast = pick.line.life == "t0";
         got[usize::from(!fast)] += 1;
         flying.push((now_ms + if fast { 20.0 } else { 60.0 }, pick));
@@ -168,12 +220,22 @@
             let of = |number: usize| line(&format!("o{other}-{number}"), "b");
             post.table(&format!("other{other}"), (0..50).map(of).collect());
         }
-        post.table("s", (0..lines).map(|number| line(&format!("t{number}"), "a")).collect());
-        let pick = post.pick("s", &round(RouteKind::ReadOnly), RouteKind::ReadOnly, 1.0).unwrap();
+        post.table(
+            "s",
+            (0..lines)
+                .map(|number| line(&format!("t{number}"), "a"))
+                .collect(),
+        );
+        let pick = post
+            .pick("s", &round(RouteKind::ReadOnly), RouteKind::ReadOnly, 1.0)
+            .unwrap();
         post.left(pick);
         let next = post.unit();
         let mut drawn = Post::new("a", seed);
         let steps = (0..=2 * most).position(|_| drawn.unit() == next);
-        assert!(steps.is_some_and(|steps| steps <= most && steps >= most.min(8)), "{lines}: {steps:?}");
+        assert!(
+            steps.is_some_and(|steps| steps <= most && steps >= most.min(8)),
+            "{lines}: {steps:?}"
+        );
     }
 }
--- a/crates/rookpulley-balancer/tests/rounds.rs
+++ b/crates/rookpulley-balancer/tests/rounds.rs
@@ -6,7 +6,11 @@
 use rookpulley_samples::plays;
 
 fn kind(u: &mut Unstructured) -> Result<RouteKind> {
-    Ok(*u.choose(&[RouteKind::ReadOnly, RouteKind::Mutating, RouteKind::Download])?)
+    Ok(*u.choose(&[
+        RouteKind::ReadOnly,
+        RouteKind::Mutating,
+        RouteKind::Download,
+    ])?)
 }
 
 fn fate(u: &mut Unstructured) -> Result<Fate> {
@@ -40,7 +44,12 @@
     let until_ms = from_ms + f64::from(u.int_in_range(0..=2_000u32)?);
     let mut round = Round::new(kind, attempts, until_ms, 0.5);
     budget.request(from_ms);
-    let mut story = Story { sends_ms: Vec::new(), unsent: 0, may_have_run: false, end: Next::Try };
+    let mut story = Story {
+        sends_ms: Vec::new(),
+        unsent: 0,
+        may_have_run: false,
+        end: Next::Try,
+    };
     let mut now_ms = from_ms;
     loop {
         round.goes_to(&format!("life-{}", round.tried().len()));
@@ -49,7 +58,10 @@
             story.unsent += 1;
         } else {
             let repeatable = kind != RouteKind::Mutating;
-            assert!(repeatable || !story.may_have_run, "sent again after a try that may have run");
+            assert!(
+                repeatable || !story.may_have_run,
+                "sent again after a try that may have run"
+            );
             story.sends_ms.push(now_ms);
             story.may_have_run |= fate != Fate::NotExecuted;
         }
@@ -78,8 +90,14 @@
             let kind = kind(u)?;
             let story = live(u, kind, attempts, 0.0, &mut budget)?;
             let promised = matches!(story.end, Next::Refuse { .. });
-            assert!(!(promised && story.may_have_run), "a promise that may be broken");
-            assert!(promised || story.may_have_run, "no promise though nothing can have run");
+            assert!(
+                !(promised && story.may_have_run),
+                "a promise that may be broken"
+            );
+            assert!(
+                promised || story.may_have_run,
+                "no promise though nothing can have run"
+            );
             assert!(story.sends_ms.len() as u32 <= attempts && story.unsent <= 4);
         }
         Ok(())
@@ -90,8 +108,10 @@
 fn further_sends_of_all_couriers_stay_within_what_a_service_is_allowed_in_every_window() {
     const WINDOW_MS: f64 = 10_000.0;
     plays(60, 1 << 14, |u| {
-        let (ratio, slack) =
-            (f64::from(u.int_in_range(1..=10u32)?) / 10.0, f64::from(u.int_in_range(8..=80u32)?));
+        let (ratio, slack) = (
+            f64::from(u.int_in_range(1..=10u32)?) / 10.0,
+            f64::from(u.int_in_range(8..=80u32)?),
+        );
         let couriers = *u.choose(&[1, 2, 8, 60])?;
         let fresh = || {
             let mut budget = Budget::new(ratio, slack);
@@ -110,14 +130,23 @@
             // All that its tries take is put at one moment: what counts is when they were paid.
             requests.push(now_ms);
             let story = live(u, kind, 5, now_ms, &mut budgets[at])?;
-            further.extend(std::iter::repeat_n(now_ms, story.sends_ms.len().saturating_sub(1)));
+            further.extend(std::iter::repeat_n(
+                now_ms,
+                story.sends_ms.len().saturating_sub(1),
+            ));
         }
         let count = |times: &[f64], from: f64| {
-            times.iter().filter(|&&time| time >= from && time < from + WINDOW_MS).count() as f64
+            times
+                .iter()
+                .filter(|&&time| time >= from && time < from + WINDOW_MS)
+                .count() as f64
         };
         for &from in &further {
             let before = [from, from - WINDOW_MS / 2.0, from - WINDOW_MS];
-            let counted = before.iter().map(|&start| count(&requests, start)).fold(0.0, f64::max);
+            let counted = before
+                .iter()
+                .map(|&start| count(&requests, start))
+                .fold(0.0, f64::max);
             assert!(count(&further, from) <= ratio * counted + slack);
         }
         Ok(())
@@ -150,7 +179,8 @@
             now_ms += 1_000.0 / per_s;
             budget.request(now_ms);
             // Every fifth request fails.
-            paid += u32::from((now_ms as u64 / 50).is_multiple_of(5) && budget.take(now_ms + took_ms));
+            paid +=
+                u32::from((now_ms as u64 / 50).is_multiple_of(5) && budget.take(now_ms + took_ms));
         }
         // Each takes one of the 1/0.16 requests that pay for it.
         assert!((40..=64).contains(&paid), "{paid} after {took_ms} ms");
--- a/crates/rookpulley-chain/src/chain.rs
+++ b/crates/rookpulley-chain/src/chain.rs
@@ -79,7 +79,17 @@
 impl<S: State> Chain<S> {
     pub fn start(now: u64, boot: Boot, mut state: S) -> Self {
         let kept = boot.kept.unwrap_or_default();
-        let Kept { mut installed, never, vote, views, snapshot, log, agreed, places, mut spoilt } = kept;
+        let Kept {
+            mut installed,
+            never,
+            vote,
+            views,
+            snapshot,
+            log,
+            agreed,
+            places,
+            mut spoilt,
+        } = kept;
         let (mut flow, mut recent, mut pieces) = (Flow::default(), Recent::default(), 0);
         if let Some((head, bytes)) = snapshot {
             let parsed = Recent::parse(&bytes).filter(|(_, rest)| state.restore(rest));
@@ -136,14 +146,21 @@
 
     /// Nobody hears of the first view before it is there whole: one that lost its power before founds once more.
     fn found(&mut self) {
-        let founding = self.then.iter().any(|(_, then)| matches!(then, Then::Founded));
+        let founding = self
+            .then
+            .iter()
+            .any(|(_, then)| matches!(then, Then::Founded));
         if founding || !self.views.is_empty() {
             return;
         }
         self.log("founds the first view".into());
         let view = self.first_view();
         let mut records = self.first_state();
-        records.extend([self.put_agreed(), kept::put_view(&view), kept::put_installed(view.number)]);
+        records.extend([
+            self.put_agreed(),
+            kept::put_view(&view),
+            kept::put_installed(view.number),
+        ]);
         self.write(records, Then::Founded);
     }
 
@@ -178,7 +195,9 @@
                 self.mend(now);
             }
             Input::HungUp { id } => {
-                let Some(known) = self.known.get_mut(&id) else { return Vec::new() };
+                let Some(known) = self.known.get_mut(&id) else {
+                    return Vec::new();
+                };
                 let at_most = now.saturating_sub(SILENT_MS - HUNG_UP_MS);
                 known.contact_ms = known.contact_ms.map(|at| at.min(at_most));
             }
@@ -193,40 +212,89 @@
             return;
         }
         match message {
-            Message::Ping { standing, sent, echo, ledger } => {
-                self.pinged(now, from, standing, sent, echo, ledger)
-            }
+            Message::Ping {
+                standing,
+                sent,
+                echo,
+                ledger,
+            } => self.pinged(now, from, standing, sent, echo, ledger),
             Message::Opinion { ask } => self.say_seen(now, from, ask),
-            Message::Seen { ask, standing, contacts, never, views } => {
+            Message::Seen {
+                ask,
+                standing,
+                contacts,
+                never,
+                views,
+            } => {
                 self.learn(now, views);
-                self.take_seen(now, from, ask, Opinion { standing, contacts, never });
+                self.take_seen(
+                    now,
+                    from,
+                    ask,
+                    Opinion {
+                        standing,
+                        contacts,
+                        never,
+                    },
+                );
             }
             Message::Bury { ask, number } => self.bury(from, ask, number),
-            Message::Buried { ask, number, installed } => self.take_buried(now, from, ask, number, installed),
+            Message::Buried {
+                ask,
+                number,
+                installed,
+            } => self.take_buried(now, from, ask, number, installed),
             Message::Prepare { base, ballot } => self.prepare(now, from, base, ballot),
-            Message::Promise { number, ballot, accepted } => {
-                self.take_promise(now, from, number, ballot, accepted)
-            }
+            Message::Promise {
+                number,
+                ballot,
+                accepted,
+            } => self.take_promise(now, from, number, ballot, accepted),
             Message::Accept { ballot, view } => self.accept(from, ballot, view),
             Message::Accepted { number, ballot } => self.take_accepted(now, from, number, ballot),
             Message::Outbid { number, ballot } => self.outbid(now, number, ballot),
             Message::Learn { views } => self.learn(now, views),
-            Message::Install { view, committed, at_ms, log } => {
-                self.take_install(now, Awaited { from, view, committed, at_ms, log })
-            }
+            Message::Install {
+                view,
+                committed,
+                at_ms,
+                log,
+            } => self.take_install(
+                now,
+                Awaited {
+                    from,
+                    view,
+                    committed,
+                    at_ms,
+                    log,
+                },
+            ),
             Message::Fetch { ask, held, piece } => self.fetched(now, from, ask, held, piece),
             Message::Filled { ask, fill } => self.take_fill(now, from, ask, fill),
             Message::AtWork { number } => self.works(now, number),
-            Message::Forward { view, echo, age_ms, from, kind, body } => {
-                self.forwarded(now, view, (echo, age_ms), from, (kind, body))
-            }
+            Message::Forward {
+                view,
+                echo,
+                age_ms,
+                from,
+                kind,
+                body,
+            } => self.forwarded(now, view, (echo, age_ms), from, (kind, body)),
             Message::Refuse { from } => self.refused(from),
-            Message::Pass { view, entries, questions, synced_to } => {
+            Message::Pass {
+                view,
+                entries,
+                questions,
+                synced_to,
+            } => {
                 self.passed(now, from, view, entries, questions, synced_to);
             }
-            Message::Answer { from, view, committed, body } => {
-                self.answered(now, from, (view, committed), body)
-            }
+            Message::Answer {
+                from,
+                view,
+                committed,
+                body,
+            } => self.answered(now, from, (view, committed), body),
             Message::Commit { view, seq } => self.take_commit(view, seq),
         }
     }
@@ -238,7 +306,15 @@
             Then::Entries { view, to } => self.entries_synced(now, view, to),
             Then::Buried { to, ask, number } => {
                 let installed = self.installed;
-                self.send(now, to, Message::Buried { ask, number, installed });
+                self.send(
+                    now,
+                    to,
+                    Message::Buried {
+                        ask,
+                        number,
+                        installed,
+                    },
+                );
             }
             Then::Founded => {
                 let view = self.first_view();
@@ -257,7 +333,11 @@
     }
 
     fn first_view(&self) -> View {
-        View { number: 1, members: vec![self.me], voters: Vec::new() }
+        View {
+            number: 1,
+            members: vec![self.me],
+            voters: Vec::new(),
+        }
     }
 
     // ---- what all parts use -----------------------------------------------------------------
@@ -274,7 +354,10 @@
     pub(crate) fn write(&mut self, records: Vec<Record>, then: Then) {
         self.ticket += 1;
         self.then.push_back((self.ticket, then));
-        self.out.push(Effect::Write { ticket: self.ticket, records });
+        self.out.push(Effect::Write {
+            ticket: self.ticket,
+            records,
+        });
     }
 
     pub(crate) fn log(&mut self, line: String) {
@@ -307,8 +390,13 @@
 
     /// In two-way contact with most of a view that is at work.
     pub fn in_touch(&self, now: u64) -> bool {
-        let Some(view) = self.view().filter(|_| self.is_at_work()) else { return false };
-        view.acceptors().filter(|m| self.in_contact(now, m.id)).count() >= view.majority()
+        let Some(view) = self.view().filter(|_| self.is_at_work()) else {
+            return false;
+        };
+        view.acceptors()
+            .filter(|m| self.in_contact(now, m.id))
+            .count()
+            >= view.majority()
     }
 
     /// In touch, and part of the chain: what is applied here is as new as it can be.
@@ -326,12 +414,22 @@
     }
 
     pub fn status(&self) -> String {
-        let members = self
-            .view()
-            .map_or(Vec::new(), |v| v.members.iter().map(|m| m.address.ip().to_string()).collect());
+        let members = self.view().map_or(Vec::new(), |v| {
+            v.members
+                .iter()
+                .map(|m| m.address.ip().to_string())
+                .collect()
+        });
         let (view, work, seq) = (self.decided(), self.at_work, self.flow.committed);
-        let part = if self.acting().is_some() { "acting" } else { "idle" };
-        format!("view {view} of {}, at work {work}, {part}, update {seq}", members.join(" "))
+        let part = if self.acting().is_some() {
+            "acting"
+        } else {
+            "idle"
+        };
+        format!(
+            "view {view} of {}, at work {work}, {part}, update {seq}",
+            members.join(" ")
+        )
     }
 
     pub(crate) fn standing(&self) -> Standing {
@@ -351,8 +449,13 @@
     /// only be passed over by who knows its members.
     pub(crate) fn learn(&mut self, now: u64, views: Vec<View>) {
         let before = self.decided();
-        let oldest = if self.views.len() < VIEWS { 0 } else { self.views.first().map_or(0, |v| v.number) };
-        let unknown = |v: &View| v.number > oldest && self.views.iter().all(|k| k.number != v.number);
+        let oldest = if self.views.len() < VIEWS {
+            0
+        } else {
+            self.views.first().map_or(0, |v| v.number)
+        };
+        let unknown =
+            |v: &View| v.number > oldest && self.views.iter().all(|k| k.number != v.number);
         let mut new: Vec<View> = views.into_iter().filter(|v| unknown(v)).collect();
         new.sort_by_key(|v| v.number);
         new.dedup_by_key(|v| v.number);
@@ -366,9 +469,19 @@
             records.push(kept::drop_view(self.views.remove(0).number));
         }
         self.write(records, Then::Nothing);
-        let Some(view) = self.views.last().filter(|v| v.number > before) else { return };
-        let names: Vec<String> = view.members.iter().map(|m| m.address.ip().to_string()).collect();
-        self.log(format!("view {} is decided: {}", self.decided(), names.join(" ")));
+        let Some(view) = self.views.last().filter(|v| v.number > before) else {
+            return;
+        };
+        let names: Vec<String> = view
+            .members
+            .iter()
+            .map(|m| m.address.ip().to_string())
+            .collect();
+        self.log(format!(
+            "view {} is decided: {}",
+            self.decided(),
+            names.join(" ")
+        ));
         if apart(before, self.decided()) {
             self.log("the chain was founded anew without what is kept here: it is given up".into());
             self.out.push(Effect::Spoilt);
@@ -403,7 +516,13 @@
             return;
         }
         let standing = Standing::of(member);
-        let fresh = Known { standing, heard_ms: now, sent: None, contact_ms: None, echoed: None };
+        let fresh = Known {
+            standing,
+            heard_ms: now,
+            sent: None,
+            contact_ms: None,
+            echoed: None,
+        };
         let known = self.known.entry(member.id).or_insert(fresh);
         if known.standing.me.life != member.life {
             (known.standing.me, known.sent, known.contact_ms) = (member, None, None);
@@ -420,15 +539,26 @@
     }
 
     fn ping_one(&mut self, now: u64, to: u64) {
-        let Some(echo) = self.known.get(&to).map(|k| k.sent) else { return };
+        let Some(echo) = self.known.get(&to).map(|k| k.sent) else {
+            return;
+        };
         let (standing, sent, ledger) = (self.standing(), self.mark(now), self.ledger_time(now));
-        self.out.push(Effect::Send { to, message: Message::Ping { standing, sent, echo, ledger } });
+        self.out.push(Effect::Send {
+            to,
+            message: Message::Ping {
+                standing,
+                sent,
+                echo,
+                ledger,
+            },
+        });
     }
 
     pub(crate) fn ping(&mut self, now: u64) {
         let old = |k: &Known| now > k.heard_ms + 30_000;
         let view = self.views.last();
-        self.known.retain(|id, k| !old(k) || view.is_some_and(|v| v.votes(*id)));
+        self.known
+            .retain(|id, k| !old(k) || view.is_some_and(|v| v.votes(*id)));
         let to: Vec<u64> = self.known.keys().copied().collect();
         to.into_iter().for_each(|to| self.ping_one(now, to));
     }
@@ -443,7 +573,11 @@
         ledger: Option<u64>,
     ) {
         let begin = self.mark(0);
-        let Some(known) = self.known.get_mut(&from).filter(|k| k.standing.me.life == standing.me.life) else {
+        let Some(known) = self
+            .known
+            .get_mut(&from)
+            .filter(|k| k.standing.me.life == standing.me.life)
+        else {
             return self.met(now, standing.me);
         };
         let first = known.sent.is_none();
@@ -459,7 +593,11 @@
             known.echoed = known.echoed.max(Some(at));
             // Two identities at one address: only the later one is there, the other has lost its disk.
             let there = |k: &Known| k.standing.me.address == standing.me.address;
-            if self.known.iter().any(|(id, k)| *id != from && there(k) && k.echoed > Some(at)) {
+            if self
+                .known
+                .iter()
+                .any(|(id, k)| *id != from && there(k) && k.echoed > Some(at))
+            {
                 self.known.remove(&from);
                 return;
             }
@@ -469,14 +607,20 @@
             self.ping_one(now, from);
         }
         if let Some(ledger) = ledger {
-            self.calls.heard_ledger(standing.installed, from, ledger, now);
+            self.calls
+                .heard_ledger(standing.installed, from, ledger, now);
         }
         self.works(now, standing.at_work.min(self.decided()));
         if ledger.is_some() {
             self.forward_due(now);
         }
         if standing.decided < self.decided() {
-            let views = self.views.iter().filter(|v| v.number > standing.decided).cloned().collect();
+            let views = self
+                .views
+                .iter()
+                .filter(|v| v.number > standing.decided)
+                .cloned()
+                .collect();
             self.send(now, from, Message::Learn { views });
         }
         self.look_after_successor(now, from, &standing);
--- a/crates/rookpulley-chain/src/disk.rs
+++ b/crates/rookpulley-chain/src/disk.rs
@@ -40,20 +40,32 @@
         if let Some(ticket) = ticket {
             self.writing = self.writing.filter(|(from, _)| *from > ticket);
         }
-        self.quick = if took_ms < QUICK_MS { self.quick + 1 } else { 0 };
+        self.quick = if took_ms < QUICK_MS {
+            self.quick + 1
+        } else {
+            0
+        };
     }
 
     pub fn look(&mut self, now_ms: f64) -> Look {
         if now_ms - std::mem::replace(&mut self.looked_ms, now_ms) > HELD_UP_MS {
             self.writing = self.writing.map(|(ticket, _)| (ticket, now_ms));
         }
-        let waits = self.writing.is_some_and(|(_, since)| now_ms - since > SLOW_MS);
+        let waits = self
+            .writing
+            .is_some_and(|(_, since)| now_ms - since > SLOW_MS);
         if waits {
             self.quick = 0;
         }
         let probe = (self.slow && self.writing.is_none()).then_some(0);
-        probe.into_iter().for_each(|ticket| self.begins(now_ms, ticket));
-        let slow = if self.slow { self.quick < QUICK_WRITES } else { waits };
+        probe
+            .into_iter()
+            .for_each(|ticket| self.begins(now_ms, ticket));
+        let slow = if self.slow {
+            self.quick < QUICK_WRITES
+        } else {
+            waits
+        };
         let turned = (slow != self.slow).then_some(slow);
         self.slow = slow;
         Look { turned, probe }
@@ -76,7 +88,11 @@
         disk.synced(Some(1), 70.0);
         for round in 0..QUICK_WRITES {
             let look = disk.look(600.0 + f64::from(round));
-            assert_eq!((look.turned, look.probe), (None, Some(0)), "after {round} quick writes");
+            assert_eq!(
+                (look.turned, look.probe),
+                (None, Some(0)),
+                "after {round} quick writes"
+            );
             disk.synced(Some(0), 5.0);
         }
         assert_eq!(disk.look(640.0).turned, Some(false));
--- a/crates/rookpulley-chain/src/entry.rs
+++ b/crates/rookpulley-chain/src/entry.rs
@@ -37,14 +37,19 @@
 
 impl Calls {
     pub fn heard_ledger(&mut self, view: u64, head: u64, at_ms: u64, now: u64) {
-        if self.ledger.is_none_or(|(known, _, at, _)| (view, at_ms) >= (known, at)) {
+        if self
+            .ledger
+            .is_none_or(|(known, _, at, _)| (view, at_ms) >= (known, at))
+        {
             self.ledger = Some((view, head, at_ms, now));
         }
     }
 
     /// The newest time that was heard from the head of this view.
     pub fn ledger_of(&self, view: u64) -> Option<u64> {
-        self.ledger.filter(|(of, ..)| *of == view).map(|(_, _, at_ms, _)| at_ms)
+        self.ledger
+            .filter(|(of, ..)| *of == view)
+            .map(|(_, _, at_ms, _)| at_ms)
     }
 }
 
@@ -52,52 +57,113 @@
     pub(crate) fn call(&mut self, now: u64, token: u64, kind: CallKind, body: Vec<u8>) {
         let asleep = now > self.ticked_ms + ASLEEP_MS || now < self.woke_ms + WAKING_MS;
         if asleep {
-            return self.out.push(Effect::Answer { token, outcome: Outcome::Refused });
+            return self.out.push(Effect::Answer {
+                token,
+                outcome: Outcome::Refused,
+            });
         }
-        let pending =
-            Pending { kind, body, asked_ms: now, attempt: 0, sent: None, maybe: false, ghost: false };
+        let pending = Pending {
+            kind,
+            body,
+            asked_ms: now,
+            attempt: 0,
+            sent: None,
+            maybe: false,
+            ghost: false,
+        };
         self.calls.pending.insert(token, pending);
         self.forward(now, token);
     }
 
     fn forward(&mut self, now: u64, token: u64) {
-        let Some(view) = self.view().filter(|_| self.is_at_work()) else { return };
-        let (number, Some(head)) = (view.number, view.head().copied()) else { return };
-        let heard =
-            self.calls.ledger.filter(|(v, h, _, at)| (*v, *h) == (number, head.id) && now < at + LEDGER_MS);
-        let echo = if head.id == self.me.id { self.ledger_time(now) } else { heard.map(|(_, _, at, _)| at) };
-        let (Some(echo), Some(pending)) = (echo, self.calls.pending.get_mut(&token)) else { return };
+        let Some(view) = self.view().filter(|_| self.is_at_work()) else {
+            return;
+        };
+        let (number, Some(head)) = (view.number, view.head().copied()) else {
+            return;
+        };
+        let heard = self
+            .calls
+            .ledger
+            .filter(|(v, h, _, at)| (*v, *h) == (number, head.id) && now < at + LEDGER_MS);
+        let echo = if head.id == self.me.id {
+            self.ledger_time(now)
+        } else {
+            heard.map(|(_, _, at, _)| at)
+        };
+        let (Some(echo), Some(pending)) = (echo, self.calls.pending.get_mut(&token)) else {
+            return;
+        };
         pending.ghost |= pending.maybe;
-        (pending.attempt, pending.sent, pending.maybe) = (pending.attempt + 1, Some((number, now)), true);
-        let from = Asked { office: self.me.id, life: self.me.life, token, attempt: pending.attempt };
-        let (kind, body, age_ms) = (pending.kind, pending.body.clone(), now.saturating_sub(pending.asked_ms));
-        self.send(now, head.id, Message::Forward { view: number, echo, age_ms, from, kind, body });
+        (pending.attempt, pending.sent, pending.maybe) =
+            (pending.attempt + 1, Some((number, now)), true);
+        let from = Asked {
+            office: self.me.id,
+            life: self.me.life,
+            token,
+            attempt: pending.attempt,
+        };
+        let (kind, body, age_ms) = (
+            pending.kind,
+            pending.body.clone(),
+            now.saturating_sub(pending.asked_ms),
+        );
+        self.send(
+            now,
+            head.id,
+            Message::Forward {
+                view: number,
+                echo,
+                age_ms,
+                from,
+                kind,
+                body,
+            },
+        );
     }
 
     pub(crate) fn refused(&mut self, from: Asked) {
         let pending = self.calls.pending.get_mut(&from.token);
-        if let Some(pending) = pending.filter(|p| p.attempt == from.attempt && from.life == self.me.life) {
+        if let Some(pending) =
+            pending.filter(|p| p.attempt == from.attempt && from.life == self.me.life)
+        {
             (pending.sent, pending.maybe) = (None, false);
         }
     }
 
-    pub(crate) fn answered(&mut self, now: u64, from: Asked, (view, committed): (u64, u64), body: Vec<u8>) {
+    pub(crate) fn answered(
+        &mut self,
+        now: u64,
+        from: Asked,
+        (view, committed): (u64, u64),
+        body: Vec<u8>,
+    ) {
         // Where the copy here is older than the answer, that is mended at once.
         if committed > self.flow.committed {
             self.take_commit(view, committed);
             self.fetch_up_to(now, committed);
         }
         if from.life == self.me.life && self.calls.pending.remove(&from.token).is_some() {
-            self.out.push(Effect::Answer { token: from.token, outcome: Outcome::Done(body) });
+            self.out.push(Effect::Answer {
+                token: from.token,
+                outcome: Outcome::Done(body),
+            });
         }
     }
 
     pub(crate) fn tend_calls(&mut self, now: u64) {
-        let late = self.calls.pending.extract_if(.., |_, p| now >= p.asked_ms + GIVE_UP_MS);
+        let late = self
+            .calls
+            .pending
+            .extract_if(.., |_, p| now >= p.asked_ms + GIVE_UP_MS);
         for (token, pending) in late.collect::<Vec<_>>() {
             // A read takes no effect, whatever became of it.
             let none = pending.kind == CallKind::Read || !(pending.maybe || pending.ghost);
-            let outcome = if none { Outcome::Refused } else { Outcome::Unknown };
+            let outcome = if none {
+                Outcome::Refused
+            } else {
+                Outcome::Unknown
+            };
             self.out.push(Effect::Answer { token, outcome });
         }
         self.forward_due(now);
@@ -109,10 +175,17 @@
         let decided = self.decided();
         let due = |p: &Pending| match p.sent {
             None => true,
-            Some((view, at)) => view != decided || (p.kind == CallKind::Read && now >= at + READ_AGAIN_MS),
+            Some((view, at)) => {
+                view != decided || (p.kind == CallKind::Read && now >= at + READ_AGAIN_MS)
+            }
         };
-        let again: Vec<u64> =
-            self.calls.pending.iter().filter(|(_, p)| due(p)).map(|(token, _)| *token).collect();
+        let again: Vec<u64> = self
+            .calls
+            .pending
+            .iter()
+            .filter(|(_, p)| due(p))
+            .map(|(token, _)| *token)
+            .collect();
         again.into_iter().for_each(|token| self.forward(now, token));
     }
 }
--- a/crates/rookpulley-chain/src/fill.rs
+++ b/crates/rookpulley-chain/src/fill.rs
@@ -79,12 +79,19 @@
         if let Some(awaited) = &self.filling.awaited {
             return Some(awaited.from);
         }
-        let view = self.view().filter(|v| self.is_at_work() && !v.names(self.me.id, self.me.life))?;
+        let view = self
+            .view()
+            .filter(|v| self.is_at_work() && !v.names(self.me.id, self.me.life))?;
         let ahead = |id: &u64| {
             let more = |k: &crate::chain::Known| k.standing.committed > self.flow.committed;
             self.in_contact(now, *id) && self.known.get(id).is_some_and(more)
         };
-        view.members.iter().rev().map(|m| m.id).filter(|id| *id != self.me.id).find(ahead)
+        view.members
+            .iter()
+            .rev()
+            .map(|m| m.id)
+            .filter(|id| *id != self.me.id)
+            .find(ahead)
     }
 
     /// Asks for the next part, if one is lacking and none is on its way.
@@ -93,7 +100,9 @@
         if filling.writing || now < filling.until_ms || (self.slow && filling.awaited.is_none()) {
             return;
         }
-        let Some(from) = self.fetch_from(now) else { return };
+        let Some(from) = self.fetch_from(now) else {
+            return;
+        };
         let theirs = self.known.get(&from).map_or(0, |k| k.standing.committed);
         let held = self.flow.committed;
         self.filling.far |= theirs > held + NEAR;
@@ -122,9 +131,14 @@
                 self.filling.pieces = None;
                 self.absorb(entries)
             }
-            Fill::Piece { seq, at_ms, piece, pieces, sum, bytes } => {
-                self.take_piece(now, from, (seq, at_ms), (piece, pieces, sum), bytes)
-            }
+            Fill::Piece {
+                seq,
+                at_ms,
+                piece,
+                pieces,
+                sum,
+                bytes,
+            } => self.take_piece(now, from, (seq, at_ms), (piece, pieces, sum), bytes),
         };
         if records.is_empty() {
             if self.filling.pieces.is_some() {
@@ -148,7 +162,12 @@
 
     /// Whoever has caught up says so at once.
     fn near(&mut self, now: u64) {
-        let ahead = self.known.values().map(|k| k.standing.committed).max().unwrap_or(0);
+        let ahead = self
+            .known
+            .values()
+            .map(|k| k.standing.committed)
+            .max()
+            .unwrap_or(0);
         if self.filling.far && ahead <= self.flow.committed + NEAR {
             self.filling.far = false;
             self.ping(now);
@@ -164,7 +183,12 @@
                 continue;
             }
             if self.flow.log.front() != Some(&entry) {
-                records.extend(self.flow.on_disk().filter(|at| *at > entry.seq).map(kept::drop_entry));
+                records.extend(
+                    self.flow
+                        .on_disk()
+                        .filter(|at| *at > entry.seq)
+                        .map(kept::drop_entry),
+                );
                 records.push(kept::put_entry(0, &entry));
                 self.flow.drop_log();
                 self.flow.add(entry);
@@ -186,9 +210,22 @@
         (piece, pieces, sum): (u32, u32, u64),
         bytes: Vec<u8>,
     ) -> Vec<Record> {
-        let begun = self.filling.pieces.take().filter(|p| p.from == from && p.seq == seq && p.next == piece);
-        let fresh = || (piece == 0).then_some(Pieces { from, seq, next: 0, bytes: Vec::new() });
-        let Some(mut all) = begun.or_else(fresh) else { return Vec::new() };
+        let begun = self
+            .filling
+            .pieces
+            .take()
+            .filter(|p| p.from == from && p.seq == seq && p.next == piece);
+        let fresh = || {
+            (piece == 0).then_some(Pieces {
+                from,
+                seq,
+                next: 0,
+                bytes: Vec::new(),
+            })
+        };
+        let Some(mut all) = begun.or_else(fresh) else {
+            return Vec::new();
+        };
         all.bytes.extend(bytes);
         all.next += 1;
         if all.next < pieces {
@@ -198,16 +235,28 @@
         if seq <= self.flow.committed || XxHash64::oneshot(0, &all.bytes) != sum {
             return Vec::new();
         }
-        let Some((recent, state)) = Recent::parse(&all.bytes) else { return Vec::new() };
+        let Some((recent, state)) = Recent::parse(&all.bytes) else {
+            return Vec::new();
+        };
         if !self.state.restore(state) {
             self.log("the state that was handed out can't be read".into());
             return Vec::new();
         }
         self.recent = recent;
         // What is held behind it stays: where we are a member of the newest view, that may have been acknowledged.
-        let behind: Vec<Entry> = self.flow.log.iter().filter(|e| e.seq > seq).cloned().collect();
+        let behind: Vec<Entry> = self
+            .flow
+            .log
+            .iter()
+            .filter(|e| e.seq > seq)
+            .cloned()
+            .collect();
         let last = behind.last().map_or(seq, |e| e.seq);
-        let gone = self.flow.on_disk().filter(|at| *at <= seq || *at > last).map(kept::drop_entry);
+        let gone = self
+            .flow
+            .on_disk()
+            .filter(|at| *at <= seq || *at > last)
+            .map(kept::drop_entry);
         let mut records: Vec<Record> = gone.collect();
         let at_ms = at_ms.max(self.flow.last_at);
         self.flow.begin(seq, at_ms, now);
@@ -220,10 +269,20 @@
 
     // ---- who has it -------------------------------------------------------------------------
 
-    pub(crate) fn fetched(&mut self, now: u64, from: u64, ask: u64, held: u64, piece: Option<(u64, u32)>) {
+    pub(crate) fn fetched(
+        &mut self,
+        now: u64,
+        from: u64,
+        ask: u64,
+        held: u64,
+        piece: Option<(u64, u32)>,
+    ) {
         let committed = self.flow.committed;
         let fill = if self.flow.joins(held) {
-            Fill::Updates { committed, entries: self.flow.applied_behind(held, PART_BYTES) }
+            Fill::Updates {
+                committed,
+                entries: self.flow.applied_behind(held, PART_BYTES),
+            }
         } else {
             self.piece(now, piece)
         };
@@ -236,14 +295,36 @@
         let frozen = self.filling.frozen.take().filter(joins).unwrap_or_else(|| {
             let bytes = self.snapshot();
             let (seq, at_ms) = (self.flow.committed, self.flow.last_at);
-            Frozen { seq, at_ms, sum: XxHash64::oneshot(0, &bytes), bytes, used_ms: now }
+            Frozen {
+                seq,
+                at_ms,
+                sum: XxHash64::oneshot(0, &bytes),
+                bytes,
+                used_ms: now,
+            }
         });
-        let at = wanted.filter(|(seq, _)| *seq == frozen.seq).map_or(0, |(_, at)| at);
-        let bytes = frozen.bytes.chunks(PART_BYTES).nth(at as usize).unwrap_or_default().to_vec();
+        let at = wanted
+            .filter(|(seq, _)| *seq == frozen.seq)
+            .map_or(0, |(_, at)| at);
+        let bytes = frozen
+            .bytes
+            .chunks(PART_BYTES)
+            .nth(at as usize)
+            .unwrap_or_default()
+            .to_vec();
         let pieces = frozen.bytes.len().div_ceil(PART_BYTES) as u32;
-        let fill =
-            Fill::Piece { seq: frozen.seq, at_ms: frozen.at_ms, piece: at, pieces, sum: frozen.sum, bytes };
-        self.filling.frozen = Some(Frozen { used_ms: now, ..frozen });
+        let fill = Fill::Piece {
+            seq: frozen.seq,
+            at_ms: frozen.at_ms,
+            piece: at,
+            pieces,
+            sum: frozen.sum,
+            bytes,
+        };
+        self.filling.frozen = Some(Frozen {
+            used_ms: now,
+            ..frozen
+        });
         fill
     }
 
@@ -270,11 +351,19 @@
             self.stock.told = seq;
             self.log(format!("copies differ at update {seq}"));
         }
-        let others = self.known.values().map(|k| k.standing.swept).filter(|(at, _)| *at == seq);
+        let others = self
+            .known
+            .values()
+            .map(|k| k.standing.swept)
+            .filter(|(at, _)| *at == seq);
         let others: Vec<u64> = others.map(|(_, digest)| digest).collect();
         let alone = !others.contains(&ours.1);
-        let outvoted = others.iter().any(|d| others.iter().filter(|o| *o == d).count() >= 2);
-        let spared = self.acting().is_none_or(|v| v.members.len() > self.losses + 1);
+        let outvoted = others
+            .iter()
+            .any(|d| others.iter().filter(|o| *o == d).count() >= 2);
+        let spared = self
+            .acting()
+            .is_none_or(|v| v.members.len() > self.losses + 1);
         if alone && outvoted && spared {
             self.log("the copy here differs from all others: it is begun anew".into());
             self.out.push(Effect::Spoilt);
--- a/crates/rookpulley-chain/src/flaws.rs
+++ b/crates/rookpulley-chain/src/flaws.rs
@@ -20,13 +20,21 @@
 impl Flaws {
     fn add(&mut self, place: impl Display, found: impl Display, instead: impl Display) {
         let (place, found, instead) = (place.to_string(), found.to_string(), instead.to_string());
-        self.0.push(Flaw { place, found, instead });
+        self.0.push(Flaw {
+            place,
+            found,
+            instead,
+        });
     }
 
     fn read<T: DeserializeOwned>(&mut self, key: &[u8], row: &[u8], kind: &str) -> Option<T> {
         let value = postcard::from_bytes(row).ok();
         if value.is_none() {
-            self.add(named(key), format!("unreadable ({} bytes)", row.len()), kind);
+            self.add(
+                named(key),
+                format!("unreadable ({} bytes)", row.len()),
+                kind,
+            );
         }
         value
     }
@@ -34,7 +42,11 @@
     /// A row stands under the number that it is of.
     fn under(&mut self, key: &[u8], number: u64) {
         if numbered(key) != Some(number) {
-            self.add(named(key), format!("of number {number}"), "of the number of its key");
+            self.add(
+                named(key),
+                format!("of number {number}"),
+                "of the number of its key",
+            );
         }
     }
 }
@@ -45,7 +57,9 @@
 
 /// `i`, or `v 6`.
 fn named(key: &[u8]) -> String {
-    let kind = key.first().map_or(String::new(), |kind| kind.escape_ascii().to_string());
+    let kind = key
+        .first()
+        .map_or(String::new(), |kind| kind.escape_ascii().to_string());
     match numbered(key) {
         Some(number) => format!("row {kind} {number}"),
         None => format!("row {}", key.escape_ascii()),
@@ -68,7 +82,9 @@
                 }
             }
             Some(b'e') => {
-                if let Some((view, entry)) = flaws.read::<(u64, Entry)>(key, row, "an update with its view") {
+                if let Some((view, entry)) =
+                    flaws.read::<(u64, Entry)>(key, row, "an update with its view")
+                {
                     flaws.under(key, entry.seq);
                     entries.push((view, entry));
                 }
@@ -79,7 +95,12 @@
     }
     let kept = Kept::read(rows.iter().cloned());
     of_state(&mut flaws, rows, &kept, head);
-    of_log(&mut flaws, &kept, agreed.map_or(0, |(seq, _)| seq), &entries);
+    of_log(
+        &mut flaws,
+        &kept,
+        agreed.map_or(0, |(seq, _)| seq),
+        &entries,
+    );
     of_views(&mut flaws, &kept, identity);
     flaws.0
 }
@@ -87,34 +108,62 @@
 fn of_state(flaws: &mut Flaws, rows: &Rows, kept: &Kept, head: Option<Head>) {
     let headless = rows.iter().all(|(key, _)| key != b"S");
     match head {
-        None if headless && kept.installed > 0 => {
-            flaws.add("snapshot", "missing", format!("there, as view {} is installed", kept.installed))
-        }
+        None if headless && kept.installed > 0 => flaws.add(
+            "snapshot",
+            "missing",
+            format!("there, as view {} is installed", kept.installed),
+        ),
         Some(head) if kept.snapshot.is_none() => {
             let pieces = rows.iter().filter(|(key, _)| key.first() == Some(&b's'));
-            let length: usize = pieces.take(head.pieces as usize).map(|(_, piece)| piece.len()).sum();
+            let length: usize = pieces
+                .take(head.pieces as usize)
+                .map(|(_, piece)| piece.len())
+                .sum();
             if length as u64 == head.length {
-                flaws.add("snapshot", "spoilt (its sum is another)", "as it was written");
+                flaws.add(
+                    "snapshot",
+                    "spoilt (its sum is another)",
+                    "as it was written",
+                );
             } else {
-                flaws.add("snapshot", format!("{length} bytes long"), format!("{} bytes long", head.length));
+                flaws.add(
+                    "snapshot",
+                    format!("{length} bytes long"),
+                    format!("{} bytes long", head.length),
+                );
             }
         }
-        Some(_) if kept.shown().snapshot.is_none() => {
-            flaws.add("snapshot", "without the late answers", "the late answers, then the state")
-        }
+        Some(_) if kept.shown().snapshot.is_none() => flaws.add(
+            "snapshot",
+            "without the late answers",
+            "the late answers, then the state",
+        ),
         _ => {}
     }
 }
 
 fn of_log(flaws: &mut Flaws, kept: &Kept, agreed: u64, entries: &[(u64, Entry)]) {
-    let Some((head, _)) = &kept.snapshot else { return };
+    let Some((head, _)) = &kept.snapshot else {
+        return;
+    };
     let last = kept.log.last().map_or(head.seq, |entry| entry.seq);
     let newest = entries.iter().map(|(view, _)| *view).max().unwrap_or(0);
-    let counts = |view: u64, seq: u64| seq <= agreed || (view == newest && kept.installed <= newest);
-    let behind = entries.iter().filter(|(view, e)| e.seq > last && counts(*view, e.seq)).count();
+    let counts =
+        |view: u64, seq: u64| seq <= agreed || (view == newest && kept.installed <= newest);
+    let behind = entries
+        .iter()
+        .filter(|(view, e)| e.seq > last && counts(*view, e.seq))
+        .count();
     if behind > 0 || agreed > last {
-        let found = format!("without update {}, and {behind} behind it are there", last + 1);
-        flaws.add("log", found, format!("whole from update {} on", head.seq + 1));
+        let found = format!(
+            "without update {}, and {behind} behind it are there",
+            last + 1
+        );
+        flaws.add(
+            "log",
+            found,
+            format!("whole from update {} on", head.seq + 1),
+        );
     }
     for pair in kept.log.windows(2) {
         if let [before, entry] = pair
@@ -133,17 +182,26 @@
 fn of_views(flaws: &mut Flaws, kept: &Kept, identity: Option<u64>) {
     for view in &kept.views {
         if view.members.is_empty() {
-            flaws.add(format!("view {}", view.number), "without members", "of one member at least");
+            flaws.add(
+                format!("view {}", view.number),
+                "without members",
+                "of one member at least",
+            );
         }
     }
-    let (oldest, newest) = (kept.views.first().map(|v| v.number), kept.views.last().map_or(0, |v| v.number));
+    let (oldest, newest) = (
+        kept.views.first().map(|v| v.number),
+        kept.views.last().map_or(0, |v| v.number),
+    );
     let of = |number: u64| kept.views.iter().find(|view| view.number == number);
     // A view that was installed long ago may be forgotten.
     if kept.installed > 0 && oldest.is_none_or(|oldest| oldest <= kept.installed) {
         match of(kept.installed) {
-            None => {
-                flaws.add("installed view", format!("{}, which is not known", kept.installed), "a known one")
-            }
+            None => flaws.add(
+                "installed view",
+                format!("{}, which is not known", kept.installed),
+                "a known one",
+            ),
             Some(view) if identity.is_some_and(|id| view.place(id).is_none()) => flaws.add(
                 "installed view",
                 format!("{} without this identity", view.number),
@@ -159,7 +217,11 @@
     let vote = &kept.vote;
     if vote.number > newest + 1 {
         let found = format!("for view {}", vote.number);
-        flaws.add("vote", found, format!("for view {} at most, the one after the newest", newest + 1));
+        flaws.add(
+            "vote",
+            found,
+            format!("for view {} at most, the one after the newest", newest + 1),
+        );
     }
     let before = vote.number.checked_sub(1).and_then(of);
     if before.is_some_and(|view| identity.is_some_and(|id| !view.votes(id))) {
@@ -171,7 +233,11 @@
     }
     if let Some((ballot, view)) = &vote.accepted {
         if view.number != vote.number {
-            flaws.add("vote", format!("an accepted view {}", view.number), format!("view {}", vote.number));
+            flaws.add(
+                "vote",
+                format!("an accepted view {}", view.number),
+                format!("view {}", vote.number),
+            );
         }
         if *ballot > vote.promised {
             flaws.add(
--- a/crates/rookpulley-chain/src/flow.rs
+++ b/crates/rookpulley-chain/src/flow.rs
@@ -58,7 +58,11 @@
     /// Goes on from a state that holds all up to `seq` and stands on the disk.
     pub fn begin(&mut self, seq: u64, at_ms: u64, now: u64) {
         let disk = (seq + 1, self.disk.1.max(seq));
-        *self = Self { disk, installing: self.installing, ..Self::default() };
+        *self = Self {
+            disk,
+            installing: self.installing,
+            ..Self::default()
+        };
         (self.last, self.committed) = (seq, seq);
         self.go_on(at_ms, now, Vec::new());
     }
@@ -110,14 +114,18 @@
 
     /// The next of the log has been applied.
     fn applied(&mut self) {
-        let Some(entry) = self.log.pop_front() else { return };
+        let Some(entry) = self.log.pop_front() else {
+            return;
+        };
         self.waiting_bytes = self.waiting_bytes.saturating_sub(entry.body.len());
         self.committed = entry.seq;
         self.past_bytes += entry.body.len() + 64;
         self.disk_bytes += entry.body.len() + 64;
         self.past.push_back(entry);
         while self.past.len() > PAST_ENTRIES || self.past_bytes > PAST_BYTES {
-            let Some(old) = self.past.pop_front() else { break };
+            let Some(old) = self.past.pop_front() else {
+                break;
+            };
             self.past_bytes -= old.body.len() + 64;
         }
     }
@@ -136,13 +144,19 @@
             first || bytes <= most
         };
         let behind = self.past.partition_point(|entry| entry.seq <= held);
-        self.past.range(behind..).take_while(fits).cloned().collect()
+        self.past
+            .range(behind..)
+            .take_while(fits)
+            .cloned()
+            .collect()
     }
 }
 
 impl<S: State> Chain<S> {
     fn is_head(&self) -> bool {
-        self.acting().and_then(|v| v.head()).is_some_and(|m| m.id == self.me.id)
+        self.acting()
+            .and_then(|v| v.head())
+            .is_some_and(|m| m.id == self.me.id)
     }
 
     /// The ledger's time, at the head of a view at work. It goes on from where the source left the view before, so it
@@ -171,10 +185,21 @@
         match kind {
             CallKind::Read => self.flow.questions.push(Question { body, from }),
             CallKind::Update => {
-                let entry = Entry { seq: self.flow.last + 1, at_ms, body, from };
+                let entry = Entry {
+                    seq: self.flow.last + 1,
+                    at_ms,
+                    body,
+                    from,
+                };
                 self.flow.add(entry.clone());
                 let records = vec![kept::put_entry(view, &entry), self.put_agreed()];
-                self.write(records, Then::Entries { view, to: entry.seq });
+                self.write(
+                    records,
+                    Then::Entries {
+                        view,
+                        to: entry.seq,
+                    },
+                );
             }
         }
         self.push(now);
@@ -202,7 +227,13 @@
         }
         if !records.is_empty() {
             records.push(self.put_agreed());
-            self.write(records, Then::Entries { view, to: self.flow.last });
+            self.write(
+                records,
+                Then::Entries {
+                    view,
+                    to: self.flow.last,
+                },
+            );
         }
         self.flow.upstream = self.flow.upstream.max(synced_to);
         if self.flow.questions.len() < WAITING {
@@ -225,14 +256,22 @@
 
     /// What everybody up to here has on the disk.
     fn synced_by_all(&self) -> u64 {
-        if self.is_head() { self.flow.own } else { self.flow.own.min(self.flow.upstream) }
+        if self.is_head() {
+            self.flow.own
+        } else {
+            self.flow.own.min(self.flow.upstream)
+        }
     }
 
     /// Hands on what is new to the next in the chain, or settles it where we are the tail.
     pub(crate) fn push(&mut self, now: u64) {
-        let Some(view) = self.acting().map(|v| v.number) else { return };
+        let Some(view) = self.acting().map(|v| v.number) else {
+            return;
+        };
         let synced_to = self.synced_by_all();
-        let Some(next) = self.successor() else { return self.settle(now, view, synced_to) };
+        let Some(next) = self.successor() else {
+            return self.settle(now, view, synced_to);
+        };
         let mut questions = std::mem::take(&mut self.flow.questions);
         let mut news = synced_to > self.flow.sent_synced;
         loop {
@@ -252,7 +291,16 @@
             self.flow.sent_to = entries.last().map_or(sent_to, |e| e.seq);
             self.flow.sent_synced = synced_to;
             let questions = std::mem::take(&mut questions);
-            self.send(now, next.id, Message::Pass { view, entries, questions, synced_to });
+            self.send(
+                now,
+                next.id,
+                Message::Pass {
+                    view,
+                    entries,
+                    questions,
+                    synced_to,
+                },
+            );
         }
     }
 
@@ -261,17 +309,38 @@
         if to > self.flow.committed {
             let answers = self.apply_to(to);
             for (from, body) in answers {
-                self.send(now, from.office, Message::Answer { from, view, committed: to, body });
+                self.send(
+                    now,
+                    from.office,
+                    Message::Answer {
+                        from,
+                        view,
+                        committed: to,
+                        body,
+                    },
+                );
             }
             let members = self.acting().map_or(Vec::new(), |v| v.members.clone());
             for member in members.iter().filter(|m| m.id != self.me.id) {
-                self.out.push(Effect::Send { to: member.id, message: Message::Commit { view, seq: to } });
+                self.out.push(Effect::Send {
+                    to: member.id,
+                    message: Message::Commit { view, seq: to },
+                });
             }
         }
         for question in std::mem::take(&mut self.flow.questions) {
             let body = self.state.read(&question.body);
             let (from, committed) = (question.from, self.flow.committed);
-            self.send(now, from.office, Message::Answer { from, view, committed, body });
+            self.send(
+                now,
+                from.office,
+                Message::Answer {
+                    from,
+                    view,
+                    committed,
+                    body,
+                },
+            );
         }
     }
 
@@ -315,7 +384,12 @@
     /// Writes the state anew where much that is applied stands behind it on the disk. What is long goes at once: else the
     /// disk has to hold all that comes meanwhile.
     pub(crate) fn compact(&mut self) {
-        let Flow { committed, disk: (from, _), disk_bytes, .. } = self.flow;
+        let Flow {
+            committed,
+            disk: (from, _),
+            disk_bytes,
+            ..
+        } = self.flow;
         if committed < from || (committed - from < COMPACT_ENTRIES && disk_bytes < COMPACT_BYTES) {
             return;
         }
@@ -325,10 +399,16 @@
 
     /// The state in the place of the one on the disk and of what stands there behind it up to here.
     pub(crate) fn put_state(&mut self) -> Vec<Record> {
-        let Flow { committed, last_at, disk: (from, _), .. } = self.flow;
+        let Flow {
+            committed,
+            last_at,
+            disk: (from, _),
+            ..
+        } = self.flow;
         // The stamp of the last entry applied isn't kept apart: that of the last held is later, and no later than
         // now, so time still never runs fast.
-        let (mut records, pieces) = kept::put_snapshot(committed, last_at, &self.snapshot(), self.pieces);
+        let (mut records, pieces) =
+            kept::put_snapshot(committed, last_at, &self.snapshot(), self.pieces);
         records.extend((from..=committed).map(kept::drop_entry));
         (self.pieces, self.flow.disk.0, self.flow.disk_bytes) = (pieces, committed + 1, 0);
         records
--- a/crates/rookpulley-chain/src/install.rs
+++ b/crates/rookpulley-chain/src/install.rs
@@ -33,13 +33,17 @@
 
     pub(crate) fn predecessor(&self) -> Option<Member> {
         let view = self.view()?;
-        view.members.get(view.place(self.me.id)?.checked_sub(1)?).copied()
+        view.members
+            .get(view.place(self.me.id)?.checked_sub(1)?)
+            .copied()
     }
 
     /// Where we are the source of the newest view: no entry of an earlier one is taken from here on.
     pub(crate) fn install_as_source(&mut self, now: u64) {
         let Some(view) = self.view() else { return };
-        let source = view.head().is_some_and(|m| m.id == self.me.id && m.life == self.me.life);
+        let source = view
+            .head()
+            .is_some_and(|m| m.id == self.me.id && m.life == self.me.life);
         if !source || self.flow.installing >= view.number || self.filling.writing {
             return;
         }
@@ -53,7 +57,9 @@
     fn time_left_at(&self, now: u64) -> u64 {
         let left = self.views.iter().find(|v| v.number == self.installed);
         let time = match left.and_then(View::head) {
-            Some(head) if (head.id, head.life) == (self.me.id, self.me.life) => self.flow.time_now(now),
+            Some(head) if (head.id, head.life) == (self.me.id, self.me.life) => {
+                self.flow.time_now(now)
+            }
             _ => self.calls.ledger_of(self.installed).unwrap_or(0),
         };
         time.max(self.flow.last_at)
@@ -62,7 +68,9 @@
     pub(crate) fn take_install(&mut self, now: u64, awaited: Awaited) {
         let number = awaited.view.number;
         self.learn(now, vec![awaited.view.clone()]);
-        let ours = self.view().is_some_and(|v| v.number == number && v.names(self.me.id, self.me.life));
+        let ours = self
+            .view()
+            .is_some_and(|v| v.number == number && v.names(self.me.id, self.me.life));
         let before = self.predecessor().is_some_and(|m| m.id == awaited.from);
         if !ours || !before || number <= self.never || number <= self.flow.installing {
             return;
@@ -77,19 +85,25 @@
         if self.filling.writing {
             return;
         }
-        let Some(awaited) = self.filling.awaited.take() else { return };
+        let Some(awaited) = self.filling.awaited.take() else {
+            return;
+        };
         if awaited.view.number <= self.never {
             return;
         }
         // What is applied here was committed, so it is part of what comes; watches are never taken back behind it.
         let to = awaited.committed;
-        let (agreed, log): (Vec<Entry>, Vec<Entry>) = awaited.log.iter().cloned().partition(|e| e.seq <= to);
+        let (agreed, log): (Vec<Entry>, Vec<Entry>) =
+            awaited.log.iter().cloned().partition(|e| e.seq <= to);
         let records = self.absorb(agreed);
         if !records.is_empty() {
             self.out.push(Effect::Applied);
         }
         if self.flow.committed >= to {
-            let log = log.into_iter().filter(|e| e.seq > self.flow.committed).collect();
+            let log = log
+                .into_iter()
+                .filter(|e| e.seq > self.flow.committed)
+                .collect();
             return self.keep_state(now, &awaited.view, awaited.at_ms, records, log);
         }
         self.filling.awaited = Some(awaited);
@@ -101,14 +115,30 @@
     }
 
     /// Goes on from what is applied here and this log behind it. What the disk holds behind it goes.
-    fn keep_state(&mut self, now: u64, view: &View, at_ms: u64, mut records: Vec<Record>, log: Vec<Entry>) {
+    fn keep_state(
+        &mut self,
+        now: u64,
+        view: &View,
+        at_ms: u64,
+        mut records: Vec<Record>,
+        log: Vec<Entry>,
+    ) {
         let (seq, number) = (self.flow.committed, view.number);
         records.extend(self.first_state());
         let last = log.last().map_or(seq, |e| e.seq);
-        records.extend(self.flow.on_disk().filter(|at| *at > last).map(kept::drop_entry));
+        records.extend(
+            self.flow
+                .on_disk()
+                .filter(|at| *at > last)
+                .map(kept::drop_entry),
+        );
         records.extend(log.iter().map(|entry| kept::put_entry(number, entry)));
         // With the view in one batch: who has installed it knows of it.
-        records.extend([kept::put_agreed(seq, at_ms), kept::put_view(view), kept::put_installed(number)]);
+        records.extend([
+            kept::put_agreed(seq, at_ms),
+            kept::put_view(view),
+            kept::put_installed(number),
+        ]);
         self.flow.go_on(at_ms, now, log);
         self.flow.installing = number;
         self.write(records, Then::Installed { number });
@@ -116,7 +146,11 @@
 
     /// A disk that holds no state yet gets it with the first that is written behind it.
     pub(crate) fn first_state(&mut self) -> Vec<Record> {
-        if self.pieces == 0 { self.put_state() } else { Vec::new() }
+        if self.pieces == 0 {
+            self.put_state()
+        } else {
+            Vec::new()
+        }
     }
 
     pub(crate) fn snapshot(&self) -> Vec<u8> {
@@ -140,19 +174,45 @@
 
     /// What the next may lack by what it last said goes along, if that isn't much.
     fn pass_state(&mut self, now: u64, to: u64) {
-        let Some(view) = self.acting().cloned() else { return };
+        let Some(view) = self.acting().cloned() else {
+            return;
+        };
         self.flow.state_passed_ms = now;
         let (committed, at_ms) = (self.flow.committed, self.flow.last_at);
         let held = self.known.get(&to).map_or(0, |k| k.standing.committed);
-        let behind = self.flow.joins(held).then(|| self.flow.applied_behind(held, PASS_BYTES));
-        let log = behind.into_iter().flatten().chain(self.flow.log.iter().cloned()).collect();
-        self.send(now, to, Message::Install { view, committed, at_ms, log });
+        let behind = self
+            .flow
+            .joins(held)
+            .then(|| self.flow.applied_behind(held, PASS_BYTES));
+        let log = behind
+            .into_iter()
+            .flatten()
+            .chain(self.flow.log.iter().cloned())
+            .collect();
+        self.send(
+            now,
+            to,
+            Message::Install {
+                view,
+                committed,
+                at_ms,
+                log,
+            },
+        );
     }
 
     pub(crate) fn say_at_work(&mut self, now: u64) {
-        let Some(view) = self.acting().cloned() else { return };
+        let Some(view) = self.acting().cloned() else {
+            return;
+        };
         for member in &view.members {
-            self.send(now, member.id, Message::AtWork { number: view.number });
+            self.send(
+                now,
+                member.id,
+                Message::AtWork {
+                    number: view.number,
+                },
+            );
         }
     }
 
@@ -165,7 +225,9 @@
         if tail == Some((from, its.me.life)) && (its.installed, its.decided) == (number, number) {
             self.take_commit(number, its.committed);
         }
-        let next = self.successor().filter(|n| n.id == from && n.life == its.me.life);
+        let next = self
+            .successor()
+            .filter(|n| n.id == from && n.life == its.me.life);
         if next.is_none() {
             return;
         }
--- a/crates/rookpulley-chain/src/kept.rs
+++ b/crates/rookpulley-chain/src/kept.rs
@@ -65,52 +65,96 @@
 
 /// The first write of each life: that it succeeds is all that it is for.
 pub fn put_begun(life: u64) -> Record {
-    Record::Put { key: vec![b'b'], value: bytes(&life) }
+    Record::Put {
+        key: vec![b'b'],
+        value: bytes(&life),
+    }
 }
 
 pub fn put_installed(number: u64) -> Record {
-    Record::Put { key: vec![b'i'], value: bytes(&number) }
+    Record::Put {
+        key: vec![b'i'],
+        value: bytes(&number),
+    }
 }
 
 pub fn put_never(number: u64) -> Record {
-    Record::Put { key: vec![b'n'], value: bytes(&number) }
+    Record::Put {
+        key: vec![b'n'],
+        value: bytes(&number),
+    }
 }
 
 pub fn put_vote(vote: &Vote) -> Record {
-    Record::Put { key: vec![b'p'], value: bytes(vote) }
+    Record::Put {
+        key: vec![b'p'],
+        value: bytes(vote),
+    }
 }
 
 pub fn put_view(view: &View) -> Record {
-    Record::Put { key: keyed(b'v', view.number), value: bytes(view) }
+    Record::Put {
+        key: keyed(b'v', view.number),
+        value: bytes(view),
+    }
 }
 
 pub fn drop_view(number: u64) -> Record {
-    Record::Delete { key: keyed(b'v', number) }
+    Record::Delete {
+        key: keyed(b'v', number),
+    }
 }
 
 /// With the view that it came in: what another one left behind its snapshot is no part of this one's log.
 pub fn put_entry(view: u64, entry: &Entry) -> Record {
-    Record::Put { key: keyed(b'e', entry.seq), value: bytes(&(view, entry)) }
+    Record::Put {
+        key: keyed(b'e', entry.seq),
+        value: bytes(&(view, entry)),
+    }
 }
 
 /// All entries up to here are agreed on, whichever view they came in.
 pub fn put_agreed(seq: u64, at_ms: u64) -> Record {
-    Record::Put { key: vec![b'c'], value: bytes(&(seq, at_ms)) }
+    Record::Put {
+        key: vec![b'c'],
+        value: bytes(&(seq, at_ms)),
+    }
 }
 
 pub fn drop_entry(seq: u64) -> Record {
-    Record::Delete { key: keyed(b'e', seq) }
+    Record::Delete {
+        key: keyed(b'e', seq),
+    }
 }
 
 /// A snapshot in the place of the one before, which had so many pieces.
-pub fn put_snapshot(seq: u64, at_ms: u64, snapshot: &[u8], pieces_before: u32) -> (Vec<Record>, u32) {
+pub fn put_snapshot(
+    seq: u64,
+    at_ms: u64,
+    snapshot: &[u8],
+    pieces_before: u32,
+) -> (Vec<Record>, u32) {
     let pieces: Vec<&[u8]> = snapshot.chunks(PIECE).collect();
     let length = snapshot.len() as u64;
-    let head = Head { seq, at_ms, pieces: pieces.len() as u32, length, sum: sum(snapshot) };
-    let put = |(n, piece): (usize, &&[u8])| Record::Put { key: keyed(b's', n as u64), value: piece.to_vec() };
+    let head = Head {
+        seq,
+        at_ms,
+        pieces: pieces.len() as u32,
+        length,
+        sum: sum(snapshot),
+    };
+    let put = |(n, piece): (usize, &&[u8])| Record::Put {
+        key: keyed(b's', n as u64),
+        value: piece.to_vec(),
+    };
     let mut records: Vec<Record> = pieces.iter().enumerate().map(put).collect();
-    records.extend((head.pieces..pieces_before).map(|n| Record::Delete { key: keyed(b's', n.into()) }));
-    records.push(Record::Put { key: vec![b'S'], value: bytes(&head) });
+    records.extend((head.pieces..pieces_before).map(|n| Record::Delete {
+        key: keyed(b's', n.into()),
+    }));
+    records.push(Record::Put {
+        key: vec![b'S'],
+        value: bytes(&head),
+    });
     (records, head.pieces)
 }
 
@@ -140,13 +184,24 @@
             }
         }
         kept.views.sort_by_key(|v| v.number);
-        kept.places = log.iter().map(|(_, e)| e.seq).min().zip(log.iter().map(|(_, e)| e.seq).max());
+        kept.places = log
+            .iter()
+            .map(|(_, e)| e.seq)
+            .min()
+            .zip(log.iter().map(|(_, e)| e.seq).max());
         let counts = |view: u64, seq: u64| view == kept.installed || seq <= kept.agreed.0;
-        let log = log.into_iter().filter(|(view, e)| counts(*view, e.seq)).map(|(_, e)| e);
+        let log = log
+            .into_iter()
+            .filter(|(view, e)| counts(*view, e.seq))
+            .map(|(_, e)| e);
         kept.log = log.collect();
         kept.log.sort_by_key(|e| e.seq);
         if let Some(head) = head {
-            let whole: Vec<u8> = pieces.into_values().take(head.pieces as usize).flatten().collect();
+            let whole: Vec<u8> = pieces
+                .into_values()
+                .take(head.pieces as usize)
+                .flatten()
+                .collect();
             if whole.len() as u64 == head.length && sum(&whole) == head.sum {
                 let mut next = head.seq + 1;
                 kept.log.retain(|e| {
--- a/crates/rookpulley-chain/src/mend.rs
+++ b/crates/rookpulley-chain/src/mend.rs
@@ -34,10 +34,26 @@
 
 enum Step {
     Rest,
-    Asking { ask: u64, opinions: BTreeMap<u64, Opinion>, of: BTreeSet<u64> },
-    Burying { ask: u64, opinions: BTreeMap<u64, Opinion>, members: Vec<Member> },
-    Preparing { ballot: Ballot, view: View, promises: BTreeMap<u64, Option<(Ballot, View)>> },
-    Accepting { ballot: Ballot, view: View, accepted: BTreeSet<u64> },
+    Asking {
+        ask: u64,
+        opinions: BTreeMap<u64, Opinion>,
+        of: BTreeSet<u64>,
+    },
+    Burying {
+        ask: u64,
+        opinions: BTreeMap<u64, Opinion>,
+        members: Vec<Member>,
+    },
+    Preparing {
+        ballot: Ballot,
+        view: View,
+        promises: BTreeMap<u64, Option<(Ballot, View)>>,
+    },
+    Accepting {
+        ballot: Ballot,
+        view: View,
+        accepted: BTreeSet<u64>,
+    },
 }
 
 pub struct Mending {
@@ -51,7 +67,14 @@
 
 impl Default for Mending {
     fn default() -> Self {
-        Self { step: Step::Rest, since_ms: 0, trouble_since: None, not_before: 0, round: 0, asks: 0 }
+        Self {
+            step: Step::Rest,
+            since_ms: 0,
+            trouble_since: None,
+            not_before: 0,
+            round: 0,
+            asks: 0,
+        }
     }
 }
 
@@ -65,14 +88,18 @@
 
 impl<S: State> Chain<S> {
     pub(crate) fn mend(&mut self, now: u64) {
-        let Some(view) = self.views.last() else { return };
+        let Some(view) = self.views.last() else {
+            return;
+        };
         if !view.votes(self.me.id) {
             return;
         }
         let waited = now.saturating_sub(self.mending.since_ms);
         match &self.mending.step {
             Step::Rest => {}
-            Step::Asking { .. } if waited >= STEP_MS || self.all_answered(now) => return self.weigh(now),
+            Step::Asking { .. } if waited >= STEP_MS || self.all_answered(now) => {
+                return self.weigh(now);
+            }
             Step::Burying { .. } | Step::Preparing { .. } | Step::Accepting { .. } => {
                 // Longer with each round: a disk that is slow must get its vote through at last.
                 if waited >= VOTE_MS * self.mending.round.clamp(1, 5) {
@@ -100,7 +127,9 @@
 
     /// How many members before us may be expected to propose.
     fn rank(&self, now: u64) -> u64 {
-        let Some(view) = self.views.last() else { return 0 };
+        let Some(view) = self.views.last() else {
+            return 0;
+        };
         let before = view.members.iter().take_while(|m| m.id != self.me.id);
         before.filter(|m| self.in_contact(now, m.id)).count() as u64
     }
@@ -120,23 +149,35 @@
         let settled = now >= self.learned_ms + SILENT_MS;
         let awake = now >= self.woke_ms + WAKING_MS;
         let restarted = |m: &Member| {
-            let life = if m.id == self.me.id { Some(self.me.life) } else { self.life_of(m.id) };
+            let life = if m.id == self.me.id {
+                Some(self.me.life)
+            } else {
+                self.life_of(m.id)
+            };
             life.is_some_and(|life| life != m.life)
         };
         let lost = |m: &Member| {
             // One that was heard in this view and is no longer, or that had time enough to be.
-            let heard = self.known.get(&m.id).is_some_and(|k| k.contact_ms >= Some(self.learned_ms));
+            let heard = self
+                .known
+                .get(&m.id)
+                .is_some_and(|k| k.contact_ms >= Some(self.learned_ms));
             (settled || heard) && awake && !self.in_contact(now, m.id)
         };
         if view.members.iter().any(restarted) {
             // Where all are here again and well there is nothing to wait for.
             let well = |m: &Member| self.in_contact(now, m.id) && !self.slow_one(m.id);
-            return Some(if view.members.iter().all(well) { 0 } else { PAUSE_MS });
+            return Some(if view.members.iter().all(well) {
+                0
+            } else {
+                PAUSE_MS
+            });
         }
         let unfinished = !self.is_at_work() && now >= self.learned_ms + INSTALL_MS;
         // A silent voter matters once it may be gone for good, or where the majority would be smaller without it.
         let silent: Vec<&Member> = view.voters.iter().filter(|m| lost(m)).collect();
-        let borne = usize::from((view.members.len() + view.voters.len() - silent.len()).is_multiple_of(2));
+        let borne =
+            usize::from((view.members.len() + view.voters.len() - silent.len()).is_multiple_of(2));
         let lasting = silent.len() > borne || silent.iter().any(|m| !self.spoke_lately(now, m.id));
         if view.members.iter().any(lost) || unfinished || lasting {
             return Some(PAUSE_MS);
@@ -150,16 +191,25 @@
             view.place(*id).is_none()
                 && self.in_contact(now, *id)
                 && !self.slow_one(*id)
-                && self.known.get(id).is_some_and(|k| k.standing.committed + NEAR >= self.flow.committed)
+                && self
+                    .known
+                    .get(id)
+                    .is_some_and(|k| k.standing.committed + NEAR >= self.flow.committed)
         };
         if self.is_at_work() && self.known.keys().any(comes) {
-            return Some(if view.number == 1 { GATHER_MS } else { 2 * PAUSE_MS });
+            return Some(if view.number == 1 {
+                GATHER_MS
+            } else {
+                2 * PAUSE_MS
+            });
         }
         None
     }
 
     fn spoke_lately(&self, now: u64, id: u64) -> bool {
-        self.known.get(&id).is_some_and(|k| now < k.heard_ms + SAY_MS)
+        self.known
+            .get(&id)
+            .is_some_and(|k| now < k.heard_ms + SAY_MS)
     }
 
     fn life_of(&self, id: u64) -> Option<u64> {
@@ -175,17 +225,25 @@
     }
 
     fn contacts(&self, now: u64) -> Vec<(u64, u64)> {
-        let near = self.known.iter().filter(|(id, _)| self.in_contact(now, **id));
-        near.map(|(id, k)| (*id, k.standing.me.life)).chain([(self.me.id, self.me.life)]).collect()
+        let near = self
+            .known
+            .iter()
+            .filter(|(id, _)| self.in_contact(now, **id));
+        near.map(|(id, k)| (*id, k.standing.me.life))
+            .chain([(self.me.id, self.me.life)])
+            .collect()
     }
 
     /// Members of the newest view whose disks are lost: another identity lives at their address now.
     fn gone(&self, now: u64) -> BTreeSet<u64> {
-        let Some(view) = self.views.last() else { return BTreeSet::new() };
+        let Some(view) = self.views.last() else {
+            return BTreeSet::new();
+        };
         let at = |m: &&Member| {
             let mut others = self.known.iter().filter(|(id, _)| **id != m.id);
             !self.in_contact(now, m.id)
-                && others.any(|(id, k)| k.standing.me.address == m.address && self.in_contact(now, *id))
+                && others
+                    .any(|(id, k)| k.standing.me.address == m.address && self.in_contact(now, *id))
         };
         view.acceptors().filter(at).map(|m| m.id).collect()
     }
@@ -193,7 +251,17 @@
     pub(crate) fn say_seen(&mut self, now: u64, to: u64, ask: u64) {
         let (standing, contacts, never) = (self.standing(), self.contacts(now), self.never);
         let views = self.views.clone();
-        self.send(now, to, Message::Seen { ask, standing, contacts, never, views });
+        self.send(
+            now,
+            to,
+            Message::Seen {
+                ask,
+                standing,
+                contacts,
+                never,
+                views,
+            },
+        );
     }
 
     fn ask_around(&mut self, now: u64) {
@@ -201,13 +269,22 @@
         let ask = self.mending.asks;
         let to: Vec<u64> = self.contacts(now).into_iter().map(|(id, _)| id).collect();
         let of = to.iter().copied().collect();
-        self.mending.step = Step::Asking { ask, opinions: BTreeMap::new(), of };
+        self.mending.step = Step::Asking {
+            ask,
+            opinions: BTreeMap::new(),
+            of,
+        };
         self.mending.since_ms = now;
-        to.into_iter().for_each(|id| self.send(now, id, Message::Opinion { ask }));
+        to.into_iter()
+            .for_each(|id| self.send(now, id, Message::Opinion { ask }));
     }
 
     pub(crate) fn take_seen(&mut self, now: u64, from: u64, ask: u64, opinion: Opinion) {
-        if let Step::Asking { ask: asked, opinions, .. } = &mut self.mending.step
+        if let Step::Asking {
+            ask: asked,
+            opinions,
+            ..
+        } = &mut self.mending.step
             && *asked == ask
         {
             opinions.insert(from, opinion);
@@ -218,16 +295,22 @@
     }
 
     fn all_answered(&self, now: u64) -> bool {
-        let Step::Asking { opinions, of, .. } = &self.mending.step else { return false };
-        of.iter().all(|id| opinions.contains_key(id) || !self.in_contact(now, *id))
+        let Step::Asking { opinions, of, .. } = &self.mending.step else {
+            return false;
+        };
+        of.iter()
+            .all(|id| opinions.contains_key(id) || !self.in_contact(now, *id))
     }
 
     /// Who would be in the next view, by what all that answered see.
     fn weigh(&mut self, now: u64) {
-        let Step::Asking { opinions, .. } = std::mem::replace(&mut self.mending.step, Step::Rest) else {
+        let Step::Asking { opinions, .. } = std::mem::replace(&mut self.mending.step, Step::Rest)
+        else {
+            return;
+        };
+        let Some(view) = self.views.last().cloned() else {
             return;
         };
-        let Some(view) = self.views.last().cloned() else { return };
         if opinions.values().any(|o| o.standing.decided > view.number) {
             return self.rest(now, AGAIN_MS);
         }
@@ -236,16 +319,24 @@
         }
         // The largest part in which all hear each other: whoever misses most of the others is left out first,
         // newcomers before old members.
-        let hears = |a: &Opinion, b: &Opinion| a.contacts.contains(&(b.standing.me.id, b.standing.me.life));
+        let hears =
+            |a: &Opinion, b: &Opinion| a.contacts.contains(&(b.standing.me.id, b.standing.me.life));
         let mut chosen: Vec<u64> = opinions.keys().copied().collect();
         loop {
             let misses = |id: &u64| {
-                let (Some(a), all) = (opinions.get(id), chosen.iter().filter_map(|o| opinions.get(o))) else {
+                let (Some(a), all) = (
+                    opinions.get(id),
+                    chosen.iter().filter_map(|o| opinions.get(o)),
+                ) else {
                     return 0;
                 };
-                all.filter(|b| b.standing.me.id != *id && !(hears(a, b) && hears(b, a))).count()
+                all.filter(|b| b.standing.me.id != *id && !(hears(a, b) && hears(b, a)))
+                    .count()
             };
-            let worst = chosen.iter().map(|id| (misses(id), view.place(*id).is_none(), *id)).max();
+            let worst = chosen
+                .iter()
+                .map(|id| (misses(id), view.place(*id).is_none(), *id))
+                .max();
             match worst {
                 Some((missed, _, id)) if missed > 0 => chosen.retain(|c| *c != id),
                 _ => break,
@@ -256,7 +347,11 @@
             chosen.retain(|id| !slow(id));
         }
         // Who lacks much is filled first, beside the chain, as far as the chain is long enough without it.
-        let newest = opinions.values().map(|o| o.standing.committed).max().unwrap_or(0);
+        let newest = opinions
+            .values()
+            .map(|o| o.standing.committed)
+            .max()
+            .unwrap_or(0);
         let near = |id: &u64| {
             let holds = |o: &Opinion| match o.standing.installed == view.number {
                 true => o.standing.last,
@@ -271,9 +366,18 @@
             return self.rest(now, AGAIN_MS);
         }
         let member = |id: &u64| opinions.get(id).map(|o| o.standing.me);
-        let mut members: Vec<Member> =
-            view.members.iter().filter(|m| chosen.contains(&m.id)).filter_map(|m| member(&m.id)).collect();
-        members.extend(chosen.iter().filter(|id| view.place(**id).is_none()).filter_map(member));
+        let mut members: Vec<Member> = view
+            .members
+            .iter()
+            .filter(|m| chosen.contains(&m.id))
+            .filter_map(|m| member(&m.id))
+            .collect();
+        members.extend(
+            chosen
+                .iter()
+                .filter(|id| view.place(**id).is_none())
+                .filter_map(member),
+        );
         let voters = self.voters_beside(now, &view, &members, &opinions);
         if members == view.members && voters == view.voters && self.is_at_work() {
             return self.rest(now, AGAIN_MS);
@@ -282,7 +386,9 @@
         if members.len() <= self.losses && members.len() < view.members.len() {
             return self.rest(now, AGAIN_MS);
         }
-        if opinions.values().any(|o| o.standing.installed == view.number && members.contains(&o.standing.me))
+        if opinions
+            .values()
+            .any(|o| o.standing.installed == view.number && members.contains(&o.standing.me))
         {
             return self.propose_from(now, opinions, members, view.number);
         }
@@ -290,14 +396,45 @@
         // installed it, either, has promised never to: then it never was at work and never will be.
         self.mending.asks += 1;
         let ask = self.mending.asks;
-        let to: Vec<u64> = opinions.keys().copied().filter(|id| view.place(*id).is_some()).collect();
-        self.mending.step = Step::Burying { ask, opinions, members };
+        let to: Vec<u64> = opinions
+            .keys()
+            .copied()
+            .filter(|id| view.place(*id).is_some())
+            .collect();
+        self.mending.step = Step::Burying {
+            ask,
+            opinions,
+            members,
+        };
         self.mending.since_ms = now;
-        to.into_iter().for_each(|id| self.send(now, id, Message::Bury { ask, number: view.number }));
+        to.into_iter().for_each(|id| {
+            self.send(
+                now,
+                id,
+                Message::Bury {
+                    ask,
+                    number: view.number,
+                },
+            )
+        });
     }
 
-    pub(crate) fn take_buried(&mut self, now: u64, from: u64, ask: u64, number: u64, installed: u64) {
-        let Step::Burying { ask: asked, opinions, .. } = &mut self.mending.step else { return };
+    pub(crate) fn take_buried(
+        &mut self,
+        now: u64,
+        from: u64,
+        ask: u64,
+        number: u64,
+        installed: u64,
+    ) {
+        let Step::Burying {
+            ask: asked,
+            opinions,
+            ..
+        } = &mut self.mending.step
+        else {
+            return;
+        };
         if *asked != ask {
             return;
         }
@@ -308,26 +445,41 @@
     }
 
     fn try_buried(&mut self, now: u64) {
-        let Step::Burying { opinions, members, .. } = &self.mending.step else { return };
+        let Step::Burying {
+            opinions, members, ..
+        } = &self.mending.step
+        else {
+            return;
+        };
         let decided = self.decided();
         let newest = opinions
             .values()
             .filter(|o| members.contains(&o.standing.me))
             .map(|o| o.standing.installed)
             .max();
-        let Some(newest) = newest.filter(|n| *n > 0) else { return };
+        let Some(newest) = newest.filter(|n| *n > 0) else {
+            return;
+        };
         // Each view above it must be dead: one of its members has not installed it and never will.
         let dead = |number: u64| {
-            let Some(view) = self.views.iter().find(|v| v.number == number) else { return false };
+            let Some(view) = self.views.iter().find(|v| v.number == number) else {
+                return false;
+            };
             let never = |o: &Opinion| o.never >= number && o.standing.installed < number;
-            opinions.iter().any(|(id, o)| view.place(*id).is_some() && never(o))
+            opinions
+                .iter()
+                .any(|(id, o)| view.place(*id).is_some() && never(o))
         };
         if !(newest + 1..=decided).all(dead) {
             return;
         }
-        if let Step::Burying { opinions, members, .. } = std::mem::replace(&mut self.mending.step, Step::Rest)
+        if let Step::Burying {
+            opinions, members, ..
+        } = std::mem::replace(&mut self.mending.step, Step::Rest)
         {
-            self.log(format!("view {decided} never came to work; the one before, {newest}, is gone on from"));
+            self.log(format!(
+                "view {decided} never came to work; the one before, {newest}, is gone on from"
+            ));
             self.propose_from(now, opinions, members, newest);
         }
     }
@@ -341,23 +493,51 @@
         from: u64,
     ) {
         let holds = |m: &Member| {
-            opinions.get(&m.id).filter(|o| o.standing.installed == from).map(|o| o.standing.last)
+            opinions
+                .get(&m.id)
+                .filter(|o| o.standing.installed == from)
+                .map(|o| o.standing.last)
+        };
+        let first = members
+            .iter()
+            .enumerate()
+            .filter_map(|(at, m)| Some((holds(m)?, std::cmp::Reverse(at))))
+            .max();
+        let Some((_, std::cmp::Reverse(at))) = first else {
+            return self.rest(now, AGAIN_MS);
         };
-        let first =
-            members.iter().enumerate().filter_map(|(at, m)| Some((holds(m)?, std::cmp::Reverse(at)))).max();
-        let Some((_, std::cmp::Reverse(at))) = first else { return self.rest(now, AGAIN_MS) };
         let source = members.remove(at);
         members.insert(0, source);
-        let Some(base) = self.views.last().cloned() else { return };
+        let Some(base) = self.views.last().cloned() else {
+            return;
+        };
         let voters = self.voters_beside(now, &base, &members, &opinions);
-        let view = View { number: base.number + 1, members, voters };
+        let view = View {
+            number: base.number + 1,
+            members,
+            voters,
+        };
         self.mending.round += 1;
-        let ballot = Ballot { round: self.mending.round, by: self.me.life };
+        let ballot = Ballot {
+            round: self.mending.round,
+            by: self.me.life,
+        };
         let to: Vec<u64> = base.acceptors().map(|m| m.id).collect();
-        self.mending.step = Step::Preparing { ballot, view, promises: BTreeMap::new() };
+        self.mending.step = Step::Preparing {
+            ballot,
+            view,
+            promises: BTreeMap::new(),
+        };
         self.mending.since_ms = now;
         for id in to {
-            self.send(now, id, Message::Prepare { base: base.clone(), ballot });
+            self.send(
+                now,
+                id,
+                Message::Prepare {
+                    base: base.clone(),
+                    ballot,
+                },
+            );
         }
     }
 
@@ -375,7 +555,12 @@
         let out = |m: &&Member| members.iter().all(|n| n.id != m.id) && !gone.contains(&m.id);
         let answer = |m: &Member| opinions.get(&m.id).map(|o| o.standing.me);
         let room = (2 * self.losses + 1).saturating_sub(members.len());
-        let mut voters: Vec<Member> = base.acceptors().filter(out).filter_map(answer).take(room).collect();
+        let mut voters: Vec<Member> = base
+            .acceptors()
+            .filter(out)
+            .filter_map(answer)
+            .take(room)
+            .collect();
         if voters.len() < room && (members.len() + voters.len()).is_multiple_of(2) {
             let silent = |m: &&Member| answer(m).is_none() && self.spoke_lately(now, m.id);
             voters.extend(base.acceptors().filter(out).find(silent));
@@ -392,7 +577,14 @@
         accepted: Option<(Ballot, View)>,
     ) {
         let (base, lost, decided) = (self.view().cloned(), self.gone(now), self.decided());
-        let Step::Preparing { ballot, view, promises } = &mut self.mending.step else { return };
+        let Step::Preparing {
+            ballot,
+            view,
+            promises,
+        } = &mut self.mending.step
+        else {
+            return;
+        };
         if *ballot != given || view.number != number || number != decided + 1 {
             return;
         }
@@ -402,18 +594,42 @@
             return;
         }
         // What may have been chosen already goes before what we wanted.
-        let bound = promises.values().flatten().max_by_key(|(b, _)| *b).map(|(_, v)| v.clone());
+        let bound = promises
+            .values()
+            .flatten()
+            .max_by_key(|(b, _)| *b)
+            .map(|(_, v)| v.clone());
         let (ballot, view) = (*ballot, bound.unwrap_or_else(|| view.clone()));
-        let to: Vec<u64> = self.view().map_or(Vec::new(), |v| v.acceptors().map(|m| m.id).collect());
-        self.mending.step = Step::Accepting { ballot, view: view.clone(), accepted: BTreeSet::new() };
+        let to: Vec<u64> = self
+            .view()
+            .map_or(Vec::new(), |v| v.acceptors().map(|m| m.id).collect());
+        self.mending.step = Step::Accepting {
+            ballot,
+            view: view.clone(),
+            accepted: BTreeSet::new(),
+        };
         for id in to {
-            self.send(now, id, Message::Accept { ballot, view: view.clone() });
+            self.send(
+                now,
+                id,
+                Message::Accept {
+                    ballot,
+                    view: view.clone(),
+                },
+            );
         }
     }
 
     pub(crate) fn take_accepted(&mut self, now: u64, from: u64, number: u64, given: Ballot) {
         let (base, lost, decided) = (self.view().cloned(), self.gone(now), self.decided());
-        let Step::Accepting { ballot, view, accepted } = &mut self.mending.step else { return };
+        let Step::Accepting {
+            ballot,
+            view,
+            accepted,
+        } = &mut self.mending.step
+        else {
+            return;
+        };
         if *ballot != given || view.number != number || number != decided + 1 {
             return;
         }
@@ -424,7 +640,12 @@
         let view = view.clone();
         let to: Vec<u64> = self.known.keys().copied().collect();
         for id in to {
-            self.out.push(Effect::Send { to: id, message: Message::Learn { views: vec![view.clone()] } });
+            self.out.push(Effect::Send {
+                to: id,
+                message: Message::Learn {
+                    views: vec![view.clone()],
+                },
+            });
         }
         self.learn(now, vec![view]);
     }
@@ -432,7 +653,10 @@
     pub(crate) fn outbid(&mut self, now: u64, number: u64, ballot: Ballot) {
         if number == self.decided() + 1 {
             self.mending.round = self.mending.round.max(ballot.round);
-            if matches!(self.mending.step, Step::Preparing { .. } | Step::Accepting { .. }) {
+            if matches!(
+                self.mending.step,
+                Step::Preparing { .. } | Step::Accepting { .. }
+            ) {
                 self.rest(now, AGAIN_MS);
             }
         }
--- a/crates/rookpulley-chain/src/message.rs
+++ b/crates/rookpulley-chain/src/message.rs
@@ -54,7 +54,16 @@
     /// Of one that has said nothing yet.
     pub fn of(me: Member) -> Self {
         let (decided, installed, at_work, last, committed) = (0, 0, 0, 0, 0);
-        Self { me, decided, installed, at_work, last, committed, slow: false, swept: (0, 0) }
+        Self {
+            me,
+            decided,
+            installed,
+            at_work,
+            last,
+            committed,
+            slow: false,
+            swept: (0, 0),
+        }
     }
 }
 
@@ -64,7 +73,14 @@
     /// What follows the asker's last; the sender has applied all up to `committed`.
     Updates { committed: u64, entries: Vec<Entry> },
     /// The state itself, up to `seq`, where the updates to it are no longer at hand.
-    Piece { seq: u64, at_ms: u64, piece: u32, pieces: u32, sum: u64, bytes: Vec<u8> },
+    Piece {
+        seq: u64,
+        at_ms: u64,
+        piece: u32,
+        pieces: u32,
+        sum: u64,
+        bytes: Vec<u8>,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -182,6 +198,9 @@
 impl Message {
     /// Whether it asks what only somebody may answer who has forgotten nothing.
     pub(crate) fn asks_for_a_say(&self) -> bool {
-        matches!(self, Self::Opinion { .. } | Self::Bury { .. } | Self::Prepare { .. } | Self::Accept { .. })
+        matches!(
+            self,
+            Self::Opinion { .. } | Self::Bury { .. } | Self::Prepare { .. } | Self::Accept { .. }
+        )
     }
 }
--- a/crates/rookpulley-chain/src/recent.rs
+++ b/crates/rookpulley-chain/src/recent.rs
@@ -35,7 +35,11 @@
 
     /// By the stamps alone, so that all members remember the same.
     pub fn note(&mut self, entry: &Entry, answer: &[u8]) {
-        while self.order.front().is_some_and(|(at, _)| at + KEEP_MS < entry.at_ms) {
+        while self
+            .order
+            .front()
+            .is_some_and(|(at, _)| at + KEEP_MS < entry.at_ms)
+        {
             if let Some((_, key)) = self.order.pop_front() {
                 self.answers.remove(&key);
             }
@@ -48,7 +52,11 @@
     /// Its bytes, with the state's own behind them.
     pub fn before(&self, state: &[u8]) -> Vec<u8> {
         let row = |(at_ms, key): &(u64, Key)| {
-            Some(Row { at_ms: *at_ms, key: *key, answer: self.answers.get(key)?.clone() })
+            Some(Row {
+                at_ms: *at_ms,
+                key: *key,
+                answer: self.answers.get(key)?.clone(),
+            })
         };
         let rows: Vec<Row> = self.order.iter().filter_map(row).collect();
         let mut bytes = postcard::to_allocvec(&rows).unwrap_or_default();
--- a/crates/rookpulley-chain/src/refound.rs
+++ b/crates/rookpulley-chain/src/refound.rs
@@ -23,18 +23,38 @@
     /// The highest number of a view that this disk has heard of, decided or not.
     pub fn newest(&self) -> u64 {
         let views = self.views.iter().map(|view| view.number);
-        views.chain([self.installed, self.never, self.vote.number]).max().unwrap_or(0)
+        views
+            .chain([self.installed, self.never, self.vote.number])
+            .max()
+            .unwrap_or(0)
     }
 
     /// What an empty disk must hold to found anew with this state and log: all of it in the place of what was there.
     /// `was` is the identity up to now, `id` the new one. None: there is no state to found with.
     pub fn refounded(&self, was: u64, id: u64) -> Option<(View, Vec<Record>)> {
-        let (head, snapshot) = self.snapshot.as_ref().filter(|_| self.sound() && self.installed > 0)?;
+        let (head, snapshot) = self
+            .snapshot
+            .as_ref()
+            .filter(|_| self.sound() && self.installed > 0)?;
         let number = self.newest().checked_add(STEP * (1 + id % MULTIPLES))?;
-        let known = self.views.iter().rev().find_map(|view| view.acceptors().find(|m| m.id == was));
-        let address = known.map_or(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0), |member| member.address);
+        let known = self
+            .views
+            .iter()
+            .rev()
+            .find_map(|view| view.acceptors().find(|m| m.id == was));
+        let address = known.map_or(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0), |member| {
+            member.address
+        });
         // No process has life 0: whichever starts with this disk makes the next view, with its own life and address.
-        let view = View { number, members: vec![Member { id, life: 0, address }], voters: Vec::new() };
+        let view = View {
+            number,
+            members: vec![Member {
+                id,
+                life: 0,
+                address,
+            }],
+            voters: Vec::new(),
+        };
         let (mut records, _) = kept::put_snapshot(head.seq, head.at_ms, snapshot, 0);
         records.extend(self.log.iter().map(|entry| kept::put_entry(number, entry)));
         records.extend([
--- a/crates/rookpulley-chain/src/shown.rs
+++ b/crates/rookpulley-chain/src/shown.rs
@@ -49,7 +49,11 @@
 
 impl<S: State> Chain<S> {
     pub fn shown(&self, now: u64) -> Shown {
-        let own = Heard { ago_ms: 0, applied: self.flow.committed, slow: self.slow };
+        let own = Heard {
+            ago_ms: 0,
+            applied: self.flow.committed,
+            slow: self.slow,
+        };
         let heard = |id: u64| {
             let other = self.known.get(&id).map(|k| Heard {
                 ago_ms: now.saturating_sub(k.heard_ms),
@@ -83,11 +87,15 @@
 
 impl<S: State> Chain<S> {
     fn spare(&self, now: u64) -> usize {
-        let Some(view) = self.view().filter(|_| self.in_touch(now)) else { return 0 };
+        let Some(view) = self.view().filter(|_| self.in_touch(now)) else {
+            return 0;
+        };
         let here = |member: &&Member| self.in_contact(now, member.id);
         let members = view.members.iter().filter(here).count();
         let voices = view.acceptors().filter(here).count();
-        members.saturating_sub(self.losses + 1).min(voices.saturating_sub(view.majority()))
+        members
+            .saturating_sub(self.losses + 1)
+            .min(voices.saturating_sub(view.majority()))
     }
 }
 
@@ -120,7 +128,11 @@
                 let (_, state) = Recent::parse(bytes)?;
                 Some((head.seq, head.at_ms, state))
             }),
-            log: self.log.iter().map(|entry| (entry.seq, entry.at_ms, entry.body.as_slice())).collect(),
+            log: self
+                .log
+                .iter()
+                .map(|entry| (entry.seq, entry.at_ms, entry.body.as_slice()))
+                .collect(),
         }
     }
 }
--- a/crates/rookpulley-chain/src/view.rs
+++ b/crates/rookpulley-chain/src/view.rs
@@ -56,8 +56,12 @@
     /// has one more than was lost, and the other kind has all that are left.
     pub fn decides(&self, voices: &BTreeSet<u64>, lost: &BTreeSet<u64>) -> bool {
         let voted = self.acceptors().filter(|m| voices.contains(&m.id)).count();
-        let gone = self.acceptors().filter(|m| !voices.contains(&m.id) && lost.contains(&m.id)).count();
-        voted >= self.majority() || (voted + gone == self.acceptors().count() && gone < self.majority())
+        let gone = self
+            .acceptors()
+            .filter(|m| !voices.contains(&m.id) && lost.contains(&m.id))
+            .count();
+        voted >= self.majority()
+            || (voted + gone == self.acceptors().count() && gone < self.majority())
     }
 }
 
--- a/crates/rookpulley-chain/src/votes.rs
+++ b/crates/rookpulley-chain/src/votes.rs
@@ -11,7 +11,10 @@
 impl<S: State> Chain<S> {
     /// What was voted for this view. None: of an older one than was voted for since, nothing is known any more.
     fn vote_for(&self, number: u64) -> Option<Vote> {
-        let fresh = Vote { number, ..Vote::default() };
+        let fresh = Vote {
+            number,
+            ..Vote::default()
+        };
         match self.vote.number.cmp(&number) {
             Ordering::Less => Some(fresh),
             Ordering::Equal => Some(self.vote.clone()),
@@ -31,7 +34,12 @@
     pub(crate) fn prepare(&mut self, now: u64, from: u64, base: View, ballot: Ballot) {
         let number = base.number + 1;
         if self.decided() >= number {
-            let views = self.views.iter().filter(|v| v.number >= number).cloned().collect();
+            let views = self
+                .views
+                .iter()
+                .filter(|v| v.number >= number)
+                .cloned()
+                .collect();
             self.send(now, from, Message::Learn { views });
             return;
         }
@@ -40,27 +48,49 @@
         if !voter {
             return;
         }
-        let Some(mut vote) = self.vote_for(number) else { return };
+        let Some(mut vote) = self.vote_for(number) else {
+            return;
+        };
         if ballot < vote.promised {
-            self.send(now, from, Message::Outbid { number, ballot: vote.promised });
+            self.send(
+                now,
+                from,
+                Message::Outbid {
+                    number,
+                    ballot: vote.promised,
+                },
+            );
             return;
         }
         vote.promised = ballot;
-        let message = Message::Promise { number, ballot, accepted: vote.accepted.clone() };
+        let message = Message::Promise {
+            number,
+            ballot,
+            accepted: vote.accepted.clone(),
+        };
         self.keep_vote(vote, from, message);
     }
 
     pub(crate) fn accept(&mut self, from: u64, ballot: Ballot, view: View) {
         let number = view.number;
         // A vote counts for the view right after the one that is known: only its members are asked.
-        let voter = self.view().is_some_and(|v| v.number + 1 == number && v.votes(self.me.id));
+        let voter = self
+            .view()
+            .is_some_and(|v| v.number + 1 == number && v.votes(self.me.id));
         if !voter {
             return;
         }
-        let Some(mut vote) = self.vote_for(number) else { return };
+        let Some(mut vote) = self.vote_for(number) else {
+            return;
+        };
         if ballot < vote.promised {
-            self.out
-                .push(Effect::Send { to: from, message: Message::Outbid { number, ballot: vote.promised } });
+            self.out.push(Effect::Send {
+                to: from,
+                message: Message::Outbid {
+                    number,
+                    ballot: vote.promised,
+                },
+            });
             return;
         }
         (vote.promised, vote.accepted) = (ballot, Some((ballot, view)));
@@ -76,9 +106,23 @@
         }
         if number > self.never && self.installed < number && self.flow.installing < number {
             self.never = number;
-            self.write(vec![kept::put_never(number)], Then::Buried { to: from, ask, number });
+            self.write(
+                vec![kept::put_never(number)],
+                Then::Buried {
+                    to: from,
+                    ask,
+                    number,
+                },
+            );
         } else {
-            self.write(Vec::new(), Then::Buried { to: from, ask, number });
+            self.write(
+                Vec::new(),
+                Then::Buried {
+                    to: from,
+                    ask,
+                    number,
+                },
+            );
         }
     }
 }
--- a/crates/rookpulley-chain/tests/doubts.rs
+++ b/crates/rookpulley-chain/tests/doubts.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use rookpulley_chain::{
-    Asked, Ballot, Boot, CallKind, Chain, Effect, Entry, Fill, Input, Kept, Member, Message, Outcome, Record,
-    Standing, State, View,
+    Asked, Ballot, Boot, CallKind, Chain, Effect, Entry, Fill, Input, Kept, Member, Message,
+    Outcome, Record, Standing, State, View,
 };
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -15,11 +15,19 @@
 type Rows = BTreeMap<Vec<u8>, Vec<u8>>;
 
 fn member(id: u64, life: u64) -> Member {
-    Member { id, life, address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, id as u8), 7) }
+    Member {
+        id,
+        life,
+        address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, id as u8), 7),
+    }
 }
 
 fn view(number: u64, ids: &[(u64, u64)]) -> View {
-    View { number, members: ids.iter().map(|(id, life)| member(*id, *life)).collect(), voters: Vec::new() }
+    View {
+        number,
+        members: ids.iter().map(|(id, life)| member(*id, *life)).collect(),
+        voters: Vec::new(),
+    }
 }
 
 fn put(rows: &mut Rows, record: &Record) {
@@ -42,10 +50,23 @@
 impl Office {
     fn begin(id: u64, life: u64, rows: Rows) -> Self {
         let kept = (!rows.is_empty()).then(|| Kept::read(rows.clone()));
-        let boot = Boot { me: member(id, life), founder: false, losses: 1, seed: life, kept };
+        let boot = Boot {
+            me: member(id, life),
+            founder: false,
+            losses: 1,
+            seed: life,
+            kept,
+        };
         let chain = Chain::start(0, boot, Names::default());
         let (writes, said, outcomes) = (Vec::new(), Vec::new(), Vec::new());
-        Self { chain, now: 0, rows, writes, said, outcomes }
+        Self {
+            chain,
+            now: 0,
+            rows,
+            writes,
+            said,
+            outcomes,
+        }
     }
 
     fn give(&mut self, input: Input) {
@@ -87,7 +108,9 @@
         while self.now < until {
             self.play(50);
             for (to, message) in std::mem::take(&mut self.said) {
-                let Some(other) = others.iter().find(|m| m.id == to) else { continue };
+                let Some(other) = others.iter().find(|m| m.id == to) else {
+                    continue;
+                };
                 let as_its = |mut standing: Standing| {
                     (standing.me, standing.installed, standing.at_work) = (*other, 1, 0);
                     standing
@@ -95,13 +118,34 @@
                 match message {
                     Message::Ping { standing, sent, .. } => {
                         let (echo, ledger) = (Some(sent), None);
-                        self.hear(to, Message::Ping { standing: as_its(standing), sent: 1, echo, ledger });
+                        self.hear(
+                            to,
+                            Message::Ping {
+                                standing: as_its(standing),
+                                sent: 1,
+                                echo,
+                                ledger,
+                            },
+                        );
                     }
                     Message::Opinion { ask } => {
                         let me = self.chain.me();
                         let contacts = others.iter().chain([&me]).map(|m| (m.id, m.life)).collect();
-                        let standing = as_its(Standing { decided: 1, installed: 1, ..Standing::of(me) });
-                        self.hear(to, Message::Seen { ask, standing, contacts, never: 0, views: Vec::new() });
+                        let standing = as_its(Standing {
+                            decided: 1,
+                            installed: 1,
+                            ..Standing::of(me)
+                        });
+                        self.hear(
+                            to,
+                            Message::Seen {
+                                ask,
+                                standing,
+                                contacts,
+                                never: 0,
+                                views: Vec::new(),
+                            },
+                        );
                     }
                     other => self.said.push((to, other)),
                 }
@@ -115,11 +159,24 @@
     let mut office = Office::begin(id, 1, Rows::new());
     let first = ids[0].0;
     let source = first == id;
-    office.hear(first, Message::Learn { views: vec![view(1, ids)] });
+    office.hear(
+        first,
+        Message::Learn {
+            views: vec![view(1, ids)],
+        },
+    );
     if !source {
         let before = ids[ids.iter().position(|m| m.0 == id).unwrap() - 1].0;
         let (view, log) = (view(1, ids), Vec::new());
-        office.hear(before, Message::Install { view, committed: 0, at_ms: 0, log });
+        office.hear(
+            before,
+            Message::Install {
+                view,
+                committed: 0,
+                at_ms: 0,
+                log,
+            },
+        );
     }
     office.sync();
     office.rows
@@ -133,7 +190,9 @@
     for life in [7, 8] {
         let mut office = Office::begin(1, life, rows.clone());
         let others = [member(2, 1), member(3, 1)];
-        others.iter().for_each(|m| office.give(Input::Met { member: *m }));
+        others
+            .iter()
+            .for_each(|m| office.give(Input::Met { member: *m }));
         office.with_others(&others, 900);
         let prepared = office.said.iter().find_map(|(_, m)| match m {
             Message::Prepare { ballot, .. } => Some(*ballot),
@@ -154,19 +213,59 @@
     let mut office = Office::begin(2, 1, disk_with_view(2, &ids));
     office.sync();
     // It votes for view 2, learns that it is decided, and votes for view 3.
-    office.hear(1, Message::Prepare { base: view(1, &ids), ballot: ballot(1) });
-    office.hear(1, Message::Accept { ballot: ballot(1), view: view(2, &ids) });
+    office.hear(
+        1,
+        Message::Prepare {
+            base: view(1, &ids),
+            ballot: ballot(1),
+        },
+    );
+    office.hear(
+        1,
+        Message::Accept {
+            ballot: ballot(1),
+            view: view(2, &ids),
+        },
+    );
     office.sync();
-    office.hear(1, Message::Prepare { base: view(2, &ids), ballot: ballot(1) });
+    office.hear(
+        1,
+        Message::Prepare {
+            base: view(2, &ids),
+            ballot: ballot(1),
+        },
+    );
     // Of the later writes a loss of power leaves only the one with the votes.
-    let (_, votes) = office.writes.iter().find(|(_, w)| w.iter().any(is_votes)).cloned().expect("votes");
+    let (_, votes) = office
+        .writes
+        .iter()
+        .find(|(_, w)| w.iter().any(is_votes))
+        .cloned()
+        .expect("votes");
     votes.iter().for_each(|r| put(&mut office.rows, r));
     let mut again = Office::begin(2, 2, office.rows.clone());
-    again.hear(3, Message::Prepare { base: view(1, &ids), ballot: ballot(5) });
+    again.hear(
+        3,
+        Message::Prepare {
+            base: view(1, &ids),
+            ballot: ballot(5),
+        },
+    );
     again.sync();
-    let promises = again.said.iter().any(|(_, m)| matches!(m, Message::Promise { .. }));
-    assert!(!promises, "it has forgotten what it voted for view 2, and votes again");
-    assert!(again.said.iter().any(|(_, m)| matches!(m, Message::Learn { .. })));
+    let promises = again
+        .said
+        .iter()
+        .any(|(_, m)| matches!(m, Message::Promise { .. }));
+    assert!(
+        !promises,
+        "it has forgotten what it voted for view 2, and votes again"
+    );
+    assert!(
+        again
+            .said
+            .iter()
+            .any(|(_, m)| matches!(m, Message::Learn { .. }))
+    );
 }
 
 fn is_votes(record: &Record) -> bool {
@@ -178,18 +277,53 @@
     let ids = [(1, 1), (2, 1), (3, 1)];
     // The machine of member 2 has lost its disk: at its address lives member 22 now, which a later view takes in.
     let mut office = Office::begin(22, 5, Rows::new());
-    office.hear(1, Message::Prepare { base: view(1, &ids), ballot: ballot(4) });
-    office.hear(1, Message::Accept { ballot: ballot(4), view: view(2, &ids) });
+    office.hear(
+        1,
+        Message::Prepare {
+            base: view(1, &ids),
+            ballot: ballot(4),
+        },
+    );
+    office.hear(
+        1,
+        Message::Accept {
+            ballot: ballot(4),
+            view: view(2, &ids),
+        },
+    );
     office.sync();
-    office.hear(1, Message::Learn { views: vec![view(3, &[(1, 1), (3, 1), (22, 5)])] });
-    office.hear(3, Message::Prepare { base: view(1, &ids), ballot: ballot(6) });
-    office.hear(3, Message::Accept { ballot: ballot(6), view: view(2, &ids) });
+    office.hear(
+        1,
+        Message::Learn {
+            views: vec![view(3, &[(1, 1), (3, 1), (22, 5)])],
+        },
+    );
+    office.hear(
+        3,
+        Message::Prepare {
+            base: view(1, &ids),
+            ballot: ballot(6),
+        },
+    );
+    office.hear(
+        3,
+        Message::Accept {
+            ballot: ballot(6),
+            view: view(2, &ids),
+        },
+    );
     office.sync();
     let votes = |m: &Message| matches!(m, Message::Promise { .. } | Message::Accepted { .. });
     assert!(office.said.iter().all(|(_, m)| !votes(m)));
     // For the view after the one that it is part of it does vote.
     let base = view(3, &[(1, 1), (3, 1), (22, 5)]);
-    office.hear(1, Message::Prepare { base, ballot: ballot(1) });
+    office.hear(
+        1,
+        Message::Prepare {
+            base,
+            ballot: ballot(1),
+        },
+    );
     office.sync();
     assert!(office.said.iter().any(|(_, m)| votes(m)));
 }
@@ -200,7 +334,15 @@
     let mut office = Office::begin(2, 1, Rows::new());
     office.sync();
     let (view, log) = (view(1, &ids), Vec::new());
-    office.hear(1, Message::Install { view, committed: 0, at_ms: 0, log });
+    office.hear(
+        1,
+        Message::Install {
+            view,
+            committed: 0,
+            at_ms: 0,
+            log,
+        },
+    );
     office.hear(3, Message::Bury { ask: 1, number: 1 });
     office.hear(3, Message::Opinion { ask: 2 });
     let never = office.said.iter().find_map(|(_, m)| match m {
@@ -213,7 +355,11 @@
         Message::Buried { installed, .. } => Some(*installed),
         _ => None,
     });
-    assert_eq!(buried, Some(1), "who asks must learn that it has been installed");
+    assert_eq!(
+        buried,
+        Some(1),
+        "who asks must learn that it has been installed"
+    );
 }
 
 #[test]
@@ -221,17 +367,34 @@
     let two = [(1, 1), (2, 1)];
     // View 1 is at work, an update is taken and passed on, and nobody confirms it.
     let mut office = Office::begin(1, 1, Rows::new());
-    office.hear(1, Message::Learn { views: vec![view(1, &two)] });
+    office.hear(
+        1,
+        Message::Learn {
+            views: vec![view(1, &two)],
+        },
+    );
     office.sync();
     office.hear(2, Message::AtWork { number: 1 });
     office.play(200);
-    let call = Input::Call { token: 1, kind: CallKind::Update, body: body(1, Ask::Put { value: 5 }) };
+    let call = Input::Call {
+        token: 1,
+        kind: CallKind::Update,
+        body: body(1, Ask::Put { value: 5 }),
+    };
     office.give(call);
     office.sync();
     assert!(office.chain.state().given.is_empty());
-    office.hear(2, Message::Learn { views: vec![view(2, &[(1, 1), (3, 1)])] });
+    office.hear(
+        2,
+        Message::Learn {
+            views: vec![view(2, &[(1, 1), (3, 1)])],
+        },
+    );
     office.sync();
-    assert!(office.chain.state().given.is_empty(), "view 2 may be passed over and this update with it");
+    assert!(
+        office.chain.state().given.is_empty(),
+        "view 2 may be passed over and this update with it"
+    );
     let installs = office.said.iter().rev().find_map(|(_, m)| match m {
         Message::Install { log, .. } => Some(log.len()),
         _ => None,
@@ -244,7 +407,11 @@
     let mut office = Office::begin(1, 1, Rows::new());
     office.play(500);
     office.now += 2_000;
-    let call = |token| Input::Call { token, kind: CallKind::Update, body: body(1, Ask::Put { value: 5 }) };
+    let call = |token| Input::Call {
+        token,
+        kind: CallKind::Update,
+        body: body(1, Ask::Put { value: 5 }),
+    };
     office.give(call(1));
     office.give(Input::Tick);
     office.now += 20;
@@ -265,14 +432,22 @@
         let row = torn.get_mut(key).unwrap();
         if row.len() > 1 {
             row.truncate(row.len() / 2);
-            assert!(!Kept::read(torn).sound(), "a torn {key:?} is taken for whole");
+            assert!(
+                !Kept::read(torn).sound(),
+                "a torn {key:?} is taken for whole"
+            );
         }
     }
 }
 
 #[test]
 fn the_checker_of_histories_finds_what_is_wrong() {
-    let reply = |went, revision, value| Reply { went, revision, value, stamp: 0 };
+    let reply = |went, revision, value| Reply {
+        went,
+        revision,
+        value,
+        stamp: 0,
+    };
     let call = |ask, asked, answered, reply| Call {
         name: 0,
         ask,
@@ -281,36 +456,98 @@
         refused: false,
     };
     let put = |value, asked, answered, revision| {
-        call(Ask::Put { value }, asked, answered, reply(true, revision, value))
+        call(
+            Ask::Put { value },
+            asked,
+            answered,
+            reply(true, revision, value),
+        )
+    };
+    let read = |asked, answered, revision, value| {
+        call(Ask::Read, asked, answered, reply(true, revision, value))
+    };
+    let lost = |value, asked| Call {
+        answered: None,
+        ..put(value, asked, 0, 0)
     };
-    let read =
-        |asked, answered, revision, value| call(Ask::Read, asked, answered, reply(true, revision, value));
-    let lost = |value, asked| Call { answered: None, ..put(value, asked, 0, 0) };
     assert!(check(&[put(7, 1, 4, 1), put(8, 2, 3, 2), read(5, 6, 2, 8)]).is_ok());
-    assert!(check(&[put(7, 1, 2, 1), read(3, 4, 0, 0)]).is_err(), "an old read");
-    assert!(check(&[put(7, 1, 2, 2), put(8, 3, 4, 1)]).is_err(), "against real time");
-    assert!(check(&[put(7, 1, 2, 1), put(8, 3, 4, 1)]).is_err(), "one revision twice");
-    assert!(check(&[put(7, 1, 2, 1), read(3, 4, 1, 9)]).is_err(), "a value that nobody put");
-    assert!(check(&[put(7, 1, 2, 2)]).is_err(), "a revision that nobody got");
-    assert!(check(&[lost(6, 1), put(7, 2, 3, 2), read(4, 5, 2, 7)]).is_ok(), "one without an answer got it");
-    assert!(check(&[put(7, 1, 2, 2), lost(6, 3)]).is_err(), "it was asked too late for that");
+    assert!(
+        check(&[put(7, 1, 2, 1), read(3, 4, 0, 0)]).is_err(),
+        "an old read"
+    );
+    assert!(
+        check(&[put(7, 1, 2, 2), put(8, 3, 4, 1)]).is_err(),
+        "against real time"
+    );
+    assert!(
+        check(&[put(7, 1, 2, 1), put(8, 3, 4, 1)]).is_err(),
+        "one revision twice"
+    );
+    assert!(
+        check(&[put(7, 1, 2, 1), read(3, 4, 1, 9)]).is_err(),
+        "a value that nobody put"
+    );
+    assert!(
+        check(&[put(7, 1, 2, 2)]).is_err(),
+        "a revision that nobody got"
+    );
+    assert!(
+        check(&[lost(6, 1), put(7, 2, 3, 2), read(4, 5, 2, 7)]).is_ok(),
+        "one without an answer got it"
+    );
+    assert!(
+        check(&[put(7, 1, 2, 2), lost(6, 3)]).is_err(),
+        "it was asked too late for that"
+    );
     let swap = |expected, asked, answered, went, revision| {
-        call(Ask::Swap { expected, value: asked }, asked, answered, reply(went, revision, 0))
+        call(
+            Ask::Swap {
+                expected,
+                value: asked,
+            },
+            asked,
+            answered,
+            reply(went, revision, 0),
+        )
     };
-    assert!(check(&[put(70, 1, 2, 1), swap(1, 3, 4, true, 2), swap(1, 5, 6, false, 2)]).is_ok());
-    assert!(check(&[put(70, 1, 2, 1), swap(0, 3, 4, true, 2)]).is_err(), "a swap over a later revision");
+    assert!(
+        check(&[
+            put(70, 1, 2, 1),
+            swap(1, 3, 4, true, 2),
+            swap(1, 5, 6, false, 2)
+        ])
+        .is_ok()
+    );
+    assert!(
+        check(&[put(70, 1, 2, 1), swap(0, 3, 4, true, 2)]).is_err(),
+        "a swap over a later revision"
+    );
 }
 
 fn entry(seq: u64, value: u64) -> Entry {
-    let from = Asked { office: 1, life: 1, token: value, attempt: 1 };
-    Entry { seq, at_ms: 10 * seq, body: body(0, Ask::Put { value }), from }
+    let from = Asked {
+        office: 1,
+        life: 1,
+        token: value,
+        attempt: 1,
+    };
+    Entry {
+        seq,
+        at_ms: 10 * seq,
+        body: body(0, Ask::Put { value }),
+        from,
+    }
 }
 
 /// Of what waits to be written any may be lost: what a start finds is sound, and shows the beginning of this.
 fn loses_any_write(office: &Office, agreed: &[u64]) {
     for kept in 0..1 << office.writes.len() {
         let mut rows = office.rows.clone();
-        let there = office.writes.iter().enumerate().filter(|(n, _)| kept >> n & 1 == 1);
+        let there = office
+            .writes
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| kept >> n & 1 == 1);
         there.for_each(|(_, (_, records))| records.iter().for_each(|r| put(&mut rows, r)));
         assert!(Kept::read(rows.clone()).sound(), "writes {kept:b}");
         let again = Office::begin(2, 9, rows);
@@ -322,33 +559,62 @@
 #[test]
 fn a_view_is_never_on_the_disk_without_what_it_begins_with() {
     let ids = [(1, 1), (2, 1), (3, 1)];
-    let install =
-        |view: View, committed: u64, log: Vec<Entry>| Message::Install { view, committed, at_ms: 50, log };
+    let install = |view: View, committed: u64, log: Vec<Entry>| Message::Install {
+        view,
+        committed,
+        at_ms: 50,
+        log,
+    };
     // With all that it begins with, and with a part of that.
     let mut office = Office::begin(2, 1, Rows::new());
     office.sync();
-    office.hear(1, install(view(1, &ids), 2, (1..=3).map(|n| entry(n, n)).collect()));
+    office.hear(
+        1,
+        install(view(1, &ids), 2, (1..=3).map(|n| entry(n, n)).collect()),
+    );
     loses_any_write(&office, &[1, 2]);
     let mut office = Office::begin(2, 1, Rows::new());
     office.sync();
-    office.hear(1, install(view(1, &ids), 4, (1..=2).map(|n| entry(n, n)).collect()));
+    office.hear(
+        1,
+        install(view(1, &ids), 4, (1..=2).map(|n| entry(n, n)).collect()),
+    );
     loses_any_write(&office, &[1, 2]);
     office.sync();
     let asked = office.said.iter().rev().find_map(|(_, m)| match m {
         Message::Fetch { ask, held: 2, .. } => Some(*ask),
         _ => None,
     });
-    let fill = Fill::Updates { committed: 4, entries: (3..=4).map(|n| entry(n, n)).collect() };
-    office.hear(1, Message::Filled { ask: asked.expect("it asks for the rest"), fill });
+    let fill = Fill::Updates {
+        committed: 4,
+        entries: (3..=4).map(|n| entry(n, n)).collect(),
+    };
+    office.hear(
+        1,
+        Message::Filled {
+            ask: asked.expect("it asks for the rest"),
+            fill,
+        },
+    );
     loses_any_write(&office, &[1, 2, 3, 4]);
     office.sync();
     assert_eq!(office.chain.shown(office.now).installed, 1);
     // What was held of a view that was passed over has the place of what is agreed on.
     let mut office = Office::begin(2, 1, disk_with_view(2, &ids));
-    office
-        .hear(1, Message::Pass { view: 1, entries: vec![entry(1, 7)], questions: Vec::new(), synced_to: 0 });
+    office.hear(
+        1,
+        Message::Pass {
+            view: 1,
+            entries: vec![entry(1, 7)],
+            questions: Vec::new(),
+            synced_to: 0,
+        },
+    );
     office.sync();
-    office.hear(1, install(view(2, &[(3, 1), (1, 1), (2, 1)]), 1, vec![entry(1, 1)]));
+    office.hear(
+        1,
+        install(view(2, &[(3, 1), (1, 1), (2, 1)]), 1, vec![entry(1, 1)]),
+    );
     loses_any_write(&office, &[1]);
 }
 
@@ -358,33 +624,81 @@
     let ids = [(1, 1), (2, 1), (3, 1)];
     let entry = |seq: u64| entry(seq, seq);
     let mut office = Office::begin(2, 1, Rows::new());
-    office.hear(1, Message::Install { view: view(1, &ids), committed: 0, at_ms: 0, log: Vec::new() });
+    office.hear(
+        1,
+        Message::Install {
+            view: view(1, &ids),
+            committed: 0,
+            at_ms: 0,
+            log: Vec::new(),
+        },
+    );
     office.sync();
     let entries = (1..=4).map(entry).collect();
-    office.hear(1, Message::Pass { view: 1, entries, questions: Vec::new(), synced_to: 4 });
+    office.hear(
+        1,
+        Message::Pass {
+            view: 1,
+            entries,
+            questions: Vec::new(),
+            synced_to: 4,
+        },
+    );
     office.sync();
     let mut office = Office::begin(2, 2, office.rows);
-    office.give(Input::Met { member: member(3, 1) });
+    office.give(Input::Met {
+        member: member(3, 1),
+    });
     let (installed, decided, at_work, last, committed) = (1, 1, 1, 4, 4);
-    let standing = Standing { installed, decided, at_work, last, committed, ..Standing::of(member(3, 1)) };
+    let standing = Standing {
+        installed,
+        decided,
+        at_work,
+        last,
+        committed,
+        ..Standing::of(member(3, 1))
+    };
     for sent in 1..4 {
         office.play(100);
         let echo = office.said.iter().rev().find_map(|(_, m)| match m {
             Message::Ping { sent, .. } => Some(*sent),
             _ => None,
         });
-        office.hear(3, Message::Ping { standing: standing.clone(), sent, echo, ledger: None });
+        office.hear(
+            3,
+            Message::Ping {
+                standing: standing.clone(),
+                sent,
+                echo,
+                ledger: None,
+            },
+        );
     }
     let ask = office.said.iter().rev().find_map(|(_, m)| match m {
         Message::Fetch { ask, .. } => Some(*ask),
         _ => None,
     });
     let mut names = Names::default();
-    (1..=2).map(entry).for_each(|e| _ = names.apply(e.at_ms, &e.body));
+    (1..=2)
+        .map(entry)
+        .for_each(|e| _ = names.apply(e.at_ms, &e.body));
     let bytes = [vec![0], names.snapshot()].concat();
     let sum = XxHash64::oneshot(0, &bytes);
-    let fill = Fill::Piece { seq: 2, at_ms: 20, piece: 0, pieces: 1, sum, bytes };
-    office.hear(3, Message::Filled { ask: ask.expect("it asks for what it lacks"), fill });
+    let fill = Fill::Piece {
+        seq: 2,
+        at_ms: 20,
+        piece: 0,
+        pieces: 1,
+        sum,
+        bytes,
+    };
+    office.hear(
+        3,
+        Message::Filled {
+            ask: ask.expect("it asks for what it lacks"),
+            fill,
+        },
+    );
     office.sync();
     assert_eq!(office.chain.state().given.len(), 2);
     let holds = |office: &Office| office.chain.shown(office.now).last;
--- a/crates/rookpulley-chain/tests/filling.rs
+++ b/crates/rookpulley-chain/tests/filling.rs
@@ -16,13 +16,19 @@
         world.pace_ms = 1;
         world.play(8_000);
         (world.pace_ms, world.far_ms) = (3, 26);
-        world.strike(Trouble::Wipe { at: (seed % 3) as usize });
+        world.strike(Trouble::Wipe {
+            at: (seed % 3) as usize,
+        });
         world.play(1_500);
         let (since, before) = (world.now, world.pieces);
         world.heal();
         world.play(3_000);
         assert_eq!(world.members(), 3);
-        assert!(world.pieces >= before + 4, "the state went in {} pieces", world.pieces - before);
+        assert!(
+            world.pieces >= before + 4,
+            "the state went in {} pieces",
+            world.pieces - before
+        );
         let pause = world.longest_pause(since);
         assert!(pause < 150, "updates paused for {pause} ms");
         world.must_answer();
@@ -44,7 +50,10 @@
         world.heal();
         world.play(60 + 40 * seed);
         world.strike(if seed % 2 == 0 {
-            Trouble::Kill { at: tail, power: true }
+            Trouble::Kill {
+                at: tail,
+                power: true,
+            }
         } else {
             Trouble::Freeze { at: tail }
         });
@@ -63,7 +72,10 @@
         world.play(3_000);
         let before = world.pieces;
         for at in [world.head(), world.tail()] {
-            world.strike(Trouble::Kill { at, power: seed % 2 == 0 });
+            world.strike(Trouble::Kill {
+                at,
+                power: seed % 2 == 0,
+            });
             world.play(4_000);
             world.heal();
             world.play(2_000);
@@ -84,14 +96,21 @@
         let mut world = World::bulky(seed, 4, 20_000);
         world.pace_ms = 2;
         world.play(2_000);
-        world.strike(Trouble::Kill { at: world.tail(), power: false });
+        world.strike(Trouble::Kill {
+            at: world.tail(),
+            power: false,
+        });
         world.play(16_000);
         let (since, before) = (world.now, world.pieces);
         world.heal();
         world.play(2_000);
         assert_eq!(world.members(), 4);
         assert!(world.pieces > before);
-        assert!(world.longest_pause(since) < 100, "updates paused for {} ms", world.longest_pause(since));
+        assert!(
+            world.longest_pause(since) < 100,
+            "updates paused for {} ms",
+            world.longest_pause(since)
+        );
         world.must_answer();
     }
 }
@@ -124,9 +143,16 @@
         assert_ne!(world.identity(at), before);
         assert_eq!(world.members(), 3);
         world.must_answer();
-        let digests: Vec<_> =
-            world.places().into_iter().filter_map(|at| world.shown(at)).map(|s| s.swept).collect();
-        assert!(digests[0].0 > 0 && digests.iter().all(|d| *d == digests[0]), "{digests:?}");
+        let digests: Vec<_> = world
+            .places()
+            .into_iter()
+            .filter_map(|at| world.shown(at))
+            .map(|s| s.swept)
+            .collect();
+        assert!(
+            digests[0].0 > 0 && digests.iter().all(|d| *d == digests[0]),
+            "{digests:?}"
+        );
     }
 }
 
@@ -172,9 +198,17 @@
         world.far_ms = 60;
         world.play(2_000);
         let (head, tail) = (world.head(), world.tail());
-        world.strike(Trouble::Disk { at: tail, trouble: DiskTrouble::Slow });
+        world.strike(Trouble::Disk {
+            at: tail,
+            trouble: DiskTrouble::Slow,
+        });
         world.play(60);
-        world.strike(Trouble::Cut { from: world.others(head), to: vec![head], both: true, held: false });
+        world.strike(Trouble::Cut {
+            from: world.others(head),
+            to: vec![head],
+            both: true,
+            held: false,
+        });
         world.play(500 + 40 * seed);
         world.heal();
         world.play(1_500);
@@ -185,14 +219,19 @@
 #[test]
 #[ignore = "prints how long a filling takes: cargo test --release -p rookpulley-chain --test filling -- --ignored --nocapture"]
 fn how_long_a_filling_takes_and_updates_pause() {
-    for (words, far_ms) in [12_500, 125_000, 1_250_000].into_iter().flat_map(|w| [(w, 6), (w, 25)]) {
+    for (words, far_ms) in [12_500, 125_000, 1_250_000]
+        .into_iter()
+        .flat_map(|w| [(w, 6), (w, 25)])
+    {
         let (mut filled, mut joined, mut pauses) = (Vec::new(), Vec::new(), Vec::new());
         for seed in 0..20 {
             let mut world = World::bulky(seed, 3, words);
             world.pace_ms = 1;
             world.play(6_500);
             (world.pace_ms, world.far_ms) = (4, far_ms);
-            world.strike(Trouble::Wipe { at: (seed % 3) as usize });
+            world.strike(Trouble::Wipe {
+                at: (seed % 3) as usize,
+            });
             world.play(1_500);
             let since = world.now;
             world.heal();
--- a/crates/rookpulley-chain/tests/hard_cases.rs
+++ b/crates/rookpulley-chain/tests/hard_cases.rs
@@ -10,7 +10,10 @@
 
 /// So many of each; `CHAIN_CASES=200` plays more.
 fn seeds() -> u64 {
-    std::env::var("CHAIN_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(3)
+    std::env::var("CHAIN_CASES")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(3)
 }
 
 fn calm(seed: u64, offices: usize) -> World {
@@ -40,7 +43,10 @@
     for seed in 0..seeds() {
         let mut world = calm(seed, 3);
         just_after_an_answer(&mut world, 4);
-        world.strike(Trouble::Kill { at: world.tail(), power: true });
+        world.strike(Trouble::Kill {
+            at: world.tail(),
+            power: true,
+        });
         world.play(1_800);
         world.must_answer();
         heals(&mut world);
@@ -53,8 +59,14 @@
         let mut world = calm(seed, 3 + (seed % 2) as usize);
         just_after_an_answer(&mut world, 4);
         let (tail, head) = (world.tail(), world.head());
-        world.strike(Trouble::Kill { at: tail, power: true });
-        world.strike(Trouble::Kill { at: head, power: true });
+        world.strike(Trouble::Kill {
+            at: tail,
+            power: true,
+        });
+        world.strike(Trouble::Kill {
+            at: head,
+            power: true,
+        });
         world.play(1_000);
         heals(&mut world);
     }
@@ -65,7 +77,11 @@
     for seed in 0..seeds() {
         let mut world = calm(seed, 3);
         just_after_an_answer(&mut world, 4);
-        let at = if seed % 2 == 0 { world.tail() } else { world.head() };
+        let at = if seed % 2 == 0 {
+            world.tail()
+        } else {
+            world.head()
+        };
         world.strike(Trouble::Wipe { at });
         world.play(1_800);
         world.must_answer();
@@ -84,7 +100,10 @@
         world.heal();
         world.play(1_000);
         let pause = world.longest_pause(since);
-        assert!(pause < 300, "all were back for {pause} ms before an update was answered");
+        assert!(
+            pause < 300,
+            "all were back for {pause} ms before an update was answered"
+        );
         heals(&mut world);
     }
 }
@@ -94,7 +113,11 @@
     for seed in 0..seeds() {
         let mut world = calm(seed, 3 + (seed % 2) as usize);
         just_after_an_answer(&mut world, 4);
-        let at = if seed % 2 == 0 { world.head() } else { world.tail() };
+        let at = if seed % 2 == 0 {
+            world.head()
+        } else {
+            world.tail()
+        };
         world.strike(Trouble::Wipe { at });
         world.strike(Trouble::KillAll { power: true });
         world.play(600);
@@ -107,12 +130,21 @@
     for seed in 0..seeds() {
         let mut world = calm(seed, 3);
         // A view of two is agreed on by both only, until it is seen that one of them is gone for good.
-        world.strike(Trouble::Replace { at: world.tail(), orderly: false });
+        world.strike(Trouble::Replace {
+            at: world.tail(),
+            orderly: false,
+        });
         let newcomer = world.places().into_iter().max().unwrap();
         world.strike(Trouble::Freeze { at: newcomer });
         world.play(6_000);
         assert_eq!(world.members(), 2);
-        world.strike(Trouble::Wipe { at: if seed % 2 == 0 { world.head() } else { world.tail() } });
+        world.strike(Trouble::Wipe {
+            at: if seed % 2 == 0 {
+                world.head()
+            } else {
+                world.tail()
+            },
+        });
         world.play(500);
         heals(&mut world);
         assert_eq!(world.members(), 3);
@@ -124,11 +156,18 @@
     for seed in 0..seeds() {
         let mut world = calm(seed, 3);
         let tail = world.tail();
-        world.strike(Trouble::Disk { at: tail, trouble: DiskTrouble::Slow });
+        world.strike(Trouble::Disk {
+            at: tail,
+            trouble: DiskTrouble::Slow,
+        });
         world.play(1_000);
         assert_eq!(world.members(), 2);
         // For good: what is left is one of the two, and the slow one.
-        let at = if seed % 2 == 0 { world.head() } else { world.tail() };
+        let at = if seed % 2 == 0 {
+            world.head()
+        } else {
+            world.tail()
+        };
         world.strike(Trouble::Kill { at, power: true });
         world.play(2_500);
         world.must_answer();
@@ -145,7 +184,11 @@
         world.play(1_200);
         assert_eq!(world.members(), 2);
         // It wakes, and in the same moment one of the two is gone.
-        let at = if seed % 2 == 0 { world.head() } else { world.tail() };
+        let at = if seed % 2 == 0 {
+            world.head()
+        } else {
+            world.tail()
+        };
         world.heal();
         world.strike(Trouble::Kill { at, power: true });
         world.play(2_000);
@@ -162,7 +205,12 @@
         let (from, to) = places.split_at(1 + (seed as usize / 2) % (places.len() - 1));
         let (from, to) = if seed % 4 < 2 { (from, to) } else { (to, from) };
         let both = seed % 2 == 0;
-        world.strike(Trouble::Cut { from: from.to_vec(), to: to.to_vec(), both, held: seed % 3 > 0 });
+        world.strike(Trouble::Cut {
+            from: from.to_vec(),
+            to: to.to_vec(),
+            both,
+            held: seed % 3 > 0,
+        });
         world.play(2_000);
         if both || places.len() > 3 || from.len() == 1 {
             world.must_answer();
@@ -178,9 +226,24 @@
         let tail = world.tail();
         world.strike(match seed % 4 {
             0 => Trouble::Freeze { at: tail },
-            1 => Trouble::Cut { from: vec![tail], to: world.others(tail), both: true, held: true },
-            2 => Trouble::Cut { from: vec![tail], to: world.others(tail), both: false, held: true },
-            _ => Trouble::Cut { from: world.others(tail), to: vec![tail], both: false, held: true },
+            1 => Trouble::Cut {
+                from: vec![tail],
+                to: world.others(tail),
+                both: true,
+                held: true,
+            },
+            2 => Trouble::Cut {
+                from: vec![tail],
+                to: world.others(tail),
+                both: false,
+                held: true,
+            },
+            _ => Trouble::Cut {
+                from: world.others(tail),
+                to: vec![tail],
+                both: false,
+                held: true,
+            },
         });
         for _ in 0..60 {
             world.call_at(tail);
@@ -197,9 +260,17 @@
         let mut world = calm(seed, 3);
         let head = world.head();
         // What it syncs from here on is passed to nobody.
-        world.strike(Trouble::Cut { from: vec![head], to: world.others(head), both: false, held: false });
+        world.strike(Trouble::Cut {
+            from: vec![head],
+            to: world.others(head),
+            both: false,
+            held: false,
+        });
         world.play(3 + 2 * seed);
-        world.strike(Trouble::Kill { at: head, power: seed % 2 == 0 });
+        world.strike(Trouble::Kill {
+            at: head,
+            power: seed % 2 == 0,
+        });
         world.play(if seed % 3 == 0 { 100 } else { 1_800 });
         heals(&mut world);
     }
@@ -210,11 +281,17 @@
     for seed in 0..3 * seeds() {
         let mut world = calm(seed, 4);
         let (head, tail) = (world.head(), world.tail());
-        world.strike(Trouble::Kill { at: tail, power: true });
+        world.strike(Trouble::Kill {
+            at: tail,
+            power: true,
+        });
         // Any time within the next view's making: opinions, votes, installs.
         world.play(540 + 11 * seed);
         world.strike(if seed % 2 == 0 {
-            Trouble::Kill { at: head, power: true }
+            Trouble::Kill {
+                at: head,
+                power: true,
+            }
         } else {
             Trouble::Freeze { at: head }
         });
@@ -229,7 +306,11 @@
         let mut world = calm(seed, 3);
         world.pace_ms = 3;
         for orderly in [true, false] {
-            let at = if seed % 2 == 0 { world.head() } else { world.tail() };
+            let at = if seed % 2 == 0 {
+                world.head()
+            } else {
+                world.tail()
+            };
             world.strike(Trouble::Replace { at, orderly });
             world.play(2_500);
             world.must_answer();
@@ -244,14 +325,26 @@
 #[test]
 fn a_disk_that_is_slow_hangs_refuses_or_is_full_leaves_the_way_and_comes_back() {
     for seed in 0..2 * seeds() {
-        let all = [DiskTrouble::Slow, DiskTrouble::Hangs, DiskTrouble::Refuses, DiskTrouble::Full];
+        let all = [
+            DiskTrouble::Slow,
+            DiskTrouble::Hangs,
+            DiskTrouble::Refuses,
+            DiskTrouble::Full,
+        ];
         let mut world = calm(seed, 3 + (seed % 2) as usize);
-        let at = if seed % 8 < 4 { world.head() } else { world.tail() };
+        let at = if seed % 8 < 4 {
+            world.head()
+        } else {
+            world.tail()
+        };
         let (trouble, since) = (all[(seed % 4) as usize], world.now);
         world.strike(Trouble::Disk { at, trouble });
         world.play(3_000);
         let pause = world.longest_pause(since);
-        assert!(pause < if seed % 4 < 2 { 200 } else { 800 }, "{trouble:?}: updates paused for {pause} ms");
+        assert!(
+            pause < if seed % 4 < 2 { 200 } else { 800 },
+            "{trouble:?}: updates paused for {pause} ms"
+        );
         world.must_answer();
         heals(&mut world);
         assert_eq!(world.members(), world.places().len());
@@ -263,12 +356,26 @@
 fn a_slow_disk_and_then_one_machine_lost_are_mended() {
     for seed in 0..2 * seeds() {
         let mut world = calm(seed, 3);
-        let slow = if seed % 4 < 2 { world.head() } else { world.tail() };
-        world.strike(Trouble::Disk { at: slow, trouble: DiskTrouble::Slow });
+        let slow = if seed % 4 < 2 {
+            world.head()
+        } else {
+            world.tail()
+        };
+        world.strike(Trouble::Disk {
+            at: slow,
+            trouble: DiskTrouble::Slow,
+        });
         world.play(1_500);
         assert_eq!(world.members(), 2);
-        let lost = if seed % 2 == 0 { world.head() } else { world.tail() };
-        world.strike(Trouble::Kill { at: lost, power: true });
+        let lost = if seed % 2 == 0 {
+            world.head()
+        } else {
+            world.tail()
+        };
+        world.strike(Trouble::Kill {
+            at: lost,
+            power: true,
+        });
         world.play(2_500);
         assert_eq!(world.members(), 2, "nobody mends the chain");
         heals(&mut world);
@@ -281,7 +388,10 @@
     for seed in 0..seeds() {
         let mut world = calm(seed, 3);
         let (head, tail) = (world.head(), world.tail());
-        world.strike(Trouble::Kill { at: tail, power: true });
+        world.strike(Trouble::Kill {
+            at: tail,
+            power: true,
+        });
         world.play(1_000);
         world.strike(Trouble::Freeze { at: head });
         world.play(100);
@@ -297,11 +407,20 @@
     for seed in 0..seeds() {
         let mut world = calm(seed, 4);
         let at = (seed % 4) as usize;
-        world.strike(Trouble::Cut { from: world.others(at), to: vec![at], both: false, held: false });
+        world.strike(Trouble::Cut {
+            from: world.others(at),
+            to: vec![at],
+            both: false,
+            held: false,
+        });
         world.play(1_500);
         let before = world.view_number();
         world.play(4_000);
-        assert!(world.view_number() <= before + 1, "views went from {before} to {}", world.view_number());
+        assert!(
+            world.view_number() <= before + 1,
+            "views went from {before} to {}",
+            world.view_number()
+        );
         world.must_answer();
         heals(&mut world);
     }
@@ -316,11 +435,18 @@
             let places = world.places();
             let a = world.rng.random_range(0..places.len());
             let b = (a + world.rng.random_range(1..places.len())) % places.len();
-            world.strike(Trouble::Reset { a: places[a], b: places[b] });
+            world.strike(Trouble::Reset {
+                a: places[a],
+                b: places[b],
+            });
             world.play(900);
         }
         world.must_answer();
-        assert!(world.view_number() <= before + 2, "views went from {before} to {}", world.view_number());
+        assert!(
+            world.view_number() <= before + 2,
+            "views went from {before} to {}",
+            world.view_number()
+        );
     }
 }
 
@@ -332,14 +458,20 @@
         let since = world.now;
         world.pace_ms = 1_000_000;
         world.play(12_000);
-        world.strike(Trouble::Kill { at: world.head(), power: seed % 2 == 0 });
+        world.strike(Trouble::Kill {
+            at: world.head(),
+            power: seed % 2 == 0,
+        });
         world.play(1_500);
         world.pace_ms = 9;
         world.must_answer();
         let passed = world.truth.last().unwrap().stamp - before.stamp;
         let real = world.now - since;
         // That it is never fast is checked with each update.
-        assert!(passed + 2_000 > real, "of {real} ms the ledger has seen {passed}");
+        assert!(
+            passed + 2_000 > real,
+            "of {real} ms the ledger has seen {passed}"
+        );
     }
 }
 
@@ -352,7 +484,9 @@
         world.play(if nth % 2 == 0 { 400 } else { 60 });
         // Other troubles make for views, installs and votes to be cut off.
         if nth > 20 {
-            world.strike(Trouble::Freeze { at: ((nth + 1) % 3) as usize });
+            world.strike(Trouble::Freeze {
+                at: ((nth + 1) % 3) as usize,
+            });
             world.play(1_000);
         }
         heals(&mut world);
--- a/crates/rookpulley-chain/tests/model/main.rs
+++ b/crates/rookpulley-chain/tests/model/main.rs
@@ -23,17 +23,45 @@
     voters: false,
     one_each: false,
 };
-const CALM_WITH_READS: Bounds = Bounds { reads: true, ..CALM };
+const CALM_WITH_READS: Bounds = Bounds {
+    reads: true,
+    ..CALM
+};
 const CRASH: Bounds = Bounds { crashes: 1, ..CALM };
 /// Two members and a newcomer, so that the one that is left when a disk is lost must decide alone.
-const LOST_DISK: Bounds = Bounds { first: 2, wipes: 1, reads: true, voters: true, ..CALM };
+const LOST_DISK: Bounds = Bounds {
+    first: 2,
+    wipes: 1,
+    reads: true,
+    voters: true,
+    ..CALM
+};
 /// The same, and once the chain is mended another disk.
-const SECOND_LOST_DISK: Bounds = Bounds { wipes: 2, reads: false, ..LOST_DISK };
+const SECOND_LOST_DISK: Bounds = Bounds {
+    wipes: 2,
+    reads: false,
+    ..LOST_DISK
+};
 /// The agreement alone: several ballots for the second view, and nothing in it.
-const VOTES: Bounds = Bounds { ballots: [2, 0], updates: 0, crashes: 1, wipes: 1, one_each: true, ..CALM };
-const VOTES_OF_TWO: Bounds = Bounds { first: 2, ballots: [3, 0], ..VOTES };
+const VOTES: Bounds = Bounds {
+    ballots: [2, 0],
+    updates: 0,
+    crashes: 1,
+    wipes: 1,
+    one_each: true,
+    ..CALM
+};
+const VOTES_OF_TWO: Bounds = Bounds {
+    first: 2,
+    ballots: [3, 0],
+    ..VOTES
+};
 /// One office that may not acknowledge alone.
-const LONELY: Bounds = Bounds { first: 1, reads: true, ..CALM };
+const LONELY: Bounds = Bounds {
+    first: 1,
+    reads: true,
+    ..CALM
+};
 
 /// More than this is not meant to be looked through.
 const MOST: usize = 100_000_000;
@@ -42,11 +70,18 @@
 fn holds(name: &str, bounds: Bounds, tidies: bool, least: usize) -> Seen {
     let (began, model) = (Instant::now(), Model::new(bounds, None, tidies));
     let found = search(&model, MOST);
-    let (states, steps, longest, took) =
-        (found.states, found.steps, found.longest, began.elapsed().as_secs_f64());
+    let (states, steps, longest, took) = (
+        found.states,
+        found.steps,
+        found.longest,
+        began.elapsed().as_secs_f64(),
+    );
     println!("{name}: {states} states, {steps} steps, the longest way {longest}, {took:.1} s");
     assert_eq!(found.broken, None, "{name}");
-    assert!(states >= least, "{name}: {states} states are too few to show anything");
+    assert!(
+        states >= least,
+        "{name}: {states} states are too few to show anything"
+    );
     found.seen
 }
 
@@ -55,8 +90,14 @@
 fn caught(fault: Fault, bounds: Bounds, rule: Broken) {
     for tidies in [true, false] {
         let found = search(&Model::new(bounds, Some(fault), tidies), MOST);
-        let (broken, way) = found.broken.unwrap_or_else(|| panic!("{fault:?} is not found"));
-        println!("{fault:?}: {broken:?} after {} states, by {} steps: {way:?}", found.states, way.len());
+        let (broken, way) = found
+            .broken
+            .unwrap_or_else(|| panic!("{fault:?} is not found"));
+        println!(
+            "{fault:?}: {broken:?} after {} states, by {} steps: {way:?}",
+            found.states,
+            way.len()
+        );
         assert_eq!(broken, rule, "{fault:?}: {way:?}");
     }
 }
@@ -109,12 +150,23 @@
 
 #[test]
 fn votes_forgotten_at_a_restart_are_caught() {
-    caught(Fault::VotesForgotten, Bounds { wipes: 0, ..VOTES }, Broken::TwoViewsOfANumber);
+    caught(
+        Fault::VotesForgotten,
+        Bounds { wipes: 0, ..VOTES },
+        Broken::TwoViewsOfANumber,
+    );
 }
 
 #[test]
 fn a_wiped_office_that_votes_under_its_old_identity_is_caught() {
-    caught(Fault::WipedUnderItsOldIdentity, Bounds { crashes: 0, ..VOTES }, Broken::TwoViewsOfANumber);
+    caught(
+        Fault::WipedUnderItsOldIdentity,
+        Bounds {
+            crashes: 0,
+            ..VOTES
+        },
+        Broken::TwoViewsOfANumber,
+    );
 }
 
 #[test]
@@ -124,47 +176,86 @@
 
 #[test]
 fn a_source_that_has_not_installed_the_view_before_is_caught() {
-    caught(Fault::SourceWithoutTheViewBefore, CALM, Broken::ViewAtWorkWithoutWhatWasAcknowledged);
+    caught(
+        Fault::SourceWithoutTheViewBefore,
+        CALM,
+        Broken::ViewAtWorkWithoutWhatWasAcknowledged,
+    );
 }
 
 #[test]
 fn a_view_taken_for_dead_without_a_promise_is_caught() {
-    caught(Fault::DeadWithoutAPromise, CALM, Broken::ViewAtWorkWithoutWhatWasAcknowledged);
+    caught(
+        Fault::DeadWithoutAPromise,
+        CALM,
+        Broken::ViewAtWorkWithoutWhatWasAcknowledged,
+    );
 }
 
 #[test]
 fn an_update_acknowledged_before_all_have_synced_it_is_caught() {
-    let bounds = Bounds { ballots: [1, 0], ..CRASH };
-    caught(Fault::AcknowledgedBeforeAllHaveSynced, bounds, Broken::ViewAtWorkWithoutWhatWasAcknowledged);
+    let bounds = Bounds {
+        ballots: [1, 0],
+        ..CRASH
+    };
+    caught(
+        Fault::AcknowledgedBeforeAllHaveSynced,
+        bounds,
+        Broken::ViewAtWorkWithoutWhatWasAcknowledged,
+    );
 }
 
 #[test]
 fn a_member_that_takes_entries_of_a_view_it_has_left_is_caught() {
-    caught(Fault::LeftAndStillTaking, CALM, Broken::AcknowledgedByAViewThatIsOver);
+    caught(
+        Fault::LeftAndStillTaking,
+        CALM,
+        Broken::AcknowledgedByAViewThatIsOver,
+    );
 }
 
 #[test]
 fn a_tail_that_reads_alone_is_caught() {
-    caught(Fault::TailReadsAlone, CALM_WITH_READS, Broken::ReadWithoutWhatWasAcknowledged);
+    caught(
+        Fault::TailReadsAlone,
+        CALM_WITH_READS,
+        Broken::ReadWithoutWhatWasAcknowledged,
+    );
 }
 
 #[test]
 fn a_source_that_applies_what_is_not_committed_is_caught() {
-    caught(Fault::SourceAppliesAtOnce, CALM, Broken::AppliedAndNotAgreed);
+    caught(
+        Fault::SourceAppliesAtOnce,
+        CALM,
+        Broken::AppliedAndNotAgreed,
+    );
 }
 
 #[test]
 fn a_view_of_too_few_that_acknowledges_is_caught() {
-    caught(Fault::TooFewAcknowledge, LONELY, Broken::AcknowledgedByTooFew);
+    caught(
+        Fault::TooFewAcknowledge,
+        LONELY,
+        Broken::AcknowledgedByTooFew,
+    );
 }
 
 #[test]
 #[ignore = "six minutes and up to 6 GB in release"]
 fn rules_hold_within_wide_bounds() {
-    let both = Bounds { wipes: 1, reads: true, voters: true, ..CRASH };
+    let both = Bounds {
+        wipes: 1,
+        reads: true,
+        voters: true,
+        ..CRASH
+    };
     holds("a crash, states as they are", CRASH, false, 3_000_000);
     let seen = holds("a crash and a lost disk", both, true, 6_000_000);
-    let all = Seen { higher_ballot_bound_by_a_lower: true, ..seen };
+    let all = Seen {
+        higher_ballot_bound_by_a_lower: true,
+        ..seen
+    };
     let whole = Seen {
         third_view_holds_what_the_first_acknowledged: true,
         dead_view_passed_over: true,
@@ -178,8 +269,34 @@
         higher_ballot_bound_by_a_lower: true,
     };
     assert_eq!(all, whole);
-    holds("the same of two members", Bounds { first: 2, ..both }, true, 2_000_000);
-    holds("three ballots", Bounds { ballots: [3, 0], ..VOTES }, true, 9_000_000);
-    holds("two ballots for two views", Bounds { ballots: [2, 2], ..VOTES }, true, 13_000_000);
-    holds("two updates", Bounds { updates: 2, ..both }, true, 40_000_000);
+    holds(
+        "the same of two members",
+        Bounds { first: 2, ..both },
+        true,
+        2_000_000,
+    );
+    holds(
+        "three ballots",
+        Bounds {
+            ballots: [3, 0],
+            ..VOTES
+        },
+        true,
+        9_000_000,
+    );
+    holds(
+        "two ballots for two views",
+        Bounds {
+            ballots: [2, 2],
+            ..VOTES
+        },
+        true,
+        13_000_000,
+    );
+    holds(
+        "two updates",
+        Bounds { updates: 2, ..both },
+        true,
+        40_000_000,
+    );
 }
