--- a/crates/rookpulley-chain/tests/model/rules.rs
+++ b/crates/rookpulley-chain/tests/model/rules.rs
@@ -23,7 +23,8 @@
 //! - What nobody can hear any more, or use, is put back to nothing (`tidy`).
 
 use crate::state::{
-    IDS, Known, NUMBERS, Office, PLACES, Read, SLOTS, Slot, State, Told, Views, Vote, bit, member, place_of,
+    IDS, Known, NUMBERS, Office, PLACES, Read, SLOTS, Slot, State, Told, Views, Vote, bit, member,
+    place_of,
 };
 use rookpulley_chain::View;
 use std::cell::{Cell, RefCell};
@@ -122,8 +123,21 @@
 
 impl Model {
     pub fn new(bounds: Bounds, fault: Option<Fault>, tidies: bool) -> Self {
-        assert!(bounds.ballots.iter().map(|n| usize::from(*n)).sum::<usize>() <= SLOTS);
-        Self { bounds, fault, tidies, views: RefCell::default(), seen: Cell::default() }
+        assert!(
+            bounds
+                .ballots
+                .iter()
+                .map(|n| usize::from(*n))
+                .sum::<usize>()
+                <= SLOTS
+        );
+        Self {
+            bounds,
+            fault,
+            tidies,
+            views: RefCell::default(),
+            seen: Cell::default(),
+        }
     }
 
     /// The first view at work, with nothing in it.
@@ -131,13 +145,22 @@
         let mut state = State::default();
         for (place, office) in state.offices.iter_mut().enumerate() {
             let within = u8::from(place < self.bounds.first);
-            *office =
-                Office { id: place as u8, life: 1, known: within, installed: within, ..Office::default() };
+            *office = Office {
+                id: place as u8,
+                life: 1,
+                known: within,
+                installed: within,
+                ..Office::default()
+            };
             state.told[0][place].installed = within > 0;
         }
         let first = state.offices.iter().enumerate().take(self.bounds.first);
         let members = first.map(|(place, office)| member(place, office)).collect();
-        state.views[0] = self.views.borrow_mut().keep(View { number: 1, members, voters: Vec::new() });
+        state.views[0] = self.views.borrow_mut().keep(View {
+            number: 1,
+            members,
+            voters: Vec::new(),
+        });
         state.at_work = 1;
         state
     }
@@ -153,7 +176,15 @@
     }
 
     fn ballots(&self, number: u8) -> u8 {
-        if number < 2 { 0 } else { self.bounds.ballots.get(usize::from(number) - 2).copied().unwrap_or(0) }
+        if number < 2 {
+            0
+        } else {
+            self.bounds
+                .ballots
+                .get(usize::from(number) - 2)
+                .copied()
+                .unwrap_or(0)
+        }
     }
 
     /// Where a ballot of a number lies.
@@ -183,7 +214,10 @@
         let decided = number > 0 && state.views[usize::from(number) - 1] != 0;
         let may = office.known == number
             || (office.known < number && decided && self.names(state, place, number) != Some(0));
-        may.then_some(Office { known: number, ..office })
+        may.then_some(Office {
+            known: number,
+            ..office
+        })
     }
 
     /// The place among the members of a view in which this life takes part.
@@ -194,18 +228,27 @@
         } else {
             office.installed == number && office.known == number
         };
-        if takes_part { self.names(state, place, number) } else { None }
+        if takes_part {
+            self.names(state, place, number)
+        } else {
+            None
+        }
     }
 
     fn votes(&self, state: &State, place: usize, number: u8) -> bool {
-        self.with_view(state, number, |v| v.voters & bit(state.offices[place].id) != 0).unwrap_or(false)
+        self.with_view(state, number, |v| {
+            v.voters & bit(state.offices[place].id) != 0
+        })
+        .unwrap_or(false)
     }
 
     fn decides(&self, state: &State, number: u8, voices: u8) -> bool {
         if self.has(Fault::AnyGroupDecides) {
             return voices != 0;
         }
-        let Some(at) = state.views.get(usize::from(number) - 1) else { return false };
+        let Some(at) = state.views.get(usize::from(number) - 1) else {
+            return false;
+        };
         self.views.borrow_mut().decides(*at, voices, state.lost)
     }
 
@@ -244,8 +287,16 @@
 
     // ---- updates and reads ------------------------------------------------------------------
 
-    fn flow(&self, state: &State, place: usize, view: u8, push: &mut impl FnMut(Step, State, Rule)) {
-        let Some(at) = self.acting(state, place, view) else { return };
+    fn flow(
+        &self,
+        state: &State,
+        place: usize,
+        view: u8,
+        push: &mut impl FnMut(Step, State, Rule),
+    ) {
+        let Some(at) = self.acting(state, place, view) else {
+            return;
+        };
         let (office, told) = (state.offices[place], state.told[usize::from(view) - 1]);
         let length = self.length(state, view);
         let enough = length > self.bounds.losses || self.has(Fault::TooFewAcknowledge);
@@ -259,22 +310,49 @@
             after.offices[place].log.add(after.updates);
             let rule = self.early(&mut after, place, view, is_tail);
             tell(&mut after, place, view, at);
-            push(Step::Update { place: place as u8, view }, after, rule);
+            push(
+                Step::Update {
+                    place: place as u8,
+                    view,
+                },
+                after,
+                rule,
+            );
         }
         if at > 0 && told[at - 1].log.count() > office.log.count() {
             let mut after = *state;
-            after.offices[place].log.add(told[at - 1].log.at(office.log.count()));
+            after.offices[place]
+                .log
+                .add(told[at - 1].log.at(office.log.count()));
             let rule = self.early(&mut after, place, view, is_tail);
             tell(&mut after, place, view, at);
-            push(Step::Pass { place: place as u8, view }, after, rule);
+            push(
+                Step::Pass {
+                    place: place as u8,
+                    view,
+                },
+                after,
+                rule,
+            );
         }
         if office.own < office.log.count() && (at == 0 || told[at - 1].own > office.own) {
             let mut after = *state;
             after.offices[place].own += 1;
             let to = after.offices[place].own;
-            let rule = if is_tail { self.settle(&mut after, place, view, to) } else { Ok(()) };
+            let rule = if is_tail {
+                self.settle(&mut after, place, view, to)
+            } else {
+                Ok(())
+            };
             tell(&mut after, place, view, at);
-            push(Step::Sync { place: place as u8, view }, after, rule);
+            push(
+                Step::Sync {
+                    place: place as u8,
+                    view,
+                },
+                after,
+                rule,
+            );
         }
         // An older commit is one that came earlier.
         let committed = told[length - 1].done.min(office.log.count());
@@ -282,7 +360,14 @@
             let mut after = *state;
             after.offices[place].done = committed;
             tell(&mut after, place, view, at);
-            push(Step::Commit { place: place as u8, view }, after, Ok(()));
+            push(
+                Step::Commit {
+                    place: place as u8,
+                    view,
+                },
+                after,
+                Ok(()),
+            );
         }
         if self.bounds.reads {
             self.read(state, place, (view, at, is_tail, takes), push);
@@ -315,7 +400,11 @@
             return;
         };
         let mut after = *state;
-        after.read = Read { view, asked_at, passed: at as u8 };
+        after.read = Read {
+            view,
+            asked_at,
+            passed: at as u8,
+        };
         let mut rule = Ok(());
         if is_tail {
             after.read = Read::default();
@@ -324,7 +413,14 @@
             }
             self.note(|seen| seen.read_in_a_later_view |= view > 1 && asked_at > 0);
         }
-        push(Step::Read { place: place as u8, view }, after, rule);
+        push(
+            Step::Read {
+                place: place as u8,
+                view,
+            },
+            after,
+            rule,
+        );
     }
 
     /// The tail applies and acknowledges. What is new takes its place in the one order.
@@ -354,14 +450,25 @@
     }
 
     fn all_applied_is_agreed(&self, state: &State) -> Rule {
-        let agreed = |o: &Office| o.done <= o.log.count() && o.log.first(o.done).begins(state.order);
-        if state.offices.iter().all(agreed) { Ok(()) } else { Err(Broken::AppliedAndNotAgreed) }
+        let agreed =
+            |o: &Office| o.done <= o.log.count() && o.log.first(o.done).begins(state.order);
+        if state.offices.iter().all(agreed) {
+            Ok(())
+        } else {
+            Err(Broken::AppliedAndNotAgreed)
+        }
     }
 
     // ---- a new view at work -----------------------------------------------------------------
 
     /// The source of a view hears of it, leaves the one before and takes stock. It may not have heard of views between.
-    fn learn(&self, state: &State, place: usize, number: u8, push: &mut impl FnMut(Step, State, Rule)) {
+    fn learn(
+        &self,
+        state: &State,
+        place: usize,
+        number: u8,
+        push: &mut impl FnMut(Step, State, Rule),
+    ) {
         if state.offices[place].known >= number || self.names(state, place, number) != Some(0) {
             return;
         }
@@ -372,16 +479,33 @@
             office.done = office.log.count();
         }
         let rule = self.installed(&mut after, place, number, 0);
-        push(Step::Learn { place: place as u8, number }, after, rule);
+        push(
+            Step::Learn {
+                place: place as u8,
+                number,
+            },
+            after,
+            rule,
+        );
     }
 
     /// The others install what the one before them passes, the whole of it at once. What is applied here stays.
-    fn install(&self, state: &State, place: usize, number: u8, push: &mut impl FnMut(Step, State, Rule)) {
-        let Some(office) = self.hears(state, place, number) else { return };
+    fn install(
+        &self,
+        state: &State,
+        place: usize,
+        number: u8,
+        push: &mut impl FnMut(Step, State, Rule),
+    ) {
+        let Some(office) = self.hears(state, place, number) else {
+            return;
+        };
         if office.installed >= number || office.never >= number {
             return;
         }
-        let Some(at) = self.names(state, place, number).filter(|at| *at > 0) else { return };
+        let Some(at) = self.names(state, place, number).filter(|at| *at > 0) else {
+            return;
+        };
         let from = state.told[usize::from(number) - 1][at - 1];
         if !from.installed {
             return;
@@ -393,9 +517,22 @@
             (office.done..from.log.count()).for_each(|at| log.add(from.log.at(at)));
         }
         let (own, done) = (log.count(), office.done.max(from.done));
-        after.offices[place] = Office { installed: number, log, own, done, ..office };
+        after.offices[place] = Office {
+            installed: number,
+            log,
+            own,
+            done,
+            ..office
+        };
         let rule = self.installed(&mut after, place, number, at);
-        push(Step::Install { place: place as u8, number }, after, rule);
+        push(
+            Step::Install {
+                place: place as u8,
+                number,
+            },
+            after,
+            rule,
+        );
     }
 
     /// With the tail the view is at work, and all that came with it is committed.
@@ -410,10 +547,12 @@
             }
             let before = state.order.count();
             rule = self.settle(state, place, number, log.count());
-            let newcomer =
-                self.with_view(state, number, |v| v.view.members.iter().any(|m| m.id >= PLACES as u64));
+            let newcomer = self.with_view(state, number, |v| {
+                v.view.members.iter().any(|m| m.id >= PLACES as u64)
+            });
             self.note(|seen| {
-                seen.third_view_holds_what_the_first_acknowledged |= number == 3 && state.first_in == 1;
+                seen.third_view_holds_what_the_first_acknowledged |=
+                    number == 3 && state.first_in == 1;
                 seen.dead_view_passed_over |= number == 3 && state.is_dead(2) && before > 0;
                 seen.unfinished_update_carried_on |= state.order.count() > before;
                 seen.newcomer_at_work |= newcomer == Some(true);
@@ -426,17 +565,35 @@
     }
 
     /// A member that hasn't installed a view promises never to. It matters to itself only where it still could.
-    fn never(&self, state: &State, place: usize, number: u8, push: &mut impl FnMut(Step, State, Rule)) {
+    fn never(
+        &self,
+        state: &State,
+        place: usize,
+        number: u8,
+        push: &mut impl FnMut(Step, State, Rule),
+    ) {
         let mut knows = number.max(state.offices[place].known)..=NUMBERS as u8;
-        let Some(office) = knows.find_map(|n| self.hears(state, place, n)) else { return };
+        let Some(office) = knows.find_map(|n| self.hears(state, place, n)) else {
+            return;
+        };
         let is_member = self.with_view(state, number, |v| v.holds(&office)) == Some(true);
         if !is_member || office.installed >= number || state.is_dead(number) {
             return;
         }
         let mut after = *state;
         after.dead |= bit(number - 1);
-        after.offices[place] = Office { never: office.never.max(number), ..office };
-        push(Step::Never { place: place as u8, number }, after, Ok(()));
+        after.offices[place] = Office {
+            never: office.never.max(number),
+            ..office
+        };
+        push(
+            Step::Never {
+                place: place as u8,
+                number,
+            },
+            after,
+            Ok(()),
+        );
     }
 
     // ---- the agreement on the next view -----------------------------------------------------
@@ -444,12 +601,19 @@
     /// Any view that could be proposed by who asks around now. Who is in it is anybody's choice, for anybody may be
     /// taken for lost; its source must have installed the newest view that isn't dead. What was answered holds as the
     /// ballot begins, and may be old when it is decided.
-    fn propose(&self, state: &State, number: u8, ballot: u8, push: &mut impl FnMut(Step, State, Rule)) {
+    fn propose(
+        &self,
+        state: &State,
+        number: u8,
+        ballot: u8,
+        push: &mut impl FnMut(Step, State, Rule),
+    ) {
         let slot = self.slot(number, ballot);
         let before = number - 1;
         let voices = self.voices(state, before, |_| true);
         let knows = self.voices(state, before, |p| self.hears(state, p, before).is_some());
-        if state.slots[slot].wanted != 0 || state.views[usize::from(before) - 1] == 0 || knows == 0 {
+        if state.slots[slot].wanted != 0 || state.views[usize::from(before) - 1] == 0 || knows == 0
+        {
             return;
         }
         let decided = state.views[usize::from(number) - 1] != 0;
@@ -458,8 +622,9 @@
         }
         let mut views = Vec::new();
         for (source, office) in state.offices.iter().enumerate() {
-            let dead =
-                |n: u8| state.is_dead(n) || (self.has(Fault::DeadWithoutAPromise) && n > state.at_work);
+            let dead = |n: u8| {
+                state.is_dead(n) || (self.has(Fault::DeadWithoutAPromise) && n > state.at_work)
+            };
             let may = office.installed > 0 && (office.installed + 1..number).all(dead);
             if !may && !self.has(Fault::SourceWithoutTheViewBefore) {
                 continue;
@@ -471,7 +636,11 @@
             }
         }
         if self.bounds.one_each {
-            views = views.into_iter().skip(usize::from(ballot) - 1).take(1).collect();
+            views = views
+                .into_iter()
+                .skip(usize::from(ballot) - 1)
+                .take(1)
+                .collect();
         }
         for view in views {
             let mut after = *state;
@@ -480,17 +649,35 @@
             if ballot == 1 {
                 slot.sent = view;
             }
-            push(Step::Propose { number, ballot, view }, after, Ok(()));
+            push(
+                Step::Propose {
+                    number,
+                    ballot,
+                    view,
+                },
+                after,
+                Ok(()),
+            );
         }
     }
 
     /// A source with these beside it, and without or with those as voters that are left out of it.
     fn views_with(&self, state: &State, number: u8, source: usize, others: u8, all: &mut Vec<u16>) {
-        let Some(base) = self.with_view(state, number - 1, |v| v.view.clone()) else { return };
-        let there: Vec<_> = state.offices.iter().enumerate().map(|(place, o)| member(place, o)).collect();
+        let Some(base) = self.with_view(state, number - 1, |v| v.view.clone()) else {
+            return;
+        };
+        let there: Vec<_> = state
+            .offices
+            .iter()
+            .enumerate()
+            .map(|(place, o)| member(place, o))
+            .collect();
         let mut members = vec![there[source]];
         // The order stays, newcomers come last.
-        let mut rest: Vec<_> = there.iter().filter(|m| others & bit(place_of(m) as u8) != 0).collect();
+        let mut rest: Vec<_> = there
+            .iter()
+            .filter(|m| others & bit(place_of(m) as u8) != 0)
+            .collect();
         rest.sort_by_key(|m| base.place(m.id).unwrap_or(PLACES));
         members.extend(rest);
         let few = members.len() <= self.bounds.losses && members.len() < base.members.len();
@@ -498,11 +685,20 @@
             return;
         }
         let room = (2 * self.bounds.losses + 1).saturating_sub(members.len());
-        let out = there.iter().filter(|m| base.votes(m.id) && !members.contains(m));
+        let out = there
+            .iter()
+            .filter(|m| base.votes(m.id) && !members.contains(m));
         let voters: Vec<_> = out.take(room).copied().collect();
-        for voters in [Some(Vec::new()), Some(voters).filter(|v| self.bounds.voters && !v.is_empty())] {
+        for voters in [
+            Some(Vec::new()),
+            Some(voters).filter(|v| self.bounds.voters && !v.is_empty()),
+        ] {
             let Some(voters) = voters else { continue };
-            let view = View { number: number.into(), members: members.clone(), voters };
+            let view = View {
+                number: number.into(),
+                members: members.clone(),
+                voters,
+            };
             all.push(self.views.borrow_mut().keep(view));
         }
     }
@@ -515,7 +711,10 @@
 
     /// What is known of this number's votes, as `Chain::vote_for` has it.
     fn vote_for(office: &Office, number: u8) -> Option<Vote> {
-        let fresh = Vote { number, ..Vote::default() };
+        let fresh = Vote {
+            number,
+            ..Vote::default()
+        };
         match office.vote.number.cmp(&number) {
             std::cmp::Ordering::Less => Some(fresh),
             std::cmp::Ordering::Equal => Some(office.vote),
@@ -524,55 +723,114 @@
     }
 
     /// Promises and accepts, of numbers with several ballots.
-    fn vote(&self, state: &State, place: usize, number: u8, push: &mut impl FnMut(Step, State, Rule)) {
+    fn vote(
+        &self,
+        state: &State,
+        place: usize,
+        number: u8,
+        push: &mut impl FnMut(Step, State, Rule),
+    ) {
         if self.ballots(number) < 2 || !self.votes(state, place, number - 1) {
             return;
         }
-        let Some(office) = self.hears(state, place, number - 1) else { return };
-        let Some(vote) = Self::vote_for(&office, number) else { return };
+        let Some(office) = self.hears(state, place, number - 1) else {
+            return;
+        };
+        let Some(vote) = Self::vote_for(&office, number) else {
+            return;
+        };
         for ballot in vote.promised.max(1)..=self.ballots(number) {
             let at = self.slot(number, ballot);
             let slot = state.slots[at];
             if slot.wanted != 0 && ballot > 1 && promise(&slot, office.id).is_none() {
                 let mut after = *state;
-                after.offices[place] = Office { vote: Vote { promised: ballot, ..vote }, ..office };
+                after.offices[place] = Office {
+                    vote: Vote {
+                        promised: ballot,
+                        ..vote
+                    },
+                    ..office
+                };
                 after.slots[at].promises |= u16::from(vote.accepted + 1) << (3 * office.id);
-                push(Step::Promise { place: place as u8, number, ballot }, after, Ok(()));
+                push(
+                    Step::Promise {
+                        place: place as u8,
+                        number,
+                        ballot,
+                    },
+                    after,
+                    Ok(()),
+                );
             }
             if slot.sent != 0 && slot.accepted & bit(office.id) == 0 {
                 let mut after = *state;
-                let vote = Vote { number, promised: ballot, accepted: ballot };
+                let vote = Vote {
+                    number,
+                    promised: ballot,
+                    accepted: ballot,
+                };
                 after.offices[place] = Office { vote, ..office };
                 after.slots[at].accepted |= bit(office.id);
                 let rule = self.count_votes(&mut after, number);
-                push(Step::Accept { place: place as u8, number, ballot }, after, rule);
+                push(
+                    Step::Accept {
+                        place: place as u8,
+                        number,
+                        ballot,
+                    },
+                    after,
+                    rule,
+                );
             }
         }
     }
 
     /// Some of those that promised, enough to decide, bind the proposal to what the highest ballot among them was for.
-    fn send(&self, state: &State, number: u8, ballot: u8, push: &mut impl FnMut(Step, State, Rule)) {
+    fn send(
+        &self,
+        state: &State,
+        number: u8,
+        ballot: u8,
+        push: &mut impl FnMut(Step, State, Rule),
+    ) {
         let slot = state.slots[self.slot(number, ballot)];
         if slot.wanted == 0 || slot.sent != 0 {
             return;
         }
-        let promised = (0..IDS).filter(|id| promise(&slot, *id).is_some()).fold(0, |all, id| all | bit(id));
+        let promised = (0..IDS)
+            .filter(|id| promise(&slot, *id).is_some())
+            .fold(0, |all, id| all | bit(id));
         let mut values = Vec::new();
         for group in 1..=promised {
             if group & !promised != 0 || !self.decides(state, number - 1, group) {
                 continue;
             }
-            let said = (0..IDS).filter(|id| group & bit(*id) != 0).filter_map(|id| promise(&slot, id));
-            let bound = said.max().filter(|b| *b > 0).map(|b| state.slots[self.slot(number, b)].sent);
+            let said = (0..IDS)
+                .filter(|id| group & bit(*id) != 0)
+                .filter_map(|id| promise(&slot, id));
+            let bound = said
+                .max()
+                .filter(|b| *b > 0)
+                .map(|b| state.slots[self.slot(number, b)].sent);
             let value = bound.unwrap_or(slot.wanted);
-            self.note(|seen| seen.higher_ballot_bound_by_a_lower |= bound.is_some_and(|b| b != slot.wanted));
+            self.note(|seen| {
+                seen.higher_ballot_bound_by_a_lower |= bound.is_some_and(|b| b != slot.wanted)
+            });
             if values.contains(&value) {
                 continue;
             }
             values.push(value);
             let mut after = *state;
             after.slots[self.slot(number, ballot)].sent = value;
-            push(Step::Send { number, ballot, view: value }, after, Ok(()));
+            push(
+                Step::Send {
+                    number,
+                    ballot,
+                    view: value,
+                },
+                after,
+                Ok(()),
+            );
         }
     }
 
@@ -585,8 +843,9 @@
         if state.slots[at].sent == 0 || state.views[usize::from(number) - 1] != 0 {
             return;
         }
-        let can =
-            |p: &usize| self.votes(state, *p, number - 1) && self.hears(state, *p, number - 1).is_some();
+        let can = |p: &usize| {
+            self.votes(state, *p, number - 1) && self.hears(state, *p, number - 1).is_some()
+        };
         let can = (0..PLACES).filter(can).map(|p| bit(p as u8)).sum::<u8>();
         let enough = |group: u8| {
             let voices = self.voices(state, number - 1, |p| group & bit(p as u8) != 0);
@@ -600,10 +859,19 @@
             let mut after = *state;
             for place in within {
                 after.slots[at].accepted |= bit(state.offices[place].id);
-                after.offices[place] = self.hears(state, place, number - 1).unwrap_or(state.offices[place]);
+                after.offices[place] = self
+                    .hears(state, place, number - 1)
+                    .unwrap_or(state.offices[place]);
             }
             let rule = self.count_votes(&mut after, number);
-            push(Step::Decide { number, voices: group }, after, rule);
+            push(
+                Step::Decide {
+                    number,
+                    voices: group,
+                },
+                after,
+                rule,
+            );
         }
     }
 
@@ -613,7 +881,9 @@
             if slot.sent == 0 || !self.decides(state, number - 1, slot.accepted) {
                 continue;
             }
-            let majority = self.with_view(state, number - 1, |v| v.majority).unwrap_or(0);
+            let majority = self
+                .with_view(state, number - 1, |v| v.majority)
+                .unwrap_or(0);
             let few = slot.accepted.count_ones() < majority;
             self.note(|seen| seen.decided_by_all_that_are_left |= few);
             let decided = &mut state.views[usize::from(number) - 1];
@@ -647,7 +917,14 @@
                     vote,
                     ..office
                 };
-                push(Step::Crash { place: place as u8, keeps }, after, Ok(()));
+                push(
+                    Step::Crash {
+                        place: place as u8,
+                        keeps,
+                    },
+                    after,
+                    Ok(()),
+                );
             }
         }
         if state.wipes < self.bounds.wipes && (state.wipes == 0 || self.is_mended(state)) {
@@ -665,9 +942,17 @@
                 if let Some(number) = voted {
                     after.slots[self.slot(number, 1)].accepted |= bit(office.id);
                 }
-                let new = Office { id: PLACES as u8 + state.wipes, life: 1, ..Office::default() };
+                let new = Office {
+                    id: PLACES as u8 + state.wipes,
+                    life: 1,
+                    ..Office::default()
+                };
                 after.offices[place] = if self.has(Fault::WipedUnderItsOldIdentity) {
-                    Office { id: office.id, life: office.life + 1, ..new }
+                    Office {
+                        id: office.id,
+                        life: office.life + 1,
+                        ..new
+                    }
                 } else {
                     after.lost |= bit(office.id);
                     new
@@ -675,7 +960,14 @@
                 // One disk less may make the votes enough.
                 let mut several = (2..=NUMBERS as u8).filter(|n| self.ballots(*n) > 1);
                 let rule = several.try_for_each(|n| self.count_votes(&mut after, n));
-                push(Step::Wipe { place: place as u8, voted }, after, rule);
+                push(
+                    Step::Wipe {
+                        place: place as u8,
+                        voted,
+                    },
+                    after,
+                    rule,
+                );
             }
         }
     }
@@ -683,7 +975,11 @@
     /// After a loss the chain is as long as it must be again, of disks that are there: another one may be lost.
     fn is_mended(&self, state: &State) -> bool {
         self.with_view(state, state.at_work, |v| {
-            let kept = v.view.members.iter().all(|m| state.lost & bit(m.id as u8) == 0);
+            let kept = v
+                .view
+                .members
+                .iter()
+                .all(|m| state.lost & bit(m.id as u8) == 0);
             kept && v.length > self.bounds.losses
         })
         .unwrap_or(false)
@@ -709,10 +1005,15 @@
                 continue;
             }
             let length = self.length(state, number);
-            let able: [bool; PLACES] = std::array::from_fn(|m| m < length && self.may_act(state, number, m));
+            let able: [bool; PLACES] =
+                std::array::from_fn(|m| m < length && self.may_act(state, number, m));
             for m in 0..length {
                 // The tail tells all of them what is committed, the others only the next one.
-                let heard = if m + 1 < length { able[m + 1] } else { able[..m].contains(&true) };
+                let heard = if m + 1 < length {
+                    able[m + 1]
+                } else {
+                    able[..m].contains(&true)
+                };
                 if !heard {
                     state.told[at][m] = Told::default();
                 }
@@ -722,7 +1023,8 @@
                 // Nobody goes on from a view before the newest at work.
                 state.dead &= !bit(number - 1);
             }
-            if state.read.view == number && able[usize::from(state.read.passed) + 1..length].contains(&false)
+            if state.read.view == number
+                && able[usize::from(state.read.passed) + 1..length].contains(&false)
             {
                 state.read = Read::default();
             }
@@ -736,8 +1038,8 @@
             if office.never != office.known || office.installed >= office.never || !named {
                 state.offices[place].never = 0;
             }
-            let acts =
-                office.known == office.installed && self.names(state, place, office.installed).is_some();
+            let acts = office.known == office.installed
+                && self.names(state, place, office.installed).is_some();
             if office.installed < newest && !acts {
                 let office = &mut state.offices[place];
                 (office.log, office.own) = (office.log.first(office.done), office.done);
@@ -748,7 +1050,12 @@
 
 fn tell(state: &mut State, place: usize, view: u8, at: usize) {
     let Office { log, own, done, .. } = state.offices[place];
-    state.told[usize::from(view) - 1][at] = Told { installed: true, log, own, done };
+    state.told[usize::from(view) - 1][at] = Told {
+        installed: true,
+        log,
+        own,
+        done,
+    };
 }
 
 fn promise(slot: &Slot, id: u8) -> Option<u8> {
--- a/crates/rookpulley-chain/tests/model/search.rs
+++ b/crates/rookpulley-chain/tests/model/search.rs
@@ -52,7 +52,11 @@
 
 impl Table {
     fn begin(state: State) -> Self {
-        let mut table = Self { states: Vec::new(), from: Vec::new(), cells: vec![0; 1 << 16] };
+        let mut table = Self {
+            states: Vec::new(),
+            from: Vec::new(),
+            cells: vec![0; 1 << 16],
+        };
         table.add(state, (0, Step::Begin));
         table
     }
@@ -118,5 +122,11 @@
         at += 1;
     }
     let longest = table.way_to(table.states.len() - 1).len();
-    Found { states: table.states.len(), steps, longest, seen: model.seen.get(), broken }
+    Found {
+        states: table.states.len(),
+        steps,
+        longest,
+        seen: model.seen.get(),
+        broken,
+    }
 }
--- a/crates/rookpulley-chain/tests/model/state.rs
+++ b/crates/rookpulley-chain/tests/model/state.rs
@@ -123,7 +123,11 @@
 
 pub fn member(place: usize, office: &Office) -> Member {
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, place as u8), 7);
-    Member { id: office.id.into(), life: office.life.into(), address }
+    Member {
+        id: office.id.into(),
+        life: office.life.into(),
+        address,
+    }
 }
 
 pub fn place_of(member: &Member) -> usize {
@@ -153,9 +157,14 @@
             majority: view.majority() as u32,
             length: view.members.len(),
             places: view.members.iter().map(place_of).collect(),
-            voters: (0..IDS).filter(|id| view.votes((*id).into())).map(bit).sum(),
+            voters: (0..IDS)
+                .filter(|id| view.votes((*id).into()))
+                .map(bit)
+                .sum(),
             at: std::array::from_fn(|id| view.place(id as u64).map(|at| at as u8)),
-            names: std::array::from_fn(|id| std::array::from_fn(|life| view.names(id as u64, life as u64))),
+            names: std::array::from_fn(|id| {
+                std::array::from_fn(|life| view.names(id as u64, life as u64))
+            }),
             view,
         }
     }
@@ -167,7 +176,9 @@
     /// The place among the members, where this life is one.
     pub fn names(&self, office: &Office) -> Option<usize> {
         let id = usize::from(office.id);
-        self.at[id].filter(|_| self.names[id][usize::from(office.life)]).map(usize::from)
+        self.at[id]
+            .filter(|_| self.names[id][usize::from(office.life)])
+            .map(usize::from)
     }
 }
 
@@ -186,7 +197,10 @@
 
     pub fn keep(&mut self, view: View) -> u16 {
         let who = view.acceptors().flat_map(|m| [m.id, m.life]);
-        let key = [view.number, view.members.len() as u64].into_iter().chain(who).collect();
+        let key = [view.number, view.members.len() as u64]
+            .into_iter()
+            .chain(who)
+            .collect();
         *self.numbers.entry(key).or_insert_with(|| {
             self.all.push(Known::of(view));
             self.all.len() as u16
@@ -195,9 +209,14 @@
 
     pub fn decides(&mut self, number: u16, voices: u8, lost: u8) -> bool {
         let set = |bits: u8| -> BTreeSet<u64> {
-            (0..IDS).filter(|id| bits & bit(*id) != 0).map(u64::from).collect()
+            (0..IDS)
+                .filter(|id| bits & bit(*id) != 0)
+                .map(u64::from)
+                .collect()
+        };
+        let Some(known) = self.all.get(usize::from(number).wrapping_sub(1)) else {
+            return false;
         };
-        let Some(known) = self.all.get(usize::from(number).wrapping_sub(1)) else { return false };
         *self
             .decides
             .entry((number, voices, lost))
--- a/crates/rookpulley-chain/tests/refounded.rs
+++ b/crates/rookpulley-chain/tests/refounded.rs
@@ -6,7 +6,10 @@
 
 /// So many of each; `CHAIN_CASES=200` plays more.
 fn seeds() -> u64 {
-    std::env::var("CHAIN_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(3)
+    std::env::var("CHAIN_CASES")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(3)
 }
 
 fn calm(seed: u64, offices: usize, losses: usize) -> World {
@@ -24,7 +27,10 @@
     world.pace_ms = 9;
     assert_eq!((world.members(), world.running().len()), (members, members));
     for at in world.running() {
-        assert!(world.given(at) == world.truth, "office {at} shows something else");
+        assert!(
+            world.given(at) == world.truth,
+            "office {at} shows something else"
+        );
     }
     world.check();
 }
@@ -34,16 +40,26 @@
     for seed in 0..2 * seeds() {
         let mut world = calm(seed, 3, 1);
         let left = (seed % 3) as usize;
-        world.others(left).into_iter().for_each(|at| world.lose(at, seed % 2 == 0));
+        world
+            .others(left)
+            .into_iter()
+            .for_each(|at| world.lose(at, seed % 2 == 0));
         world.play(2_000 * (seed % 2));
         let before = world.took.len();
         world.refound(left, seed % 4 < 2);
         assert_eq!(world.forgotten, 0, "all members have what was acknowledged");
         world.play(700);
         let shown = world.shown(left).unwrap();
-        assert!(shown.acting && shown.in_touch && shown.view == shown.at_work, "{shown:?}");
+        assert!(
+            shown.acting && shown.in_touch && shown.view == shown.at_work,
+            "{shown:?}"
+        );
         assert!(shown.view >= 1_000_000 && world.members() == 1);
-        assert_eq!(world.took.len(), before, "alone it may not acknowledge anything");
+        assert_eq!(
+            world.took.len(),
+            before,
+            "alone it may not acknowledge anything"
+        );
         world.newcomer();
         world.play(1_500);
         world.must_answer();
@@ -89,12 +105,20 @@
 fn behind(seed: u64) -> (World, usize, usize) {
     let mut world = calm(seed, 3, 1);
     let (left, others) = ((seed % 3) as usize, world.others((seed % 3) as usize));
-    world.strike(Trouble::Cut { from: vec![left], to: others.clone(), both: true, held: false });
+    world.strike(Trouble::Cut {
+        from: vec![left],
+        to: others.clone(),
+        both: true,
+        held: false,
+    });
     world.pace_ms = 3;
     world.play(6_000);
     world.pace_ms = 9;
     let later = others[(seed / 3 % 2) as usize];
-    others.iter().filter(|at| **at != later).for_each(|at| world.lose(*at, true));
+    others
+        .iter()
+        .filter(|at| **at != later)
+        .for_each(|at| world.lose(*at, true));
     (world, left, later)
 }
 
--- a/crates/rookpulley-chain/tests/simulated.rs
+++ b/crates/rookpulley-chain/tests/simulated.rs
@@ -15,13 +15,20 @@
     world.play(3_000);
     for round in 0..rounds as u64 {
         let first = world.draw_trouble(true);
-        let alone = matches!(first, world::Trouble::Wipe { .. } | world::Trouble::Replace { .. });
+        let alone = matches!(
+            first,
+            world::Trouble::Wipe { .. } | world::Trouble::Replace { .. }
+        );
         world.strike(first);
         if (seed + round).is_multiple_of(2) {
             let gap = rand::RngExt::random_range(&mut world.rng, 0..1_400u64);
             world.play(gap);
             let second = world.draw_trouble(false);
-            let second = if alone { world::Trouble::KillAll { power: true } } else { second };
+            let second = if alone {
+                world::Trouble::KillAll { power: true }
+            } else {
+                second
+            };
             world.strike(second);
         }
         let lasts = rand::RngExt::random_range(&mut world.rng, 200..3_500u64);
@@ -68,8 +75,12 @@
 /// Troubles in the midst of fillings by pieces, of a state that is 160 or 320 KB long and moves on.
 fn filled(seed: u64, mutation: Option<Mutation>) -> World {
     let draw = |world: &mut World, most: u64| rand::RngExt::random_range(&mut world.rng, 0..most);
-    let mut world =
-        World::bulky_with(seed, 3 + (seed % 2) as usize, 20_000 << (seed / 2 % 2) as usize, mutation);
+    let mut world = World::bulky_with(
+        seed,
+        3 + (seed % 2) as usize,
+        20_000 << (seed / 2 % 2) as usize,
+        mutation,
+    );
     // More updates than are kept at hand.
     (world.pace_ms, world.far_ms) = (1, 6);
     world.play(6_500);
@@ -119,20 +130,45 @@
 type Kind = (&'static str, fn(&World) -> Trouble);
 
 const KINDS: [Kind; 8] = [
-    ("tail killed", |w| Trouble::Kill { at: w.tail(), power: false }),
-    ("tail without power", |w| Trouble::Kill { at: w.tail(), power: true }),
-    ("head killed", |w| Trouble::Kill { at: w.head(), power: false }),
-    ("head without power", |w| Trouble::Kill { at: w.head(), power: true }),
+    ("tail killed", |w| Trouble::Kill {
+        at: w.tail(),
+        power: false,
+    }),
+    ("tail without power", |w| Trouble::Kill {
+        at: w.tail(),
+        power: true,
+    }),
+    ("head killed", |w| Trouble::Kill {
+        at: w.head(),
+        power: false,
+    }),
+    ("head without power", |w| Trouble::Kill {
+        at: w.head(),
+        power: true,
+    }),
     ("head frozen", |w| Trouble::Freeze { at: w.head() }),
     ("head speaks and does not hear", |w| {
         let head = w.head();
-        Trouble::Cut { from: w.others(head), to: vec![head], both: false, held: true }
+        Trouble::Cut {
+            from: w.others(head),
+            to: vec![head],
+            both: false,
+            held: true,
+        }
     }),
     ("head hears and does not speak", |w| {
         let head = w.head();
-        Trouble::Cut { from: vec![head], to: w.others(head), both: false, held: true }
+        Trouble::Cut {
+            from: vec![head],
+            to: w.others(head),
+            both: false,
+            held: true,
+        }
+    }),
+    ("disk 30 times slower", |w| Trouble::Disk {
+        at: w.tail(),
+        trouble: DiskTrouble::Slow,
     }),
-    ("disk 30 times slower", |w| Trouble::Disk { at: w.tail(), trouble: DiskTrouble::Slow }),
 ];
 
 #[test]
@@ -140,12 +176,17 @@
 fn pauses_by_what_is_lost() {
     let slow = KINDS[KINDS.len() - 1].1;
     let pauses = (0..300).map(|seed| pause_of(seed, (false, 6), slow));
-    println!("disk 30 times slower, messages of 7 ms at most: {:?}", spread(pauses.collect()));
+    println!(
+        "disk 30 times slower, messages of 7 ms at most: {:?}",
+        spread(pauses.collect())
+    );
     for held_up in [false, true] {
         for (name, trouble) in KINDS {
             let pauses = (0..300).map(|seed| pause_of(seed, (held_up, 25), trouble));
             let (median, most, worst) = spread(pauses.collect());
-            println!("held up {held_up}: {name}: median {median} ms, 99 of 100 {most} ms, worst {worst} ms");
+            println!(
+                "held up {held_up}: {name}: median {median} ms, 99 of 100 {most} ms, worst {worst} ms"
+            );
         }
         for power in [false, true] {
             let pauses = (0..300).map(|seed| {
@@ -222,15 +263,21 @@
     run: impl Fn(u64, Option<Mutation>) -> World + Sync + std::panic::RefUnwindSafe,
 ) -> Vec<u64> {
     use std::sync::atomic::{AtomicU64, Ordering};
-    let (next, steps, calls, unknown) =
-        (AtomicU64::new(seeds.start), AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
+    let (next, steps, calls, unknown) = (
+        AtomicU64::new(seeds.start),
+        AtomicU64::new(0),
+        AtomicU64::new(0),
+        AtomicU64::new(0),
+    );
     let failed = std::sync::Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..std::thread::available_parallelism().map_or(4, |n| n.get()) {
             scope.spawn(|| {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
-                    if seed >= seeds.end || (mutation.is_some() && !failed.lock().unwrap().is_empty()) {
+                    if seed >= seeds.end
+                        || (mutation.is_some() && !failed.lock().unwrap().is_empty())
+                    {
                         return;
                     }
                     match std::panic::catch_unwind(|| run(seed, mutation)) {
@@ -259,7 +306,10 @@
 #[test]
 #[ignore = "long: CHAIN_SEEDS=0..3000 cargo test --release -p rookpulley-chain -- --ignored --nocapture"]
 fn thousands_of_seeds_break_no_rule() {
-    assert_eq!(on_all_cores(seeds(), None, |seed, mutation| troubled(seed, 6, mutation)), []);
+    assert_eq!(
+        on_all_cores(seeds(), None, |seed, mutation| troubled(seed, 6, mutation)),
+        []
+    );
     assert_eq!(on_all_cores(seeds(), None, stormy), []);
     assert_eq!(on_all_cores(seeds(), None, filled), []);
 }
@@ -268,9 +318,21 @@
 #[ignore = "long: says how soon each fault put in on purpose is found"]
 fn faults_put_in_on_purpose_are_found() {
     use Mutation::*;
-    let older = [SyncLeftOut, TailAlone, RefusedAfterAll, VotesForgotten, IdentityKept, TriesNotKnown];
-    for mutation in older.into_iter().chain([FilledTooSoon, FilledBeyond, PiecesMixed, AgreedAhead]) {
-        let calm = on_all_cores(seeds(), Some(mutation), |seed, mutation| troubled(seed, 6, mutation));
+    let older = [
+        SyncLeftOut,
+        TailAlone,
+        RefusedAfterAll,
+        VotesForgotten,
+        IdentityKept,
+        TriesNotKnown,
+    ];
+    for mutation in older
+        .into_iter()
+        .chain([FilledTooSoon, FilledBeyond, PiecesMixed, AgreedAhead])
+    {
+        let calm = on_all_cores(seeds(), Some(mutation), |seed, mutation| {
+            troubled(seed, 6, mutation)
+        });
         let storm = on_all_cores(seeds(), Some(mutation), stormy);
         let filling = on_all_cores(seeds(), Some(mutation), filled);
         let first = [calm.first(), storm.first(), filling.first()];
--- a/crates/rookpulley-chain/tests/spare.rs
+++ b/crates/rookpulley-chain/tests/spare.rs
@@ -6,7 +6,11 @@
 
 /// What the first that runs shows; all that are in the chain show the same.
 fn spare(world: &World) -> usize {
-    let shown = world.running().into_iter().filter_map(|at| world.shown(at)).filter(|shown| shown.acting);
+    let shown = world
+        .running()
+        .into_iter()
+        .filter_map(|at| world.shown(at))
+        .filter(|shown| shown.acting);
     let all: Vec<usize> = shown.map(|shown| shown.spare).collect();
     assert!(all.windows(2).all(|pair| pair[0] == pair[1]), "{all:?}");
     all.first().copied().unwrap_or(0)
--- a/crates/rookpulley-chain/tests/world/disk.rs
+++ b/crates/rookpulley-chain/tests/world/disk.rs
@@ -71,7 +71,11 @@
     }
 
     pub fn write(&mut self, now: u64, ticket: u64, records: Vec<Record>) {
-        let takes = if self.trouble == Some(DiskTrouble::Slow) { 150 } else { 5 };
+        let takes = if self.trouble == Some(DiskTrouble::Slow) {
+            150
+        } else {
+            5
+        };
         let takes = if self.lies { 400 } else { takes };
         // What waits while one sync is under way goes along with the next.
         let when = match self.writing.front() {
@@ -81,22 +85,38 @@
             }
             _ => now + takes,
         };
-        self.writing.push_back(Batch { begun: now, when, ticket, records });
+        self.writing.push_back(Batch {
+            begun: now,
+            when,
+            ticket,
+            records,
+        });
     }
 
     /// The next ticket that is synced by now.
     pub fn synced(&mut self, now: u64) -> Option<u64> {
-        if self.trouble == Some(DiskTrouble::Hangs) || self.writing.front().is_none_or(|b| b.when > now) {
+        if self.trouble == Some(DiskTrouble::Hangs)
+            || self.writing.front().is_none_or(|b| b.when > now)
+        {
             return None;
         }
         let batch = self.writing.pop_front()?;
-        self.quick = if now - batch.begun < 35 { self.quick + 1 } else { 0 };
+        self.quick = if now - batch.begun < 35 {
+            self.quick + 1
+        } else {
+            0
+        };
         if self.lies_of_parts && is_a_part(&batch.records) {
             let row = |record: &Record| match record {
-                Record::Put { key, value } => (key.clone(), self.rows.get(key).cloned(), Some(value.clone())),
+                Record::Put { key, value } => (
+                    key.clone(),
+                    self.rows.get(key).cloned(),
+                    Some(value.clone()),
+                ),
                 Record::Delete { key } => (key.clone(), self.rows.get(key).cloned(), None),
             };
-            self.parts.push((now + 400, batch.records.iter().map(row).collect()));
+            self.parts
+                .push((now + 400, batch.records.iter().map(row).collect()));
         }
         self.apply(batch.records);
         self.parts.retain(|(until, _)| *until > now);
--- a/crates/rookpulley-chain/tests/world/faults.rs
+++ b/crates/rookpulley-chain/tests/world/faults.rs
@@ -31,7 +31,10 @@
 
     /// Behind the updates that are agreed on goes what else the sender holds.
     pub fn beyond(&mut self, from: u64, message: &mut Message) {
-        if let Message::Filled { fill: Fill::Updates { entries, .. }, .. } = message
+        if let Message::Filled {
+            fill: Fill::Updates { entries, .. },
+            ..
+        } = message
             && let Some(last) = entries.last().map(|e| e.seq)
             && let Some(held) = self.held.get(&from)
         {
@@ -42,7 +45,19 @@
     /// Where a state is asked for anew because the one before can't be followed any more, its last piece is joined to
     /// those of that one.
     pub fn mix(&mut self, way: Way, message: &mut Message) {
-        let Message::Filled { fill: Fill::Piece { seq, piece, pieces, sum, bytes, .. }, .. } = message else {
+        let Message::Filled {
+            fill:
+                Fill::Piece {
+                    seq,
+                    piece,
+                    pieces,
+                    sum,
+                    bytes,
+                    ..
+                },
+            ..
+        } = message
+        else {
             return;
         };
         let now = self.now.entry(way).or_default();
@@ -50,8 +65,13 @@
             self.before.insert(way, std::mem::take(&mut now.1));
             now.0 = *seq;
         }
-        let other = self.before.get(&way).and_then(|before| before.get(*piece as usize));
-        if let Some(other) = other.filter(|other| *piece + 1 < *pieces && other.len() == bytes.len()) {
+        let other = self
+            .before
+            .get(&way)
+            .and_then(|before| before.get(*piece as usize));
+        if let Some(other) =
+            other.filter(|other| *piece + 1 < *pieces && other.len() == bytes.len())
+        {
             *bytes = other.clone();
         }
         now.1.truncate(*piece as usize);
@@ -65,10 +85,14 @@
 /// All that a write holds counts as agreed on.
 pub fn agree_ahead(records: &mut [Record]) {
     let place = |record: &Record| match record {
-        Record::Put { key, .. } if key[0] == b'e' => key[1..].try_into().ok().map(u64::from_be_bytes),
+        Record::Put { key, .. } if key[0] == b'e' => {
+            key[1..].try_into().ok().map(u64::from_be_bytes)
+        }
         _ => None,
     };
-    let Some(last) = records.iter().filter_map(place).max() else { return };
+    let Some(last) = records.iter().filter_map(place).max() else {
+        return;
+    };
     for record in records {
         if let Record::Put { key, value } = record
             && key[..] == *b"c"
@@ -81,7 +105,12 @@
 
 /// What another office was filled with: without the view that follows it.
 pub fn is_a_part(records: &[Record]) -> bool {
-    let puts = |kind: u8| records.iter().any(|r| matches!(r, Record::Put { key, .. } if key[0] == kind));
-    let agreed = |r: &Record| matches!(r, Record::Put { key, value } if key[0] == b'e' && value[0] == 0);
+    let puts = |kind: u8| {
+        records
+            .iter()
+            .any(|r| matches!(r, Record::Put { key, .. } if key[0] == kind))
+    };
+    let agreed =
+        |r: &Record| matches!(r, Record::Put { key, value } if key[0] == b'e' && value[0] == 0);
     puts(b'c') && !puts(b'i') && (puts(b'S') || records.iter().any(agreed))
 }
--- a/crates/rookpulley-chain/tests/world/history.rs
+++ b/crates/rookpulley-chain/tests/world/history.rs
@@ -32,8 +32,12 @@
 
 pub fn check(calls: &[Call]) -> Result<(), String> {
     let mut names: BTreeMap<u8, Vec<&Call>> = BTreeMap::new();
-    calls.iter().for_each(|call| names.entry(call.name).or_default().push(call));
-    names.into_iter().try_for_each(|(name, calls)| one(&calls).map_err(|why| format!("name {name}: {why}")))
+    calls
+        .iter()
+        .for_each(|call| names.entry(call.name).or_default().push(call));
+    names
+        .into_iter()
+        .try_for_each(|(name, calls)| one(&calls).map_err(|why| format!("name {name}: {why}")))
 }
 
 fn one(calls: &[&Call]) -> Result<(), String> {
@@ -53,7 +57,9 @@
         } else {
             let least = floors[&call.asked];
             if at < least {
-                return Err(format!("{call:?} stands before what was answered at place {least}"));
+                return Err(format!(
+                    "{call:?} stands before what was answered at place {least}"
+                ));
             }
             floor = floor.max(at);
         }
@@ -61,23 +67,35 @@
     // Each revision has one update, and what is read there is its value.
     let mut given: BTreeMap<u64, &Call> = BTreeMap::new();
     for call in calls {
-        let Some((_, reply)) = call.answered.filter(|(_, r)| r.went && call.ask != Ask::Read) else {
+        let Some((_, reply)) = call
+            .answered
+            .filter(|(_, r)| r.went && call.ask != Ask::Read)
+        else {
             continue;
         };
         if let Ask::Swap { expected, .. } = call.ask
             && reply.revision != expected + 1
         {
-            return Err(format!("{call:?} went through elsewhere than behind {expected}"));
+            return Err(format!(
+                "{call:?} went through elsewhere than behind {expected}"
+            ));
         }
         if let Some(other) = given.insert(reply.revision, call) {
-            return Err(format!("revision {} is given to {call:?} and to {other:?}", reply.revision));
+            return Err(format!(
+                "revision {} is given to {call:?} and to {other:?}",
+                reply.revision
+            ));
         }
     }
-    let by_value: BTreeMap<u64, &Call> =
-        calls.iter().filter_map(|call| Some((value(call.ask)?, *call))).collect();
+    let by_value: BTreeMap<u64, &Call> = calls
+        .iter()
+        .filter_map(|call| Some((value(call.ask)?, *call)))
+        .collect();
     let mut seen_last: u64 = 0;
     for call in calls {
-        let Some((at, reply)) = call.answered else { continue };
+        let Some((at, reply)) = call.answered else {
+            continue;
+        };
         seen_last = seen_last.max(reply.revision);
         if call.ask != Ask::Read || reply.revision == 0 {
             continue;
@@ -114,19 +132,30 @@
             *first = (*first).min(at);
         }
     }
-    let before = |revision: u64| firsts.range(2 * revision..).map(|(_, at)| *at).min().unwrap_or(u64::MAX);
+    let before = |revision: u64| {
+        firsts
+            .range(2 * revision..)
+            .map(|(_, at)| *at)
+            .min()
+            .unwrap_or(u64::MAX)
+    };
     for (revision, call) in &given {
         if call.answered.is_none() && call.asked > before(*revision) {
-            return Err(format!("{call:?} got revision {revision}, which was behind it"));
+            return Err(format!(
+                "{call:?} got revision {revision}, which was behind it"
+            ));
         }
     }
     for revision in (1..=seen_last).filter(|r| !given.contains_key(r)) {
         let until = before(revision);
         let fits = |c: &&Call| {
-            c.asked < until && !matches!(c.ask, Ask::Swap { expected, .. } if expected + 1 != revision)
+            c.asked < until
+                && !matches!(c.ask, Ask::Swap { expected, .. } if expected + 1 != revision)
         };
         // A swap fits one revision only, so it goes first; of the puts, the latest that is early enough.
-        let swap = free.iter().position(|c| matches!(c.ask, Ask::Swap { .. }) && fits(c));
+        let swap = free
+            .iter()
+            .position(|c| matches!(c.ask, Ask::Swap { .. }) && fits(c));
         match swap.or_else(|| free.iter().position(fits)) {
             Some(at) => _ = free.remove(at),
             None => return Err(format!("revision {revision} was given to no call")),
--- a/crates/rookpulley-chain/tests/world/mod.rs
+++ b/crates/rookpulley-chain/tests/world/mod.rs
@@ -166,8 +166,14 @@
 impl Drop for World {
     fn drop(&mut self) {
         if std::thread::panicking() && std::env::var_os("CHAIN_LOG").is_some() {
-            let wanted = std::env::var("CHAIN_LOG").ok().and_then(|n| n.parse().ok()).unwrap_or(80);
-            self.log.iter().skip(self.log.len().saturating_sub(wanted)).for_each(|line| eprintln!("{line}"));
+            let wanted = std::env::var("CHAIN_LOG")
+                .ok()
+                .and_then(|n| n.parse().ok())
+                .unwrap_or(80);
+            self.log
+                .iter()
+                .skip(self.log.len().saturating_sub(wanted))
+                .for_each(|line| eprintln!("{line}"));
         }
     }
 }
@@ -272,7 +278,10 @@
         let fresh = !place.disk.rows.contains_key(&b"0id"[..]);
         if fresh {
             let id: u64 = self.rng.random();
-            place.disk.rows.insert(b"0id".to_vec(), id.to_le_bytes().to_vec());
+            place
+                .disk
+                .rows
+                .insert(b"0id".to_vec(), id.to_le_bytes().to_vec());
             if founder {
                 place.disk.rows.insert(b"0founder".to_vec(), Vec::new());
             }
@@ -283,14 +292,33 @@
             place.disk.rows.remove(&b"p"[..]);
         }
         let kept = (!fresh).then(|| Kept::read(place.disk.rows.clone()));
-        assert!(kept.as_ref().is_none_or(Kept::sound), "office {at} finds its disk spoilt");
-        let me = Member { id: place.id, life, address: place.address };
-        let boot = Boot { me, founder, losses: self.losses, seed, kept };
+        assert!(
+            kept.as_ref().is_none_or(Kept::sound),
+            "office {at} finds its disk spoilt"
+        );
+        let me = Member {
+            id: place.id,
+            life,
+            address: place.address,
+        };
+        let boot = Boot {
+            me,
+            founder,
+            losses: self.losses,
+            seed,
+            kept,
+        };
         place.disk.open();
         let names = Names::long(self.bulk);
         place.rot = names.rot.clone();
-        (place.chain, place.born, place.clock) = (Some(Chain::start(clock, boot, names)), self.now, clock);
-        (place.asleep_until, place.ticked, place.compared, place.again_at) = (0, false, 0, None);
+        (place.chain, place.born, place.clock) =
+            (Some(Chain::start(clock, boot, names)), self.now, clock);
+        (
+            place.asleep_until,
+            place.ticked,
+            place.compared,
+            place.again_at,
+        ) = (0, false, 0, None);
         place.inbox.clear();
         // Everybody hears of it, and it of them, over lines that are new.
         for other in (0..self.places.len()).filter(|o| *o != at) {
@@ -298,7 +326,10 @@
                 self.meet(at, other);
             }
         }
-        self.say(format!("office {at} starts, id {:x}, life {life:x}", self.places[at].id));
+        self.say(format!(
+            "office {at} starts, id {:x}, life {life:x}",
+            self.places[at].id
+        ));
     }
 
     fn meet(&mut self, a: usize, b: usize) {
@@ -313,7 +344,11 @@
     fn member(&self, at: usize) -> Member {
         let place = &self.places[at];
         let life = place.chain.as_ref().map_or(0, |c| c.me().life);
-        Member { id: place.id, life, address: place.address }
+        Member {
+            id: place.id,
+            life,
+            address: place.address,
+        }
     }
 
     pub fn say(&mut self, line: String) {
@@ -326,29 +361,43 @@
         }
         if self.places[at].asleep_until > self.now {
             // A timer that has fired says so once.
-            if !matches!(input, Input::Tick) || !std::mem::replace(&mut self.places[at].ticked, true) {
+            if !matches!(input, Input::Tick)
+                || !std::mem::replace(&mut self.places[at].ticked, true)
+            {
                 self.places[at].inbox.push_back(input);
             }
             return;
         }
         self.steps += 1;
         let now = self.now - self.places[at].born + self.places[at].clock;
-        let Some(chain) = self.places[at].chain.as_mut() else { return };
+        let Some(chain) = self.places[at].chain.as_mut() else {
+            return;
+        };
         let before = chain.view().map_or(0, |v| v.number);
         let effects = chain.handle(now, input);
         if let Some(view) = chain.view().filter(|v| v.number != before) {
-            let known = self.views.entry(view.number).or_insert_with(|| view.clone());
+            let known = self
+                .views
+                .entry(view.number)
+                .or_insert_with(|| view.clone());
             assert_eq!(known, view, "two views have one number");
         }
         let (mut ends, mut spoilt) = (false, false);
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => {
-                    if let Some(to) = self.places.iter().position(|p| p.id == to && p.chain.is_some()) {
+                    if let Some(to) = self
+                        .places
+                        .iter()
+                        .position(|p| p.id == to && p.chain.is_some())
+                    {
                         self.send(at, to, message);
                     }
                 }
-                Effect::Write { ticket, mut records } => {
+                Effect::Write {
+                    ticket,
+                    mut records,
+                } => {
                     ends |= self.places[at].disk.refuses();
                     if self.mutation == Some(Mutation::AgreedAhead) {
                         faults::agree_ahead(&mut records);
@@ -406,7 +455,13 @@
             Some(Mutation::PiecesMixed) => self.handed.mix((from, to), &mut message),
             _ => {}
         }
-        self.pieces += u64::from(matches!(message, Message::Filled { fill: Fill::Piece { .. }, .. }));
+        self.pieces += u64::from(matches!(
+            message,
+            Message::Filled {
+                fill: Fill::Piece { .. },
+                ..
+            }
+        ));
         if self.down.contains_key(&(from, to)) {
             return;
         }
@@ -420,7 +475,8 @@
     }
 
     fn post(&mut self, from: usize, to: usize, message: Message) {
-        let late = u64::from(self.rng.random_range(0..4u32) == 0) * self.rng.random_range(1..=self.far_ms);
+        let late =
+            u64::from(self.rng.random_range(0..4u32) == 0) * self.rng.random_range(1..=self.far_ms);
         let last = self.last_arrival.entry((from, to)).or_insert(0);
         *last = (self.now + 1 + late).max(*last);
         let at = *last;
@@ -440,7 +496,11 @@
         }
         let given = &chain.state().given;
         let from = place.compared;
-        assert!(given.len() >= from, "office {at} goes back from {from} to {}", given.len());
+        assert!(
+            given.len() >= from,
+            "office {at} goes back from {from} to {}",
+            given.len()
+        );
         for (place, one) in given.iter().enumerate().skip(from) {
             match self.truth.get(place) {
                 Some(known) => assert_eq!(known, one, "office {at} shows another update {place}"),
@@ -456,7 +516,10 @@
                         self.newest_ms
                     );
                     let stamp = one.stamp as i64;
-                    assert!(stamp - self.now as i64 <= self.ahead, "the ledger's time runs fast");
+                    assert!(
+                        stamp - self.now as i64 <= self.ahead,
+                        "the ledger's time runs fast"
+                    );
                     self.ahead = self.ahead.min(stamp - asked as i64);
                     self.newest_ms = self.newest_ms.max(asked);
                 }
@@ -466,7 +529,9 @@
     }
 
     fn answered(&mut self, token: u64, outcome: Outcome) {
-        let Some((_, index)) = self.open.remove(&token) else { return };
+        let Some((_, index)) = self.open.remove(&token) else {
+            return;
+        };
         self.events += 1;
         let call = &mut self.calls[index];
         match outcome {
@@ -484,9 +549,13 @@
                         ahead - self.least_ahead
                     );
                     self.least_ahead = self.least_ahead.min(stamp - asked);
-                    self.took.push_back((self.now, self.now - self.asked_ms[index]));
+                    self.took
+                        .push_back((self.now, self.now - self.asked_ms[index]));
                     let shown = self.placed.contains(&(index as u64));
-                    assert!(shown || !reply.went, "{call:?} is answered and nowhere shown");
+                    assert!(
+                        shown || !reply.went,
+                        "{call:?} is answered and nowhere shown"
+                    );
                 }
             }
             Outcome::Refused => call.refused = true,
@@ -496,13 +565,18 @@
             }
         }
         if self.calls[index].refused && self.calls[index].ask != Ask::Read {
-            assert!(!self.placed.contains(&(index as u64)), "{:?} went through", self.calls[index]);
+            assert!(
+                !self.placed.contains(&(index as u64)),
+                "{:?} went through",
+                self.calls[index]
+            );
         }
     }
 
     fn call(&mut self) {
-        let running: Vec<usize> =
-            (0..self.places.len()).filter(|a| self.places[*a].chain.is_some()).collect();
+        let running: Vec<usize> = (0..self.places.len())
+            .filter(|a| self.places[*a].chain.is_some())
+            .collect();
         if !running.is_empty() {
             let office = running[self.rng.random_range(0..running.len())];
             self.call_at(office);
@@ -515,27 +589,56 @@
         let value = index as u64;
         let ask = match self.rng.random_range(0..6u32) {
             0 | 1 => Ask::Read,
-            2 => Ask::Swap { expected: self.seen.get(&name).copied().unwrap_or(0), value },
+            2 => Ask::Swap {
+                expected: self.seen.get(&name).copied().unwrap_or(0),
+                value,
+            },
             _ => Ask::Put { value },
         };
         self.events += 1;
-        self.calls.push(Call { name, ask, asked: self.events, answered: None, refused: false });
+        self.calls.push(Call {
+            name,
+            ask,
+            asked: self.events,
+            answered: None,
+            refused: false,
+        });
         self.asked_ms.push(self.now);
         let token = value + 1;
         self.open.insert(token, (office, index));
-        let kind = if ask == Ask::Read { CallKind::Read } else { CallKind::Update };
+        let kind = if ask == Ask::Read {
+            CallKind::Read
+        } else {
+            CallKind::Update
+        };
         if kind == CallKind::Read && self.mutation == Some(Mutation::TailAlone) {
             return self.ask_the_tail(office, token, name);
         }
-        self.give(office, Input::Call { token, kind, body: body(name, ask) });
+        self.give(
+            office,
+            Input::Call {
+                token,
+                kind,
+                body: body(name, ask),
+            },
+        );
     }
 
     fn ask_the_tail(&mut self, office: usize, token: u64, name: u8) {
-        let tail = self.places[office].chain.as_ref().and_then(|c| Some(c.view()?.tail()?.id));
-        let Some(tail) = self.places.iter().position(|p| Some(p.id) == tail) else { return };
+        let tail = self.places[office]
+            .chain
+            .as_ref()
+            .and_then(|c| Some(c.view()?.tail()?.id));
+        let Some(tail) = self.places.iter().position(|p| Some(p.id) == tail) else {
+            return;
+        };
         let there = &self.places[tail];
         let heard = there.asleep_until <= self.now && !self.cuts.contains(&(office, tail));
-        if let Some(chain) = there.chain.as_ref().filter(|_| heard && !self.cuts.contains(&(tail, office))) {
+        if let Some(chain) = there
+            .chain
+            .as_ref()
+            .filter(|_| heard && !self.cuts.contains(&(tail, office)))
+        {
             let answer = chain.state().read(&body(name, Ask::Read));
             self.answered(token, Outcome::Done(answer));
         }
@@ -556,7 +659,10 @@
                     self.give(to, Input::Heard { from, message });
                 }
             }
-            let again: Vec<_> = self.down.extract_if(.., |_, until| *until <= self.now).collect();
+            let again: Vec<_> = self
+                .down
+                .extract_if(.., |_, until| *until <= self.now)
+                .collect();
             for ((a, b), _) in again {
                 if self.places[a].chain.is_some() && !self.cuts.contains(&(a, b)) {
                     let member = self.member(a);
@@ -580,7 +686,10 @@
     }
 
     fn tend(&mut self, at: usize) {
-        if self.places[at].again_at.is_some_and(|when| when <= self.now) {
+        if self.places[at]
+            .again_at
+            .is_some_and(|when| when <= self.now)
+        {
             if self.places[at].disk.trouble == Some(DiskTrouble::Refuses) {
                 self.places[at].again_at = Some(self.now + 400);
             } else {
@@ -606,7 +715,10 @@
             && self.places[at].chain.is_some()
             && let Some(slow) = self.places[at].disk.judge(self.now)
         {
-            self.say(format!("office {at}: its disk is {}", if slow { "slow" } else { "quick" }));
+            self.say(format!(
+                "office {at}: its disk is {}",
+                if slow { "slow" } else { "quick" }
+            ));
             self.give(at, Input::Disk { slow });
         }
     }
@@ -625,7 +737,12 @@
     }
 
     fn stop(&mut self, at: usize, power: bool) {
-        let lost: Vec<u64> = self.open.iter().filter(|(_, c)| c.0 == at).map(|(t, _)| *t).collect();
+        let lost: Vec<u64> = self
+            .open
+            .iter()
+            .filter(|(_, c)| c.0 == at)
+            .map(|(t, _)| *t)
+            .collect();
         lost.iter().for_each(|t| _ = self.open.remove(t));
         let place = &mut self.places[at];
         if place.chain.take().is_none() {
@@ -641,7 +758,8 @@
         }
         place.inbox.clear();
         let id = place.id;
-        self.wire.retain(|_, (from, to, _)| *to != at && !(power && *from == at));
+        self.wire
+            .retain(|_, (from, to, _)| *to != at && !(power && *from == at));
         self.held.retain(|(from, to, _)| *to != at && *from != at);
         if !power {
             for other in (0..self.places.len()).filter(|o| *o != at) {
@@ -653,10 +771,16 @@
     /// The lines between two end: some of what was on its way is lost, the end of it.
     fn reset(&mut self, a: usize, b: usize) {
         for (from, to) in [(a, b), (b, a)] {
-            let on_its_way: Vec<_> =
-                self.wire.iter().filter(|(_, w)| (w.0, w.1) == (from, to)).map(|(key, _)| *key).collect();
+            let on_its_way: Vec<_> = self
+                .wire
+                .iter()
+                .filter(|(_, w)| (w.0, w.1) == (from, to))
+                .map(|(key, _)| *key)
+                .collect();
             let kept = self.rng.random_range(0..=on_its_way.len());
-            on_its_way[kept..].iter().for_each(|key| _ = self.wire.remove(key));
+            on_its_way[kept..]
+                .iter()
+                .for_each(|key| _ = self.wire.remove(key));
             let until = self.now + self.rng.random_range(20..200u64);
             self.down.insert((from, to), until);
             let id = self.places[from].id;
@@ -684,7 +808,12 @@
                 self.places[at].back = Some(true);
             }
             Trouble::Freeze { at } => self.places[at].asleep_until = u64::MAX,
-            Trouble::Cut { from, to, both, held } => {
+            Trouble::Cut {
+                from,
+                to,
+                both,
+                held,
+            } => {
                 (self.hold, self.cut_at) = (held, self.now);
                 for a in &from {
                     for b in to.iter().filter(|b| *b != a) {
@@ -770,68 +899,124 @@
         assert!(held.restore(shown.snapshot.unwrap().2));
         for (_, at_ms, body) in shown.log {
             // One that was tried again stands there twice.
-            if !held.given.iter().any(|given| names::value(body) == given.value) {
+            if !held
+                .given
+                .iter()
+                .any(|given| names::value(body) == given.value)
+            {
                 held.apply(at_ms, body);
             }
         }
-        let both = held.given.iter().zip(&self.truth).take_while(|(held, shown)| held == shown).count();
+        let both = held
+            .given
+            .iter()
+            .zip(&self.truth)
+            .take_while(|(held, shown)| held == shown)
+            .count();
         self.truth.truncate(both);
         let mut last = BTreeMap::<u8, u64>::new();
-        self.truth.iter().for_each(|given| *last.entry(given.name).or_default() += 1);
+        self.truth
+            .iter()
+            .for_each(|given| *last.entry(given.name).or_default() += 1);
         self.placed = self.truth.iter().map(|given| given.value).collect();
-        self.newest_ms =
-            self.truth.iter().map(|given| self.asked_ms[given.value as usize]).max().unwrap_or(0);
+        self.newest_ms = self
+            .truth
+            .iter()
+            .map(|given| self.asked_ms[given.value as usize])
+            .max()
+            .unwrap_or(0);
         // Only what is left tells how the ledger's time went.
         let ahead = |given: &Given| given.stamp as i64 - self.asked_ms[given.value as usize] as i64;
         self.ahead = self.truth.iter().map(ahead).min().unwrap_or(i64::MAX);
         self.least_ahead = self.ahead;
         for (value, call) in self.calls.iter_mut().enumerate() {
             let last = last.get(&call.name).copied().unwrap_or(0);
-            if call.answered.is_some_and(|(_, reply)| reply.revision > last) {
+            if call
+                .answered
+                .is_some_and(|(_, reply)| reply.revision > last)
+            {
                 // A try of it that the others passed over may be held here, and then it takes effect at last.
                 let here = held.given.iter().any(|given| given.value == value as u64);
                 (call.answered, call.refused) = (None, !here);
                 self.forgotten += 1;
             }
-            self.seen.entry(call.name).and_modify(|seen| *seen = last.min(*seen));
+            self.seen
+                .entry(call.name)
+                .and_modify(|seen| *seen = last.min(*seen));
         }
     }
 
     /// What this office shows, in order.
     pub fn given(&self, at: usize) -> &[Given] {
-        self.places[at].chain.as_ref().map_or(&[], |chain| &chain.state().given)
+        self.places[at]
+            .chain
+            .as_ref()
+            .map_or(&[], |chain| &chain.state().given)
     }
 
     pub fn running(&self) -> Vec<usize> {
-        (0..self.places.len()).filter(|a| self.places[*a].chain.is_some()).collect()
+        (0..self.places.len())
+            .filter(|a| self.places[*a].chain.is_some())
+            .collect()
     }
 
     /// Those that haven't been lost for good.
     pub fn places(&self) -> Vec<usize> {
-        (0..self.places.len()).filter(|a| !self.places[*a].lost_for_good).collect()
+        (0..self.places.len())
+            .filter(|a| !self.places[*a].lost_for_good)
+            .collect()
     }
 
     /// `disks`: a disk may be lost by it.
     pub fn draw_trouble(&mut self, disks: bool) -> Trouble {
         let places = self.places();
         let at = places[self.rng.random_range(0..places.len())];
-        let (coin, held) = (self.rng.random_range(0..2u32) == 0, self.rng.random_range(0..2u32) == 0);
+        let (coin, held) = (
+            self.rng.random_range(0..2u32) == 0,
+            self.rng.random_range(0..2u32) == 0,
+        );
         let others: Vec<usize> = places.iter().copied().filter(|o| *o != at).collect();
         match self.rng.random_range(0..if disks { 11u32 } else { 9 }) {
             0 => Trouble::Kill { at, power: coin },
             1 => Trouble::KillAll { power: coin },
             2 => Trouble::Freeze { at },
-            3 => Trouble::Cut { from: others, to: vec![at], both: coin, held },
-            4 => Trouble::Cut { from: vec![at], to: others, both: coin, held },
+            3 => Trouble::Cut {
+                from: others,
+                to: vec![at],
+                both: coin,
+                held,
+            },
+            4 => Trouble::Cut {
+                from: vec![at],
+                to: others,
+                both: coin,
+                held,
+            },
             5 => {
                 let half = self.rng.random_range(1..places.len());
                 let (from, to) = places.split_at(half);
-                Trouble::Cut { from: from.to_vec(), to: to.to_vec(), both: coin, held }
+                Trouble::Cut {
+                    from: from.to_vec(),
+                    to: to.to_vec(),
+                    both: coin,
+                    held,
+                }
             }
-            6 => Trouble::Reset { a: at, b: others[self.rng.random_range(0..others.len())] },
+            6 => Trouble::Reset {
+                a: at,
+                b: others[self.rng.random_range(0..others.len())],
+            },
             7 | 8 => {
-                let all = [DiskTrouble::Slow, DiskTrouble::Hangs, DiskTrouble::Refuses, DiskTrouble::Full];
-                Trouble::Disk { at, trouble: all[self.rng.random_range(0..all.len())] }
+                let all = [
+                    DiskTrouble::Slow,
+                    DiskTrouble::Hangs,
+                    DiskTrouble::Refuses,
+                    DiskTrouble::Full,
+                ];
+                Trouble::Disk {
+                    at,
+                    trouble: all[self.rng.random_range(0..all.len())],
+                }
             }
             9 => Trouble::Wipe { at },
             _ => Trouble::Replace { at, orderly: coin },
@@ -850,7 +1035,11 @@
             }
         }
         for (a, b) in cuts {
-            if late || !self.hold { self.reset(a, b) } else { self.meet(a, b) }
+            if late || !self.hold {
+                self.reset(a, b)
+            } else {
+                self.meet(a, b)
+            }
         }
         for at in 0..self.places.len() {
             self.places[at].disk.trouble = None;
@@ -890,15 +1079,23 @@
                 self.say(format!("office {at}: {line:?}"));
             }
         }
-        assert!(answered > 25, "only {answered} updates of a second are answered");
+        assert!(
+            answered > 25,
+            "only {answered} updates of a second are answered"
+        );
         let differ = self.log.iter().any(|line| line.contains("copies differ"));
-        assert!(self.rotten || !differ, "copies differ without anybody's doing");
+        assert!(
+            self.rotten || !differ,
+            "copies differ without anybody's doing"
+        );
         self.check();
     }
 
     fn newest(&self) -> rookpulley_chain::View {
         let running = self.places.iter().filter(|p| p.asleep_until < u64::MAX);
-        let views = running.filter_map(|p| p.chain.as_ref()).filter_map(|c| c.view());
+        let views = running
+            .filter_map(|p| p.chain.as_ref())
+            .filter_map(|c| c.view());
         views.max_by_key(|v| v.number).unwrap().clone()
     }
 
@@ -932,7 +1129,10 @@
 
     pub fn shown(&self, at: usize) -> Option<rookpulley_chain::Shown> {
         let place = &self.places[at];
-        place.chain.as_ref().map(|c| c.shown(self.now - place.born + place.clock))
+        place
+            .chain
+            .as_ref()
+            .map(|c| c.shown(self.now - place.born + place.clock))
     }
 
     pub fn calls_tried(&self) -> usize {
@@ -941,12 +1141,26 @@
 
     /// The longest pause between two answers to updates since then.
     pub fn longest_pause(&self, since: u64) -> u64 {
-        let times: Vec<u64> = self.took.iter().map(|(at, _)| *at).filter(|at| *at >= since).collect();
+        let times: Vec<u64> = self
+            .took
+            .iter()
+            .map(|(at, _)| *at)
+            .filter(|at| *at >= since)
+            .collect();
         let starts = std::iter::once(since).chain(times.iter().copied());
-        starts.zip(times.iter().copied().chain([self.now])).map(|(a, b)| b - a).max().unwrap_or(0)
+        starts
+            .zip(times.iter().copied().chain([self.now]))
+            .map(|(a, b)| b - a)
+            .max()
+            .unwrap_or(0)
     }
 
     pub fn slowest_answer(&self, since: u64) -> u64 {
-        self.took.iter().filter(|(at, _)| *at >= since).map(|(_, took)| *took).max().unwrap_or(0)
+        self.took
+            .iter()
+            .filter(|(at, _)| *at >= since)
+            .map(|(_, took)| *took)
+            .max()
+            .unwrap_or(0)
     }
 }
--- a/crates/rookpulley-cli/src/call.rs
+++ b/crates/rookpulley-cli/src/call.rs
@@ -59,10 +59,16 @@
     pub fn of(at: SocketAddr, token_file: Option<&Path>) -> Result<Self, CannotAsk> {
         let read = |file: &Path| {
             let text = std::fs::read_to_string(file);
-            let text = text.map_err(|why| CannotAsk::Token { file: file.into(), why })?;
+            let text = text.map_err(|why| CannotAsk::Token {
+                file: file.into(),
+                why,
+            })?;
             Ok(text.lines().next().unwrap_or_default().trim().to_string())
         };
-        Ok(Self { at, token: token_file.map(read).transpose()? })
+        Ok(Self {
+            at,
+            token: token_file.map(read).transpose()?,
+        })
     }
 
     /// The status and the answer; an answer that is an error is one here.
@@ -74,10 +80,14 @@
     ) -> Result<(u16, T), CannotAsk> {
         let unreachable = |why: String| CannotAsk::Unreachable { at: self.at, why };
         let (status, bytes) = self.reach(method, path, body).map_err(unreachable)?;
-        let unreadable = |e: serde_json::Error| CannotAsk::Unreadable { at: self.at, why: e.to_string() };
+        let unreadable = |e: serde_json::Error| CannotAsk::Unreadable {
+            at: self.at,
+            why: e.to_string(),
+        };
         let mut value: Value = serde_json::from_slice(&bytes).map_err(unreadable)?;
         if !value["error"].is_null() {
-            let refusal: Refusal = serde_json::from_value(value["error"].take()).map_err(unreadable)?;
+            let refusal: Refusal =
+                serde_json::from_value(value["error"].take()).map_err(unreadable)?;
             return Err(CannotAsk::No(refusal));
         }
         Ok((status, serde_json::from_value(value).map_err(unreadable)?))
@@ -89,27 +99,46 @@
 
     /// What an office shows.
     pub fn office(&self, path: &str) -> Result<Bytes, CannotAsk> {
-        let (status, bytes) =
-            self.reach("GET", path, None).map_err(|why| CannotAsk::NoOffice { at: self.at, why })?;
+        let (status, bytes) = self
+            .reach("GET", path, None)
+            .map_err(|why| CannotAsk::NoOffice { at: self.at, why })?;
         match status {
             200 => Ok(bytes),
             status => Err(self.unreadable(format!("its status is {status}"))),
         }
     }
 
-    fn reach(&self, method: &str, path: &str, body: Option<&Value>) -> Result<(u16, Bytes), String> {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    fn reach(
+        &self,
+        method: &str,
+        path: &str,
+        body: Option<&Value>,
+    ) -> Result<(u16, Bytes), String> {
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
         let runtime = runtime.map_err(|e| e.to_string())?;
-        let answered = runtime.block_on(async { timeout(WITHIN, self.call(method, path, body)).await });
+        let answered =
+            runtime.block_on(async { timeout(WITHIN, self.call(method, path, body)).await });
         answered.unwrap_or_else(|_| Err(format!("nothing came within {} s", WITHIN.as_secs())))
     }
 
-    async fn call(&self, method: &str, path: &str, body: Option<&Value>) -> Result<(u16, Bytes), String> {
-        let socket = TcpStream::connect(self.at).await.map_err(|e| e.to_string())?;
-        let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(socket)).await.map_err(|e| e.to_string())?;
-        let mut request =
-            hyper::Request::builder().method(method).uri(path).header(HOST, self.at.to_string());
+    async fn call(
+        &self,
+        method: &str,
+        path: &str,
+        body: Option<&Value>,
+    ) -> Result<(u16, Bytes), String> {
+        let socket = TcpStream::connect(self.at)
+            .await
+            .map_err(|e| e.to_string())?;
+        let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(socket))
+            .await
+            .map_err(|e| e.to_string())?;
+        let mut request = hyper::Request::builder()
+            .method(method)
+            .uri(path)
+            .header(HOST, self.at.to_string());
         if let Some(token) = &self.token {
             request = request.header(AUTHORIZATION, format!("Bearer {token}"));
         }
@@ -119,9 +148,14 @@
         let body = Full::new(Bytes::from(body.map(Value::to_string).unwrap_or_default()));
         let request = request.body(body).map_err(|e| e.to_string())?;
         let answer = async {
-            let answer = sender.send_request(request).await.map_err(|e| e.to_string())?;
+            let answer = sender
+                .send_request(request)
+                .await
+                .map_err(|e| e.to_string())?;
             let status = answer.status().as_u16();
-            let body = Limited::new(answer.into_body(), ANSWER_MOST).collect().await;
+            let body = Limited::new(answer.into_body(), ANSWER_MOST)
+                .collect()
+                .await;
             Ok((status, body.map_err(|e| e.to_string())?.to_bytes()))
         };
         // The connection does its work beside the answer, and ends with it.
--- a/crates/rookpulley-cli/src/gateway.rs
+++ b/crates/rookpulley-cli/src/gateway.rs
@@ -28,7 +28,11 @@
     /// Says which route of a configuration takes a request and which prefixes lost; ends with 1 where none does
     ///
     /// Example: rookpulley gateway explain configuration.json post.example /stamps/list
-    Explain { file: PathBuf, host: String, path: String },
+    Explain {
+        file: PathBuf,
+        host: String,
+        path: String,
+    },
     /// Plays days of whole gateways in this process, and shows the first that breaks a rule; ends with 1 where one does
     ///
     /// No machine is needed or touched: offices and couriers run by the code of the programs, on a simulated network. A
@@ -133,18 +137,27 @@
     place: impl Fn() -> Result<Place, CannotAsk>,
 ) -> Result<(String, bool), CannotAsk> {
     Ok(match what {
-        Gateway::Show { part, service } => {
-            (show::shown(json, &place()?, *part, service.as_deref().unwrap_or(""))?, true)
-        }
+        Gateway::Show { part, service } => (
+            show::shown(json, &place()?, *part, service.as_deref().unwrap_or(""))?,
+            true,
+        ),
         Gateway::Check(Check::Settings { file }) => check::settings(file).told(json),
         Gateway::Check(Check::Configuration { file }) => check::configuration(file).told(json),
         Gateway::Check(Check::Deploy { file }) => check::deploy(file).told(json),
         Gateway::Explain { file, host, path } => explain::explained(json, file, host, path),
-        Gateway::Hunt { day: Some(seed), .. } => hunt::day(json, *seed),
-        Gateway::Hunt { seeds, threads, day: None } => hunt::hunted(json, seeds.clone(), *threads),
+        Gateway::Hunt {
+            day: Some(seed), ..
+        } => hunt::day(json, *seed),
+        Gateway::Hunt {
+            seeds,
+            threads,
+            day: None,
+        } => hunt::hunted(json, seeds.clone(), *threads),
         Gateway::Chain(Chain::Show) => (show::shown(json, &place()?, Part::View, "")?, true),
         Gateway::Store(Store::Show { folder }) => (store::shown(json, folder)?, true),
         Gateway::Store(Store::Check { folder }) => store::check::checked(json, folder)?,
-        Gateway::Store(Store::Refound { folder, yes }) => store::refound::refounded(json, folder, *yes)?,
+        Gateway::Store(Store::Refound { folder, yes }) => {
+            store::refound::refounded(json, folder, *yes)?
+        }
     })
 }
--- a/crates/rookpulley-cli/src/gateway/check.rs
+++ b/crates/rookpulley-cli/src/gateway/check.rs
@@ -22,7 +22,11 @@
 }
 
 fn unreadable(why: &std::io::Error) -> Faults {
-    one("the file", format!("unreadable ({why})"), "the path of a file that you may read")
+    one(
+        "the file",
+        format!("unreadable ({why})"),
+        "the path of a file that you may read",
+    )
 }
 
 fn untaken(error: SettingsError) -> Faults {
@@ -31,9 +35,17 @@
         SettingsError::Unreadable { cause, .. } => unreadable(&cause),
         SettingsError::TooLong { bytes, most } => {
             let instead = format!("at most {most}; it takes a few kilobytes");
-            one("the file", format!("over {} bytes long", bytes.min(most)), instead)
+            one(
+                "the file",
+                format!("over {} bytes long", bytes.min(most)),
+                instead,
+            )
         }
-        SettingsError::NotToml { line, column, cause } => one(
+        SettingsError::NotToml {
+            line,
+            column,
+            cause,
+        } => one(
             Place { line, column },
             format!("no TOML ({})", cause.lines().collect::<Vec<_>>().join(", ")),
             "one `field = value` a line, texts in quotes, tables under [name]",
@@ -52,15 +64,22 @@
     /// What is printed, and whether the file can be used.
     pub fn told(&self, json: bool) -> (String, bool) {
         let well = self.verdict.is_ok();
-        let said = if json { self.said().to_string() + "\n" } else { self.lines("write") };
+        let said = if json {
+            self.said().to_string() + "\n"
+        } else {
+            self.lines("write")
+        };
         (said, well)
     }
 
     pub fn said(&self) -> Value {
         match &self.verdict {
-            Ok(what) => json!({"file": self.file, "ok": true, "what": what, "faults": [], "more": 0}),
+            Ok(what) => {
+                json!({"file": self.file, "ok": true, "what": what, "faults": [], "more": 0})
+            }
             Err(told) => {
-                let each = |f: &Fault| json!({"place": f.place, "found": f.found, "instead": f.instead});
+                let each =
+                    |f: &Fault| json!({"place": f.place, "found": f.found, "instead": f.instead});
                 let faults: Vec<Value> = told.faults.iter().map(each).collect();
                 json!({"file": self.file, "ok": false, "faults": faults, "more": told.untold})
             }
@@ -73,7 +92,9 @@
         match &self.verdict {
             Ok(what) => format!("{file}: {what}\n"),
             Err(told) => {
-                let line = |f: &Fault| format!("{file}: {} is {}; {mend} {}\n", f.place, f.found, f.instead);
+                let line = |f: &Fault| {
+                    format!("{file}: {} is {}; {mend} {}\n", f.place, f.found, f.instead)
+                };
                 let more = if told.untold > 0 {
                     format!("{file}: and {} more\n", told.untold)
                 } else {
@@ -87,10 +108,16 @@
 
 pub fn settings(file: &Path) -> Checked {
     let verdict = Node::read(file).map_err(untaken).map(|node| {
-        let serves = if node.serves.is_empty() { "nobody".into() } else { node.serves.join(" and ") };
+        let serves = if node.serves.is_empty() {
+            "nobody".into()
+        } else {
+            node.serves.join(" and ")
+        };
         let disk = match node.data {
             Some(_) => "a disk",
-            None if node.serves("control_plane") => "no disk, so that its office only passes calls on,",
+            None if node.serves("control_plane") => {
+                "no disk, so that its office only passes calls on,"
+            }
             None => "no disk",
         };
         format!(
@@ -100,7 +127,10 @@
             counted(node.seeds.len(), "seed")
         )
     });
-    Checked { file: file.into(), verdict }
+    Checked {
+        file: file.into(),
+        verdict,
+    }
 }
 
 pub fn deploy(file: &Path) -> Checked {
@@ -111,16 +141,28 @@
         let may: Vec<&str> = deploy
             .roles
             .iter()
-            .filter(|(_, role)| role.serves.iter().any(|whom| whom == "control_plane") && beyond(role))
+            .filter(|(_, role)| {
+                role.serves.iter().any(|whom| whom == "control_plane") && beyond(role)
+            })
             .map(|(name, _)| name.as_str())
             .collect();
         let disks = match may.as_slice() {
             [] => String::new(),
-            may => format!("; on a machine without a disk, {} only passes calls on", may.join(", ")),
+            may => format!(
+                "; on a machine without a disk, {} only passes calls on",
+                may.join(", ")
+            ),
         };
-        format!("{} ({}); can be used{disks}", counted(names.len(), "role"), names.join(", "))
+        format!(
+            "{} ({}); can be used{disks}",
+            counted(names.len(), "role"),
+            names.join(", ")
+        )
     });
-    Checked { file: file.into(), verdict }
+    Checked {
+        file: file.into(),
+        verdict,
+    }
 }
 
 pub fn configuration(file: &Path) -> Checked {
@@ -135,18 +177,27 @@
             counted(book.routes().len(), "route")
         )
     });
-    Checked { file: file.into(), verdict }
+    Checked {
+        file: file.into(),
+        verdict,
+    }
 }
 
 /// What is wrong with a configuration that something else was to be told of.
 pub fn refused(file: &Path, faults: Faults) -> Checked {
-    Checked { file: file.into(), verdict: Err(faults) }
+    Checked {
+        file: file.into(),
+        verdict: Err(faults),
+    }
 }
 
 pub fn read(file: &Path) -> Result<Book, Faults> {
     let mut bytes = Vec::new();
     let opened = File::open(file).map_err(|why| unreadable(&why))?;
     let most = BYTES_MOST as u64 + 1;
-    opened.take(most).read_to_end(&mut bytes).map_err(|why| unreadable(&why))?;
+    opened
+        .take(most)
+        .read_to_end(&mut bytes)
+        .map_err(|why| unreadable(&why))?;
     Book::read(&bytes)
 }
--- a/crates/rookpulley-cli/src/gateway/explain.rs
+++ b/crates/rookpulley-cli/src/gateway/explain.rs
@@ -18,7 +18,8 @@
 
 fn found<'a>(book: &'a Book, host: &str, path: &str) -> Found<'a> {
     let taken = book.route(host, path);
-    let begins = |route: &&Route| route.host.eq_ignore_ascii_case(host) && path.starts_with(&route.prefix);
+    let begins =
+        |route: &&Route| route.host.eq_ignore_ascii_case(host) && path.starts_with(&route.prefix);
     let mut lost: Vec<&Route> = book.routes().filter(begins).collect();
     lost.retain(|route| taken.is_none_or(|taken| taken.prefix != route.prefix));
     lost.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
@@ -45,25 +46,43 @@
 /// Services with their part of the requests.
 fn shares(book: &Book, route: &Route) -> Vec<(String, f64)> {
     let sum: f64 = route.targets.iter().map(|(_, weight)| weight).sum();
-    let name = |at: usize| book.service(at).map_or_else(String::new, |service| service.name.clone());
-    route.targets.iter().map(|(at, weight)| (name(*at), weight / sum)).collect()
+    let name = |at: usize| {
+        book.service(at)
+            .map_or_else(String::new, |service| service.name.clone())
+    };
+    route
+        .targets
+        .iter()
+        .map(|(at, weight)| (name(*at), weight / sum))
+        .collect()
 }
 
 /// Why no route takes a request, and what there is.
 fn why_none(book: &Book, host: &str, path: &str) -> (String, Vec<String>) {
-    let of_host: Vec<&Route> = book.routes().filter(|r| r.host.eq_ignore_ascii_case(host)).collect();
+    let of_host: Vec<&Route> = book
+        .routes()
+        .filter(|r| r.host.eq_ignore_ascii_case(host))
+        .collect();
     if of_host.is_empty() {
         let mut hosts: Vec<String> = book.routes().map(|route| route.host.clone()).collect();
         hosts.dedup();
         return (format!("no host is named {host}; there are"), hosts);
     }
     if !path.starts_with('/') {
-        return ("the path begins with no slash; prefixes are".into(), prefixes(&of_host));
+        return (
+            "the path begins with no slash; prefixes are".into(),
+            prefixes(&of_host),
+        );
     }
-    let lacks = of_host.iter().find(|route| route.prefix.strip_suffix('/') == Some(path));
+    let lacks = of_host
+        .iter()
+        .find(|route| route.prefix.strip_suffix('/') == Some(path));
     let why = match lacks {
         Some(route) => {
-            format!("{} lacks the slash that the prefix {} ends with; prefixes are", path, route.prefix)
+            format!(
+                "{} lacks the slash that the prefix {} ends with; prefixes are",
+                path, route.prefix
+            )
         }
         None => format!("no prefix of {host} begins {path}; there are"),
     };
@@ -77,14 +96,24 @@
 fn listed(names: &[String]) -> String {
     let shown: Vec<&str> = names.iter().take(NAMED).map(String::as_str).collect();
     let more = names.len().saturating_sub(NAMED);
-    let more = if more > 0 { format!(" and {more} more") } else { String::new() };
-    if shown.is_empty() { "none".into() } else { shown.join(" ") + &more }
+    let more = if more > 0 {
+        format!(" and {more} more")
+    } else {
+        String::new()
+    };
+    if shown.is_empty() {
+        "none".into()
+    } else {
+        shown.join(" ") + &more
+    }
 }
 
 fn as_json(book: &Book, route: &Route) -> Value {
     let services = shares(book, route);
-    let services: Vec<Value> =
-        services.iter().map(|(name, share)| json!({"name": name, "share": share})).collect();
+    let services: Vec<Value> = services
+        .iter()
+        .map(|(name, share)| json!({"name": name, "share": share}))
+        .collect();
     json!({"name": route.name, "prefix": route.prefix, "kind": kind(route.kind).0, "services": services,
         "timeoutMs": route.timeout_ms, "targetLatencyMs": route.aim_ms, "priority": route.priority,
         "maxAttempts": route.attempts})
@@ -99,20 +128,30 @@
     let (host, path) = asked(host, path);
     let Found { taken, lost } = found(&book, host, path);
     if json {
-        let lost: Vec<Value> = lost.iter().map(|r| json!({"name": r.name, "prefix": r.prefix})).collect();
+        let lost: Vec<Value> = lost
+            .iter()
+            .map(|r| json!({"name": r.name, "prefix": r.prefix}))
+            .collect();
         let route = taken.map(|route| as_json(&book, route));
-        let why =
-            taken.is_none().then(|| why_none(&book, host, path)).map(|(why, there)| json!([why, there]));
+        let why = taken
+            .is_none()
+            .then(|| why_none(&book, host, path))
+            .map(|(why, there)| json!([why, there]));
         let said = json!({"configVersion": book.version, "host": host, "path": path, "route": route,
             "lost": lost, "why": why});
         return (said.to_string() + "\n", taken.is_some());
     }
     let Some(route) = taken else {
         let (why, there) = why_none(&book, host, path);
-        return (format!("version {}: 404: {why} {}\n", book.version, listed(&there)), false);
+        return (
+            format!("version {}: 404: {why} {}\n", book.version, listed(&there)),
+            false,
+        );
     };
     let (kind, means) = kind(route.kind);
-    let rows = shares(&book, route).into_iter().map(|(name, share)| [name, format!("{:.1}%", 100.0 * share)]);
+    let rows = shares(&book, route)
+        .into_iter()
+        .map(|(name, share)| [name, format!("{:.1}%", 100.0 * share)]);
     let mut said = format!(
         "version {}: {} takes it, by the prefix {}\n{kind}: {means}\nat most {} a try and {} ms; aim {} ms; priority {}\n{}",
         book.version,
@@ -125,7 +164,10 @@
         table(["service", "share"], rows),
     );
     for route in lost {
-        said += &format!("lost: {}, by the shorter prefix {}\n", route.name, route.prefix);
+        said += &format!(
+            "lost: {}, by the shorter prefix {}\n",
+            route.name, route.prefix
+        );
     }
     (said, true)
 }
@@ -141,23 +183,42 @@
             let mut rules = Vec::new();
             for part in parts {
                 if u.arbitrary()? {
-                    let prefix = if part.is_empty() { "/".into() } else { format!("/{part}/") };
-                    rules.push(json!({"pathPrefix": prefix, "routeKind": "mutating", "timeoutMs": 9,
-                        "targetService": "s", "maxAttempts": 1}));
+                    let prefix = if part.is_empty() {
+                        "/".into()
+                    } else {
+                        format!("/{part}/")
+                    };
+                    rules.push(
+                        json!({"pathPrefix": prefix, "routeKind": "mutating", "timeoutMs": 9,
+                        "targetService": "s", "maxAttempts": 1}),
+                    );
                 }
             }
-            let prefixes: Vec<String> =
-                rules.iter().map(|rule| rule["pathPrefix"].as_str().unwrap().to_string()).collect();
+            let prefixes: Vec<String> = rules
+                .iter()
+                .map(|rule| rule["pathPrefix"].as_str().unwrap().to_string())
+                .collect();
             let text = json!({"configVersion": 1, "services": [{"name": "s"}],
                 "hostnames": [{"hostname": "post.example", "pathRules": rules}]});
             let book = Book::read(text.to_string().as_bytes()).unwrap();
             for _ in 0..8 {
-                let path = format!("/{}{}", u.choose(&parts)?, u.choose(&["", "/", "/a", "/x", "a/"])?);
-                let mut begin: Vec<&str> =
-                    prefixes.iter().map(String::as_str).filter(|prefix| path.starts_with(prefix)).collect();
+                let path = format!(
+                    "/{}{}",
+                    u.choose(&parts)?,
+                    u.choose(&["", "/", "/a", "/x", "a/"])?
+                );
+                let mut begin: Vec<&str> = prefixes
+                    .iter()
+                    .map(String::as_str)
+                    .filter(|prefix| path.starts_with(prefix))
+                    .collect();
                 begin.sort_by_key(|prefix| std::cmp::Reverse(prefix.len()));
                 let found = found(&book, "POST.example", &path);
-                let order = found.taken.iter().chain(&found.lost).map(|route| route.prefix.as_str());
+                let order = found
+                    .taken
+                    .iter()
+                    .chain(&found.lost)
+                    .map(|route| route.prefix.as_str());
                 assert_eq!(order.collect::<Vec<_>>(), begin, "{path}");
                 if found.taken.is_none() {
                     assert!(!why_none(&book, "post.example", &path).0.is_empty());
@@ -170,7 +231,10 @@
 
     #[test]
     fn a_host_goes_without_port_and_a_path_without_query() {
-        assert_eq!(asked("post.example:8161", "/a/b?c=/d/"), ("post.example", "/a/b"));
+        assert_eq!(
+            asked("post.example:8161", "/a/b?c=/d/"),
+            ("post.example", "/a/b")
+        );
         assert_eq!(asked("post.example", "/"), ("post.example", "/"));
     }
 }
--- a/crates/rookpulley-cli/src/gateway/hunt.rs
+++ b/crates/rookpulley-cli/src/gateway/hunt.rs
@@ -6,12 +6,20 @@
 
 /// Seeds as they are given: FROM..TO, or one alone.
 pub fn seeds(text: &str) -> Result<std::ops::Range<u64>, String> {
-    let number = |text: &str| text.trim().parse::<u64>().map_err(|_| format!("`{text}` is no whole number"));
+    let number = |text: &str| {
+        text.trim()
+            .parse::<u64>()
+            .map_err(|_| format!("`{text}` is no whole number"))
+    };
     let seeds = match text.split_once("..") {
         Some((from, to)) => number(from)?..number(to)?,
         None => number(text)?..number(text)?.saturating_add(1),
     };
-    if seeds.is_empty() { Err(format!("there is no seed in {text}: write FROM..TO")) } else { Ok(seeds) }
+    if seeds.is_empty() {
+        Err(format!("there is no seed in {text}: write FROM..TO"))
+    } else {
+        Ok(seeds)
+    }
 }
 
 /// What was found: the day as it was drawn, the rule, the day shrunk and what it breaks.
@@ -29,7 +37,14 @@
     let breach = found.breaches.first()?.clone();
     let (day, played) = shrink(&found.day, breach.rule, None);
     let breaches = play(&day, None).breaches;
-    Some(Shrunk { seed: found.day.seed, drawn: found.day.happens.len(), breach, day, played, breaches })
+    Some(Shrunk {
+        seed: found.day.seed,
+        drawn: found.day.happens.len(),
+        breach,
+        day,
+        played,
+        breaches,
+    })
 }
 
 fn lines(breaches: &[Breach]) -> Vec<String> {
@@ -62,7 +77,11 @@
     match found {
         None => text.push_str("no rule broken\n"),
         Some(found) => {
-            _ = writeln!(text, "the day of seed {} breaks a rule: {}", found.seed, found.breach);
+            _ = writeln!(
+                text,
+                "the day of seed {} breaks a rule: {}",
+                found.seed, found.breach
+            );
             _ = writeln!(
                 text,
                 "of {} things that happen it needs {} ({} days played to see that):\n",
@@ -71,7 +90,9 @@
                 found.played
             );
             _ = write!(text, "{}", found.day);
-            lines(&found.breaches).iter().for_each(|line| _ = writeln!(text, "{line}"));
+            lines(&found.breaches)
+                .iter()
+                .for_each(|line| _ = writeln!(text, "{line}"));
         }
     }
     (text, well)
@@ -88,7 +109,10 @@
         return (format!("{value}\n"), well);
     }
     let mut text = format!("{day}\n");
-    played.log.iter().for_each(|line| _ = writeln!(text, "{line}"));
+    played
+        .log
+        .iter()
+        .for_each(|line| _ = writeln!(text, "{line}"));
     _ = writeln!(
         text,
         "\n{} requests, {} served, {} calls of applications",
@@ -96,7 +120,9 @@
     );
     match well {
         true => text.push_str("no rule broken\n"),
-        false => lines(&played.breaches).iter().for_each(|line| _ = writeln!(text, "{line}")),
+        false => lines(&played.breaches)
+            .iter()
+            .for_each(|line| _ = writeln!(text, "{line}")),
     }
     (text, well)
 }
@@ -108,15 +134,23 @@
     #[test]
     fn seeds_are_a_range_or_one() {
         assert_eq!((seeds("3..9"), seeds("7")), (Ok(3..9), Ok(7..8)));
-        ["", "9..3", "a..3", "4..4"].iter().for_each(|text| assert!(seeds(text).is_err(), "{text}"));
+        ["", "9..3", "a..3", "4..4"]
+            .iter()
+            .for_each(|text| assert!(seeds(text).is_err(), "{text}"));
     }
 
     #[test]
     fn a_hunt_says_how_much_it_played() {
         let (text, well) = hunted(false, 0..1, 1);
-        assert!(well && text.starts_with("1 days: ") && text.ends_with("no rule broken\n"), "{text}");
+        assert!(
+            well && text.starts_with("1 days: ") && text.ends_with("no rule broken\n"),
+            "{text}"
+        );
         let (text, _) = hunted(true, 0..1, 1);
         let value: Value = serde_json::from_str(&text).unwrap();
-        assert!(value["requests"].as_u64() > Some(500) && value["found"].is_null(), "{text}");
+        assert!(
+            value["requests"].as_u64() > Some(500) && value["found"].is_null(),
+            "{text}"
+        );
     }
 }
--- a/crates/rookpulley-cli/src/gateway/store.rs
+++ b/crates/rookpulley-cli/src/gateway/store.rs
@@ -16,11 +16,18 @@
 pub fn shown(json: bool, folder: &Path) -> Result<String, CannotAsk> {
     let contents = look(folder).map_err(CannotAsk::Store)?;
     let told = told(folder, contents);
-    Ok(if json { told.to_string() + "\n" } else { as_table(&told) })
+    Ok(if json {
+        told.to_string() + "\n"
+    } else {
+        as_table(&told)
+    })
 }
 
 fn view(view: &View) -> Value {
-    let members = view.members.iter().map(|m| json!({"id": hex(m.id), "address": m.address.to_string()}));
+    let members = view
+        .members
+        .iter()
+        .map(|m| json!({"id": hex(m.id), "address": m.address.to_string()}));
     json!({"number": view.number, "members": members.collect::<Vec<_>>()})
 }
 
@@ -42,7 +49,11 @@
             Err(why) => json!({"update": update, "atMs": at_ms, "bytes": bytes.len(), "why": why.to_string()}),
         }
     });
-    let configurations: Vec<u64> = chain.log.iter().filter_map(|(_, _, body)| configuration(body)).collect();
+    let configurations: Vec<u64> = chain
+        .log
+        .iter()
+        .filter_map(|(_, _, body)| configuration(body))
+        .collect();
     let (mut noted, mut gone, mut unreadable) = (0, 0, 0);
     for (_, value) in &contents.lives {
         match postcard::from_bytes::<News>(value) {
@@ -77,13 +88,20 @@
 
 fn members(view: &Value) -> String {
     let all = view["members"].as_array().into_iter().flatten();
-    let all: Vec<&str> = all.filter_map(|member| member["address"].as_str()).collect();
+    let all: Vec<&str> = all
+        .filter_map(|member| member["address"].as_str())
+        .collect();
     format!("{} of {}", view["number"], all.join(" "))
 }
 
 fn as_table(told: &Value) -> String {
     let or_none = |value: &Value, text: String| if value.is_null() { "none".into() } else { text };
-    let (view, vote, snapshot, log) = (&told["view"], &told["vote"], &told["snapshot"], &told["log"]);
+    let (view, vote, snapshot, log) = (
+        &told["view"],
+        &told["vote"],
+        &told["snapshot"],
+        &told["log"],
+    );
     let voted = match &vote["accepted"] {
         _ if vote["view"] == 0 => "none".into(),
         Value::Null => format!("for view {}; accepted none", vote["view"]),
@@ -91,7 +109,10 @@
     };
     let state = match &snapshot["why"] {
         Value::String(why) => format!("up to update {}: {why}", snapshot["update"]),
-        _ => format!("up to update {}, {} bytes", snapshot["update"], snapshot["bytes"]),
+        _ => format!(
+            "up to update {}, {} bytes",
+            snapshot["update"], snapshot["bytes"]
+        ),
     };
     let entries = log["entries"].as_u64().unwrap_or(0);
     let entries = match entries {
@@ -101,26 +122,52 @@
             format!("{n} {word}, {} to {}", log["first"], log["last"])
         }
     };
-    let later: Vec<String> =
-        log["configVersions"].as_array().into_iter().flatten().map(Value::to_string).collect();
+    let later: Vec<String> = log["configVersions"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .map(Value::to_string)
+        .collect();
     let later = match later.len() {
         0 => String::new(),
         _ => format!("; in the log: {}", later.join(" ")),
     };
-    let held = snapshot["configVersion"].as_u64().filter(|version| *version > 0);
+    let held = snapshot["configVersion"]
+        .as_u64()
+        .filter(|version| *version > 0);
     let held = held.map_or_else(|| "none".to_string(), |version| version.to_string());
-    let count = |field: &str, what: &str| counted(snapshot[field].as_u64().unwrap_or(0) as usize, what);
-    let kept = [count("locks", "lock"), count("numbers", "number"), count("cells", "cell")].join(", ");
+    let count =
+        |field: &str, what: &str| counted(snapshot[field].as_u64().unwrap_or(0) as usize, what);
+    let kept = [
+        count("locks", "lock"),
+        count("numbers", "number"),
+        count("cells", "cell"),
+    ]
+    .join(", ");
     let lives = &told["lives"];
     let unreadable = match lives["unreadable"].as_u64() {
         Some(0) | None => String::new(),
         Some(n) => format!(", {n} unreadable"),
     };
     let rows = [
-        ("folder", told["folder"].as_str().unwrap_or_default().to_string()),
-        ("identity", told["identity"].as_str().unwrap_or("none").to_string()),
+        (
+            "folder",
+            told["folder"].as_str().unwrap_or_default().to_string(),
+        ),
+        (
+            "identity",
+            told["identity"].as_str().unwrap_or("none").to_string(),
+        ),
         ("bytes on disk", told["bytesOnDisk"].to_string()),
-        ("sound", if told["sound"] == true { "yes" } else { "no: an office begins it anew" }.into()),
+        (
+            "sound",
+            if told["sound"] == true {
+                "yes"
+            } else {
+                "no: an office begins it anew"
+            }
+            .into(),
+        ),
         ("view", or_none(view, members(view))),
         ("installed view", told["installed"].to_string()),
         ("never installs up to", told["neverUpTo"].to_string()),
@@ -129,7 +176,13 @@
         ("log", entries),
         ("configuration", held + &later),
         ("keeps", or_none(snapshot, kept)),
-        ("lives noted", format!("{} and {} gone{unreadable}", lives["noted"], lives["gone"])),
+        (
+            "lives noted",
+            format!("{} and {} gone{unreadable}", lives["noted"], lives["gone"]),
+        ),
     ];
-    table(["what", "is"], rows.into_iter().map(|(name, is)| [name.to_string(), is]))
+    table(
+        ["what", "is"],
+        rows.into_iter().map(|(name, is)| [name.to_string(), is]),
+    )
 }
--- a/crates/rookpulley-cli/src/gateway/store/check.rs
+++ b/crates/rookpulley-cli/src/gateway/store/check.rs
@@ -35,7 +35,12 @@
         Ok(contents) => Ok(Ok(Examined::of(contents))),
         Err(LookError::Spoilt(_, why)) => {
             let found = format!("spoilt ({why})");
-            Ok(Err(Faults::one(&STORE, "the store", found, "one that can be opened")))
+            Ok(Err(Faults::one(
+                &STORE,
+                "the store",
+                found,
+                "one that can be opened",
+            )))
         }
         Err(why) => Err(CannotAsk::Store(why)),
     }
@@ -46,13 +51,20 @@
         let kept = Kept::read(contents.chain.iter().cloned());
         let mut faults = Faults::none(&STORE);
         if contents.identity.is_none() {
-            faults.add("the identity", "missing", "there since the office's first start");
+            faults.add(
+                "the identity",
+                "missing",
+                "there since the office's first start",
+            );
         }
         for flaw in flaws(&contents.chain, contents.identity) {
             faults.add(flaw.place, flaw.found, flaw.instead);
         }
         let chain = kept.shown();
-        let (mut ledger, mut usable) = (Ledger::default(), kept.sound() && contents.identity.is_some());
+        let (mut ledger, mut usable) = (
+            Ledger::default(),
+            kept.sound() && contents.identity.is_some(),
+        );
         if let Some((update, _, bytes)) = chain.snapshot {
             if let Err(why) = ledger.restore(bytes) {
                 let found = format!("up to update {update} and unreadable ({why})");
@@ -81,10 +93,20 @@
         for (life, value) in &contents.lives {
             if postcard::from_bytes::<News>(value).is_err() {
                 let place = format!("the note on task {}", life.escape_ascii());
-                faults.add(place, format!("unreadable ({} bytes)", value.len()), "what was heard of it");
+                faults.add(
+                    place,
+                    format!("unreadable ({} bytes)", value.len()),
+                    "what was heard of it",
+                );
             }
         }
-        Self { usable, faults, configuration, kept, contents }
+        Self {
+            usable,
+            faults,
+            configuration,
+            kept,
+            contents,
+        }
     }
 
     /// The last update that it holds.
@@ -122,7 +144,11 @@
 fn of_configuration(faults: &mut Faults, place: String, body: &[u8]) {
     let Err(told) = Book::read(body) else { return };
     for fault in told.faults {
-        faults.add(format!("{place}, {}", fault.place), fault.found, fault.instead);
+        faults.add(
+            format!("{place}, {}", fault.place),
+            fault.found,
+            fault.instead,
+        );
     }
     faults.untold += told.untold;
 }
@@ -139,9 +165,18 @@
         Ok(store) => (&store.faults, Some((store.reaches(), store.as_json()))),
         Err(faults) => (faults, None),
     };
-    let what = reaches.as_ref().map_or(String::new(), |(what, _)| what.clone());
-    let verdict = if faults.is_empty() { Ok(what.clone()) } else { Err(faults.clone()) };
-    let checked = Checked { file: folder.into(), verdict };
+    let what = reaches
+        .as_ref()
+        .map_or(String::new(), |(what, _)| what.clone());
+    let verdict = if faults.is_empty() {
+        Ok(what.clone())
+    } else {
+        Err(faults.clone())
+    };
+    let checked = Checked {
+        file: folder.into(),
+        verdict,
+    };
     let well = checked.verdict.is_ok();
     if json {
         let mut said = checked.said();
@@ -155,7 +190,9 @@
     if !well && !what.is_empty() {
         lines += &format!("{}: {what}\n", folder.display());
     }
-    lines += &refused.map_or(String::new(), |why| format!("{}: {why}\n", folder.display()));
+    lines += &refused.map_or(String::new(), |why| {
+        format!("{}: {why}\n", folder.display())
+    });
     (lines, well)
 }
 
--- a/crates/rookpulley-cli/src/gateway/store/refound.rs
+++ b/crates/rookpulley-cli/src/gateway/store/refound.rs
@@ -24,7 +24,13 @@
     let was = store.contents.identity.filter(|_| store.usable)?;
     let is = RandomState::new().hash_one(was);
     let (view, records) = store.kept.refounded(was, is)?;
-    Some(Founding { store, was, is, view, records })
+    Some(Founding {
+        store,
+        was,
+        is,
+        view,
+        records,
+    })
 }
 
 pub fn refounded(json: bool, folder: &Path, yes: bool) -> Result<(String, bool), CannotAsk> {
@@ -35,11 +41,19 @@
         return Ok((said, false));
     };
     if yes {
-        replace(folder, &founding.store.contents, founding.is, &founding.records)
-            .map_err(CannotAsk::Store)?;
+        replace(
+            folder,
+            &founding.store.contents,
+            founding.is,
+            &founding.records,
+        )
+        .map_err(CannotAsk::Store)?;
     }
-    let said =
-        if json { founding.as_json(folder, yes).to_string() + "\n" } else { founding.text(folder, yes) };
+    let said = if json {
+        founding.as_json(folder, yes).to_string() + "\n"
+    } else {
+        founding.text(folder, yes)
+    };
     Ok((said, true))
 }
 
@@ -62,36 +76,69 @@
 
     fn text(&self, folder: &Path, done: bool) -> String {
         let chain = self.store.kept.shown();
-        let known = chain.views.last().map_or_else(|| "none".into(), |known| members(&view(known)));
-        let address = self.view.head().map(|member| member.address.to_string()).unwrap_or_default();
+        let known = chain
+            .views
+            .last()
+            .map_or_else(|| "none".into(), |known| members(&view(known)));
+        let address = self
+            .view
+            .head()
+            .map(|member| member.address.to_string())
+            .unwrap_or_default();
         let number = match done {
             true => self.view.number.to_string(),
             false => format!("far above {}", self.store.kept.newest()),
         };
-        let vote = if chain.vote == 0 { "none".into() } else { format!("for view {}", chain.vote) };
+        let vote = if chain.vote == 0 {
+            "none".into()
+        } else {
+            format!("for view {}", chain.vote)
+        };
         let keeps = format!("up to {}", self.store.update());
         let rows = [
-            ("identity", hex(self.was), if done { hex(self.is) } else { "another".into() }),
+            (
+                "identity",
+                hex(self.was),
+                if done { hex(self.is) } else { "another".into() },
+            ),
             ("view", known, format!("{number}, of {address} alone")),
-            ("installed view", chain.installed.to_string(), "the new one".into()),
+            (
+                "installed view",
+                chain.installed.to_string(),
+                "the new one".into(),
+            ),
             ("never installs up to", chain.never.to_string(), "0".into()),
             ("vote", vote, "none".into()),
             ("updates", keeps.clone(), keeps),
         ];
-        let head = if done { ["what", "was", "is"] } else { ["what", "is", "would be"] };
-        let mut said = table(head, rows.into_iter().map(|(what, was, is)| [what.to_string(), was, is]));
+        let head = if done {
+            ["what", "was", "is"]
+        } else {
+            ["what", "is", "would be"]
+        };
+        let mut said = table(
+            head,
+            rows.into_iter()
+                .map(|(what, was, is)| [what.to_string(), was, is]),
+        );
         if let (Some((first, ..)), Some((last, ..))) = (chain.log.first(), chain.log.last()) {
             said += &format!(
                 "updates {first} to {last} are its log: the last may not have been acknowledged, and are kept\n"
             );
         }
-        if chain.views.last().is_some_and(|newest| newest.number > chain.installed) {
-            said +=
-                "a newer view than the one installed here was decided: what it acknowledged is not here\n";
+        if chain
+            .views
+            .last()
+            .is_some_and(|newest| newest.number > chain.installed)
+        {
+            said += "a newer view than the one installed here was decided: what it acknowledged is not here\n";
         }
         said += "what the others acknowledged without this office is gone; do this on one office alone\n";
         said += &match done {
-            true => format!("done; the store as it was is in {}\n", before(folder).display()),
+            true => format!(
+                "done; the store as it was is in {}\n",
+                before(folder).display()
+            ),
             false => "nothing was written; with --yes it is done\n".to_string(),
         };
         said
--- a/crates/rookpulley-cli/src/main.rs
+++ b/crates/rookpulley-cli/src/main.rs
@@ -37,7 +37,12 @@
     )]
     at: SocketAddr,
     /// The file that holds the assigner's token
-    #[arg(long, global = true, env = "ROOKPULLEY_TOKEN_FILE", value_name = "FILE")]
+    #[arg(
+        long,
+        global = true,
+        env = "ROOKPULLEY_TOKEN_FILE",
+        value_name = "FILE"
+    )]
     token_file: Option<PathBuf>,
     /// Writes the answer as one JSON object
     #[arg(long, global = true)]
@@ -110,38 +115,70 @@
     let place = || Place::of(given.at, given.token_file.as_deref());
     let (said, code) = match &given.what {
         What::Versions { table } => {
-            let path = table.map_or("/v1/versions".to_string(), |t| format!("/v1/versions?table={t}"));
+            let path = table.map_or("/v1/versions".to_string(), |t| {
+                format!("/v1/versions?table={t}")
+            });
             let (_, list) = place()?.ask::<VersionList>("GET", &path, None)?;
-            (show::either(given.json, &list, || show::versions(&list)), true)
+            (
+                show::either(given.json, &list, || show::versions(&list)),
+                true,
+            )
         }
         What::Holders { check } => {
             let (_, list) = place()?.ask::<HolderList>("GET", "/v1/holders", None)?;
-            let in_step = list.holders.iter().filter(|h| h.joined).all(|h| h.judged == "in step");
-            (show::either(given.json, &list, || show::holders(&list)), !check || in_step)
+            let in_step = list
+                .holders
+                .iter()
+                .filter(|h| h.joined)
+                .all(|h| h.judged == "in step");
+            (
+                show::either(given.json, &list, || show::holders(&list)),
+                !check || in_step,
+            )
         }
         What::Diff { from, to } => {
             let mut query = form_urlencoded::Serializer::new(String::new());
-            let query = query.append_pair("from", from).append_pair("to", to).finish();
+            let query = query
+                .append_pair("from", from)
+                .append_pair("to", to)
+                .finish();
             let path = format!("/v1/diff?{query}");
             let (_, list) = place()?.ask::<DiffList>("GET", &path, None)?;
-            (show::either(given.json, &list, || show::diff(&list)), list.lines.is_empty())
+            (
+                show::either(given.json, &list, || show::diff(&list)),
+                list.lines.is_empty(),
+            )
         }
         What::Rollback { to, all, table } => {
             let body = json!({"to": to, "all": all, "table": table});
             let (status, list) = place()?.ask::<BackList>("POST", "/v1/rollback", Some(&body))?;
-            (show::either(given.json, &list, || show::back(&list)), status == 200)
+            (
+                show::either(given.json, &list, || show::back(&list)),
+                status == 200,
+            )
         }
         What::Release { table, all } => {
-            let body: Value = if *all { json!({"all": true}) } else { json!({"table": table}) };
+            let body: Value = if *all {
+                json!({"all": true})
+            } else {
+                json!({"table": table})
+            };
             let (status, list) = place()?.ask::<BackList>("POST", "/v1/release", Some(&body))?;
-            (show::either(given.json, &list, || show::back(&list)), status == 200)
+            (
+                show::either(given.json, &list, || show::back(&list)),
+                status == 200,
+            )
         }
         What::Servers(what) => servers::run(what, given.json, place)?,
         What::Gateway(what) => gateway::run(what, given.json, place)?,
         What::Check { file } => return Ok(check(given.json, file)),
     };
     print!("{said}");
-    Ok(if code { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    Ok(if code {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(1)
+    })
 }
 
 fn check(json: bool, path: &std::path::Path) -> ExitCode {
@@ -152,7 +189,10 @@
         }
         Err(bad) => {
             if json {
-                println!("{}", json!({"error": {"what": bad.what, "file": bad.file, "at": bad.at}}));
+                println!(
+                    "{}",
+                    json!({"error": {"what": bad.what, "file": bad.file, "at": bad.at}})
+                );
             } else {
                 eprintln!("rookpulley: {bad}");
             }
--- a/crates/rookpulley-cli/src/servers.rs
+++ b/crates/rookpulley-cli/src/servers.rs
@@ -65,14 +65,26 @@
     Ok(Facts::of(&start, &front.machines))
 }
 
-fn verdict(json: bool, file: &Path, list: Result<&Candidate, &String>, refused: &Refused) -> (String, bool) {
+fn verdict(
+    json: bool,
+    file: &Path,
+    list: Result<&Candidate, &String>,
+    refused: &Refused,
+) -> (String, bool) {
     let well = list.is_ok() && refused.is_empty();
     let reasons: Vec<Value> = match list {
         Err(why) => vec![json!({"what": why})],
-        Ok(_) => refused.reasons.iter().map(|(at, why)| json!({"what": why.to_string(), "at": at})).collect(),
+        Ok(_) => refused
+            .reasons
+            .iter()
+            .map(|(at, why)| json!({"what": why.to_string(), "at": at}))
+            .collect(),
     };
     if json {
-        let (generation, servers) = (list.ok().map(|l| l.generation), list.ok().map(|l| l.entries.len()));
+        let (generation, servers) = (
+            list.ok().map(|l| l.generation),
+            list.ok().map(|l| l.entries.len()),
+        );
         let said = json!({"file": file, "ok": well, "generation": generation, "servers": servers,
             "reasons": reasons, "more": refused.more});
         return (said.to_string() + "\n", well);
@@ -89,10 +101,18 @@
         }
         Ok(_) => {
             let line = |(at, why): &(_, rookpulley_lists::Reason)| {
-                let bad = BadFile { file: file.into(), at: *at, what: why.to_string() };
+                let bad = BadFile {
+                    file: file.into(),
+                    at: *at,
+                    what: why.to_string(),
+                };
                 format!("{bad}\n")
             };
-            let more = if refused.more > 0 { format!("and {} more\n", refused.more) } else { String::new() };
+            let more = if refused.more > 0 {
+                format!("and {} more\n", refused.more)
+            } else {
+                String::new()
+            };
             refused.reasons.iter().map(line).collect::<String>() + &more
         }
     };
@@ -123,11 +143,18 @@
     let place = std::fs::canonicalize(file).map_err(wrong)?;
     let folder = place.parent().unwrap_or(Path::new("/"));
     let mut beside = tempfile::NamedTempFile::new_in(folder).map_err(wrong)?;
-    beside.write_all(after.as_bytes()).and_then(|()| beside.as_file().sync_all()).map_err(wrong)?;
+    beside
+        .write_all(after.as_bytes())
+        .and_then(|()| beside.as_file().sync_all())
+        .map_err(wrong)?;
     let rights = std::fs::metadata(&place).map_err(wrong)?.permissions();
     beside.as_file().set_permissions(rights).map_err(wrong)?;
     beside.persist(&place).map_err(|e| wrong(e.error))?;
-    Ok(format!("{}: {}", file.display(), after.lines().last().unwrap_or_default()) + "\n")
+    Ok(format!(
+        "{}: {}",
+        file.display(),
+        after.lines().last().unwrap_or_default()
+    ) + "\n")
 }
 
 /// The list that an assigner holds, as a file has it.
@@ -144,8 +171,11 @@
         started_ms: s.started_ms,
         place: None,
     });
-    let candidate =
-        Candidate { generation: list.generation.unwrap_or(0), loss: None, entries: entries.collect() };
+    let candidate = Candidate {
+        generation: list.generation.unwrap_or(0),
+        loss: None,
+        entries: entries.collect(),
+    };
     Ok((list, candidate))
 }
 
@@ -163,7 +193,10 @@
 
 fn planned(json: bool, file: &Path, list: &Candidate, before: &Candidate) -> String {
     let rows = plan(before, list);
-    let (had, has) = (capacity(before.entries.iter()), capacity(list.entries.iter()));
+    let (had, has) = (
+        capacity(before.entries.iter()),
+        capacity(list.entries.iter()),
+    );
     if json {
         let row = |p: &Planned| {
             let ([from, to], [was, is]) = (p.weights, p.shares);
@@ -179,18 +212,40 @@
     let shown = rows.iter().map(|p| {
         let [from, to] = p.weights.map(weight);
         let [was, is] = p.shares.map(|s| format!("{:.1}%", 100.0 * s));
-        [p.name.clone(), changes(p.change).to_string(), from, to, was, is]
+        [
+            p.name.clone(),
+            changes(p.change).to_string(),
+            from,
+            to,
+            was,
+            is,
+        ]
     });
     let head = ["server", "is", "weight", "then", "share", "then"];
-    let table = if rows.is_empty() { "no server changes\n".into() } else { show::table(head, shown) };
-    format!("generation {} -> {}, capacity {had} -> {has}\n{table}", before.generation, list.generation)
+    let table = if rows.is_empty() {
+        "no server changes\n".into()
+    } else {
+        show::table(head, shown)
+    };
+    format!(
+        "generation {} -> {}, capacity {had} -> {has}\n{table}",
+        before.generation, list.generation
+    )
 }
 
 fn shown(list: &ServerList) -> String {
-    let generation = list.generation.map_or("none taken yet, discovery's list counts".to_string(), |g| {
-        format!("generation {g}, taken {:.0} s ago", list.age_ms.unwrap_or(0.0) / 1e3)
-    });
-    let not = list.not_taken.as_ref().map_or(String::new(), |why| format!("not taken: {why}\n"));
+    let generation =
+        list.generation
+            .map_or("none taken yet, discovery's list counts".to_string(), |g| {
+                format!(
+                    "generation {g}, taken {:.0} s ago",
+                    list.age_ms.unwrap_or(0.0) / 1e3
+                )
+            });
+    let not = list
+        .not_taken
+        .as_ref()
+        .map_or(String::new(), |why| format!("not taken: {why}\n"));
     let rows = list.servers.iter().map(|s| {
         [
             s.server.clone(),
@@ -202,7 +257,11 @@
         ]
     });
     let head = ["server", "address", "zone", "machine", "weight", "is"];
-    format!("{}: {generation}\n{not}{}", list.file, show::table(head, rows))
+    format!(
+        "{}: {generation}\n{not}{}",
+        list.file,
+        show::table(head, rows)
+    )
 }
 
 fn failed(why: String) -> CannotAsk {
@@ -216,7 +275,11 @@
     place: impl Fn() -> Result<Place, CannotAsk>,
 ) -> Result<(String, bool), CannotAsk> {
     Ok(match what {
-        Servers::Check { file, config, against } => check(json, file, config.as_deref(), against.as_deref()),
+        Servers::Check {
+            file,
+            config,
+            against,
+        } => check(json, file, config.as_deref(), against.as_deref()),
         Servers::Seal { file } => {
             let said = seal(file).map_err(failed)?;
             let object = || json!({"ok": true, "what": said.trim_end()}).to_string() + "\n";
@@ -232,7 +295,10 @@
         }
         Servers::Show => {
             let (list, _) = held(&place()?)?;
-            (show::either(json, &list, || shown(&list)), list.not_taken.is_none())
+            (
+                show::either(json, &list, || shown(&list)),
+                list.not_taken.is_none(),
+            )
         }
         Servers::Write => {
             let (_, mut list) = held(&place()?)?;
--- a/crates/rookpulley-cli/src/show.rs
+++ b/crates/rookpulley-cli/src/show.rs
@@ -10,7 +10,11 @@
 
 pub fn either<T: Serialize>(json: bool, answer: &T, text: impl FnOnce() -> String) -> String {
     // Plain values of text and numbers: writing them to memory has no way to fail.
-    if json { serde_json::to_string(answer).unwrap_or_default() + "\n" } else { text() }
+    if json {
+        serde_json::to_string(answer).unwrap_or_default() + "\n"
+    } else {
+        text()
+    }
 }
 
 pub fn table<const N: usize>(head: [&str; N], rows: impl Iterator<Item = [String; N]>) -> String {
@@ -18,7 +22,10 @@
     table.load_preset(presets::NOTHING).set_header(head);
     rows.for_each(|row| _ = table.add_row(row));
     let lines = table.to_string();
-    lines.lines().map(|line| line.trim_end().to_string() + "\n").collect()
+    lines
+        .lines()
+        .map(|line| line.trim_end().to_string() + "\n")
+        .collect()
 }
 
 fn yes(yes: bool) -> String {
@@ -26,7 +33,11 @@
 }
 
 pub fn unix_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1e3
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
+        * 1e3
 }
 
 fn ago(at_ms: f64) -> String {
@@ -51,8 +62,21 @@
             v.digest.clone(),
         ]
     });
-    let head = ["version", "table", "lines", "issued before", "newest", "in use", "digest"];
-    format!("{}, started as {}\n{}", list.assigner, list.start, table(head, rows))
+    let head = [
+        "version",
+        "table",
+        "lines",
+        "issued before",
+        "newest",
+        "in use",
+        "digest",
+    ];
+    format!(
+        "{}, started as {}\n{}",
+        list.assigner,
+        list.start,
+        table(head, rows)
+    )
 }
 
 pub fn holders(list: &HolderList) -> String {
@@ -60,45 +84,90 @@
     let rows = list.holders.iter().map(|h| {
         [
             h.dispatcher.to_string(),
-            if h.joined { h.judged.clone() } else { "left".into() },
+            if h.joined {
+                h.judged.clone()
+            } else {
+                "left".into()
+            },
             h.kinds.join(" "),
             h.table.to_string(),
             h.told.clone().unwrap_or_else(none),
             h.confirmed.clone().unwrap_or_else(none),
-            if h.speaks { h.claimed.clone().unwrap_or_else(none) } else { "marks alone".into() },
+            if h.speaks {
+                h.claimed.clone().unwrap_or_else(none)
+            } else {
+                "marks alone".into()
+            },
             h.waits_ms.map_or_else(none, |ms| format!("{ms:.0} ms")),
             yes(h.back),
         ]
     });
-    let head = ["dispatcher", "is", "kinds", "table", "told", "confirmed", "claimed", "waits", "held back"];
+    let head = [
+        "dispatcher",
+        "is",
+        "kinds",
+        "table",
+        "told",
+        "confirmed",
+        "claimed",
+        "waits",
+        "held back",
+    ];
     let joined: Vec<_> = list.holders.iter().filter(|h| h.joined).collect();
     let in_step = joined.iter().filter(|h| h.judged == "in step").count();
-    format!("{}{in_step} of {} tables in step at {}\n", table(head, rows), joined.len(), list.assigner)
+    format!(
+        "{}{in_step} of {} tables in step at {}\n",
+        table(head, rows),
+        joined.len(),
+        list.assigner
+    )
 }
 
 pub fn diff(list: &DiffList) -> String {
     let weight = |w: Option<f64>| w.map_or("-".to_string(), |w| w.to_string());
-    let rows = list.lines.iter().map(|l| [l.server.clone(), weight(l.from), weight(l.to)]);
-    let sizes = format!("as a delta {} bytes, as a whole table {}", list.delta_bytes, list.whole_bytes);
+    let rows = list
+        .lines
+        .iter()
+        .map(|l| [l.server.clone(), weight(l.from), weight(l.to)]);
+    let sizes = format!(
+        "as a delta {} bytes, as a whole table {}",
+        list.delta_bytes, list.whole_bytes
+    );
     match list.lines.len() {
         0 => "the same lines\n".into(),
-        count => format!("{}{count} lines differ; {sizes}\n", table(["server", "from", "to"], rows)),
+        count => format!(
+            "{}{count} lines differ; {sizes}\n",
+            table(["server", "from", "to"], rows)
+        ),
     }
 }
 
 pub fn back(list: &BackList) -> String {
     let rows = list.tables.iter().map(|b| {
-        let usable =
-            b.usable.zip(b.of).map_or(String::new(), |(usable, of)| format!("{usable} of {of} lines"));
-        [b.table.to_string(), b.what.clone(), usable, b.why.clone().unwrap_or_default()]
+        let usable = b.usable.zip(b.of).map_or(String::new(), |(usable, of)| {
+            format!("{usable} of {of} lines")
+        });
+        [
+            b.table.to_string(),
+            b.what.clone(),
+            usable,
+            b.why.clone().unwrap_or_default(),
+        ]
     });
     table(["table", "is", "usable", "why"], rows)
 }
 
 pub fn operators(json: bool, operators: &Operators) -> String {
-    let form = if operators.log == LogForm::Json { "json" } else { "text" };
+    let form = if operators.log == LogForm::Json {
+        "json"
+    } else {
+        "text"
+    };
     let address = operators.address.as_ref().map(|a| a.listen.to_string());
-    let token = operators.address.as_ref().and_then(|a| a.token_file.clone());
+    let token = operators
+        .address
+        .as_ref()
+        .and_then(|a| a.token_file.clone());
     let versions = operators.versions;
     if json {
         let keep = versions.map(|v| json!({"keep": v.each, "bytes": v.bytes}));
@@ -108,11 +177,21 @@
     }
     let off = || "off".to_string();
     let token = token.map_or(String::new(), |t| format!(", token in {}", t.display()));
-    let versions = versions.map(|v| format!("{} of each table, {} MB in all", v.each, v.bytes >> 20));
+    let versions =
+        versions.map(|v| format!("{} of each table, {} MB in all", v.each, v.bytes >> 20));
     let rows = [
-        ["address".to_string(), address.map_or_else(off, |a| a + &token)],
+        [
+            "address".to_string(),
+            address.map_or_else(off, |a| a + &token),
+        ],
         ["versions".to_string(), versions.unwrap_or_else(off)],
-        ["servers".to_string(), operators.servers.as_ref().map_or_else(off, |f| f.display().to_string())],
+        [
+            "servers".to_string(),
+            operators
+                .servers
+                .as_ref()
+                .map_or_else(off, |f| f.display().to_string()),
+        ],
         ["log".to_string(), form.to_string()],
     ];
     table(["what", "is"], rows.into_iter())
--- a/crates/rookpulley-cli/tests/command.rs
+++ b/crates/rookpulley-cli/tests/command.rs
@@ -3,8 +3,8 @@
 use assert_cmd::Command;
 use rookpulley_operators::address;
 use rookpulley_operators::asks::{
-    Answer, Ask, BackList, BackRow, DiffList, DiffRow, HolderList, HolderRow, Refusal, ServerList, ServerRow,
-    VersionList, VersionRow,
+    Answer, Ask, BackList, BackRow, DiffList, DiffRow, HolderList, HolderRow, Refusal, ServerList,
+    ServerRow, VersionList, VersionRow,
 };
 use rookpulley_operators::file::Token;
 use serde_json::Value;
@@ -41,8 +41,13 @@
         newest,
         in_use: newest,
     };
-    let back =
-        |table, what: &str| BackRow { table, what: what.into(), why: None, usable: Some(3), of: Some(4) };
+    let back = |table, what: &str| BackRow {
+        table,
+        what: what.into(),
+        why: None,
+        usable: Some(3),
+        of: Some(4),
+    };
     match ask {
         Ask::Versions { .. } => Answer::Versions(VersionList {
             assigner: "n0".into(),
@@ -50,12 +55,22 @@
             versions: vec![row(OLD, false), row(NEW, true)],
         }),
         Ask::Holders => {
-            let holders =
-                vec![holder(0, true, "in step"), holder(1, true, "behind"), holder(2, false, "unknown")];
-            Answer::Holders(HolderList { assigner: "n0".into(), holders })
+            let holders = vec![
+                holder(0, true, "in step"),
+                holder(1, true, "behind"),
+                holder(2, false, "unknown"),
+            ];
+            Answer::Holders(HolderList {
+                assigner: "n0".into(),
+                holders,
+            })
         }
         Ask::Diff { from, to } => {
-            let lines = vec![DiffRow { server: "s-1".into(), from: Some(1.0), to: None }];
+            let lines = vec![DiffRow {
+                server: "s-1".into(),
+                from: Some(1.0),
+                to: None,
+            }];
             let lines = if from == to { Vec::new() } else { lines };
             Answer::Diff(DiffList {
                 from: from.clone(),
@@ -65,8 +80,12 @@
                 whole_bytes: 80,
             })
         }
-        Ask::Rollback { to, .. } if to == OLD => Answer::Back(BackList { tables: vec![back(0, "held")] }),
-        Ask::Rollback { to, .. } if to == NEW => Answer::Back(BackList { tables: vec![back(0, "refused")] }),
+        Ask::Rollback { to, .. } if to == OLD => Answer::Back(BackList {
+            tables: vec![back(0, "held")],
+        }),
+        Ask::Rollback { to, .. } if to == NEW => Answer::Back(BackList {
+            tables: vec![back(0, "refused")],
+        }),
         Ask::Rollback { to, .. } => {
             let refusal = Refusal::new(404, format!("{to} was never issued"), Some("see versions"));
             Answer::Refused { refusal }
@@ -90,7 +109,9 @@
                 servers: vec![row(1, "ready"), row(2, "draining"), row(3, "ready")],
             })
         }
-        Ask::Release { .. } => Answer::Back(BackList { tables: vec![back(0, "ended")] }),
+        Ask::Release { .. } => Answer::Back(BackList {
+            tables: vec![back(0, "ended")],
+        }),
     }
 }
 
@@ -99,12 +120,20 @@
     let (tell_place, place) = channel();
     let (tell, asked) = channel();
     std::thread::spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
             tell_place.send(listener.local_addr().unwrap()).unwrap();
             let (sender, mut asks) = tokio::sync::mpsc::channel(4);
-            tokio::task::spawn_local(address::serve(listener, token.map(Token::of), sender, Rc::new(|_| ())));
+            tokio::task::spawn_local(address::serve(
+                listener,
+                token.map(Token::of),
+                sender,
+                Rc::new(|_| ()),
+            ));
             while let Some(a) = asks.recv().await {
                 let answered = answer(&a.ask);
                 // The test may have ended.
@@ -117,25 +146,50 @@
 
 fn run(at: SocketAddr, args: &[&str]) -> (i32, String, String) {
     let mut command = Command::cargo_bin("rookpulley").unwrap();
-    command.env_remove("ROOKPULLEY_AT").env_remove("ROOKPULLEY_TOKEN_FILE");
-    let output = command.args(["--at", &at.to_string()]).args(args).output().unwrap();
+    command
+        .env_remove("ROOKPULLEY_AT")
+        .env_remove("ROOKPULLEY_TOKEN_FILE");
+    let output = command
+        .args(["--at", &at.to_string()])
+        .args(args)
+        .output()
+        .unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
-    (output.status.code().unwrap(), text(output.stdout), text(output.stderr))
+    (
+        output.status.code().unwrap(),
+        text(output.stdout),
+        text(output.stderr),
+    )
 }
 
 #[test]
 fn answers_are_shown_as_tables_and_end_with_codes_for_scripts() {
     let (at, asked) = answering(None);
     for (args, code, wanted) in [
-        (&["versions"][..], 0, &["n0, started as 00000000000000aa", OLD, "yes"][..]),
+        (
+            &["versions"][..],
+            0,
+            &["n0, started as 00000000000000aa", OLD, "yes"][..],
+        ),
         (&["versions", "--table", "0"], 0, &[NEW]),
         (
             &["holders"],
             0,
-            &["in step", "behind", "left", "marks alone", "240 ms", "1 of 2 tables in step at n0"],
+            &[
+                "in step",
+                "behind",
+                "left",
+                "marks alone",
+                "240 ms",
+                "1 of 2 tables in step at n0",
+            ],
         ),
         (&["holders", "--check"], 1, &["1 of 2"]),
-        (&["diff", OLD, NEW], 1, &["s-1", "1 lines differ; as a delta 50 bytes"]),
+        (
+            &["diff", OLD, NEW],
+            1,
+            &["s-1", "1 lines differ; as a delta 50 bytes"],
+        ),
         (&["diff", OLD, OLD], 0, &["the same lines"]),
         (&["rollback", OLD], 0, &["held", "3 of 4 lines"]),
         (&["rollback", NEW, "--all"], 1, &["refused"]),
@@ -143,30 +197,56 @@
         (&["release", "--table", "3"], 0, &["ended"]),
     ] {
         let (got, out, err) = run(at, args);
-        assert!(got == code && wanted.iter().all(|w| out.contains(w)), "{args:?} {got}: {out}{err}");
+        assert!(
+            got == code && wanted.iter().all(|w| out.contains(w)),
+            "{args:?} {got}: {out}{err}"
+        );
         assert!(err.is_empty(), "{err}");
     }
     let asks: Vec<Ask> = asked.try_iter().collect();
     assert_eq!(asks[1], Ask::Versions { table: Some(0) });
-    assert_eq!(asks[7], Ask::Rollback { to: NEW.into(), table: None, all: true });
-    assert_eq!((&asks[8], &asks[9]), (&Ask::Release { table: None }, &Ask::Release { table: Some(3) }));
+    assert_eq!(
+        asks[7],
+        Ask::Rollback {
+            to: NEW.into(),
+            table: None,
+            all: true
+        }
+    );
+    assert_eq!(
+        (&asks[8], &asks[9]),
+        (
+            &Ask::Release { table: None },
+            &Ask::Release { table: Some(3) }
+        )
+    );
 }
 
 #[test]
 fn json_holds_what_the_address_said() {
     let (at, _asked) = answering(None);
-    for args in
-        [&["versions"][..], &["holders"], &["diff", OLD, NEW], &["rollback", OLD], &["release", "--all"]]
-    {
+    for args in [
+        &["versions"][..],
+        &["holders"],
+        &["diff", OLD, NEW],
+        &["rollback", OLD],
+        &["release", "--all"],
+    ] {
         let (_, out, _) = run(at, &[&["--json"], args].concat());
         let said: Value = serde_json::from_str(&out).expect(&out);
-        assert!(said.is_object() && said["error"].is_null() && out.lines().count() == 1, "{out}");
+        assert!(
+            said.is_object() && said["error"].is_null() && out.lines().count() == 1,
+            "{out}"
+        );
     }
     let (code, out, _) = run(at, &["--json", "rollback", "n0~00000000000000aa~9"]);
     let said: Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
         (code, said["error"]["what"].as_str()),
-        (1, Some("n0~00000000000000aa~9 was never issued; see versions"))
+        (
+            1,
+            Some("n0~00000000000000aa~9 was never issued; see versions")
+        )
     );
 }
 
@@ -174,7 +254,10 @@
 fn who_cannot_ask_hears_why_and_what_to_do() {
     let (at, _asked) = answering(Some("a-token-of-some-length"));
     let (code, _, err) = run(at, &["holders"]);
-    assert!(code == 1 && err.contains("the token is missing or wrong"), "{code} {err}");
+    assert!(
+        code == 1 && err.contains("the token is missing or wrong"),
+        "{code} {err}"
+    );
     let file = std::env::temp_dir().join(format!("rookpulley-token-{}", std::process::id()));
     std::fs::write(&file, "a-token-of-some-length\n").unwrap();
     let (code, ..) = run(at, &["holders", "--token-file", file.to_str().unwrap()]);
@@ -183,10 +266,19 @@
     let (code, _, err) = run(at, &["holders", "--token-file", file.to_str().unwrap()]);
     assert!(code == 3 && err.contains("token file"), "{code} {err}");
     // Nobody listens there: the listener of a port just given back.
-    let gone = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let gone = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let (code, _, err) = run(gone, &["holders"]);
     assert!(code == 3 && err.contains("--operators"), "{code} {err}");
-    for args in [&["rollback"][..], &["release"], &["release", "--all", "--table", "1"], &["dance"], &[]] {
+    for args in [
+        &["rollback"][..],
+        &["release"],
+        &["release", "--all", "--table", "1"],
+        &["dance"],
+        &[],
+    ] {
         assert_eq!(run(at, args).0, 2, "{args:?}");
     }
 }
@@ -194,12 +286,20 @@
 #[test]
 fn every_command_shows_an_example_in_its_help() {
     let at = "127.0.0.1:1".parse().unwrap();
-    for what in ["versions", "holders", "diff", "rollback", "release", "check"] {
+    for what in [
+        "versions", "holders", "diff", "rollback", "release", "check",
+    ] {
         let (code, out, _) = run(at, &[what, "--help"]);
-        assert!(code == 0 && out.contains(&format!("Example: rookpulley {what}")), "{out}");
+        assert!(
+            code == 0 && out.contains(&format!("Example: rookpulley {what}")),
+            "{out}"
+        );
     }
     let (_, out, _) = run(at, &["--help"]);
-    assert!(out.contains("operators' address") && out.contains("Ends with 0"), "{out}");
+    assert!(
+        out.contains("operators' address") && out.contains("Ends with 0"),
+        "{out}"
+    );
 }
 
 #[test]
@@ -207,8 +307,14 @@
     let at = "127.0.0.1:1".parse().unwrap();
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operators.star");
     let (code, out, _) = run(at, &["check", file]);
-    assert!(code == 0 && out.contains("127.0.0.1:3990") && out.contains("8 of each table"), "{out}");
-    let (code, _, err) = run(at, &["check", concat!(env!("CARGO_MANIFEST_DIR"), "/Cargo.toml")]);
+    assert!(
+        code == 0 && out.contains("127.0.0.1:3990") && out.contains("8 of each table"),
+        "{out}"
+    );
+    let (code, _, err) = run(
+        at,
+        &["check", concat!(env!("CARGO_MANIFEST_DIR"), "/Cargo.toml")],
+    );
     assert!(code == 1 && err.contains("Cargo.toml:"), "{err}");
 }
 
@@ -219,12 +325,20 @@
     let path = |name: &str| folder.path().join(name).to_str().unwrap().to_string();
     let (file, old) = (path("servers.star"), path("old.star"));
     let (code, text, _) = run(at, &["servers", "write"]);
-    assert!(code == 0 && text.contains("generation(5)") && text.contains("drains = True"), "{text}");
+    assert!(
+        code == 0 && text.contains("generation(5)") && text.contains("drains = True"),
+        "{text}"
+    );
     std::fs::write(&old, &text).unwrap();
     let (code, out, _) = run(at, &["servers", "check", &old]);
-    assert!(code == 0 && out.contains("generation 5, 3 servers, can be taken"), "{out}");
+    assert!(
+        code == 0 && out.contains("generation 5, 3 servers, can be taken"),
+        "{out}"
+    );
     // Edited by hand: not whole until it is sealed.
-    let edited = text.replace("generation(5)", "generation(6)").replace("weight = 1.0)", "weight = 0.25)");
+    let edited = text
+        .replace("generation(5)", "generation(6)")
+        .replace("weight = 1.0)", "weight = 0.25)");
     std::fs::write(&file, &edited).unwrap();
     let (code, out, _) = run(at, &["servers", "check", &file]);
     assert!(
@@ -232,19 +346,38 @@
         "{out}"
     );
     assert_eq!(run(at, &["servers", "seal", &file]).0, 0);
-    let (code, out, _) = run(at, &["--json", "servers", "check", &file, "--against", &old]);
+    let (code, out, _) = run(
+        at,
+        &["--json", "servers", "check", &file, "--against", &old],
+    );
     let said: Value = serde_json::from_str(&out).unwrap();
-    assert_eq!((code, said["ok"].as_bool(), said["generation"].as_u64()), (1, Some(false), Some(6)), "{out}");
-    assert!(said["reasons"][0]["what"].as_str().unwrap().contains("write loss(0.75)"), "{out}");
+    assert_eq!(
+        (code, said["ok"].as_bool(), said["generation"].as_u64()),
+        (1, Some(false), Some(6)),
+        "{out}"
+    );
+    assert!(
+        said["reasons"][0]["what"]
+            .as_str()
+            .unwrap()
+            .contains("write loss(0.75)"),
+        "{out}"
+    );
     let (code, out, _) = run(at, &["servers", "plan", &file, "--against", &old]);
     assert!(
-        code == 0 && out.contains("generation 5 -> 6, capacity 2 -> 0.5") && out.contains("weighed anew"),
+        code == 0
+            && out.contains("generation 5 -> 6, capacity 2 -> 0.5")
+            && out.contains("weighed anew"),
         "{out}"
     );
     let (code, out, _) = run(at, &["--json", "servers", "plan", &file]);
     let said: Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
-        (code, said["generation_from"].as_u64(), said["servers"][0]["to"].as_f64()),
+        (
+            code,
+            said["generation_from"].as_u64(),
+            said["servers"][0]["to"].as_f64()
+        ),
         (0, Some(4), Some(0.25))
     );
     // Against the deployment's own zones and machines.
@@ -255,18 +388,24 @@
     assert_eq!(run(at, &["servers", "seal", &file]).0, 0);
     let (code, out, _) = run(at, &["servers", "check", &file, "--config", config]);
     assert!(
-        code == 1 && out.contains(":3:1: \"s-1\" is of zone \"north\"; write one of \"east\", \"west\""),
+        code == 1
+            && out.contains(":3:1: \"s-1\" is of zone \"north\"; write one of \"east\", \"west\""),
         "{out}"
     );
     let (code, out, _) = run(at, &["servers", "show"]);
     assert!(
-        code == 1 && out.contains("generation 4, taken 9 s ago") && out.contains("not taken: its seal"),
+        code == 1
+            && out.contains("generation 4, taken 9 s ago")
+            && out.contains("not taken: its seal"),
         "{out}"
     );
     let (code, _, err) = run(at, &["servers", "seal", &path("nothing.star")]);
     assert!(code == 1 && err.contains("nothing.star"), "{err}");
     for what in ["check", "plan", "seal", "show", "write"] {
         let (code, out, _) = run(at, &["servers", what, "--help"]);
-        assert!(code == 0 && out.contains(&format!("Example: rookpulley servers {what}")), "{out}");
+        assert!(
+            code == 0 && out.contains(&format!("Example: rookpulley servers {what}")),
+            "{out}"
+        );
     }
 }
--- a/crates/rookpulley-cli/tests/gateway.rs
+++ b/crates/rookpulley-cli/tests/gateway.rs
@@ -14,10 +14,16 @@
 
 fn run(args: &[&str]) -> (i32, String, String) {
     let mut command = Command::cargo_bin("rookpulley").unwrap();
-    command.env_remove("ROOKPULLEY_AT").env_remove("ROOKPULLEY_TOKEN_FILE");
+    command
+        .env_remove("ROOKPULLEY_AT")
+        .env_remove("ROOKPULLEY_TOKEN_FILE");
     let output = command.arg("gateway").args(args).output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
-    (output.status.code().unwrap(), text(output.stdout), text(output.stderr))
+    (
+        output.status.code().unwrap(),
+        text(output.stdout),
+        text(output.stderr),
+    )
 }
 
 /// Whether these stand there one after the other.
@@ -43,15 +49,23 @@
             let (status, body) = match line.split(' ').nth(1).unwrap() {
                 "/rookpulley/show/view" => (200, include_str!("shown/view.json")),
                 "/rookpulley/show/tasks" => (200, include_str!("shown/tasks.json")),
-                "/rookpulley/show/tasks/letters%20%2B" => (200, r#"{"tasks":[],"more":0,"settling":true}"#),
+                "/rookpulley/show/tasks/letters%20%2B" => {
+                    (200, r#"{"tasks":[],"more":0,"settling":true}"#)
+                }
                 "/rookpulley/show/tables" => (200, include_str!("shown/tables.json")),
                 "/rookpulley/show/couriers" => (200, include_str!("shown/couriers.json")),
                 "/rookpulley/show/ledger" => (200, include_str!("shown/ledger.json")),
                 "/rookpulley/show/counters" => (200, include_str!("shown/counters.txt")),
                 _ => (404, "{}"),
             };
-            let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n", body.len());
-            stream.get_mut().write_all((head + body).as_bytes()).unwrap();
+            let head = format!(
+                "HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n",
+                body.len()
+            );
+            stream
+                .get_mut()
+                .write_all((head + body).as_bytes())
+                .unwrap();
         }
     });
     at
@@ -80,13 +94,26 @@
                 "1 of 2 tasks live\n",
             ],
         ),
-        (&["tasks", "--service", "letters +"], &["0 of 0 tasks live; this office has just begun"]),
-        (&["tables"], &["parcels  edge-quay-2  0b7d2f9c55e1a804  3     8", "stamps"]),
+        (
+            &["tasks", "--service", "letters +"],
+            &["0 of 0 tasks live; this office has just begun"],
+        ),
+        (
+            &["tables"],
+            &["parcels  edge-quay-2  0b7d2f9c55e1a804  3     8", "stamps"],
+        ),
         (
             &["couriers"],
-            &["edge-hill-3  hill  no         -", "edge-quay-1  quay  yes        7", "1 of 2 at home"],
+            &[
+                "edge-hill-3  hill  no         -",
+                "edge-quay-1  quay  yes        7",
+                "1 of 2 at home",
+            ],
+        ),
+        (
+            &["ledger"],
+            &["configuration version  7", "cells                  14"],
         ),
-        (&["ledger"], &["configuration version  7", "cells                  14"]),
         (
             &["counters"],
             &[
@@ -99,28 +126,54 @@
         ),
     ] {
         let (code, out, err) = run(&[&["show", "--at", at], args].concat());
-        assert!(code == 0 && in_order(&out, wanted), "{args:?} {code}: {out}{err}");
+        assert!(
+            code == 0 && in_order(&out, wanted),
+            "{args:?} {code}: {out}{err}"
+        );
     }
-    assert_eq!(run(&["chain", "show", "--at", at]), run(&["show", "view", "--at", at]));
+    assert_eq!(
+        run(&["chain", "show", "--at", at]),
+        run(&["show", "view", "--at", at])
+    );
     for part in ["view", "tasks", "tables", "couriers", "ledger", "counters"] {
         let (code, out, _) = run(&["show", part, "--at", at, "--json"]);
         let said: Value = serde_json::from_str(&out).expect(&out);
-        assert!(code == 0 && said.is_object() && out.lines().count() == 1, "{out}");
+        assert!(
+            code == 0 && said.is_object() && out.lines().count() == 1,
+            "{out}"
+        );
     }
     let (_, out, _) = run(&["show", "counters", "--at", at, "--json"]);
     let said: Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
-        (&said["counters"][0]["labels"]["call"], &said["counters"][0]["value"]),
+        (
+            &said["counters"][0]["labels"]["call"],
+            &said["counters"][0]["value"]
+        ),
         (&"beat".into(), &8120.0.into())
     );
 }
 
 #[test]
 fn who_asks_no_office_hears_where_to_ask() {
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    let gone = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string();
     let (code, _, err) = run(&["show", "view", "--at", &gone]);
-    assert!(code == 3 && err.contains("no office answers") && err.contains("controlPlane"), "{err}");
-    let (code, _, err) = run(&["show", "tasks", "--service", "nowhere", "--at", &office().to_string()]);
+    assert!(
+        code == 3 && err.contains("no office answers") && err.contains("controlPlane"),
+        "{err}"
+    );
+    let (code, _, err) = run(&[
+        "show",
+        "tasks",
+        "--service",
+        "nowhere",
+        "--at",
+        &office().to_string(),
+    ]);
     assert!(code == 3 && err.contains("its status is 404"), "{err}");
     assert_eq!(run(&["show", "secrets"]).0, 2);
 }
@@ -155,8 +208,10 @@
 fn files_are_checked_with_a_place_what_was_found_and_what_to_write() {
     let folder = tempfile::tempdir().unwrap();
     let deployed = include_str!("../../../deploy/system.toml");
-    let (diskless, share) =
-        (SETTINGS.replace("dataDirectory", "other"), deployed.replace("count = 1", "share = 0.6"));
+    let (diskless, share) = (
+        SETTINGS.replace("dataDirectory", "other"),
+        deployed.replace("count = 1", "share = 0.6"),
+    );
     for (what, text, wanted) in [
         (
             "settings",
@@ -174,7 +229,11 @@
             &share,
             "2 roles (courier, office); can be used; on a machine without a disk, office only passes calls on\n",
         ),
-        ("configuration", CONFIGURATION, "version 7, 2 services, 1 host, 3 routes; can be taken\n"),
+        (
+            "configuration",
+            CONFIGURATION,
+            "version 7, 2 services, 1 host, 3 routes; can be taken\n",
+        ),
         (
             "deploy",
             deployed,
@@ -182,7 +241,10 @@
         ),
     ] {
         let file = written(folder.path(), what, text);
-        assert_eq!(run(&["check", what, &file]), (0, format!("{file}: {wanted}"), String::new()));
+        assert_eq!(
+            run(&["check", what, &file]),
+            (0, format!("{file}: {wanted}"), String::new())
+        );
     }
     for (what, text, was, is, wanted) in [
         (
@@ -192,7 +254,13 @@
             "10.4.0\"\nz",
             "ipAddress is \"10.4.0\"; write an IPv4 address such as",
         ),
-        ("settings", SETTINGS, "[7730,7745]", "[7730,", "line 7, column 11 is no TOML"),
+        (
+            "settings",
+            SETTINGS,
+            "[7730,7745]",
+            "[7730,",
+            "line 7, column 11 is no TOML",
+        ),
         (
             "configuration",
             CONFIGURATION,
@@ -225,16 +293,27 @@
         assert!(text.contains(was), "{was}");
         let file = written(folder.path(), "bad", &text.replacen(was, is, 1));
         let (code, out, err) = run(&["check", what, &file]);
-        assert!(code == 1 && out.starts_with(&file) && out.contains(wanted) && err.is_empty(), "{out}{err}");
+        assert!(
+            code == 1 && out.starts_with(&file) && out.contains(wanted) && err.is_empty(),
+            "{out}{err}"
+        );
         let (code, out, _) = run(&["--json", "check", what, &file]);
         let said: Value = serde_json::from_str(&out).unwrap();
         assert_eq!((code, &said["ok"]), (1, &false.into()));
         let fault = &said["faults"][0];
-        assert!(["place", "found", "instead"].iter().all(|part| fault[part].is_string()), "{out}");
+        assert!(
+            ["place", "found", "instead"]
+                .iter()
+                .all(|part| fault[part].is_string()),
+            "{out}"
+        );
     }
     for what in ["settings", "configuration", "deploy"] {
         let (code, out, _) = run(&["check", what, "/nowhere/at/all"]);
-        assert!(code == 1 && out.contains("the file is unreadable ("), "{out}");
+        assert!(
+            code == 1 && out.contains("the file is unreadable ("),
+            "{out}"
+        );
     }
 }
 
@@ -268,7 +347,10 @@
     let fewer = CONFIGURATION.replace("\"pathPrefix\":\"/\"", "\"pathPrefix\":\"/rest/\"");
     let file = written(folder.path(), "fewer.json", &fewer);
     let (code, out, _) = run(&["explain", &file, "post.example", "/rest"]);
-    assert!(code == 1 && out.contains("/rest lacks the slash that the prefix /rest/ ends with"), "{out}");
+    assert!(
+        code == 1 && out.contains("/rest lacks the slash that the prefix /rest/ ends with"),
+        "{out}"
+    );
     let bad = written(folder.path(), "bad.json", "{");
     assert_eq!(run(&["explain", &bad, "post.example", "/"]).0, 1);
 }
@@ -289,13 +371,30 @@
         let mut store = Store::open(folder, 0x5f0c_1be2_a9d4_7731, None, said).unwrap();
         let rows = BTreeMap::from_iter(std::mem::take(&mut store.held));
         let chain = Self::begin(&store, &rows, life);
-        Self { store, heard, rows, chain, now: 0, done: 0 }
+        Self {
+            store,
+            heard,
+            rows,
+            chain,
+            now: 0,
+            done: 0,
+        }
     }
 
     fn begin(store: &Store, rows: &BTreeMap<Vec<u8>, Vec<u8>>, life: u64) -> Chain<Held> {
-        let me = Member { id: store.identity, life, address: "10.4.0.10:7731".parse().unwrap() };
+        let me = Member {
+            id: store.identity,
+            life,
+            address: "10.4.0.10:7731".parse().unwrap(),
+        };
         let kept = (!rows.is_empty()).then(|| Kept::read(rows.clone()));
-        let boot = Boot { me, founder: kept.is_none(), losses: 0, seed: 5, kept };
+        let boot = Boot {
+            me,
+            founder: kept.is_none(),
+            losses: 0,
+            seed: 5,
+            kept,
+        };
         Chain::start(0, boot, Held::default())
     }
 
@@ -329,7 +428,11 @@
             {
                 asked += 1;
                 due = bodies.next();
-                let call = Input::Call { token: self.now, kind: CallKind::Update, body };
+                let call = Input::Call {
+                    token: self.now,
+                    kind: CallKind::Update,
+                    body,
+                };
                 effects.extend(self.chain.handle(self.now, call));
             }
             while !effects.is_empty() {
@@ -340,7 +443,10 @@
                             self.write(records);
                             next.extend(self.chain.handle(self.now, Input::Synced { ticket }));
                         }
-                        Effect::Answer { outcome: Outcome::Done(_), .. } => self.done += 1,
+                        Effect::Answer {
+                            outcome: Outcome::Done(_),
+                            ..
+                        } => self.done += 1,
                         _ => {}
                     }
                 }
@@ -350,13 +456,24 @@
     }
 
     fn note(&self, life: &str, value: Vec<u8>) {
-        let record = Record::Put { key: life.into(), value };
+        let record = Record::Put {
+            key: life.into(),
+            value,
+        };
         assert!(self.store.write(Part::Lives, 1, vec![record]));
     }
 
     fn close(self) {
-        let Self { store, mut heard, rows, .. } = self;
-        let all = rows.into_iter().map(|(key, value)| Record::Put { key, value }).collect();
+        let Self {
+            store,
+            mut heard,
+            rows,
+            ..
+        } = self;
+        let all = rows
+            .into_iter()
+            .map(|(key, value)| Record::Put { key, value })
+            .collect();
         assert!(store.write(Part::Chain, 1, all));
         drop(store);
         while heard.blocking_recv().is_some() {}
@@ -364,19 +481,35 @@
 }
 
 fn configured(version: u64, body: &str) -> Vec<u8> {
-    let body = body.replace("\"configVersion\":7", &format!("\"configVersion\":{version}"));
-    Update::PutConfiguration { version, body: body.into_bytes() }.encode()
+    let body = body.replace(
+        "\"configVersion\":7",
+        &format!("\"configVersion\":{version}"),
+    );
+    Update::PutConfiguration {
+        version,
+        body: body.into_bytes(),
+    }
+    .encode()
 }
 
 /// With configuration 7 in its snapshot, 8 in its log, a note on a task, and whatever is done to it.
 fn a_store(folder: &Path, then: impl FnOnce(&mut Alone)) {
     let mut office = Alone::open(folder, 3);
-    let cell =
-        |n: u64| Update::PutCell { name: format!("g/{}", n % 9), value: "5".into(), active: None }.encode();
+    let cell = |n: u64| {
+        Update::PutCell {
+            name: format!("g/{}", n % 9),
+            value: "5".into(),
+            active: None,
+        }
+        .encode()
+    };
     office.answers(std::iter::once(configured(7, CONFIGURATION)).chain((1..600).map(cell)));
     office.again(4);
     office.answers([configured(8, CONFIGURATION), cell(7), cell(8), cell(9)]);
-    let gone = News::Gone { life: "i-9be7".into(), age_ms: 0.0 };
+    let gone = News::Gone {
+        life: "i-9be7".into(),
+        age_ms: 0.0,
+    };
     office.note("i-9be7", postcard::to_allocvec(&gone).unwrap());
     then(&mut office);
     office.close();
@@ -411,7 +544,10 @@
     a_store(folder.path(), |_| {
         for what in ["show", "check", "refound"] {
             let (code, _, err) = run(&["store", what, path]);
-            assert!(code == 3 && in_order(&err, &["is in use by a process", "end it first"]), "{err}");
+            assert!(
+                code == 3 && in_order(&err, &["is in use by a process", "end it first"]),
+                "{err}"
+            );
         }
     });
     let (code, out, err) = of_store(&["show", path]);
@@ -440,13 +576,20 @@
     let (_, out, _) = of_store(&["show", path, "--json"]);
     let said: Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
-        (&said["view"]["members"][0]["address"], &said["lives"]["gone"], &said["log"]["last"]),
+        (
+            &said["view"]["members"][0]["address"],
+            &said["lives"]["gone"],
+            &said["log"]["last"]
+        ),
         (&"10.4.0.10:7731".into(), &1.into(), &604.into())
     );
 }
 
 fn put(key: &[u8], value: impl Into<Vec<u8>>) -> Record {
-    Record::Put { key: key.into(), value: value.into() }
+    Record::Put {
+        key: key.into(),
+        value: value.into(),
+    }
 }
 
 fn keyed(kind: u8, number: u64) -> Vec<u8> {
@@ -474,7 +617,11 @@
             ],
         ),
         (
-            |office| office.write(vec![Record::Delete { key: keyed(b'e', 602) }]),
+            |office| {
+                office.write(vec![Record::Delete {
+                    key: keyed(b'e', 602),
+                }])
+            },
             1,
             &[
                 "log is without update 602, and 2 behind it are there; it should be whole from update ",
@@ -503,17 +650,31 @@
         (
             |office| office.write(vec![Record::Delete { key: b"S".to_vec() }]),
             1,
-            &["snapshot is missing; it should be there, as view 2 is installed\n", unsound],
+            &[
+                "snapshot is missing; it should be there, as view 2 is installed\n",
+                unsound,
+            ],
         ),
         (
-            |office| office.answers([configured(9, &CONFIGURATION.replace("\"stamps\"}", "\"\"}"))]),
+            |office| {
+                office.answers([configured(
+                    9,
+                    &CONFIGURATION.replace("\"stamps\"}", "\"\"}"),
+                )])
+            },
             1,
-            &["configuration 9 in update 605, services[0].name is \"\"; it should be", "configuration 9; an"],
+            &[
+                "configuration 9 in update 605, services[0].name is \"\"; it should be",
+                "configuration 9; an",
+            ],
         ),
         (
             |office| office.note("i-41c0", vec![9, 9]),
             1,
-            &["the note on task i-41c0 is unreadable (2 bytes); it should be what was heard of it\n", whole],
+            &[
+                "the note on task i-41c0 is unreadable (2 bytes); it should be what was heard of it\n",
+                whole,
+            ],
         ),
     ];
     for (spoil, code, wanted) in cases {
@@ -521,12 +682,19 @@
         let path = folder.path().to_str().unwrap();
         a_store(folder.path(), spoil);
         let (ended, out, err) = of_store(&["check", path]);
-        assert!(ended == code && in_order(&out, wanted) && err.is_empty(), "{wanted:?}: {out}{err}");
+        assert!(
+            ended == code && in_order(&out, wanted) && err.is_empty(),
+            "{wanted:?}: {out}{err}"
+        );
         assert!(out.lines().all(|line| line.starts_with(path)), "{out}");
         let (ended, out, _) = of_store(&["check", path, "--json"]);
         let said: Value = serde_json::from_str(&out).unwrap();
         assert_eq!((ended, said["ok"] == true), (code, code == 0));
-        assert_eq!(said["reaches"]["installed"] == 2, !wanted[0].starts_with("log"), "{out}");
+        assert_eq!(
+            said["reaches"]["installed"] == 2,
+            !wanted[0].starts_with("log"),
+            "{out}"
+        );
         assert_eq!(said["faults"][0]["place"].is_string(), code == 1, "{out}");
     }
     let folder = tempfile::tempdir().unwrap();
@@ -534,7 +702,10 @@
     written(folder.path(), "store/db", "neither this");
     written(folder.path(), "store/conf", "nor this is of a store");
     let (code, out, _) = of_store(&["check", folder.path().to_str().unwrap()]);
-    assert!(code == 1 && out.contains(": the store is spoilt ("), "{out}");
+    assert!(
+        code == 1 && out.contains(": the store is spoilt ("),
+        "{out}"
+    );
 }
 
 #[test]
@@ -562,28 +733,44 @@
     assert!(code == 0 && in_order(&out, &wanted), "{out}");
     let (_, out, _) = of_store(&["refound", path, "--json"]);
     let said: Value = serde_json::from_str(&out).unwrap();
-    assert!(said["done"] == false && said["view"]["is"].is_null() && said["update"] == 604, "{out}");
+    assert!(
+        said["done"] == false && said["view"]["is"].is_null() && said["update"] == 604,
+        "{out}"
+    );
     assert_eq!(holds(), before);
 
     let (code, out, _) = of_store(&["refound", path, "--yes", "--json"]);
     let said: Value = serde_json::from_str(&out).unwrap();
     let number = said["view"]["is"]["number"].as_u64().unwrap();
-    assert!(code == 0 && said["done"] == true && number % 1_000_000 == 2 && number > 2, "{out}");
+    assert!(
+        code == 0 && said["done"] == true && number % 1_000_000 == 2 && number > 2,
+        "{out}"
+    );
     assert!(folder.path().join("store.before/db").is_file());
     let (code, out, _) = of_store(&["check", path]);
-    let reaches = format!("installed view {number} (newest known {number}), update 604, configuration 8; an");
+    let reaches =
+        format!("installed view {number} (newest known {number}), update 604, configuration 8; an");
     assert!(code == 0 && out.contains(&reaches), "{out}");
     let (_, out, _) = of_store(&["show", path, "--json"]);
     let (was, is): (Value, Value) = (before, serde_json::from_str(&out).unwrap());
-    assert_eq!((&is["identity"], &is["view"]), (&said["identity"]["is"], &said["view"]["is"]));
+    assert_eq!(
+        (&is["identity"], &is["view"]),
+        (&said["identity"]["is"], &said["view"]["is"])
+    );
     assert_ne!(is["identity"], was["identity"]);
     for kept in ["snapshot", "log", "lives"] {
         assert_eq!(is[kept], was[kept], "{kept}");
     }
-    assert_eq!((&was["neverUpTo"], &is["neverUpTo"]), (&1.into(), &0.into()));
+    assert_eq!(
+        (&was["neverUpTo"], &is["neverUpTo"]),
+        (&1.into(), &0.into())
+    );
     // What it took the place of is not overwritten by another one.
     let (code, _, err) = of_store(&["refound", path, "--yes"]);
-    assert!(code == 3 && in_order(&err, &["store.before is there", "move it elsewhere"]), "{err}");
+    assert!(
+        code == 3 && in_order(&err, &["store.before is there", "move it elsewhere"]),
+        "{err}"
+    );
 
     // It goes to work by itself, under another identity, with all that was there.
     let mut office = Alone::open(folder.path(), 5);
@@ -596,22 +783,38 @@
 
 #[test]
 fn a_store_without_a_whole_state_founds_nothing() {
-    let unsound = |office: &mut Alone| office.write(vec![Record::Delete { key: keyed(b's', 0) }]);
+    let unsound = |office: &mut Alone| {
+        office.write(vec![Record::Delete {
+            key: keyed(b's', 0),
+        }])
+    };
     let empty = |office: &mut Alone| {
-        let gone: Vec<Record> = office.rows.keys().map(|key| Record::Delete { key: key.clone() }).collect();
+        let gone: Vec<Record> = office
+            .rows
+            .keys()
+            .map(|key| Record::Delete { key: key.clone() })
+            .collect();
         office.write(gone);
     };
-    for (spoil, why) in [(unsound as fn(&mut Alone), "snapshot is 0 bytes long"), (empty, "installed view 0")]
-    {
+    for (spoil, why) in [
+        (unsound as fn(&mut Alone), "snapshot is 0 bytes long"),
+        (empty, "installed view 0"),
+    ] {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().to_str().unwrap();
         a_store(folder.path(), spoil);
         let (code, out, _) = of_store(&["refound", path, "--yes"]);
-        let wanted = [why, "no state that a chain could be founded with; nothing was written\n"];
+        let wanted = [
+            why,
+            "no state that a chain could be founded with; nothing was written\n",
+        ];
         assert!(code == 1 && in_order(&out, &wanted), "{out}");
         let (_, out, _) = of_store(&["refound", path, "--yes", "--json"]);
         let said: Value = serde_json::from_str(&out).unwrap();
-        assert!(said["done"] == false && said["refused"].is_string(), "{out}");
+        assert!(
+            said["done"] == false && said["refused"].is_string(),
+            "{out}"
+        );
         assert!(!folder.path().join("store.before").exists());
     }
 }
@@ -632,6 +835,9 @@
     for what in all {
         let words: Vec<&str> = what.split(' ').chain(["--help"]).collect();
         let (code, out, _) = run(&words);
-        assert!(code == 0 && out.contains(&format!("Example: rookpulley gateway {what}")), "{out}");
+        assert!(
+            code == 0 && out.contains(&format!("Example: rookpulley gateway {what}")),
+            "{out}"
+        );
     }
 }
--- a/crates/rookpulley-control/src/annex.rs
+++ b/crates/rookpulley-control/src/annex.rs
@@ -106,13 +106,19 @@
     }
 
     fn introduce(&mut self, to: Ipv4Addr) {
-        let up = Up::Annex { address: self.start.address, offices: self.known() };
+        let up = Up::Annex {
+            address: self.start.address,
+            offices: self.known(),
+        };
         self.out.push(AnnexEffect::Up { to, up });
     }
 
     /// All offices with a disk that a line is open to.
     fn known(&self) -> Vec<SocketAddrV4> {
-        self.places.keys().map(|ip| SocketAddrV4::new(*ip, self.start.address.port())).collect()
+        self.places
+            .keys()
+            .map(|ip| SocketAddrV4::new(*ip, self.start.address.port()))
+            .collect()
     }
 
     pub fn lost(&mut self, ip: Ipv4Addr) {
@@ -129,8 +135,14 @@
         match down {
             Down::Place { zone, founds, view } => {
                 self.founded |= view;
-                if let Some((named, id)) = self.named.filter(|(ip, id)| *ip == by && founds == Some(*id)) {
-                    self.out.push(AnnexEffect::Up { to: named, up: Up::Found { id } });
+                if let Some((named, id)) = self
+                    .named
+                    .filter(|(ip, id)| *ip == by && founds == Some(*id))
+                {
+                    self.out.push(AnnexEffect::Up {
+                        to: named,
+                        up: Up::Found { id },
+                    });
                 }
                 if self.places.insert(by, Place { zone, founds }).is_none() {
                     // Where it is a seed, offices may know of each other by nobody else.
@@ -138,7 +150,9 @@
                     all.into_iter().for_each(|ip| self.introduce(ip));
                 }
             }
-            Down::Pulse { in_touch, offices, .. } => {
+            Down::Pulse {
+                in_touch, offices, ..
+            } => {
                 self.founded |= in_touch;
                 self.offices.pulse(now, by, in_touch, 0, 0);
                 offices.iter().for_each(|other| self.meet(now, *other.ip()));
@@ -160,7 +174,11 @@
             return;
         }
         if let Up::Annex { address, .. } = up
-            && self.start.seeds.iter().any(|seed| seed.ip() == address.ip())
+            && self
+                .start
+                .seeds
+                .iter()
+                .any(|seed| seed.ip() == address.ip())
         {
             self.diskless.insert(*address.ip());
         }
@@ -176,7 +194,12 @@
 
     /// Not in touch: no courier takes it for its home.
     fn pulse(&self) -> Down {
-        Down::Pulse { in_touch: false, config: 0, couriers: 0, offices: self.known() }
+        Down::Pulse {
+            in_touch: false,
+            config: 0,
+            couriers: 0,
+            offices: self.known(),
+        }
     }
 
     // ---- calls ------------------------------------------------------------------------------
@@ -185,18 +208,26 @@
     /// way for as long as that is in touch, but from another annex maybe another.
     pub fn pass_on(&self, now: f64, call: &str) -> Option<Ipv4Addr> {
         let fit: Vec<Ipv4Addr> = self.in_touch(now).collect();
-        let near = |ip: &Ipv4Addr| self.places.get(ip).is_some_and(|place| place.zone == self.start.zone);
+        let near = |ip: &Ipv4Addr| {
+            self.places
+                .get(ip)
+                .is_some_and(|place| place.zone == self.start.zone)
+        };
         let any_near = fit.iter().any(near);
         let rank = |ip: &Ipv4Addr| {
             let mut hasher = DefaultHasher::new();
             (ip, self.start.address.ip(), call).hash(&mut hasher);
             hasher.finish()
         };
-        fit.into_iter().filter(|ip| near(ip) || !any_near).max_by_key(rank)
+        fit.into_iter()
+            .filter(|ip| near(ip) || !any_near)
+            .max_by_key(rank)
     }
 
     fn in_touch(&self, now: f64) -> impl Iterator<Item = Ipv4Addr> {
-        self.offices.in_touch(now, FRESH_MS).filter(|ip| self.places.contains_key(ip))
+        self.offices
+            .in_touch(now, FRESH_MS)
+            .filter(|ip| self.places.contains_key(ip))
     }
 
     // ---- time -------------------------------------------------------------------------------
@@ -207,7 +238,10 @@
         self.name_founder();
         if !self.guests.is_empty() {
             let frame = frame(&self.pulse());
-            let tell = |line: &u64| AnnexEffect::Down { line: *line, frame: frame.clone() };
+            let tell = |line: &u64| AnnexEffect::Down {
+                line: *line,
+                frame: frame.clone(),
+            };
             self.out.extend(self.guests.iter().map(tell));
         }
     }
@@ -217,22 +251,41 @@
     fn name_founder(&mut self) {
         let mut seeds = self.start.seeds.iter().map(|seed| seed.ip());
         let first = self.start.first_start && seeds.clone().next() == Some(self.start.address.ip());
-        if !first || self.founded || self.named.is_some() || !seeds.all(|ip| self.diskless.contains(ip)) {
+        if !first
+            || self.founded
+            || self.named.is_some()
+            || !seeds.all(|ip| self.diskless.contains(ip))
+        {
             return;
         }
-        let named = self.places.iter().find_map(|(ip, place)| Some((*ip, place.founds?)));
+        let named = self
+            .places
+            .iter()
+            .find_map(|(ip, place)| Some((*ip, place.founds?)));
         if let Some((to, id)) = named {
             self.named = named;
-            self.out.push(AnnexEffect::Up { to, up: Up::Found { id } });
-            self.out.push(AnnexEffect::Log(format!("founding: no seed has a disk; {to} is named")));
+            self.out.push(AnnexEffect::Up {
+                to,
+                up: Up::Found { id },
+            });
+            self.out.push(AnnexEffect::Log(format!(
+                "founding: no seed has a disk; {to} is named"
+            )));
         }
     }
 
     pub fn status(&self, now: f64) -> String {
         let names: Vec<String> = self.in_touch(now).map(|ip| ip.to_string()).collect();
         match names.is_empty() {
-            true => format!("no disk; nobody to pass calls on to; lines {}", self.guests.len()),
-            false => format!("no disk; passes calls on to {}; lines {}", names.join(" "), self.guests.len()),
+            true => format!(
+                "no disk; nobody to pass calls on to; lines {}",
+                self.guests.len()
+            ),
+            false => format!(
+                "no disk; passes calls on to {}; lines {}",
+                names.join(" "),
+                self.guests.len()
+            ),
         }
     }
 }
@@ -241,28 +294,55 @@
 mod tests {
     use super::*;
 
-    const OFFICES: [Ipv4Addr; 3] =
-        [Ipv4Addr::new(10, 1, 0, 1), Ipv4Addr::new(10, 2, 0, 1), Ipv4Addr::new(10, 3, 0, 1)];
+    const OFFICES: [Ipv4Addr; 3] = [
+        Ipv4Addr::new(10, 1, 0, 1),
+        Ipv4Addr::new(10, 2, 0, 1),
+        Ipv4Addr::new(10, 3, 0, 1),
+    ];
 
     /// In touch with all three, none of which is in its zone.
     fn annex(own: u8) -> Annex {
         let address = SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, own), 7_731);
         let seeds = OFFICES.map(|ip| SocketAddrV4::new(ip, 8_166)).to_vec();
-        let mut annex = Annex::new(AnnexStart { address, zone: "quay".into(), seeds, first_start: false });
+        let mut annex = Annex::new(AnnexStart {
+            address,
+            zone: "quay".into(),
+            seeds,
+            first_start: false,
+        });
         for ip in OFFICES {
             annex.opened(0.0, ip);
-            annex.told(0.0, ip, Down::Place { zone: ip.to_string(), founds: None, view: true });
+            annex.told(
+                0.0,
+                ip,
+                Down::Place {
+                    zone: ip.to_string(),
+                    founds: None,
+                    view: true,
+                },
+            );
             pulse(&mut annex, 0.0, ip, true);
         }
         annex
     }
 
     fn pulse(annex: &mut Annex, now: f64, ip: Ipv4Addr, in_touch: bool) {
-        annex.told(now, ip, Down::Pulse { in_touch, config: 0, couriers: 0, offices: Vec::new() });
+        annex.told(
+            now,
+            ip,
+            Down::Pulse {
+                in_touch,
+                config: 0,
+                couriers: 0,
+                offices: Vec::new(),
+            },
+        );
     }
 
     fn of_all(annex: &Annex, now: f64) -> Vec<Option<Ipv4Addr>> {
-        (0..300).map(|n| annex.pass_on(now, &format!("/rookpulley/locks/l{n}"))).collect()
+        (0..300)
+            .map(|n| annex.pass_on(now, &format!("/rookpulley/locks/l{n}")))
+            .collect()
     }
 
     #[test]
@@ -270,7 +350,10 @@
         let (one, other) = (annex(1), annex(2));
         let (calls, others) = (of_all(&one, 1.0), of_all(&other, 1.0));
         for ip in OFFICES {
-            assert!(calls.iter().filter(|to| **to == Some(ip)).count() >= 70, "{ip}");
+            assert!(
+                calls.iter().filter(|to| **to == Some(ip)).count() >= 70,
+                "{ip}"
+            );
         }
         assert_eq!(calls, of_all(&one, 900.0));
         assert!(calls.iter().zip(&others).filter(|(a, b)| a != b).count() >= 100);
@@ -284,7 +367,11 @@
         // Its line is open again, and it says that it is in touch, but not that it has a disk.
         annex.opened(500.0, OFFICES[1]);
         pulse(&mut annex, 500.0, OFFICES[1], true);
-        assert!(of_all(&annex, 1_000.0).iter().all(|to| *to == Some(OFFICES[2])));
+        assert!(
+            of_all(&annex, 1_000.0)
+                .iter()
+                .all(|to| *to == Some(OFFICES[2]))
+        );
         assert!(of_all(&annex, 1_101.0).iter().all(Option::is_none));
     }
 }
