--- a/crates/rookpulley-control/src/calls.rs
+++ b/crates/rookpulley-control/src/calls.rs
@@ -27,7 +27,11 @@
 /// No watch waits longer, whatever it asks for.
 const WATCH_MOST_MS: u64 = 30_000;
 /// Deeper values are refused. How long a body may be is seen to before there is a call.
-const BOUNDS: Bounds = Bounds { bytes: usize::MAX, nesting: Nesting::Levels(64), values: usize::MAX };
+const BOUNDS: Bounds = Bounds {
+    bytes: usize::MAX,
+    nesting: Nesting::Levels(64),
+    values: usize::MAX,
+};
 
 /// What a caller wants done.
 #[derive(Clone, Debug, PartialEq)]
@@ -36,7 +40,11 @@
     Leave(Life),
     Update(Update),
     Ask(Ask),
-    Watch { group: String, after: u64, wait_ms: u64 },
+    Watch {
+        group: String,
+        after: u64,
+        wait_ms: u64,
+    },
 }
 
 /// What a caller is told.
@@ -60,7 +68,11 @@
 
 impl Reply {
     fn so(status: u16, content: Content) -> Reply {
-        Reply { status, retry_after: None, content }
+        Reply {
+            status,
+            retry_after: None,
+            content,
+        }
     }
 
     fn error(status: u16, sentence: &str) -> Reply {
@@ -68,7 +80,10 @@
     }
 
     fn json<const N: usize>(fields: [(&str, JsonValue); N]) -> Reply {
-        let fields = fields.into_iter().map(|(name, value)| (name.into(), value)).collect();
+        let fields = fields
+            .into_iter()
+            .map(|(name, value)| (name.into(), value))
+            .collect();
         Reply::so(200, Content::Json(JsonValue::Object(fields)))
     }
 }
@@ -78,25 +93,37 @@
 fn fields(body: &[u8]) -> Result<Fields, Reply> {
     let value = read_json(body, BOUNDS).map_err(|why| match why {
         Unread::Deep { .. } => Reply::error(400, "the body nests too deeply: send a flatter value"),
-        _ => Reply::error(400, "the body can't be read: send one whole JSON value in UTF-8"),
+        _ => Reply::error(
+            400,
+            "the body can't be read: send one whole JSON value in UTF-8",
+        ),
     })?;
     match value {
         JsonValue::Object(fields) => Ok(fields),
-        _ => Err(Reply::error(400, "the body is no object; send one JSON object")),
+        _ => Err(Reply::error(
+            400,
+            "the body is no object; send one JSON object",
+        )),
     }
 }
 
 fn text(fields: &Fields, name: &str) -> Result<String, Reply> {
     match fields.get(name) {
         Some(JsonValue::String(text)) if !text.is_empty() => Ok(text.clone()),
-        _ => Err(Reply::error(400, &format!("{name} is missing or no text; give it as a string"))),
+        _ => Err(Reply::error(
+            400,
+            &format!("{name} is missing or no text; give it as a string"),
+        )),
     }
 }
 
 fn whole(fields: &Fields, name: &str) -> Result<u64, Reply> {
     match fields.get(name) {
         Some(JsonValue::Number(n)) if *n >= 0.0 && *n <= 9e15 && n.fract() == 0.0 => Ok(*n as u64),
-        _ => Err(Reply::error(400, &format!("{name} is missing or no whole number from 0 up"))),
+        _ => Err(Reply::error(
+            400,
+            &format!("{name} is missing or no whole number from 0 up"),
+        )),
     }
 }
 
@@ -106,13 +133,22 @@
 
 /// Nothing was done and never will be.
 pub(crate) fn later() -> Reply {
-    let reply = Reply::error(503, "not now: this office is not in touch with the others; nothing was done");
-    Reply { retry_after: Some("0.2"), ..reply }
+    let reply = Reply::error(
+        503,
+        "not now: this office is not in touch with the others; nothing was done",
+    );
+    Reply {
+        retry_after: Some("0.2"),
+        ..reply
+    }
 }
 
 /// No promise either way.
 fn unknown() -> Reply {
-    Reply::error(504, "no answer in time: it may or may not have taken effect; send the same call again")
+    Reply::error(
+        504,
+        "no answer in time: it may or may not have taken effect; send the same call again",
+    )
 }
 
 /// Reads a call. `name`: what its path ends with, `query`: the value that its query has under a name, `held`: the
@@ -128,41 +164,72 @@
     let update = |update| Ok(Wants::Update(update));
     match path {
         Path::Beat => {
-            let beat = Beat::read(&name, &body).map_err(|why| Reply::error(400, &why.to_string()))?;
+            let beat =
+                Beat::read(&name, &body).map_err(|why| Reply::error(400, &why.to_string()))?;
             Ok(Wants::Beat(beat))
         }
         Path::Leave => Ok(Wants::Leave(name)),
         Path::PutConfiguration => {
-            let book = Book::read_after(&body, held).map_err(|why| Reply::error(400, &why.to_string()))?;
-            update(Update::PutConfiguration { version: book.version, body })
+            let book =
+                Book::read_after(&body, held).map_err(|why| Reply::error(400, &why.to_string()))?;
+            update(Update::PutConfiguration {
+                version: book.version,
+                body,
+            })
         }
         Path::GetConfiguration => Ok(Wants::Ask(Ask::Configuration)),
         Path::TakeLock => {
             let f = fields(&body)?;
             let (holder, hold_ms) = (text(&f, "holder")?, whole(&f, "holdMs")?);
-            update(Update::TakeLock { name, holder, hold_ms })
+            update(Update::TakeLock {
+                name,
+                holder,
+                hold_ms,
+            })
         }
         Path::RenewLock => {
             let f = fields(&body)?;
-            let (holder, fence, hold_ms) = (text(&f, "holder")?, whole(&f, "fence")?, whole(&f, "holdMs")?);
-            update(Update::RenewLock { name, holder, fence, hold_ms })
+            let (holder, fence, hold_ms) = (
+                text(&f, "holder")?,
+                whole(&f, "fence")?,
+                whole(&f, "holdMs")?,
+            );
+            update(Update::RenewLock {
+                name,
+                holder,
+                fence,
+                hold_ms,
+            })
         }
         Path::DropLock => {
             let f = fields(&body)?;
             let (holder, fence) = (text(&f, "holder")?, whole(&f, "fence")?);
-            update(Update::DropLock { name, holder, fence })
+            update(Update::DropLock {
+                name,
+                holder,
+                fence,
+            })
         }
         Path::Number => update(Update::NextNumber { name }),
         Path::PutCell => {
             let f = fields(&body)?;
             let value = text(&f, "value")?;
-            let active = f.contains_key("active").then(|| whole(&f, "active")).transpose()?;
-            update(Update::PutCell { name, value, active })
+            let active = f
+                .contains_key("active")
+                .then(|| whole(&f, "active"))
+                .transpose()?;
+            update(Update::PutCell {
+                name,
+                value,
+                active,
+            })
         }
         Path::GetCell => Ok(Wants::Ask(Ask::Cell { name })),
         Path::Watch => {
             let figure = |of: &str, wrong| {
-                query(of).map_or(Ok(0), str::parse::<u64>).map_err(|_| Reply::error(400, wrong))
+                query(of)
+                    .map_or(Ok(0), str::parse::<u64>)
+                    .map_err(|_| Reply::error(400, wrong))
             };
             let after = figure("after", "after is no whole number")?;
             let wait_ms = figure("waitMs", "waitMs is no whole number")?.min(WATCH_MOST_MS);
@@ -170,7 +237,11 @@
             Ok(if after == 0 {
                 Wants::Ask(Ask::Revision { group: name })
             } else {
-                Wants::Watch { group: name, after, wait_ms }
+                Wants::Watch {
+                    group: name,
+                    after,
+                    wait_ms,
+                }
             })
         }
     }
@@ -217,17 +288,22 @@
         (_, Answer::Held) => Reply::error(409, "another holds it, or it was lost"),
         (_, Answer::Number(value)) => Reply::json([("value", number(value))]),
         (_, Answer::Revision(revision)) => Reply::json([("revision", number(revision))]),
-        (_, Answer::Conflict { revision }) => {
-            Reply { status: 412, ..Reply::json([("revision", number(revision))]) }
-        }
-        (_, Answer::Cell { value, revision }) => {
-            Reply::json([("value", JsonValue::String(value)), ("revision", number(revision))])
+        (_, Answer::Conflict { revision }) => Reply {
+            status: 412,
+            ..Reply::json([("revision", number(revision))])
+        },
+        (_, Answer::Cell { value, revision }) => Reply::json([
+            ("value", JsonValue::String(value)),
+            ("revision", number(revision)),
+        ]),
+        (Kind::GetConfiguration, Answer::Nothing) => {
+            Reply::error(404, "no configuration was taken yet")
         }
-        (Kind::GetConfiguration, Answer::Nothing) => Reply::error(404, "no configuration was taken yet"),
         (_, Answer::Nothing) => Reply::error(404, "there is no such cell"),
-        (_, Answer::TooLong) => {
-            Reply::error(413, "a name, holder, value or body is too long; nothing was done")
-        }
+        (_, Answer::TooLong) => Reply::error(
+            413,
+            "a name, holder, value or body is too long; nothing was done",
+        ),
         (_, Answer::Full) => Reply::error(503, "there is no room for more; nothing was done"),
         (_, Answer::Configured { .. } | Answer::Unreadable) => {
             Reply::error(400, "the call does not fit what it names")
@@ -280,6 +356,9 @@
     #[test]
     fn a_drain_that_only_this_office_knows_is_not_promised_to_have_done_nothing() {
         let status = |word| taken(word, false).status;
-        assert_eq!([Taken::Known, Taken::HereAlone, Taken::Not].map(status), [200, 504, 503]);
+        assert_eq!(
+            [Taken::Known, Taken::HereAlone, Taken::Not].map(status),
+            [200, 504, 503]
+        );
     }
 }
--- a/crates/rookpulley-control/src/controller.rs
+++ b/crates/rookpulley-control/src/controller.rs
@@ -109,7 +109,10 @@
 impl Courier {
     fn send_newer(&mut self, editions: &mut Editions, out: &mut Vec<Effect>) {
         if let Some(frame) = editions.frame_for(self.config) {
-            out.push(Effect::Down { line: self.line, frame });
+            out.push(Effect::Down {
+                line: self.line,
+                frame,
+            });
             self.config = editions.newest();
         }
     }
@@ -180,7 +183,13 @@
         let (me, seed) = (start.me, start.me.life);
         let kept = start.held.map(rookpulley_chain::Kept::read);
         let founder = start.founding.as_ref().is_some_and(Founding::at_once);
-        let boot = Boot { me, founder, losses: start.losses as usize, seed, kept };
+        let boot = Boot {
+            me,
+            founder,
+            losses: start.losses as usize,
+            seed,
+            kept,
+        };
         let mut office = Self {
             me,
             seeds: start.seeds,
@@ -241,7 +250,11 @@
 
     pub fn status(&self) -> String {
         let homes = self.couriers.values().filter(|c| c.home).count();
-        format!("{}; couriers {} (home of {homes})", self.chain.status(), self.couriers.len())
+        format!(
+            "{}; couriers {} (home of {homes})",
+            self.chain.status(),
+            self.couriers.len()
+        )
     }
 
     pub fn in_touch(&self, now: f64) -> bool {
@@ -264,7 +277,10 @@
                 }
                 Order::Answer { token, outcome } => {
                     if let Some(kind) = self.calls.remove(&token) {
-                        self.out.push(Effect::Reply { token, reply: told(kind, outcome) });
+                        self.out.push(Effect::Reply {
+                            token,
+                            reply: told(kind, outcome),
+                        });
                     }
                 }
                 Order::Log(line) => self.log(line),
@@ -297,10 +313,16 @@
             return;
         }
         let look = self.disk.look(now);
-        let probe = look.probe.map(|ticket| Effect::Write { ticket, records: Vec::new() });
+        let probe = look.probe.map(|ticket| Effect::Write {
+            ticket,
+            records: Vec::new(),
+        });
         self.out.extend(probe);
         if let Some(slow) = look.turned {
-            self.log(format!("store: the disk is {}", if slow { "slow" } else { "quick again" }));
+            self.log(format!(
+                "store: the disk is {}",
+                if slow { "slow" } else { "quick again" }
+            ));
             self.step(now, Input::Disk { slow });
         }
     }
@@ -311,9 +333,15 @@
         match wants {
             Wants::Beat(beat) => self.beat(now, token, beat),
             Wants::Leave(life) => self.leave(now, token, &life),
-            Wants::Update(update) => self.call_chain(now, token, (kind, CallKind::Update), update.encode()),
+            Wants::Update(update) => {
+                self.call_chain(now, token, (kind, CallKind::Update), update.encode())
+            }
             Wants::Ask(ask) => self.call_chain(now, token, (kind, CallKind::Read), ask.encode()),
-            Wants::Watch { group, after, wait_ms } => {
+            Wants::Watch {
+                group,
+                after,
+                wait_ms,
+            } => {
                 self.watches.add(now, token, group, after, wait_ms);
                 self.look_at_watches(now, false);
             }
@@ -327,7 +355,10 @@
 
     fn call_chain(&mut self, now: f64, token: u64, (of, kind): (Kind, CallKind), body: Vec<u8>) {
         if self.calls.len() >= CALLS_MOST {
-            return self.out.push(Effect::Reply { token, reply: later() });
+            return self.out.push(Effect::Reply {
+                token,
+                reply: later(),
+            });
         }
         self.calls.insert(token, of);
         self.step(now, Input::Call { token, kind, body });
@@ -335,8 +366,13 @@
 
     fn look_at_watches(&mut self, now: f64, moved: bool) {
         let serving = self.serving(now) && !self.ending;
-        let done = self.watches.due(now, moved, serving, &self.chain.state().ledger);
-        self.out.extend(done.into_iter().map(|(token, reply)| Effect::Reply { token, reply }));
+        let done = self
+            .watches
+            .due(now, moved, serving, &self.chain.state().ledger);
+        self.out.extend(
+            done.into_iter()
+                .map(|(token, reply)| Effect::Reply { token, reply }),
+        );
     }
 
     fn ledger(&self) -> &Ledger {
@@ -351,7 +387,9 @@
     /// Asks the others to go on without this office; true once they do.
     pub fn left_the_chain(&mut self, now: f64) -> bool {
         self.step(now, Input::Disk { slow: true });
-        self.chain.view().is_none_or(|v| v.members.iter().all(|m| m.id != self.me.id))
+        self.chain
+            .view()
+            .is_none_or(|v| v.members.iter().all(|m| m.id != self.me.id))
     }
 
     /// Every 50 ms.
@@ -361,10 +399,9 @@
         self.unconfirmed(now);
         self.look_at_watches(now, false);
         self.tell_configuration(now);
-        let addresses: Vec<Ipv4Addr> = self
-            .chain
-            .view()
-            .map_or(Vec::new(), |view| view.members.iter().map(|m| *m.address.ip()).collect());
+        let addresses: Vec<Ipv4Addr> = self.chain.view().map_or(Vec::new(), |view| {
+            view.members.iter().map(|m| *m.address.ip()).collect()
+        });
         let in_touch = self.in_touch(now);
         self.registry.touch(now, in_touch);
         addresses.into_iter().for_each(|ip| self.meet(now, ip));
@@ -378,18 +415,25 @@
         if round.is_multiple_of(16) {
             let news = self.registry.fresh_news(now);
             if let Some(news) = news {
-                self.send_all(&Word::News { ask: 0, news: vec![news] });
+                self.send_all(&Word::News {
+                    ask: 0,
+                    news: vec![news],
+                });
             }
         }
         if round.is_multiple_of(8) {
             self.roll.forget_old(now);
             self.desk.set_couriers(self.roll.count());
         }
-        if round.is_multiple_of(8) || std::mem::replace(&mut self.told_touch, in_touch) != in_touch {
+        if round.is_multiple_of(8) || std::mem::replace(&mut self.told_touch, in_touch) != in_touch
+        {
             let pulse = self.pulse(now);
             self.tell_couriers(&pulse);
             let frame = frame(&pulse);
-            let tell = |line: &u64| Effect::Down { line: *line, frame: frame.clone() };
+            let tell = |line: &u64| Effect::Down {
+                line: *line,
+                frame: frame.clone(),
+            };
             self.out.extend(self.annexes.keys().map(tell));
         }
         if round.is_multiple_of(40) {
--- a/crates/rookpulley-control/src/controller/peers.rs
+++ b/crates/rookpulley-control/src/controller/peers.rs
@@ -8,20 +8,35 @@
 
 impl Controller {
     pub fn meet_all(&mut self, now: f64, offices: &[SocketAddrV4]) {
-        offices.iter().for_each(|office| self.meet(now, *office.ip()));
+        offices
+            .iter()
+            .for_each(|office| self.meet(now, *office.ip()));
     }
 
     pub(super) fn meet(&mut self, now: f64, ip: Ipv4Addr) {
-        let (own, known) = (ip == *self.me.address.ip(), self.peers.contains_key(&ip) || self.is_annex(ip));
+        let (own, known) = (
+            ip == *self.me.address.ip(),
+            self.peers.contains_key(&ip) || self.is_annex(ip),
+        );
         if own || known || self.peers.len() >= PEERS_MOST {
             return;
         }
-        self.peers.insert(ip, Peer { dialed: false, id: None, seen_ms: now });
+        self.peers.insert(
+            ip,
+            Peer {
+                dialed: false,
+                id: None,
+                seen_ms: now,
+            },
+        );
         self.out.push(Effect::Dial(ip));
     }
 
     pub(super) fn reached(&self) -> impl Iterator<Item = Ipv4Addr> {
-        self.peers.iter().filter(|(ip, p)| p.dialed && !self.is_annex(**ip)).map(|(ip, _)| *ip)
+        self.peers
+            .iter()
+            .filter(|(ip, p)| p.dialed && !self.is_annex(**ip))
+            .map(|(ip, _)| *ip)
     }
 
     pub(super) fn is_annex(&self, ip: Ipv4Addr) -> bool {
@@ -30,14 +45,24 @@
 
     pub(super) fn hello(&self) -> Word {
         let port = self.me.address.port();
-        let offices = self.reached().map(|ip| SocketAddrV4::new(ip, port)).chain([self.me.address]).collect();
-        Word::Hello { from: self.me, offices }
+        let offices = self
+            .reached()
+            .map(|ip| SocketAddrV4::new(ip, port))
+            .chain([self.me.address])
+            .collect();
+        Word::Hello {
+            from: self.me,
+            offices,
+        }
     }
 
     pub fn dialed(&mut self, now: f64, ip: Ipv4Addr) {
         let news = self.registry.all_news(now);
         for word in [self.hello(), Word::News { ask: 0, news }] {
-            self.out.push(Effect::Word { to: ip, frame: frame(&word) });
+            self.out.push(Effect::Word {
+                to: ip,
+                frame: frame(&word),
+            });
         }
         if let Some(peer) = self.peers.get_mut(&ip) {
             (peer.dialed, peer.seen_ms) = (true, now);
@@ -52,9 +77,15 @@
     }
 
     pub fn still_known(&self, now: f64, ip: Ipv4Addr) -> bool {
-        let named = self.chain.view().is_some_and(|v| v.members.iter().any(|m| *m.address.ip() == ip));
+        let named = self
+            .chain
+            .view()
+            .is_some_and(|v| v.members.iter().any(|m| *m.address.ip() == ip));
         let seed = self.seeds.iter().any(|s| *s.ip() == ip);
-        let lately = self.peers.get(&ip).is_some_and(|p| now - p.seen_ms < FORGOTTEN_MS);
+        let lately = self
+            .peers
+            .get(&ip)
+            .is_some_and(|p| now - p.seen_ms < FORGOTTEN_MS);
         (named || seed || lately) && !self.is_annex(ip)
     }
 
@@ -72,7 +103,10 @@
                 self.annexes.retain(|_, annex| *annex != ip);
                 self.meet(now, ip);
                 offices.iter().for_each(|o| self.meet(now, *o.ip()));
-                self.peers.values_mut().filter(|p| p.id == Some(from.id)).for_each(|p| p.id = None);
+                self.peers
+                    .values_mut()
+                    .filter(|p| p.id == Some(from.id))
+                    .for_each(|p| p.id = None);
                 if let Some(peer) = self.peers.get_mut(&ip) {
                     (peer.id, peer.seen_ms) = (Some(from.id), now);
                     self.out.push(Effect::Spoke(ip));
@@ -114,9 +148,15 @@
     }
 
     pub(super) fn send_to(&mut self, id: u64, word: &Word) {
-        let line = self.peers.iter().find(|(_, p)| p.id == Some(id) && p.dialed);
+        let line = self
+            .peers
+            .iter()
+            .find(|(_, p)| p.id == Some(id) && p.dialed);
         if let Some((&to, _)) = line {
-            self.out.push(Effect::Word { to, frame: frame(word) });
+            self.out.push(Effect::Word {
+                to,
+                frame: frame(word),
+            });
         }
     }
 
@@ -126,6 +166,9 @@
         }
         let bytes = frame(word);
         let to: Vec<Ipv4Addr> = self.reached().collect();
-        self.out.extend(to.into_iter().map(|to| Effect::Word { to, frame: bytes.clone() }));
+        self.out.extend(to.into_iter().map(|to| Effect::Word {
+            to,
+            frame: bytes.clone(),
+        }));
     }
 }
--- a/crates/rookpulley-control/src/controller/proxies.rs
+++ b/crates/rookpulley-control/src/controller/proxies.rs
@@ -17,25 +17,50 @@
         gone: &[String],
     ) {
         self.roll.came(node);
-        self.couriers.insert(node.into(), Courier { line, zone: zone.into(), home, config });
+        self.couriers.insert(
+            node.into(),
+            Courier {
+                line,
+                zone: zone.into(),
+                home,
+                config,
+            },
+        );
         self.desk.courier_out(now, node);
         if home {
             self.desk.courier_in(now, node, zone, 1.0, tables);
         }
         let news = self.registry.take_gone(now, gone);
         if !news.is_empty() {
-            let told = news.iter().map(|life| News::Gone { life: life.clone(), age_ms: 0.0 }).collect();
+            let told = news
+                .iter()
+                .map(|life| News::Gone {
+                    life: life.clone(),
+                    age_ms: 0.0,
+                })
+                .collect();
             self.send_all(&Word::News { ask: 0, news: told });
             self.tell_gone(now, news);
         }
-        for down in [self.pulse(now), Down::Gone { lives: self.registry.gone_lives() }] {
-            self.out.push(Effect::Down { line, frame: frame(&down) });
+        for down in [
+            self.pulse(now),
+            Down::Gone {
+                lives: self.registry.gone_lives(),
+            },
+        ] {
+            self.out.push(Effect::Down {
+                line,
+                frame: frame(&down),
+            });
         }
         if home {
             self.send_configuration(now, node);
             self.tables(now);
         }
-        self.log(format!("couriers: {node} of {zone} is here{}", if home { ", at home" } else { "" }));
+        self.log(format!(
+            "couriers: {node} of {zone} is here{}",
+            if home { ", at home" } else { "" }
+        ));
     }
 
     pub fn serving(&self, now: f64) -> bool {
@@ -54,9 +79,15 @@
 
     pub fn courier_said(&mut self, now: f64, node: &str, line: u64, up: Up) {
         let serving = self.serving(now);
-        let Some(courier) = self.couriers.get_mut(node).filter(|c| c.line == line) else { return };
+        let Some(courier) = self.couriers.get_mut(node).filter(|c| c.line == line) else {
+            return;
+        };
         match up {
-            Up::Home { home, config, tables } => {
+            Up::Home {
+                home,
+                config,
+                tables,
+            } => {
                 (courier.home, courier.config) = (home, config);
                 self.desk.courier_out(now, node);
                 if home {
@@ -86,7 +117,10 @@
 
     pub(super) fn tell_couriers(&mut self, down: &Down) {
         let bytes = frame(down);
-        let each = |courier: &Courier| Effect::Down { line: courier.line, frame: bytes.clone() };
+        let each = |courier: &Courier| Effect::Down {
+            line: courier.line,
+            frame: bytes.clone(),
+        };
         self.out.extend(self.couriers.values().map(each));
     }
 
@@ -104,10 +138,24 @@
         self.desk.sync(now, &self.registry);
         for out in self.desk.tick(now) {
             match out {
-                Out::Table { courier, service, name, mark, lines } => {
+                Out::Table {
+                    courier,
+                    service,
+                    name,
+                    mark,
+                    lines,
+                } => {
                     if let Some(to) = self.couriers.get(&courier) {
-                        let frame = frame(&Down::Table { service, name, mark, lines });
-                        self.out.push(Effect::Down { line: to.line, frame });
+                        let frame = frame(&Down::Table {
+                            service,
+                            name,
+                            mark,
+                            lines,
+                        });
+                        self.out.push(Effect::Down {
+                            line: to.line,
+                            frame,
+                        });
                     }
                 }
                 Out::Log { service, text } => self.log(format!("desk: {service}: {text}")),
--- a/crates/rookpulley-control/src/controller/publication.rs
+++ b/crates/rookpulley-control/src/controller/publication.rs
@@ -19,7 +19,9 @@
         if version <= self.editions.newest() {
             return;
         }
-        let Some((_, body)) = self.chain.state().ledger.configuration() else { return };
+        let Some((_, body)) = self.chain.state().ledger.configuration() else {
+            return;
+        };
         self.editions.take(version, body);
         if !self.pace.is_due(now) || !(self.applied || self.serving(now)) {
             return;
@@ -33,7 +35,10 @@
             if courier.home {
                 courier.send_newer(&mut self.editions, &mut self.out);
             } else {
-                self.out.push(Effect::Down { line: courier.line, frame: pulse.clone() });
+                self.out.push(Effect::Down {
+                    line: courier.line,
+                    frame: pulse.clone(),
+                });
             }
         }
         self.log(format!("ledger: configuration {version} holds"));
@@ -48,11 +53,15 @@
                 return self.out.push(Effect::Complain(line));
             }
         };
-        let services = book.services.iter().enumerate().map(|(at, service)| Service {
-            name: service.name.clone(),
-            max_connections: service.max_connections,
-            aim_ms: book.least_aim_ms(at).unwrap_or(0.0),
-        });
+        let services = book
+            .services
+            .iter()
+            .enumerate()
+            .map(|(at, service)| Service {
+                name: service.name.clone(),
+                max_connections: service.max_connections,
+                aim_ms: book.least_aim_ms(at).unwrap_or(0.0),
+            });
         self.desk.set_services(&services.collect::<Vec<_>>());
         self.book = Some(book);
     }
@@ -64,7 +73,11 @@
         Down::Pulse {
             in_touch,
             // What can't be had here is not told of.
-            config: if self.serving(now) { self.editions.newest() } else { 0 },
+            config: if self.serving(now) {
+                self.editions.newest()
+            } else {
+                0
+            },
             couriers: self.roll.count(),
             offices: offices.map(|ip| SocketAddrV4::new(ip, port)).collect(),
         }
--- a/crates/rookpulley-control/src/controller/stateless.rs
+++ b/crates/rookpulley-control/src/controller/stateless.rs
@@ -7,7 +7,13 @@
 
 impl Controller {
     /// An office without a disk says hello on a line, which `number` gave.
-    pub fn annex_in(&mut self, now: f64, line: u64, address: SocketAddrV4, offices: &[SocketAddrV4]) {
+    pub fn annex_in(
+        &mut self,
+        now: f64,
+        line: u64,
+        address: SocketAddrV4,
+        offices: &[SocketAddrV4],
+    ) {
         let ip = *address.ip();
         if self.annexes.len() >= ANNEXES_MOST || ip == *self.me.address.ip() {
             return;
@@ -16,19 +22,38 @@
         self.meet_all(now, offices);
         let view = self.chain.view().is_some();
         let founds = self.founding.as_ref().filter(|_| !view).map(|_| self.me.id);
-        for down in [Down::Place { zone: self.zone.clone(), founds, view }, self.pulse(now)] {
-            self.out.push(Effect::Down { line, frame: frame(&down) });
+        for down in [
+            Down::Place {
+                zone: self.zone.clone(),
+                founds,
+                view,
+            },
+            self.pulse(now),
+        ] {
+            self.out.push(Effect::Down {
+                line,
+                frame: frame(&down),
+            });
         }
         self.log(format!("annexes: {ip} has no disk; it passes calls on"));
-        if self.founding.as_ref().is_some_and(|founding| founding.waits_for(ip)) {
+        if self
+            .founding
+            .as_ref()
+            .is_some_and(|founding| founding.waits_for(ip))
+        {
             self.diskless.insert(ip);
             self.found_if_due(now);
         }
     }
 
     pub fn annex_said(&mut self, now: f64, line: u64, up: &Up) {
-        let Some(by) = self.annexes.get(&line) else { return };
-        let names = self.founding.as_ref().is_some_and(|founding| founding.names(*by));
+        let Some(by) = self.annexes.get(&line) else {
+            return;
+        };
+        let names = self
+            .founding
+            .as_ref()
+            .is_some_and(|founding| founding.names(*by));
         match up {
             Up::Annex { offices, .. } => self.meet_all(now, offices),
             Up::Found { id } if *id == self.me.id && names => {
@@ -47,7 +72,10 @@
     }
 
     pub(super) fn found_if_due(&mut self, now: f64) {
-        let due = self.founding.as_ref().is_some_and(|founding| founding.due(&self.diskless, self.named));
+        let due = self
+            .founding
+            .as_ref()
+            .is_some_and(|founding| founding.due(&self.diskless, self.named));
         if due && self.chain.view().is_none() {
             self.step(now, Input::Found);
         }
--- a/crates/rookpulley-control/src/controller/tasks.rs
+++ b/crates/rookpulley-control/src/controller/tasks.rs
@@ -13,7 +13,10 @@
         News::Gone { life, .. } => life.as_str(),
         News::Heard { .. } => "",
     };
-    Record::Put { key: life.into(), value: postcard::to_allocvec(news).unwrap_or_default() }
+    Record::Put {
+        key: life.into(),
+        value: postcard::to_allocvec(news).unwrap_or_default(),
+    }
 }
 
 impl Controller {
@@ -42,7 +45,10 @@
     }
 
     pub(super) fn taken(&mut self, (token, beat): Caller, word: Taken) {
-        self.out.push(Effect::Reply { token, reply: taken(word, beat) });
+        self.out.push(Effect::Reply {
+            token,
+            reply: taken(word, beat),
+        });
     }
 
     /// A life that drains or ends: once that is known elsewhere it need not be asked about again.
@@ -57,7 +63,10 @@
     pub(super) fn sorted(&mut self, now: f64, sorted: Sorted) {
         if let Spread::Now(news) = sorted.word {
             self.note(vec![note_of(&news)], None);
-            self.send_all(&Word::News { ask: 0, news: vec![news] });
+            self.send_all(&Word::News {
+                ask: 0,
+                news: vec![news],
+            });
         }
         self.tell_gone(now, sorted.newly_draining.into_iter().collect());
     }
@@ -77,7 +86,10 @@
             match then {
                 Noted::Tell { to, ask } => self.send_to(to, &Word::Took { ask }),
                 Noted::Done { ask } => {
-                    self.confirms.get_mut(&ask).into_iter().for_each(|confirm| confirm.noted = true);
+                    self.confirms
+                        .get_mut(&ask)
+                        .into_iter()
+                        .for_each(|confirm| confirm.noted = true);
                     self.confirmed(now, ask);
                 }
             }
@@ -91,7 +103,10 @@
             let life = std::str::from_utf8(key).unwrap_or_default();
             self.registry.standing(life) == Standing::Unknown
         };
-        let drops = lives.into_iter().filter(|(key, _)| gone(key)).map(|(key, _)| Record::Delete { key });
+        let drops = lives
+            .into_iter()
+            .filter(|(key, _)| gone(key))
+            .map(|(key, _)| Record::Delete { key });
         let drops: Vec<Record> = drops.collect();
         if !drops.is_empty() {
             self.note(drops, None);
@@ -101,35 +116,66 @@
     /// Waits until as many others know as may be lost: then the word reaches every courier in touch whatever
     /// becomes of this machine, and it may be acknowledged.
     pub(super) fn known_elsewhere(&mut self, now: f64, caller: Caller, life: String) {
-        let others = self.chain.view().map_or(0, |v| v.members.len().saturating_sub(1));
+        let others = self
+            .chain
+            .view()
+            .map_or(0, |v| v.members.len().saturating_sub(1));
         if !self.in_touch(now) {
             return self.taken(caller, Taken::HereAlone);
         }
         let ask = self.number();
         let told = !self.drains.ask(ask, others);
         let until_ms = now + CONFIRM_WITHIN_MS;
-        self.confirms.insert(ask, Confirm { caller, life: life.clone(), until_ms, noted: false, told });
-        self.send_all(&Word::News { ask, news: vec![News::Gone { life, age_ms: 0.0 }] });
+        self.confirms.insert(
+            ask,
+            Confirm {
+                caller,
+                life: life.clone(),
+                until_ms,
+                noted: false,
+                told,
+            },
+        );
+        self.send_all(&Word::News {
+            ask,
+            news: vec![News::Gone { life, age_ms: 0.0 }],
+        });
         self.note(Vec::new(), Some(Noted::Done { ask }));
     }
 
     /// Answers a drain that is on the disk here and known to enough others.
     pub(super) fn confirmed(&mut self, now: f64, ask: u64) {
-        if !self.confirms.get(&ask).is_some_and(|confirm| confirm.noted && confirm.told) {
+        if !self
+            .confirms
+            .get(&ask)
+            .is_some_and(|confirm| confirm.noted && confirm.told)
+        {
             return;
         }
-        let Some(confirm) = self.confirms.remove(&ask) else { return };
+        let Some(confirm) = self.confirms.remove(&ask) else {
+            return;
+        };
         self.drains.over(ask);
         let known = self.in_touch(now);
         if known {
             self.drains.known(now, confirm.life);
         }
-        self.taken(confirm.caller, if known { Taken::Known } else { Taken::HereAlone });
+        self.taken(
+            confirm.caller,
+            if known {
+                Taken::Known
+            } else {
+                Taken::HereAlone
+            },
+        );
     }
 
     /// Those that took too long to be known elsewhere.
     pub(super) fn unconfirmed(&mut self, now: f64) {
-        let late: Vec<(u64, Confirm)> = self.confirms.extract_if(.., |_, c| c.until_ms <= now).collect();
+        let late: Vec<(u64, Confirm)> = self
+            .confirms
+            .extract_if(.., |_, c| c.until_ms <= now)
+            .collect();
         for (ask, confirm) in late {
             self.drains.over(ask);
             self.taken(confirm.caller, Taken::HereAlone);
--- a/crates/rookpulley-control/src/founding.rs
+++ b/crates/rookpulley-control/src/founding.rs
@@ -18,8 +18,15 @@
 
 impl Founding {
     pub fn new(me: Ipv4Addr, seeds: &[SocketAddrV4]) -> Self {
-        let before: Vec<Ipv4Addr> = seeds.iter().map(|seed| *seed.ip()).take_while(|ip| *ip != me).collect();
-        Self { seed: before.len() < seeds.len(), before }
+        let before: Vec<Ipv4Addr> = seeds
+            .iter()
+            .map(|seed| *seed.ip())
+            .take_while(|ip| *ip != me)
+            .collect();
+        Self {
+            seed: before.len() < seeds.len(),
+            before,
+        }
     }
 
     /// Nothing for the first seed, as disks had it before there were others.
@@ -33,11 +40,17 @@
 
     pub fn read(mark: &[u8]) -> Option<Self> {
         let Some((seed, ips)) = mark.split_first() else {
-            return Some(Self { before: Vec::new(), seed: true });
+            return Some(Self {
+                before: Vec::new(),
+                seed: true,
+            });
         };
         let (ips, rest) = ips.as_chunks::<4>();
         let before = ips.iter().map(|ip| Ipv4Addr::from(*ip)).collect();
-        (rest.is_empty() && *seed <= 1).then_some(Self { before, seed: *seed == 1 })
+        (rest.is_empty() && *seed <= 1).then_some(Self {
+            before,
+            seed: *seed == 1,
+        })
     }
 
     pub(crate) fn at_once(&self) -> bool {
--- a/crates/rookpulley-control/src/pace/tests.rs
+++ b/crates/rookpulley-control/src/pace/tests.rs
@@ -23,10 +23,17 @@
     let storm = told(340_000, 60, 16_000);
     assert!((20..=26).contains(&storm.len()), "{storm:?}");
     let last = storm.last().copied().unwrap_or(0);
-    assert!(last >= 15_960 && last <= 15_960 + LONGEST_MS as usize + TICK_MS, "{storm:?}");
+    assert!(
+        last >= 15_960 && last <= 15_960 + LONGEST_MS as usize + TICK_MS,
+        "{storm:?}"
+    );
     // However long it is, it waits well under the time in which it must be in force.
     let gaps = told(8 << 20, 60, 16_000);
-    assert!(gaps.windows(2).all(|pair| pair[1] - pair[0] <= LONGEST_MS as usize + TICK_MS), "{gaps:?}");
+    assert!(
+        gaps.windows(2)
+            .all(|pair| pair[1] - pair[0] <= LONGEST_MS as usize + TICK_MS),
+        "{gaps:?}"
+    );
     // The configurations of small deployments are not held back at all.
     assert_eq!(told(8_000, 60, 600).len(), 10);
 }
--- a/crates/rookpulley-control/src/watches.rs
+++ b/crates/rookpulley-control/src/watches.rs
@@ -23,7 +23,15 @@
 impl Watches {
     pub fn add(&mut self, now: f64, token: u64, group: String, after: u64, wait_ms: u64) {
         let until_ms = now + wait_ms as f64;
-        self.waiting.insert(token, Watch { group, after, until_ms, look_ms: now });
+        self.waiting.insert(
+            token,
+            Watch {
+                group,
+                after,
+                until_ms,
+                look_ms: now,
+            },
+        );
     }
 
     pub fn forget(&mut self, token: u64) {
@@ -31,7 +39,13 @@
     }
 
     /// Those that are answered now. `moved`: the ledger has; else only those are looked at whose time has come.
-    pub fn due(&mut self, now: f64, moved: bool, serving: bool, ledger: &Ledger) -> Vec<(u64, Reply)> {
+    pub fn due(
+        &mut self,
+        now: f64,
+        moved: bool,
+        serving: bool,
+        ledger: &Ledger,
+    ) -> Vec<(u64, Reply)> {
         let mut done = Vec::new();
         self.waiting.retain(|token, watch| {
             if !moved && now < watch.look_ms {
--- a/crates/rookpulley-control/tests/compatibility/frames.rs
+++ b/crates/rookpulley-control/tests/compatibility/frames.rs
@@ -1,7 +1,9 @@
 //! Every message between our programs, every call of the replicated state and every note on an instance.
 
 use crate::Encoded;
-use rookpulley_chain::{Asked, Ballot, CallKind, Entry, Fill, Member, Message, Question, Standing, View};
+use rookpulley_chain::{
+    Asked, Ballot, CallKind, Entry, Fill, Member, Message, Question, Standing, View,
+};
 use rookpulley_control::Word;
 use rookpulley_protocol::{Down, Line, Report, ServiceReport, TaskReport, Up};
 use rookpulley_registry::{Beat, News, Still};
@@ -13,19 +15,37 @@
 }
 
 fn member(id: u64) -> Member {
-    Member { id, life: 1 << 40 | id, address: address(id as u8) }
+    Member {
+        id,
+        life: 1 << 40 | id,
+        address: address(id as u8),
+    }
 }
 
 fn view(number: u64) -> View {
-    View { number, members: vec![member(1), member(2)], voters: vec![member(3)] }
+    View {
+        number,
+        members: vec![member(1), member(2)],
+        voters: vec![member(3)],
+    }
 }
 
 fn asked(token: u64) -> Asked {
-    Asked { office: 2, life: 1 << 40 | 2, token, attempt: 3 }
+    Asked {
+        office: 2,
+        life: 1 << 40 | 2,
+        token,
+        attempt: 3,
+    }
 }
 
 fn entry(seq: u64) -> Entry {
-    Entry { seq, at_ms: 90_000 + seq, body: vec![1, 2, 3, 200], from: asked(seq) }
+    Entry {
+        seq,
+        at_ms: 90_000 + seq,
+        body: vec![1, 2, 3, 200],
+        from: asked(seq),
+    }
 }
 
 fn standing() -> Standing {
@@ -57,80 +77,268 @@
 
 fn chain_messages() -> Vec<(&'static str, Message)> {
     let (ballot, ask, number) = (Ballot { round: 4, by: 9 }, 11, 7);
-    let updates = Fill::Updates { committed: 399, entries: vec![entry(398), entry(399)] };
+    let updates = Fill::Updates {
+        committed: 399,
+        entries: vec![entry(398), entry(399)],
+    };
     let (seq, at_ms, piece, pieces) = (399, 90_399, 1, 3);
-    let piece = Fill::Piece { seq, at_ms, piece, pieces, sum: 77, bytes: vec![9, 8, 7] };
+    let piece = Fill::Piece {
+        seq,
+        at_ms,
+        piece,
+        pieces,
+        sum: 77,
+        bytes: vec![9, 8, 7],
+    };
     let (kind, body) = (CallKind::Update, vec![5, 6]);
-    let question = Question { body: vec![4], from: asked(2) };
+    let question = Question {
+        body: vec![4],
+        from: asked(2),
+    };
     let (standing, committed) = (standing(), 399);
     vec![
         (
             "ping",
-            Message::Ping { standing: standing.clone(), sent: 500, echo: Some(450), ledger: Some(90_500) },
+            Message::Ping {
+                standing: standing.clone(),
+                sent: 500,
+                echo: Some(450),
+                ledger: Some(90_500),
+            },
         ),
         ("opinion", Message::Opinion { ask }),
         (
             "seen",
-            Message::Seen { ask, standing, contacts: vec![(1, 2), (3, 4)], never: 5, views: vec![view(6)] },
+            Message::Seen {
+                ask,
+                standing,
+                contacts: vec![(1, 2), (3, 4)],
+                never: 5,
+                views: vec![view(6)],
+            },
         ),
         ("bury", Message::Bury { ask, number }),
-        ("buried", Message::Buried { ask, number, installed: 6 }),
-        ("prepare", Message::Prepare { base: view(6), ballot }),
-        ("promise", Message::Promise { number, ballot, accepted: Some((ballot, view(7))) }),
-        ("accept", Message::Accept { ballot, view: view(7) }),
+        (
+            "buried",
+            Message::Buried {
+                ask,
+                number,
+                installed: 6,
+            },
+        ),
+        (
+            "prepare",
+            Message::Prepare {
+                base: view(6),
+                ballot,
+            },
+        ),
+        (
+            "promise",
+            Message::Promise {
+                number,
+                ballot,
+                accepted: Some((ballot, view(7))),
+            },
+        ),
+        (
+            "accept",
+            Message::Accept {
+                ballot,
+                view: view(7),
+            },
+        ),
         ("accepted", Message::Accepted { number, ballot }),
         ("outbid", Message::Outbid { number, ballot }),
-        ("learn", Message::Learn { views: vec![view(6), view(7)] }),
-        ("install", Message::Install { view: view(7), committed, at_ms: 90_400, log: vec![entry(400)] }),
-        ("fetch", Message::Fetch { ask, held: 120, piece: Some((399, 2)) }),
-        ("filled with updates", Message::Filled { ask, fill: updates }),
+        (
+            "learn",
+            Message::Learn {
+                views: vec![view(6), view(7)],
+            },
+        ),
+        (
+            "install",
+            Message::Install {
+                view: view(7),
+                committed,
+                at_ms: 90_400,
+                log: vec![entry(400)],
+            },
+        ),
+        (
+            "fetch",
+            Message::Fetch {
+                ask,
+                held: 120,
+                piece: Some((399, 2)),
+            },
+        ),
+        (
+            "filled with updates",
+            Message::Filled { ask, fill: updates },
+        ),
         ("filled with a piece", Message::Filled { ask, fill: piece }),
         ("at work", Message::AtWork { number }),
-        ("forward", Message::Forward { view: 7, echo: 90_400, age_ms: 12, from: asked(1), kind, body }),
+        (
+            "forward",
+            Message::Forward {
+                view: 7,
+                echo: 90_400,
+                age_ms: 12,
+                from: asked(1),
+                kind,
+                body,
+            },
+        ),
         ("refuse", Message::Refuse { from: asked(1) }),
         (
             "pass",
-            Message::Pass { view: 7, entries: vec![entry(400)], questions: vec![question], synced_to: 398 },
+            Message::Pass {
+                view: 7,
+                entries: vec![entry(400)],
+                questions: vec![question],
+                synced_to: 398,
+            },
+        ),
+        (
+            "answer",
+            Message::Answer {
+                from: asked(1),
+                view: 7,
+                committed,
+                body: vec![3],
+            },
         ),
-        ("answer", Message::Answer { from: asked(1), view: 7, committed, body: vec![3] }),
         ("commit", Message::Commit { view: 7, seq: 400 }),
     ]
 }
 
 fn to_controllers() -> Vec<(&'static str, Up)> {
-    let task = TaskReport { life: "i-1".into(), tries: 90, bad: 2, mean_ms: 12.5 };
-    let service = ServiceReport { service: "lots".into(), came: 100, bad: 3, tasks: vec![task] };
+    let task = TaskReport {
+        life: "i-1".into(),
+        tries: 90,
+        bad: 2,
+        mean_ms: 12.5,
+    };
+    let service = ServiceReport {
+        service: "lots".into(),
+        came: 100,
+        bad: 3,
+        tasks: vec![task],
+    };
     let (config, tables) = (17, true);
     let (node, zone) = ("edge-7".into(), "quay".into());
     vec![
-        ("hello", Up::Hello { node, zone, home: true, config, tables, gone: vec!["i-2".into()] }),
-        ("home", Up::Home { home: false, config, tables }),
+        (
+            "hello",
+            Up::Hello {
+                node,
+                zone,
+                home: true,
+                config,
+                tables,
+                gone: vec!["i-2".into()],
+            },
+        ),
+        (
+            "home",
+            Up::Home {
+                home: false,
+                config,
+                tables,
+            },
+        ),
         ("want configuration", Up::WantConfig { have: 16 }),
-        ("report", Up::Report(Report { span_ms: 1_000, services: vec![service] })),
+        (
+            "report",
+            Up::Report(Report {
+                span_ms: 1_000,
+                services: vec![service],
+            }),
+        ),
         ("took", Up::Took { mark: 88 }),
-        ("without a disk", Up::Annex { address: address(8), offices: vec![address(1), address(2)] }),
+        (
+            "without a disk",
+            Up::Annex {
+                address: address(8),
+                offices: vec![address(1), address(2)],
+            },
+        ),
         ("found", Up::Found { id: 3 }),
     ]
 }
 
 fn to_proxies() -> Vec<(&'static str, Down)> {
     let (service, zone, life) = ("lots".to_string(), "quay".to_string(), "i-1".to_string());
-    let line = Line { life: life.clone(), address: address(9), zone: zone.clone(), weight: 0.25, slots: 12 };
+    let line = Line {
+        life: life.clone(),
+        address: address(9),
+        zone: zone.clone(),
+        weight: 0.25,
+        slots: 12,
+    };
     let offices = vec![address(1), address(2)];
     vec![
-        ("pulse", Down::Pulse { in_touch: true, config: 17, couriers: 300, offices }),
-        ("configuration", Down::Config { version: 17, base: 16, length: 4_000, packed: vec![40, 181, 47] }),
-        ("table", Down::Table { service, name: u64::MAX - 1, mark: 88, lines: vec![line] }),
+        (
+            "pulse",
+            Down::Pulse {
+                in_touch: true,
+                config: 17,
+                couriers: 300,
+                offices,
+            },
+        ),
+        (
+            "configuration",
+            Down::Config {
+                version: 17,
+                base: 16,
+                length: 4_000,
+                packed: vec![40, 181, 47],
+            },
+        ),
+        (
+            "table",
+            Down::Table {
+                service,
+                name: u64::MAX - 1,
+                mark: 88,
+                lines: vec![line],
+            },
+        ),
         ("gone", Down::Gone { lives: vec![life] }),
-        ("place", Down::Place { zone, founds: Some(3), view: true }),
+        (
+            "place",
+            Down::Place {
+                zone,
+                founds: Some(3),
+                view: true,
+            },
+        ),
     ]
 }
 
 fn notes() -> Vec<(&'static str, News)> {
-    let still = Still { life: "i-1".into(), sequence: 43, age_ms: 20.0 };
+    let still = Still {
+        life: "i-1".into(),
+        sequence: 43,
+        age_ms: 20.0,
+    };
     vec![
-        ("heartbeat", News::Beat { beat: beat(), age_ms: 250.0 }),
-        ("gone", News::Gone { life: "i-1".into(), age_ms: 0.5 }),
+        (
+            "heartbeat",
+            News::Beat {
+                beat: beat(),
+                age_ms: 250.0,
+            },
+        ),
+        (
+            "gone",
+            News::Gone {
+                life: "i-1".into(),
+                age_ms: 0.5,
+            },
+        ),
         ("heard", News::Heard { lives: vec![still] }),
     ]
 }
@@ -138,15 +346,47 @@
 fn updates() -> Vec<(&'static str, Update)> {
     let (name, holder) = ("hearings.7".to_string(), "counter-2".to_string());
     vec![
-        ("configuration", Update::PutConfiguration { version: 17, body: b"{}".to_vec() }),
-        ("take lock", Update::TakeLock { name: name.clone(), holder: holder.clone(), hold_ms: 900 }),
+        (
+            "configuration",
+            Update::PutConfiguration {
+                version: 17,
+                body: b"{}".to_vec(),
+            },
+        ),
+        (
+            "take lock",
+            Update::TakeLock {
+                name: name.clone(),
+                holder: holder.clone(),
+                hold_ms: 900,
+            },
+        ),
         (
             "renew lock",
-            Update::RenewLock { name: name.clone(), holder: holder.clone(), fence: 5, hold_ms: 900 },
+            Update::RenewLock {
+                name: name.clone(),
+                holder: holder.clone(),
+                fence: 5,
+                hold_ms: 900,
+            },
+        ),
+        (
+            "drop lock",
+            Update::DropLock {
+                name: name.clone(),
+                holder,
+                fence: 5,
+            },
         ),
-        ("drop lock", Update::DropLock { name: name.clone(), holder, fence: 5 }),
         ("next number", Update::NextNumber { name: name.clone() }),
-        ("put key", Update::PutCell { name, value: "open".into(), active: Some(4) }),
+        (
+            "put key",
+            Update::PutCell {
+                name,
+                value: "open".into(),
+                active: Some(4),
+            },
+        ),
     ]
 }
 
@@ -160,9 +400,21 @@
         ("number", Answer::Number(6)),
         ("revision", Answer::Revision(7)),
         ("conflict", Answer::Conflict { revision: 8 }),
-        ("key", Answer::Cell { value: "open".into(), revision: 9 }),
+        (
+            "key",
+            Answer::Cell {
+                value: "open".into(),
+                revision: 9,
+            },
+        ),
         ("nothing", Answer::Nothing),
-        ("configuration", Answer::Configuration { version: 17, body: b"{}".to_vec() }),
+        (
+            "configuration",
+            Answer::Configuration {
+                version: 17,
+                body: b"{}".to_vec(),
+            },
+        ),
         ("full", Answer::Full),
         ("too long", Answer::TooLong),
         ("unreadable", Answer::Unreadable),
@@ -175,9 +427,21 @@
     for (name, message) in chain_messages() {
         encoded.add(name, &Word::Chain(message));
     }
-    encoded.add("hello", &Word::Hello { from: member(1), offices: vec![address(2)] });
+    encoded.add(
+        "hello",
+        &Word::Hello {
+            from: member(1),
+            offices: vec![address(2)],
+        },
+    );
     for (name, note) in notes() {
-        encoded.add(&format!("news: {name}"), &Word::News { ask: 12, news: vec![note] });
+        encoded.add(
+            &format!("news: {name}"),
+            &Word::News {
+                ask: 12,
+                news: vec![note],
+            },
+        );
     }
     encoded.add("took", &Word::Took { ask: 12 });
     encoded.matches("between-controllers.txt");
--- a/crates/rookpulley-control/tests/compatibility/main.rs
+++ b/crates/rookpulley-control/tests/compatibility/main.rs
@@ -31,13 +31,20 @@
 
     /// Compares with a fixture, byte by byte. With `WRITE_FIXTURES` set, a fixture that does not exist is written.
     fn matches(&self, file: &str) {
-        let path = format!("{}/tests/compatibility/fixtures/{file}", env!("CARGO_MANIFEST_DIR"));
+        let path = format!(
+            "{}/tests/compatibility/fixtures/{file}",
+            env!("CARGO_MANIFEST_DIR")
+        );
         if !std::fs::exists(&path).unwrap() && std::env::var_os("WRITE_FIXTURES").is_some() {
-            let lines = self.0.iter().map(|(name, bytes)| format!("{name} = {}\n", hex(bytes)));
+            let lines = self
+                .0
+                .iter()
+                .map(|(name, bytes)| format!("{name} = {}\n", hex(bytes)));
             std::fs::write(&path, lines.collect::<String>()).unwrap();
         }
         let fixture = read(file);
-        let names = |encoded: &BTreeMap<String, Vec<u8>>| encoded.keys().cloned().collect::<Vec<_>>();
+        let names =
+            |encoded: &BTreeMap<String, Vec<u8>>| encoded.keys().cloned().collect::<Vec<_>>();
         assert_eq!(names(&self.0), names(&fixture));
         for (name, bytes) in &self.0 {
             assert_eq!(hex(bytes), hex(&fixture[name]), "{name} of {file}");
@@ -47,7 +54,10 @@
 
 /// The values of a fixture, by name.
 fn read(file: &str) -> BTreeMap<String, Vec<u8>> {
-    let path = format!("{}/tests/compatibility/fixtures/{file}", env!("CARGO_MANIFEST_DIR"));
+    let path = format!(
+        "{}/tests/compatibility/fixtures/{file}",
+        env!("CARGO_MANIFEST_DIR")
+    );
     let text = std::fs::read_to_string(path).unwrap();
     let line = |line: &str| {
         let (name, digits) = line.split_once(" = ").unwrap();
--- a/crates/rookpulley-control/tests/compatibility/rows.rs
+++ b/crates/rookpulley-control/tests/compatibility/rows.rs
@@ -10,7 +10,11 @@
 
 fn member(at: usize) -> Member {
     let id = at as u64 + 1;
-    Member { id, life: 1 << 20 | id, address: format!("10.0.0.{id}:7332").parse().unwrap() }
+    Member {
+        id,
+        life: 1 << 20 | id,
+        address: format!("10.0.0.{id}:7332").parse().unwrap(),
+    }
 }
 
 /// Controllers whose messages and disks take no time.
@@ -24,11 +28,23 @@
 impl Cluster {
     fn start(&mut self) {
         let at = self.chains.len();
-        let boot = Boot { me: member(at), founder: at == 0, losses: 1, seed: 7, kept: None };
-        self.chains.push((Chain::start(self.now, boot, Kept::default()), Rows::new()));
+        let boot = Boot {
+            me: member(at),
+            founder: at == 0,
+            losses: 1,
+            seed: 7,
+            kept: None,
+        };
+        self.chains
+            .push((Chain::start(self.now, boot, Kept::default()), Rows::new()));
         for other in 0..at {
             self.give(other, Input::Met { member: member(at) });
-            self.give(at, Input::Met { member: member(other) });
+            self.give(
+                at,
+                Input::Met {
+                    member: member(other),
+                },
+            );
         }
     }
 
@@ -70,8 +86,17 @@
     fn update(&mut self, update: &Update) -> Answer {
         self.token += 1;
         let body = update.encode();
-        let outcome = self.give(1, Input::Call { token: self.token, kind: CallKind::Update, body });
-        let Some(Outcome::Done(answer)) = outcome else { panic!("{update:?}: {outcome:?}") };
+        let outcome = self.give(
+            1,
+            Input::Call {
+                token: self.token,
+                kind: CallKind::Update,
+                body,
+            },
+        );
+        let Some(Outcome::Done(answer)) = outcome else {
+            panic!("{update:?}: {outcome:?}")
+        };
         Answer::decode(&answer).unwrap()
     }
 }
@@ -86,14 +111,34 @@
 }
 
 fn put(name: &str, value: &str) -> Update {
-    Update::PutCell { name: name.into(), value: value.into(), active: None }
+    Update::PutCell {
+        name: name.into(),
+        value: value.into(),
+        active: None,
+    }
 }
 
 fn updates() -> Vec<Update> {
-    let lock = Update::TakeLock { name: "hearing".into(), holder: "counter".into(), hold_ms: 5_000 };
-    let configuration = Update::PutConfiguration { version: 17, body: b"{\"version\":17}".to_vec() };
-    let number = Update::NextNumber { name: "permits".into() };
-    vec![configuration, lock, number, put("lots.7", "open"), put("lots.8", "sold"), put("lots.7", "sold")]
+    let lock = Update::TakeLock {
+        name: "hearing".into(),
+        holder: "counter".into(),
+        hold_ms: 5_000,
+    };
+    let configuration = Update::PutConfiguration {
+        version: 17,
+        body: b"{\"version\":17}".to_vec(),
+    };
+    let number = Update::NextNumber {
+        name: "permits".into(),
+    };
+    vec![
+        configuration,
+        lock,
+        number,
+        put("lots.7", "open"),
+        put("lots.8", "sold"),
+        put("lots.7", "sold"),
+    ]
 }
 
 /// Two members, with 600 updates so that a snapshot was written behind the first of them.
@@ -139,8 +184,17 @@
         assert_eq!(flaws(&rows, Some(member(at).id)), Vec::new());
         let kept = rookpulley_chain::Kept::read(rows);
         assert!(kept.sound());
-        let me = Member { life: 2 << 20, ..member(at) };
-        let boot = Boot { me, founder: false, losses: 1, seed: 7, kept: Some(kept) };
+        let me = Member {
+            life: 2 << 20,
+            ..member(at)
+        };
+        let boot = Boot {
+            me,
+            founder: false,
+            losses: 1,
+            seed: 7,
+            kept: Some(kept),
+        };
         let started = Chain::start(0, boot, Kept::default());
         let ledger = &started.state().ledger;
         let sizes = ledger.sizes();
--- a/crates/rookpulley-control/tests/configuration.rs
+++ b/crates/rookpulley-control/tests/configuration.rs
@@ -12,7 +12,11 @@
 fn start(life: u64, losses: u32, held: Option<Rows>) -> Start {
     let seeds = vec![SocketAddrV4::new(IP, 8_166)];
     Start {
-        me: Member { id: 7, life, address: SocketAddrV4::new(IP, 7_721) },
+        me: Member {
+            id: 7,
+            life,
+            address: SocketAddrV4::new(IP, 7_721),
+        },
         founding: held.is_none().then(|| Founding::new(IP, &seeds)),
         seeds,
         losses,
@@ -36,8 +40,12 @@
 impl Alone {
     fn new(start: Start) -> Self {
         let disk = start.held.iter().flatten().cloned().collect();
-        let mut alone =
-            Self { controller: Controller::new(start), disk, sent: Vec::new(), named: Vec::new() };
+        let mut alone = Self {
+            controller: Controller::new(start),
+            disk,
+            sent: Vec::new(),
+            named: Vec::new(),
+        };
         alone.carry_out(0.0);
         alone
     }
@@ -54,7 +62,9 @@
                         self.write(records);
                         self.controller.stored(now, Some(ticket), None, 1.0);
                     }
-                    Effect::Note { ticket, .. } => self.controller.stored(now, None, Some(ticket), 1.0),
+                    Effect::Note { ticket, .. } => {
+                        self.controller.stored(now, None, Some(ticket), 1.0)
+                    }
                     Effect::Down { frame, .. } => self.told(&frame),
 
                     _ => {}
@@ -94,14 +104,22 @@
             "{{\"configVersion\":{version},\"services\":[{{\"name\":\"s\"}}],\"hostnames\":[{{\"hostname\":\"h\",\"pathRules\":[\
              {{\"pathPrefix\":\"/\",\"routeKind\":\"read_only\",\"timeoutMs\":{version},\"targetService\":\"s\",\"maxAttempts\":1}}]}}]}}"
         );
-        let wants = read(Path::PutConfiguration, "", body.into_bytes(), |_| None, None).unwrap();
+        let wants = read(
+            Path::PutConfiguration,
+            "",
+            body.into_bytes(),
+            |_| None,
+            None,
+        )
+        .unwrap();
         let token = self.controller.number();
         self.controller.call(now as f64, token, wants);
         self.carry_out(now as f64);
     }
 
     fn proxy_calls_it_home(&mut self, now: u64) {
-        self.controller.courier_in(now as f64, LINE, ("edge-1", "quay"), true, (0, false), &[]);
+        self.controller
+            .courier_in(now as f64, LINE, ("edge-1", "quay"), true, (0, false), &[]);
         self.carry_out(now as f64);
     }
 }
@@ -115,7 +133,10 @@
     first.proxy_calls_it_home(1_250);
     first.put(1_250, 5);
     first.ticks(1_300, 2_500);
-    assert_eq!((first.sent.first(), first.sent.last()), (Some(&3), Some(&5)));
+    assert_eq!(
+        (first.sent.first(), first.sent.last()),
+        (Some(&3), Some(&5))
+    );
     first
 }
 
@@ -134,14 +155,26 @@
     let first = held_five();
     let mut rows: Rows = first.disk.clone().into_iter().collect();
     // It is one member of more: the others may hold a newer one.
-    let other = |id: u64| Member { id, life: 1, address: SocketAddrV4::new(IP, 7_000 + id as u16) };
+    let other = |id: u64| Member {
+        id,
+        life: 1,
+        address: SocketAddrV4::new(IP, 7_000 + id as u16),
+    };
     let members = vec![first.controller.chain.me(), other(8), other(9)];
-    let view = View { number: 2, members, voters: Vec::new() };
+    let view = View {
+        number: 2,
+        members,
+        voters: Vec::new(),
+    };
     let key = [b"v".to_vec(), 2u64.to_be_bytes().to_vec()].concat();
     rows.push((key, postcard::to_allocvec(&view).unwrap()));
     let mut again = Alone::new(start(12, 1, Some(rows)));
     again.proxy_calls_it_home(100);
     again.ticks(100, 4_000);
     assert_eq!(again.sent, []);
-    assert!(!again.named.is_empty() && again.named.iter().all(|version| *version == 0), "{:?}", again.named);
+    assert!(
+        !again.named.is_empty() && again.named.iter().all(|version| *version == 0),
+        "{:?}",
+        again.named
+    );
 }
--- a/crates/rookpulley-control/tests/founding.rs
+++ b/crates/rookpulley-control/tests/founding.rs
@@ -4,7 +4,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rookpulley_chain::{Member, Record};
-use rookpulley_control::{Annex, AnnexEffect, AnnexStart, Controller, Effect, Founding, Start, Word};
+use rookpulley_control::{
+    Annex, AnnexEffect, AnnexStart, Controller, Effect, Founding, Start, Word,
+};
 use rookpulley_protocol::{Down, Frames, Up, frame};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -124,7 +126,10 @@
             let ips: Vec<Ipv4Addr> = machines.iter().rev().map(|m| m.ip).collect();
             machines.iter_mut().zip(ips).for_each(|(m, ip)| m.ip = ip);
         }
-        let seeds = machines[..seeds].iter().map(|m| SocketAddrV4::new(m.ip, 8_166)).collect();
+        let seeds = machines[..seeds]
+            .iter()
+            .map(|m| SocketAddrV4::new(m.ip, 8_166))
+            .collect();
         World {
             rng,
             now: 0,
@@ -150,7 +155,8 @@
 
     fn delay(&mut self) -> u64 {
         let long = self.rng.random_range(0..40u32) == 0;
-        self.rng.random_range(if long { 300..1_500u64 } else { 1..40 })
+        self.rng
+            .random_range(if long { 300..1_500u64 } else { 1..40 })
     }
 
     fn lives(&self, (at, life): Place) -> bool {
@@ -179,7 +185,11 @@
                     disk.mark = first.then(|| Founding::new(machine.ip, &seeds).mark());
                 }
                 let office = Controller::new(Start {
-                    me: Member { id: *disk.id.get_or_insert(id), life, address },
+                    me: Member {
+                        id: *disk.id.get_or_insert(id),
+                        life,
+                        address,
+                    },
                     seeds,
                     losses: 0,
                     heartbeat_ms: 1_500,
@@ -206,8 +216,11 @@
             self.machines[at].wiped = true;
         }
         let of = |line: &Line| line.ends.iter().position(|end| end.0 == at);
-        let ended: Vec<(u64, usize)> =
-            self.lines.iter().filter_map(|(n, line)| Some((*n, 1 - of(line)?))).collect();
+        let ended: Vec<(u64, usize)> = self
+            .lines
+            .iter()
+            .filter_map(|(n, line)| Some((*n, 1 - of(line)?)))
+            .collect();
         for (line, side) in ended {
             self.send(line, side, |line, side| Event::Ended { line, side });
         }
@@ -216,7 +229,9 @@
     /// To the end of a line with this side.
     fn send(&mut self, line: u64, side: usize, event: impl FnOnce(u64, usize) -> Event) {
         let ms = self.now + self.delay();
-        let Some(of) = self.lines.get_mut(&line) else { return };
+        let Some(of) = self.lines.get_mut(&line) else {
+            return;
+        };
         of.last_ms[side] = of.last_ms[side].max(ms);
         let ms = of.last_ms[side];
         self.at(ms, event(line, side));
@@ -230,12 +245,20 @@
     fn dialed_line(&self, by: usize, ip: Ipv4Addr) -> Option<u64> {
         let is = |line: &Line| self.lives(line.ends[0]) && line.ends[0].0 == by;
         let to = |line: &Line| self.machines[line.ends[1].0].ip == ip;
-        self.lines.iter().filter(|(_, line)| is(line) && to(line)).map(|(n, _)| *n).next_back()
+        self.lines
+            .iter()
+            .filter(|(_, line)| is(line) && to(line))
+            .map(|(n, _)| *n)
+            .next_back()
     }
 
     fn taken_line(&self, by: usize, number: u64) -> Option<u64> {
-        let is = |line: &Line| line.ends[1].0 == by && self.lives(line.ends[1]) && line.number == number;
-        self.lines.iter().find(|(_, line)| !line.of_offices && is(line)).map(|(n, _)| *n)
+        let is =
+            |line: &Line| line.ends[1].0 == by && self.lives(line.ends[1]) && line.number == number;
+        self.lines
+            .iter()
+            .find(|(_, line)| !line.of_offices && is(line))
+            .map(|(n, _)| *n)
     }
 
     fn carry_out(&mut self, at: usize) {
@@ -250,13 +273,22 @@
                     match effect {
                         Effect::Dial(ip) => self.after(1, Event::Dial { by, ip }),
                         Effect::Word { to, frame } => self.say(self.dialed_line(at, to), 1, frame),
-                        Effect::Down { line, frame } => self.say(self.taken_line(at, line), 0, frame),
+                        Effect::Down { line, frame } => {
+                            self.say(self.taken_line(at, line), 0, frame)
+                        }
                         Effect::Write { ticket, records } => {
                             let ms = self.now + self.rng.random_range(1..120u64);
                             let disk = self.machines[at].disk.as_mut().unwrap();
                             disk.synced_ms = disk.synced_ms.max(ms);
                             let ms = disk.synced_ms;
-                            self.at(ms, Event::Synced { by, ticket, records });
+                            self.at(
+                                ms,
+                                Event::Synced {
+                                    by,
+                                    ticket,
+                                    records,
+                                },
+                            );
                         }
                         Effect::Spoilt => panic!("a copy is spoilt"),
                         _ => {}
@@ -276,13 +308,19 @@
                                 self.say(self.dialed_line(at, to), 1, frame(&up));
                             }
                         }
-                        AnnexEffect::Down { line, frame } => self.say(self.taken_line(at, line), 0, frame),
+                        AnnexEffect::Down { line, frame } => {
+                            self.say(self.taken_line(at, line), 0, frame)
+                        }
                         AnnexEffect::Log(_) => {}
                     }
                 }
             }
         }
-        assert!(self.founders.len() <= 1, "two founded: {:x?}", self.founders);
+        assert!(
+            self.founders.len() <= 1,
+            "two founded: {:x?}",
+            self.founders
+        );
     }
 
     /// Who names and who is named end at about the moment that it is said.
@@ -290,7 +328,10 @@
         let named = self.machines.iter().position(|m| m.ip == to).unwrap();
         for (at, first) in [(by, false), (named, true)] {
             if self.rng.random_range(0..3u32) > 0 {
-                let (ms, down) = (self.rng.random_range(0..300u64), self.rng.random_range(1..2_500u64));
+                let (ms, down) = (
+                    self.rng.random_range(0..300u64),
+                    self.rng.random_range(1..2_500u64),
+                );
                 self.after(ms, Event::Stop { at, wiped: false });
                 self.after(ms + down, Event::Again { at, first });
                 self.calm &= at != by;
@@ -300,17 +341,32 @@
 
     fn dial(&mut self, by: Place, ip: Ipv4Addr) {
         let now = self.now as f64;
-        let to =
-            self.machines.iter().position(|m| m.ip == ip).filter(|to| self.machines[*to].process.is_some());
-        let Some(to) = to else { return self.dial_again(by, ip) };
+        let to = self
+            .machines
+            .iter()
+            .position(|m| m.ip == ip)
+            .filter(|to| self.machines[*to].process.is_some());
+        let Some(to) = to else {
+            return self.dial_again(by, ip);
+        };
         let ends = [by, (to, self.machines[to].life)];
-        let of_offices = matches!(self.machines[by.0].process, Some(Process::Controller { .. }));
+        let of_offices = matches!(
+            self.machines[by.0].process,
+            Some(Process::Controller { .. })
+        );
         let number = match self.machines[to].process.as_mut().unwrap() {
             Process::Controller { office, .. } => office.number(),
             Process::Annex(_) => 1_000_000 + self.count,
         };
         self.count += 1;
-        let line = Line { ends, of_offices, number, who: None, greeted: false, last_ms: [self.now; 2] };
+        let line = Line {
+            ends,
+            of_offices,
+            number,
+            who: None,
+            greeted: false,
+            last_ms: [self.now; 2],
+        };
         self.lines.insert(self.count, line);
         match self.machines[by.0].process.as_mut().unwrap() {
             Process::Controller { office, .. } => office.dialed(now, ip),
@@ -338,7 +394,9 @@
 
     fn heard(&mut self, line: u64, side: usize, bytes: &[u8]) {
         let now = self.now as f64;
-        let Some(of) = self.lines.get_mut(&line) else { return };
+        let Some(of) = self.lines.get_mut(&line) else {
+            return;
+        };
         let (end, other) = (of.ends[side], of.ends[1 - side]);
         let from = self.machines[other.0].ip;
         let machine = &mut self.machines[end.0];
@@ -369,7 +427,9 @@
 
     fn ended(&mut self, line: u64, side: usize) {
         let now = self.now as f64;
-        let Some(of) = self.lines.remove(&line) else { return };
+        let Some(of) = self.lines.remove(&line) else {
+            return;
+        };
         let (end, ip) = (of.ends[side], self.machines[of.ends[1 - side].0].ip);
         if !self.lives(end) {
             return;
@@ -390,7 +450,11 @@
     }
 
     fn play(&mut self, until: u64) {
-        while let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= until) {
+        while let Some(entry) = self
+            .events
+            .first_entry()
+            .filter(|entry| entry.key().0 <= until)
+        {
             let ((at, _), event) = entry.remove_entry();
             self.now = at;
             match event {
@@ -415,7 +479,11 @@
                 Event::Dial { by, ip } if self.lives(by) => self.dial(by, ip),
                 Event::Heard { line, side, bytes } => self.heard(line, side, &bytes),
                 Event::Ended { line, side } => self.ended(line, side),
-                Event::Synced { by, ticket, records } if self.lives(by) => {
+                Event::Synced {
+                    by,
+                    ticket,
+                    records,
+                } if self.lives(by) => {
                     let rows = &mut self.machines[by.0].disk.as_mut().unwrap().rows;
                     for record in records {
                         match record {
@@ -424,7 +492,9 @@
                         }
                     }
                     let now = self.now as f64;
-                    if let Some(Process::Controller { office, .. }) = &mut self.machines[by.0].process {
+                    if let Some(Process::Controller { office, .. }) =
+                        &mut self.machines[by.0].process
+                    {
                         office.stored(now, Some(ticket), None, 1.0);
                     }
                     self.carry_out(by.0);
@@ -459,9 +529,20 @@
     }
     // The first seed names once, so it must not be told twice that this is the first start.
     world.strikes = strikes;
-    for _ in 0..if strikes { draw.random_range(1..=6u32) } else { 0 } {
-        let at = if draw.random_range(0..3u32) == 0 { 0 } else { draw.random_range(0..disks.len()) };
-        let (ms, down) = (draw.random_range(0..5_000u64), draw.random_range(1..1_200u64));
+    for _ in 0..if strikes {
+        draw.random_range(1..=6u32)
+    } else {
+        0
+    } {
+        let at = if draw.random_range(0..3u32) == 0 {
+            0
+        } else {
+            draw.random_range(0..disks.len())
+        };
+        let (ms, down) = (
+            draw.random_range(0..5_000u64),
+            draw.random_range(1..1_200u64),
+        );
         let wiped = disks[at] && draw.random_range(0..6u32) == 0;
         let first = !wiped && (!named || at != 0) && draw.random_range(0..2u32) == 0;
         world.calm &= !wiped && (!named || at != 0);
@@ -498,13 +579,17 @@
 
 #[test]
 fn a_mark_is_read_as_it_was_written() {
-    let seeds: Vec<SocketAddrV4> =
-        (1..=3).map(|n| SocketAddrV4::new(Ipv4Addr::new(10, n, 0, 1), 8_166)).collect();
+    let seeds: Vec<SocketAddrV4> = (1..=3)
+        .map(|n| SocketAddrV4::new(Ipv4Addr::new(10, n, 0, 1), 8_166))
+        .collect();
     for me in (1..=4).map(|n| Ipv4Addr::new(10, n, 0, 1)) {
         let founding = Founding::new(me, &seeds);
         assert_eq!(Founding::read(&founding.mark()), Some(founding));
     }
     // As disks had it that were minted to found.
-    assert_eq!(Founding::read(&[]), Some(Founding::new(*seeds[0].ip(), &seeds)));
+    assert_eq!(
+        Founding::read(&[]),
+        Some(Founding::new(*seeds[0].ip(), &seeds))
+    );
     assert_eq!(Founding::read(&[1, 10, 0, 0]), None);
 }
--- a/crates/rookpulley-controller/src/annex.rs
+++ b/crates/rookpulley-controller/src/annex.rs
@@ -52,7 +52,10 @@
     signals: &mut Signals,
 ) -> miette::Result<()> {
     let [counter, for_couriers, for_peers] = crate::controller::listen(node, control)?;
-    tracing::info!("office: {} begins, without a disk: calls are passed on", node.name);
+    tracing::info!(
+        "office: {} begins, without a disk: calls are passed on",
+        node.name
+    );
     if !node.seeds.iter().any(|seed| *seed.ip() != node.ip) {
         tracing::warn!(
             "office: seedNodes names nobody else, so calls get 503 until an office dials this one"
@@ -62,11 +65,19 @@
     let (stop, stopped) = watch::channel(false);
     let calls = shell.clone();
     let handler = Rc::new(move |call: Call| std::future::ready(calls.answer(&call)));
-    let counter =
-        tokio::task::spawn_local(rookpulley_api::serve(counter, Bounds::default(), stopped, handler));
+    let counter = tokio::task::spawn_local(rookpulley_api::serve(
+        counter,
+        Bounds::default(),
+        stopped,
+        handler,
+    ));
     shell.begin(for_couriers, for_peers);
     let of = shell.clone();
-    signals.wait(File::new(path), |seeds| of.with(|annex, now| annex.set_seeds(now, seeds))).await;
+    signals
+        .wait(File::new(path), |seeds| {
+            of.with(|annex, now| annex.set_seeds(now, seeds))
+        })
+        .await;
     tracing::info!("ending: {}", shell.status());
     ending::close(node, stop, counter).await;
     Ok(())
@@ -116,7 +127,11 @@
 
     fn status(&self) -> String {
         let stands = self.annex.borrow().status(self.now_ms());
-        format!("{stands}; calls passed on {}, refused {}", self.passed.get(), self.refused.get())
+        format!(
+            "{stands}; calls passed on {}, refused {}",
+            self.passed.get(),
+            self.refused.get()
+        )
     }
 
     /// Something comes in; what is wanted is carried out.
@@ -131,12 +146,20 @@
                 AnnexEffect::Dial(ip) => drop(tokio::task::spawn_local(self.clone().keep(ip))),
                 // Where too much waits the line ends, and all is told anew on the next one.
                 AnnexEffect::Up { to, up } => {
-                    if lines.offices.get(&to).is_some_and(|outbox| !outbox.send(&up)) {
+                    if lines
+                        .offices
+                        .get(&to)
+                        .is_some_and(|outbox| !outbox.send(&up))
+                    {
                         lines.offices.remove(&to);
                     }
                 }
                 AnnexEffect::Down { line, frame } => {
-                    if lines.guests.get(&line).is_some_and(|outbox| !outbox.send_framed(frame)) {
+                    if lines
+                        .guests
+                        .get(&line)
+                        .is_some_and(|outbox| !outbox.send_framed(frame))
+                    {
                         lines.guests.remove(&line);
                     }
                 }
@@ -173,8 +196,11 @@
         }
     }
 
-    async fn take_lines<F>(self: Rc<Self>, listener: TcpListener, attend: fn(Rc<Self>, TcpStream) -> F)
-    where
+    async fn take_lines<F>(
+        self: Rc<Self>,
+        listener: TcpListener,
+        attend: fn(Rc<Self>, TcpStream) -> F,
+    ) where
         F: Future<Output = ()> + 'static,
     {
         loop {
@@ -216,20 +242,30 @@
     fn answer(&self, call: &Call) -> Reply {
         match self.tree.lookup(&call.method, &call.path) {
             Match::Nothing => return Reply::error(404, "there is no such call"),
-            Match::WrongMethod => return Reply::error(405, "there is no such call with this method"),
+            Match::WrongMethod => {
+                return Reply::error(405, "there is no such call with this method");
+            }
             // What is shown is of one office alone: whoever asks is to know of which.
             Match::Found(Asked::Show(_), _) => {
-                return Reply::error(404, "this office has no disk and nothing to show; ask one that has");
+                return Reply::error(
+                    404,
+                    "this office has no disk and nothing to show; ask one that has",
+                );
             }
             Match::Found(Asked::Call(_), _) => {}
         }
         let Some(to) = self.annex.borrow().pass_on(self.now_ms(), &call.path) else {
             self.refused.set(self.refused.get() + 1);
-            let sentence = "not now: this office has no disk and reaches none that has; nothing was done";
+            let sentence =
+                "not now: this office has no disk and reaches none that has; nothing was done";
             return Reply::error(503, sentence).with("Retry-After", "0.2");
         };
         self.passed.set(self.passed.get() + 1);
-        let query = if call.query.is_empty() { String::new() } else { format!("?{}", call.query) };
+        let query = if call.query.is_empty() {
+            String::new()
+        } else {
+            format!("?{}", call.query)
+        };
         let location = format!("http://{to}:{}{}{query}", self.control, call.path);
         Reply::empty(307).with("Location", location)
     }
--- a/crates/rookpulley-controller/src/annex/tests.rs
+++ b/crates/rookpulley-controller/src/annex/tests.rs
@@ -31,7 +31,10 @@
     let node = settings(ip, zone, port);
     let run = move || {
         let folder = tempfile::tempdir().unwrap();
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let (said, heard) = tokio::sync::mpsc::unbounded_channel();
             let mark = Founding::new(ip, &[SocketAddrV4::new(ip, 8_166)]).mark();
@@ -48,7 +51,10 @@
                 }
             };
             tokio::select! { () = tick => {}, _ = ended => {} }
-            assert!(hub.look(|office| office.couriers.is_empty()), "it was counted as a courier");
+            assert!(
+                hub.look(|office| office.couriers.is_empty()),
+                "it was counted as a courier"
+            );
         });
     };
     (end, std::thread::spawn(run))
@@ -80,7 +86,10 @@
     let free = std::net::TcpListener::bind((ips[0], 0)).unwrap();
     let port = free.local_addr().unwrap().port();
     drop(free);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let node = settings(ips[0], "quay", port);
         let shell = Shell::new(&node, node.listen.control.unwrap()).unwrap();
@@ -118,7 +127,10 @@
 #[test]
 fn a_courier_is_told_of_the_offices_by_one_without_a_disk_and_not_to_make_it_its_home() {
     let ip = Ipv4Addr::new(127, 0, 3, 1);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let other = line::listen(SocketAddr::from((Ipv4Addr::new(127, 0, 3, 2), 0)), 16).unwrap();
         let port = other.local_addr().unwrap().port();
--- a/crates/rookpulley-controller/src/calls.rs
+++ b/crates/rookpulley-controller/src/calls.rs
@@ -23,8 +23,14 @@
     Tree::new(&[
         ("PUT /rookpulley/instances/{}", call(Path::Beat)),
         ("DELETE /rookpulley/instances/{}", call(Path::Leave)),
-        ("PUT /rookpulley/configuration", call(Path::PutConfiguration)),
-        ("GET /rookpulley/configuration", call(Path::GetConfiguration)),
+        (
+            "PUT /rookpulley/configuration",
+            call(Path::PutConfiguration),
+        ),
+        (
+            "GET /rookpulley/configuration",
+            call(Path::GetConfiguration),
+        ),
         ("POST /rookpulley/locks/{}", call(Path::TakeLock)),
         ("PUT /rookpulley/locks/{}", call(Path::RenewLock)),
         ("DELETE /rookpulley/locks/{}", call(Path::DropLock)),
@@ -49,7 +55,12 @@
 }
 
 pub fn object<const N: usize>(fields: [(&str, JsonValue); N]) -> JsonValue {
-    JsonValue::Object(fields.into_iter().map(|(name, value)| (name.into(), value)).collect())
+    JsonValue::Object(
+        fields
+            .into_iter()
+            .map(|(name, value)| (name.into(), value))
+            .collect(),
+    )
 }
 
 pub fn number(n: u64) -> JsonValue {
@@ -62,19 +73,31 @@
     }
 
     /// Takes calls until it is told to stop.
-    pub fn serve(self: &Rc<Calls>, listener: TcpListener, stopped: watch::Receiver<bool>) -> JoinHandle<()> {
+    pub fn serve(
+        self: &Rc<Calls>,
+        listener: TcpListener,
+        stopped: watch::Receiver<bool>,
+    ) -> JoinHandle<()> {
         let calls = self.clone();
         let handler = Rc::new(move |call| {
             let calls = calls.clone();
             async move { calls.answer(call).await }
         });
-        tokio::task::spawn_local(rookpulley_api::serve(listener, Bounds::default(), stopped, handler))
+        tokio::task::spawn_local(rookpulley_api::serve(
+            listener,
+            Bounds::default(),
+            stopped,
+            handler,
+        ))
     }
 
     pub async fn answer(&self, call: Call) -> Reply {
         let (asked, reply) = match self.tree.lookup(&call.method, &call.path) {
             Match::Nothing => (None, Reply::error(404, "there is no such call")),
-            Match::WrongMethod => (None, Reply::error(405, "there is no such call with this method")),
+            Match::WrongMethod => (
+                None,
+                Reply::error(405, "there is no such call with this method"),
+            ),
             Match::Found(asked, name) => (Some(asked), self.take(asked, &name, call).await),
         };
         self.hub.counts.call(asked, reply.status);
@@ -87,7 +110,13 @@
             Asked::Show(part) => return show::answer(&self.hub, part, name),
         };
         let wants = self.hub.look(|office| {
-            clerk::read(path, name, call.body, |of| query(&call.query, of), office.configuration())
+            clerk::read(
+                path,
+                name,
+                call.body,
+                |of| query(&call.query, of),
+                office.configuration(),
+            )
         });
         match wants {
             Ok(wants) => match self.hub.call(wants).await {
@@ -105,7 +134,11 @@
 }
 
 fn written(reply: clerk::Reply) -> Reply {
-    let clerk::Reply { status, retry_after, content } = reply;
+    let clerk::Reply {
+        status,
+        retry_after,
+        content,
+    } = reply;
     let written = match content {
         Content::Nothing => Reply::empty(status),
         Content::Json(value) => Reply::json(status, &value),
--- a/crates/rookpulley-controller/src/controller.rs
+++ b/crates/rookpulley-controller/src/controller.rs
@@ -40,7 +40,11 @@
 /// For calls, couriers and other offices.
 pub fn listen(node: &Node, control: SocketAddrV4) -> miette::Result<[TcpListener; 3]> {
     let inner = |more| SocketAddrV4::new(node.ip, node.inner_ports.0 + more);
-    Ok([listen_at(control)?, listen_at(inner(0))?, listen_at(inner(1))?])
+    Ok([
+        listen_at(control)?,
+        listen_at(inner(0))?,
+        listen_at(inner(1))?,
+    ])
 }
 
 pub fn listen_at(at: SocketAddrV4) -> miette::Result<TcpListener> {
@@ -59,18 +63,27 @@
     // controllers at once choose the same primary.
     let [counter, for_couriers, for_peers] = listen(node, control)?;
     let (said, heard) = tokio::sync::mpsc::unbounded_channel();
-    let founding = node.first_start.then(|| Founding::new(node.ip, &node.seeds).mark());
+    let founding = node
+        .first_start
+        .then(|| Founding::new(node.ip, &node.seeds).mark());
     let mut store = match Store::open(folder, rand::random(), founding.as_deref(), said) {
         Ok(store) => store,
         Err(why @ (StoreError::Folder(..) | StoreError::InUse(..))) => {
-            return Ok(Ended::StoreLost(StoreLoss { why: why.to_string(), others: Vec::new() }));
+            return Ok(Ended::StoreLost(StoreLoss {
+                why: why.to_string(),
+                others: Vec::new(),
+            }));
         }
         Err(why) => return Err(why.into()),
     };
     let kept = std::mem::take(&mut store.held);
     let fresh = store.new;
     let hub = Hub::new(node.clone(), store, kept, rand::random());
-    tracing::info!("office: {} begins{}", node.name, if fresh { " with an empty disk" } else { "" });
+    tracing::info!(
+        "office: {} begins{}",
+        node.name,
+        if fresh { " with an empty disk" } else { "" }
+    );
 
     let (stop, stopped) = tokio::sync::watch::channel(false);
     let counter = calls::Calls::new(hub.clone())?.serve(counter, stopped);
@@ -89,9 +102,10 @@
             Ok(Ended::Stopped)
         }
         Some(StoreFailure::GivenUp) => Ok(Ended::StoreGivenUp),
-        Some(StoreFailure::Write(why)) => {
-            Ok(Ended::StoreLost(StoreLoss { why, others: hub.other_members() }))
-        }
+        Some(StoreFailure::Write(why)) => Ok(Ended::StoreLost(StoreLoss {
+            why,
+            others: hub.other_members(),
+        })),
     }
 }
 
--- a/crates/rookpulley-controller/src/couriers.rs
+++ b/crates/rookpulley-controller/src/couriers.rs
@@ -24,7 +24,9 @@
                 let known = name.borrow().clone();
                 match (up, known) {
                     (hello @ (Up::Hello { .. } | Up::Annex { .. }), None) => {
-                        let Some(outbox) = outbox.borrow_mut().take() else { return };
+                        let Some(outbox) = outbox.borrow_mut().take() else {
+                            return;
+                        };
                         *name.borrow_mut() = hub.courier_in(hello, outbox);
                     }
                     (up, Some((node, line))) => hub.courier_said(&node, line, up),
--- a/crates/rookpulley-controller/src/ending.rs
+++ b/crates/rookpulley-controller/src/ending.rs
@@ -18,7 +18,10 @@
 
 impl Signals {
     pub fn new() -> std::io::Result<Self> {
-        Ok(Self { terminate: signal(SignalKind::terminate())?, hang_up: signal(SignalKind::hangup())? })
+        Ok(Self {
+            terminate: signal(SignalKind::terminate())?,
+            hang_up: signal(SignalKind::hangup())?,
+        })
     }
 
     /// Returns when the process is to end.
@@ -62,8 +65,8 @@
     counter: tokio::task::JoinHandle<()>,
 ) {
     _ = stop.send(true);
-    let most =
-        Duration::from_secs_f64((node.bounds.grace_period_s - 1.0).max(0.5)).min(Duration::from_secs(2));
+    let most = Duration::from_secs_f64((node.bounds.grace_period_s - 1.0).max(0.5))
+        .min(Duration::from_secs(2));
     _ = tokio::time::timeout(most, counter).await;
     tracing::info!("ending: done");
 }
--- a/crates/rookpulley-controller/src/hub.rs
+++ b/crates/rookpulley-controller/src/hub.rs
@@ -114,7 +114,9 @@
             let mut office = self.office.borrow_mut();
             (input(&mut office, self.now_ms()), office.effects())
         };
-        effects.into_iter().for_each(|effect| self.carry_out(effect));
+        effects
+            .into_iter()
+            .for_each(|effect| self.carry_out(effect));
         came
     }
 
@@ -138,11 +140,17 @@
                 }
             }
             Effect::Down { line, frame } => {
-                if lines.couriers.get(&line).is_some_and(|outbox| !outbox.send_framed(frame)) {
+                if lines
+                    .couriers
+                    .get(&line)
+                    .is_some_and(|outbox| !outbox.send_framed(frame))
+                {
                     lines.couriers.remove(&line);
                 }
             }
-            Effect::Write { ticket, records } => _ = lines.store.write(Part::Chain, ticket, records),
+            Effect::Write { ticket, records } => {
+                _ = lines.store.write(Part::Chain, ticket, records)
+            }
             Effect::Note { ticket, records } => _ = lines.store.write(Part::Lives, ticket, records),
             Effect::Reply { token, reply } => {
                 let waiting = lines.calls.remove(&token);
@@ -179,7 +187,11 @@
 
     /// Tells when the office at this address has spoken.
     pub fn wake(&self, ip: Ipv4Addr) -> Rc<Notify> {
-        self.lines.borrow().peers.get(&ip).map_or_else(Rc::default, |peer| peer.wake.clone())
+        self.lines
+            .borrow()
+            .peers
+            .get(&ip)
+            .map_or_else(Rc::default, |peer| peer.wake.clone())
     }
 
     pub fn still_known(&self, ip: Ipv4Addr) -> bool {
@@ -232,7 +244,11 @@
     pub fn other_members(&self) -> Vec<SocketAddrV4> {
         self.look(|office| {
             let members = office.chain.view().map_or(&[][..], |view| &view.members);
-            members.iter().filter(|member| member.id != self.me.id).map(|member| member.address).collect()
+            members
+                .iter()
+                .filter(|member| member.id != self.me.id)
+                .map(|member| member.address)
+                .collect()
         })
     }
 
@@ -272,11 +288,21 @@
     pub fn courier_in(&self, hello: Up, outbox: Outbox) -> Option<(String, u64)> {
         let line = self.with(|office, _| office.number());
         let came = |name: String| {
-            self.lines.borrow_mut().couriers.insert(line, outbox.clone());
+            self.lines
+                .borrow_mut()
+                .couriers
+                .insert(line, outbox.clone());
             Some((name, line))
         };
         match hello {
-            Up::Hello { node, zone, home, config, tables, gone } => {
+            Up::Hello {
+                node,
+                zone,
+                home,
+                config,
+                tables,
+                gone,
+            } => {
                 let came = came(node.clone());
                 self.with(|office, now| {
                     office.courier_in(now, line, (&node, &zone), home, (config, tables), &gone);
--- a/crates/rookpulley-controller/src/main.rs
+++ b/crates/rookpulley-controller/src/main.rs
@@ -37,8 +37,15 @@
         print!("{node}");
         return Ok(());
     }
-    log::begin(if flags.verbose { tracing::Level::DEBUG } else { tracing::Level::INFO });
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().into_diagnostic()?;
+    log::begin(if flags.verbose {
+        tracing::Level::DEBUG
+    } else {
+        tracing::Level::INFO
+    });
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .into_diagnostic()?;
     runtime.block_on(run(node, path))
 }
 
@@ -49,9 +56,13 @@
             "no controlPlane address"
         ));
     };
-    let mut signals = Signals::new().into_diagnostic().wrap_err("ending: signals can't be heard")?;
+    let mut signals = Signals::new()
+        .into_diagnostic()
+        .wrap_err("ending: signals can't be heard")?;
     let Some(folder) = node.data.clone() else {
-        return LocalSet::new().run_until(annex::run(&node, control, path, &mut signals)).await;
+        return LocalSet::new()
+            .run_until(annex::run(&node, control, path, &mut signals))
+            .await;
     };
     // A set of tasks for each incarnation: with the set all its tasks and sockets are gone.
     loop {
@@ -64,7 +75,17 @@
         };
         drop(set);
         let set = LocalSet::new();
-        match set.run_until(standby::run(&node, control, &folder, loss, path.clone(), &mut signals)).await? {
+        match set
+            .run_until(standby::run(
+                &node,
+                control,
+                &folder,
+                loss,
+                path.clone(),
+                &mut signals,
+            ))
+            .await?
+        {
             Standby::Stopped => return Ok(()),
             Standby::StoreUsable => {}
         }
--- a/crates/rookpulley-controller/src/peers.rs
+++ b/crates/rookpulley-controller/src/peers.rs
@@ -21,7 +21,8 @@
         match line::dial(to, DIAL_WITHIN).await {
             Ok(stream) => {
                 pause = AGAIN_FIRST;
-                let why = line::run::<()>(stream, None, |outbox| hub.dialed(ip, outbox), |()| ()).await;
+                let why =
+                    line::run::<()>(stream, None, |outbox| hub.dialed(ip, outbox), |()| ()).await;
                 hub.hung_up(ip);
                 tracing::info!("peers: the line to {ip} {why}");
             }
--- a/crates/rookpulley-controller/src/show.rs
+++ b/crates/rookpulley-controller/src/show.rs
@@ -60,7 +60,11 @@
 fn bounded(rows: impl Iterator<Item = JsonValue>) -> (JsonValue, JsonValue) {
     let (mut kept, mut more) = (Vec::new(), 0);
     for row in rows {
-        if kept.len() < ROWS { kept.push(row) } else { more += 1 }
+        if kept.len() < ROWS {
+            kept.push(row)
+        } else {
+            more += 1
+        }
     }
     (JsonValue::Array(kept), number(more))
 }
@@ -75,8 +79,9 @@
             at if at == last => "tail",
             _ => "middle",
         };
-        let heard =
-            |of: fn(&rookpulley_chain::Heard) -> JsonValue| one.heard.as_ref().map_or(JsonValue::Null, of);
+        let heard = |of: fn(&rookpulley_chain::Heard) -> JsonValue| {
+            one.heard.as_ref().map_or(JsonValue::Null, of)
+        };
         object([
             ("part", text(part)),
             ("id", hex(one.member.id)),
@@ -117,7 +122,10 @@
 }
 
 fn tasks(office: &Controller, now: f64, service: &str) -> JsonValue {
-    let tasks = office.registry.tasks().filter(|t| service.is_empty() || t.beat.service == service);
+    let tasks = office
+        .registry
+        .tasks()
+        .filter(|t| service.is_empty() || t.beat.service == service);
     let rows = tasks.map(|task| {
         object([
             ("life", text(&task.beat.life)),
@@ -130,11 +138,19 @@
         ])
     });
     let (rows, more) = bounded(rows);
-    object([("settling", office.registry.settling(now).into()), ("tasks", rows), ("more", more)])
+    object([
+        ("settling", office.registry.settling(now).into()),
+        ("tasks", rows),
+        ("more", more),
+    ])
 }
 
 fn tables(office: &Controller, service: &str) -> JsonValue {
-    let tables = office.desk.shown().into_iter().filter(|t| service.is_empty() || t.service == service);
+    let tables = office
+        .desk
+        .shown()
+        .into_iter()
+        .filter(|t| service.is_empty() || t.service == service);
     let rows = tables.map(|table| {
         object([
             ("service", text(&table.service)),
--- a/crates/rookpulley-controller/src/show/counts.rs
+++ b/crates/rookpulley-controller/src/show/counts.rs
@@ -26,7 +26,9 @@
 const NO_CALL: usize = CALLS.len() - 1;
 
 fn place(asked: Asked) -> usize {
-    let Asked::Call(path) = asked else { return NO_CALL - 1 };
+    let Asked::Call(path) = asked else {
+        return NO_CALL - 1;
+    };
     match path {
         Path::Beat => 0,
         Path::Leave => 1,
@@ -70,8 +72,14 @@
     pub fn call(&self, asked: Option<Asked>, status: u16) {
         let of = self.calls.get(asked.map_or(NO_CALL, place));
         // What isn't there, or not by this method, is the caller's mistake.
-        let outcome = if asked.is_none() { outcome(400) } else { outcome(status) };
-        of.and_then(|of| of.get(outcome)).into_iter().for_each(|cell| add(cell, 1));
+        let outcome = if asked.is_none() {
+            outcome(400)
+        } else {
+            outcome(status)
+        };
+        of.and_then(|of| of.get(outcome))
+            .into_iter()
+            .for_each(|cell| add(cell, 1));
     }
 }
 
@@ -96,10 +104,18 @@
     let counts = &hub.counts;
     let mut page = Page(String::with_capacity(12 << 10));
     let calls = "rookpulley_office_calls_total";
-    page.name(calls, "counter", "Calls by what they ask for and what became of them.");
+    page.name(
+        calls,
+        "counter",
+        "Calls by what they ask for and what became of them.",
+    );
     for (call, of) in CALLS.iter().zip(&counts.calls) {
         for (outcome, count) in OUTCOMES.iter().zip(of) {
-            _ = writeln!(page.0, "{calls}{{call=\"{call}\",outcome=\"{outcome}\"}} {}", count.get());
+            _ = writeln!(
+                page.0,
+                "{calls}{{call=\"{call}\",outcome=\"{outcome}\"}} {}",
+                count.get()
+            );
         }
     }
     let beats = "rookpulley_office_beats_total";
@@ -108,17 +124,33 @@
         _ = writeln!(page.0, "{beats}{{state=\"{state}\"}} {count}");
     }
     let news = "rookpulley_office_news_total";
-    page.name(news, "counter", "Words on tasks between offices: told to all, heard from one.");
+    page.name(
+        news,
+        "counter",
+        "Words on tasks between offices: told to all, heard from one.",
+    );
     _ = writeln!(page.0, "{news}{{way=\"told\"}} {}", office.tally.news_told);
-    _ = writeln!(page.0, "{news}{{way=\"heard\"}} {}", office.tally.news_heard);
+    _ = writeln!(
+        page.0,
+        "{news}{{way=\"heard\"}} {}",
+        office.tally.news_heard
+    );
     let mut count = |name, help, count: u64| page.one(name, "counter", help, count);
-    count("rookpulley_office_drains_total", "Lives that couriers were told to spare.", office.tally.drains);
+    count(
+        "rookpulley_office_drains_total",
+        "Lives that couriers were told to spare.",
+        office.tally.drains,
+    );
     count(
         "rookpulley_office_view_changes_total",
         "Decided views that became known here.",
         office.tally.views,
     );
-    count("rookpulley_office_syncs_total", "Writes that reached the disk.", office.tally.syncs);
+    count(
+        "rookpulley_office_syncs_total",
+        "Writes that reached the disk.",
+        office.tally.syncs,
+    );
     let seconds = "rookpulley_office_sync_seconds_total";
     page.name(seconds, "counter", "Time that these writes took.");
     _ = writeln!(page.0, "{seconds} {}", office.tally.sync_us as f64 / 1e6);
@@ -135,22 +167,61 @@
     }
     let tasks = "rookpulley_office_tasks";
     page.name(tasks, "gauge", "Lives of tasks by their standing.");
-    for (standing, count) in
-        [("live", live), ("silent", silent), ("draining", draining), ("displaced", displaced)]
-    {
+    for (standing, count) in [
+        ("live", live),
+        ("silent", silent),
+        ("draining", draining),
+        ("displaced", displaced),
+    ] {
         _ = writeln!(page.0, "{tasks}{{standing=\"{standing}\"}} {count}");
     }
     let mut gauge = |name, help, value: u64| page.one(name, "gauge", help, value);
-    gauge("rookpulley_office_couriers", "Couriers whose line is here.", office.couriers.len() as u64);
+    gauge(
+        "rookpulley_office_couriers",
+        "Couriers whose line is here.",
+        office.couriers.len() as u64,
+    );
     let homes = office.couriers.values().filter(|c| c.home).count();
-    gauge("rookpulley_office_couriers_at_home", "Couriers that call this office home.", homes as u64);
-    gauge("rookpulley_office_view", "The newest view that is decided.", shown.view);
-    gauge("rookpulley_office_view_at_work", "The newest view known to be at work.", shown.at_work);
-    gauge("rookpulley_office_acting", "1: part of the chain.", shown.acting.into());
-    gauge("rookpulley_office_in_touch", "1: in touch with most of the view.", shown.in_touch.into());
-    gauge("rookpulley_office_disk_slow", "1: the disk is slow.", office.disk.slow().into());
-    gauge("rookpulley_office_update_applied", "The last update applied.", shown.applied);
+    gauge(
+        "rookpulley_office_couriers_at_home",
+        "Couriers that call this office home.",
+        homes as u64,
+    );
+    gauge(
+        "rookpulley_office_view",
+        "The newest view that is decided.",
+        shown.view,
+    );
+    gauge(
+        "rookpulley_office_view_at_work",
+        "The newest view known to be at work.",
+        shown.at_work,
+    );
+    gauge(
+        "rookpulley_office_acting",
+        "1: part of the chain.",
+        shown.acting.into(),
+    );
+    gauge(
+        "rookpulley_office_in_touch",
+        "1: in touch with most of the view.",
+        shown.in_touch.into(),
+    );
+    gauge(
+        "rookpulley_office_disk_slow",
+        "1: the disk is slow.",
+        office.disk.slow().into(),
+    );
+    gauge(
+        "rookpulley_office_update_applied",
+        "The last update applied.",
+        shown.applied,
+    );
     let version = office.chain.state().ledger.version();
-    gauge("rookpulley_office_configuration_version", "Of the configuration held; 0: none.", version);
+    gauge(
+        "rookpulley_office_configuration_version",
+        "Of the configuration held; 0: none.",
+        version,
+    );
     page.0
 }
--- a/crates/rookpulley-controller/src/show/tests.rs
+++ b/crates/rookpulley-controller/src/show/tests.rs
@@ -33,7 +33,14 @@
 async fn call(calls: &Calls, method: &str, path: &str, body: &str) -> Reply {
     loop {
         let (method, path) = (method.into(), format!("/rookpulley/{path}"));
-        let reply = calls.answer(Call { method, path, body: body.into(), ..Call::default() }).await;
+        let reply = calls
+            .answer(Call {
+                method,
+                path,
+                body: body.into(),
+                ..Call::default()
+            })
+            .await;
         if reply.status != 503 {
             return reply;
         }
@@ -50,7 +57,10 @@
 /// An office alone, at work, with a task, a configuration and a courier at home.
 pub fn at_an_office<F: Future<Output = ()>>(trial: impl FnOnce(Rc<Calls>) -> F) {
     let folder = tempfile::tempdir().unwrap();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (said, heard) = tokio::sync::mpsc::unbounded_channel();
         let store = Store::open(folder.path(), 7, Some(&[]), said).unwrap();
@@ -65,8 +75,16 @@
             }
         });
         let calls = Calls::new(hub.clone()).unwrap();
-        assert_eq!(call(&calls, "PUT", "configuration", CONFIGURATION).await.status, 200);
-        assert_eq!(call(&calls, "PUT", "instances/i-41c0", BEAT).await.status, 200);
+        assert_eq!(
+            call(&calls, "PUT", "configuration", CONFIGURATION)
+                .await
+                .status,
+            200
+        );
+        assert_eq!(
+            call(&calls, "PUT", "instances/i-41c0", BEAT).await.status,
+            200
+        );
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
         tokio::task::spawn_local(couriers::listen(hub.clone(), listener));
@@ -86,7 +104,12 @@
             assert!(to.send(&hello));
             *held.borrow_mut() = Some(to);
         };
-        tokio::task::spawn_local(line::run::<rookpulley_protocol::Down>(stream, None, open, |_| ()));
+        tokio::task::spawn_local(line::run::<rookpulley_protocol::Down>(
+            stream,
+            None,
+            open,
+            |_| (),
+        ));
         while hub.look(|office| office.couriers.is_empty() || office.desk.shown().is_empty()) {
             tokio::task::yield_now().await;
         }
@@ -98,14 +121,24 @@
 /// As a collector gets it.
 async fn over_a_socket(calls: Rc<Calls>, line: &str) -> String {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let mut stream = tokio::net::TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let mut stream = tokio::net::TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     let (_stop, stopped) = tokio::sync::watch::channel(false);
     let handler = move |call| {
         let calls = calls.clone();
         async move { calls.answer(call).await }
     };
-    tokio::task::spawn_local(rookpulley_api::serve(listener, Bounds::default(), stopped, Rc::new(handler)));
-    stream.write_all(format!("{line}\r\nHost: a\r\nConnection: close\r\n\r\n").as_bytes()).await.unwrap();
+    tokio::task::spawn_local(rookpulley_api::serve(
+        listener,
+        Bounds::default(),
+        stopped,
+        Rc::new(handler),
+    ));
+    stream
+        .write_all(format!("{line}\r\nHost: a\r\nConnection: close\r\n\r\n").as_bytes())
+        .await
+        .unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).await.unwrap();
     answer
@@ -115,7 +148,9 @@
 fn shape(at: &str, value: &JsonValue, into: &mut BTreeSet<String>) {
     match value {
         JsonValue::Object(fields) => {
-            fields.iter().for_each(|(name, value)| shape(&format!("{at}.{name}"), value, into));
+            fields
+                .iter()
+                .for_each(|(name, value)| shape(&format!("{at}.{name}"), value, into));
         }
         JsonValue::Array(items) => shape(&format!("{at}[]"), &items[0], into),
         JsonValue::String(_) => _ = into.insert(format!("{at} text")),
@@ -128,11 +163,26 @@
 fn what_is_shown_has_the_shape_that_the_operators_command_reads() {
     at_an_office(|calls| async move {
         for (part, example) in [
-            ("view", include_str!("../../../rookpulley-cli/tests/shown/view.json")),
-            ("tasks", include_str!("../../../rookpulley-cli/tests/shown/tasks.json")),
-            ("tables", include_str!("../../../rookpulley-cli/tests/shown/tables.json")),
-            ("couriers", include_str!("../../../rookpulley-cli/tests/shown/couriers.json")),
-            ("ledger", include_str!("../../../rookpulley-cli/tests/shown/ledger.json")),
+            (
+                "view",
+                include_str!("../../../rookpulley-cli/tests/shown/view.json"),
+            ),
+            (
+                "tasks",
+                include_str!("../../../rookpulley-cli/tests/shown/tasks.json"),
+            ),
+            (
+                "tables",
+                include_str!("../../../rookpulley-cli/tests/shown/tables.json"),
+            ),
+            (
+                "couriers",
+                include_str!("../../../rookpulley-cli/tests/shown/couriers.json"),
+            ),
+            (
+                "ledger",
+                include_str!("../../../rookpulley-cli/tests/shown/ledger.json"),
+            ),
         ] {
             let (mut here, mut there) = (BTreeSet::new(), BTreeSet::new());
             shape(part, &shown(&calls, part).await.parse().unwrap(), &mut here);
@@ -145,19 +195,36 @@
 #[test]
 fn an_office_shows_itself_its_tasks_its_couriers_and_what_it_keeps() {
     at_an_office(|calls| async move {
-        let has =
-            |text: String, wanted: &[&str]| wanted.iter().for_each(|w| assert!(text.contains(w), "{text}"));
-        let alone =
-            ["\"view\":1", "\"acting\":true", "\"inTouch\":true", "\"part\":\"alone\"", "\"here\":true"];
+        let has = |text: String, wanted: &[&str]| {
+            wanted
+                .iter()
+                .for_each(|w| assert!(text.contains(w), "{text}"))
+        };
+        let alone = [
+            "\"view\":1",
+            "\"acting\":true",
+            "\"inTouch\":true",
+            "\"part\":\"alone\"",
+            "\"here\":true",
+        ];
         has(shown(&calls, "view").await, &alone);
         has(
             shown(&calls, "tasks/stamps").await,
             &["\"life\":\"i-41c0\"", "\"standing\":\"live\"", "\"more\":0"],
         );
         has(shown(&calls, "tasks/parcels").await, &["\"tasks\":[]"]);
-        has(shown(&calls, "tables/stamps").await, &["\"courier\":\"edge-quay-2\"", "\"lines\":1"]);
-        has(shown(&calls, "couriers").await, &["\"home\":true", "\"config\":7"]);
-        has(shown(&calls, "ledger").await, &["\"configVersion\":7", "\"locks\":0"]);
+        has(
+            shown(&calls, "tables/stamps").await,
+            &["\"courier\":\"edge-quay-2\"", "\"lines\":1"],
+        );
+        has(
+            shown(&calls, "couriers").await,
+            &["\"home\":true", "\"config\":7"],
+        );
+        has(
+            shown(&calls, "ledger").await,
+            &["\"configVersion\":7", "\"locks\":0"],
+        );
         assert_eq!(call(&calls, "PUT", "show/view", "").await.status, 405);
         assert_eq!(call(&calls, "GET", "show/secrets", "").await.status, 404);
     });
@@ -167,7 +234,10 @@
 fn an_answer_has_so_many_rows_and_says_how_many_it_lacks() {
     let rows = |count: usize| super::bounded((0..count).map(|n| super::number(n as u64)));
     let (kept, more) = rows(super::ROWS + 3);
-    assert_eq!((kept.get::<Vec<JsonValue>>().map(Vec::len), more), (Some(super::ROWS), 3.0.into()));
+    assert_eq!(
+        (kept.get::<Vec<JsonValue>>().map(Vec::len), more),
+        (Some(super::ROWS), 3.0.into())
+    );
     assert_eq!(rows(2).1, 0.0.into());
 }
 
@@ -180,7 +250,10 @@
         call(&calls, "GET", "nothing", "").await;
         let answer = over_a_socket(calls, "GET /rookpulley/show/counters HTTP/1.1").await;
         let (head, page) = answer.split_once("\r\n\r\n").unwrap();
-        assert!(head.contains("content-type: text/plain; version=0.0.4\r\n"), "{head}");
+        assert!(
+            head.contains("content-type: text/plain; version=0.0.4\r\n"),
+            "{head}"
+        );
         for line in [
             "rookpulley_office_calls_total{call=\"beat\",outcome=\"done\"} 1",
             "rookpulley_office_calls_total{call=\"put_configuration\",outcome=\"done\"} 1",
--- a/crates/rookpulley-controller/src/standby.rs
+++ b/crates/rookpulley-controller/src/standby.rs
@@ -43,13 +43,20 @@
     path: PathBuf,
     signals: &mut Signals,
 ) -> miette::Result<Standby> {
-    tracing::error!("store: {}; going on without it, calls are passed on", loss.why);
+    tracing::error!(
+        "store: {}; going on without it, calls are passed on",
+        loss.why
+    );
     let (stop, stopped) = tokio::sync::watch::channel(false);
     let calls = Rc::new(Redirect::new(node, control, &loss).into_diagnostic()?);
     let handler = Rc::new(move |call: Call| std::future::ready(calls.answer(&call)));
     let listener = listen_at(control)?;
-    let server =
-        tokio::task::spawn_local(rookpulley_api::serve(listener, Bounds::default(), stopped, handler));
+    let server = tokio::task::spawn_local(rookpulley_api::serve(
+        listener,
+        Bounds::default(),
+        stopped,
+        handler,
+    ));
     tokio::select! {
         () = signals.wait(File::new(path), |_| ()) => {
             ending::close(node, stop, server).await;
@@ -67,7 +74,10 @@
     loop {
         tokio::time::sleep(LOOK_EVERY).await;
         let folder = folder.to_path_buf();
-        if matches!(tokio::task::spawn_blocking(move || probe(&folder)).await, Ok(Ok(()))) {
+        if matches!(
+            tokio::task::spawn_blocking(move || probe(&folder)).await,
+            Ok(Ok(()))
+        ) {
             return;
         }
     }
@@ -75,7 +85,8 @@
 
 fn probe(folder: &Path) -> std::io::Result<()> {
     let at = folder.join(PROBE);
-    let wrote = std::fs::write(&at, vec![0; ROOM_BYTES]).and_then(|()| std::fs::File::open(&at)?.sync_all());
+    let wrote = std::fs::write(&at, vec![0; ROOM_BYTES])
+        .and_then(|()| std::fs::File::open(&at)?.sync_all());
     let removed = std::fs::remove_file(&at);
     wrote.and(removed)
 }
@@ -88,22 +99,46 @@
 }
 
 impl Redirect {
-    fn new(node: &Node, control: SocketAddrV4, loss: &StoreLoss) -> Result<Self, rookpulley_api::TreeError> {
-        let known = if loss.others.is_empty() { &node.seeds } else { &loss.others };
-        let others = known.iter().map(|other| *other.ip()).filter(|ip| *ip != node.ip).collect();
-        Ok(Self { tree: tree()?, others, control_port: control.port() })
+    fn new(
+        node: &Node,
+        control: SocketAddrV4,
+        loss: &StoreLoss,
+    ) -> Result<Self, rookpulley_api::TreeError> {
+        let known = if loss.others.is_empty() {
+            &node.seeds
+        } else {
+            &loss.others
+        };
+        let others = known
+            .iter()
+            .map(|other| *other.ip())
+            .filter(|ip| *ip != node.ip)
+            .collect();
+        Ok(Self {
+            tree: tree()?,
+            others,
+            control_port: control.port(),
+        })
     }
 
     fn answer(&self, call: &Call) -> Reply {
         match self.tree.lookup(&call.method, &call.path) {
             Match::Nothing => return Reply::error(404, "there is no such call"),
-            Match::WrongMethod => return Reply::error(405, "there is no such call with this method"),
+            Match::WrongMethod => {
+                return Reply::error(405, "there is no such call with this method");
+            }
             // What is shown is of one controller alone.
             Match::Found(Asked::Show(_), _) => return not_now(),
             Match::Found(Asked::Call(_), _) => {}
         }
-        let Some(to) = self.another(&call.path) else { return not_now() };
-        let query = if call.query.is_empty() { String::new() } else { format!("?{}", call.query) };
+        let Some(to) = self.another(&call.path) else {
+            return not_now();
+        };
+        let query = if call.query.is_empty() {
+            String::new()
+        } else {
+            format!("?{}", call.query)
+        };
         let location = format!("http://{to}:{}{}{query}", self.control_port, call.path);
         Reply::empty(307).with("Location", location)
     }
@@ -118,7 +153,8 @@
 }
 
 fn not_now() -> Reply {
-    let sentence = "not now: the store of this controller can't be used, see its log; nothing was done";
+    let sentence =
+        "not now: the store of this controller can't be used, see its log; nothing was done";
     Reply::error(503, sentence).with("Retry-After", RETRY_AFTER)
 }
 
--- a/crates/rookpulley-controller/src/standby/tests.rs
+++ b/crates/rookpulley-controller/src/standby/tests.rs
@@ -58,7 +58,10 @@
     // Where a folder should be there is a file: whatever is tried below it is refused.
     std::fs::write(&blocked, "").unwrap();
     let node = settings(&blocked.join("data"));
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(async {
         let trial = async {
             let passed = until("PUT /rookpulley/instances/i-1?a=b", "HTTP/1.1 307").await;
@@ -100,7 +103,10 @@
     node.listen.control = Some(OTHER_CONTROL.parse().unwrap());
     let file = base.path().join("node.toml");
     std::thread::spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .unwrap();
         runtime.block_on(async { tokio::time::timeout(PATIENCE, crate::run(node, file)).await })
     });
     let took = connected(OTHER_CONTROL);
--- a/crates/rookpulley-devcluster/src/beats.rs
+++ b/crates/rookpulley-devcluster/src/beats.rs
@@ -32,7 +32,11 @@
 
     fn body(&self) -> String {
         let task = &self.task;
-        let state = if task.stage() == Stage::Available { "available" } else { "draining" };
+        let state = if task.stage() == Stage::Available {
+            "available"
+        } else {
+            "draining"
+        };
         format!(
             r#"{{"address":"{}","nodeInfo":{{"targetService":"{}","configVersion":"v1","zone":"{}","capacitySlots":{}}},"currentStatus":{{"lifecycleState":"{state}","callSequence":{},"coldRemainingMs":{}}}}}"#,
             task.address,
@@ -50,8 +54,13 @@
         for _ in 0..=self.offices.len() {
             self.sequence += 1;
             let asked = self.endpoint.take();
-            let listed = self.offices.get(self.next % self.offices.len().max(1)).copied();
-            let Some(office) = asked.or(listed) else { return false };
+            let listed = self
+                .offices
+                .get(self.next % self.offices.len().max(1))
+                .copied();
+            let Some(office) = asked.or(listed) else {
+                return false;
+            };
             match once(office, "PUT", &path, &self.body(), SILENCE).await {
                 Some((200..=299, answer)) if answer.len() <= ACKNOWLEDGEMENT_MOST => {
                     self.endpoint = endpoint(&answer).or(asked);
@@ -81,16 +90,29 @@
 }
 
 fn endpoint(answer: &[u8]) -> Option<SocketAddrV4> {
-    field(answer, "heartbeatEndpoint")?.get::<String>()?.parse().ok()
+    field(answer, "heartbeatEndpoint")?
+        .get::<String>()?
+        .parse()
+        .ok()
 }
 
 /// A task's whole life as the offices hear of it.
 pub async fn live(task: Rc<Task>, offices: Vec<SocketAddrV4>) {
     let next = digest(&task.life) as usize % offices.len().max(1);
-    let mut beats = Beats { task: task.clone(), offices, next, endpoint: None, sequence: 0 };
+    let mut beats = Beats {
+        task: task.clone(),
+        offices,
+        next,
+        endpoint: None,
+        sequence: 0,
+    };
     let mut stage = task.stage.subscribe();
     while *stage.borrow_and_update() == Stage::Available {
-        let pause = if beats.beat().await { Duration::from_millis(HEARTBEAT_MS) } else { PAUSE };
+        let pause = if beats.beat().await {
+            Duration::from_millis(HEARTBEAT_MS)
+        } else {
+            PAUSE
+        };
         // A word that it is to drain is passed on at once.
         _ = timeout(pause, stage.changed()).await;
     }
@@ -98,7 +120,10 @@
     let acknowledged = loop {
         if beats.beat().await {
             let (life, now) = (task.life.clone(), task.record.now());
-            task.record.drains.borrow_mut().push(Drain { life, acknowledged: now });
+            task.record.drains.borrow_mut().push(Drain {
+                life,
+                acknowledged: now,
+            });
             break true;
         }
         if Instant::now() > given_up {
--- a/crates/rookpulley-devcluster/src/caller.rs
+++ b/crates/rookpulley-devcluster/src/caller.rs
@@ -34,7 +34,9 @@
     }
 
     pub fn number(&self, name: &str) -> Option<u64> {
-        field(&self.body, name)?.get::<f64>().map(|number| *number as u64)
+        field(&self.body, name)?
+            .get::<f64>()
+            .map(|number| *number as u64)
     }
 
     pub fn text(&self, name: &str) -> Option<String> {
@@ -49,7 +51,10 @@
 /// A field of the JSON object that an answer is.
 pub fn field(answer: &[u8], name: &str) -> Option<JsonValue> {
     let value: JsonValue = std::str::from_utf8(answer).ok()?.parse().ok()?;
-    value.get::<HashMap<String, JsonValue>>()?.get(name).cloned()
+    value
+        .get::<HashMap<String, JsonValue>>()?
+        .get(name)
+        .cloned()
 }
 
 /// One call to one office on a connection of its own.
@@ -61,11 +66,17 @@
     within: Duration,
 ) -> Option<(u16, Bytes)> {
     let until = Instant::now() + within;
-    let mut request = Request::builder().method(method).uri(path).header(HOST, to.to_string());
+    let mut request = Request::builder()
+        .method(method)
+        .uri(path)
+        .header(HOST, to.to_string());
     if !body.is_empty() {
         request = request.header(CONTENT_TYPE, "application/json");
     }
-    let request = request.header(CONNECTION, "close").body(Full::new(Bytes::from(body.to_owned()))).ok()?;
+    let request = request
+        .header(CONNECTION, "close")
+        .body(Full::new(Bytes::from(body.to_owned())))
+        .ok()?;
     match Line::dial(to).await?.ask(request, until).await {
         Outcome::Whole(answer) => Some((answer.status, answer.body)),
         Outcome::CutOff(_) | Outcome::Nothing => None,
@@ -81,7 +92,11 @@
 impl Caller {
     /// `first`: where it begins. Each call goes to another office than the one before.
     pub fn new(offices: Vec<SocketAddrV4>, first: usize, record: Rc<Record>) -> Self {
-        Self { offices, next: Cell::new(first), record }
+        Self {
+            offices,
+            next: Cell::new(first),
+            record,
+        }
     }
 
     fn next(&self) -> Option<SocketAddrV4> {
@@ -90,7 +105,13 @@
     }
 
     /// Sends the same call until the answer is clear or the time is over.
-    pub async fn call(&self, method: &str, path: &str, body: &str, until: Instant) -> Option<Reply> {
+    pub async fn call(
+        &self,
+        method: &str,
+        path: &str,
+        body: &str,
+        until: Instant,
+    ) -> Option<Reply> {
         self.call_within(method, path, body, SILENCE, until).await
     }
 
@@ -109,7 +130,12 @@
             let answer = once(office, method, path, body, silence).await;
             let clear = answer.filter(|(status, _)| *status < 500 && !matches!(status, 408 | 429));
             if let Some((status, body)) = clear {
-                return Some(Reply { status, body, sent, got: self.record.now() });
+                return Some(Reply {
+                    status,
+                    body,
+                    sent,
+                    got: self.record.now(),
+                });
             }
             if Instant::now() + pause >= until {
                 return None;
--- a/crates/rookpulley-devcluster/src/clients.rs
+++ b/crates/rookpulley-devcluster/src/clients.rs
@@ -26,7 +26,12 @@
 /// What a client saw of one try.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
-    Answer { status: u16, id: Option<String>, signature: Option<String>, body: u64 },
+    Answer {
+        status: u16,
+        id: Option<String>,
+        signature: Option<String>,
+        body: u64,
+    },
     CutOff(u16),
     Nothing,
 }
@@ -34,7 +39,13 @@
 impl Seen {
     /// A word that nothing was run, whatever the request was.
     pub fn refused(&self) -> bool {
-        matches!(self, Self::Answer { status: 408 | 421 | 429 | 503, .. })
+        matches!(
+            self,
+            Self::Answer {
+                status: 408 | 421 | 429 | 503,
+                ..
+            }
+        )
     }
 }
 
@@ -54,7 +65,13 @@
 
 impl Try {
     pub fn served(&self) -> bool {
-        matches!(self.seen, Seen::Answer { status: 200..=299, .. })
+        matches!(
+            self.seen,
+            Seen::Answer {
+                status: 200..=299,
+                ..
+            }
+        )
     }
 }
 
@@ -98,9 +115,13 @@
     }
 
     async fn request(self: Rc<Self>, number: u32) {
-        let routes = ROUTES.iter().filter(|route| route.since <= self.version.get());
+        let routes = ROUTES
+            .iter()
+            .filter(|route| route.since <= self.version.get());
         let routes: Vec<&'static Route> = routes.collect();
-        let Some(route) = routes.get(number as usize % routes.len().max(1)).copied() else { return };
+        let Some(route) = routes.get(number as usize % routes.len().max(1)).copied() else {
+            return;
+        };
         let until = Instant::now() + PATIENCE;
         for again in 0..TRIES {
             let (seen, wait) = self.one_try(number, again, route, until).await;
@@ -109,7 +130,9 @@
                 Seen::CutOff(_) | Seen::Nothing => true,
             };
             let left = until.saturating_duration_since(Instant::now());
-            if !(seen.refused() || failed && route.kind.repeatable()) || left < Duration::from_millis(50) {
+            if !(seen.refused() || failed && route.kind.repeatable())
+                || left < Duration::from_millis(50)
+            {
                 return;
             }
             // As long as the answer asks for, up to a third of what is left.
@@ -126,16 +149,28 @@
     ) -> (Seen, Option<Duration>) {
         let courier = (number + number / 5 + again) as usize % self.couriers.len().max(1);
         let id = format!("{:016x}", digest((number, again)));
-        let target = format!("{}{}?part={number}&mark=%2e%2E", route.prefix, digest(number) % 1_000);
+        let target = format!(
+            "{}{}?part={number}&mark=%2e%2E",
+            route.prefix,
+            digest(number) % 1_000
+        );
         let (method, body) = match route.kind {
-            Kind::Mutating => ("POST", format!("{number} says {}", "so ".repeat(number as usize % 90))),
+            Kind::Mutating => (
+                "POST",
+                format!("{number} says {}", "so ".repeat(number as usize % 90)),
+            ),
             Kind::ReadOnly | Kind::Download => ("GET", String::new()),
         };
         // A try after the first has a connection of its own.
         let fresh = again > 0 || number.is_multiple_of(3);
         let left = until.saturating_duration_since(Instant::now()).as_millis();
-        let mut request = Request::builder().method(method).uri(&target).header(HOST, route.host);
-        request = request.header(REQUEST_ID, &id).header(DEADLINE, left.to_string());
+        let mut request = Request::builder()
+            .method(method)
+            .uri(&target)
+            .header(HOST, route.host);
+        request = request
+            .header(REQUEST_ID, &id)
+            .header(DEADLINE, left.to_string());
         if fresh {
             request = request.header(CONNECTION, "close");
         }
@@ -149,7 +184,9 @@
         let mut wait = None;
         let seen = match outcome {
             Outcome::Whole(answer) => {
-                wait = answer.header(&RETRY_AFTER).and_then(|text| text.parse::<f64>().ok());
+                wait = answer
+                    .header(&RETRY_AFTER)
+                    .and_then(|text| text.parse::<f64>().ok());
                 Seen::Answer {
                     status: answer.status,
                     id: answer.header(&REQUEST_ID).map(String::from),
@@ -172,7 +209,9 @@
             ended: self.record.now(),
             seen: seen.clone(),
         });
-        let wait = wait.filter(|wait| (0.0..=60.0).contains(wait)).map(Duration::from_secs_f64);
+        let wait = wait
+            .filter(|wait| (0.0..=60.0).contains(wait))
+            .map(Duration::from_secs_f64);
         (seen, wait)
     }
 
@@ -193,10 +232,20 @@
                 break;
             }
         }
-        let dialed = if line.is_none() { Line::dial(*to).await } else { None };
-        let Some(mut line) = line.or(dialed) else { return Outcome::Nothing };
+        let dialed = if line.is_none() {
+            Line::dial(*to).await
+        } else {
+            None
+        };
+        let Some(mut line) = line.or(dialed) else {
+            return Outcome::Nothing;
+        };
         let outcome = line.ask(request, until).await;
-        if !fresh && matches!(outcome, Outcome::Whole(_)) && line.open() && kept.borrow().len() < KEPT {
+        if !fresh
+            && matches!(outcome, Outcome::Whole(_))
+            && line.open()
+            && kept.borrow().len() < KEPT
+        {
             kept.borrow_mut().push(line);
         }
         outcome
--- a/crates/rookpulley-devcluster/src/coordination.rs
+++ b/crates/rookpulley-devcluster/src/coordination.rs
@@ -98,7 +98,14 @@
             self.put().await;
             self.puts_over.set(true);
         };
-        tokio::join!(self.number(0), self.number(1), self.hold(0), self.hold(1), puts, self.watch());
+        tokio::join!(
+            self.number(0),
+            self.number(1),
+            self.hold(0),
+            self.hold(1),
+            puts,
+            self.watch()
+        );
     }
 
     fn caller(&self, first: usize) -> Caller {
@@ -118,16 +125,19 @@
         body: &str,
         fine: &[u16],
     ) -> Option<Reply> {
-        let reply = caller.call(method, path, body, Instant::now() + PATIENCE).await;
+        let reply = caller
+            .call(method, path, body, Instant::now() + PATIENCE)
+            .await;
         match reply {
             Some(reply) if fine.contains(&reply.status) => return Some(reply),
             Some(reply) => {
                 let said = String::from_utf8_lossy(&reply.body).into_owned();
                 self.odd(format!("{method} {path} {body}: {} {said}", reply.status));
             }
-            None => {
-                self.odd(format!("{method} {path} {body}: no clear answer within {} s", PATIENCE.as_secs()))
-            }
+            None => self.odd(format!(
+                "{method} {path} {body}: no clear answer within {} s",
+                PATIENCE.as_secs()
+            )),
         }
         None
     }
@@ -135,10 +145,16 @@
     async fn number(&self, first: usize) {
         let caller = self.caller(first);
         while !self.over.get() {
-            let reply = self.call(&caller, "POST", "/rookpulley/numbers/trial", "{}", &[200]).await;
+            let reply = self
+                .call(&caller, "POST", "/rookpulley/numbers/trial", "{}", &[200])
+                .await;
             if let Some(reply) = reply {
                 let value = reply.number("value").unwrap_or_default();
-                self.told.numbers.borrow_mut().push(Number { sent: reply.sent, got: reply.got, value });
+                self.told.numbers.borrow_mut().push(Number {
+                    sent: reply.sent,
+                    got: reply.got,
+                    value,
+                });
             }
             sleep(BETWEEN).await;
         }
@@ -162,9 +178,15 @@
             };
             self.taker.set(holder);
             let fence = taken.number("fence").unwrap_or_default();
-            let mut hold =
-                Hold { holder, fence, sent: taken.sent, from: taken.got, until: taken.sent + HOLD };
-            let renew = format!(r#"{{"holder":"holder-{holder}","fence":{fence},"holdMs":{hold_ms}}}"#);
+            let mut hold = Hold {
+                holder,
+                fence,
+                sent: taken.sent,
+                from: taken.got,
+                until: taken.sent + HOLD,
+            };
+            let renew =
+                format!(r#"{{"holder":"holder-{holder}","fence":{fence},"holdMs":{hold_ms}}}"#);
             if let Some(reply) = self.call(&caller, "PUT", path, &renew, &[200, 409]).await
                 && reply.good()
                 && reply.got < hold.until
@@ -194,7 +216,9 @@
         let caller = self.caller(1);
         let mut last: HashMap<&str, Put> = HashMap::new();
         for turn in 0.. {
-            let Some(name) = KEYS.get(turn % KEYS.len()).copied() else { return };
+            let Some(name) = KEYS.get(turn % KEYS.len()).copied() else {
+                return;
+            };
             if self.over.get() && last.len() == KEYS.len() {
                 return;
             }
@@ -202,7 +226,10 @@
             let value = format!("value-{turn}");
             let active = last.get(name).map_or(0, |put| put.revision);
             if turn % 5 == 4 {
-                let behind = format!(r#"{{"value":"never-{turn}","active":{}}}"#, active.saturating_sub(1));
+                let behind = format!(
+                    r#"{{"value":"never-{turn}","active":{}}}"#,
+                    active.saturating_sub(1)
+                );
                 if let Some(reply) = self.call(&caller, "PUT", &path, &behind, &[412]).await {
                     let (sent, away) = self.told.stale.get();
                     let named = reply.number("revision") == Some(active);
@@ -213,13 +240,23 @@
             let Some(reply) = self.call(&caller, "PUT", &path, &body, &[200]).await else {
                 return self.told.unclear.borrow_mut().push((name.into(), value));
             };
-            let put =
-                Put { name: name.into(), value, revision: reply.number("revision").unwrap_or_default() };
+            let put = Put {
+                name: name.into(),
+                value,
+                revision: reply.number("revision").unwrap_or_default(),
+            };
             self.told.puts.borrow_mut().push(put.clone());
             last.insert(name, put.clone());
             if let Some(reply) = self.call(&caller, "GET", &path, "", &[200]).await {
-                let (value, revision) = (reply.text("value"), reply.number("revision").unwrap_or_default());
-                self.told.reads.borrow_mut().push(Read { put, value, revision });
+                let (value, revision) = (
+                    reply.text("value"),
+                    reply.number("revision").unwrap_or_default(),
+                );
+                self.told.reads.borrow_mut().push(Read {
+                    put,
+                    value,
+                    revision,
+                });
             }
             sleep(BETWEEN).await;
         }
@@ -236,17 +273,27 @@
         while after == 0 && !self.over.get() {
             let path = format!("/rookpulley/watch/{GROUP}?after=0&waitMs=0");
             let reply = self.call(&caller, "GET", &path, "", &[200]).await;
-            after = reply.and_then(|reply| reply.number("revision")).unwrap_or_default();
+            after = reply
+                .and_then(|reply| reply.number("revision"))
+                .unwrap_or_default();
             sleep(BETWEEN).await;
         }
         self.told.watched_from.set(after);
         let mut given_up = None;
         while !self.puts_over.get() || after < self.last_revision() {
             // When it is over, the last put must still come in time.
-            if self.puts_over.get() && Instant::now() > *given_up.get_or_insert(Instant::now() + PATIENCE) {
-                return self.odd(format!("the watch stays at {after} of {}", self.last_revision()));
+            if self.puts_over.get()
+                && Instant::now() > *given_up.get_or_insert(Instant::now() + PATIENCE)
+            {
+                return self.odd(format!(
+                    "the watch stays at {after} of {}",
+                    self.last_revision()
+                ));
             }
-            let path = format!("/rookpulley/watch/{GROUP}?after={after}&waitMs={}", WATCHES.as_millis());
+            let path = format!(
+                "/rookpulley/watch/{GROUP}?after={after}&waitMs={}",
+                WATCHES.as_millis()
+            );
             let until = Instant::now() + PATIENCE;
             let silence = WATCHES + SILENCE;
             let Some(reply) = caller.call_within("GET", &path, "", silence, until).await else {
@@ -257,7 +304,10 @@
                 return self.odd(format!("GET {path}: {}", reply.status));
             }
             let events = reply.list("events").unwrap_or_default();
-            self.told.events.borrow_mut().extend(events.iter().filter_map(event));
+            self.told
+                .events
+                .borrow_mut()
+                .extend(events.iter().filter_map(event));
             after = reply.number("revision").unwrap_or(after);
         }
     }
@@ -267,5 +317,9 @@
     let fields: &HashMap<String, JsonValue> = value.get()?;
     let text = |name: &str| fields.get(name)?.get::<String>().cloned();
     let revision = *fields.get("revision")?.get::<f64>()? as u64;
-    Some(Put { name: text("name")?, value: text("value")?, revision })
+    Some(Put {
+        name: text("name")?,
+        value: text("value")?,
+        revision,
+    })
 }
--- a/crates/rookpulley-devcluster/src/depot.rs
+++ b/crates/rookpulley-devcluster/src/depot.rs
@@ -33,7 +33,12 @@
     pub fn new(keep: bool, verbose: bool) -> Result<Self, DepotError> {
         let processes = Processes::find(verbose)?;
         let ground = Ground::find(keep)?;
-        Ok(Self { ground, processes, tasks: Vec::new(), record: Rc::new(Record::begin()) })
+        Ok(Self {
+            ground,
+            processes,
+            tasks: Vec::new(),
+            record: Rc::new(Record::begin()),
+        })
     }
 
     /// Returns once all couriers say that they are ready.
@@ -47,7 +52,11 @@
                 let answer = once(to, "GET", "/rookpulley/readiness", "", ANSWERS).await;
                 answer.is_some_and(|(status, _)| status == 200)
             };
-            self.wait(&format!("that {} is ready", Role::Courier.name(machine)), ready).await?;
+            self.wait(
+                &format!("that {} is ready", Role::Courier.name(machine)),
+                ready,
+            )
+            .await?;
         }
         Ok(())
     }
@@ -57,7 +66,10 @@
             for (at, slots) in tasks.iter().enumerate() {
                 let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
                 let listener = listener.map_err(DepotError::system("a task can't listen"))?;
-                let port = listener.local_addr().map_err(DepotError::system("a task can't listen"))?.port();
+                let port = listener
+                    .local_addr()
+                    .map_err(DepotError::system("a task can't listen"))?
+                    .port();
                 let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
                 let life = format!("i-{service}-{}-{port}", at + 1);
                 let zone = ZONES.get(at % MACHINES).copied().unwrap_or_default();
@@ -71,15 +83,25 @@
 
     /// The operator sends a version until it is acknowledged.
     pub async fn configure(&mut self, version: u64) -> Result<(), DepotError> {
-        let caller = Caller::new(self.ground.controls(), version as usize, self.record.clone());
+        let caller = Caller::new(
+            self.ground.controls(),
+            version as usize,
+            self.record.clone(),
+        );
         let body = configuration(version);
         let sent = async {
             let until = Instant::now() + WITHIN;
-            let reply = caller.call("PUT", "/rookpulley/configuration", &body, until).await;
+            let reply = caller
+                .call("PUT", "/rookpulley/configuration", &body, until)
+                .await;
             reply.is_some_and(|reply| reply.status == 200)
         };
         let taken = self.while_all_run(sent).await?;
-        if taken { Ok(()) } else { Err(self.late(&format!("an acknowledgement of configuration {version}"))) }
+        if taken {
+            Ok(())
+        } else {
+            Err(self.late(&format!("an acknowledgement of configuration {version}")))
+        }
     }
 
     /// Does something that ends by itself, but no longer than the processes run.
@@ -110,7 +132,11 @@
     }
 
     fn late(&self, what: &str) -> DepotError {
-        DepotError::Late { what: what.into(), seconds: WITHIN.as_secs(), tails: tails(&self.ground) }
+        DepotError::Late {
+            what: what.into(),
+            seconds: WITHIN.as_secs(),
+            tails: tails(&self.ground),
+        }
     }
 
     /// The tasks take their leave, then the processes are told to end. Gives back what didn't go as it should.
@@ -133,7 +159,11 @@
         }
         faults.extend(self.processes.end().await);
         let unheard = self.record.unheard.borrow();
-        faults.extend(unheard.iter().map(|life| format!("nobody acknowledged that {life} left")));
+        faults.extend(
+            unheard
+                .iter()
+                .map(|life| format!("nobody acknowledged that {life} left")),
+        );
         faults
     }
 }
--- a/crates/rookpulley-devcluster/src/faults.rs
+++ b/crates/rookpulley-devcluster/src/faults.rs
@@ -16,14 +16,28 @@
     ))]
     NoPorts,
     #[error("depot: {what}: {why}")]
-    #[diagnostic(help("look at the limits of this user: descriptors, processes, space for temporary files"))]
+    #[diagnostic(help(
+        "look at the limits of this user: descriptors, processes, space for temporary files"
+    ))]
     System { what: &'static str, why: io::Error },
     #[error("depot: {what} did not happen within {seconds} s{tails}")]
-    #[diagnostic(help("run it with --keep --verbose and read the logs in the folder that it names"))]
-    Late { what: String, seconds: u64, tails: String },
+    #[diagnostic(help(
+        "run it with --keep --verbose and read the logs in the folder that it names"
+    ))]
+    Late {
+        what: String,
+        seconds: u64,
+        tails: String,
+    },
     #[error("depot: {name} ended by itself ({how}){tails}")]
-    #[diagnostic(help("run it with --keep --verbose and read the logs in the folder that it names"))]
-    Ended { name: String, how: String, tails: String },
+    #[diagnostic(help(
+        "run it with --keep --verbose and read the logs in the folder that it names"
+    ))]
+    Ended {
+        name: String,
+        how: String,
+        tails: String,
+    },
     #[error("depot: it was told to end")]
     #[diagnostic(help("let it run to its end, or give it more time by --for"))]
     Stopped,
--- a/crates/rookpulley-devcluster/src/ground.rs
+++ b/crates/rookpulley-devcluster/src/ground.rs
@@ -39,19 +39,31 @@
     /// Looks for a block of free ports, from where the system's own next port says. It lies below the ports that
     /// the system gives to outgoing connections, where it can: a killed office's would be given away meanwhile.
     fn find() -> Result<Self, DepotError> {
-        let given = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|listener| listener.local_addr());
-        let given = given.map_err(DepotError::system("no port is given"))?.port();
-        let own = own_ports().filter(|lowest| *lowest >= LOWEST + 8 * BLOCK).unwrap_or(HIGHEST);
+        let given =
+            TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|listener| listener.local_addr());
+        let given = given
+            .map_err(DepotError::system("no port is given"))?
+            .port();
+        let own = own_ports()
+            .filter(|lowest| *lowest >= LOWEST + 8 * BLOCK)
+            .unwrap_or(HIGHEST);
         let blocks = (own - LOWEST) / BLOCK;
         let order = (0..blocks).map(|step| LOWEST + (given.wrapping_add(step) % blocks) * BLOCK);
-        order.into_iter().find_map(Self::take).ok_or(DepotError::NoPorts)
+        order
+            .into_iter()
+            .find_map(Self::take)
+            .ok_or(DepotError::NoPorts)
     }
 
     fn take(first: u16) -> Option<Self> {
         let guard = TcpListener::bind((Ipv4Addr::LOCALHOST, first + BLOCK - 1)).ok()?;
-        let ports = Self { first, _guard: guard };
+        let ports = Self {
+            first,
+            _guard: guard,
+        };
         let free = (0..MACHINES).all(|machine| {
-            (first..=ports.control()).all(|port| TcpListener::bind((address(machine), port)).is_ok())
+            (first..=ports.control())
+                .all(|port| TcpListener::bind((address(machine), port)).is_ok())
         });
         free.then_some(ports)
     }
@@ -76,7 +88,9 @@
 impl Ground {
     pub fn find(keep: bool) -> Result<Self, DepotError> {
         let ports = Ports::find()?;
-        let folder = tempfile::Builder::new().prefix("rookpulley-devcluster-").tempdir();
+        let folder = tempfile::Builder::new()
+            .prefix("rookpulley-devcluster-")
+            .tempdir();
         let mut folder = folder.map_err(DepotError::system("no temporary folder can be made"))?;
         folder.disable_cleanup(keep);
         Ok(Self { ports, folder })
--- a/crates/rookpulley-devcluster/src/judge.rs
+++ b/crates/rookpulley-devcluster/src/judge.rs
@@ -22,7 +22,12 @@
 
 impl Check {
     pub fn new(what: &'static str) -> Self {
-        Self { what, looked: 0, faults: 0, told: Vec::new() }
+        Self {
+            what,
+            looked: 0,
+            faults: 0,
+            told: Vec::new(),
+        }
     }
 
     pub fn look(&mut self, fine: bool, fault: impl FnOnce() -> String) {
@@ -72,18 +77,27 @@
     }
 
     fn runs(&self) -> impl Iterator<Item = (&Arrival, &Given)> {
-        self.arrivals.iter().filter_map(|arrival| Some((arrival, arrival.given.as_ref()?)))
+        self.arrivals
+            .iter()
+            .filter_map(|arrival| Some((arrival, arrival.given.as_ref()?)))
     }
 
     fn tries_by_id(&self) -> HashMap<&str, &Try> {
-        self.tries.iter().map(|one| (one.id.as_str(), one)).collect()
+        self.tries
+            .iter()
+            .map(|one| (one.id.as_str(), one))
+            .collect()
     }
 
     fn served(&self) -> Check {
         let mut check = Check::new("requests served, in the end 19 of 20 at least");
         let mut requests: BTreeMap<u32, Vec<&Try>> = BTreeMap::new();
-        self.tries.iter().for_each(|one| requests.entry(one.request).or_default().push(one));
-        let unserved = requests.values().filter(|tries| !tries.iter().any(|one| one.served()));
+        self.tries
+            .iter()
+            .for_each(|one| requests.entry(one.request).or_default().push(one));
+        let unserved = requests
+            .values()
+            .filter(|tries| !tries.iter().any(|one| one.served()));
         let unserved: Vec<String> = unserved.flatten().map(|one| described(one)).collect();
         check.looked = requests.len();
         if unserved.len() * 20 > requests.len() {
@@ -96,10 +110,16 @@
         let mut check = Check::new("what may run once ran once at most");
         let tries = self.tries_by_id();
         let mut runs: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-        self.runs().for_each(|(arrival, _)| runs.entry(&arrival.id).or_default().push(&arrival.life));
+        self.runs()
+            .for_each(|(arrival, _)| runs.entry(&arrival.id).or_default().push(&arrival.life));
         for (id, lives) in runs {
-            if tries.get(id).is_some_and(|one| !one.route.kind.repeatable()) {
-                check.look(lives.len() == 1, || format!("{id} ran at {}", lives.join(", ")));
+            if tries
+                .get(id)
+                .is_some_and(|one| !one.route.kind.repeatable())
+            {
+                check.look(lives.len() == 1, || {
+                    format!("{id} ran at {}", lives.join(", "))
+                });
             }
         }
         check
@@ -107,9 +127,15 @@
 
     fn promises(&self) -> Check {
         let mut check = Check::new("what may run once and was refused never ran");
-        let ran: HashSet<&str> = self.runs().map(|(arrival, _)| arrival.id.as_str()).collect();
+        let ran: HashSet<&str> = self
+            .runs()
+            .map(|(arrival, _)| arrival.id.as_str())
+            .collect();
         for one in self.tries.iter().filter(|one| !one.route.kind.repeatable()) {
-            check.look(!(one.seen.refused() && ran.contains(one.id.as_str())), || described(one));
+            check.look(
+                !(one.seen.refused() && ran.contains(one.id.as_str())),
+                || described(one),
+            );
         }
         check
     }
@@ -117,13 +143,26 @@
     fn whole(&self) -> Check {
         let mut check = Check::new("every success is whole and signed by the task that ran it");
         let mut given: HashMap<&str, Vec<&Given>> = HashMap::new();
-        self.runs().for_each(|(arrival, one)| given.entry(&arrival.id).or_default().push(one));
+        self.runs()
+            .for_each(|(arrival, one)| given.entry(&arrival.id).or_default().push(one));
         for one in self.tries.iter().filter(|one| one.served()) {
-            let Seen::Answer { status, signature, body, .. } = &one.seen else { continue };
+            let Seen::Answer {
+                status,
+                signature,
+                body,
+                ..
+            } = &one.seen
+            else {
+                continue;
+            };
             let same = |task: &&Given| {
-                task.status == *status && Some(&task.signature) == signature.as_ref() && task.body == *body
+                task.status == *status
+                    && Some(&task.signature) == signature.as_ref()
+                    && task.body == *body
             };
-            let fine = given.get(one.id.as_str()).is_some_and(|given| given.iter().any(same));
+            let fine = given
+                .get(one.id.as_str())
+                .is_some_and(|given| given.iter().any(same));
             check.look(fine, || described(one));
         }
         check
@@ -147,9 +186,15 @@
         for arrival in self.arrivals {
             let fine = tries.get(arrival.id.as_str()).is_some_and(|one| {
                 (one.method, one.target.as_str(), one.body)
-                    == (arrival.method.as_str(), arrival.target.as_str(), arrival.body)
+                    == (
+                        arrival.method.as_str(),
+                        arrival.target.as_str(),
+                        arrival.body,
+                    )
+            });
+            check.look(fine, || {
+                format!("{} {} as {}", arrival.method, arrival.target, arrival.id)
             });
-            check.look(fine, || format!("{} {} as {}", arrival.method, arrival.target, arrival.id));
         }
         check
     }
@@ -159,13 +204,26 @@
         let tries = self.tries_by_id();
         for arrival in self.arrivals.iter().filter(|arrival| !arrival.foreign) {
             if let Some(one) = tries.get(arrival.id.as_str()) {
-                let fine = one.route.targets.iter().any(|(service, _)| *service == arrival.service);
-                check.look(fine, || format!("{} went to {}", described(one), arrival.service));
+                let fine = one
+                    .route
+                    .targets
+                    .iter()
+                    .any(|(service, _)| *service == arrival.service);
+                check.look(fine, || {
+                    format!("{} went to {}", described(one), arrival.service)
+                });
             }
         }
         for one in self.tries {
-            let holds = one.route.since < SECOND || self.second_holds.is_some_and(|at| one.sent > at);
-            let denied = matches!(one.seen, Seen::Answer { status: 300..=499, .. }) && !one.seen.refused();
+            let holds =
+                one.route.since < SECOND || self.second_holds.is_some_and(|at| one.sent > at);
+            let denied = matches!(
+                one.seen,
+                Seen::Answer {
+                    status: 300..=499,
+                    ..
+                }
+            ) && !one.seen.refused();
             if holds && denied {
                 check.fault(described(one));
             }
@@ -174,14 +232,18 @@
     }
 
     fn drained(&self) -> Check {
-        let mut check = Check::new("nothing reached a task too long after its drain was acknowledged");
+        let mut check =
+            Check::new("nothing reached a task too long after its drain was acknowledged");
         for drain in self.drains {
             let latest = drain.acknowledged + self.drain;
-            let late =
-                |arrival: &&Arrival| arrival.life == drain.life && !arrival.foreign && arrival.at > latest;
+            let late = |arrival: &&Arrival| {
+                arrival.life == drain.life && !arrival.foreign && arrival.at > latest
+            };
             let late: Vec<&Arrival> = self.arrivals.iter().filter(late).collect();
             check.look(late.is_empty(), || {
-                let after = late.iter().map(|arrival| (arrival.at - drain.acknowledged).as_millis());
+                let after = late
+                    .iter()
+                    .map(|arrival| (arrival.at - drain.acknowledged).as_millis());
                 format!("{} after {:?} ms", drain.life, after.collect::<Vec<_>>())
             });
         }
@@ -197,9 +259,18 @@
                 *further.entry(arrival.service).or_default() += 1;
             }
         }
-        let services: HashSet<&str> = self.arrivals.iter().map(|arrival| arrival.service).collect();
+        let services: HashSet<&str> = self
+            .arrivals
+            .iter()
+            .map(|arrival| arrival.service)
+            .collect();
         for service in services {
-            let may = |one: &&Try| one.route.targets.iter().any(|(target, _)| *target == service);
+            let may = |one: &&Try| {
+                one.route
+                    .targets
+                    .iter()
+                    .any(|(target, _)| *target == service)
+            };
             let requests = self.tries.iter().filter(may).count();
             let most = requests as f64 * self.retry_ratio + self.retry_slack;
             let sends = further.get(service).copied().unwrap_or(0);
@@ -213,9 +284,16 @@
     /// Of the successes, the time in the middle and the one that 1 of 100 exceed.
     pub fn times(&self) -> (Duration, Duration) {
         let served = self.tries.iter().filter(|one| one.served());
-        let mut times: Vec<Duration> = served.map(|one| one.ended.saturating_sub(one.sent)).collect();
+        let mut times: Vec<Duration> = served
+            .map(|one| one.ended.saturating_sub(one.sent))
+            .collect();
         times.sort();
-        let at = |share: usize| times.get(times.len() * share / 100).copied().unwrap_or_default();
+        let at = |share: usize| {
+            times
+                .get(times.len() * share / 100)
+                .copied()
+                .unwrap_or_default()
+        };
         (at(50), at(99))
     }
 
@@ -243,5 +321,8 @@
     let took = one.ended.saturating_sub(one.sent).as_millis();
     let at = one.sent.as_secs_f64();
     let courier = Role::Courier.name(one.courier);
-    format!("{} at {at:.2} s by {courier} ({}): {seen} after {took} ms", one.id, one.route.name)
+    format!(
+        "{} at {at:.2} s by {courier} ({}): {seen} after {took} ms",
+        one.id, one.route.name
+    )
 }
--- a/crates/rookpulley-devcluster/src/main.rs
+++ b/crates/rookpulley-devcluster/src/main.rs
@@ -64,11 +64,20 @@
 
 fn main() -> miette::Result<ExitCode> {
     // `for` is a word of the language, so the parser can't have a flag of that name.
-    let said =
-        std::env::args_os().skip(1).map(|word| if word == "--for" { "--seconds".into() } else { word });
+    let said = std::env::args_os().skip(1).map(|word| {
+        if word == "--for" {
+            "--seconds".into()
+        } else {
+            word
+        }
+    });
     let flags = RookpulleyDevcluster::from_vec(said.collect()).unwrap_or_else(|fault| fault.exit());
-    _ = miette::set_hook(Box::new(|_| Box::new(miette::NarratableReportHandler::new())));
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    _ = miette::set_hook(Box::new(|_| {
+        Box::new(miette::NarratableReportHandler::new())
+    }));
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(DepotError::system("the runtime can't be made"))?;
     Ok(tokio::task::LocalSet::new().block_on(&runtime, run(flags))?)
 }
@@ -131,7 +140,10 @@
     };
     faults.iter().for_each(|fault| tell!("depot: {fault}"));
     if flags.keep {
-        tell!("depot: settings, logs and data stay in {}", depot.ground.folder().display());
+        tell!(
+            "depot: settings, logs and data stay in {}",
+            depot.ground.folder().display()
+        );
     }
     let fine = match ended? {
         End::Trial(trial) => {
@@ -144,7 +156,11 @@
         }
         End::Asked | End::Over => true,
     };
-    Ok(if fine && faults.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if fine && faults.is_empty() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 /// Until something else ends it.
@@ -160,25 +176,48 @@
 
 fn show(depot: &Depot) {
     let ground = &depot.ground;
-    tell!("depot: up; settings, logs and data are in {}", ground.folder().display());
+    tell!(
+        "depot: up; settings, logs and data are in {}",
+        ground.folder().display()
+    );
     for machine in 0..MACHINES {
         let (front, control) = (ground.front(machine), ground.control(machine));
-        tell!("depot: machine {}: requests at {front}, calls at {control}", machine + 1);
+        tell!(
+            "depot: machine {}: requests at {front}, calls at {control}",
+            machine + 1
+        );
     }
     for task in &depot.tasks {
-        tell!("depot: task {} at {}, {} slots", task.life, task.address, task.slots);
+        tell!(
+            "depot: task {} at {}, {} slots",
+            task.life,
+            task.address,
+            task.slots
+        );
     }
     tell!("try it:");
     let (front, control) = (ground.front(0), ground.control(0));
-    tell!("    curl -i -H 'Host: letters.example' -H 'Request-Id: my-first' http://{front}/read/hello");
+    tell!(
+        "    curl -i -H 'Host: letters.example' -H 'Request-Id: my-first' http://{front}/read/hello"
+    );
     tell!("    curl -i -X POST -d '{{}}' http://{control}/rookpulley/numbers/mine");
 }
 
 fn report(trial: &Trial, warnings: &[String]) {
-    tell!("\n{:<70} {:>6} {:>6}", "what was checked", "looked", "faults");
+    tell!(
+        "\n{:<70} {:>6} {:>6}",
+        "what was checked",
+        "looked",
+        "faults"
+    );
     for check in &trial.checks {
         let mark = if check.passed() { "" } else { "  <--" };
-        tell!("{:<70} {:>6} {:>6}{mark}", check.what, check.looked, check.faults);
+        tell!(
+            "{:<70} {:>6} {:>6}{mark}",
+            check.what,
+            check.looked,
+            check.faults
+        );
     }
     trial.lines.iter().for_each(|line| tell!("{line}"));
     warnings.iter().for_each(|line| tell!("log: {line}"));
@@ -186,5 +225,8 @@
         tell!("fault: {}", check.what);
         check.told.iter().for_each(|fault| tell!("    {fault}"));
     }
-    tell!("trial: {}", if trial.passed() { "passed" } else { "FAILED" });
+    tell!(
+        "trial: {}",
+        if trial.passed() { "passed" } else { "FAILED" }
+    );
 }
--- a/crates/rookpulley-devcluster/src/operator.rs
+++ b/crates/rookpulley-devcluster/src/operator.rs
@@ -95,11 +95,16 @@
         )
     });
     let hosts = [LETTERS_HOST, PARCELS_HOST].map(|host| {
-        let rules = ROUTES.iter().filter(|route| route.host == host && route.since <= version).map(rule);
-        format!(r#"{{"hostname":"{host}","pathRules":[{}]}}"#, rules.collect::<Vec<_>>().join(","))
+        let rules = ROUTES
+            .iter()
+            .filter(|route| route.host == host && route.since <= version)
+            .map(rule);
+        format!(
+            r#"{{"hostname":"{host}","pathRules":[{}]}}"#,
+            rules.collect::<Vec<_>>().join(",")
+        )
     });
-    let limits =
-        r#"{"maxHeaderBytes":16384,"maxBodyBytes":1048576,"headerTimeoutMs":3000,"idleTimeoutMs":15000}"#;
+    let limits = r#"{"maxHeaderBytes":16384,"maxBodyBytes":1048576,"headerTimeoutMs":3000,"idleTimeoutMs":15000}"#;
     format!(
         r#"{{"configVersion":{version},"services":[{}],"limits":{limits},"hostnames":[{}]}}"#,
         services.join(","),
@@ -113,10 +118,13 @@
     let targets = match route.targets {
         [(service, _)] => format!(r#""targetService":"{service}""#),
         split => {
-            let shares = split
-                .iter()
-                .map(|(service, weight)| format!(r#"{{"targetService":"{service}","weight":{weight}}}"#));
-            format!(r#""trafficSplit":[{}]"#, shares.collect::<Vec<_>>().join(","))
+            let shares = split.iter().map(|(service, weight)| {
+                format!(r#"{{"targetService":"{service}","weight":{weight}}}"#)
+            });
+            format!(
+                r#""trafficSplit":[{}]"#,
+                shares.collect::<Vec<_>>().join(",")
+            )
         }
     };
     format!(
--- a/crates/rookpulley-devcluster/src/order.rs
+++ b/crates/rookpulley-devcluster/src/order.rs
@@ -20,7 +20,11 @@
     for one in numbers {
         let before = numbers.iter().filter(|other| other.got <= one.sent);
         let most = before.map(|other| other.value).max();
-        let twice = numbers.iter().filter(|other| other.value == one.value).count() > 1;
+        let twice = numbers
+            .iter()
+            .filter(|other| other.value == one.value)
+            .count()
+            > 1;
         check.look(!twice && most.is_none_or(|most| most < one.value), || {
             format!("{} after {}", one.value, most.unwrap_or_default())
         });
@@ -40,7 +44,10 @@
         check.look(fault.is_none(), || format!("{one:?} against {fault:?}"));
     }
     if holds.iter().all(|one| one.holder == 0) || holds.iter().all(|one| one.holder == 1) {
-        check.fault(format!("of two who asked, one alone ever held it, {} times", holds.len()));
+        check.fault(format!(
+            "of two who asked, one alone ever held it, {} times",
+            holds.len()
+        ));
     }
     check
 }
@@ -48,8 +55,11 @@
 fn reads(told: &Told) -> Check {
     let mut check = Check::new("a small key reads back as it was last put");
     for read in told.reads.borrow().iter() {
-        let fine = read.value.as_ref() == Some(&read.put.value) && read.revision == read.put.revision;
-        check.look(fine, || format!("{:?} for {:?}", (&read.value, read.revision), read.put));
+        let fine =
+            read.value.as_ref() == Some(&read.put.value) && read.revision == read.put.revision;
+        check.look(fine, || {
+            format!("{:?} for {:?}", (&read.value, read.revision), read.put)
+        });
     }
     check
 }
@@ -57,26 +67,40 @@
 fn stale(told: &Told) -> Check {
     let mut check = Check::new("a put over a revision left behind is turned away");
     let (sent, away) = told.stale.get();
-    (0..sent).for_each(|at| check.look(at < away, || "one was taken, or told another revision".into()));
+    (0..sent).for_each(|at| {
+        check.look(at < away, || {
+            "one was taken, or told another revision".into()
+        })
+    });
     check
 }
 
 fn watch(told: &Told) -> Check {
-    let (puts, events, from) = (told.puts.borrow(), told.events.borrow(), told.watched_from.get());
+    let (puts, events, from) = (
+        told.puts.borrow(),
+        told.events.borrow(),
+        told.watched_from.get(),
+    );
     let unclear = told.unclear.borrow();
     let mut check = Check::new("the watch shows every put once, in order");
-    let rises = events.windows(2).all(|pair| matches!(pair, [one, next] if one.revision < next.revision));
+    let rises = events
+        .windows(2)
+        .all(|pair| matches!(pair, [one, next] if one.revision < next.revision));
     if !rises {
         check.fault("its revisions don't rise".into());
     }
     let shown: HashMap<u64, &Put> = events.iter().map(|event| (event.revision, event)).collect();
     for put in puts.iter().filter(|put| put.revision > from) {
         let event = shown.get(&put.revision);
-        check.look(event == Some(&put), || format!("{put:?} is shown as {event:?}"));
+        check.look(event == Some(&put), || {
+            format!("{put:?} is shown as {event:?}")
+        });
     }
     let put = |event: &Put| {
         puts.contains(event)
-            || unclear.iter().any(|(name, value)| (name, value) == (&event.name, &event.value))
+            || unclear
+                .iter()
+                .any(|(name, value)| (name, value) == (&event.name, &event.value))
     };
     for event in events.iter().filter(|event| !put(event)) {
         check.fault(format!("{event:?} was put by no one"));
@@ -86,7 +110,11 @@
 
 fn answered(told: &Told) -> Check {
     let mut check = Check::new("every call of an application gets the answer that it must");
-    check.looked = told.numbers.borrow().len() + told.holds.borrow().len() + told.puts.borrow().len();
-    told.odd.borrow().iter().for_each(|odd| check.fault(odd.clone()));
+    check.looked =
+        told.numbers.borrow().len() + told.holds.borrow().len() + told.puts.borrow().len();
+    told.odd
+        .borrow()
+        .iter()
+        .for_each(|odd| check.fault(odd.clone()));
     check
 }
--- a/crates/rookpulley-devcluster/src/processes.rs
+++ b/crates/rookpulley-devcluster/src/processes.rs
@@ -33,24 +33,44 @@
 
 /// All offices, then all couriers.
 fn places() -> impl Iterator<Item = (Role, usize)> {
-    Role::ALL.into_iter().flat_map(|role| (0..MACHINES).map(move |machine| (role, machine)))
+    Role::ALL
+        .into_iter()
+        .flat_map(|role| (0..MACHINES).map(move |machine| (role, machine)))
 }
 
 /// The program that stands beside this one.
 fn sibling(name: &str) -> Result<PathBuf, DepotError> {
-    let own = std::env::current_exe().map_err(DepotError::system("this program's own place is unknown"))?;
+    let own = std::env::current_exe()
+        .map_err(DepotError::system("this program's own place is unknown"))?;
     let path = own.with_file_name(name);
-    if path.is_file() { Ok(path) } else { Err(DepotError::NotBuilt(path)) }
+    if path.is_file() {
+        Ok(path)
+    } else {
+        Err(DepotError::NotBuilt(path))
+    }
 }
 
 impl Processes {
     pub fn find(verbose: bool) -> Result<Self, DepotError> {
-        let (offices, couriers) = (sibling("rookpulley-controller")?, sibling("rookpulley-proxy")?);
+        let (offices, couriers) = (
+            sibling("rookpulley-controller")?,
+            sibling("rookpulley-proxy")?,
+        );
         let all = places().map(|(role, machine)| {
             let name = role.name(machine);
-            Process { name, role, machine, child: None }
+            Process {
+                name,
+                role,
+                machine,
+                child: None,
+            }
         });
-        Ok(Self { offices, couriers, verbose, all: all.collect() })
+        Ok(Self {
+            offices,
+            couriers,
+            verbose,
+            all: all.collect(),
+        })
     }
 
     pub fn start_all(&mut self, ground: &Ground) -> Result<(), DepotError> {
@@ -64,23 +84,45 @@
     }
 
     fn start_at(&mut self, ground: &Ground, place: usize, first: bool) -> Result<(), DepotError> {
-        let Some(process) = self.all.get_mut(place) else { return Ok(()) };
+        let Some(process) = self.all.get_mut(place) else {
+            return Ok(());
+        };
         let node = sheet(ground, process.machine, process.role, first);
         let file = ground.folder().join(format!("{}.toml", process.name));
-        std::fs::write(&file, node.to_string()).map_err(DepotError::system("settings can't be written"))?;
-        let log = File::options().create(true).append(true).open(log_of(ground, &process.name));
+        std::fs::write(&file, node.to_string())
+            .map_err(DepotError::system("settings can't be written"))?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(log_of(ground, &process.name));
         let log = log.map_err(DepotError::system("a log can't be written"))?;
-        let again = log.try_clone().map_err(DepotError::system("a log can't be written"))?;
-        let program = if process.role == Role::Office { &self.offices } else { &self.couriers };
+        let again = log
+            .try_clone()
+            .map_err(DepotError::system("a log can't be written"))?;
+        let program = if process.role == Role::Office {
+            &self.offices
+        } else {
+            &self.couriers
+        };
         let mut command = Command::new(program);
         if self.verbose {
             command.arg("--verbose");
         }
-        command.env(rookpulley_settings::BOOT, &file).current_dir(ground.folder());
-        command.stdin(Stdio::null()).stdout(log).stderr(again).kill_on_drop(true);
+        command
+            .env(rookpulley_settings::BOOT, &file)
+            .current_dir(ground.folder());
+        command
+            .stdin(Stdio::null())
+            .stdout(log)
+            .stderr(again)
+            .kill_on_drop(true);
         // A group of its own: Ctrl-C is for the depot, which ends its processes in order.
         command.process_group(0);
-        process.child = Some(command.spawn().map_err(DepotError::system("a program can't be started"))?);
+        process.child = Some(
+            command
+                .spawn()
+                .map_err(DepotError::system("a program can't be started"))?,
+        );
         Ok(())
     }
 
@@ -95,14 +137,24 @@
 
     /// The same as an error, with what it last said.
     pub fn all_run(&mut self, ground: &Ground) -> Result<(), DepotError> {
-        let Some((name, status)) = self.ended() else { return Ok(()) };
+        let Some((name, status)) = self.ended() else {
+            return Ok(());
+        };
         let tails = tail(ground, &name);
-        Err(DepotError::Ended { name, how: status.to_string(), tails })
+        Err(DepotError::Ended {
+            name,
+            how: status.to_string(),
+            tails,
+        })
     }
 
     /// By SIGKILL.
     pub async fn kill(&mut self, name: &str) {
-        let child = self.all.iter_mut().find(|process| process.name == name).and_then(|p| p.child.take());
+        let child = self
+            .all
+            .iter_mut()
+            .find(|process| process.name == name)
+            .and_then(|p| p.child.take());
         if let Some(mut child) = child {
             _ = child.kill().await;
         }
@@ -112,7 +164,9 @@
     pub async fn end(&mut self) -> Vec<String> {
         let mut ending = Vec::new();
         for process in &mut self.all {
-            let Some(child) = process.child.take() else { continue };
+            let Some(child) = process.child.take() else {
+                continue;
+            };
             let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
             // A process that has ended already is told by how it ended.
             _ = pid.map(|pid| kill_process(pid, Signal::TERM));
@@ -128,7 +182,10 @@
                 Ok(Err(why)) => faults.push(format!("{name} can't be waited for: {why}")),
                 Err(_) => {
                     _ = child.kill().await;
-                    faults.push(format!("{name} did not end within {} s of SIGTERM", within.as_secs()));
+                    faults.push(format!(
+                        "{name} did not end within {} s of SIGTERM",
+                        within.as_secs()
+                    ));
                 }
             }
         }
@@ -146,7 +203,10 @@
     let text = String::from_utf8_lossy(&text);
     let lines: Vec<&str> = text.lines().collect();
     let mut shown = String::new();
-    for line in lines.get(lines.len().saturating_sub(TAIL)..).unwrap_or_default() {
+    for line in lines
+        .get(lines.len().saturating_sub(TAIL)..)
+        .unwrap_or_default()
+    {
         _ = write!(shown, "\n    {name}: {line}");
     }
     shown
@@ -154,20 +214,32 @@
 
 /// The last lines of all, to be shown where something was late.
 pub fn tails(ground: &Ground) -> String {
-    places().map(|(role, machine)| tail(ground, &role.name(machine))).collect()
+    places()
+        .map(|(role, machine)| tail(ground, &role.name(machine)))
+        .collect()
 }
 
 /// What all logs say above the ordinary, to be read after a trial.
 pub fn warnings(folder: &Path) -> Vec<String> {
-    let Ok(files) = std::fs::read_dir(folder) else { return Vec::new() };
+    let Ok(files) = std::fs::read_dir(folder) else {
+        return Vec::new();
+    };
     let mut found = Vec::new();
-    for path in
-        files.flatten().map(|file| file.path()).filter(|path| path.extension().is_some_and(|e| e == "log"))
+    for path in files
+        .flatten()
+        .map(|file| file.path())
+        .filter(|path| path.extension().is_some_and(|e| e == "log"))
     {
-        let name = path.file_stem().unwrap_or_default().to_string_lossy().into_owned();
+        let name = path
+            .file_stem()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
         let text = std::fs::read(&path).unwrap_or_default();
         let text = String::from_utf8_lossy(&text);
-        let loud = text.lines().filter(|line| !line.starts_with("info ") && !line.starts_with("debug "));
+        let loud = text
+            .lines()
+            .filter(|line| !line.starts_with("info ") && !line.starts_with("debug "));
         found.extend(loud.map(|line| format!("{name}: {line}")));
     }
     found.sort();
--- a/crates/rookpulley-devcluster/src/sheet.rs
+++ b/crates/rookpulley-devcluster/src/sheet.rs
@@ -41,11 +41,22 @@
     let (serves, listen) = match role {
         Role::Courier => {
             let (front, readiness) = (Some(ground.front(machine)), Some(ground.readiness(machine)));
-            ("edge", Listen { front, readiness, control: None })
-        }
-        Role::Office => {
-            ("control_plane", Listen { control: Some(ground.control(machine)), ..Listen::default() })
+            (
+                "edge",
+                Listen {
+                    front,
+                    readiness,
+                    control: None,
+                },
+            )
         }
+        Role::Office => (
+            "control_plane",
+            Listen {
+                control: Some(ground.control(machine)),
+                ..Listen::default()
+            },
+        ),
     };
     Node {
         role: role.word().into(),
@@ -60,10 +71,20 @@
         loss_counted: true,
         data: (role == Role::Office).then(|| ground.folder().join(format!("{name}.data"))),
         heartbeat_ms: HEARTBEAT_MS,
-        zones: ZONES.iter().map(|zone| (zone.to_string(), REGION.into())).collect(),
+        zones: ZONES
+            .iter()
+            .map(|zone| (zone.to_string(), REGION.into()))
+            .collect(),
         listen,
-        limits: Limits { disk_mb: Some(64.0), ..Limits::default() },
-        tolerance: Tolerance { machines: 1, zones: 0, regions: 0 },
+        limits: Limits {
+            disk_mb: Some(64.0),
+            ..Limits::default()
+        },
+        tolerance: Tolerance {
+            machines: 1,
+            zones: 0,
+            regions: 0,
+        },
         bounds: Bounds {
             drain_ms: DRAIN_MS,
             grace_period_s: GRACE_S,
--- a/crates/rookpulley-devcluster/src/task.rs
+++ b/crates/rookpulley-devcluster/src/task.rs
@@ -117,7 +117,10 @@
             body: digest(body.to_bytes()),
             at: self.record.now(),
             given: None,
-            foreign: head.headers.get(TARGET).is_some_and(|meant| meant.as_bytes() != self.life.as_bytes()),
+            foreign: head
+                .headers
+                .get(TARGET)
+                .is_some_and(|meant| meant.as_bytes() != self.life.as_bytes()),
         };
         let answer = if arrival.foreign {
             self.record.arrivals.borrow_mut().push(arrival);
@@ -127,7 +130,9 @@
         } else {
             self.record.arrivals.borrow_mut().push(arrival);
             let mut answer = turned_away(503, "full");
-            answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("0.05"));
+            answer
+                .headers_mut()
+                .insert(RETRY_AFTER, HeaderValue::from_static("0.05"));
             answer
         };
         self.closing(named(answer, id))
@@ -154,15 +159,30 @@
 
     async fn run(&self, mut arrival: Arrival, until: Instant) -> Response<Full<Bytes>> {
         let large = arrival.target.starts_with("/fetch/");
-        let line = format!("{} by {} for {} {}\n", arrival.id, self.life, arrival.method, arrival.target);
-        let body = if large { line.repeat(LARGE / line.len().max(1)) } else { line };
+        let line = format!(
+            "{} by {} for {} {}\n",
+            arrival.id, self.life, arrival.method, arrival.target
+        );
+        let body = if large {
+            line.repeat(LARGE / line.len().max(1))
+        } else {
+            line
+        };
         let body = Bytes::from(body);
         let usual = Duration::from_millis(4 + digest(&arrival.id) % 20);
-        let work = if self.cold().is_zero() { usual } else { usual * 2 };
+        let work = if self.cold().is_zero() {
+            usual
+        } else {
+            usual * 2
+        };
         let done = Instant::now() + work;
         let status = if done <= until { 200 } else { 504 };
         let signature = format!("{}.{:016x}", self.life, digest((&arrival.id, &body)));
-        let given = Given { status, signature: signature.clone(), body: digest(&body) };
+        let given = Given {
+            status,
+            signature: signature.clone(),
+            body: digest(&body),
+        };
         arrival.given = Some(given);
         self.record.arrivals.borrow_mut().push(arrival);
         tokio::time::sleep_until(done.min(until)).await;
@@ -191,7 +211,8 @@
         } else {
             (
                 KEEP_ALIVE,
-                HeaderValue::try_from(format!("timeout={IDLE_S}")).unwrap_or(HeaderValue::from_static("")),
+                HeaderValue::try_from(format!("timeout={IDLE_S}"))
+                    .unwrap_or(HeaderValue::from_static("")),
             )
         };
         answer.headers_mut().insert(name, value);
@@ -200,7 +221,9 @@
 }
 
 fn patience(headers: &HeaderMap) -> Duration {
-    let told = headers.get(DEADLINE).and_then(|value| value.to_str().ok()?.parse().ok());
+    let told = headers
+        .get(DEADLINE)
+        .and_then(|value| value.to_str().ok()?.parse().ok());
     told.map_or(PATIENCE, Duration::from_millis).min(PATIENCE)
 }
 
@@ -212,7 +235,9 @@
 
 fn turned_away(status: u16, why: &'static str) -> Response<Full<Bytes>> {
     let mut answer = answer(status, Bytes::from_static(why.as_bytes()));
-    answer.headers_mut().insert(NOT_EXECUTED, HeaderValue::from_static("1"));
+    answer
+        .headers_mut()
+        .insert(NOT_EXECUTED, HeaderValue::from_static("1"));
     answer
 }
 
--- a/crates/rookpulley-devcluster/src/trial.rs
+++ b/crates/rookpulley-devcluster/src/trial.rs
@@ -53,9 +53,14 @@
 
 /// `machine`: whose office is killed.
 pub async fn run(depot: &mut Depot, machine: usize) -> Result<Trial, DepotError> {
-    let couriers = (0..MACHINES).map(|machine| depot.ground.front(machine)).collect();
+    let couriers = (0..MACHINES)
+        .map(|machine| depot.ground.front(machine))
+        .collect();
     let clients = Clients::new(couriers, depot.record.clone());
-    let applications = Rc::new(Applications::new(depot.ground.controls(), depot.record.clone()));
+    let applications = Rc::new(Applications::new(
+        depot.ground.controls(),
+        depot.record.clone(),
+    ));
     let (requests, calls) = (clients.clone(), applications.clone());
     let mut load = Beside(spawn_local(requests.run()));
     let mut control = Beside(spawn_local(async move { calls.run().await }));
@@ -68,7 +73,9 @@
     let both = async { _ = tokio::join!(&mut load.0, &mut control.0) };
     let mut checks = Vec::new();
     let mut through = Check::new("clients and applications come to their end");
-    through.look(timeout(WITHIN, both).await.is_ok(), || format!("not within {} s", WITHIN.as_secs()));
+    through.look(timeout(WITHIN, both).await.is_ok(), || {
+        format!("not within {} s", WITHIN.as_secs())
+    });
     let read_back = read_back(depot).await;
 
     let (tries, record) = (clients.tries.borrow(), depot.record.clone());
@@ -87,9 +94,16 @@
     checks.extend(order::checks(&applications.told));
     checks.extend([read_back, through]);
     let (usual, slowest) = requests.times();
-    let outcomes = requests.outcomes().into_iter().map(|(what, count)| format!("{what}: {count}"));
+    let outcomes = requests
+        .outcomes()
+        .into_iter()
+        .map(|(what, count)| format!("{what}: {count}"));
     let lines = vec![
-        format!("answers to {} tries: {}", tries.len(), outcomes.collect::<Vec<_>>().join(", ")),
+        format!(
+            "answers to {} tries: {}",
+            tries.len(),
+            outcomes.collect::<Vec<_>>().join(", ")
+        ),
         format!(
             "successes took {} ms in the middle, {} ms for 1 of 100",
             usual.as_millis(),
@@ -107,10 +121,16 @@
     applications: &Rc<Applications>,
 ) -> Result<Moment, DepotError> {
     let office = Role::Office.name(machine);
-    say(depot, "requests go through all couriers, applications call all offices");
+    say(
+        depot,
+        "requests go through all couriers, applications call all offices",
+    );
     let served = |courier: Option<usize>| {
         let tries = clients.tries.borrow();
-        tries.iter().filter(|one| one.served() && courier.is_none_or(|at| at == one.courier)).count()
+        tries
+            .iter()
+            .filter(|one| one.served() && courier.is_none_or(|at| at == one.courier))
+            .count()
     };
     depot
         .wait("that every courier serves", async || {
@@ -119,57 +139,121 @@
         .await?;
     let told = &applications.told;
     let hold_seen = async || !told.holds.borrow().is_empty() && !told.events.borrow().is_empty();
-    depot.wait("a lock held and a put seen by its watch", hold_seen).await?;
+    depot
+        .wait("a lock held and a put seen by its watch", hold_seen)
+        .await?;
 
     let record = depot.record.clone();
     let caught_up = Duration::from_secs_f64(CATCH_UP_S);
-    depot.wait("the time by which all have caught up", async || record.now() > caught_up).await?;
+    depot
+        .wait("the time by which all have caught up", async || {
+            record.now() > caught_up
+        })
+        .await?;
 
     depot.processes.kill(&office).await;
     let killed = depot.record.now();
     say(depot, &format!("{office} is killed"));
-    let numbered = async || told.numbers.borrow().iter().any(|number| number.sent > killed);
-    depot.wait("a number from the offices that are left", numbered).await?;
+    let numbered = async || {
+        told.numbers
+            .borrow()
+            .iter()
+            .any(|number| number.sent > killed)
+    };
+    depot
+        .wait("a number from the offices that are left", numbered)
+        .await?;
     let waited = depot.record.now().saturating_sub(killed).as_millis();
-    say(depot, &format!("the offices that are left answer, {waited} ms later"));
+    say(
+        depot,
+        &format!("the offices that are left answer, {waited} ms later"),
+    );
 
     depot.configure(SECOND).await?;
     let holds = depot.record.now() + Duration::from_millis(CONFIG_APPLY_MS);
-    say(depot, &format!("configuration {SECOND} is acknowledged by them"));
+    say(
+        depot,
+        &format!("configuration {SECOND} is acknowledged by them"),
+    );
     depot.processes.start(&depot.ground, &office)?;
     say(depot, &format!("{office} starts again"));
-    let (control, newest) = (depot.ground.control(machine), (200, Bytes::from(configuration(SECOND))));
+    let (control, newest) = (
+        depot.ground.control(machine),
+        (200, Bytes::from(configuration(SECOND))),
+    );
     let knows = async || held_by(control).await.as_ref() == Some(&newest);
-    depot.wait(&format!("that {office} is back and knows configuration {SECOND}"), knows).await?;
+    depot
+        .wait(
+            &format!("that {office} is back and knows configuration {SECOND}"),
+            knows,
+        )
+        .await?;
     say(depot, &format!("{office} is back and knows it"));
-    depot.wait("the time by which the new route must hold", async || record.now() > holds).await?;
+    depot
+        .wait("the time by which the new route must hold", async || {
+            record.now() > holds
+        })
+        .await?;
     clients.use_second();
 
-    let Some(task) = depot.tasks.first().cloned() else { return Ok(holds) };
+    let Some(task) = depot.tasks.first().cloned() else {
+        return Ok(holds);
+    };
     task.stage.send_replace(Stage::Draining);
     say(depot, &format!("{} drains", task.life));
-    let acknowledged = async || record.drains.borrow().iter().any(|drain| drain.life == task.life);
-    depot.wait("an acknowledgement of the drain", acknowledged).await?;
+    let acknowledged = async || {
+        record
+            .drains
+            .borrow()
+            .iter()
+            .any(|drain| drain.life == task.life)
+    };
+    depot
+        .wait("an acknowledgement of the drain", acknowledged)
+        .await?;
     say(depot, "its drain is acknowledged");
-    depot.wait("the end of the task", async || task.stage() == Stage::Gone).await?;
+    depot
+        .wait("the end of the task", async || task.stage() == Stage::Gone)
+        .await?;
     say(depot, "it has left");
 
     let new_route = Cell::new(0);
     let enough = async || {
         let tries = clients.tries.borrow();
-        new_route.set(tries.iter().filter(|one| one.served() && one.route.since == SECOND).count());
+        new_route.set(
+            tries
+                .iter()
+                .filter(|one| one.served() && one.route.since == SECOND)
+                .count(),
+        );
         clients.sent.get() >= REQUESTS_LEAST && new_route.get() >= NEW_ROUTE
     };
-    depot.wait("enough requests, some by the new route", enough).await?;
+    depot
+        .wait("enough requests, some by the new route", enough)
+        .await?;
     Ok(holds)
 }
 
 /// Leaves what clients and tasks saw beside the logs, for whoever keeps the folder.
 fn write_down(depot: &Depot, clients: &Clients) {
     let lines = |items: Vec<String>| items.join("\n") + "\n";
-    let tries = clients.tries.borrow().iter().map(|one| format!("{one:?}")).collect();
-    let arrivals = depot.record.arrivals.borrow().iter().map(|one| format!("{one:?}")).collect();
-    for (name, text) in [("tries.txt", lines(tries)), ("arrivals.txt", lines(arrivals))] {
+    let tries = clients
+        .tries
+        .borrow()
+        .iter()
+        .map(|one| format!("{one:?}"))
+        .collect();
+    let arrivals = depot
+        .record
+        .arrivals
+        .borrow()
+        .iter()
+        .map(|one| format!("{one:?}"))
+        .collect();
+    for (name, text) in [
+        ("tries.txt", lines(tries)),
+        ("arrivals.txt", lines(arrivals)),
+    ] {
         _ = std::fs::write(depot.ground.folder().join(name), text);
     }
 }
@@ -186,7 +270,9 @@
     for (machine, office) in depot.ground.controls().into_iter().enumerate() {
         let held = held_by(office).await;
         let status = held.as_ref().map(|(status, _)| *status);
-        check.look(held.as_ref() == Some(&sent), || format!("{}: {status:?}", Role::Office.name(machine)));
+        check.look(held.as_ref() == Some(&sent), || {
+            format!("{}: {status:?}", Role::Office.name(machine))
+        });
     }
     check
 }
--- a/crates/rookpulley-devcluster/src/wire.rs
+++ b/crates/rookpulley-devcluster/src/wire.rs
@@ -77,7 +77,11 @@
     let (head, body) = response.into_parts();
     let status = head.status.as_u16();
     match timeout_at(until, Limited::new(body, ANSWER_MOST).collect()).await {
-        Ok(Ok(body)) => Outcome::Whole(Answer { status, headers: head.headers, body: body.to_bytes() }),
+        Ok(Ok(body)) => Outcome::Whole(Answer {
+            status,
+            headers: head.headers,
+            body: body.to_bytes(),
+        }),
         Ok(Err(_)) | Err(_) => Outcome::CutOff(status),
     }
 }
--- a/crates/rookpulley-devcluster/tests/trial.rs
+++ b/crates/rookpulley-devcluster/tests/trial.rs
@@ -23,9 +23,22 @@
             name => name,
         };
         let mut cargo = Command::new(env!("CARGO"));
-        cargo.current_dir(env!("CARGO_MANIFEST_DIR")).args(["build", "--quiet", "--locked"]);
-        cargo.args(["-p", "rookpulley-controller", "-p", "rookpulley-proxy", "--profile", profile]);
-        let done = cargo.arg("--target-dir").arg(folder.parent().unwrap()).status().unwrap();
+        cargo
+            .current_dir(env!("CARGO_MANIFEST_DIR"))
+            .args(["build", "--quiet", "--locked"]);
+        cargo.args([
+            "-p",
+            "rookpulley-controller",
+            "-p",
+            "rookpulley-proxy",
+            "--profile",
+            profile,
+        ]);
+        let done = cargo
+            .arg("--target-dir")
+            .arg(folder.parent().unwrap())
+            .status()
+            .unwrap();
         assert!(done.success(), "the office and the courier can't be built");
     });
 }
@@ -54,14 +67,23 @@
     let said = String::from_utf8_lossy(&out.stdout);
     let faults = String::from_utf8_lossy(&out.stderr);
     assert!(out.status.success(), "{said}\n{faults}");
-    assert!(said.contains("trial: passed") && faults.is_empty(), "{said}\n{faults}");
+    assert!(
+        said.contains("trial: passed") && faults.is_empty(),
+        "{said}\n{faults}"
+    );
 }
 
 #[test]
 fn it_serves_until_it_is_told_to_end_and_leaves_nothing_behind() {
     built();
-    let mut depot = depot().args(["--for", "40"]).stdout(Stdio::piped()).spawn().unwrap();
-    let mut said = BufReader::new(depot.stdout.take().unwrap()).lines().map(Result::unwrap);
+    let mut depot = depot()
+        .args(["--for", "40"])
+        .stdout(Stdio::piped())
+        .spawn()
+        .unwrap();
+    let mut said = BufReader::new(depot.stdout.take().unwrap())
+        .lines()
+        .map(Result::unwrap);
     let mut line_with = |mark: &str| {
         let line = said.find(|line| line.contains(mark));
         line.unwrap_or_else(|| panic!("it said nothing of {mark:?}"))
@@ -70,14 +92,27 @@
     assert!(folder.join("office-1.toml").is_file() && folder.join("courier-3.toml").is_file());
     // The lines that it shows must do what they promise.
     let request = line_with("my-first");
-    let address = request.split_once("http://").unwrap().1.split_once('/').unwrap().0;
+    let address = request
+        .split_once("http://")
+        .unwrap()
+        .1
+        .split_once('/')
+        .unwrap()
+        .0;
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
     let head = "GET /read/hello HTTP/1.1\r\nHost: letters.example\r\nRequest-Id: my-first\r\n";
-    stream.write_all(format!("{head}Connection: close\r\n\r\n").as_bytes()).unwrap();
+    stream
+        .write_all(format!("{head}Connection: close\r\n\r\n").as_bytes())
+        .unwrap();
     let mut back = String::new();
     stream.read_to_string(&mut back).unwrap();
-    assert!(back.starts_with("HTTP/1.1 200 ") && back.contains("my-first by i-"), "{back}");
+    assert!(
+        back.starts_with("HTTP/1.1 200 ") && back.contains("my-first by i-"),
+        "{back}"
+    );
 
     kill_process(Pid::from_child(&depot), Signal::TERM).unwrap();
     assert!(depot.wait().unwrap().success());
--- a/crates/rookpulley-diagnostics/src/faults.rs
+++ b/crates/rookpulley-diagnostics/src/faults.rs
@@ -38,7 +38,11 @@
 
 impl Faults {
     pub fn none(manner: &'static Manner) -> Self {
-        Self { faults: Vec::new(), untold: 0, manner }
+        Self {
+            faults: Vec::new(),
+            untold: 0,
+            manner,
+        }
     }
 
     pub fn one(
@@ -55,7 +59,11 @@
     pub fn add(&mut self, place: impl Display, found: impl Display, instead: impl Display) {
         if self.faults.len() < self.manner.told {
             let (place, instead) = (place.to_string(), instead.to_string());
-            self.faults.push(Fault { place, found: shortened(found, self.manner.shown), instead });
+            self.faults.push(Fault {
+                place,
+                found: shortened(found, self.manner.shown),
+                instead,
+            });
         } else {
             self.untold += 1;
         }
@@ -100,13 +108,27 @@
 
     #[test]
     fn faults_are_told_in_the_manner_of_their_text_and_as_far_as_it_goes() {
-        let mut faults =
-            Faults::one(&MANNER, "line 1", said(&"öffnen".to_owned().into(), "a table", 4), "a word");
-        assert_eq!(faults.to_string(), "1 line can't be used: line 1 is \"öff...; write a word");
+        let mut faults = Faults::one(
+            &MANNER,
+            "line 1",
+            said(&"öffnen".to_owned().into(), "a table", 4),
+            "a word",
+        );
+        assert_eq!(
+            faults.to_string(),
+            "1 line can't be used: line 1 is \"öff...; write a word"
+        );
         faults.add("line 2", "none", "a word");
         faults.add("line 3", "none", "a word");
         assert!(faults.to_string().starts_with("3 lines can't be used: "));
-        assert!(faults.to_string().ends_with("line 2 is none; write a word. And 1 more"));
-        assert_eq!(miette::Diagnostic::help(&faults).unwrap().to_string(), "mend them");
+        assert!(
+            faults
+                .to_string()
+                .ends_with("line 2 is none; write a word. And 1 more")
+        );
+        assert_eq!(
+            miette::Diagnostic::help(&faults).unwrap().to_string(),
+            "mend them"
+        );
     }
 }
