--- a/crates/rookpulley-diagnostics/src/json.rs
+++ b/crates/rookpulley-diagnostics/src/json.rs
@@ -82,7 +82,10 @@
 
 /// Where the opening bracket stands that has so many before it.
 fn bracket(bytes: &[u8], before: usize) -> Option<usize> {
-    let opening = bytes.iter().enumerate().filter(|(_, byte)| matches!(byte, b'{' | b'['));
+    let opening = bytes
+        .iter()
+        .enumerate()
+        .filter(|(_, byte)| matches!(byte, b'{' | b'['));
     opening.map(|(at, _)| at).nth(before)
 }
 
@@ -90,20 +93,39 @@
 mod tests {
     use super::*;
 
-    const FLAT: Bounds = Bounds { bytes: 40, nesting: Nesting::Levels(2), values: 6 };
+    const FLAT: Bounds = Bounds {
+        bytes: 40,
+        nesting: Nesting::Levels(2),
+        values: 6,
+    };
 
     #[test]
     fn bounds_hold_before_anything_is_built_and_signs_in_quotes_count_only_as_brackets() {
         let read = |text: &str| super::read(text.as_bytes(), FLAT);
         assert!(read(r#"[["\"[[,,,,,,"],[]]"#).is_ok());
         assert!(matches!(read("[[[]]]"), Err(Unread::Deep { at: 2 })));
-        assert!(matches!(read("[1,2,3,4,5,6]"), Err(Unread::Many { at: 10 })));
+        assert!(matches!(
+            read("[1,2,3,4,5,6]"),
+            Err(Unread::Many { at: 10 })
+        ));
         assert!(matches!(read(&" ".repeat(41)), Err(Unread::Long)));
         assert!(matches!(read("[1"), Err(Unread::NoJson(_))));
-        assert!(matches!(super::read(b"\"\xff\"", FLAT), Err(Unread::NotUtf8(_))));
-        assert!(matches!(super::read(b"[[[\xff", FLAT), Err(Unread::Deep { at: 2 })));
-        let counted = Bounds { nesting: Nesting::Brackets(2), ..FLAT };
+        assert!(matches!(
+            super::read(b"\"\xff\"", FLAT),
+            Err(Unread::NotUtf8(_))
+        ));
+        assert!(matches!(
+            super::read(b"[[[\xff", FLAT),
+            Err(Unread::Deep { at: 2 })
+        ));
+        let counted = Bounds {
+            nesting: Nesting::Brackets(2),
+            ..FLAT
+        };
         assert!(super::read(b"[[]]", counted).is_ok());
-        assert!(matches!(super::read(b"[[\"[\"]]", counted), Err(Unread::Deep { at: 3 })));
+        assert!(matches!(
+            super::read(b"[[\"[\"]]", counted),
+            Err(Unread::Deep { at: 3 })
+        ));
     }
 }
--- a/crates/rookpulley-diagnostics/src/shown.rs
+++ b/crates/rookpulley-diagnostics/src/shown.rs
@@ -13,9 +13,15 @@
 impl Place {
     /// The place of the byte that follows these.
     pub fn after(before: &[u8]) -> Self {
-        let last = before.rsplit(|byte| *byte == b'\n').next().unwrap_or_default();
+        let last = before
+            .rsplit(|byte| *byte == b'\n')
+            .next()
+            .unwrap_or_default();
         let lines = before.iter().filter(|byte| **byte == b'\n').count();
-        Self { line: lines + 1, column: String::from_utf8_lossy(last).chars().count() + 1 }
+        Self {
+            line: lines + 1,
+            column: String::from_utf8_lossy(last).chars().count() + 1,
+        }
     }
 }
 
@@ -39,5 +45,9 @@
 }
 
 pub fn counted(count: usize, what: &str) -> String {
-    if count == 1 { format!("1 {what}") } else { format!("{count} {what}s") }
+    if count == 1 {
+        format!("1 {what}")
+    } else {
+        format!("{count} {what}s")
+    }
 }
--- a/crates/rookpulley-files/examples/check.rs
+++ b/crates/rookpulley-files/examples/check.rs
@@ -27,13 +27,28 @@
         weight: 1.0,
         ..Entry::default()
     };
-    let list = Candidate { generation: 1, loss: None, entries: (0..10_000).map(entry).collect() };
+    let list = Candidate {
+        generation: 1,
+        loss: None,
+        entries: (0..10_000).map(entry).collect(),
+    };
     let zones = ["a", "b", "c"].map(String::from).to_vec();
-    let facts = Facts { zones, machines: vec!["m".into()], ..Facts::default() };
+    let facts = Facts {
+        zones,
+        machines: vec!["m".into()],
+        ..Facts::default()
+    };
     let (text, file) = (written(&list), Path::new("servers.star"));
     let (before, _) = rookpulley_files::read::parts(&text);
-    let plain =
-        best(|| assert_eq!(rookpulley_files::read::body(file, before).unwrap().entries.len(), 10_000));
+    let plain = best(|| {
+        assert_eq!(
+            rookpulley_files::read::body(file, before)
+                .unwrap()
+                .entries
+                .len(),
+            10_000
+        )
+    });
     let whole = best(|| assert_eq!(read(file, text.as_bytes()).unwrap().entries.len(), 10_000));
     let checked = best(|| {
         let mut refused = Refused::default();
--- a/crates/rookpulley-files/src/form.rs
+++ b/crates/rookpulley-files/src/form.rs
@@ -24,14 +24,21 @@
 
 /// A complete file with this list.
 pub fn written(list: &Candidate) -> String {
-    let mut text =
-        String::from("# Servers and their weights. `rookpulley servers seal FILE` after every change.\n");
+    let mut text = String::from(
+        "# Servers and their weights. `rookpulley servers seal FILE` after every change.\n",
+    );
     _ = writeln!(text, "generation({})", list.generation);
     if let Some(loss) = list.loss {
         _ = writeln!(text, "loss({loss:?})");
     }
     for e in &list.entries {
-        _ = write!(text, "server({}, {}, zone = {}", quoted(&e.name), quoted(&e.address), quoted(&e.zone));
+        _ = write!(
+            text,
+            "server({}, {}, zone = {}",
+            quoted(&e.name),
+            quoted(&e.address),
+            quoted(&e.zone)
+        );
         if !e.machine.is_empty() {
             _ = write!(text, ", machine = {}", quoted(&e.machine));
         }
@@ -54,8 +61,11 @@
 /// The same file with a closing statement that fits it.
 pub fn sealed(file: &Path, text: &str) -> Result<String, NotTaken> {
     let (before, _) = parts(text);
-    let before =
-        if before.is_empty() || before.ends_with('\n') { before.to_string() } else { format!("{before}\n") };
+    let before = if before.is_empty() || before.ends_with('\n') {
+        before.to_string()
+    } else {
+        format!("{before}\n")
+    };
     let servers = body(file, &before)?.entries.len();
     let closing = closing(&before, servers);
     Ok(before + &closing + "\n")
--- a/crates/rookpulley-files/src/read.rs
+++ b/crates/rookpulley-files/src/read.rs
@@ -28,14 +28,20 @@
     #[error("byte {0} is no UTF-8 text")]
     NotText(usize),
     /// It may be whole later: an editor is still at it, or it was cut off.
-    #[error("it does not end with its closing statement: it was cut off or is still being written; {0}")]
+    #[error(
+        "it does not end with its closing statement: it was cut off or is still being written; {0}"
+    )]
     NotWhole(String),
     #[error(
         "its seal is {said:?} and does not fit: it was changed since, or is being written over; {instead}"
     )]
     Seal { said: String, instead: String },
     #[error("it says {said} servers and names {found}; {instead}")]
-    Count { said: usize, found: usize, instead: String },
+    Count {
+        said: usize,
+        found: usize,
+        instead: String,
+    },
     #[error("{0}")]
     Script(#[from] BadFile),
 }
@@ -70,7 +76,11 @@
     let end = text.trim_end();
     let from = end.rfind('\n').map_or(0, |at| at + 1);
     let last = &end[from..];
-    if last.starts_with("end(") && last.ends_with(')') { (&text[..from], Some(last)) } else { (text, None) }
+    if last.starts_with("end(") && last.ends_with(')') {
+        (&text[..from], Some(last))
+    } else {
+        (text, None)
+    }
 }
 
 #[derive(Default, ProvidesStaticType)]
@@ -86,13 +96,20 @@
 /// When a server last started: Unix milliseconds, or a time such as 2026-12-01T10:00:00Z.
 fn started(value: Value) -> anyhow::Result<f64> {
     let wrong = || {
-        anyhow::anyhow!("started = {value} is no time; write \"2026-12-01T10:00:00Z\", or Unix milliseconds")
+        anyhow::anyhow!(
+            "started = {value} is no time; write \"2026-12-01T10:00:00Z\", or Unix milliseconds"
+        )
     };
     if let Some(text) = value.unpack_str() {
         let time: jiff::Timestamp = text.parse().map_err(|_| wrong())?;
         return Ok(time.as_millisecond() as f64);
     }
-    value.to_string().parse::<f64>().ok().filter(|ms| ms.is_finite() && *ms >= 0.0).ok_or_else(wrong)
+    value
+        .to_string()
+        .parse::<f64>()
+        .ok()
+        .filter(|ms| ms.is_finite() && *ms >= 0.0)
+        .ok_or_else(wrong)
 }
 
 #[starlark_module]
@@ -102,13 +119,22 @@
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
         let number: u64 = number.to_string().parse().map_err(|_| {
-            anyhow::anyhow!("generation({number}) is no whole number from 0 on; write one more than before")
+            anyhow::anyhow!(
+                "generation({number}) is no whole number from 0 on; write one more than before"
+            )
         })?;
-        once(&mut said::<Said>(eval)?.0.borrow_mut().generation, "generation", number)?;
+        once(
+            &mut said::<Said>(eval)?.0.borrow_mut().generation,
+            "generation",
+            number,
+        )?;
         Ok(NoneType)
     }
 
-    fn loss(#[starlark(require = pos)] part: UnpackFloat, eval: &mut Evaluator) -> anyhow::Result<NoneType> {
+    fn loss(
+        #[starlark(require = pos)] part: UnpackFloat,
+        eval: &mut Evaluator,
+    ) -> anyhow::Result<NoneType> {
         said::<Said>(eval)?.0.borrow_mut().candidate.loss = Some(part.0);
         Ok(NoneType)
     }
@@ -125,8 +151,8 @@
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         let started_ms = started.map(self::started).transpose()?.unwrap_or(0.0);
-        let bay =
-            u16::try_from(bay).map_err(|_| anyhow::anyhow!("bay = {bay}; write a figure from 0 to 65535"))?;
+        let bay = u16::try_from(bay)
+            .map_err(|_| anyhow::anyhow!("bay = {bay}; write a figure from 0 to 65535"))?;
         let place = eval.call_stack_top_location().as_ref().map(place_of);
         let entry = Entry {
             name: name.into(),
@@ -139,7 +165,12 @@
             started_ms,
             place,
         };
-        said::<Said>(eval)?.0.borrow_mut().candidate.entries.push(entry);
+        said::<Said>(eval)?
+            .0
+            .borrow_mut()
+            .candidate
+            .entries
+            .push(entry);
         Ok(NoneType)
     }
 
@@ -168,7 +199,10 @@
         what: "generation() is missing; write generation(1), and one more with every change".into(),
     };
     let generation = found.generation.ok_or_else(missing)?;
-    Ok(Candidate { generation, ..found.candidate })
+    Ok(Candidate {
+        generation,
+        ..found.candidate
+    })
 }
 
 /// A whole file, or why it is not taken.
@@ -177,19 +211,31 @@
     let (before, last) = parts(text);
     let Some(last) = last else {
         // Told with the line to write where what is there can be read.
-        let hint = run(file, before).ok().map(|f| instead(before, f.candidate.entries.len()));
-        let hint = hint.unwrap_or_else(|| "nothing of it is used until it has its last line".into());
+        let hint = run(file, before)
+            .ok()
+            .map(|f| instead(before, f.candidate.entries.len()));
+        let hint =
+            hint.unwrap_or_else(|| "nothing of it is used until it has its last line".into());
         return Err(NotTaken::NotWhole(hint));
     };
     let closing = run(file, last)?.end.unwrap_or_default();
     if closing.1 != seal(before) {
         let count = run(file, before).map(|f| f.candidate.entries.len());
-        let hint = count.map(|n| instead(before, n)).unwrap_or_else(|e| e.to_string());
-        return Err(NotTaken::Seal { said: closing.1, instead: hint });
+        let hint = count
+            .map(|n| instead(before, n))
+            .unwrap_or_else(|e| e.to_string());
+        return Err(NotTaken::Seal {
+            said: closing.1,
+            instead: hint,
+        });
     }
     let candidate = body(file, before)?;
     match candidate.entries.len() {
         found if found == closing.0 => Ok(candidate),
-        found => Err(NotTaken::Count { said: closing.0, found, instead: instead(before, found) }),
+        found => Err(NotTaken::Count {
+            said: closing.0,
+            found,
+            instead: instead(before, found),
+        }),
     }
 }
--- a/crates/rookpulley-files/src/watch.rs
+++ b/crates/rookpulley-files/src/watch.rs
@@ -45,7 +45,9 @@
     mark(path)?;
     let mut bytes = Vec::new();
     let file = File::open(path).map_err(|e| e.to_string())?;
-    file.take(read::BYTES_MOST as u64 + 1).read_to_end(&mut bytes).map_err(|e| e.to_string())?;
+    file.take(read::BYTES_MOST as u64 + 1)
+        .read_to_end(&mut bytes)
+        .map_err(|e| e.to_string())?;
     Ok(bytes)
 }
 
@@ -54,7 +56,11 @@
     let found = mark(path);
     let changed = last.mark.as_ref() != Some(&found);
     // A file written twice within the clock's grain looks the same: what is fresh is read again.
-    let age = found.as_ref().ok().and_then(|m| m.3).and_then(|t| t.elapsed().ok());
+    let age = found
+        .as_ref()
+        .ok()
+        .and_then(|m| m.3)
+        .and_then(|t| t.elapsed().ok());
     let fresh = age.is_none_or(|age| age < 2 * LOOK);
     if !changed && !fresh {
         return None;
@@ -93,12 +99,16 @@
 }
 
 fn folder_of(path: &Path) -> &Path {
-    path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."))
+    path.parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."))
 }
 
 /// What tells one folder from another at the same place.
 fn id(folder: &Path) -> Option<(u64, u64)> {
-    std::fs::metadata(folder).ok().map(|told| (told.dev(), told.ino()))
+    std::fs::metadata(folder)
+        .ok()
+        .map(|told| (told.dev(), told.ino()))
 }
 
 fn listen(path: &Path, stirred: &Arc<Notify>) -> Option<Ear> {
@@ -113,7 +123,10 @@
     });
     let mut watcher = watcher.ok()?;
     watcher.watch(folder, RecursiveMode::NonRecursive).ok()?;
-    Some(Ear { _watcher: watcher, folder: here })
+    Some(Ear {
+        _watcher: watcher,
+        folder: here,
+    })
 }
 
 /// Follows the file for as long as somebody listens.
@@ -130,7 +143,9 @@
             let news = look(&place, &mut last);
             (last, ear, news)
         });
-        let Ok((was, heard, news)) = looked.await else { return };
+        let Ok((was, heard, news)) = looked.await else {
+            return;
+        };
         (last, ear) = (was, heard);
         if let Some(news) = news
             && found.send(news).await.is_err()
--- a/crates/rookpulley-files/tests/files.rs
+++ b/crates/rookpulley-files/tests/files.rs
@@ -23,13 +23,21 @@
         bay: (n % 3) as u16,
         weight: 0.5 + (n % 5) as f64,
         drains: n % 7 == 3,
-        started_ms: if n.is_multiple_of(4) { 1_764_612_000_000.0 } else { 0.0 },
+        started_ms: if n.is_multiple_of(4) {
+            1_764_612_000_000.0
+        } else {
+            0.0
+        },
         ..Entry::default()
     }
 }
 
 fn list(generation: u64, servers: usize) -> Candidate {
-    Candidate { generation, loss: None, entries: (1..=servers).map(entry).collect() }
+    Candidate {
+        generation,
+        loss: None,
+        entries: (1..=servers).map(entry).collect(),
+    }
 }
 
 fn placeless(mut candidate: Candidate) -> Candidate {
@@ -43,7 +51,10 @@
     let read = taken(&text).unwrap();
     assert_eq!(read.entries[0].place, Some((3, 1)));
     assert_eq!(placeless(read), list(12, 9));
-    let aloud = Candidate { loss: Some(0.75), ..list(1, 2) };
+    let aloud = Candidate {
+        loss: Some(0.75),
+        ..list(1, 2)
+    };
     assert_eq!(placeless(taken(&written(&aloud)).unwrap()), aloud);
 }
 
@@ -53,10 +64,17 @@
     let whole = text.trim_end().len();
     for at in 0..whole {
         let cut = read(Path::new(FILE), &text.as_bytes()[..at]);
-        assert!(matches!(cut, Err(NotTaken::NotWhole(_))), "cut at {at}: {cut:?}");
+        assert!(
+            matches!(cut, Err(NotTaken::NotWhole(_))),
+            "cut at {at}: {cut:?}"
+        );
     }
     for at in whole..=text.len() {
-        assert_eq!(placeless(taken(&text[..at]).unwrap()), list(3, 6), "only the line's end is missing");
+        assert_eq!(
+            placeless(taken(&text[..at]).unwrap()),
+            list(3, 6),
+            "only the line's end is missing"
+        );
     }
 }
 
@@ -70,8 +88,9 @@
     assert_eq!(old.len(), new.len());
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     for round in 0..30 {
-        let mut places: Vec<usize> =
-            (0..old.len()).filter(|at| old.as_bytes()[*at] != new.as_bytes()[*at]).collect();
+        let mut places: Vec<usize> = (0..old.len())
+            .filter(|at| old.as_bytes()[*at] != new.as_bytes()[*at])
+            .collect();
         match round % 3 {
             0 => {}
             1 => places.reverse(),
@@ -81,19 +100,31 @@
         for (done, at) in places.iter().enumerate() {
             bytes[*at] = new.as_bytes()[*at];
             let got = read(Path::new(FILE), &bytes);
-            assert_eq!(got.is_ok(), done + 1 == places.len(), "after {done} of {}: {got:?}", places.len());
+            assert_eq!(
+                got.is_ok(),
+                done + 1 == places.len(),
+                "after {done} of {}: {got:?}",
+                places.len()
+            );
         }
-        assert_eq!(placeless(taken(&String::from_utf8(bytes).unwrap()).unwrap()), next);
+        assert_eq!(
+            placeless(taken(&String::from_utf8(bytes).unwrap()).unwrap()),
+            next
+        );
     }
 }
 
 #[test]
 fn broken_files_are_refused_with_place_and_remedy() {
-    let sealed_body =
-        |body: &str, servers: usize| format!("{body}end(servers = {servers}, seal = {:?})\n", seal(body));
+    let sealed_body = |body: &str, servers: usize| {
+        format!("{body}end(servers = {servers}, seal = {:?})\n", seal(body))
+    };
     let one = "server(\"s-1\", \"10.0.0.1:80\", zone = \"east\", weight = 1)\n";
     let cases = [
-        (sealed_body(one, 1), "servers.star:1:1: generation() is missing; write generation(1)"),
+        (
+            sealed_body(one, 1),
+            "servers.star:1:1: generation() is missing; write generation(1)",
+        ),
         (
             sealed_body(&format!("generation(1)\n{one}"), 2),
             "says 2 servers and names 1; where it is whole, write end(servers = 1",
@@ -102,30 +133,61 @@
             format!("generation(1)\n{one}end(servers = 1, seal = \"AAAAAAAA\")"),
             "its seal is \"AAAAAAAA\" and does not fit",
         ),
-        (format!("generation(1)\n{one}"), "write end(servers = 1, seal = \""),
-        (sealed_body("generation(-1)\n", 0), "servers.star:1:1: generation(-1) is no whole number"),
-        (sealed_body("generation(1)\ngeneration(2)\n", 0), "servers.star:2:1: generation() is called twice"),
-        (sealed_body("generation(1)\nserver(\"s-1\")\n", 1), "servers.star:2:1"),
-        (sealed_body(&format!("generation(1)\n{}", one.replace("1)", "\"1\")")), 1), "servers.star:2:1"),
+        (
+            format!("generation(1)\n{one}"),
+            "write end(servers = 1, seal = \"",
+        ),
+        (
+            sealed_body("generation(-1)\n", 0),
+            "servers.star:1:1: generation(-1) is no whole number",
+        ),
+        (
+            sealed_body("generation(1)\ngeneration(2)\n", 0),
+            "servers.star:2:1: generation() is called twice",
+        ),
+        (
+            sealed_body("generation(1)\nserver(\"s-1\")\n", 1),
+            "servers.star:2:1",
+        ),
+        (
+            sealed_body(
+                &format!("generation(1)\n{}", one.replace("1)", "\"1\")")),
+                1,
+            ),
+            "servers.star:2:1",
+        ),
         (
             sealed_body("generation(1)\nservers(\"s-1\")\n", 1),
             "the file knows generation(), loss(), server() and end()",
         ),
         (
             sealed_body(
-                &format!("generation(1)\n{}", one.replace("weight = 1", "weight = 1, started = \"noon\"")),
+                &format!(
+                    "generation(1)\n{}",
+                    one.replace("weight = 1", "weight = 1, started = \"noon\"")
+                ),
                 1,
             ),
             "is no time; write \"2026-12-01T10:00:00Z\"",
         ),
-        (sealed_body("generation(1)\nfor a in []:\n  pass\n", 0), "a loop can't be used"),
-        (sealed_body("generation(1)\nend(servers = 0, seal = \"\")\n", 0), ""),
+        (
+            sealed_body("generation(1)\nfor a in []:\n  pass\n", 0),
+            "a loop can't be used",
+        ),
+        (
+            sealed_body("generation(1)\nend(servers = 0, seal = \"\")\n", 0),
+            "",
+        ),
     ];
     for (text, wanted) in cases {
-        let said = taken(&text).map(|c| format!("taken: {c:?}")).unwrap_or_else(|e| e.to_string());
+        let said = taken(&text)
+            .map(|c| format!("taken: {c:?}"))
+            .unwrap_or_else(|e| e.to_string());
         assert!(said.contains(wanted), "{text}\n{said}");
     }
-    let said = read(Path::new(FILE), b"generation(1)\n# \xff\n").unwrap_err().to_string();
+    let said = read(Path::new(FILE), b"generation(1)\n# \xff\n")
+        .unwrap_err()
+        .to_string();
     assert_eq!(said, "byte 16 is no UTF-8 text");
 }
 
@@ -161,10 +223,20 @@
     assert_eq!(taken(&sealed_text).unwrap().entries[0].weight, 2.25);
     let body = |t: &str| t.rsplit_once("end(").unwrap().0.to_string();
     assert_eq!(body(&sealed_text), body(&text));
-    assert_eq!(sealed(Path::new(FILE), &sealed_text).unwrap(), sealed_text, "twice is once");
+    assert_eq!(
+        sealed(Path::new(FILE), &sealed_text).unwrap(),
+        sealed_text,
+        "twice is once"
+    );
     let unended = body(&text);
-    assert_eq!(sealed(Path::new(FILE), unended.trim_end()).unwrap(), sealed_text);
-    assert!(sealed(Path::new(FILE), "server(").is_err(), "what can't be read is not sealed");
+    assert_eq!(
+        sealed(Path::new(FILE), unended.trim_end()).unwrap(),
+        sealed_text
+    );
+    assert!(
+        sealed(Path::new(FILE), "server(").is_err(),
+        "what can't be read is not sealed"
+    );
 }
 
 proptest! {
--- a/crates/rookpulley-files/tests/watch.rs
+++ b/crates/rookpulley-files/tests/watch.rs
@@ -19,11 +19,20 @@
         weight: 1.0,
         ..Entry::default()
     };
-    written(&Candidate { generation, loss: None, entries: vec![entry] })
+    written(&Candidate {
+        generation,
+        loss: None,
+        entries: vec![entry],
+    })
 }
 
-fn watching<F: Future<Output = ()>>(test: impl FnOnce(std::path::PathBuf, mpsc::Receiver<Found>) -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+fn watching<F: Future<Output = ()>>(
+    test: impl FnOnce(std::path::PathBuf, mpsc::Receiver<Found>) -> F,
+) {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let folder = tempfile::tempdir().unwrap();
     std::fs::create_dir(folder.path().join("etc")).unwrap();
     runtime.block_on(async {
@@ -59,7 +68,10 @@
 #[test]
 fn editors_that_write_in_steps_rename_link_and_replace_the_folder_are_followed() {
     watching(|file, mut found| async move {
-        assert!(matches!(found.recv().await, Some(Found::Gone(_))), "there is none yet");
+        assert!(
+            matches!(found.recv().await, Some(Found::Gone(_))),
+            "there is none yet"
+        );
         let mut others = 0;
         std::fs::write(&file, text(1)).unwrap();
         assert_eq!(next(&mut found, &mut others).await, 1);
@@ -70,7 +82,12 @@
         std::fs::rename(&beside, &file).unwrap();
         assert_eq!(next(&mut found, &mut others).await, 3);
         // A link to a file elsewhere, which then changes; no notification comes from there.
-        let elsewhere = file.parent().unwrap().parent().unwrap().join("elsewhere.star");
+        let elsewhere = file
+            .parent()
+            .unwrap()
+            .parent()
+            .unwrap()
+            .join("elsewhere.star");
         std::fs::write(&elsewhere, text(4)).unwrap();
         std::fs::remove_file(&file).unwrap();
         std::os::unix::fs::symlink(&elsewhere, &file).unwrap();
@@ -99,13 +116,17 @@
         std::fs::remove_file(&file).unwrap();
         assert!(matches!(found.recv().await, Some(Found::Gone(_))));
         // A pipe has no end; it is not even opened.
-        let made = std::process::Command::new("mkfifo").arg(&file).status().unwrap();
+        let made = std::process::Command::new("mkfifo")
+            .arg(&file)
+            .status()
+            .unwrap();
         assert!(made.success());
         std::fs::remove_file(&file).unwrap();
         std::fs::write(&file, b"\xff\xfe").unwrap();
         let mut not_text = false;
         while !not_text {
-            not_text = matches!(found.recv().await.unwrap(), Found::Not(why) if why.contains("no UTF-8"));
+            not_text =
+                matches!(found.recv().await.unwrap(), Found::Not(why) if why.contains("no UTF-8"));
         }
         std::fs::write(&file, text(2)).unwrap();
         assert_eq!(next(&mut found, &mut others).await, 2);
@@ -136,7 +157,10 @@
         let (mut others, beside, spare) = (0, file.with_extension("b"), file.with_extension("c"));
         std::fs::write(&file, text(1)).unwrap();
         std::fs::write(&beside, text(2)).unwrap();
-        let (swapping, stop) = (file.clone(), std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false)));
+        let (swapping, stop) = (
+            file.clone(),
+            std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false)),
+        );
         let stopped = stop.clone();
         let loops = std::thread::spawn(move || {
             while !stopped.load(std::sync::atomic::Ordering::Relaxed) {
--- a/crates/rookpulley-lists/src/candidate.rs
+++ b/crates/rookpulley-lists/src/candidate.rs
@@ -66,7 +66,10 @@
     pub fn of(start: &Start, machines: &[String]) -> Self {
         let zones = start.place.zones.clone();
         let names = |places: &[u16], of: &[String]| {
-            places.iter().filter_map(|p| of.get(usize::from(*p)).cloned()).collect()
+            places
+                .iter()
+                .filter_map(|p| of.get(usize::from(*p)).cloned())
+                .collect()
         };
         let kinds = start.kinds.iter().map(|k| Kind {
             name: k.name.clone(),
@@ -75,13 +78,20 @@
             own_zone: k.own_zone,
         });
         let kinds = kinds.collect();
-        Self { zones, machines: machines.to_vec(), kinds }
+        Self {
+            zones,
+            machines: machines.to_vec(),
+            kinds,
+        }
     }
 
     /// Where nothing is known of the deployment: any zone and machine that a list names is believed.
     pub fn as_named(list: &Candidate) -> Self {
         let zones: BTreeSet<&String> = list.entries.iter().map(|e| &e.zone).collect();
-        Self { zones: zones.into_iter().cloned().collect(), ..Self::default() }
+        Self {
+            zones: zones.into_iter().cloned().collect(),
+            ..Self::default()
+        }
     }
 }
 
@@ -96,21 +106,37 @@
     SameAgain { held: u64 },
     #[error("{name:?} stands twice, first at line {first}; write it once")]
     Twice { name: String, first: usize },
-    #[error("{name:?} has the address {address} of {other:?}; write one name for it, or its own address")]
-    SharedAddress { name: String, address: String, other: String },
+    #[error(
+        "{name:?} has the address {address} of {other:?}; write one name for it, or its own address"
+    )]
+    SharedAddress {
+        name: String,
+        address: String,
+        other: String,
+    },
     #[error("{name:?} is no name; write 1 to 200 printable characters without spaces")]
     Name { name: String },
     #[error("{name:?} has the address {address:?}; write one such as \"10.0.0.1:8000\"")]
     Address { name: String, address: String },
     #[error("{name:?} is of zone {zone:?}; write one of {known}")]
-    Zone { name: String, zone: String, known: String },
+    Zone {
+        name: String,
+        zone: String,
+        known: String,
+    },
     #[error("{name:?} is of the machine kind {machine:?}; write one of {known}")]
-    Machine { name: String, machine: String, known: String },
+    Machine {
+        name: String,
+        machine: String,
+        known: String,
+    },
     #[error("{name:?} has the weight {weight}; write a figure from 0 to {WEIGHT_MOST}")]
     Weight { name: String, weight: f64 },
     #[error("{name:?} starts at {started_ms:.0}, which is to come; write when it last started")]
     Start { name: String, started_ms: f64 },
-    #[error("{name:?} was drained; write started = {least_ms:.0} or later once it has started anew")]
+    #[error(
+        "{name:?} was drained; write started = {least_ms:.0} or later once it has started anew"
+    )]
     Drained { name: String, least_ms: f64 },
     #[error("every weight is 0; write a weight above 0 for those that are to serve")]
     AllZero,
@@ -143,13 +169,21 @@
                 None => write!(f, "{comma}{reason}")?,
             }
         }
-        if self.more > 0 { write!(f, "; and {} more", self.more) } else { Ok(()) }
+        if self.more > 0 {
+            write!(f, "; and {} more", self.more)
+        } else {
+            Ok(())
+        }
     }
 }
 
 impl Refused {
     pub fn add(&mut self, place: Option<Place>, reason: Reason) {
-        if self.reasons.len() < REASONS_MOST { self.reasons.push((place, reason)) } else { self.more += 1 }
+        if self.reasons.len() < REASONS_MOST {
+            self.reasons.push((place, reason))
+        } else {
+            self.more += 1
+        }
     }
 
     pub fn is_empty(&self) -> bool {
@@ -171,7 +205,11 @@
 }
 
 fn list(names: &[String]) -> String {
-    names.iter().map(|n| format!("{n:?}")).collect::<Vec<_>>().join(", ")
+    names
+        .iter()
+        .map(|n| format!("{n:?}"))
+        .collect::<Vec<_>>()
+        .join(", ")
 }
 
 /// Checks a list by itself: names, addresses, zones, weights.
@@ -186,35 +224,85 @@
     let mut addresses: BTreeMap<&str, &str> = BTreeMap::new();
     for entry in &offered.entries {
         let (name, place) = (entry.name.clone(), entry.place);
-        if name.is_empty() || name.len() > 200 || name.chars().any(|c| c.is_control() || c.is_whitespace()) {
+        if name.is_empty()
+            || name.len() > 200
+            || name.chars().any(|c| c.is_control() || c.is_whitespace())
+        {
             refused.add(place, Reason::Name { name: name.clone() });
         }
         if let Some(first) = names.insert(&entry.name, entry) {
             let first = first.place.map_or(0, |(line, _)| line);
-            refused.add(place, Reason::Twice { name: name.clone(), first });
+            refused.add(
+                place,
+                Reason::Twice {
+                    name: name.clone(),
+                    first,
+                },
+            );
             continue;
         }
         let address = entry.address.clone();
-        if address.rsplit_once(':').is_none_or(|(host, port)| host.is_empty() || port.parse::<u16>().is_err())
+        if address
+            .rsplit_once(':')
+            .is_none_or(|(host, port)| host.is_empty() || port.parse::<u16>().is_err())
         {
-            refused.add(place, Reason::Address { name: name.clone(), address: address.clone() });
+            refused.add(
+                place,
+                Reason::Address {
+                    name: name.clone(),
+                    address: address.clone(),
+                },
+            );
         } else if let Some(other) = addresses.insert(&entry.address, &entry.name) {
             let other = other.to_string();
-            refused.add(place, Reason::SharedAddress { name: name.clone(), address, other });
+            refused.add(
+                place,
+                Reason::SharedAddress {
+                    name: name.clone(),
+                    address,
+                    other,
+                },
+            );
         }
         if !facts.zones.contains(&entry.zone) {
             let known = list(&facts.zones);
-            refused.add(place, Reason::Zone { name: name.clone(), zone: entry.zone.clone(), known });
+            refused.add(
+                place,
+                Reason::Zone {
+                    name: name.clone(),
+                    zone: entry.zone.clone(),
+                    known,
+                },
+            );
         }
         if !facts.machines.is_empty() && !facts.machines.contains(&entry.machine) {
             let known = list(&facts.machines);
-            refused.add(place, Reason::Machine { name: name.clone(), machine: entry.machine.clone(), known });
+            refused.add(
+                place,
+                Reason::Machine {
+                    name: name.clone(),
+                    machine: entry.machine.clone(),
+                    known,
+                },
+            );
         }
         if !(0.0..=WEIGHT_MOST).contains(&entry.weight) {
-            refused.add(place, Reason::Weight { name: name.clone(), weight: entry.weight });
+            refused.add(
+                place,
+                Reason::Weight {
+                    name: name.clone(),
+                    weight: entry.weight,
+                },
+            );
         }
         if !(entry.started_ms >= 0.0 && entry.started_ms <= now + AHEAD_MS) {
-            refused.add(place, Reason::Start { name, started_ms: entry.started_ms });
+            refused.add(
+                place,
+                Reason::Start {
+                    name,
+                    started_ms: entry.started_ms,
+                },
+            );
         }
     }
     check_serves(&offered.entries, facts, refused);
@@ -226,7 +314,11 @@
     if serving.is_empty() && !entries.is_empty() {
         return refused.add(None, Reason::AllZero);
     }
-    let zones: BTreeSet<&String> = entries.iter().filter(|e| !e.drains).map(|e| &e.zone).collect();
+    let zones: BTreeSet<&String> = entries
+        .iter()
+        .filter(|e| !e.drains)
+        .map(|e| &e.zone)
+        .collect();
     for zone in zones {
         if !serving.iter().any(|e| e.zone == *zone) {
             refused.add(None, Reason::ZoneZero(zone.clone()));
@@ -234,13 +326,31 @@
     }
     for kind in &facts.kinds {
         let bare = |from: Option<&String>| {
-            !serving.iter().any(|e| kind.open(e) && from.is_none_or(|zone| e.zone == *zone))
+            !serving
+                .iter()
+                .any(|e| kind.open(e) && from.is_none_or(|zone| e.zone == *zone))
         };
         if !kind.own_zone && bare(None) {
-            refused.add(None, Reason::Bare { kind: kind.name.clone(), from: None });
+            refused.add(
+                None,
+                Reason::Bare {
+                    kind: kind.name.clone(),
+                    from: None,
+                },
+            );
         }
-        for zone in facts.zones.iter().filter(|zone| kind.own_zone && bare(Some(*zone))) {
-            refused.add(None, Reason::Bare { kind: kind.name.clone(), from: Some(zone.clone()) });
+        for zone in facts
+            .zones
+            .iter()
+            .filter(|zone| kind.own_zone && bare(Some(*zone)))
+        {
+            refused.add(
+                None,
+                Reason::Bare {
+                    kind: kind.name.clone(),
+                    from: Some(zone.clone()),
+                },
+            );
         }
     }
 }
@@ -253,18 +363,46 @@
 /// Checks a list against the one held of the same source.
 pub fn check_against(offered: &Candidate, held: &Candidate, refused: &mut Refused) {
     if offered.generation < held.generation {
-        refused.add(None, Reason::Older { offered: offered.generation, held: held.generation });
+        refused.add(
+            None,
+            Reason::Older {
+                offered: offered.generation,
+                held: held.generation,
+            },
+        );
     } else if offered.generation == held.generation && offered.entries != held.entries {
-        refused.add(None, Reason::SameAgain { held: held.generation });
+        refused.add(
+            None,
+            Reason::SameAgain {
+                held: held.generation,
+            },
+        );
     }
     // What each server loses; gains elsewhere make up for nothing, since they start cold.
-    let stays: BTreeMap<&str, &Entry> = offered.entries.iter().map(|e| (e.name.as_str(), e)).collect();
-    let left =
-        |e: &Entry| stays.get(e.name.as_str()).filter(|n| n.serves()).map_or(0.0, |n| n.weight.min(e.weight));
+    let stays: BTreeMap<&str, &Entry> = offered
+        .entries
+        .iter()
+        .map(|e| (e.name.as_str(), e))
+        .collect();
+    let left = |e: &Entry| {
+        stays
+            .get(e.name.as_str())
+            .filter(|n| n.serves())
+            .map_or(0.0, |n| n.weight.min(e.weight))
+    };
     let before = capacity(held.entries.iter());
     let kept: f64 = held.entries.iter().filter(|e| e.serves()).map(left).sum();
-    let (part, most) = (1.0 - kept / before.max(1e-9), offered.loss.unwrap_or(LOSS_MOST));
+    let (part, most) = (
+        1.0 - kept / before.max(1e-9),
+        offered.loss.unwrap_or(LOSS_MOST),
+    );
     if before > 0.0 && part > most + 1e-9 {
-        refused.add(None, Reason::Loss { part: (part * 100.0).ceil() / 100.0, most });
+        refused.add(
+            None,
+            Reason::Loss {
+                part: (part * 100.0).ceil() / 100.0,
+                most,
+            },
+        );
     }
 }
--- a/crates/rookpulley-lists/src/membership.rs
+++ b/crates/rookpulley-lists/src/membership.rs
@@ -51,7 +51,12 @@
     (State::Serving, Cue::Dropped, State::Draining, Effect::Drain),
     (State::Draining, Cue::Named, State::Draining, Effect::Refuse),
     (State::Draining, Cue::Starts, State::Serving, Effect::Serve),
-    (State::Draining, Cue::GraceEnds, State::Drained, Effect::Leave),
+    (
+        State::Draining,
+        Cue::GraceEnds,
+        State::Drained,
+        Effect::Leave,
+    ),
     (State::Drained, Cue::Named, State::Drained, Effect::Refuse),
     (State::Drained, Cue::Starts, State::Serving, Effect::Serve),
     (State::Drained, Cue::Drains, State::Drained, Effect::Keep),
@@ -69,19 +74,31 @@
 
 impl Member {
     pub fn new() -> Self {
-        Self { state: State::Unknown, started_ms: 0.0, drained_ms: 0.0 }
+        Self {
+            state: State::Unknown,
+            started_ms: 0.0,
+            drained_ms: 0.0,
+        }
     }
 
     /// The cue that naming it as serving, with this start, is.
     pub fn named(&self, started_ms: f64) -> Cue {
         let drained = matches!(self.state, State::Draining | State::Drained);
-        let later = started_ms > if drained { self.drained_ms.max(self.started_ms) } else { self.started_ms };
+        let later = started_ms
+            > if drained {
+                self.drained_ms.max(self.started_ms)
+            } else {
+                self.started_ms
+            };
         if later { Cue::Starts } else { Cue::Named }
     }
 
     /// Takes one step of the table above.
     pub fn step(&mut self, now: f64, cue: Cue, started_ms: f64) -> Effect {
-        let Some(row) = MEMBERSHIP.iter().find(|row| row.0 == self.state && row.1 == cue) else {
+        let Some(row) = MEMBERSHIP
+            .iter()
+            .find(|row| row.0 == self.state && row.1 == cue)
+        else {
             return Effect::Keep;
         };
         if row.2 == State::Draining && self.state != State::Draining {
--- a/crates/rookpulley-lists/src/merge.rs
+++ b/crates/rookpulley-lists/src/merge.rs
@@ -39,13 +39,23 @@
 
 /// Whether discovery sees a server draining that has not started since.
 fn seen(seen_draining: &BTreeMap<String, f64>, entry: &Entry) -> bool {
-    seen_draining.get(&entry.name).is_some_and(|started| entry.started_ms <= *started)
+    seen_draining
+        .get(&entry.name)
+        .is_some_and(|started| entry.started_ms <= *started)
 }
 
 impl Lists {
     pub fn new(facts: Facts, grace_ms: f64) -> Self {
         let (members, leaving, seen_draining) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Self { facts, grace_ms, held: None, accepted_ms: 0.0, members, leaving, seen_draining }
+        Self {
+            facts,
+            grace_ms,
+            held: None,
+            accepted_ms: 0.0,
+            members,
+            leaving,
+            seen_draining,
+        }
     }
 
     pub fn held(&self) -> Option<&Candidate> {
@@ -62,21 +72,39 @@
         let mut refused = Refused::default();
         // Who is seen draining serves nobody, whatever the list says.
         let mut as_seen = offered.clone();
-        as_seen.entries.iter_mut().for_each(|e| e.drains |= seen(&self.seen_draining, e));
+        as_seen
+            .entries
+            .iter_mut()
+            .for_each(|e| e.drains |= seen(&self.seen_draining, e));
         check_alone(now, &as_seen, &self.facts, &mut refused);
         if let Some(held) = &self.held {
             check_against(offered, held, &mut refused);
         }
         for entry in offered.entries.iter().filter(|e| !e.drains) {
-            let Some(member) = self.members.get(&entry.name) else { continue };
+            let Some(member) = self.members.get(&entry.name) else {
+                continue;
+            };
             let drained = matches!(member.state, State::Draining | State::Drained);
             // What discovery sees draining is drained without the list having to say so.
-            if drained && member.named(entry.started_ms) == Cue::Named && !seen(&self.seen_draining, entry) {
+            if drained
+                && member.named(entry.started_ms) == Cue::Named
+                && !seen(&self.seen_draining, entry)
+            {
                 let least_ms = member.drained_ms.max(member.started_ms).floor() + 1.0;
-                refused.add(entry.place, Reason::Drained { name: entry.name.clone(), least_ms });
+                refused.add(
+                    entry.place,
+                    Reason::Drained {
+                        name: entry.name.clone(),
+                        least_ms,
+                    },
+                );
             }
         }
-        if refused.is_empty() { Ok(()) } else { Err(refused) }
+        if refused.is_empty() {
+            Ok(())
+        } else {
+            Err(refused)
+        }
     }
 
     /// Takes a candidate entirely, or refuses it and changes nothing. Gives what the module is to be told.
@@ -91,13 +119,25 @@
         for entry in &offered.entries {
             let member = self.members.entry(entry.name.clone()).or_default();
             let seen = seen(&self.seen_draining, entry);
-            let cue = if entry.drains || seen { Cue::Drains } else { member.named(entry.started_ms) };
+            let cue = if entry.drains || seen {
+                Cue::Drains
+            } else {
+                member.named(entry.started_ms)
+            };
             self.step(now, entry, cue, &mut changed);
         }
         let was: BTreeMap<&str, &Entry> = before.iter().map(|e| (e.name.as_str(), e)).collect();
-        let differs =
-            |e: &&Entry| was.get(e.name.as_str()).is_none_or(|w| w.weight != e.weight || w.zone != e.zone);
-        changed.extend(offered.entries.iter().filter(differs).map(|e| e.name.clone()));
+        let differs = |e: &&Entry| {
+            was.get(e.name.as_str())
+                .is_none_or(|w| w.weight != e.weight || w.zone != e.zone)
+        };
+        changed.extend(
+            offered
+                .entries
+                .iter()
+                .filter(differs)
+                .map(|e| e.name.clone()),
+        );
         (self.held, self.accepted_ms) = (Some(offered), now);
         self.remember();
         Ok(self.tell(&changed))
@@ -105,10 +145,18 @@
 
     /// Takes a candidate as `offer` does. The first one takes the place of whatever discovery told: it is told as
     /// a whole list.
-    pub fn take(&mut self, now: f64, offered: Candidate) -> Result<(ListScope, Vec<Told>), Refused> {
+    pub fn take(
+        &mut self,
+        now: f64,
+        offered: Candidate,
+    ) -> Result<(ListScope, Vec<Told>), Refused> {
         let first = self.held.is_none();
         let changes = self.offer(now, offered)?;
-        Ok(if first { (ListScope::Full, self.whole()) } else { (ListScope::Changes, changes) })
+        Ok(if first {
+            (ListScope::Full, self.whole())
+        } else {
+            (ListScope::Changes, changes)
+        })
     }
 
     /// A list of discovery's, by name, stage and start. None: no file was taken yet, and the list itself counts.
@@ -126,12 +174,27 @@
     }
 
     /// What discovery sees of a server: counted where a drain or a start is news, for servers of the file.
-    pub fn seen_by_discovery(&mut self, now: f64, name: &str, drains: bool, started_ms: f64) -> Vec<Told> {
+    pub fn seen_by_discovery(
+        &mut self,
+        now: f64,
+        name: &str,
+        drains: bool,
+        started_ms: f64,
+    ) -> Vec<Told> {
         let mut changed = BTreeSet::new();
-        let entry = self.held.iter().flat_map(|h| &h.entries).find(|e| e.name == name).cloned();
+        let entry = self
+            .held
+            .iter()
+            .flat_map(|h| &h.entries)
+            .find(|e| e.name == name)
+            .cloned();
         if drains {
             self.seen_draining.insert(name.to_string(), started_ms);
-        } else if self.seen_draining.get(name).is_some_and(|known| started_ms > *known) {
+        } else if self
+            .seen_draining
+            .get(name)
+            .is_some_and(|known| started_ms > *known)
+        {
             self.seen_draining.remove(name);
         }
         if let Some(mut entry) = entry {
@@ -156,8 +219,12 @@
     /// Time passes: whose grace is over.
     pub fn pass(&mut self, now: f64) -> Vec<Told> {
         let over = |m: &Member| m.state == State::Draining && now - m.drained_ms >= self.grace_ms;
-        let over: Vec<String> =
-            self.members.iter().filter(|(_, m)| over(m)).map(|(n, _)| n.clone()).collect();
+        let over: Vec<String> = self
+            .members
+            .iter()
+            .filter(|(_, m)| over(m))
+            .map(|(n, _)| n.clone())
+            .collect();
         let mut changed = BTreeSet::new();
         for name in over {
             if let Some(entry) = self.leaving.get(&name).cloned() {
@@ -165,7 +232,11 @@
             }
         }
         let told = self.tell(&changed);
-        self.leaving.retain(|name, _| self.members.get(name).is_some_and(|m| m.state == State::Draining));
+        self.leaving.retain(|name, _| {
+            self.members
+                .get(name)
+                .is_some_and(|m| m.state == State::Draining)
+        });
         told
     }
 
@@ -186,7 +257,12 @@
     /// Drains of servers that nothing names are remembered up to a bound.
     fn remember(&mut self) {
         let over = self.members.len().saturating_sub(REMEMBERED_MOST);
-        let named: BTreeSet<&String> = self.held.iter().flat_map(|h| &h.entries).map(|e| &e.name).collect();
+        let named: BTreeSet<&String> = self
+            .held
+            .iter()
+            .flat_map(|h| &h.entries)
+            .map(|e| &e.name)
+            .collect();
         let mut old: Vec<(f64, String)> = self
             .members
             .iter()
@@ -194,16 +270,30 @@
             .map(|(n, m)| (m.drained_ms, n.clone()))
             .collect();
         old.sort_by(|a, b| a.0.total_cmp(&b.0));
-        old.into_iter().take(over).for_each(|(_, name)| _ = self.members.remove(&name));
+        old.into_iter()
+            .take(over)
+            .for_each(|(_, name)| _ = self.members.remove(&name));
     }
 
     /// These servers as they stand now.
     fn tell(&self, changed: &BTreeSet<String>) -> Vec<Told> {
-        let named = self.held.iter().flat_map(|h| &h.entries).filter(|e| changed.contains(&e.name));
+        let named = self
+            .held
+            .iter()
+            .flat_map(|h| &h.entries)
+            .filter(|e| changed.contains(&e.name));
         let named: BTreeMap<&str, &Entry> = named.map(|e| (e.name.as_str(), e)).collect();
         let told = changed.iter().filter_map(|name| {
-            let entry = named.get(name.as_str()).copied().or_else(|| self.leaving.get(name))?;
-            let gone = || Some(Told { entry: self.leaving.get(name)?.clone(), stage: Stage::Gone });
+            let entry = named
+                .get(name.as_str())
+                .copied()
+                .or_else(|| self.leaving.get(name))?;
+            let gone = || {
+                Some(Told {
+                    entry: self.leaving.get(name)?.clone(),
+                    stage: Stage::Gone,
+                })
+            };
             self.told(entry).or_else(gone)
         });
         told.collect()
@@ -218,14 +308,23 @@
             State::Drained | State::Unknown => return None,
         };
         let started_ms = member.started_ms.max(entry.started_ms);
-        Some(Told { entry: Entry { started_ms, ..entry.clone() }, stage })
+        Some(Told {
+            entry: Entry {
+                started_ms,
+                ..entry.clone()
+            },
+            stage,
+        })
     }
 
     /// Every server that the module is to know, with its stage and its start as it is known best.
     pub fn whole(&self) -> Vec<Told> {
         let entries = self.held.iter().flat_map(|h| &h.entries);
-        let mut all: BTreeMap<&str, &Entry> = self.leaving.iter().map(|(n, e)| (n.as_str(), e)).collect();
+        let mut all: BTreeMap<&str, &Entry> =
+            self.leaving.iter().map(|(n, e)| (n.as_str(), e)).collect();
         all.extend(entries.map(|e| (e.name.as_str(), e)));
-        all.into_values().filter_map(|entry| self.told(entry)).collect()
+        all.into_values()
+            .filter_map(|entry| self.told(entry))
+            .collect()
     }
 }
--- a/crates/rookpulley-operators/src/asks.rs
+++ b/crates/rookpulley-operators/src/asks.rs
@@ -16,7 +16,11 @@
     /// The lines that differ between two kept versions.
     Diff { from: VersionText, to: VersionText },
     /// Back to an earlier version: of its own table, or of all tables as they were then.
-    Rollback { to: VersionText, table: Option<u16>, all: bool },
+    Rollback {
+        to: VersionText,
+        table: Option<u16>,
+        all: bool,
+    },
     /// The servers, as the file that lists them and discovery have it.
     Servers,
     /// Ends a way back: of one table, or all of them.
@@ -145,7 +149,11 @@
 
 impl Refusal {
     pub fn new(status: u16, what: impl Into<String>, instead: Option<&str>) -> Self {
-        Self { status, what: what.into(), instead: instead.map(str::to_string) }
+        Self {
+            status,
+            what: what.into(),
+            instead: instead.map(str::to_string),
+        }
     }
 }
 
@@ -195,20 +203,37 @@
 
 fn body<'a, T: Deserialize<'a>>(bytes: &'a [u8], shape: &str) -> Result<T, Refusal> {
     serde_json::from_slice(bytes).map_err(|e| {
-        Refusal::new(400, format!("the body can't be used: {e}"), Some(&format!("write {shape}")))
+        Refusal::new(
+            400,
+            format!("the body can't be used: {e}"),
+            Some(&format!("write {shape}")),
+        )
     })
 }
 
 /// What a call asks for.
 pub fn read(method: &str, path: &str, query: &str, bytes: &[u8]) -> Result<Ask, Refusal> {
-    let pairs: Vec<(String, String)> = form_urlencoded::parse(query.as_bytes()).into_owned().collect();
-    let find = |name: &str| pairs.iter().find(|(n, _)| n == name).map(|(_, v)| v.clone());
+    let pairs: Vec<(String, String)> = form_urlencoded::parse(query.as_bytes())
+        .into_owned()
+        .collect();
+    let find = |name: &str| {
+        pairs
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.clone())
+    };
     let known = |names: &[&str]| match pairs.iter().find(|(n, _)| !names.contains(&n.as_str())) {
         None => Ok(()),
-        Some((n, _)) if names.is_empty() => Err(Refusal::new(400, format!("{n:?} is unknown here"), None)),
+        Some((n, _)) if names.is_empty() => {
+            Err(Refusal::new(400, format!("{n:?} is unknown here"), None))
+        }
         Some((n, _)) => {
             let instead = format!("write {}", names.join(" or "));
-            Err(Refusal::new(400, format!("{n:?} is unknown here"), Some(&instead)))
+            Err(Refusal::new(
+                400,
+                format!("{n:?} is unknown here"),
+                Some(&instead),
+            ))
         }
     };
     let must = |name: &str| {
@@ -219,46 +244,70 @@
         ("GET", "/v1/versions") => {
             known(&["table"])?;
             let number = |text: String| {
-                let wrong =
-                    || Refusal::new(400, format!("table {text:?} is no number"), Some("write table=0"));
+                let wrong = || {
+                    Refusal::new(
+                        400,
+                        format!("table {text:?} is no number"),
+                        Some("write table=0"),
+                    )
+                };
                 text.parse().map_err(|_| wrong())
             };
-            Ok(Ask::Versions { table: find("table").map(number).transpose()? })
+            Ok(Ask::Versions {
+                table: find("table").map(number).transpose()?,
+            })
         }
         ("GET", "/v1/holders") => known(&[]).map(|()| Ask::Holders),
         ("GET", "/v1/servers") => known(&[]).map(|()| Ask::Servers),
         ("GET", "/v1/diff") => {
             known(&["from", "to"])?;
-            Ok(Ask::Diff { from: must("from")?, to: must("to")? })
+            Ok(Ask::Diff {
+                from: must("from")?,
+                to: must("to")?,
+            })
         }
         ("POST", "/v1/rollback") => {
             known(&[])?;
-            let shape = r#"{"to":"n0~18f3a2c41b7e0042~17"}, with "table":0 or "all":true where wanted"#;
+            let shape =
+                r#"{"to":"n0~18f3a2c41b7e0042~17"}, with "table":0 or "all":true where wanted"#;
             let told: RollbackBody = body(bytes, shape)?;
             if told.all && told.table.is_some() {
-                return Err(Refusal::new(400, "table and all exclude each other", Some("write one of them")));
+                return Err(Refusal::new(
+                    400,
+                    "table and all exclude each other",
+                    Some("write one of them"),
+                ));
             }
-            Ok(Ask::Rollback { to: told.to, table: told.table, all: told.all })
+            Ok(Ask::Rollback {
+                to: told.to,
+                table: told.table,
+                all: told.all,
+            })
         }
         ("POST", "/v1/release") => {
             known(&[])?;
             let told: ReleaseBody = body(bytes, r#"{"table":0} or {"all":true}"#)?;
             match (told.table, told.all) {
-                (Some(_), true) | (None, false) => {
-                    Err(Refusal::new(400, "one of table and all is wanted", Some("write {\"all\":true}")))
-                }
+                (Some(_), true) | (None, false) => Err(Refusal::new(
+                    400,
+                    "one of table and all is wanted",
+                    Some("write {\"all\":true}"),
+                )),
                 (table, _) => Ok(Ask::Release { table }),
             }
         }
-        (_, "/v1/versions" | "/v1/holders" | "/v1/diff" | "/v1/servers") => {
-            Err(Refusal::new(405, format!("{method} is not for {path}"), Some("use GET")))
-        }
-        (_, "/v1/rollback" | "/v1/release") => {
-            Err(Refusal::new(405, format!("{method} is not for {path}"), Some("use POST")))
-        }
+        (_, "/v1/versions" | "/v1/holders" | "/v1/diff" | "/v1/servers") => Err(Refusal::new(
+            405,
+            format!("{method} is not for {path}"),
+            Some("use GET"),
+        )),
+        (_, "/v1/rollback" | "/v1/release") => Err(Refusal::new(
+            405,
+            format!("{method} is not for {path}"),
+            Some("use POST"),
+        )),
         _ => {
-            let known =
-                "there are /v1/versions, /v1/holders, /v1/diff, /v1/servers, /v1/rollback and /v1/release";
+            let known = "there are /v1/versions, /v1/holders, /v1/diff, /v1/servers, /v1/rollback and /v1/release";
             Err(Refusal::new(404, format!("{path} is unknown"), Some(known)))
         }
     }
--- a/crates/rookpulley-operators/src/file.rs
+++ b/crates/rookpulley-operators/src/file.rs
@@ -61,9 +61,9 @@
 fn within(name: &str, figure: i32, from: i32, to: i32) -> anyhow::Result<usize> {
     match (from..=to).contains(&figure) {
         true => Ok(figure as usize),
-        false => {
-            Err(anyhow::anyhow!("{name} = {figure} is out of range; write a figure from {from} to {to}"))
-        }
+        false => Err(anyhow::anyhow!(
+            "{name} = {figure} is out of range; write a figure from {from} to {to}"
+        )),
     }
 }
 
@@ -85,8 +85,15 @@
                 "{listen} can be reached from other machines; write token_file = \"/path\" beside it, or a loopback address"
             ));
         }
-        let reach = Reach { listen: place, token_file };
-        once(&mut said::<Said>(eval)?.0.borrow_mut().address, "address", reach)?;
+        let reach = Reach {
+            listen: place,
+            token_file,
+        };
+        once(
+            &mut said::<Said>(eval)?.0.borrow_mut().address,
+            "address",
+            reach,
+        )?;
         Ok(NoneType)
     }
 
@@ -97,23 +104,43 @@
     ) -> anyhow::Result<NoneType> {
         let each = within("keep", keep, 2, 1_000)?;
         let bytes = within("megabytes", megabytes, 1, 4_096)? << 20;
-        once(&mut said::<Said>(eval)?.0.borrow_mut().versions, "versions", Kept { each, bytes })?;
+        once(
+            &mut said::<Said>(eval)?.0.borrow_mut().versions,
+            "versions",
+            Kept { each, bytes },
+        )?;
         Ok(NoneType)
     }
 
-    fn servers(#[starlark(require = named)] file: &str, eval: &mut Evaluator) -> anyhow::Result<NoneType> {
+    fn servers(
+        #[starlark(require = named)] file: &str,
+        eval: &mut Evaluator,
+    ) -> anyhow::Result<NoneType> {
         if file.is_empty() {
-            return Err(anyhow::anyhow!("file is empty; write the path of the file that lists the servers"));
+            return Err(anyhow::anyhow!(
+                "file is empty; write the path of the file that lists the servers"
+            ));
         }
-        once(&mut said::<Said>(eval)?.0.borrow_mut().servers, "servers", PathBuf::from(file))?;
+        once(
+            &mut said::<Said>(eval)?.0.borrow_mut().servers,
+            "servers",
+            PathBuf::from(file),
+        )?;
         Ok(NoneType)
     }
 
-    fn log(#[starlark(require = named)] form: &str, eval: &mut Evaluator) -> anyhow::Result<NoneType> {
+    fn log(
+        #[starlark(require = named)] form: &str,
+        eval: &mut Evaluator,
+    ) -> anyhow::Result<NoneType> {
         let form = match form {
             "text" => LogForm::Text,
             "json" => LogForm::Json,
-            _ => return Err(anyhow::anyhow!("form = {form:?} is unknown; write \"text\" or \"json\"")),
+            _ => {
+                return Err(anyhow::anyhow!(
+                    "form = {form:?} is unknown; write \"text\" or \"json\""
+                ));
+            }
         };
         once(&mut said::<Said>(eval)?.0.borrow_mut().log, "log", form)?;
         Ok(NoneType)
@@ -130,15 +157,31 @@
 /// Reads a script. `file` is named in errors only.
 pub fn read(file: &Path, text: &str) -> Result<Operators, BadFile> {
     let said: Said = script::run(file, text, &VOCABULARY)?;
-    let Found { address, versions, servers, log } = said.0.into_inner();
-    Ok(Operators { address, versions, servers, log: log.unwrap_or_default() })
+    let Found {
+        address,
+        versions,
+        servers,
+        log,
+    } = said.0.into_inner();
+    Ok(Operators {
+        address,
+        versions,
+        servers,
+        log: log.unwrap_or_default(),
+    })
 }
 
 pub fn load(file: &Path) -> Result<Operators, BadFile> {
-    let plain = |what: String| BadFile { file: file.into(), at: None, what };
+    let plain = |what: String| BadFile {
+        file: file.into(),
+        at: None,
+        what,
+    };
     let size = std::fs::metadata(file).map_err(|e| plain(format!("can't be read: {e}")))?;
     if !size.is_file() || size.len() > BYTES_MOST as u64 {
-        return Err(plain(format!("it must be a plain file of at most {BYTES_MOST} bytes")));
+        return Err(plain(format!(
+            "it must be a plain file of at most {BYTES_MOST} bytes"
+        )));
     }
     let text = std::fs::read_to_string(file).map_err(|e| plain(format!("can't be read: {e}")))?;
     read(file, &text)
@@ -154,18 +197,28 @@
 
     /// The first line of a file, of 16 characters at least.
     pub fn load(file: &Path) -> Result<Self, BadFile> {
-        let plain = |what: String| BadFile { file: file.into(), at: None, what };
-        let text = std::fs::read_to_string(file).map_err(|e| plain(format!("can't be read: {e}")))?;
+        let plain = |what: String| BadFile {
+            file: file.into(),
+            at: None,
+            what,
+        };
+        let text =
+            std::fs::read_to_string(file).map_err(|e| plain(format!("can't be read: {e}")))?;
         let token = text.lines().next().unwrap_or_default().trim();
         match token.len() {
             TOKEN_LEAST.. => Ok(Self::of(token)),
-            short => Err(plain(format!("a token of {short} characters; write {TOKEN_LEAST} at least"))),
+            short => Err(plain(format!(
+                "a token of {short} characters; write {TOKEN_LEAST} at least"
+            ))),
         }
     }
 
     /// In the same time whatever is shown: hashes of one length are compared, and all their bytes.
     pub fn is(&self, shown: &str) -> bool {
         use subtle::ConstantTimeEq;
-        self.0.as_bytes().ct_eq(blake3::hash(shown.as_bytes()).as_bytes()).into()
+        self.0
+            .as_bytes()
+            .ct_eq(blake3::hash(shown.as_bytes()).as_bytes())
+            .into()
     }
 }
--- a/crates/rookpulley-operators/src/plain.rs
+++ b/crates/rookpulley-operators/src/plain.rs
@@ -17,7 +17,10 @@
 const WRITE: &str = "this file holds names, values and calls alone; write the value out";
 
 fn not_plain(span: Span, what: &str) -> Result<(), NotPlain> {
-    Err(NotPlain { span, what: format!("{what} can't be used: {WRITE}") })
+    Err(NotPlain {
+        span,
+        what: format!("{what} can't be used: {WRITE}"),
+    })
 }
 
 pub fn statement(stmt: &AstStmt, depth: usize) -> Result<(), NotPlain> {
@@ -65,10 +68,16 @@
         ExprP::Identifier(_) | ExprP::Literal(_) => Ok(()),
         ExprP::Minus(inner) | ExprP::Plus(inner) => deeper(inner),
         ExprP::List(all) | ExprP::Tuple(all) => all.iter().try_for_each(deeper),
-        ExprP::Dict(all) => all.iter().try_for_each(|(k, v)| deeper(k).and_then(|()| deeper(v))),
+        ExprP::Dict(all) => all
+            .iter()
+            .try_for_each(|(k, v)| deeper(k).and_then(|()| deeper(v))),
         // One side is written out: a text grows by no more than what stands here.
-        ExprP::Op(a, BinOp::Add, b) if literal(a) || literal(b) => deeper(a).and_then(|()| deeper(b)),
-        ExprP::Op(a, BinOp::Subtract | BinOp::Multiply | BinOp::FloorDivide, b) if number(a) && number(b) => {
+        ExprP::Op(a, BinOp::Add, b) if literal(a) || literal(b) => {
+            deeper(a).and_then(|()| deeper(b))
+        }
+        ExprP::Op(a, BinOp::Subtract | BinOp::Multiply | BinOp::FloorDivide, b)
+            if number(a) && number(b) =>
+        {
             deeper(a).and_then(|()| deeper(b))
         }
         ExprP::Op(..) => not_plain(value.span, "this operator"),
@@ -78,7 +87,9 @@
             }
             args.args.iter().try_for_each(|arg| match &arg.node {
                 ArgumentP::Positional(v) | ArgumentP::Named(_, v) => deeper(v),
-                ArgumentP::Args(v) | ArgumentP::KwArgs(v) => not_plain(v.span, "a list of arguments"),
+                ArgumentP::Args(v) | ArgumentP::KwArgs(v) => {
+                    not_plain(v.span, "a list of arguments")
+                }
             })
         }
         ExprP::ListComprehension(..) | ExprP::DictComprehension(..) => {
@@ -87,7 +98,9 @@
         ExprP::Dot(..) => not_plain(value.span, "a method"),
         ExprP::Lambda(_) => not_plain(value.span, "a function of its own"),
         ExprP::If(_) => not_plain(value.span, "a condition"),
-        ExprP::Index(_) | ExprP::Index2(_) | ExprP::Slice(..) => not_plain(value.span, "a part of a value"),
+        ExprP::Index(_) | ExprP::Index2(_) | ExprP::Slice(..) => {
+            not_plain(value.span, "a part of a value")
+        }
         ExprP::Not(_) | ExprP::BitNot(_) | ExprP::FString(_) => not_plain(value.span, "this form"),
     }
 }
@@ -99,14 +112,18 @@
 /// Looks a long script over before it is parsed: what stands outside of texts and comments may nest a little and
 /// hold a few operators. Gives the line where it does not.
 pub fn look_over(text: &str) -> Result<(), (usize, String)> {
-    let (mut line, mut depth, mut operators, mut words, mut word) = (1, 0_usize, 0, 0, String::new());
+    let (mut line, mut depth, mut operators, mut words, mut word) =
+        (1, 0_usize, 0, 0, String::new());
     let (mut quote, mut escaped, mut comment, mut last) = (None, false, false, ' ');
     for c in text.chars() {
         if c == '\n' {
             (line, comment, escaped) = (line + 1, false, false);
             // A text goes on over lines in triple quotes only, which no list of servers needs.
             if quote.take().is_some() {
-                return Err((line - 1, format!("a text that goes on over lines can't be used: {WRITE}")));
+                return Err((
+                    line - 1,
+                    format!("a text that goes on over lines can't be used: {WRITE}"),
+                ));
             }
         } else if comment {
             continue;
@@ -120,7 +137,9 @@
             word.push(c);
             operators += usize::from(last == '.');
         } else {
-            let counted = ["if", "else", "and", "or", "not", "in", "lambda", "for", "def"];
+            let counted = [
+                "if", "else", "and", "or", "not", "in", "lambda", "for", "def",
+            ];
             words += usize::from(counted.contains(&word.as_str()));
             word.clear();
         }
@@ -137,7 +156,10 @@
         }
         last = if c.is_whitespace() { last } else { c };
         if depth > NESTS_MOST || operators > OPERATORS_MOST || words > WORDS_MOST {
-            return Err((line, format!("so much that is worked out can't be used: {WRITE}")));
+            return Err((
+                line,
+                format!("so much that is worked out can't be used: {WRITE}"),
+            ));
         }
     }
     Ok(())
--- a/crates/rookpulley-operators/src/script.rs
+++ b/crates/rookpulley-operators/src/script.rs
@@ -38,7 +38,9 @@
 pub fn once<T>(place: &mut Option<T>, name: &str, value: T) -> anyhow::Result<()> {
     match place.replace(value) {
         None => Ok(()),
-        Some(_) => Err(anyhow::anyhow!("{name}() is called twice; write one call for it")),
+        Some(_) => Err(anyhow::anyhow!(
+            "{name}() is called twice; write one call for it"
+        )),
     }
 }
 
@@ -85,7 +87,11 @@
         }
         text => text.to_string(),
     };
-    BadFile { file: file.into(), at, what }
+    BadFile {
+        file: file.into(),
+        at,
+        what,
+    }
 }
 
 /// Runs a script and gives what its calls said. `file` is named in errors only.
@@ -93,9 +99,17 @@
 where
     S: Default + Send + for<'e> AnyLifetime<'e>,
 {
-    let plain = |what: String| BadFile { file: file.into(), at: None, what };
+    let plain = |what: String| BadFile {
+        file: file.into(),
+        at: None,
+        what,
+    };
     if text.len() > vocabulary.bytes {
-        return Err(plain(format!("{} bytes are too many; {} are the most", text.len(), vocabulary.bytes)));
+        return Err(plain(format!(
+            "{} bytes are too many; {} are the most",
+            text.len(),
+            vocabulary.bytes
+        )));
     }
     if text.len() > LOOKED_OVER {
         plain::look_over(text).map_err(|(line, what)| BadFile {
@@ -108,7 +122,9 @@
         let thread = std::thread::Builder::new().stack_size(STACK);
         let reading = thread.spawn_scoped(scope, || evaluate(file, text, vocabulary));
         let reading = reading.map_err(|e| plain(format!("can't be evaluated: {e}")))?;
-        reading.join().unwrap_or_else(|_| Err(plain("can't be evaluated".into())))
+        reading
+            .join()
+            .unwrap_or_else(|_| Err(plain("can't be evaluated".into())))
     })
 }
 
@@ -122,14 +138,26 @@
 where
     S: Default + for<'e> AnyLifetime<'e>,
 {
-    let plain = |what: String| BadFile { file: file.into(), at: None, what };
+    let plain = |what: String| BadFile {
+        file: file.into(),
+        at: None,
+        what,
+    };
     let (name, known) = (file.display().to_string(), vocabulary.known);
-    let script = AstModule::parse(&name, text.into(), &DIALECT).map_err(|e| wrong(file, &e, known))?;
+    let script =
+        AstModule::parse(&name, text.into(), &DIALECT).map_err(|e| wrong(file, &e, known))?;
     plain::statement(script.statement(), DEPTH_MOST).map_err(|e| {
         let at = Some(place_of(&script.codemap().file_span(e.span)));
-        BadFile { file: file.into(), at, what: e.what }
+        BadFile {
+            file: file.into(),
+            at,
+            what: e.what,
+        }
     })?;
-    let globals: Globals = GlobalsBuilder::new().with(constants).with(vocabulary.words).build();
+    let globals: Globals = GlobalsBuilder::new()
+        .with(constants)
+        .with(vocabulary.words)
+        .build();
     let said = S::default();
     Module::with_temp_heap(|module| {
         let mut eval = Evaluator::new(&module);
@@ -139,8 +167,13 @@
             eval.set_max_heap_size(HEAP_MOST),
             eval.set_max_callstack_size(DEPTH_MOST),
         ];
-        bounds.into_iter().collect::<anyhow::Result<()>>().map_err(|e| plain(e.to_string()))?;
-        eval.eval_module(script, &globals).map(|_| ()).map_err(|e| wrong(file, &e, known))
+        bounds
+            .into_iter()
+            .collect::<anyhow::Result<()>>()
+            .map_err(|e| plain(e.to_string()))?;
+        eval.eval_module(script, &globals)
+            .map(|_| ())
+            .map_err(|e| wrong(file, &e, known))
     })?;
     Ok(said)
 }
--- a/crates/rookpulley-protocol/src/frame.rs
+++ b/crates/rookpulley-protocol/src/frame.rs
@@ -43,12 +43,16 @@
 
     pub fn take<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
         let rest = &self.bytes[self.read..];
-        let Some(head) = rest.first_chunk::<4>() else { return Ok(None) };
+        let Some(head) = rest.first_chunk::<4>() else {
+            return Ok(None);
+        };
         let length = u32::from_le_bytes(*head) as usize;
         if length > LONGEST {
             return Err(FrameError::TooLong(length));
         }
-        let Some(body) = rest.get(4..4 + length) else { return Ok(None) };
+        let Some(body) = rest.get(4..4 + length) else {
+            return Ok(None);
+        };
         let value = postcard::from_bytes(body)?;
         self.read += 4 + length;
         Ok(Some(value))
--- a/crates/rookpulley-protocol/src/messages.rs
+++ b/crates/rookpulley-protocol/src/messages.rs
@@ -25,15 +25,11 @@
         tables: bool,
     },
     /// It has heard of a newer configuration than the one it holds.
-    WantConfig {
-        have: u64,
-    },
+    WantConfig { have: u64 },
     /// About once a second, to its home.
     Report(Report),
     /// The tables up to this mark are in use.
-    Took {
-        mark: u64,
-    },
+    Took { mark: u64 },
     /// The first word of an office that has no disk, and where it hears other offices. It only passes calls on. It says
     /// so again when the offices with a disk that it knows of have changed.
     Annex {
@@ -41,9 +37,7 @@
         offices: Vec<SocketAddrV4>,
     },
     /// From the first seed, which has no disk: the office with this identity is to found the first view.
-    Found {
-        id: u64,
-    },
+    Found { id: u64 },
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -74,16 +68,35 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Down {
     /// A few times a second. `in_touch`: this office stands in a view that is at work.
-    Pulse { in_touch: bool, config: u64, couriers: u32, offices: Vec<SocketAddrV4> },
+    Pulse {
+        in_touch: bool,
+        config: u64,
+        couriers: u32,
+        offices: Vec<SocketAddrV4>,
+    },
     /// The operator's bytes as they were sent, packed on those of another version; 0: on nothing.
-    Config { version: u64, base: u64, length: u32, packed: Vec<u8> },
+    Config {
+        version: u64,
+        base: u64,
+        length: u32,
+        packed: Vec<u8>,
+    },
     /// A whole table, in the place of the one before.
-    Table { service: String, name: u64, mark: u64, lines: Vec<Line> },
+    Table {
+        service: String,
+        name: u64,
+        mark: u64,
+        lines: Vec<Line>,
+    },
     /// These lives drain or have ended: nothing new goes there from now on, whatever tables say.
     Gone { lives: Vec<Life> },
     /// To an office without a disk, first: where this one is, its identity if it may found the first view, and
     /// whether it knows of a view.
-    Place { zone: String, founds: Option<u64>, view: bool },
+    Place {
+        zone: String,
+        founds: Option<u64>,
+        view: bool,
+    },
 }
 
 /// A task in a table.
--- a/crates/rookpulley-protocol/src/pack.rs
+++ b/crates/rookpulley-protocol/src/pack.rs
@@ -43,16 +43,28 @@
 
 /// The smallest power of two that holds so many bytes.
 fn window_log(bytes: usize) -> u32 {
-    bytes.next_power_of_two().trailing_zeros().clamp(WINDOW_LOGS.0, WINDOW_LOGS.1)
+    bytes
+        .next_power_of_two()
+        .trailing_zeros()
+        .clamp(WINDOW_LOGS.0, WINDOW_LOGS.1)
 }
 
 /// What was packed on the same base, and is so long.
-pub fn unpack(packed: &[u8], base: &[u8], length: usize, most: usize) -> Result<Vec<u8>, PackError> {
+pub fn unpack(
+    packed: &[u8],
+    base: &[u8],
+    length: usize,
+    most: usize,
+) -> Result<Vec<u8>, PackError> {
     if length > most {
         return Err(PackError::TooLong(length, most));
     }
     let body = Decompressor::with_dictionary(base)?.decompress(packed, length)?;
-    if body.len() == length { Ok(body) } else { Err(PackError::Other(body.len(), length)) }
+    if body.len() == length {
+        Ok(body)
+    } else {
+        Err(PackError::Other(body.len(), length))
+    }
 }
 
 #[cfg(test)]
--- a/crates/rookpulley-proxy-core/src/answer.rs
+++ b/crates/rookpulley-proxy-core/src/answer.rs
@@ -37,7 +37,11 @@
         return Worth::Stranger;
     }
     if head.not_executed {
-        return if success { Worth::Spoilt } else { Worth::NotExecuted };
+        return if success {
+            Worth::Spoilt
+        } else {
+            Worth::NotExecuted
+        };
     }
     if matches!(head.status, 408 | 429 | 503) {
         return Worth::EmptyPromise;
--- a/crates/rookpulley-proxy-core/src/journey.rs
+++ b/crates/rookpulley-proxy-core/src/journey.rs
@@ -30,7 +30,10 @@
 
 impl Tell {
     fn of(status: u16, retry_after_ms: Option<f64>) -> Tell {
-        Tell { status, retry_after_ms }
+        Tell {
+            status,
+            retry_after_ms,
+        }
     }
 }
 
@@ -99,8 +102,14 @@
         let book = self.book().ok_or(later)?;
         let route = book.route(host, path).ok_or(Tell::of(404, None))?;
         let unit = self.post.unit();
-        let service = route.draw(unit).and_then(|index| book.service(index)).ok_or(later)?;
-        let until_ms = now + deadline_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
+        let service = route
+            .draw(unit)
+            .and_then(|index| book.service(index))
+            .ok_or(later)?;
+        let until_ms = now
+            + deadline_ms
+                .unwrap_or(route.timeout_ms)
+                .min(route.timeout_ms);
         self.tally.came(&service.name);
         self.budget(&service.name, |budget| budget.request(now));
         Ok(Way {
@@ -165,7 +174,11 @@
         if !again {
             round.only_once();
         }
-        Journey { way, round, patient: true }
+        Journey {
+            way,
+            round,
+            patient: true,
+        }
     }
 
     pub fn way(&self) -> &Way {
@@ -175,7 +188,11 @@
     /// The next task, or what its client is told. `wanted`: the client is still there, and the body at hand.
     pub fn go(&mut self, satchel: &mut Satchel, now: f64, wanted: bool) -> Go {
         let service = &self.way.service;
-        let pick = if wanted { satchel.post.pick(service, &self.round, self.way.kind, now) } else { None };
+        let pick = if wanted {
+            satchel.post.pick(service, &self.round, self.way.kind, now)
+        } else {
+            None
+        };
         let Some(pick) = pick else {
             let next = satchel.budget(service, |budget| self.round.no_task(now, budget));
             return Go::Tell(satchel.give_up(service, next));
@@ -183,7 +200,11 @@
         self.round.goes_to(&pick.line.life);
         let patience_ms = self.round.patience_ms(now, self.way.aim_ms, pick.habit_ms);
         self.patient = patience_ms.is_none();
-        Go::Try { to: pick.line.clone(), pick, turn_ms: patience_ms.unwrap_or(self.way.until_ms) }
+        Go::Try {
+            to: pick.line.clone(),
+            pick,
+            turn_ms: patience_ms.unwrap_or(self.way.until_ms),
+        }
     }
 
     /// The try takes long: whether it is broken off now, for one that goes to another task or since time is over.
@@ -222,7 +243,9 @@
         };
         let service = &self.way.service;
         let another = again && satchel.post.another(service, &self.round);
-        let next = satchel.budget(service, |budget| self.round.settle(fate, now, another, budget));
+        let next = satchel.budget(service, |budget| {
+            self.round.settle(fate, now, another, budget)
+        });
         match (next, answer) {
             (Next::Try, _) => Then::Again,
             (Next::Pass, Some(status)) => {
--- a/crates/rookpulley-proxy-core/src/satchel.rs
+++ b/crates/rookpulley-proxy-core/src/satchel.rs
@@ -43,7 +43,13 @@
 
 impl Satchel {
     /// `ratio` and `slack`: what further tries a service may get from all couriers.
-    pub fn new(name: &str, zone: &str, seeds: Vec<Ipv4Addr>, (ratio, slack): (f64, f64), seed: u64) -> Self {
+    pub fn new(
+        name: &str,
+        zone: &str,
+        seeds: Vec<Ipv4Addr>,
+        (ratio, slack): (f64, f64),
+        seed: u64,
+    ) -> Self {
         Self {
             name: name.into(),
             zone: zone.into(),
@@ -79,7 +85,10 @@
     pub fn take_book(&mut self, book: Book, edition: Vec<u8>) {
         if book.version > self.version() {
             self.edition = edition;
-            self.out.push(Effect::Log(format!("courier: configuration {} is in force", book.version)));
+            self.out.push(Effect::Log(format!(
+                "courier: configuration {} is in force",
+                book.version
+            )));
             self.book = Some(Rc::new(book));
         }
     }
@@ -95,7 +104,9 @@
     pub fn take_couriers(&mut self, now: f64, heard: u32) {
         if self.fleet.heard(now, heard) {
             let couriers = self.fleet.couriers();
-            self.budgets.values_mut().for_each(|budget| budget.shared_by(couriers));
+            self.budgets
+                .values_mut()
+                .for_each(|budget| budget.shared_by(couriers));
         }
     }
 
@@ -103,7 +114,10 @@
         if let Some(budget) = self.budgets.get_mut(service) {
             return with(budget);
         }
-        let budget = self.budgets.entry(service.to_owned()).or_insert(Budget::new(self.ratio, self.slack));
+        let budget = self
+            .budgets
+            .entry(service.to_owned())
+            .or_insert(Budget::new(self.ratio, self.slack));
         if self.fleet.couriers() > 0 {
             budget.shared_by(self.fleet.couriers());
         }
@@ -131,7 +145,10 @@
 
     /// What is due from time to time: lines to offices named anew, and another home where this one is no good.
     pub fn tend(&mut self, now: f64) {
-        self.seeds.clone().into_iter().for_each(|seed| self.named(now, seed));
+        self.seeds
+            .clone()
+            .into_iter()
+            .for_each(|seed| self.named(now, seed));
         self.choose_home(now);
     }
 
@@ -169,7 +186,12 @@
     /// An office says something.
     pub fn take(&mut self, now: f64, office: Ipv4Addr, down: Down) {
         match down {
-            Down::Pulse { in_touch, config, couriers, offices } => {
+            Down::Pulse {
+                in_touch,
+                config,
+                couriers,
+                offices,
+            } => {
                 let have = self.version();
                 if self.offices.pulse(now, office, in_touch, config, have) {
                     self.say(office, Up::WantConfig { have });
@@ -177,17 +199,30 @@
                 if couriers > 0 {
                     self.take_couriers(now, couriers);
                 }
-                offices.iter().for_each(|other| self.named(now, *other.ip()));
+                offices
+                    .iter()
+                    .for_each(|other| self.named(now, *other.ip()));
                 self.choose_home(now);
             }
-            Down::Config { version, base, length, packed } => {
-                if let Some(have) = self.take_configuration(office, version, (base, length as usize), &packed)
+            Down::Config {
+                version,
+                base,
+                length,
+                packed,
+            } => {
+                if let Some(have) =
+                    self.take_configuration(office, version, (base, length as usize), &packed)
                 {
                     self.say(office, Up::WantConfig { have });
                 }
             }
             // Another office than the home may still think that it is the home.
-            Down::Table { service, mark, lines, .. } if self.home() == Some(office) => {
+            Down::Table {
+                service,
+                mark,
+                lines,
+                ..
+            } if self.home() == Some(office) => {
                 let left = self.post.table(&service, lines);
                 self.out.extend(left.into_iter().map(Effect::Forget));
                 self.say(office, Up::Took { mark });
@@ -215,21 +250,30 @@
         if base != 0 && base != held {
             return Some(held);
         }
-        let on = if base == 0 { &[] } else { self.edition.as_slice() };
+        let on = if base == 0 {
+            &[]
+        } else {
+            self.edition.as_slice()
+        };
         let body = match unpack(packed, on, length, LONGEST) {
             Ok(body) => body,
             Err(why) => {
-                let line =
-                    format!("links: configuration {version} from {office} on {base} came to nothing: {why}");
+                let line = format!(
+                    "links: configuration {version} from {office} on {base} came to nothing: {why}"
+                );
                 self.out.push(Effect::Complain(line));
                 return (base != 0).then_some(0);
             }
         };
-        let earlier = self.book.as_ref().map(|book| (self.edition.as_slice(), book.as_ref()));
+        let earlier = self
+            .book
+            .as_ref()
+            .map(|book| (self.edition.as_slice(), book.as_ref()));
         match Book::read_after(&body, earlier) {
             Ok(book) => self.take_book(book, body),
             Err(faults) => {
-                let line = format!("links: configuration {version} from {office} can't be used: {faults}");
+                let line =
+                    format!("links: configuration {version} from {office} can't be used: {faults}");
                 self.out.push(Effect::Complain(line));
             }
         }
@@ -237,10 +281,29 @@
     }
 
     pub fn choose_home(&mut self, now: f64) {
-        let Some(Move { from, to }) = self.offices.choose(now) else { return };
-        self.out.push(Effect::Log(format!("links: {to} is the home")));
+        let Some(Move { from, to }) = self.offices.choose(now) else {
+            return;
+        };
+        self.out
+            .push(Effect::Log(format!("links: {to} is the home")));
         let (config, tables) = (self.version(), self.post.any());
-        from.into_iter().for_each(|from| self.say(from, Up::Home { home: false, config, tables }));
-        self.say(to, Up::Home { home: true, config, tables });
+        from.into_iter().for_each(|from| {
+            self.say(
+                from,
+                Up::Home {
+                    home: false,
+                    config,
+                    tables,
+                },
+            )
+        });
+        self.say(
+            to,
+            Up::Home {
+                home: true,
+                config,
+                tables,
+            },
+        );
     }
 }
--- a/crates/rookpulley-proxy-core/src/tally.rs
+++ b/crates/rookpulley-proxy-core/src/tally.rs
@@ -52,8 +52,10 @@
     pub fn report(&mut self, now_ms: f64) -> Report {
         let span_ms = (now_ms - self.since_ms).clamp(0.0, 1e9) as u32;
         self.since_ms = now_ms;
-        let mut services: Vec<ServiceReport> =
-            std::mem::take(&mut self.services).into_iter().map(|(name, of)| of.report(name)).collect();
+        let mut services: Vec<ServiceReport> = std::mem::take(&mut self.services)
+            .into_iter()
+            .map(|(name, of)| of.report(name))
+            .collect();
         services.sort_by(|a, b| a.service.cmp(&b.service));
         Report { span_ms, services }
     }
@@ -65,14 +67,32 @@
 
 impl OfService {
     fn report(self, service: String) -> ServiceReport {
-        let tasks = self.tasks.into_iter().map(|(life, of)| of.report(life)).collect();
-        ServiceReport { service, came: self.came, bad: self.bad, tasks }
+        let tasks = self
+            .tasks
+            .into_iter()
+            .map(|(life, of)| of.report(life))
+            .collect();
+        ServiceReport {
+            service,
+            came: self.came,
+            bad: self.bad,
+            tasks,
+        }
     }
 }
 
 impl OfTask {
     fn report(self, life: Life) -> TaskReport {
-        let mean_ms = if self.good > 0 { (self.good_ms / f64::from(self.good)) as f32 } else { 0.0 };
-        TaskReport { life, tries: self.tries, bad: self.bad, mean_ms }
+        let mean_ms = if self.good > 0 {
+            (self.good_ms / f64::from(self.good)) as f32
+        } else {
+            0.0
+        };
+        TaskReport {
+            life,
+            tries: self.tries,
+            bad: self.bad,
+            mean_ms,
+        }
     }
 }
--- a/crates/rookpulley-proxy/src/answers.rs
+++ b/crates/rookpulley-proxy/src/answers.rs
@@ -11,7 +11,9 @@
     let text = status.canonical_reason().unwrap_or("");
     let mut answer = Response::new(Reply::whole(Bytes::from_static(text.as_bytes())));
     *answer.status_mut() = status;
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+    answer
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     if let Some(ms) = retry_after_ms
         && let Ok(value) = HeaderValue::try_from(format!("{:.3}", ms / 1e3))
     {
@@ -23,6 +25,8 @@
 /// The same, and the connection ends with it.
 pub fn last(status: u16) -> Response<Reply> {
     let mut answer = own(status, None);
-    answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    answer
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
     answer
 }
--- a/crates/rookpulley-proxy/src/attempt.rs
+++ b/crates/rookpulley-proxy/src/attempt.rs
@@ -49,7 +49,11 @@
 
 impl Ended {
     fn so(how: How) -> Ended {
-        Ended { how, answer: None, parcel: None }
+        Ended {
+            how,
+            answer: None,
+            parcel: None,
+        }
     }
 
     fn fate(fate: Fate) -> Ended {
@@ -57,7 +61,10 @@
     }
 
     fn unsent(parcel: Option<Parcel>) -> Ended {
-        Ended { parcel, ..Ended::fate(Fate::Unsent) }
+        Ended {
+            parcel,
+            ..Ended::fate(Fate::Unsent)
+        }
     }
 }
 
@@ -72,17 +79,32 @@
         let bound = self.courier.look(|satchel| satchel.connections(&self.way));
         let mut leaving = Leaving::default();
         loop {
-            let mut wire = match self.courier.wires.take(to, bound, self.once(), leaving.anew()).await {
+            let mut wire = match self
+                .courier
+                .wires
+                .take(to, bound, self.once(), leaving.anew())
+                .await
+            {
                 Ok(wire) => wire,
-                Err(NoWire::Full) => return Ended { parcel: Some(parcel), ..Ended::so(How::Full) },
+                Err(NoWire::Full) => {
+                    return Ended {
+                        parcel: Some(parcel),
+                        ..Ended::so(How::Full)
+                    };
+                }
                 Err(NoWire::Unreachable) => return Ended::unsent(Some(parcel)),
             };
             // It may have begun to drain while the connection came up.
             if !self.courier.look(|satchel| satchel.may_leave(&to.life)) {
-                return Ended { parcel: Some(parcel), ..Ended::so(How::Full) };
+                return Ended {
+                    parcel: Some(parcel),
+                    ..Ended::so(How::Full)
+                };
             }
             let (spare, upload) = (parcel.again(), parcel.upload());
-            let Some(request) = self.request(to, parcel) else { return Ended::unsent(spare) };
+            let Some(request) = self.request(to, parcel) else {
+                return Ended::unsent(spare);
+            };
             left.set(true);
             wire.begin(&self.id, self.method == Method::HEAD, self.once());
             match wire.sender.try_send_request(request).await {
@@ -153,10 +175,17 @@
     ) -> Ended {
         let status = head.status.as_u16();
         let length = body.size_hint().exact();
-        let wanted =
-            length.map_or(self.courier.hold_bytes, |length| usize::try_from(length).unwrap_or(usize::MAX));
-        let held = (wanted <= self.courier.hold_bytes).then(|| self.courier.hold(wanted)).flatten();
-        let most = if held.is_some() { self.courier.hold_bytes } else { 0 };
+        let wanted = length.map_or(self.courier.hold_bytes, |length| {
+            usize::try_from(length).unwrap_or(usize::MAX)
+        });
+        let held = (wanted <= self.courier.hold_bytes)
+            .then(|| self.courier.hold(wanted))
+            .flatten();
+        let most = if held.is_some() {
+            self.courier.hold_bytes
+        } else {
+            0
+        };
         let read = match bodies::read(&mut body, most).await {
             Ok(read) => read,
             Err(_) => return Ended::fate(Fate::Broken),
@@ -176,12 +205,24 @@
             };
             Answer::Whole(Response::from_parts(head, Reply::whole(bytes)))
         } else {
-            let until = Box::pin(tokio::time::sleep_until(self.courier.instant(self.way.until_ms)));
+            let until = Box::pin(tokio::time::sleep_until(
+                self.courier.instant(self.way.until_ms),
+            ));
             let wire = Some((wire, kept_for));
-            let stream = Stream { chunks: read.chunks, rest: body, left: length, until, wire, trial: None };
+            let stream = Stream {
+                chunks: read.chunks,
+                rest: body,
+                left: length,
+                until,
+                wire,
+                trial: None,
+            };
             Answer::Begun(head, Box::new(stream))
         };
-        Ended { answer: Some(answer), ..Ended::fate(Fate::Answered(status)) }
+        Ended {
+            answer: Some(answer),
+            ..Ended::fate(Fate::Answered(status))
+        }
     }
 }
 
@@ -210,7 +251,12 @@
 impl Trial {
     pub fn new(courier: &Rc<Courier>, service: &Rc<str>, pick: Pick) -> Trial {
         let began_ms = courier.now_ms();
-        Trial { courier: courier.clone(), service: service.clone(), pick: Some(pick), began_ms }
+        Trial {
+            courier: courier.clone(),
+            service: service.clone(),
+            pick: Some(pick),
+            began_ms,
+        }
     }
 
     pub fn settle(self, fate: Fate) {
@@ -220,8 +266,9 @@
     pub fn end(mut self, how: How) {
         let Some(pick) = self.pick.take() else { return };
         let life = pick.line.life.clone();
-        let left =
-            self.courier.with(|satchel, now| satchel.tried(&self.service, pick, how, self.began_ms, now));
+        let left = self
+            .courier
+            .with(|satchel, now| satchel.tried(&self.service, pick, how, self.began_ms, now));
         if left {
             self.courier.wires.forget(&life);
         }
--- a/crates/rookpulley-proxy/src/bodies.rs
+++ b/crates/rookpulley-proxy/src/bodies.rs
@@ -34,14 +34,19 @@
             return self.chunks.pop_front().unwrap_or_default();
         }
         let mut joined = BytesMut::with_capacity(self.bytes);
-        self.chunks.iter().for_each(|chunk| joined.extend_from_slice(chunk));
+        self.chunks
+            .iter()
+            .for_each(|chunk| joined.extend_from_slice(chunk));
         joined.freeze()
     }
 }
 
 /// Reads a body until it is whole or longer than `most`.
 pub async fn read(body: &mut Incoming, most: usize) -> Result<Read, hyper::Error> {
-    let mut read = Read { whole: body.is_end_stream(), ..Read::default() };
+    let mut read = Read {
+        whole: body.is_end_stream(),
+        ..Read::default()
+    };
     while !read.whole && read.bytes <= most {
         match std::future::poll_fn(|context| Pin::new(&mut *body).poll_frame(context)).await {
             None => read.whole = true,
@@ -126,7 +131,12 @@
 
 impl Parcel {
     pub fn stream(chunks: VecDeque<Bytes>, rest: Incoming, left: u64) -> Parcel {
-        Parcel::Stream(Box::new(Passing { chunks, rest, left, upload: Rc::new(Cell::new(Upload::Comes)) }))
+        Parcel::Stream(Box::new(Passing {
+            chunks,
+            rest,
+            left,
+            upload: Rc::new(Cell::new(Upload::Comes)),
+        }))
     }
 
     /// The same once more, where it can be had.
@@ -196,11 +206,17 @@
 
 impl Reply {
     pub fn whole(bytes: Bytes) -> Reply {
-        Reply { content: Content::Whole(bytes), work: None }
+        Reply {
+            content: Content::Whole(bytes),
+            work: None,
+        }
     }
 
     pub fn stream(stream: Stream) -> Reply {
-        Reply { content: Content::Stream(Box::new(stream)), work: None }
+        Reply {
+            content: Content::Stream(Box::new(stream)),
+            work: None,
+        }
     }
 
     pub fn keep(&mut self, work: AtWork) {
@@ -236,11 +252,17 @@
                 self.settle(Some(Fate::Answered(200)));
                 Poll::Ready(None)
             }
-            Poll::Ready(Some(Err(why))) => Poll::Ready(Some(Err(self.fails(Some(Fate::Broken), why)))),
+            Poll::Ready(Some(Err(why))) => {
+                Poll::Ready(Some(Err(self.fails(Some(Fate::Broken), why))))
+            }
             // The task has done its part: the client takes too long.
-            Poll::Ready(Some(Ok(_))) if late => Poll::Ready(Some(Err(self.fails(None, LATE.into())))),
+            Poll::Ready(Some(Ok(_))) if late => {
+                Poll::Ready(Some(Err(self.fails(None, LATE.into()))))
+            }
             Poll::Ready(Some(Ok(chunk))) => Poll::Ready(Some(Ok(chunk))),
-            Poll::Pending if late => Poll::Ready(Some(Err(self.fails(Some(Fate::Broken), LATE.into())))),
+            Poll::Pending if late => {
+                Poll::Ready(Some(Err(self.fails(Some(Fate::Broken), LATE.into()))))
+            }
             Poll::Pending => Poll::Pending,
         }
     }
--- a/crates/rookpulley-proxy/src/carry.rs
+++ b/crates/rookpulley-proxy/src/carry.rs
@@ -46,7 +46,10 @@
 impl AtWork {
     fn new(courier: &Rc<Courier>, watch: &Rc<Watch>, body: Span) -> AtWork {
         watch.begins(body);
-        AtWork { watch: watch.clone(), _counted: Counted::new(courier) }
+        AtWork {
+            watch: watch.clone(),
+            _counted: Counted::new(courier),
+        }
     }
 }
 
@@ -65,27 +68,44 @@
     }
 }
 
-pub async fn serve(courier: Rc<Courier>, watch: Rc<Watch>, request: Request<Incoming>) -> Response<Reply> {
-    let body = request.body().size_hint().exact().map_or(Span::Chunks(Chunks::Start), Span::Length);
+pub async fn serve(
+    courier: Rc<Courier>,
+    watch: Rc<Watch>,
+    request: Request<Incoming>,
+) -> Response<Reply> {
+    let body = request
+        .body()
+        .size_hint()
+        .exact()
+        .map_or(Span::Chunks(Chunks::Start), Span::Length);
     let work = AtWork::new(&courier, &watch, body);
     let mut answer = carry(&courier, &watch, request).await;
     // What the client still sends isn't read to its end.
     if courier.ending() || watch.unread() {
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        answer
+            .headers_mut()
+            .insert(CONNECTION, HeaderValue::from_static("close"));
     }
     answer.body_mut().keep(work);
     answer
 }
 
-async fn carry(courier: &Rc<Courier>, watch: &Watch, request: Request<Incoming>) -> Response<Reply> {
+async fn carry(
+    courier: &Rc<Courier>,
+    watch: &Watch,
+    request: Request<Incoming>,
+) -> Response<Reply> {
     let (mut head, body) = request.into_parts();
-    let limits = courier.book().map_or_else(Limits::default, |book| book.limits);
+    let limits = courier
+        .book()
+        .map_or_else(Limits::default, |book| book.limits);
     let checked = match check::check(&head, watch, limits) {
         Ok(checked) => checked,
         Err(status) => return answers::last(status),
     };
-    let way = courier
-        .with(|satchel, now| satchel.arrives(now, &checked.host, head.uri.path(), checked.deadline_ms));
+    let way = courier.with(|satchel, now| {
+        satchel.arrives(now, &checked.host, head.uri.path(), checked.deadline_ms)
+    });
     let way = match way {
         Ok(way) => way,
         Err(tell) => return told(tell),
@@ -128,17 +148,29 @@
     if body.is_end_stream() {
         return Ok(Parcel::Whole(Bytes::new()));
     }
-    let wanted = length.map_or(READ_WHOLE, |length| usize::try_from(length).unwrap_or(usize::MAX));
-    let held = (wanted <= READ_WHOLE).then(|| courier.hold_sent(wanted)).flatten();
+    let wanted = length.map_or(READ_WHOLE, |length| {
+        usize::try_from(length).unwrap_or(usize::MAX)
+    });
+    let held = (wanted <= READ_WHOLE)
+        .then(|| courier.hold_sent(wanted))
+        .flatten();
     let Some(held) = held else {
         return Ok(Parcel::stream(VecDeque::new(), body, limits.body_bytes));
     };
-    let read = match timeout_at(courier.instant(until_ms), bodies::read(&mut body, READ_WHOLE)).await {
+    let read = match timeout_at(
+        courier.instant(until_ms),
+        bodies::read(&mut body, READ_WHOLE),
+    )
+    .await
+    {
         Err(_) => return Err(408),
         Ok(Err(_)) => return Err(400),
         Ok(Ok(read)) => read,
     };
-    let left = limits.body_bytes.checked_sub(read.bytes as u64).ok_or(413u16)?;
+    let left = limits
+        .body_bytes
+        .checked_sub(read.bytes as u64)
+        .ok_or(413u16)?;
     if read.whole {
         return Ok(Parcel::Whole(held.around(read.joined())));
     }
@@ -153,12 +185,15 @@
     let mut parcel = Some(parcel);
     loop {
         let wanted = !gone.get() && parcel.is_some();
-        let (pick, to, turn_ms) = match courier.with(|satchel, now| journey.go(satchel, now, wanted)) {
-            Go::Try { pick, to, turn_ms } => (pick, to, turn_ms),
-            Go::Tell(tell) => return told(tell),
-        };
+        let (pick, to, turn_ms) =
+            match courier.with(|satchel, now| journey.go(satchel, now, wanted)) {
+                Go::Try { pick, to, turn_ms } => (pick, to, turn_ms),
+                Go::Tell(tell) => return told(tell),
+            };
         let trial = Trial::new(courier, &errand.way.service, pick);
-        let Some(body) = parcel.take() else { return answers::own(502, None) };
+        let Some(body) = parcel.take() else {
+            return answers::own(502, None);
+        };
         parcel = body.again();
         let (left, upload) = (Cell::new(false), body.upload());
         let ended = {
@@ -166,12 +201,18 @@
             match timeout_at(courier.instant(turn_ms), work.as_mut()).await {
                 Ok(ended) => Some(ended),
                 Err(_) if courier.with(|satchel, now| journey.turns(satchel, now)) => None,
-                Err(_) => timeout_at(courier.instant(errand.way.until_ms), work).await.ok(),
+                Err(_) => timeout_at(courier.instant(errand.way.until_ms), work)
+                    .await
+                    .ok(),
             }
         };
         let ended = ended.unwrap_or_else(|| {
             let client_waits = upload.is_some_and(|upload| upload.get() == Upload::Waits);
-            Ended { how: Journey::broken_off(left.get(), client_waits), answer: None, parcel: None }
+            Ended {
+                how: Journey::broken_off(left.get(), client_waits),
+                answer: None,
+                parcel: None,
+            }
         });
         if let How::Client(status) = ended.how {
             trial.end(ended.how);
@@ -195,8 +236,8 @@
             parcel = ended.parcel;
         }
         let status = answer.as_ref().map(|answer| answer.status().as_u16());
-        let then =
-            courier.with(|satchel, now| journey.ended(satchel, now, ended.how, status, parcel.is_some()));
+        let then = courier
+            .with(|satchel, now| journey.ended(satchel, now, ended.how, status, parcel.is_some()));
         match (then, answer) {
             (Then::Again, _) => {}
             (Then::Pass, Some(answer)) => return answer,
--- a/crates/rookpulley-proxy/src/check.rs
+++ b/crates/rookpulley-proxy/src/check.rs
@@ -2,8 +2,8 @@
 
 use crate::ear::Watch;
 use hyper::header::{
-    CONNECTION, CONTENT_LENGTH, HOST, HeaderMap, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE,
-    TRAILER, TRANSFER_ENCODING, UPGRADE,
+    CONNECTION, CONTENT_LENGTH, HOST, HeaderMap, HeaderName, PROXY_AUTHENTICATE,
+    PROXY_AUTHORIZATION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 use hyper::http::HeaderValue;
 use hyper::http::request::Parts;
@@ -36,12 +36,15 @@
         return Err(505);
     }
     let target = &head.uri;
-    let plain = target.scheme().is_none() && target.authority().is_none() && target.path().starts_with('/');
+    let plain =
+        target.scheme().is_none() && target.authority().is_none() && target.path().starts_with('/');
     if !plain || watch.fragment.get() || head.method == Method::CONNECT {
         return Err(400);
     }
-    let host =
-        one(&head.headers, &HOST).and_then(|host| host.to_str().ok()).and_then(name_of).ok_or(400u16)?;
+    let host = one(&head.headers, &HOST)
+        .and_then(|host| host.to_str().ok())
+        .and_then(name_of)
+        .ok_or(400u16)?;
     let id = one(&head.headers, &REQUEST_ID)
         .filter(|id| !id.is_empty() && id.len() <= LONGEST_ID)
         .ok_or(400u16)?;
@@ -51,12 +54,23 @@
     }
     let length = match head.headers.get(CONTENT_LENGTH) {
         None => None,
-        Some(length) => Some(length.to_str().ok().and_then(|text| text.parse::<u64>().ok()).ok_or(400u16)?),
+        Some(length) => Some(
+            length
+                .to_str()
+                .ok()
+                .and_then(|text| text.parse::<u64>().ok())
+                .ok_or(400u16)?,
+        ),
     };
     if length.is_some_and(|length| length > limits.body_bytes) {
         return Err(413);
     }
-    Ok(Checked { host, id: id.clone(), deadline_ms, length })
+    Ok(Checked {
+        host,
+        id: id.clone(),
+        deadline_ms,
+        length,
+    })
 }
 
 pub fn one<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
@@ -67,7 +81,8 @@
 
 /// It comes in chunks, and in nothing around them.
 pub fn in_chunks(headers: &HeaderMap) -> bool {
-    one(headers, &TRANSFER_ENCODING).is_some_and(|coding| coding.as_bytes().eq_ignore_ascii_case(b"chunked"))
+    one(headers, &TRANSFER_ENCODING)
+        .is_some_and(|coding| coding.as_bytes().eq_ignore_ascii_case(b"chunked"))
 }
 
 fn milliseconds(value: &HeaderValue) -> Option<f64> {
--- a/crates/rookpulley-proxy/src/ear.rs
+++ b/crates/rookpulley-proxy/src/ear.rs
@@ -84,7 +84,10 @@
 
     /// Nothing of a request or of an answer is here.
     pub fn idle(&self) -> bool {
-        self.busy.get() == 0 && self.at.get() == At::Rest && !self.waits.get() && self.stuck.get().is_none()
+        self.busy.get() == 0
+            && self.at.get() == At::Rest
+            && !self.waits.get()
+            && self.stuck.get().is_none()
     }
 
     /// Since when it is idle, or its head comes.
@@ -106,11 +109,22 @@
         let idle_bound = Duration::from_millis(limits.idle_ms);
         let rests = self.stirred.get().elapsed();
         let in_head = self.busy.get() == 0 && matches!(self.at.get(), At::Head | At::Behind);
-        if self.stuck.get().is_some_and(|since| since.elapsed() > idle_bound) {
+        if self
+            .stuck
+            .get()
+            .is_some_and(|since| since.elapsed() > idle_bound)
+        {
             Some(Due::Stuck)
         } else if in_head && rests > Duration::from_millis(limits.header_ms) {
             Some(Due::SlowHead)
-        } else if self.idle() && rests > if ending { LAST_IDLE.min(idle_bound) } else { idle_bound } {
+        } else if self.idle()
+            && rests
+                > if ending {
+                    LAST_IDLE.min(idle_bound)
+                } else {
+                    idle_bound
+                }
+        {
             Some(Due::Idle)
         } else {
             None
@@ -136,7 +150,11 @@
     }
 
     fn body_is_whole(&self) {
-        self.at.set(if self.busy.get() > 0 { At::Whole } else { At::Rest });
+        self.at.set(if self.busy.get() > 0 {
+            At::Whole
+        } else {
+            At::Rest
+        });
     }
 
     fn head_begins(&self) {
@@ -180,7 +198,9 @@
     fn read(&mut self, bytes: &[u8], watch: &Watch) -> Option<usize> {
         let mut read = 0;
         if *self == Line::Before {
-            read = bytes.iter().position(|byte| !matches!(byte, b'\r' | b'\n'))?;
+            read = bytes
+                .iter()
+                .position(|byte| !matches!(byte, b'\r' | b'\n'))?;
             watch.head_begins();
             *self = Line::First;
         }
@@ -238,7 +258,14 @@
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Ear<S> {
     pub fn new(stream: S, watch: Rc<Watch>) -> Ear<S> {
-        Ear { stream, watch, line: Line::Before, held: BytesMut::new(), gone: false, end: End::Open }
+        Ear {
+            stream,
+            watch,
+            line: Line::Before,
+            held: BytesMut::new(),
+            gone: false,
+            end: End::Open,
+        }
     }
 
     /// Hands on bytes that came, up to where `most` says that they belong together; the rest is held.
@@ -261,7 +288,8 @@
             ready!(Pin::new(&mut self.stream).poll_read(context, into))?;
             let came = into.filled().get(before..).unwrap_or_default();
             let used = most(self, came).min(came.len());
-            self.held.extend_from_slice(came.get(used..).unwrap_or_default());
+            self.held
+                .extend_from_slice(came.get(used..).unwrap_or_default());
             into.set_filled(before + used);
         }
         Poll::Ready(Ok(()))
@@ -272,7 +300,9 @@
         while !self.gone && self.held.len() < HELD {
             let mut piece = [0; 2 << 10];
             let mut came = ReadBuf::new(&mut piece);
-            let Poll::Ready(read) = Pin::new(&mut self.stream).poll_read(context, &mut came) else { break };
+            let Poll::Ready(read) = Pin::new(&mut self.stream).poll_read(context, &mut came) else {
+                break;
+            };
             read?;
             self.held.extend_from_slice(came.filled());
             self.gone = came.filled().is_empty();
@@ -281,13 +311,20 @@
             }
         }
         let mut reader = self.watch.reader.borrow_mut();
-        if !reader.as_ref().is_some_and(|reader| reader.will_wake(context.waker())) {
+        if !reader
+            .as_ref()
+            .is_some_and(|reader| reader.will_wake(context.waker()))
+        {
             *reader = Some(context.waker().clone());
         }
         Poll::Pending
     }
 
-    fn read_on(&mut self, context: &mut Context<'_>, into: &mut ReadBuf<'_>) -> Poll<std::io::Result<()>> {
+    fn read_on(
+        &mut self,
+        context: &mut Context<'_>,
+        into: &mut ReadBuf<'_>,
+    ) -> Poll<std::io::Result<()>> {
         match self.watch.at.get() {
             At::Rest | At::Head => self.hand_on(context, into, |ear, bytes| {
                 let end = ear.line.read(bytes, &ear.watch);
@@ -348,15 +385,22 @@
         self.stream.is_write_vectored()
     }
 
-    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<std::io::Result<()>> {
+    fn poll_flush(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<std::io::Result<()>> {
         Pin::new(&mut self.stream).poll_flush(context)
     }
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<std::io::Result<()>> {
+    fn poll_shutdown(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<std::io::Result<()>> {
         loop {
             match &mut self.end {
                 End::Open => {
-                    let lingers = !self.gone && (self.watch.at.get() != At::Rest || !self.held.is_empty());
+                    let lingers =
+                        !self.gone && (self.watch.at.get() != At::Rest || !self.held.is_empty());
                     self.watch.at.set(At::Over);
                     self.end = End::Closing { lingers };
                 }
--- a/crates/rookpulley-proxy/src/ear/tests.rs
+++ b/crates/rookpulley-proxy/src/ear/tests.rs
@@ -24,12 +24,23 @@
 }
 
 fn sent(u: &mut Unstructured) -> Result<Sent> {
-    const BODIES: [&[u8]; 4] =
-        [b"", b"x", b"\r\n\r\n", b"GET /r/#smuggled HTTP/1.1\r\nHost: h\r\n\r\n0\r\n\r\n"];
+    const BODIES: [&[u8]; 4] = [
+        b"",
+        b"x",
+        b"\r\n\r\n",
+        b"GET /r/#smuggled HTTP/1.1\r\nHost: h\r\n\r\n0\r\n\r\n",
+    ];
     let fragment = u.ratio(1, 4)?;
     let target = *u.choose(&["/", "/r/x?a=b", "//"])?;
-    let (feed, bare) = if u.ratio(1, 4)? { ("\n", "\n") } else { ("\r\n", "\r\n") };
-    let mut head = format!("POST {target}{} HTTP/1.1{feed}Host: h#h{bare}", if fragment { "#f" } else { "" });
+    let (feed, bare) = if u.ratio(1, 4)? {
+        ("\n", "\n")
+    } else {
+        ("\r\n", "\r\n")
+    };
+    let mut head = format!(
+        "POST {target}{} HTTP/1.1{feed}Host: h#h{bare}",
+        if fragment { "#f" } else { "" }
+    );
     let (mut body, mut wire) = (Vec::new(), Vec::new());
     match u.int_in_range(0..=2)? {
         0 => {}
@@ -48,12 +59,24 @@
                 wire.extend(b"\r\n");
                 body.extend(chunk);
             }
-            wire.extend(u.choose(&["0\r\n\r\n", "00;x\r\n\r\n", "0\r\nA: #b\r\nC: d\r\n\r\n"])?.bytes());
+            wire.extend(
+                u.choose(&["0\r\n\r\n", "00;x\r\n\r\n", "0\r\nA: #b\r\nC: d\r\n\r\n"])?
+                    .bytes(),
+            );
         }
     }
     head += feed;
-    let mut bytes = if u.ratio(1, 4)? { b"\r\n".to_vec() } else { Vec::new() };
-    let seen = Seen { target: target.to_owned(), fragment, head_bytes: head.len(), body };
+    let mut bytes = if u.ratio(1, 4)? {
+        b"\r\n".to_vec()
+    } else {
+        Vec::new()
+    };
+    let seen = Seen {
+        target: target.to_owned(),
+        fragment,
+        head_bytes: head.len(),
+        body,
+    };
     bytes.extend(head.bytes());
     bytes.extend(wire);
     Ok(Sent { bytes, seen })
@@ -78,14 +101,18 @@
 #[test]
 fn the_parser_gets_one_request_at_a_time_however_the_bytes_are_cut() {
     plays(200, 1 << 11, |u| {
-        let sent = (0..u.int_in_range(1..=6)?).map(|_| sent(u)).collect::<Result<Vec<_>>>()?;
+        let sent = (0..u.int_in_range(1..=6)?)
+            .map(|_| sent(u))
+            .collect::<Result<Vec<_>>>()?;
         let all: Vec<u8> = sent.iter().flat_map(|sent| sent.bytes.clone()).collect();
         let mut cuts = Vec::new();
         for _ in 0..u.int_in_range(0..=12)? {
             cuts.push(u.choose_index(all.len())?);
         }
         cuts.sort_unstable();
-        let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .build()
+            .unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let (client, server) = tokio::io::duplex(200);
             let (watch, seen) = (Rc::new(Watch::new()), Rc::new(RefCell::new(Vec::new())));
@@ -99,7 +126,8 @@
                 }
             });
             let io = TokioIo::new(Ear::new(server, watch.clone()));
-            let served = tokio::task::spawn_local(http1::Builder::new().serve_connection(io, service));
+            let served =
+                tokio::task::spawn_local(http1::Builder::new().serve_connection(io, service));
             let (mut reads, mut writes) = tokio::io::split(client);
             let answers = tokio::task::spawn_local(async move {
                 let mut answers = String::new();
@@ -118,7 +146,10 @@
             writes.shutdown().await.unwrap();
             assert_eq!(answers.await.unwrap(), sent.len());
             served.await.unwrap().unwrap();
-            assert_eq!(*seen.borrow(), sent.into_iter().map(|sent| sent.seen).collect::<Vec<_>>());
+            assert_eq!(
+                *seen.borrow(),
+                sent.into_iter().map(|sent| sent.seen).collect::<Vec<_>>()
+            );
         });
         Ok(())
     });
@@ -126,7 +157,9 @@
 
 #[test]
 fn what_is_held_for_its_turn_is_bounded() {
-    let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .build()
+        .unwrap();
     runtime.block_on(async {
         let (mut client, server) = tokio::io::duplex(1 << 20);
         let watch = Rc::new(Watch::new());
@@ -140,7 +173,11 @@
         let mut more = [0; 100];
         let mut into = ReadBuf::new(&mut more);
         let mut context = Context::from_waker(Waker::noop());
-        assert!(Pin::new(&mut ear).poll_read(&mut context, &mut into).is_pending());
+        assert!(
+            Pin::new(&mut ear)
+                .poll_read(&mut context, &mut into)
+                .is_pending()
+        );
         assert!(ear.held.len() <= HELD + (2 << 10));
     });
 }
@@ -170,7 +207,9 @@
             body += u.choose(&PIECES)?;
         }
         let wire = format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{body}{NEXT}");
-        let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .build()
+            .unwrap();
         let (whole, next) = tokio::task::LocalSet::new().block_on(&runtime, async {
             let (mut client, server) = tokio::io::duplex(1 << 16);
             let seen = Rc::new(RefCell::new((false, false)));
--- a/crates/rookpulley-proxy/src/ending.rs
+++ b/crates/rookpulley-proxy/src/ending.rs
@@ -36,7 +36,10 @@
     /// Those of this process. It must run inside a `LocalSet`.
     pub fn take() -> std::io::Result<Signals> {
         let (tell, signals) = Signals::by_hand();
-        for (kind, means) in [(SignalKind::terminate(), Signal::End), (SignalKind::hangup(), Signal::Read)] {
+        for (kind, means) in [
+            (SignalKind::terminate(), Signal::End),
+            (SignalKind::hangup(), Signal::Read),
+        ] {
             let (mut sent, tell) = (signal(kind)?, tell.clone());
             tokio::task::spawn_local(async move {
                 while sent.recv().await.is_some() && tell.send(means).await.is_ok() {}
@@ -96,7 +99,9 @@
 }
 
 fn limits(courier: &Courier) -> Limits {
-    courier.book().map_or_else(Limits::default, |book| book.limits)
+    courier
+        .book()
+        .map_or_else(Limits::default, |book| book.limits)
 }
 
 /// Not ready from now on, but at work for what still comes, until nothing does.
--- a/crates/rookpulley-proxy/src/lib.rs
+++ b/crates/rookpulley-proxy/src/lib.rs
@@ -42,7 +42,10 @@
     NoAddress(&'static str),
     #[error("courier: {at} can't be listened at: {why}")]
     #[diagnostic(help("write an address of this machine, with a port that no other program has"))]
-    Listen { at: SocketAddrV4, why: std::io::Error },
+    Listen {
+        at: SocketAddrV4,
+        why: std::io::Error,
+    },
 }
 
 /// The addresses that a courier serves, taken.
--- a/crates/rookpulley-proxy/src/links.rs
+++ b/crates/rookpulley-proxy/src/links.rs
@@ -21,7 +21,12 @@
 }
 
 pub fn say(courier: &Rc<Courier>, office: Ipv4Addr, up: &Up) {
-    let ended = courier.links.lines.borrow().get(&office).is_some_and(|line| !line.send(up));
+    let ended = courier
+        .links
+        .lines
+        .borrow()
+        .get(&office)
+        .is_some_and(|line| !line.send(up));
     if ended {
         lost(courier, office);
     }
--- a/crates/rookpulley-proxy/src/listener.rs
+++ b/crates/rookpulley-proxy/src/listener.rs
@@ -36,7 +36,11 @@
 
 impl Clients {
     pub fn new(most: usize) -> Clients {
-        Clients { watches: RefCell::default(), next: Cell::new(0), most }
+        Clients {
+            watches: RefCell::default(),
+            next: Cell::new(0),
+            most,
+        }
     }
 
     /// Ends what is idle, takes too long over a head, or doesn't take its answer.
@@ -71,7 +75,9 @@
     /// Ends one that is idle and isn't told so yet.
     fn make_room(&self) -> bool {
         let watches = self.watches.borrow();
-        let idle = watches.values().filter(|watch| watch.idle() && !watch.leaves.get());
+        let idle = watches
+            .values()
+            .filter(|watch| watch.idle() && !watch.leaves.get());
         let oldest = idle.min_by_key(|watch| watch.stirred());
         if let Some(watch) = oldest {
             watch.leaves.set(true);
@@ -100,8 +106,10 @@
 
 async fn client(courier: Rc<Courier>, stream: TcpStream, number: u64, watch: Rc<Watch>) {
     line::tend(&stream, UNHEARD);
-    let bound =
-        limits(&courier).header_bytes.clamp(Limits::default().header_bytes, LONGEST_HEAD) + BEYOND_HEAD;
+    let bound = limits(&courier)
+        .header_bytes
+        .clamp(Limits::default().header_bytes, LONGEST_HEAD)
+        + BEYOND_HEAD;
     let io = TokioIo::new(Ear::new(stream, watch.clone()));
     let service = {
         let (courier, watch) = (courier.clone(), watch.clone());
@@ -144,12 +152,15 @@
 }
 
 async fn too_slow(mut ear: Ear) {
-    const ANSWER: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
+    const ANSWER: &[u8] =
+        b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
     if ear.write_all(ANSWER).await.is_ok() {
         _ = ear.shutdown().await;
     }
 }
 
 fn limits(courier: &Courier) -> Limits {
-    courier.book().map_or_else(Limits::default, |book| book.limits)
+    courier
+        .book()
+        .map_or_else(Limits::default, |book| book.limits)
 }
--- a/crates/rookpulley-proxy/src/main.rs
+++ b/crates/rookpulley-proxy/src/main.rs
@@ -17,15 +17,23 @@
 
 fn main() -> miette::Result<()> {
     let flags = RookpulleyProxy::from_env_or_exit();
-    _ = miette::set_hook(Box::new(|_| Box::new(miette::NarratableReportHandler::new())));
+    _ = miette::set_hook(Box::new(|_| {
+        Box::new(miette::NarratableReportHandler::new())
+    }));
     let path = rookpulley_settings::boot_path()?;
     let node = Node::read(&path)?;
     if flags.check {
         _ = write!(std::io::stdout(), "{node}");
         return Ok(());
     }
-    log::begin(if flags.verbose { tracing::Level::DEBUG } else { tracing::Level::INFO });
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    log::begin(if flags.verbose {
+        tracing::Level::DEBUG
+    } else {
+        tracing::Level::INFO
+    });
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(CannotRun::System)?;
     let ended = tokio::task::LocalSet::new().block_on(&runtime, async {
         // Before anything else, lest a signal that comes early ends the program.
--- a/crates/rookpulley-proxy/src/readiness.rs
+++ b/crates/rookpulley-proxy/src/readiness.rs
@@ -13,8 +13,12 @@
 
 pub async fn serve(courier: Rc<Courier>, listener: TcpListener) {
     let answer = move |_: Call| ready(Reply::empty(if courier.ready() { 200 } else { 503 }));
-    let bounds =
-        Bounds { connections: CONNECTIONS, body_bytes: BODY, bodies_bytes: BODY, ..Bounds::default() };
+    let bounds = Bounds {
+        connections: CONNECTIONS,
+        body_bytes: BODY,
+        bodies_bytes: BODY,
+        ..Bounds::default()
+    };
     // It answers until the program ends: that the end has begun is what the platform asks for.
     let (_stop, stopped) = watch::channel(false);
     rookpulley_api::serve(listener, bounds, stopped, Rc::new(answer)).await;
--- a/crates/rookpulley-proxy/src/sieve.rs
+++ b/crates/rookpulley-proxy/src/sieve.rs
@@ -56,7 +56,10 @@
     /// A request goes out. `look`: only if the task hasn't said anything unasked by then.
     pub fn begin(&self, id: &HeaderValue, head: bool, look: bool) {
         let mut asked = self.asked.borrow_mut();
-        if let Some(before) = asked.now.replace(One { id: id.as_bytes().into(), head }) {
+        if let Some(before) = asked.now.replace(One {
+            id: id.as_bytes().into(),
+            head,
+        }) {
             asked.before.truncate(REMEMBERED - 1);
             asked.before.push_front(before);
         }
@@ -111,11 +114,21 @@
 
 impl<S: AsyncRead + Unpin> Sieve<S> {
     pub fn new(stream: S, awaited: Rc<Awaited>) -> Sieve<S> {
-        Sieve { stream, awaited, held: BytesMut::new(), leaves: None, deaf: false }
+        Sieve {
+            stream,
+            awaited,
+            held: BytesMut::new(),
+            leaves: None,
+            deaf: false,
+        }
     }
 
     fn sift(&self, bytes: &[u8]) -> Sifted {
-        if self.awaited.comes.get() { sift(bytes, &self.awaited.asked.borrow()) } else { Sifted::HandOn }
+        if self.awaited.comes.get() {
+            sift(bytes, &self.awaited.asked.borrow())
+        } else {
+            Sifted::HandOn
+        }
     }
 
     /// Sifts what is held; true when the parser can have it.
@@ -144,7 +157,11 @@
         }
     }
 
-    fn read_on(&mut self, context: &mut Context<'_>, into: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn read_on(
+        &mut self,
+        context: &mut Context<'_>,
+        into: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         if self.held.is_empty() && self.leaves.is_none() {
             let before = into.filled().len();
             ready!(Pin::new(&mut self.stream).poll_read(context, into))?;
@@ -193,7 +210,9 @@
     ) -> Poll<io::Result<usize>> {
         match written {
             Poll::Ready(Ok(bytes)) => {
-                self.awaited.sent.set(self.awaited.sent.get() + bytes as u64);
+                self.awaited
+                    .sent
+                    .set(self.awaited.sent.get() + bytes as u64);
                 Poll::Ready(Ok(bytes))
             }
             Poll::Ready(Err(_)) if !self.awaited.unsent() => {
@@ -260,7 +279,8 @@
 fn sift(bytes: &[u8], asked: &Asked) -> Sifted {
     let mut lines = [const { MaybeUninit::uninit() }; LINES];
     let mut head = httparse::Response::new(&mut []);
-    let read = ParserConfig::default().parse_response_with_uninit_headers(&mut head, bytes, &mut lines);
+    let read =
+        ParserConfig::default().parse_response_with_uninit_headers(&mut head, bytes, &mut lines);
     let end = match read {
         Ok(Status::Complete(end)) => end,
         Ok(Status::Partial) => return Sifted::Part,
@@ -281,23 +301,32 @@
     }
     if (100..200).contains(&status) {
         // It announces the answer that is still to come, or ends all answers.
-        return if status == 101 { Sifted::HandOn } else { Sifted::LeaveOut(end, Span::Length(0)) };
+        return if status == 101 {
+            Sifted::HandOn
+        } else {
+            Sifted::LeaveOut(end, Span::Length(0))
+        };
     }
     let again = |its: &[u8]| asked.before.iter().find(|one| *one.id == *its);
     let awaited = its.is_some() && its == asked.now.as_ref().map(|one| &*one.id);
-    let Some(one) = its.filter(|_| !awaited).and_then(again) else { return Sifted::HandOn };
+    let Some(one) = its.filter(|_| !awaited).and_then(again) else {
+        return Sifted::HandOn;
+    };
     let body = match (length, coding) {
         _ if one.head || matches!(status, 204 | 304) => Some(Span::Length(0)),
         (Some(length), None) => whole(length).map(Span::Length),
-        (None, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") => Some(Span::Chunks(Chunks::Start)),
+        (None, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") => {
+            Some(Span::Chunks(Chunks::Start))
+        }
         _ => None,
     };
     body.map_or(Sifted::HandOn, |body| Sifted::LeaveOut(end, body))
 }
 
 fn whole(digits: &[u8]) -> Option<u64> {
-    let digits =
-        std::str::from_utf8(digits).ok().filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
+    let digits = std::str::from_utf8(digits)
+        .ok()
+        .filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
     digits?.parse().ok()
 }
 
--- a/crates/rookpulley-proxy/src/sieve/tests.rs
+++ b/crates/rookpulley-proxy/src/sieve/tests.rs
@@ -11,7 +11,10 @@
 }
 
 fn play<F: Future>(test: F) -> F::Output {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
@@ -26,13 +29,21 @@
     let (lines, body) = match u.int_in_range(0..=3)? {
         _ if head => ("Content-Length: 7\r\n".to_owned(), String::new()),
         0 => {
-            let chunk = if body.is_empty() { body.into() } else { format!("{:x}\r\n{body}\r\n", body.len()) };
+            let chunk = if body.is_empty() {
+                body.into()
+            } else {
+                format!("{:x}\r\n{body}\r\n", body.len())
+            };
             ("transfer-encoding: chunked\r\n".into(), chunk + "0\r\n\r\n")
         }
         1 => ("X: y\r\n".into(), String::new()),
         _ => (format!("Content-Length: {}\r\n", body.len()), body.into()),
     };
-    let status = if lines.starts_with("X") { "204 No" } else { "200 OK" };
+    let status = if lines.starts_with("X") {
+        "204 No"
+    } else {
+        "200 OK"
+    };
     let text = format!("HTTP/1.1 {status}\r\n{lines}REQUEST-ID:  {number} \r\n\r\n{body}");
     Ok((text.into_bytes(), head))
 }
@@ -96,7 +107,9 @@
     play(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         for (ends, says) in [(false, false), (true, false), (false, true)] {
-            let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+            let stream = TcpStream::connect(listener.local_addr().unwrap())
+                .await
+                .unwrap();
             let (mut task, _) = listener.accept().await.unwrap();
             let awaited = Rc::new(Awaited::default());
             let mut sieve = Sieve::new(stream, awaited.clone());
@@ -111,7 +124,10 @@
             }
             awaited.begin(&id(1), false, true);
             let wrote = sieve.write(b"request").await;
-            assert_eq!((wrote.is_err(), awaited.unsent()), (ends || says, ends || says));
+            assert_eq!(
+                (wrote.is_err(), awaited.unsent()),
+                (ends || says, ends || says)
+            );
         }
     });
 }
--- a/crates/rookpulley-proxy/src/span.rs
+++ b/crates/rookpulley-proxy/src/span.rs
@@ -39,7 +39,8 @@
     pub fn take(&mut self, bytes: &[u8]) -> usize {
         match self {
             Span::Length(left) => {
-                let taken = usize::try_from(*left).map_or(bytes.len(), |left| left.min(bytes.len()));
+                let taken =
+                    usize::try_from(*left).map_or(bytes.len(), |left| left.min(bytes.len()));
                 *left -= taken as u64;
                 taken
             }
@@ -67,7 +68,11 @@
             taken += 1;
             *self = at.step(*byte).map_or(Span::Endless, Span::Chunks);
         }
-        if *self == Span::Endless { bytes.len() } else { taken }
+        if *self == Span::Endless {
+            bytes.len()
+        } else {
+            taken
+        }
     }
 }
 
--- a/crates/rookpulley-proxy/src/state.rs
+++ b/crates/rookpulley-proxy/src/state.rs
@@ -38,9 +38,16 @@
         let seed = RandomState::new().hash_one(&node.name);
         let files = node.limits.open_files.saturating_sub(KEPT_FILES).max(100) as usize;
         let to_tasks = (files / 3).min(800);
-        let hold_bytes = if node.limits.link_mbps >= 100.0 { 1 << 20 } else { 16 << 10 };
+        let hold_bytes = if node.limits.link_mbps >= 100.0 {
+            1 << 20
+        } else {
+            16 << 10
+        };
         let seeds = node.seeds.iter().map(|seed| *seed.ip()).collect();
-        let further = (node.bounds.retry_budget_ratio, node.bounds.retry_budget_slack);
+        let further = (
+            node.bounds.retry_budget_ratio,
+            node.bounds.retry_budget_slack,
+        );
         Rc::new(Courier {
             begun: Instant::now(),
             satchel: RefCell::new(Satchel::new(&node.name, &node.zone, seeds, further, seed)),
@@ -69,7 +76,9 @@
             let mut satchel = self.satchel.borrow_mut();
             (input(&mut satchel, self.now_ms()), satchel.effects())
         };
-        effects.into_iter().for_each(|effect| self.carry_out(effect));
+        effects
+            .into_iter()
+            .for_each(|effect| self.carry_out(effect));
         came
     }
 
@@ -114,7 +123,10 @@
         let held = self.held.load(Relaxed).checked_add(bytes)?;
         (held <= most).then(|| {
             self.held.store(held, Relaxed);
-            Held { all: self.held.clone(), bytes }
+            Held {
+                all: self.held.clone(),
+                bytes,
+            }
         })
     }
 }
@@ -131,7 +143,11 @@
         let spare = self.bytes.saturating_sub(bytes.len());
         self.bytes -= spare;
         self.all.fetch_sub(spare, Relaxed);
-        if bytes.is_empty() { bytes } else { Bytes::from_owner(Kept { bytes, _room: self }) }
+        if bytes.is_empty() {
+            bytes
+        } else {
+            Bytes::from_owner(Kept { bytes, _room: self })
+        }
     }
 }
 
@@ -165,7 +181,9 @@
         let courier = Courier::new(node.unwrap());
         let all = courier.held_most;
         assert!(courier.hold(all + 1).is_none() && courier.hold_sent(all / 2 + 1).is_none());
-        let bytes = courier.hold(all).map(|held| held.around(Bytes::from(vec![1; 10])));
+        let bytes = courier
+            .hold(all)
+            .map(|held| held.around(Bytes::from(vec![1; 10])));
         assert!(courier.hold(all - 9).is_none());
         let part = bytes.as_ref().map(|bytes| bytes.slice(2..3));
         drop(bytes);
--- a/crates/rookpulley-proxy/src/wires.rs
+++ b/crates/rookpulley-proxy/src/wires.rs
@@ -72,16 +72,35 @@
 
 impl Wires {
     pub fn new(zone: &str, most: usize) -> Wires {
-        Wires { zone: zone.to_owned(), pools: RefCell::default(), open: Rc::default(), most }
+        Wires {
+            zone: zone.to_owned(),
+            pools: RefCell::default(),
+            open: Rc::default(),
+            most,
+        }
     }
 
     /// A connection to this task. `bound`: how many there may be; `once`: for what may run once only;
     /// `anew`: none that was used before.
-    pub async fn take(&self, to: &Line, bound: usize, once: bool, anew: bool) -> Result<Wire, NoWire> {
-        let pool = self.pools.borrow_mut().entry(to.life.clone()).or_default().clone();
+    pub async fn take(
+        &self,
+        to: &Line,
+        bound: usize,
+        once: bool,
+        anew: bool,
+    ) -> Result<Wire, NoWire> {
+        let pool = self
+            .pools
+            .borrow_mut()
+            .entry(to.life.clone())
+            .or_default()
+            .clone();
         while let Some(mut wire) = if anew { None } else { pool.pop(once) } {
             if wire.sender.is_ready()
-                || matches!(tokio::time::timeout(READY, wire.sender.ready()).await, Ok(Ok(())))
+                || matches!(
+                    tokio::time::timeout(READY, wire.sender.ready()).await,
+                    Ok(Ok(()))
+                )
             {
                 return Ok(wire);
             }
@@ -97,15 +116,23 @@
             tokio::task::yield_now().await;
         }
         let began = Instant::now();
-        let within = if to.zone == self.zone { CONNECT } else { CONNECT_FAR };
+        let within = if to.zone == self.zone {
+            CONNECT
+        } else {
+            CONNECT_FAR
+        };
         let connect = tokio::time::timeout(within, TcpStream::connect(to.address)).await;
-        let Ok(Ok(stream)) = connect else { return Err(NoWire::Unreachable) };
+        let Ok(Ok(stream)) = connect else {
+            return Err(NoWire::Unreachable);
+        };
         let way = began.elapsed();
         line::tend(&stream, line::UNHEARD);
         let awaited = Rc::new(Awaited::default());
         let sieve = TokioIo::new(Sieve::new(stream, awaited.clone()));
         let shaken = Builder::new().max_buf_size(BUFFER).handshake(sieve).await;
-        let Ok((sender, connection)) = shaken else { return Err(NoWire::Unreachable) };
+        let Ok((sender, connection)) = shaken else {
+            return Err(NoWire::Unreachable);
+        };
         let driver = tokio::task::spawn_local(async move {
             if let Err(why) = connection.await {
                 tracing::debug!("wires: a task's connection ended: {why}");
@@ -115,7 +142,17 @@
         let now = Instant::now();
         let driver = Some(driver.abort_handle());
         let (until, told) = (now + IDLE, false);
-        let wire = Wire { sender, used: false, awaited, pool, all, until, told, freed: now, driver };
+        let wire = Wire {
+            sender,
+            used: false,
+            awaited,
+            pool,
+            all,
+            until,
+            told,
+            freed: now,
+            driver,
+        };
         if once {
             tokio::time::sleep((way * 2).clamp(REST, LONGEST_REST)).await;
             if wire.sender.is_closed() {
@@ -210,15 +247,20 @@
 
 /// How long the task keeps the connection after this answer; none: it doesn't say. A second less than it says.
 pub fn kept_for(headers: &HeaderMap) -> Option<Duration> {
-    let closes =
-        |value: &HeaderValue| value.to_str().is_ok_and(|value| value.to_ascii_lowercase().contains("close"));
+    let closes = |value: &HeaderValue| {
+        value
+            .to_str()
+            .is_ok_and(|value| value.to_ascii_lowercase().contains("close"))
+    };
     if headers.get_all(CONNECTION).iter().any(closes) {
         return Some(Duration::ZERO);
     }
     let says = headers.get("keep-alive")?.to_str().ok()?;
     let parameter = |part: &str| part.trim().strip_prefix("timeout=")?.parse::<u64>().ok();
     let seconds = says.split(',').find_map(parameter)?;
-    Some(Duration::from_millis((seconds.min(3_600) * 1_000).saturating_sub(1_000).max(300)))
+    Some(Duration::from_millis(
+        (seconds.min(3_600) * 1_000).saturating_sub(1_000).max(300),
+    ))
 }
 
 /// Counts a connection from its first moment, also one that doesn't come up.
--- a/crates/rookpulley-proxy/src/wires/tests.rs
+++ b/crates/rookpulley-proxy/src/wires/tests.rs
@@ -5,15 +5,29 @@
 use tokio::net::TcpListener;
 
 fn play<F: Future>(test: F) -> F::Output {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
 async fn task(life: &str) -> (TcpListener, Line) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
-    (listener, Line { life: life.into(), address, zone: "z".into(), weight: 1.0, slots: 1 })
+    let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
+        unreachable!()
+    };
+    (
+        listener,
+        Line {
+            life: life.into(),
+            address,
+            zone: "z".into(),
+            weight: 1.0,
+            slots: 1,
+        },
+    )
 }
 
 #[test]
@@ -24,15 +38,27 @@
         let first = wires.take(&one, 2, false, false).await.unwrap();
         let _second = wires.take(&one, 2, false, false).await.unwrap();
         wires.take(&two, 2, false, false).await.unwrap().free(None);
-        assert_eq!(wires.take(&one, 2, false, false).await.err(), Some(NoWire::Full));
+        assert_eq!(
+            wires.take(&one, 2, false, false).await.err(),
+            Some(NoWire::Full)
+        );
         // More couriers, a smaller bound: what is idle goes first.
         first.free(None);
-        assert_eq!(wires.take(&one, 1, false, true).await.err(), Some(NoWire::Full));
-        assert_eq!((wires.open.get(), wires.pools.borrow()["one"].open.get()), (2, 1));
+        assert_eq!(
+            wires.take(&one, 1, false, true).await.err(),
+            Some(NoWire::Full)
+        );
+        assert_eq!(
+            (wires.open.get(), wires.pools.borrow()["one"].open.get()),
+            (2, 1)
+        );
         // One that is idle elsewhere makes room where the bound of all is reached.
         let _third = wires.take(&one, 2, false, false).await.unwrap();
         let _fourth = wires.take(&one, 3, false, false).await.unwrap();
-        assert_eq!((wires.open.get(), wires.pools.borrow()["two"].open.get()), (3, 0));
+        assert_eq!(
+            (wires.open.get(), wires.pools.borrow()["two"].open.get()),
+            (3, 0)
+        );
     });
 }
 
@@ -47,11 +73,15 @@
                 for _ in 0..10 {
                     tokio::task::yield_now().await;
                 }
-                socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+                socket2::SockRef::from(&stream)
+                    .set_linger(Some(Duration::ZERO))
+                    .unwrap();
             }
         });
         for _ in 0..10 {
-            let Ok(mut wire) = wires.take(&line, 3, true, false).await else { continue };
+            let Ok(mut wire) = wires.take(&line, 3, true, false).await else {
+                continue;
+            };
             wire.begin(&HeaderValue::from_static("q"), false, true);
             let request = Request::new(Parcel::Whole(Bytes::new()));
             assert!(wire.sender.try_send_request(request).await.is_err() && wire.unsent());
@@ -94,7 +124,10 @@
         kept_for(&headers).map(|time| time.as_millis())
     };
     assert_eq!(after(&[]), None);
-    assert_eq!(after(&[("connection", "keep-alive"), ("connection", "x, Close")]), Some(0));
+    assert_eq!(
+        after(&[("connection", "keep-alive"), ("connection", "x, Close")]),
+        Some(0)
+    );
     assert_eq!(after(&[("keep-alive", "max=9, timeout=5")]), Some(4_000));
     assert_eq!(after(&[("keep-alive", "timeout=1")]), Some(300));
     assert_eq!(after(&[("keep-alive", "timeout=-1")]), None);
--- a/crates/rookpulley-proxy/tests/courier/homes.rs
+++ b/crates/rookpulley-proxy/tests/courier/homes.rs
@@ -16,11 +16,23 @@
     line: tokio::task::JoinHandle<()>,
 }
 
-async fn open(stream: TcpStream) -> (Outbox, mpsc::UnboundedReceiver<Up>, tokio::task::JoinHandle<()>) {
+async fn open(
+    stream: TcpStream,
+) -> (
+    Outbox,
+    mpsc::UnboundedReceiver<Up>,
+    tokio::task::JoinHandle<()>,
+) {
     let (opened, mut open) = mpsc::unbounded_channel();
     let (tell, heard) = mpsc::unbounded_channel();
     let line = tokio::task::spawn_local(async move {
-        line::run(stream, None, move |outbox| _ = opened.send(outbox), move |up| _ = tell.send(up)).await;
+        line::run(
+            stream,
+            None,
+            move |outbox| _ = opened.send(outbox),
+            move |up| _ = tell.send(up),
+        )
+        .await;
     });
     (open.recv().await.unwrap(), heard, line)
 }
@@ -29,11 +41,21 @@
     async fn new(listener: TcpListener) -> Office {
         let (stream, _) = listener.accept().await.unwrap();
         let (outbox, heard, line) = open(stream).await;
-        Office { listener, outbox, heard, line }
+        Office {
+            listener,
+            outbox,
+            heard,
+            line,
+        }
     }
 
     fn pulse(&self, offices: Vec<SocketAddrV4>) {
-        assert!(self.outbox.send(&Down::Pulse { in_touch: true, config: 0, couriers: 1, offices }));
+        assert!(self.outbox.send(&Down::Pulse {
+            in_touch: true,
+            config: 0,
+            couriers: 1,
+            offices
+        }));
     }
 
     /// Waits until the courier says whether this office is its home.
@@ -57,15 +79,29 @@
 
     fn table(&self, service: &str, mark: u64) {
         let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
-        let line = Line { life: service.to_owned(), address, zone: "east".to_owned(), weight: 1.0, slots: 1 };
-        let table = Down::Table { service: service.to_owned(), name: 1, mark, lines: vec![line] };
+        let line = Line {
+            life: service.to_owned(),
+            address,
+            zone: "east".to_owned(),
+            weight: 1.0,
+            slots: 1,
+        };
+        let table = Down::Table {
+            service: service.to_owned(),
+            name: 1,
+            mark,
+            lines: vec![line],
+        };
         assert!(self.outbox.send(&table));
     }
 }
 
 #[test]
 fn one_office_is_the_home_and_another_takes_its_place_when_it_is_lost() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let first = TcpListener::bind("127.0.0.2:0").await.unwrap();
         let port = first.local_addr().unwrap().port();
@@ -108,8 +144,11 @@
         let served = async |scene: &mut Scene, prefix: &str| {
             scene.marked().await;
             let target = format!("{prefix}x");
-            status(&scene.send(request("POST", &target, prefix, "Connection: close\r\n").as_bytes()).await)
-                == 200
+            status(
+                &scene
+                    .send(request("POST", &target, prefix, "Connection: close\r\n").as_bytes())
+                    .await,
+            ) == 200
         };
         scene.configuration(2, 1, &second, &first);
         assert!(served(&mut scene, "/n/").await && !served(&mut scene, "/m/").await);
--- a/crates/rookpulley-proxy/tests/courier/rude.rs
+++ b/crates/rookpulley-proxy/tests/courier/rude.rs
@@ -46,7 +46,11 @@
             Deed::Mixes,
             Deed::Babbles,
         ];
-        if u.ratio(1, 2)? { Ok(Deed::Keeps) } else { Ok(*u.choose(&all)?) }
+        if u.ratio(1, 2)? {
+            Ok(Deed::Keeps)
+        } else {
+            Ok(*u.choose(&all)?)
+        }
     }
 
     fn runs(self) -> bool {
@@ -69,9 +73,12 @@
         match self {
             Deed::Answers => Act::Write(answer(got, "200 OK", sign, &body(id))),
             Deed::Keeps => Act::Write(whole),
-            Deed::Leaves => {
-                Act::Cut(answer(got, "200 OK", "Response-Signature: s\r\nConnection: close\r\n", &body(id)))
-            }
+            Deed::Leaves => Act::Cut(answer(
+                got,
+                "200 OK",
+                "Response-Signature: s\r\nConnection: close\r\n",
+                &body(id),
+            )),
             Deed::InChunks => Act::Write(chunks.into()),
             Deed::Before => Act::Write([before, whole].concat()),
             Deed::Behind => Act::Write([whole.clone(), whole].concat()),
@@ -82,7 +89,10 @@
             Deed::Cuts(at) => cut(&whole, at),
             Deed::CutsChunks(at) => cut(chunks.as_bytes(), at),
             Deed::Mixes => Act::Write(
-                String::from_utf8(whole).unwrap().replace("Request-Id: ", "Request-Id: no-").into(),
+                String::from_utf8(whole)
+                    .unwrap()
+                    .replace("Request-Id: ", "Request-Id: no-")
+                    .into(),
             ),
             Deed::Babbles => Act::Write(b"SSH-2.0-what\r\n\r\n".to_vec()),
         }
@@ -114,15 +124,28 @@
             let size = u.int_in_range(1..=length)?.max(length / 10);
             let mut wire = Vec::new();
             for chunk in body.chunks(size) {
-                wire.extend(format!("{:x}\r\n", chunk.len()).bytes().chain(chunk.iter().copied()));
+                wire.extend(
+                    format!("{:x}\r\n", chunk.len())
+                        .bytes()
+                        .chain(chunk.iter().copied()),
+                );
                 wire.extend(b"\r\n");
             }
-            ("Transfer-Encoding: chunked\r\n".to_owned(), [wire.as_slice(), b"0\r\n\r\n"].concat())
+            (
+                "Transfer-Encoding: chunked\r\n".to_owned(),
+                [wire.as_slice(), b"0\r\n\r\n"].concat(),
+            )
         } else {
             Default::default()
         };
         let bytes = [request("POST", &target, &id, &more).into_bytes(), wire].concat();
-        Ok(Ask { id, mutating, target, body, bytes })
+        Ok(Ask {
+            id,
+            mutating,
+            target,
+            body,
+            bytes,
+        })
     }
 }
 
@@ -136,12 +159,20 @@
 }
 
 /// Sends requests, and returns those that were answered with what came.
-async fn client(front: std::net::SocketAddr, asks: Vec<Ask>, way: Way) -> Vec<(Ask, u16, Vec<u8>, bool)> {
+async fn client(
+    front: std::net::SocketAddr,
+    asks: Vec<Ask>,
+    way: Way,
+) -> Vec<(Ask, u16, Vec<u8>, bool)> {
     let mut answered = Vec::new();
     let mut asks: std::collections::VecDeque<Ask> = asks.into();
     while !asks.is_empty() {
         let mut talk = Talk::new(tokio::net::TcpStream::connect(front).await.unwrap());
-        let ahead = if matches!(way, Way::AllAtOnce) { asks.len() } else { 1 };
+        let ahead = if matches!(way, Way::AllAtOnce) {
+            asks.len()
+        } else {
+            1
+        };
         for ask in asks.iter().take(ahead) {
             match way {
                 Way::Leaves(at) if asks.len() == 1 => {
@@ -153,7 +184,9 @@
         }
         for _ in 0..ahead {
             let Some(ask) = asks.pop_front() else { break };
-            let Some(back) = talk.message().await else { break };
+            let Some(back) = talk.message().await else {
+                break;
+            };
             let its = back.header("request-id").is_none_or(|id| id == ask.id);
             assert!(its, "{} got {}", ask.id, back.head);
             let ends = back.header("connection") == Some("close");
@@ -178,7 +211,10 @@
                 asks.push(Ask::draw(u, format!("id-{client}-{number}-"))?);
             }
             let at = u.int_in_range(0..=100_000)?;
-            clients.push((asks, *u.choose(&[Way::OneByOne, Way::AllAtOnce, Way::Leaves(at)])?));
+            clients.push((
+                asks,
+                *u.choose(&[Way::OneByOne, Way::AllAtOnce, Way::Leaves(at)])?,
+            ));
         }
         let deeds: Vec<Deed> = (0..200).map(|_| Deed::draw(u)).collect::<Result<_>>()?;
         let count = u.int_in_range(1..=4)?;
@@ -193,11 +229,20 @@
                     tell.borrow_mut().push(id);
                 }
                 let life = got.header("target-instance").unwrap().to_owned();
-                deed.act(got, lasts.borrow_mut().entry((life, got.connection)).or_default())
+                deed.act(
+                    got,
+                    lasts
+                        .borrow_mut()
+                        .entry((life, got.connection))
+                        .or_default(),
+                )
             })
             .await;
-            let all: HashMap<String, Ask> =
-                clients.iter().flat_map(|(asks, _)| asks).map(|ask| (ask.id.clone(), ask.clone())).collect();
+            let all: HashMap<String, Ask> = clients
+                .iter()
+                .flat_map(|(asks, _)| asks)
+                .map(|ask| (ask.id.clone(), ask.clone()))
+                .collect();
             let mut at_work = Vec::new();
             for (asks, way) in clients {
                 at_work.push(tokio::task::spawn_local(client(scene.front, asks, way)));
@@ -210,7 +255,10 @@
             for (ask, status, back, signed) in answered {
                 match status {
                     200 => {
-                        assert!(signed && back == body(&ask.id).as_bytes() && runs(&ask.id) > 0, "{ask:?}")
+                        assert!(
+                            signed && back == body(&ask.id).as_bytes() && runs(&ask.id) > 0,
+                            "{ask:?}"
+                        )
                     }
                     503 if ask.mutating => assert_eq!(runs(&ask.id), 0, "{}", ask.id),
                     500 | 502 | 503 => {}
@@ -219,7 +267,12 @@
             }
             for got in scene.got.borrow().iter() {
                 let ask = &all[got.header("request-id").unwrap()];
-                assert!(got.head.starts_with(&format!("POST {} HTTP/1.1\r\n", ask.target)), "{}", got.head);
+                assert!(
+                    got.head
+                        .starts_with(&format!("POST {} HTTP/1.1\r\n", ask.target)),
+                    "{}",
+                    got.head
+                );
                 assert_eq!(got.body, ask.body);
                 assert!(!ask.mutating || runs(&ask.id) <= 1, "{}", ask.id);
             }
--- a/crates/rookpulley-proxy/tests/courier/scene/mod.rs
+++ b/crates/rookpulley-proxy/tests/courier/scene/mod.rs
@@ -102,7 +102,8 @@
         tokio::task::spawn_local(run(Courier::new(node), bound, None, signals));
         let (stream, _) = listener.accept().await.unwrap();
         let (opened, mut open) = mpsc::unbounded_channel();
-        let ((marks, took), (tell_report, reports)) = (mpsc::unbounded_channel(), mpsc::unbounded_channel());
+        let ((marks, took), (tell_report, reports)) =
+            (mpsc::unbounded_channel(), mpsc::unbounded_channel());
         let (ask, asked) = mpsc::unbounded_channel();
         tokio::task::spawn_local(line::run(
             stream,
@@ -118,11 +119,28 @@
             },
         ));
         let office = open.recv().await.unwrap();
-        let pulse = Down::Pulse { in_touch: true, config: 0, couriers: 1, offices: Vec::new() };
+        let pulse = Down::Pulse {
+            in_touch: true,
+            config: 0,
+            couriers: 1,
+            offices: Vec::new(),
+        };
         assert!(office.send(&pulse));
         let got = Rc::default();
         let (script, limits) = (Rc::new(script), USUAL);
-        Scene { front, readiness, tell, office, took, reports, asked, got, script, mark: 0, limits }
+        Scene {
+            front,
+            readiness,
+            tell,
+            office,
+            took,
+            reports,
+            asked,
+            got,
+            script,
+            mark: 0,
+            limits,
+        }
     }
 
     /// A configuration with routes of each kind, patient and not, all of the service `s`, and so many tasks.
@@ -166,7 +184,12 @@
     /// Sends a configuration packed on the bytes of another version.
     pub fn configuration(&mut self, version: u64, base: u64, body: &[u8], on: &[u8]) {
         let (length, packed) = (body.len() as u32, pack(body, on).unwrap());
-        assert!(self.office.send(&Down::Config { version, base, length, packed }));
+        assert!(self.office.send(&Down::Config {
+            version,
+            base,
+            length,
+            packed
+        }));
     }
 
     /// The version that it next asks for a newer one of.
@@ -177,7 +200,12 @@
     /// Tells a whole table and waits until it is in use.
     pub async fn table(&mut self, lines: Vec<Line>) {
         self.mark += 1;
-        let table = Down::Table { service: "s".into(), name: 1, mark: self.mark, lines };
+        let table = Down::Table {
+            service: "s".into(),
+            name: 1,
+            mark: self.mark,
+            lines,
+        };
         assert!(self.office.send(&table));
         assert_eq!(self.took.recv().await, Some(self.mark));
     }
@@ -185,22 +213,37 @@
     /// Waits until all that was told before is in use.
     pub async fn marked(&mut self) {
         self.mark += 1;
-        let table = Down::Table { service: "nobody's".into(), name: 1, mark: self.mark, lines: Vec::new() };
+        let table = Down::Table {
+            service: "nobody's".into(),
+            name: 1,
+            mark: self.mark,
+            lines: Vec::new(),
+        };
         assert!(self.office.send(&table));
         assert_eq!(self.took.recv().await, Some(self.mark));
     }
 
     pub async fn gone(&mut self, life: &str) {
-        assert!(self.office.send(&Down::Gone { lives: vec![life.into()] }));
+        assert!(self.office.send(&Down::Gone {
+            lives: vec![life.into()]
+        }));
         // What follows on the line is taken after it.
         self.table(Vec::new()).await;
     }
 
     pub async fn task(&self, life: &str) -> Line {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
+        let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
+            unreachable!()
+        };
         let (got, script) = (self.got.clone(), self.script.clone());
-        let line = Line { life: life.to_owned(), address, zone: "east".to_owned(), weight: 1.0, slots: 4 };
+        let line = Line {
+            life: life.to_owned(),
+            address,
+            zone: "east".to_owned(),
+            weight: 1.0,
+            slots: 4,
+        };
         tokio::task::spawn_local(async move {
             for connection in 0.. {
                 let (stream, _) = listener.accept().await.unwrap();
@@ -213,9 +256,18 @@
     /// A task that the test plays itself: its connections come in here.
     pub async fn by_hand(&mut self) -> TcpListener {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
+        let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
+            unreachable!()
+        };
         let (life, zone) = ("by-hand".to_owned(), "east".to_owned());
-        self.table(vec![Line { life, address, zone, weight: 1.0, slots: 4 }]).await;
+        self.table(vec![Line {
+            life,
+            address,
+            zone,
+            weight: 1.0,
+            slots: 4,
+        }])
+        .await;
         listener
     }
 
@@ -268,14 +320,22 @@
     }
 
     pub fn runs(&self, id: &str) -> usize {
-        self.got.borrow().iter().filter(|got| got.header("request-id") == Some(id)).count()
+        self.got
+            .borrow()
+            .iter()
+            .filter(|got| got.header("request-id") == Some(id))
+            .count()
     }
 }
 
 async fn task(stream: TcpStream, connection: usize, got: Rc<RefCell<Vec<Got>>>, script: Script) {
     let mut talk = Talk::new(stream);
     while let Some(Message { head, body }) = talk.message().await {
-        let one = Got { connection, head, body };
+        let one = Got {
+            connection,
+            head,
+            body,
+        };
         got.borrow_mut().push(one.clone());
         match script(&one) {
             Act::Write(answer) => _ = talk.say(answer).await,
@@ -297,6 +357,9 @@
 
 /// Runs a test on one thread.
 pub fn play<F: Future>(scene: F) -> F::Output {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, scene)
 }
--- a/crates/rookpulley-proxy/tests/courier/scene/talk.rs
+++ b/crates/rookpulley-proxy/tests/courier/scene/talk.rs
@@ -25,7 +25,10 @@
 }
 
 pub fn status(back: &str) -> u16 {
-    back.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
+    back.split(' ')
+        .nth(1)
+        .and_then(|code| code.parse().ok())
+        .unwrap_or(0)
 }
 
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
@@ -38,7 +41,10 @@
 impl Talk {
     pub fn new(stream: TcpStream) -> Talk {
         stream.set_nodelay(true).unwrap();
-        Talk { stream, bytes: Vec::new() }
+        Talk {
+            stream,
+            bytes: Vec::new(),
+        }
     }
 
     /// Writes as much as the other side takes: whether that is all.
@@ -62,7 +68,8 @@
         let body = if header(&head, "transfer-encoding").is_some() {
             self.chunks().await?
         } else {
-            let length = header(&head, "content-length").map_or(0, |length| length.parse().unwrap());
+            let length =
+                header(&head, "content-length").map_or(0, |length| length.parse().unwrap());
             self.exactly(length).await?
         };
         Some(Message { head, body })
--- a/crates/rookpulley-registry/examples/pick_cost.rs
+++ b/crates/rookpulley-registry/examples/pick_cost.rs
@@ -51,15 +51,27 @@
 impl Site {
     fn new(tasks: usize, couriers: usize) -> Site {
         let mut desk = Desk::new(7);
-        desk.set_services(&[Service { name: "a".into(), max_connections: 610, aim_ms: 250.0 }]);
+        desk.set_services(&[Service {
+            name: "a".into(),
+            max_connections: 610,
+            aim_ms: 250.0,
+        }]);
         let registry = Registry::new(0.0, 1_500.0, 2_500.0);
         let (tasks_there, tables) = (VecDeque::new(), BTreeMap::new());
-        let mut site = Site { now: 0.0, registry, desk, tasks: tasks_there, born: 0, tables };
+        let mut site = Site {
+            now: 0.0,
+            registry,
+            desk,
+            tasks: tasks_there,
+            born: 0,
+            tables,
+        };
         (0..tasks).for_each(|_| site.start());
         site.desk.set_couriers(couriers as u32);
         for courier in 0..couriers {
             let zone = format!("z{}", courier % 3);
-            site.desk.courier_in(0.0, &format!("c{courier}"), &zone, 10.0, false);
+            site.desk
+                .courier_in(0.0, &format!("c{courier}"), &zone, 10.0, false);
         }
         site.passes(12_000.0);
         site
@@ -71,9 +83,14 @@
         let beat = Beat {
             life: format!("i-{place}"),
             service: "a".into(),
-            address: format!("10.{}.{}.{}:80", place / 40_000, place / 200 % 200, place % 200 + 1)
-                .parse()
-                .unwrap(),
+            address: format!(
+                "10.{}.{}.{}:80",
+                place / 40_000,
+                place / 200 % 200,
+                place % 200 + 1
+            )
+            .parse()
+            .unwrap(),
             zone: format!("z{}", place % 3),
             software: "v1".into(),
             slots: 4,
@@ -91,7 +108,13 @@
         self.desk.sync(self.now, &self.registry);
         let mut cut = 0;
         for out in self.desk.tick(self.now) {
-            if let Out::Table { courier, mark, lines, .. } = out {
+            if let Out::Table {
+                courier,
+                mark,
+                lines,
+                ..
+            } = out
+            {
                 self.desk.took(&courier, mark);
                 self.tables.insert(courier, lines);
                 cut += 1;
@@ -154,9 +177,16 @@
 fn plain(waiting: &mut [u32], chance: &mut ChaCha8Rng) {
     let mut flying = VecDeque::new();
     for _ in 0..PICKS {
-        let two = [chance.random_range(0..waiting.len()), chance.random_range(0..waiting.len())];
+        let two = [
+            chance.random_range(0..waiting.len()),
+            chance.random_range(0..waiting.len()),
+        ];
         let [one, other] = two;
-        let at = if waiting[other] < waiting[one] { other } else { one };
+        let at = if waiting[other] < waiting[one] {
+            other
+        } else {
+            one
+        };
         waiting[at] += 1;
         flying.push_back(black_box(at));
         if flying.len() > UNDER_WAY
@@ -180,7 +210,8 @@
         post.table("a", lines);
         let (mut now_ms, mut chance) = (0.0, ChaCha8Rng::seed_from_u64(1));
         let mut waiting = vec![0; tasks];
-        let (mut pick_us, mut pick_allocations, mut plain_us) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut pick_us, mut pick_allocations, mut plain_us) =
+            (Vec::new(), Vec::new(), Vec::new());
         for _ in 0..ROUNDS {
             let (us, count) = measured(|| picks(&mut post, &mut now_ms));
             pick_us.push(us / PICKS as f64);
--- a/crates/rookpulley-registry/src/beat.rs
+++ b/crates/rookpulley-registry/src/beat.rs
@@ -10,7 +10,11 @@
 /// A beat is some hundred bytes.
 const LONGEST: usize = 16 << 10;
 /// A beat needs three brackets.
-const BOUNDS: Bounds = Bounds { bytes: LONGEST, nesting: Nesting::Brackets(64), values: usize::MAX };
+const BOUNDS: Bounds = Bounds {
+    bytes: LONGEST,
+    nesting: Nesting::Brackets(64),
+    values: usize::MAX,
+};
 const NAME_LONGEST: usize = 128;
 
 /// What a task says of itself.
@@ -33,17 +37,25 @@
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum BeatFault {
     #[error("the path of the beat holds no id of a task's life")]
-    #[diagnostic(help("write /rookpulley/instances/ID with 1 to {NAME_LONGEST} visible ASCII characters"))]
+    #[diagnostic(help(
+        "write /rookpulley/instances/ID with 1 to {NAME_LONGEST} visible ASCII characters"
+    ))]
     Life,
     #[error("the body of the beat has {0} bytes")]
     #[diagnostic(help("write one JSON object of at most {LONGEST} bytes"))]
     Long(usize),
     #[error("the body of the beat can't be read: {0}")]
-    #[diagnostic(help("write one JSON object, in UTF-8, with the parts nodeInfo and currentStatus"))]
+    #[diagnostic(help(
+        "write one JSON object, in UTF-8, with the parts nodeInfo and currentStatus"
+    ))]
     Json(String),
     #[error("in the beat, `{field}` is {found}")]
     #[diagnostic(help("write {instead} as `{field}`"))]
-    Field { field: &'static str, found: &'static str, instead: &'static str },
+    Field {
+        field: &'static str,
+        found: &'static str,
+        instead: &'static str,
+    },
 }
 
 type Object = HashMap<String, JsonValue>;
@@ -61,7 +73,9 @@
     }
 
     fn find(&self, field: &'static str) -> Option<&'a JsonValue> {
-        self.inner.and_then(|part| part.get(field)).or_else(|| self.top.get(field))
+        self.inner
+            .and_then(|part| part.get(field))
+            .or_else(|| self.top.get(field))
     }
 
     fn wrong(&self, field: &'static str, instead: &'static str) -> BeatFault {
@@ -72,7 +86,11 @@
             Some(JsonValue::Number(_)) => "a number that won't do",
             Some(_) => "of another type",
         };
-        BeatFault::Field { field, found, instead }
+        BeatFault::Field {
+            field,
+            found,
+            instead,
+        }
     }
 
     fn name(&self, field: &'static str, least: usize) -> Result<String, BeatFault> {
@@ -82,7 +100,11 @@
             None if least == 0 && self.find(field).is_none() => return Ok(String::new()),
             text => text.ok_or_else(wrong)?,
         };
-        if (least..=NAME_LONGEST).contains(&text.len()) { Ok(text.clone()) } else { Err(wrong()) }
+        if (least..=NAME_LONGEST).contains(&text.len()) {
+            Ok(text.clone())
+        } else {
+            Err(wrong())
+        }
     }
 
     fn whole(&self, field: &'static str, least: f64, most: f64) -> Result<f64, BeatFault> {
@@ -108,11 +130,16 @@
             Unread::Deep { .. } => BeatFault::Json("too many brackets".into()),
             why => BeatFault::Json(why.to_string()),
         })?;
-        let top = value.get::<Object>().ok_or_else(|| BeatFault::Json("it is no JSON object".into()))?;
+        let top = value
+            .get::<Object>()
+            .ok_or_else(|| BeatFault::Json("it is no JSON object".into()))?;
         let (node, status) = (Parts::of(top, "nodeInfo"), Parts::of(top, "currentStatus"));
         let address = status.name("address", 1)?;
-        let address: SocketAddrV4 =
-            address.parse().ok().filter(|a: &SocketAddrV4| a.port() != 0).ok_or(BeatFault::Field {
+        let address: SocketAddrV4 = address
+            .parse()
+            .ok()
+            .filter(|a: &SocketAddrV4| a.port() != 0)
+            .ok_or(BeatFault::Field {
                 field: "address",
                 found: "no address",
                 instead: "an IPv4 address and a port",
@@ -122,7 +149,10 @@
             "draining" => true,
             _ => return Err(status.wrong("lifecycleState", "`available` or `draining`")),
         };
-        let cold = status.find("coldRemainingMs").and_then(|v| v.get::<f64>()).copied();
+        let cold = status
+            .find("coldRemainingMs")
+            .and_then(|v| v.get::<f64>())
+            .copied();
         Ok(Self {
             life: life.into(),
             service: node.name("targetService", 1)?,
@@ -131,7 +161,10 @@
             software: node.name("configVersion", 0)?,
             slots: node.whole("capacitySlots", 1.0, f64::from(u16::MAX))? as u16,
             draining,
-            cold_ms: cold.filter(|ms| ms.is_finite()).unwrap_or(0.0).clamp(0.0, 600_000.0),
+            cold_ms: cold
+                .filter(|ms| ms.is_finite())
+                .unwrap_or(0.0)
+                .clamp(0.0, 600_000.0),
             sequence: status.whole("callSequence", 0.0, 9e15)? as u64,
         })
     }
@@ -156,7 +189,13 @@
 
     #[test]
     fn a_spoilt_beat_is_refused_with_words_and_never_ends_the_program() {
-        let spoilt = [("\"a\"", "7"), ("4", "0"), ("draining", "gone"), (":8080", ""), ("\"z\"", "[[]]")];
+        let spoilt = [
+            ("\"a\"", "7"),
+            ("4", "0"),
+            ("draining", "gone"),
+            (":8080", ""),
+            ("\"z\"", "[[]]"),
+        ];
         for (was, is) in spoilt {
             let fault = Beat::read("i-1", NESTED.replacen(was, is, 1).as_bytes()).unwrap_err();
             assert!(miette::Diagnostic::help(&fault).is_some(), "{fault}");
--- a/crates/rookpulley-registry/src/desk.rs
+++ b/crates/rookpulley-registry/src/desk.rs
@@ -105,7 +105,8 @@
 
     /// The services of a configuration. What is not named is hosted no longer.
     pub fn set_services(&mut self, services: &[Service]) {
-        self.services.retain(|name, _| services.iter().any(|s| s.name == *name));
+        self.services
+            .retain(|name, _| services.iter().any(|s| s.name == *name));
         for service in services {
             if let Some(hosted) = self.services.get_mut(&service.name) {
                 hosted.set(service);
@@ -113,7 +114,10 @@
             }
             let mut hosted = Hosted::new(self.seed, self.hosted, service.clone());
             self.hosted += 1;
-            self.couriers.values().filter(|c| c.joined).for_each(|c| hosted.courier_in(c.member));
+            self.couriers
+                .values()
+                .filter(|c| c.joined)
+                .for_each(|c| hosted.courier_in(c.member));
             self.services.insert(service.name.clone(), hosted);
             self.seen = None;
         }
@@ -125,21 +129,48 @@
     }
 
     /// A courier calls this office home. `holds_tables`: it is not newly started.
-    pub fn courier_in(&mut self, now: f64, name: &str, zone: &str, usual_per_s: f64, holds_tables: bool) {
+    pub fn courier_in(
+        &mut self,
+        now: f64,
+        name: &str,
+        zone: &str,
+        usual_per_s: f64,
+        holds_tables: bool,
+    ) {
         self.courier_out(now, name);
         let sound = usual_per_s.is_finite() && usual_per_s > 0.0;
         let per_s = if sound { usual_per_s } else { 1.0 };
-        let Some(proxy) = self.proxy(name) else { return };
-        let member = Member { proxy, zone: self.zones.id(zone), per_s, holds_tables };
-        self.couriers.insert(name.into(), Courier { member, joined: true, moved_ms: now });
-        self.services.values_mut().for_each(|hosted| hosted.courier_in(member));
+        let Some(proxy) = self.proxy(name) else {
+            return;
+        };
+        let member = Member {
+            proxy,
+            zone: self.zones.id(zone),
+            per_s,
+            holds_tables,
+        };
+        self.couriers.insert(
+            name.into(),
+            Courier {
+                member,
+                joined: true,
+                moved_ms: now,
+            },
+        );
+        self.services
+            .values_mut()
+            .for_each(|hosted| hosted.courier_in(member));
     }
 
     pub fn courier_out(&mut self, now: f64, name: &str) {
-        let Some(courier) = self.couriers.get_mut(name).filter(|c| c.joined) else { return };
+        let Some(courier) = self.couriers.get_mut(name).filter(|c| c.joined) else {
+            return;
+        };
         (courier.joined, courier.moved_ms) = (false, now);
         let proxy = courier.member.proxy;
-        self.services.values_mut().for_each(|hosted| hosted.courier_out(proxy));
+        self.services
+            .values_mut()
+            .for_each(|hosted| hosted.courier_out(proxy));
     }
 
     /// The id that a courier had, or a free one.
@@ -152,17 +183,26 @@
             return Some(self.couriers.len() as ProxyId);
         }
         let out = self.couriers.iter().filter(|(_, c)| !c.joined);
-        let longest = out.min_by(|a, b| a.1.moved_ms.total_cmp(&b.1.moved_ms)).map(|(name, _)| name.clone());
-        longest.and_then(|name| self.couriers.remove(&name)).map(|courier| courier.member.proxy)
+        let longest = out
+            .min_by(|a, b| a.1.moved_ms.total_cmp(&b.1.moved_ms))
+            .map(|(name, _)| name.clone());
+        longest
+            .and_then(|name| self.couriers.remove(&name))
+            .map(|courier| courier.member.proxy)
     }
 
     fn member(&self, name: &str) -> Option<Member> {
-        self.couriers.get(name).filter(|c| c.joined).map(|c| c.member)
+        self.couriers
+            .get(name)
+            .filter(|c| c.joined)
+            .map(|c| c.member)
     }
 
     /// What a courier has met since its last report.
     pub fn report(&mut self, name: &str, report: &Report) {
-        let Some(member) = self.member(name) else { return };
+        let Some(member) = self.member(name) else {
+            return;
+        };
         for of in &report.services {
             if let Some(hosted) = self.services.get_mut(&of.service) {
                 hosted.report(member, of);
@@ -172,8 +212,12 @@
 
     /// A courier uses its tables up to this mark.
     pub fn took(&mut self, name: &str, mark: u64) {
-        let Some(member) = self.member(name) else { return };
-        self.services.values_mut().for_each(|hosted| hosted.took(member.proxy, mark));
+        let Some(member) = self.member(name) else {
+            return;
+        };
+        self.services
+            .values_mut()
+            .for_each(|hosted| hosted.took(member.proxy, mark));
     }
 
     /// Takes over what the registry has; what drains leaves the tables with the next tick.
@@ -185,7 +229,10 @@
         for task in registry.tasks().filter(|_| stale) {
             if self.services.contains_key(&task.beat.service) {
                 let zone = self.zones.id(&task.beat.zone);
-                tasks.entry(task.beat.service.as_str()).or_default().push((task, zone));
+                tasks
+                    .entry(task.beat.service.as_str())
+                    .or_default()
+                    .push((task, zone));
             }
         }
         let members = self.members();
@@ -198,23 +245,42 @@
     }
 
     fn members(&self) -> Vec<Member> {
-        self.couriers.values().filter(|c| c.joined).map(|c| c.member).collect()
+        self.couriers
+            .values()
+            .filter(|c| c.joined)
+            .map(|c| c.member)
+            .collect()
     }
 
     /// The tables that changed since the last tick.
     pub fn tick(&mut self, now: f64) -> Vec<Out> {
         let members = self.members();
-        let names: BTreeMap<ProxyId, &String> =
-            self.couriers.iter().map(|(name, c)| (c.member.proxy, name)).collect();
+        let names: BTreeMap<ProxyId, &String> = self
+            .couriers
+            .iter()
+            .map(|(name, c)| (c.member.proxy, name))
+            .collect();
         let mut out = Vec::new();
         for (service, hosted) in &mut self.services {
             let posts = hosted.tick(now, &members, self.settling, &mut self.marks);
             let log = hosted.log.drain(..);
-            out.extend(log.map(|text| Out::Log { service: service.clone(), text }));
+            out.extend(log.map(|text| Out::Log {
+                service: service.clone(),
+                text,
+            }));
             for post in posts {
-                let Some(courier) = names.get(&post.proxy) else { continue };
-                let (courier, service, name) = ((*courier).clone(), service.clone(), hash_of(&post.lines));
-                out.push(Out::Table { courier, service, name, mark: post.mark, lines: post.lines });
+                let Some(courier) = names.get(&post.proxy) else {
+                    continue;
+                };
+                let (courier, service, name) =
+                    ((*courier).clone(), service.clone(), hash_of(&post.lines));
+                out.push(Out::Table {
+                    courier,
+                    service,
+                    name,
+                    mark: post.mark,
+                    lines: post.lines,
+                });
             }
         }
         out
@@ -226,7 +292,14 @@
             let of = joined.iter().filter_map(|(courier, c)| {
                 let (name, revisions, lines, mark) = hosted.shown(c.member.proxy)?;
                 let (service, courier) = (service.clone(), (*courier).clone());
-                Some(Shown { service, courier, name, revisions, lines, mark })
+                Some(Shown {
+                    service,
+                    courier,
+                    name,
+                    revisions,
+                    lines,
+                    mark,
+                })
             });
             of.collect::<Vec<_>>()
         };
--- a/crates/rookpulley-registry/src/drains.rs
+++ b/crates/rookpulley-registry/src/drains.rs
@@ -22,7 +22,11 @@
 
 impl Drains {
     pub fn new(losses: usize) -> Self {
-        Self { losses: losses.max(1), asked: BTreeMap::new(), known: BTreeMap::new() }
+        Self {
+            losses: losses.max(1),
+            asked: BTreeMap::new(),
+            known: BTreeMap::new(),
+        }
     }
 
     /// Once that is known elsewhere it need not be asked about again.
@@ -39,7 +43,13 @@
     pub fn ask(&mut self, number: u64, others: usize) -> bool {
         let wanted = others.min(self.losses);
         if wanted > 0 {
-            self.asked.insert(number, Asked { by: BTreeSet::new(), wanted });
+            self.asked.insert(
+                number,
+                Asked {
+                    by: BTreeSet::new(),
+                    wanted,
+                },
+            );
         }
         wanted > 0
     }
@@ -67,7 +77,10 @@
         let mut drains = Drains::new(2);
         assert!(!drains.ask(1, 0));
         assert!(drains.ask(2, 4));
-        assert_eq!([7, 7, 8].map(|office| drains.took(2, office)), [false, false, true]);
+        assert_eq!(
+            [7, 7, 8].map(|office| drains.took(2, office)),
+            [false, false, true]
+        );
         drains.over(2);
         assert!(!drains.took(2, 9));
         drains.known(0.0, "i-1".into());
--- a/crates/rookpulley-registry/src/editions.rs
+++ b/crates/rookpulley-registry/src/editions.rs
@@ -32,18 +32,28 @@
     }
 
     fn body(&self, version: u64) -> Option<&[u8]> {
-        self.held.iter().find(|(held, _)| *held == version).map(|(_, body)| body.as_slice())
+        self.held
+            .iter()
+            .find(|(held, _)| *held == version)
+            .map(|(_, body)| body.as_slice())
     }
 
     /// A newer one than those held. Couriers aren't told of it yet.
     pub fn take(&mut self, version: u64, body: &[u8]) {
-        if self.held.back().is_some_and(|(newest, _)| version <= *newest) {
+        if self
+            .held
+            .back()
+            .is_some_and(|(newest, _)| version <= *newest)
+        {
             return;
         }
         self.held.push_back((version, body.to_vec()));
         while self.held.len() > FEWEST && (self.held.len() > VERSIONS || self.bytes() > BYTES) {
             // Neither the one that couriers are told of now nor the newest.
-            let told = self.held.front().is_some_and(|(version, _)| *version == self.told);
+            let told = self
+                .held
+                .front()
+                .is_some_and(|(version, _)| *version == self.told);
             self.held.remove(usize::from(told));
         }
     }
@@ -68,7 +78,12 @@
         }
         let length = body.len() as u32;
         let packed = pack(body, bytes).ok()?;
-        let framed = frame(&Down::Config { version, base, length, packed });
+        let framed = frame(&Down::Config {
+            version,
+            base,
+            length,
+            packed,
+        });
         self.frames.insert(base, framed.clone());
         Some(framed)
     }
--- a/crates/rookpulley-registry/src/editions/tests.rs
+++ b/crates/rookpulley-registry/src/editions/tests.rs
@@ -2,16 +2,28 @@
 use rookpulley_protocol::{Frames, unpack};
 
 fn body(version: u64) -> Vec<u8> {
-    (0..4_000u64).map(|n| n * version % 251).flat_map(u64::to_le_bytes).collect()
+    (0..4_000u64)
+        .map(|n| n * version % 251)
+        .flat_map(u64::to_le_bytes)
+        .collect()
 }
 
 fn read(frame: &[u8], held: &BTreeMap<u64, Vec<u8>>) -> (u64, u64, Vec<u8>) {
     let mut frames = Frames::default();
     frames.push(frame);
     match frames.take().unwrap().unwrap() {
-        Down::Config { version, base, length, packed } => {
+        Down::Config {
+            version,
+            base,
+            length,
+            packed,
+        } => {
             let on = held.get(&base).cloned().unwrap_or_default();
-            (version, base, unpack(&packed, &on, length as usize, 1 << 20).unwrap())
+            (
+                version,
+                base,
+                unpack(&packed, &on, length as usize, 1 << 20).unwrap(),
+            )
         }
         other => panic!("{other:?}"),
     }
@@ -48,7 +60,10 @@
     assert_eq!(read(&editions.frame_for(0).unwrap(), &all), (1, 0, body(1)));
     editions.tell();
     all.insert(90, body(90));
-    assert_eq!(read(&editions.frame_for(90).unwrap(), &all), (99, 90, body(99)));
+    assert_eq!(
+        read(&editions.frame_for(90).unwrap(), &all),
+        (99, 90, body(99))
+    );
     assert_eq!(editions.newest_body(), Some(body(99).as_slice()));
 }
 
@@ -61,10 +76,14 @@
         assert_eq!(editions.newest(), version - 1);
         editions.tell();
         assert_eq!(editions.newest_body(), Some(long(version).as_slice()));
-        let Some(frame) = editions.frame_for(version - 1) else { panic!("version {version} goes nowhere") };
+        let Some(frame) = editions.frame_for(version - 1) else {
+            panic!("version {version} goes nowhere")
+        };
         let mut frames = Frames::default();
         frames.push(&frame);
-        let Ok(Some(Down::Config { base, .. })) = frames.take() else { panic!("no configuration") };
+        let Ok(Some(Down::Config { base, .. })) = frames.take() else {
+            panic!("no configuration")
+        };
         assert_eq!(base, version - 1);
     }
 }
--- a/crates/rookpulley-registry/src/hosted.rs
+++ b/crates/rookpulley-registry/src/hosted.rs
@@ -37,8 +37,18 @@
 
 impl Member {
     fn joins(&self) -> Input {
-        let Self { proxy, zone, per_s: usual_per_s, holds_tables } = *self;
-        Input::Joined { proxy, zone, usual_per_s, fresh: !holds_tables }
+        let Self {
+            proxy,
+            zone,
+            per_s: usual_per_s,
+            holds_tables,
+        } = *self;
+        Input::Joined {
+            proxy,
+            zone,
+            usual_per_s,
+            fresh: !holds_tables,
+        }
     }
 }
 
@@ -133,28 +143,54 @@
         usage[0] += f64::from(report.came);
         usage[1] += f64::from(report.bad);
         for task in &report.tasks {
-            let Some(server) = self.list.server_of(&task.life) else { continue };
+            let Some(server) = self.list.server_of(&task.life) else {
+                continue;
+            };
             let (tries, bad) = (f64::from(task.tries), f64::from(task.bad.min(task.tries)));
-            let mean_ms = f64::from(if task.mean_ms.is_finite() { task.mean_ms.max(0.0) } else { 0.0 });
-            let [all, failed, time_ms] = self.reports.heard.entry((server, member.zone)).or_default();
-            (*all, *failed, *time_ms) = (*all + tries, *failed + bad, *time_ms + mean_ms * (tries - bad));
+            let mean_ms = f64::from(if task.mean_ms.is_finite() {
+                task.mean_ms.max(0.0)
+            } else {
+                0.0
+            });
+            let [all, failed, time_ms] =
+                self.reports.heard.entry((server, member.zone)).or_default();
+            (*all, *failed, *time_ms) = (
+                *all + tries,
+                *failed + bad,
+                *time_ms + mean_ms * (tries - bad),
+            );
         }
     }
 
     /// The tables up to this mark are in use at a courier.
     pub fn took(&mut self, proxy: ProxyId, mark: u64) {
-        let Some(waiting) = self.waiting.get_mut(&proxy) else { return };
+        let Some(waiting) = self.waiting.get_mut(&proxy) else {
+            return;
+        };
         let generation = self.generation;
         for (_, of, marks) in waiting.extract_if(.., |(sent, _, _)| *sent <= mark) {
             let marks = marks.into_iter().filter(|_| of == generation);
-            self.inputs.extend(marks.map(|mark| Input::Applied { proxy, mark, took_ms: 0.0 }));
+            self.inputs.extend(marks.map(|mark| Input::Applied {
+                proxy,
+                mark,
+                took_ms: 0.0,
+            }));
         }
     }
 
     /// Brings the module's list up to date; makes the module where there is none, or not for so many couriers.
-    pub fn sync(&mut self, now: f64, changed: bool, couriers: u32, members: &[Member], settling: bool) {
+    pub fn sync(
+        &mut self,
+        now: f64,
+        changed: bool,
+        couriers: u32,
+        members: &[Member],
+        settling: bool,
+    ) {
         if changed {
-            self.posted.values_mut().for_each(|posted| posted.stale = true);
+            self.posted
+                .values_mut()
+                .for_each(|posted| posted.stale = true);
         }
         if members.is_empty() && self.module.is_none() {
             return;
@@ -166,9 +202,16 @@
         }
         let lines = self.list.leaves();
         self.urgent |= !lines.is_empty();
-        let lines = lines.into_iter().chain(self.enters(now, settling)).collect::<Vec<_>>();
+        let lines = lines
+            .into_iter()
+            .chain(self.enters(now, settling))
+            .collect::<Vec<_>>();
         if !lines.is_empty() {
-            self.inputs.push(Input::List { scope: ListScope::Changes, version: 0, lines });
+            self.inputs.push(Input::List {
+                scope: ListScope::Changes,
+                version: 0,
+                lines,
+            });
         }
     }
 
@@ -197,8 +240,15 @@
     }
 
     fn enters(&mut self, now: f64, settling: bool) -> Vec<Listed> {
-        let pause_ms = if settling { ENTER_SETTLING_MS } else { ENTER_MS };
-        let bare = self.posted.values().any(|p| p.lines.as_ref().is_none_or(Vec::is_empty));
+        let pause_ms = if settling {
+            ENTER_SETTLING_MS
+        } else {
+            ENTER_MS
+        };
+        let bare = self
+            .posted
+            .values()
+            .any(|p| p.lines.as_ref().is_none_or(Vec::is_empty));
         if !bare && now - self.entered_ms < pause_ms {
             return Vec::new();
         }
@@ -210,7 +260,11 @@
     }
 
     fn make(&mut self, now: f64, couriers: u32, members: &[Member]) {
-        let aim_ms = if self.service.aim_ms > 0.0 { self.service.aim_ms } else { AIM_MS };
+        let aim_ms = if self.service.aim_ms > 0.0 {
+            self.service.aim_ms
+        } else {
+            AIM_MS
+        };
         let facts = Facts {
             seed: self.seed,
             couriers: couriers.max(1),
@@ -219,26 +273,53 @@
             number: self.number,
         };
         (self.laid_for, self.more_since_ms) = (self.list.live(), None);
-        self.log.push(format!("arcs are cut for {couriers} couriers and {} tasks", self.laid_for));
+        self.log.push(format!(
+            "arcs are cut for {couriers} couriers and {} tasks",
+            self.laid_for
+        ));
         self.module = Some(Module::new(now, &facts));
         self.generation += 1;
         (self.off_since_ms, self.entered_ms, self.urgent) = (None, now, true);
         self.reports = Reports::default();
-        self.posted.values_mut().for_each(|posted| posted.marks.clear());
+        self.posted
+            .values_mut()
+            .for_each(|posted| posted.marks.clear());
         let lines = self.list.first(now);
-        self.inputs = vec![Input::List { scope: ListScope::Cached, version: 0, lines }];
+        self.inputs = vec![Input::List {
+            scope: ListScope::Cached,
+            version: 0,
+            lines,
+        }];
         self.inputs.extend(members.iter().map(Member::joins));
     }
 
     /// Calls the module when something is due, and cuts the tables that are to go out.
-    pub fn tick(&mut self, now: f64, members: &[Member], settling: bool, next_mark: &mut u64) -> Vec<Post> {
-        let Some(module) = &mut self.module else { return Vec::new() };
+    pub fn tick(
+        &mut self,
+        now: f64,
+        members: &[Member],
+        settling: bool,
+        next_mark: &mut u64,
+    ) -> Vec<Post> {
+        let Some(module) = &mut self.module else {
+            return Vec::new();
+        };
         if module.ring(now, &mut self.inputs) | std::mem::take(&mut self.urgent) {
             let Reports { heard, usage } = std::mem::take(&mut self.reports);
-            let heard = heard.into_iter().map(|((server, zone), [tries, bad, time_ms])| {
-                let mean_ms = time_ms / (tries - bad).max(1.0);
-                Input::Heard { zone, server, tries, bad, mean_ms, span_ms: 1_000.0, load: Vec::new() }
-            });
+            let heard = heard
+                .into_iter()
+                .map(|((server, zone), [tries, bad, time_ms])| {
+                    let mean_ms = time_ms / (tries - bad).max(1.0);
+                    Input::Heard {
+                        zone,
+                        server,
+                        tries,
+                        bad,
+                        mean_ms,
+                        span_ms: 1_000.0,
+                        load: Vec::new(),
+                    }
+                });
             let usage = usage.into_iter().map(|(proxy, [came, bad])| Input::Usage {
                 proxy,
                 kind: 0,
@@ -247,22 +328,33 @@
                 span_ms: 1_000.0,
             });
             // Reports go before the round that judges by them.
-            let before = self.inputs.extract_if(.., |i| !matches!(i, Input::Alarm { .. }));
+            let before = self
+                .inputs
+                .extract_if(.., |i| !matches!(i, Input::Alarm { .. }));
             let mut inputs: Vec<Input> = before.collect();
             inputs.extend(heard.chain(usage));
             inputs.append(&mut self.inputs);
             let brought = module.call(now, &inputs);
             self.log.extend(brought.log);
             for proxy in brought.touched {
-                let Some(posted) = self.posted.get_mut(&proxy) else { continue };
+                let Some(posted) = self.posted.get_mut(&proxy) else {
+                    continue;
+                };
                 posted.stale = true;
                 posted.marks.extend(brought.mark);
             }
             self.list.forget(|server| module.knows(server));
         }
         let mut posts = Vec::new();
-        for Member { proxy, holds_tables, .. } in members {
-            let Some(posted) = self.posted.get_mut(proxy) else { continue };
+        for Member {
+            proxy,
+            holds_tables,
+            ..
+        } in members
+        {
+            let Some(posted) = self.posted.get_mut(proxy) else {
+                continue;
+            };
             if posted.lines.is_none() && *holds_tables && settling {
                 continue;
             }
@@ -273,7 +365,11 @@
                     posted.stale = false;
                     let marks = std::mem::take(&mut posted.marks).into_iter();
                     let proxy = *proxy;
-                    self.inputs.extend(marks.map(|mark| Input::Applied { proxy, mark, took_ms: 0.0 }));
+                    self.inputs.extend(marks.map(|mark| Input::Applied {
+                        proxy,
+                        mark,
+                        took_ms: 0.0,
+                    }));
                 }
                 Next::Send(lines) => {
                     *next_mark += 1;
@@ -282,7 +378,11 @@
                     let over = (waiting.len() + 1).saturating_sub(MARKS_MOST);
                     waiting.drain(..over);
                     waiting.push((*next_mark, self.generation, marks));
-                    posts.push(Post { proxy: *proxy, lines, mark: *next_mark });
+                    posts.push(Post {
+                        proxy: *proxy,
+                        lines,
+                        mark: *next_mark,
+                    });
                 }
             }
         }
@@ -294,6 +394,11 @@
         let ordered = self.module.as_ref()?.ordered(proxy)?;
         let posted = self.posted.get(&proxy)?;
         let lines = posted.lines.as_ref().map_or(0, Vec::len);
-        Some((ordered.names.last().copied().unwrap_or(0), ordered.names.len(), lines, posted.mark))
+        Some((
+            ordered.names.last().copied().unwrap_or(0),
+            ordered.names.len(),
+            lines,
+            posted.mark,
+        ))
     }
 }
