--- a/crates/rookpulley-registry/src/list.rs
+++ b/crates/rookpulley-registry/src/list.rs
@@ -42,7 +42,15 @@
 impl Told {
     fn line(&self, server: ServerId) -> Listed {
         let (stage, weight, started_ms) = (self.stage, self.weight, self.started_ms);
-        Listed { server, zone: self.zone, machine: 0, bay: self.zone, stage, weight, started_ms }
+        Listed {
+            server,
+            zone: self.zone,
+            machine: 0,
+            bay: self.zone,
+            stage,
+            weight,
+            started_ms,
+        }
     }
 }
 
@@ -68,19 +76,38 @@
     /// Takes what the registry has of this service now. True where that changes what may be in tables.
     pub fn see<'a>(&mut self, tasks: impl Iterator<Item = (Task<'a>, ZoneId)>) -> bool {
         let mut seen = BTreeMap::<ServerId, (Seen, f64)>::new();
-        for (Task { beat, standing, heard_ms }, zone_id) in tasks {
+        for (
+            Task {
+                beat,
+                standing,
+                heard_ms,
+            },
+            zone_id,
+        ) in tasks
+        {
             // One that drains may still be known at an address that another one has by now.
             let other = seen.get(&server_id(beat.address));
             let free = other.is_none_or(|(other, _)| other.standing == Standing::Draining);
             if standing != Standing::Displaced && free {
                 let (life, address, zone) = (beat.life.clone(), beat.address, beat.zone.clone());
                 let warm_ms = heard_ms + beat.cold_ms;
-                let one = Seen { life, address, zone, zone_id, slots: beat.slots, standing };
+                let one = Seen {
+                    life,
+                    address,
+                    zone,
+                    zone_id,
+                    slots: beat.slots,
+                    standing,
+                };
                 seen.insert(server_id(address), (one, warm_ms));
             }
         }
         let same = self.seen.len() == seen.len()
-            && self.seen.iter().zip(&seen).all(|((a, (x, _)), (b, (y, _)))| (a, x) == (b, y));
+            && self
+                .seen
+                .iter()
+                .zip(&seen)
+                .all(|((a, (x, _)), (b, (y, _)))| (a, x) == (b, y));
         self.seen = seen;
         !same
     }
@@ -94,17 +121,27 @@
     pub fn first(&mut self, now: f64) -> Vec<Listed> {
         self.start_over();
         let lines = self.enters(now);
-        for told in self.told.values_mut().filter(|t| t.started_ms + COLD_MS <= now + EPOCH_MS + 1.0) {
+        for told in self
+            .told
+            .values_mut()
+            .filter(|t| t.started_ms + COLD_MS <= now + EPOCH_MS + 1.0)
+        {
             told.started_ms = 0.0;
         }
-        lines.into_iter().filter_map(|l| Some(self.told.get(&l.server)?.line(l.server))).collect()
+        lines
+            .into_iter()
+            .filter_map(|l| Some(self.told.get(&l.server)?.line(l.server)))
+            .collect()
     }
 
     /// Lines for what must leave at once.
     pub fn leaves(&mut self) -> Vec<Listed> {
         let mut lines = Vec::new();
         for (server, told) in &mut self.told {
-            let seen = self.seen.get(server).filter(|(seen, _)| seen.life == told.life);
+            let seen = self
+                .seen
+                .get(server)
+                .filter(|(seen, _)| seen.life == told.life);
             let stage = match seen.map(|(seen, _)| seen.standing) {
                 Some(Standing::Live) => continue,
                 Some(Standing::Draining) => Stage::Draining,
@@ -119,14 +156,22 @@
     }
 
     pub fn live(&self) -> usize {
-        self.seen.values().filter(|(seen, _)| seen.standing == Standing::Live).count()
+        self.seen
+            .values()
+            .filter(|(seen, _)| seen.standing == Standing::Live)
+            .count()
     }
 
     /// Lines for what is new, came back or weighs otherwise.
     pub fn enters(&mut self, now: f64) -> Vec<Listed> {
-        let live = || self.seen.iter().filter(|(_, (seen, _))| seen.standing == Standing::Live);
-        let (count, slots) =
-            live().fold((0.0, 0.0), |(n, s), (_, (seen, _))| (n + 1.0, s + f64::from(seen.slots)));
+        let live = || {
+            self.seen
+                .iter()
+                .filter(|(_, (seen, _))| seen.standing == Standing::Live)
+        };
+        let (count, slots) = live().fold((0.0, 0.0), |(n, s), (_, (seen, _))| {
+            (n + 1.0, s + f64::from(seen.slots))
+        });
         let mean = slots / f64::max(count, 1.0);
         if mean > 0.0 && (mean > MEAN_OFF * self.mean_slots || mean * MEAN_OFF < self.mean_slots) {
             self.mean_slots = mean;
@@ -149,10 +194,20 @@
                 Some(told) => fresh_ms.max(told.started_ms + 1.0),
                 None => fresh_ms,
             };
-            let told = Told { life: seen.life.clone(), stage: Stage::Ready, weight, zone, started_ms };
+            let told = Told {
+                life: seen.life.clone(),
+                stage: Stage::Ready,
+                weight,
+                zone,
+                started_ms,
+            };
             lines.push(told.line(*server));
             self.places.insert(seen.life.clone(), *server);
-            if let Some(before) = self.told.insert(*server, told).filter(|before| before.life != seen.life) {
+            if let Some(before) = self
+                .told
+                .insert(*server, told)
+                .filter(|before| before.life != seen.life)
+            {
                 self.places.remove(&before.life);
             }
         }
@@ -161,9 +216,11 @@
 
     /// Drops what has ended and what the module no longer knows.
     pub fn forget(&mut self, knows: impl Fn(&ServerId) -> bool) {
-        self.told.retain(|server, told| told.stage != Stage::Gone || knows(server));
+        self.told
+            .retain(|server, told| told.stage != Stage::Gone || knows(server));
         let told = &self.told;
-        self.places.retain(|life, server| told.get(server).is_some_and(|t| t.life == *life));
+        self.places
+            .retain(|life, server| told.get(server).is_some_and(|t| t.life == *life));
     }
 
     /// The place of a life that the module was told of.
@@ -173,7 +230,10 @@
 
     /// A line as couriers read it, where it may be in a table.
     pub fn line(&self, server: &ServerId, weight: f64) -> Option<Line> {
-        let told = self.told.get(server).filter(|told| told.stage == Stage::Ready)?;
+        let told = self
+            .told
+            .get(server)
+            .filter(|told| told.stage == Stage::Ready)?;
         let (seen, _) = self.seen.get(server)?;
         (seen.life == told.life && seen.standing == Standing::Live).then(|| Line {
             life: seen.life.clone(),
@@ -186,7 +246,10 @@
 
     /// What has become of a line that a courier holds.
     pub fn fate(&self, line: &Line) -> Fate {
-        let seen = self.seen.get(&server_id(line.address)).filter(|(seen, _)| seen.life == line.life);
+        let seen = self
+            .seen
+            .get(&server_id(line.address))
+            .filter(|(seen, _)| seen.life == line.life);
         match seen.map(|(seen, _)| seen.standing) {
             Some(Standing::Live) => Fate::Listed,
             Some(Standing::Silent) => Fate::Unheard,
--- a/crates/rookpulley-registry/src/module.rs
+++ b/crates/rookpulley-registry/src/module.rs
@@ -63,7 +63,11 @@
 
 /// A table's name, by its lines as couriers get them.
 pub fn name_as_sent(lines: impl Iterator<Item = (ServerId, f32)>) -> u64 {
-    name_of(&lines.map(|(server, weight)| (server, f64::from(weight))).collect())
+    name_of(
+        &lines
+            .map(|(server, weight)| (server, f64::from(weight)))
+            .collect(),
+    )
 }
 
 fn start(facts: &Facts) -> Start {
@@ -82,7 +86,11 @@
     let most = f64::from(facts.max_connections);
     Start {
         seed: facts.seed,
-        place: Place { controllers: 1, proxies: facts.couriers, ..Place::default() },
+        place: Place {
+            controllers: 1,
+            proxies: facts.couriers,
+            ..Place::default()
+        },
         kinds: vec![kind],
         bounds: RuleBounds {
             bare_ms: 3_000.0,
@@ -103,7 +111,10 @@
             transit_ms: 50.0,
             transit_most_ms: 300.0,
         },
-        habits: ProxyHabits { levels: Levels::Ignored, ..ProxyHabits::default() },
+        habits: ProxyHabits {
+            levels: Levels::Ignored,
+            ..ProxyHabits::default()
+        },
         list: ListFacts::default(),
         means: Means {
             report_period_ms: 1_000.0,
@@ -146,11 +157,16 @@
     /// Calls the module and carries out what it orders.
     pub fn call(&mut self, now: f64, inputs: &[Input]) -> Brought {
         let mut brought = Brought::default();
-        let proxies: BTreeMap<TableId, ProxyId> = self.bound.iter().map(|(p, t)| (*t, *p)).collect();
+        let proxies: BTreeMap<TableId, ProxyId> =
+            self.bound.iter().map(|(p, t)| (*t, *p)).collect();
         let mut tables = BTreeSet::new();
         for effect in self.controller.handle(now + EPOCH_MS, inputs) {
             match effect {
-                Effect::Line { table, server, weight } => {
+                Effect::Line {
+                    table,
+                    server,
+                    weight,
+                } => {
                     tables.insert(table);
                     brought.touched.extend(proxies.get(&table));
                     let lines = &mut self.tables.entry(table).or_default().lines;
@@ -169,14 +185,18 @@
                         true => self.shut.insert(server),
                         false => self.shut.remove(&server),
                     };
-                    let holds =
-                        |t: &TableId| self.tables.get(t).is_some_and(|t| t.lines.contains_key(&server));
+                    let holds = |t: &TableId| {
+                        self.tables
+                            .get(t)
+                            .is_some_and(|t| t.lines.contains_key(&server))
+                    };
                     let holders = self.bound.iter().filter(|(_, t)| holds(t)).map(|(p, _)| *p);
                     brought.touched.extend(holders);
                 }
                 Effect::Mark { mark, .. } => brought.mark = Some(mark),
                 Effect::Alarm { in_ms, name } => {
-                    self.alarms.push((now + in_ms + std::mem::take(&mut self.stagger_ms), name));
+                    self.alarms
+                        .push((now + in_ms + std::mem::take(&mut self.stagger_ms), name));
                 }
                 Effect::Log(text) => brought.log.push(text),
                 // Levels, peers, probes and questions for the list are not for couriers.
@@ -184,7 +204,12 @@
             }
         }
         for (_, ordered) in self.tables.iter_mut().filter(|(id, _)| tables.contains(id)) {
-            let name = name_as_sent(ordered.lines.iter().map(|(server, weight)| (*server, *weight as f32)));
+            let name = name_as_sent(
+                ordered
+                    .lines
+                    .iter()
+                    .map(|(server, weight)| (*server, *weight as f32)),
+            );
             ordered.names.retain(|n| *n != name);
             ordered.names.push(name);
             let over = ordered.names.len().saturating_sub(REVISIONS);
@@ -199,12 +224,19 @@
     }
 
     pub fn ordered(&self, proxy: ProxyId) -> Option<&Ordered> {
-        self.bound.get(&proxy).and_then(|table| self.tables.get(table))
+        self.bound
+            .get(&proxy)
+            .and_then(|table| self.tables.get(table))
     }
 
     /// The lines that a courier is to hold, but for servers that are shut out.
     pub fn lines(&self, proxy: ProxyId) -> impl Iterator<Item = (&ServerId, f64)> {
-        let lines = self.ordered(proxy).into_iter().flat_map(|ordered| &ordered.lines);
-        lines.filter(|(server, _)| !self.shut.contains(*server)).map(|(server, weight)| (server, *weight))
+        let lines = self
+            .ordered(proxy)
+            .into_iter()
+            .flat_map(|ordered| &ordered.lines);
+        lines
+            .filter(|(server, _)| !self.shut.contains(*server))
+            .map(|(server, weight)| (server, *weight))
     }
 }
--- a/crates/rookpulley-registry/src/news.rs
+++ b/crates/rookpulley-registry/src/news.rs
@@ -59,6 +59,12 @@
 }
 
 impl Outcome {
-    pub(crate) const LATE: Self = Self { word: Word::Late, newly_draining: None };
-    pub(crate) const LATER: Self = Self { word: Word::Later, newly_draining: None };
+    pub(crate) const LATE: Self = Self {
+        word: Word::Late,
+        newly_draining: None,
+    };
+    pub(crate) const LATER: Self = Self {
+        word: Word::Later,
+        newly_draining: None,
+    };
 }
--- a/crates/rookpulley-registry/src/posted.rs
+++ b/crates/rookpulley-registry/src/posted.rs
@@ -37,21 +37,42 @@
 impl Posted {
     /// Nothing was sent to one that has just come in.
     pub fn new() -> Self {
-        Self { stale: true, ..Self::default() }
+        Self {
+            stale: true,
+            ..Self::default()
+        }
     }
 
-    pub fn next(&self, now: f64, list: &List, module: &Module, proxy: ProxyId, settling: bool) -> Next {
+    pub fn next(
+        &self,
+        now: f64,
+        list: &List,
+        module: &Module,
+        proxy: ProxyId,
+        settling: bool,
+    ) -> Next {
         if !self.stale {
             return Next::Nothing;
         }
-        let cut: Vec<Line> = module.lines(proxy).filter_map(|(server, w)| list.line(server, w)).collect();
+        let cut: Vec<Line> = module
+            .lines(proxy)
+            .filter_map(|(server, w)| list.line(server, w))
+            .collect();
         let Some(held) = &self.lines else {
             // Whatever it may hold from before beats nothing.
-            return if cut.is_empty() { Next::Nothing } else { Next::Send(cut) };
+            return if cut.is_empty() {
+                Next::Nothing
+            } else {
+                Next::Send(cut)
+            };
         };
         if cut.is_empty() {
             // Tasks that nobody has heard of late beat none; those that have gone do not.
-            let kept: Vec<Line> = held.iter().filter(|l| list.fate(l) != Fate::Gone).cloned().collect();
+            let kept: Vec<Line> = held
+                .iter()
+                .filter(|l| list.fate(l) != Fate::Gone)
+                .cloned()
+                .collect();
             return match kept.len() {
                 same if same == held.len() => Next::Nothing,
                 // Others may live that were not heard yet.
@@ -64,7 +85,11 @@
         }
         let urgent = held.is_empty() || held.iter().any(|line| list.fate(line) == Fate::Gone);
         let pace_ms = if settling { SETTLING_PACE_MS } else { PACE_MS };
-        if urgent || now - self.sent_ms >= pace_ms { Next::Send(cut) } else { Next::Wait }
+        if urgent || now - self.sent_ms >= pace_ms {
+            Next::Send(cut)
+        } else {
+            Next::Wait
+        }
     }
 
     /// Notes what is sent now; gives the module's marks that an answer to it answers.
--- a/crates/rookpulley-registry/src/registry.rs
+++ b/crates/rookpulley-registry/src/registry.rs
@@ -115,14 +115,24 @@
             News::Gone { life, age_ms } => self.end(now, now - age_ms, life),
             News::Heard { lives } => {
                 let mut outcome = Outcome::LATE;
-                for Still { life, sequence, age_ms } in lives {
-                    let Some(known) = self.lives.get(life).filter(|k| k.beat.sequence < *sequence) else {
+                for Still {
+                    life,
+                    sequence,
+                    age_ms,
+                } in lives
+                {
+                    let Some(known) = self.lives.get(life).filter(|k| k.beat.sequence < *sequence)
+                    else {
                         continue;
                     };
                     let (sequence, heard_ms) = (*sequence, now - age_ms);
                     // It has warmed up meanwhile.
                     let cold_ms = (known.beat.cold_ms - (heard_ms - known.heard_ms)).max(0.0);
-                    let beat = Beat { sequence, cold_ms, ..known.beat.clone() };
+                    let beat = Beat {
+                        sequence,
+                        cold_ms,
+                        ..known.beat.clone()
+                    };
                     self.take_beat(now, heard_ms, beat, false);
                     outcome = Outcome::LATER;
                 }
@@ -133,16 +143,22 @@
 
     /// Lives that a courier knows to be gone, from this or other offices. Gives those that are news here.
     pub fn take_gone(&mut self, now: f64, lives: &[Life]) -> Vec<Life> {
-        lives.iter().filter_map(|life| self.end(now, now, life).newly_draining).collect()
+        lives
+            .iter()
+            .filter_map(|life| self.end(now, now, life).newly_draining)
+            .collect()
     }
 
     /// All that an office has to know that has just come in touch.
     pub fn all_news(&self, now: f64) -> Vec<News> {
-        let beats = self
-            .lives
-            .values()
-            .map(|known| News::Beat { beat: known.beat.clone(), age_ms: now - known.heard_ms });
-        let gone = self.ended.iter().map(|(life, at)| News::Gone { life: life.clone(), age_ms: now - at });
+        let beats = self.lives.values().map(|known| News::Beat {
+            beat: known.beat.clone(),
+            age_ms: now - known.heard_ms,
+        });
+        let gone = self.ended.iter().map(|(life, at)| News::Gone {
+            life: life.clone(),
+            age_ms: now - at,
+        });
         beats.chain(gone).collect()
     }
 
@@ -164,26 +180,39 @@
 
     /// Lives that drain or have ended: nothing new may go there.
     pub fn gone_lives(&self) -> Vec<Life> {
-        let draining = self.lives.iter().filter(|(_, known)| known.beat.draining).map(|(life, _)| life);
+        let draining = self
+            .lives
+            .iter()
+            .filter(|(_, known)| known.beat.draining)
+            .map(|(life, _)| life);
         draining.chain(self.ended.keys()).cloned().collect()
     }
 
     /// Lets time pass. Gives those that have fallen silent.
     pub fn tick(&mut self, now: f64) -> Vec<Life> {
         if now - self.ticked_ms > PAUSE_MS {
-            self.settled_ms = self.settled_ms.max(now + SETTLING_BEATS * self.heartbeat_ms);
+            self.settled_ms = self
+                .settled_ms
+                .max(now + SETTLING_BEATS * self.heartbeat_ms);
         }
         self.ticked_ms = now;
         let remember_ms = self.remember_ms;
         self.ended.retain(|_, at| now - *at < remember_ms);
-        let old = self.lives.iter().filter(|(_, known)| now - known.heard_ms >= remember_ms);
+        let old = self
+            .lives
+            .iter()
+            .filter(|(_, known)| now - known.heard_ms >= remember_ms);
         for life in old.map(|(life, _)| life.clone()).collect::<Vec<_>>() {
             self.drop_life(&life);
         }
         let mut silent = Vec::new();
         if !self.settling(now) {
             let since = now - self.silent_ms();
-            for (life, known) in self.lives.iter_mut().filter(|(_, k)| !k.silent && k.heard_ms < since) {
+            for (life, known) in self
+                .lives
+                .iter_mut()
+                .filter(|(_, k)| !k.silent && k.heard_ms < since)
+            {
                 known.silent = true;
                 silent.push(life.clone());
             }
@@ -203,7 +232,10 @@
 
     /// The tasks of a service that requests may go to.
     pub fn listed(&self, service: &str) -> impl Iterator<Item = &Beat> {
-        let of_it = self.lives.iter().filter(move |(_, known)| known.beat.service == service);
+        let of_it = self
+            .lives
+            .iter()
+            .filter(move |(_, known)| known.beat.service == service);
         let live = of_it.filter(|(life, known)| self.standing_of(life, known) == Standing::Live);
         live.map(|(_, known)| &known.beat)
     }
@@ -222,9 +254,16 @@
         }
         // Of two lives at one address only the later one can be there. An earlier one that still beats gets
         // it back, so a word that was long on its way shuts nobody out for good.
-        let others = self.addresses.get(&known.beat.address).into_iter().flatten().filter(|o| *o != life);
+        let others = self
+            .addresses
+            .get(&known.beat.address)
+            .into_iter()
+            .flatten()
+            .filter(|o| *o != life);
         let later = |other: &&Life| {
-            self.lives.get(*other).is_some_and(|o| (o.heard_ms, other.as_str()) > (known.heard_ms, life))
+            self.lives
+                .get(*other)
+                .is_some_and(|o| (o.heard_ms, other.as_str()) > (known.heard_ms, life))
         };
         match (others.clone().any(|other| later(&other)), known.silent) {
             (true, _) => Standing::Displaced,
@@ -248,8 +287,19 @@
                 return Outcome::LATE;
             }
             self.version += 1;
-            self.addresses.entry(beat.address).or_default().insert(life.clone());
-            self.lives.insert(life.clone(), Known { beat, heard_ms, silent, fresh: false });
+            self.addresses
+                .entry(beat.address)
+                .or_default()
+                .insert(life.clone());
+            self.lives.insert(
+                life.clone(),
+                Known {
+                    beat,
+                    heard_ms,
+                    silent,
+                    fresh: false,
+                },
+            );
             return self.told(now, &life, true);
         };
         let newer = beat.sequence > known.beat.sequence;
@@ -268,19 +318,37 @@
         let moved = known.beat.address;
         if moved != address {
             self.vacate(address, &life);
-            self.addresses.entry(moved).or_default().insert(life.clone());
+            self.addresses
+                .entry(moved)
+                .or_default()
+                .insert(life.clone());
         }
-        let contested = self.addresses.get(&moved).is_some_and(|lives| lives.len() > 1);
+        let contested = self
+            .addresses
+            .get(&moved)
+            .is_some_and(|lives| lives.len() > 1);
         self.version += u64::from(told_anew || contested);
-        if told_anew { self.told(now, &life, drains) } else { Outcome::LATER }
+        if told_anew {
+            self.told(now, &life, drains)
+        } else {
+            Outcome::LATER
+        }
     }
 
     /// What the others must know of a life at once; `first`: of its draining, too.
     fn told(&self, now: f64, life: &Life, first: bool) -> Outcome {
-        let Some(known) = self.lives.get(life) else { return Outcome::LATE };
-        let news = News::Beat { beat: known.beat.clone(), age_ms: now - known.heard_ms };
+        let Some(known) = self.lives.get(life) else {
+            return Outcome::LATE;
+        };
+        let news = News::Beat {
+            beat: known.beat.clone(),
+            age_ms: now - known.heard_ms,
+        };
         let newly_draining = (first && known.beat.draining).then(|| life.clone());
-        Outcome { word: Word::Now(news), newly_draining }
+        Outcome {
+            word: Word::Now(news),
+            newly_draining,
+        }
     }
 
     /// A life that was never heard of may end, too: its beats may still be on their way.
@@ -289,16 +357,29 @@
         if self.ended.contains_key(life) || old || !names_a_life(life) {
             return Outcome::LATE;
         }
-        let drained = self.lives.get(life).is_some_and(|known| known.beat.draining);
+        let drained = self
+            .lives
+            .get(life)
+            .is_some_and(|known| known.beat.draining);
         self.drop_life(life);
         if self.ended.len() >= LIVES_MOST {
-            let oldest = self.ended.iter().min_by(|a, b| a.1.total_cmp(b.1)).map(|(life, _)| life.clone());
+            let oldest = self
+                .ended
+                .iter()
+                .min_by(|a, b| a.1.total_cmp(b.1))
+                .map(|(life, _)| life.clone());
             oldest.and_then(|life| self.ended.remove(&life));
         }
         self.ended.insert(life.into(), at_ms);
         self.version += 1;
-        let word = Word::Now(News::Gone { life: life.into(), age_ms: now - at_ms });
-        Outcome { word, newly_draining: (!drained).then(|| life.into()) }
+        let word = Word::Now(News::Gone {
+            life: life.into(),
+            age_ms: now - at_ms,
+        });
+        Outcome {
+            word,
+            newly_draining: (!drained).then(|| life.into()),
+        }
     }
 
     fn drop_life(&mut self, life: &str) {
@@ -331,5 +412,6 @@
 
 /// Whether nothing but the count and the warmth of a task has changed.
 fn same_facts(was: &Beat, is: &Beat) -> bool {
-    (&was.service, was.address, &was.zone, was.slots) == (&is.service, is.address, &is.zone, is.slots)
+    (&was.service, was.address, &was.zone, was.slots)
+        == (&is.service, is.address, &is.zone, is.slots)
 }
--- a/crates/rookpulley-registry/src/roll.rs
+++ b/crates/rookpulley-registry/src/roll.rs
@@ -21,7 +21,8 @@
     }
 
     pub fn forget_old(&mut self, now: f64) {
-        self.couriers.retain(|_, went| went.is_none_or(|at| now - at < COUNTED_MS));
+        self.couriers
+            .retain(|_, went| went.is_none_or(|at| now - at < COUNTED_MS));
     }
 
     pub fn count(&self) -> u32 {
--- a/crates/rookpulley-registry/tests/desk.rs
+++ b/crates/rookpulley-registry/tests/desk.rs
@@ -36,7 +36,11 @@
 impl World {
     fn new(services: &[&str], max_connections: u32) -> Self {
         let mut desk = Desk::new(7);
-        let service = |name: &&str| Service { name: name.to_string(), max_connections, aim_ms: 250.0 };
+        let service = |name: &&str| Service {
+            name: name.to_string(),
+            max_connections,
+            aim_ms: 250.0,
+        };
         desk.set_services(&services.iter().map(service).collect::<Vec<_>>());
         Self {
             now: 0.0,
@@ -53,7 +57,9 @@
     fn start(&mut self, service: &str, place: usize, cold_ms: f64) -> String {
         self.lives += 1;
         let life = format!("i-{}", self.lives);
-        let address = format!("10.0.{}.{}:80", place / 200, place % 200 + 1).parse().unwrap();
+        let address = format!("10.0.{}.{}:80", place / 200, place % 200 + 1)
+            .parse()
+            .unwrap();
         // A new life at a place means that the one before has ended.
         self.tasks.retain(|task| task.beat.address != address);
         let beat = Beat {
@@ -67,7 +73,10 @@
             cold_ms,
             sequence: 0,
         };
-        self.tasks.push(Task { beat, due_ms: self.now });
+        self.tasks.push(Task {
+            beat,
+            due_ms: self.now,
+        });
         life
     }
 
@@ -101,10 +110,22 @@
         self.desk.sync(self.now, &self.registry);
         for out in self.desk.tick(self.now) {
             match out {
-                Out::Table { courier, service, mark, lines, .. } => {
+                Out::Table {
+                    courier,
+                    service,
+                    mark,
+                    lines,
+                    ..
+                } => {
                     self.check_sent(&courier, &service, &lines);
                     self.desk.took(&courier, mark);
-                    self.held.insert((courier, service), Held { lines, at_ms: self.now });
+                    self.held.insert(
+                        (courier, service),
+                        Held {
+                            lines,
+                            at_ms: self.now,
+                        },
+                    );
                 }
                 Out::Log { text, .. } => self.log.push(text),
             }
@@ -117,12 +138,22 @@
     }
 
     fn gone(&self, line: &Line) -> bool {
-        !matches!(self.registry.standing(&line.life), Standing::Live | Standing::Silent)
+        !matches!(
+            self.registry.standing(&line.life),
+            Standing::Live | Standing::Silent
+        )
     }
 
     fn check_sent(&self, courier: &str, service: &str, lines: &[Line]) {
-        assert!(self.couriers.contains(courier), "a table for a courier that is out");
-        let live: BTreeMap<_, _> = self.registry.listed(service).map(|b| (&b.life, b.address)).collect();
+        assert!(
+            self.couriers.contains(courier),
+            "a table for a courier that is out"
+        );
+        let live: BTreeMap<_, _> = self
+            .registry
+            .listed(service)
+            .map(|b| (&b.life, b.address))
+            .collect();
         let named: BTreeSet<_> = lines.iter().map(|line| &line.life).collect();
         assert_eq!(named.len(), lines.len());
         let before = self.lives_held(courier, service);
@@ -130,13 +161,23 @@
             // One that is merely silent may stay where there is nothing better, and is never new.
             let silent = self.registry.standing(&line.life) == Standing::Silent;
             let kept = silent && before.contains(&line.life);
-            assert!(live.get(&line.life) == Some(&line.address) || kept, "{line:?} is not live");
+            assert!(
+                live.get(&line.life) == Some(&line.address) || kept,
+                "{line:?} is not live"
+            );
             assert!(line.weight > 0.0);
         }
         if let Some(held) = self.held.get(&(courier.into(), service.into())) {
             let urgent = held.lines.is_empty() || held.lines.iter().any(|line| self.gone(line));
-            let pace_ms = if self.registry.settling(self.now) { 300.0 } else { 1_000.0 };
-            assert!(urgent || self.now - held.at_ms >= pace_ms - 1.0, "tables change too often");
+            let pace_ms = if self.registry.settling(self.now) {
+                300.0
+            } else {
+                1_000.0
+            };
+            assert!(
+                urgent || self.now - held.at_ms >= pace_ms - 1.0,
+                "tables change too often"
+            );
             assert_ne!(held.lines, lines, "the same table again");
         }
     }
@@ -158,21 +199,44 @@
     fn report_of(&mut self, tries: u32, bad: impl Fn(&str) -> u32) {
         for ((courier, service), held) in &self.held {
             let mean_ms = 20.0;
-            let task = |l: &Line| TaskReport { life: l.life.clone(), tries, bad: bad(&l.life), mean_ms };
+            let task = |l: &Line| TaskReport {
+                life: l.life.clone(),
+                tries,
+                bad: bad(&l.life),
+                mean_ms,
+            };
             let tasks: Vec<_> = held.lines.iter().map(task).collect();
             let came = tries * tasks.len() as u32;
-            let of = ServiceReport { service: service.clone(), came, bad: 0, tasks };
-            self.desk.report(courier, &Report { span_ms: 1_000, services: vec![of] });
+            let of = ServiceReport {
+                service: service.clone(),
+                came,
+                bad: 0,
+                tasks,
+            };
+            self.desk.report(
+                courier,
+                &Report {
+                    span_ms: 1_000,
+                    services: vec![of],
+                },
+            );
         }
     }
 
     fn lives_held(&self, courier: &str, service: &str) -> BTreeSet<String> {
         let held = self.held.get(&(courier.into(), service.into()));
-        held.into_iter().flat_map(|h| &h.lines).map(|line| line.life.clone()).collect()
+        held.into_iter()
+            .flat_map(|h| &h.lines)
+            .map(|line| line.life.clone())
+            .collect()
     }
 
     fn act(&mut self, u: &mut Unstructured) -> Result<()> {
-        let some = if self.tasks.is_empty() { None } else { Some(u.choose_index(self.tasks.len())?) };
+        let some = if self.tasks.is_empty() {
+            None
+        } else {
+            Some(u.choose_index(self.tasks.len())?)
+        };
         match (u.int_in_range(0..=11)?, some) {
             (0..=2, _) => {
                 let service = *u.choose(&["a", "b"])?;
@@ -189,7 +253,9 @@
                 self.registry.leave(self.now, &task.beat.life);
             }
             // Its beats stop for a while, or for good.
-            (5, Some(at)) => self.tasks[at].due_ms = self.now + f64::from(u.int_in_range(1..=9)?) * 1e3,
+            (5, Some(at)) => {
+                self.tasks[at].due_ms = self.now + f64::from(u.int_in_range(1..=9)?) * 1e3
+            }
             (6, Some(at)) => _ = self.tasks.swap_remove(at),
             (7 | 8, _) => {
                 let name = format!("c{}", u.choose_index(4)?);
@@ -230,10 +296,20 @@
             world.steps(10);
         });
         for service in ["a", "b"] {
-            let live: BTreeSet<String> = world.registry.listed(service).map(|b| b.life.clone()).collect();
-            let held: BTreeSet<String> =
-                world.couriers.iter().flat_map(|courier| world.lives_held(courier, service)).collect();
-            assert!(live.is_subset(&held), "{service}: {live:?} are live, in tables {held:?}");
+            let live: BTreeSet<String> = world
+                .registry
+                .listed(service)
+                .map(|b| b.life.clone())
+                .collect();
+            let held: BTreeSet<String> = world
+                .couriers
+                .iter()
+                .flat_map(|courier| world.lives_held(courier, service))
+                .collect();
+            assert!(
+                live.is_subset(&held),
+                "{service}: {live:?} are live, in tables {held:?}"
+            );
         }
         Ok(())
     });
@@ -250,11 +326,16 @@
         for held in world.held.values() {
             let count = held.lines.len();
             assert!((least..=110).contains(&count), "{count} lines of {tasks}");
-            held.lines.iter().for_each(|line| *reach.entry(line.life.clone()).or_default() += 1);
+            held.lines
+                .iter()
+                .for_each(|line| *reach.entry(line.life.clone()).or_default() += 1);
         }
         assert_eq!((world.held.len(), reach.len()), (couriers, tasks));
         let mean = reach.values().sum::<usize>() / tasks;
-        assert!(reach.values().all(|count| *count >= mean / 2), "{mean}: {reach:?}");
+        assert!(
+            reach.values().all(|count| *count >= mean / 2),
+            "{mean}: {reach:?}"
+        );
     }
 }
 
@@ -265,8 +346,9 @@
         let from = format!("z{}", courier.rsplit('z').next().unwrap());
         let all: f64 = held.lines.iter().map(|line| f64::from(line.weight)).sum();
         for line in &held.lines {
-            *flows.entry((from.clone(), line.zone.clone())).or_insert(0.0) +=
-                f64::from(line.weight) / all / world.held.len() as f64;
+            *flows
+                .entry((from.clone(), line.zone.clone()))
+                .or_insert(0.0) += f64::from(line.weight) / all / world.held.len() as f64;
         }
     }
     flows
@@ -275,21 +357,40 @@
 #[test]
 fn arcs_stay_in_their_couriers_zone_as_far_as_it_has_room_and_the_rest_goes_where_room_is() {
     // Couriers by zone; tasks stand evenly in z0, z1 and z2.
-    for (couriers, home) in [([4, 4, 4], [0.33, 0.33, 0.33]), ([9, 3, 0], [0.33, 0.25, 0.0])] {
+    for (couriers, home) in [
+        ([4, 4, 4], [0.33, 0.33, 0.33]),
+        ([9, 3, 0], [0.33, 0.25, 0.0]),
+    ] {
         let mut world = World::new(&["a"], 610);
         (0..90).for_each(|place| _ = world.start("a", place, 0.0));
         for (zone, count) in couriers.iter().enumerate() {
-            (0..*count).for_each(|n| world.courier_in_zone(&format!("c{n}z{zone}"), &format!("z{zone}")));
+            (0..*count)
+                .for_each(|n| world.courier_in_zone(&format!("c{n}z{zone}"), &format!("z{zone}")));
         }
         world.steps(100);
         let flows = flows(&world);
-        let into =
-            |zone: &str| -> f64 { flows.iter().filter(|((_, to), _)| to == zone).map(|(_, f)| f).sum() };
+        let into = |zone: &str| -> f64 {
+            flows
+                .iter()
+                .filter(|((_, to), _)| to == zone)
+                .map(|(_, f)| f)
+                .sum()
+        };
         for (zone, wanted) in home.iter().enumerate() {
             let zone = format!("z{zone}");
-            let stays = flows.get(&(zone.clone(), zone.clone())).copied().unwrap_or(0.0);
-            assert!((stays - wanted).abs() < 0.08, "{couriers:?}: {stays} of {zone} stay, of {flows:?}");
-            assert!((0.2..0.5).contains(&into(&zone)), "{couriers:?}: {} go to {zone}", into(&zone));
+            let stays = flows
+                .get(&(zone.clone(), zone.clone()))
+                .copied()
+                .unwrap_or(0.0);
+            assert!(
+                (stays - wanted).abs() < 0.08,
+                "{couriers:?}: {stays} of {zone} stay, of {flows:?}"
+            );
+            assert!(
+                (0.2..0.5).contains(&into(&zone)),
+                "{couriers:?}: {} go to {zone}",
+                into(&zone)
+            );
         }
     }
 }
@@ -312,7 +413,12 @@
         lines.for_each(|line| *reach.entry(line.life.clone()).or_default() += 1);
         let mean = reach.values().sum::<usize>() / tasks;
         assert_eq!(reach.len(), tasks, "{reach:?}");
-        assert!(reach.values().all(|count| (mean / 3..=3 * mean).contains(count)), "{mean}: {reach:?}");
+        assert!(
+            reach
+                .values()
+                .all(|count| (mean / 3..=3 * mean).contains(count)),
+            "{mean}: {reach:?}"
+        );
     }
 }
 
@@ -331,15 +437,30 @@
     world.drain(&lives[0]);
     world.steps(15);
     let held = world.lives_held("c0", "a");
-    assert!(held.contains(&new) && !held.contains(&lives[0]) && held.len() == 4, "{held:?}");
+    assert!(
+        held.contains(&new) && !held.contains(&lives[0]) && held.len() == 4,
+        "{held:?}"
+    );
     assert_ne!(world.desk.shown()[0].name, before);
     for _ in 0..10 {
         world.report(20, 3);
         world.steps(10);
     }
     let held = world.lives_held("c0", "a");
-    assert_eq!(held.iter().collect::<Vec<_>>(), [&lives[1], &lives[2], &lives[3]], "{:?}", world.log);
-    assert!(world.log.iter().any(|text| text.contains("tainted, rolled back")), "{:?}", world.log);
+    assert_eq!(
+        held.iter().collect::<Vec<_>>(),
+        [&lives[1], &lives[2], &lives[3]],
+        "{:?}",
+        world.log
+    );
+    assert!(
+        world
+            .log
+            .iter()
+            .any(|text| text.contains("tainted, rolled back")),
+        "{:?}",
+        world.log
+    );
 }
 
 #[test]
@@ -359,14 +480,29 @@
         world.report_of(20, |life| if bad.contains(life) { 8 } else { 0 });
     }
     let released = world.lives_held("c0", "a");
-    assert!(bad.is_subset(&released) && released.len() == 12, "{released:?}");
+    assert!(
+        bad.is_subset(&released) && released.len() == 12,
+        "{released:?}"
+    );
     for _ in 0..4 {
         world.steps(10);
         world.report_of(20, |life| if bad.contains(life) { 8 } else { 0 });
     }
     let held = world.lives_held("c0", "a");
-    assert_eq!(held, lives[3..].iter().cloned().collect(), "{:?}", world.log);
-    assert!(world.log.iter().any(|text| text.contains("tainted, rolled back")), "{:?}", world.log);
+    assert_eq!(
+        held,
+        lives[3..].iter().cloned().collect(),
+        "{:?}",
+        world.log
+    );
+    assert!(
+        world
+            .log
+            .iter()
+            .any(|text| text.contains("tainted, rolled back")),
+        "{:?}",
+        world.log
+    );
 }
 
 #[test]
--- a/crates/rookpulley-registry/tests/registry.rs
+++ b/crates/rookpulley-registry/tests/registry.rs
@@ -57,7 +57,13 @@
     fn deliver(&mut self, at: usize) {
         let (to, way) = self.on_the_way.swap_remove(at);
         let (now, office) = (self.now, &mut self.offices[to]);
-        let (life, Outcome { word, newly_draining }) = match way {
+        let (
+            life,
+            Outcome {
+                word,
+                newly_draining,
+            },
+        ) = match way {
             Way::Beat(beat) => {
                 let gone = beat.draining.then(|| beat.life.clone());
                 (gone, office.beat(now, beat))
@@ -75,7 +81,10 @@
                 (gone, office.take_news(now, &aged(&news, now - sent_ms)))
             }
         };
-        assert_eq!(newly_draining.is_some(), life.is_some_and(|life| self.gone[to].insert(life)));
+        assert_eq!(
+            newly_draining.is_some(),
+            life.is_some_and(|life| self.gone[to].insert(life))
+        );
         if let Word::Now(news) = word {
             self.spread(to, &news);
         }
@@ -83,17 +92,28 @@
 
     fn spread(&mut self, from: usize, news: &News) {
         let others = (0..OFFICES).filter(|to| *to != from);
-        self.on_the_way.extend(others.map(|to| (to, Way::News(news.clone(), self.now))));
+        self.on_the_way
+            .extend(others.map(|to| (to, Way::News(news.clone(), self.now))));
     }
 
     fn check(&self) {
         for (office, gone) in self.offices.iter().zip(&self.gone) {
             let listed = listed(office);
-            assert!(listed.is_disjoint(gone), "a gone life is listed: {listed:?}, {gone:?}");
+            assert!(
+                listed.is_disjoint(gone),
+                "a gone life is listed: {listed:?}, {gone:?}"
+            );
             let kept: BTreeSet<String> = office.gone_lives().into_iter().collect();
             assert_eq!(kept, *gone);
-            let places = office.listed("a").chain(office.listed("b")).map(|beat| beat.address);
-            assert_eq!(places.collect::<BTreeSet<_>>().len(), listed.len(), "one address, two lives");
+            let places = office
+                .listed("a")
+                .chain(office.listed("b"))
+                .map(|beat| beat.address);
+            assert_eq!(
+                places.collect::<BTreeSet<_>>().len(),
+                listed.len(),
+                "one address, two lives"
+            );
         }
     }
 }
@@ -106,9 +126,16 @@
 #[test]
 fn offices_that_heard_the_same_in_any_order_agree_and_list_no_gone_life() {
     plays_of(300, longer, |u| {
-        let offices = (0..OFFICES).map(|_| Registry::new(0.0, HEARTBEAT_MS, 2_500.0)).collect();
+        let offices = (0..OFFICES)
+            .map(|_| Registry::new(0.0, HEARTBEAT_MS, 2_500.0))
+            .collect();
         let gone = vec![BTreeSet::new(); OFFICES];
-        let mut world = World { now: 0.0, offices, on_the_way: Vec::new(), gone };
+        let mut world = World {
+            now: 0.0,
+            offices,
+            on_the_way: Vec::new(),
+            gone,
+        };
         let (mut sequence, mut draining) = ([0; LIVES], [false; LIVES]);
         for _ in 0..u.int_in_range(10..=120)? {
             world.now += f64::from(u.int_in_range(1..=400)?);
@@ -116,14 +143,18 @@
             let to = u.choose_index(OFFICES)?;
             match u.int_in_range(0..=9)? {
                 0 => draining[life] = true,
-                1 if sequence[life] > 0 => world.on_the_way.push((to, Way::Leave(format!("i-{life}")))),
+                1 if sequence[life] > 0 => {
+                    world.on_the_way.push((to, Way::Leave(format!("i-{life}"))))
+                }
                 2 => {
                     let news = world.offices[to].fresh_news(world.now);
                     news.iter().for_each(|news| world.spread(to, news));
                 }
                 3..=5 => {
                     sequence[life] += 1;
-                    world.on_the_way.push((to, Way::Beat(beat(life, sequence[life], draining[life]))));
+                    world
+                        .on_the_way
+                        .push((to, Way::Beat(beat(life, sequence[life], draining[life]))));
                 }
                 _ if !world.on_the_way.is_empty() => {
                     let at = u.choose_index(world.on_the_way.len())?;
@@ -132,7 +163,10 @@
                 _ => {}
             }
             let now = world.now;
-            world.offices.iter_mut().for_each(|office| _ = office.tick(now));
+            world
+                .offices
+                .iter_mut()
+                .for_each(|office| _ = office.tick(now));
             world.check();
         }
         while !world.on_the_way.is_empty() {
@@ -143,13 +177,18 @@
             let now = world.now;
             let news = world.offices[from].fresh_news(now);
             let all = world.offices[from].all_news(now);
-            news.iter().chain(&all).for_each(|news| world.spread(from, news));
+            news.iter()
+                .chain(&all)
+                .for_each(|news| world.spread(from, news));
             while !world.on_the_way.is_empty() {
                 world.deliver(0);
             }
         }
         let now = world.now;
-        world.offices.iter_mut().for_each(|office| _ = office.tick(now));
+        world
+            .offices
+            .iter_mut()
+            .for_each(|office| _ = office.tick(now));
         world.check();
         assert_eq!(listed(&world.offices[0]), listed(&world.offices[1]));
         assert_eq!(listed(&world.offices[0]), listed(&world.offices[2]));
@@ -160,16 +199,25 @@
 #[test]
 fn a_silent_life_leaves_and_comes_back_and_nobody_is_silent_to_one_that_settles_or_slept() {
     let mut office = Registry::new(0.0, HEARTBEAT_MS, 2_500.0);
-    let old = News::Beat { beat: beat(1, 1, false), age_ms: 9_000.0 };
+    let old = News::Beat {
+        beat: beat(1, 1, false),
+        age_ms: 9_000.0,
+    };
     assert!(matches!(office.take_news(0.0, &old).word, Word::Now(_)));
     let pass = |office: &mut Registry, from: u32, to: u32| {
-        (from..to).step_by(100).flat_map(|at| office.tick(f64::from(at))).collect::<Vec<_>>()
+        (from..to)
+            .step_by(100)
+            .flat_map(|at| office.tick(f64::from(at)))
+            .collect::<Vec<_>>()
     };
     assert_eq!(pass(&mut office, 100, 3_000), [""; 0]);
     assert!(office.settling(2_999.0) && listed(&office).len() == 1);
     assert_eq!(pass(&mut office, 3_000, 3_200), ["i-1"]);
     assert_eq!(office.standing("i-1"), Standing::Silent);
-    assert!(matches!(office.beat(3_200.0, beat(1, 2, false)).word, Word::Now(_)));
+    assert!(matches!(
+        office.beat(3_200.0, beat(1, 2, false)).word,
+        Word::Now(_)
+    ));
     assert_eq!(listed(&office).len(), 1);
     assert_eq!(pass(&mut office, 3_300, 8_200), [""; 0]);
     // It sleeps, and the beats of that time wait for it.
--- a/crates/rookpulley-routes/examples/read_cost.rs
+++ b/crates/rookpulley-routes/examples/read_cost.rs
@@ -13,7 +13,10 @@
     );
     for host in 0..HOSTS.min(routes) {
         let comma = if host > 0 { "," } else { "" };
-        _ = write!(text, "{comma}{{\"hostname\":\"host{host}.example\",\"pathRules\":[");
+        _ = write!(
+            text,
+            "{comma}{{\"hostname\":\"host{host}.example\",\"pathRules\":["
+        );
         for (at, route) in (host..routes).step_by(HOSTS).enumerate() {
             let comma = if at > 0 { "," } else { "" };
             let timeout_ms = if route == version { 1_600 } else { 1_500 };
@@ -34,7 +37,9 @@
 }
 
 fn main() {
-    println!("routes, bytes, ms to read alone, and after one that differs in a route (medians of {PLAYS})");
+    println!(
+        "routes, bytes, ms to read alone, and after one that differs in a route (medians of {PLAYS})"
+    );
     for routes in [100, 700, 2_000, 5_000, 15_000, 35_000] {
         let (mut alone, mut after, mut bytes) = (Vec::new(), Vec::new(), 0);
         for play in 0..PLAYS {
@@ -48,6 +53,10 @@
             after.push(begun.elapsed().as_secs_f64() * 1e3);
             assert!(next.is_ok());
         }
-        println!("{routes}, {bytes}, {:.2}, {:.2}", median(alone), median(after));
+        println!(
+            "{routes}, {bytes}, {:.2}, {:.2}",
+            median(alone),
+            median(after)
+        );
     }
 }
--- a/crates/rookpulley-routes/src/book.rs
+++ b/crates/rookpulley-routes/src/book.rs
@@ -41,7 +41,12 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { header_bytes: 16_384, body_bytes: 64 << 20, header_ms: 3_000, idle_ms: 15_000 }
+        Self {
+            header_bytes: 16_384,
+            body_bytes: 64 << 20,
+            header_ms: 3_000,
+            idle_ms: 15_000,
+        }
     }
 }
 
@@ -64,18 +69,42 @@
     ) -> Self {
         let (mut hosts, mut from) = (HashMap::new(), 0);
         for of_host in routes.chunk_by(|one, next| one.host == next.host) {
-            let Some(first) = of_host.first() else { continue };
-            let longest = of_host.iter().map(|route| route.prefix.len()).max().unwrap_or(0);
-            hosts.insert(first.host.clone(), Host { routes: from..from + of_host.len(), longest });
+            let Some(first) = of_host.first() else {
+                continue;
+            };
+            let longest = of_host
+                .iter()
+                .map(|route| route.prefix.len())
+                .max()
+                .unwrap_or(0);
+            hosts.insert(
+                first.host.clone(),
+                Host {
+                    routes: from..from + of_host.len(),
+                    longest,
+                },
+            );
             from += of_host.len();
         }
         let mut least_aims_ms = vec![None; services.len()];
-        for (service, aim_ms) in routes.iter().flat_map(|r| r.targets.iter().map(|(at, _)| (*at, r.aim_ms))) {
+        for (service, aim_ms) in routes
+            .iter()
+            .flat_map(|r| r.targets.iter().map(|(at, _)| (*at, r.aim_ms)))
+        {
             if let Some(least) = least_aims_ms.get_mut(service) {
                 *least = Some(least.map_or(aim_ms, |least: f64| least.min(aim_ms)));
             }
         }
-        Self { version, limits, services, places, routes, hosts, least_aims_ms, rules: Vec::new() }
+        Self {
+            version,
+            limits,
+            services,
+            places,
+            routes,
+            hosts,
+            least_aims_ms,
+            rules: Vec::new(),
+        }
     }
 
     /// The shortest aim of the routes that may go to this service; none: no route does.
@@ -97,7 +126,8 @@
         // From the last slash that can end a prefix back to the first: the longest prefix is found first.
         while let Some(slash) = bytes.get(..end)?.iter().rposition(|byte| *byte == b'/') {
             let beginning = bytes.get(..=slash)?;
-            if let Ok(at) = routes.binary_search_by(|route| route.prefix.as_bytes().cmp(beginning)) {
+            if let Ok(at) = routes.binary_search_by(|route| route.prefix.as_bytes().cmp(beginning))
+            {
                 return routes.get(at).map(Arc::as_ref);
             }
             end = slash;
--- a/crates/rookpulley-routes/src/json.rs
+++ b/crates/rookpulley-routes/src/json.rs
@@ -13,12 +13,22 @@
 /// So many brackets stand open round a rule.
 const ROUND_RULE: usize = 4;
 
-const BOUNDS: Bounds =
-    Bounds { bytes: BYTES_MOST, nesting: Nesting::Levels(DEPTH_MOST), values: VALUES_MOST };
+const BOUNDS: Bounds = Bounds {
+    bytes: BYTES_MOST,
+    nesting: Nesting::Levels(DEPTH_MOST),
+    values: VALUES_MOST,
+};
 
 /// A rule alone; none where it is faulty.
 pub(crate) fn parse_rule(bytes: &[u8]) -> Option<JsonValue> {
-    read(bytes, Bounds { nesting: Nesting::Levels(DEPTH_MOST - ROUND_RULE), ..BOUNDS }).ok()
+    read(
+        bytes,
+        Bounds {
+            nesting: Nesting::Levels(DEPTH_MOST - ROUND_RULE),
+            ..BOUNDS
+        },
+    )
+    .ok()
 }
 
 pub(crate) fn parse(bytes: &[u8]) -> Result<JsonValue, Unread> {
@@ -29,30 +39,49 @@
 pub(crate) fn unread(bytes: &[u8], why: Unread) -> Faults {
     let after = |end: usize| Place::after(bytes.get(..end).unwrap_or(bytes));
     match (why, std::str::from_utf8(bytes)) {
-        (Unread::Long, _) => {
-            fault("the body", format!("{} bytes long", bytes.len()), format!("at most {BYTES_MOST} bytes"))
-        }
-        (Unread::NotUtf8(e), _) | (_, Err(e)) => {
-            fault(after(e.valid_up_to()), "no UTF-8", "the whole configuration as JSON in UTF-8")
-        }
-        (Unread::Deep { at }, _) => {
-            fault(after(at), "nested too deep", format!("at most {DEPTH_MOST} levels"))
-        }
-        (Unread::Many { at }, _) => {
-            fault(after(at), "one value too many", format!("at most {VALUES_MOST} values"))
-        }
+        (Unread::Long, _) => fault(
+            "the body",
+            format!("{} bytes long", bytes.len()),
+            format!("at most {BYTES_MOST} bytes"),
+        ),
+        (Unread::NotUtf8(e), _) | (_, Err(e)) => fault(
+            after(e.valid_up_to()),
+            "no UTF-8",
+            "the whole configuration as JSON in UTF-8",
+        ),
+        (Unread::Deep { at }, _) => fault(
+            after(at),
+            "nested too deep",
+            format!("at most {DEPTH_MOST} levels"),
+        ),
+        (Unread::Many { at }, _) => fault(
+            after(at),
+            "one value too many",
+            format!("at most {VALUES_MOST} values"),
+        ),
         (Unread::NoJson(e), _) => no_json(&e),
     }
 }
 
 fn no_json(e: &JsonParseError) -> Faults {
-    let place = Place { line: e.line(), column: e.column() };
+    let place = Place {
+        line: e.line(),
+        column: e.column(),
+    };
     let told = e.to_string();
     let cause = told.split_once(": ").map_or("no JSON", |(_, cause)| cause);
     if cause.starts_with("Unexpected EOF") {
-        fault(place, "where the text ends too soon", "the whole configuration; this one was cut short")
+        fault(
+            place,
+            "where the text ends too soon",
+            "the whole configuration; this one was cut short",
+        )
     } else {
-        fault(place, format!("no JSON ({cause})"), "one JSON object and nothing after it")
+        fault(
+            place,
+            format!("no JSON ({cause})"),
+            "one JSON object and nothing after it",
+        )
     }
 }
 
--- a/crates/rookpulley-routes/src/read.rs
+++ b/crates/rookpulley-routes/src/read.rs
@@ -55,7 +55,9 @@
 type KnownRules<'a> = HashMap<(&'a str, &'a [u8]), &'a Arc<Route>>;
 
 fn known_rules<'a>(services: &[Service], earlier: Option<(&'a [u8], &'a Book)>) -> KnownRules<'a> {
-    let Some((bytes, book)) = earlier else { return KnownRules::new() };
+    let Some((bytes, book)) = earlier else {
+        return KnownRules::new();
+    };
     // Routes name services by their places.
     let names = |services: &'a [Service]| services.iter().map(|service| service.name.as_str());
     if !names(&book.services).eq(services.iter().map(|service| service.name.as_str())) {
@@ -72,7 +74,9 @@
 fn read_by_rule(bytes: &[u8], earlier: Option<(&[u8], &Book)>) -> Result<Book, Faults> {
     let faults = RefCell::new(Faults::none(&CONFIGURATION));
     let short = Some(bytes).filter(|bytes| bytes.len() <= BYTES_MOST);
-    let rest = short.and_then(split).and_then(|split| Some((parse(&split.rest).ok()?, split.rules)));
+    let rest = short
+        .and_then(split)
+        .and_then(|split| Some((parse(&split.rest).ok()?, split.rules)));
     let book = rest.and_then(|(json, rules)| {
         let text = RuleText { bytes, rules };
         book_by_rule(Value::top(&json, &faults), &text, earlier)
@@ -99,13 +103,17 @@
     if !top.is_object() {
         return None;
     }
-    let version = top.field("configVersion").whole_needed(1, "a whole number from 1 to 9007199254740991")?;
+    let version = top
+        .field("configVersion")
+        .whole_needed(1, "a whole number from 1 to 9007199254740991")?;
     let limits = limits(top.field("limits"));
     let (services, places) = services(top.field("services"));
     let known = known_rules(&services, earlier);
     let (mut routes, mut read) = (Vec::new(), Vec::with_capacity(rules.rules.len()));
     for host in top.field("hostnames").items() {
-        let name = host.field("hostname").text_needed("the host that these rules are for")?;
+        let name = host
+            .field("hostname")
+            .text_needed("the host that these rules are for")?;
         let name = name.to_ascii_lowercase();
         for rule in host.field("pathRules").items() {
             let Some((at, text)) = rules.of(&rule) else {
@@ -135,11 +143,18 @@
     if !top.is_object() {
         return None;
     }
-    let version = top.field("configVersion").whole_needed(1, "a whole number from 1 to 9007199254740991");
+    let version = top
+        .field("configVersion")
+        .whole_needed(1, "a whole number from 1 to 9007199254740991");
     let limits = limits(top.field("limits"));
     let (services, places) = services(top.field("services"));
     let mut routes = Routes::default();
-    for (at, host) in top.field("hostnames").items().enumerate().filter(|(_, host)| host.is_object()) {
+    for (at, host) in top
+        .field("hostnames")
+        .items()
+        .enumerate()
+        .filter(|(_, host)| host.is_object())
+    {
         routes.add_host(at, host, &places);
     }
     let mut routes = routes.routes;
@@ -153,7 +168,10 @@
         return Limits::default();
     }
     let whole = |field: &'static str, otherwise: u64| {
-        limits.field(field).whole(1, "a whole number above 0").unwrap_or(otherwise)
+        limits
+            .field(field)
+            .whole(1, "a whole number above 0")
+            .unwrap_or(otherwise)
     };
     let usual = Limits::default();
     Limits {
@@ -169,11 +187,17 @@
     for one in list.items().filter(|one| one.is_object()) {
         let name = one.field("name").text_needed("the service's name");
         let health = one.field("healthCheckPath");
-        let health_path = health.text().filter(|path| !path.is_empty()).unwrap_or("/health");
+        let health_path = health
+            .text()
+            .filter(|path| !path.is_empty())
+            .unwrap_or("/health");
         if !health_path.starts_with('/') {
             health.note(format!("{health_path:?}"), "a path that begins with \"/\"");
         }
-        let connections = one.field("maxConnections").whole(0, "a whole number from 0 on").unwrap_or(0);
+        let connections = one
+            .field("maxConnections")
+            .whole(0, "a whole number from 0 on")
+            .unwrap_or(0);
         let Some(name) = name else { continue };
         match places.entry(name.to_string()) {
             Entry::Occupied(before) => one.field("name").note(
@@ -200,7 +224,9 @@
 
 impl Routes {
     fn add_host(&mut self, at: usize, host: Value, places: &HashMap<String, usize>) {
-        let name = host.field("hostname").text_needed("the host that these rules are for");
+        let name = host
+            .field("hostname")
+            .text_needed("the host that these rules are for");
         let name = name.unwrap_or_default().to_ascii_lowercase();
         for (rule_at, rule) in host.field("pathRules").items().enumerate() {
             if rule.is_object()
@@ -210,7 +236,10 @@
                     Entry::Occupied(before) => {
                         let (host, before) = before.get();
                         rule.field("pathPrefix").note(
-                            format!("{:?}, as it is in hostnames[{host}].pathRules[{before}]", route.prefix),
+                            format!(
+                                "{:?}, as it is in hostnames[{host}].pathRules[{before}]",
+                                route.prefix
+                            ),
                             "each prefix of a host once",
                         );
                     }
@@ -224,19 +253,33 @@
 
 fn route(rule: Value, host: &str, places: &HashMap<String, usize>) -> Option<Route> {
     let prefix = rule.field("pathPrefix");
-    let prefix = prefix.text_needed("a path that begins and ends with \"/\"").filter(|text| {
-        let fits = text.starts_with('/') && text.ends_with('/');
-        if !fits {
-            prefix.note(format!("{text:?}"), "a path that begins and ends with \"/\"");
-        }
-        fits
-    });
+    let prefix = prefix
+        .text_needed("a path that begins and ends with \"/\"")
+        .filter(|text| {
+            let fits = text.starts_with('/') && text.ends_with('/');
+            if !fits {
+                prefix.note(
+                    format!("{text:?}"),
+                    "a path that begins and ends with \"/\"",
+                );
+            }
+            fits
+        });
     let name = rule.field("name").text().filter(|name| !name.is_empty());
     let kind = kind(rule.field("routeKind"));
-    let timeout = rule.field("timeoutMs").number_needed(ABOVE_0, |ms| ms > 0.0);
-    let aim = rule.field("targetLatencyMs").number("a number of milliseconds", |ms| ms >= 0.0);
-    let priority = rule.field("priority").whole(0, "a whole number, 0 for the highest").unwrap_or(0);
-    let attempts = rule.field("maxAttempts").whole_needed(1, "a whole number of tasks, at least 1");
+    let timeout = rule
+        .field("timeoutMs")
+        .number_needed(ABOVE_0, |ms| ms > 0.0);
+    let aim = rule
+        .field("targetLatencyMs")
+        .number("a number of milliseconds", |ms| ms >= 0.0);
+    let priority = rule
+        .field("priority")
+        .whole(0, "a whole number, 0 for the highest")
+        .unwrap_or(0);
+    let attempts = rule
+        .field("maxAttempts")
+        .whole_needed(1, "a whole number of tasks, at least 1");
     let targets = targets(rule, places);
 
     let (prefix, timeout) = (prefix?, timeout?.min(DAY_MS));
@@ -246,7 +289,9 @@
         prefix: prefix.into(),
         kind: kind?,
         timeout_ms: timeout,
-        aim_ms: aim.filter(|ms| *ms > 0.0).map_or(timeout, |ms| ms.min(DAY_MS)),
+        aim_ms: aim
+            .filter(|ms| *ms > 0.0)
+            .map_or(timeout, |ms| ms.min(DAY_MS)),
         priority: u32::try_from(priority).unwrap_or(u32::MAX),
         attempts: u32::try_from(attempts?).unwrap_or(u32::MAX),
         targets: targets?,
@@ -274,7 +319,11 @@
         None if single.present() => return None,
         named => named.filter(|name| !name.is_empty()),
     };
-    let shares = if split.present() { split.items().collect() } else { Vec::new() };
+    let shares = if split.present() {
+        split.items().collect()
+    } else {
+        Vec::new()
+    };
     if named.is_some() && shares.is_empty() {
         return Some(vec![(service(single, places)?, 1.0)]);
     }
@@ -291,12 +340,21 @@
     weighed(split, &shares, places)
 }
 
-fn weighed(split: Value, shares: &[Value], places: &HashMap<String, usize>) -> Option<Vec<(usize, f64)>> {
-    let shares = shares.iter().filter(|share| share.is_object()).map(|share| {
-        let weight = share.field("weight").number_needed(WEIGHT, |weight| weight >= 0.0);
-        let service = service(share.field("targetService"), places);
-        Some((service?, weight?))
-    });
+fn weighed(
+    split: Value,
+    shares: &[Value],
+    places: &HashMap<String, usize>,
+) -> Option<Vec<(usize, f64)>> {
+    let shares = shares
+        .iter()
+        .filter(|share| share.is_object())
+        .map(|share| {
+            let weight = share
+                .field("weight")
+                .number_needed(WEIGHT, |weight| weight >= 0.0);
+            let service = service(share.field("targetService"), places);
+            Some((service?, weight?))
+        });
     // All are looked at before the first that is faulty ends it.
     let shares: Vec<Option<(usize, f64)>> = shares.collect();
     let shares: Vec<(usize, f64)> = shares.into_iter().collect::<Option<_>>()?;
@@ -304,7 +362,10 @@
     if sum > 0.0 && sum.is_finite() {
         Some(shares)
     } else {
-        split.note(format!("a list of weights that add up to {sum}"), "weights with a sum above 0");
+        split.note(
+            format!("a list of weights that add up to {sum}"),
+            "weights with a sum above 0",
+        );
         None
     }
 }
@@ -313,7 +374,10 @@
     let text = name.text_needed("the name of a service")?;
     let place = places.get(text).copied();
     if place.is_none() {
-        name.note(format!("{text:?}, which is no service"), "a name that stands under services");
+        name.note(
+            format!("{text:?}, which is no service"),
+            "a name that stands under services",
+        );
     }
     place
 }
--- a/crates/rookpulley-routes/src/split.rs
+++ b/crates/rookpulley-routes/src/split.rs
@@ -28,7 +28,10 @@
 
 /// None where the text can't be cut: it is spoilt, or names a field by the empty text.
 pub(crate) fn split(bytes: &[u8]) -> Option<Split> {
-    let mut split = Split { rest: Vec::new(), rules: Vec::new() };
+    let mut split = Split {
+        rest: Vec::new(),
+        rules: Vec::new(),
+    };
     let (mut open, mut at, mut copied) = (Vec::<Place>::new(), 0, 0);
     // The last text, and the name of the field whose value comes next.
     let (mut text, mut field) = (&[][..], None);
@@ -46,7 +49,9 @@
                 let end = object_end(bytes, at)?;
                 split.rest.reserve(at - copied + STAND_IN_BYTES);
                 split.rest.extend_from_slice(bytes.get(copied..at)?);
-                split.rest.extend_from_slice(format!("{{\"\":{}}}", split.rules.len()).as_bytes());
+                split
+                    .rest
+                    .extend_from_slice(format!("{{\"\":{}}}", split.rules.len()).as_bytes());
                 split.rules.push(at..end);
                 (at, copied) = (end, end);
                 continue;
--- a/crates/rookpulley-routes/src/values.rs
+++ b/crates/rookpulley-routes/src/values.rs
@@ -39,7 +39,11 @@
 
 impl<'a> Value<'a> {
     pub fn top(json: &'a JsonValue, faults: &'a RefCell<Faults>) -> Self {
-        Self { json: Some(json), way: Way::Top, faults }
+        Self {
+            json: Some(json),
+            way: Way::Top,
+            faults,
+        }
     }
 
     /// Another value at the same place.
@@ -47,7 +51,11 @@
     where
         'a: 'b,
     {
-        Value { json: Some(json), way: self.way, faults: self.faults }
+        Value {
+            json: Some(json),
+            way: self.way,
+            faults: self.faults,
+        }
     }
 
     pub fn present(&self) -> bool {
@@ -62,23 +70,34 @@
     /// A field of this object; absent where this is none.
     pub fn field(&'a self, name: &'static str) -> Value<'a> {
         let fields = self.json.and_then(|json| json.get::<HashMap<_, _>>());
-        let json = fields.and_then(|fields| fields.get(name)).filter(|json| !json.is_null());
-        Value { json, way: Way::Field(self, name), faults: self.faults }
+        let json = fields
+            .and_then(|fields| fields.get(name))
+            .filter(|json| !json.is_null());
+        Value {
+            json,
+            way: Way::Field(self, name),
+            faults: self.faults,
+        }
     }
 
     /// Notes anything but an object.
     pub fn is_object(&self) -> bool {
-        self.needed("an object in { }", |json| json.get::<HashMap<_, _>>()).is_some()
+        self.needed("an object in { }", |json| json.get::<HashMap<_, _>>())
+            .is_some()
     }
 
     /// The items of a list; notes anything but a list.
     pub fn items(&'a self) -> impl Iterator<Item = Value<'a>> {
         let items = self.needed("a list in [ ]", |json| json.get::<Vec<_>>());
-        items.into_iter().flatten().enumerate().map(|(at, json)| Value {
-            json: Some(json),
-            way: Way::Item(self, at),
-            faults: self.faults,
-        })
+        items
+            .into_iter()
+            .flatten()
+            .enumerate()
+            .map(|(at, json)| Value {
+                json: Some(json),
+                way: Way::Item(self, at),
+                faults: self.faults,
+            })
     }
 
     /// The value in the form that `form` gives it. None where it is absent, or faulty and noted.
@@ -101,13 +120,16 @@
 
     /// A text that says something.
     pub fn text_needed(&self, instead: &str) -> Option<&'a str> {
-        let form =
-            |json: &'a JsonValue| Some(json.get::<String>()?.as_str()).filter(|text| !text.trim().is_empty());
+        let form = |json: &'a JsonValue| {
+            Some(json.get::<String>()?.as_str()).filter(|text| !text.trim().is_empty())
+        };
         self.needed(instead, form)
     }
 
     pub fn text(&self) -> Option<&'a str> {
-        self.take("a text in quotes", |json| Some(json.get::<String>()?.as_str()))
+        self.take("a text in quotes", |json| {
+            Some(json.get::<String>()?.as_str())
+        })
     }
 
     pub fn number_needed(&self, instead: &str, fits: impl FnOnce(f64) -> bool) -> Option<f64> {
@@ -131,7 +153,9 @@
 }
 
 fn number(json: &JsonValue) -> Option<f64> {
-    json.get::<f64>().copied().filter(|number| number.is_finite())
+    json.get::<f64>()
+        .copied()
+        .filter(|number| number.is_finite())
 }
 
 fn whole(number: f64, least: u32) -> bool {
--- a/crates/rookpulley-routes/tests/book.rs
+++ b/crates/rookpulley-routes/tests/book.rs
@@ -34,28 +34,65 @@
 fn a_whole_configuration_is_read_and_what_it_leaves_out_has_a_default() {
     let book = read(WHOLE).unwrap();
     assert_eq!(book.version, 12);
-    let limits = Limits { header_bytes: 9_000, body_bytes: 70_000, header_ms: 1_000, idle_ms: 2_000 };
+    let limits = Limits {
+        header_bytes: 9_000,
+        body_bytes: 70_000,
+        header_ms: 1_000,
+        idle_ms: 2_000,
+    };
     assert_eq!(book.limits, limits);
-    assert_eq!((book.services[0].health_path.as_str(), book.services[0].max_connections), ("/well", 40));
-    assert_eq!((book.services[1].health_path.as_str(), book.services[1].max_connections), ("/health", 60));
+    assert_eq!(
+        (
+            book.services[0].health_path.as_str(),
+            book.services[0].max_connections
+        ),
+        ("/well", 40)
+    );
+    assert_eq!(
+        (
+            book.services[1].health_path.as_str(),
+            book.services[1].max_connections
+        ),
+        ("/health", 60)
+    );
 
     let sell = book.route("POST.example", "/sell/stamps/7").unwrap();
-    assert_eq!((sell.name.as_str(), sell.kind, sell.attempts), ("sell", RouteKind::Mutating, 2));
-    assert_eq!((sell.timeout_ms, sell.aim_ms, sell.priority), (900.0, 90.5, 1));
+    assert_eq!(
+        (sell.name.as_str(), sell.kind, sell.attempts),
+        ("sell", RouteKind::Mutating, 2)
+    );
+    assert_eq!(
+        (sell.timeout_ms, sell.aim_ms, sell.priority),
+        (900.0, 90.5, 1)
+    );
     assert_eq!(sell.targets, [(0, 1.0)]);
     let track = book.route("post.example", "/track/").unwrap();
-    assert_eq!((track.timeout_ms, track.aim_ms, track.priority), (800.5, 800.5, 0));
+    assert_eq!(
+        (track.timeout_ms, track.aim_ms, track.priority),
+        (800.5, 800.5, 0)
+    );
     assert_eq!(track.targets, [(1, 3.0), (0, 1.0)]);
     let depot = book.route("depot.example", "/anything").unwrap();
-    assert_eq!((depot.name.as_str(), depot.kind), ("depot.example/", RouteKind::Download));
+    assert_eq!(
+        (depot.name.as_str(), depot.kind),
+        ("depot.example/", RouteKind::Download)
+    );
 
     let endless = read(&WHOLE.replace("\"timeoutMs\": 900", "\"timeoutMs\": 1e300")).unwrap();
-    assert_eq!(endless.route("post.example", "/sell/").unwrap().timeout_ms, 86_400_000.0);
+    assert_eq!(
+        endless.route("post.example", "/sell/").unwrap().timeout_ms,
+        86_400_000.0
+    );
 
     let bare = read(r#"{"configVersion": 1, "services": [], "hostnames": []}"#).unwrap();
     assert_eq!(
         bare.limits,
-        Limits { header_bytes: 16_384, body_bytes: 67_108_864, header_ms: 3_000, idle_ms: 15_000 }
+        Limits {
+            header_bytes: 16_384,
+            body_bytes: 67_108_864,
+            header_ms: 3_000,
+            idle_ms: 15_000
+        }
     );
 }
 
@@ -63,12 +100,20 @@
 fn a_path_takes_the_longest_prefix_as_a_plain_search_finds_it() {
     const WORDS: [&str; 5] = ["", "a", "ab", "b", "-"];
     fn path(u: &mut Unstructured) -> Result<String> {
-        let words: Vec<&str> =
-            (0..u.int_in_range(0..=4)?).map(|_| u.choose(&WORDS).copied()).collect::<Result<_>>()?;
-        Ok(format!("/{}", words.iter().map(|word| format!("{word}/")).collect::<String>()))
+        let words: Vec<&str> = (0..u.int_in_range(0..=4)?)
+            .map(|_| u.choose(&WORDS).copied())
+            .collect::<Result<_>>()?;
+        Ok(format!(
+            "/{}",
+            words
+                .iter()
+                .map(|word| format!("{word}/"))
+                .collect::<String>()
+        ))
     }
     plays(300, 4_096, |u| {
-        let (hosts, mut seen, mut entries) = (["x.example", "Y.example", "x"], Vec::new(), Vec::new());
+        let (hosts, mut seen, mut entries) =
+            (["x.example", "Y.example", "x"], Vec::new(), Vec::new());
         for host in hosts {
             let mut rules = Vec::new();
             for _ in 0..u.int_in_range(0..=12)? {
@@ -83,7 +128,10 @@
                 ));
                 seen.push((host, prefix));
             }
-            entries.push(format!(r#"{{"hostname":"{host}","pathRules":[{}]}}"#, rules.join(",")));
+            entries.push(format!(
+                r#"{{"hostname":"{host}","pathRules":[{}]}}"#,
+                rules.join(",")
+            ));
         }
         let text = format!(
             r#"{{"hostnames":[{}],"services":[{{"name":"s"}}],"configVersion":3}}"#,
@@ -98,8 +146,11 @@
             let fits = |(own, prefix): &&(&str, String)| {
                 own.eq_ignore_ascii_case(host) && path.starts_with(prefix.as_str())
             };
-            let longest =
-                seen.iter().filter(fits).map(|(_, prefix)| prefix).max_by_key(|prefix| prefix.len());
+            let longest = seen
+                .iter()
+                .filter(fits)
+                .map(|(_, prefix)| prefix)
+                .max_by_key(|prefix| prefix.len());
             let found = book.route(host, &path);
             assert_eq!(found.map(|route| &route.prefix), longest, "{host}{path}");
             assert!(found.is_none_or(|route| route.host.eq_ignore_ascii_case(host)));
@@ -115,14 +166,18 @@
 fn what_is_cut_off_anywhere_or_goes_on_after_its_end_is_refused() {
     for cut in 0..WHOLE.len() {
         let faults = read(&WHOLE[..cut]).unwrap_err();
-        assert!(faults.faults[0].place.starts_with("line "), "{cut}: {faults}");
+        assert!(
+            faults.faults[0].place.starts_with("line "),
+            "{cut}: {faults}"
+        );
     }
     for more in ["}", "{}", "0", ",", "\u{0}"] {
         assert!(read(&format!("{WHOLE}{more}")).is_err());
     }
     assert!(read(&format!(" {WHOLE}\r\n\t ")).is_ok());
     assert!(
-        Book::read(b"{\"configVersion\": 1, \"services\": [], \"hostnames\": [], \"x\": \"\xff\"}").is_err()
+        Book::read(b"{\"configVersion\": 1, \"services\": [], \"hostnames\": [], \"x\": \"\xff\"}")
+            .is_err()
     );
 }
 
@@ -154,10 +209,18 @@
         };
         assert!((1..1 << 53).contains(&book.version));
         for route in book.routes() {
-            assert!(route.prefix.starts_with('/') && route.prefix.ends_with('/') && !route.host.is_empty());
-            assert!(route.attempts > 0 && route.timeout_ms > 0.0 && route.timeout_ms <= 86_400_000.0);
+            assert!(
+                route.prefix.starts_with('/')
+                    && route.prefix.ends_with('/')
+                    && !route.host.is_empty()
+            );
+            assert!(
+                route.attempts > 0 && route.timeout_ms > 0.0 && route.timeout_ms <= 86_400_000.0
+            );
             assert!(route.aim_ms > 0.0 && route.targets.iter().all(|(_, weight)| *weight >= 0.0));
-            let drawn = route.draw(u.int_in_range(0..=999)? as f64 / 1_000.0).unwrap();
+            let drawn = route
+                .draw(u.int_in_range(0..=999)? as f64 / 1_000.0)
+                .unwrap();
             assert!(book.service(drawn).is_some());
             assert_eq!(book.route(&route.host, &route.prefix), Some(route));
         }
@@ -170,13 +233,48 @@
     const SELL: &str = "hostnames[0].pathRules[0]";
     const TRACK: &str = "hostnames[0].pathRules[1]";
     let cases = [
-        ("\"configVersion\": 12,", "", "configVersion".to_string(), "a whole number"),
-        ("Version\": 12", "Version\": 0", "configVersion".into(), "a whole number"),
-        ("Version\": 12", "Version\": -3", "configVersion".into(), "a whole number"),
-        ("Version\": 12", "Version\": 1.5", "configVersion".into(), "a whole number"),
-        ("Version\": 12", "Version\": \"12\"", "configVersion".into(), "a whole number"),
-        ("Version\": 12", "Version\": 9007199254740993", "configVersion".into(), "a whole number"),
-        ("Version\": 12", "Version\": 1e400", "configVersion".into(), "a whole number"),
+        (
+            "\"configVersion\": 12,",
+            "",
+            "configVersion".to_string(),
+            "a whole number",
+        ),
+        (
+            "Version\": 12",
+            "Version\": 0",
+            "configVersion".into(),
+            "a whole number",
+        ),
+        (
+            "Version\": 12",
+            "Version\": -3",
+            "configVersion".into(),
+            "a whole number",
+        ),
+        (
+            "Version\": 12",
+            "Version\": 1.5",
+            "configVersion".into(),
+            "a whole number",
+        ),
+        (
+            "Version\": 12",
+            "Version\": \"12\"",
+            "configVersion".into(),
+            "a whole number",
+        ),
+        (
+            "Version\": 12",
+            "Version\": 9007199254740993",
+            "configVersion".into(),
+            "a whole number",
+        ),
+        (
+            "Version\": 12",
+            "Version\": 1e400",
+            "configVersion".into(),
+            "a whole number",
+        ),
         (
             "\"targetService\": \"stamps\", \"max",
             "\"targetService\": \"coins\", \"max",
@@ -219,8 +317,18 @@
             format!("{TRACK}.trafficSplit"),
             "a sum above 0",
         ),
-        ("\"weight\": 3", "\"weight\": -3", format!("{TRACK}.trafficSplit[0].weight"), "from 0 on"),
-        ("\"weight\": 3", "\"weight\": 1e999", format!("{TRACK}.trafficSplit[0].weight"), "from 0 on"),
+        (
+            "\"weight\": 3",
+            "\"weight\": -3",
+            format!("{TRACK}.trafficSplit[0].weight"),
+            "from 0 on",
+        ),
+        (
+            "\"weight\": 3",
+            "\"weight\": 1e999",
+            format!("{TRACK}.trafficSplit[0].weight"),
+            "from 0 on",
+        ),
         (
             "\"weight\": 3}, {\"targetService\": \"stamps\", \"weight\": 1",
             "\"weight\": 1e308}, {\"targetService\": \"stamps\", \"weight\": 1e308",
@@ -233,27 +341,102 @@
             format!("{TRACK}.trafficSplit[0].targetService"),
             "under services",
         ),
-        ("\"maxAttempts\": 2", "\"maxAttempts\": 0", format!("{SELL}.maxAttempts"), "at least 1"),
-        ("\"maxAttempts\": 2", "\"more\": 0", format!("{SELL}.maxAttempts"), "at least 1"),
-        ("\"maxAttempts\": 2", "\"maxAttempts\": 1.5", format!("{SELL}.maxAttempts"), "at least 1"),
-        ("\"timeoutMs\": 900", "\"timeoutMs\": 0", format!("{SELL}.timeoutMs"), "above 0"),
-        ("\"timeoutMs\": 900", "\"timeoutMs\": -1", format!("{SELL}.timeoutMs"), "above 0"),
-        ("\"timeoutMs\": 900, ", "", format!("{SELL}.timeoutMs"), "above 0"),
-        ("\"priority\": 1", "\"priority\": true", format!("{SELL}.priority"), "a whole number"),
-        ("\"mutating\"", "\"sometimes\"", format!("{SELL}.routeKind"), "\"read_only\""),
-        ("\"Post.example\"", "\"\"", "hostnames[0].hostname".into(), "the host"),
-        ("\"hostname\": \"Post.example\", ", "", "hostnames[0].hostname".into(), "the host"),
-        ("\"/sell/\"", "\"/sell\"", format!("{SELL}.pathPrefix"), "begins and ends"),
-        ("\"/sell/\"", "\"sell/\"", format!("{SELL}.pathPrefix"), "begins and ends"),
-        ("\"/track/\"", "\"/sell/\"", format!("{TRACK}.pathPrefix"), "once"),
+        (
+            "\"maxAttempts\": 2",
+            "\"maxAttempts\": 0",
+            format!("{SELL}.maxAttempts"),
+            "at least 1",
+        ),
+        (
+            "\"maxAttempts\": 2",
+            "\"more\": 0",
+            format!("{SELL}.maxAttempts"),
+            "at least 1",
+        ),
+        (
+            "\"maxAttempts\": 2",
+            "\"maxAttempts\": 1.5",
+            format!("{SELL}.maxAttempts"),
+            "at least 1",
+        ),
+        (
+            "\"timeoutMs\": 900",
+            "\"timeoutMs\": 0",
+            format!("{SELL}.timeoutMs"),
+            "above 0",
+        ),
+        (
+            "\"timeoutMs\": 900",
+            "\"timeoutMs\": -1",
+            format!("{SELL}.timeoutMs"),
+            "above 0",
+        ),
+        (
+            "\"timeoutMs\": 900, ",
+            "",
+            format!("{SELL}.timeoutMs"),
+            "above 0",
+        ),
+        (
+            "\"priority\": 1",
+            "\"priority\": true",
+            format!("{SELL}.priority"),
+            "a whole number",
+        ),
+        (
+            "\"mutating\"",
+            "\"sometimes\"",
+            format!("{SELL}.routeKind"),
+            "\"read_only\"",
+        ),
+        (
+            "\"Post.example\"",
+            "\"\"",
+            "hostnames[0].hostname".into(),
+            "the host",
+        ),
+        (
+            "\"hostname\": \"Post.example\", ",
+            "",
+            "hostnames[0].hostname".into(),
+            "the host",
+        ),
+        (
+            "\"/sell/\"",
+            "\"/sell\"",
+            format!("{SELL}.pathPrefix"),
+            "begins and ends",
+        ),
+        (
+            "\"/sell/\"",
+            "\"sell/\"",
+            format!("{SELL}.pathPrefix"),
+            "begins and ends",
+        ),
+        (
+            "\"/track/\"",
+            "\"/sell/\"",
+            format!("{TRACK}.pathPrefix"),
+            "once",
+        ),
         (
             "\"depot.example\", \"pathRules\": [\n      {\"pathPrefix\": \"/\"",
             "\"POST.example\", \"pathRules\": [\n      {\"pathPrefix\": \"/track/\"",
             "hostnames[1].pathRules[0].pathPrefix".into(),
             "once",
         ),
-        ("\"name\": \"parcels\"", "\"name\": \"stamps\"", "services[1].name".into(), "once"),
-        ("{\"name\": \"parcels\"", "{\"title\": \"parcels\"", "services[1].name".into(), "name"),
+        (
+            "\"name\": \"parcels\"",
+            "\"name\": \"stamps\"",
+            "services[1].name".into(),
+            "once",
+        ),
+        (
+            "{\"name\": \"parcels\"",
+            "{\"title\": \"parcels\"",
+            "services[1].name".into(),
+            "name",
+        ),
         ("\"services\"", "\"servants\"", "services".into(), "a list"),
         ("\"hostnames\"", "\"hosts\"", "hostnames".into(), "a list"),
         (
@@ -262,7 +445,12 @@
             "limits.maxHeaderBytes".into(),
             "a whole number",
         ),
-        ("\"configVersion\": 12", "\"configVersion\": 12 34", "line 2, column 23".into(), "one JSON object"),
+        (
+            "\"configVersion\": 12",
+            "\"configVersion\": 12 34",
+            "line 2, column 23".into(),
+            "one JSON object",
+        ),
     ];
     for (what, with, place, instead) in cases {
         assert!(WHOLE.contains(what), "{what}");
@@ -272,33 +460,56 @@
         assert!(fault.instead.contains(instead), "{with}: {fault}");
     }
     for other in ["[]", "12", "null", "\"x\""] {
-        assert_eq!(read(other).unwrap_err().faults[0].place, "the configuration");
+        assert_eq!(
+            read(other).unwrap_err().faults[0].place,
+            "the configuration"
+        );
     }
 }
 
 #[test]
 fn all_faults_are_told_at_once_up_to_a_bound() {
-    let text = WHOLE.replace("\"timeoutMs\"", "\"timeout\"").replace("12", "0");
+    let text = WHOLE
+        .replace("\"timeoutMs\"", "\"timeout\"")
+        .replace("12", "0");
     assert_eq!(read(&text).unwrap_err().faults.len(), 4);
     let names = vec!["{}"; 100].join(",");
-    let faults = read(&format!(r#"{{"configVersion":1,"services":[{names}],"hostnames":[]}}"#)).unwrap_err();
+    let faults = read(&format!(
+        r#"{{"configVersion":1,"services":[{names}],"hostnames":[]}}"#
+    ))
+    .unwrap_err();
     assert_eq!((faults.faults.len(), faults.untold), (16, 84));
     assert!(faults.to_string().ends_with("And 84 more"));
 }
 
 #[test]
 fn what_would_cost_too_much_is_refused_before_it_is_built() {
-    let within = |inner: &str| format!(r#"{{"configVersion":1,"services":[],"hostnames":[],"x":{inner}}}"#);
+    let within =
+        |inner: &str| format!(r#"{{"configVersion":1,"services":[],"hostnames":[],"x":{inner}}}"#);
     let nested = |levels: usize| within(&format!("{}{}", "[".repeat(levels), "]".repeat(levels)));
     assert!(read(&nested(63)).is_ok());
-    assert!(read(&nested(64)).unwrap_err().faults[0].found.contains("deep"));
-    assert!(read(&"[".repeat(1 << 20)).unwrap_err().faults[0].found.contains("deep"));
     assert!(
-        read(&within(&format!("[0{}]", ",0".repeat(300_000)))).unwrap_err().faults[0]
+        read(&nested(64)).unwrap_err().faults[0]
+            .found
+            .contains("deep")
+    );
+    assert!(
+        read(&"[".repeat(1 << 20)).unwrap_err().faults[0]
+            .found
+            .contains("deep")
+    );
+    assert!(
+        read(&within(&format!("[0{}]", ",0".repeat(300_000))))
+            .unwrap_err()
+            .faults[0]
             .found
             .contains("too many")
     );
-    assert!(read(&" ".repeat(9 << 20)).unwrap_err().faults[0].found.contains("bytes long"));
+    assert!(
+        read(&" ".repeat(9 << 20)).unwrap_err().faults[0]
+            .found
+            .contains("bytes long")
+    );
     // Brackets, commas and quotes in texts count for nothing.
     assert!(read(&within(&format!("\"{}\"", r#"[\"{,"#.repeat(300_000)))).is_ok());
 }
@@ -306,13 +517,18 @@
 #[test]
 fn services_are_drawn_by_their_weights_and_never_at_weight_0() {
     plays(200, 512, |u| {
-        let weights: Vec<u32> =
-            (0..u.int_in_range(1..=5)?).map(|_| u.int_in_range(0..=9)).collect::<Result<_>>()?;
+        let weights: Vec<u32> = (0..u.int_in_range(1..=5)?)
+            .map(|_| u.int_in_range(0..=9))
+            .collect::<Result<_>>()?;
         let sum: u32 = weights.iter().sum();
         let each = |(at, weight): (usize, &u32)| {
-            (format!(r#"{{"name":"s{at}"}}"#), format!(r#"{{"targetService":"s{at}","weight":{weight}}}"#))
+            (
+                format!(r#"{{"name":"s{at}"}}"#),
+                format!(r#"{{"targetService":"s{at}","weight":{weight}}}"#),
+            )
         };
-        let (services, shares): (Vec<String>, Vec<String>) = weights.iter().enumerate().map(each).unzip();
+        let (services, shares): (Vec<String>, Vec<String>) =
+            weights.iter().enumerate().map(each).unzip();
         let rule = format!(
             r#"{{"pathPrefix":"/","routeKind":"read_only","timeoutMs":1,"maxAttempts":1,"trafficSplit":[{}]}}"#,
             shares.join(",")
@@ -327,7 +543,9 @@
         let route = book.route("h", "/x").unwrap();
         let mut drawn = vec![0; weights.len()];
         for step in 0..sum {
-            drawn[route.draw((f64::from(step) + 0.5) / f64::from(sum)).unwrap()] += 1;
+            drawn[route
+                .draw((f64::from(step) + 0.5) / f64::from(sum))
+                .unwrap()] += 1;
         }
         assert_eq!(drawn, weights);
         for unit in [0.0, 1.0, -1.0, 2.0, f64::NAN] {
--- a/crates/rookpulley-routes/tests/changes.rs
+++ b/crates/rookpulley-routes/tests/changes.rs
@@ -17,12 +17,20 @@
     r#"{"":0}"#,
     "7",
 ];
-const SERVICES: [&str; 3] =
-    [r#"{"name":"one"},{"name":"two"}"#, r#"{"name":"two"},{"name":"one"}"#, r#"{"name":"one"}"#];
+const SERVICES: [&str; 3] = [
+    r#"{"name":"one"},{"name":"two"}"#,
+    r#"{"name":"two"},{"name":"one"}"#,
+    r#"{"name":"one"}"#,
+];
 
 fn text(u: &mut Unstructured, version: u64) -> Result<String> {
-    let services = if u.ratio(4, 5)? { SERVICES[0] } else { SERVICES[u.choose_index(3)?] };
-    let mut text = format!("{{\"configVersion\":{version},\"services\":[{services}],\"hostnames\":[");
+    let services = if u.ratio(4, 5)? {
+        SERVICES[0]
+    } else {
+        SERVICES[u.choose_index(3)?]
+    };
+    let mut text =
+        format!("{{\"configVersion\":{version},\"services\":[{services}],\"hostnames\":[");
     let mut comma = "";
     for host in HOSTS {
         _ = write!(text, "{comma}{{\"hostname\":\"{host}\",\"pathRules\":[");
@@ -53,10 +61,18 @@
             let routes: Vec<&Route> = book.routes().collect();
             let aims: Vec<_> = (0..3).map(|service| book.least_aim_ms(service)).collect();
             let found = HOSTS.map(|host| book.route(host, "/x/y/1").map(|route| route.timeout_ms));
-            format!("{} {:?} {:?} {routes:?} {aims:?} {found:?}", book.version, book.limits, book.services)
+            format!(
+                "{} {:?} {:?} {routes:?} {aims:?} {found:?}",
+                book.version, book.limits, book.services
+            )
         }
         // The parser's own words show values in any order.
-        Err(faults) => faults.to_string().split(" (").next().unwrap_or_default().into(),
+        Err(faults) => faults
+            .to_string()
+            .split(" (")
+            .next()
+            .unwrap_or_default()
+            .into(),
     }
 }
 
@@ -86,7 +102,10 @@
         Ok(())
     });
     let (good, shared) = (good.get(), shared.get());
-    assert!(good > 150 && shared > 150, "{good} pairs, {shared} routes shared");
+    assert!(
+        good > 150 && shared > 150,
+        "{good} pairs, {shared} routes shared"
+    );
 }
 
 #[test]
@@ -104,7 +123,10 @@
         rules.join(",")
     );
     let told = Book::read(text.as_bytes()).unwrap_err().to_string();
-    assert!(told.contains("hostnames[0].pathRules[31007].maxAttempts is 0"), "{told}");
+    assert!(
+        told.contains("hostnames[0].pathRules[31007].maxAttempts is 0"),
+        "{told}"
+    );
 }
 
 #[test]
--- a/crates/rookpulley-runtime/src/line.rs
+++ b/crates/rookpulley-runtime/src/line.rs
@@ -32,7 +32,9 @@
 /// Opens a connection within a time.
 pub async fn dial(to: SocketAddr, within: Duration) -> std::io::Result<TcpStream> {
     let late = |_| std::io::Error::from(std::io::ErrorKind::TimedOut);
-    let stream = tokio::time::timeout(within, TcpStream::connect(to)).await.map_err(late)??;
+    let stream = tokio::time::timeout(within, TcpStream::connect(to))
+        .await
+        .map_err(late)??;
     tend(&stream, UNHEARD);
     Ok(stream)
 }
@@ -115,11 +117,16 @@
     /// Two ends of a line; who stays silent is ended after its time, and only where it has one.
     async fn ended_after(quiet: Option<Duration>, within: Duration) -> bool {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let there = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+        let there = TcpStream::connect(listener.local_addr().unwrap())
+            .await
+            .unwrap();
         let (here, _) = listener.accept().await.unwrap();
         let mut kept = None;
-        let ended =
-            tokio::time::timeout(within, run::<u8>(here, quiet, |outbox| kept = Some(outbox), |_| ())).await;
+        let ended = tokio::time::timeout(
+            within,
+            run::<u8>(here, quiet, |outbox| kept = Some(outbox), |_| ()),
+        )
+        .await;
         drop(there);
         ended.is_ok()
     }
--- a/crates/rookpulley-runtime/src/log.rs
+++ b/crates/rookpulley-runtime/src/log.rs
@@ -22,12 +22,18 @@
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
         let mut sentence = Sentence(String::new());
         event.record(&mut sentence);
-        eprintln!("{} {}", event.metadata().level().as_str().to_lowercase(), sentence.0);
+        eprintln!(
+            "{} {}",
+            event.metadata().level().as_str().to_lowercase(),
+            sentence.0
+        );
     }
 }
 
 /// Begins to print lines of this level and above.
 pub fn begin(level: tracing::Level) {
     let filter = tracing_subscriber::filter::LevelFilter::from_level(level);
-    tracing_subscriber::registry().with(Lines.with_filter(filter)).init();
+    tracing_subscriber::registry()
+        .with(Lines.with_filter(filter))
+        .init();
 }
--- a/crates/rookpulley-runtime/src/settings.rs
+++ b/crates/rookpulley-runtime/src/settings.rs
@@ -33,7 +33,9 @@
                 Some(node)
             }
             Err(why) => {
-                tracing::warn!("settings: the changed file can't be used, the old ones hold: {why}");
+                tracing::warn!(
+                    "settings: the changed file can't be used, the old ones hold: {why}"
+                );
                 None
             }
         }
@@ -41,5 +43,7 @@
 }
 
 fn changed(path: &Path) -> Option<SystemTime> {
-    std::fs::metadata(path).and_then(|about| about.modified()).ok()
+    std::fs::metadata(path)
+        .and_then(|about| about.modified())
+        .ok()
 }
--- a/crates/rookpulley-samples/src/lib.rs
+++ b/crates/rookpulley-samples/src/lib.rs
@@ -9,9 +9,15 @@
 }
 
 /// The same with cases of different lengths, by the number of the run.
-pub fn plays_of(runs: u32, bytes: impl Fn(u32) -> u32, property: impl Fn(&mut Unstructured) -> Result<()>) {
+pub fn plays_of(
+    runs: u32,
+    bytes: impl Fn(u32) -> u32,
+    property: impl Fn(&mut Unstructured) -> Result<()>,
+) {
     for run in 1..=runs {
         let spread = u64::from(run.wrapping_mul(0x9e37_79b1));
-        arbtest::arbtest(&property).seed(spread << 32 | u64::from(bytes(run))).run();
+        arbtest::arbtest(&property)
+            .seed(spread << 32 | u64::from(bytes(run)))
+            .run();
     }
 }
--- a/crates/rookpulley-scale/src/configuration.rs
+++ b/crates/rookpulley-scale/src/configuration.rs
@@ -28,11 +28,18 @@
     let hosts = HOSTS.min(sizes.routes);
     for host in 0..hosts {
         let comma = if host > 0 { "," } else { "" };
-        _ = write!(text, "{comma}{{\"hostname\":\"host{host}.example\",\"pathRules\":[");
+        _ = write!(
+            text,
+            "{comma}{{\"hostname\":\"host{host}.example\",\"pathRules\":["
+        );
         for (at, route) in (host..sizes.routes).step_by(hosts).enumerate() {
             let comma = if at > 0 { "," } else { "" };
             let changed = route as u64 == version % sizes.routes as u64;
-            let timeout_ms = if changed { ROUTE_TIMEOUT_MS + version } else { ROUTE_TIMEOUT_MS };
+            let timeout_ms = if changed {
+                ROUTE_TIMEOUT_MS + version
+            } else {
+                ROUTE_TIMEOUT_MS
+            };
             let target = service(route % sizes.services);
             _ = write!(
                 text,
--- a/crates/rookpulley-scale/src/hollow_proxy.rs
+++ b/crates/rookpulley-scale/src/hollow_proxy.rs
@@ -50,7 +50,13 @@
     port: u16,
 }
 
-pub fn start(number: usize, zone: String, port: u16, controllers: &[Ipv4Addr], counts: &Rc<Counts>) {
+pub fn start(
+    number: usize,
+    zone: String,
+    port: u16,
+    controllers: &[Ipv4Addr],
+    counts: &Rc<Counts>,
+) {
     let hollow = Rc::new(Hollow {
         name: format!("hollow-{number}"),
         zone,
@@ -88,12 +94,28 @@
 
     fn choose(&self) {
         let now = self.now_ms();
-        let Some(moved) = self.controllers.borrow_mut().choose(now) else { return };
+        let Some(moved) = self.controllers.borrow_mut().choose(now) else {
+            return;
+        };
         let (config, tables) = (self.version.get(), self.tables.get());
         if let Some(from) = moved.from {
-            self.say(from, &Up::Home { home: false, config, tables });
+            self.say(
+                from,
+                &Up::Home {
+                    home: false,
+                    config,
+                    tables,
+                },
+            );
         }
-        self.say(moved.to, &Up::Home { home: true, config, tables });
+        self.say(
+            moved.to,
+            &Up::Home {
+                home: true,
+                config,
+                tables,
+            },
+        );
     }
 
     async fn tend(self: Rc<Self>) {
@@ -102,8 +124,18 @@
             self.choose();
             let home = self.controllers.borrow().home();
             if let Some(home) = home.filter(|_| round.is_multiple_of(REPORT_ROUNDS)) {
-                let service = ServiceReport { service: "svc0000".into(), came: 1, ..Default::default() };
-                self.say(home, &Up::Report(Report { span_ms: 1_000, services: vec![service] }));
+                let service = ServiceReport {
+                    service: "svc0000".into(),
+                    came: 1,
+                    ..Default::default()
+                };
+                self.say(
+                    home,
+                    &Up::Report(Report {
+                        span_ms: 1_000,
+                        services: vec![service],
+                    }),
+                );
             }
         }
     }
@@ -119,7 +151,11 @@
         }
     }
 
-    async fn converse(self: &Rc<Self>, ip: Ipv4Addr, stream: tokio::net::TcpStream) -> std::io::Result<()> {
+    async fn converse(
+        self: &Rc<Self>,
+        ip: Ipv4Addr,
+        stream: tokio::net::TcpStream,
+    ) -> std::io::Result<()> {
         let (queue, mut waiting) = mpsc::unbounded_channel::<Vec<u8>>();
         self.lines.borrow_mut().insert(ip, queue);
         let hello = Up::Hello {
@@ -159,9 +195,18 @@
     fn take(self: &Rc<Self>, from: Ipv4Addr, down: Down) {
         add(&self.counts.messages_in, 1);
         match down {
-            Down::Pulse { in_touch, config, offices, .. } => {
+            Down::Pulse {
+                in_touch,
+                config,
+                offices,
+                ..
+            } => {
                 let (now, have) = (self.now_ms(), self.version.get());
-                if self.controllers.borrow_mut().pulse(now, from, in_touch, config, have) {
+                if self
+                    .controllers
+                    .borrow_mut()
+                    .pulse(now, from, in_touch, config, have)
+                {
                     self.say(from, &Up::WantConfig { have });
                 }
                 offices.iter().for_each(|other| self.named(*other.ip()));
@@ -170,7 +215,12 @@
             Down::Config { version, .. } if version > self.version.get() => {
                 add(&self.counts.configurations, 1);
                 self.version.set(version);
-                self.counts.came.borrow_mut().entry(version).or_default().push(Instant::now());
+                self.counts
+                    .came
+                    .borrow_mut()
+                    .entry(version)
+                    .or_default()
+                    .push(Instant::now());
             }
             Down::Table { mark, .. } => {
                 add(&self.counts.tables, 1);
--- a/crates/rookpulley-scale/src/hollow_tasks.rs
+++ b/crates/rookpulley-scale/src/hollow_tasks.rs
@@ -25,7 +25,12 @@
     for (at, first) in (0..sizes.tasks).step_by(SHARED).enumerate() {
         let last = (first + SHARED).min(sizes.tasks);
         let bodies: Vec<(String, String)> = (first..last)
-            .map(|task| (format!("/rookpulley/instances/t-{task:05}"), facts(sizes, zones, task)))
+            .map(|task| {
+                (
+                    format!("/rookpulley/instances/t-{task:05}"),
+                    facts(sizes, zones, task),
+                )
+            })
             .collect();
         let controls = controls.to_vec();
         tokio::task::spawn_local(beat_all(at, bodies, controls, beats.clone()));
@@ -44,7 +49,12 @@
     )
 }
 
-async fn beat_all(at: usize, bodies: Vec<(String, String)>, controls: Vec<SocketAddrV4>, beats: Rc<Beats>) {
+async fn beat_all(
+    at: usize,
+    bodies: Vec<(String, String)>,
+    controls: Vec<SocketAddrV4>,
+    beats: Rc<Beats>,
+) {
     let mut to = at;
     let mut connection = None;
     // All begin spread over one interval.
@@ -53,7 +63,9 @@
     for sequence in 1u64.. {
         ticks.tick().await;
         for (path, facts) in &bodies {
-            let Some(control) = controls.get(to % controls.len().max(1)) else { return };
+            let Some(control) = controls.get(to % controls.len().max(1)) else {
+                return;
+            };
             if connection.is_none() {
                 connection = Connection::open(*control).await.ok();
             }
--- a/crates/rookpulley-scale/src/http.rs
+++ b/crates/rookpulley-scale/src/http.rs
@@ -37,8 +37,14 @@
             self.read_more(&mut bytes).await?;
         };
         let head = String::from_utf8_lossy(bytes.get(..ends).unwrap_or_default()).to_lowercase();
-        let status = head.split_whitespace().nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
-        let length = head.lines().find_map(|line| line.strip_prefix("content-length:")?.trim().parse().ok());
+        let status = head
+            .split_whitespace()
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .unwrap_or(0);
+        let length = head
+            .lines()
+            .find_map(|line| line.strip_prefix("content-length:")?.trim().parse().ok());
         let length: usize = length.unwrap_or(0);
         while bytes.len() < ends + length {
             self.read_more(&mut bytes).await?;
--- a/crates/rookpulley-scale/src/main.rs
+++ b/crates/rookpulley-scale/src/main.rs
@@ -93,7 +93,10 @@
 fn main() -> miette::Result<()> {
     let flags = RookpulleyScale::from_env_or_exit();
     let sizes = Sizes::of(&flags)?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().into_diagnostic()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .into_diagnostic()?;
     let figures = tokio::task::LocalSet::new().block_on(&runtime, run::run(&sizes))?;
     print!("{}", report::table(&sizes, &figures));
     if let Some(path) = flags.json {
--- a/crates/rookpulley-scale/src/report.rs
+++ b/crates/rookpulley-scale/src/report.rs
@@ -18,11 +18,18 @@
 }
 
 fn peak_mb(usages: &[Usage]) -> f64 {
-    usages.iter().map(|usage| usage.peak_kb as f64 / 1024.0).fold(0.0, f64::max)
+    usages
+        .iter()
+        .map(|usage| usage.peak_kb as f64 / 1024.0)
+        .fold(0.0, f64::max)
 }
 
 fn descriptors(usages: &[Usage]) -> u64 {
-    usages.iter().map(|usage| usage.descriptors).max().unwrap_or(0)
+    usages
+        .iter()
+        .map(|usage| usage.descriptors)
+        .max()
+        .unwrap_or(0)
 }
 
 pub fn table(sizes: &Sizes, figures: &Figures) -> String {
@@ -47,7 +54,11 @@
             "  a hollow proxy: {:.0} bytes a second in, {:.0} out, {:.1} messages in; tables {:.1} a second in all",
             span.proxy_in_per_s, span.proxy_out_per_s, span.proxy_messages_per_s, span.tables_per_s
         );
-        _ = writeln!(text, "  beats {:.0} a second, {} failed", span.beats_per_s, span.beats_failed);
+        _ = writeln!(
+            text,
+            "  beats {:.0} a second, {} failed",
+            span.beats_per_s, span.beats_failed
+        );
     }
     _ = writeln!(
         text,
@@ -72,11 +83,21 @@
 }
 
 fn object<const N: usize>(fields: [(&str, JsonValue); N]) -> JsonValue {
-    JsonValue::Object(fields.into_iter().map(|(name, value)| (name.into(), value)).collect::<HashMap<_, _>>())
+    JsonValue::Object(
+        fields
+            .into_iter()
+            .map(|(name, value)| (name.into(), value))
+            .collect::<HashMap<_, _>>(),
+    )
 }
 
 fn numbers(values: &[f64]) -> JsonValue {
-    JsonValue::Array(values.iter().map(|value| JsonValue::Number(*value)).collect())
+    JsonValue::Array(
+        values
+            .iter()
+            .map(|value| JsonValue::Number(*value))
+            .collect(),
+    )
 }
 
 fn span(of: &Span) -> JsonValue {
@@ -114,10 +135,19 @@
         ("at99Ms", numbers(&figures.most_ms)),
         ("everywhereMs", numbers(&figures.everywhere_ms)),
         ("missed", number(figures.missed)),
-        ("controllerPeakMb", JsonValue::Number(peak_mb(&figures.controllers))),
+        (
+            "controllerPeakMb",
+            JsonValue::Number(peak_mb(&figures.controllers)),
+        ),
         ("proxyPeakMb", JsonValue::Number(peak_mb(&figures.proxies))),
-        ("controllerDescriptors", JsonValue::Number(descriptors(&figures.controllers) as f64)),
-        ("proxyDescriptors", JsonValue::Number(descriptors(&figures.proxies) as f64)),
+        (
+            "controllerDescriptors",
+            JsonValue::Number(descriptors(&figures.controllers) as f64),
+        ),
+        (
+            "proxyDescriptors",
+            JsonValue::Number(descriptors(&figures.proxies) as f64),
+        ),
     ]);
     value.format().unwrap_or_default() + "\n"
 }
--- a/crates/rookpulley-scale/src/run.rs
+++ b/crates/rookpulley-scale/src/run.rs
@@ -67,13 +67,20 @@
 pub async fn run(sizes: &Sizes) -> miette::Result<Figures> {
     let begun = Instant::now();
     let processes = Processes::start(sizes)?;
-    let scene = Scene { sizes, processes, counts: Rc::default(), beats: Rc::default() };
+    let scene = Scene {
+        sizes,
+        processes,
+        counts: Rc::default(),
+        beats: Rc::default(),
+    };
     let mut figures = Figures::default();
     let first = configuration::body(sizes, 1);
     figures.configuration_bytes = first.len();
     scene.order(&first).await?;
     scene.start_hollow();
-    while scene.counts.ready.get() < sizes.hollow || scene.beats.acknowledged.get() < sizes.tasks as u64 {
+    while scene.counts.ready.get() < sizes.hollow
+        || scene.beats.acknowledged.get() < sizes.tasks as u64
+    {
         if begun.elapsed() > READY_WITHIN {
             let (ready, beats) = (scene.counts.ready.get(), scene.beats.acknowledged.get());
             return Err(miette::miette!(
@@ -102,10 +109,17 @@
 impl Scene<'_> {
     fn start_hollow(&self) {
         let controllers: Vec<_> = (0..self.sizes.controllers).map(address).collect();
-        let controls: Vec<_> =
-            (0..self.sizes.controllers).map(|machine| self.processes.control(machine)).collect();
+        let controls: Vec<_> = (0..self.sizes.controllers)
+            .map(|machine| self.processes.control(machine))
+            .collect();
         for number in 0..self.sizes.hollow {
-            hollow_proxy::start(number, zone(number), self.processes.first_port, &controllers, &self.counts);
+            hollow_proxy::start(
+                number,
+                zone(number),
+                self.processes.first_port,
+                &controllers,
+                &self.counts,
+            );
         }
         hollow_tasks::start(self.sizes, ZONES, &controls, &self.beats);
     }
@@ -115,8 +129,11 @@
         let begun = Instant::now();
         for machine in (0..self.sizes.controllers).cycle() {
             if let Ok(mut connection) = Connection::open(self.processes.control(machine)).await {
-                let answer =
-                    timeout(ANSWERED_WITHIN, connection.put("/rookpulley/configuration", body)).await;
+                let answer = timeout(
+                    ANSWERED_WITHIN,
+                    connection.put("/rookpulley/configuration", body),
+                )
+                .await;
                 if matches!(answer, Ok(Ok(200))) {
                     return Ok(());
                 }
@@ -126,14 +143,19 @@
             }
             sleep(LOOK_EVERY).await;
         }
-        Err(miette::miette!("an order was not acknowledged within {} s", EVERYWHERE_WITHIN.as_secs()))
+        Err(miette::miette!(
+            "an order was not acknowledged within {} s",
+            EVERYWHERE_WITHIN.as_secs()
+        ))
     }
 
     async fn change(&self, version: u64, figures: &mut Figures) -> miette::Result<()> {
         let body = configuration::body(self.sizes, version);
         let begun = Instant::now();
         self.order(&body).await?;
-        figures.acknowledged_ms.push(begun.elapsed().as_secs_f64() * 1e3);
+        figures
+            .acknowledged_ms
+            .push(begun.elapsed().as_secs_f64() * 1e3);
         let came = || self.counts.came.borrow().get(&version).map_or(0, Vec::len);
         while came() < self.sizes.hollow && begun.elapsed() < EVERYWHERE_WITHIN {
             sleep(LOOK_EVERY).await;
@@ -142,10 +164,16 @@
             figures.missed += 1;
         }
         if let Some(came) = self.counts.came.borrow().get(&version) {
-            let mut ms: Vec<f64> =
-                came.iter().map(|at| at.saturating_duration_since(begun).as_secs_f64() * 1e3).collect();
+            let mut ms: Vec<f64> = came
+                .iter()
+                .map(|at| at.saturating_duration_since(begun).as_secs_f64() * 1e3)
+                .collect();
             ms.sort_by(f64::total_cmp);
-            let at = |part: f64| ms.get(((ms.len() - 1) as f64 * part) as usize).copied().unwrap_or(0.0);
+            let at = |part: f64| {
+                ms.get(((ms.len() - 1) as f64 * part) as usize)
+                    .copied()
+                    .unwrap_or(0.0)
+            };
             figures.half_ms.push(at(0.5));
             figures.most_ms.push(at(0.99));
             figures.everywhere_ms.push(at(1.0));
@@ -156,7 +184,12 @@
     }
 
     fn usage(&self, role: Role) -> Vec<Usage> {
-        self.processes.all.iter().filter(|process| process.role == role).map(Process::usage).collect()
+        self.processes
+            .all
+            .iter()
+            .filter(|process| process.role == role)
+            .map(Process::usage)
+            .collect()
     }
 
     fn moment(&self) -> Moment {
@@ -181,9 +214,16 @@
 fn span(sizes: &Sizes, from: &Moment, to: &Moment) -> Span {
     let seconds = (to.at - from.at).as_secs_f64();
     let used = |from: &[Usage], to: &[Usage]| {
-        from.iter().zip(to).map(|(from, to)| (to.processor_ms - from.processor_ms) / seconds).collect()
+        from.iter()
+            .zip(to)
+            .map(|(from, to)| (to.processor_ms - from.processor_ms) / seconds)
+            .collect()
     };
-    let mut counted = from.counted.iter().zip(to.counted).map(|(from, to)| (to - from) as f64 / seconds);
+    let mut counted = from
+        .counted
+        .iter()
+        .zip(to.counted)
+        .map(|(from, to)| (to - from) as f64 / seconds);
     let mut next = || counted.next().unwrap_or(0.0);
     let hollow = sizes.hollow.max(1) as f64;
     Span {
--- a/crates/rookpulley-settings/src/deploy.rs
+++ b/crates/rookpulley-settings/src/deploy.rs
@@ -15,8 +15,10 @@
 const ROLES_A_MACHINE: usize = 2;
 const COUNT_MOST: f64 = 1e6;
 /// What would start another program: the program itself is to be named.
-const HELPERS: [&str; 13] =
-    ["sh", "bash", "dash", "zsh", "fish", "env", "npx", "nohup", "nice", "sudo", "exec", "timeout", "setsid"];
+const HELPERS: [&str; 13] = [
+    "sh", "bash", "dash", "zsh", "fish", "env", "npx", "nohup", "nice", "sudo", "exec", "timeout",
+    "setsid",
+];
 /// What only a shell would make something of.
 const FOR_SHELLS: [char; 11] = ['|', '&', ';', '<', '>', '$', '`', '"', '\'', '\\', '*'];
 
@@ -78,33 +80,66 @@
         let (file, faults) = (values(text)?, RefCell::new(Faults::none(&SETTINGS)));
         let deploy = deploy(&Table::top(&file, &faults));
         let faults = faults.into_inner();
-        if faults.is_empty() { Ok(deploy) } else { Err(faults.into()) }
+        if faults.is_empty() {
+            Ok(deploy)
+        } else {
+            Err(faults.into())
+        }
     }
 }
 
 fn deploy(file: &Table) -> Deploy {
     file.only(&["build", "packages", "roles"]);
-    let build = file.text_needed("build", "the line that builds it, such as \"cargo build --release\"");
+    let build = file.text_needed(
+        "build",
+        "the line that builds it, such as \"cargo build --release\"",
+    );
     let packages = packages(file);
     let table = file.table("roles");
-    let tables = table.names().into_iter().map(|name| (name.to_string(), table.table(name)));
+    let tables = table
+        .names()
+        .into_iter()
+        .map(|name| (name.to_string(), table.table(name)));
     let tables: BTreeMap<String, Table> = tables.filter(|(_, table)| table.is_there()).collect();
-    let roles: BTreeMap<String, Role> = tables.iter().map(|(name, of)| (name.clone(), role(of))).collect();
+    let roles: BTreeMap<String, Role> = tables
+        .iter()
+        .map(|(name, of)| (name.clone(), role(of)))
+        .collect();
     if roles.is_empty() {
-        file.note("roles", "missing or empty", "a table [roles.NAME] for each program");
+        file.note(
+            "roles",
+            "missing or empty",
+            "a table [roles.NAME] for each program",
+        );
     } else {
         serve_each_once(file, &tables, &roles);
     }
     fit_machines(file, &roles);
-    Deploy { build, packages, roles }
+    Deploy {
+        build,
+        packages,
+        roles,
+    }
 }
 
 fn packages(file: &Table) -> Vec<String> {
-    let named = |item: &JsonValue| item.get::<String>().filter(|name| is_package_name(name)).cloned();
-    let packages = file.list("packages", "names of system packages, such as \"gcc\"", named);
+    let named = |item: &JsonValue| {
+        item.get::<String>()
+            .filter(|name| is_package_name(name))
+            .cloned()
+    };
+    let packages = file.list(
+        "packages",
+        "names of system packages, such as \"gcc\"",
+        named,
+    );
     for (at, name) in packages.iter().enumerate() {
         if packages.iter().take(at).any(|before| before == name) {
-            file.note("packages", &format!("a list that has {name:?} twice"), "each once");
+            file.note(
+                "packages",
+                &format!("a list that has {name:?} twice"),
+                "each once",
+            );
         }
     }
     packages
@@ -120,32 +155,57 @@
     table.only(&["run", "on", "share", "count", "apart", "serves"]);
     let on = table.text_needed("on", "the class of machines, \"edge\"");
     if !on.is_empty() && on != CLASS {
-        table.note("on", &format!("{on:?}, which is no class of machines"), "\"edge\"");
+        table.note(
+            "on",
+            &format!("{on:?}, which is no class of machines"),
+            "\"edge\"",
+        );
     }
     let known = |item: &JsonValue| {
-        item.get::<String>().filter(|whom| [CLIENTS, CONTROL].contains(&whom.as_str())).cloned()
+        item.get::<String>()
+            .filter(|whom| [CLIENTS, CONTROL].contains(&whom.as_str()))
+            .cloned()
     };
-    let serves =
-        table.list("serves", "\"edge\" for clients, \"control_plane\" for tasks and operators", known);
+    let serves = table.list(
+        "serves",
+        "\"edge\" for clients, \"control_plane\" for tasks and operators",
+        known,
+    );
     for (at, whom) in serves.iter().enumerate() {
         if serves.iter().take(at).any(|before| before == whom) {
-            table.note("serves", &format!("a list that has {whom:?} twice"), "each once");
+            table.note(
+                "serves",
+                &format!("a list that has {whom:?} twice"),
+                "each once",
+            );
         }
     }
-    Role { run: run(table), on, amount: amount(table), apart: table.flag("apart", false), serves }
+    Role {
+        run: run(table),
+        on,
+        amount: amount(table),
+        apart: table.flag("apart", false),
+        serves,
+    }
 }
 
 fn run(table: &Table) -> Vec<String> {
     let line = table.text_needed("run", "a program and its arguments, split at spaces");
     let words: Vec<String> = line.split_whitespace().map(String::from).collect();
-    let Some(program) = words.first() else { return words };
+    let Some(program) = words.first() else {
+        return words;
+    };
     let name = program.rsplit('/').next().unwrap_or_default();
     if let Some(sign) = line.chars().find(|sign| FOR_SHELLS.contains(sign)) {
         let found = format!("a line with {sign}, which no shell reads: {line:?}");
         table.note("run", &found, "the program and plain arguments alone");
     } else if program.contains('=') {
         let found = format!("a line that begins with a variable: {line:?}");
-        table.note("run", &found, "the program first; of variables it gets PATH, HOME, JAVA_HOME and LANG");
+        table.note(
+            "run",
+            &found,
+            "the program first; of variables it gets PATH, HOME, JAVA_HOME and LANG",
+        );
     } else if HELPERS.contains(&name) {
         let found = format!("a line that has a helper start the program: {line:?}");
         table.note("run", &found, "that program itself");
@@ -155,15 +215,25 @@
 
 fn amount(table: &Table) -> Amount {
     let number = |least_out: f64, most: f64| {
-        move |value: &JsonValue| value.get::<f64>().copied().filter(|n| *n > least_out && *n <= most)
+        move |value: &JsonValue| {
+            value
+                .get::<f64>()
+                .copied()
+                .filter(|n| *n > least_out && *n <= most)
+        }
     };
     let share = table.take("share", "a number over 0 and up to 1", number(0.0, 1.0));
-    let whole = |value: &JsonValue| number(0.0, COUNT_MOST)(value).filter(|count| count.fract() == 0.0);
+    let whole =
+        |value: &JsonValue| number(0.0, COUNT_MOST)(value).filter(|count| count.fract() == 0.0);
     let count = table.take("count", "a whole number from 1 on", whole);
     match (table.has("share"), table.has("count")) {
         (true, true) => table.note("count", "there beside share", "one of the two"),
         (false, false) => {
-            table.note("share", "missing, and so is count", "a share such as 1.0, or a count such as 1");
+            table.note(
+                "share",
+                "missing, and so is count",
+                "a share such as 1.0, or a count such as 1",
+            );
         }
         _ => {}
     }
@@ -179,13 +249,20 @@
         let mut serving = roles.iter().filter(|(_, role)| role.serves(whom));
         let Some((first, held)) = serving.next() else {
             let found = format!("a table with no role that serves {whom:?}");
-            file.note("roles", &found, &format!("serves = [{whom:?}] in one of them"));
+            file.note(
+                "roles",
+                &found,
+                &format!("serves = [{whom:?}] in one of them"),
+            );
             continue;
         };
         for (name, _) in serving.filter(|(_, role)| role.on == held.on) {
-            let found = format!("a list with {whom:?}, which roles.{first} on the same class serves");
+            let found =
+                format!("a list with {whom:?}, which roles.{first} on the same class serves");
             let table = tables.get(name);
-            table.into_iter().for_each(|t| t.note("serves", &found, "what no other role on it serves"));
+            table
+                .into_iter()
+                .for_each(|t| t.note("serves", &found, "what no other role on it serves"));
         }
     }
 }
@@ -199,7 +276,11 @@
         if names.len() > ROLES_A_MACHINE {
             let (count, names) = (names.len(), names.join(", "));
             let found = format!("a table that puts {count} on a zone's {end} machine ({names})");
-            file.note("roles", &found, "two roles a machine at most; apart = true takes the other end");
+            file.note(
+                "roles",
+                &found,
+                "two roles a machine at most; apart = true takes the other end",
+            );
         }
     }
 }
--- a/crates/rookpulley-settings/src/describe.rs
+++ b/crates/rookpulley-settings/src/describe.rs
@@ -14,7 +14,10 @@
         line("ipAddress", &quoted(&self.ip))?;
         line("zone", &quoted(&self.zone))?;
         line("region", &quoted(&self.region))?;
-        line("internalPortRange", &format_args!("[{}, {}]", self.inner_ports.0, self.inner_ports.1))?;
+        line(
+            "internalPortRange",
+            &format_args!("[{}, {}]", self.inner_ports.0, self.inner_ports.1),
+        )?;
         line("seedNodes", &list(&self.seeds))?;
         line("firstStart", &self.first_start)?;
         line("lossCounted", &self.loss_counted)?;
@@ -30,9 +33,11 @@
 
         writeln!(f, "\n[listenAddresses]")?;
         let listen = &self.listen;
-        for (name, address) in
-            [("frontHttp", listen.front), ("readiness", listen.readiness), ("controlPlane", listen.control)]
-        {
+        for (name, address) in [
+            ("frontHttp", listen.front),
+            ("readiness", listen.readiness),
+            ("controlPlane", listen.control),
+        ] {
             if let Some(address) = address {
                 writeln!(f, "{name} = {}", quoted(&address))?;
             }
@@ -93,7 +98,9 @@
 }
 
 fn figures(f: &mut Formatter, lines: &[(&str, &dyn Debug)]) -> fmt::Result {
-    lines.iter().try_for_each(|(name, figure)| writeln!(f, "{name} = {figure:?}"))
+    lines
+        .iter()
+        .try_for_each(|(name, figure)| writeln!(f, "{name} = {figure:?}"))
 }
 
 fn quoted(text: &dyn Display) -> String {
--- a/crates/rookpulley-settings/src/faults.rs
+++ b/crates/rookpulley-settings/src/faults.rs
@@ -10,13 +10,20 @@
     NotTold,
     #[error("the settings file {} can't be read: {cause}", path.display())]
     #[diagnostic(help("let ROOKPULLEY_BOOT name a file that this user may read"))]
-    Unreadable { path: PathBuf, cause: std::io::Error },
+    Unreadable {
+        path: PathBuf,
+        cause: std::io::Error,
+    },
     #[error("the settings have {bytes} bytes; {most} are the most")]
     #[diagnostic(help("keep to the fields that the deployment's page names"))]
     TooLong { bytes: u64, most: u64 },
     #[error("the settings are no TOML, line {line}, column {column}: {cause}")]
     #[diagnostic(help("write one `field = value` a line, texts in quotes, tables under [name]"))]
-    NotToml { line: usize, column: usize, cause: String },
+    NotToml {
+        line: usize,
+        column: usize,
+        cause: String,
+    },
     #[error(transparent)]
     #[diagnostic(transparent)]
     Faulty(#[from] Faults),
--- a/crates/rookpulley-settings/src/fields.rs
+++ b/crates/rookpulley-settings/src/fields.rs
@@ -20,13 +20,21 @@
 
 impl<'a> Table<'a> {
     pub fn top(file: &'a JsonValue, faults: &'a RefCell<Faults>) -> Self {
-        Self { name: String::new(), fields: file.get(), faults }
+        Self {
+            name: String::new(),
+            fields: file.get(),
+            faults,
+        }
     }
 
     /// A table in this one. One that is absent has no fields.
     pub fn table(&self, name: &str) -> Table<'a> {
         let fields = self.take(name, "a table", |value| value.get::<HashMap<_, _>>());
-        Table { name: self.path(name), fields, faults: self.faults }
+        Table {
+            name: self.path(name),
+            fields,
+            faults: self.faults,
+        }
     }
 
     pub fn is_there(&self) -> bool {
@@ -35,15 +43,28 @@
 
     /// The names of all fields, in order.
     pub fn names(&self) -> Vec<&'a str> {
-        let mut names: Vec<&str> = self.fields.into_iter().flatten().map(|(name, _)| name.as_str()).collect();
+        let mut names: Vec<&str> = self
+            .fields
+            .into_iter()
+            .flatten()
+            .map(|(name, _)| name.as_str())
+            .collect();
         names.sort_unstable();
         names
     }
 
     /// Notes fields of other names than these.
     pub fn only(&self, known: &[&str]) {
-        for name in self.names().into_iter().filter(|name| !known.contains(name)) {
-            self.note(name, "no field of this file", &format!("one of {}", known.join(", ")));
+        for name in self
+            .names()
+            .into_iter()
+            .filter(|name| !known.contains(name))
+        {
+            self.note(
+                name,
+                "no field of this file",
+                &format!("one of {}", known.join(", ")),
+            );
         }
     }
 
@@ -52,12 +73,18 @@
     }
 
     fn path(&self, field: &str) -> String {
-        if self.name.is_empty() { field.into() } else { format!("{}.{field}", self.name) }
+        if self.name.is_empty() {
+            field.into()
+        } else {
+            format!("{}.{field}", self.name)
+        }
     }
 
     /// Notes a fault of a field.
     pub fn note(&self, field: &str, found: &str, instead: &str) {
-        self.faults.borrow_mut().add(self.path(field), found, instead);
+        self.faults
+            .borrow_mut()
+            .add(self.path(field), found, instead);
     }
 
     /// A field in the form that `form` gives it; None where it is absent, or faulty and noted.
@@ -88,11 +115,18 @@
     }
 
     pub fn text(&self, field: &str) -> Option<String> {
-        self.take(field, "a text in quotes", |value| value.get::<String>().cloned())
+        self.take(field, "a text in quotes", |value| {
+            value.get::<String>().cloned()
+        })
     }
 
     pub fn text_needed(&self, field: &str, instead: &str) -> String {
-        let form = |value: &JsonValue| value.get::<String>().filter(|text| !text.trim().is_empty()).cloned();
+        let form = |value: &JsonValue| {
+            value
+                .get::<String>()
+                .filter(|text| !text.trim().is_empty())
+                .cloned()
+        };
         self.must(field, instead, form).unwrap_or_default()
     }
 
@@ -101,7 +135,8 @@
     }
 
     pub fn flag(&self, field: &str, otherwise: bool) -> bool {
-        self.take(field, "true or false", |value| value.get::<bool>().copied()).unwrap_or(otherwise)
+        self.take(field, "true or false", |value| value.get::<bool>().copied())
+            .unwrap_or(otherwise)
     }
 
     /// A number, whole or not. True and false are allowed as figures and say nothing of a size.
@@ -137,7 +172,8 @@
 
     pub fn ip_needed(&self, field: &str) -> Ipv4Addr {
         let form = |value: &JsonValue| value.get::<String>()?.parse().ok();
-        self.must(field, "an IPv4 address such as \"10.0.0.4\"", form).unwrap_or(Ipv4Addr::UNSPECIFIED)
+        self.must(field, "an IPv4 address such as \"10.0.0.4\"", form)
+            .unwrap_or(Ipv4Addr::UNSPECIFIED)
     }
 
     pub fn address(&self, field: &str) -> Option<SocketAddrV4> {
@@ -149,14 +185,23 @@
     }
 
     /// A list whose items all have the form that `form` gives them. One that is absent is empty.
-    pub fn list<T>(&self, field: &str, instead: &str, form: impl Fn(&JsonValue) -> Option<T>) -> Vec<T> {
+    pub fn list<T>(
+        &self,
+        field: &str,
+        instead: &str,
+        form: impl Fn(&JsonValue) -> Option<T>,
+    ) -> Vec<T> {
         let Some(items) = self.take(field, "a list in [ ]", |value| value.get::<Vec<_>>()) else {
             return Vec::new();
         };
         let each = items.iter().enumerate().filter_map(|(at, item)| {
             let taken = form(item);
             if taken.is_none() {
-                self.note(&format!("{field}[{at}]"), &said(item, "a table", SETTINGS.shown), instead);
+                self.note(
+                    &format!("{field}[{at}]"),
+                    &said(item, "a table", SETTINGS.shown),
+                    instead,
+                );
             }
             taken
         });
@@ -164,7 +209,9 @@
     }
 
     pub fn texts(&self, field: &str) -> Vec<String> {
-        self.list(field, "a text in quotes", |item| item.get::<String>().cloned())
+        self.list(field, "a text in quotes", |item| {
+            item.get::<String>().cloned()
+        })
     }
 
     pub fn addresses(&self, field: &str) -> Vec<SocketAddrV4> {
@@ -174,14 +221,20 @@
     /// The first and the last of a range of ports.
     pub fn ports_needed(&self, field: &str) -> (u16, u16) {
         let form = |value: &JsonValue| {
-            let [JsonValue::Number(first), JsonValue::Number(last)] = value.get::<Vec<_>>()?.as_slice()
+            let [JsonValue::Number(first), JsonValue::Number(last)] =
+                value.get::<Vec<_>>()?.as_slice()
             else {
                 return None;
             };
             let (first, last) = (port(*first)?, port(*last)?);
             (first <= last).then_some((first, last))
         };
-        self.must(field, "the first and the last port, such as [7000,7015]", form).unwrap_or_default()
+        self.must(
+            field,
+            "the first and the last port, such as [7000,7015]",
+            form,
+        )
+        .unwrap_or_default()
     }
 
     /// All fields of this table, which has texts only.
@@ -194,7 +247,11 @@
 const ADDRESS: &str = "an IPv4 address with a port such as \"10.0.0.4:8000\"";
 
 fn address(value: &JsonValue) -> Option<SocketAddrV4> {
-    value.get::<String>()?.parse().ok().filter(|address: &SocketAddrV4| address.port() != 0)
+    value
+        .get::<String>()?
+        .parse()
+        .ok()
+        .filter(|address: &SocketAddrV4| address.port() != 0)
 }
 
 fn port(number: f64) -> Option<u16> {
--- a/crates/rookpulley-settings/src/read.rs
+++ b/crates/rookpulley-settings/src/read.rs
@@ -20,7 +20,10 @@
 pub(crate) const CONTROL: &str = "control_plane";
 
 pub fn boot_path() -> Result<PathBuf, SettingsError> {
-    std::env::var_os(BOOT).filter(|path| !path.is_empty()).map(PathBuf::from).ok_or(SettingsError::NotTold)
+    std::env::var_os(BOOT)
+        .filter(|path| !path.is_empty())
+        .map(PathBuf::from)
+        .ok_or(SettingsError::NotTold)
 }
 
 impl Node {
@@ -32,23 +35,35 @@
         let (file, faults) = (values(text)?, RefCell::new(Faults::none(&SETTINGS)));
         let node = node(&Table::top(&file, &faults));
         let faults = faults.into_inner();
-        if faults.is_empty() { Ok(node) } else { Err(faults.into()) }
+        if faults.is_empty() {
+            Ok(node)
+        } else {
+            Err(faults.into())
+        }
     }
 }
 
 /// The text of a file, as far as it may go.
 pub(crate) fn text(path: &Path) -> Result<String, SettingsError> {
-    let unreadable = |cause| SettingsError::Unreadable { path: path.into(), cause };
+    let unreadable = |cause| SettingsError::Unreadable {
+        path: path.into(),
+        cause,
+    };
     let mut text = String::new();
     let file = File::open(path).map_err(unreadable)?;
-    file.take(BYTES_MOST + 1).read_to_string(&mut text).map_err(unreadable)?;
+    file.take(BYTES_MOST + 1)
+        .read_to_string(&mut text)
+        .map_err(unreadable)?;
     Ok(text)
 }
 
 pub(crate) fn values(text: &str) -> Result<JsonValue, SettingsError> {
     let bytes = text.len() as u64;
     if bytes > BYTES_MOST {
-        return Err(SettingsError::TooLong { bytes, most: BYTES_MOST });
+        return Err(SettingsError::TooLong {
+            bytes,
+            most: BYTES_MOST,
+        });
     }
     let table: toml::Table = text.parse().map_err(|e| not_toml(text, &e))?;
     Ok(turned(toml::Value::Table(table)))
@@ -58,7 +73,11 @@
     let start = error.span().map_or(0, |span| span.start);
     let before = text.get(..start).unwrap_or(text);
     let Place { line, column } = Place::after(before.as_bytes());
-    SettingsError::NotToml { line, column, cause: error.message().into() }
+    SettingsError::NotToml {
+        line,
+        column,
+        cause: error.message().into(),
+    }
 }
 
 /// The values of TOML as those that all our files are read from. Times become texts.
@@ -70,9 +89,12 @@
         toml::Value::Boolean(flag) => JsonValue::Boolean(flag),
         toml::Value::Datetime(time) => JsonValue::String(time.to_string()),
         toml::Value::Array(items) => JsonValue::Array(items.into_iter().map(turned).collect()),
-        toml::Value::Table(fields) => {
-            JsonValue::Object(fields.into_iter().map(|(name, value)| (name, turned(value))).collect())
-        }
+        toml::Value::Table(fields) => JsonValue::Object(
+            fields
+                .into_iter()
+                .map(|(name, value)| (name, turned(value)))
+                .collect(),
+        ),
     }
 }
 
@@ -80,7 +102,10 @@
     let serves = file.texts("serves");
     let zones: BTreeMap<String, String> = file.table("zones").all_texts().collect();
     let zone = file.text_needed("zone", "the name of this machine's zone");
-    let region = file.text("region").or_else(|| zones.get(&zone).cloned()).unwrap_or_default();
+    let region = file
+        .text("region")
+        .or_else(|| zones.get(&zone).cloned())
+        .unwrap_or_default();
     Node {
         name: file.text_needed("nodeName", "a name that no other machine has"),
         role: file.text("role").unwrap_or_default(),
@@ -90,7 +115,10 @@
         seeds: file.addresses("seedNodes"),
         first_start: file.flag("firstStart", false),
         loss_counted: file.flag("lossCounted", true),
-        data: file.text("dataDirectory").filter(|path| !path.is_empty()).map(PathBuf::from),
+        data: file
+            .text("dataDirectory")
+            .filter(|path| !path.is_empty())
+            .map(PathBuf::from),
         heartbeat_ms: file.number_above_0("heartbeatMs", 1_000.0).ceil() as u64,
         listen: listen(&file.table("listenAddresses"), &serves),
         limits: limits(&file.table("limits")),
@@ -105,7 +133,11 @@
 
 fn listen(table: &Table, serves: &[String]) -> Listen {
     let address = |field, whom: &str| {
-        if serves.iter().any(|one| one == whom) { table.address_needed(field) } else { table.address(field) }
+        if serves.iter().any(|one| one == whom) {
+            table.address_needed(field)
+        } else {
+            table.address(field)
+        }
     };
     Listen {
         front: address("frontHttp", CLIENTS),
--- a/crates/rookpulley-settings/tests/deploy.rs
+++ b/crates/rookpulley-settings/tests/deploy.rs
@@ -31,33 +31,99 @@
     let (carrier, keeper) = (&deploy.roles["carrier"], &deploy.roles["keeper"]);
     assert_eq!(deploy.packages, ["gcc", "libc6-dev"]);
     assert_eq!(carrier.run, ["target/release/gate", "carry", "--quiet"]);
-    assert_eq!((carrier.amount, keeper.amount), (Amount::Share(1.0), Amount::Count(1)));
-    assert_eq!((keeper.apart, &keeper.serves[..]), (false, &["control_plane".to_string()][..]));
+    assert_eq!(
+        (carrier.amount, keeper.amount),
+        (Amount::Share(1.0), Amount::Count(1))
+    );
+    assert_eq!(
+        (keeper.apart, &keeper.serves[..]),
+        (false, &["control_plane".to_string()][..])
+    );
 }
 
 #[test]
 fn each_fault_has_its_place_what_was_found_and_what_to_write() {
     for (was, is, said) in [
-        ("build = \"cargo build --release\"", "", "build is missing; write the line that builds it"),
+        (
+            "build = \"cargo build --release\"",
+            "",
+            "build is missing; write the line that builds it",
+        ),
         (
             "build =",
             "rebuild = 1\nbuild =",
             "rebuild is no field of this file; write one of build, packages, roles",
         ),
-        ("\"libc6-dev\"", "\"libc6 dev\"", "packages[1] is \"libc6 dev\"; write names of system packages"),
-        ("\"libc6-dev\"", "7", "packages[1] is 7; write names of system packages"),
-        ("\"libc6-dev\"", "\"gcc\"", "packages is a list that has \"gcc\" twice; write each once"),
-        ("share = 1.0", "share = 0", "roles.carrier.share is 0; write a number over 0 and up to 1"),
-        ("share = 1.0", "share = 1.5", "roles.carrier.share is 1.5; write a number over 0 and up to 1"),
-        ("share = 1.0", "", "roles.carrier.share is missing, and so is count"),
-        ("share = 1.0", "share = 1.0\ncount = 2", "roles.carrier.count is there beside share; write one"),
-        ("count = 1", "count = 0.5", "roles.keeper.count is 0.5; write a whole number from 1 on"),
-        ("count = 1", "count = true", "roles.keeper.count is true; write a whole number"),
-        ("on = \"edge\"\ncount", "on = \"core\"\ncount", "roles.keeper.on is \"core\", which is no class"),
-        ("\"control_plane\"", "\"edge\"", "roles.keeper.serves is a list with \"edge\", which roles.carrier"),
-        ("\"control_plane\"", "\"edges\"", "roles.keeper.serves[0] is \"edges\"; write \"edge\" for clients"),
-        ("\"control_plane\"", "", "roles is a table with no role that serves \"control_plane\""),
-        ("\"control_plane\"", "\"control_plane\",\"control_plane\"", "has \"control_plane\" twice"),
+        (
+            "\"libc6-dev\"",
+            "\"libc6 dev\"",
+            "packages[1] is \"libc6 dev\"; write names of system packages",
+        ),
+        (
+            "\"libc6-dev\"",
+            "7",
+            "packages[1] is 7; write names of system packages",
+        ),
+        (
+            "\"libc6-dev\"",
+            "\"gcc\"",
+            "packages is a list that has \"gcc\" twice; write each once",
+        ),
+        (
+            "share = 1.0",
+            "share = 0",
+            "roles.carrier.share is 0; write a number over 0 and up to 1",
+        ),
+        (
+            "share = 1.0",
+            "share = 1.5",
+            "roles.carrier.share is 1.5; write a number over 0 and up to 1",
+        ),
+        (
+            "share = 1.0",
+            "",
+            "roles.carrier.share is missing, and so is count",
+        ),
+        (
+            "share = 1.0",
+            "share = 1.0\ncount = 2",
+            "roles.carrier.count is there beside share; write one",
+        ),
+        (
+            "count = 1",
+            "count = 0.5",
+            "roles.keeper.count is 0.5; write a whole number from 1 on",
+        ),
+        (
+            "count = 1",
+            "count = true",
+            "roles.keeper.count is true; write a whole number",
+        ),
+        (
+            "on = \"edge\"\ncount",
+            "on = \"core\"\ncount",
+            "roles.keeper.on is \"core\", which is no class",
+        ),
+        (
+            "\"control_plane\"",
+            "\"edge\"",
+            "roles.keeper.serves is a list with \"edge\", which roles.carrier",
+        ),
+        (
+            "\"control_plane\"",
+            "\"edges\"",
+            "roles.keeper.serves[0] is \"edges\"; write \"edge\" for clients",
+        ),
+        (
+            "\"control_plane\"",
+            "",
+            "roles is a table with no role that serves \"control_plane\"",
+        ),
+        (
+            "\"control_plane\"",
+            "\"control_plane\",\"control_plane\"",
+            "has \"control_plane\" twice",
+        ),
         (
             "gate keep\"",
             "gate keep | tee log\"",
@@ -73,12 +139,23 @@
             "MODE=keep gate",
             "a line that begins with a variable: \"MODE=keep gate\"; write the program",
         ),
-        ("count = 1", "count = 1\napart = 1", "roles.keeper.apart is 1; write true or false"),
-        ("[roles.keeper]", "[roles]\nkeeper = 3\n[rolls.keeper]", "roles.keeper is 3; write a table"),
+        (
+            "count = 1",
+            "count = 1\napart = 1",
+            "roles.keeper.apart is 1; write true or false",
+        ),
+        (
+            "[roles.keeper]",
+            "[roles]\nkeeper = 3\n[rolls.keeper]",
+            "roles.keeper is 3; write a table",
+        ),
     ] {
         assert!(GOOD.contains(was), "{was}");
         let told = faults(&GOOD.replacen(was, is, 1));
-        assert!(told.iter().any(|fault| fault.contains(said)), "{was} -> {is}: {told:?}");
+        assert!(
+            told.iter().any(|fault| fault.contains(said)),
+            "{was} -> {is}: {told:?}"
+        );
     }
     let broken = faults("build = \"x\"\n[roles.a\n");
     assert!(broken[0].contains("line 2, column 9"), "{broken:?}");
@@ -91,7 +168,10 @@
     let said = "roles is a table that puts 3 on a zone's first machine (carrier, keeper, sweeper)";
     assert!(told.len() == 1 && told[0].contains(said), "{told:?}");
     assert_eq!(faults(&format!("{GOOD}{third}apart = true\n")), [""; 0]);
-    let told = faults(&format!("{GOOD}{}apart = true\n", third.replace("count = 2", "share = 1.0")));
+    let told = faults(&format!(
+        "{GOOD}{}apart = true\n",
+        third.replace("count = 2", "share = 1.0")
+    ));
     assert!(told[0].contains("first machine"), "{told:?}");
 }
 
@@ -107,18 +187,50 @@
 fn the_deploy_file_gives_the_deployments_as_many_controllers_with_a_disk_as_their_losses_need() {
     let file = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/system.toml");
     let deploy = Deploy::read(&file).unwrap();
-    let control = deploy.roles.values().find(|role| role.serves == ["control_plane"]).unwrap();
+    let control = deploy
+        .roles
+        .values()
+        .find(|role| role.serves == ["control_plane"])
+        .unwrap();
     // The small ones, and the grown ones with spare machines for a zone or without.
-    for Site { zones, machines, disks, losses } in [
-        Site { zones: 4, machines: 3..=4, disks: 1, losses: 1 },
-        Site { zones: 3, machines: 4..=5, disks: 1, losses: 1 },
-        Site { zones: 5, machines: 17..=20, disks: 1, losses: 2 },
-        Site { zones: 3, machines: 25..=28, disks: 2, losses: 2 },
+    for Site {
+        zones,
+        machines,
+        disks,
+        losses,
+    } in [
+        Site {
+            zones: 4,
+            machines: 3..=4,
+            disks: 1,
+            losses: 1,
+        },
+        Site {
+            zones: 3,
+            machines: 4..=5,
+            disks: 1,
+            losses: 1,
+        },
+        Site {
+            zones: 5,
+            machines: 17..=20,
+            disks: 1,
+            losses: 2,
+        },
+        Site {
+            zones: 3,
+            machines: 25..=28,
+            disks: 2,
+            losses: 2,
+        },
     ] {
         for in_zone in machines {
             let stores = zones * control.amount.of(in_zone).min(disks);
             // A majority of them must be left once so many are lost.
-            assert!(stores > 2 * losses, "{zones} zones of {in_zone}: {stores} stores for {losses} losses");
+            assert!(
+                stores > 2 * losses,
+                "{zones} zones of {in_zone}: {stores} stores for {losses} losses"
+            );
         }
     }
 }
@@ -132,8 +244,13 @@
             match u.int_in_range(0..=9)? {
                 0 => continue,
                 1 => {
-                    text +=
-                        *u.choose(&["share = 0.3", "count = 7", "serves = []", "apart = true", "on = 4"])?
+                    text += *u.choose(&[
+                        "share = 0.3",
+                        "count = 7",
+                        "serves = []",
+                        "apart = true",
+                        "on = 4",
+                    ])?
                 }
                 2 => text += &line.replace(['"', '1'], u.choose(&["", "2", "-", "'", "[", "é"])?),
                 _ => text += line,
@@ -143,7 +260,14 @@
         if let Ok(deploy) = Deploy::parse(&text) {
             assert!(!deploy.build.is_empty() && !deploy.roles.is_empty());
             for whom in ["edge", "control_plane"] {
-                assert_eq!(deploy.roles.values().filter(|r| r.serves.iter().any(|s| s == whom)).count(), 1);
+                assert_eq!(
+                    deploy
+                        .roles
+                        .values()
+                        .filter(|r| r.serves.iter().any(|s| s == whom))
+                        .count(),
+                    1
+                );
             }
             for role in deploy.roles.values() {
                 assert!(!role.run.is_empty() && role.on == "edge");
--- a/crates/rookpulley-settings/tests/node.rs
+++ b/crates/rookpulley-settings/tests/node.rs
@@ -68,9 +68,11 @@
 
 fn faults(text: &str) -> Vec<(String, String)> {
     match Node::parse(text) {
-        Err(SettingsError::Faulty(faults)) => {
-            faults.faults.into_iter().map(|fault| (fault.place, fault.instead)).collect()
-        }
+        Err(SettingsError::Faulty(faults)) => faults
+            .faults
+            .into_iter()
+            .map(|fault| (fault.place, fault.instead))
+            .collect(),
         other => panic!("no faults: {other:?}"),
     }
 }
@@ -83,17 +85,39 @@
         ("sorter-7", "sorting", "edge")
     );
     assert!(node.serves("edge") && node.serves("control_plane") && !node.serves("sorting"));
-    assert_eq!((node.zone.as_str(), node.region.as_str()), ("north-hall", "island"));
+    assert_eq!(
+        (node.zone.as_str(), node.region.as_str()),
+        ("north-hall", "island")
+    );
     assert_eq!(
         (node.inner_ports, node.inner_address().to_string()),
         ((7_100, 7_103), "10.9.0.7:7100".into())
     );
-    assert_eq!(node.seeds, ["10.9.0.7:9001".parse().unwrap(), "10.9.1.8:9001".parse().unwrap()]);
-    assert_eq!((node.first_start, node.loss_counted, node.heartbeat_ms), (true, false, 701));
+    assert_eq!(
+        node.seeds,
+        [
+            "10.9.0.7:9001".parse().unwrap(),
+            "10.9.1.8:9001".parse().unwrap()
+        ]
+    );
+    assert_eq!(
+        (node.first_start, node.loss_counted, node.heartbeat_ms),
+        (true, false, 701)
+    );
     assert_eq!(node.data.as_deref(), Some(Path::new("/var/sorter")));
-    assert_eq!(node.zones.get("south-hall").map(String::as_str), Some("main\tland"));
-    let listen = [node.listen.front, node.listen.readiness, node.listen.control];
-    assert_eq!(listen.map(|address| address.unwrap().port()), [9_000, 9_002, 9_001]);
+    assert_eq!(
+        node.zones.get("south-hall").map(String::as_str),
+        Some("main\tland")
+    );
+    let listen = [
+        node.listen.front,
+        node.listen.readiness,
+        node.listen.control,
+    ];
+    assert_eq!(
+        listen.map(|address| address.unwrap().port()),
+        [9_000, 9_002, 9_001]
+    );
     let limits = Limits {
         cpu_share: 0.25,
         cpu_cores: 2.0,
@@ -103,7 +127,14 @@
         disk_mb: Some(32.0),
     };
     assert_eq!(node.limits, limits);
-    assert_eq!(node.tolerance, Tolerance { machines: 2, zones: 1, regions: 0 });
+    assert_eq!(
+        node.tolerance,
+        Tolerance {
+            machines: 2,
+            zones: 1,
+            regions: 0
+        }
+    );
     let bounds = Bounds {
         seed_lag_s: 1.0,
         address_reuse_s: 2.5,
@@ -129,9 +160,17 @@
 #[test]
 fn what_a_file_leaves_out_has_a_default() {
     let node = Node::parse(BARE).unwrap();
-    assert!(node.serves.is_empty() && node.seeds.is_empty() && node.zones.is_empty() && node.data.is_none());
+    assert!(
+        node.serves.is_empty()
+            && node.seeds.is_empty()
+            && node.zones.is_empty()
+            && node.data.is_none()
+    );
     assert_eq!((node.first_start, node.loss_counted), (false, true));
-    assert_eq!((node.limits, node.tolerance, node.bounds), Default::default());
+    assert_eq!(
+        (node.limits, node.tolerance, node.bounds),
+        Default::default()
+    );
     // A figure may be a mere yes or no: it tells no size.
     let node = Node::parse(&format!("{BARE}[bounds]\ndrainMs = true\nseedLagS = false")).unwrap();
     assert_eq!(node.bounds, Bounds::default());
@@ -152,37 +191,139 @@
 fn each_fault_names_its_field_and_what_to_write_instead() {
     let cases = [
         ("nodeName = \"sorter-7\"", "", "nodeName", "a name"),
-        ("nodeName = \"sorter-7\"", "nodeName = 7", "nodeName", "a name"),
-        ("\"10.9.0.7\"", "\"sorter.example\"", "ipAddress", "an IPv4 address"),
+        (
+            "nodeName = \"sorter-7\"",
+            "nodeName = 7",
+            "nodeName",
+            "a name",
+        ),
+        (
+            "\"10.9.0.7\"",
+            "\"sorter.example\"",
+            "ipAddress",
+            "an IPv4 address",
+        ),
         ("zone = \"north-hall\"", "zone = \" \"", "zone", "zone"),
-        ("[7100, 7103]", "[7103, 7100]", "internalPortRange", "the first and the last port"),
-        ("[7100, 7103]", "[7100, 70000]", "internalPortRange", "the first and the last port"),
-        ("\"10.9.1.8:9001\"", "\"10.9.1.8\"", "seedNodes[1]", "with a port"),
-        ("serves = [\"edge\", ", "serves = [1, ", "serves[0]", "a text"),
-        ("firstStart = true", "firstStart = \"yes\"", "firstStart", "true or false"),
-        ("heartbeatMs = 700.5", "heartbeatMs = 0", "heartbeatMs", "above 0"),
-        ("frontHttp = \"10.9.0.7:9000\"", "", "listenAddresses.frontHttp", "with a port"),
-        ("readiness = \"10.9.0.7:9002\"", "", "listenAddresses.readiness", "with a port"),
-        ("controlPlane = \"10.9.0.7:9001\"", "", "listenAddresses.controlPlane", "with a port"),
-        ("\"10.9.0.7:9000\"", "\"10.9.0.7:0\"", "listenAddresses.frontHttp", "with a port"),
-        ("cpuShare = 0.25", "cpuShare = -1", "limits.cpuShare", "from 0"),
-        ("memoryMb = 128", "memoryMb = inf", "limits.memoryMb", "from 0"),
-        ("machineLosses = 2", "machineLosses = 9e9", "faultTolerance.machineLosses", "smaller"),
-        ("releaseMs = 1008", "releaseMs = \"soon\"", "bounds.releaseMs", "from 0"),
-        ("releaseMs = 1008", "releaseMs = 9223372036854775807", "bounds.releaseMs", "from 0"),
-        ("south-hall = \"main\\tland\"", "south-hall = 3", "zones.south-hall", "a text"),
+        (
+            "[7100, 7103]",
+            "[7103, 7100]",
+            "internalPortRange",
+            "the first and the last port",
+        ),
+        (
+            "[7100, 7103]",
+            "[7100, 70000]",
+            "internalPortRange",
+            "the first and the last port",
+        ),
+        (
+            "\"10.9.1.8:9001\"",
+            "\"10.9.1.8\"",
+            "seedNodes[1]",
+            "with a port",
+        ),
+        (
+            "serves = [\"edge\", ",
+            "serves = [1, ",
+            "serves[0]",
+            "a text",
+        ),
+        (
+            "firstStart = true",
+            "firstStart = \"yes\"",
+            "firstStart",
+            "true or false",
+        ),
+        (
+            "heartbeatMs = 700.5",
+            "heartbeatMs = 0",
+            "heartbeatMs",
+            "above 0",
+        ),
+        (
+            "frontHttp = \"10.9.0.7:9000\"",
+            "",
+            "listenAddresses.frontHttp",
+            "with a port",
+        ),
+        (
+            "readiness = \"10.9.0.7:9002\"",
+            "",
+            "listenAddresses.readiness",
+            "with a port",
+        ),
+        (
+            "controlPlane = \"10.9.0.7:9001\"",
+            "",
+            "listenAddresses.controlPlane",
+            "with a port",
+        ),
+        (
+            "\"10.9.0.7:9000\"",
+            "\"10.9.0.7:0\"",
+            "listenAddresses.frontHttp",
+            "with a port",
+        ),
+        (
+            "cpuShare = 0.25",
+            "cpuShare = -1",
+            "limits.cpuShare",
+            "from 0",
+        ),
+        (
+            "memoryMb = 128",
+            "memoryMb = inf",
+            "limits.memoryMb",
+            "from 0",
+        ),
+        (
+            "machineLosses = 2",
+            "machineLosses = 9e9",
+            "faultTolerance.machineLosses",
+            "smaller",
+        ),
+        (
+            "releaseMs = 1008",
+            "releaseMs = \"soon\"",
+            "bounds.releaseMs",
+            "from 0",
+        ),
+        (
+            "releaseMs = 1008",
+            "releaseMs = 9223372036854775807",
+            "bounds.releaseMs",
+            "from 0",
+        ),
+        (
+            "south-hall = \"main\\tland\"",
+            "south-hall = 3",
+            "zones.south-hall",
+            "a text",
+        ),
     ];
     for (what, with, field, instead) in cases {
         assert!(WHOLE.contains(what), "{what}");
         let found = faults(&WHOLE.replacen(what, with, 1));
-        assert!(found.iter().all(|(named, _)| named == field), "{with}: {found:?}");
-        assert!(found.iter().any(|(_, told)| told.contains(instead)), "{with}: {found:?}");
+        assert!(
+            found.iter().all(|(named, _)| named == field),
+            "{with}: {found:?}"
+        );
+        assert!(
+            found.iter().any(|(_, told)| told.contains(instead)),
+            "{with}: {found:?}"
+        );
     }
     let found = faults("zones = 5\nlimits = []\nserves = [\"edge\"]");
     let named: Vec<&str> = found.iter().map(|(field, _)| field.as_str()).collect();
-    for field in
-        ["nodeName", "ipAddress", "zone", "zones", "limits", "internalPortRange", "listenAddresses.frontHttp"]
-    {
+    for field in [
+        "nodeName",
+        "ipAddress",
+        "zone",
+        "zones",
+        "limits",
+        "internalPortRange",
+        "listenAddresses.frontHttp",
+    ] {
         assert!(named.contains(&field), "{field} of {named:?}");
     }
 }
@@ -190,10 +331,15 @@
 #[test]
 fn a_file_that_is_no_toml_or_isn_t_there_says_so() {
     match Node::parse("nodeName = \"sorter\"\nzone = ?") {
-        Err(SettingsError::NotToml { line: 2, column: 8, .. }) => {}
+        Err(SettingsError::NotToml {
+            line: 2, column: 8, ..
+        }) => {}
         other => panic!("{other:?}"),
     }
-    assert!(matches!(Node::parse(&" ".repeat(2 << 20)), Err(SettingsError::TooLong { .. })));
+    assert!(matches!(
+        Node::parse(&" ".repeat(2 << 20)),
+        Err(SettingsError::TooLong { .. })
+    ));
     assert!(matches!(
         Node::read(Path::new("/no/such/folder/node.toml")),
         Err(SettingsError::Unreadable { .. })
@@ -216,7 +362,10 @@
         if let Ok(node) = Node::parse(&String::from_utf8_lossy(&bytes)) {
             assert!(!node.name.is_empty() && !node.zone.is_empty() && node.heartbeat_ms > 0);
             assert!(node.inner_ports.0 > 0 && node.inner_ports.0 <= node.inner_ports.1);
-            assert!(!node.serves("edge") || node.listen.front.is_some() && node.listen.readiness.is_some());
+            assert!(
+                !node.serves("edge")
+                    || node.listen.front.is_some() && node.listen.readiness.is_some()
+            );
             assert!(!node.serves("control_plane") || node.listen.control.is_some());
             assert!(node.limits.memory_mb > 0.0 && node.limits.memory_mb.is_finite());
             assert_eq!(Node::parse(&node.to_string()).unwrap(), node);
--- a/crates/rookpulley-simulator/src/annexes.rs
+++ b/crates/rookpulley-simulator/src/annexes.rs
@@ -37,7 +37,13 @@
             seeds: self.seeds(),
             first_start: first,
         });
-        self.begin(process, Core::Annex(AnnexProcess { annex, dialers: BTreeMap::new() }));
+        self.begin(
+            process,
+            Core::Annex(AnnexProcess {
+                annex,
+                dialers: BTreeMap::new(),
+            }),
+        );
         self.say(|| format!("office {machine}: begins, without a disk"));
         self.after(TICK, self.address(process), What::Tick);
         self.with_annex(process, |_, _| ());
@@ -51,7 +57,11 @@
     }
 
     /// Something comes in; what is wanted is carried out.
-    fn with_annex<T>(&mut self, process: usize, input: impl FnOnce(&mut Annex, f64) -> T) -> Option<T> {
+    fn with_annex<T>(
+        &mut self,
+        process: usize,
+        input: impl FnOnce(&mut Annex, f64) -> T,
+    ) -> Option<T> {
         let clock = self.clock(process);
         let annex = self.annex(process)?;
         let came = input(&mut annex.annex, clock);
@@ -67,13 +77,23 @@
         match effect {
             AnnexEffect::Dial(ip) => {
                 if let Some(annex) = self.annex(process) {
-                    annex.dialers.insert(ip, Dialer { line: None, pause: PAUSE, begun: 0 });
+                    annex.dialers.insert(
+                        ip,
+                        Dialer {
+                            line: None,
+                            pause: PAUSE,
+                            begun: 0,
+                        },
+                    );
                 }
                 self.after(0, me, What::Dial(ip));
             }
             AnnexEffect::Up { to, up } => {
-                let line = self.annex(process).and_then(|annex| annex.dialers.get(&to)?.line);
-                line.into_iter().for_each(|line| self.send_line(line, 0, frame(&up)));
+                let line = self
+                    .annex(process)
+                    .and_then(|annex| annex.dialers.get(&to)?.line);
+                line.into_iter()
+                    .for_each(|line| self.send_line(line, 0, frame(&up)));
             }
             AnnexEffect::Down { line, frame } => self.send_line(line, 1, frame),
             AnnexEffect::Log(line) => {
@@ -108,13 +128,20 @@
     }
 
     fn annex_dialed(&mut self, process: usize, ip: Ipv4Addr, up: bool) {
-        let (Some(me), now) = (self.address(process), self.now) else { return };
-        let there = self.machine_at(ip).map(|machine| self.process_of(machine, true));
+        let (Some(me), now) = (self.address(process), self.now) else {
+            return;
+        };
+        let there = self
+            .machine_at(ip)
+            .map(|machine| self.process_of(machine, true));
         let Some(there) = there.and_then(|there| self.address(there)).filter(|_| up) else {
             return self.annex_dials_again(process, ip);
         };
         let line = self.open_line(me, there, [true, false]);
-        if let Some(dialer) = self.annex(process).and_then(|annex| annex.dialers.get_mut(&ip)) {
+        if let Some(dialer) = self
+            .annex(process)
+            .and_then(|annex| annex.dialers.get_mut(&ip))
+        {
             (dialer.line, dialer.begun) = (Some(line), now);
         }
         self.with_annex(process, |annex, now| annex.opened(now, ip));
@@ -123,24 +150,37 @@
     fn annex_dials_again(&mut self, process: usize, ip: Ipv4Addr) {
         let me = self.address(process);
         if self.with_annex(process, |annex, now| annex.forgotten(now, ip)) == Some(true) {
-            self.annex(process).into_iter().for_each(|annex| _ = annex.dialers.remove(&ip));
+            self.annex(process)
+                .into_iter()
+                .for_each(|annex| _ = annex.dialers.remove(&ip));
             return;
         }
-        let Some(dialer) = self.annex(process).and_then(|annex| annex.dialers.get_mut(&ip)) else { return };
+        let Some(dialer) = self
+            .annex(process)
+            .and_then(|annex| annex.dialers.get_mut(&ip))
+        else {
+            return;
+        };
         let pause = dialer.pause;
         dialer.pause = (pause * 2).min(LONGEST_PAUSE);
         self.after(pause, me, What::Dial(ip));
     }
 
     fn annex_hears(&mut self, process: usize, line: u64, side: usize, bytes: &[u8]) {
-        let Some(of) = self.lines.get(&line) else { return };
+        let Some(of) = self.lines.get(&line) else {
+            return;
+        };
         let other = of.ends[1 - side].0;
         let ip = self.machines[self.processes[other].machine].ip;
         if side == 0 {
-            let Some(down) = unframed::<Down>(bytes) else { return };
+            let Some(down) = unframed::<Down>(bytes) else {
+                return;
+            };
             self.with_annex(process, |annex, now| annex.told(now, ip, down));
         } else if self.keeps_control(other) {
-            let Some(Word::Hello { from, .. }) = unframed(bytes) else { return };
+            let Some(Word::Hello { from, .. }) = unframed(bytes) else {
+                return;
+            };
             self.with_annex(process, |annex, now| annex.hello(now, from));
         } else if let Some(up) = unframed::<Up>(bytes) {
             self.with_annex(process, |annex, _| annex.guest_in(line, &up));
@@ -149,7 +189,9 @@
 
     /// `own`: this side ends it.
     fn annex_line_ends(&mut self, process: usize, line: u64, side: usize, own: bool) {
-        let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else { return };
+        let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else {
+            return;
+        };
         let ip = self.machines[self.processes[of.ends[1 - side].0].machine].ip;
         self.end_line(line, side, !own);
         if side == 1 {
@@ -157,7 +199,10 @@
             return;
         }
         let now = self.now;
-        if let Some(dialer) = self.annex(process).and_then(|annex| annex.dialers.get_mut(&ip)) {
+        if let Some(dialer) = self
+            .annex(process)
+            .and_then(|annex| annex.dialers.get_mut(&ip))
+        {
             dialer.line = None;
             if now - dialer.begun > S {
                 dialer.pause = PAUSE;
@@ -168,15 +213,31 @@
     }
 
     fn annex_called(&mut self, process: usize, call: u64, attempt: u32) {
-        let Some(of) = self.calls.get(&call) else { return };
+        let Some(of) = self.calls.get(&call) else {
+            return;
+        };
         let name = of.name.clone();
-        let to = self.with_annex(process, |annex, now| annex.pass_on(now, &name)).flatten();
+        let to = self
+            .with_annex(process, |annex, now| annex.pass_on(now, &name))
+            .flatten();
         let (from, caller) = (self.host_of(process), self.caller_host(call));
         let what = match to.and_then(|ip| self.machine_at(ip)) {
-            Some(machine) => What::Redirected { call, attempt, machine },
+            Some(machine) => What::Redirected {
+                call,
+                attempt,
+                machine,
+            },
             None => {
-                let reply = Reply { status: 503, retry_after: Some("0.2"), content: Content::Nothing };
-                What::Replied { call, attempt, reply: Some(reply) }
+                let reply = Reply {
+                    status: 503,
+                    retry_after: Some("0.2"),
+                    content: Content::Nothing,
+                };
+                What::Replied {
+                    call,
+                    attempt,
+                    reply: Some(reply),
+                }
             }
         };
         self.post(from, caller, None, what);
--- a/crates/rookpulley-simulator/src/apps.rs
+++ b/crates/rookpulley-simulator/src/apps.rs
@@ -58,14 +58,26 @@
 }
 
 fn events_of(reply: &Reply) -> Vec<(String, String, u64)> {
-    let Content::Json(JsonValue::Object(fields)) = &reply.content else { return Vec::new() };
-    let Some(JsonValue::Array(events)) = fields.get("events") else { return Vec::new() };
+    let Content::Json(JsonValue::Object(fields)) = &reply.content else {
+        return Vec::new();
+    };
+    let Some(JsonValue::Array(events)) = fields.get("events") else {
+        return Vec::new();
+    };
     let one = |event: &JsonValue| {
-        let JsonValue::Object(fields) = event else { return None };
-        match (fields.get("name"), fields.get("value"), fields.get("revision")) {
-            (Some(JsonValue::String(n)), Some(JsonValue::String(v)), Some(JsonValue::Number(r))) => {
-                Some((n.clone(), v.clone(), *r as u64))
-            }
+        let JsonValue::Object(fields) = event else {
+            return None;
+        };
+        match (
+            fields.get("name"),
+            fields.get("value"),
+            fields.get("revision"),
+        ) {
+            (
+                Some(JsonValue::String(n)),
+                Some(JsonValue::String(v)),
+                Some(JsonValue::Number(r)),
+            ) => Some((n.clone(), v.clone(), *r as u64)),
             _ => None,
         }
     };
@@ -80,7 +92,10 @@
         }
         if self.day.apps > 0 {
             for group in 0..GROUPS {
-                self.watchers.push(Watcher { group: format!("g{group}."), after: 0 });
+                self.watchers.push(Watcher {
+                    group: format!("g{group}."),
+                    after: 0,
+                });
                 self.after(2 * S, None, What::Watch(group as usize));
             }
             self.after((self.day.length_ms - 4_000) * MS, None, What::AppsEnd);
@@ -111,7 +126,8 @@
         }
         let now = self.now;
         if let Some(held) = &self.apps[app].held {
-            let (lock, fence, hold, hold_ms) = (held.lock.clone(), held.fence, held.hold, held.hold_ms);
+            let (lock, fence, hold, hold_ms) =
+                (held.lock.clone(), held.fence, held.hold, held.hold_ms);
             let until = self.record.holds[hold].until;
             if now >= until {
                 self.apps[app].held = None;
@@ -124,7 +140,8 @@
                 return self.after(until - now, None, What::App(app));
             }
             if self.chance(2) {
-                let body = format!("{{\"holder\":\"a{app}\",\"fence\":{fence},\"holdMs\":{hold_ms}}}");
+                let body =
+                    format!("{{\"holder\":\"a{app}\",\"fence\":{fence},\"holdMs\":{hold_ms}}}");
                 return self.app_calls(app, Asked::Renew { hold }, Path::RenewLock, &lock, body);
             }
             self.record.holds[hold].until = now;
@@ -147,12 +164,20 @@
                 let name = self.cell();
                 self.apps[app].values += 1;
                 let value = format!("v{app}-{}", self.apps[app].values);
-                let active = self.chance(2).then(|| self.apps[app].seen.get(&name).copied().unwrap_or(0));
+                let active = self
+                    .chance(2)
+                    .then(|| self.apps[app].seen.get(&name).copied().unwrap_or(0));
                 let body = match active {
                     Some(active) => format!("{{\"value\":\"{value}\",\"active\":{active}}}"),
                     None => format!("{{\"value\":\"{value}\"}}"),
                 };
-                self.app_calls(app, Asked::Put { value, active }, Path::PutCell, &name, body);
+                self.app_calls(
+                    app,
+                    Asked::Put { value, active },
+                    Path::PutCell,
+                    &name,
+                    body,
+                );
             }
             _ => {
                 let name = self.cell();
@@ -162,25 +187,35 @@
     }
 
     fn cell(&mut self) -> String {
-        format!("g{}.k{}", self.rng.random_range(0..GROUPS), self.rng.random_range(0..KEYS))
+        format!(
+            "g{}.k{}",
+            self.rng.random_range(0..GROUPS),
+            self.rng.random_range(0..KEYS)
+        )
     }
 
     pub fn app_answered(&mut self, app: usize, call: &Call, reply: Option<&Reply>) {
         let now = self.now;
-        let Some(number) = self.apps[app].call.take() else { return };
+        let Some(number) = self.apps[app].call.take() else {
+            return;
+        };
         let asked = self.record.calls[number].asked.clone();
         let name = call.name.clone();
         let got = match (reply, &asked) {
             (None, _) => Got::Nothing,
-            (Some(reply), _) if reply.status == 412 => Got::Conflict(field(reply, "revision").unwrap_or(0)),
+            (Some(reply), _) if reply.status == 412 => {
+                Got::Conflict(field(reply, "revision").unwrap_or(0))
+            }
             (Some(reply), Asked::Get) if reply.status == 404 => Got::Read(None),
             (Some(reply), _) if reply.status != 200 => Got::No(reply.status),
             (Some(reply), Asked::Take { .. }) => Got::Fence(field(reply, "fence").unwrap_or(0)),
             (Some(reply), Asked::Number) => Got::Number(field(reply, "value").unwrap_or(0)),
-            (Some(reply), Asked::Put { .. }) => Got::Revision(field(reply, "revision").unwrap_or(0)),
-            (Some(reply), Asked::Get) => {
-                Got::Read(value_of(reply).map(|value| (value, field(reply, "revision").unwrap_or(0))))
+            (Some(reply), Asked::Put { .. }) => {
+                Got::Revision(field(reply, "revision").unwrap_or(0))
             }
+            (Some(reply), Asked::Get) => Got::Read(
+                value_of(reply).map(|value| (value, field(reply, "revision").unwrap_or(0))),
+            ),
             (Some(_), _) => Got::Done,
         };
         match (&asked, &got) {
@@ -197,7 +232,12 @@
                         until,
                         asked: call.first_us,
                     });
-                    let held = Held { lock: name.clone(), fence: *fence, hold, hold_ms: *hold_ms };
+                    let held = Held {
+                        lock: name.clone(),
+                        fence: *fence,
+                        hold,
+                        hold_ms: *hold_ms,
+                    };
                     self.apps[app].held = Some(held);
                 }
             }
@@ -218,7 +258,9 @@
             }
             (_, Got::Revision(revision)) => _ = self.apps[app].seen.insert(name.clone(), *revision),
             (_, Got::Conflict(revision)) => _ = self.apps[app].seen.insert(name.clone(), *revision),
-            (_, Got::Read(Some((_, revision)))) => _ = self.apps[app].seen.insert(name.clone(), *revision),
+            (_, Got::Read(Some((_, revision)))) => {
+                _ = self.apps[app].seen.insert(name.clone(), *revision)
+            }
             _ => {}
         }
         let of = &mut self.record.calls[number];
@@ -233,7 +275,14 @@
         let of = &self.watchers[watcher];
         let (group, after) = (of.group.clone(), of.after);
         let query = vec![("after", after.to_string()), ("waitMs", "800".to_string())];
-        self.call(Who::Watcher(watcher), Path::Watch, &group, String::new(), query, (WITHIN, 800 * MS));
+        self.call(
+            Who::Watcher(watcher),
+            Path::Watch,
+            &group,
+            String::new(),
+            query,
+            (WITHIN, 800 * MS),
+        );
     }
 
     pub fn watcher_answered(&mut self, watcher: usize, call: &Call, reply: Option<&Reply>) {
@@ -273,15 +322,32 @@
                 unclear: false,
             });
             self.record.last.push(number);
-            self.call(Who::Last(number), path, &name, body, Vec::new(), (3_300 * MS, 0));
+            self.call(
+                Who::Last(number),
+                path,
+                &name,
+                body,
+                Vec::new(),
+                (3_300 * MS, 0),
+            );
         };
         for group in 0..GROUPS {
             for key in 0..KEYS {
-                last(Asked::Get, Path::GetCell, format!("g{group}.k{key}"), String::new());
+                last(
+                    Asked::Get,
+                    Path::GetCell,
+                    format!("g{group}.k{key}"),
+                    String::new(),
+                );
             }
         }
         for number in 0..NUMBERS {
-            last(Asked::Number, Path::Number, format!("n{number}"), "{}".into());
+            last(
+                Asked::Number,
+                Path::Number,
+                format!("n{number}"),
+                "{}".into(),
+            );
         }
     }
 
@@ -290,9 +356,9 @@
             (Some(reply), Asked::Get) if reply.status == 404 => Got::Read(None),
             (Some(reply), _) if reply.status != 200 => Got::No(reply.status),
             (Some(reply), Asked::Number) => Got::Number(field(reply, "value").unwrap_or(0)),
-            (Some(reply), _) => {
-                Got::Read(value_of(reply).map(|value| (value, field(reply, "revision").unwrap_or(0))))
-            }
+            (Some(reply), _) => Got::Read(
+                value_of(reply).map(|value| (value, field(reply, "revision").unwrap_or(0))),
+            ),
             (None, _) => Got::Nothing,
         };
         let of = &mut self.record.calls[number];
--- a/crates/rookpulley-simulator/src/callers.rs
+++ b/crates/rookpulley-simulator/src/callers.rs
@@ -95,12 +95,16 @@
     /// The list that callers choose from: machines with an office, up or not.
     pub fn callable(&self) -> Vec<usize> {
         let serves = |m: &usize| self.machines[*m].core || self.machines[*m].annex;
-        (0..self.machines.len()).filter(|m| serves(m) && !self.machines[*m].gone).collect()
+        (0..self.machines.len())
+            .filter(|m| serves(m) && !self.machines[*m].gone)
+            .collect()
     }
 
     /// Those with a disk.
     pub fn core(&self) -> Vec<usize> {
-        (0..self.machines.len()).filter(|m| self.machines[*m].core && !self.machines[*m].gone).collect()
+        (0..self.machines.len())
+            .filter(|m| self.machines[*m].core && !self.machines[*m].gone)
+            .collect()
     }
 
     pub fn caller_host(&self, call: u64) -> Host {
@@ -113,7 +117,9 @@
     pub fn send_call(&mut self, call: u64) {
         let from = self.caller_host(call);
         let now = self.now;
-        let Some(of) = self.calls.get_mut(&call) else { return };
+        let Some(of) = self.calls.get_mut(&call) else {
+            return;
+        };
         of.attempt += 1;
         of.sent_us = now;
         let (attempt, machine, patience) = (of.attempt, of.machine, of.patience);
@@ -125,7 +131,15 @@
             // Nobody listens.
             None if self.powered(to) && !self.net.cut_either(from, to) => {
                 let us = self.delay(from, to) + self.delay(to, from);
-                self.after(us, None, What::Replied { call, attempt, reply: None });
+                self.after(
+                    us,
+                    None,
+                    What::Replied {
+                        call,
+                        attempt,
+                        reply: None,
+                    },
+                );
             }
             None => {}
         }
@@ -135,12 +149,25 @@
     pub fn call_not_heard(&mut self, process: usize, call: u64, attempt: u32) {
         let (from, to) = (self.host_of(process), self.caller_host(call));
         if self.powered(from) {
-            self.post(from, to, None, What::Replied { call, attempt, reply: None });
+            self.post(
+                from,
+                to,
+                None,
+                What::Replied {
+                    call,
+                    attempt,
+                    reply: None,
+                },
+            );
         }
     }
 
     pub fn call_late(&mut self, call: u64, attempt: u32) {
-        if self.calls.get(&call).is_some_and(|of| of.attempt == attempt) {
+        if self
+            .calls
+            .get(&call)
+            .is_some_and(|of| of.attempt == attempt)
+        {
             self.unanswered(call, true);
         }
     }
@@ -154,7 +181,9 @@
     }
 
     pub fn replied(&mut self, call: u64, attempt: u32, reply: Option<Reply>) {
-        let Some(of) = self.calls.get(&call).filter(|of| of.attempt == attempt) else { return };
+        let Some(of) = self.calls.get(&call).filter(|of| of.attempt == attempt) else {
+            return;
+        };
         let answer_lost = matches!(of.who, Who::Operator(_)) && self.now < self.answers_lost_until;
         if answer_lost && !self.chance(LOST_ANSWERS) {
             return;
@@ -165,7 +194,9 @@
                 429 | 503 => self.unanswered(call, false),
                 408 | 500.. => self.unanswered(call, true),
                 _ => {
-                    let Some(of) = self.calls.remove(&call) else { return };
+                    let Some(of) = self.calls.remove(&call) else {
+                        return;
+                    };
                     self.call_ended(of, Some(reply));
                 }
             },
@@ -176,11 +207,16 @@
     fn unanswered(&mut self, call: u64, unclear: bool) {
         let core = self.callable();
         let now = self.now;
-        let Some(of) = self.calls.get_mut(&call) else { return };
+        let Some(of) = self.calls.get_mut(&call) else {
+            return;
+        };
         of.unclear |= unclear;
         // What comes back later is not waited for.
         of.attempt += 1;
-        let place = core.iter().position(|machine| *machine == of.machine).map_or(0, |at| at + 1);
+        let place = core
+            .iter()
+            .position(|machine| *machine == of.machine)
+            .map_or(0, |at| at + 1);
         of.machine = core[place % core.len()];
         let pause = (u64::from(of.attempt) * 20 * MS).min(400 * MS);
         if now + pause >= of.until_us {
@@ -194,7 +230,12 @@
 
     fn call_ended(&mut self, call: Call, reply: Option<Reply>) {
         match call.who.clone() {
-            Who::Beat { task, life, draining, leaving } => {
+            Who::Beat {
+                task,
+                life,
+                draining,
+                leaving,
+            } => {
                 self.beat_ended(task, life, (draining, leaving), &call, reply.as_ref());
             }
             Who::Operator(put) => self.put_ended(put, &call, reply.as_ref()),
--- a/crates/rookpulley-simulator/src/clients.rs
+++ b/crates/rookpulley-simulator/src/clients.rs
@@ -20,7 +20,13 @@
 
 impl Told {
     pub fn own(status: u16, retry_after_ms: Option<f64>) -> Told {
-        Told { status, signature: 0, body: 0, retry_after_ms, whole: true }
+        Told {
+            status,
+            signature: 0,
+            body: 0,
+            retry_after_ms,
+            whole: true,
+        }
     }
 }
 
@@ -44,24 +50,38 @@
             let ready = self.machines[machine].power
                 && !self.machines[machine].gone
                 && self.courier_ready(machine)
-                && !self.net.lossy.values().any(|host| *host == Host::Machine(machine));
+                && !self
+                    .net
+                    .lossy
+                    .values()
+                    .any(|host| *host == Host::Machine(machine));
             let at = &mut self.machines[machine];
-            at.readiness_missed = if ready { 0 } else { (at.readiness_missed + 1).min(9) };
+            at.readiness_missed = if ready {
+                0
+            } else {
+                (at.readiness_missed + 1).min(9)
+            };
         }
         self.after(S, None, What::Readiness);
     }
 
     fn courier_for(&mut self, zone: usize) -> Option<usize> {
         let there = |w: &World, m: &usize| !w.machines[*m].gone && w.machines[*m].zone == zone;
-        let all: Vec<usize> = (0..self.machines.len()).filter(|m| there(self, m)).collect();
-        let is_in: Vec<usize> =
-            all.iter().copied().filter(|m| self.machines[*m].readiness_missed < 2).collect();
+        let all: Vec<usize> = (0..self.machines.len())
+            .filter(|m| there(self, m))
+            .collect();
+        let is_in: Vec<usize> = all
+            .iter()
+            .copied()
+            .filter(|m| self.machines[*m].readiness_missed < 2)
+            .collect();
         let any: Vec<usize> = match (is_in.len() * 2 >= all.len(), is_in.is_empty()) {
             (true, false) => is_in,
             (false, false) => all,
             _ => {
                 let all = (0..self.machines.len()).filter(|m| !self.machines[*m].gone);
-                all.filter(|m| self.machines[*m].readiness_missed < 2).collect()
+                all.filter(|m| self.machines[*m].readiness_missed < 2)
+                    .collect()
             }
         };
         (!any.is_empty()).then(|| any[self.rng.random_range(0..any.len())])
@@ -77,7 +97,9 @@
         if self.now + S + 500 * MS < self.day.length_ms * MS {
             self.after(us, None, What::Client);
         }
-        let Some(route) = self.operator.pick_route(&mut self.rng) else { return };
+        let Some(route) = self.operator.pick_route(&mut self.rng) else {
+            return;
+        };
         self.clients.requests += 1;
         let request = self.clients.requests;
         let zone = self.rng.random_range(0..self.day.zones);
@@ -132,9 +154,23 @@
                 self.after((left / 3).min(S), None, What::ClientLate { try_: index });
             }
         } else {
-            let us = if self.powered(to) { 2 * self.delay(from, to) } else { S };
-            let told = Told { whole: false, ..Told::own(0, None) };
-            self.after(us, None, What::ClientAnswer { try_: index, answer: told });
+            let us = if self.powered(to) {
+                2 * self.delay(from, to)
+            } else {
+                S
+            };
+            let told = Told {
+                whole: false,
+                ..Told::own(0, None)
+            };
+            self.after(
+                us,
+                None,
+                What::ClientAnswer {
+                    try_: index,
+                    answer: told,
+                },
+            );
         }
     }
 
@@ -142,8 +178,18 @@
     pub fn not_read(&mut self, process: usize, index: usize) {
         let host = self.host_of(process);
         let us = if self.powered(host) { MS } else { S };
-        let told = Told { whole: false, ..Told::own(0, None) };
-        self.after(us, None, What::ClientAnswer { try_: index, answer: told });
+        let told = Told {
+            whole: false,
+            ..Told::own(0, None)
+        };
+        self.after(
+            us,
+            None,
+            What::ClientAnswer {
+                try_: index,
+                answer: told,
+            },
+        );
     }
 
     pub fn client_late(&mut self, index: usize) {
@@ -204,7 +250,12 @@
         }
         let told = if impatient { 0.0 } else { retry_ms };
         let pause = ((told * 1e3) as Us).min(left / 3).max(10 * MS);
-        let next = Try { number: of.number + 1, read_us: None, ended: None, ..of.clone() };
+        let next = Try {
+            number: of.number + 1,
+            read_us: None,
+            ended: None,
+            ..of.clone()
+        };
         self.record.tries.push(next);
         let next = self.record.tries.len() - 1;
         self.after(pause, None, What::Send(next));
