--- a/crates/rookpulley-simulator/src/couriers.rs
+++ b/crates/rookpulley-simulator/src/couriers.rs
@@ -8,7 +8,9 @@
 use rand::RngExt;
 use rookpulley_balancer::{Fate, Pick};
 use rookpulley_protocol::{Down, Line as TableLine, Report, TaskReport, Up, frame};
-use rookpulley_proxy_core::{Back, Effect, Go, Head, How, Journey, Leaving, Satchel, Then, Way, worth};
+use rookpulley_proxy_core::{
+    Back, Effect, Go, Head, How, Journey, Leaving, Satchel, Then, Way, worth,
+};
 use std::collections::{BTreeMap, HashMap};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -104,7 +106,13 @@
             (ratio, slack) = (50.0, 1e6);
         }
         let zone = format!("zone-{}", self.machines[machine].zone);
-        Satchel::new(&format!("edge-{machine}"), &zone, seeds, (ratio, slack), self.rng.random())
+        Satchel::new(
+            &format!("edge-{machine}"),
+            &zone,
+            seeds,
+            (ratio, slack),
+            self.rng.random(),
+        )
     }
 
     fn courier(&mut self, process: usize) -> Option<&mut CourierProcess> {
@@ -114,12 +122,18 @@
         }
     }
 
-    fn with_satchel<T>(&mut self, process: usize, input: impl FnOnce(&mut Satchel, f64) -> T) -> Option<T> {
+    fn with_satchel<T>(
+        &mut self,
+        process: usize,
+        input: impl FnOnce(&mut Satchel, f64) -> T,
+    ) -> Option<T> {
         let clock = self.clock(process);
         let courier = self.courier(process)?;
         let came = input(&mut courier.satchel, clock);
         let effects = courier.satchel.effects();
-        effects.into_iter().for_each(|effect| self.satchel_wants(process, effect));
+        effects
+            .into_iter()
+            .for_each(|effect| self.satchel_wants(process, effect));
         Some(came)
     }
 
@@ -135,7 +149,9 @@
         let work = courier.works.get_mut(&request)?;
         let came = input(work, &mut courier.satchel, clock);
         let effects = courier.satchel.effects();
-        effects.into_iter().for_each(|effect| self.satchel_wants(process, effect));
+        effects
+            .into_iter()
+            .for_each(|effect| self.satchel_wants(process, effect));
         Some(came)
     }
 
@@ -144,7 +160,14 @@
         match effect {
             Effect::Dial(ip) => {
                 if let Some(courier) = self.courier(process) {
-                    courier.dialers.insert(ip, Dialer { line: None, pause: PAUSE, begun: 0 });
+                    courier.dialers.insert(
+                        ip,
+                        Dialer {
+                            line: None,
+                            pause: PAUSE,
+                            begun: 0,
+                        },
+                    );
                 }
                 self.after(0, me, What::Dial(ip));
             }
@@ -152,13 +175,19 @@
                 if let Up::Report(report) = &mut up {
                     self.spoil_report(report);
                 }
-                let line = self.courier(process).and_then(|courier| courier.dialers.get(&ip)?.line);
-                line.into_iter().for_each(|line| self.send_line(line, 0, frame(&up)));
+                let line = self
+                    .courier(process)
+                    .and_then(|courier| courier.dialers.get(&ip)?.line);
+                line.into_iter()
+                    .for_each(|line| self.send_line(line, 0, frame(&up)));
             }
             Effect::Forget(life) => {
-                let pool = self.courier(process).and_then(|courier| courier.pools.remove(&life));
+                let pool = self
+                    .courier(process)
+                    .and_then(|courier| courier.pools.remove(&life));
                 let idle = pool.map_or(Vec::new(), |pool| pool.idle);
-                idle.into_iter().for_each(|wire| self.end_wire(process, wire.number));
+                idle.into_iter()
+                    .for_each(|wire| self.end_wire(process, wire.number));
             }
             Effect::Log(line) | Effect::Complain(line) => {
                 let machine = self.processes[process].machine;
@@ -172,8 +201,10 @@
             match self.mutation {
                 Some(Mutation::FailuresUntold) => of.tasks.iter_mut().for_each(|task| task.bad = 0),
                 Some(Mutation::FailuresSpread) => {
-                    let (bad, tries) =
-                        of.tasks.iter().fold((0, 0), |(b, t), task| (b + task.bad, t + task.tries));
+                    let (bad, tries) = of
+                        .tasks
+                        .iter()
+                        .fold((0, 0), |(b, t), task| (b + task.bad, t + task.tries));
                     let part = |task: &TaskReport| (task.tries * bad).div_ceil(tries.max(1));
                     of.tasks.iter_mut().for_each(|task| task.bad = part(task));
                 }
@@ -184,7 +215,8 @@
 
     pub fn courier_ready(&self, machine: usize) -> bool {
         let process = &self.processes[self.process_of(machine, false)];
-        !process.asleep && matches!(&process.core, Some(Core::Courier(courier)) if courier.satchel.ready())
+        !process.asleep
+            && matches!(&process.core, Some(Core::Courier(courier)) if courier.satchel.ready())
     }
 
     pub fn courier_takes(&mut self, process: usize, what: What) {
@@ -203,10 +235,20 @@
             }
             What::Request(try_) => self.request(process, try_),
             What::ClientClosed(try_) => self.client_closed(process, try_),
-            What::WireUp { request, attempt, wire, up } => self.wire_up(process, request, attempt, wire, up),
+            What::WireUp {
+                request,
+                attempt,
+                wire,
+                up,
+            } => self.wire_up(process, request, attempt, wire, up),
             What::Turn { request, attempt } => self.turn(process, request, attempt),
             What::Over { request, attempt } => self.over(process, request, attempt),
-            What::Answer { request, attempt, wire, answer } => {
+            What::Answer {
+                request,
+                attempt,
+                wire,
+                answer,
+            } => {
                 self.answered(process, request, attempt, wire, answer);
             }
             _ => {}
@@ -215,7 +257,9 @@
 
     fn courier_ticks(&mut self, process: usize) {
         let (me, now) = (self.address(process), self.now);
-        let Some(courier) = self.courier(process) else { return };
+        let Some(courier) = self.courier(process) else {
+            return;
+        };
         courier.tick = courier.tick.wrapping_add(1);
         let (tick, ends, calm) = (courier.tick, courier.ends, courier.works.is_empty());
         let due = match ends {
@@ -237,7 +281,11 @@
                 return self.stop(process, false);
             }
         }
-        self.after(if ends.is_some() { LAST_TICK } else { TICK }, me, What::Tick);
+        self.after(
+            if ends.is_some() { LAST_TICK } else { TICK },
+            me,
+            What::Tick,
+        );
         if self.mutation == Some(Mutation::GoesBack) && tick == 48 {
             self.go_back(process);
         }
@@ -248,9 +296,16 @@
         let machine = self.processes[process].machine;
         let fresh = self.satchel(machine);
         let clock = self.clock(process);
-        let Some(courier) = self.courier(process) else { return };
-        let Some(first) = courier.first.clone() else { return };
-        let (post, ending) = (std::mem::replace(&mut courier.satchel, fresh), courier.satchel.ending);
+        let Some(courier) = self.courier(process) else {
+            return;
+        };
+        let Some(first) = courier.first.clone() else {
+            return;
+        };
+        let (post, ending) = (
+            std::mem::replace(&mut courier.satchel, fresh),
+            courier.satchel.ending,
+        );
         (courier.satchel.post, courier.satchel.ending) = (post.post, ending);
         courier.gone_back = true;
         if let Some(down) = unframed::<Down>(&first) {
@@ -275,13 +330,20 @@
     // ---- offices ----------------------------------------------------------------------------
 
     fn courier_dialed(&mut self, process: usize, ip: Ipv4Addr, up: bool) {
-        let (Some(me), now) = (self.address(process), self.now) else { return };
-        let there = self.machine_at(ip).map(|machine| self.process_of(machine, true));
+        let (Some(me), now) = (self.address(process), self.now) else {
+            return;
+        };
+        let there = self
+            .machine_at(ip)
+            .map(|machine| self.process_of(machine, true));
         let Some(there) = there.and_then(|there| self.address(there)).filter(|_| up) else {
             return self.courier_dials_again(process, ip);
         };
         let line = self.open_line(me, there, [true, false]);
-        if let Some(dialer) = self.courier(process).and_then(|courier| courier.dialers.get_mut(&ip)) {
+        if let Some(dialer) = self
+            .courier(process)
+            .and_then(|courier| courier.dialers.get_mut(&ip))
+        {
             (dialer.line, dialer.begun) = (Some(line), now);
         }
         self.with_satchel(process, |satchel, now| satchel.opened(now, ip));
@@ -290,10 +352,15 @@
     fn courier_dials_again(&mut self, process: usize, ip: Ipv4Addr) {
         let me = self.address(process);
         if self.with_satchel(process, |satchel, now| satchel.forgotten(now, ip)) == Some(true) {
-            self.courier(process).into_iter().for_each(|courier| _ = courier.dialers.remove(&ip));
+            self.courier(process)
+                .into_iter()
+                .for_each(|courier| _ = courier.dialers.remove(&ip));
             return;
         }
-        let Some(dialer) = self.courier(process).and_then(|courier| courier.dialers.get_mut(&ip)) else {
+        let Some(dialer) = self
+            .courier(process)
+            .and_then(|courier| courier.dialers.get_mut(&ip))
+        else {
             return;
         };
         let pause = dialer.pause;
@@ -302,15 +369,24 @@
     }
 
     fn courier_hears(&mut self, process: usize, line: u64, bytes: Vec<u8>) {
-        let Some(of) = self.lines.get(&line) else { return };
+        let Some(of) = self.lines.get(&line) else {
+            return;
+        };
         let ip = self.machines[self.processes[of.ends[1].0].machine].ip;
-        let Some(mut down) = unframed::<Down>(&bytes) else { return };
+        let Some(mut down) = unframed::<Down>(&bytes) else {
+            return;
+        };
         if let Down::Table { lines, .. } = &mut down {
-            let zone = format!("zone-{}", self.machines[self.processes[process].machine].zone);
+            let zone = format!(
+                "zone-{}",
+                self.machines[self.processes[process].machine].zone
+            );
             let near = lines.iter().any(|line| line.zone == zone);
             match self.mutation {
                 Some(Mutation::OwnZoneAlone) if near => lines.retain(|line| line.zone == zone),
-                Some(Mutation::TaintedBare) if self.log.iter().any(|line| line.contains("all tainted")) => {
+                Some(Mutation::TaintedBare)
+                    if self.log.iter().any(|line| line.contains("all tainted")) =>
+                {
                     lines.clear();
                 }
                 _ => {}
@@ -318,13 +394,21 @@
         }
         let missed = match (&mut down, self.mutation) {
             (Down::Table { .. }, Some(Mutation::TablesMissed)) => {
-                self.now > 5 * S && self.courier(process).is_some_and(|courier| courier.satchel.ready())
+                self.now > 5 * S
+                    && self
+                        .courier(process)
+                        .is_some_and(|courier| courier.satchel.ready())
             }
             (Down::Gone { .. } | Down::Table { .. }, Some(Mutation::DrainsUnheard)) => {
-                self.now > 3 * S && self.courier(process).is_some_and(|courier| courier.satchel.ready())
+                self.now > 3 * S
+                    && self
+                        .courier(process)
+                        .is_some_and(|courier| courier.satchel.ready())
             }
             (Down::Config { .. }, Some(Mutation::ConfigurationsMissed)) => {
-                self.courier(process).is_some_and(|c| c.satchel.version() > 0) && !self.chance(4)
+                self.courier(process)
+                    .is_some_and(|c| c.satchel.version() > 0)
+                    && !self.chance(4)
             }
             (Down::Config { .. }, Some(Mutation::GoesBack)) => {
                 let courier = self.courier(process);
@@ -337,7 +421,9 @@
                 if let Down::Pulse { in_touch, .. } = &mut down {
                     *in_touch = true;
                 }
-                let home = self.courier(process).and_then(|courier| courier.satchel.home());
+                let home = self
+                    .courier(process)
+                    .and_then(|courier| courier.satchel.home());
                 home.is_some_and(|home| home != ip)
             }
             _ => false,
@@ -348,18 +434,25 @@
     }
 
     fn courier_line_ends(&mut self, process: usize, line: u64, side: usize, own: bool) {
-        let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else { return };
+        let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else {
+            return;
+        };
         let ip = self.machines[self.processes[of.ends[1 - side].0].machine].ip;
         self.end_line(line, side, !own);
         let now = self.now;
-        if let Some(dialer) = self.courier(process).and_then(|courier| courier.dialers.get_mut(&ip)) {
+        if let Some(dialer) = self
+            .courier(process)
+            .and_then(|courier| courier.dialers.get_mut(&ip))
+        {
             dialer.line = None;
             if now - dialer.begun > S {
                 dialer.pause = PAUSE;
             }
         }
         let alone = self.mutation == Some(Mutation::AloneTakesAll)
-            && self.courier(process).is_some_and(|c| c.dialers.values().all(|dialer| dialer.line.is_none()));
+            && self
+                .courier(process)
+                .is_some_and(|c| c.dialers.values().all(|dialer| dialer.line.is_none()));
         self.with_satchel(process, |satchel, now| {
             satchel.lost(ip);
             satchel.choose_home(now);
@@ -375,12 +468,15 @@
     fn request(&mut self, process: usize, try_: usize) {
         let of = &mut self.record.tries[try_];
         of.read_us = Some(self.now);
-        let (host, path, deadline_ms) = (of.host.clone(), of.path.clone(), of.deadline as f64 / 1e3);
+        let (host, path, deadline_ms) =
+            (of.host.clone(), of.path.clone(), of.deadline as f64 / 1e3);
         let arrived = self.with_satchel(process, |satchel, now| {
-            satchel.arrives(now, &host, &path, Some(deadline_ms)).map(|way| {
-                let once = !way.kind.repeatable();
-                (Journey::new(satchel, way, true), once)
-            })
+            satchel
+                .arrives(now, &host, &path, Some(deadline_ms))
+                .map(|way| {
+                    let once = !way.kind.repeatable();
+                    (Journey::new(satchel, way, true), once)
+                })
         });
         match arrived {
             Some(Ok((journey, once))) => {
@@ -401,15 +497,25 @@
                 }
                 self.go(process, try_);
             }
-            Some(Err(tell)) => self.tell(process, try_, Told::own(tell.status, tell.retry_after_ms)),
+            Some(Err(tell)) => {
+                self.tell(process, try_, Told::own(tell.status, tell.retry_after_ms))
+            }
             None => {}
         }
     }
 
     fn on_later_route(&self, try_: usize) -> bool {
         let of = &self.record.tries[try_];
-        let first = self.record.puts.first().and_then(|put| put.config.route(&of.host, &of.path));
-        let now = self.record.puts.last().and_then(|put| put.config.route(&of.host, &of.path));
+        let first = self
+            .record
+            .puts
+            .first()
+            .and_then(|put| put.config.route(&of.host, &of.path));
+        let now = self
+            .record
+            .puts
+            .last()
+            .and_then(|put| put.config.route(&of.host, &of.path));
         now.is_some() && first.map(|route| route.name) != now.map(|route| route.name)
     }
 
@@ -417,7 +523,9 @@
         if self.mutation == Some(Mutation::PromisesAll) && matches!(told.status, 502 | 504) {
             told.status = 503;
         }
-        if self.mutation == Some(Mutation::LaterRoutesFail) && told.status == 200 && self.on_later_route(try_)
+        if self.mutation == Some(Mutation::LaterRoutesFail)
+            && told.status == 200
+            && self.on_later_route(try_)
         {
             told.status = 502;
         }
@@ -429,7 +537,9 @@
             let of = &self.record.tries[try_];
             late = (of.sent_us + of.deadline).saturating_sub(self.now + 30 * MS);
         }
-        self.courier(process).into_iter().for_each(|courier| _ = courier.works.remove(&try_));
+        self.courier(process)
+            .into_iter()
+            .for_each(|courier| _ = courier.works.remove(&try_));
         let from = self.host_of(process);
         let what = What::ClientAnswer { try_, answer: told };
         match late {
@@ -445,15 +555,24 @@
             let go = work.journey.go(satchel, now, !work.gone);
             (go, work.attempt, now)
         });
-        let Some((go, attempt, clock)) = go else { return };
+        let Some((go, attempt, clock)) = go else {
+            return;
+        };
         match go {
-            Go::Tell(tell) => self.tell(process, request, Told::own(tell.status, tell.retry_after_ms)),
+            Go::Tell(tell) => self.tell(
+                process,
+                request,
+                Told::own(tell.status, tell.retry_after_ms),
+            ),
             Go::Try { pick, to, turn_ms } => {
                 let uncounted = self.mutation == Some(Mutation::NothingCounted);
                 self.with_work(process, request, |work, satchel, now| {
                     (work.pick, work.to, work.began_ms) = (Some(pick), Some(to), now);
                     if uncounted {
-                        work.pick.take().into_iter().for_each(|pick| satchel.post.left(pick));
+                        work.pick
+                            .take()
+                            .into_iter()
+                            .for_each(|pick| satchel.post.left(pick));
                     }
                     (work.leaving, work.left, work.wire) = (Leaving::default(), false, None);
                 });
@@ -471,13 +590,16 @@
             let bound = satchel.connections(work.journey.way());
             (work.to.clone(), bound, work.once, work.leaving.anew())
         });
-        let Some((Some(to), bound, once, anew)) = taken else { return };
-        let Some(courier) = self.courier(process) else { return };
+        let Some((Some(to), bound, once, anew)) = taken else {
+            return;
+        };
+        let Some(courier) = self.courier(process) else {
+            return;
+        };
         let pool = courier.pools.entry(to.life.clone()).or_default();
-        let fit = pool
-            .idle
-            .last()
-            .is_some_and(|wire| !anew && now - wire.freed < IDLE && (!once || now - wire.freed <= FRESH));
+        let fit = pool.idle.last().is_some_and(|wire| {
+            !anew && now - wire.freed < IDLE && (!once || now - wire.freed <= FRESH)
+        });
         if fit && let Some(wire) = pool.idle.pop() {
             return self.wire_at_hand(process, request, attempt, (wire.number, true));
         }
@@ -488,28 +610,48 @@
             }
         }
         let wire = self.number();
-        let Some(courier) = self.courier(process) else { return };
+        let Some(courier) = self.courier(process) else {
+            return;
+        };
         courier.pools.entry(to.life.clone()).or_default().open += 1;
         courier.lives.insert(wire, to.life.clone());
         let machine = self.host_of(process);
         let place = self.place_of(to.address);
-        let near = self.zone_of(machine) == place.map_or(0, |place| self.zone_of(Host::Task(place)));
+        let near =
+            self.zone_of(machine) == place.map_or(0, |place| self.zone_of(Host::Task(place)));
         let within = if near { CONNECT } else { CONNECT_FAR };
         let reached = place.is_some_and(|place| !self.net.cut_either(machine, Host::Task(place)));
         let (us, up) = match place {
             Some(place) if reached => {
-                let way = self.delay(machine, Host::Task(place)) + self.delay(Host::Task(place), machine);
-                let rest = if once { (way * 2).clamp(MS, 10 * MS) } else { 0 };
+                let way =
+                    self.delay(machine, Host::Task(place)) + self.delay(Host::Task(place), machine);
+                let rest = if once {
+                    (way * 2).clamp(MS, 10 * MS)
+                } else {
+                    0
+                };
                 let up = way < within && self.accepts_wire(place, wire, once);
                 (way.min(within) + rest, up)
             }
             _ => (within, false),
         };
-        self.after(us, me, What::WireUp { request, attempt, wire, up });
+        self.after(
+            us,
+            me,
+            What::WireUp {
+                request,
+                attempt,
+                wire,
+                up,
+            },
+        );
     }
 
     fn current(&mut self, process: usize, request: usize, attempt: u32) -> Option<&mut Work> {
-        self.courier(process)?.works.get_mut(&request).filter(|work| work.attempt == attempt)
+        self.courier(process)?
+            .works
+            .get_mut(&request)
+            .filter(|work| work.attempt == attempt)
     }
 
     fn wire_up(&mut self, process: usize, request: usize, attempt: u32, wire: u64, up: bool) {
@@ -540,7 +682,10 @@
             && let Some(life) = courier.lives.get(&wire)
             && let Some(pool) = courier.pools.get_mut(life)
         {
-            return pool.idle.push(Wire { number: wire, freed: now });
+            return pool.idle.push(Wire {
+                number: wire,
+                freed: now,
+            });
         }
         self.end_wire(process, wire);
     }
@@ -559,15 +704,22 @@
             self.end_wire(process, wire.0);
             return self.ended(process, request, How::Full, None);
         };
-        let Some(me) = self.address(process) else { return };
+        let Some(me) = self.address(process) else {
+            return;
+        };
         let of = &self.record.tries[request];
         let mut path = of.path.clone();
         if self.mutation == Some(Mutation::OtherPath) && self.chance(200) {
             path.push('x');
         }
-        let meant =
-            if self.mutation == Some(Mutation::NobodyMeant) { String::new() } else { to.life.clone() };
-        let Some(place) = self.place_of(to.address) else { return };
+        let meant = if self.mutation == Some(Mutation::NobodyMeant) {
+            String::new()
+        } else {
+            to.life.clone()
+        };
+        let Some(place) = self.place_of(to.address) else {
+            return;
+        };
         let from = self.host_of(process);
         let errand = Errand {
             from: me,
@@ -582,7 +734,14 @@
         self.post(from, Host::Task(place), None, What::Arrive(errand));
     }
 
-    fn answered(&mut self, process: usize, request: usize, attempt: u32, wire: u64, answer: Answer) {
+    fn answered(
+        &mut self,
+        process: usize,
+        request: usize,
+        attempt: u32,
+        wire: u64,
+        answer: Answer,
+    ) {
         if self.current(process, request, attempt).is_none() {
             return;
         }
@@ -604,7 +763,15 @@
                     _ => How::Fate(Fate::Broken),
                 }
             }
-            Answer::Head { status, own, not_executed, stamped, sized, whole, .. } => {
+            Answer::Head {
+                status,
+                own,
+                not_executed,
+                stamped,
+                sized,
+                whole,
+                ..
+            } => {
                 let head = Head {
                     status: *status,
                     own: *own || mutation == Some(Mutation::AnyAnswer),
@@ -633,9 +800,18 @@
             (how, _) => how,
         };
         let passed = match (how, answer) {
-            (How::Fate(Fate::Answered(status)), Answer::Head { signature, body, .. }) => {
-                Some(Told { status, signature, body, retry_after_ms: None, whole: true })
-            }
+            (
+                How::Fate(Fate::Answered(status)),
+                Answer::Head {
+                    signature, body, ..
+                },
+            ) => Some(Told {
+                status,
+                signature,
+                body,
+                retry_after_ms: None,
+                whole: true,
+            }),
             _ => None,
         };
         self.ended(process, request, how, passed);
@@ -647,7 +823,10 @@
             return;
         }
         let turns = self.with_work(process, request, |work, satchel, now| {
-            (work.journey.turns(satchel, now), work.journey.way().until_ms - now)
+            (
+                work.journey.turns(satchel, now),
+                work.journey.way().until_ms - now,
+            )
         });
         match turns {
             Some((true, _)) => self.over(process, request, attempt),
@@ -661,7 +840,9 @@
 
     /// The try is broken off.
     fn over(&mut self, process: usize, request: usize, attempt: u32) {
-        let Some(work) = self.current(process, request, attempt) else { return };
+        let Some(work) = self.current(process, request, attempt) else {
+            return;
+        };
         let (how, wire) = (Journey::broken_off(work.left, false), work.wire.take());
         if let Some((wire, _)) = wire {
             self.break_off(process, request, attempt, wire);
@@ -675,7 +856,17 @@
         self.end_wire(process, wire);
         if let Some(task) = place {
             let from = self.host_of(process);
-            self.post(from, Host::Task(task), None, What::Dropped { task, wire, request, attempt });
+            self.post(
+                from,
+                Host::Task(task),
+                None,
+                What::Dropped {
+                    task,
+                    wire,
+                    request,
+                    attempt,
+                },
+            );
         }
     }
 
@@ -684,7 +875,10 @@
         let nothing_learnt = self.mutation == Some(Mutation::NothingLearnt);
         let then = self.with_work(process, request, |work, satchel, now| {
             let way: &Way = work.journey.way();
-            let (service, life) = (way.service.clone(), work.to.as_ref().map(|to| to.life.clone()));
+            let (service, life) = (
+                way.service.clone(),
+                work.to.as_ref().map(|to| to.life.clone()),
+            );
             let forget = match work.pick.take() {
                 Some(pick) if nothing_learnt => {
                     satchel.post.left(pick);
@@ -699,18 +893,27 @@
             (then, life.filter(|_| forget))
         });
         let Some((then, forget)) = then else { return };
-        forget.into_iter().for_each(|life| self.satchel_wants(process, Effect::Forget(life)));
+        forget
+            .into_iter()
+            .for_each(|life| self.satchel_wants(process, Effect::Forget(life)));
         match (then, passed) {
             (Then::Again, _) => self.go(process, request),
             (Then::Pass, Some(told)) => self.tell(process, request, told),
             (Then::Pass, None) => self.tell(process, request, Told::own(502, None)),
-            (Then::Tell(tell), _) => self.tell(process, request, Told::own(tell.status, tell.retry_after_ms)),
+            (Then::Tell(tell), _) => self.tell(
+                process,
+                request,
+                Told::own(tell.status, tell.retry_after_ms),
+            ),
         }
     }
 
     /// The client has left. What may run once goes on, whatever is under way.
     fn client_closed(&mut self, process: usize, request: usize) {
-        let Some(work) = self.courier(process).and_then(|courier| courier.works.get_mut(&request)) else {
+        let Some(work) = self
+            .courier(process)
+            .and_then(|courier| courier.works.get_mut(&request))
+        else {
             return;
         };
         work.gone = true;
@@ -721,35 +924,69 @@
         if let Some((wire, _)) = wire {
             self.break_off(process, request, attempt, wire);
         }
-        self.with_satchel(process, |satchel, _| pick.into_iter().for_each(|pick| satchel.post.left(pick)));
-        self.courier(process).into_iter().for_each(|courier| _ = courier.works.remove(&request));
+        self.with_satchel(process, |satchel, _| {
+            pick.into_iter().for_each(|pick| satchel.post.left(pick))
+        });
+        self.courier(process)
+            .into_iter()
+            .for_each(|courier| _ = courier.works.remove(&request));
     }
 
     fn sweep_wires(&mut self, process: usize) {
         let now = self.now;
-        let Some(courier) = self.courier(process) else { return };
+        let Some(courier) = self.courier(process) else {
+            return;
+        };
         let mut old = Vec::new();
         courier.pools.retain(|_, pool| {
             old.extend(pool.idle.extract_if(.., |wire| now - wire.freed >= IDLE));
             pool.open > 0
         });
-        old.into_iter().for_each(|wire| self.end_wire(process, wire.number));
+        old.into_iter()
+            .for_each(|wire| self.end_wire(process, wire.number));
     }
 
     /// Its requests and connections end with it.
-    pub fn courier_ended(&mut self, process: usize, life: u32, courier: CourierProcess, quiet: bool) {
+    pub fn courier_ended(
+        &mut self,
+        process: usize,
+        life: u32,
+        courier: CourierProcess,
+        quiet: bool,
+    ) {
         let from = self.host_of(process);
         for (request, work) in courier.works {
             if quiet {
                 continue;
             }
-            let told = Told { whole: false, ..Told::own(0, None) };
-            self.post(from, Host::Outside(0), None, What::ClientAnswer { try_: request, answer: told });
+            let told = Told {
+                whole: false,
+                ..Told::own(0, None)
+            };
+            self.post(
+                from,
+                Host::Outside(0),
+                None,
+                What::ClientAnswer {
+                    try_: request,
+                    answer: told,
+                },
+            );
             if let Some((wire, _)) = work.wire
                 && let Some(task) = self.place_of_wire(wire)
             {
                 let attempt = work.attempt;
-                self.post(from, Host::Task(task), None, What::Dropped { task, wire, request, attempt });
+                self.post(
+                    from,
+                    Host::Task(task),
+                    None,
+                    What::Dropped {
+                        task,
+                        wire,
+                        request,
+                        attempt,
+                    },
+                );
             }
         }
         self.wires_ended((process, life));
@@ -762,11 +999,24 @@
     pub fn reset_requests(&mut self, machine: usize) {
         let process = self.process_of(machine, false);
         let from = self.host_of(process);
-        let Some(courier) = self.courier(process) else { return };
+        let Some(courier) = self.courier(process) else {
+            return;
+        };
         let works: Vec<usize> = courier.works.keys().copied().collect();
         for request in works {
-            let told = Told { whole: false, ..Told::own(0, None) };
-            self.post(from, Host::Outside(0), None, What::ClientAnswer { try_: request, answer: told });
+            let told = Told {
+                whole: false,
+                ..Told::own(0, None)
+            };
+            self.post(
+                from,
+                Host::Outside(0),
+                None,
+                What::ClientAnswer {
+                    try_: request,
+                    answer: told,
+                },
+            );
             self.client_closed(process, request);
         }
     }
--- a/crates/rookpulley-simulator/src/day.rs
+++ b/crates/rookpulley-simulator/src/day.rs
@@ -245,7 +245,11 @@
         let length_ms = 30_000;
         // Drawn apart: the days without them stay as they were.
         let mut apart = ChaCha8Rng::seed_from_u64(seed ^ 0xa446);
-        let some = if apart.random_range(0..4u32) == 0 { apart.random_range(1..=3) } else { 0 };
+        let some = if apart.random_range(0..4u32) == 0 {
+            apart.random_range(1..=3)
+        } else {
+            0
+        };
         let mut day = Day {
             seed,
             offices,
@@ -253,12 +257,20 @@
             annex_seeds: apart.random_range(0..2u32) == 0,
             couriers,
             zones: rng.random_range(2..=3),
-            losses: if offices == 5 { rng.random_range(1..=2) } else { 1 },
+            losses: if offices == 5 {
+                rng.random_range(1..=2)
+            } else {
+                1
+            },
             services: rng.random_range(2..=4),
             tasks: rng.random_range(6..=20),
             rate: rng.random_range(60..=160),
             apps: rng.random_range(3..=7),
-            retry_ratio: if rng.random_range(0..2u32) == 0 { 0.1 } else { 0.2 },
+            retry_ratio: if rng.random_range(0..2u32) == 0 {
+                0.1
+            } else {
+                0.2
+            },
             retry_slack: f64::from(rng.random_range(4..=64u32)),
             held_up: rng.random_range(0..3u32) == 0,
             shape: Shape::default(),
@@ -271,22 +283,45 @@
             let at = rng.random_range(9_000..last - 3_000);
             let machine = rng.random_range(0..offices);
             let happens = match rng.random_range(0..4u32) {
-                0 => Happens::Replace { machine, orderly: true },
-                1 => Happens::Replace { machine, orderly: false },
-                _ => Happens::Wipe { machine, down_ms: rng.random_range(200..2_000) },
+                0 => Happens::Replace {
+                    machine,
+                    orderly: true,
+                },
+                1 => Happens::Replace {
+                    machine,
+                    orderly: false,
+                },
+                _ => Happens::Wipe {
+                    machine,
+                    down_ms: rng.random_range(200..2_000),
+                },
             };
             // At times all others lose power with it.
             if matches!(happens, Happens::Wipe { .. }) && rng.random_range(0..3u32) == 0 {
-                day.happens.push((at, Happens::Dark { down_ms: rng.random_range(200..900) }));
+                day.happens.push((
+                    at,
+                    Happens::Dark {
+                        down_ms: rng.random_range(200..900),
+                    },
+                ));
             }
             disk_lost.push(at);
             day.happens.push((at, happens));
         }
         // On some days all comes upon each other.
-        let most = if rng.random_range(0..4u32) == 0 { 16 } else { 5 };
+        let most = if rng.random_range(0..4u32) == 0 {
+            16
+        } else {
+            5
+        };
         for _ in 0..rng.random_range(1..=most) {
-            let (at, happens) = (rng.random_range(4_000..last - 2_000), day.draw_trouble(&mut rng));
-            let close = disk_lost.iter().any(|lost| at.abs_diff(*lost) < CATCHES_UP_MS);
+            let (at, happens) = (
+                rng.random_range(4_000..last - 2_000),
+                day.draw_trouble(&mut rng),
+            );
+            let close = disk_lost
+                .iter()
+                .any(|lost| at.abs_diff(*lost) < CATCHES_UP_MS);
             if !(close && happens.touches_core(offices)) {
                 day.happens.push((at, happens));
             }
@@ -300,7 +335,9 @@
             let at = rng.random_range(3_500..last + 2_000);
             let happens = match rng.random_range(0..9u32) {
                 0 => Happens::Race,
-                1 => Happens::Storm { count: rng.random_range(2..=6) },
+                1 => Happens::Storm {
+                    count: rng.random_range(2..=6),
+                },
                 2 => Happens::Invalid,
                 3 => Happens::Again,
                 _ => Happens::Change,
@@ -311,12 +348,15 @@
             let how = match rng.random_range(0..4u32) {
                 0 => Closing::Dark,
                 1 => Closing::Killed,
-                _ => Closing::Disks { others: rng.random_range(0..2u32) == 0 },
+                _ => Closing::Disks {
+                    others: rng.random_range(0..2u32) == 0,
+                },
             };
             let at = last + 1_000;
             let close = |at: &u64| last + 1_000 - *at < CATCHES_UP_MS;
             if matches!(how, Closing::Disks { .. }) {
-                day.happens.retain(|(at, happens)| !(close(at) && happens.touches_core(offices)));
+                day.happens
+                    .retain(|(at, happens)| !(close(at) && happens.touches_core(offices)));
             }
             day.happens.push((at, Happens::Closing { how }));
         }
@@ -350,46 +390,98 @@
     fn draw_trouble(&self, rng: &mut ChaCha8Rng) -> Happens {
         let any = rng.random_range(0..self.couriers);
         let core = rng.random_range(0..self.offices);
-        let machine = if rng.random_range(0..2u32) == 0 { core } else { any };
+        let machine = if rng.random_range(0..2u32) == 0 {
+            core
+        } else {
+            any
+        };
         let ms = rng.random_range(200..4_500);
         let down_ms = rng.random_range(150..2_500);
         match rng.random_range(0..17u32) {
-            0 => Happens::Kill { machine, power: false, down_ms },
-            1 => Happens::Kill { machine, power: true, down_ms },
-            2 => Happens::KillOne { machine: core, office: rng.random_range(0..2u32) == 0, down_ms },
+            0 => Happens::Kill {
+                machine,
+                power: false,
+                down_ms,
+            },
+            1 => Happens::Kill {
+                machine,
+                power: true,
+                down_ms,
+            },
+            2 => Happens::KillOne {
+                machine: core,
+                office: rng.random_range(0..2u32) == 0,
+                down_ms,
+            },
             3 | 4 => Happens::Freeze { machine, ms },
             5 | 6 => {
                 let first = rng.random_range(0..self.couriers);
                 let machines = match rng.random_range(0..3u32) {
                     0 => vec![core],
                     1 => vec![first],
-                    _ => (0..self.couriers).filter(|m| m % self.zones == core % self.zones).collect(),
+                    _ => (0..self.couriers)
+                        .filter(|m| m % self.zones == core % self.zones)
+                        .collect(),
                 };
-                Happens::Cut { machines, both: rng.random_range(0..3u32) != 0, ms }
+                Happens::Cut {
+                    machines,
+                    both: rng.random_range(0..3u32) != 0,
+                    ms,
+                }
             }
-            7 => Happens::Deaf { machines: vec![machine], ms },
-            8 => Happens::CutTasks { machine, zone: rng.random_range(0..self.zones), ms },
+            7 => Happens::Deaf {
+                machines: vec![machine],
+                ms,
+            },
+            8 => Happens::CutTasks {
+                machine,
+                zone: rng.random_range(0..self.zones),
+                ms,
+            },
             9 => Happens::Reset { machine },
             10 => Happens::Lossy { machine, ms },
-            11 => Happens::Herd { power: rng.random_range(0..2u32) == 0, down_ms: down_ms.min(900) },
+            11 => Happens::Herd {
+                power: rng.random_range(0..2u32) == 0,
+                down_ms: down_ms.min(900),
+            },
             12 => Happens::Dark { down_ms },
-            13 => Happens::SlowDisk { machine: core, hangs: rng.random_range(0..2u32) == 0, ms },
-            14 => Happens::ClockStep { machine, by_s: rng.random_range(-9..=9) },
+            13 => Happens::SlowDisk {
+                machine: core,
+                hangs: rng.random_range(0..2u32) == 0,
+                ms,
+            },
+            14 => Happens::ClockStep {
+                machine,
+                by_s: rng.random_range(-9..=9),
+            },
             15 => Happens::Term { machine },
-            _ => Happens::Roll { pause_ms: rng.random_range(400..1_500) },
+            _ => Happens::Roll {
+                pause_ms: rng.random_range(400..1_500),
+            },
         }
     }
 
     fn draw_of_tasks(&self, rng: &mut ChaCha8Rng) -> Happens {
-        let how =
-            [BadTask::Mute, BadTask::Cuts, BadTask::Garbles, BadTask::Slow, BadTask::Sheds, BadTask::Fails]
-                [rng.random_range(0..6usize)];
+        let how = [
+            BadTask::Mute,
+            BadTask::Cuts,
+            BadTask::Garbles,
+            BadTask::Slow,
+            BadTask::Sheds,
+            BadTask::Fails,
+        ][rng.random_range(0..6usize)];
         match rng.random_range(0..7u32) {
-            0 => {
-                Happens::CrashTasks { share: rng.random_range(1..=3), silent: rng.random_range(0..3u32) == 0 }
-            }
-            1 | 2 => Happens::DrainTasks { share: rng.random_range(1..=3) },
-            3 => Happens::Burst { times: rng.random_range(2..=4), ms: rng.random_range(500..3_000) },
+            0 => Happens::CrashTasks {
+                share: rng.random_range(1..=3),
+                silent: rng.random_range(0..3u32) == 0,
+            },
+            1 | 2 => Happens::DrainTasks {
+                share: rng.random_range(1..=3),
+            },
+            3 => Happens::Burst {
+                times: rng.random_range(2..=4),
+                ms: rng.random_range(500..3_000),
+            },
             _ => Happens::BadTasks {
                 service: rng.random_range(0..self.services),
                 how,
@@ -414,9 +506,10 @@
             Happens::Cut { machines, .. } | Happens::Deaf { machines, .. } => {
                 machines.iter().any(|machine| *machine < offices)
             }
-            Happens::Herd { .. } | Happens::Dark { .. } | Happens::Roll { .. } | Happens::CutCore { .. } => {
-                true
-            }
+            Happens::Herd { .. }
+            | Happens::Dark { .. }
+            | Happens::Roll { .. }
+            | Happens::CutCore { .. } => true,
             _ => false,
         }
     }
@@ -431,7 +524,11 @@
             self.seed,
             self.offices,
             self.annexes,
-            if self.annexes > 0 && self.annex_seeds { " as first seeds" } else { "" },
+            if self.annexes > 0 && self.annex_seeds {
+                " as first seeds"
+            } else {
+                ""
+            },
             self.couriers,
             self.zones,
             self.losses,
@@ -443,6 +540,8 @@
             self.retry_slack,
             if self.held_up { ", held up" } else { "" }
         )?;
-        self.happens.iter().try_for_each(|(at, happens)| writeln!(f, "{at:>7} ms  {happens:?}"))
+        self.happens
+            .iter()
+            .try_for_each(|(at, happens)| writeln!(f, "{at:>7} ms  {happens:?}"))
     }
 }
--- a/crates/rookpulley-simulator/src/disk.rs
+++ b/crates/rookpulley-simulator/src/disk.rs
@@ -51,11 +51,18 @@
 
 impl Disk {
     pub fn new(lies: bool) -> Disk {
-        Disk { lies, ..Disk::default() }
+        Disk {
+            lies,
+            ..Disk::default()
+        }
     }
 
     pub fn write(&mut self, of_chain: bool, ticket: u64, records: Vec<Record>) {
-        self.waiting.push(Job { of_chain, ticket, records });
+        self.waiting.push(Job {
+            of_chain,
+            ticket,
+            records,
+        });
     }
 
     /// Begins what waits, if nothing is under way; gives how long it takes.
@@ -73,7 +80,11 @@
 
     pub fn done(&mut self, now: Us) -> Option<Synced> {
         let (begun, jobs) = self.under_way.take()?;
-        let mut synced = Synced { chain: None, lives: None, took: now - begun };
+        let mut synced = Synced {
+            chain: None,
+            lives: None,
+            took: now - begun,
+        };
         for job in jobs {
             let (rows, ticket) = match job.of_chain {
                 true => (&mut self.chain, &mut synced.chain),
@@ -88,9 +99,16 @@
     /// The process ends, or the power: what is under way may be there or not.
     pub fn ends(&mut self, rng: &mut ChaCha8Rng) {
         self.waiting.clear();
-        let there = [rng.random_range(0..2u32) == 0, rng.random_range(0..2u32) == 0];
+        let there = [
+            rng.random_range(0..2u32) == 0,
+            rng.random_range(0..2u32) == 0,
+        ];
         for job in self.under_way.take().into_iter().flat_map(|(_, jobs)| jobs) {
-            let rows = if job.of_chain { &mut self.chain } else { &mut self.lives };
+            let rows = if job.of_chain {
+                &mut self.chain
+            } else {
+                &mut self.lives
+            };
             if there[usize::from(job.of_chain)] {
                 apply(rows, job.records);
             }
--- a/crates/rookpulley-simulator/src/hunt.rs
+++ b/crates/rookpulley-simulator/src/hunt.rs
@@ -44,7 +44,9 @@
                     let day = Day::draw(seed);
                     let mut played = play(&day, mutation);
                     if let Some(mutation) = mutation {
-                        played.breaches.retain(|breach| Some(breach.rule) == mutation.breaks());
+                        played
+                            .breaches
+                            .retain(|breach| Some(breach.rule) == mutation.breaks());
                     }
                     let Ok(mut all) = all.lock() else { return };
                     all.days += 1;
@@ -54,7 +56,11 @@
                     all.steps += played.steps;
                     let lower = all.found.as_ref().is_none_or(|found| seed < found.day.seed);
                     if !played.breaches.is_empty() && lower {
-                        all.found = Some(Found { day, breaches: played.breaches, days: all.days });
+                        all.found = Some(Found {
+                            day,
+                            breaches: played.breaches,
+                            days: all.days,
+                        });
                     }
                 }
             });
@@ -69,7 +75,10 @@
     let mut played = 0;
     let mut still = |day: &Day| {
         played += 1;
-        play(day, mutation).breaches.iter().any(|breach| breach.rule == rule)
+        play(day, mutation)
+            .breaches
+            .iter()
+            .any(|breach| breach.rule == rule)
     };
     let mut day = day.clone();
     let mut size = day.happens.len().div_ceil(2);
@@ -77,7 +86,8 @@
         let mut from = 0;
         while from < day.happens.len() {
             let mut less = day.clone();
-            less.happens.drain(from..(from + size).min(day.happens.len()));
+            less.happens
+                .drain(from..(from + size).min(day.happens.len()));
             if still(&less) {
                 day = less;
             } else {
@@ -86,7 +96,11 @@
         }
         size /= 2;
     }
-    let plainer: [fn(&mut Day); 3] = [|day| day.held_up = false, |day| day.apps = 0, |day| day.rate /= 2];
+    let plainer: [fn(&mut Day); 3] = [
+        |day| day.held_up = false,
+        |day| day.apps = 0,
+        |day| day.rate /= 2,
+    ];
     for plainer in plainer {
         let mut less = day.clone();
         plainer(&mut less);
--- a/crates/rookpulley-simulator/src/judge.rs
+++ b/crates/rookpulley-simulator/src/judge.rs
@@ -62,7 +62,13 @@
 pub fn judge(record: &Record, day: &Day) -> Vec<Breach> {
     let mut core = record.trouble.core.clone();
     core.sort_unstable();
-    let mut judge = Judge { record, day, breaches: Vec::new(), told: BTreeMap::new(), core };
+    let mut judge = Judge {
+        record,
+        day,
+        breaches: Vec::new(),
+        told: BTreeMap::new(),
+        core,
+    };
     judge.requests();
     judge.drains();
     judge.configurations();
@@ -84,7 +90,11 @@
         let told = self.told.entry(rule).or_default();
         *told += 1;
         if *told <= TOLD {
-            self.breaches.push(Breach { rule, at_ms: at / MS, what: what() });
+            self.breaches.push(Breach {
+                rule,
+                at_ms: at / MS,
+                what: what(),
+            });
         }
     }
 
@@ -103,8 +113,8 @@
     /// A machine of the core that reaches more than half of it, at this moment.
     fn reaches_most(&self, machine: usize, at: Us) -> bool {
         let since = at.saturating_sub(CONTACT);
-        let away =
-            (0..self.day.offices).filter(|other| *other != machine && self.cut(machine, *other, since, at));
+        let away = (0..self.day.offices)
+            .filter(|other| *other != machine && self.cut(machine, *other, since, at));
         (self.day.offices - away.count()) * 2 > self.day.offices
     }
 
@@ -124,7 +134,9 @@
             .any(|(of, from, until)| *of == machine && *from <= at && *until >= since);
         calm && self.settled(at)
             && (0..self.day.offices).all(|core| {
-                core == machine || !self.cut(machine, core, since, at) || !self.reaches_most(core, at)
+                core == machine
+                    || !self.cut(machine, core, since, at)
+                    || !self.reaches_most(core, at)
             })
             && (!self.is_core(machine) || self.reaches_most(machine, at))
     }
--- a/crates/rookpulley-simulator/src/judge/requests.rs
+++ b/crates/rookpulley-simulator/src/judge/requests.rs
@@ -24,7 +24,10 @@
 impl<'a> Judge<'a> {
     fn by_request(&self) -> HashMap<usize, Vec<&'a Arrival>> {
         let mut by: HashMap<usize, Vec<&Arrival>> = HashMap::new();
-        self.record.arrivals.iter().for_each(|arrival| by.entry(arrival.request).or_default().push(arrival));
+        self.record
+            .arrivals
+            .iter()
+            .for_each(|arrival| by.entry(arrival.request).or_default().push(arrival));
         by
     }
 
@@ -45,9 +48,14 @@
         for (index, try_) in self.record.tries.iter().enumerate() {
             let at = try_.ended_us().min(self.record.end);
             let arrivals = by.get(&index).map_or(&[][..], Vec::as_slice);
-            let ran: Vec<&&Arrival> = arrivals.iter().filter(|arrival| arrival.ran.is_some()).collect();
+            let ran: Vec<&&Arrival> = arrivals
+                .iter()
+                .filter(|arrival| arrival.ran.is_some())
+                .collect();
             if arrivals.iter().any(|arrival| arrival.path != try_.path) {
-                self.breach(Rule::Unasked, at, || format!("try {index} of {} arrives as another", try_.path));
+                self.breach(Rule::Unasked, at, || {
+                    format!("try {index} of {} arrives as another", try_.path)
+                });
             }
             let once = self.once(try_);
             if once && ran.len() > 1 {
@@ -56,34 +64,51 @@
                     .map(|arrival| {
                         let run = arrival.ran.as_ref();
                         let status = run.map_or(0, |run| run.status);
-                        format!("{} from {} ms on, its answer {status}", arrival.life, arrival.at / MS)
+                        format!(
+                            "{} from {} ms on, its answer {status}",
+                            arrival.life,
+                            arrival.at / MS
+                        )
                     })
                     .collect();
-                self.breach(Rule::Twice, at, || format!("try {index} runs at {}", runs.join(", ")));
+                self.breach(Rule::Twice, at, || {
+                    format!("try {index} runs at {}", runs.join(", "))
+                });
             }
             let status = try_.status();
             if once && PROMISES.contains(&status) && !ran.is_empty() {
                 let life = &ran[0].life;
-                self.breach(Rule::Refused, at, || format!("try {index} gets {status} and runs at {life}"));
+                self.breach(Rule::Refused, at, || {
+                    format!("try {index} gets {status} and runs at {life}")
+                });
             }
             if let Some((_, Ended::Told(told))) = &try_.ended
                 && try_.served()
             {
-                let good = ran.iter().filter_map(|arrival| arrival.ran.as_ref()).any(|run| {
-                    (run.status, run.signature, run.body) == (told.status, told.signature, told.body)
-                });
+                let good = ran
+                    .iter()
+                    .filter_map(|arrival| arrival.ran.as_ref())
+                    .any(|run| {
+                        (run.status, run.signature, run.body)
+                            == (told.status, told.signature, told.body)
+                    });
                 if !good || !told.whole {
-                    self.breach(Rule::Mixed, at, || format!("try {index} gets what no task gave it"));
+                    self.breach(Rule::Mixed, at, || {
+                        format!("try {index} gets what no task gave it")
+                    });
                 }
             }
             for arrival in ran {
                 let service = arrival.service;
-                let ever = self
-                    .valid()
-                    .any(|put| put.sent <= arrival.at && put.config.allows(&try_.host, &try_.path, service));
+                let ever = self.valid().any(|put| {
+                    put.sent <= arrival.at && put.config.allows(&try_.host, &try_.path, service)
+                });
                 if !ever {
                     self.breach(Rule::Route, arrival.at, || {
-                        format!("try {index} of {}{} runs at {}", try_.host, try_.path, arrival.life)
+                        format!(
+                            "try {index} of {}{} runs at {}",
+                            try_.host, try_.path, arrival.life
+                        )
                     });
                 }
             }
@@ -93,19 +118,37 @@
     pub fn drains(&mut self) {
         let mut drained: BTreeMap<&str, Vec<(Us, usize)>> = BTreeMap::new();
         for drain in &self.record.drains {
-            drained.entry(&drain.life).or_default().push((drain.at, drain.machine));
+            drained
+                .entry(&drain.life)
+                .or_default()
+                .push((drain.at, drain.machine));
         }
-        for arrival in self.record.arrivals.iter().filter(|arrival| !arrival.stranger) {
-            let Some(acks) = drained.get(arrival.life.as_str()) else { continue };
+        for arrival in self
+            .record
+            .arrivals
+            .iter()
+            .filter(|arrival| !arrival.stranger)
+        {
+            let Some(acks) = drained.get(arrival.life.as_str()) else {
+                continue;
+            };
             let late = |at: &Us| arrival.at > *at + DRAIN_MS * MS;
-            let Some((at, by)) = acks.iter().find(|(at, by)| late(at) && self.in_touch(*by, *at)) else {
+            let Some((at, by)) = acks
+                .iter()
+                .find(|(at, by)| late(at) && self.in_touch(*by, *at))
+            else {
                 continue;
             };
-            let held = self.record.trouble.task_cuts.iter().any(|(machine, task, from, until)| {
-                (*machine, *task) == (arrival.machine, arrival.task)
-                    && *from <= arrival.at
-                    && *until + CONTACT >= arrival.at
-            });
+            let held = self
+                .record
+                .trouble
+                .task_cuts
+                .iter()
+                .any(|(machine, task, from, until)| {
+                    (*machine, *task) == (arrival.machine, arrival.task)
+                        && *from <= arrival.at
+                        && *until + CONTACT >= arrival.at
+                });
             let machine = arrival.machine;
             let took = self.record.tries[arrival.request].sent_us;
             if !held && self.in_touch(machine, arrival.at) && self.in_touch(machine, took) {
@@ -125,7 +168,11 @@
     fn handled(&self, by: &HashMap<usize, Vec<&Arrival>>) -> Vec<(Us, usize, Option<usize>)> {
         let mut all = Vec::new();
         for (index, try_) in self.record.tries.iter().enumerate() {
-            let arrivals = by.get(&index).into_iter().flatten().filter(|arrival| arrival.ran.is_some());
+            let arrivals = by
+                .get(&index)
+                .into_iter()
+                .flatten()
+                .filter(|arrival| arrival.ran.is_some());
             all.extend(arrivals.map(|arrival| (arrival.at, index, Some(arrival.service))));
             if try_.status() == 404 {
                 all.push((try_.ended_us(), index, None));
@@ -151,13 +198,19 @@
             let try_ = &self.record.tries[index];
             let sent = try_.sent_us;
             let known: Vec<&Put> = self.valid().filter(|put| put.sent <= at).collect();
-            let versions =
-                known.iter().filter(|put| Self::fits(put, try_, service)).map(|p| p.config.version);
+            let versions = known
+                .iter()
+                .filter(|put| Self::fits(put, try_, service))
+                .map(|p| p.config.version);
             let (least, most) = (versions.clone().min(), versions.max());
-            let acked = known.iter().filter(|put| put.acked.is_some_and(|acked| acked + APPLY <= sent));
+            let acked = known
+                .iter()
+                .filter(|put| put.acked.is_some_and(|acked| acked + APPLY <= sent));
             let newest = acked.map(|put| put.config.version).max().unwrap_or(0);
             let touched = self.in_touch(try_.machine, sent) && self.in_touch(try_.machine, at);
-            let how = service.map_or("refused".into(), |service| format!("run by service {service}"));
+            let how = service.map_or("refused".into(), |service| {
+                format!("run by service {service}")
+            });
             if most.is_some_and(|most| most < newest) && touched {
                 self.breach(Rule::Config, at, || {
                     format!(
@@ -171,7 +224,11 @@
             proper += 1;
             denied += usize::from(service.is_none() && most.is_none() && touched);
             let floors = floors.entry((try_.machine, try_.process_life)).or_default();
-            let floor = floors.iter().filter(|(seen, _)| seen + DOWNGRADE < sent).map(|(_, v)| *v).max();
+            let floor = floors
+                .iter()
+                .filter(|(seen, _)| seen + DOWNGRADE < sent)
+                .map(|(_, v)| *v)
+                .max();
             if let (Some(floor), Some(most)) = (floor, most)
                 && most < floor
             {
@@ -189,7 +246,9 @@
             }
         }
         if denied > 5 + proper / 500 {
-            self.breach(Rule::Denied, 0, || format!("{denied} proper requests get 404"));
+            self.breach(Rule::Denied, 0, || {
+                format!("{denied} proper requests get 404")
+            });
         }
         self.later_routes();
         self.orders();
@@ -197,17 +256,30 @@
 
     /// Routes that were added later are served about as often as the first ones, by machines in touch.
     fn later_routes(&mut self) {
-        let Some(first) = self.valid().next() else { return };
+        let Some(first) = self.valid().next() else {
+            return;
+        };
         let is_first = |name: u64| first.config.routes.iter().any(|route| route.name == name);
         let (mut of_first, mut of_later) = (Served::default(), Served::default());
-        for try_ in self.record.tries.iter().filter(|try_| self.in_touch(try_.machine, try_.sent_us)) {
-            let holds =
-                self.valid().filter(|put| put.acked.is_some_and(|acked| acked + APPLY <= try_.sent_us));
+        for try_ in self
+            .record
+            .tries
+            .iter()
+            .filter(|try_| self.in_touch(try_.machine, try_.sent_us))
+        {
+            let holds = self
+                .valid()
+                .filter(|put| put.acked.is_some_and(|acked| acked + APPLY <= try_.sent_us));
             let newest = holds.max_by_key(|put| put.config.version);
-            let Some(route) = newest.and_then(|put| put.config.route(&try_.host, &try_.path)) else {
+            let Some(route) = newest.and_then(|put| put.config.route(&try_.host, &try_.path))
+            else {
                 continue;
             };
-            let of = if is_first(route.name) { &mut of_first } else { &mut of_later };
+            let of = if is_first(route.name) {
+                &mut of_first
+            } else {
+                &mut of_later
+            };
             of.asked += 1;
             of.served += usize::from(try_.served());
         }
@@ -225,7 +297,9 @@
             let version = put.config.version;
             match (put.valid, put.acked, put.refused) {
                 (false, Some(at), _) => {
-                    self.breach(Rule::Config, at, || format!("put {number} is invalid and acknowledged"));
+                    self.breach(Rule::Config, at, || {
+                        format!("put {number} is invalid and acknowledged")
+                    });
                 }
                 (true, _, Some(status)) => {
                     self.breach(Rule::Acks, put.sent, || {
@@ -240,13 +314,22 @@
                 _ => {}
             }
         }
-        let acked = self.valid().filter(|put| put.acked.is_some()).map(|put| put.config.version);
+        let acked = self
+            .valid()
+            .filter(|put| put.acked.is_some())
+            .map(|put| put.config.version);
         let newest = acked.max().unwrap_or(0);
         let end = self.record.end;
         match &self.record.read_back {
-            None => self.breach(Rule::Lost, end, || "the configuration can't be read back".into()),
+            None => self.breach(Rule::Lost, end, || {
+                "the configuration can't be read back".into()
+            }),
             Some(body) => {
-                let held = self.valid().filter(|put| put.body == *body).map(|put| put.config.version).max();
+                let held = self
+                    .valid()
+                    .filter(|put| put.body == *body)
+                    .map(|put| put.config.version)
+                    .max();
                 if held.is_none_or(|held| held < newest) {
                     self.breach(Rule::Lost, end, || {
                         format!("version {held:?} is read back, {newest} was acknowledged")
@@ -271,7 +354,10 @@
         for (service, extras) in extras {
             let mut sent: Vec<Us> = Vec::new();
             for try_ in &self.record.tries {
-                if self.valid().any(|put| put.config.allows(&try_.host, &try_.path, service)) {
+                if self
+                    .valid()
+                    .any(|put| put.config.allows(&try_.host, &try_.path, service))
+                {
                     sent.push(try_.sent_us);
                 }
             }
@@ -285,11 +371,16 @@
                 let count = place + 1 - first;
                 let most = within(from, *at)
                     .max(within(from.saturating_sub(WINDOW), from))
-                    .max(within(from.saturating_sub(WINDOW / 2), at.saturating_sub(WINDOW / 2)));
+                    .max(within(
+                        from.saturating_sub(WINDOW / 2),
+                        at.saturating_sub(WINDOW / 2),
+                    ));
                 let allowed = self.day.retry_ratio * most as f64 + self.day.retry_slack;
                 if count as f64 > allowed {
                     self.breach(Rule::Budget, *at, || {
-                        format!("service {service} gets {count} further tries, {allowed:.1} are allowed")
+                        format!(
+                            "service {service} gets {count} further tries, {allowed:.1} are allowed"
+                        )
                     });
                     break;
                 }
@@ -302,7 +393,9 @@
         let by = self.by_request();
         for (machine, term) in self.record.terms.clone() {
             for (index, try_) in self.record.tries.iter().enumerate() {
-                let Some((ended, Ended::Closed)) = &try_.ended else { continue };
+                let Some((ended, Ended::Closed)) = &try_.ended else {
+                    continue;
+                };
                 let (ended, sent) = (*ended, try_.sent_us);
                 if try_.machine != machine || ended < term || ended > term + GRACE + S {
                     continue;
@@ -318,12 +411,15 @@
                 let excused = arrivals.iter().any(|arrival| {
                     arrival.broke_off
                         || arrival.ran.as_ref().is_some_and(|run| {
-                            run.ended.unwrap_or(Us::MAX) > term + GRACE / 2 && run.begun < term + GRACE
+                            run.ended.unwrap_or(Us::MAX) > term + GRACE / 2
+                                && run.begun < term + GRACE
                         })
                 });
                 if calm && passed && !excused && ended < sent + try_.deadline {
                     self.breach(Rule::Lost, ended, || {
-                        format!("try {index} is cut off at machine {machine}, which was told to end")
+                        format!(
+                            "try {index} is cut off at machine {machine}, which was told to end"
+                        )
                     });
                 }
             }
@@ -331,7 +427,10 @@
     }
 
     pub fn recovery(&mut self) {
-        let (from, to) = (self.record.end.saturating_sub(4 * S), self.record.end.saturating_sub(1_500 * MS));
+        let (from, to) = (
+            self.record.end.saturating_sub(4 * S),
+            self.record.end.saturating_sub(1_500 * MS),
+        );
         let mut served: HashMap<usize, bool> = HashMap::new();
         for try_ in self.record.tries.iter() {
             if try_.sent_us >= from && try_.sent_us < to && try_.status() != 404 {
@@ -341,7 +440,9 @@
         let good = served.values().filter(|served| **served).count();
         if good * 4 < served.len() * 3 {
             let of = served.len();
-            self.breach(Rule::Recover, from, || format!("{good} of {of} requests are served at the end"));
+            self.breach(Rule::Recover, from, || {
+                format!("{good} of {of} requests are served at the end")
+            });
         }
     }
 }
--- a/crates/rookpulley-simulator/src/net.rs
+++ b/crates/rookpulley-simulator/src/net.rs
@@ -38,7 +38,9 @@
 
 impl Net {
     pub fn cut(&self, from: Host, to: Host) -> bool {
-        self.cuts.values().any(|(a, b)| a.contains(&from) && b.contains(&to))
+        self.cuts
+            .values()
+            .any(|(a, b)| a.contains(&from) && b.contains(&to))
     }
 
     pub fn cut_either(&self, a: Host, b: Host) -> bool {
@@ -76,12 +78,19 @@
 
     pub fn delay(&mut self, from: Host, to: Host) -> Us {
         let near = self.zone_of(from) == self.zone_of(to);
-        let mut us =
-            if near { self.rng.random_range(200..1_200u64) } else { self.rng.random_range(1_500..8_000u64) };
+        let mut us = if near {
+            self.rng.random_range(200..1_200u64)
+        } else {
+            self.rng.random_range(1_500..8_000u64)
+        };
         if self.chance(60) {
             us += self.rng.random_range(0..15_000u64);
         }
-        let lossy = self.net.lossy.values().any(|host| *host == from || *host == to);
+        let lossy = self
+            .net
+            .lossy
+            .values()
+            .any(|host| *host == from || *host == to);
         if lossy && self.chance(6) {
             us += self.rng.random_range(200..500u64) * MS;
         }
@@ -117,19 +126,24 @@
         let lines: Vec<u64> = self.lines.keys().copied().collect();
         for line in lines {
             for side in 0..2 {
-                let Some(of) = self.lines.get_mut(&line) else { break };
+                let Some(of) = self.lines.get_mut(&line) else {
+                    break;
+                };
                 let (from, to) = (of.ends[side].0, of.ends[1 - side].0);
                 let (from, to) = (self.host_of(from), self.host_of(to));
                 if self.net.cut(from, to) {
                     continue;
                 }
                 let both = !self.net.cut(to, from);
-                let Some(of) = self.lines.get_mut(&line) else { break };
+                let Some(of) = self.lines.get_mut(&line) else {
+                    break;
+                };
                 if both {
                     of.stuck[side] = None;
                 }
                 let held = std::mem::take(&mut of.held[side]);
-                held.into_iter().for_each(|bytes| self.send_line(line, side, bytes));
+                held.into_iter()
+                    .for_each(|bytes| self.send_line(line, side, bytes));
             }
         }
     }
@@ -137,7 +151,9 @@
     /// Machines without power lose what they had to say.
     pub fn forget_held(&mut self, machine: usize) {
         let host = Host::Machine(machine);
-        self.net.held.retain(|(from, to, ..)| *from != host && *to != host);
+        self.net
+            .held
+            .retain(|(from, to, ..)| *from != host && *to != host);
     }
 
     // ---- lines ------------------------------------------------------------------------------
@@ -166,13 +182,20 @@
     }
 
     pub fn send_line(&mut self, line: u64, side: usize, bytes: Vec<u8>) {
-        let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else { return };
-        let (from, to) = (self.host_of(of.ends[side].0), self.host_of(of.ends[1 - side].0));
+        let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else {
+            return;
+        };
+        let (from, to) = (
+            self.host_of(of.ends[side].0),
+            self.host_of(of.ends[1 - side].0),
+        );
         let (cut, away) = (self.net.cut(from, to), !self.powered(to));
         let stuck = cut || away || self.net.cut(to, from);
         let us = self.delay(from, to);
         let now = self.now;
-        let Some(of) = self.lines.get_mut(&line) else { return };
+        let Some(of) = self.lines.get_mut(&line) else {
+            return;
+        };
         if stuck {
             of.stuck[side].get_or_insert(now);
         }
@@ -186,13 +209,24 @@
         let at = (now + us).max(of.last[side] + 1);
         of.last[side] = at;
         let end = of.ends[1 - side];
-        self.at(at, Some(end), What::Line { line, side: 1 - side, bytes });
+        self.at(
+            at,
+            Some(end),
+            What::Line {
+                line,
+                side: 1 - side,
+                bytes,
+            },
+        );
     }
 
     /// What came on a line, if it came.
     pub fn heard_line(&mut self, line: u64, side: usize, bytes: Vec<u8>) -> Option<Vec<u8>> {
         let of = self.lines.get(&line)?;
-        let (from, to) = (self.host_of(of.ends[1 - side].0), self.host_of(of.ends[side].0));
+        let (from, to) = (
+            self.host_of(of.ends[1 - side].0),
+            self.host_of(of.ends[side].0),
+        );
         let cut = self.net.cut(from, to);
         let now = self.now;
         if !self.lines.get(&line)?.open[side] {
@@ -200,7 +234,14 @@
             let end = self.lines.get(&line)?.ends[1 - side];
             if !self.net.cut(to, from) {
                 let us = self.delay(to, from);
-                self.after(us, Some(end), What::LineEnd { line, side: 1 - side });
+                self.after(
+                    us,
+                    Some(end),
+                    What::LineEnd {
+                        line,
+                        side: 1 - side,
+                    },
+                );
             }
             return None;
         }
@@ -217,7 +258,9 @@
     /// Whether this side gives the line up now: what it said isn't confirmed, or it hears nothing.
     pub fn check_line(&mut self, line: u64, side: usize) -> bool {
         let now = self.now;
-        let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else { return false };
+        let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else {
+            return false;
+        };
         let (here, there) = (of.ends[side], of.ends[1 - side]);
         let unheard = of.stuck[side].is_some_and(|since| now - since > UNHEARD);
         let quiet = of.quiet[side] && now - of.heard[side] > UNHEARD;
@@ -225,7 +268,9 @@
         let reset = !of.open[1 - side]
             && self.processes[there.0].life != there.1
             && self.powered(self.host_of(there.0))
-            && !self.net.cut_either(self.host_of(here.0), self.host_of(there.0));
+            && !self
+                .net
+                .cut_either(self.host_of(here.0), self.host_of(there.0));
         if unheard || quiet || reset {
             return true;
         }
@@ -235,7 +280,9 @@
 
     /// This side ends a line; the other one learns of it if it can.
     pub fn end_line(&mut self, line: u64, side: usize, quiet: bool) {
-        let Some(of) = self.lines.get_mut(&line) else { return };
+        let Some(of) = self.lines.get_mut(&line) else {
+            return;
+        };
         of.open[side] = false;
         if !of.open[1 - side] {
             self.lines.remove(&line);
@@ -245,8 +292,18 @@
         let (from, host) = (self.host_of(from), self.host_of(to.0));
         if !quiet && !self.net.cut(from, host) {
             let us = self.delay(from, host);
-            let at = self.lines.get(&line).map_or(0, |of| (self.now + us).max(of.last[side] + 1));
-            self.at(at, Some(to), What::LineEnd { line, side: 1 - side });
+            let at = self
+                .lines
+                .get(&line)
+                .map_or(0, |of| (self.now + us).max(of.last[side] + 1));
+            self.at(
+                at,
+                Some(to),
+                What::LineEnd {
+                    line,
+                    side: 1 - side,
+                },
+            );
         }
     }
 
@@ -256,10 +313,13 @@
             .lines
             .iter()
             .flat_map(|(line, of)| {
-                (0..2).filter(|s| of.ends[*s].0 == process && of.open[*s]).map(|s| (*line, s))
+                (0..2)
+                    .filter(|s| of.ends[*s].0 == process && of.open[*s])
+                    .map(|s| (*line, s))
             })
             .collect();
-        its.into_iter().for_each(|(line, side)| self.end_line(line, side, quiet));
+        its.into_iter()
+            .for_each(|(line, side)| self.end_line(line, side, quiet));
     }
 
     /// The lines of a machine are reset, both sides learn of it.
@@ -273,7 +333,12 @@
             .collect();
         for line in lines {
             for side in 0..2 {
-                if let Some(end) = self.lines.get(&line).filter(|of| of.open[side]).map(|of| of.ends[side]) {
+                if let Some(end) = self
+                    .lines
+                    .get(&line)
+                    .filter(|of| of.open[side])
+                    .map(|of| of.ends[side])
+                {
                     self.after(MS, Some(end), What::LineEnd { line, side });
                 }
             }
@@ -282,7 +347,9 @@
 
     /// A process dials another one: true where it listens, after the way there and back.
     pub fn dial(&mut self, process: usize, ip: std::net::Ipv4Addr, within: Us) {
-        let Some(me) = self.address(process) else { return };
+        let Some(me) = self.address(process) else {
+            return;
+        };
         let from = self.host_of(process);
         let machine = self.machine_at(ip);
         let to = machine.map(Host::Machine);
--- a/crates/rookpulley-simulator/src/offices.rs
+++ b/crates/rookpulley-simulator/src/offices.rs
@@ -5,7 +5,9 @@
 use crate::{MS, S, Us};
 use rand::RngExt;
 use rookpulley_chain::{Kept, Member};
-use rookpulley_control::{Content, Controller, Effect, Founding, Path, Reply, Start, Wants, Word, read};
+use rookpulley_control::{
+    Content, Controller, Effect, Founding, Path, Reply, Start, Wants, Word, read,
+};
 use rookpulley_protocol::Up;
 use rookpulley_state::{Answer, Ask, Update};
 use std::collections::{BTreeMap, HashMap};
@@ -45,9 +47,19 @@
 
 impl World {
     pub fn seeds(&self) -> Vec<SocketAddrV4> {
-        let annexes = self.machines.iter().filter(|machine| machine.annex && self.day.annex_seeds);
-        let core = self.machines.iter().filter(|machine| machine.core && !machine.gone);
-        annexes.chain(core).take(3).map(|machine| SocketAddrV4::new(machine.ip, 8_166)).collect()
+        let annexes = self
+            .machines
+            .iter()
+            .filter(|machine| machine.annex && self.day.annex_seeds);
+        let core = self
+            .machines
+            .iter()
+            .filter(|machine| machine.core && !machine.gone);
+        annexes
+            .chain(core)
+            .take(3)
+            .map(|machine| SocketAddrV4::new(machine.ip, 8_166))
+            .collect()
     }
 
     pub fn start_office(&mut self, machine: usize, first: bool) {
@@ -68,7 +80,11 @@
             at.disk.founding = Some(Founding::new(at.ip, &seeds));
         }
         let start = Start {
-            me: Member { id: identity, life, address: SocketAddrV4::new(at.ip, 7_721) },
+            me: Member {
+                id: identity,
+                life,
+                address: SocketAddrV4::new(at.ip, 7_721),
+            },
             seeds,
             losses: self.day.losses,
             heartbeat_ms: HEARTBEAT_MS,
@@ -80,7 +96,8 @@
         };
         if torn {
             self.say(|| format!("office {machine}: its disk is torn"));
-            self.record.fault(format!("the disk of office {machine} is torn"));
+            self.record
+                .fault(format!("the disk of office {machine} is torn"));
         }
         let office = OfficeProcess {
             office: Controller::new(start),
@@ -105,7 +122,11 @@
     }
 
     /// Something comes in; what the clerk wants is carried out.
-    fn with_office<T>(&mut self, process: usize, input: impl FnOnce(&mut Controller, f64) -> T) -> Option<T> {
+    fn with_office<T>(
+        &mut self,
+        process: usize,
+        input: impl FnOnce(&mut Controller, f64) -> T,
+    ) -> Option<T> {
         let clock = self.clock(process);
         let office = self.office(process)?;
         let came = input(&mut office.office, clock);
@@ -122,45 +143,80 @@
         match effect {
             Effect::Dial(ip) => {
                 if let Some(office) = self.office(process) {
-                    office.dialers.insert(ip, Dialer { line: None, pause: AGAIN_FIRST, dials: true });
+                    office.dialers.insert(
+                        ip,
+                        Dialer {
+                            line: None,
+                            pause: AGAIN_FIRST,
+                            dials: true,
+                        },
+                    );
                     self.after(0, me, What::Dial(ip));
                 }
             }
             Effect::Spoke(ip) => {
-                let waits = self.office(process).and_then(|office| office.dialers.get_mut(&ip));
-                if let Some(dialer) = waits.filter(|dialer| dialer.line.is_none() && !dialer.dials) {
+                let waits = self
+                    .office(process)
+                    .and_then(|office| office.dialers.get_mut(&ip));
+                if let Some(dialer) = waits.filter(|dialer| dialer.line.is_none() && !dialer.dials)
+                {
                     (dialer.pause, dialer.dials) = (AGAIN_FIRST, true);
                     self.after(0, me, What::Dial(ip));
                 }
             }
             Effect::Word { to, frame } => {
-                let line = self.office(process).and_then(|office| office.dialers.get(&to)?.line);
-                line.into_iter().for_each(|line| self.send_line(line, 0, frame.clone()));
+                let line = self
+                    .office(process)
+                    .and_then(|office| office.dialers.get(&to)?.line);
+                line.into_iter()
+                    .for_each(|line| self.send_line(line, 0, frame.clone()));
             }
             Effect::Down { line, frame } => {
-                let line = self.office(process).and_then(|office| office.couriers.get(&line).copied());
-                line.into_iter().for_each(|line| self.send_line(line, 1, frame.clone()));
+                let line = self
+                    .office(process)
+                    .and_then(|office| office.couriers.get(&line).copied());
+                line.into_iter()
+                    .for_each(|line| self.send_line(line, 1, frame.clone()));
             }
             Effect::Write { ticket, records } => self.write(process, true, ticket, records),
             Effect::Note { ticket, records } => self.write(process, false, ticket, records),
             Effect::Reply { token, reply } => {
-                let call = self.office(process).and_then(|office| office.calls.remove(&token));
+                let call = self
+                    .office(process)
+                    .and_then(|office| office.calls.remove(&token));
                 if let Some((call, attempt)) = call {
                     self.reply(process, call, attempt, reply);
                 }
             }
             Effect::Spoilt => {
                 self.say(|| format!("office {machine}: its copy is spoilt"));
-                self.record.fault(format!("office {machine} gives its disk up"));
+                self.record
+                    .fault(format!("office {machine} gives its disk up"));
                 self.stop(process, false);
                 self.machines[machine].disk.wipe();
-                self.after(BEGUN_ANEW, None, What::Start { machine, office: true, courier: false });
+                self.after(
+                    BEGUN_ANEW,
+                    None,
+                    What::Start {
+                        machine,
+                        office: true,
+                        courier: false,
+                    },
+                );
+            }
+            Effect::Log(line) | Effect::Complain(line) => {
+                self.say(|| format!("office {machine}: {line}"))
             }
-            Effect::Log(line) | Effect::Complain(line) => self.say(|| format!("office {machine}: {line}")),
         }
     }
 
-    fn write(&mut self, process: usize, of_chain: bool, ticket: u64, records: Vec<rookpulley_chain::Record>) {
+    fn write(
+        &mut self,
+        process: usize,
+        of_chain: bool,
+        ticket: u64,
+        records: Vec<rookpulley_chain::Record>,
+    ) {
         let me = self.address(process);
         let (machine, now) = (self.processes[process].machine, self.now);
         let disk = &mut self.machines[machine].disk;
@@ -179,7 +235,16 @@
             reply.status = 503;
         }
         let (from, to) = (self.host_of(process), self.caller_host(call));
-        self.post(from, to, None, What::Replied { call, attempt, reply: Some(reply) });
+        self.post(
+            from,
+            to,
+            None,
+            What::Replied {
+                call,
+                attempt,
+                reply: Some(reply),
+            },
+        );
     }
 
     pub fn office_takes(&mut self, process: usize, what: What) {
@@ -193,7 +258,11 @@
                 self.after(TICK, me, What::Tick);
                 self.with_office(process, |office, now| office.tick(now, round));
             }
-            What::Dial(ip) if self.office(process).is_some_and(|office| office.dialers.contains_key(&ip)) => {
+            What::Dial(ip)
+                if self
+                    .office(process)
+                    .is_some_and(|office| office.dialers.contains_key(&ip)) =>
+            {
                 self.dial(process, ip, DIAL_WITHIN);
             }
             What::Dialed { ip, up } => self.office_dialed(process, ip, up),
@@ -221,7 +290,11 @@
                 }
             }
             What::Lied { of_chain, ticket } => {
-                let (chain, lives) = if of_chain { (Some(ticket), None) } else { (None, Some(ticket)) };
+                let (chain, lives) = if of_chain {
+                    (Some(ticket), None)
+                } else {
+                    (None, Some(ticket))
+                };
                 self.with_office(process, |office, now| office.stored(now, chain, lives, 1.0));
             }
             What::Call { call, attempt } => self.office_called(process, call, attempt),
@@ -231,18 +304,28 @@
     }
 
     fn office_dialed(&mut self, process: usize, ip: Ipv4Addr, up: bool) {
-        let Some(me) = self.address(process) else { return };
-        let there = self.machine_at(ip).map(|machine| self.process_of(machine, true));
+        let Some(me) = self.address(process) else {
+            return;
+        };
+        let there = self
+            .machine_at(ip)
+            .map(|machine| self.process_of(machine, true));
         let there = there.and_then(|there| self.address(there)).filter(|_| up);
         let Some(there) = there else {
-            let Some(dialer) = self.office(process).and_then(|office| office.dialers.get_mut(&ip)) else {
+            let Some(dialer) = self
+                .office(process)
+                .and_then(|office| office.dialers.get_mut(&ip))
+            else {
                 return;
             };
             dialer.pause = (dialer.pause * 2).min(AGAIN_MOST);
             return self.office_dials_again(process, ip);
         };
         let line = self.open_line(me, there, [false, true]);
-        if let Some(dialer) = self.office(process).and_then(|office| office.dialers.get_mut(&ip)) {
+        if let Some(dialer) = self
+            .office(process)
+            .and_then(|office| office.dialers.get_mut(&ip))
+        {
             (dialer.line, dialer.pause, dialer.dials) = (Some(line), AGAIN_FIRST, false);
         }
         self.with_office(process, |office, now| office.dialed(now, ip));
@@ -251,11 +334,16 @@
     fn office_dials_again(&mut self, process: usize, ip: Ipv4Addr) {
         let me = self.address(process);
         if self.with_office(process, |office, now| office.still_known(now, ip)) != Some(true) {
-            self.office(process).into_iter().for_each(|office| _ = office.dialers.remove(&ip));
+            self.office(process)
+                .into_iter()
+                .for_each(|office| _ = office.dialers.remove(&ip));
             self.with_office(process, |office, _| office.forget(ip));
             return;
         }
-        let Some(dialer) = self.office(process).and_then(|office| office.dialers.get_mut(&ip)) else {
+        let Some(dialer) = self
+            .office(process)
+            .and_then(|office| office.dialers.get_mut(&ip))
+        else {
             return;
         };
         dialer.dials = true;
@@ -264,19 +352,42 @@
     }
 
     fn office_hears(&mut self, process: usize, line: u64, bytes: &[u8]) {
-        let Some(of) = self.lines.get(&line) else { return };
+        let Some(of) = self.lines.get(&line) else {
+            return;
+        };
         if self.keeps_control(of.ends[0].0) {
-            let Some(word) = unframed::<Word>(bytes) else { return };
+            let Some(word) = unframed::<Word>(bytes) else {
+                return;
+            };
             let mut who = of.who;
             self.with_office(process, |office, now| office.word(now, &mut who, word));
-            self.lines.get_mut(&line).into_iter().for_each(|of| of.who = who);
+            self.lines
+                .get_mut(&line)
+                .into_iter()
+                .for_each(|of| of.who = who);
             return;
         }
-        let (Some(up), known) = (unframed::<Up>(bytes), of.courier.clone()) else { return };
+        let (Some(up), known) = (unframed::<Up>(bytes), of.courier.clone()) else {
+            return;
+        };
         match (up, known) {
-            (Up::Hello { node, zone, home, config, tables, gone }, None) => {
-                let Some(number) = self.with_office(process, |office, _| office.number()) else { return };
-                self.office(process).into_iter().for_each(|office| _ = office.couriers.insert(number, line));
+            (
+                Up::Hello {
+                    node,
+                    zone,
+                    home,
+                    config,
+                    tables,
+                    gone,
+                },
+                None,
+            ) => {
+                let Some(number) = self.with_office(process, |office, _| office.number()) else {
+                    return;
+                };
+                self.office(process)
+                    .into_iter()
+                    .for_each(|office| _ = office.couriers.insert(number, line));
                 self.lines
                     .get_mut(&line)
                     .into_iter()
@@ -286,17 +397,28 @@
                 });
             }
             (Up::Annex { address, offices }, None) => {
-                let Some(number) = self.with_office(process, |office, _| office.number()) else { return };
-                self.office(process).into_iter().for_each(|office| _ = office.couriers.insert(number, line));
+                let Some(number) = self.with_office(process, |office, _| office.number()) else {
+                    return;
+                };
+                self.office(process)
+                    .into_iter()
+                    .for_each(|office| _ = office.couriers.insert(number, line));
                 let name = Some((address.ip().to_string(), number));
-                self.lines.get_mut(&line).into_iter().for_each(|of| of.courier = name.clone());
-                self.with_office(process, |office, now| office.annex_in(now, number, address, &offices));
+                self.lines
+                    .get_mut(&line)
+                    .into_iter()
+                    .for_each(|of| of.courier = name.clone());
+                self.with_office(process, |office, now| {
+                    office.annex_in(now, number, address, &offices)
+                });
             }
             (up @ (Up::Annex { .. } | Up::Found { .. }), Some((_, number))) => {
                 self.with_office(process, |office, now| office.annex_said(now, number, &up));
             }
             (up, Some((node, number))) => {
-                self.with_office(process, |office, now| office.courier_said(now, &node, number, up));
+                self.with_office(process, |office, now| {
+                    office.courier_said(now, &node, number, up)
+                });
             }
             _ => {}
         }
@@ -304,19 +426,26 @@
 
     /// `own`: this side ends it.
     fn office_line_ends(&mut self, process: usize, line: u64, side: usize, own: bool) {
-        let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else { return };
+        let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else {
+            return;
+        };
         let (who, courier, other) = (of.who, of.courier.clone(), of.ends[1 - side].0);
         self.end_line(line, side, !own);
         if side == 0 {
             let ip = self.machines[self.processes[other].machine].ip;
-            if let Some(dialer) = self.office(process).and_then(|office| office.dialers.get_mut(&ip)) {
+            if let Some(dialer) = self
+                .office(process)
+                .and_then(|office| office.dialers.get_mut(&ip))
+            {
                 dialer.line = None;
             }
             self.with_office(process, |office, _| office.hung_up(ip));
             return self.office_dials_again(process, ip);
         }
         if let Some((node, number)) = courier {
-            self.office(process).into_iter().for_each(|office| _ = office.couriers.remove(&number));
+            self.office(process)
+                .into_iter()
+                .for_each(|office| _ = office.couriers.remove(&number));
             self.with_office(process, |office, now| {
                 office.courier_out(now, &node, number);
                 office.annex_out(now, number);
@@ -332,22 +461,40 @@
         if self.office(process).is_none_or(|office| office.deaf) {
             return self.call_not_heard(process, call, attempt);
         }
-        let Some(of) = self.calls.get(&call) else { return };
+        let Some(of) = self.calls.get(&call) else {
+            return;
+        };
         let (path, name, body) = (of.path, of.name.clone(), of.body.clone());
         let query = of.query.clone();
-        let value =
-            |wanted: &str| query.iter().find(|(name, _)| *name == wanted).map(|(_, value)| value.as_str());
-        let held = self.office(process).and_then(|of| of.office.configuration());
+        let value = |wanted: &str| {
+            query
+                .iter()
+                .find(|(name, _)| *name == wanted)
+                .map(|(_, value)| value.as_str())
+        };
+        let held = self
+            .office(process)
+            .and_then(|of| of.office.configuration());
         let wants = read(path, &name, body.clone(), value, held);
         let wants = match wants {
             Ok(wants) => self.mutated(wants),
-            Err(_) if self.mutation == Some(Mutation::TakesInvalid) && path == Path::PutConfiguration => {
-                Wants::Update(Update::PutConfiguration { version: self.operator.newest + 1, body })
+            Err(_)
+                if self.mutation == Some(Mutation::TakesInvalid)
+                    && path == Path::PutConfiguration =>
+            {
+                Wants::Update(Update::PutConfiguration {
+                    version: self.operator.newest + 1,
+                    body,
+                })
             }
             Err(reply) => return self.reply(process, call, attempt, reply),
         };
         if self.mutation == Some(Mutation::RepeatRefused) && self.repeats(process, &wants) {
-            let refused = Reply { status: 409, retry_after: None, content: Content::Nothing };
+            let refused = Reply {
+                status: 409,
+                retry_after: None,
+                content: Content::Nothing,
+            };
             return self.reply(process, call, attempt, refused);
         }
         if self.mutation == Some(Mutation::ReadsAlone)
@@ -356,31 +503,45 @@
             let reply = self.read_alone(process, name);
             return self.reply(process, call, attempt, reply);
         }
-        let Some(token) = self.with_office(process, |office, _| office.number()) else { return };
-        self.office(process).into_iter().for_each(|office| _ = office.calls.insert(token, (call, attempt)));
+        let Some(token) = self.with_office(process, |office, _| office.number()) else {
+            return;
+        };
+        self.office(process)
+            .into_iter()
+            .for_each(|office| _ = office.calls.insert(token, (call, attempt)));
         self.with_office(process, |office, now| office.call(now, token, wants));
     }
 
     fn mutated(&self, wants: Wants) -> Wants {
         match wants {
-            Wants::Update(Update::TakeLock { name, holder, hold_ms })
-                if self.mutation == Some(Mutation::LocksShort) =>
-            {
-                Wants::Update(Update::TakeLock { name, holder, hold_ms: hold_ms / 2 })
-            }
+            Wants::Update(Update::TakeLock {
+                name,
+                holder,
+                hold_ms,
+            }) if self.mutation == Some(Mutation::LocksShort) => Wants::Update(Update::TakeLock {
+                name,
+                holder,
+                hold_ms: hold_ms / 2,
+            }),
             wants => wants,
         }
     }
 
     fn repeats(&mut self, process: usize, wants: &Wants) -> bool {
-        let Wants::Update(Update::PutConfiguration { version, .. }) = wants else { return false };
-        let held = self.office(process).map_or(0, |of| of.office.chain.state().ledger.version());
+        let Wants::Update(Update::PutConfiguration { version, .. }) = wants else {
+            return false;
+        };
+        let held = self
+            .office(process)
+            .map_or(0, |of| of.office.chain.state().ledger.version());
         *version <= held
     }
 
     fn read_alone(&mut self, process: usize, name: &str) -> Reply {
         let ask = Ask::Cell { name: name.into() };
-        let answer = self.office(process).map(|office| office.office.chain.state().ledger.read(&ask));
+        let answer = self
+            .office(process)
+            .map(|office| office.office.chain.state().ledger.read(&ask));
         let (status, content) = match answer {
             Some(Answer::Cell { value, revision }) => {
                 let fields = HashMap::from([
@@ -391,7 +552,11 @@
             }
             _ => (404, Content::Nothing),
         };
-        Reply { status, retry_after: None, content }
+        Reply {
+            status,
+            retry_after: None,
+            content,
+        }
     }
 
     // ---- its end ----------------------------------------------------------------------------
@@ -413,16 +578,22 @@
     /// As the program does: the chain is left first, then calls at work are answered.
     fn leaving(&mut self, process: usize) {
         let (me, now) = (self.address(process), self.now);
-        let Some(since) = self.office(process).and_then(|office| office.leaves) else { return };
+        let Some(since) = self.office(process).and_then(|office| office.leaves) else {
+            return;
+        };
         let deaf = self.office(process).is_some_and(|office| office.deaf);
         if !deaf {
             let left = self.with_office(process, Controller::left_the_chain) == Some(true);
             if left || now - since >= LEAVE_WITHIN {
-                self.office(process).into_iter().for_each(|office| office.deaf = true);
+                self.office(process)
+                    .into_iter()
+                    .for_each(|office| office.deaf = true);
             }
             return self.after(LOOK_AGAIN, me, What::Leaving);
         }
-        let calm = self.office(process).is_none_or(|office| office.calls.is_empty());
+        let calm = self
+            .office(process)
+            .is_none_or(|office| office.calls.is_empty());
         if calm || now - since >= LEAVE_WITHIN + 2 * S {
             return self.stop(process, false);
         }
@@ -437,7 +608,16 @@
         let from = crate::net::Host::Machine(machine);
         for (call, attempt) in office.calls.into_values() {
             let to = self.caller_host(call);
-            self.post(from, to, None, What::Replied { call, attempt, reply: None });
+            self.post(
+                from,
+                to,
+                None,
+                What::Replied {
+                    call,
+                    attempt,
+                    reply: None,
+                },
+            );
         }
     }
 }
--- a/crates/rookpulley-simulator/src/operator.rs
+++ b/crates/rookpulley-simulator/src/operator.rs
@@ -29,7 +29,8 @@
         if !self.dropped.is_empty() && rng.random_range(0..40u32) == 0 {
             return Some(self.dropped[rng.random_range(0..self.dropped.len())].clone());
         }
-        (!self.routes.is_empty()).then(|| self.routes[rng.random_range(0..self.routes.len())].clone())
+        (!self.routes.is_empty())
+            .then(|| self.routes[rng.random_range(0..self.routes.len())].clone())
     }
 }
 
@@ -70,7 +71,15 @@
         let timeout_ms = self.rng.random_range(600..2_500);
         let attempts = self.rng.random_range(1..=3);
         let attempts = self.day.shape.attempts.unwrap_or(attempts);
-        Route { name, host, prefix, kind, timeout_ms, attempts, targets }
+        Route {
+            name,
+            host,
+            prefix,
+            kind,
+            timeout_ms,
+            attempts,
+            targets,
+        }
     }
 
     /// Another version of the routes.
@@ -96,7 +105,11 @@
                 self.operator.dropped.push(route);
             }
             0 | 1 => {
-                let kind = if self.chance(2) { RouteKind::Mutating } else { RouteKind::ReadOnly };
+                let kind = if self.chance(2) {
+                    RouteKind::Mutating
+                } else {
+                    RouteKind::ReadOnly
+                };
                 let route = self.new_route(kind);
                 self.operator.routes.push(route);
             }
@@ -109,8 +122,11 @@
     }
 
     fn put(&mut self, config: Config, valid: bool, machine: Option<usize>) {
-        let body =
-            if valid { written(&config) } else { spoilt(&written(&config), self.rng.random_range(0..5)) };
+        let body = if valid {
+            written(&config)
+        } else {
+            spoilt(&written(&config), self.rng.random_range(0..5))
+        };
         self.put_body(config, body, valid, machine);
     }
 
@@ -132,9 +148,26 @@
         match machine {
             Some(machine) => {
                 let within = (KEEPS_ON, 0);
-                self.call_at(who, Path::PutConfiguration, "", body, Vec::new(), within, machine);
+                self.call_at(
+                    who,
+                    Path::PutConfiguration,
+                    "",
+                    body,
+                    Vec::new(),
+                    within,
+                    machine,
+                );
+            }
+            None => {
+                _ = self.call(
+                    who,
+                    Path::PutConfiguration,
+                    "",
+                    body,
+                    Vec::new(),
+                    (KEEPS_ON, 0),
+                )
             }
-            None => _ = self.call(who, Path::PutConfiguration, "", body, Vec::new(), (KEEPS_ON, 0)),
         }
     }
 
@@ -145,20 +178,38 @@
             let config = self.change();
             return self.put(config, true, None);
         };
-        match self.day.happens.get(index).map(|(_, happens)| happens.clone()) {
+        match self
+            .day
+            .happens
+            .get(index)
+            .map(|(_, happens)| happens.clone())
+        {
             Some(Happens::Closing { how }) => {
                 self.closing = Some((self.record.puts.len(), how));
                 let config = self.change();
                 self.put(config, true, None);
             }
             Some(Happens::Retarget { kind }) => {
-                for route in self.operator.routes.iter_mut().filter(|route| route.kind == kind) {
+                for route in self
+                    .operator
+                    .routes
+                    .iter_mut()
+                    .filter(|route| route.kind == kind)
+                {
                     let (service, _) = route.targets[0];
                     route.targets = vec![((service + 1) % self.day.services, 100)];
                 }
                 self.operator.newest += 1;
                 let (version, routes) = (self.operator.newest, self.operator.routes.clone());
-                self.put(Config { version, routes, services: self.day.services }, true, None);
+                self.put(
+                    Config {
+                        version,
+                        routes,
+                        services: self.day.services,
+                    },
+                    true,
+                    None,
+                );
             }
             Some(Happens::Race) => {
                 let core = self.callable();
@@ -181,11 +232,15 @@
                 self.put(config, false, None);
             }
             Some(Happens::Again) => {
-                let valid: Vec<usize> =
-                    (0..self.record.puts.len()).filter(|put| self.record.puts[*put].valid).collect();
+                let valid: Vec<usize> = (0..self.record.puts.len())
+                    .filter(|put| self.record.puts[*put].valid)
+                    .collect();
                 if !valid.is_empty() {
                     let of = &self.record.puts[valid[self.rng.random_range(0..valid.len())]];
-                    let (config, body) = (of.config.clone(), String::from_utf8_lossy(&of.body).into_owned());
+                    let (config, body) = (
+                        of.config.clone(),
+                        String::from_utf8_lossy(&of.body).into_owned(),
+                    );
                     self.put_body(config, body, true, None);
                 }
             }
@@ -199,7 +254,12 @@
     pub fn put_ended(&mut self, put: usize, call: &Call, reply: Option<&Reply>) {
         let now = self.now;
         let version = self.record.puts[put].config.version;
-        self.say(|| format!("operator: put {put}, version {version}: {:?}", reply.map(|r| r.status)));
+        self.say(|| {
+            format!(
+                "operator: put {put}, version {version}: {:?}",
+                reply.map(|r| r.status)
+            )
+        });
         let of = &mut self.record.puts[put];
         of.machine = call.machine;
         match reply.map(|reply| reply.status) {
@@ -216,7 +276,14 @@
 
     pub fn read_back(&mut self) {
         self.record.read_back_asked = Some(self.now);
-        self.call(Who::ReadBack, Path::GetConfiguration, "", String::new(), Vec::new(), (3_500 * MS, 0));
+        self.call(
+            Who::ReadBack,
+            Path::GetConfiguration,
+            "",
+            String::new(),
+            Vec::new(),
+            (3_500 * MS, 0),
+        );
     }
 
     pub fn read_back_ended(&mut self, _: &Call, reply: Option<&Reply>) {
@@ -249,7 +316,12 @@
     for (at, host) in hosts.iter().enumerate() {
         let comma = if at > 0 { "," } else { "" };
         _ = write!(text, "{comma}{{\"hostname\":\"{host}\",\"pathRules\":[");
-        for (at, route) in config.routes.iter().filter(|route| route.host == **host).enumerate() {
+        for (at, route) in config
+            .routes
+            .iter()
+            .filter(|route| route.host == **host)
+            .enumerate()
+        {
             let comma = if at > 0 { "," } else { "" };
             _ = write!(
                 text,
@@ -268,7 +340,10 @@
             text.push_str("\"trafficSplit\":[");
             for (at, (service, weight)) in route.targets.iter().enumerate() {
                 let comma = if at > 0 { "," } else { "" };
-                _ = write!(text, "{comma}{{\"targetService\":\"svc{service}\",\"weight\":{weight}}}");
+                _ = write!(
+                    text,
+                    "{comma}{{\"targetService\":\"svc{service}\",\"weight\":{weight}}}"
+                );
             }
             text.push_str("]}");
         }
--- a/crates/rookpulley-simulator/src/record.rs
+++ b/crates/rookpulley-simulator/src/record.rs
@@ -106,13 +106,21 @@
 impl Config {
     /// The longest prefix that begins the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let fits = self.routes.iter().filter(|route| route.host == host && path.starts_with(&route.prefix));
+        let fits = self
+            .routes
+            .iter()
+            .filter(|route| route.host == host && path.starts_with(&route.prefix));
         fits.max_by_key(|route| route.prefix.len())
     }
 
     pub fn allows(&self, host: &str, path: &str, service: usize) -> bool {
         let route = self.route(host, path);
-        route.is_some_and(|route| route.targets.iter().any(|(to, weight)| *to == service && *weight > 0))
+        route.is_some_and(|route| {
+            route
+                .targets
+                .iter()
+                .any(|(to, weight)| *to == service && *weight > 0)
+        })
     }
 }
 
--- a/crates/rookpulley-simulator/src/seen.rs
+++ b/crates/rookpulley-simulator/src/seen.rs
@@ -56,7 +56,14 @@
         for of in &record.tries {
             let at_ms = of.sent_us / MS;
             let (kind, zone) = (of.kind, of.zone);
-            let fresh = Asked { at_ms, kind, zone, tries: 0, unknown: false, served_ms: None };
+            let fresh = Asked {
+                at_ms,
+                kind,
+                zone,
+                tries: 0,
+                unknown: false,
+                served_ms: None,
+            };
             let one = asked.entry(of.request).or_insert(fresh);
             one.tries += 1;
             one.unknown |= of.status() == 404;
@@ -67,7 +74,11 @@
                 && told.status == 503
             {
                 let (took_ms, again_ms) = ((at - of.sent_us) / MS, told.retry_after_ms);
-                refused.push(Refused { at_ms: at / MS, took_ms, again_ms });
+                refused.push(Refused {
+                    at_ms: at / MS,
+                    took_ms,
+                    again_ms,
+                });
             }
         }
         let mut known: BTreeMap<usize, u32> = BTreeMap::new();
@@ -85,7 +96,11 @@
                 status: of.ran.as_ref().map_or(0, |run| run.status),
             }
         });
-        Seen { arrived: arrived.collect(), asked: asked.into_values().collect(), refused }
+        Seen {
+            arrived: arrived.collect(),
+            asked: asked.into_values().collect(),
+            refused,
+        }
     }
 
     /// The part that was served of what came from then to then, as far as it fits.
@@ -95,12 +110,16 @@
             .asked
             .iter()
             .filter(within)
-            .fold((0, 0), |(served, all), of| (served + usize::from(of.served_ms.is_some()), all + 1));
+            .fold((0, 0), |(served, all), of| {
+                (served + usize::from(of.served_ms.is_some()), all + 1)
+            });
         served as f64 / f64::max(f64::from(all), 1.0)
     }
 
     /// What came to tasks from then to then.
     pub fn came(&self, from_ms: u64, to_ms: u64) -> impl Iterator<Item = &Arrived> {
-        self.arrived.iter().filter(move |of| (from_ms..to_ms).contains(&of.at_ms))
+        self.arrived
+            .iter()
+            .filter(move |of| (from_ms..to_ms).contains(&of.at_ms))
     }
 }
--- a/crates/rookpulley-simulator/src/tasks.rs
+++ b/crates/rookpulley-simulator/src/tasks.rs
@@ -117,7 +117,11 @@
         let shape = self.day.shape.clone();
         let mut zone = self.rng.random_range(0..self.day.zones);
         if shape.lopsided {
-            zone = if place.is_multiple_of(10) { 0 } else { 1 + place % (self.day.zones - 1) };
+            zone = if place.is_multiple_of(10) {
+                0
+            } else {
+                1 + place % (self.day.zones - 1)
+            };
         }
         let slots = self.rng.random_range(2..=6);
         let queue = self.rng.random_range(1..=4);
@@ -157,7 +161,12 @@
         let place = self.add_place(service);
         self.tasks[place].bad = bad;
         self.after(0, None, What::TaskStarts { task: place });
-        let rest = Happens::Release { service, count: count - 1, pause_ms, bad };
+        let rest = Happens::Release {
+            service,
+            count: count - 1,
+            pause_ms,
+            bad,
+        };
         self.after(pause_ms * MS, None, What::Goes(rest));
     }
 
@@ -182,10 +191,18 @@
         let cold = self.rng.random_range(0..3_000u64) * MS;
         let of = &mut self.tasks[task];
         (of.life, of.state, of.sequence) = (life, State::Up, 0);
-        of.cold_until = if now < 2 * S || self.day.shape.warm { 0 } else { now + cold };
+        of.cold_until = if now < 2 * S || self.day.shape.warm {
+            0
+        } else {
+            now + cold
+        };
         (of.wires, of.drained) = (0, false);
         self.record.life(life_name(task, life), of.service);
-        let text = format!("task {task}: {} of {}", life_name(task, life), service_name(of.service));
+        let text = format!(
+            "task {task}: {} of {}",
+            life_name(task, life),
+            service_name(of.service)
+        );
         self.say(|| text);
         self.after(0, None, What::TaskBeat { task, life });
     }
@@ -204,20 +221,31 @@
             service_name(of.service),
             of.zone,
             of.slots,
-            if of.state == State::Up { "available" } else { "draining" },
+            if of.state == State::Up {
+                "available"
+            } else {
+                "draining"
+            },
             of.sequence,
             of.cold_until.saturating_sub(now) / MS,
         )
     }
 
     pub fn task_beats(&mut self, task: usize, life: u64) {
-        if self.tasks[task].life != life || matches!(self.tasks[task].state, State::Down | State::Leaving) {
+        if self.tasks[task].life != life
+            || matches!(self.tasks[task].state, State::Down | State::Leaving)
+        {
             return;
         }
         let draining = self.tasks[task].state == State::Draining;
         let body = self.beat_body(task);
         let name = life_name(task, life);
-        let who = Who::Beat { task, life, draining, leaving: false };
+        let who = Who::Beat {
+            task,
+            life,
+            draining,
+            leaving: false,
+        };
         let within = if draining { 4 * S } else { HEARTBEAT_MS * MS };
         self.call(who, Path::Beat, &name, body, Vec::new(), (within, 0));
         if !draining {
@@ -249,15 +277,26 @@
         let now = self.now;
         if (draining || leaving) && acknowledged {
             let name = life_name(task, life);
-            self.record.drains.push(Drain { life: name, at: now, machine: call.machine });
+            self.record.drains.push(Drain {
+                life: name,
+                at: now,
+                machine: call.machine,
+            });
         }
-        if self.tasks[task].life != life || !draining || leaving || self.tasks[task].state != State::Draining
+        if self.tasks[task].life != life
+            || !draining
+            || leaving
+            || self.tasks[task].state != State::Draining
         {
             return;
         }
         self.tasks[task].state = State::Leaving;
         // Where nobody acknowledges it still goes.
-        let us = if acknowledged { (DRAIN_MS + 600) * MS } else { 2 * S };
+        let us = if acknowledged {
+            (DRAIN_MS + 600) * MS
+        } else {
+            2 * S
+        };
         self.after(us, None, What::TaskLeaves { task, life });
     }
 
@@ -266,9 +305,29 @@
             return;
         }
         let name = life_name(task, life);
-        let who = Who::Beat { task, life, draining: true, leaving: true };
-        self.call(who, Path::Leave, &name, String::new(), Vec::new(), (2 * S, 0));
-        self.after(300 * MS, None, What::TaskEnds { task, life, crash: None });
+        let who = Who::Beat {
+            task,
+            life,
+            draining: true,
+            leaving: true,
+        };
+        self.call(
+            who,
+            Path::Leave,
+            &name,
+            String::new(),
+            Vec::new(),
+            (2 * S, 0),
+        );
+        self.after(
+            300 * MS,
+            None,
+            What::TaskEnds {
+                task,
+                life,
+                crash: None,
+            },
+        );
     }
 
     /// `crash`: not in order, and whether its connections end without a word.
@@ -302,7 +361,8 @@
                 self.answer(task, &job.errand, Answer::Reset { unread: false });
             }
         } else {
-            jobs.iter().for_each(|job| self.record.arrivals[job.arrival].broke_off = true);
+            jobs.iter()
+                .for_each(|job| self.record.arrivals[job.arrival].broke_off = true);
         }
     }
 
@@ -324,7 +384,12 @@
             return false;
         }
         of.wires += 1;
-        let end = WireEnd { place, life: of.life, owner: None, bad };
+        let end = WireEnd {
+            place,
+            life: of.life,
+            owner: None,
+            bad,
+        };
         self.record.wires.open.insert(wire, end);
         true
     }
@@ -360,7 +425,12 @@
     fn answer(&mut self, task: usize, errand: &Errand, answer: Answer) {
         let to = self.host_of(errand.from.0);
         let (request, attempt, wire) = (errand.request, errand.attempt, errand.wire);
-        let what = What::Answer { request, attempt, wire, answer };
+        let what = What::Answer {
+            request,
+            attempt,
+            wire,
+            answer,
+        };
         self.post(Host::Task(task), to, Some(errand.from), what);
     }
 
@@ -369,7 +439,8 @@
         let life = self.tasks[task].life;
         let end = self.record.wires.open.get_mut(&errand.wire);
         let sound = end.as_ref().is_some_and(|end| end.life == life && !end.bad);
-        end.into_iter().for_each(|end| end.owner = Some(errand.from));
+        end.into_iter()
+            .for_each(|end| end.owner = Some(errand.from));
         if self.tasks[task].state == State::Down || !sound {
             // Nobody is there, or it is another one that knows nothing of this connection.
             return self.answer(task, &errand, Answer::Reset { unread: false });
@@ -395,7 +466,11 @@
         }
         let sheds = self.tasks[task].bad == Some(BadTask::Sheds) && !self.chance(4);
         let of = &mut self.tasks[task];
-        let job = Job { until: now + errand.left_us, errand, arrival };
+        let job = Job {
+            until: now + errand.left_us,
+            errand,
+            arrival,
+        };
         if sheds || (of.running.len() >= of.slots && of.waiting.len() >= of.queue) {
             return self.turn_away(task, &job.errand, 503);
         }
@@ -437,10 +512,23 @@
             us = us * 13 / 10;
         }
         let (request, attempt) = (job.errand.request, job.errand.attempt);
-        self.record.arrivals[job.arrival].ran =
-            Some(Run { begun: now, ended: None, status: 0, signature: 0, body: 0 });
+        self.record.arrivals[job.arrival].ran = Some(Run {
+            begun: now,
+            ended: None,
+            status: 0,
+            signature: 0,
+            body: 0,
+        });
         self.tasks[task].running.push(job);
-        self.after(us, None, What::TaskDone { task, request, attempt });
+        self.after(
+            us,
+            None,
+            What::TaskDone {
+                task,
+                request,
+                attempt,
+            },
+        );
     }
 
     fn next_job(&mut self, task: usize) {
@@ -459,7 +547,9 @@
         let now = self.now;
         let of = &mut self.tasks[task];
         let fits = |job: &Job| (job.errand.request, job.errand.attempt) == (request, attempt);
-        let Some(at) = of.running.iter().position(fits) else { return };
+        let Some(at) = of.running.iter().position(fits) else {
+            return;
+        };
         let job = of.running.swap_remove(at);
         let bad = of.bad;
         self.next_job(task);
@@ -477,7 +567,8 @@
         } else {
             200
         };
-        let (signature, body): (u64, u64) = (self.rng.random(), hash(request as u64, job.arrival as u64));
+        let (signature, body): (u64, u64) =
+            (self.rng.random(), hash(request as u64, job.arrival as u64));
         if let Some(run) = &mut self.record.arrivals[job.arrival].ran {
             (run.ended, run.status) = (Some(now), status);
             (run.signature, run.body) = (signature, body);
@@ -509,8 +600,16 @@
             _ => {}
         }
         let stamped = status == 200;
-        let answer =
-            Answer::Head { status, own, not_executed: false, stamped, sized, whole, signature, body };
+        let answer = Answer::Head {
+            status,
+            own,
+            not_executed: false,
+            stamped,
+            sized,
+            whole,
+            signature,
+            body,
+        };
         self.answer(task, &job.errand, answer);
     }
 
--- a/crates/rookpulley-simulator/src/troubles.rs
+++ b/crates/rookpulley-simulator/src/troubles.rs
@@ -18,7 +18,9 @@
 
 impl World {
     pub fn happens(&mut self, index: usize) {
-        let Some((_, happens)) = self.day.happens.get(index).cloned() else { return };
+        let Some((_, happens)) = self.day.happens.get(index).cloned() else {
+            return;
+        };
         self.goes(happens, index);
     }
 
@@ -26,8 +28,16 @@
     pub fn goes(&mut self, happens: Happens, index: usize) {
         self.say(|| format!("-- {happens:?}"));
         match happens {
-            Happens::Kill { machine, power, down_ms } => self.kill(machine, (true, true), power, down_ms),
-            Happens::KillOne { machine, office, down_ms } => {
+            Happens::Kill {
+                machine,
+                power,
+                down_ms,
+            } => self.kill(machine, (true, true), power, down_ms),
+            Happens::KillOne {
+                machine,
+                office,
+                down_ms,
+            } => {
                 self.kill(machine, (office, !office), false, down_ms);
             }
             Happens::Wipe { machine, down_ms } => {
@@ -66,13 +76,17 @@
             }
             Happens::Herd { power, down_ms } => {
                 let core = self.core();
-                core.into_iter().for_each(|machine| self.kill(machine, (true, true), power, down_ms));
+                core.into_iter()
+                    .for_each(|machine| self.kill(machine, (true, true), power, down_ms));
             }
             Happens::Dark { down_ms } => self.dark(down_ms),
             Happens::SlowDisk { machine, hangs, ms } => {
                 self.trouble(machine, ms);
-                self.machines[machine].disk.trouble =
-                    Some(if hangs { DiskTrouble::Hangs } else { DiskTrouble::Slow });
+                self.machines[machine].disk.trouble = Some(if hangs {
+                    DiskTrouble::Hangs
+                } else {
+                    DiskTrouble::Slow
+                });
                 let number = self.number();
                 self.heals_in(ms, number, Heals::Disk(machine));
             }
@@ -104,11 +118,18 @@
             }
             Happens::BadPlaces { places, how, ms } => {
                 self.unplanned(ms);
-                places.into_iter().for_each(|place| self.tasks[place].bad = Some(how));
+                places
+                    .into_iter()
+                    .for_each(|place| self.tasks[place].bad = Some(how));
                 let number = self.number();
                 self.heals_in(ms, number, Heals::Tasks(0));
             }
-            Happens::Release { service, count, pause_ms, bad } => {
+            Happens::Release {
+                service,
+                count,
+                pause_ms,
+                bad,
+            } => {
                 if bad.is_some() {
                     self.unplanned(3_000);
                 }
@@ -126,7 +147,10 @@
                 self.cut(&others, &these, ms);
             }
             Happens::CutCore { machines, ms } => {
-                let others = self.core().into_iter().filter(|machine| !machines.contains(machine));
+                let others = self
+                    .core()
+                    .into_iter()
+                    .filter(|machine| !machines.contains(machine));
                 let others: BTreeSet<Host> = others.map(Host::Machine).collect();
                 let these = machines.into_iter().map(Host::Machine).collect();
                 self.cut(&these, &others, ms);
@@ -180,7 +204,8 @@
         match how {
             Closing::Dark => self.dark(900),
             Closing::Killed => {
-                (0..self.machines.len()).for_each(|machine| self.kill(machine, (true, true), false, 700));
+                (0..self.machines.len())
+                    .for_each(|machine| self.kill(machine, (true, true), false, 700));
             }
             Closing::Disks { others } => {
                 let mut core = self.core();
@@ -206,7 +231,10 @@
     // ---- for the rules ----------------------------------------------------------------------
 
     fn unplanned(&mut self, ms: u64) {
-        self.record.trouble.unplanned.push((self.now, self.now + ms * MS));
+        self.record
+            .trouble
+            .unplanned
+            .push((self.now, self.now + ms * MS));
     }
 
     fn unsettle(&mut self) {
@@ -253,7 +281,15 @@
         if power {
             self.forget_held(machine);
         }
-        self.after(down_ms * MS, None, What::Start { machine, office, courier });
+        self.after(
+            down_ms * MS,
+            None,
+            What::Start {
+                machine,
+                office,
+                courier,
+            },
+        );
     }
 
     pub fn start_again(&mut self, machine: usize, office: bool, courier: bool) {
@@ -291,8 +327,13 @@
 
     /// These machines, and all other machines with all tasks.
     fn sides(&self, machines: &[usize]) -> (BTreeSet<Host>, BTreeSet<Host>) {
-        let these: BTreeSet<Host> = machines.iter().map(|machine| Host::Machine(*machine)).collect();
-        let all = (0..self.machines.len()).map(Host::Machine).chain((0..self.tasks.len()).map(Host::Task));
+        let these: BTreeSet<Host> = machines
+            .iter()
+            .map(|machine| Host::Machine(*machine))
+            .collect();
+        let all = (0..self.machines.len())
+            .map(Host::Machine)
+            .chain((0..self.tasks.len()).map(Host::Task));
         let others = all.filter(|host| !these.contains(host)).collect();
         (these, others)
     }
@@ -358,7 +399,14 @@
             return;
         }
         self.term(machine, machine == 0);
-        self.after(pause_ms * MS, None, What::Roll { machine: machine + 1, pause_ms });
+        self.after(
+            pause_ms * MS,
+            None,
+            What::Roll {
+                machine: machine + 1,
+                pause_ms,
+            },
+        );
     }
 
     fn replace(&mut self, machine: usize, orderly: bool) {
@@ -375,7 +423,15 @@
             return;
         }
         self.retired(machine, true);
-        self.after(200 * MS, None, What::Start { machine: another, office: true, courier: true });
+        self.after(
+            200 * MS,
+            None,
+            What::Start {
+                machine: another,
+                office: true,
+                courier: true,
+            },
+        );
     }
 
     pub fn retire(&mut self, machine: usize) {
@@ -392,15 +448,29 @@
         self.machines[machine].gone = true;
         self.machines[machine].power = false;
         self.forget_held(machine);
-        self.record.trouble.machine.push((machine, self.now, Us::MAX));
+        self.record
+            .trouble
+            .machine
+            .push((machine, self.now, Us::MAX));
         self.record.trouble.core.push(self.now);
     }
 
     /// A process that ended in order is started again, unless its machine goes.
     pub fn ended_in_order(&mut self, process: usize) {
-        let (machine, office) = (self.processes[process].machine, self.processes[process].is_office);
+        let (machine, office) = (
+            self.processes[process].machine,
+            self.processes[process].is_office,
+        );
         if std::mem::take(&mut self.processes[process].termed) && !self.machines[machine].leaves {
-            self.after(300 * MS, None, What::Start { machine, office, courier: !office });
+            self.after(
+                300 * MS,
+                None,
+                What::Start {
+                    machine,
+                    office,
+                    courier: !office,
+                },
+            );
         }
     }
 }
--- a/crates/rookpulley-simulator/src/world.rs
+++ b/crates/rookpulley-simulator/src/world.rs
@@ -115,7 +115,9 @@
             Mutation::NobodyMeant => Rule::Route,
             Mutation::OtherPath => Rule::Unasked,
             Mutation::DrainsUnheard => Rule::Drain,
-            Mutation::ConfigurationsMissed | Mutation::GoesBack | Mutation::TakesInvalid => Rule::Config,
+            Mutation::ConfigurationsMissed | Mutation::GoesBack | Mutation::TakesInvalid => {
+                Rule::Config
+            }
             Mutation::FreeTries => Rule::Budget,
             Mutation::SyncLeftOut => Rule::Order,
             Mutation::ReadsAlone => Rule::Stale,
@@ -406,7 +408,8 @@
         };
         for machine in 0..day.couriers.max(day.offices) {
             world.add_machine(machine < day.offices);
-            world.machines[machine].annex = (day.offices..day.offices + day.annexes).contains(&machine);
+            world.machines[machine].annex =
+                (day.offices..day.offices + day.annexes).contains(&machine);
         }
         for machine in 0..world.machines.len() {
             world.start_machine(machine, true);
@@ -445,7 +448,8 @@
             self.log.pop_front();
         }
         let line = line();
-        self.log.push_back(format!("{:>9.3} {line}", self.now as f64 / 1e6));
+        self.log
+            .push_back(format!("{:>9.3} {line}", self.now as f64 / 1e6));
     }
 
     pub fn number(&mut self) -> u64 {
@@ -459,7 +463,8 @@
 
     pub fn after(&mut self, us: Us, to: Option<(usize, u32)>, what: What) {
         self.count += 1;
-        self.events.insert((self.now + us, self.count), Event { to, what });
+        self.events
+            .insert((self.now + us, self.count), Event { to, what });
     }
 
     pub fn at(&mut self, at: Us, to: Option<(usize, u32)>, what: What) {
@@ -513,11 +518,14 @@
     }
 
     pub fn running(&self, process: usize) -> bool {
-        self.processes.get(process).is_some_and(|p| p.core.is_some())
+        self.processes
+            .get(process)
+            .is_some_and(|p| p.core.is_some())
     }
 
     pub fn address(&self, process: usize) -> Option<(usize, u32)> {
-        self.running(process).then(|| (process, self.processes[process].life))
+        self.running(process)
+            .then(|| (process, self.processes[process].life))
     }
 
     pub fn host_of(&self, process: usize) -> Host {
@@ -541,7 +549,8 @@
             self.start_annex(machine, first);
         }
         self.start_courier(machine);
-        self.record.started(self.now, machine, self.machines[machine].core);
+        self.record
+            .started(self.now, machine, self.machines[machine].core);
     }
 
     /// A new life of a process.
@@ -549,13 +558,16 @@
         let now = self.now;
         let process = &mut self.processes[process];
         process.life += 1;
-        (process.core, process.born, process.asleep, process.termed) = (Some(core), now, false, false);
+        (process.core, process.born, process.asleep, process.termed) =
+            (Some(core), now, false, false);
         process.inbox.clear();
     }
 
     /// The end of a process. `quiet`: nobody is told, as without power.
     pub fn stop(&mut self, process: usize, quiet: bool) {
-        let Some(core) = self.processes[process].core.take() else { return };
+        let Some(core) = self.processes[process].core.take() else {
+            return;
+        };
         let life = self.processes[process].life;
         self.processes[process].inbox.clear();
         self.processes[process].asleep = false;
@@ -573,7 +585,9 @@
     }
 
     fn hand(&mut self, event: Event) {
-        let Some((process, life)) = event.to else { return self.outside(event.what) };
+        let Some((process, life)) = event.to else {
+            return self.outside(event.what);
+        };
         let at = &mut self.processes[process];
         if at.life != life || at.core.is_none() {
             return self.undelivered(process, event.what);
@@ -611,8 +625,17 @@
     fn outside(&mut self, what: What) {
         match what {
             What::Arrive(errand) => self.arrives_at_task(errand),
-            What::Dropped { task, wire, request, attempt } => self.task_dropped(task, wire, request, attempt),
-            What::TaskDone { task, request, attempt } => self.task_done(task, request, attempt),
+            What::Dropped {
+                task,
+                wire,
+                request,
+                attempt,
+            } => self.task_dropped(task, wire, request, attempt),
+            What::TaskDone {
+                task,
+                request,
+                attempt,
+            } => self.task_done(task, request, attempt),
             What::TaskBeat { task, life } => self.task_beats(task, life),
             What::TaskLeaves { task, life } => self.task_leaves(task, life),
             What::TaskEnds { task, life, crash } => self.task_ends(task, life, crash),
@@ -623,8 +646,16 @@
             What::ClientAnswer { try_, answer } => self.client_hears(try_, answer),
             What::ClientLate { try_ } => self.client_late(try_),
             What::Readiness => self.ask_readiness(),
-            What::Redirected { call, attempt, machine } => self.redirected(call, attempt, machine),
-            What::Replied { call, attempt, reply } => self.replied(call, attempt, reply),
+            What::Redirected {
+                call,
+                attempt,
+                machine,
+            } => self.redirected(call, attempt, machine),
+            What::Replied {
+                call,
+                attempt,
+                reply,
+            } => self.replied(call, attempt, reply),
             What::CallLate { call, attempt } => self.call_late(call, attempt),
             What::CallAgain { call } => self.send_call(call),
             What::App(app) => self.app_acts(app),
@@ -635,12 +666,18 @@
             What::Happens(index) => self.happens(index),
             What::Goes(happens) => self.goes(happens, usize::MAX),
             What::Heal(number) => self.heal(number),
-            What::Start { machine, office, courier } => self.start_again(machine, office, courier),
+            What::Start {
+                machine,
+                office,
+                courier,
+            } => self.start_again(machine, office, courier),
             What::Wake { process } => self.wake(process),
             What::Roll { machine, pause_ms } => self.roll(machine, pause_ms),
             What::Retire { machine } => self.retire(machine),
             What::Gone { machine } => self.retired(machine, false),
-            What::Kill { process, life } if self.processes[process].life == life => self.stop(process, false),
+            What::Kill { process, life } if self.processes[process].life == life => {
+                self.stop(process, false)
+            }
             What::Held => self.hold_up(),
             _ => {}
         }
--- a/crates/rookpulley-simulator/tests/common/mod.rs
+++ b/crates/rookpulley-simulator/tests/common/mod.rs
@@ -12,7 +12,11 @@
     let failed = |seed: u64, mutation| {
         let played = play(&day(seed), mutation);
         let rules: Vec<String> = played.breaches.iter().map(ToString::to_string).collect();
-        if rules.is_empty() { wrong(&played) } else { Some(rules.join("; ")) }
+        if rules.is_empty() {
+            wrong(&played)
+        } else {
+            Some(rules.join("; "))
+        }
     };
     for seed in SEEDS {
         if let Some(wrong) = failed(seed, None) {
@@ -20,7 +24,9 @@
         }
     }
     for mutation in mutations {
-        let found = SEEDS.into_iter().find_map(|seed| failed(seed, Some(*mutation)));
+        let found = SEEDS
+            .into_iter()
+            .find_map(|seed| failed(seed, Some(*mutation)));
         println!("{mutation:?}: {}", found.as_deref().unwrap_or("not found"));
         assert!(found.is_some(), "{mutation:?} is not found");
     }
--- a/crates/rookpulley-simulator/tests/days.rs
+++ b/crates/rookpulley-simulator/tests/days.rs
@@ -14,7 +14,10 @@
     println!("{} days in {:?}, {hunted:?}", hunted.days, begun.elapsed());
     if let Some(found) = &hunted.found {
         println!("{}", found.day);
-        found.breaches.iter().for_each(|breach| println!("{breach}"));
+        found
+            .breaches
+            .iter()
+            .for_each(|breach| println!("{breach}"));
     }
     assert!(hunted.found.is_none());
 }
@@ -24,23 +27,35 @@
     let hunted = hunt(0..24, 4, None);
     if let Some(found) = &hunted.found {
         let told: Vec<String> = found.breaches.iter().map(ToString::to_string).collect();
-        panic!("seed {} fails: {}\n{}", found.day.seed, told.join("\n"), found.day);
+        panic!(
+            "seed {} fails: {}\n{}",
+            found.day.seed,
+            told.join("\n"),
+            found.day
+        );
     }
     assert_eq!(hunted.days, 24);
     // What isn't served breaks no rule, but then little was tried.
-    assert!(hunted.served * 10 > hunted.requests * 7 && hunted.calls > 24 * 200, "{hunted:?}");
+    assert!(
+        hunted.served * 10 > hunted.requests * 7 && hunted.calls > 24 * 200,
+        "{hunted:?}"
+    );
 }
 
 #[test]
 fn where_no_seed_has_a_disk_one_is_named_and_days_go_as_others_do() {
     for seed in 0..4 {
         let mut day = Day::draw(seed);
-        (day.offices, day.annexes, day.couriers, day.annex_seeds) = (3, 3, day.couriers.max(6), true);
+        (day.offices, day.annexes, day.couriers, day.annex_seeds) =
+            (3, 3, day.couriers.max(6), true);
         day.losses = 1;
         day.happens.retain(|(at, _)| *at > 9_000);
         let played = play(&day, None);
         assert_eq!(played.breaches, [], "{day}");
-        assert!(played.served * 2 > played.requests && played.calls > 200, "{day}");
+        assert!(
+            played.served * 2 > played.requests && played.calls > 200,
+            "{day}"
+        );
     }
 }
 
@@ -49,7 +64,11 @@
     let mutation = Some(Mutation::SyncLeftOut);
     let rule = Mutation::SyncLeftOut.breaks().unwrap();
     // Which day fails first hangs on what is drawn: one that has something to leave out.
-    let much = |from: u64| hunt(from..60, 4, mutation).found.filter(|found| found.day.happens.len() > 2);
+    let much = |from: u64| {
+        hunt(from..60, 4, mutation)
+            .found
+            .filter(|found| found.day.happens.len() > 2)
+    };
     let found = (0..60).step_by(4).find_map(much).unwrap();
     let (day, _) = shrink(&found.day, rule, mutation);
     // What was not synced is lost with the power, and nothing is left that could be left out.
@@ -59,30 +78,56 @@
         let mut without = day.clone();
         without.happens.remove(at);
         let breaches = play(&without, mutation).breaches;
-        assert!(breaches.iter().all(|breach| breach.rule != rule), "{at} of {told}");
+        assert!(
+            breaches.iter().all(|breach| breach.rule != rule),
+            "{at} of {told}"
+        );
     }
-    assert!(told.contains("Dark") || told.contains("power: true"), "{told}");
-    assert!(play(&day, mutation).breaches.iter().any(|breach| breach.rule == rule));
+    assert!(
+        told.contains("Dark") || told.contains("power: true"),
+        "{told}"
+    );
+    assert!(
+        play(&day, mutation)
+            .breaches
+            .iter()
+            .any(|breach| breach.rule == rule)
+    );
     assert_eq!(play(&day, None).breaches, []);
 }
 
 #[test]
 fn a_step_of_the_time_of_day_changes_nothing() {
     let mut day = Day::draw(7);
-    day.happens.retain(|(_, happens)| !matches!(happens, Happens::ClockStep { .. }));
+    day.happens
+        .retain(|(_, happens)| !matches!(happens, Happens::ClockStep { .. }));
     let calm = play(&day, None);
-    day.happens.insert(0, (5_000, Happens::ClockStep { machine: 0, by_s: -7 }));
+    day.happens.insert(
+        0,
+        (
+            5_000,
+            Happens::ClockStep {
+                machine: 0,
+                by_s: -7,
+            },
+        ),
+    );
     let stepped = play(&day, None);
     assert_eq!(stepped.steps, calm.steps + 1);
-    let lines = stepped.log.iter().filter(|line| !line.contains("ClockStep"));
+    let lines = stepped
+        .log
+        .iter()
+        .filter(|line| !line.contains("ClockStep"));
     assert!(lines.eq(&calm.log));
 }
 
 /// The sources of a package that decides or keeps, without their tests.
 fn deciding() -> Vec<(PathBuf, String)> {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
-    let mut packages: Vec<PathBuf> =
-        std::fs::read_dir(crates).unwrap().map(|entry| entry.unwrap().path()).collect();
+    let mut packages: Vec<PathBuf> = std::fs::read_dir(crates)
+        .unwrap()
+        .map(|entry| entry.unwrap().path())
+        .collect();
     packages.push(crates.parent().unwrap().to_path_buf());
     let mut sources = Vec::new();
     for package in packages {
@@ -92,12 +137,19 @@
         }
         let mut folders = vec![package.join("src")];
         while let Some(folder) = folders.pop() {
-            for path in std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()) {
+            for path in std::fs::read_dir(folder)
+                .unwrap()
+                .map(|entry| entry.unwrap().path())
+            {
                 if path.is_dir() {
                     folders.push(path);
                 } else if path.file_stem().is_some_and(|name| name != "tests") {
                     let text = std::fs::read_to_string(&path).unwrap();
-                    let code = text.split("#[cfg(test)]").next().unwrap_or_default().to_string();
+                    let code = text
+                        .split("#[cfg(test)]")
+                        .next()
+                        .unwrap_or_default()
+                        .to_string();
                     sources.push((path, code));
                 }
             }
@@ -112,7 +164,15 @@
     // The clerk, the satchel and what they stand on.
     assert!(sources.len() > 60, "{}", sources.len());
     for (path, code) in sources {
-        for word in ["SystemTime", "Instant", "tokio", "std::fs", "TcpStream", "UdpSocket", "thread::"] {
+        for word in [
+            "SystemTime",
+            "Instant",
+            "tokio",
+            "std::fs",
+            "TcpStream",
+            "UdpSocket",
+            "thread::",
+        ] {
             assert!(!code.contains(word), "{} has {word}", path.display());
         }
     }
@@ -121,7 +181,10 @@
 #[test]
 #[ignore = "prints one day"]
 fn one_day() {
-    let seed = std::env::var("DRILL_DAY").ok().and_then(|day| day.parse().ok()).unwrap_or(0);
+    let seed = std::env::var("DRILL_DAY")
+        .ok()
+        .and_then(|day| day.parse().ok())
+        .unwrap_or(0);
     let day = Day::draw(seed);
     let played = play(&day, None);
     println!("{day}");
@@ -132,7 +195,10 @@
         "{} steps, {} requests, {} served, {} calls",
         played.steps, played.requests, played.served, played.calls
     );
-    played.breaches.iter().for_each(|breach| println!("{breach}"));
+    played
+        .breaches
+        .iter()
+        .for_each(|breach| println!("{breach}"));
 }
 
 #[test]
@@ -148,7 +214,11 @@
             continue;
         };
         let (seed, days) = (found.day.seed, hunted.days);
-        println!("{mutation:?}: seed {seed} after {days} days, {:?}: {}", begun.elapsed(), found.breaches[0]);
+        println!(
+            "{mutation:?}: seed {seed} after {days} days, {:?}: {}",
+            begun.elapsed(),
+            found.breaches[0]
+        );
     }
     assert_eq!(missed, []);
 }
--- a/crates/rookpulley-simulator/tests/round.rs
+++ b/crates/rookpulley-simulator/tests/round.rs
@@ -14,7 +14,10 @@
 }
 
 fn part(what: &str, share: f64, least: f64) -> (bool, String) {
-    (share >= least, format!("{what}: {share:.3}, less than {least}"))
+    (
+        share >= least,
+        format!("{what}: {share:.3}, less than {least}"),
+    )
 }
 
 fn most(what: &str, count: usize, most: usize) -> (bool, String) {
@@ -36,7 +39,9 @@
 /// What the offices logged with this in it, and when.
 fn logged<'a>(played: &'a Played, what: &'a str) -> impl Iterator<Item = u64> + 'a {
     let lines = played.log.iter().filter(move |line| line.contains(what));
-    lines.filter_map(|line| Some((line.split_whitespace().next()?.parse::<f64>().ok()? * 1e3) as u64))
+    lines.filter_map(|line| {
+        Some((line.split_whitespace().next()?.parse::<f64>().ok()? * 1e3) as u64)
+    })
 }
 
 /// One service, whose tasks are alike and used to two fifths or so.
@@ -52,8 +57,23 @@
     fn day(seed: u64) -> Day {
         let mut day = alike(seed);
         day.happens = vec![
-            (6_000, Happens::Release { service: 0, count: 1, pause_ms: 0, bad: None }),
-            (6_500, Happens::BadPlaces { places: vec![3], how: BadTask::Quick, ms: 5_000 }),
+            (
+                6_000,
+                Happens::Release {
+                    service: 0,
+                    count: 1,
+                    pause_ms: 0,
+                    bad: None,
+                },
+            ),
+            (
+                6_500,
+                Happens::BadPlaces {
+                    places: vec![3],
+                    how: BadTask::Quick,
+                    ms: 5_000,
+                },
+            ),
         ];
         day
     }
@@ -61,12 +81,24 @@
         let seen = &played.seen;
         unless([
             most("revisions tainted", logged(played, "tainted").count(), 0),
-            most("tries at the bad one 4 s later", came(seen, 10_500, 11_400, |of| of.place == 3), 0),
+            most(
+                "tries at the bad one 4 s later",
+                came(seen, 10_500, 11_400, |of| of.place == 3),
+                0,
+            ),
             part("served", any(seen, 6_500, 11_500), 0.97),
             part("served after it", any(seen, 12_000, 14_000), 0.99),
         ])
     }
-    case(day, wrong, &[Mutation::FailuresUntold, Mutation::FailuresSpread, Mutation::NothingLearnt]);
+    case(
+        day,
+        wrong,
+        &[
+            Mutation::FailuresUntold,
+            Mutation::FailuresSpread,
+            Mutation::NothingLearnt,
+        ],
+    );
 }
 
 #[test]
@@ -74,25 +106,50 @@
     fn day(seed: u64) -> Day {
         let mut day = alike(seed);
         (day.tasks, day.length_ms, day.shape.warm) = (10, 24_000, true);
-        let release = |count, bad| Happens::Release { service: 0, count, pause_ms: 0, bad };
-        day.happens = vec![(8_000, release(5, Some(BadTask::Errs))), (14_500, release(1, None))];
+        let release = |count, bad| Happens::Release {
+            service: 0,
+            count,
+            pause_ms: 0,
+            bad,
+        };
+        day.happens = vec![
+            (8_000, release(5, Some(BadTask::Errs))),
+            (14_500, release(1, None)),
+        ];
         day
     }
     fn wrong(played: &Played) -> Option<String> {
         let seen = &played.seen;
         let bad = |of: &Arrived| (10..15).contains(&of.place);
-        let tainted = logged(played, "tainted, rolled back").next().unwrap_or(24_000);
+        let tainted = logged(played, "tainted, rolled back")
+            .next()
+            .unwrap_or(24_000);
         unless([
             // A report, 3 s of evidence, a round.
             most("tainted after ms", tainted as usize, 13_500),
-            most("tries at the bad ones after that", came(seen, tainted + 500, 14_400, bad), 0),
+            most(
+                "tries at the bad ones after that",
+                came(seen, tainted + 500, 14_400, bad),
+                0,
+            ),
             some("tries at them before", came(seen, 9_000, tainted, bad)),
             part("served while they are used", any(seen, 8_000, tainted), 0.9),
-            part("served once the sound revision is back", any(seen, tainted + 200, 14_400), 0.985),
-            some("tries at the next task of the release", came(seen, 15_000, 24_000, |of| of.place == 15)),
+            part(
+                "served once the sound revision is back",
+                any(seen, tainted + 200, 14_400),
+                0.985,
+            ),
+            some(
+                "tries at the next task of the release",
+                came(seen, 15_000, 24_000, |of| of.place == 15),
+            ),
         ])
     }
-    case(day, wrong, &[Mutation::FailuresUntold, Mutation::TablesMissed]);
+    case(
+        day,
+        wrong,
+        &[Mutation::FailuresUntold, Mutation::TablesMissed],
+    );
 }
 
 #[test]
@@ -100,42 +157,98 @@
     fn day(seed: u64) -> Day {
         let mut day = alike(seed);
         day.happens = vec![
-            (1_200, Happens::BadTasks { service: 0, how: BadTask::Errs, ms: 8_000 }),
-            (9_500, Happens::Release { service: 0, count: 1, pause_ms: 0, bad: None }),
+            (
+                1_200,
+                Happens::BadTasks {
+                    service: 0,
+                    how: BadTask::Errs,
+                    ms: 8_000,
+                },
+            ),
+            (
+                9_500,
+                Happens::Release {
+                    service: 0,
+                    count: 1,
+                    pause_ms: 0,
+                    bad: None,
+                },
+            ),
         ];
         day
     }
     fn wrong(played: &Played) -> Option<String> {
         let seen = &played.seen;
         unless([
-            some("tables all of whose revisions are tainted", logged(played, "all tainted, keeps").count()),
+            some(
+                "tables all of whose revisions are tainted",
+                logged(played, "all tainted, keeps").count(),
+            ),
             part("served while all fail", any(seen, 3_500, 9_000), 0.78),
             part("served as new lines come", any(seen, 9_500, 14_000), 0.985),
-            some("tries at the new task", came(seen, 9_500, 15_000, |of| of.place == 8)),
+            some(
+                "tries at the new task",
+                came(seen, 9_500, 15_000, |of| of.place == 8),
+            ),
         ])
     }
-    case(day, wrong, &[Mutation::FailuresUntold, Mutation::TaintedBare, Mutation::TablesMissed]);
+    case(
+        day,
+        wrong,
+        &[
+            Mutation::FailuresUntold,
+            Mutation::TaintedBare,
+            Mutation::TablesMissed,
+        ],
+    );
 }
 
 #[test]
 fn answers_lost_at_half_of_the_tasks_are_mended_at_the_other_half() {
     fn day(seed: u64) -> Day {
         let mut day = alike(seed);
-        let bad = |places, how| Happens::BadPlaces { places, how, ms: 6_000 };
-        day.happens = vec![(6_000, bad(vec![0, 2], BadTask::Mute)), (6_000, bad(vec![4, 6], BadTask::Cuts))];
+        let bad = |places, how| Happens::BadPlaces {
+            places,
+            how,
+            ms: 6_000,
+        };
+        day.happens = vec![
+            (6_000, bad(vec![0, 2], BadTask::Mute)),
+            (6_000, bad(vec![4, 6], BadTask::Cuts)),
+        ];
         day
     }
     fn wrong(played: &Played) -> Option<String> {
         let seen = &played.seen;
         let silent = |of: &Arrived| of.place < 8 && of.place.is_multiple_of(2);
         unless([
-            part("reads served", seen.share(6_000, 12_000, |of| of.kind != RouteKind::Mutating), 0.98),
-            part("writes served", seen.share(6_000, 12_000, |of| of.kind == RouteKind::Mutating), 0.93),
-            most("tries at silent tasks later", came(seen, 9_500, 11_900, silent), 30),
+            part(
+                "reads served",
+                seen.share(6_000, 12_000, |of| of.kind != RouteKind::Mutating),
+                0.98,
+            ),
+            part(
+                "writes served",
+                seen.share(6_000, 12_000, |of| of.kind == RouteKind::Mutating),
+                0.93,
+            ),
+            most(
+                "tries at silent tasks later",
+                came(seen, 9_500, 11_900, silent),
+                30,
+            ),
             part("served after it", any(seen, 13_000, 14_000), 0.93),
         ])
     }
-    case(day, wrong, &[Mutation::NothingLearnt, Mutation::NothingCounted, Mutation::BrokenIsUnsent]);
+    case(
+        day,
+        wrong,
+        &[
+            Mutation::NothingLearnt,
+            Mutation::NothingCounted,
+            Mutation::BrokenIsUnsent,
+        ],
+    );
 }
 
 #[test]
@@ -144,8 +257,22 @@
         let mut day = alike(seed);
         (day.rate, day.length_ms) = (250, 22_000);
         day.happens = vec![
-            (6_000, Happens::Release { service: 0, count: 8, pause_ms: 900, bad: None }),
-            (8_000, Happens::Burst { times: 2, ms: 10_000 }),
+            (
+                6_000,
+                Happens::Release {
+                    service: 0,
+                    count: 8,
+                    pause_ms: 900,
+                    bad: None,
+                },
+            ),
+            (
+                8_000,
+                Happens::Burst {
+                    times: 2,
+                    ms: 10_000,
+                },
+            ),
         ];
         day
     }
@@ -155,10 +282,18 @@
             part("served meanwhile", any(seen, 6_000, 14_500), 0.99),
             part("served by new tasks alone", any(seen, 14_500, 18_000), 0.99),
             most("refusals", seen.refused.len(), 200),
-            most("tries at old tasks", came(seen, 16_000, 22_000, |of| of.place < 8), 0),
+            most(
+                "tries at old tasks",
+                came(seen, 16_000, 22_000, |of| of.place < 8),
+                0,
+            ),
         ])
     }
-    case(day, wrong, &[Mutation::DrainsUnheard, Mutation::TablesMissed]);
+    case(
+        day,
+        wrong,
+        &[Mutation::DrainsUnheard, Mutation::TablesMissed],
+    );
 }
 
 #[test]
@@ -167,9 +302,13 @@
         let mut day = alike(seed);
         (day.services, day.tasks) = (2, 16);
         let passes = |turn: u64| Happens::PassOn {
-            places: (0..16).filter(|p| (p + turn as usize).is_multiple_of(3)).collect(),
+            places: (0..16)
+                .filter(|p| (p + turn as usize).is_multiple_of(3))
+                .collect(),
         };
-        day.happens = (0..6).map(|turn| (6_000 + 1_200 * turn, passes(turn))).collect();
+        day.happens = (0..6)
+            .map(|turn| (6_000 + 1_200 * turn, passes(turn)))
+            .collect();
         day
     }
     fn wrong(played: &Played) -> Option<String> {
@@ -178,10 +317,18 @@
         unless([
             part("served", any(seen, 6_000, 13_500), 0.97),
             // A life that was told to be gone is sent nothing: only who hasn't heard yet meets the next one.
-            most("tries that meet another life", came(seen, 0, 16_000, strangers), 60),
+            most(
+                "tries that meet another life",
+                came(seen, 0, 16_000, strangers),
+                60,
+            ),
         ])
     }
-    case(day, wrong, &[Mutation::NobodyMeant, Mutation::DrainsUnheard]);
+    case(
+        day,
+        wrong,
+        &[Mutation::NobodyMeant, Mutation::DrainsUnheard],
+    );
 }
 
 #[test]
@@ -192,19 +339,43 @@
         (day.retry_ratio, day.retry_slack) = (0.2, 48.0);
         (day.shape.attempts, day.shape.once) = (Some(3), true);
         day.happens = vec![
-            (3_000, Happens::CutOffices { machines: (6..12).collect(), ms: 15_000 }),
-            (16_000, Happens::BadTasks { service: 0, how: BadTask::Fails, ms: 12_000 }),
+            (
+                3_000,
+                Happens::CutOffices {
+                    machines: (6..12).collect(),
+                    ms: 15_000,
+                },
+            ),
+            (
+                16_000,
+                Happens::BadTasks {
+                    service: 0,
+                    how: BadTask::Fails,
+                    ms: 12_000,
+                },
+            ),
         ];
         day
     }
     fn wrong(played: &Played) -> Option<String> {
         let seen = &played.seen;
-        let (cut, others) =
-            (|of: &Arrived| of.further && of.machine >= 6, |of: &Arrived| of.further && of.machine < 6);
+        let (cut, others) = (
+            |of: &Arrived| of.further && of.machine >= 6,
+            |of: &Arrived| of.further && of.machine < 6,
+        );
         unless([
-            some("further tries of those cut off", came(seen, 16_000, 18_000, cut)),
-            some("further tries of the others", came(seen, 16_000, 18_000, others)),
-            some("further tries once they are back", came(seen, 20_000, 28_000, cut)),
+            some(
+                "further tries of those cut off",
+                came(seen, 16_000, 18_000, cut),
+            ),
+            some(
+                "further tries of the others",
+                came(seen, 16_000, 18_000, others),
+            ),
+            some(
+                "further tries once they are back",
+                came(seen, 20_000, 28_000, cut),
+            ),
             part("served before tasks fail", any(seen, 4_000, 15_500), 0.99),
         ])
     }
@@ -216,8 +387,14 @@
     fn day(seed: u64) -> Day {
         let mut day = alike(seed);
         day.rate = 600;
-        let kill = |machine| Happens::KillOne { machine, office: false, down_ms: 300 };
-        day.happens = (0..8).map(|machine| (6_000 + 110 * machine as u64, kill(machine))).collect();
+        let kill = |machine| Happens::KillOne {
+            machine,
+            office: false,
+            down_ms: 300,
+        };
+        day.happens = (0..8)
+            .map(|machine| (6_000 + 110 * machine as u64, kill(machine)))
+            .collect();
         day
     }
     fn wrong(played: &Played) -> Option<String> {
@@ -237,19 +414,32 @@
     fn day(seed: u64) -> Day {
         let mut day = alike(seed);
         (day.rate, day.tasks, day.shape.impatient) = (250, 4, true);
-        day.happens = vec![(6_000, Happens::Burst { times: 4, ms: 1_500 })];
+        day.happens = vec![(
+            6_000,
+            Happens::Burst {
+                times: 4,
+                ms: 1_500,
+            },
+        )];
         day
     }
     fn wrong(played: &Played) -> Option<String> {
         let seen = &played.seen;
         let late = seen.refused.iter().filter(|of| of.took_ms > 300).count();
-        let untold = seen.refused.iter().filter(|of| of.again_ms.is_none_or(|ms| ms < 50.0)).count();
+        let untold = seen
+            .refused
+            .iter()
+            .filter(|of| of.again_ms.is_none_or(|ms| ms < 50.0))
+            .count();
         unless([
             some("refusals", seen.refused.len()),
             most("refusals that took over 300 ms", late, 0),
             most("refusals without a time", untold, 0),
             // Four tasks with four slots and 30 ms or so: 13 slots at work all the time.
-            (came(seen, 6_500, 7_500, |of| of.status == 200) >= 325, "tasks idle amid a burst".into()),
+            (
+                came(seen, 6_500, 7_500, |of| of.status == 200) >= 325,
+                "tasks idle amid a burst".into(),
+            ),
             part("served half a second after", any(seen, 8_000, 12_000), 0.99),
         ])
     }
@@ -261,18 +451,28 @@
     fn day(seed: u64) -> Day {
         let mut day = alike(seed);
         (day.services, day.tasks) = (3, 12);
-        let moves = || Happens::Retarget { kind: RouteKind::Download };
+        let moves = || Happens::Retarget {
+            kind: RouteKind::Download,
+        };
         day.happens = (0..5).map(|turn| (6_000 + 1_300 * turn, moves())).collect();
         day
     }
     fn wrong(played: &Played) -> Option<String> {
         let seen = &played.seen;
         unless([
-            part("downloads served", seen.share(6_000, 14_000, |of| of.kind == RouteKind::Download), 0.99),
+            part(
+                "downloads served",
+                seen.share(6_000, 14_000, |of| of.kind == RouteKind::Download),
+                0.99,
+            ),
             part("served", any(seen, 6_000, 14_000), 0.99),
         ])
     }
-    case(day, wrong, &[Mutation::ConfigurationsMissed, Mutation::GoesBack]);
+    case(
+        day,
+        wrong,
+        &[Mutation::ConfigurationsMissed, Mutation::GoesBack],
+    );
 }
 
 #[test]
@@ -288,11 +488,19 @@
         let few = came(seen, 5_000, 10_000, |of| of.place.is_multiple_of(10));
         let all = came(seen, 5_000, 10_000, |_| true);
         unless([
-            part("served in that zone", seen.share(5_000, 10_000, |of| of.zone == 0), 0.985),
+            part(
+                "served in that zone",
+                seen.share(5_000, 10_000, |of| of.zone == 0),
+                0.985,
+            ),
             part("served", any(seen, 5_000, 10_000), 0.985),
             // A fair share is a tenth.
             most("tries at its two tasks", few, all / 4),
         ])
     }
-    case(day, wrong, &[Mutation::OwnZoneAlone, Mutation::NothingCounted]);
+    case(
+        day,
+        wrong,
+        &[Mutation::OwnZoneAlone, Mutation::NothingCounted],
+    );
 }
--- a/crates/rookpulley-simulator/tests/worst_days.rs
+++ b/crates/rookpulley-simulator/tests/worst_days.rs
@@ -23,7 +23,10 @@
 
 /// The same again and again, from one moment to another.
 fn each(from_ms: u64, to_ms: u64, pause_ms: u64, happens: &Happens) -> Vec<(u64, Happens)> {
-    (from_ms..to_ms).step_by(pause_ms as usize).map(|at| (at, happens.clone())).collect()
+    (from_ms..to_ms)
+        .step_by(pause_ms as usize)
+        .map(|at| (at, happens.clone()))
+        .collect()
 }
 
 /// Two of the core, others with each seed.
@@ -44,15 +47,29 @@
 #[test]
 fn a_controller_cut_off_for_twenty_seconds_from_the_others_alone_answers_nothing_old() {
     fn day(seed: u64) -> Day {
-        let cut = Happens::CutCore { machines: two(seed), ms: 20_000 };
+        let cut = Happens::CutCore {
+            machines: two(seed),
+            ms: 20_000,
+        };
         let day = with(five(seed), vec![(8_000, cut)]);
         let day = with(day, each(5_000, 33_000, 1_300, &Happens::Change));
-        with(day, each(9_500, 30_000, 6_000, &Happens::DrainTasks { share: 1 }))
+        with(
+            day,
+            each(9_500, 30_000, 6_000, &Happens::DrainTasks { share: 1 }),
+        )
     }
     fn wrong(played: &Played) -> Option<String> {
         little_served(played).or(few_calls(played, 1_000))
     }
-    case(day, wrong, &[Mutation::HomePresumedInTouch, Mutation::ReadsAlone, Mutation::DrainsUnheard]);
+    case(
+        day,
+        wrong,
+        &[
+            Mutation::HomePresumedInTouch,
+            Mutation::ReadsAlone,
+            Mutation::DrainsUnheard,
+        ],
+    );
 }
 
 #[test]
@@ -61,9 +78,28 @@
         let first = two(seed)[0];
         let mut day = five(seed);
         day.length_ms = 70_000;
-        let both = Happens::Cut { machines: two(seed), both: true, ms: 20_000 };
-        let deaf = Happens::Deaf { machines: vec![first], ms: 4_000 };
-        let day = with(day, vec![(6_000, both), (29_000, Happens::Freeze { machine: first, ms: 20_000 })]);
+        let both = Happens::Cut {
+            machines: two(seed),
+            both: true,
+            ms: 20_000,
+        };
+        let deaf = Happens::Deaf {
+            machines: vec![first],
+            ms: 4_000,
+        };
+        let day = with(
+            day,
+            vec![
+                (6_000, both),
+                (
+                    29_000,
+                    Happens::Freeze {
+                        machine: first,
+                        ms: 20_000,
+                    },
+                ),
+            ],
+        );
         // Cut a second time before it has caught up.
         let day = with(day, vec![(49_400, deaf)]);
         with(day, each(5_000, 54_000, 900, &Happens::Change))
@@ -75,27 +111,58 @@
 }
 
 #[test]
-fn an_order_sent_again_after_lost_answers_failovers_and_wipes_is_acknowledged_and_two_at_once_leave_one() {
+fn an_order_sent_again_after_lost_answers_failovers_and_wipes_is_acknowledged_and_two_at_once_leave_one()
+ {
     fn day(seed: u64) -> Day {
         let machine = two(seed)[0];
         let day = with(five(seed), each(5_000, 36_000, 1_700, &Happens::Race));
         let day = with(day, each(5_800, 36_000, 2_300, &Happens::Again));
-        let day = with(day, each(6_100, 36_000, 3_100, &Happens::Storm { count: 8 }));
+        let day = with(
+            day,
+            each(6_100, 36_000, 3_100, &Happens::Storm { count: 8 }),
+        );
         let day = with(day, each(6_600, 36_000, 4_700, &Happens::Invalid));
         with(
             day,
             vec![
                 (4_500, Happens::LoseAnswers { ms: 33_000 }),
-                (9_000, Happens::KillOne { machine, office: true, down_ms: 900 }),
-                (16_000, Happens::Wipe { machine, down_ms: 800 }),
-                (27_000, Happens::Herd { power: true, down_ms: 700 }),
+                (
+                    9_000,
+                    Happens::KillOne {
+                        machine,
+                        office: true,
+                        down_ms: 900,
+                    },
+                ),
+                (
+                    16_000,
+                    Happens::Wipe {
+                        machine,
+                        down_ms: 800,
+                    },
+                ),
+                (
+                    27_000,
+                    Happens::Herd {
+                        power: true,
+                        down_ms: 700,
+                    },
+                ),
             ],
         )
     }
     fn wrong(played: &Played) -> Option<String> {
         few_calls(played, 1_000)
     }
-    case(day, wrong, &[Mutation::RepeatRefused, Mutation::SyncLeftOut, Mutation::TakesInvalid]);
+    case(
+        day,
+        wrong,
+        &[
+            Mutation::RepeatRefused,
+            Mutation::SyncLeftOut,
+            Mutation::TakesInvalid,
+        ],
+    );
 }
 
 #[test]
@@ -104,10 +171,24 @@
         let machine = two(seed)[0];
         let mut day = with(five(seed), each(5_000, 36_000, 500, &Happens::Change));
         day.rate = 240;
-        let killed = Happens::KillOne { machine, office: true, down_ms: 900 };
-        with(day, vec![(12_000, killed), (20_000, Happens::Freeze { machine, ms: 3_000 })])
+        let killed = Happens::KillOne {
+            machine,
+            office: true,
+            down_ms: 900,
+        };
+        with(
+            day,
+            vec![
+                (12_000, killed),
+                (20_000, Happens::Freeze { machine, ms: 3_000 }),
+            ],
+        )
     }
-    case(day, little_served, &[Mutation::LaterRoutesFail, Mutation::ConfigurationsMissed]);
+    case(
+        day,
+        little_served,
+        &[Mutation::LaterRoutesFail, Mutation::ConfigurationsMissed],
+    );
 }
 
 #[test]
@@ -121,15 +202,56 @@
             day,
             vec![
                 // Two at once, filled by those that are left; then one of those, and the first again.
-                (8_000, Happens::Wipe { machine: first, down_ms: 600 }),
-                (8_100, Happens::Wipe { machine: second, down_ms: 900 }),
-                (20_000, Happens::Wipe { machine: (first + 1) % 5, down_ms: 600 }),
-                (20_200, Happens::Wipe { machine: first, down_ms: 600 }),
+                (
+                    8_000,
+                    Happens::Wipe {
+                        machine: first,
+                        down_ms: 600,
+                    },
+                ),
+                (
+                    8_100,
+                    Happens::Wipe {
+                        machine: second,
+                        down_ms: 900,
+                    },
+                ),
+                (
+                    20_000,
+                    Happens::Wipe {
+                        machine: (first + 1) % 5,
+                        down_ms: 600,
+                    },
+                ),
+                (
+                    20_200,
+                    Happens::Wipe {
+                        machine: first,
+                        down_ms: 600,
+                    },
+                ),
                 // One is replaced in order, and all lose power while another is empty.
-                (32_000, Happens::Replace { machine: (first + 1) % 5, orderly: true }),
-                (44_000, Happens::Wipe { machine: second, down_ms: 500 }),
+                (
+                    32_000,
+                    Happens::Replace {
+                        machine: (first + 1) % 5,
+                        orderly: true,
+                    },
+                ),
+                (
+                    44_000,
+                    Happens::Wipe {
+                        machine: second,
+                        down_ms: 500,
+                    },
+                ),
                 (44_300, Happens::Dark { down_ms: 700 }),
-                (60_000, Happens::Closing { how: Closing::Disks { others: true } }),
+                (
+                    60_000,
+                    Happens::Closing {
+                        how: Closing::Disks { others: true },
+                    },
+                ),
             ],
         )
     }
@@ -149,18 +271,44 @@
         with(
             day,
             vec![
-                (7_000, Happens::KillOne { machine, office: true, down_ms: 20_000 }),
+                (
+                    7_000,
+                    Happens::KillOne {
+                        machine,
+                        office: true,
+                        down_ms: 20_000,
+                    },
+                ),
                 // The one that is likely to fill it, amid that.
-                (27_150, Happens::Kill { machine: (machine + 1) % 5, power: true, down_ms: 700 }),
+                (
+                    27_150,
+                    Happens::Kill {
+                        machine: (machine + 1) % 5,
+                        power: true,
+                        down_ms: 700,
+                    },
+                ),
                 (34_000, Happens::Roll { pause_ms: 1_500 }),
             ],
         )
     }
     fn wrong(played: &Played) -> Option<String> {
-        let views = played.log.iter().filter(|line| line.contains("is at work")).count();
+        let views = played
+            .log
+            .iter()
+            .filter(|line| line.contains("is at work"))
+            .count();
         little_served(played).or((views == 0).then(|| "no view came to work".into()))
     }
-    case(day, wrong, &[Mutation::ReadsAlone, Mutation::ConfigurationsMissed, Mutation::GoesBack]);
+    case(
+        day,
+        wrong,
+        &[
+            Mutation::ReadsAlone,
+            Mutation::ConfigurationsMissed,
+            Mutation::GoesBack,
+        ],
+    );
 }
 
 #[test]
@@ -172,24 +320,79 @@
         with(
             day,
             vec![
-                (5_000, Happens::BadTasks { service, how: BadTask::Cuts, ms }),
-                (9_000, Happens::PassOn { places: vec![0, 1, 2, 3] }),
-                (12_000, Happens::BadTasks { service, how: BadTask::Garbles, ms }),
+                (
+                    5_000,
+                    Happens::BadTasks {
+                        service,
+                        how: BadTask::Cuts,
+                        ms,
+                    },
+                ),
+                (
+                    9_000,
+                    Happens::PassOn {
+                        places: vec![0, 1, 2, 3],
+                    },
+                ),
+                (
+                    12_000,
+                    Happens::BadTasks {
+                        service,
+                        how: BadTask::Garbles,
+                        ms,
+                    },
+                ),
                 (14_000, Happens::Reset { machine: 1 }),
-                (18_000, Happens::PassOn { places: vec![4, 5, 6] }),
-                (20_000, Happens::BadTasks { service, how: BadTask::Mute, ms }),
+                (
+                    18_000,
+                    Happens::PassOn {
+                        places: vec![4, 5, 6],
+                    },
+                ),
+                (
+                    20_000,
+                    Happens::BadTasks {
+                        service,
+                        how: BadTask::Mute,
+                        ms,
+                    },
+                ),
                 (22_000, Happens::Reset { machine: 6 }),
-                (24_000, Happens::KillOne { machine: 2, office: true, down_ms: 700 }),
-                (27_000, Happens::KillOne { machine: 3, office: true, down_ms: 700 }),
-                (30_000, Happens::Herd { power: false, down_ms: 500 }),
+                (
+                    24_000,
+                    Happens::KillOne {
+                        machine: 2,
+                        office: true,
+                        down_ms: 700,
+                    },
+                ),
+                (
+                    27_000,
+                    Happens::KillOne {
+                        machine: 3,
+                        office: true,
+                        down_ms: 700,
+                    },
+                ),
+                (
+                    30_000,
+                    Happens::Herd {
+                        power: false,
+                        down_ms: 500,
+                    },
+                ),
             ],
         )
     }
     fn wrong(played: &Played) -> Option<String> {
         few_calls(played, 1_000)
     }
-    let mutations =
-        [Mutation::AnyAnswer, Mutation::BrokenIsUnsent, Mutation::NobodyMeant, Mutation::PromisesAll];
+    let mutations = [
+        Mutation::AnyAnswer,
+        Mutation::BrokenIsUnsent,
+        Mutation::NobodyMeant,
+        Mutation::PromisesAll,
+    ];
     case(day, wrong, &mutations);
 }
 
@@ -198,16 +401,31 @@
     let mut day = five(seed);
     (day.offices, day.couriers, day.tasks, day.length_ms) = (6, 90, 40, 90_000);
     let machine = (seed % 6) as usize;
-    let lost = |by: usize| Happens::Wipe { machine: (machine + by) % 6, down_ms: 600 };
+    let lost = |by: usize| Happens::Wipe {
+        machine: (machine + by) % 6,
+        down_ms: 600,
+    };
     let day = with(day, each(5_000, 72_000, 700, &Happens::Change));
-    let cut = Happens::CutCore { machines: vec![machine, (machine + 3) % 6], ms: 20_000 };
+    let cut = Happens::CutCore {
+        machines: vec![machine, (machine + 3) % 6],
+        ms: 20_000,
+    };
     let day = with(
         day,
-        vec![(8_000, lost(0)), (8_100, lost(1)), (20_000, cut), (52_000, lost(2)), (52_050, lost(3))],
+        vec![
+            (8_000, lost(0)),
+            (8_100, lost(1)),
+            (20_000, cut),
+            (52_000, lost(2)),
+            (52_050, lost(3)),
+        ],
     );
     let played = play(&day, None);
     assert_eq!(played.breaches, [], "seed {seed}: {day}");
-    println!("seed {seed}: {} steps, {} calls", played.steps, played.calls);
+    println!(
+        "seed {seed}: {} steps, {} calls",
+        played.steps, played.calls
+    );
 }
 
 #[test]
--- a/crates/rookpulley-standin/src/checker.rs
+++ b/crates/rookpulley-standin/src/checker.rs
@@ -79,11 +79,16 @@
 impl Checker {
     /// After a drain reqs may go to the server for so long.
     pub fn new(grace_ms: f64) -> Self {
-        Self { grace_ms, ..Self::default() }
+        Self {
+            grace_ms,
+            ..Self::default()
+        }
     }
 
     pub fn drains(&mut self, server: &str) {
-        self.drains.entry(server.into()).or_insert_with(|| (Instant::now(), None));
+        self.drains
+            .entry(server.into())
+            .or_insert_with(|| (Instant::now(), None));
     }
 
     pub fn starts(&mut self, server: &str) {
@@ -94,14 +99,22 @@
 
     pub fn see(&mut self, seen: Seen) {
         match seen {
-            Seen::Up { stream, dispatcher, message } if message["msg"] == "attach" => {
+            Seen::Up {
+                stream,
+                dispatcher,
+                message,
+            } if message["msg"] == "attach" => {
                 let followed = self.dispatchers.entry(dispatcher).or_default();
                 (followed.stream, followed.parts) = (stream, Vec::new());
                 for copy in followed.tables.values_mut() {
                     (copy.effects, copy.newest) = (BTreeSet::new(), 0);
                 }
             }
-            Seen::Down { stream, dispatcher, message } => {
+            Seen::Down {
+                stream,
+                dispatcher,
+                message,
+            } => {
                 let followed = self.dispatchers.entry(dispatcher).or_default();
                 if followed.stream != stream || message["msg"] != "assign" {
                     return;
@@ -115,11 +128,14 @@
             }
             Seen::Routed { dispatcher, server } => {
                 self.routed += 1;
-                let Some((since, started)) = self.drains.get(&server) else { return };
+                let Some((since, started)) = self.drains.get(&server) else {
+                    return;
+                };
                 let after_ms = since.elapsed().as_secs_f64() * 1e3;
                 if started.is_none() && after_ms > self.grace_ms {
-                    let what =
-                        format!("dispatcher {dispatcher} sent to {server}, drained {after_ms:.0} ms ago");
+                    let what = format!(
+                        "dispatcher {dispatcher} sent to {server}, drained {after_ms:.0} ms ago"
+                    );
                     self.broken.push(what);
                 }
             }
@@ -131,26 +147,44 @@
     fn apply(&mut self, dispatcher: u64, parts: &[Value]) {
         let lines = |part: &Value| -> Vec<(String, f64)> {
             let list = part["lines"].as_array().into_iter().flatten();
-            list.filter_map(|l| Some((l[0].as_str()?.to_string(), l[1].as_f64()?))).collect()
+            list.filter_map(|l| Some((l[0].as_str()?.to_string(), l[1].as_f64()?)))
+                .collect()
+        };
+        let Some(followed) = self.dispatchers.get_mut(&dispatcher) else {
+            return;
         };
-        let Some(followed) = self.dispatchers.get_mut(&dispatcher) else { return };
         for (at, part) in parts.iter().enumerate() {
-            let Some(version) = part["version"].as_str() else { continue };
-            let number: u64 = version.rsplit('~').next().and_then(|n| n.parse().ok()).unwrap_or(0);
+            let Some(version) = part["version"].as_str() else {
+                continue;
+            };
+            let number: u64 = version
+                .rsplit('~')
+                .next()
+                .and_then(|n| n.parse().ok())
+                .unwrap_or(0);
             let goes_on = |p: &&Value| {
                 p["lines"].is_array() && p["version"].is_null() && p["classes"] == part["classes"]
             };
             let rest = parts[at + 1..].iter().take_while(goes_on).flat_map(&lines);
             let changes: Vec<_> = lines(part).into_iter().chain(rest).collect();
-            let copy = followed.tables.entry(part["classes"].to_string()).or_default();
+            let copy = followed
+                .tables
+                .entry(part["classes"].to_string())
+                .or_default();
             if number < copy.newest {
                 self.passed_over += 1;
                 continue;
             }
             // A number alone is of the issuer that the table held has.
-            let issuer = copy.version.rsplit_once('~').map_or("", |(issuer, _)| issuer);
-            let version =
-                if version.starts_with('~') { format!("{issuer}{version}") } else { version.into() };
+            let issuer = copy
+                .version
+                .rsplit_once('~')
+                .map_or("", |(issuer, _)| issuer);
+            let version = if version.starts_with('~') {
+                format!("{issuer}{version}")
+            } else {
+                version.into()
+            };
             let ends = part["to"].as_str().unwrap_or_default();
             let holds = digest(&copy.lines);
             let mut next = copy.lines.clone();
@@ -177,7 +211,9 @@
                 continue;
             }
             if next != copy.lines && !copy.effects.insert(number) {
-                self.broken.push(format!("dispatcher {dispatcher}: version {version} took effect twice"));
+                self.broken.push(format!(
+                    "dispatcher {dispatcher}: version {version} took effect twice"
+                ));
             }
             self.applied += 1;
             (copy.lines, copy.newest, copy.version) = (next, number, version);
@@ -186,7 +222,13 @@
 
     /// What a dispatcher must hold by what reached it: version, digest and lines, by request kinds.
     pub fn must_hold(&self, dispatcher: u64) -> Vec<(String, String, Lines)> {
-        let tables = self.dispatchers.get(&dispatcher).into_iter().flat_map(|f| f.tables.values());
-        tables.map(|c| (c.version.clone(), digest(&c.lines), c.lines.clone())).collect()
+        let tables = self
+            .dispatchers
+            .get(&dispatcher)
+            .into_iter()
+            .flat_map(|f| f.tables.values());
+        tables
+            .map(|c| (c.version.clone(), digest(&c.lines), c.lines.clone()))
+            .collect()
     }
 }
--- a/crates/rookpulley-standin/src/discovery.rs
+++ b/crates/rookpulley-standin/src/discovery.rs
@@ -41,8 +41,15 @@
                 let service = hyper::service::service_fn(move |req: hyper::Request<_>| {
                     let (answer, answered) = oneshot::channel();
                     let _: &hyper::body::Incoming = req.body();
-                    _ = sender.send(Call { path: req.uri().to_string(), answer });
-                    async move { answered.await.map_err(|_| std::io::Error::other("no answer")) }
+                    _ = sender.send(Call {
+                        path: req.uri().to_string(),
+                        answer,
+                    });
+                    async move {
+                        answered
+                            .await
+                            .map_err(|_| std::io::Error::other("no answer"))
+                    }
                 });
                 spawn_local(
                     hyper::server::conn::http1::Builder::new()
@@ -67,7 +74,10 @@
 
 impl Watch {
     pub async fn say(&mut self, text: &str) {
-        self.0.send_data(Bytes::from(text.to_string())).await.unwrap();
+        self.0
+            .send_data(Bytes::from(text.to_string()))
+            .await
+            .unwrap();
     }
 }
 
@@ -79,8 +89,15 @@
     }
 
     pub fn answer(self, status: u16, text: &str) {
-        let body = Full::new(Bytes::from(text.to_string())).map_err(std::io::Error::other).boxed();
-        _ = self.answer.send(hyper::Response::builder().status(status).body(body).unwrap());
+        let body = Full::new(Bytes::from(text.to_string()))
+            .map_err(std::io::Error::other)
+            .boxed();
+        _ = self.answer.send(
+            hyper::Response::builder()
+                .status(status)
+                .body(body)
+                .unwrap(),
+        );
     }
 }
 
@@ -104,7 +121,11 @@
         spawn_local(async move {
             loop {
                 let call = discovery.call().await;
-                let since = call.path.rsplit_once("since=").and_then(|(_, n)| n.parse().ok()).unwrap_or(0);
+                let since = call
+                    .path
+                    .rsplit_once("since=")
+                    .and_then(|(_, n)| n.parse().ok())
+                    .unwrap_or(0);
                 spawn_local(Self::follow(call.watch(), told.clone(), since));
             }
         });
@@ -115,7 +136,11 @@
         loop {
             let mut text = String::from("\n");
             let after = since;
-            for (index, list) in lists.borrow_and_update().iter().filter(|(index, _)| *index > after) {
+            for (index, list) in lists
+                .borrow_and_update()
+                .iter()
+                .filter(|(index, _)| *index > after)
+            {
                 text += list;
                 since = since.max(*index);
             }
@@ -127,6 +152,7 @@
     }
 
     pub fn say(&self, index: u64, whole: bool, servers: &[Value]) {
-        self.lists.send_modify(|lists| lists.push((index, list(index, whole, servers))));
+        self.lists
+            .send_modify(|lists| lists.push((index, list(index, whole, servers))));
     }
 }
--- a/crates/rookpulley-standin/src/dispatcher.rs
+++ b/crates/rookpulley-standin/src/dispatcher.rs
@@ -59,7 +59,10 @@
             zone: zone.into(),
             kinds: kinds.iter().map(|k| k.to_string()).collect(),
             speaks,
-            held: RefCell::new(Held { fresh: true, ..Held::default() }),
+            held: RefCell::new(Held {
+                fresh: true,
+                ..Held::default()
+            }),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ id << 32)),
             places: RefCell::default(),
             streams: Cell::new(0),
@@ -105,7 +108,10 @@
                 sleep(Duration::from_millis(every_ms)).await;
                 for kind in 0..here.kinds.len() {
                     if let Some(server) = here.pick(kind) {
-                        (here.seen)(Seen::Routed { dispatcher: here.id, server });
+                        (here.seen)(Seen::Routed {
+                            dispatcher: here.id,
+                            server,
+                        });
                     }
                 }
             }
@@ -116,7 +122,10 @@
     pub fn pick(&self, kind: usize) -> Option<String> {
         let held = self.held.borrow();
         let lines: Vec<(String, f64)> = self.lines(&held, kind);
-        let usable: Vec<_> = lines.into_iter().filter(|(s, _)| !held.out.contains(s)).collect();
+        let usable: Vec<_> = lines
+            .into_iter()
+            .filter(|(s, _)| !held.out.contains(s))
+            .collect();
         let all: f64 = usable.iter().map(|(_, w)| w).sum();
         let mut at = self.rng.borrow_mut().random_range(0.0..1.0) * all;
         let last = usable.last().map(|(s, _)| s.clone());
@@ -128,10 +137,20 @@
     }
 
     fn lines(&self, held: &Held, kind: usize) -> Vec<(String, f64)> {
-        let holder = held.holders.iter().find(|(kinds, _)| *kinds >> kind & 1 == 1).map(|(_, h)| h);
+        let holder = held
+            .holders
+            .iter()
+            .find(|(kinds, _)| *kinds >> kind & 1 == 1)
+            .map(|(_, h)| h);
         match holder.and_then(Holder::table) {
             Some(table) => table.lines().map(|(n, w)| (n.to_string(), w)).collect(),
-            None => held.plain.get(&kind).into_iter().flatten().map(|(s, w)| (s.clone(), *w)).collect(),
+            None => held
+                .plain
+                .get(&kind)
+                .into_iter()
+                .flatten()
+                .map(|(s, w)| (s.clone(), *w))
+                .collect(),
         }
     }
 
@@ -139,17 +158,26 @@
     pub fn tables(&self) -> BTreeMap<String, BTreeMap<String, f64>> {
         let held = self.held.borrow();
         let named = self.kinds.iter().enumerate();
-        named.map(|(k, name)| (name.clone(), self.lines(&held, k).into_iter().collect())).collect()
+        named
+            .map(|(k, name)| (name.clone(), self.lines(&held, k).into_iter().collect()))
+            .collect()
     }
 
     /// The version it holds for each of its request kinds.
     pub fn versions(&self) -> BTreeMap<Kinds, String> {
         let held = self.held.borrow();
-        held.holders.iter().filter_map(|(k, h)| Some((*k, h.version()?.to_string()))).collect()
+        held.holders
+            .iter()
+            .filter_map(|(k, h)| Some((*k, h.version()?.to_string())))
+            .collect()
     }
 
     fn names(&self, kinds: Kinds) -> Vec<&str> {
-        let named = self.kinds.iter().enumerate().filter(|(k, _)| kinds >> k & 1 == 1);
+        let named = self
+            .kinds
+            .iter()
+            .enumerate()
+            .filter(|(k, _)| kinds >> k & 1 == 1);
         named.map(|(_, name)| name.as_str()).collect()
     }
 
@@ -175,12 +203,21 @@
             }
             joining
         };
-        if to.write_all(format!("{joining}\n").as_bytes()).await.is_err() {
+        if to
+            .write_all(format!("{joining}\n").as_bytes())
+            .await
+            .is_err()
+        {
             return;
         }
         let (mut from, mut line, mut parts) = (BufReader::new(from), String::new(), Vec::new());
-        while timeout(SILENT, from.read_line(&mut line)).await.is_ok_and(|r| r.is_ok_and(|n| n > 0)) {
-            let Ok(part) = serde_json::from_str::<Value>(&line) else { return };
+        while timeout(SILENT, from.read_line(&mut line))
+            .await
+            .is_ok_and(|r| r.is_ok_and(|n| n > 0))
+        {
+            let Ok(part) = serde_json::from_str::<Value>(&line) else {
+                return;
+            };
             line.clear();
             let more = part["more"] == true;
             parts.push(part);
@@ -189,7 +226,11 @@
             }
             let said = self.take(stream, &std::mem::take(&mut parts));
             for answer in said {
-                if to.write_all(format!("{answer}\n").as_bytes()).await.is_err() {
+                if to
+                    .write_all(format!("{answer}\n").as_bytes())
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -200,7 +241,9 @@
         let all = (1_u32 << self.kinds.len()) as Kinds - 1;
         let place = |name: &Value| self.kinds.iter().position(|k| name == k.as_str());
         let named = part["classes"].as_array();
-        named.map_or(all, |names| names.iter().filter_map(place).fold(0, |m, k| m | 1 << k))
+        named.map_or(all, |names| {
+            names.iter().filter_map(place).fold(0, |m, k| m | 1 << k)
+        })
     }
 
     /// Takes one message, all its parts; gives what is said in answer.
@@ -213,11 +256,14 @@
         };
         let lines = |part: &Value| -> Vec<(Name, f64)> {
             let list = part["lines"].as_array().into_iter().flatten();
-            list.filter_map(|l| Some((Name::from(l[0].as_str()?), l[1].as_f64()?))).collect()
+            list.filter_map(|l| Some((Name::from(l[0].as_str()?), l[1].as_f64()?)))
+                .collect()
         };
         for (at, part) in parts.iter().enumerate() {
             held.out.extend(names(part, "out"));
-            names(part, "back").iter().for_each(|s| _ = held.out.remove(s));
+            names(part, "back")
+                .iter()
+                .for_each(|s| _ = held.out.remove(s));
             let kinds = self.mask(part);
             if !self.speaks {
                 for kind in (0..self.kinds.len()).filter(|k| kinds >> k & 1 == 1) {
@@ -232,12 +278,14 @@
                 }
                 continue;
             }
-            let (Some(version), Some(digest)) = (part["version"].as_str(), part["to"].as_str()) else {
+            let (Some(version), Some(digest)) = (part["version"].as_str(), part["to"].as_str())
+            else {
                 continue;
             };
             // A long table goes on in the next parts.
-            let goes_on =
-                |p: &&Value| p["lines"].is_array() && p["version"].is_null() && self.mask(p) == kinds;
+            let goes_on = |p: &&Value| {
+                p["lines"].is_array() && p["version"].is_null() && self.mask(p) == kinds
+            };
             let rest = parts[at + 1..].iter().take_while(goes_on).flat_map(lines);
             let changes: Vec<_> = lines(part).into_iter().chain(rest).collect();
             let of = held.holders.get(&kinds).and_then(Holder::version).cloned();
@@ -262,23 +310,31 @@
                 holder.follow(stream);
                 holder
             });
-            let verdict =
-                update.map_or(Verdict::Refused, |update| holder.hear(stream, &Order { version, update }));
+            let verdict = update.map_or(Verdict::Refused, |update| {
+                holder.hear(stream, &Order { version, update })
+            });
             match verdict {
                 Verdict::Applied | Verdict::Renamed => {}
                 Verdict::PassedOver => all = false,
                 Verdict::Refused => {
                     all = false;
                     self.refused.set(self.refused.get() + 1);
-                    let (version, digest) = (holder.version().map(|v| v.to_string()), holder.digest());
+                    let (version, digest) =
+                        (holder.version().map(|v| v.to_string()), holder.digest());
                     let classes = self.names(kinds);
-                    said.push(json!({"msg": "refused", "proxy": self.id, "classes": classes,
-                        "version": version, "digest": digest.map(|d| d.to_string())}));
+                    said.push(
+                        json!({"msg": "refused", "proxy": self.id, "classes": classes,
+                        "version": version, "digest": digest.map(|d| d.to_string())}),
+                    );
                 }
             }
         }
         held.fresh = false;
-        if let Some(mark) = parts.last().and_then(|p| p["ticket"].as_u64()).filter(|_| all) {
+        if let Some(mark) = parts
+            .last()
+            .and_then(|p| p["ticket"].as_u64())
+            .filter(|_| all)
+        {
             let mut done = json!({"msg": "done", "proxy": self.id, "mark": mark, "took_ms": 1.5});
             if self.speaks {
                 done["holds"] = self.holds(&held);
--- a/crates/rookpulley-standin/src/link.rs
+++ b/crates/rookpulley-standin/src/link.rs
@@ -102,10 +102,16 @@
     }
 
     fn fate(&self, dispatcher: u64, way: usize, first: bool) -> Fate {
-        let (faults, mut rng, mut rows) = (self.faults.get(), self.rng.borrow_mut(), self.rows.borrow_mut());
+        let (faults, mut rng, mut rows) = (
+            self.faults.get(),
+            self.rng.borrow_mut(),
+            self.rows.borrow_mut(),
+        );
         let row = rows.entry(dispatcher).or_default();
         let mut chance = |part: f64| part > 0.0 && rng.random_range(0.0..1.0) < part;
-        let rested = row.cut_at.is_none_or(|at| at.elapsed().as_secs_f64() * 1e3 > faults.cut_pause_ms);
+        let rested = row
+            .cut_at
+            .is_none_or(|at| at.elapsed().as_secs_f64() * 1e3 > faults.cut_pause_ms);
         if rested && !first && chance(faults.cut) {
             row.cut_at = Some(Instant::now());
             self.cuts.set(self.cuts.get() + 1);
@@ -117,16 +123,26 @@
             return Fate::Lost;
         }
         row.lost[way] = 0;
-        let copies = if !first && chance(faults.double) { 2 } else { 1 };
+        let copies = if !first && chance(faults.double) {
+            2
+        } else {
+            1
+        };
         self.doubled.set(self.doubled.get() + u64::from(copies - 1));
         let late = !first && chance(faults.delay);
-        let late_ms = if late { rng.random_range(0.0..faults.late_ms.max(0.1)) } else { 0.0 };
+        let late_ms = if late {
+            rng.random_range(0.0..faults.late_ms.max(0.1))
+        } else {
+            0.0
+        };
         Fate::Passes { copies, late_ms }
     }
 
     /// One connection, from both sides, until either ends or it is cut.
     async fn carry(self: Rc<Self>, near: TcpStream, to: SocketAddr) {
-        let Ok(far) = TcpStream::connect(to).await else { return };
+        let Ok(far) = TcpStream::connect(to).await else {
+            return;
+        };
         _ = (near.set_nodelay(true), far.set_nodelay(true));
         let stream = self.streams.replace(self.streams.get() + 1);
         let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
@@ -137,7 +153,10 @@
             () = cut.notified() => {}
             () = self.cutting.notified() => {}
         }
-        (self.seen)(Seen::Ended { stream, dispatcher: who.get() });
+        (self.seen)(Seen::Ended {
+            stream,
+            dispatcher: who.get(),
+        });
     }
 
     /// Lines of one direction: 0 towards the assigner, 1 from it.
