--- a/crates/rookpulley-standin/src/main.rs
+++ b/crates/rookpulley-standin/src/main.rs
@@ -45,7 +45,11 @@
 const KINDS: [&str; 2] = ["show", "book"];
 
 fn unix_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1e3
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
+        * 1e3
 }
 
 fn line(n: u32, status: &str, since_ms: f64) -> Value {
@@ -60,18 +64,33 @@
     let listener = TcpListener::bind(given.discovery).await?;
     let agent = Agent::at(listener);
     let mut index = 2;
-    let all: Vec<Value> = (1..=given.servers).map(|n| line(n, "SERVING", 0.0)).collect();
+    let all: Vec<Value> = (1..=given.servers)
+        .map(|n| line(n, "SERVING", 0.0))
+        .collect();
     agent.say(index, true, &all);
-    println!("discovery answers at {}, {} servers listed", given.discovery, given.servers);
+    println!(
+        "discovery answers at {}, {} servers listed",
+        given.discovery, given.servers
+    );
     for id in 0..given.dispatchers {
         let zone = ZONES[(id % 2) as usize];
-        let dispatcher = Dispatcher::new(id, zone, &KINDS, id < given.speaking, given.seed, Rc::new(|_| ()));
+        let dispatcher = Dispatcher::new(
+            id,
+            zone,
+            &KINDS,
+            id < given.speaking,
+            given.seed,
+            Rc::new(|_| ()),
+        );
         let mut places = given.assigner.clone();
         places.rotate_left(id as usize % given.assigner.len());
         dispatcher.dial(&places);
         dispatcher.run();
     }
-    println!("{} dispatchers join, {} of them speak of versions", given.dispatchers, given.speaking);
+    println!(
+        "{} dispatchers join, {} of them speak of versions",
+        given.dispatchers, given.speaking
+    );
     for place in given.assigner.clone() {
         spawn_local(report(place, given.servers));
     }
@@ -84,7 +103,11 @@
         if left <= 0.0 {
             return Ok(());
         }
-        let pause = if given.churn > 0.0 { given.churn.min(left) } else { left.min(3_600.0) };
+        let pause = if given.churn > 0.0 {
+            given.churn.min(left)
+        } else {
+            left.min(3_600.0)
+        };
         sleep(Duration::from_secs_f64(pause)).await;
         if given.churn > 0.0 {
             index += 1;
@@ -105,8 +128,11 @@
 async fn report(place: SocketAddr, servers: u32) {
     loop {
         sleep(Duration::from_secs(1)).await;
-        let Ok(mut wire) = Wire::try_dial(place).await else { continue };
-        wire.say(&json!({"msg": "telemetry", "zone": ZONES[0]}).to_string()).await;
+        let Ok(mut wire) = Wire::try_dial(place).await else {
+            continue;
+        };
+        wire.say(&json!({"msg": "telemetry", "zone": ZONES[0]}).to_string())
+            .await;
         for _ in 0..60 {
             for n in 1..=servers {
                 let heard = json!({"msg": "upstream_stats", "zone": ZONES[0], "server": format!("s-{n}"),
@@ -120,6 +146,8 @@
 
 fn main() -> std::io::Result<()> {
     let given = Given::parse();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, stand_in(given))
 }
--- a/crates/rookpulley-standin/src/wire.rs
+++ b/crates/rookpulley-standin/src/wire.rs
@@ -26,15 +26,26 @@
 
 impl Wire {
     pub async fn dial(place: SocketAddr) -> Self {
-        Self { socket: TcpStream::connect(place).await.unwrap(), held: Vec::new(), proxy: 0 }
+        Self {
+            socket: TcpStream::connect(place).await.unwrap(),
+            held: Vec::new(),
+            proxy: 0,
+        }
     }
 
     pub async fn try_dial(place: SocketAddr) -> std::io::Result<Self> {
-        Ok(Self { socket: TcpStream::connect(place).await?, held: Vec::new(), proxy: 0 })
+        Ok(Self {
+            socket: TcpStream::connect(place).await?,
+            held: Vec::new(),
+            proxy: 0,
+        })
     }
 
     pub async fn join(place: SocketAddr, proxy: u32, fresh: bool) -> Self {
-        let mut wire = Self { proxy, ..Self::dial(place).await };
+        let mut wire = Self {
+            proxy,
+            ..Self::dial(place).await
+        };
         wire.say(&joining(proxy, fresh)).await;
         wire
     }
@@ -62,9 +73,13 @@
     pub async fn until(&mut self, what: &str, holds: impl Fn(&Value) -> bool) -> Value {
         let listen = async {
             loop {
-                let message = self.hear().await.unwrap_or_else(|| panic!("ended before {what}"));
+                let message = self
+                    .hear()
+                    .await
+                    .unwrap_or_else(|| panic!("ended before {what}"));
                 if let Some(mark) = message["ticket"].as_u64() {
-                    let done = json!({"msg": "done", "proxy": self.proxy, "mark": mark, "took_ms": 90.5});
+                    let done =
+                        json!({"msg": "done", "proxy": self.proxy, "mark": mark, "took_ms": 90.5});
                     self.say(&done.to_string()).await;
                 }
                 if holds(&message) {
@@ -72,11 +87,14 @@
                 }
             }
         };
-        timeout(LONG, listen).await.unwrap_or_else(|_| panic!("waited long for {what}"))
+        timeout(LONG, listen)
+            .await
+            .unwrap_or_else(|_| panic!("waited long for {what}"))
     }
 
     pub async fn table(&mut self) -> Value {
-        self.until("a whole table", |m| m["whole"] == true && m["more"] != true).await
+        self.until("a whole table", |m| m["whole"] == true && m["more"] != true)
+            .await
     }
 
     pub async fn beats(&mut self) -> bool {
@@ -91,5 +109,9 @@
 }
 
 pub fn names(server: &str) -> impl Fn(&Value) -> bool + use<'_> {
-    move |message| message["out"].as_array().is_some_and(|out| out.iter().any(|s| s == server))
+    move |message| {
+        message["out"]
+            .as_array()
+            .is_some_and(|out| out.iter().any(|s| s == server))
+    }
 }
--- a/crates/rookpulley-start/src/lib.rs
+++ b/crates/rookpulley-start/src/lib.rs
@@ -1,8 +1,8 @@
 //! The settings text of a start, read into the records of the interface. Unknown keys are ignored.
 
 use rookpulley::facts::{
-    ChannelFacts, DEAR_STEPS, Group, Levels, ListFacts, LoadField, Means, Place, ProxyHabits, Repeat,
-    ReqKind, Retry, RuleBounds, Start,
+    ChannelFacts, DEAR_STEPS, Group, Levels, ListFacts, LoadField, Means, Place, ProxyHabits,
+    Repeat, ReqKind, Retry, RuleBounds, Start,
 };
 use serde_json::Value;
 
@@ -22,16 +22,25 @@
 
 impl<'a> Part<'a> {
     fn of(root: &'a Value, path: &'static str) -> Self {
-        Self { path, value: &root[path] }
+        Self {
+            path,
+            value: &root[path],
+        }
     }
 
     fn wrong(&self, key: &str, wanted: &'static str) -> Unreadable {
-        let key = if self.path.is_empty() { key.to_string() } else { format!("{}.{key}", self.path) };
+        let key = if self.path.is_empty() {
+            key.to_string()
+        } else {
+            format!("{}.{key}", self.path)
+        };
         Unreadable::Key { key, wanted }
     }
 
     fn num(&self, key: &str) -> Result<f64, Unreadable> {
-        self.value[key].as_f64().ok_or_else(|| self.wrong(key, "a number"))
+        self.value[key]
+            .as_f64()
+            .ok_or_else(|| self.wrong(key, "a number"))
     }
 
     /// A figure that some sites leave out.
@@ -44,7 +53,9 @@
     }
 
     fn text(&self, key: &str) -> Result<&'a str, Unreadable> {
-        self.value[key].as_str().ok_or_else(|| self.wrong(key, "a text"))
+        self.value[key]
+            .as_str()
+            .ok_or_else(|| self.wrong(key, "a text"))
     }
 
     fn flag(&self, key: &str) -> bool {
@@ -52,12 +63,18 @@
     }
 
     fn list(&self, key: &str) -> Result<&'a [Value], Unreadable> {
-        Ok(self.value[key].as_array().ok_or_else(|| self.wrong(key, "a list"))?.as_slice())
+        Ok(self.value[key]
+            .as_array()
+            .ok_or_else(|| self.wrong(key, "a list"))?
+            .as_slice())
     }
 
     fn places(&self, key: &str) -> Vec<u16> {
         let list = self.value[key].as_array().map_or(&[][..], Vec::as_slice);
-        list.iter().filter_map(Value::as_u64).map(|place| place as u16).collect()
+        list.iter()
+            .filter_map(Value::as_u64)
+            .map(|place| place as u16)
+            .collect()
     }
 
     fn flag_of(&self, key: &str, place: usize) -> bool {
@@ -66,7 +83,10 @@
 }
 
 fn read_kind(value: &Value, place: usize, family: &Part) -> Result<ReqKind, Unreadable> {
-    let part = Part { path: "categories[]", value };
+    let part = Part {
+        path: "categories[]",
+        value,
+    };
     let repeat = match part.text("effect")? {
         "pure" => Repeat::Replayable,
         "side_effect" => Repeat::NonReplayable,
@@ -77,7 +97,10 @@
                 "cell" => Group::Bay,
                 _ => return Err(part.wrong("group", "all, zone or cell")),
             };
-            Repeat::Uniqued { group, window_ms: part.ms("window_us")? }
+            Repeat::Uniqued {
+                group,
+                window_ms: part.ms("window_us")?,
+            }
         }
         _ => return Err(part.wrong("effect", "pure, token or side_effect")),
     };
@@ -120,15 +143,30 @@
 }
 
 pub fn front_facts(root: &Value) -> Result<FrontFacts, Unreadable> {
-    let top = Part { path: "", value: root };
-    let machines = top.list("kinds")?.iter().filter_map(Value::as_str).map(String::from).collect();
+    let top = Part {
+        path: "",
+        value: root,
+    };
+    let machines = top
+        .list("kinds")?
+        .iter()
+        .filter_map(Value::as_str)
+        .map(String::from)
+        .collect();
     let tick_ms = top.ms("tick_us")?;
     let sound = tick_ms > 0.0 && tick_ms <= 60_000.0;
-    if sound { Ok(FrontFacts { machines, tick_ms }) } else { Err(top.wrong("tick_us", "a minute at most")) }
+    if sound {
+        Ok(FrontFacts { machines, tick_ms })
+    } else {
+        Err(top.wrong("tick_us", "a minute at most"))
+    }
 }
 
 pub fn read_value(seed: u64, root: &Value) -> Result<Start, Unreadable> {
-    let top = Part { path: "", value: root };
+    let top = Part {
+        path: "",
+        value: root,
+    };
     let [family, rules, limits, charges, load] =
         ["family_info", "rules", "limits", "charges", "load_info"].map(|path| Part::of(root, path));
     let kinds = top.list("categories")?.iter().enumerate();
@@ -149,11 +187,18 @@
             index: top.num("self_index")? as u16,
             controllers: top.num("balancers")? as u16,
             zone: top.num("locality")? as u16,
-            zones: top.list("areas")?.iter().filter_map(Value::as_str).map(String::from).collect(),
+            zones: top
+                .list("areas")?
+                .iter()
+                .filter_map(Value::as_str)
+                .map(String::from)
+                .collect(),
             proxies: family.num_or("agents", 0.0) as u32,
             joined_by_zone: family.flag("by_zone"),
         },
-        kinds: kinds.map(|(place, value)| read_kind(value, place, &family)).collect::<Result<_, _>>()?,
+        kinds: kinds
+            .map(|(place, value)| read_kind(value, place, &family))
+            .collect::<Result<_, _>>()?,
         bounds: RuleBounds {
             bare_ms: family.ms("empty_for_us")?,
             drain_grace_ms: rules.ms("drain_grace_us")?,
@@ -199,6 +244,8 @@
         },
         load_fields: load.value["fields"]
             .as_array()
-            .map_or(Vec::new(), |fields| fields.iter().map(read_load_field).collect()),
+            .map_or(Vec::new(), |fields| {
+                fields.iter().map(read_load_field).collect()
+            }),
     })
 }
--- a/crates/rookpulley-state/src/call.rs
+++ b/crates/rookpulley-state/src/call.rs
@@ -90,7 +90,9 @@
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum CallError {
     #[error("the bytes can't be read as a call or an answer: {0}")]
-    #[diagnostic(help("send what `encode` of the same build gives; all offices must run one build"))]
+    #[diagnostic(help(
+        "send what `encode` of the same build gives; all offices must run one build"
+    ))]
     Spoilt(#[from] postcard::Error),
     #[error("{0} bytes follow the call")]
     #[diagnostic(help("send one call in one piece, with nothing behind it"))]
--- a/crates/rookpulley-state/src/cells.rs
+++ b/crates/rookpulley-state/src/cells.rs
@@ -84,13 +84,18 @@
         if cell.value == value {
             return Some(cell.revision);
         }
-        let same = |revision: &&u64| self.event(**revision).is_some_and(|event| event.value == value);
+        let same = |revision: &&u64| {
+            self.event(**revision)
+                .is_some_and(|event| event.value == value)
+        };
         cell.recent.iter().rev().find(same).copied()
     }
 
     /// Forgets the oldest event and gives back its weight.
     fn forget_one(&mut self) -> usize {
-        let Some(gone) = self.events.pop_front() else { return 0 };
+        let Some(gone) = self.events.pop_front() else {
+            return 0;
+        };
         if let Some(cell) = self.cells.get_mut(&gone.name) {
             cell.recent.pop_front();
         }
@@ -98,7 +103,9 @@
     }
 
     fn older_than(&self, kept_ms: u64, now_ms: u64) -> bool {
-        self.events.front().is_some_and(|event| event.at_ms.saturating_add(kept_ms) < now_ms)
+        self.events
+            .front()
+            .is_some_and(|event| event.at_ms.saturating_add(kept_ms) < now_ms)
     }
 
     /// After reading a snapshot: fills what isn't written, and says whether the rest fits together.
@@ -109,14 +116,17 @@
         }
         let first = self.first();
         for (revision, event) in (first..).zip(&self.events) {
-            let Some(cell) = self.cells.get_mut(&event.name) else { return false };
+            let Some(cell) = self.cells.get_mut(&event.name) else {
+                return false;
+            };
             cell.recent.push_back(revision);
         }
         self.cells.iter().all(|(key, cell)| {
             // The present value is among the events, or it was put before the first of them.
             let shown = match cell.recent.back() {
                 Some(last) => {
-                    *last == cell.revision && self.event(*last).is_some_and(|e| e.value == cell.value)
+                    *last == cell.revision
+                        && self.event(*last).is_some_and(|e| e.value == cell.value)
                 }
                 None => (1..first).contains(&cell.revision),
             };
@@ -162,7 +172,11 @@
 
         let before = cell.map_or(0, |cell| name.len() + cell.value.len() + ENTRY);
         let after = name.len() + value.len() + ENTRY;
-        let founding = if group.is_none() { group_name.len() + ENTRY } else { 0 };
+        let founding = if group.is_none() {
+            group_name.len() + ENTRY
+        } else {
+            0
+        };
         let too_many = cell.is_none() && self.cells >= bounds.names;
         let spent = group.is_some_and(|group| group.revision >= u64::MAX - 1);
         if too_many || spent || (after + founding).saturating_sub(before) > room {
@@ -182,7 +196,11 @@
         cell.value = value.to_owned();
         cell.revision = group.revision;
         cell.recent.push_back(group.revision);
-        group.events.push_back(Past { name: name.to_owned(), value: value.to_owned(), at_ms: now_ms });
+        group.events.push_back(Past {
+            name: name.to_owned(),
+            value: value.to_owned(),
+            at_ms: now_ms,
+        });
         Answer::Revision(group.revision)
     }
 
@@ -190,7 +208,8 @@
     fn make_way(&mut self, now_ms: u64, group: &str, weight: usize, bounds: &Bounds) -> bool {
         if let Some(group) = self.groups.get_mut(group) {
             while group.older_than(bounds.keep_ms, now_ms)
-                || group.events.len() >= bounds.group_events && group.older_than(bounds.promised_ms, now_ms)
+                || group.events.len() >= bounds.group_events
+                    && group.older_than(bounds.promised_ms, now_ms)
             {
                 self.events -= 1;
                 self.history_bytes -= group.forget_one();
@@ -216,8 +235,15 @@
     }
 
     pub fn get(&self, name: &str) -> Answer {
-        match self.groups.get(group_of(name)).and_then(|group| group.cells.get(name)) {
-            Some(cell) => Answer::Cell { value: cell.value.clone(), revision: cell.revision },
+        match self
+            .groups
+            .get(group_of(name))
+            .and_then(|group| group.cells.get(name))
+        {
+            Some(cell) => Answer::Cell {
+                value: cell.value.clone(),
+                revision: cell.revision,
+            },
             None => Answer::Nothing,
         }
     }
@@ -234,15 +260,24 @@
         let Some(group) = self.groups.get(group).filter(|_| after < present) else {
             return Watched::Nothing { revision: after };
         };
-        let Some(skipped) = (after + 1).checked_sub(group.first()) else { return Watched::TooOld };
+        let Some(skipped) = (after + 1).checked_sub(group.first()) else {
+            return Watched::TooOld;
+        };
         let (mut events, mut bytes) = (Vec::new(), 0);
-        let wanted = group.events.iter().skip(usize::try_from(skipped).unwrap_or(usize::MAX));
+        let wanted = group
+            .events
+            .iter()
+            .skip(usize::try_from(skipped).unwrap_or(usize::MAX));
         for (revision, past) in (after + 1..).zip(wanted).take(most.max(1)) {
             bytes += past.weight();
             if bytes > ANSWER_BYTES && !events.is_empty() {
                 break;
             }
-            events.push(Event { name: past.name.clone(), value: past.value.clone(), revision });
+            events.push(Event {
+                name: past.name.clone(),
+                value: past.value.clone(),
+                revision,
+            });
         }
         let revision = events.last().map_or(after, |event| event.revision);
         Watched::Events { events, revision }
@@ -279,12 +314,22 @@
         }
         let cells = groups.values().map(|group| group.cells.len()).sum();
         let events = groups.values().map(|group| group.events.len()).sum();
-        let history_bytes = groups.values().flat_map(|group| &group.events).map(Past::weight).sum();
+        let history_bytes = groups
+            .values()
+            .flat_map(|group| &group.events)
+            .map(Past::weight)
+            .sum();
         let weight = |(name, cell): (&String, &Cell)| name.len() + cell.value.len() + ENTRY;
         let one = |(name, group): (&String, &Group)| {
             name.len() + ENTRY + group.cells.iter().map(weight).sum::<usize>()
         };
         let standing_bytes = groups.iter().map(one).sum();
-        Some(Self { groups, cells, events, standing_bytes, history_bytes })
+        Some(Self {
+            groups,
+            cells,
+            events,
+            standing_bytes,
+            history_bytes,
+        })
     }
 }
--- a/crates/rookpulley-state/src/ledger.rs
+++ b/crates/rookpulley-state/src/ledger.rs
@@ -25,7 +25,10 @@
 
 impl Ledger {
     pub fn new(bounds: Bounds) -> Self {
-        Self { bounds, ..Self::default() }
+        Self {
+            bounds,
+            ..Self::default()
+        }
     }
 
     pub fn apply(&mut self, at_ms: u64, update: &Update) -> Answer {
@@ -38,24 +41,40 @@
         let room = bounds.standing_bytes.saturating_sub(self.standing_bytes());
         match update {
             Update::PutConfiguration { version, body } => self.put_configuration(*version, body),
-            Update::TakeLock { name, holder, hold_ms } => {
-                self.locks.take(now, name, holder, *hold_ms, room, &bounds)
-            }
-            Update::RenewLock { name, holder, fence, hold_ms } => {
-                self.locks.renew(now, name, holder, *fence, *hold_ms, &bounds)
-            }
-            Update::DropLock { name, holder, fence } => self.locks.drop(name, holder, *fence),
+            Update::TakeLock {
+                name,
+                holder,
+                hold_ms,
+            } => self.locks.take(now, name, holder, *hold_ms, room, &bounds),
+            Update::RenewLock {
+                name,
+                holder,
+                fence,
+                hold_ms,
+            } => self
+                .locks
+                .renew(now, name, holder, *fence, *hold_ms, &bounds),
+            Update::DropLock {
+                name,
+                holder,
+                fence,
+            } => self.locks.drop(name, holder, *fence),
             Update::NextNumber { name } => self.numbers.next(name, room, &bounds),
-            Update::PutCell { name, value, active } => {
-                self.cells.put(now, name, value, *active, room, &bounds)
-            }
+            Update::PutCell {
+                name,
+                value,
+                active,
+            } => self.cells.put(now, name, value, *active, room, &bounds),
         }
     }
 
     pub fn read(&self, ask: &Ask) -> Answer {
         match ask {
             Ask::Configuration => match &self.configuration {
-                Some((version, body)) => Answer::Configuration { version: *version, body: body.clone() },
+                Some((version, body)) => Answer::Configuration {
+                    version: *version,
+                    body: body.clone(),
+                },
                 None => Answer::Nothing,
             },
             Ask::Cell { name } => self.cells.get(name),
@@ -79,7 +98,9 @@
     }
 
     pub fn read_bytes(&self, ask: &[u8]) -> Vec<u8> {
-        Ask::decode(ask).map_or(Answer::Unreadable, |ask| self.read(&ask)).encode()
+        Ask::decode(ask)
+            .map_or(Answer::Unreadable, |ask| self.read(&ask))
+            .encode()
     }
 
     /// One not above the version held is an older change that came late, or a repeat: acknowledged, and nothing more.
@@ -126,11 +147,15 @@
 
     /// Of the configuration held; 0: there is none yet.
     pub fn version(&self) -> u64 {
-        self.configuration.as_ref().map_or(0, |(version, _)| *version)
+        self.configuration
+            .as_ref()
+            .map_or(0, |(version, _)| *version)
     }
 
     pub fn configuration(&self) -> Option<(u64, &[u8])> {
-        self.configuration.as_ref().map(|(version, body)| (*version, body.as_slice()))
+        self.configuration
+            .as_ref()
+            .map(|(version, body)| (*version, body.as_slice()))
     }
 
     /// The present one of a group; 0: nothing was put yet.
@@ -147,7 +172,10 @@
             events: self.cells.events(),
             standing_bytes: self.standing_bytes(),
             history_bytes: self.cells.history_bytes(),
-            configuration_bytes: self.configuration.as_ref().map_or(0, |(_, body)| body.len()),
+            configuration_bytes: self
+                .configuration
+                .as_ref()
+                .map_or(0, |(_, body)| body.len()),
         }
     }
 }
--- a/crates/rookpulley-state/src/locks.rs
+++ b/crates/rookpulley-state/src/locks.rs
@@ -34,7 +34,9 @@
 
 /// A caller counts its hold from when it sent its call, which is before the call was stamped.
 fn end(now_ms: u64, hold_ms: u64, bounds: &Bounds) -> u64 {
-    now_ms.saturating_add(hold_ms).saturating_add(bounds.spare_ms)
+    now_ms
+        .saturating_add(hold_ms)
+        .saturating_add(bounds.spare_ms)
 }
 
 impl Locks {
@@ -68,7 +70,11 @@
         }
         self.fences += 1;
         self.bytes = self.bytes - before + after;
-        let hold = Hold { holder: holder.to_owned(), fence: self.fences, until_ms };
+        let hold = Hold {
+            holder: holder.to_owned(),
+            fence: self.fences,
+            until_ms,
+        };
         self.holds.insert(name.to_owned(), hold);
         Answer::Fence(self.fences)
     }
@@ -94,7 +100,11 @@
 
     /// The entry goes, so that a renewal sent before the drop and come after it finds nothing to bring back.
     pub fn drop(&mut self, name: &str, holder: &str, fence: u64) -> Answer {
-        if self.holds.get(name).is_some_and(|hold| hold.holder == holder && hold.fence == fence) {
+        if self
+            .holds
+            .get(name)
+            .is_some_and(|hold| hold.holder == holder && hold.fence == fence)
+        {
             self.holds.remove(name);
             self.bytes -= weight(name, holder);
         }
@@ -131,7 +141,17 @@
 
     /// None: a hold stands under a fence that was never given.
     pub fn of(holds: BTreeMap<String, Hold>, fences: u64) -> Option<Self> {
-        let bytes = holds.iter().map(|(name, hold)| weight(name, &hold.holder)).sum();
-        holds.values().all(|hold| (1..=fences).contains(&hold.fence)).then_some(Self { holds, fences, bytes })
+        let bytes = holds
+            .iter()
+            .map(|(name, hold)| weight(name, &hold.holder))
+            .sum();
+        holds
+            .values()
+            .all(|hold| (1..=fences).contains(&hold.fence))
+            .then_some(Self {
+                holds,
+                fences,
+                bytes,
+            })
     }
 }
--- a/crates/rookpulley-state/src/snapshot.rs
+++ b/crates/rookpulley-state/src/snapshot.rs
@@ -55,7 +55,8 @@
         let parts = (
             self.at_ms,
             self.swept_ms,
-            self.configuration().map(|(version, body)| (version, Whole(body))),
+            self.configuration()
+                .map(|(version, body)| (version, Whole(body))),
             self.locks.fences(),
             self.locks.all(),
             self.numbers.all(),
@@ -63,14 +64,17 @@
         );
         let length = self.configuration().map_or(0, |(_, body)| body.len());
         // Writing into memory can't fail; empty bytes would be refused by `restore`.
-        let mut bytes = Vec::with_capacity(self.standing_bytes() + self.cells.history_bytes() + length);
+        let mut bytes =
+            Vec::with_capacity(self.standing_bytes() + self.cells.history_bytes() + length);
         bytes.push(FORMAT);
         postcard::to_extend(&parts, bytes).unwrap_or_default()
     }
 
     /// Takes the place of what was here. On an error nothing changes.
     pub fn restore(&mut self, bytes: &[u8]) -> Result<(), SnapshotError> {
-        let (format, rest) = bytes.split_first().ok_or(postcard::Error::DeserializeUnexpectedEnd)?;
+        let (format, rest) = bytes
+            .split_first()
+            .ok_or(postcard::Error::DeserializeUnexpectedEnd)?;
         if *format != FORMAT {
             return Err(SnapshotError::Format(*format));
         }
@@ -82,7 +86,15 @@
         let locks = Locks::of(holds, fences).ok_or(SnapshotError::Unsound("locks"))?;
         let cells = Cells::of(groups).ok_or(SnapshotError::Unsound("cells"))?;
         let numbers = Numbers::of(numbers);
-        *self = Self { bounds: self.bounds, at_ms, swept_ms, configuration, locks, numbers, cells };
+        *self = Self {
+            bounds: self.bounds,
+            at_ms,
+            swept_ms,
+            configuration,
+            locks,
+            numbers,
+            cells,
+        };
         Ok(())
     }
 
--- a/crates/rookpulley-state/tests/ledger/bounds.rs
+++ b/crates/rookpulley-state/tests/ledger/bounds.rs
@@ -9,17 +9,40 @@
     for n in 0..10_000u64 {
         let at = n * 100;
         match n % 5 {
-            0 => _ = take(&mut ledger, at, &format!("l{}", n % 400), &format!("a{n}"), 500),
+            0 => {
+                _ = take(
+                    &mut ledger,
+                    at,
+                    &format!("l{}", n % 400),
+                    &format!("a{n}"),
+                    500,
+                )
+            }
             1 => _ = number(&mut ledger, at, &format!("n{}", n % 40)),
             2 => _ = configure(&mut ledger, at, n, &vec![b'x'; 20_000]),
-            _ => _ = put(&mut ledger, at, &format!("g{}.{}", n % 3, n % 30), &format!("{n:016x}"), None),
+            _ => {
+                _ = put(
+                    &mut ledger,
+                    at,
+                    &format!("g{}.{}", n % 3, n % 30),
+                    &format!("{n:016x}"),
+                    None,
+                )
+            }
         }
     }
     let sizes = ledger.sizes();
     // 4 puts a second in all, kept for 120 s and the 10 s of a sweep; locks that nobody asks for any more are gone.
     assert!(sizes.events <= 4 * 131, "{sizes:?}");
-    assert!(sizes.locks <= 80 && sizes.numbers <= 40 && sizes.cells <= 30, "{sizes:?}");
-    assert!(ledger.snapshot().len() < 64_000, "{}", ledger.snapshot().len());
+    assert!(
+        sizes.locks <= 80 && sizes.numbers <= 40 && sizes.cells <= 30,
+        "{sizes:?}"
+    );
+    assert!(
+        ledger.snapshot().len() < 64_000,
+        "{}",
+        ledger.snapshot().len()
+    );
 }
 
 #[test]
@@ -28,24 +51,38 @@
     let body = vec![b'c'; Bounds::default().configuration_bytes];
     configure(&mut ledger, 0, 1, &body);
     let long = "n".repeat(240);
-    assert!(matches!(take(&mut ledger, 0, "l", "a", 600_000), Answer::Fence(_)));
-    let taken = (0..).take_while(|n| number(&mut ledger, 1, &format!("{n}{long}")) != Answer::Full).count();
+    assert!(matches!(
+        take(&mut ledger, 0, "l", "a", 600_000),
+        Answer::Fence(_)
+    ));
+    let taken = (0..)
+        .take_while(|n| number(&mut ledger, 1, &format!("{n}{long}")) != Answer::Full)
+        .count();
     assert!(taken > 10_000);
     assert_eq!(take(&mut ledger, 2, &long, "a", 1), Answer::Full);
     assert_eq!(put(&mut ledger, 2, "g.k", &long, None), Answer::Full);
-    assert_eq!(number(&mut ledger, 3, &format!("0{long}")), Answer::Number(2));
+    assert_eq!(
+        number(&mut ledger, 3, &format!("0{long}")),
+        Answer::Number(2)
+    );
     assert_eq!(renew(&mut ledger, 3, "l", "a", 1, 600_000), Answer::Renewed);
     assert_eq!(give_back(&mut ledger, 4, "l", "a", 1), Answer::Dropped);
     assert!(ledger.snapshot().len() < 16 << 20);
     let full = ledger.sizes();
     assert_eq!(number(&mut ledger, 5, &"n".repeat(257)), Answer::TooLong);
-    assert_eq!(configure(&mut ledger, 5, 2, &[body, vec![0]].concat()), Answer::TooLong);
+    assert_eq!(
+        configure(&mut ledger, 5, 2, &[body, vec![0]].concat()),
+        Answer::TooLong
+    );
     assert_eq!(ledger.sizes(), Sizes { ..full });
 }
 
 #[test]
 fn more_locks_and_cells_than_there_may_be_are_refused_until_some_are_over() {
-    let mut ledger = Ledger::new(Bounds { names: 3, ..Bounds::default() });
+    let mut ledger = Ledger::new(Bounds {
+        names: 3,
+        ..Bounds::default()
+    });
     for n in 0..3 {
         take(&mut ledger, 0, &format!("l{n}"), "a", 1_000);
         put(&mut ledger, 0, &format!("g{n}.k"), &format!("{n}"), None);
@@ -53,7 +90,10 @@
     assert_eq!(take(&mut ledger, 1_049, "l3", "a", 1_000), Answer::Full);
     assert_eq!(take(&mut ledger, 1_050, "l3", "a", 1_000), Answer::Fence(4));
     assert_eq!(put(&mut ledger, 2_000, "g3.k", "new", None), Answer::Full);
-    assert_eq!(put(&mut ledger, 2_000, "g2.k", "new", None), Answer::Revision(2));
+    assert_eq!(
+        put(&mut ledger, 2_000, "g2.k", "new", None),
+        Answer::Revision(2)
+    );
 }
 
 #[test]
@@ -66,11 +106,25 @@
         answer = put(&mut ledger, n, "g.k", &value(n), None);
     }
     assert!(n > 40 && ledger.sizes().history_bytes <= Bounds::default().history_bytes);
-    let Watched::Events { events, revision } = ledger.watch("g.", 1, 1_000) else { panic!("no events") };
-    assert!(revision < n - 1 && events.len() as u64 == revision - 1, "an answer has its bound too");
-    assert_eq!(put(&mut ledger, 60_001, "g.k", &value(n), None), Answer::Full);
+    let Watched::Events { events, revision } = ledger.watch("g.", 1, 1_000) else {
+        panic!("no events")
+    };
+    assert!(
+        revision < n - 1 && events.len() as u64 == revision - 1,
+        "an answer has its bound too"
+    );
+    assert_eq!(
+        put(&mut ledger, 60_001, "g.k", &value(n), None),
+        Answer::Full
+    );
     // One at a time, the oldest are over now.
-    assert_eq!(put(&mut ledger, 60_003, "g.k", &value(n), None), Answer::Revision(n));
+    assert_eq!(
+        put(&mut ledger, 60_003, "g.k", &value(n), None),
+        Answer::Revision(n)
+    );
     assert_eq!(ledger.watch("g.", 1, 1_000), Watched::TooOld);
-    assert!(matches!(ledger.watch("g.", 2, 1_000), Watched::Events { .. }));
+    assert!(matches!(
+        ledger.watch("g.", 2, 1_000),
+        Watched::Events { .. }
+    ));
 }
--- a/crates/rookpulley-state/tests/ledger/callers.rs
+++ b/crates/rookpulley-state/tests/ledger/callers.rs
@@ -45,9 +45,22 @@
 fn update(lock: usize, who: usize, call: Call, hold_ms: u64) -> Update {
     let (name, holder) = (LOCKS[lock].to_owned(), format!("a{who}"));
     match call {
-        Call::Take => Update::TakeLock { name, holder, hold_ms },
-        Call::Renew(fence) => Update::RenewLock { name, holder, fence, hold_ms },
-        Call::Drop(fence) => Update::DropLock { name, holder, fence },
+        Call::Take => Update::TakeLock {
+            name,
+            holder,
+            hold_ms,
+        },
+        Call::Renew(fence) => Update::RenewLock {
+            name,
+            holder,
+            fence,
+            hold_ms,
+        },
+        Call::Drop(fence) => Update::DropLock {
+            name,
+            holder,
+            fence,
+        },
     }
 }
 
@@ -57,7 +70,10 @@
     Ok(match caller.holds {
         // It dies while holding and is back a while later under the same name; or it sleeps, perhaps past its time.
         Some(_) if choice == 0 => {
-            *caller = Caller { holds: None, next_ms: now_ms + u.int_in_range(1_000..=4_000)? };
+            *caller = Caller {
+                holds: None,
+                next_ms: now_ms + u.int_in_range(1_000..=4_000)?,
+            };
             None
         }
         Some(_) if choice == 1 => {
@@ -83,14 +99,21 @@
     let good = match (flight.call, answer) {
         (Call::Take, Answer::Fence(fence)) => {
             let last = past.fences.last().copied();
-            assert!(last.is_none_or(|(last, of)| *fence > last || *fence == last && of == who), "fence");
+            assert!(
+                last.is_none_or(|(last, of)| *fence > last || *fence == last && of == who),
+                "fence"
+            );
             if last.is_none_or(|(last, _)| last != *fence) {
                 past.fences.push((*fence, who));
             }
             true
         }
         (Call::Renew(fence), Answer::Renewed) => {
-            assert_eq!(past.fences.last(), Some(&(fence, who)), "renewed what another has had since");
+            assert_eq!(
+                past.fences.last(),
+                Some(&(fence, who)),
+                "renewed what another has had since"
+            );
             true
         }
         (Call::Take, Answer::Held) => {
@@ -109,7 +132,10 @@
         (_, other) => panic!("{other:?} is no answer to this"),
     };
     if good {
-        let before = past.may.filter(|(of, _)| *of == who).map_or(0, |(_, end)| end);
+        let before = past
+            .may
+            .filter(|(of, _)| *of == who)
+            .map_or(0, |(_, end)| end);
         past.may = Some((who, before.max(now_ms + (flight.hold_ms + 50) * 5 / 4 + 10)));
     }
 }
@@ -117,8 +143,10 @@
 fn play(u: &mut Unstructured<'_>) -> Result<()> {
     let mut ledger = Ledger::default();
     let mut flights: Vec<(usize, Flight)> = Vec::new();
-    let mut callers: Vec<Vec<Caller>> =
-        LOCKS.iter().map(|_| (0..3).map(|_| Caller::default()).collect()).collect();
+    let mut callers: Vec<Vec<Caller>> = LOCKS
+        .iter()
+        .map(|_| (0..3).map(|_| Caller::default()).collect())
+        .collect();
     let mut pasts: Vec<Past> = LOCKS.iter().map(|_| Past::default()).collect();
     // The ledger's time never runs fast; here it may run a fifth slow.
     let (mut now_ms, mut ledger_us, mut rate) = (0u64, 0u64, 1_000u64);
@@ -134,10 +162,15 @@
         }
 
         flights.sort_by_key(|(_, flight)| flight.arrives_ms);
-        while flights.first().is_some_and(|(_, flight)| flight.arrives_ms <= now_ms) {
+        while flights
+            .first()
+            .is_some_and(|(_, flight)| flight.arrives_ms <= now_ms)
+        {
             let (lock, flight) = flights.remove(0);
-            let answer =
-                ledger.apply(ledger_us / 1_000, &update(lock, flight.caller, flight.call, flight.hold_ms));
+            let answer = ledger.apply(
+                ledger_us / 1_000,
+                &update(lock, flight.caller, flight.call, flight.hold_ms),
+            );
             check_answer(now_ms, &flight, &answer, &mut pasts[lock]);
             let caller = &mut callers[lock][flight.caller];
             if !flight.heard {
@@ -156,8 +189,14 @@
         }
 
         for (lock, callers) in callers.iter_mut().enumerate() {
-            for (who, caller) in callers.iter_mut().enumerate().filter(|(_, c)| c.next_ms <= now_ms) {
-                let Some(call) = next_call(u, now_ms, caller)? else { continue };
+            for (who, caller) in callers
+                .iter_mut()
+                .enumerate()
+                .filter(|(_, c)| c.next_ms <= now_ms)
+            {
+                let Some(call) = next_call(u, now_ms, caller)? else {
+                    continue;
+                };
                 let hold_ms = u.int_in_range(1..=3)? * 700;
                 let heard = u.ratio(3, 4)?;
                 caller.next_ms = now_ms + PATIENCE_MS;
@@ -166,12 +205,26 @@
                     let arrives_ms = now_ms + u.int_in_range(0..=LATE_MS)?;
                     flights.push((
                         lock,
-                        Flight { arrives_ms, sent_ms: now_ms, caller: who, call, hold_ms, heard },
+                        Flight {
+                            arrives_ms,
+                            sent_ms: now_ms,
+                            caller: who,
+                            call,
+                            hold_ms,
+                            heard,
+                        },
                     ));
                 }
             }
-            let holders = callers.iter().filter(|c| c.holds.is_some_and(|(_, end)| now_ms < end)).count();
-            assert!(holders <= 1, "{holders} callers count themselves holders of {}", LOCKS[lock]);
+            let holders = callers
+                .iter()
+                .filter(|c| c.holds.is_some_and(|(_, end)| now_ms < end))
+                .count();
+            assert!(
+                holders <= 1,
+                "{holders} callers count themselves holders of {}",
+                LOCKS[lock]
+            );
         }
     }
     Ok(())
--- a/crates/rookpulley-state/tests/ledger/model.rs
+++ b/crates/rookpulley-state/tests/ledger/model.rs
@@ -7,7 +7,13 @@
 
 /// Small, so that runs reach every bound.
 fn bounds() -> Bounds {
-    Bounds { group_events: 8, keep_ms: 3_000, promised_ms: 1_500, history_bytes: 1_400, ..Bounds::default() }
+    Bounds {
+        group_events: 8,
+        keep_ms: 3_000,
+        promised_ms: 1_500,
+        history_bytes: 1_400,
+        ..Bounds::default()
+    }
 }
 
 struct Put {
@@ -31,7 +37,11 @@
 
     /// The key's present value with its revision.
     fn present(&self, name: &str) -> Option<(&Put, u64)> {
-        (1..).zip(self.puts(group_of(name))).map(|(r, p)| (p, r)).filter(|(p, _)| p.name == name).last()
+        (1..)
+            .zip(self.puts(group_of(name)))
+            .map(|(r, p)| (p, r))
+            .filter(|(p, _)| p.name == name)
+            .last()
     }
 
     fn young(&self, put: &Put) -> bool {
@@ -40,12 +50,18 @@
 
     fn judge_put(&mut self, name: &str, value: &str, active: Option<u64>, answer: &Answer) {
         let (group, present) = (group_of(name), self.present(name).map_or(0, |(_, r)| r));
-        let same =
-            (1..).zip(self.puts(group)).filter(|(_, put)| put.name == name && put.value == value).last();
+        let same = (1..)
+            .zip(self.puts(group))
+            .filter(|(_, put)| put.name == name && put.value == value)
+            .last();
         if let Some((first, put)) = same
             && (first == present || self.young(put))
         {
-            return assert_eq!(*answer, Answer::Revision(first), "a repeat gets the revision it has");
+            return assert_eq!(
+                *answer,
+                Answer::Revision(first),
+                "a repeat gets the revision it has"
+            );
         }
         match answer {
             Answer::Conflict { revision } => {
@@ -54,7 +70,11 @@
             }
             Answer::Full => {
                 let young = self.groups.values().flatten().filter(|put| self.young(put));
-                let many = self.puts(group).iter().filter(|put| self.young(put)).count();
+                let many = self
+                    .puts(group)
+                    .iter()
+                    .filter(|put| self.young(put))
+                    .count();
                 let bytes: usize = young.map(|put| put.name.len() + put.value.len() + 40).sum();
                 assert!(many >= bounds().group_events || bytes + 100 > bounds().history_bytes);
             }
@@ -63,9 +83,16 @@
                 if same.is_some_and(|(first, _)| first == *revision) {
                     return;
                 }
-                assert!(active.is_none_or(|active| active == present), "a put over a later revision");
+                assert!(
+                    active.is_none_or(|active| active == present),
+                    "a put over a later revision"
+                );
                 assert_eq!(*revision, self.puts(group).len() as u64 + 1);
-                let put = Put { name: name.into(), value: value.into(), at_ms: self.now_ms };
+                let put = Put {
+                    name: name.into(),
+                    value: value.into(),
+                    at_ms: self.now_ms,
+                };
                 self.groups.entry(group.into()).or_default().push(put);
             }
             other => panic!("{other:?} is no answer to a put"),
@@ -74,15 +101,25 @@
 
     fn judge(&mut self, update: &Update, answer: &Answer) {
         match update {
-            Update::PutCell { name, value, active } => self.judge_put(name, value, *active, answer),
+            Update::PutCell {
+                name,
+                value,
+                active,
+            } => self.judge_put(name, value, *active, answer),
             Update::NextNumber { name } => {
                 let last = self.numbers.entry(name.clone()).or_default();
-                let Answer::Number(next) = answer else { panic!("{answer:?} is no number") };
+                let Answer::Number(next) = answer else {
+                    panic!("{answer:?} is no number")
+                };
                 assert!(next > last);
                 *last = *next;
             }
             Update::PutConfiguration { version, body } => {
-                if self.configuration.as_ref().is_none_or(|(held, _)| version > held) {
+                if self
+                    .configuration
+                    .as_ref()
+                    .is_none_or(|(held, _)| version > held)
+                {
                     self.configuration = Some((*version, body.clone()));
                 }
                 let held = self.configuration.as_ref().map_or(0, |(held, _)| *held);
@@ -102,14 +139,22 @@
                 assert!(after >= present && after > 0);
             }
             Watched::TooOld => {
-                assert!(!self.young(&puts[after as usize]), "history that was promised is gone")
+                assert!(
+                    !self.young(&puts[after as usize]),
+                    "history that was promised is gone"
+                )
             }
             Watched::Events { events, revision } => {
                 assert!(!events.is_empty() && events.len() <= most && *revision <= present);
                 assert!(events.len() == most || *revision == present);
                 assert_eq!(*revision, after + events.len() as u64);
-                for (event, (number, put)) in events.iter().zip((1..).zip(puts).skip(after as usize)) {
-                    assert_eq!((event.revision, &event.name, &event.value), (number, &put.name, &put.value));
+                for (event, (number, put)) in
+                    events.iter().zip((1..).zip(puts).skip(after as usize))
+                {
+                    assert_eq!(
+                        (event.revision, &event.name, &event.value),
+                        (number, &put.name, &put.value)
+                    );
                 }
             }
         }
@@ -122,9 +167,18 @@
                 Answer::Nothing => None,
                 other => panic!("{other:?} is no cell"),
             };
-            assert_eq!(seen, self.present(name).map(|(put, revision)| (put.value.clone(), revision)));
+            assert_eq!(
+                seen,
+                self.present(name)
+                    .map(|(put, revision)| (put.value.clone(), revision))
+            );
             let revision = Answer::Revision(self.puts(group).len() as u64);
-            assert_eq!(ledger.read(&Ask::Revision { group: group.into() }), revision);
+            assert_eq!(
+                ledger.read(&Ask::Revision {
+                    group: group.into()
+                }),
+                revision
+            );
         }
         let held = match self.configuration.clone() {
             Some((version, body)) => Answer::Configuration { version, body },
@@ -135,20 +189,39 @@
 }
 
 /// Keys with their groups.
-const NAMES: [(&str, &str); 5] =
-    [("g1.a", "g1."), ("g1.b.c", "g1."), ("g1.", "g1."), ("g2.a", "g2."), ("plain", "plain")];
+const NAMES: [(&str, &str); 5] = [
+    ("g1.a", "g1."),
+    ("g1.b.c", "g1."),
+    ("g1.", "g1."),
+    ("g2.a", "g2."),
+    ("plain", "plain"),
+];
 
 fn group_of(name: &str) -> &'static str {
-    NAMES.iter().find(|(key, _)| *key == name).map_or("", |(_, group)| group)
+    NAMES
+        .iter()
+        .find(|(key, _)| *key == name)
+        .map_or("", |(_, group)| group)
 }
 
 fn draw(u: &mut Unstructured<'_>, fresh: &mut u64, model: &Model) -> Result<Update> {
     let name = u.choose(&NAMES)?.0.to_owned();
     Ok(match u.int_in_range(0..=11)? {
         0 => Update::NextNumber { name },
-        1 => Update::PutConfiguration { version: u.int_in_range(1..=40)?, body: u.arbitrary()? },
-        2 => Update::TakeLock { name, holder: "a".into(), hold_ms: u.int_in_range(0..=900)? },
-        3 => Update::TakeLock { name, holder: "b".into(), hold_ms: u.int_in_range(0..=900)? },
+        1 => Update::PutConfiguration {
+            version: u.int_in_range(1..=40)?,
+            body: u.arbitrary()?,
+        },
+        2 => Update::TakeLock {
+            name,
+            holder: "a".into(),
+            hold_ms: u.int_in_range(0..=900)?,
+        },
+        3 => Update::TakeLock {
+            name,
+            holder: "b".into(),
+            hold_ms: u.int_in_range(0..=900)?,
+        },
         _ => {
             *fresh += 1;
             let active = match u.int_in_range(0..=3)? {
@@ -156,7 +229,11 @@
                 1 => None,
                 _ => Some(model.present(&name).map_or(0, |(_, revision)| revision)),
             };
-            Update::PutCell { name, value: format!("v{fresh}"), active }
+            Update::PutCell {
+                name,
+                value: format!("v{fresh}"),
+                active,
+            }
         }
     })
 }
@@ -182,8 +259,10 @@
         sent.push(update);
 
         let (_, group) = *u.choose(&NAMES)?;
-        let (after, most) =
-            (u.int_in_range(0..=model.puts(group).len() as u64 + 2)?, u.int_in_range(1..=15)?);
+        let (after, most) = (
+            u.int_in_range(0..=model.puts(group).len() as u64 + 2)?,
+            u.int_in_range(1..=15)?,
+        );
         model.judge_watch(group, after, most, &ledger.watch(group, after, most));
         if u.ratio(1, 8)? {
             model.judge_reads(&ledger);
--- a/crates/rookpulley-state/tests/ledger/named.rs
+++ b/crates/rookpulley-state/tests/ledger/named.rs
@@ -27,7 +27,10 @@
     assert_eq!(renew(&mut ledger, 200, "l", "a", 1, 10), Answer::Renewed);
     assert_eq!(take(&mut ledger, 5_049, "l", "b", 10), Answer::Held);
     // Its time is over, but nobody has it: it isn't lost.
-    assert_eq!(renew(&mut ledger, 6_000, "l", "a", 1, 1_000), Answer::Renewed);
+    assert_eq!(
+        renew(&mut ledger, 6_000, "l", "a", 1, 1_000),
+        Answer::Renewed
+    );
     assert_eq!(take(&mut ledger, 6_500, "l", "b", 10), Answer::Held);
 }
 
@@ -59,18 +62,48 @@
 #[test]
 fn a_put_that_comes_again_gets_its_first_revision_also_where_its_condition_no_longer_holds() {
     let mut ledger = Ledger::default();
-    assert_eq!(put(&mut ledger, 0, "g.k", "one", Some(0)), Answer::Revision(1));
-    assert_eq!(put(&mut ledger, 1, "g.k", "one", Some(0)), Answer::Revision(1));
-    assert_eq!(put(&mut ledger, 2, "g.other", "x", None), Answer::Revision(2));
-    assert_eq!(put(&mut ledger, 3, "g.k", "two", Some(1)), Answer::Revision(3));
-    assert_eq!(put(&mut ledger, 4, "g.k", "one", Some(0)), Answer::Revision(1));
-    assert_eq!(put(&mut ledger, 5, "g.k", "three", Some(1)), Answer::Conflict { revision: 3 });
-    assert_eq!(put(&mut ledger, 6, "g.none", "y", Some(3)), Answer::Conflict { revision: 0 });
-    let now = Answer::Cell { value: "two".into(), revision: 3 };
+    assert_eq!(
+        put(&mut ledger, 0, "g.k", "one", Some(0)),
+        Answer::Revision(1)
+    );
+    assert_eq!(
+        put(&mut ledger, 1, "g.k", "one", Some(0)),
+        Answer::Revision(1)
+    );
+    assert_eq!(
+        put(&mut ledger, 2, "g.other", "x", None),
+        Answer::Revision(2)
+    );
+    assert_eq!(
+        put(&mut ledger, 3, "g.k", "two", Some(1)),
+        Answer::Revision(3)
+    );
+    assert_eq!(
+        put(&mut ledger, 4, "g.k", "one", Some(0)),
+        Answer::Revision(1)
+    );
+    assert_eq!(
+        put(&mut ledger, 5, "g.k", "three", Some(1)),
+        Answer::Conflict { revision: 3 }
+    );
+    assert_eq!(
+        put(&mut ledger, 6, "g.none", "y", Some(3)),
+        Answer::Conflict { revision: 0 }
+    );
+    let now = Answer::Cell {
+        value: "two".into(),
+        revision: 3,
+    };
     assert_eq!(ledger.read(&Ask::Cell { name: "g.k".into() }), now);
     // Long after, the present value is still known as what it is.
-    assert_eq!(put(&mut ledger, 1_000_000, "g.other", "z", None), Answer::Revision(4));
-    assert_eq!(put(&mut ledger, 1_000_001, "g.k", "two", Some(1)), Answer::Revision(3));
+    assert_eq!(
+        put(&mut ledger, 1_000_000, "g.other", "z", None),
+        Answer::Revision(4)
+    );
+    assert_eq!(
+        put(&mut ledger, 1_000_001, "g.k", "two", Some(1)),
+        Answer::Revision(3)
+    );
     assert_eq!(ledger.watch("g.", 2, 10), Watched::TooOld);
     assert_eq!(ledger.watch("g.", 9, 10), Watched::Nothing { revision: 9 });
 }
@@ -83,8 +116,11 @@
         put(&mut ledger, 5, "g.k", "v", None);
         take(&mut ledger, 6, "l", "a", 9);
         let whole = ledger.snapshot();
-        let (cut, at, flip) =
-            (u.choose_index(whole.len())?, u.choose_index(whole.len())?, u.int_in_range(1..=255)?);
+        let (cut, at, flip) = (
+            u.choose_index(whole.len())?,
+            u.choose_index(whole.len())?,
+            u.int_in_range(1..=255)?,
+        );
         assert!(ledger.clone().restore(&whole[..cut]).is_err());
         let mut spoilt = whole.clone();
         spoilt[at] ^= flip;
--- a/crates/rookpulley-store/examples/call_cost.rs
+++ b/crates/rookpulley-store/examples/call_cost.rs
@@ -30,19 +30,38 @@
 
 impl Offices {
     fn member(at: usize) -> Member {
-        Member { id: at as u64 + 1, life: 77, address: format!("10.0.0.{}:7", at + 1).parse().unwrap() }
+        Member {
+            id: at as u64 + 1,
+            life: 77,
+            address: format!("10.0.0.{}:7", at + 1).parse().unwrap(),
+        }
     }
 
     fn begin(offices: usize) -> Self {
-        let mut new = Self { now: 0, all: Vec::new(), said: [(0, 0); 2], written: 0 };
+        let mut new = Self {
+            now: 0,
+            all: Vec::new(),
+            said: [(0, 0); 2],
+            written: 0,
+        };
         for at in 0..offices {
-            let boot =
-                Boot { me: Self::member(at), founder: at == 0, losses: 1, seed: 7 + at as u64, kept: None };
+            let boot = Boot {
+                me: Self::member(at),
+                founder: at == 0,
+                losses: 1,
+                seed: 7 + at as u64,
+                kept: None,
+            };
             new.all.push(Chain::start(0, boot, Kept::default()));
         }
         for at in 0..offices {
             for other in (0..offices).filter(|other| *other != at) {
-                new.give(at, Input::Met { member: Self::member(other) });
+                new.give(
+                    at,
+                    Input::Met {
+                        member: Self::member(other),
+                    },
+                );
             }
         }
         (0..60).for_each(|_| new.tick());
@@ -55,13 +74,20 @@
             for effect in self.all[at].handle(self.now, input) {
                 match effect {
                     Effect::Send { to, message } => {
-                        let said = &mut self.said[usize::from(!matches!(message, Message::Ping { .. }))];
+                        let said =
+                            &mut self.said[usize::from(!matches!(message, Message::Ping { .. }))];
                         let mut frames = Frames::default();
                         let bytes = frame(&message);
                         *said = (said.0 + 1, said.1 + bytes.len() as u64);
                         frames.push(&bytes);
                         let message: Message = frames.take().unwrap().unwrap();
-                        inputs.push_back((to as usize - 1, Input::Heard { from: at as u64 + 1, message }));
+                        inputs.push_back((
+                            to as usize - 1,
+                            Input::Heard {
+                                from: at as u64 + 1,
+                                message,
+                            },
+                        ));
                     }
                     Effect::Write { ticket, records } => {
                         self.written += records.len() as u64;
@@ -85,17 +111,33 @@
         for n in 1..=calls {
             let (kind, body) = match kind {
                 Kind::Update => (CallKind::Update, load.update(n).encode()),
-                Kind::Read => {
-                    (CallKind::Read, Ask::Cell { name: format!("group{}.cell{n}", n % 100) }.encode())
-                }
+                Kind::Read => (
+                    CallKind::Read,
+                    Ask::Cell {
+                        name: format!("group{}.cell{n}", n % 100),
+                    }
+                    .encode(),
+                ),
                 Kind::Idle => (CallKind::Read, Vec::new()),
             };
             if !body.is_empty() {
                 let at = n as usize % self.all.len();
-                let outcome = self.give(at, Input::Call { token: n, kind, body });
-                let Some(Outcome::Done(answer)) = outcome else { panic!("call {n}: {outcome:?}") };
+                let outcome = self.give(
+                    at,
+                    Input::Call {
+                        token: n,
+                        kind,
+                        body,
+                    },
+                );
+                let Some(Outcome::Done(answer)) = outcome else {
+                    panic!("call {n}: {outcome:?}")
+                };
                 let answer = Answer::decode(&answer).unwrap();
-                assert!(matches!(answer, Answer::Revision(_) | Answer::Nothing), "call {n}: {answer:?}");
+                assert!(
+                    matches!(answer, Answer::Revision(_) | Answer::Nothing),
+                    "call {n}: {answer:?}"
+                );
             }
             if n % 5 == 0 || n % 5 == 3 {
                 self.tick();
--- a/crates/rookpulley-store/examples/disk_use.rs
+++ b/crates/rookpulley-store/examples/disk_use.rs
@@ -32,12 +32,29 @@
         let began = Instant::now();
         let (said, heard) = tokio::sync::mpsc::unbounded_channel();
         let store = Store::open(folder, 7, Some(&[]), said).unwrap();
-        let me = Member { id: store.identity, life, address: "127.0.0.1:7".parse().unwrap() };
+        let me = Member {
+            id: store.identity,
+            life,
+            address: "127.0.0.1:7".parse().unwrap(),
+        };
         let kept = (!store.new).then(|| rookpulley_chain::Kept::read(store.held.iter().cloned()));
-        let boot = Boot { me, founder: store.founding.is_some(), losses: 0, seed: life, kept };
+        let boot = Boot {
+            me,
+            founder: store.founding.is_some(),
+            losses: 0,
+            seed: life,
+            kept,
+        };
         let chain = Chain::start(0, boot, Kept::default());
         let took = began.elapsed().as_secs_f64() * 1e3;
-        let mut office = Self { chain, store, heard, now: 0, ticked: 0, syncs: 0 };
+        let mut office = Self {
+            chain,
+            store,
+            heard,
+            now: 0,
+            ticked: 0,
+            syncs: 0,
+        };
         office.play(1_000);
         (office, took)
     }
@@ -77,7 +94,9 @@
     }
 
     fn close(self) {
-        let Self { store, mut heard, .. } = self;
+        let Self {
+            store, mut heard, ..
+        } = self;
         drop(store);
         while heard.blocking_recv().is_some() {}
     }
@@ -106,7 +125,10 @@
 }
 
 fn plays(at: &Path, name: &str, load: &Load, updates: u64) {
-    if std::env::args().nth(2).is_some_and(|wanted| !name.contains(&wanted)) {
+    if std::env::args()
+        .nth(2)
+        .is_some_and(|wanted| !name.contains(&wanted))
+    {
         return;
     }
     let folder = tempfile::tempdir_in(at).unwrap();
@@ -114,14 +136,24 @@
     let (mut highest, mut most_files, began) = (0, 0, Instant::now());
     for n in 1..=updates {
         let body = load.update(n).encode();
-        let outcome = office.step(Input::Call { token: n, kind: CallKind::Update, body });
-        let Some(Outcome::Done(answer)) = outcome else { panic!("update {n}: {outcome:?}") };
+        let outcome = office.step(Input::Call {
+            token: n,
+            kind: CallKind::Update,
+            body,
+        });
+        let Some(Outcome::Done(answer)) = outcome else {
+            panic!("update {n}: {outcome:?}")
+        };
         let answer = Answer::decode(&answer).unwrap();
         assert!(load.took(n, &answer), "update {n}: {answer:?}");
         let (bytes, files) = size(folder.path());
         (highest, most_files) = (bytes.max(highest), files.max(most_files));
         if n.is_multiple_of(updates / 10) {
-            eprintln!("  {name}: {n}, {:.1} MiB, highest {:.1}", mib(bytes), mib(highest));
+            eprintln!(
+                "  {name}: {n}, {:.1} MiB, highest {:.1}",
+                mib(bytes),
+                mib(highest)
+            );
         }
         office.play(PACE_MS);
     }
@@ -152,13 +184,35 @@
 }
 
 fn main() {
-    let at = std::env::args().nth(1).map_or_else(std::env::temp_dir, Into::into);
-    plays(&at, "configurations of 40 routes", &Load::Routes(40), 10_000);
-    plays(&at, "configurations of 700 routes", &Load::Routes(700), 10_000);
+    let at = std::env::args()
+        .nth(1)
+        .map_or_else(std::env::temp_dir, Into::into);
+    plays(
+        &at,
+        "configurations of 40 routes",
+        &Load::Routes(40),
+        10_000,
+    );
+    plays(
+        &at,
+        "configurations of 700 routes",
+        &Load::Routes(700),
+        10_000,
+    );
     plays(&at, "puts of cells", &Load::Cells(1_000), 100_000);
     for routes in [6_000, 12_000, 24_000] {
-        plays(&at, &format!("configurations of {routes} routes"), &Load::Routes(routes), 200);
+        plays(
+            &at,
+            &format!("configurations of {routes} routes"),
+            &Load::Routes(routes),
+            200,
+        );
     }
-    plays(&at, "configurations of 24000 routes, all changed", &Load::All(24_000), 400);
+    plays(
+        &at,
+        "configurations of 24000 routes, all changed",
+        &Load::All(24_000),
+        400,
+    );
     plays(&at, "the most that a ledger holds", &Load::Longest, 40_000);
 }
--- a/crates/rookpulley-store/examples/fill_time.rs
+++ b/crates/rookpulley-store/examples/fill_time.rs
@@ -49,22 +49,41 @@
     while let Ok(read @ 1..) = stream.read(&mut buffer) {
         frames.push(&buffer[..read]);
         while let Some(message) = frames.take::<Message>().unwrap() {
-            if events.send(Event::Heard(u64::from_le_bytes(id), message)).is_err() {
+            if events
+                .send(Event::Heard(u64::from_le_bytes(id), message))
+                .is_err()
+            {
                 return;
             }
         }
     }
 }
 
-fn start(folder: PathBuf, number: u64, others: &[Office], began: Instant, told: Sender<Told>) -> Office {
+fn start(
+    folder: PathBuf,
+    number: u64,
+    others: &[Office],
+    began: Instant,
+    told: Sender<Told>,
+) -> Office {
     std::fs::create_dir_all(&folder).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address: SocketAddrV4 = listener.local_addr().unwrap().to_string().parse().unwrap();
     let (events, queue) = channel();
     let (said, mut heard) = tokio::sync::mpsc::unbounded_channel();
     let store = Store::open(&folder, number, (number == 1).then_some(&[]), said).unwrap();
-    let me = Member { id: store.identity, life: 77, address };
-    let boot = Boot { me, founder: store.founding.is_some(), losses: 1, seed: number, kept: None };
+    let me = Member {
+        id: store.identity,
+        life: 77,
+        address,
+    };
+    let boot = Boot {
+        me,
+        founder: store.founding.is_some(),
+        losses: 1,
+        seed: number,
+        kept: None,
+    };
     let now = began.elapsed().as_millis() as u64;
     let chain = Chain::start(now, boot, Kept::default());
     let to = events.clone();
@@ -97,7 +116,10 @@
     began: Instant,
     (number, told): (u64, &Sender<Told>),
 ) {
-    let (mut lines, mut asked) = (BTreeMap::<u64, TcpStream>::new(), BTreeMap::<u64, Sender<Outcome>>::new());
+    let (mut lines, mut asked) = (
+        BTreeMap::<u64, TcpStream>::new(),
+        BTreeMap::<u64, Sender<Outcome>>::new(),
+    );
     let (mut tick, mut token, mut serving) = (Instant::now(), 0, false);
     loop {
         let input = match queue.recv_timeout(tick.saturating_duration_since(Instant::now())) {
@@ -113,12 +135,19 @@
                 Input::Met { member }
             }
             Ok(Event::Heard(from, message)) => Input::Heard { from, message },
-            Ok(Event::Said(Said::Synced { chain: Some(ticket), .. })) => Input::Synced { ticket },
+            Ok(Event::Said(Said::Synced {
+                chain: Some(ticket),
+                ..
+            })) => Input::Synced { ticket },
             Ok(Event::Said(said)) => panic!("{said:?}"),
             Ok(Event::Call(body, answer)) => {
                 token += 1;
                 asked.insert(token, answer);
-                Input::Call { token, kind: CallKind::Update, body }
+                Input::Call {
+                    token,
+                    kind: CallKind::Update,
+                    body,
+                }
             }
             Ok(Event::End) | Err(RecvTimeoutError::Disconnected) => return,
         };
@@ -126,10 +155,17 @@
         for effect in chain.handle(now, input) {
             match effect {
                 Effect::Send { to, message } => {
-                    lines.get_mut(&to).into_iter().for_each(|l| l.write_all(&frame(&message)).unwrap());
+                    lines
+                        .get_mut(&to)
+                        .into_iter()
+                        .for_each(|l| l.write_all(&frame(&message)).unwrap());
+                }
+                Effect::Write { ticket, records } => {
+                    assert!(store.write(Part::Chain, ticket, records))
+                }
+                Effect::Answer { token, outcome } => {
+                    _ = asked.remove(&token).map(|a| a.send(outcome))
                 }
-                Effect::Write { ticket, records } => assert!(store.write(Part::Chain, ticket, records)),
-                Effect::Answer { token, outcome } => _ = asked.remove(&token).map(|a| a.send(outcome)),
                 Effect::Log(line) if line.contains("filled") => _ = told.send(Told::Filled),
                 _ => {}
             }
@@ -144,7 +180,10 @@
 fn asks(office: &Office, updates: impl Iterator<Item = Update>) {
     let ask = |update: &Update| {
         let (answer, answered) = channel();
-        office.events.send(Event::Call(update.encode(), answer)).unwrap();
+        office
+            .events
+            .send(Event::Call(update.encode(), answer))
+            .unwrap();
         answered
     };
     let mut waiting = VecDeque::new();
@@ -165,7 +204,9 @@
 }
 
 fn number() -> Update {
-    Update::NextNumber { name: "mine".into() }
+    Update::NextNumber {
+        name: "mine".into(),
+    }
 }
 
 /// Updates one by one until it is told to end: the longest time without an answer, in milliseconds.
@@ -173,7 +214,10 @@
     let (mut longest, mut last) = (0.0_f64, Instant::now());
     while !ends() {
         let (answer, answered) = channel();
-        office.events.send(Event::Call(number().encode(), answer)).unwrap();
+        office
+            .events
+            .send(Event::Call(number().encode(), answer))
+            .unwrap();
         if matches!(answered.recv(), Ok(Outcome::Done(_))) {
             longest = longest.max(last.elapsed().as_secs_f64() * 1e3);
             last = Instant::now();
@@ -189,7 +233,13 @@
     let (told, heard) = channel();
     let mut offices: Vec<Office> = Vec::new();
     for n in 1..3 {
-        offices.push(start(folder.path().join(n.to_string()), n, &offices, began, told.clone()));
+        offices.push(start(
+            folder.path().join(n.to_string()),
+            n,
+            &offices,
+            began,
+            told.clone(),
+        ));
     }
     while !matches!(heard.recv(), Ok(Told::Serving(2))) {}
     let body = configuration(routes, 1);
@@ -202,7 +252,10 @@
             active: None,
         }),
     );
-    asks(&offices[0], std::iter::once(Update::PutConfiguration { version: 1, body }));
+    asks(
+        &offices[0],
+        std::iter::once(Update::PutConfiguration { version: 1, body }),
+    );
     // More than is kept at hand.
     asks(&offices[0], (0..4_200).map(|_| number()));
     let mut calm = Instant::now();
@@ -227,7 +280,9 @@
 }
 
 fn main() {
-    let at = std::env::args().nth(1).map_or_else(std::env::temp_dir, Into::into);
+    let at = std::env::args()
+        .nth(1)
+        .map_or_else(std::env::temp_dir, Into::into);
     for (routes, cells) in [(550, 0), (5_700, 0), (43_000, 12_000)] {
         fills(&at, routes, cells);
     }
--- a/crates/rookpulley-store/examples/load/mod.rs
+++ b/crates/rookpulley-store/examples/load/mod.rs
@@ -7,7 +7,8 @@
 
 /// Drawn by a seed, spread by the mixer of SplitMix64.
 pub fn drawn(seed: u64) -> u64 {
-    let mixed = (seed.wrapping_add(0x9e37_79b9_7f4a_7c15) ^ (seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let mixed = (seed.wrapping_add(0x9e37_79b9_7f4a_7c15) ^ (seed >> 30))
+        .wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ (mixed >> 31)
 }
@@ -26,14 +27,22 @@
 impl Load {
     pub fn update(&self, n: u64) -> Update {
         match self {
-            Load::Routes(routes) => Update::PutConfiguration { version: n, body: configuration(*routes, n) },
-            Load::All(routes) => {
-                Update::PutConfiguration { version: n, body: configuration(*routes, n * routes) }
-            }
+            Load::Routes(routes) => Update::PutConfiguration {
+                version: n,
+                body: configuration(*routes, n),
+            },
+            Load::All(routes) => Update::PutConfiguration {
+                version: n,
+                body: configuration(*routes, n * routes),
+            },
             Load::Cells(cells) => {
                 let cell = drawn(n) % cells;
                 let value = format!("{:016x}", drawn(!n)).repeat(1 + (drawn(n << 1) % 12) as usize);
-                Update::PutCell { name: format!("group{}.cell{cell}", cell % 100), value, active: None }
+                Update::PutCell {
+                    name: format!("group{}.cell{cell}", cell % 100),
+                    value,
+                    active: None,
+                }
             }
             Load::Longest if n.is_multiple_of(100) => Load::Routes(45_000).update(n),
             Load::Longest => Load::Cells(22_000).update(n),
@@ -64,7 +73,11 @@
     for route in 0..routes {
         if route % 10 == 0 {
             let comma = if route > 0 { "]}," } else { "" };
-            _ = write!(text, "{comma}{{\"hostname\":\"host-{}.example\",\"pathRules\":[", route / 10);
+            _ = write!(
+                text,
+                "{comma}{{\"hostname\":\"host-{}.example\",\"pathRules\":[",
+                route / 10
+            );
         } else {
             text.push(',');
         }
--- a/crates/rookpulley-store/src/look.rs
+++ b/crates/rookpulley-store/src/look.rs
@@ -18,7 +18,9 @@
     #[diagnostic(help("read it as the user that the office runs as"))]
     Refused(PathBuf, std::io::Error),
     #[error("the store in {0} is spoilt: {1}")]
-    #[diagnostic(help("let the office start: it begins such a store anew and is filled by the others"))]
+    #[diagnostic(help(
+        "let the office start: it begins such a store anew and is filled by the others"
+    ))]
     Spoilt(PathBuf, sled::Error),
     #[error("another store can't be put into {0}: {1}")]
     #[diagnostic(help(
@@ -51,7 +53,11 @@
         return Err(LookError::Nothing(folder.into()));
     }
     // `sled` writes before it asks for its lock.
-    let file = File::options().read(true).write(true).open(at.join("db")).map_err(refused)?;
+    let file = File::options()
+        .read(true)
+        .write(true)
+        .open(at.join("db"))
+        .map_err(refused)?;
     match file.try_lock() {
         Ok(()) => drop(file),
         Err(TryLockError::WouldBlock) => return Err(LookError::InUse(at)),
@@ -76,7 +82,9 @@
         }
         Ok(Long::read(&db.open_tree(name)?)?.0)
     };
-    let identity = db.get(IDENTITY)?.and_then(|value| value.as_ref().try_into().ok());
+    let identity = db
+        .get(IDENTITY)?
+        .and_then(|value| value.as_ref().try_into().ok());
     Ok(Contents {
         identity: identity.map(u64::from_le_bytes),
         chain: rows(CHAIN)?,
@@ -108,17 +116,26 @@
         assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), 0);
         let (said, mut heard) = tokio::sync::mpsc::unbounded_channel();
         let store = Store::open(folder.path(), 7, None, said).unwrap();
-        let put = |key: &str| Record::Put { key: key.into(), value: vec![1; 9] };
+        let put = |key: &str| Record::Put {
+            key: key.into(),
+            value: vec![1; 9],
+        };
         assert!(store.write(Part::Chain, 1, vec![put("a"), put("b")]));
         assert!(store.write(Part::Lives, 1, vec![put("i-1")]));
         drop(store);
         while heard.blocking_recv().is_some() {}
         let seen = looked(folder.path());
-        assert_eq!((seen.identity, seen.chain.len(), seen.lives.len()), (Some(7), 2, 1));
+        assert_eq!(
+            (seen.identity, seen.chain.len(), seen.lives.len()),
+            (Some(7), 2, 1)
+        );
         assert_eq!(looked(folder.path()), seen);
         let (said, _heard) = tokio::sync::mpsc::unbounded_channel();
         let again = Store::open(folder.path(), 8, None, said).unwrap();
-        assert_eq!((again.identity, again.new, &again.held), (7, false, &seen.chain));
+        assert_eq!(
+            (again.identity, again.new, &again.held),
+            (7, false, &seen.chain)
+        );
     }
 
     #[test]
--- a/crates/rookpulley-store/src/replace.rs
+++ b/crates/rookpulley-store/src/replace.rs
@@ -32,7 +32,11 @@
 /// Takes a store out of its place. The first that is put aside is kept beside it, as the operator may still want it.
 pub(crate) fn put_aside(folder: &Path) -> Result<(), Error> {
     let (at, before) = (folder.join(FOLDER), folder.join(BEFORE));
-    if before.exists() { remove_dir_all(at) } else { rename(at, before) }
+    if before.exists() {
+        remove_dir_all(at)
+    } else {
+        rename(at, before)
+    }
 }
 
 /// Where the store is kept that another one took the place of.
@@ -55,7 +59,12 @@
 
 /// Gives the office in this folder another identity and other rows of the chain. What it knows of tasks stays; `old` is
 /// what `look` has just shown. The store as it was is kept beside.
-pub fn replace(folder: &Path, old: &Contents, identity: u64, chain: &[Record]) -> Result<(), LookError> {
+pub fn replace(
+    folder: &Path,
+    old: &Contents,
+    identity: u64,
+    chain: &[Record],
+) -> Result<(), LookError> {
     let at = folder.join(FOLDER);
     let failed = |why| LookError::Unwritten(folder.into(), why);
     if before(folder).exists() {
@@ -70,7 +79,12 @@
     settle(folder).map_err(failed)
 }
 
-fn write_whole(folder: &Path, old: &Contents, identity: u64, chain: &[Record]) -> Result<(), Error> {
+fn write_whole(
+    folder: &Path,
+    old: &Contents,
+    identity: u64,
+    chain: &[Record],
+) -> Result<(), Error> {
     let making = folder.join(MAKING);
     if making.exists() {
         remove_dir_all(&making)?;
@@ -85,10 +99,15 @@
 fn fill(making: &Path, old: &Contents, identity: u64, chain: &[Record]) -> Result<(), sled::Error> {
     let db = open_at(making)?;
     db.insert(IDENTITY, &identity.to_le_bytes())?;
-    let lives = old.lives.iter().map(|(key, value)| Record::Put { key: key.clone(), value: value.clone() });
+    let lives = old.lives.iter().map(|(key, value)| Record::Put {
+        key: key.clone(),
+        value: value.clone(),
+    });
     for (tree, records) in [(CHAIN, chain.to_vec()), (LIVES, lives.collect())] {
         let (mut long, mut batch) = (Long::default(), sled::Batch::default());
-        records.into_iter().for_each(|record| long.write(record, &mut batch));
+        records
+            .into_iter()
+            .for_each(|record| long.write(record, &mut batch));
         db.open_tree(tree)?.apply_batch(batch)?;
     }
     db.flush()?;
@@ -101,7 +120,10 @@
     use crate::{Part, Store, look};
 
     fn put(key: &str) -> Record {
-        Record::Put { key: key.into(), value: vec![1; 9] }
+        Record::Put {
+            key: key.into(),
+            value: vec![1; 9],
+        }
     }
 
     /// What is in the store once nobody has it any more.
@@ -160,7 +182,11 @@
             };
             let (said, mut heard) = tokio::sync::mpsc::unbounded_channel();
             let store = Store::open(folder.path(), 8, None, said).unwrap();
-            assert_eq!((Some(store.identity), store.new), (wanted.0, false), "step {step}");
+            assert_eq!(
+                (Some(store.identity), store.new),
+                (wanted.0, false),
+                "step {step}"
+            );
             drop(store);
             while heard.blocking_recv().is_some() {}
             assert_eq!(what(&looked(folder.path())), wanted, "step {step}");
@@ -179,7 +205,10 @@
         let (folder, old) = a_store();
         let (said, _heard) = tokio::sync::mpsc::unbounded_channel();
         let _store = Store::open(folder.path(), 8, None, said).unwrap();
-        assert!(matches!(replace(folder.path(), &old, 9, &[put("c")]), Err(LookError::InUse(_))));
+        assert!(matches!(
+            replace(folder.path(), &old, 9, &[put("c")]),
+            Err(LookError::InUse(_))
+        ));
         assert!(!folder.path().join(NEXT).exists() && !folder.path().join(BEFORE).exists());
     }
 }
--- a/crates/rookpulley-store/src/rows.rs
+++ b/crates/rookpulley-store/src/rows.rs
@@ -45,7 +45,8 @@
 }
 
 fn numbers(list: &[(u64, u32)]) -> impl Iterator<Item = u64> {
-    list.iter().flat_map(|(from, count)| *from..from.saturating_add(u64::from(*count)))
+    list.iter()
+        .flat_map(|(from, count)| *from..from.saturating_add(u64::from(*count)))
 }
 
 /// Drawn by the mixer of SplitMix64: with which weight a byte counts for the end of a chunk.
@@ -106,8 +107,12 @@
 impl Chunks {
     /// Names those that are there.
     fn hold(&mut self, chunks: &[([u8; 32], &[u8])]) -> List {
-        let held: Vec<_> = chunks.iter().filter_map(|(d, _)| Some((*self.numbers.get(d)?, *d))).collect();
-        held.iter().for_each(|(number, digest)| self.name(*number, *digest));
+        let held: Vec<_> = chunks
+            .iter()
+            .filter_map(|(d, _)| Some((*self.numbers.get(d)?, *d)))
+            .collect();
+        held.iter()
+            .for_each(|(number, digest)| self.name(*number, *digest));
         held.into_iter().map(|(number, _)| (number, 1)).collect()
     }
 
@@ -140,7 +145,9 @@
     /// What nothing names any more goes.
     fn let_go(&mut self, list: &[(u64, u32)], batch: &mut sled::Batch) {
         for number in numbers(list) {
-            let Some((named, digest)) = self.named.get_mut(&number) else { continue };
+            let Some((named, digest)) = self.named.get_mut(&number) else {
+                continue;
+            };
             *named -= 1;
             if *named == 0 {
                 self.numbers.remove(digest);
@@ -169,11 +176,16 @@
             Record::Put { key, value } => (key, Some(value)),
             Record::Delete { key } => (key, None),
         };
-        let chunks = value.as_deref().filter(|value| value.len() > PIECE).map(cut);
+        let chunks = value
+            .as_deref()
+            .filter(|value| value.len() > PIECE)
+            .map(cut);
         let before = self.lists.remove(&key);
         // What both name stays; the rest gives way before its numbers are taken again.
         let held = chunks.as_ref().map(|chunks| self.chunks.hold(chunks));
-        before.iter().for_each(|list| self.chunks.let_go(list, batch));
+        before
+            .iter()
+            .for_each(|list| self.chunks.let_go(list, batch));
         let list = chunks.map(|chunks| self.chunks.take(&chunks, batch));
         held.iter().for_each(|list| self.chunks.let_go(list, batch));
         match list {
@@ -203,15 +215,22 @@
 
     /// Piece by piece.
     fn put(&mut self, key: Vec<u8>, value: Option<Vec<u8>>, batch: &mut sled::Batch) {
-        let pieces = value.as_ref().map_or(0, |v| v.len().div_ceil(PIECE).saturating_sub(1) as u32);
-        let before =
-            if pieces > 0 { self.pieces.insert(key.clone(), pieces) } else { self.pieces.remove(&key) };
+        let pieces = value
+            .as_ref()
+            .map_or(0, |v| v.len().div_ceil(PIECE).saturating_sub(1) as u32);
+        let before = if pieces > 0 {
+            self.pieces.insert(key.clone(), pieces)
+        } else {
+            self.pieces.remove(&key)
+        };
         (pieces..before.unwrap_or(0)).for_each(|piece| batch.remove(more(&key, piece)));
         match value {
             Some(value) if pieces > 0 => {
                 let mut all = value.chunks(PIECE);
                 batch.insert(key.as_slice(), all.next().unwrap_or_default());
-                (0..).zip(all).for_each(|(piece, bytes)| batch.insert(more(&key, piece), bytes));
+                (0..)
+                    .zip(all)
+                    .for_each(|(piece, bytes)| batch.insert(more(&key, piece), bytes));
             }
             Some(value) => batch.insert(key, value),
             None => batch.remove(key),
@@ -225,14 +244,25 @@
         // All first pieces come before all others, and those of one row in their order.
         for row in tree.iter() {
             let (key, value) = row?;
-            if let Some(number) = key.strip_prefix(&[CHUNK]).and_then(|rest| rest.try_into().ok()) {
-                chunks.insert(u64::from_be_bytes(number), (*blake3::hash(&value).as_bytes(), value));
+            if let Some(number) = key
+                .strip_prefix(&[CHUNK])
+                .and_then(|rest| rest.try_into().ok())
+            {
+                chunks.insert(
+                    u64::from_be_bytes(number),
+                    (*blake3::hash(&value).as_bytes(), value),
+                );
                 continue;
             }
-            match key.strip_prefix(&[MORE]).and_then(|rest| rest.split_last_chunk::<4>()) {
+            match key
+                .strip_prefix(&[MORE])
+                .and_then(|rest| rest.split_last_chunk::<4>())
+            {
                 Some((first, _)) => {
                     *long.pieces.entry(first.to_vec()).or_default() += 1;
-                    rows.entry(first.to_vec()).or_default().extend_from_slice(&value);
+                    rows.entry(first.to_vec())
+                        .or_default()
+                        .extend_from_slice(&value);
                 }
                 None => _ = rows.insert(key.to_vec(), value.to_vec()),
             }
@@ -255,7 +285,9 @@
         if long.chunks.next > MOST {
             return Err(torn());
         }
-        long.chunks.free = (0..long.chunks.next).filter(|number| !named.contains_key(number)).collect();
+        long.chunks.free = (0..long.chunks.next)
+            .filter(|number| !named.contains_key(number))
+            .collect();
         Ok((rows.into_iter().collect(), long))
     }
 }
@@ -271,7 +303,13 @@
         let mut put = |key: &[u8], length: usize| {
             let mut batch = sled::Batch::default();
             let value: Vec<u8> = (0..length).map(|n| (n / PIECE) as u8 ^ n as u8).collect();
-            long.write(Record::Put { key: key.to_vec(), value: value.clone() }, &mut batch);
+            long.write(
+                Record::Put {
+                    key: key.to_vec(),
+                    value: value.clone(),
+                },
+                &mut batch,
+            );
             db.apply_batch(batch).unwrap();
             value
         };
@@ -280,9 +318,16 @@
         let (short, shrunk) = (put(b"e2", PIECE), put(b"e1", 2 * PIECE));
         let long_one = put(b"e3", 40 * PIECE + 7);
         let (rows, mut long) = Long::read(&db).unwrap();
-        let find = |key: &[u8]| rows.iter().find(|(k, _)| k == key).map(|(_, value)| value.clone());
+        let find = |key: &[u8]| {
+            rows.iter()
+                .find(|(k, _)| k == key)
+                .map(|(_, value)| value.clone())
+        };
         assert_eq!(rows.len(), 4);
-        assert_eq!((find(b"e1"), find(b"e2"), find(b"e3")), (Some(shrunk), Some(short), Some(long_one)));
+        assert_eq!(
+            (find(b"e1"), find(b"e2"), find(b"e3")),
+            (Some(shrunk), Some(short), Some(long_one))
+        );
         let mut batch = sled::Batch::default();
         for (key, _) in rows {
             long.write(Record::Delete { key }, &mut batch);
@@ -297,20 +342,33 @@
 
     /// Bytes that repeat themselves nowhere.
     fn drawn(length: usize, seed: u64) -> Vec<u8> {
-        let words =
-            (0..length.div_ceil(8) as u64).map(|n| (n + seed).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 3);
+        let words = (0..length.div_ceil(8) as u64)
+            .map(|n| (n + seed).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 3);
         words
-            .flat_map(|word| (word ^ (word >> 31)).wrapping_mul(0xbf58_476d_1ce4_e5b9).to_le_bytes())
+            .flat_map(|word| {
+                (word ^ (word >> 31))
+                    .wrapping_mul(0xbf58_476d_1ce4_e5b9)
+                    .to_le_bytes()
+            })
             .take(length)
             .collect()
     }
 
     #[test]
     fn a_change_in_a_long_row_and_its_second_copy_write_little() {
-        let (db, mut long) = (sled::Config::new().temporary(true).open().unwrap(), Long::default());
+        let (db, mut long) = (
+            sled::Config::new().temporary(true).open().unwrap(),
+            Long::default(),
+        );
         let mut put = |key: &[u8], value: &[u8]| {
             let mut batch = sled::Batch::default();
-            long.write(Record::Put { key: key.to_vec(), value: value.to_vec() }, &mut batch);
+            long.write(
+                Record::Put {
+                    key: key.to_vec(),
+                    value: value.to_vec(),
+                },
+                &mut batch,
+            );
             db.apply_batch(batch).unwrap();
             long.written()
         };
@@ -329,7 +387,10 @@
     #[test]
     fn rows_that_share_what_they_hold_come_back_as_they_were_put() {
         arbtest::arbtest(|u| {
-            let (db, mut long) = (sled::Config::new().temporary(true).open().unwrap(), Long::default());
+            let (db, mut long) = (
+                sled::Config::new().temporary(true).open().unwrap(),
+                Long::default(),
+            );
             let (mut rows, mut value) = (BTreeMap::new(), drawn(40 << 10, 7));
             for _ in 0..u.int_in_range(1..=24)? {
                 let mut batch = sled::Batch::default();
@@ -343,12 +404,23 @@
                             value: value[..u.choose_index(2 * PIECE)?.min(value.len())].to_vec(),
                         },
                         2 => {
-                            value
-                                .splice(at..(at + 100).min(value.len()), drawn(at % 300 + 1, u.arbitrary()?));
-                            Record::Put { key, value: value.clone() }
+                            value.splice(
+                                at..(at + 100).min(value.len()),
+                                drawn(at % 300 + 1, u.arbitrary()?),
+                            );
+                            Record::Put {
+                                key,
+                                value: value.clone(),
+                            }
                         }
-                        3 => Record::Put { key, value: [&value[at..], &value[..at]].concat() },
-                        _ => Record::Put { key, value: value.clone() },
+                        3 => Record::Put {
+                            key,
+                            value: [&value[at..], &value[..at]].concat(),
+                        },
+                        _ => Record::Put {
+                            key,
+                            value: value.clone(),
+                        },
                     };
                     match record.clone() {
                         Record::Put { key, value } => _ = rows.insert(key, value),
@@ -380,7 +452,10 @@
 
     #[test]
     fn what_an_older_build_wrote_is_read_and_taken_away_and_a_list_without_its_chunk_is_not() {
-        let (db, mut older) = (sled::Config::new().temporary(true).open().unwrap(), Long::default());
+        let (db, mut older) = (
+            sled::Config::new().temporary(true).open().unwrap(),
+            Long::default(),
+        );
         let value = drawn(9 * PIECE, 7);
         let mut batch = sled::Batch::default();
         older.put(b"e1".to_vec(), Some(value.clone()), &mut batch);
@@ -388,15 +463,36 @@
         db.apply_batch(batch).unwrap();
         assert_eq!(keys(&db, MORE), 16);
         let (rows, mut long) = Long::read(&db).unwrap();
-        assert_eq!(rows, vec![(b"e1".to_vec(), value.clone()), (b"e2".to_vec(), value.clone())]);
+        assert_eq!(
+            rows,
+            vec![
+                (b"e1".to_vec(), value.clone()),
+                (b"e2".to_vec(), value.clone())
+            ]
+        );
         let mut batch = sled::Batch::default();
-        long.write(Record::Put { key: b"e1".to_vec(), value: value.clone() }, &mut batch);
-        long.write(Record::Delete { key: b"e2".to_vec() }, &mut batch);
+        long.write(
+            Record::Put {
+                key: b"e1".to_vec(),
+                value: value.clone(),
+            },
+            &mut batch,
+        );
+        long.write(
+            Record::Delete {
+                key: b"e2".to_vec(),
+            },
+            &mut batch,
+        );
         db.apply_batch(batch).unwrap();
         assert_eq!(keys(&db, MORE), 0);
-        let seen_by_older =
-            db.iter().map(|row| row.unwrap()).map(|(key, value)| (key.to_vec(), value.to_vec()));
-        assert!(!rookpulley_chain::Kept::read(seen_by_older.filter(|(key, _)| key != b"e1")).sound());
+        let seen_by_older = db
+            .iter()
+            .map(|row| row.unwrap())
+            .map(|(key, value)| (key.to_vec(), value.to_vec()));
+        assert!(
+            !rookpulley_chain::Kept::read(seen_by_older.filter(|(key, _)| key != b"e1")).sound()
+        );
         assert_eq!(Long::read(&db).unwrap().0, vec![(b"e1".to_vec(), value)]);
         db.remove(chunk(3)).unwrap();
         assert!(Long::read(&db).is_err());
--- a/crates/rookpulley-store/src/store.rs
+++ b/crates/rookpulley-store/src/store.rs
@@ -101,7 +101,8 @@
 /// What spoils `sled` may make it panic, when it is opened and also when it is read: that is an error as well.
 pub(crate) fn caught<T>(work: impl FnOnce() -> Result<T, sled::Error>) -> Result<T, sled::Error> {
     let work = std::panic::AssertUnwindSafe(work);
-    std::panic::catch_unwind(work).unwrap_or(Err(sled::Error::ReportableBug("it can't be read".into())))
+    std::panic::catch_unwind(work)
+        .unwrap_or(Err(sled::Error::ReportableBug("it can't be read".into())))
 }
 
 pub(crate) fn open_at(folder: &Path) -> Result<sled::Db, sled::Error> {
@@ -164,8 +165,7 @@
         let mut opened = open_at(&at);
         // What the system refuses now it may grant soon; only a store that is spoilt itself is given up.
         for _ in 0..patience {
-            let refused =
-                |why: &sled::Error| matches!(why, sled::Error::Io(io) if io.raw_os_error().is_some());
+            let refused = |why: &sled::Error| matches!(why, sled::Error::Io(io) if io.raw_os_error().is_some());
             if !matches!(&opened, Err(why) if refused(why) || in_use(why)) {
                 break;
             }
@@ -174,11 +174,18 @@
         }
         // What was written before must be found again whole, the identity too.
         let read = |db: sled::Db| {
-            let identity = db.get(IDENTITY)?.and_then(|v| v.as_ref().try_into().ok().map(u64::from_le_bytes));
-            let (held, lives) = (Long::read(&db.open_tree(CHAIN)?)?, Long::read(&db.open_tree(LIVES)?)?);
+            let identity = db
+                .get(IDENTITY)?
+                .and_then(|v| v.as_ref().try_into().ok().map(u64::from_le_bytes));
+            let (held, lives) = (
+                Long::read(&db.open_tree(CHAIN)?)?,
+                Long::read(&db.open_tree(LIVES)?)?,
+            );
             match rookpulley_chain::Kept::read(held.0.iter().cloned()).sound() {
                 true => Ok((identity, held, lives, db)),
-                false => Err(sled::Error::ReportableBug("the chain's rows are torn".into())),
+                false => Err(sled::Error::ReportableBug(
+                    "the chain's rows are torn".into(),
+                )),
             }
         };
         let opened = opened.and_then(|db| caught(|| read(db)));
@@ -194,7 +201,11 @@
                 (None, Default::default(), Default::default(), open_at(&at)?)
             }
         };
-        let (held, lives) = if kept.is_some() { (held, lives) } else { (Vec::new(), Vec::new()) };
+        let (held, lives) = if kept.is_some() {
+            (held, lives)
+        } else {
+            (Vec::new(), Vec::new())
+        };
         if kept.is_none() {
             let mut batch = sled::Batch::default();
             batch.insert(IDENTITY, &mint.to_le_bytes());
@@ -209,7 +220,9 @@
         if spoilt.exists() {
             std::fs::remove_file(&spoilt).map_err(troubled)?;
         }
-        File::open(folder).and_then(|f| f.sync_all()).map_err(troubled)?;
+        File::open(folder)
+            .and_then(|f| f.sync_all())
+            .map_err(troubled)?;
         let file = File::open(at.join("db")).map_err(troubled)?;
         let (chain_tree, lives_tree) = (db.open_tree(CHAIN)?, db.open_tree(LIVES)?);
         let sweep_tree = db.open_tree(SWEEP)?;
@@ -229,12 +242,15 @@
                     };
                     // A probe of the disk has ticket 0, and may come behind others.
                     tickets[at] = tickets[at].max(Some(ticket));
-                    records.into_iter().for_each(|record| long.write(record, batch));
+                    records
+                        .into_iter()
+                        .for_each(|record| long.write(record, batch));
                 }
                 let from = Instant::now();
                 let [of_chain, of_lives] = batches;
-                let applied =
-                    chain_tree.apply_batch(of_chain).and_then(|()| lives_tree.apply_batch(of_lives));
+                let applied = chain_tree
+                    .apply_batch(of_chain)
+                    .and_then(|()| lives_tree.apply_batch(of_lives));
                 let written = long.written() + long_lives.written();
                 owed = (owed + written / SWEEP_EACH).min(SWEEP_OWED);
                 let pages = owed.min(SWEEP_AT_ONCE);
@@ -244,7 +260,11 @@
                 let done = done.and_then(|_| file.sync_data().map_err(|e| e.to_string()));
                 let [chain, lives] = tickets;
                 let word = match done {
-                    Ok(()) => Said::Synced { chain, lives, took: from.elapsed() },
+                    Ok(()) => Said::Synced {
+                        chain,
+                        lives,
+                        took: from.elapsed(),
+                    },
                     Err(why) => Said::Failed(why),
                 };
                 let failed = matches!(word, Said::Failed(_));
@@ -253,8 +273,18 @@
                 }
             }
         };
-        std::thread::Builder::new().name("store".into()).spawn(work).map_err(StoreError::Thread)?;
-        Ok(Self { jobs, identity: kept.unwrap_or(mint), new: kept.is_none(), founding, held, lives })
+        std::thread::Builder::new()
+            .name("store".into())
+            .spawn(work)
+            .map_err(StoreError::Thread)?;
+        Ok(Self {
+            jobs,
+            identity: kept.unwrap_or(mint),
+            new: kept.is_none(),
+            founding,
+            held,
+            lives,
+        })
     }
 
     pub fn write(&self, part: Part, ticket: u64, records: Vec<Record>) -> bool {
@@ -277,10 +307,19 @@
         let (store, mut heard) = opened(folder.path(), 7);
         assert!(store.new);
         for n in 0..20u64 {
-            let put = Record::Put { key: n.to_be_bytes().to_vec(), value: vec![n as u8; 1000] };
+            let put = Record::Put {
+                key: n.to_be_bytes().to_vec(),
+                value: vec![n as u8; 1000],
+            };
             assert!(store.write(Part::Chain, n, vec![put]));
         }
-        assert!(store.write(Part::Chain, 20, vec![Record::Delete { key: 3u64.to_be_bytes().to_vec() }]));
+        assert!(store.write(
+            Part::Chain,
+            20,
+            vec![Record::Delete {
+                key: 3u64.to_be_bytes().to_vec()
+            }]
+        ));
         while let Some(Said::Synced { chain, .. }) = heard.blocking_recv() {
             if chain == Some(20) {
                 break;
@@ -305,7 +344,11 @@
                 let words = (0..length / 8)
                     .map(|word| (n << 40 | at << 32 | word).wrapping_mul(0x9e37_79b9_7f4a_7c15));
                 words
-                    .flat_map(|word| (word ^ word >> 29).wrapping_mul(0xbf58_476d_1ce4_e5b9).to_be_bytes())
+                    .flat_map(|word| {
+                        (word ^ word >> 29)
+                            .wrapping_mul(0xbf58_476d_1ce4_e5b9)
+                            .to_be_bytes()
+                    })
                     .collect()
             };
             let mut records: Vec<Record> = (0..4u64)
@@ -314,13 +357,15 @@
                     value: drawn(at, 90 << 10),
                 })
                 .collect();
-            records.extend(
-                (0..20u8)
-                    .map(|at| Record::Put { key: vec![b's', at], value: drawn(9 + u64::from(at), 32 << 10) }),
-            );
+            records.extend((0..20u8).map(|at| Record::Put {
+                key: vec![b's', at],
+                value: drawn(9 + u64::from(at), 32 << 10),
+            }));
             if n % 8 == 7 {
                 let old = 10 * (n - 7)..10 * (n + 1);
-                records.extend(old.map(|at| Record::Delete { key: at.to_be_bytes().to_vec() }));
+                records.extend(old.map(|at| Record::Delete {
+                    key: at.to_be_bytes().to_vec(),
+                }));
             }
             assert!(store.write(Part::Chain, n, records));
         }
@@ -331,11 +376,18 @@
         }
         drop(store);
         while heard.blocking_recv().is_some() {}
-        let blobs = std::fs::read_dir(folder.path().join("store/blobs")).map_or(0, |files| files.count());
+        let blobs =
+            std::fs::read_dir(folder.path().join("store/blobs")).map_or(0, |files| files.count());
         assert_eq!(blobs, 0);
         let (again, _heard) = opened(folder.path(), 8);
-        let (of, length) = (again.held.len(), again.held.iter().map(|(_, v)| v.len()).sum::<usize>());
-        assert_eq!((again.identity, of, length), (7, 20 + 16, 20 * (32 << 10) + 16 * (90 << 10)));
+        let (of, length) = (
+            again.held.len(),
+            again.held.iter().map(|(_, v)| v.len()).sum::<usize>(),
+        );
+        assert_eq!(
+            (again.identity, of, length),
+            (7, 20 + 16, 20 * (32 << 10) + 16 * (90 << 10))
+        );
     }
 
     #[test]
@@ -343,8 +395,14 @@
         let folder = tempfile::tempdir().unwrap();
         let (store, mut heard) = opened(folder.path(), 7);
         let (said, _) = tokio::sync::mpsc::unbounded_channel();
-        assert!(matches!(Store::open_with(folder.path(), 8, None, said, 0), Err(StoreError::InUse(_))));
-        assert!(matches!(crate::look(folder.path()), Err(crate::LookError::InUse(_))));
+        assert!(matches!(
+            Store::open_with(folder.path(), 8, None, said, 0),
+            Err(StoreError::InUse(_))
+        ));
+        assert!(matches!(
+            crate::look(folder.path()),
+            Err(crate::LookError::InUse(_))
+        ));
         drop(store);
         while heard.blocking_recv().is_some() {}
         assert_eq!(opened(folder.path(), 9).0.identity, 7);
@@ -371,7 +429,10 @@
         drop(store);
         while heard.blocking_recv().is_some() {}
         let (store, mut heard) = opened(folder.path(), 8);
-        assert_eq!((store.identity, store.new, &store.founding), (8, true, &None));
+        assert_eq!(
+            (store.identity, store.new, &store.founding),
+            (8, true, &None)
+        );
         drop(store);
         while heard.blocking_recv().is_some() {}
         let (store, _heard) = opened(folder.path(), 9);
--- a/crates/rookpulley-store/tests/earlier_build.rs
+++ b/crates/rookpulley-store/tests/earlier_build.rs
@@ -15,7 +15,10 @@
 
 /// Longer than a row may be, and cut into chunks.
 fn long_value() -> Vec<u8> {
-    (0..40_000u32).flat_map(|n| n.wrapping_mul(0x9e37_79b9).to_be_bytes()).take(30 << 10).collect()
+    (0..40_000u32)
+        .flat_map(|n| n.wrapping_mul(0x9e37_79b9).to_be_bytes())
+        .take(30 << 10)
+        .collect()
 }
 
 fn unpack(into: &Path) {
@@ -36,7 +39,10 @@
     let store = Store::open(folder.path(), 7, None, said).unwrap();
     assert_eq!((store.new, store.identity), (false, IDENTITY));
     assert_eq!(store.founding.as_deref(), Some(&b"founding"[..]));
-    let rows = vec![(b"x-long".to_vec(), long_value()), (b"x-short".to_vec(), b"short".to_vec())];
+    let rows = vec![
+        (b"x-long".to_vec(), long_value()),
+        (b"x-short".to_vec(), b"short".to_vec()),
+    ];
     assert_eq!(store.held, rows);
     assert_eq!(store.lives, vec![(b"i-1".to_vec(), b"note".to_vec())]);
     drop(store);
--- a/crates/rookpulley-store/tests/room.rs
+++ b/crates/rookpulley-store/tests/room.rs
@@ -23,9 +23,24 @@
     fn begin(folder: &Path) -> Self {
         let (said, heard) = tokio::sync::mpsc::unbounded_channel();
         let store = Store::open(folder, 7, Some(&[]), said).unwrap();
-        let me = Member { id: 7, life: 1, address: "127.0.0.1:7".parse().unwrap() };
-        let boot = Boot { me, founder: true, losses: 0, seed: 7, kept: None };
-        let mut new = Self { now: 0, chain: Chain::start(0, boot, Kept::default()), store, heard };
+        let me = Member {
+            id: 7,
+            life: 1,
+            address: "127.0.0.1:7".parse().unwrap(),
+        };
+        let boot = Boot {
+            me,
+            founder: true,
+            losses: 0,
+            seed: 7,
+            kept: None,
+        };
+        let mut new = Self {
+            now: 0,
+            chain: Chain::start(0, boot, Kept::default()),
+            store,
+            heard,
+        };
         (0..20).for_each(|_| new.tick());
         new
     }
@@ -74,8 +89,15 @@
     let first = updates / 5;
     for n in 1..=updates {
         let body = load.update(n).encode();
-        let outcome = office.give(Input::Call { token: n, kind: CallKind::Update, body });
-        assert!(matches!(outcome, Some(Outcome::Done(_))), "update {n}: {outcome:?}");
+        let outcome = office.give(Input::Call {
+            token: n,
+            kind: CallKind::Update,
+            body,
+        });
+        assert!(
+            matches!(outcome, Some(Outcome::Done(_))),
+            "update {n}: {outcome:?}"
+        );
         longest = longest.max(length(folder.path()));
         if n == first {
             from = written();
@@ -97,24 +119,42 @@
     let state = 1 << 20;
     // One route of 6,000 changed, and all of them.
     let (longest, each) = plays(&Load::Routes(6_000), 20);
-    assert!(longest < 6 * state && each < state / 8, "{longest} bytes, {each} for an update");
+    assert!(
+        longest < 6 * state && each < state / 8,
+        "{longest} bytes, {each} for an update"
+    );
     let (longest, each) = plays(&Load::All(6_000), 10);
-    assert!(longest < 18 * state && each < 7 * state, "{longest} bytes, {each} for an update");
+    assert!(
+        longest < 18 * state && each < 7 * state,
+        "{longest} bytes, {each} for an update"
+    );
 
     // A little changed all over: no page is written anew for that.
     let folder = tempfile::tempdir().unwrap();
     let mut office = Office::begin(folder.path());
-    let mut value: Vec<u8> = (0..state / 8).flat_map(|n| load::drawn(n).to_be_bytes()).collect();
+    let mut value: Vec<u8> = (0..state / 8)
+        .flat_map(|n| load::drawn(n).to_be_bytes())
+        .collect();
     let (mut longest, from) = (0, written());
     for n in 1..=150 {
         for at in 0..20 {
             value[(load::drawn(20 * n + at) % state) as usize] ^= 1;
         }
-        let put = Record::Put { key: b"a long row".to_vec(), value: value.clone() };
-        assert!(office.store.write(Part::Chain, u64::MAX - 150 + n, vec![put]));
+        let put = Record::Put {
+            key: b"a long row".to_vec(),
+            value: value.clone(),
+        };
+        assert!(
+            office
+                .store
+                .write(Part::Chain, u64::MAX - 150 + n, vec![put])
+        );
         office.synced(u64::MAX - 150 + n);
         longest = longest.max(length(folder.path()));
     }
     let each = (written() - from) / 150;
-    assert!(longest < 6 * state && each < state / 2, "{longest} bytes, {each} for a write");
+    assert!(
+        longest < 6 * state && each < state / 2,
+        "{longest} bytes, {each} for a write"
+    );
 }
--- a/crates/rookpulley-store/tests/torn.rs
+++ b/crates/rookpulley-store/tests/torn.rs
@@ -20,17 +20,33 @@
 
 impl Offices {
     fn member(at: usize) -> Member {
-        Member { id: at as u64 + 1, life: 77, address: format!("10.0.0.{}:7", at + 1).parse().unwrap() }
+        Member {
+            id: at as u64 + 1,
+            life: 77,
+            address: format!("10.0.0.{}:7", at + 1).parse().unwrap(),
+        }
     }
 
     fn start(&mut self) {
         let at = self.all.len();
         let me = Self::member(at);
-        let boot = Boot { me, founder: at == 0, losses: self.losses, seed: 7 + at as u64, kept: None };
-        self.all.push((Chain::start(self.now, boot, Kept::default()), Vec::new()));
+        let boot = Boot {
+            me,
+            founder: at == 0,
+            losses: self.losses,
+            seed: 7 + at as u64,
+            kept: None,
+        };
+        self.all
+            .push((Chain::start(self.now, boot, Kept::default()), Vec::new()));
         for other in 0..at {
             self.give(other, Input::Met { member: me });
-            self.give(at, Input::Met { member: Self::member(other) });
+            self.give(
+                at,
+                Input::Met {
+                    member: Self::member(other),
+                },
+            );
         }
         self.play(1_500);
     }
@@ -43,7 +59,13 @@
             for effect in chain.handle(self.now, input) {
                 match effect {
                     Effect::Send { to, message } if to as usize <= known => {
-                        inputs.push_back((to as usize - 1, Input::Heard { from: at as u64 + 1, message }));
+                        inputs.push_back((
+                            to as usize - 1,
+                            Input::Heard {
+                                from: at as u64 + 1,
+                                message,
+                            },
+                        ));
                     }
                     Effect::Write { ticket, records } => {
                         batches.push(records);
@@ -67,36 +89,59 @@
     fn update(&mut self, update: &Update) {
         self.play(50);
         self.token += 1;
-        let call = Input::Call { token: self.token, kind: CallKind::Update, body: update.encode() };
+        let call = Input::Call {
+            token: self.token,
+            kind: CallKind::Update,
+            body: update.encode(),
+        };
         assert!(matches!(self.give(0, call), Some(Outcome::Done(_))));
     }
 
     /// An office that starts on these rows shows all that was answered, or the one update more that was being written.
     fn starts_on(&mut self, rows: Rows, copies: &[(usize, u64)], answered: usize) {
         let kept = rookpulley_chain::Kept::read(rows);
-        let me = Member { life: 78, ..Self::member(0) };
-        let boot = Boot { me, founder: true, losses: 0, seed: 9, kept: Some(kept) };
+        let me = Member {
+            life: 78,
+            ..Self::member(0)
+        };
+        let boot = Boot {
+            me,
+            founder: true,
+            losses: 0,
+            seed: 9,
+            kept: Some(kept),
+        };
         self.all = vec![(Chain::start(self.now, boot, Kept::default()), Vec::new())];
         self.play(3_000);
         let chain = &self.all[0].0;
         assert!(chain.serving(self.now));
         let digest = chain.state().ledger.digest();
-        let shown = answered.checked_sub(1).map_or(Kept::default().ledger.digest(), |last| copies[last].1);
+        let shown = answered
+            .checked_sub(1)
+            .map_or(Kept::default().ledger.digest(), |last| copies[last].1);
         let next = copies.get(answered).map(|(_, digest)| *digest);
-        assert!(digest == shown || Some(digest) == next, "{answered} of {}", copies.len());
+        assert!(
+            digest == shown || Some(digest) == next,
+            "{answered} of {}",
+            copies.len()
+        );
     }
 
     fn configure(&mut self, length: usize) {
         let version = self.token + 1;
-        self.update(&Update::PutConfiguration { version, body: configuration(version, length) });
+        self.update(&Update::PutConfiguration {
+            version,
+            body: configuration(version, length),
+        });
     }
 }
 
 /// Most of it as in the version before.
 fn configuration(version: u64, length: usize) -> Vec<u8> {
     let mut coins = Coins(7);
-    let mut body: Vec<u8> =
-        (0..length.div_ceil(8)).flat_map(|_| coins.draw(u64::MAX).to_be_bytes()).collect();
+    let mut body: Vec<u8> = (0..length.div_ceil(8))
+        .flat_map(|_| coins.draw(u64::MAX).to_be_bytes())
+        .collect();
     let at = Coins(version).draw(length as u64) as usize;
     body.splice(at..at + 1, version.to_string().into_bytes());
     body.truncate(length);
@@ -105,7 +150,10 @@
 
 /// What the founder writes in its first seconds, and what one writes that is filled by pieces and then takes updates.
 fn written() -> [Batches; 2] {
-    let mut offices = Offices { losses: 1, ..Offices::default() };
+    let mut offices = Offices {
+        losses: 1,
+        ..Offices::default()
+    };
     offices.start();
     offices.start();
     (0..6).for_each(|n| offices.configure(300 + 9_000 * (n % 2)));
@@ -113,10 +161,15 @@
     (0..24).for_each(|_| offices.configure(100 << 10));
     offices.start();
     for n in 0..5 {
-        offices.update(&Update::NextNumber { name: format!("n{n}") });
+        offices.update(&Update::NextNumber {
+            name: format!("n{n}"),
+        });
         offices.configure(40 << 10);
     }
-    assert_eq!(offices.all[2].0.state().ledger.digest(), offices.all[0].0.state().ledger.digest());
+    assert_eq!(
+        offices.all[2].0.state().ledger.digest(),
+        offices.all[0].0.state().ledger.digest()
+    );
     [first, std::mem::take(&mut offices.all[2].1)]
 }
 
@@ -175,7 +228,11 @@
             continue;
         }
         let old = before.get(name).cloned().unwrap_or_default();
-        let length = if coins.draw(2) == 0 { new.len() } else { coins.draw(1 + new.len() as u64) as usize };
+        let length = if coins.draw(2) == 0 {
+            new.len()
+        } else {
+            coins.draw(1 + new.len() as u64) as usize
+        };
         let mut bytes = old.clone();
         bytes.resize(old.len().max(length).min(old.len().max(new.len())), 0);
         for (at, piece) in new.chunks(block).enumerate() {
@@ -230,17 +287,24 @@
     for batches in written() {
         let folder = tempfile::tempdir().unwrap();
         let (store, mut heard) = open(folder.path(), 7);
-        let mut images = vec![(Image::new(), Rows::new()), (image(folder.path()), Rows::new())];
+        let mut images = vec![
+            (Image::new(), Rows::new()),
+            (image(folder.path()), Rows::new()),
+        ];
         for (n, records) in (1..).zip(batches) {
             let mut rows = images.last().unwrap().1.clone();
             put(&mut rows, &records);
             assert!(store.write(Part::Chain, n, records));
-            while !matches!(heard.blocking_recv(), Some(Said::Synced { chain, .. }) if chain == Some(n)) {}
+            while !matches!(heard.blocking_recv(), Some(Said::Synced { chain, .. }) if chain == Some(n))
+            {
+            }
             images.push((image(folder.path()), rows));
         }
         close((store, heard));
         for pair in images.windows(2) {
-            let [(before, old), (after, new)] = pair else { unreachable!() };
+            let [(before, old), (after, new)] = pair else {
+                unreachable!()
+            };
             assert_eq!(found(after, 8).as_ref(), Some(new));
             for _ in 0..3 {
                 match found(&torn(before, after, &mut coins), 8) {
@@ -323,14 +387,23 @@
     let old = image(folder.path());
     let mut left = rows.clone();
     left.remove(&b"b"[..]);
-    let records: Vec<Record> =
-        left.iter().map(|(key, value)| Record::Put { key: key.clone(), value: value.clone() }).collect();
+    let records: Vec<Record> = left
+        .iter()
+        .map(|(key, value)| Record::Put {
+            key: key.clone(),
+            value: value.clone(),
+        })
+        .collect();
     let founds = |folder: &Path| replace(folder, &look(folder).unwrap(), 9, &records).unwrap();
     founds(folder.path());
     let new = image(folder.path());
     let of = |image: &Image, from: &str, to: &str| -> Image {
-        let files = image.iter().filter_map(|(name, bytes)| Some((name.strip_prefix(from)?, bytes)));
-        files.map(|(name, bytes)| (format!("{to}{name}"), bytes.clone())).collect()
+        let files = image
+            .iter()
+            .filter_map(|(name, bytes)| Some((name.strip_prefix(from)?, bytes)));
+        files
+            .map(|(name, bytes)| (format!("{to}{name}"), bytes.clone()))
+            .collect()
     };
     let making = of(&new, "store/", "store.making/");
     for _ in 0..12 {
--- a/crates/rookpulley-versions/benches/versions.rs
+++ b/crates/rookpulley-versions/benches/versions.rs
@@ -7,7 +7,12 @@
 use std::hint::black_box;
 
 fn table(lines: u32, changed: u32) -> Table {
-    let line = |n| (Name::from(format!("s-{n:08x}")), if n == changed { 0.25 } else { 1.5 });
+    let line = |n| {
+        (
+            Name::from(format!("s-{n:08x}")),
+            if n == changed { 0.25 } else { 1.5 },
+        )
+    };
     Table::of((0..lines).map(line)).unwrap()
 }
 
@@ -16,14 +21,26 @@
     let delta = Delta::between(&a, &b);
     let lines: Vec<(Name, f64)> = b.lines().map(|(n, w)| (n.clone(), w)).collect();
     let mut group = c.benchmark_group("400 lines, two changed");
-    group.bench_function("cut a delta", |bench| bench.iter(|| Delta::between(black_box(&a), &b)));
-    group
-        .bench_function("apply a delta, checked", |bench| bench.iter(|| delta.apply(black_box(&a)).unwrap()));
+    group.bench_function("cut a delta", |bench| {
+        bench.iter(|| Delta::between(black_box(&a), &b))
+    });
+    group.bench_function("apply a delta, checked", |bench| {
+        bench.iter(|| delta.apply(black_box(&a)).unwrap())
+    });
     group.bench_function("make the whole table, checked", |bench| {
-        bench.iter(|| Table::of(black_box(&lines).iter().cloned()).unwrap().digest());
+        bench.iter(|| {
+            Table::of(black_box(&lines).iter().cloned())
+                .unwrap()
+                .digest()
+        });
     });
     group.bench_function("replace a map of lines, unchecked", |bench| {
-        bench.iter(|| black_box(&lines).iter().cloned().collect::<BTreeMap<Name, f64>>());
+        bench.iter(|| {
+            black_box(&lines)
+                .iter()
+                .cloned()
+                .collect::<BTreeMap<Name, f64>>()
+        });
     });
     group.finish();
 }
@@ -32,9 +49,20 @@
 const SERVERS: u32 = 120;
 
 fn book() -> Book {
-    let issuer = Issuer { assigner: "n0".into(), start: 1 };
+    let issuer = Issuer {
+        assigner: "n0".into(),
+        start: 1,
+    };
     let patience = Patience::for_transit(400.0);
-    let mut book = Book::new(issuer, 1, Bounds { each: 4, bytes: 256 << 20 }, patience);
+    let mut book = Book::new(
+        issuer,
+        1,
+        Bounds {
+            each: 4,
+            bytes: 256 << 20,
+        },
+        patience,
+    );
     let lines = table(SERVERS, 0);
     for who in 0..DISPATCHERS {
         book.joins(0.0, who, None);
@@ -72,7 +100,11 @@
     });
     group.bench_function("a plain map of last told", |bench| {
         let lines: BTreeMap<Name, f64> = changed.lines().map(|(n, w)| (n.clone(), w)).collect();
-        let told = || (0..DISPATCHERS).map(|who| (who, lines.clone())).collect::<BTreeMap<_, _>>();
+        let told = || {
+            (0..DISPATCHERS)
+                .map(|who| (who, lines.clone()))
+                .collect::<BTreeMap<_, _>>()
+        };
         bench.iter_batched_ref(
             told,
             |told| (0..DISPATCHERS).for_each(|who| _ = told.insert(who, lines.clone())),
--- a/crates/rookpulley-versions/examples/day.rs
+++ b/crates/rookpulley-versions/examples/day.rs
@@ -37,10 +37,22 @@
 
 fn day(seed: u64, size: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let issuer = Issuer { assigner: "n0".into(), start: 1 << 60 | 1 };
-    let mut book = Book::new(issuer, 1, Bounds { each: 8, bytes: 64 << 20 }, Patience::for_transit(400.0));
-    let mut lines: BTreeMap<Name, f64> =
-        (0..size).map(|n| (Name::from(format!("s-{:08x}", n * 40_503)), 1.0)).collect();
+    let issuer = Issuer {
+        assigner: "n0".into(),
+        start: 1 << 60 | 1,
+    };
+    let mut book = Book::new(
+        issuer,
+        1,
+        Bounds {
+            each: 8,
+            bytes: 64 << 20,
+        },
+        Patience::for_transit(400.0),
+    );
+    let mut lines: BTreeMap<Name, f64> = (0..size)
+        .map(|n| (Name::from(format!("s-{:08x}", n * 40_503)), 1.0))
+        .collect();
     let names: Vec<Name> = lines.keys().cloned().collect();
     book.joins(0.0, 0, Some(BTreeMap::new()));
     let (mut deltas, mut whole, mut one, mut changes) = (0, 0, 0, 0_u64);
@@ -65,13 +77,26 @@
         }
         let order = book.order(0, 0).unwrap();
         let newest = book.history.newest(0).unwrap();
-        let all = Order { version: order.version.clone(), update: Update::Whole(newest.table.clone()) };
+        let all = Order {
+            version: order.version.clone(),
+            update: Update::Whole(newest.table.clone()),
+        };
         if let Update::Delta(delta) = &order.update {
-            one = one.max(if delta.changes.len() == 1 { written(&order, changes) } else { 0 });
+            one = one.max(if delta.changes.len() == 1 {
+                written(&order, changes)
+            } else {
+                0
+            });
         }
-        (deltas, whole) = (deltas + written(&order, changes), whole + written(&all, changes));
+        (deltas, whole) = (
+            deltas + written(&order, changes),
+            whole + written(&all, changes),
+        );
         book.wrote(now, 0, &[0], Some(changes));
-        let claim = Claim { version: Some(order.version.clone()), digest: order.update.digest() };
+        let claim = Claim {
+            version: Some(order.version.clone()),
+            digest: order.update.digest(),
+        };
         book.answers(now + 90.0, 0, changes, &BTreeMap::from([(1, claim)]));
     }
     let mean = whole / changes as usize;
@@ -83,11 +108,22 @@
 }
 
 fn memory() {
-    let table = Arc::new(Table::of((0..120).map(|n| (Name::from(format!("s-{n:08x}")), 1.0))).unwrap());
-    let issuer = Issuer { assigner: "n0".into(), start: 1 };
+    let table =
+        Arc::new(Table::of((0..120).map(|n| (Name::from(format!("s-{n:08x}")), 1.0))).unwrap());
+    let issuer = Issuer {
+        assigner: "n0".into(),
+        start: 1,
+    };
     for (marks, what) in [(0_u64, "settled"), (256, "256 unanswered marks")] {
-        let mut book =
-            Book::new(issuer.clone(), 1, Bounds { each: 2, bytes: 1 << 30 }, Patience::for_transit(400.0));
+        let mut book = Book::new(
+            issuer.clone(),
+            1,
+            Bounds {
+                each: 2,
+                bytes: 1 << 30,
+            },
+            Patience::for_transit(400.0),
+        );
         for id in 0..1_600 {
             book.issue(0.0, id, (*table).clone());
         }
@@ -106,7 +142,10 @@
 }
 
 fn main() {
-    let seed = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or(7);
+    let seed = std::env::args()
+        .nth(1)
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(7);
     println!("seed {seed}");
     [20, 120, 400].into_iter().for_each(|size| day(seed, size));
     memory();
--- a/crates/rookpulley-versions/src/book.rs
+++ b/crates/rookpulley-versions/src/book.rs
@@ -46,11 +46,22 @@
     }
 
     /// Joins with what it says it holds; None: it says nothing of versions.
-    pub fn joins(&mut self, now: f64, dispatcher: DispatcherId, claims: Option<BTreeMap<Kinds, Claim>>) {
-        self.ledger.joins(now, dispatcher, claims.is_some(), &mut self.history);
+    pub fn joins(
+        &mut self,
+        now: f64,
+        dispatcher: DispatcherId,
+        claims: Option<BTreeMap<Kinds, Claim>>,
+    ) {
+        self.ledger
+            .joins(now, dispatcher, claims.is_some(), &mut self.history);
         self.ledger.forget(now - SHOWN_MS);
-        for (_, id) in self.bound.extract_if((dispatcher, 0)..=(dispatcher, Kinds::MAX), |_, _| true) {
-            self.users.entry(id).and_modify(|users| _ = users.remove(&dispatcher));
+        for (_, id) in self
+            .bound
+            .extract_if((dispatcher, 0)..=(dispatcher, Kinds::MAX), |_, _| true)
+        {
+            self.users
+                .entry(id)
+                .and_modify(|users| _ = users.remove(&dispatcher));
         }
         self.brought.remove(&dispatcher);
         if let Some(claims) = claims.filter(|c| !c.is_empty()) {
@@ -66,7 +77,13 @@
     /// A table's lines as they stand now; a new version where they differ from its newest.
     pub fn issue(&mut self, now: f64, id: TableId, table: Table) -> Option<Version> {
         let issued = self.history.issue(now, id, table);
-        for who in self.users.get(&id).into_iter().flatten().filter(|_| issued.is_some()) {
+        for who in self
+            .users
+            .get(&id)
+            .into_iter()
+            .flatten()
+            .filter(|_| issued.is_some())
+        {
             self.ledger.newer(now, *who, id);
         }
         issued
@@ -76,9 +93,13 @@
     pub fn binds(&mut self, now: f64, dispatcher: DispatcherId, kinds: Kinds, id: TableId) {
         self.bound.insert((dispatcher, kinds), id);
         self.users.entry(id).or_default().insert(dispatcher);
-        let brought = self.brought.get_mut(&dispatcher).and_then(|b| b.remove(&kinds));
+        let brought = self
+            .brought
+            .get_mut(&dispatcher)
+            .and_then(|b| b.remove(&kinds));
         if let Some(claim) = brought {
-            self.ledger.brings(now, dispatcher, id, claim, &mut self.history);
+            self.ledger
+                .brings(now, dispatcher, id, claim, &mut self.history);
         }
     }
 
@@ -89,29 +110,46 @@
     /// The request kinds that a dispatcher has this table for.
     pub fn kinds_of(&self, dispatcher: DispatcherId, table: TableId) -> Kinds {
         let own = self.bound.range((dispatcher, 0)..=(dispatcher, Kinds::MAX));
-        own.filter(|(_, id)| **id == table).fold(0, |all, ((_, kinds), _)| all | kinds)
+        own.filter(|(_, id)| **id == table)
+            .fold(0, |all, ((_, kinds), _)| all | kinds)
     }
 
     /// Whether a version of this table was written on the dispatcher's stream.
     pub fn told(&self, dispatcher: DispatcherId, table: TableId) -> bool {
-        self.ledger.entry(dispatcher).and_then(|e| e.table(table)).is_some_and(|held| held.told.is_some())
+        self.ledger
+            .entry(dispatcher)
+            .and_then(|e| e.table(table))
+            .is_some_and(|held| held.told.is_some())
     }
 
     pub fn speaks(&self, dispatcher: DispatcherId) -> bool {
-        self.ledger.entry(dispatcher).is_some_and(|e| e.joined && e.speaks)
+        self.ledger
+            .entry(dispatcher)
+            .is_some_and(|e| e.joined && e.speaks)
     }
 
     /// The shortest way for a dispatcher to its table's newest version.
     pub fn order(&self, dispatcher: DispatcherId, id: TableId) -> Option<Order> {
         let newest = self.history.newest(id)?;
-        let base = self.ledger.base(dispatcher, id).and_then(|n| self.history.numbered(n));
+        let base = self
+            .ledger
+            .base(dispatcher, id)
+            .and_then(|n| self.history.numbered(n));
         let base: Option<&Table> = base.filter(|(of, _)| *of == id).map(|(_, i)| &*i.table);
-        Some(Order { version: newest.version.clone(), update: Update::to(base, &newest.table) })
+        Some(Order {
+            version: newest.version.clone(),
+            update: Update::to(base, &newest.table),
+        })
     }
 
     /// The same, for a message in which the module counted the table whole or by its changes. None: it would have
     /// to go out whole and was not counted so; the module is asked to write it anew.
-    pub fn order_within(&mut self, dispatcher: DispatcherId, id: TableId, whole: bool) -> Option<Order> {
+    pub fn order_within(
+        &mut self,
+        dispatcher: DispatcherId,
+        id: TableId,
+        whole: bool,
+    ) -> Option<Order> {
         let order = self.order(dispatcher, id)?;
         let over = matches!(order.update, Update::Whole(_)) && !whole;
         if over && self.ledger.base(dispatcher, id).is_none() {
@@ -128,10 +166,17 @@
     }
 
     /// One message was written: for these tables, with this mark.
-    pub fn wrote(&mut self, now: f64, dispatcher: DispatcherId, tables: &[TableId], mark: Option<u64>) {
+    pub fn wrote(
+        &mut self,
+        now: f64,
+        dispatcher: DispatcherId,
+        tables: &[TableId],
+        mark: Option<u64>,
+    ) {
         let number = |id: &TableId| Some((*id, self.history.newest(*id)?.version.number));
         let versions: Vec<_> = tables.iter().filter_map(number).collect();
-        self.ledger.told(now, dispatcher, &versions, mark, &mut self.history);
+        self.ledger
+            .told(now, dispatcher, &versions, mark, &mut self.history);
     }
 
     /// An answer to a mark, with what is held where that is said.
@@ -143,18 +188,29 @@
         claims: &BTreeMap<Kinds, Claim>,
     ) {
         if !self.speaks(dispatcher) {
-            return self.ledger.answers(now, dispatcher, mark, &mut self.history);
+            return self
+                .ledger
+                .answers(now, dispatcher, mark, &mut self.history);
         }
-        let by_table =
-            |(kinds, claim): (&Kinds, &Claim)| Some((self.table_for(dispatcher, *kinds)?, claim.clone()));
+        let by_table = |(kinds, claim): (&Kinds, &Claim)| {
+            Some((self.table_for(dispatcher, *kinds)?, claim.clone()))
+        };
         let claims = claims.iter().filter_map(by_table).collect();
-        self.ledger.answers_with(now, dispatcher, mark, &claims, &mut self.history);
+        self.ledger
+            .answers_with(now, dispatcher, mark, &claims, &mut self.history);
     }
 
     /// It refused an order and holds this.
-    pub fn refuses(&mut self, now: f64, dispatcher: DispatcherId, kinds: Kinds, claim: Option<Claim>) {
+    pub fn refuses(
+        &mut self,
+        now: f64,
+        dispatcher: DispatcherId,
+        kinds: Kinds,
+        claim: Option<Claim>,
+    ) {
         if let Some(id) = self.table_for(dispatcher, kinds) {
-            self.ledger.refuses(now, dispatcher, id, claim, &mut self.history);
+            self.ledger
+                .refuses(now, dispatcher, id, claim, &mut self.history);
         }
     }
 
@@ -192,9 +248,11 @@
         let (of, issued) = self.history.find(version)?;
         if !all {
             return match table {
-                Some(wanted) if wanted != of => {
-                    Err(NotKept::OtherTable { version: version.clone(), of, wanted })
-                }
+                Some(wanted) if wanted != of => Err(NotKept::OtherTable {
+                    version: version.clone(),
+                    of,
+                    wanted,
+                }),
                 _ => Ok(vec![(of, issued.table.clone())]),
             };
         }
@@ -205,6 +263,8 @@
     /// Every joined dispatcher holds, and has proved, the newest version of each of its tables.
     pub fn all_in_step(&self) -> bool {
         let joined = self.ledger.entries().filter(|(_, e)| e.joined);
-        joined.flat_map(|(_, e)| e.tables()).all(|(_, held)| held.judged == Judged::InStep)
+        joined
+            .flat_map(|(_, e)| e.tables())
+            .all(|(_, held)| held.judged == Judged::InStep)
     }
 }
--- a/crates/rookpulley-versions/src/delta.rs
+++ b/crates/rookpulley-versions/src/delta.rs
@@ -29,7 +29,8 @@
     a: &'a [(Name, f64)],
     b: &'a [(Name, f64)],
 ) -> impl Iterator<Item = EitherOrBoth<&'a (Name, f64)>> {
-    a.iter().merge_join_by(b, |x, y| x.0.as_bytes().cmp(y.0.as_bytes()))
+    a.iter()
+        .merge_join_by(b, |x, y| x.0.as_bytes().cmp(y.0.as_bytes()))
 }
 
 impl Delta {
@@ -40,31 +41,50 @@
             EitherOrBoth::Both(a, b) if a == b => None,
             EitherOrBoth::Both(_, line) | EitherOrBoth::Right(line) => Some(line.clone()),
         };
-        let changes = side_by_side(from.slice(), to.slice()).filter_map(change).collect();
-        Self { from: from.digest(), to: to.digest(), changes }
+        let changes = side_by_side(from.slice(), to.slice())
+            .filter_map(change)
+            .collect();
+        Self {
+            from: from.digest(),
+            to: to.digest(),
+            changes,
+        }
     }
 
     /// The table it ends at, or why it can't be had from this one.
     pub fn apply(&self, held: &Table) -> Result<Table, Refused> {
         if held.digest() != self.from {
-            return Err(Refused::OtherStart { wants: self.from, held: held.digest() });
+            return Err(Refused::OtherStart {
+                wants: self.from,
+                held: held.digest(),
+            });
         }
         let mut changes = self.changes.clone();
         changes.sort_by(|x, y| x.0.as_bytes().cmp(y.0.as_bytes()));
         // Lines of weight 0 pass the check and are dropped below.
         Table::of(changes.iter().cloned())?;
-        let lines = side_by_side(held.slice(), &changes).map(|both| both.reduce(|_, changed| changed));
+        let lines =
+            side_by_side(held.slice(), &changes).map(|both| both.reduce(|_, changed| changed));
         let lines = lines.filter(|(_, weight)| *weight > 0.0).cloned().collect();
         let table = Table::sorted(lines);
         match table.digest() {
             got if got == self.to => Ok(table),
-            got => Err(Refused::OtherEnd { wants: self.to, got }),
+            got => Err(Refused::OtherEnd {
+                wants: self.to,
+                got,
+            }),
         }
     }
 
     /// Its length in the form that whole tables are measured in: both digests, the count, the lines.
     pub fn canonical_len(&self) -> usize {
-        16 + 16 + 4 + self.changes.iter().map(|(name, _)| line_len(name)).sum::<usize>()
+        16 + 16
+            + 4
+            + self
+                .changes
+                .iter()
+                .map(|(name, _)| line_len(name))
+                .sum::<usize>()
     }
 }
 
--- a/crates/rookpulley-versions/src/history.rs
+++ b/crates/rookpulley-versions/src/history.rs
@@ -18,7 +18,10 @@
 
 impl Bounds {
     /// What is kept where nothing else is said.
-    pub const USUAL: Self = Self { each: 8, bytes: 16 << 20 };
+    pub const USUAL: Self = Self {
+        each: 8,
+        bytes: 16 << 20,
+    };
 }
 
 /// A table as issued.
@@ -58,14 +61,25 @@
     #[error("{version} is no longer kept; `versions` shows those that are")]
     Dropped { version: Version },
     #[error("{version} is of table {of}, not of table {wanted}")]
-    OtherTable { version: Version, of: TableId, wanted: TableId },
+    OtherTable {
+        version: Version,
+        of: TableId,
+        wanted: TableId,
+    },
 }
 
 impl History {
     /// The first number is 1 unless numbers before it are taken.
     pub fn new(issuer: Issuer, first: u64, bounds: Bounds) -> Self {
         let (kept, of) = (BTreeMap::new(), BTreeMap::new());
-        Self { issuer: Arc::new(issuer), next: first.max(1), bounds, bytes: 0, kept, of }
+        Self {
+            issuer: Arc::new(issuer),
+            next: first.max(1),
+            bounds,
+            bytes: 0,
+            kept,
+            of,
+        }
     }
 
     pub fn issuer(&self) -> &Arc<Issuer> {
@@ -74,22 +88,36 @@
 
     /// A number of this start, as a version.
     pub fn version(&self, number: u64) -> Version {
-        Version { issuer: self.issuer.clone(), number }
+        Version {
+            issuer: self.issuer.clone(),
+            number,
+        }
     }
 
     /// Issues a table's lines as a new version, unless they are those of its newest one.
     pub fn issue(&mut self, now: f64, id: TableId, table: Table) -> Option<Version> {
-        if self.newest(id).is_some_and(|i| i.table.digest() == table.digest()) {
+        if self
+            .newest(id)
+            .is_some_and(|i| i.table.digest() == table.digest())
+        {
             return None;
         }
         let version = self.version(self.next);
         self.next += 1;
         self.bytes += table.held_bytes();
         self.of.insert(version.number, id);
-        let issued =
-            Issued { version: version.clone(), table: Arc::new(table), at_ms: now, until: None, pins: 0 };
+        let issued = Issued {
+            version: version.clone(),
+            table: Arc::new(table),
+            at_ms: now,
+            until: None,
+            pins: 0,
+        };
         let kept = self.kept.entry(id).or_default();
-        kept.iter_mut().rev().take(1).for_each(|before| before.until = Some(version.number));
+        kept.iter_mut()
+            .rev()
+            .take(1)
+            .for_each(|before| before.until = Some(version.number));
         kept.push_back(issued);
         self.trim(id);
         Some(version)
@@ -97,12 +125,26 @@
 
     /// Drops what is over the bounds: of this table by number, of all tables by bytes, oldest first.
     fn trim(&mut self, id: TableId) {
-        while self.kept.get(&id).is_some_and(|k| k.len() > self.bounds.each) && self.drop_oldest(id) {}
+        while self
+            .kept
+            .get(&id)
+            .is_some_and(|k| k.len() > self.bounds.each)
+            && self.drop_oldest(id)
+        {}
         while self.bytes > self.bounds.bytes {
             let free = |k: &VecDeque<Issued>| {
-                k.iter().rev().skip(1).rev().find(|i| i.pins == 0).map(|i| i.version.number)
+                k.iter()
+                    .rev()
+                    .skip(1)
+                    .rev()
+                    .find(|i| i.pins == 0)
+                    .map(|i| i.version.number)
             };
-            let oldest = self.kept.iter().filter_map(|(id, k)| Some((free(k)?, *id))).min();
+            let oldest = self
+                .kept
+                .iter()
+                .filter_map(|(id, k)| Some((free(k)?, *id)))
+                .min();
             if !oldest.is_some_and(|(_, id)| self.drop_oldest(id)) {
                 break;
             }
@@ -111,10 +153,16 @@
 
     /// Drops the oldest version of a table that is neither pinned nor its newest.
     fn drop_oldest(&mut self, id: TableId) -> bool {
-        let Some(kept) = self.kept.get_mut(&id) else { return false };
+        let Some(kept) = self.kept.get_mut(&id) else {
+            return false;
+        };
         let last = kept.len().saturating_sub(1);
-        let Some(at) = kept.iter().take(last).position(|i| i.pins == 0) else { return false };
-        let Some(gone) = kept.remove(at) else { return false };
+        let Some(at) = kept.iter().take(last).position(|i| i.pins == 0) else {
+            return false;
+        };
+        let Some(gone) = kept.remove(at) else {
+            return false;
+        };
         self.bytes -= gone.table.held_bytes();
         self.of.remove(&gone.version.number);
         true
@@ -127,7 +175,9 @@
     }
 
     pub fn unpin(&mut self, number: u64) {
-        let Some(issued) = self.numbered_mut(number) else { return };
+        let Some(issued) = self.numbered_mut(number) else {
+            return;
+        };
         issued.pins = issued.pins.saturating_sub(1);
         if let Some(id) = self.of.get(&number).copied() {
             self.trim(id);
@@ -136,12 +186,21 @@
 
     fn numbered_mut(&mut self, number: u64) -> Option<&mut Issued> {
         let id = self.of.get(&number)?;
-        self.kept.get_mut(id)?.iter_mut().find(|i| i.version.number == number)
+        self.kept
+            .get_mut(id)?
+            .iter_mut()
+            .find(|i| i.version.number == number)
     }
 
     pub fn numbered(&self, number: u64) -> Option<(TableId, &Issued)> {
         let id = self.of.get(&number)?;
-        Some((*id, self.kept.get(id)?.iter().find(|i| i.version.number == number)?))
+        Some((
+            *id,
+            self.kept
+                .get(id)?
+                .iter()
+                .find(|i| i.version.number == number)?,
+        ))
     }
 
     pub fn newest(&self, id: TableId) -> Option<&Issued> {
@@ -150,7 +209,11 @@
 
     /// The newest kept version of a table with these lines.
     pub fn with_digest(&self, id: TableId, digest: Digest) -> Option<&Issued> {
-        self.kept.get(&id)?.iter().rev().find(|i| i.table.digest() == digest)
+        self.kept
+            .get(&id)?
+            .iter()
+            .rev()
+            .find(|i| i.table.digest() == digest)
     }
 
     /// The kept version that this names, or why there is none.
@@ -160,12 +223,19 @@
             return Err(NotKept::OtherAssigner { version });
         }
         if named.start != self.issuer.start {
-            return Err(NotKept::OtherStart { version, start: self.issuer.start });
+            return Err(NotKept::OtherStart {
+                version,
+                start: self.issuer.start,
+            });
         }
         if version.number >= self.next || version.number == 0 {
-            return Err(NotKept::NeverIssued { version, newest: self.next - 1 });
+            return Err(NotKept::NeverIssued {
+                version,
+                newest: self.next - 1,
+            });
         }
-        self.numbered(version.number).ok_or(NotKept::Dropped { version })
+        self.numbered(version.number)
+            .ok_or(NotKept::Dropped { version })
     }
 
     /// What a table was at the moment that a number names, if that version is still kept.
@@ -176,7 +246,9 @@
 
     /// All kept versions, by table, oldest first.
     pub fn all(&self) -> impl Iterator<Item = (TableId, &Issued)> {
-        self.kept.iter().flat_map(|(id, kept)| kept.iter().map(|i| (*id, i)))
+        self.kept
+            .iter()
+            .flat_map(|(id, kept)| kept.iter().map(|i| (*id, i)))
     }
 
     pub fn tables(&self) -> impl Iterator<Item = TableId> {
--- a/crates/rookpulley-versions/src/holder.rs
+++ b/crates/rookpulley-versions/src/holder.rs
@@ -82,7 +82,9 @@
         let seen = match &order.update {
             _ if stream != self.stream => Seen::OldStream,
             _ if self.newest.is_some_and(|n| order.version.number < n) => Seen::Overtaken,
-            update if held.as_ref().is_some_and(|t| t.digest() == update.digest()) => Seen::SameTable,
+            update if held.as_ref().is_some_and(|t| t.digest() == update.digest()) => {
+                Seen::SameTable
+            }
             Update::Same(_) => Seen::FitsNot,
             Update::Whole(table) => {
                 next = Some(table.clone());
@@ -96,7 +98,10 @@
                 _ => Seen::FitsNot,
             },
         };
-        let verdict = HOLDING.iter().find(|row| row.0 == seen).map_or(Verdict::Refused, |row| row.1);
+        let verdict = HOLDING
+            .iter()
+            .find(|row| row.0 == seen)
+            .map_or(Verdict::Refused, |row| row.1);
         if matches!(verdict, Verdict::Applied | Verdict::Renamed) {
             self.newest = Some(order.version.number);
             self.held = next.or(held).map(|table| (order.version.clone(), table));
--- a/crates/rookpulley-versions/src/ledger.rs
+++ b/crates/rookpulley-versions/src/ledger.rs
@@ -58,8 +58,18 @@
 /// State, input, next state, effect. What is not here changes nothing.
 pub const JUDGEMENT: &[(Judged, Cue, Judged, Act)] = &[
     (Judged::Unknown, Cue::Told, Judged::Behind, Act::Await),
-    (Judged::Unknown, Cue::ProvesNewest, Judged::InStep, Act::Rest),
-    (Judged::Unknown, Cue::ProvesOlder, Judged::Behind, Act::Await),
+    (
+        Judged::Unknown,
+        Cue::ProvesNewest,
+        Judged::InStep,
+        Act::Rest,
+    ),
+    (
+        Judged::Unknown,
+        Cue::ProvesOlder,
+        Judged::Behind,
+        Act::Await,
+    ),
     (Judged::Unknown, Cue::ProvesLoss, Judged::Lost, Act::Owe),
     (Judged::Unknown, Cue::Strange, Judged::Diverged, Act::Owe),
     (Judged::Behind, Cue::Told, Judged::Behind, Act::Await),
@@ -82,8 +92,18 @@
     (Judged::Lost, Cue::Strange, Judged::Diverged, Act::Owe),
     (Judged::Lost, Cue::Breaks, Judged::Unknown, Act::Rest),
     (Judged::Diverged, Cue::Told, Judged::Behind, Act::Await),
-    (Judged::Diverged, Cue::ProvesNewest, Judged::InStep, Act::Rest),
-    (Judged::Diverged, Cue::ProvesOlder, Judged::Behind, Act::Await),
+    (
+        Judged::Diverged,
+        Cue::ProvesNewest,
+        Judged::InStep,
+        Act::Rest,
+    ),
+    (
+        Judged::Diverged,
+        Cue::ProvesOlder,
+        Judged::Behind,
+        Act::Await,
+    ),
     (Judged::Diverged, Cue::ProvesLoss, Judged::Lost, Act::Owe),
     (Judged::Diverged, Cue::Strange, Judged::Diverged, Act::Owe),
     (Judged::Diverged, Cue::Breaks, Judged::Unknown, Act::Rest),
@@ -110,7 +130,11 @@
     /// For a channel that takes so long at most.
     pub fn for_transit(most_ms: f64) -> Self {
         let answer_ms = ANSWER_WAYS * most_ms + ANSWER_WORK_MS;
-        Self { answer_ms, again_ms: most_ms, again_most_ms: AGAIN_MOST_MS }
+        Self {
+            answer_ms,
+            again_ms: most_ms,
+            again_most_ms: AGAIN_MOST_MS,
+        }
     }
 }
 
@@ -167,12 +191,26 @@
     fn new() -> Self {
         let (told, confirmed, claimed) = (None, None, None);
         let (on_way, owed, owed_at_ms, wait_ms) = (VecDeque::new(), false, 0.0, 0.0);
-        Self { judged: Judged::Unknown, told, confirmed, claimed, on_way, owed, owed_at_ms, wait_ms }
+        Self {
+            judged: Judged::Unknown,
+            told,
+            confirmed,
+            claimed,
+            on_way,
+            owed,
+            owed_at_ms,
+            wait_ms,
+        }
     }
 
     /// Takes one step of the table above.
     fn step(&mut self, now: f64, cue: Cue, patience: &Patience) {
-        let Some(row) = JUDGEMENT.iter().find(|row| row.0 == self.judged && row.1 == cue) else { return };
+        let Some(row) = JUDGEMENT
+            .iter()
+            .find(|row| row.0 == self.judged && row.1 == cue)
+        else {
+            return;
+        };
         self.judged = row.2;
         match row.3 {
             Act::Rest => (self.owed, self.wait_ms) = (false, 0.0),
@@ -181,7 +219,8 @@
             Act::Owe => {
                 // The first time at once; a dispatcher that stays lost is not written to ever faster.
                 (self.owed, self.owed_at_ms) = (true, now + self.wait_ms);
-                self.wait_ms = (2.0 * self.wait_ms).clamp(patience.again_ms, patience.again_most_ms);
+                self.wait_ms =
+                    (2.0 * self.wait_ms).clamp(patience.again_ms, patience.again_most_ms);
             }
         }
     }
@@ -208,11 +247,14 @@
     }
 
     fn table_or_new(&mut self, id: TableId) -> &mut Held {
-        let at = self.tables.binary_search_by_key(&id, |(id, _)| *id).unwrap_or_else(|at| {
-            self.tables.reserve_exact(1);
-            self.tables.insert(at, (id, Held::new()));
-            at
-        });
+        let at = self
+            .tables
+            .binary_search_by_key(&id, |(id, _)| *id)
+            .unwrap_or_else(|at| {
+                self.tables.reserve_exact(1);
+                self.tables.insert(at, (id, Held::new()));
+                at
+            });
         &mut self.tables[at].1
     }
 
@@ -237,7 +279,10 @@
 
 impl Ledger {
     pub fn new(patience: Patience) -> Self {
-        Self { patience, entries: BTreeMap::new() }
+        Self {
+            patience,
+            entries: BTreeMap::new(),
+        }
     }
 
     /// So often it is worth while to ask who is due.
@@ -254,19 +299,34 @@
     }
 
     /// A new stream: what was told on the one before proves nothing here.
-    pub fn joins(&mut self, now: f64, dispatcher: DispatcherId, speaks: bool, history: &mut History) {
+    pub fn joins(
+        &mut self,
+        now: f64,
+        dispatcher: DispatcherId,
+        speaks: bool,
+        history: &mut History,
+    ) {
         self.breaks(now, dispatcher, history);
-        let fresh = Entry { joined: true, speaks, heard_ms: now, ..Entry::default() };
+        let fresh = Entry {
+            joined: true,
+            speaks,
+            heard_ms: now,
+            ..Entry::default()
+        };
         self.entries.insert(dispatcher, fresh);
     }
 
     /// Its stream ended: nothing is pinned for it, and it is not forgotten before it comes again.
     pub fn breaks(&mut self, now: f64, dispatcher: DispatcherId, history: &mut History) {
-        let Some(entry) = self.entries.get_mut(&dispatcher) else { return };
+        let Some(entry) = self.entries.get_mut(&dispatcher) else {
+            return;
+        };
         (entry.joined, entry.heard_ms) = (false, now);
         entry.asked.clear();
         for (_, held) in &mut entry.tables {
-            repin(held, history, |held| (held.told, held.confirmed) = (None, None));
+            repin(held, history, |held| {
+                (held.told, held.confirmed) = (None, None)
+            });
             held.on_way.clear();
             held.step(now, Cue::Breaks, &self.patience);
         }
@@ -281,7 +341,9 @@
         mark: Option<u64>,
         history: &mut History,
     ) {
-        let Some(entry) = self.entries.get_mut(&dispatcher).filter(|e| e.joined) else { return };
+        let Some(entry) = self.entries.get_mut(&dispatcher).filter(|e| e.joined) else {
+            return;
+        };
         entry.place += 1;
         for (id, number) in versions {
             let place = entry.place;
@@ -298,7 +360,11 @@
         if let Some(mark) = mark {
             let over = (entry.asked.len() + 1).saturating_sub(MARKS_MOST);
             entry.asked.drain(..over);
-            entry.asked.push_back(Asked { mark, place: entry.place, at_ms: now });
+            entry.asked.push_back(Asked {
+                mark,
+                place: entry.place,
+                at_ms: now,
+            });
         }
     }
 
@@ -311,22 +377,56 @@
 
     /// A newer version of this table was issued, which this dispatcher has.
     pub fn newer(&mut self, now: f64, dispatcher: DispatcherId, id: TableId) {
-        if let Some(held) = self.entries.get_mut(&dispatcher).and_then(|e| e.table_mut(id)) {
+        if let Some(held) = self
+            .entries
+            .get_mut(&dispatcher)
+            .and_then(|e| e.table_mut(id))
+        {
             held.step(now, Cue::Newer, &self.patience);
         }
     }
 
     /// An answer to a mark, from one that says nothing of versions: all written before it has been applied.
-    pub fn answers(&mut self, now: f64, dispatcher: DispatcherId, mark: u64, history: &mut History) {
-        let Some(entry) = self.entries.get_mut(&dispatcher).filter(|e| e.joined && !e.speaks) else { return };
-        let Some(place) = Self::take_answer(entry, now, mark) else { return };
+    pub fn answers(
+        &mut self,
+        now: f64,
+        dispatcher: DispatcherId,
+        mark: u64,
+        history: &mut History,
+    ) {
+        let Some(entry) = self
+            .entries
+            .get_mut(&dispatcher)
+            .filter(|e| e.joined && !e.speaks)
+        else {
+            return;
+        };
+        let Some(place) = Self::take_answer(entry, now, mark) else {
+            return;
+        };
         for (id, held) in &mut entry.tables {
             let done = held.on_way.partition_point(|(at, ..)| *at <= place);
-            let number = held.on_way.drain(..done).next_back().map(|(_, number, _)| number);
-            let Some(number) = number.or(held.confirmed) else { continue };
+            let number = held
+                .on_way
+                .drain(..done)
+                .next_back()
+                .map(|(_, number, _)| number);
+            let Some(number) = number.or(held.confirmed) else {
+                continue;
+            };
             repin(held, history, |held| held.confirmed = Some(number));
-            let newest = history.newest(*id).is_some_and(|i| i.version.number == number);
-            held.step(now, if newest { Cue::ProvesNewest } else { Cue::ProvesOlder }, &self.patience);
+            let newest = history
+                .newest(*id)
+                .is_some_and(|i| i.version.number == number);
+            held.step(
+                now,
+                if newest {
+                    Cue::ProvesNewest
+                } else {
+                    Cue::ProvesOlder
+                },
+                &self.patience,
+            );
         }
     }
 
@@ -340,11 +440,27 @@
         claims: &BTreeMap<TableId, Claim>,
         history: &mut History,
     ) {
-        let Some(entry) = self.entries.get_mut(&dispatcher).filter(|e| e.joined && e.speaks) else { return };
-        let Some(place) = Self::take_answer(entry, now, mark) else { return };
+        let Some(entry) = self
+            .entries
+            .get_mut(&dispatcher)
+            .filter(|e| e.joined && e.speaks)
+        else {
+            return;
+        };
+        let Some(place) = Self::take_answer(entry, now, mark) else {
+            return;
+        };
         for (id, held) in &mut entry.tables {
             match claims.get(id) {
-                Some(claim) => Self::weigh(now, *id, held, claim.clone(), place, &self.patience, history),
+                Some(claim) => Self::weigh(
+                    now,
+                    *id,
+                    held,
+                    claim.clone(),
+                    place,
+                    &self.patience,
+                    history,
+                ),
                 // It was told of this table and holds none.
                 None if held.on_way.iter().any(|(at, ..)| *at <= place) => {
                     repin(held, history, |held| held.confirmed = None);
@@ -365,9 +481,23 @@
         claim: Claim,
         history: &mut History,
     ) {
-        let Some(entry) = self.entries.get_mut(&dispatcher).filter(|e| e.joined && e.speaks) else { return };
+        let Some(entry) = self
+            .entries
+            .get_mut(&dispatcher)
+            .filter(|e| e.joined && e.speaks)
+        else {
+            return;
+        };
         let place = entry.place;
-        Self::weigh(now, id, entry.table_or_new(id), claim, place, &self.patience, history);
+        Self::weigh(
+            now,
+            id,
+            entry.table_or_new(id),
+            claim,
+            place,
+            &self.patience,
+            history,
+        );
     }
 
     /// Weighs a claim made once all up to this place in the stream had come or was lost. The version that it
@@ -384,19 +514,33 @@
         history: &mut History,
     ) {
         let digest = |n: u64| history.numbered(n).map(|(_, i)| i.table.digest());
-        let answered = held.on_way.iter().rev().find(|(at, ..)| *at <= place).map(|(_, n, _)| *n);
+        let answered = held
+            .on_way
+            .iter()
+            .rev()
+            .find(|(at, ..)| *at <= place)
+            .map(|(_, n, _)| *n);
         let pending = held.on_way.iter().any(|(at, ..)| *at > place);
         let least = answered.or(held.confirmed);
         let same = least.filter(|n| digest(*n) == Some(claim.digest));
-        let known = same.or(history.with_digest(id, claim.digest).map(|i| i.version.number));
-        let newest = history.newest(id).filter(|i| i.table.digest() == claim.digest);
-        let named = newest.filter(|i| held.told.is_none() || claim.version.as_ref() == Some(&i.version));
+        let known = same.or(history
+            .with_digest(id, claim.digest)
+            .map(|i| i.version.number));
+        let newest = history
+            .newest(id)
+            .filter(|i| i.table.digest() == claim.digest);
+        let named =
+            newest.filter(|i| held.told.is_none() || claim.version.as_ref() == Some(&i.version));
         let (cue, proved) = match (known, named) {
             (None, _) => (Cue::Strange, None),
             (_, Some(newest)) if !pending => (Cue::ProvesNewest, Some(newest.version.number)),
             // Nothing is on its way any more that would bring it to what it was told.
-            (known, _) if !pending && held.told.is_some() && known != held.told => (Cue::ProvesLoss, known),
-            (known, _) if !pending && newest.is_some() && held.told.is_some() => (Cue::ProvesLoss, known),
+            (known, _) if !pending && held.told.is_some() && known != held.told => {
+                (Cue::ProvesLoss, known)
+            }
+            (known, _) if !pending && newest.is_some() && held.told.is_some() => {
+                (Cue::ProvesLoss, known)
+            }
             (Some(number), _) if same.is_none() && least.is_some_and(|l| number < l) => {
                 (Cue::ProvesLoss, Some(number))
             }
@@ -418,11 +562,26 @@
         claim: Option<Claim>,
         history: &mut History,
     ) {
-        let Some(entry) = self.entries.get_mut(&dispatcher).filter(|e| e.joined && e.speaks) else { return };
+        let Some(entry) = self
+            .entries
+            .get_mut(&dispatcher)
+            .filter(|e| e.joined && e.speaks)
+        else {
+            return;
+        };
         entry.heard_ms = now;
-        let Some(held) = entry.table_mut(id) else { return };
-        let known = claim.as_ref().and_then(|c| history.with_digest(id, c.digest)).map(|i| i.version.number);
-        let cue = if claim.is_some() && known.is_none() { Cue::Strange } else { Cue::ProvesLoss };
+        let Some(held) = entry.table_mut(id) else {
+            return;
+        };
+        let known = claim
+            .as_ref()
+            .and_then(|c| history.with_digest(id, c.digest))
+            .map(|i| i.version.number);
+        let cue = if claim.is_some() && known.is_none() {
+            Cue::Strange
+        } else {
+            Cue::ProvesLoss
+        };
         repin(held, history, |held| held.confirmed = known);
         held.claimed = claim;
         held.step(now, cue, &self.patience);
@@ -461,6 +620,7 @@
 
     /// Drops those that left before this time.
     pub fn forget(&mut self, before_ms: f64) {
-        self.entries.retain(|_, e| e.joined || e.heard_ms >= before_ms);
+        self.entries
+            .retain(|_, e| e.joined || e.heard_ms >= before_ms);
     }
 }
--- a/crates/rookpulley-versions/src/table.rs
+++ b/crates/rookpulley-versions/src/table.rs
@@ -50,7 +50,10 @@
 
     fn from_str(text: &str) -> Result<Self, NoDigest> {
         let bytes = BASE64URL_NOPAD.decode(text.as_bytes()).ok();
-        bytes.and_then(|b| b.try_into().ok()).map(Self).ok_or_else(|| NoDigest(text.into()))
+        bytes
+            .and_then(|b| b.try_into().ok())
+            .map(Self)
+            .ok_or_else(|| NoDigest(text.into()))
     }
 }
 
@@ -108,7 +111,10 @@
     /// Lines that are sorted, sound and above 0 already.
     pub(crate) fn sorted(lines: Vec<(Name, f64)>) -> Self {
         let digest = digest_of(&canonical(&lines));
-        Self { lines: lines.into_boxed_slice(), digest }
+        Self {
+            lines: lines.into_boxed_slice(),
+            digest,
+        }
     }
 
     pub fn digest(&self) -> Digest {
@@ -124,7 +130,10 @@
     }
 
     pub fn weight(&self, name: &str) -> Option<f64> {
-        let at = self.lines.binary_search_by(|(n, _)| n.as_bytes().cmp(name.as_bytes())).ok()?;
+        let at = self
+            .lines
+            .binary_search_by(|(n, _)| n.as_bytes().cmp(name.as_bytes()))
+            .ok()?;
         Some(self.lines[at].1)
     }
 
@@ -142,7 +151,11 @@
 
     /// The length of the canonical form, without writing it.
     pub fn canonical_len(&self) -> usize {
-        8 + self.lines.iter().map(|(name, _)| line_len(name)).sum::<usize>()
+        8 + self
+            .lines
+            .iter()
+            .map(|(name, _)| line_len(name))
+            .sum::<usize>()
     }
 
     /// About what it takes in memory; names are shared.
@@ -157,7 +170,8 @@
 }
 
 fn canonical(lines: &[(Name, f64)]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(8 + lines.iter().map(|(name, _)| line_len(name)).sum::<usize>());
+    let mut bytes =
+        Vec::with_capacity(8 + lines.iter().map(|(name, _)| line_len(name)).sum::<usize>());
     bytes.extend_from_slice(MAGIC);
     bytes.extend_from_slice(&(lines.len() as u32).to_be_bytes());
     for (name, weight) in lines {
--- a/crates/rookpulley-versions/src/version.rs
+++ b/crates/rookpulley-versions/src/version.rs
@@ -23,7 +23,11 @@
 /// path or a shell, and an assigner's name may hold `~` itself.
 impl fmt::Display for Version {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}~{:016x}~{}", self.issuer.assigner, self.issuer.start, self.number)
+        write!(
+            f,
+            "{}~{:016x}~{}",
+            self.issuer.assigner, self.issuer.start, self.number
+        )
     }
 }
 
@@ -34,7 +38,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{text:?} is no version: {why}; write it as `versions` shows it, such as n0~18f3a2c41b7e0042~17")]
+#[error(
+    "{text:?} is no version: {why}; write it as `versions` shows it, such as n0~18f3a2c41b7e0042~17"
+)]
 pub struct NoVersion {
     pub text: String,
     pub why: &'static str,
@@ -44,16 +50,29 @@
     type Err = NoVersion;
 
     fn from_str(text: &str) -> Result<Self, NoVersion> {
-        let wrong = |why| NoVersion { text: text.into(), why };
+        let wrong = |why| NoVersion {
+            text: text.into(),
+            why,
+        };
         let mut parts = text.rsplitn(3, '~');
         let (number, start, assigner) = (parts.next(), parts.next(), parts.next());
-        let assigner = assigner.filter(|a| !a.is_empty()).ok_or(wrong("it has no three parts"))?;
+        let assigner = assigner
+            .filter(|a| !a.is_empty())
+            .ok_or(wrong("it has no three parts"))?;
         let start = start.filter(|s| s.len() == 16 && !s.starts_with('+'));
         let start = start.and_then(|s| u64::from_str_radix(s, 16).ok());
         let start = start.ok_or(wrong("its start is not 16 hexadecimal digits"))?;
         let number = number.filter(|n| n.bytes().all(|b| b.is_ascii_digit()));
-        let number = number.and_then(|n| n.parse().ok()).ok_or(wrong("its number is no whole number"))?;
-        Ok(Self { issuer: Arc::new(Issuer { assigner: assigner.into(), start }), number })
+        let number = number
+            .and_then(|n| n.parse().ok())
+            .ok_or(wrong("its number is no whole number"))?;
+        Ok(Self {
+            issuer: Arc::new(Issuer {
+                assigner: assigner.into(),
+                start,
+            }),
+            number,
+        })
     }
 }
 
@@ -67,9 +86,17 @@
     pub fn read(text: &str, of: Option<&Version>) -> Result<Self, NoVersion> {
         match (text.strip_prefix('~'), of) {
             (Some(number), Some(of)) => {
-                let wrong = |why| NoVersion { text: text.into(), why };
-                let number = number.parse().map_err(|_| wrong("its number is no whole number"))?;
-                Ok(Self { issuer: of.issuer.clone(), number })
+                let wrong = |why| NoVersion {
+                    text: text.into(),
+                    why,
+                };
+                let number = number
+                    .parse()
+                    .map_err(|_| wrong("its number is no whole number"))?;
+                Ok(Self {
+                    issuer: of.issuer.clone(),
+                    number,
+                })
             }
             _ => text.parse(),
         }
--- a/crates/rookpulley-versions/tests/holding.rs
+++ b/crates/rookpulley-versions/tests/holding.rs
@@ -5,23 +5,44 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const PATIENCE: Patience = Patience { answer_ms: 1_000.0, again_ms: 500.0, again_most_ms: 8_000.0 };
+const PATIENCE: Patience = Patience {
+    answer_ms: 1_000.0,
+    again_ms: 500.0,
+    again_most_ms: 8_000.0,
+};
 
 fn table(n: u32) -> Arc<Table> {
-    let lines = (1..=6).map(|k| (Name::from(format!("s-{k}")), f64::from(k + if k == 1 { n } else { 0 })));
+    let lines = (1..=6).map(|k| {
+        (
+            Name::from(format!("s-{k}")),
+            f64::from(k + if k == 1 { n } else { 0 }),
+        )
+    });
     Arc::new(Table::of(lines).unwrap())
 }
 
 fn version(start: u64, number: u64) -> Version {
-    Version { issuer: Arc::new(Issuer { assigner: "n0".into(), start }), number }
+    Version {
+        issuer: Arc::new(Issuer {
+            assigner: "n0".into(),
+            start,
+        }),
+        number,
+    }
 }
 
 fn delta(number: u64, from: u32, to: u32) -> Order {
-    Order { version: version(1, number), update: Update::Delta(Delta::between(&table(from), &table(to))) }
+    Order {
+        version: version(1, number),
+        update: Update::Delta(Delta::between(&table(from), &table(to))),
+    }
 }
 
 fn whole(number: u64, to: u32) -> Order {
-    Order { version: version(1, number), update: Update::Whole(table(to)) }
+    Order {
+        version: version(1, number),
+        update: Update::Whole(table(to)),
+    }
 }
 
 fn holding(n: u32, number: u64) -> Holder {
@@ -42,7 +63,11 @@
 #[test]
 fn a_delta_that_arrives_late_is_passed_over() {
     let mut holder = holding(1, 1);
-    assert_eq!(holder.hear(7, &delta(3, 2, 3)), Verdict::Refused, "the one before it is on its way still");
+    assert_eq!(
+        holder.hear(7, &delta(3, 2, 3)),
+        Verdict::Refused,
+        "the one before it is on its way still"
+    );
     assert_eq!(holder.table(), Some(&table(1)), "never half applied");
     assert_eq!(holder.hear(7, &delta(2, 1, 2)), Verdict::Applied);
     assert_eq!(holder.hear(7, &delta(3, 2, 3)), Verdict::Applied);
@@ -53,19 +78,41 @@
 #[test]
 fn a_delta_after_the_whole_table_that_overtook_it_is_passed_over() {
     let mut holder = holding(1, 1);
-    assert_eq!(holder.hear(7, &whole(4, 1)), Verdict::Renamed, "the way back to the lines held");
-    assert_eq!(holder.hear(7, &delta(2, 1, 2)), Verdict::PassedOver, "though it would fit");
+    assert_eq!(
+        holder.hear(7, &whole(4, 1)),
+        Verdict::Renamed,
+        "the way back to the lines held"
+    );
+    assert_eq!(
+        holder.hear(7, &delta(2, 1, 2)),
+        Verdict::PassedOver,
+        "though it would fit"
+    );
     assert_eq!(holder.hear(7, &whole(3, 9)), Verdict::PassedOver);
-    assert_eq!((holder.version(), holder.table()), (Some(&version(1, 4)), Some(&table(1))));
+    assert_eq!(
+        (holder.version(), holder.table()),
+        (Some(&version(1, 4)), Some(&table(1)))
+    );
 }
 
 #[test]
 fn orders_of_the_old_assigner_on_their_way_are_passed_over_after_a_move() {
     let mut holder = holding(1, 40);
     holder.follow(8);
-    let of_new = Order { version: version(9, 2), update: Update::Whole(table(5)) };
-    assert_eq!(holder.hear(7, &whole(41, 6)), Verdict::PassedOver, "before the first order of the new one");
-    assert_eq!(holder.hear(8, &of_new), Verdict::Applied, "a smaller number of another start is newer here");
+    let of_new = Order {
+        version: version(9, 2),
+        update: Update::Whole(table(5)),
+    };
+    assert_eq!(
+        holder.hear(7, &whole(41, 6)),
+        Verdict::PassedOver,
+        "before the first order of the new one"
+    );
+    assert_eq!(
+        holder.hear(8, &of_new),
+        Verdict::Applied,
+        "a smaller number of another start is newer here"
+    );
     assert_eq!(holder.hear(7, &whole(42, 6)), Verdict::PassedOver);
     assert_eq!(holder.version(), Some(&version(9, 2)));
 }
@@ -73,7 +120,10 @@
 #[test]
 fn word_that_nothing_changed_is_refused_by_whom_holds_something_else() {
     let mut holder = holding(1, 1);
-    let same = Order { version: version(1, 2), update: Update::Same(table(2).digest()) };
+    let same = Order {
+        version: version(1, 2),
+        update: Update::Same(table(2).digest()),
+    };
     assert_eq!(holder.hear(7, &same), Verdict::Refused);
     assert_eq!(Holder::default().hear(0, &same), Verdict::Refused);
 }
@@ -89,12 +139,35 @@
 impl Desk {
     /// A book with versions 1 to `newest` of table 0, and dispatcher 3 joined.
     fn new(newest: u32, claims: Option<Claim>, speaks: bool) -> Self {
-        let issuer = Issuer { assigner: "n0".into(), start: 1 };
-        let book = Book::new(issuer, 1, Bounds { each: 300, bytes: 1 << 24 }, PATIENCE);
-        let mut desk = Self { book, now: 0.0, mark: 0 };
+        let issuer = Issuer {
+            assigner: "n0".into(),
+            start: 1,
+        };
+        let book = Book::new(
+            issuer,
+            1,
+            Bounds {
+                each: 300,
+                bytes: 1 << 24,
+            },
+            PATIENCE,
+        );
+        let mut desk = Self {
+            book,
+            now: 0.0,
+            mark: 0,
+        };
         (1..=newest).for_each(|n| desk.issue(n));
         let claims = claims.map(|c| BTreeMap::from([(1, c)]));
-        desk.book.joins(desk.now, 3, if speaks { Some(claims.unwrap_or_default()) } else { None });
+        desk.book.joins(
+            desk.now,
+            3,
+            if speaks {
+                Some(claims.unwrap_or_default())
+            } else {
+                None
+            },
+        );
         desk.book.binds(desk.now, 3, 1, 0);
         desk
     }
@@ -111,15 +184,27 @@
     }
 
     fn answer(&mut self, mark: u64, holds: Option<u32>) {
-        let named = |d| self.book.history.with_digest(0, d).map(|i| i.version.clone());
-        let claim = |digest| Claim { version: named(digest), digest };
+        let named = |d| {
+            self.book
+                .history
+                .with_digest(0, d)
+                .map(|i| i.version.clone())
+        };
+        let claim = |digest| Claim {
+            version: named(digest),
+            digest,
+        };
         let claims = holds.map(|n| (1, claim(table(n).digest())));
-        self.book.answers(self.now, 3, mark, &claims.into_iter().collect());
+        self.book
+            .answers(self.now, 3, mark, &claims.into_iter().collect());
     }
 
     fn judged(&self) -> Judged {
         let entry = self.book.ledger.entry(3).unwrap();
-        entry.tables().next().map_or(Judged::Unknown, |(_, held)| held.judged)
+        entry
+            .tables()
+            .next()
+            .map_or(Judged::Unknown, |(_, held)| held.judged)
     }
 
     fn pass(&mut self, ms: f64) -> usize {
@@ -129,8 +214,14 @@
 }
 
 fn claim(assigner: &str, start: u64, number: u64, holds: u32) -> Claim {
-    let issuer = Arc::new(Issuer { assigner: assigner.into(), start });
-    Claim { version: Some(Version { issuer, number }), digest: table(holds).digest() }
+    let issuer = Arc::new(Issuer {
+        assigner: assigner.into(),
+        start,
+    });
+    Claim {
+        version: Some(Version { issuer, number }),
+        digest: table(holds).digest(),
+    }
 }
 
 #[test]
@@ -138,24 +229,40 @@
     let desk = Desk::new(3, Some(claim("n1", 77, 9, 3)), true);
     assert_eq!(desk.judged(), Judged::InStep);
     let update = desk.book.order(3, 0).unwrap().update;
-    assert_eq!(update, Update::Same(table(3).digest()), "equal digests mean equal tables");
+    assert_eq!(
+        update,
+        Update::Same(table(3).digest()),
+        "equal digests mean equal tables"
+    );
 }
 
 #[test]
 fn a_claim_of_an_earlier_start_with_a_kept_table_gets_a_delta() {
     let desk = Desk::new(3, Some(claim("n0", 0, 2, 2)), true);
     assert_eq!(desk.judged(), Judged::Behind);
-    let Update::Delta(delta) = desk.book.order(3, 0).unwrap().update else { panic!("no delta") };
-    assert_eq!((delta.from, delta.to), (table(2).digest(), table(3).digest()));
+    let Update::Delta(delta) = desk.book.order(3, 0).unwrap().update else {
+        panic!("no delta")
+    };
+    assert_eq!(
+        (delta.from, delta.to),
+        (table(2).digest(), table(3).digest())
+    );
 }
 
 #[test]
 fn a_claim_of_the_future_or_of_what_never_was_gets_a_whole_table() {
-    for strange in [claim("n0", 1, 900, 50), claim("n0", 1, 2, 51), claim("nobody", 8, 1, 52)] {
+    for strange in [
+        claim("n0", 1, 900, 50),
+        claim("n0", 1, 2, 51),
+        claim("nobody", 8, 1, 52),
+    ] {
         let mut desk = Desk::new(3, Some(strange), true);
         assert_eq!(desk.judged(), Judged::Diverged);
         assert_eq!(desk.pass(0.0), 1, "it is owed the table");
-        assert!(matches!(desk.book.order(3, 0).unwrap().update, Update::Whole(_)));
+        assert!(matches!(
+            desk.book.order(3, 0).unwrap().update,
+            Update::Whole(_)
+        ));
         let mark = desk.write();
         desk.answer(mark, Some(3));
         assert_eq!(desk.judged(), Judged::InStep);
@@ -172,12 +279,20 @@
     for _ in 0..6 {
         let mark = desk.write();
         desk.answer(mark, Some(1));
-        assert_eq!(desk.judged(), Judged::Lost, "it answers and still holds the old one");
+        assert_eq!(
+            desk.judged(),
+            Judged::Lost,
+            "it answers and still holds the old one"
+        );
         let from = desk.now;
         while desk.pass(100.0) == 0 {}
         owed_at.push((desk.now - from).round());
     }
-    assert_eq!(owed_at, [100.0, 500.0, 1_000.0, 2_000.0, 4_000.0, 8_000.0], "never ever faster");
+    assert_eq!(
+        owed_at,
+        [100.0, 500.0, 1_000.0, 2_000.0, 4_000.0, 8_000.0],
+        "never ever faster"
+    );
 }
 
 #[test]
@@ -191,8 +306,12 @@
     desk.issue(1);
     let mark = desk.write();
     // It got neither; the order for version 2 may still come and would be taken.
-    let claim = Claim { version: Some(old), digest: table(1).digest() };
-    desk.book.answers(desk.now, 3, mark, &BTreeMap::from([(1, claim)]));
+    let claim = Claim {
+        version: Some(old),
+        digest: table(1).digest(),
+    };
+    desk.book
+        .answers(desk.now, 3, mark, &BTreeMap::from([(1, claim)]));
     assert_eq!(desk.judged(), Judged::Lost);
 }
 
@@ -248,7 +367,11 @@
     desk.issue(3);
     desk.write();
     assert_eq!(desk.judged(), Judged::Behind);
-    assert_eq!((desk.pass(5_000.0), desk.judged()), (0, Judged::Lost), "known for lost, not written again");
+    assert_eq!(
+        (desk.pass(5_000.0), desk.judged()),
+        (0, Judged::Lost),
+        "known for lost, not written again"
+    );
     desk.book.leaves(desk.now, 3);
     assert_eq!(desk.judged(), Judged::Unknown);
 }
@@ -293,7 +416,11 @@
     assert_eq!(rows.len(), JUDGEMENT.len());
     let breaks = JUDGEMENT.iter().filter(|row| row.1 == Cue::Breaks);
     assert!(breaks.clone().count() == 4 && breaks.into_iter().all(|row| row.2 == Judged::Unknown));
-    assert!(JUDGEMENT.iter().all(|row| row.2 != Judged::InStep || row.1 == Cue::ProvesNewest));
+    assert!(
+        JUDGEMENT
+            .iter()
+            .all(|row| row.2 != Judged::InStep || row.1 == Cue::ProvesNewest)
+    );
 }
 
 #[test]
@@ -306,7 +433,13 @@
     let one = back("n0~0000000000000001~2", None, false).unwrap();
     assert_eq!(one, [(0, table(2))]);
     let all = back("n0~0000000000000001~3", None, true).unwrap();
-    assert_eq!(all, [(0, table(2)), (5, table(30))], "as they were when version 3 was the newest");
-    let said = back("n0~0000000000000001~2", Some(5), false).unwrap_err().to_string();
+    assert_eq!(
+        all,
+        [(0, table(2)), (5, table(30))],
+        "as they were when version 3 was the newest"
+    );
+    let said = back("n0~0000000000000001~2", Some(5), false)
+        .unwrap_err()
+        .to_string();
     assert!(said.contains("of table 0, not of table 5"), "{said}");
 }
--- a/crates/rookpulley-versions/tests/links.rs
+++ b/crates/rookpulley-versions/tests/links.rs
@@ -6,13 +6,26 @@
 use rookpulley_versions::*;
 use std::collections::BTreeMap;
 
-const PATIENCE: Patience = Patience { answer_ms: 400.0, again_ms: 100.0, again_most_ms: 1_600.0 };
+const PATIENCE: Patience = Patience {
+    answer_ms: 400.0,
+    again_ms: 100.0,
+    again_most_ms: 1_600.0,
+};
 const KINDS: [Kinds; 2] = [0b01, 0b10];
 
 enum Message {
-    Down { mark: u64, orders: Vec<(Kinds, Order)> },
-    Answer { mark: u64, claims: BTreeMap<Kinds, Claim> },
-    Refusal { kinds: Kinds, claim: Option<Claim> },
+    Down {
+        mark: u64,
+        orders: Vec<(Kinds, Order)>,
+    },
+    Answer {
+        mark: u64,
+        claims: BTreeMap<Kinds, Claim>,
+    },
+    Refusal {
+        kinds: Kinds,
+        claim: Option<Claim>,
+    },
 }
 
 struct Waiting {
@@ -47,17 +60,28 @@
 }
 
 fn claim_of(holder: &Holder) -> Option<Claim> {
-    Some(Claim { version: holder.version().cloned(), digest: holder.digest()? })
+    Some(Claim {
+        version: holder.version().cloned(),
+        digest: holder.digest()?,
+    })
 }
 
 impl World {
     fn new(seed: u64, dispatchers: usize) -> Self {
-        let issuer = |n: u64| Issuer { assigner: format!("n{n}").into(), start: seed << 8 | n };
-        let bounds = Bounds { each: 6, bytes: 200_000 };
+        let issuer = |n: u64| Issuer {
+            assigner: format!("n{n}").into(),
+            start: seed << 8 | n,
+        };
+        let bounds = Bounds {
+            each: 6,
+            bytes: 200_000,
+        };
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0.0,
-            books: (0..2).map(|n| Book::new(issuer(n), 1, bounds, PATIENCE)).collect(),
+            books: (0..2)
+                .map(|n| Book::new(issuer(n), 1, bounds, PATIENCE))
+                .collect(),
             dispatchers: (0..dispatchers).map(|_| Dispatcher::default()).collect(),
             streams: 0,
             mark: 0,
@@ -84,16 +108,23 @@
         for _ in 0..copies {
             let far = if self.chance(self.loss) { 300.0 } else { 60.0 };
             let due = self.now + self.rng.random_range(5.0..far);
-            self.wire.push(Waiting { due, stream, message: message() });
+            self.wire.push(Waiting {
+                due,
+                stream,
+                message: message(),
+            });
         }
     }
 
     fn lines(&mut self) -> Table {
         // Few tables, so that old ones come back and both assigners issue the same.
         let n = self.rng.random_range(0..6_u32);
-        Table::of(
-            (1..=8).map(|k| (Name::from(format!("s-{k}")), f64::from(if k > 3 { 2 } else { (n + k) % 4 }))),
-        )
+        Table::of((1..=8).map(|k| {
+            (
+                Name::from(format!("s-{k}")),
+                f64::from(if k > 3 { 2 } else { (n + k) % 4 }),
+            )
+        }))
         .unwrap()
     }
 
@@ -103,7 +134,9 @@
 
     /// Brings a dispatcher to what its assigner publishes, as a call of the module would.
     fn write(&mut self, at: usize, who: usize, tables: &[Kinds]) {
-        let Some((_, stream)) = self.dispatchers[who].at.filter(|(a, _)| *a == at) else { return };
+        let Some((_, stream)) = self.dispatchers[who].at.filter(|(a, _)| *a == at) else {
+            return;
+        };
         let mut orders = Vec::new();
         for kinds in tables {
             let id = Self::table_of(who, *kinds);
@@ -125,9 +158,18 @@
             }
         }
         self.mark += 1;
-        let (mark, ids) = (self.mark, tables.iter().map(|k| Self::table_of(who, *k)).collect::<Vec<_>>());
+        let (mark, ids) = (
+            self.mark,
+            tables
+                .iter()
+                .map(|k| Self::table_of(who, *k))
+                .collect::<Vec<_>>(),
+        );
         self.books[at].wrote(self.now, who as u16, &ids, Some(mark));
-        self.send(stream, || Message::Down { mark, orders: orders.clone() });
+        self.send(stream, || Message::Down {
+            mark,
+            orders: orders.clone(),
+        });
     }
 
     fn join(&mut self, who: usize, at: usize) {
@@ -140,14 +182,23 @@
         for kinds in KINDS {
             dispatcher.holders.entry(kinds).or_default().follow(stream);
         }
-        let claims = dispatcher.holders.iter().filter_map(|(k, h)| Some((*k, claim_of(h)?))).collect();
+        let claims = dispatcher
+            .holders
+            .iter()
+            .filter_map(|(k, h)| Some((*k, claim_of(h)?)))
+            .collect();
         self.books[at].joins(self.now, who as u16, Some(claims));
         self.write(at, who, &KINDS);
     }
 
     fn deliver(&mut self, waiting: Waiting) {
-        let Waiting { stream, message, .. } = waiting;
-        let who = self.dispatchers.iter().position(|d| d.at.is_some_and(|(_, s)| s == stream));
+        let Waiting {
+            stream, message, ..
+        } = waiting;
+        let who = self
+            .dispatchers
+            .iter()
+            .position(|d| d.at.is_some_and(|(_, s)| s == stream));
         match message {
             // An order of a stream that has ended reaches somebody all the same, as old orders do.
             Message::Down { mark, orders } => {
@@ -162,24 +213,34 @@
                     }
                 }
                 for (kinds, claim) in refused.clone() {
-                    self.send(stream, || Message::Refusal { kinds, claim: claim.clone() });
+                    self.send(stream, || Message::Refusal {
+                        kinds,
+                        claim: claim.clone(),
+                    });
                 }
                 if applied && refused.is_empty() {
                     let holders = &self.dispatchers[who].holders;
-                    let claims: BTreeMap<_, _> =
-                        holders.iter().filter_map(|(k, h)| Some((*k, claim_of(h)?))).collect();
-                    self.send(stream, || Message::Answer { mark, claims: claims.clone() });
+                    let claims: BTreeMap<_, _> = holders
+                        .iter()
+                        .filter_map(|(k, h)| Some((*k, claim_of(h)?)))
+                        .collect();
+                    self.send(stream, || Message::Answer {
+                        mark,
+                        claims: claims.clone(),
+                    });
                 }
             }
             // What comes up on a stream that ended is not read any more.
             Message::Answer { mark, claims } => {
-                let Some((who, (at, _))) = who.and_then(|w| Some((w, self.dispatchers[w].at?))) else {
+                let Some((who, (at, _))) = who.and_then(|w| Some((w, self.dispatchers[w].at?)))
+                else {
                     return;
                 };
                 self.books[at].answers(self.now, who as u16, mark, &claims);
             }
             Message::Refusal { kinds, claim } => {
-                let Some((who, (at, _))) = who.and_then(|w| Some((w, self.dispatchers[w].at?))) else {
+                let Some((who, (at, _))) = who.and_then(|w| Some((w, self.dispatchers[w].at?)))
+                else {
                     return;
                 };
                 self.books[at].refuses(self.now, who as u16, kinds, claim);
@@ -199,7 +260,10 @@
             let at = self.rng.random_range(0..2);
             self.join(who, at);
         }
-        if let Some((at, _)) = self.dispatchers[who].at.filter(|_| self.loss > 0.0 && self.trouble > 0.0) {
+        if let Some((at, _)) = self.dispatchers[who]
+            .at
+            .filter(|_| self.loss > 0.0 && self.trouble > 0.0)
+        {
             let kinds = KINDS[self.rng.random_range(0..2)];
             let lines = self.lines();
             self.wanted.insert((at, Self::table_of(who, kinds)), lines);
@@ -228,7 +292,9 @@
                         assert!(here, "who left is not in step");
                     }
                     let known = [held.confirmed, held.told].into_iter().flatten();
-                    known.for_each(|n| assert!(book.history.numbered(n).is_some(), "{n} was dropped"));
+                    known.for_each(|n| {
+                        assert!(book.history.numbered(n).is_some(), "{n} was dropped")
+                    });
                 }
             }
             assert!(book.history.bytes() < 400_000);
@@ -243,12 +309,19 @@
         }
         assert!(self.wire.is_empty(), "nothing is sent for ever");
         for dispatcher in &self.dispatchers {
-            let Some((at, _)) = dispatcher.at else { continue };
+            let Some((at, _)) = dispatcher.at else {
+                continue;
+            };
             for holder in dispatcher.holders.values() {
                 let version = holder.version().expect("it holds a table");
-                let (_, issued) =
-                    self.books[at].history.find(version).expect("a version known where it joined");
-                assert_eq!(holder.table().unwrap().canonical(), issued.table.canonical());
+                let (_, issued) = self.books[at]
+                    .history
+                    .find(version)
+                    .expect("a version known where it joined");
+                assert_eq!(
+                    holder.table().unwrap().canonical(),
+                    issued.table.canonical()
+                );
             }
         }
         assert!(self.books.iter().all(Book::all_in_step));
@@ -274,10 +347,17 @@
     for seed in only.map_or(0..40, |s| s..s + 1) {
         let world = std::panic::catch_unwind(|| play(seed));
         let world = world.unwrap_or_else(|_| panic!("seed {seed} fails; alone: SEED={seed}"));
-        (whole, deltas, same) = (whole + world.whole, deltas + world.deltas, same + world.same);
+        (whole, deltas, same) = (
+            whole + world.whole,
+            deltas + world.deltas,
+            same + world.same,
+        );
     }
     println!("{whole} whole tables, {deltas} deltas, {same} orders that nothing changed");
-    assert!(only.is_some() || (whole > 1_000 && deltas > 1_000 && same > 100), "every kind of order is met");
+    assert!(
+        only.is_some() || (whole > 1_000 && deltas > 1_000 && same > 100),
+        "every kind of order is met"
+    );
 }
 
 #[test]
@@ -295,7 +375,11 @@
     let whole = world.whole;
     (0..200).for_each(|who| world.join(who, 1));
     (0..100).for_each(|_| world.step());
-    assert_eq!((world.whole, world.same), (whole, 400), "both assigners publish the same lines");
+    assert_eq!(
+        (world.whole, world.same),
+        (whole, 400),
+        "both assigners publish the same lines"
+    );
     assert!(world.books[1].all_in_step());
 }
 
@@ -319,7 +403,9 @@
 impl Model {
     fn judged(&self) -> Judged {
         let told = self.written.iter().filter_map(|w| w.0).next_back();
-        let proved = self.answered.and_then(|at| self.written[..=at].iter().filter_map(|w| w.0).next_back());
+        let proved = self
+            .answered
+            .and_then(|at| self.written[..=at].iter().filter_map(|w| w.0).next_back());
         match (told, proved) {
             (None, _) => Judged::Unknown,
             _ if !self.joined => Judged::Unknown,
@@ -334,8 +420,14 @@
         let judged = self.judged();
         let from = self.answered.map_or(0, |at| at + 1);
         let waits = self.written[from..].first();
-        let table = self.written[from.max(self.since)..].iter().find(|w| w.0.is_some());
-        let waits = if judged == Judged::Behind { table } else { waits };
+        let table = self.written[from.max(self.since)..]
+            .iter()
+            .find(|w| w.0.is_some());
+        let waits = if judged == Judged::Behind {
+            table
+        } else {
+            waits
+        };
         if waits.is_some_and(|w| now - w.2 > PATIENCE.answer_ms) {
             match judged {
                 Judged::Behind => self.lost = true,
@@ -353,17 +445,36 @@
     let mut seen = std::collections::BTreeSet::new();
     for seed in 0..240_u64 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let issuer = Issuer { assigner: "n0".into(), start: seed };
-        let mut book = Book::new(issuer, 1, Bounds { each: 4, bytes: 1 << 20 }, PATIENCE);
+        let issuer = Issuer {
+            assigner: "n0".into(),
+            start: seed,
+        };
+        let mut book = Book::new(
+            issuer,
+            1,
+            Bounds {
+                each: 4,
+                bytes: 1 << 20,
+            },
+            PATIENCE,
+        );
         let (mut model, mut now, mut mark) = (Model::default(), 0.0, 0);
         for step in 0..60 {
             steps += 1;
             // Quiet spells are longer than the patience now and then.
-            now += if rng.random_range(0..8) == 0 { 700.0 } else { rng.random_range(1.0..90.0) };
+            now += if rng.random_range(0..8) == 0 {
+                700.0
+            } else {
+                rng.random_range(1.0..90.0)
+            };
             match rng.random_range(0..10) {
                 0 => {
                     book.joins(now, 1, None);
-                    model = Model { joined: true, newest: model.newest, ..Model::default() };
+                    model = Model {
+                        joined: true,
+                        newest: model.newest,
+                        ..Model::default()
+                    };
                 }
                 1 if rng.random_range(0..3) == 0 => {
                     book.leaves(now, 1);
@@ -376,7 +487,11 @@
                     mark += 1;
                     book.wrote(now, 1, &[0], Some(mark));
                     if model.joined {
-                        model.since = if model.lost { model.written.len() } else { model.since };
+                        model.since = if model.lost {
+                            model.written.len()
+                        } else {
+                            model.since
+                        };
                         model.written.push((Some(model.newest), mark, now));
                         (model.lost, model.quiet) = (false, false);
                     }
--- a/crates/rookpulley-versions/tests/tables.rs
+++ b/crates/rookpulley-versions/tests/tables.rs
@@ -12,28 +12,54 @@
 }
 
 fn issuer(assigner: &str, start: u64) -> Issuer {
-    Issuer { assigner: assigner.into(), start }
+    Issuer {
+        assigner: assigner.into(),
+        start,
+    }
 }
 
-const ROOMY: Bounds = Bounds { each: 8, bytes: 1 << 20 };
+const ROOMY: Bounds = Bounds {
+    each: 8,
+    bytes: 1 << 20,
+};
 
 #[test]
 fn golden_bytes_and_digests() {
     let two = table(&[("s-2", 0.25), ("s-1", 1.5)]);
     let hex: String = two.canonical().iter().map(|b| format!("{b:02x}")).collect();
-    assert_eq!(hex, "52505431000000020003732d313ff80000000000000003732d323fd0000000000000");
+    assert_eq!(
+        hex,
+        "52505431000000020003732d313ff80000000000000003732d323fd0000000000000"
+    );
     assert_eq!(two.canonical_len(), two.canonical().len());
     let digests = [Table::default(), two, table(&[("é", 1e-300)])].map(|t| t.digest().to_string());
-    assert_eq!(digests, ["faYpF0JPvc5sB0KrU_JiMQ", "t5amqQqd_wd60dnS3iOweg", "5RPONgunjX_qQa9GdbHZFw"]);
+    assert_eq!(
+        digests,
+        [
+            "faYpF0JPvc5sB0KrU_JiMQ",
+            "t5amqQqd_wd60dnS3iOweg",
+            "5RPONgunjX_qQa9GdbHZFw"
+        ]
+    );
 }
 
 #[test]
 fn digests_are_equal_with_other_spellings_of_a_weight() {
     let read = |text: &str| text.parse::<f64>().unwrap();
     let spelt = ["1", "1.0", "1e0", "0.1e1", "1.00000000000000000000001"];
-    let digests: Vec<Digest> = spelt.iter().map(|t| table(&[("s-1", read(t))]).digest()).collect();
-    assert!(digests.windows(2).all(|pair| pair[0] == pair[1]), "{digests:?}");
-    assert_eq!(table(&[("s-1", 1.0), ("s-2", 0.0)]).digest(), digests[0], "a line of weight 0 is none");
+    let digests: Vec<Digest> = spelt
+        .iter()
+        .map(|t| table(&[("s-1", read(t))]).digest())
+        .collect();
+    assert!(
+        digests.windows(2).all(|pair| pair[0] == pair[1]),
+        "{digests:?}"
+    );
+    assert_eq!(
+        table(&[("s-1", 1.0), ("s-2", 0.0)]).digest(),
+        digests[0],
+        "a line of weight 0 is none"
+    );
     assert_eq!(table(&[("s-1", 1.0), ("s-2", -0.0)]).digest(), digests[0]);
 }
 
@@ -48,27 +74,43 @@
         table(&[("a", 1.0), ("b", 1.0 + f64::EPSILON)]),
     ];
     for (i, a) in glued.iter().enumerate() {
-        assert!(glued[i + 1..].iter().all(|b| a.digest() != b.digest()), "{a:?}");
+        assert!(
+            glued[i + 1..].iter().all(|b| a.digest() != b.digest()),
+            "{a:?}"
+        );
     }
 }
 
 #[test]
 fn what_makes_no_table_is_refused_with_what_to_write() {
     let of = |lines: &[(&str, f64)]| Table::of(lines.iter().map(|(n, w)| (Name::from(*n), *w)));
-    assert_eq!(of(&[("a", 1.0), ("b", 1.0), ("a", 2.0)]), Err(NoTable::Twice("a".into())));
+    assert_eq!(
+        of(&[("a", 1.0), ("b", 1.0), ("a", 2.0)]),
+        Err(NoTable::Twice("a".into()))
+    );
     for weight in [-1.0, f64::NAN, f64::INFINITY] {
         let said = of(&[("a", weight)]).unwrap_err().to_string();
         assert!(said.contains("write a figure above 0"), "{said}");
     }
-    assert!(matches!(of(&[(&"n".repeat(70_000), 1.0)]), Err(NoTable::LongName(70_000))));
+    assert!(matches!(
+        of(&[(&"n".repeat(70_000), 1.0)]),
+        Err(NoTable::LongName(70_000))
+    ));
 }
 
 #[test]
 fn versions_are_written_and_read_back() {
     let start = start_of(1_764_612_000_123.9, 0xfff_abcde);
-    let version = Version { issuer: Arc::new(issuer("n~0", start)), number: 17 };
+    let version = Version {
+        issuer: Arc::new(issuer("n~0", start)),
+        number: 17,
+    };
     assert_eq!(version.to_string().parse(), Ok(version.clone()));
-    assert_eq!(version.issuer.start & 0xf_ffff, 0xabcde, "20 bits of chance");
+    assert_eq!(
+        version.issuer.start & 0xf_ffff,
+        0xabcde,
+        "20 bits of chance"
+    );
     for bad in [
         "",
         "n0",
@@ -89,11 +131,26 @@
     (1..=4).for_each(|n| _ = history.issue(n as f64, 0, table(&[("s", f64::from(n))])));
     let find = |text: &str| history.find(&text.parse().unwrap()).map(|_| ());
     assert_eq!(find("n0~0000000000000005~4"), Ok(()));
-    assert!(matches!(find("n1~0000000000000005~4"), Err(NotKept::OtherAssigner { .. })));
-    assert!(matches!(find("n0~0000000000000004~4"), Err(NotKept::OtherStart { start: 5, .. })));
-    assert!(matches!(find("n0~0000000000000005~9"), Err(NotKept::NeverIssued { newest: 4, .. })));
-    assert!(matches!(find("n0~0000000000000005~0"), Err(NotKept::NeverIssued { .. })));
-    assert!(matches!(find("n0~0000000000000005~1"), Err(NotKept::Dropped { .. })));
+    assert!(matches!(
+        find("n1~0000000000000005~4"),
+        Err(NotKept::OtherAssigner { .. })
+    ));
+    assert!(matches!(
+        find("n0~0000000000000004~4"),
+        Err(NotKept::OtherStart { start: 5, .. })
+    ));
+    assert!(matches!(
+        find("n0~0000000000000005~9"),
+        Err(NotKept::NeverIssued { newest: 4, .. })
+    ));
+    assert!(matches!(
+        find("n0~0000000000000005~0"),
+        Err(NotKept::NeverIssued { .. })
+    ));
+    assert!(matches!(
+        find("n0~0000000000000005~1"),
+        Err(NotKept::Dropped { .. })
+    ));
 }
 
 #[test]
@@ -103,38 +160,73 @@
     for (at, chance) in [(5_000.0, 1), (4_000.0, 2), (5_000.0, 3), (5_000.9, 4)] {
         let mut history = History::new(issuer("n0", start_of(at, chance)), 1, ROOMY);
         for n in 1..=50 {
-            let issued = history.issue(0.0, 0, table(&[("s", f64::from(n))])).unwrap();
+            let issued = history
+                .issue(0.0, 0, table(&[("s", f64::from(n))]))
+                .unwrap();
             assert!(seen.insert(issued.to_string()), "{issued} twice");
         }
     }
     // Where a block was reserved, numbers go on from there.
     let mut history = History::new(issuer("n0", 9), 1_000, ROOMY);
-    assert_eq!(history.issue(0.0, 0, table(&[("s", 1.0)])).unwrap().number, 1_000);
+    assert_eq!(
+        history.issue(0.0, 0, table(&[("s", 1.0)])).unwrap().number,
+        1_000
+    );
 }
 
 #[test]
 fn kept_versions_are_bounded_and_what_is_held_stays() {
-    let mut history = History::new(issuer("n0", 1), 1, Bounds { each: 3, bytes: 1 << 20 });
+    let mut history = History::new(
+        issuer("n0", 1),
+        1,
+        Bounds {
+            each: 3,
+            bytes: 1 << 20,
+        },
+    );
     let issue = |history: &mut History, n: u32| {
-        history.issue(f64::from(n), 0, table(&[("s", f64::from(n))])).unwrap().number
+        history
+            .issue(f64::from(n), 0, table(&[("s", f64::from(n))]))
+            .unwrap()
+            .number
     };
     let first = issue(&mut history, 1);
     history.pin(first);
     (2..=20).for_each(|n| _ = issue(&mut history, n));
     let kept: Vec<u64> = history.all().map(|(_, i)| i.version.number).collect();
     assert_eq!(kept, [1, 19, 20], "the pinned one, and the newest");
-    assert!(history.as_of(0, 1).is_some() && history.as_of(0, 7).is_none(), "dropped is not guessed");
+    assert!(
+        history.as_of(0, 1).is_some() && history.as_of(0, 7).is_none(),
+        "dropped is not guessed"
+    );
     history.unpin(first);
     issue(&mut history, 21);
     assert!(history.numbered(first).is_none());
-    assert!(history.issue(0.0, 0, table(&[("s", 21.0)])).is_none(), "the same lines are no new version");
+    assert!(
+        history.issue(0.0, 0, table(&[("s", 21.0)])).is_none(),
+        "the same lines are no new version"
+    );
     // By bytes, over all tables: the newest of each and the pinned stay, whatever they take.
-    let mut tight = History::new(issuer("n0", 1), 1, Bounds { each: 100, bytes: 1_000 });
+    let mut tight = History::new(
+        issuer("n0", 1),
+        1,
+        Bounds {
+            each: 100,
+            bytes: 1_000,
+        },
+    );
     for n in 1..=200_u32 {
-        let number = tight.issue(0.0, (n % 4) as TableId, table(&[("s", f64::from(n))])).unwrap().number;
+        let number = tight
+            .issue(0.0, (n % 4) as TableId, table(&[("s", f64::from(n))]))
+            .unwrap()
+            .number;
         _ = (n == 30).then(|| tight.pin(number));
     }
-    assert!(tight.bytes() <= 1_000 && tight.numbered(30).is_some(), "{}", tight.bytes());
+    assert!(
+        tight.bytes() <= 1_000 && tight.numbered(30).is_some(),
+        "{}",
+        tight.bytes()
+    );
     assert!((0..4).all(|id| tight.newest(id).is_some()));
 }
 
@@ -144,7 +236,12 @@
 
 fn made(lines: &[(u8, u8)]) -> Table {
     let by_name: std::collections::BTreeMap<u8, u8> = lines.iter().copied().collect();
-    Table::of(by_name.iter().map(|(n, w)| (Name::from(format!("s-{n}")), f64::from(*w)))).unwrap()
+    Table::of(
+        by_name
+            .iter()
+            .map(|(n, w)| (Name::from(format!("s-{n}")), f64::from(*w))),
+    )
+    .unwrap()
 }
 
 proptest! {
