--- a/crates/rookpulley-wirehost/src/main.rs
+++ b/crates/rookpulley-wirehost/src/main.rs
@@ -16,7 +16,11 @@
     #[error("batch {batch}: event for instance {instance}, which has not started")]
     NotStarted { batch: u32, instance: u32 },
     #[error("input ends inside a {part}: {got} of {want} bytes")]
-    Short { part: &'static str, got: usize, want: usize },
+    Short {
+        part: &'static str,
+        got: usize,
+        want: usize,
+    },
     #[error("{0}")]
     Io(#[from] std::io::Error),
 }
@@ -37,15 +41,25 @@
             return Ok(output.flush()?);
         }
         if got < wire::BATCH_HEAD {
-            return Err(HostError::Short { part: "batch header", got, want: wire::BATCH_HEAD });
+            return Err(HostError::Short {
+                part: "batch header",
+                got,
+                want: wire::BATCH_HEAD,
+            });
         }
         let batch = wire::BatchHead::read(&head);
         let got = read_up_to(&mut input, &mut body, batch.length)?;
         if got < batch.length {
-            return Err(HostError::Short { part: "batch", got, want: batch.length });
+            return Err(HostError::Short {
+                part: "batch",
+                got,
+                want: batch.length,
+            });
         }
-        let events = wire::read_events(&batch, &body)
-            .map_err(|what| HostError::Frame { batch: batch.number, what })?;
+        let events = wire::read_events(&batch, &body).map_err(|what| HostError::Frame {
+            batch: batch.number,
+            what,
+        })?;
         let mut by_instance: BTreeMap<u32, Vec<Input>> = BTreeMap::new();
         for (instance, event) in events {
             by_instance.entry(instance).or_default().push(event);
@@ -64,7 +78,12 @@
                         controllers.insert(instance, Controller::new(batch.now_ms, *start));
                     }
                     other if controllers.contains_key(&instance) => run.push(other),
-                    _ => return Err(HostError::NotStarted { batch: batch.number, instance }),
+                    _ => {
+                        return Err(HostError::NotStarted {
+                            batch: batch.number,
+                            instance,
+                        });
+                    }
                 }
             }
             if let Some(controller) = controllers.get_mut(&instance) {
@@ -133,13 +152,19 @@
         boot[17..21].copy_from_slice(&(SETTINGS.len() as u32).to_le_bytes());
         let others = [17, 18, 19, 20, 22, 23, 24, 25, 26, 27, 28, 29];
         let mut body = boot.clone();
-        others.iter().for_each(|code| body.extend(event(*code, 0, &[*code])));
+        others
+            .iter()
+            .for_each(|code| body.extend(event(*code, 0, &[*code])));
         body.extend([event(21, 0, &[21]), boot].concat());
         body.extend(SETTINGS.as_bytes());
         let mut out = Vec::new();
         host(&batch(others.len() as u32 + 3, &body)[..], &mut out).unwrap();
         let codes: Vec<u8> = out[12..].chunks_exact(24).map(|record| record[0]).collect();
-        assert_eq!(codes, [90, 85], "after the restart: a timer, and the list is asked for");
+        assert_eq!(
+            codes,
+            [90, 85],
+            "after the restart: a timer, and the list is asked for"
+        );
     }
 
     #[test]
--- a/crates/rookpulley-wirehost/src/wire.rs
+++ b/crates/rookpulley-wirehost/src/wire.rs
@@ -10,17 +10,39 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Malformed {
     #[error("{count} records take {need} bytes, but the batch holds {have}")]
-    Records { count: usize, need: usize, have: usize },
+    Records {
+        count: usize,
+        need: usize,
+        have: usize,
+    },
     #[error("record {at}: unknown event code {code}")]
     Code { at: usize, code: u8 },
     #[error("record {at}: {field} has no meaning for {value}")]
-    Value { at: usize, field: &'static str, value: u64 },
-    #[error("record {at}: {field} at offset {offset}, {bytes} bytes, lies outside the tail of {tail}")]
-    Outside { at: usize, field: &'static str, offset: usize, bytes: usize, tail: usize },
+    Value {
+        at: usize,
+        field: &'static str,
+        value: u64,
+    },
+    #[error(
+        "record {at}: {field} at offset {offset}, {bytes} bytes, lies outside the tail of {tail}"
+    )]
+    Outside {
+        at: usize,
+        field: &'static str,
+        offset: usize,
+        bytes: usize,
+        tail: usize,
+    },
     #[error("record {at}: the settings are not UTF-8 text: {error}")]
-    Text { at: usize, error: std::str::Utf8Error },
+    Text {
+        at: usize,
+        error: std::str::Utf8Error,
+    },
     #[error("record {at}: the settings cannot be read: {error}")]
-    Settings { at: usize, error: rookpulley_start::Unreadable },
+    Settings {
+        at: usize,
+        error: rookpulley_start::Unreadable,
+    },
 }
 
 pub struct BatchHead {
@@ -73,7 +95,9 @@
 
 /// A load report: a count, then four places of which the first `count` are meant.
 fn load_at(b: &[u8], at: usize) -> Vec<f64> {
-    (0..usize::from(b[at]).min(4)).map(|k| f32_at(b, at + 1 + 4 * k)).collect()
+    (0..usize::from(b[at]).min(4))
+        .map(|k| f32_at(b, at + 1 + 4 * k))
+        .collect()
 }
 
 struct Record<'a> {
@@ -83,19 +107,33 @@
 }
 
 impl<'a> Record<'a> {
-    fn tail_part(&self, field: &'static str, at: usize, unit: usize) -> Result<&'a [u8], Malformed> {
-        let (offset, bytes) = (u32_at(self.b, at) as usize, u32_at(self.b, at + 4) as usize * unit);
-        self.tail.get(offset..offset + bytes).ok_or(Malformed::Outside {
-            at: self.at,
-            field,
-            offset,
-            bytes,
-            tail: self.tail.len(),
-        })
+    fn tail_part(
+        &self,
+        field: &'static str,
+        at: usize,
+        unit: usize,
+    ) -> Result<&'a [u8], Malformed> {
+        let (offset, bytes) = (
+            u32_at(self.b, at) as usize,
+            u32_at(self.b, at + 4) as usize * unit,
+        );
+        self.tail
+            .get(offset..offset + bytes)
+            .ok_or(Malformed::Outside {
+                at: self.at,
+                field,
+                offset,
+                bytes,
+                tail: self.tail.len(),
+            })
     }
 
     fn no_meaning(&self, field: &'static str, value: u8) -> Malformed {
-        Malformed::Value { at: self.at, field, value: u64::from(value) }
+        Malformed::Value {
+            at: self.at,
+            field,
+            value: u64::from(value),
+        }
     }
 
     fn start(&self) -> Result<Input, Malformed> {
@@ -114,24 +152,31 @@
             3 => ListScope::Failed,
             other => return Err(self.no_meaning("scope", other)),
         };
-        let lines = self.tail_part("lines", 14, ENTRY)?.chunks_exact(ENTRY).map(|e| {
-            let stage = match e[12] {
-                0 => Stage::Gone,
-                1 => Stage::Ready,
-                2 => Stage::Draining,
-                other => return Err(self.no_meaning("stage_state", other)),
-            };
-            Ok(Listed {
-                server: bytes_at(e, 0),
-                zone: u16_at(e, 6),
-                machine: u16_at(e, 8),
-                bay: u16_at(e, 10),
-                stage,
-                weight: f32_at(e, 13),
-                started_ms: ms(u64_at(e, 17)),
-            })
-        });
-        Ok(Input::List { scope, version: u64_at(self.b, 6), lines: lines.collect::<Result<_, _>>()? })
+        let lines = self
+            .tail_part("lines", 14, ENTRY)?
+            .chunks_exact(ENTRY)
+            .map(|e| {
+                let stage = match e[12] {
+                    0 => Stage::Gone,
+                    1 => Stage::Ready,
+                    2 => Stage::Draining,
+                    other => return Err(self.no_meaning("stage_state", other)),
+                };
+                Ok(Listed {
+                    server: bytes_at(e, 0),
+                    zone: u16_at(e, 6),
+                    machine: u16_at(e, 8),
+                    bay: u16_at(e, 10),
+                    stage,
+                    weight: f32_at(e, 13),
+                    started_ms: ms(u64_at(e, 17)),
+                })
+            });
+        Ok(Input::List {
+            scope,
+            version: u64_at(self.b, 6),
+            lines: lines.collect::<Result<_, _>>()?,
+        })
     }
 
     fn read(&self) -> Result<Input, Malformed> {
@@ -155,7 +200,10 @@
                 took_ms: span(b, 12),
                 load: load_at(b, 16),
             },
-            20 => Input::Note { from: u16_at(b, 5), bytes: self.tail_part("blob", 7, 1)?.to_vec() },
+            20 => Input::Note {
+                from: u16_at(b, 5),
+                bytes: self.tail_part("blob", 7, 1)?.to_vec(),
+            },
             21 => Input::Stop,
             22 => Input::Joined {
                 proxy: u16_at(b, 5),
@@ -163,8 +211,14 @@
                 usual_per_s: f32_at(b, 9),
                 fresh: b[13] != 0,
             },
-            23 => Input::Left { proxy: u16_at(b, 5) },
-            24 => Input::Applied { proxy: u16_at(b, 5), mark: u64_at(b, 7), took_ms: span(b, 15) },
+            23 => Input::Left {
+                proxy: u16_at(b, 5),
+            },
+            24 => Input::Applied {
+                proxy: u16_at(b, 5),
+                mark: u64_at(b, 7),
+                took_ms: span(b, 15),
+            },
             25 => Input::Heard {
                 zone: u16_at(b, 5),
                 server: bytes_at(b, 7),
@@ -188,8 +242,15 @@
                 bad: f64::from(u32_at(b, 12)),
                 span_ms: span(b, 16),
             },
-            28 => Input::SliceGiven { ours: b[5] != 0, slice: u16_at(b, 6) },
-            29 => Input::SliceLine { server: bytes_at(b, 5), slice: u16_at(b, 11), weight: f32_at(b, 13) },
+            28 => Input::SliceGiven {
+                ours: b[5] != 0,
+                slice: u16_at(b, 6),
+            },
+            29 => Input::SliceLine {
+                server: bytes_at(b, 5),
+                slice: u16_at(b, 11),
+                weight: f32_at(b, 13),
+            },
             code => return Err(Malformed::Code { at: self.at, code }),
         })
     }
@@ -198,7 +259,11 @@
 pub fn read_events(head: &BatchHead, body: &[u8]) -> Result<Vec<(u32, Input)>, Malformed> {
     let need = head.count.saturating_mul(EVENT);
     if need > body.len() {
-        return Err(Malformed::Records { count: head.count, need, have: body.len() });
+        return Err(Malformed::Records {
+            count: head.count,
+            need,
+            have: body.len(),
+        });
     }
     let (records, tail) = body.split_at(need);
     let read = |(at, b)| Ok((u32_at(b, 1), Record { at, b, tail }.read()?));
@@ -233,29 +298,57 @@
         let (code, fields) = match effect {
             Effect::Log(text) => (80, self.text(text.as_bytes())),
             Effect::Wipe { table } => (81, table.to_le_bytes().to_vec()),
-            Effect::Mark { mark, all } => (82, [&mark.to_le_bytes()[..], &[u8::from(*all)]].concat()),
+            Effect::Mark { mark, all } => {
+                (82, [&mark.to_le_bytes()[..], &[u8::from(*all)]].concat())
+            }
             Effect::Note { to, bytes } => {
                 let blob = self.text(bytes);
-                (83, [&to.unwrap_or(EVERYONE).to_le_bytes()[..], &blob].concat())
+                (
+                    83,
+                    [&to.unwrap_or(EVERYONE).to_le_bytes()[..], &blob].concat(),
+                )
             }
             Effect::Probe { server } => (84, server.to_vec()),
             Effect::Watch { on } => (85, vec![u8::from(*on)]),
-            Effect::Bind { proxy, table, kinds } => {
-                (86, [proxy.to_le_bytes(), table.to_le_bytes(), kinds.to_le_bytes()].concat())
-            }
+            Effect::Bind {
+                proxy,
+                table,
+                kinds,
+            } => (
+                86,
+                [
+                    proxy.to_le_bytes(),
+                    table.to_le_bytes(),
+                    kinds.to_le_bytes(),
+                ]
+                .concat(),
+            ),
             Effect::Withdraw { server, out } => (88, addressed(server, &[u8::from(*out)])),
-            Effect::Admit { table, kinds, level, retry } => {
+            Effect::Admit {
+                table,
+                kinds,
+                level,
+                retry,
+            } => {
                 let table = table.unwrap_or(EVERYONE).to_le_bytes();
                 let retry = [*retry as u8];
-                (89, [&weight(*level)[..], &table, &retry, &kinds.to_le_bytes()].concat())
+                (
+                    89,
+                    [&weight(*level)[..], &table, &retry, &kinds.to_le_bytes()].concat(),
+                )
             }
             Effect::Alarm { in_ms, name } => {
                 let delay = (in_ms * 1000.0).clamp(0.0, f64::from(u32::MAX)) as u32;
                 (90, [&delay.to_le_bytes()[..], &name.to_le_bytes()].concat())
             }
-            Effect::Line { table, server, weight: w } => {
-                (91, [&table.to_le_bytes()[..], &addressed(server, &weight(*w))].concat())
-            }
+            Effect::Line {
+                table,
+                server,
+                weight: w,
+            } => (
+                91,
+                [&table.to_le_bytes()[..], &addressed(server, &weight(*w))].concat(),
+            ),
             Effect::Fetch => (92, Vec::new()),
             // No operator speaks on this wire.
             Effect::Back { .. } => return,
--- a/examples/call_cost.rs
+++ b/examples/call_cost.rs
@@ -12,23 +12,41 @@
 /// Two kinds, three zones, and a channel that holds nothing up.
 fn start(proxies: u32) -> Start {
     let mut start = desk::start();
-    start.kinds = ["view", "submit"].map(|name| desk::kind(name, 1.0, Repeat::Replayable)).to_vec();
+    start.kinds = ["view", "submit"]
+        .map(|name| desk::kind(name, 1.0, Repeat::Replayable))
+        .to_vec();
     (start.place.proxies, start.place.controllers) = (proxies, 5);
     start.place.zones = ["a", "b", "c"].map(String::from).to_vec();
     start.habits = ProxyHabits::default();
     (start.means.cross_zone_price, start.means.conns_least) = (0.08, 150.0);
-    (start.channel.lines_per_s, start.channel.backlog_lines, start.channel.bind_lines) = (1e9, 1e9, 2.0);
+    (
+        start.channel.lines_per_s,
+        start.channel.backlog_lines,
+        start.channel.bind_lines,
+    ) = (1e9, 1e9, 2.0);
     start
 }
 
 fn listed(n: u16, stage: Stage) -> Listed {
     let [low, high] = n.to_le_bytes();
     let (server, zone) = ([10, 0, high, low, 80, 0], n % 3);
-    Listed { server, zone, machine: 0, bay: zone, stage, weight: 2.0, started_ms: 0.0 }
+    Listed {
+        server,
+        zone,
+        machine: 0,
+        bay: zone,
+        stage,
+        weight: 2.0,
+        started_ms: 0.0,
+    }
 }
 
 fn change(lines: Vec<Listed>) -> Vec<Input> {
-    vec![Input::List { scope: ListScope::Changes, version: 2, lines }]
+    vec![Input::List {
+        scope: ListScope::Changes,
+        version: 2,
+        lines,
+    }]
 }
 
 /// Mass join, idle round, one server changed, one drain, six in ten servers replaced, each with its calls.
@@ -44,18 +62,44 @@
         from.elapsed().as_secs_f64() * 1e6
     };
     let (round, beat) = (1, 3);
-    call(0.0, vec![Input::List { scope: ListScope::Cached, version: 1, lines }], beat);
+    call(
+        0.0,
+        vec![Input::List {
+            scope: ListScope::Cached,
+            version: 1,
+            lines,
+        }],
+        beat,
+    );
     (0..3).for_each(|_| _ = call(1_000.0, vec![], round));
-    let join = |proxy| Input::Joined { proxy, zone: proxy % 3, usual_per_s: 0.5, fresh: false };
+    let join = |proxy| Input::Joined {
+        proxy,
+        zone: proxy % 3,
+        usual_per_s: 0.5,
+        fresh: false,
+    };
     let joined = call(300.0, (0..proxies).map(join).collect(), beat);
     (0..9).for_each(|_| _ = call(1_000.0, vec![], round));
     let idle = call(1_000.0, vec![], round);
-    let one = call(300.0, change(vec![Listed { weight: 1.0, ..listed(3, Stage::Ready) }]), beat);
+    let one = call(
+        300.0,
+        change(vec![Listed {
+            weight: 1.0,
+            ..listed(3, Stage::Ready)
+        }]),
+        beat,
+    );
     let drain = call(300.0, change(vec![listed(7, Stage::Draining)]), beat);
     let most = servers * 6 / 10;
     let all = (0..most).map(|n| listed(n, Stage::Draining));
-    let all =
-        call(300.0, change(all.chain((0..most).map(|n| listed(servers + n, Stage::Ready))).collect()), beat);
+    let all = call(
+        300.0,
+        change(
+            all.chain((0..most).map(|n| listed(servers + n, Stage::Ready)))
+                .collect(),
+        ),
+        beat,
+    );
     [joined, idle, one, drain, all]
 }
 
@@ -68,6 +112,9 @@
             of.sort_by(f64::total_cmp);
             format!("{:.0}", of[2])
         });
-        println!("{proxies} {servers} {}", medians.collect::<Vec<_>>().join(" "));
+        println!(
+            "{proxies} {servers} {}",
+            medians.collect::<Vec<_>>().join(" ")
+        );
     }
 }
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -11,7 +11,11 @@
 impl<const N: usize> Buckets<N> {
     pub fn new(width_ms: f64, count: usize) -> Self {
         let (newest, sums) = (i64::MIN, vec![[0.0; N]; count.max(1)]);
-        Self { width_ms, newest, sums }
+        Self {
+            width_ms,
+            newest,
+            sums,
+        }
     }
 
     fn turn_to(&mut self, now_ms: f64) {
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -32,11 +32,15 @@
         let place = |k: &ReqKind| (k.zones.clone(), k.machines.clone(), k.own_zone);
         match groups.iter_mut().find(|g| place(&g.like) == place(kind)) {
             Some(group) => group.kinds.push(id),
-            None => groups.push(KindGroup { kinds: vec![id], like: kind.clone() }),
+            None => groups.push(KindGroup {
+                kinds: vec![id],
+                like: kind.clone(),
+            }),
         }
     }
     // The most bound kinds take their room first.
-    groups.sort_by_key(|g| g.like.zones.is_empty() && g.like.machines.is_empty() && !g.like.own_zone);
+    groups
+        .sort_by_key(|g| g.like.zones.is_empty() && g.like.machines.is_empty() && !g.like.own_zone);
     groups
 }
 
@@ -44,9 +48,11 @@
     pub fn new(now: f64, start: Start) -> Self {
         let groups = group_kinds(&start.kinds[..start.kinds.len().min(KINDS)]);
         let mut new = Self::blank(now, start, groups);
-        (new.ask_again_ms, new.valves.allowed_per_s, new.valves.reach) = (ROUND_MS, levels::EVERYTHING, 1.0);
+        (new.ask_again_ms, new.valves.allowed_per_s, new.valves.reach) =
+            (ROUND_MS, levels::EVERYTHING, 1.0);
         // Rates are known once reports cover the span; till the first round proxies join and notes travel.
-        (new.valves.stepped_ms, new.beat_ms) = (now + 2.0 * levels::JAM_SPAN_MS, now + 2.0 * ROUND_MS);
+        (new.valves.stepped_ms, new.beat_ms) =
+            (now + 2.0 * levels::JAM_SPAN_MS, now + 2.0 * ROUND_MS);
         new
     }
 
@@ -54,24 +60,48 @@
     pub fn handle(&mut self, now: f64, inputs: &[Input]) -> Vec<Effect> {
         let mut out = Vec::new();
         if !std::mem::replace(&mut self.started, true) {
-            out.push(Effect::Alarm { in_ms: ROUND_MS, name: ROUND });
+            out.push(Effect::Alarm {
+                in_ms: ROUND_MS,
+                name: ROUND,
+            });
             out.extend(self.list_asked.then_some(Effect::Watch { on: true }));
         }
-        inputs.iter().for_each(|input| self.take(now, input, &mut out));
-        let asks = |i: &Input| matches!(i, Input::GoBack { .. } | Input::Release { .. } | Input::Lost { .. });
+        inputs
+            .iter()
+            .for_each(|input| self.take(now, input, &mut out));
+        let asks = |i: &Input| {
+            matches!(
+                i,
+                Input::GoBack { .. } | Input::Release { .. } | Input::Lost { .. }
+            )
+        };
         self.hasty |= inputs.iter().any(asks);
-        let round = inputs.iter().any(|i| matches!(i, Input::Alarm { name: ROUND }));
+        let round = inputs
+            .iter()
+            .any(|i| matches!(i, Input::Alarm { name: ROUND }));
         if round || inputs.iter().any(|i| matches!(i, Input::Heard { .. })) {
             let target_ms = self.demand.usual_target_ms(now, &self.kinds);
             let jam = self.valves.mode == Mode::Tight;
-            self.hasty |= self.fleet.judge(now, target_ms, jam, &self.bounds, &mut self.log);
+            self.hasty |= self
+                .fleet
+                .judge(now, target_ms, jam, &self.bounds, &mut self.log);
         }
         if round {
-            out.push(Effect::Alarm { in_ms: ROUND_MS, name: ROUND });
+            out.push(Effect::Alarm {
+                in_ms: ROUND_MS,
+                name: ROUND,
+            });
             self.demand.resize(now, &mut self.log);
             for ((proxy, _), table) in &mut self.tables {
-                let Some(p) = self.demand.proxies.get(proxy) else { continue };
-                self.log.extend(table.judge(now, self.means.report_period_ms, p.zone, &mut self.fleet));
+                let Some(p) = self.demand.proxies.get(proxy) else {
+                    continue;
+                };
+                self.log.extend(table.judge(
+                    now,
+                    self.means.report_period_ms,
+                    p.zone,
+                    &mut self.fleet,
+                ));
             }
             self.step_valves(now);
             self.forget(now);
@@ -79,12 +109,18 @@
             out.extend(self.notes(ROUND_MS / NAMED_EVERY_MS));
         }
         if self.hasty && now < self.beat_ms && !std::mem::replace(&mut self.beat_set, true) {
-            out.push(Effect::Alarm { in_ms: self.beat_ms - now, name: BEAT });
+            out.push(Effect::Alarm {
+                in_ms: self.beat_ms - now,
+                name: BEAT,
+            });
         }
         if round || (self.hasty && now >= self.beat_ms) {
             (self.hasty, self.beat_set, self.beat_ms) = (false, false, now + BEAT_MS);
             let sure = parts::sure_for(now, &self.valves);
-            self.fleet.servers.values_mut().for_each(|s| s.part = parts::part_of(now, s, sure, &self.bounds));
+            self.fleet
+                .servers
+                .values_mut()
+                .for_each(|s| s.part = parts::part_of(now, s, sure, &self.bounds));
             if self.means.slices == 0 {
                 self.cut_tables(now);
             }
@@ -97,11 +133,17 @@
 
     fn take(&mut self, now: f64, input: &Input, out: &mut Vec<Effect>) {
         match input {
-            Input::List { scope: ListScope::Failed, .. } => {
+            Input::List {
+                scope: ListScope::Failed,
+                ..
+            } => {
                 // The list's service is shared: ask again later each time, and not in step.
                 let in_ms = self.ask_again_ms * self.rng.random_range(0.5..1.5);
                 self.ask_again_ms = (2.0 * self.ask_again_ms).min(ASK_MOST_MS);
-                out.push(Effect::Alarm { in_ms, name: ASK_AGAIN });
+                out.push(Effect::Alarm {
+                    in_ms,
+                    name: ASK_AGAIN,
+                });
             }
             Input::List { scope, lines, .. } => {
                 self.ask_again_ms = ROUND_MS;
@@ -111,7 +153,12 @@
             }
             Input::Alarm { name: ASK_AGAIN } => out.push(Effect::Watch { on: true }),
             Input::Note { bytes, .. } => self.demand.take_note(now, bytes),
-            Input::Joined { proxy, zone, usual_per_s, fresh } => {
+            Input::Joined {
+                proxy,
+                zone,
+                usual_per_s,
+                fresh,
+            } => {
                 let entry = self.demand.named(now, *proxy, *zone, *usual_per_s);
                 (entry.joined, entry.joined_ms, entry.fresh) = (true, now, *fresh);
                 entry.written = Buckets::new(250.0, 48);
@@ -122,37 +169,79 @@
                 if let Some(p) = self.demand.proxies.get_mut(proxy) {
                     (p.joined, p.seen_ms) = (false, now);
                 }
-                self.tables_of(*proxy).for_each(|table| (table.bound, table.trial) = (false, None));
+                self.tables_of(*proxy)
+                    .for_each(|table| (table.bound, table.trial) = (false, None));
             }
             Input::Applied { proxy, mark, .. } => {
                 self.channel.answered(now, *proxy, *mark);
-                let trials = self.tables_of(*proxy).filter_map(|table| table.trial.as_mut());
+                let trials = self
+                    .tables_of(*proxy)
+                    .filter_map(|table| table.trial.as_mut());
                 for trial in trials.filter(|t| !t.answered && t.mark == *mark) {
                     (trial.answered, trial.from_ms) = (true, now);
                 }
             }
             // Reports come late: this one tells of before the start. Harm: a restart that fails shows later.
-            Input::Heard { server, .. } if now < self.fleet.started_ms(server) + health::SPAN_MS => {}
-            Input::Heard { zone, server, tries, bad, mean_ms, load, .. } => {
-                self.fleet.held.extend(self.held_at.and_then(|at| load.get(at)).map(|held| (*server, *held)));
-                self.fleet.hear(now, (*server, *zone), [*tries, *bad, mean_ms * (tries - bad)]);
+            Input::Heard { server, .. }
+                if now < self.fleet.started_ms(server) + health::SPAN_MS => {}
+            Input::Heard {
+                zone,
+                server,
+                tries,
+                bad,
+                mean_ms,
+                load,
+                ..
+            } => {
+                self.fleet.held.extend(
+                    self.held_at
+                        .and_then(|at| load.get(at))
+                        .map(|held| (*server, *held)),
+                );
+                self.fleet.hear(
+                    now,
+                    (*server, *zone),
+                    [*tries, *bad, mean_ms * (tries - bad)],
+                );
             }
-            Input::Usage { proxy, kind, came, .. } if *kind < KINDS => {
+            Input::Usage {
+                proxy, kind, came, ..
+            } if *kind < KINDS => {
                 let what = std::array::from_fn(|k| if k == *kind { *came } else { 0.0 });
                 self.demand.came.add(now, what);
-                _ = self.demand.proxies.get_mut(proxy).map(|p| p.came.add(now, what));
+                _ = self
+                    .demand
+                    .proxies
+                    .get_mut(proxy)
+                    .map(|p| p.came.add(now, what));
             }
             Input::GoBack { table, lines } => {
                 let what = self.go_back(*table, lines.iter().copied().collect());
-                out.push(Effect::Back { table: *table, what });
+                out.push(Effect::Back {
+                    table: *table,
+                    what,
+                });
             }
             Input::Release { table } => {
-                let ended = self.tables.values_mut().any(|t| t.id == *table && t.release());
-                let what = if ended { Back::Ended("released") } else { Back::Refused("it is not held") };
-                out.push(Effect::Back { table: *table, what });
+                let ended = self
+                    .tables
+                    .values_mut()
+                    .any(|t| t.id == *table && t.release());
+                let what = if ended {
+                    Back::Ended("released")
+                } else {
+                    Back::Refused("it is not held")
+                };
+                out.push(Effect::Back {
+                    table: *table,
+                    what,
+                });
             }
             Input::Lost { table } => {
-                self.tables.values_mut().filter(|t| t.id == *table).for_each(|t| t.bound = false);
+                self.tables
+                    .values_mut()
+                    .filter(|t| t.id == *table)
+                    .for_each(|t| t.bound = false);
             }
             _ => {}
         }
@@ -161,13 +250,21 @@
     /// Drops servers long gone once no joined proxy can hold them; lifts withdrawals, should one return.
     fn forget(&mut self, now: f64) {
         let gone = |s: &Server| s.phase == Phase::Leaving && s.listed.stage == Stage::Gone;
-        let old = self.fleet.servers.iter().filter(|(_, s)| gone(s) && now - s.since_ms >= demand::FORGET_MS);
+        let old = self
+            .fleet
+            .servers
+            .iter()
+            .filter(|(_, s)| gone(s) && now - s.since_ms >= demand::FORGET_MS);
         let held = self.holders(&self.demand.joined(), old.map(|(id, _)| id));
         for (id, _) in held.into_iter().filter(|(_, holders)| holders.is_empty()) {
             self.fleet.servers.remove(&id);
             self.fleet.withdrawals.insert(id, false);
         }
-        self.fleet.heard.retain(|(id, _), _| self.fleet.servers.contains_key(id));
-        self.fleet.held.retain(|id, _| self.fleet.servers.contains_key(id));
+        self.fleet
+            .heard
+            .retain(|(id, _), _| self.fleet.servers.contains_key(id));
+        self.fleet
+            .held
+            .retain(|id, _| self.fleet.servers.contains_key(id));
     }
 }
--- a/src/rules/arcs.rs
+++ b/src/rules/arcs.rs
@@ -22,7 +22,10 @@
 /// How many servers a mean proxy's arc reaches over, in coarse steps so that it holds still.
 fn lines_for(ring: f64, own: f64, by_conns: f64, pace: &ChannelFacts) -> f64 {
     let by_queue = WRITE_PART * pace.backlog_lines / own - pace.head_lines;
-    let most = (ring / own / LAID_PART).min(by_conns).min(by_queue).max(LINES_LEAST);
+    let most = (ring / own / LAID_PART)
+        .min(by_conns)
+        .min(by_queue)
+        .max(LINES_LEAST);
     ((most.log2() * 2.0).round() / 2.0).exp2()
 }
 
@@ -32,70 +35,123 @@
         let zone_of = |zone: ZoneId| if near { zone } else { 0 };
         // A jam costs more than crossing zones does: then they are loaded evenly.
         let jam = self.valves.mode == Mode::Tight;
-        let slack = if jam { 0.0 } else { SLACK_PER_PRICE * self.means.cross_zone_price };
+        let slack = if jam {
+            0.0
+        } else {
+            SLACK_PER_PRICE * self.means.cross_zone_price
+        };
         let demand = self.demand.zones_held(zone_of);
         let sized: f64 = self.demand.proxies.values().map(|p| p.sized_per_s).sum();
         let mean_per_s = sized / self.demand.proxies.len().max(1) as f64;
-        let ready: Vec<&Server> = self.fleet.servers.values().filter(|s| s.phase != Phase::Leaving).collect();
+        let ready: Vec<&Server> = self
+            .fleet
+            .servers
+            .values()
+            .filter(|s| s.phase != Phase::Leaving)
+            .collect();
         let zones: BTreeSet<ZoneId> = ready.iter().map(|s| zone_of(s.listed.zone)).collect();
         let (servers, own) = (ready.len() as f64, self.proxies / self.controllers);
         let by_conns = CONNS_PART * self.means.conns_least * servers / self.proxies;
-        let mean_lines = lines_for(servers / zones.len().max(1) as f64, own, by_conns, &self.pace);
+        let mean_lines = lines_for(
+            servers / zones.len().max(1) as f64,
+            own,
+            by_conns,
+            &self.pace,
+        );
         // Narrow arcs that hold only cold servers push them over.
         let cold = ready.iter().any(|s| parts::is_cold(now, s, &self.bounds));
         let reach = if cold { 1.0 } else { self.valves.reach };
         let mean_lines = (mean_lines * reach).max(LINES_LEAST / 2.0);
         let least_lines = LINES_LEAST.min(mean_lines);
         let parts: &Lines = &ready.iter().map(|s| (s.listed.server, s.part)).collect();
-        let all: f64 = ready.iter().map(|s| s.part * s.listed.weight).sum::<f64>().max(1e-9);
+        let all: f64 = ready
+            .iter()
+            .map(|s| s.part * s.listed.weight)
+            .sum::<f64>()
+            .max(1e-9);
         let mut taken = Shares::new();
         for (g, group) in self.groups.iter().enumerate() {
             let (mut rings, mut room) = (BTreeMap::<ZoneId, Vec<&Listed>>::new(), Shares::new());
-            for s in ready.iter().filter(|s| s.part > 0.0 && group.open(&s.listed)) {
+            for s in ready
+                .iter()
+                .filter(|s| s.part > 0.0 && group.open(&s.listed))
+            {
                 let zone = zone_of(s.listed.zone);
                 rings.entry(zone).or_default().push(&s.listed);
                 *room.entry(zone).or_insert(0.0) += s.part * s.listed.weight / all;
             }
             // What more bound kinds bring to a zone leaves less room there for the others.
-            room.iter_mut().for_each(|(z, r)| *r = (*r - taken.get(z).unwrap_or(&0.0)).max(0.0));
+            room.iter_mut()
+                .for_each(|(z, r)| *r = (*r - taken.get(z).unwrap_or(&0.0)).max(0.0));
             let open: f64 = room.values().sum::<f64>().max(1e-9);
             room.values_mut().for_each(|r| *r /= open);
             let share = self.demand.share_of(now, &group.kinds, self.kinds.len());
-            room.iter().for_each(|(z, r)| *taken.entry(*z).or_insert(0.0) += share * r);
+            room.iter()
+                .for_each(|(z, r)| *taken.entry(*z).or_insert(0.0) += share * r);
             // Arcs that have a place keep it; the others are laid where the ring is loaded least.
-            let mut laid: Vec<_> = self.demand.proxies.iter_mut().filter(|(_, p)| p.joined).collect();
+            let mut laid: Vec<_> = self
+                .demand
+                .proxies
+                .iter_mut()
+                .filter(|(_, p)| p.joined)
+                .collect();
             laid.sort_by(|a, b| b.1.sized_per_s.total_cmp(&a.1.sized_per_s));
             laid.sort_by_key(|(_, p)| p.places.is_empty());
             let (mut loads, mut ids, mut cut) = (Lines::new(), Vec::new(), Vec::new());
             for (id, p) in laid {
                 let flows = match group.like.own_zone {
                     true => Shares::from([(p.zone, 1.0)]),
-                    false => flows_of(zone_of(p.zone), &demand, &room, slack, self.means.flow_steps),
+                    false => flows_of(
+                        zone_of(p.zone),
+                        &demand,
+                        &room,
+                        slack,
+                        self.means.flow_steps,
+                    ),
                 };
                 let wanted = (mean_lines * p.sized_per_s / mean_per_s).max(least_lines);
                 let mut arcs: Vec<(Lines, f64)> = Vec::new();
                 for (zone, part) in &flows {
-                    let Some(ring) = rings.get(zone) else { continue };
-                    let from = *p.places.entry(*zone).or_insert_with(|| least_loaded(ring, &loads));
+                    let Some(ring) = rings.get(zone) else {
+                        continue;
+                    };
+                    let from = *p
+                        .places
+                        .entry(*zone)
+                        .or_insert_with(|| least_loaded(ring, &loads));
                     let arc = cut_arc(ring, from, (wanted * part).max(least_lines / 2.0));
                     let density = part / arc.values().sum::<f64>();
-                    arc.keys().for_each(|s| *loads.entry(*s).or_insert(0.0) += p.sized_per_s * density);
+                    arc.keys()
+                        .for_each(|s| *loads.entry(*s).or_insert(0.0) += p.sized_per_s * density);
                     arcs.push((arc, density));
                 }
                 // In steps, lest a change at one line changes them all; never above a listed weight.
                 let most = arcs.iter().map(|(_, density)| *density).fold(0.0, f64::max);
                 let lines = arcs.into_iter().flat_map(|(arc, density)| {
                     let scale = in_steps(density / most).max(1.0 / STEPS);
-                    arc.into_iter().map(move |(server, weight)| (server, weight * scale * parts[&server]))
+                    arc.into_iter()
+                        .map(move |(server, weight)| (server, weight * scale * parts[&server]))
                 });
                 ids.push(*id);
                 cut.push((p.sized_per_s * share, lines.collect()));
             }
-            parts::spare_cold(now, &self.fleet, mean_per_s * self.proxies / all, &self.bounds, &mut cut);
+            parts::spare_cold(
+                now,
+                &self.fleet,
+                mean_per_s * self.proxies / all,
+                &self.bounds,
+                &mut cut,
+            );
             for (id, (_, lines)) in ids.into_iter().zip(cut) {
                 let id_of_new = self.tables.len() as TableId;
-                let fresh = || Table { id: id_of_new, ..Table::default() };
-                self.tables.entry((id, g)).or_insert_with(fresh).propose(lines);
+                let fresh = || Table {
+                    id: id_of_new,
+                    ..Table::default()
+                };
+                self.tables
+                    .entry((id, g))
+                    .or_insert_with(fresh)
+                    .propose(lines);
             }
         }
     }
--- a/src/rules/demand.rs
+++ b/src/rules/demand.rs
@@ -13,19 +13,27 @@
 impl Demand {
     /// Resizes the arcs of proxies whose share stayed far off for long; drops the forgotten.
     pub(super) fn resize(&mut self, now: f64, log: &mut Log) {
-        self.proxies.retain(|_, p| p.joined || now - p.seen_ms < FORGET_MS);
+        self.proxies
+            .retain(|_, p| p.joined || now - p.seen_ms < FORGET_MS);
         let known = |p: &Proxy| p.joined && now - p.joined_ms >= USAGE_SPAN_MS + 2.0 * ROUND_MS;
         let (mut sized, mut met) = (0.0, 0.0);
         for p in self.proxies.values_mut().filter(|p| known(p)) {
             p.met_per_s = p.came.over(now, USAGE_SPAN_MS).iter().sum::<f64>() / USAGE_SPAN_MS * 1e3;
             (sized, met) = (sized + p.sized_per_s, met + p.met_per_s);
         }
-        for (id, p) in self.proxies.iter_mut().filter(|(_, p)| known(p) && met > 0.0) {
+        for (id, p) in self
+            .proxies
+            .iter_mut()
+            .filter(|(_, p)| known(p) && met > 0.0)
+        {
             let fair = p.met_per_s * sized / met;
             if (fair - p.sized_per_s).abs() <= OFF_SHARE * p.sized_per_s {
                 p.off_since_ms = None;
             } else if now - *p.off_since_ms.get_or_insert(now) >= OFF_FOR_MS {
-                log.push(format!("proxy {id} arc resized: {:.2} -> {fair:.2} reqs/s", p.sized_per_s));
+                log.push(format!(
+                    "proxy {id} arc resized: {:.2} -> {fair:.2} reqs/s",
+                    p.sized_per_s
+                ));
                 (p.sized_per_s, p.off_since_ms) = (fair.max(0.01), None);
                 p.places.clear();
             }
@@ -35,7 +43,12 @@
     /// The part of the fleet's reqs that comes to our proxies, each unknown one taken as a mean one.
     pub(super) fn part_of_all(&self, proxies: f64) -> f64 {
         let known: f64 = self.proxies.values().map(|p| p.met_per_s).sum();
-        let own: f64 = self.proxies.values().filter(|p| p.joined).map(|p| p.met_per_s).sum();
+        let own: f64 = self
+            .proxies
+            .values()
+            .filter(|p| p.joined)
+            .map(|p| p.met_per_s)
+            .sum();
         (own / known.max(1e-9) * (self.proxies.len().max(1) as f64 / proxies).min(1.0)).max(1e-3)
     }
 
@@ -63,7 +76,11 @@
         let came = self.came.over(now, 20_000.0);
         let total: f64 = came.iter().sum();
         let met = some.iter().map(|k| came[*k]).sum::<f64>() / total.max(1.0);
-        let share = if total < 50.0 { some.len() as f64 / kinds as f64 } else { met };
+        let share = if total < 50.0 {
+            some.len() as f64 / kinds as f64
+        } else {
+            met
+        };
         in_steps(share).max(1.0 / STEPS)
     }
 
@@ -71,6 +88,10 @@
     pub(super) fn usual_target_ms(&mut self, now: f64, kinds: &[ReqKind]) -> f64 {
         let came = self.came.over(now, LEVEL_SPAN_MS);
         let total: f64 = came.iter().sum::<f64>() + 1e-3 * kinds.len() as f64;
-        kinds.iter().zip(came).map(|(k, c)| k.response_target_ms * (c + 1e-3) / total).sum()
+        kinds
+            .iter()
+            .zip(came)
+            .map(|(k, c)| k.response_target_ms * (c + 1e-3) / total)
+            .sum()
     }
 }
--- a/src/rules/gate.rs
+++ b/src/rules/gate.rs
@@ -14,10 +14,21 @@
 impl Controller {
     /// What each table of a joined proxy needs: the most urgent first, of drains those of the oldest word.
     fn needs(&self) -> BTreeSet<Wanted> {
-        let left = |s: &ServerId| self.fleet.servers.get(s).is_none_or(|s| s.phase == Phase::Leaving);
+        let left = |s: &ServerId| {
+            self.fleet
+                .servers
+                .get(s)
+                .is_none_or(|s| s.phase == Phase::Leaving)
+        };
         let since = |s: &ServerId| self.fleet.servers.get(s).map_or(0, |s| s.since_ms as u64);
         // Whoever holds tables of others may hold whatever drains: bound to ours, it does not.
-        let drains = self.fleet.withdrawals.iter().filter(|(_, shut)| **shut).map(|(s, _)| since(s)).min();
+        let drains = self
+            .fleet
+            .withdrawals
+            .iter()
+            .filter(|(_, shut)| **shut)
+            .map(|(s, _)| since(s))
+            .min();
         let need = |p: &Proxy, table: &Table| match (table.bound, drains) {
             (false, _) if p.fresh => (Need::Bare, 0),
             (false, Some(since)) => (Need::Drain, since),
@@ -30,25 +41,45 @@
             },
         };
         let joined = |id| self.demand.proxies.get(id).filter(|p: &&Proxy| p.joined);
-        let tables = self.tables.iter().filter_map(|((id, g), t)| Some((need(joined(id)?, t), *id, *g)));
-        tables.map(|((need, since), id, g)| (need, since, id, g)).collect()
+        let tables = self
+            .tables
+            .iter()
+            .filter_map(|((id, g), t)| Some((need(joined(id)?, t), *id, *g)));
+        tables
+            .map(|((need, since), id, g)| (need, since, id, g))
+            .collect()
     }
 
     pub(super) fn gate(&mut self, now: f64, out: &mut Vec<Effect>) {
-        self.channel.pass_time(now, self.pace.lines_per_s, self.pace.transit_most_ms);
+        self.channel
+            .pass_time(now, self.pace.lines_per_s, self.pace.transit_most_ms);
         let joined = self.demand.joined();
         if joined.is_empty() {
             self.channel.left = self.channel.written;
         }
         // What can wait, waits while a proxy has had most of the messages it may be written.
         let over_ms = self.pace.messages_over_ms + 500.0;
-        let written = |p: &mut Proxy| if p.joined { p.written.over(now, over_ms)[0] } else { 0.0 };
-        let most_written = self.demand.proxies.values_mut().map(written).fold(0.0, f64::max);
+        let written = |p: &mut Proxy| {
+            if p.joined {
+                p.written.over(now, over_ms)[0]
+            } else {
+                0.0
+            }
+        };
+        let most_written = self
+            .demand
+            .proxies
+            .values_mut()
+            .map(written)
+            .fold(0.0, f64::max);
         let limit = f64::from(self.pace.messages_most);
         let free = limit <= 0.0 || most_written + 1.0 <= limit * BARE_PART;
-        let (mut reached, needs, changes) = (Reached::default(), self.needs(), (Need::Change, 0, 0, 0));
+        let (mut reached, needs, changes) =
+            (Reached::default(), self.needs(), (Need::Change, 0, 0, 0));
         self.withdraw(now, free, false, &mut reached, out);
-        needs.range(..changes).for_each(|need| self.push(now, *need, &mut reached, out));
+        needs
+            .range(..changes)
+            .for_each(|need| self.push(now, *need, &mut reached, out));
         self.withdraw(now, free, true, &mut reached, out);
         // Levels go to everybody: where the queue has no room for that or for all that is urgent, they wait.
         let admits = self.admits(now);
@@ -56,86 +87,177 @@
         let size = (head + admits.len() as f64) * joined.len() as f64;
         let waiting = self.channel.waiting() + reached.lines;
         let fits = !self.hasty && waiting + size <= self.pace.backlog_lines * DELTAS_PART;
-        if free && fits && self.valves.ordered_ms < self.valves.stepped_ms && admits != self.valves.ordered {
-            let order = |&(kinds, level, retry): &_| Effect::Admit { table: None, kinds, level, retry };
+        if free
+            && fits
+            && self.valves.ordered_ms < self.valves.stepped_ms
+            && admits != self.valves.ordered
+        {
+            let order = |&(kinds, level, retry): &_| Effect::Admit {
+                table: None,
+                kinds,
+                level,
+                retry,
+            };
             drop(out.splice(0..0, admits.iter().map(order)));
-            joined.iter().for_each(|id| reached.add(*id, head, admits.len() as f64));
+            joined
+                .iter()
+                .for_each(|id| reached.add(*id, head, admits.len() as f64));
             (self.valves.ordered, self.valves.ordered_ms) = (admits, now);
         }
-        needs.range(changes..).for_each(|need| self.push(now, *need, &mut reached, out));
+        needs
+            .range(changes..)
+            .for_each(|need| self.push(now, *need, &mut reached, out));
         if reached.lines > 0.0 {
-            out.push(Effect::Mark { mark: self.channel.next_mark, all: false });
+            out.push(Effect::Mark {
+                mark: self.channel.next_mark,
+                all: false,
+            });
             self.channel.mark(now, &reached);
             let got = |id| f64::from(u8::from(reached.by_proxy.contains_key(id)));
-            self.demand.proxies.iter_mut().for_each(|(id, p)| p.written.add(now, [got(id)]));
+            self.demand
+                .proxies
+                .iter_mut()
+                .for_each(|(id, p)| p.written.add(now, [got(id)]));
         }
     }
 
     /// Withdrawals go to whoever still holds the server; more than may wait only after tables without it.
-    fn withdraw(&mut self, now: f64, free: bool, last: bool, reached: &mut Reached, out: &mut Vec<Effect>) {
+    fn withdraw(
+        &mut self,
+        now: f64,
+        free: bool,
+        last: bool,
+        reached: &mut Reached,
+        out: &mut Vec<Effect>,
+    ) {
         let mut due = self.fleet.withdrawals.clone();
         due.retain(|_, shut| *shut || free);
         let (head, level) = (self.pace.head_lines + 1.0, self.valves.ordered.len() as f64);
-        let (room, limit) = (room(&self.pace) * BARE_PART, self.pace.backlog_lines * WITHDRAWN_PART);
+        let (room, limit) = (
+            room(&self.pace) * BARE_PART,
+            self.pace.backlog_lines * WITHDRAWN_PART,
+        );
         let in_time_ms = GRACE_PART * (self.bounds.drain_grace_ms - self.pace.transit_most_ms);
         let bound = self.groups.len() as f64 * (LINES_LEAST * self.pace.bind_lines + level + 1.0);
         let holders = self.holders(&self.demand.joined(), due.keys());
         let all = holders.values().map(Vec::len).sum::<usize>() as f64 * (head + 1.0);
         let go = last || self.channel.waiting() + all <= room;
         for (server, holders) in holders.into_iter().filter(|_| go) {
-            let size: f64 = holders.iter().map(|id| reached.cost(*id, head + level, 1.0)).sum();
+            let size: f64 = holders
+                .iter()
+                .map(|id| reached.cost(*id, head + level, 1.0))
+                .sum();
             let waiting = self.channel.waiting() + reached.lines;
-            let age_ms = self.fleet.servers.get(&server).map_or(now, |s| now - s.since_ms);
+            let age_ms = self
+                .fleet
+                .servers
+                .get(&server)
+                .map_or(now, |s| now - s.since_ms);
             let through_ms = age_ms + (waiting + size) / self.pace.lines_per_s * 1e3;
-            let most = if through_ms < in_time_ms || due.len() as f64 > bound { room } else { limit };
+            let most = if through_ms < in_time_ms || due.len() as f64 > bound {
+                room
+            } else {
+                limit
+            };
             if waiting > 0.0 && size > 0.0 && waiting + size > most {
                 self.hasty = true;
                 continue;
             }
-            holders.into_iter().for_each(|id| reached.add(id, head + level, 1.0));
-            out.extend(self.fleet.withdrawals.remove(&server).map(|out| Effect::Withdraw { server, out }));
+            holders
+                .into_iter()
+                .for_each(|id| reached.add(id, head + level, 1.0));
+            out.extend(
+                self.fleet
+                    .withdrawals
+                    .remove(&server)
+                    .map(|out| Effect::Withdraw { server, out }),
+            );
         }
     }
 
     /// Brings a proxy's table up to what is published: whole where bare of ours, else by deltas.
-    fn push(&mut self, now: f64, (need, _, id, g): Wanted, reached: &mut Reached, out: &mut Vec<Effect>) {
-        let part = if need == Need::Change { DELTAS_PART } else { BARE_PART };
-        let Some(p) = self.demand.proxies.get_mut(&id) else { return };
-        let (zone, written) = (p.zone, p.written.over(now, self.pace.messages_over_ms + 500.0)[0]);
+    fn push(
+        &mut self,
+        now: f64,
+        (need, _, id, g): Wanted,
+        reached: &mut Reached,
+        out: &mut Vec<Effect>,
+    ) {
+        let part = if need == Need::Change {
+            DELTAS_PART
+        } else {
+            BARE_PART
+        };
+        let Some(p) = self.demand.proxies.get_mut(&id) else {
+            return;
+        };
+        let (zone, written) = (
+            p.zone,
+            p.written.over(now, self.pace.messages_over_ms + 500.0)[0],
+        );
         let most = f64::from(self.pace.messages_most);
         if most > 0.0 && written + 1.0 > most * part && !reached.by_proxy.contains_key(&id) {
             return;
         }
-        let Some(table) = self.tables.get(&(id, g)) else { return };
+        let Some(table) = self.tables.get(&(id, g)) else {
+            return;
+        };
         let lines = match table.recalled() {
             Some(back) => self.usable(&back.lines, (id, g), table),
             None => self.own_lines(table, id, g),
         };
-        let changed = lines.iter().filter(|(s, w)| table.held.get(*s) != Some(*w)).map(|(s, w)| (*s, *w));
-        let dropped = table.held.keys().filter(|s| !lines.contains_key(*s)).map(|s| (*s, 0.0));
+        let changed = lines
+            .iter()
+            .filter(|(s, w)| table.held.get(*s) != Some(*w))
+            .map(|(s, w)| (*s, *w));
+        let dropped = table
+            .held
+            .keys()
+            .filter(|s| !lines.contains_key(*s))
+            .map(|s| (*s, 0.0));
         let deltas: Vec<(ServerId, f64)> = changed.chain(dropped).collect();
         let bare = !table.bound;
         if lines.is_empty() || (deltas.is_empty() && !bare) {
             return;
         }
-        let whole = lines.len() as f64 * self.pace.bind_lines + self.valves.ordered.len() as f64 + 1.0;
+        let whole =
+            lines.len() as f64 * self.pace.bind_lines + self.valves.ordered.len() as f64 + 1.0;
         let size = if bare { whole } else { deltas.len() as f64 };
-        let (head, waiting) = (self.pace.head_lines + 1.0, self.channel.waiting() + reached.lines);
+        let (head, waiting) = (
+            self.pace.head_lines + 1.0,
+            self.channel.waiting() + reached.lines,
+        );
         if waiting + reached.cost(id, head, size) > room(&self.pace) * part {
             self.hasty |= need != Need::Change;
             return;
         }
         reached.add(id, head, size);
-        let prior_bad = self.fleet.met_on(now, zone, &table.held, revisions::TAINT_SPAN_MS).bad_share();
-        let Some(table) = self.tables.get_mut(&(id, g)) else { return };
-        let order = |(server, weight)| Effect::Line { table: table.id, server, weight };
+        let prior_bad = self
+            .fleet
+            .met_on(now, zone, &table.held, revisions::TAINT_SPAN_MS)
+            .bad_share();
+        let Some(table) = self.tables.get_mut(&(id, g)) else {
+            return;
+        };
+        let order = |(server, weight)| Effect::Line {
+            table: table.id,
+            server,
+            weight,
+        };
         out.extend(deltas.into_iter().map(order));
         if bare {
             let kinds = mask_of(self.groups[g].kinds.iter().copied());
-            out.push(Effect::Bind { proxy: id, table: table.id, kinds });
+            out.push(Effect::Bind {
+                proxy: id,
+                table: table.id,
+                kinds,
+            });
         }
         (table.bound, table.held) = (true, lines);
-        let published = table.recalled().or_else(|| table.newest()).map_or(0, |r| r.name);
+        let published = table
+            .recalled()
+            .or_else(|| table.newest())
+            .map_or(0, |r| r.name);
         if table.published != published {
             let before = std::mem::replace(&mut table.published, published);
             // What was never found sound can't vouch for what follows it.
@@ -144,7 +266,12 @@
             } else {
                 table.unproven.clear();
                 let mark = self.channel.next_mark;
-                table.trial = Some(Trial { mark, from_ms: now, answered: false, prior_bad });
+                table.trial = Some(Trial {
+                    mark,
+                    from_ms: now,
+                    answered: false,
+                    prior_bad,
+                });
             }
         }
     }
--- a/src/rules/health.rs
+++ b/src/rules/health.rs
@@ -42,14 +42,31 @@
 impl Fleet {
     /// Where a list that merely drops a server doesn't bind (`soft`), such a one stays while it gives good
     /// answers. Guards against wrong lists. Harm: one gone for good is sent to until it is heard to fail.
-    pub(super) fn take(&mut self, now: f64, scope: ListScope, lines: &[Listed], soft: bool, log: &mut Log) {
+    pub(super) fn take(
+        &mut self,
+        now: f64,
+        scope: ListScope,
+        lines: &[Listed],
+        soft: bool,
+        log: &mut Log,
+    ) {
         let named: BTreeSet<ServerId> = lines.iter().map(|l| l.server).collect();
         let whole = matches!(scope, ListScope::Full | ListScope::Cached);
-        let gone = |s: &Server| Listed { stage: Stage::Gone, ..s.listed.clone() };
-        let missing = self.servers.iter().filter(|(id, _)| whole && !named.contains(*id));
+        let gone = |s: &Server| Listed {
+            stage: Stage::Gone,
+            ..s.listed.clone()
+        };
+        let missing = self
+            .servers
+            .iter()
+            .filter(|(id, _)| whole && !named.contains(*id));
         let missing: Vec<Listed> = missing.map(|(_, s)| gone(s)).collect();
         for line in lines.iter().chain(&missing) {
-            let (id, ready, dated) = (line.server, line.stage == Stage::Ready, line.started_ms > 0.0);
+            let (id, ready, dated) = (
+                line.server,
+                line.stage == Stage::Ready,
+                line.started_ms > 0.0,
+            );
             let fails = self.met_at(now, id, SPAN_MS).bad_share() > FAIL_SHARE;
             if let Some(known) = self.servers.get_mut(&id) {
                 let cue = match (ready, line.started_ms > known.listed.started_ms) {
@@ -57,7 +74,14 @@
                     (true, true) => Cue::Starts,
                     (true, false) => Cue::Returns,
                 };
-                known.listed = if ready { line.clone() } else { Listed { stage: line.stage, ..gone(known) } };
+                known.listed = if ready {
+                    line.clone()
+                } else {
+                    Listed {
+                        stage: line.stage,
+                        ..gone(known)
+                    }
+                };
                 if !(soft && line.stage == Stage::Gone && known.phase != Phase::Struck && !fails) {
                     self.turn(now, id, cue, log);
                 }
@@ -69,9 +93,23 @@
                 ListScope::Cached if !dated => Phase::Warm,
                 _ => Phase::Ramping,
             };
-            let ramp_from_ms = if dated { line.started_ms - parts::RAMP_MS } else { now };
+            let ramp_from_ms = if dated {
+                line.started_ms - parts::RAMP_MS
+            } else {
+                now
+            };
             let (listed, hold_ms, part) = (line.clone(), HOLD_MS, parts::ENTRY_PART);
-            self.servers.insert(id, Server { listed, phase, since_ms: now, ramp_from_ms, hold_ms, part });
+            self.servers.insert(
+                id,
+                Server {
+                    listed,
+                    phase,
+                    since_ms: now,
+                    ramp_from_ms,
+                    hold_ms,
+                    part,
+                },
+            );
             self.withdrawals.extend((!ready).then_some((id, true)));
         }
     }
@@ -79,10 +117,14 @@
     /// Takes one step of the health table; false where it has none.
     fn turn(&mut self, now: f64, id: ServerId, cue: Cue, log: &mut Log) -> bool {
         let met = self.met_at(now, id, SPAN_MS);
-        let Some(server) = self.servers.get_mut(&id) else { return false };
+        let Some(server) = self.servers.get_mut(&id) else {
+            return false;
+        };
         let from = server.phase;
         let row = HEALTH.iter().find(|row| row.0 == from && row.1 == cue);
-        let Some(&(_, _, next, turn)) = row else { return false };
+        let Some(&(_, _, next, turn)) = row else {
+            return false;
+        };
         match turn {
             Turn::Enter => {
                 server.ramp_from_ms = server.listed.started_ms - parts::RAMP_MS;
@@ -90,12 +132,17 @@
             }
             Turn::Reenter => server.ramp_from_ms = now,
             Turn::Trim => {
-                let grown = (server.part * TRIM_TO - parts::ENTRY_PART).max(0.0) / (1.0 - parts::ENTRY_PART);
+                let grown = (server.part * TRIM_TO - parts::ENTRY_PART).max(0.0)
+                    / (1.0 - parts::ENTRY_PART);
                 server.ramp_from_ms = now - parts::RAMP_MS * grown;
             }
             Turn::Hold => {
                 let again = from == Phase::Ramping && now - server.since_ms < server.hold_ms;
-                server.hold_ms = if again { (2.0 * server.hold_ms).min(HOLD_MOST_MS) } else { HOLD_MS };
+                server.hold_ms = if again {
+                    (2.0 * server.hold_ms).min(HOLD_MOST_MS)
+                } else {
+                    HOLD_MS
+                };
             }
             Turn::Shut | Turn::Settle => {}
         }
@@ -104,27 +151,57 @@
             self.withdrawals.insert(id, next == Phase::Leaving);
         }
         if turn != Turn::Settle {
-            log.push(format!("server {} {from:?} -> {next:?} on {cue:?}: {met}", show(id)));
+            log.push(format!(
+                "server {} {from:?} -> {next:?} on {cue:?}: {met}",
+                show(id)
+            ));
         }
         true
     }
 
     /// Judges every server by what was heard; true when one changed.
-    pub(super) fn judge(&mut self, now: f64, aim_ms: f64, jam: bool, by: &RuleBounds, log: &mut Log) -> bool {
+    pub(super) fn judge(
+        &mut self,
+        now: f64,
+        aim_ms: f64,
+        jam: bool,
+        by: &RuleBounds,
+        log: &mut Log,
+    ) -> bool {
         let ids: Vec<ServerId> = self.servers.keys().copied().collect();
-        let met: Vec<Met> = ids.iter().map(|id| self.met_at(now, *id, SPAN_MS)).collect();
-        let means = met.iter().filter(|m| m.good() >= 3.0).map(Met::mean_ms).collect();
+        let met: Vec<Met> = ids
+            .iter()
+            .map(|id| self.met_at(now, *id, SPAN_MS))
+            .collect();
+        let means = met
+            .iter()
+            .filter(|m| m.good() >= 3.0)
+            .map(Met::mean_ms)
+            .collect();
         let median = quantile(means, 0.5).unwrap_or(f64::INFINITY);
-        let all = met.iter().fold(Met::default(), |all, m| all.with([m.tries, m.bad, m.time_ms]));
-        let (usual, sure) = (all.bad_share().clamp(FAIL_USUAL, 0.99), 1.0 + (ids.len() as f64).ln());
-        let fail_share = if jam { DEAD_SHARE } else { FAIL_SHARE.max(FAIL_FACTOR * usual) };
+        let all = met.iter().fold(Met::default(), |all, m| {
+            all.with([m.tries, m.bad, m.time_ms])
+        });
+        let (usual, sure) = (
+            all.bad_share().clamp(FAIL_USUAL, 0.99),
+            1.0 + (ids.len() as f64).ln(),
+        );
+        let fail_share = if jam {
+            DEAD_SHARE
+        } else {
+            FAIL_SHARE.max(FAIL_FACTOR * usual)
+        };
         let failing = |m: &Met| m.bad_share() > fail_share && m.against(usual) > sure;
         let ratio = if jam { STRAIN_IN_JAM } else { STRAIN_RATIO };
         let strain_ms = (ratio * median).max(STRAIN_PART * aim_ms);
         let mut changed = false;
         for (id, met) in ids.into_iter().zip(met) {
             // Of several controllers each hears little of a server: then over a longer time.
-            let long = if met.good() < STRAIN_TRIES { 2.0 * SPAN_MS } else { SPAN_MS };
+            let long = if met.good() < STRAIN_TRIES {
+                2.0 * SPAN_MS
+            } else {
+                SPAN_MS
+            };
             let good = self.met_at(now, id, long);
             let server = &self.servers[&id];
             let age = now - server.since_ms;
@@ -135,7 +212,11 @@
                 Phase::Ramping if parts::part_of(now, server, 0.0, by) >= 1.0 => Cue::RampEnds,
                 // Against what is crashed, hung, cut off or fakes errors. Harm: where all fail, none is.
                 _ if used && met.tries >= FAIL_TRIES && failing(&met) => {
-                    if server.listed.stage == Stage::Gone { Cue::Departs } else { Cue::Fails }
+                    if server.listed.stage == Stage::Gone {
+                        Cue::Departs
+                    } else {
+                        Cue::Fails
+                    }
                 }
                 // Against slow machines, neighbours, standing queues. Harm: dear reqs cost a sound one.
                 _ if used && age >= long && slow => Cue::Strains,
--- a/src/rules/levels.rs
+++ b/src/rules/levels.rs
@@ -1,6 +1,8 @@
 //! Whether the fleet jams, and what is let in then: the kinds of the most value first.
 
-use crate::{facts::*, rules::demand::LEVEL_SPAN_MS, rules::health::DEAD_SHARE, shares::level_for, state::*};
+use crate::{
+    facts::*, rules::demand::LEVEL_SPAN_MS, rules::health::DEAD_SHARE, shares::level_for, state::*,
+};
 
 const LEVELS: &[(Mode, Flow, Mode, Valve)] = &[
     (Mode::Open, Flow::Jams, Mode::Tight, Valve::Cut),
@@ -39,12 +41,23 @@
 pub(crate) const EVERYTHING: f64 = 1e6;
 
 impl Valves {
-    fn step(&mut self, now: f64, met: Met, held: Option<f64>, target_ms: f64, came: f64) -> Option<String> {
+    fn step(
+        &mut self,
+        now: f64,
+        met: Met,
+        held: Option<f64>,
+        target_ms: f64,
+        came: f64,
+    ) -> Option<String> {
         // Too few reqs tell nothing: then calm is not known either.
         if self.mode == Mode::Open && met.tries < JAM_TRIES {
             self.stepped_ms = self.stepped_ms.max(now + STEP_MS);
         }
-        let pause_ms = if self.mode == Mode::Open && self.reach == 1.0 { 0.0 } else { STEP_MS };
+        let pause_ms = if self.mode == Mode::Open && self.reach == 1.0 {
+            0.0
+        } else {
+            STEP_MS
+        };
         if now < self.stepped_ms + pause_ms || met.tries < JAM_TRIES {
             return None;
         }
@@ -54,7 +67,10 @@
             (Mode::Tight, Some(held_ms)) => (held_ms, 0.0),
             // Bad tries at servers that report little to do are no jam.
             (_, Some(held_ms)) if held_ms < JAM_PART * target_ms => (met.mean_ms(), 0.0),
-            (_, held) => (met.mean_ms().max(OPEN_PART * held.unwrap_or(0.0)), met.bad_share()),
+            (_, held) => (
+                met.mean_ms().max(OPEN_PART * held.unwrap_or(0.0)),
+                met.bad_share(),
+            ),
         };
         let flow = match bad_now > JAM_BAD || late_ms > JAM_PART * target_ms {
             true => Flow::Jams,
@@ -65,7 +81,9 @@
         if flow != Flow::Jams {
             self.able_per_s = self.able_per_s.max(done_per_s);
         }
-        let row = LEVELS.iter().find(|row| row.0 == self.mode && row.1 == flow)?;
+        let row = LEVELS
+            .iter()
+            .find(|row| row.0 == self.mode && row.1 == flow)?;
         let raise = (JAM_PART * target_ms / late_ms.max(1.0)).clamp(RAISE_BY, EASY_BY);
         self.allowed_per_s = match row.3 {
             Valve::Cut => (CUT_TO * done_per_s.min(came)).max(CUT_LEAST * self.able_per_s),
@@ -73,7 +91,9 @@
             // What is allowed runs away from what is done where it binds nothing.
             Valve::Raise => {
                 let raised = raise * self.allowed_per_s.min(SLACK_OVER * done_per_s);
-                self.allowed_per_s.max(raised).max((self.allowed_per_s + self.able_per_s) / 2.0)
+                self.allowed_per_s
+                    .max(raised)
+                    .max((self.allowed_per_s + self.able_per_s) / 2.0)
             }
             Valve::Narrow if came > self.allowed_per_s => raise * self.allowed_per_s,
             Valve::Narrow | Valve::Widen => self.allowed_per_s,
@@ -96,42 +116,89 @@
 
 impl Controller {
     pub(super) fn step_valves(&mut self, now: f64) {
-        let used = self.fleet.servers.iter().filter(|(_, s)| s.part > 0.0).map(|(id, _)| *id);
+        let used = self
+            .fleet
+            .servers
+            .iter()
+            .filter(|(_, s)| s.part > 0.0)
+            .map(|(id, _)| *id);
         let (mut met, mut held, mut means) = (Met::default(), Vec::new(), Vec::new());
         for id in used.collect::<Vec<_>>() {
             let at = self.fleet.met_at(now, id, JAM_SPAN_MS);
             if at.bad_share() <= DEAD_SHARE {
                 met = met.with([at.tries, at.bad, at.time_ms]);
                 means.extend((at.good() >= 3.0).then(|| at.mean_ms()));
-                held.push(self.fleet.held.get(&id).filter(|_| at.tries > 0.0).copied().unwrap_or(0.0));
+                held.push(
+                    self.fleet
+                        .held
+                        .get(&id)
+                        .filter(|_| at.tries > 0.0)
+                        .copied()
+                        .unwrap_or(0.0),
+                );
             }
         }
-        let came_per_s = self.demand.came.over(now, LEVEL_SPAN_MS).iter().sum::<f64>() / LEVEL_SPAN_MS * 1e3;
+        let came_per_s = self
+            .demand
+            .came
+            .over(now, LEVEL_SPAN_MS)
+            .iter()
+            .sum::<f64>()
+            / LEVEL_SPAN_MS
+            * 1e3;
         // A lesser part of the fleet that is slow, or full, is no jam: that part is trimmed instead.
         let most = 2.0 * quantile(held.clone(), CALM_FLEET).unwrap_or(0.0);
         let held: f64 = held.iter().map(|h| h.min(most)).sum();
-        let calm = if self.valves.levels == Levels::Ignored { CALM_FLEET_UNEASED } else { CALM_FLEET };
+        let calm = if self.valves.levels == Levels::Ignored {
+            CALM_FLEET_UNEASED
+        } else {
+            CALM_FLEET
+        };
         met.time_ms = quantile(means, calm).unwrap_or(met.mean_ms()) * met.good();
         // What may be let in goes with the proxies joined; what can be done well goes with the servers, too.
-        let sized: f64 = self.demand.proxies.values().filter(|p| p.joined).map(|p| p.sized_per_s).sum();
-        let live: f64 = self.fleet.servers.values().map(|s| s.part * s.listed.weight).sum();
+        let sized: f64 = self
+            .demand
+            .proxies
+            .values()
+            .filter(|p| p.joined)
+            .map(|p| p.sized_per_s)
+            .sum();
+        let live: f64 = self
+            .fleet
+            .servers
+            .values()
+            .map(|s| s.part * s.listed.weight)
+            .sum();
         if sized > 0.0 && live > 0.0 {
-            let (sized_was, live_was) = self.valves.stood.replace((sized, live)).unwrap_or((sized, live));
+            let (sized_was, live_was) = self
+                .valves
+                .stood
+                .replace((sized, live))
+                .unwrap_or((sized, live));
             self.valves.allowed_per_s *= sized / sized_was;
             self.valves.able_per_s *= sized / sized_was * live / live_was;
         }
         let target_ms = self.demand.usual_target_ms(now, &self.kinds);
         // Load reports show the load of all proxies, before the reqs that wait are answered.
         let all_per_ms = met.good() / JAM_SPAN_MS / self.demand.part_of_all(self.proxies);
-        let base_ms = if self.queue_only { QUEUE_BASE * target_ms } else { 0.0 };
+        let base_ms = if self.queue_only {
+            QUEUE_BASE * target_ms
+        } else {
+            0.0
+        };
         let held_ms = self.held_at.map(|_| base_ms + held / all_per_ms.max(1e-6));
-        self.log.extend(self.valves.step(now, met, held_ms, target_ms, came_per_s));
+        self.log
+            .extend(self.valves.step(now, met, held_ms, target_ms, came_per_s));
     }
 
     /// The levels and retry modes for all proxies.
     pub(super) fn admits(&mut self, now: f64) -> Vec<(u16, f64, Retry)> {
         // On proof that the first try never ran: one cut off goes on running. In a jam the next is as full.
-        let retry = if self.valves.mode == Mode::Open { Retry::IfUnrun } else { Retry::Never };
+        let retry = if self.valves.mode == Mode::Open {
+            Retry::IfUnrun
+        } else {
+            Retry::Never
+        };
         if self.valves.mode == Mode::Open || self.valves.levels == Levels::Ignored {
             return vec![(mask_of(0..self.kinds.len()), EVERYTHING, retry)];
         }
--- a/src/rules/parts.rs
+++ b/src/rules/parts.rs
@@ -44,13 +44,19 @@
     let less = spared(cut, &fair);
     // In steps, lest a change at one line changes them all.
     for (id, w) in cut.iter_mut().flat_map(|(_, lines)| lines) {
-        *w *= less.get(id).map_or(1.0, |l| (l * STEPS).round().max(1.0) / STEPS);
+        *w *= less
+            .get(id)
+            .map_or(1.0, |l| (l * STEPS).round().max(1.0) / STEPS);
     }
 }
 
 pub(super) fn part_of(now: f64, server: &Server, sure_multiple: f64, bounds: &RuleBounds) -> f64 {
     let Phase::Ramping = server.phase else {
-        return if server.phase == Phase::Warm { 1.0 } else { 0.0 };
+        return if server.phase == Phase::Warm {
+            1.0
+        } else {
+            0.0
+        };
     };
     // In a jam proxies crowd whichever server does not fail them. Harm: a cold zone is used later.
     let sure = sure_of(now, server, bounds);
--- a/src/rules/revisions.rs
+++ b/src/rules/revisions.rs
@@ -9,34 +9,96 @@
 const TAINT_TRIES: f64 = 20.0;
 
 const REVISIONS: &[(Standing, Verdict, Standing, Filing)] = &[
-    (Standing::Unknown, Verdict::Proposed, Standing::Sound, Filing::Append),
-    (Standing::Sound, Verdict::Proposed, Standing::Sound, Filing::MoveNewest),
-    (Standing::Tainted, Verdict::Proposed, Standing::Sound, Filing::MoveNewest),
-    (Standing::Sound, Verdict::Failed, Standing::Tainted, Filing::Keep),
-    (Standing::Unknown, Verdict::Recalled, Standing::Held, Filing::Append),
-    (Standing::Sound, Verdict::Recalled, Standing::Held, Filing::MoveNewest),
-    (Standing::Tainted, Verdict::Recalled, Standing::Held, Filing::MoveNewest),
-    (Standing::Held, Verdict::Failed, Standing::Tainted, Filing::Keep),
-    (Standing::Held, Verdict::Released, Standing::Sound, Filing::Keep),
-    (Standing::Sound, Verdict::Released, Standing::Sound, Filing::MoveNewest),
+    (
+        Standing::Unknown,
+        Verdict::Proposed,
+        Standing::Sound,
+        Filing::Append,
+    ),
+    (
+        Standing::Sound,
+        Verdict::Proposed,
+        Standing::Sound,
+        Filing::MoveNewest,
+    ),
+    (
+        Standing::Tainted,
+        Verdict::Proposed,
+        Standing::Sound,
+        Filing::MoveNewest,
+    ),
+    (
+        Standing::Sound,
+        Verdict::Failed,
+        Standing::Tainted,
+        Filing::Keep,
+    ),
+    (
+        Standing::Unknown,
+        Verdict::Recalled,
+        Standing::Held,
+        Filing::Append,
+    ),
+    (
+        Standing::Sound,
+        Verdict::Recalled,
+        Standing::Held,
+        Filing::MoveNewest,
+    ),
+    (
+        Standing::Tainted,
+        Verdict::Recalled,
+        Standing::Held,
+        Filing::MoveNewest,
+    ),
+    (
+        Standing::Held,
+        Verdict::Failed,
+        Standing::Tainted,
+        Filing::Keep,
+    ),
+    (
+        Standing::Held,
+        Verdict::Released,
+        Standing::Sound,
+        Filing::Keep,
+    ),
+    (
+        Standing::Sound,
+        Verdict::Released,
+        Standing::Sound,
+        Filing::MoveNewest,
+    ),
 ];
 
 impl Table {
     fn file(&mut self, name: u64, verdict: Verdict, lines: Lines) {
         let at = self.revisions.iter().position(|r| r.name == name);
         let from = at.map_or(Standing::Unknown, |k| self.revisions[k].standing);
-        let row = REVISIONS.iter().find(|row| row.0 == from && row.1 == verdict);
+        let row = REVISIONS
+            .iter()
+            .find(|row| row.0 == from && row.1 == verdict);
         match row.map(|&(_, _, standing, filing)| (filing, standing, at)) {
             Some((Filing::MoveNewest, standing, Some(k))) => {
                 let revision = self.revisions.remove(k);
-                self.revisions.push(Revision { standing, ..revision });
+                self.revisions.push(Revision {
+                    standing,
+                    ..revision
+                });
             }
             Some((Filing::Keep, standing, Some(k))) => self.revisions[k].standing = standing,
-            Some((Filing::Append, standing, _)) => self.revisions.push(Revision { name, lines, standing }),
+            Some((Filing::Append, standing, _)) => self.revisions.push(Revision {
+                name,
+                lines,
+                standing,
+            }),
             _ => {}
         }
         let over = self.revisions.len().saturating_sub(DEPTH);
-        self.revisions.extract_if(.., |r| r.standing != Standing::Held).take(over).for_each(drop);
+        self.revisions
+            .extract_if(.., |r| r.standing != Standing::Held)
+            .take(over)
+            .for_each(drop);
     }
 
     pub(super) fn propose(&mut self, lines: Lines) {
@@ -49,21 +111,38 @@
 
     /// The newest untainted revision, or the newest where all are tainted; an operator's way back aside.
     pub(super) fn newest(&self) -> Option<&Revision> {
-        let sound = self.revisions.iter().rfind(|r| r.standing == Standing::Sound);
-        sound.or(self.revisions.iter().rfind(|r| r.standing != Standing::Held))
+        let sound = self
+            .revisions
+            .iter()
+            .rfind(|r| r.standing == Standing::Sound);
+        sound.or(self
+            .revisions
+            .iter()
+            .rfind(|r| r.standing != Standing::Held))
     }
 
     /// Ends a way back, if there is one; the lines last cut are the newest again unless they are tainted.
     pub(super) fn release(&mut self) -> bool {
         let names = self.recalled().map(|r| [r.name, self.cut]);
-        names.into_iter().flatten().for_each(|name| self.file(name, Verdict::Released, Lines::new()));
+        names
+            .into_iter()
+            .flatten()
+            .for_each(|name| self.file(name, Verdict::Released, Lines::new()));
         std::mem::take(&mut self.back)
     }
 
     /// Taints the published revision when tries fail at its servers after the push. Failures at servers that
     /// are struck don't count: one bad server would taint every revision that names it.
-    pub(super) fn judge(&mut self, now: f64, gap_ms: f64, zone: ZoneId, fleet: &mut Fleet) -> Option<String> {
-        let trial = self.trial.take_if(|t| now >= t.from_ms + gap_ms + TAINT_SPAN_MS)?;
+    pub(super) fn judge(
+        &mut self,
+        now: f64,
+        gap_ms: f64,
+        zone: ZoneId,
+        fleet: &mut Fleet,
+    ) -> Option<String> {
+        let trial = self
+            .trial
+            .take_if(|t| now >= t.from_ms + gap_ms + TAINT_SPAN_MS)?;
         let unproven = std::mem::take(&mut self.unproven);
         let met = fleet.met_on(now, zone, &self.held, TAINT_SPAN_MS);
         let (bad, prior) = (met.bad_share(), trial.prior_bad);
@@ -76,8 +155,14 @@
         }
         let next = self.recalled().or_else(|| self.newest())?;
         let (sound, to) = (next.standing == Standing::Sound, next.name);
-        let what = if sound { "rolled back to" } else { "all tainted, keeps" };
-        Some(format!("table {id} revision {was:016x} tainted, {what} {to:016x}: {met}, prior {prior:.3}"))
+        let what = if sound {
+            "rolled back to"
+        } else {
+            "all tainted, keeps"
+        };
+        Some(format!(
+            "table {id} revision {was:016x} tainted, {what} {to:016x}: {met}, prior {prior:.3}"
+        ))
     }
 }
 
@@ -85,10 +170,14 @@
     /// Holds earlier lines for a table, if any of them can be used now.
     pub(super) fn go_back(&mut self, id: TableId, lines: Lines) -> Back {
         let found = self.tables.iter().find(|(_, t)| t.id == id);
-        let Some((at, table)) = found else { return Back::Refused("there is no such table") };
+        let Some((at, table)) = found else {
+            return Back::Refused("there is no such table");
+        };
         let (at, of, usable) = (*at, lines.len(), self.usable(&lines, *at, table).len());
         if usable == 0 {
-            return Back::Refused("it would leave request kinds bare: no warm server of it is left");
+            return Back::Refused(
+                "it would leave request kinds bare: no warm server of it is left",
+            );
         }
         if let Some(table) = self.tables.get_mut(&at) {
             table.release();
@@ -100,16 +189,39 @@
 
     /// What can be used now of earlier lines: no server that is drained, gone, struck or closed to the kinds,
     /// and of one that still ramps no more than its part of the module's own lines. Harm: none warm, no way.
-    pub(super) fn usable(&self, lines: &Lines, (proxy, g): (ProxyId, usize), table: &Table) -> Lines {
-        let (own, group, zone) = (self.own_lines(table, proxy, g), &self.groups[g], self.zone_of(proxy));
+    pub(super) fn usable(
+        &self,
+        lines: &Lines,
+        (proxy, g): (ProxyId, usize),
+        table: &Table,
+    ) -> Lines {
+        let (own, group, zone) = (
+            self.own_lines(table, proxy, g),
+            &self.groups[g],
+            self.zone_of(proxy),
+        );
         let near = |l: &Listed| group.open(l) && (!group.like.own_zone || l.zone == zone);
-        let server = |id| self.fleet.servers.get(id).filter(|s| s.part > 0.0 && near(&s.listed));
-        let known = lines.iter().filter_map(|(id, weight)| Some((*id, *weight, server(id)?)));
+        let server = |id| {
+            self.fleet
+                .servers
+                .get(id)
+                .filter(|s| s.part > 0.0 && near(&s.listed))
+        };
+        let known = lines
+            .iter()
+            .filter_map(|(id, weight)| Some((*id, *weight, server(id)?)));
         let (cold, warm): (Vec<_>, Vec<_>) = known.partition(|(_, _, s)| s.phase == Phase::Ramping);
-        let mut usable: Lines = warm.iter().map(|(id, w, s)| (*id, w.min(s.listed.weight))).collect();
+        let mut usable: Lines = warm
+            .iter()
+            .map(|(id, w, s)| (*id, w.min(s.listed.weight)))
+            .collect();
         let part = usable.values().sum::<f64>() / own.values().sum::<f64>().max(1e-9);
         let most = |id, w: f64, s: &Server| (w * s.part).min(own.get(&id).unwrap_or(&0.0) * part);
-        usable.extend(cold.into_iter().map(|(id, w, s)| (id, most(id, w, s))).filter(|(_, w)| *w > 0.0));
+        usable.extend(
+            cold.into_iter()
+                .map(|(id, w, s)| (id, most(id, w, s)))
+                .filter(|(_, w)| *w > 0.0),
+        );
         usable
     }
 
@@ -117,14 +229,21 @@
     pub(super) fn end_ways_back(&mut self, out: &mut Vec<Effect>) {
         let why = |at, table: &Table| match table.recalled() {
             None => Some("it was tainted"),
-            Some(r) if self.usable(&r.lines, at, table).is_empty() => Some("no warm server of it is left"),
+            Some(r) if self.usable(&r.lines, at, table).is_empty() => {
+                Some("no warm server of it is left")
+            }
             _ => None,
         };
         let held = self.tables.iter().filter(|(_, t)| t.back);
-        let ended: Vec<_> = held.filter_map(|(at, t)| Some((*at, t.id, why(*at, t)?))).collect();
+        let ended: Vec<_> = held
+            .filter_map(|(at, t)| Some((*at, t.id, why(*at, t)?)))
+            .collect();
         for (at, id, why) in ended {
             self.tables.get_mut(&at).map(Table::release);
-            out.push(Effect::Back { table: id, what: Back::Ended(why) });
+            out.push(Effect::Back {
+                table: id,
+                what: Back::Ended(why),
+            });
         }
     }
 
@@ -139,7 +258,11 @@
         if lines.is_empty() {
             // Nobody is left bare: any ready server that the kinds are open to beats none.
             let near = |l: &Listed| !group.like.own_zone || l.zone == zone;
-            let ready = self.fleet.servers.values().filter(|s| s.phase != Phase::Leaving);
+            let ready = self
+                .fleet
+                .servers
+                .values()
+                .filter(|s| s.phase != Phase::Leaving);
             let open = ready.filter(|s| near(&s.listed) && group.open(&s.listed));
             lines.extend(open.map(|s| (s.listed.server, s.listed.weight * s.part.max(ENTRY_PART))));
         }
--- a/src/shares.rs
+++ b/src/shares.rs
@@ -5,7 +5,9 @@
 /// Where a new arc starts: at the server that the arcs laid so far load least.
 pub fn least_loaded(ring: &[&Listed], loads: &Lines) -> ServerId {
     let load = |l: &Listed| loads.get(&l.server).copied().unwrap_or(0.0);
-    ring.iter().min_by(|a, b| load(a).total_cmp(&load(b))).map_or_else(ServerId::default, |l| l.server)
+    ring.iter()
+        .min_by(|a, b| load(a).total_cmp(&load(b)))
+        .map_or_else(ServerId::default, |l| l.server)
 }
 
 /// One arc: so many mean servers of a ring, from a place on it onwards, at their listed weights.
@@ -33,9 +35,15 @@
     if home > 1.0 - 0.5 / steps {
         return Shares::from([(zone, 1.0)]);
     }
-    let left: Vec<_> = room.keys().map(|z| (*z, (room_of(z) - wanted(z)).max(0.0))).collect();
+    let left: Vec<_> = room
+        .keys()
+        .map(|z| (*z, (room_of(z) - wanted(z)).max(0.0)))
+        .collect();
     let all_left: f64 = left.iter().map(|l| l.1).sum::<f64>().max(1e-9);
-    let mut flows: Shares = left.iter().map(|(z, l)| (*z, in_steps((1.0 - home) * l / all_left))).collect();
+    let mut flows: Shares = left
+        .iter()
+        .map(|(z, l)| (*z, in_steps((1.0 - home) * l / all_left)))
+        .collect();
     *flows.entry(zone).or_insert(0.0) += in_steps(home);
     flows.retain(|_, part| *part > 0.0);
     flows
@@ -57,7 +65,9 @@
                 *loads.entry(*line.0).or_insert(0.0) += per_s * now_at(line) / sum.max(1e-9);
             }
         }
-        loads.iter().for_each(|(id, load)| *less.entry(*id).or_insert(1.0) *= (fair[id] / load).min(1.0));
+        loads
+            .iter()
+            .for_each(|(id, load)| *less.entry(*id).or_insert(1.0) *= (fair[id] / load).min(1.0));
     }
     less
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -18,7 +18,11 @@
 impl Reached {
     /// What writing so many lines to a proxy costs: its message's head too, where it has none yet.
     pub fn cost(&self, id: ProxyId, head: f64, lines: f64) -> f64 {
-        if self.by_proxy.contains_key(&id) { lines } else { head + lines }
+        if self.by_proxy.contains_key(&id) {
+            lines
+        } else {
+            head + lines
+        }
     }
 
     pub fn add(&mut self, id: ProxyId, head: f64, lines: f64) {
@@ -69,7 +73,11 @@
 
 impl Met {
     pub fn with(self, [tries, bad, time_ms]: [f64; 3]) -> Self {
-        Self { tries: self.tries + tries, bad: self.bad + bad, time_ms: self.time_ms + time_ms }
+        Self {
+            tries: self.tries + tries,
+            bad: self.bad + bad,
+            time_ms: self.time_ms + time_ms,
+        }
     }
 
     pub fn good(&self) -> f64 {
@@ -84,7 +92,9 @@
     /// chance of so many or more is under e to the minus this).
     pub fn against(&self, usual: f64) -> f64 {
         let bad = self.bad_share().min(1.0 - 1e-9);
-        self.tries * (bad * (bad / usual).max(1e-9).ln() + (1.0 - bad) * ((1.0 - bad) / (1.0 - usual)).ln())
+        self.tries
+            * (bad * (bad / usual).max(1e-9).ln()
+                + (1.0 - bad) * ((1.0 - bad) / (1.0 - usual)).ln())
     }
 
     pub fn mean_ms(&self) -> f64 {
@@ -94,7 +104,13 @@
 
 impl std::fmt::Display for Met {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{} of {} bad, mean {:.0} ms", self.bad, self.tries, self.mean_ms())
+        write!(
+            f,
+            "{} of {} bad, mean {:.0} ms",
+            self.bad,
+            self.tries,
+            self.mean_ms()
+        )
     }
 }
 
@@ -203,7 +219,9 @@
 }
 
 pub fn name_of(lines: &Lines) -> u64 {
-    let bytes = lines.iter().flat_map(|(id, w)| id.iter().copied().chain(w.to_bits().to_le_bytes()));
+    let bytes = lines
+        .iter()
+        .flat_map(|(id, w)| id.iter().copied().chain(w.to_bits().to_le_bytes()));
     twox_hash::XxHash64::oneshot(0, &bytes.collect::<Vec<u8>>())
 }
 
@@ -342,7 +360,9 @@
 
 impl KindGroup {
     pub fn open(&self, listed: &Listed) -> bool {
-        let ReqKind { zones, machines, .. } = &self.like;
+        let ReqKind {
+            zones, machines, ..
+        } = &self.like;
         (zones.is_empty() || zones.contains(&listed.zone))
             && (machines.is_empty() || machines.contains(&listed.machine))
     }
@@ -356,7 +376,12 @@
 
 pub fn write_note(lines: &[NoteLine]) -> Vec<u8> {
     let write = |(id, zone, per_s): &NoteLine| {
-        [&id.to_le_bytes()[..], &zone.to_le_bytes(), &(*per_s as f32).to_le_bytes()].concat()
+        [
+            &id.to_le_bytes()[..],
+            &zone.to_le_bytes(),
+            &(*per_s as f32).to_le_bytes(),
+        ]
+        .concat()
     };
     lines.iter().take(NOTE_LINES).flat_map(write).collect()
 }
@@ -364,10 +389,16 @@
 /// Reads a peer's note; what is no line of one is passed over.
 pub fn read_note(bytes: &[u8]) -> impl Iterator<Item = NoteLine> {
     bytes.chunks_exact(8).filter_map(|line| {
-        let &[a, b, c, d, e, f, g, h] = line else { return None };
+        let &[a, b, c, d, e, f, g, h] = line else {
+            return None;
+        };
         let per_s = f64::from(f32::from_le_bytes([e, f, g, h]));
         let sane = per_s.is_finite() && per_s > 0.0;
-        sane.then_some((u16::from_le_bytes([a, b]), u16::from_le_bytes([c, d]), per_s))
+        sane.then_some((
+            u16::from_le_bytes([a, b]),
+            u16::from_le_bytes([c, d]),
+            per_s,
+        ))
     })
 }
 
@@ -423,10 +454,20 @@
             proxies: f64::from(start.place.proxies.max(1)),
             controllers: f64::from(start.place.controllers.max(1)),
             fleet: Fleet::default(),
-            demand: Demand { proxies: BTreeMap::new(), came, zones: BTreeMap::new() },
+            demand: Demand {
+                proxies: BTreeMap::new(),
+                came,
+                zones: BTreeMap::new(),
+            },
             tables: BTreeMap::new(),
-            channel: Channel { as_of_ms: now, ..Channel::default() },
-            valves: Valves { levels: start.habits.levels, ..Valves::default() },
+            channel: Channel {
+                as_of_ms: now,
+                ..Channel::default()
+            },
+            valves: Valves {
+                levels: start.habits.levels,
+                ..Valves::default()
+            },
             started: false,
             hasty: false,
             beat_ms: now,
@@ -443,13 +484,25 @@
 
     /// Names this part of the joined proxies to the peers at least, those next whose turn it is.
     pub(crate) fn notes(&mut self, part: f64) -> Vec<Effect> {
-        let joined = self.demand.proxies.iter().filter(|(_, p)| p.joined && self.means.peers);
+        let joined = self
+            .demand
+            .proxies
+            .iter()
+            .filter(|(_, p)| p.joined && self.means.peers);
         let mut own: Vec<NoteLine> = joined.map(|(id, p)| (*id, p.zone, p.met_per_s)).collect();
-        let count = ((own.len() as f64 * part).ceil() as usize).max(NOTE_LINES).min(own.len());
+        let count = ((own.len() as f64 * part).ceil() as usize)
+            .max(NOTE_LINES)
+            .min(own.len());
         let first = self.noted % own.len().max(1);
         own.rotate_left(first);
         self.noted += count;
-        own[..count].chunks(NOTE_LINES).map(|c| Effect::Note { to: None, bytes: write_note(c) }).collect()
+        own[..count]
+            .chunks(NOTE_LINES)
+            .map(|c| Effect::Note {
+                to: None,
+                bytes: write_note(c),
+            })
+            .collect()
     }
 
     /// Whether an order can still name this server.
@@ -464,33 +517,45 @@
         proxies: &[ProxyId],
         servers: impl Iterator<Item = &'a ServerId>,
     ) -> BTreeMap<ServerId, Vec<ProxyId>> {
-        let mut holders: BTreeMap<ServerId, Vec<ProxyId>> = servers.map(|id| (*id, Vec::new())).collect();
+        let mut holders: BTreeMap<ServerId, Vec<ProxyId>> =
+            servers.map(|id| (*id, Vec::new())).collect();
         let proxies = if holders.is_empty() { &[] } else { proxies };
         for proxy in proxies {
-            let tables = self.tables.range((*proxy, 0)..=(*proxy, usize::MAX)).map(|(_, table)| table);
+            let tables = self
+                .tables
+                .range((*proxy, 0)..=(*proxy, usize::MAX))
+                .map(|(_, table)| table);
             let mut bound = tables.filter(|t| t.bound).peekable();
             if bound.peek().is_none() {
                 holders.values_mut().for_each(|of| of.push(*proxy));
             }
             for server in bound.flat_map(|t| t.held.keys()) {
                 let of = holders.get_mut(server);
-                _ = of.filter(|of| of.last() != Some(proxy)).map(|of| of.push(*proxy));
+                _ = of
+                    .filter(|of| of.last() != Some(proxy))
+                    .map(|of| of.push(*proxy));
             }
         }
         holders
     }
 
     pub(crate) fn tables_of(&mut self, proxy: ProxyId) -> impl Iterator<Item = &mut Table> {
-        self.tables.range_mut((proxy, 0)..=(proxy, usize::MAX)).map(|(_, table)| table)
+        self.tables
+            .range_mut((proxy, 0)..=(proxy, usize::MAX))
+            .map(|(_, table)| table)
     }
 }
 
 impl Fleet {
     /// What a zone's proxies met at those of these servers that are in use.
     pub fn met_on(&mut self, now: f64, zone: ZoneId, lines: &Lines, span_ms: f64) -> Met {
-        let used = lines.keys().filter(|id| self.servers.get(*id).is_some_and(|s| s.part > 0.0));
+        let used = lines
+            .keys()
+            .filter(|id| self.servers.get(*id).is_some_and(|s| s.part > 0.0));
         used.fold(Met::default(), |met, id| {
-            self.heard.get_mut(&(*id, zone)).map_or(met, |h| met.with(h.over(now, span_ms)))
+            self.heard
+                .get_mut(&(*id, zone))
+                .map_or(met, |h| met.with(h.over(now, span_ms)))
         })
     }
 
@@ -500,7 +565,10 @@
     }
 
     pub fn hear(&mut self, now: f64, at: (ServerId, ZoneId), what: [f64; 3]) {
-        self.heard.entry(at).or_insert_with(|| Buckets::new(500.0, 24)).add(now, what);
+        self.heard
+            .entry(at)
+            .or_insert_with(|| Buckets::new(500.0, 24))
+            .add(now, what);
     }
 
     /// What proxies of all zones met at a server lately.
@@ -512,12 +580,15 @@
 
 impl Channel {
     pub fn answered(&mut self, now: f64, proxy: ProxyId, mark: u64) {
-        let Some(sent) = self.marks.get(&mark) else { return };
+        let Some(sent) = self.marks.get(&mark) else {
+            return;
+        };
         let at = sent.through.binary_search_by_key(&proxy, |(id, _)| *id);
         let through = at.map_or(sent.before, |at| sent.through[at].1);
         if through > self.left {
             (self.left, self.moved_ms) = (through, now);
-            self.marks.retain(|_, s| s.through.last().is_some_and(|(_, all)| *all > through));
+            self.marks
+                .retain(|_, s| s.through.last().is_some_and(|(_, all)| *all > through));
         }
     }
 
@@ -545,7 +616,11 @@
 
 impl Demand {
     pub fn joined(&self) -> Vec<ProxyId> {
-        self.proxies.iter().filter(|(_, p)| p.joined).map(|(id, _)| *id).collect()
+        self.proxies
+            .iter()
+            .filter(|(_, p)| p.joined)
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// What a peer says of proxies that are not joined here.
@@ -559,7 +634,10 @@
 
     pub fn named(&mut self, now: f64, proxy: ProxyId, zone: ZoneId, per_s: f64) -> &mut Proxy {
         let per_s = per_s.max(0.01);
-        let entry = self.proxies.entry(proxy).or_insert_with(|| Proxy::new(now, zone, per_s));
+        let entry = self
+            .proxies
+            .entry(proxy)
+            .or_insert_with(|| Proxy::new(now, zone, per_s));
         (entry.zone, entry.seen_ms) = (zone, now);
         entry
     }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -46,7 +46,9 @@
 fn taint_rollback_and_clearing() {
     let mut desk = settled(start());
     desk.pass(6_000.0, |d| d.answer());
-    desk.note("a new server: a new revision, then failures at the others: back to the one without it");
+    desk.note(
+        "a new server: a new revision, then failures at the others: back to the one without it",
+    );
     desk.change(5, Stage::Ready, 0.0);
     desk.pass(5_000.0, some_bad);
     desk.note("s5 grows: new lines, a new revision");
@@ -112,7 +114,11 @@
     assert!(!desk.trace.contains("Fails"), "{}", desk.trace);
     // What is told later on counts.
     desk.pass(4_000.0, bad_at_s4);
-    assert!(desk.trace.contains("Ramping -> Struck on Fails"), "{}", desk.trace);
+    assert!(
+        desk.trace.contains("Ramping -> Struck on Fails"),
+        "{}",
+        desk.trace
+    );
 }
 
 #[test]
@@ -142,7 +148,9 @@
     desk.note("s3 gives no good answers; the others do");
     (1..=4).for_each(|n| desk.hear(n, 10.0, if n == 3 { 10.0 } else { 0.0 }, 100.0));
     desk.note("let in again at a quarter, it still fails: held twice as long");
-    desk.pass(20_000.0, |d| (1..=4).for_each(|n| d.hear(n, 5.0, if n == 3 { 5.0 } else { 0.0 }, 100.0)));
+    desk.pass(20_000.0, |d| {
+        (1..=4).for_each(|n| d.hear(n, 5.0, if n == 3 { 5.0 } else { 0.0 }, 100.0))
+    });
     assert_snapshot!(desk.trace);
 }
 
@@ -152,9 +160,13 @@
     desk.join(0, 0);
     desk.pass(5_000.0, |_| ());
     desk.note("all fail alike: none is struck");
-    desk.pass(2_000.0, |d| (1..=2).for_each(|n| d.hear(n, 10.0, 10.0, 0.0)));
+    desk.pass(2_000.0, |d| {
+        (1..=2).for_each(|n| d.hear(n, 10.0, 10.0, 0.0))
+    });
     desk.note("one is struck; then the other goes: a struck line beats none");
-    desk.pass(2_000.0, |d| (1..=2).for_each(|n| d.hear(n, 40.0, if n == 1 { 40.0 } else { 0.0 }, 100.0)));
+    desk.pass(2_000.0, |d| {
+        (1..=2).for_each(|n| d.hear(n, 40.0, if n == 1 { 40.0 } else { 0.0 }, 100.0))
+    });
     desk.change(2, Stage::Gone, 0.0);
     desk.pass(400.0, |_| ());
     assert_snapshot!(desk.trace);
@@ -185,7 +197,10 @@
     let mut far = start();
     far.means.cross_zone_price = 0.1;
     far.channel.backlog_lines = 50.0;
-    let mut desk = Desk::new(far, vec![listed(1, 0), listed(2, 0), listed(3, 1), listed(4, 1)]);
+    let mut desk = Desk::new(
+        far,
+        vec![listed(1, 0), listed(2, 0), listed(3, 1), listed(4, 1)],
+    );
     desk.join(0, 1);
     desk.join(1, 0);
     desk.pass(1_500.0, |d| d.answer());
@@ -204,7 +219,9 @@
     let mut desk = settled(start());
     desk.pass(2_000.0, |_| ());
     desk.note("s4 takes nine times as long as the others");
-    desk.pass(5_000.0, |d| (1..=4).for_each(|n| d.hear(n, 10.0, 0.0, if n == 4 { 900.0 } else { 100.0 })));
+    desk.pass(5_000.0, |d| {
+        (1..=4).for_each(|n| d.hear(n, 10.0, 0.0, if n == 4 { 900.0 } else { 100.0 }))
+    });
     assert_snapshot!(desk.trace);
 }
 
@@ -227,7 +244,12 @@
     desk.pass(5_000.0, |_| ());
     let full = |d: &mut Desk, s3_bad: f64, s4_ms: f64| {
         (0..2).for_each(|p| d.usage(p, 0, 40.0));
-        for (n, bad, ms) in [(1, 6.0, 800.0), (2, 6.0, 800.0), (3, s3_bad, 800.0), (4, 6.0, s4_ms)] {
+        for (n, bad, ms) in [
+            (1, 6.0, 800.0),
+            (2, 6.0, 800.0),
+            (3, s3_bad, 800.0),
+            (4, 6.0, s4_ms),
+        ] {
             d.hear(n, 20.0, bad, ms);
         }
     };
@@ -249,14 +271,22 @@
     let lines = vec![
         listed(1, 0),
         listed(2, 0),
-        Listed { stage: Stage::Draining, ..listed(3, 0) },
-        Listed { started_ms: asked_at - 3_000.0, ..listed(4, 0) },
+        Listed {
+            stage: Stage::Draining,
+            ..listed(3, 0)
+        },
+        Listed {
+            started_ms: asked_at - 3_000.0,
+            ..listed(4, 0)
+        },
     ];
     let mut again = Desk::new(start(), lines);
     again.join(1, 0);
     again.pass(1_000.0, |_| ());
     assert_snapshot!(
-        desk.trace + "== started over from the list alone: s4 started 3 s ago, s3 drains\n" + &again.trace
+        desk.trace
+            + "== started over from the list alone: s4 started 3 s ago, s3 drains\n"
+            + &again.trace
     );
 }
 
@@ -265,7 +295,9 @@
     let mut tight = start();
     tight.channel.backlog_lines = 40.0;
     let mut desk = settled(tight);
-    desk.note("a bound table's deltas wait while p0's and p1's tables fill the channel; a drain does not");
+    desk.note(
+        "a bound table's deltas wait while p0's and p1's tables fill the channel; a drain does not",
+    );
     desk.change(5, Stage::Ready, 0.0);
     desk.change(2, Stage::Draining, 0.0);
     desk.note("answers show the channel empty: the rest follows");
@@ -298,7 +330,9 @@
         desk.change(n, Stage::Ready, 0.0);
         desk.pass(1_000.0, |d| d.answer());
     }
-    desk.note("drains go out all the same; that s2 is back waits until the first messages are past");
+    desk.note(
+        "drains go out all the same; that s2 is back waits until the first messages are past",
+    );
     desk.change(2, Stage::Draining, 0.0);
     desk.change(3, Stage::Draining, 0.0);
     desk.change(2, Stage::Ready, 0.0);
@@ -310,7 +344,14 @@
 fn jam(mut from: Start) -> Desk {
     from.kinds = vec![
         kind("view", 1.0, Repeat::Replayable),
-        kind("hold", 5.0, Repeat::Uniqued { group: Group::Zone, window_ms: 5_000.0 }),
+        kind(
+            "hold",
+            5.0,
+            Repeat::Uniqued {
+                group: Group::Zone,
+                window_ms: 5_000.0,
+            },
+        ),
         kind("charge", 3.0, Repeat::NonReplayable),
     ];
     let mut desk = settled(from);
@@ -349,13 +390,28 @@
     near.means.cross_zone_price = 0.1;
     near.means.peers = true;
     near.place.proxies = 4;
-    let mut desk = Desk::new(near, vec![listed(1, 0), listed(2, 0), listed(3, 1), listed(4, 1)]);
+    let mut desk = Desk::new(
+        near,
+        vec![listed(1, 0), listed(2, 0), listed(3, 1), listed(4, 1)],
+    );
     desk.join(0, 0);
     desk.join(1, 0);
     desk.note("a peer names as much demand in the other zone; what is no note is passed over");
-    let line =
-        |p: u16, per_s: f32| [&p.to_le_bytes()[..], &1_u16.to_le_bytes(), &per_s.to_le_bytes()].concat();
-    let bytes = [line(2, 10.0), line(3, 10.0), line(9, f32::NAN), vec![1, 2, 3]].concat();
+    let line = |p: u16, per_s: f32| {
+        [
+            &p.to_le_bytes()[..],
+            &1_u16.to_le_bytes(),
+            &per_s.to_le_bytes(),
+        ]
+        .concat()
+    };
+    let bytes = [
+        line(2, 10.0),
+        line(3, 10.0),
+        line(9, f32::NAN),
+        vec![1, 2, 3],
+    ]
+    .concat();
     desk.give(vec![Input::Note { from: 1, bytes }]);
     desk.pass(1_000.0, |d| d.answer());
     desk.note("zone 0 loses one of two: what has no room at home crosses");
@@ -367,9 +423,15 @@
 #[test]
 fn kinds_keep_to_their_zones() {
     let mut bound = start();
-    bound.kinds.push(ReqKind { zones: vec![1], ..kind("charge", 3.0, Repeat::NonReplayable) });
+    bound.kinds.push(ReqKind {
+        zones: vec![1],
+        ..kind("charge", 3.0, Repeat::NonReplayable)
+    });
     bound.means.cross_zone_price = 0.1;
-    let mut desk = Desk::new(bound, vec![listed(1, 0), listed(2, 0), listed(3, 1), listed(4, 1)]);
+    let mut desk = Desk::new(
+        bound,
+        vec![listed(1, 0), listed(2, 0), listed(3, 1), listed(4, 1)],
+    );
     desk.join(0, 0);
     desk.pass(1_000.0, |_| ());
     assert_snapshot!(desk.trace);
@@ -384,13 +446,19 @@
     (0..3).for_each(|p| desk.join(p, 0));
     desk.pass(1_000.0, |_| ());
     desk.note("p0 brings four times what the others do, for 25 s");
-    desk.pass(25_000.0, |d| (0..3).for_each(|p| d.usage(p, 0, if p == 0 { 40.0 } else { 10.0 })));
+    desk.pass(25_000.0, |d| {
+        (0..3).for_each(|p| d.usage(p, 0, if p == 0 { 40.0 } else { 10.0 }))
+    });
     assert_snapshot!(desk.trace);
 }
 
 /// What a trace says of one thing.
 fn only(trace: &str, what: &str) -> String {
-    trace.lines().filter(|l| l.contains(what) || l.starts_with("--")).collect::<Vec<_>>().join("\n")
+    trace
+        .lines()
+        .filter(|l| l.contains(what) || l.starts_with("--"))
+        .collect::<Vec<_>>()
+        .join("\n")
 }
 
 #[test]
@@ -420,11 +488,17 @@
     many.load_fields = vec![LoadField::Held];
     let mut desk = Desk::new(many, (1..=8).map(|n| listed(n, 0)).collect());
     (0..4).for_each(|p| desk.join(p, 0));
-    desk.pass(7_000.0, |d| (1..=8).for_each(|n| d.hear(n, 10.0, 0.0, 100.0)));
+    desk.pass(7_000.0, |d| {
+        (1..=8).for_each(|n| d.hear(n, 10.0, 0.0, 100.0))
+    });
     desk.note("half of the tries fail, though servers report nothing to do");
-    desk.pass(12_000.0, |d| (1..=8).for_each(|n| d.hear(n, 10.0, 5.0, 100.0)));
+    desk.pass(12_000.0, |d| {
+        (1..=8).for_each(|n| d.hear(n, 10.0, 5.0, 100.0))
+    });
     desk.note("no more");
-    desk.pass(30_000.0, |d| (1..=8).for_each(|n| d.hear(n, 10.0, 0.0, 100.0)));
+    desk.pass(30_000.0, |d| {
+        (1..=8).for_each(|n| d.hear(n, 10.0, 0.0, 100.0))
+    });
     assert_snapshot!(only(&desk.trace, "t0:"));
 }
 
@@ -436,7 +510,11 @@
     (many.place.proxies, many.place.controllers) = (60, 1);
     many.load_fields = vec![LoadField::Held];
     (many.channel.backlog_lines, many.channel.lines_per_s) = (1e6, 1e6);
-    (many.bounds.cold_share, many.bounds.cold_ms, many.bounds.fall_multiple) = (0.5, 60_000.0, 6.0);
+    (
+        many.bounds.cold_share,
+        many.bounds.cold_ms,
+        many.bounds.fall_multiple,
+    ) = (0.5, 60_000.0, 6.0);
     let mut desk = Desk::new(many, (1..=40).map(|k| listed(3 * k, 0)).collect());
     (0..60).for_each(|p| desk.join(p, 0));
     let hear = |d: &mut Desk, bad: f64| {
@@ -448,12 +526,18 @@
     let started = desk.now();
     for last in [6, 14, 22, 30, 38] {
         (last - 4..=last).for_each(|k| desk.change(3 * k, Stage::Draining, 0.0));
-        [1, 2].into_iter().for_each(|beside| desk.change(3 * last + beside, Stage::Ready, started));
+        [1, 2]
+            .into_iter()
+            .for_each(|beside| desk.change(3 * last + beside, Stage::Ready, started));
     }
     desk.pass(6_000.0, |d| hear(d, 5.0));
     // 15 warm ones and 10 that may have half: so much of all is a cold one's share.
     let (fair, sent) = (60.0 * 0.5 / 20.0, desk.sent());
-    let cold: Vec<f64> = sent.iter().filter(|(n, _)| *n % 3 > 0).map(|(_, load)| *load).collect();
+    let cold: Vec<f64> = sent
+        .iter()
+        .filter(|(n, _)| *n % 3 > 0)
+        .map(|(_, load)| *load)
+        .collect();
     let most = cold.iter().copied().fold(0.0, f64::max);
     assert!(most < 1.25 * fair && cold.len() == 10, "{fair}: {sent:?}");
     assert!(cold.iter().sum::<f64>() > 5.0 * fair, "{fair}: {sent:?}");
@@ -477,7 +561,9 @@
 fn a_slow_part_of_the_fleet_is_no_jam() {
     let mut desk = settled(start());
     desk.note("s4 takes thirty times as long, so that the mean is past half the response target");
-    desk.pass(10_000.0, |d| (1..=4).for_each(|n| d.hear(n, 10.0, 0.0, if n == 4 { 3_000.0 } else { 100.0 })));
+    desk.pass(10_000.0, |d| {
+        (1..=4).for_each(|n| d.hear(n, 10.0, 0.0, if n == 4 { 3_000.0 } else { 100.0 }))
+    });
     assert_snapshot!(only(&desk.trace, "log"));
 }
 
@@ -493,13 +579,25 @@
         for n in 1..=10 {
             let (zone, server, load) = (0, server(n), vec![if n <= servers { 60.0 } else { 1.0 }]);
             let (tries, bad, mean_ms, span_ms) = (10.0, 0.0, 100.0, 1_000.0);
-            d.give(vec![Input::Heard { zone, server, tries, bad, mean_ms, span_ms, load }]);
+            d.give(vec![Input::Heard {
+                zone,
+                server,
+                tries,
+                bad,
+                mean_ms,
+                span_ms,
+                load,
+            }]);
         }
     };
     desk.pass(12_000.0, |d| full(d, 3));
     assert!(!desk.trace.contains("Tight"), "{}", desk.trace);
     desk.pass(4_000.0, |d| full(d, 6));
-    assert!(desk.trace.contains("levels Open -> Tight"), "{}", desk.trace);
+    assert!(
+        desk.trace.contains("levels Open -> Tight"),
+        "{}",
+        desk.trace
+    );
 }
 
 #[test]
@@ -507,7 +605,9 @@
     let mut slow = start();
     slow.channel.backlog_lines = 60.0;
     let mut desk = settled(slow);
-    desk.note("no mark is answered any more: new servers wait as soon as half the queue may be full");
+    desk.note(
+        "no mark is answered any more: new servers wait as soon as half the queue may be full",
+    );
     for n in 5..=12 {
         desk.change(n, Stage::Ready, 0.0);
         desk.pass(1_000.0, |_| ());
@@ -523,10 +623,19 @@
     asked.list.asked = true;
     let mut desk = Desk::new(asked, four());
     for _ in 0..5 {
-        desk.give(vec![Input::List { scope: ListScope::Failed, version: 1, lines: vec![] }]);
+        desk.give(vec![Input::List {
+            scope: ListScope::Failed,
+            version: 1,
+            lines: vec![],
+        }]);
         desk.pass(12_000.0, |_| ());
     }
-    let asks = desk.trace.lines().filter(|l| l.contains("Watch")).collect::<Vec<_>>().join("\n");
+    let asks = desk
+        .trace
+        .lines()
+        .filter(|l| l.contains("Watch"))
+        .collect::<Vec<_>>()
+        .join("\n");
     assert_snapshot!(asks);
 }
 
--- a/tests/desk/mod.rs
+++ b/tests/desk/mod.rs
@@ -23,7 +23,15 @@
 
 pub fn listed(n: u8, zone: ZoneId) -> Listed {
     let (stage, weight, started_ms) = (Stage::Ready, 2.0, 0.0);
-    Listed { server: server(n), zone, machine: 0, bay: zone, stage, weight, started_ms }
+    Listed {
+        server: server(n),
+        zone,
+        machine: 0,
+        bay: zone,
+        stage,
+        weight,
+        started_ms,
+    }
 }
 
 pub fn kind(name: &str, value: f64, repeat: Repeat) -> ReqKind {
@@ -45,7 +53,12 @@
 pub fn start() -> Start {
     Start {
         seed: 7,
-        place: Place { controllers: 2, zones: vec!["a".into(), "b".into()], proxies: 2, ..Place::default() },
+        place: Place {
+            controllers: 2,
+            zones: vec!["a".into(), "b".into()],
+            proxies: 2,
+            ..Place::default()
+        },
         kinds: vec![kind("view", 1.0, Repeat::Replayable)],
         bounds: RuleBounds {
             bare_ms: 3_000.0,
@@ -66,7 +79,11 @@
             transit_ms: 100.0,
             transit_most_ms: 300.0,
         },
-        habits: ProxyHabits { levels: Levels::Rate, usual_retry: Retry::IfUnrun, ..ProxyHabits::default() },
+        habits: ProxyHabits {
+            levels: Levels::Rate,
+            usual_retry: Retry::IfUnrun,
+            ..ProxyHabits::default()
+        },
         list: ListFacts::default(),
         means: Means {
             report_period_ms: 1_000.0,
@@ -85,8 +102,21 @@
         let controller = Controller::new(now, start);
         let (marks, bound) = (BTreeMap::new(), BTreeMap::new());
         let (alarms, reached, trace) = (vec![], vec![], String::new());
-        let mut desk = Self { controller, now, alarms, marks, reached, bound, lines: BTreeMap::new(), trace };
-        desk.give(vec![Input::List { scope: ListScope::Cached, version: 1, lines }]);
+        let mut desk = Self {
+            controller,
+            now,
+            alarms,
+            marks,
+            reached,
+            bound,
+            lines: BTreeMap::new(),
+            trace,
+        };
+        desk.give(vec![Input::List {
+            scope: ListScope::Cached,
+            version: 1,
+            lines,
+        }]);
         desk
     }
 
@@ -102,30 +132,59 @@
         for effect in effects {
             match effect {
                 Effect::Alarm { in_ms, name } => self.alarms.push((self.now + in_ms, name)),
-                Effect::Line { table, server, weight } => {
+                Effect::Line {
+                    table,
+                    server,
+                    weight,
+                } => {
                     self.reached.extend(self.bound.get(&table));
-                    lines.entry(table).or_default().push(format!("s{}={weight}", server[3]));
-                    self.lines.entry(table).or_default().insert(server[3], weight);
+                    lines
+                        .entry(table)
+                        .or_default()
+                        .push(format!("s{}={weight}", server[3]));
+                    self.lines
+                        .entry(table)
+                        .or_default()
+                        .insert(server[3], weight);
                 }
-                Effect::Bind { proxy, table, kinds } => {
+                Effect::Bind {
+                    proxy,
+                    table,
+                    kinds,
+                } => {
                     self.bound.insert(table, proxy);
                     self.reached.push(proxy);
                     said.push(format!("bind p{proxy} to t{table} for kinds {kinds:b}"));
                 }
                 Effect::Withdraw { server, out } => {
-                    said.push(format!("{} s{}", if out { "withdraw" } else { "let back" }, server[3]));
+                    said.push(format!(
+                        "{} s{}",
+                        if out { "withdraw" } else { "let back" },
+                        server[3]
+                    ));
                 }
-                Effect::Admit { kinds, level, retry, .. } => {
-                    said.push(format!("kinds {kinds:b}: let in {level:.1}, retry {retry:?}"));
+                Effect::Admit {
+                    kinds,
+                    level,
+                    retry,
+                    ..
+                } => {
+                    said.push(format!(
+                        "kinds {kinds:b}: let in {level:.1}, retry {retry:?}"
+                    ));
                 }
                 Effect::Mark { mark, .. } => {
-                    self.reached.iter().for_each(|p| _ = self.marks.insert(*p, mark));
+                    self.reached
+                        .iter()
+                        .for_each(|p| _ = self.marks.insert(*p, mark));
                 }
                 Effect::Log(text) => said.push(format!("log {text}")),
                 other => said.push(format!("{other:?}")),
             }
         }
-        let tables = lines.iter().map(|(table, lines)| format!("t{table}: {}", lines.join(" ")));
+        let tables = lines
+            .iter()
+            .map(|(table, lines)| format!("t{table}: {}", lines.join(" ")));
         for what in tables.chain(said) {
             writeln!(self.trace, "{:6.0} {what}", self.now - 100_000.0).unwrap();
         }
@@ -149,29 +208,60 @@
     }
 
     pub fn join(&mut self, proxy: ProxyId, zone: ZoneId) {
-        self.give(vec![Input::Joined { proxy, zone, usual_per_s: 10.0, fresh: true }]);
+        self.give(vec![Input::Joined {
+            proxy,
+            zone,
+            usual_per_s: 10.0,
+            fresh: true,
+        }]);
     }
 
     /// A list change for one server.
     pub fn change(&mut self, n: u8, stage: Stage, started_ms: f64) {
-        let line = Listed { stage, started_ms, ..listed(n, 0) };
-        self.give(vec![Input::List { scope: ListScope::Changes, version: 2, lines: vec![line] }]);
+        let line = Listed {
+            stage,
+            started_ms,
+            ..listed(n, 0)
+        };
+        self.give(vec![Input::List {
+            scope: ListScope::Changes,
+            version: 2,
+            lines: vec![line],
+        }]);
     }
 
     /// All proxies answer the marks that reached them.
     pub fn answer(&mut self) {
         for (proxy, mark) in std::mem::take(&mut self.marks) {
-            self.give(vec![Input::Applied { proxy, mark, took_ms: 150.0 }]);
+            self.give(vec![Input::Applied {
+                proxy,
+                mark,
+                took_ms: 150.0,
+            }]);
         }
     }
 
     pub fn hear(&mut self, n: u8, tries: f64, bad: f64, mean_ms: f64) {
         let (zone, server, span_ms, load) = (0, server(n), 1_000.0, vec![0.0]);
-        self.give(vec![Input::Heard { zone, server, tries, bad, mean_ms, span_ms, load }]);
+        self.give(vec![Input::Heard {
+            zone,
+            server,
+            tries,
+            bad,
+            mean_ms,
+            span_ms,
+            load,
+        }]);
     }
 
     pub fn usage(&mut self, proxy: ProxyId, kind: KindId, came: f64) {
-        self.give(vec![Input::Usage { proxy, kind, came, bad: 0.0, span_ms: 1_000.0 }]);
+        self.give(vec![Input::Usage {
+            proxy,
+            kind,
+            came,
+            bad: 0.0,
+            span_ms: 1_000.0,
+        }]);
     }
 
     /// What each server is sent where each proxy brings 1 and splits it by the weights of its table.
@@ -179,13 +269,17 @@
         let mut sent = BTreeMap::new();
         for lines in self.bound.keys().filter_map(|table| self.lines.get(table)) {
             let all: f64 = lines.values().sum();
-            lines.iter().for_each(|(n, weight)| *sent.entry(*n).or_insert(0.0) += weight / all);
+            lines
+                .iter()
+                .for_each(|(n, weight)| *sent.entry(*n).or_insert(0.0) += weight / all);
         }
         sent
     }
 
     pub fn known(&self) -> Vec<u8> {
-        (1..=u8::MAX).filter(|n| self.controller.knows(&server(*n))).collect()
+        (1..=u8::MAX)
+            .filter(|n| self.controller.knows(&server(*n)))
+            .collect()
     }
 
     pub fn now(&self) -> f64 {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -18,7 +18,15 @@
 
 fn listed(n: u16, stage: Stage, started_ms: f64) -> Listed {
     let (zone, weight) = (n % 3, 2.0);
-    Listed { server: server(n), zone, machine: 0, bay: zone, stage, weight, started_ms }
+    Listed {
+        server: server(n),
+        zone,
+        machine: 0,
+        bay: zone,
+        stage,
+        weight,
+        started_ms,
+    }
 }
 
 /// What one proxy holds, and what it was told to shut out.
@@ -62,7 +70,9 @@
 impl Rig {
     fn new(proxies: u32, servers: u16) -> Self {
         let mut start = start();
-        start.kinds = ["view", "submit"].map(|name| desk::kind(name, 1.0, Repeat::Replayable)).to_vec();
+        start.kinds = ["view", "submit"]
+            .map(|name| desk::kind(name, 1.0, Repeat::Replayable))
+            .to_vec();
         (start.place.proxies, start.place.controllers) = (proxies, 5);
         start.place.zones = ["a", "b", "c"].map(String::from).to_vec();
         start.bounds.drain_grace_ms = 10_400.0;
@@ -78,7 +88,11 @@
             transit_ms: 100.0,
             transit_most_ms: TRANSIT_MS,
         };
-        let (pace, grace_ms, kinds) = (start.channel, start.bounds.drain_grace_ms, start.kinds.len());
+        let (pace, grace_ms, kinds) = (
+            start.channel,
+            start.bounds.drain_grace_ms,
+            start.kinds.len(),
+        );
         let now = 100_000.0;
         let mut rig = Self {
             controller: Controller::new(now, start),
@@ -100,13 +114,24 @@
             lines: 0.0,
             most_waiting: 0.0,
         };
-        let lines = (1..=servers).map(|n| listed(n, Stage::Ready, 0.0)).collect();
-        rig.give(vec![Input::List { scope: ListScope::Cached, version: 1, lines }]);
+        let lines = (1..=servers)
+            .map(|n| listed(n, Stage::Ready, 0.0))
+            .collect();
+        rig.give(vec![Input::List {
+            scope: ListScope::Cached,
+            version: 1,
+            lines,
+        }]);
         rig
     }
 
     fn join(&mut self, proxies: impl Iterator<Item = ProxyId>, fresh: bool) {
-        let of = |proxy| Input::Joined { proxy, zone: proxy % 3, usual_per_s: 0.5, fresh };
+        let of = |proxy| Input::Joined {
+            proxy,
+            zone: proxy % 3,
+            usual_per_s: 0.5,
+            fresh,
+        };
         let inputs: Vec<Input> = proxies.map(of).collect();
         for input in &inputs {
             if let Input::Joined { proxy, .. } = input {
@@ -122,7 +147,11 @@
         for line in lines.iter().filter(|l| l.stage != Stage::Ready) {
             self.told.entry(line.server).or_insert(self.now);
         }
-        self.give(vec![Input::List { scope: ListScope::Changes, version: 2, lines }]);
+        self.give(vec![Input::List {
+            scope: ListScope::Changes,
+            version: 2,
+            lines,
+        }]);
     }
 
     fn drain(&mut self, servers: impl Iterator<Item = u16>) {
@@ -141,7 +170,11 @@
             };
             match &effect {
                 Effect::Alarm { in_ms, name } => self.alarms.push((self.now + in_ms, *name)),
-                Effect::Line { table, server, weight } => {
+                Effect::Line {
+                    table,
+                    server,
+                    weight,
+                } => {
                     let lines = self.tables.entry(*table).or_default();
                     match *weight > 0.0 {
                         true => _ = lines.insert(*server, *weight),
@@ -149,10 +182,18 @@
                     }
                     _ = self.users.get(table).map(|proxy| to(*proxy, 1.0));
                 }
-                Effect::Bind { proxy, table, kinds } => {
+                Effect::Bind {
+                    proxy,
+                    table,
+                    kinds,
+                } => {
                     self.users.insert(*table, *proxy);
                     let lines = &self.tables[table];
-                    let whole = Effect::Bind { proxy: *proxy, table: *table, kinds: *kinds };
+                    let whole = Effect::Bind {
+                        proxy: *proxy,
+                        table: *table,
+                        kinds: *kinds,
+                    };
                     let draft = drafts.entry(*proxy).or_default();
                     let brings = lines.iter().map(|(server, weight)| Effect::Line {
                         table: *table,
@@ -165,8 +206,12 @@
                 }
                 Effect::Withdraw { server, .. } => {
                     let bound: BTreeSet<&ProxyId> = self.users.values().collect();
-                    let naming = self.tables.iter().filter(|(_, lines)| lines.contains_key(server));
-                    let known: BTreeSet<&ProxyId> = naming.filter_map(|(t, _)| self.users.get(t)).collect();
+                    let naming = self
+                        .tables
+                        .iter()
+                        .filter(|(_, lines)| lines.contains_key(server));
+                    let known: BTreeSet<&ProxyId> =
+                        naming.filter_map(|(t, _)| self.users.get(t)).collect();
                     let unknown = self.proxies.keys().filter(|p| !bound.contains(p));
                     unknown.chain(known).for_each(|proxy| to(*proxy, 1.0));
                 }
@@ -176,13 +221,21 @@
             }
         }
         for (proxy, draft) in drafts {
-            let message = Message { lines: draft.lines + 1.0 + self.pace.head_lines, mark, ..draft };
+            let message = Message {
+                lines: draft.lines + 1.0 + self.pace.head_lines,
+                mark,
+                ..draft
+            };
             (self.messages, self.lines) = (self.messages + 1, self.lines + message.lines);
             self.channel.push_back((proxy, message));
         }
         let waiting = self.channel.iter().map(|(_, m)| m.lines).sum::<f64>() - self.sent_part;
         self.most_waiting = self.most_waiting.max(waiting);
-        assert!(waiting <= self.pace.backlog_lines, "{waiting} lines wait at {}", self.now - 100_000.0);
+        assert!(
+            waiting <= self.pace.backlog_lines,
+            "{waiting} lines wait at {}",
+            self.now - 100_000.0
+        );
     }
 
     fn pass(&mut self, ms: f64) {
@@ -190,17 +243,27 @@
         while self.now < end {
             self.now += 20.0;
             self.sent_part += self.pace.lines_per_s * 0.020;
-            while let Some((proxy, message)) = self.channel.pop_front_if(|(_, m)| m.lines <= self.sent_part) {
+            while let Some((proxy, message)) = self
+                .channel
+                .pop_front_if(|(_, m)| m.lines <= self.sent_part)
+            {
                 self.sent_part -= message.lines;
-                self.on_the_way.push_back((self.now + TRANSIT_MS, proxy, message));
+                self.on_the_way
+                    .push_back((self.now + TRANSIT_MS, proxy, message));
             }
             if self.channel.is_empty() {
                 self.sent_part = 0.0;
             }
             let mut inputs = Vec::new();
-            while let Some((_, proxy, message)) = self.on_the_way.pop_front_if(|(at, ..)| *at <= self.now) {
+            while let Some((_, proxy, message)) =
+                self.on_the_way.pop_front_if(|(at, ..)| *at <= self.now)
+            {
                 self.apply(proxy, &message);
-                inputs.push(Input::Applied { proxy, mark: message.mark, took_ms: 100.0 });
+                inputs.push(Input::Applied {
+                    proxy,
+                    mark: message.mark,
+                    took_ms: 100.0,
+                });
             }
             self.alarms.retain(|(at, name)| {
                 let due = *at <= self.now;
@@ -217,7 +280,9 @@
     }
 
     fn apply(&mut self, proxy: ProxyId, message: &Message) {
-        let Some(held) = self.proxies.get_mut(&proxy) else { return };
+        let Some(held) = self.proxies.get_mut(&proxy) else {
+            return;
+        };
         for order in &message.orders {
             match order {
                 Effect::Bind { table, kinds, .. } => {
@@ -227,7 +292,11 @@
                         .filter(|k| kinds >> k & 1 == 1)
                         .for_each(|k| _ = held.bound.insert(k, *table));
                 }
-                Effect::Line { table, server, weight } => match *weight > 0.0 {
+                Effect::Line {
+                    table,
+                    server,
+                    weight,
+                } => match *weight > 0.0 {
                     true => _ = held.tables.entry(*table).or_default().insert(*server),
                     false => _ = held.tables.entry(*table).or_default().remove(server),
                 },
@@ -244,16 +313,27 @@
         for (proxy, held) in &self.proxies {
             let joined = self.joined_ms[proxy];
             for (server, _) in self.told.iter().filter(|(_, at)| late(at, joined)) {
-                let bound_to =
-                    |k| held.bound.get(&k).map(|t| held.tables[t].contains(server)).unwrap_or(true);
+                let bound_to = |k| {
+                    held.bound
+                        .get(&k)
+                        .map(|t| held.tables[t].contains(server))
+                        .unwrap_or(true)
+                };
                 let sends = !held.shut.contains(server) && (0..self.kinds).any(bound_to);
-                assert!(!sends, "p{proxy} still sends to {server:?} at {} ms", self.now - 100_000.0);
+                assert!(
+                    !sends,
+                    "p{proxy} still sends to {server:?} at {} ms",
+                    self.now - 100_000.0
+                );
             }
         }
     }
 
     fn bound(&self) -> usize {
-        self.proxies.values().filter(|h| h.bound.len() == self.kinds).count()
+        self.proxies
+            .values()
+            .filter(|h| h.bound.len() == self.kinds)
+            .count()
     }
 }
 
@@ -279,7 +359,11 @@
     }
     rig.pass(20_000.0);
     assert_eq!(rig.bound(), 2_300, "all are bound in the end");
-    assert!(rig.most_waiting < 3.0 * 5_200.0, "{} lines waited", rig.most_waiting);
+    assert!(
+        rig.most_waiting < 3.0 * 5_200.0,
+        "{} lines waited",
+        rig.most_waiting
+    );
 }
 
 #[test]
@@ -289,8 +373,14 @@
     rig.join(480..2_200, false);
     rig.join(2_200..2_300, true);
     rig.pass(2_500.0);
-    let late: Vec<ProxyId> = (2_200..2_300).filter(|p| !rig.first_table_ms.contains_key(p)).collect();
-    assert!(late.is_empty(), "{late:?} wait still, {} ms after they joined", rig.now - joined);
+    let late: Vec<ProxyId> = (2_200..2_300)
+        .filter(|p| !rig.first_table_ms.contains_key(p))
+        .collect();
+    assert!(
+        late.is_empty(),
+        "{late:?} wait still, {} ms after they joined",
+        rig.now - joined
+    );
     assert!(rig.bound() < 2_000, "the others are still being bound");
     rig.pass(15_000.0);
     assert_eq!(rig.bound(), 2_300);
@@ -317,7 +407,12 @@
     // Discovery was silent; then one change has the whole release.
     let now = rig.now;
     let new = (201..=290).map(|n| listed(n, Stage::Ready, now - 5_000.0));
-    rig.list((1..=90).map(|n| listed(n, Stage::Draining, 0.0)).chain(new).collect());
+    rig.list(
+        (1..=90)
+            .map(|n| listed(n, Stage::Draining, 0.0))
+            .chain(new)
+            .collect(),
+    );
     rig.pass(20_000.0);
     assert_eq!(rig.bound(), 1_400);
 }
@@ -336,9 +431,17 @@
         (rig.messages, rig.lines) = (0, 0.0);
         rig.drain(7..=7);
         rig.pass(700.0);
-        assert!(holders > 0 && rig.messages <= holders, "{} messages, {holders} held it", rig.messages);
+        assert!(
+            holders > 0 && rig.messages <= holders,
+            "{} messages, {holders} held it",
+            rig.messages
+        );
         // A head, a mark, the line that goes and those that come in its place.
-        assert!(rig.lines <= 11.0 * holders as f64, "{} lines to {holders} proxies", rig.lines);
+        assert!(
+            rig.lines <= 11.0 * holders as f64,
+            "{} lines to {holders} proxies",
+            rig.lines
+        );
         rig.pass(1_000.0);
         assert_eq!(names(&rig), 0);
         // At rest nothing is written.
--- a/tests/way_back.rs
+++ b/tests/way_back.rs
@@ -28,7 +28,10 @@
 
 impl Operator for Desk {
     fn go_back(&mut self, table: TableId, lines: &[(u8, f64)]) {
-        let lines = lines.iter().map(|(n, weight)| (server(*n), *weight)).collect();
+        let lines = lines
+            .iter()
+            .map(|(n, weight)| (server(*n), *weight))
+            .collect();
         self.give(vec![Input::GoBack { table, lines }]);
     }
 
@@ -176,14 +179,26 @@
     for seed in 0..60_u64 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut told = start();
-        told.kinds = vec![kind("view", 1.0, Repeat::Replayable), kind("book", 2.0, Repeat::NonReplayable)];
+        told.kinds = vec![
+            kind("view", 1.0, Repeat::Replayable),
+            kind("book", 2.0, Repeat::NonReplayable),
+        ];
         let mut now = 1e5;
         let mut controller = Controller::new(now, told);
         let mut seen = Seen::default();
         let (mut alarms, mut mark, mut old) = (Vec::new(), None, Vec::new());
         let lines = (1..=8).map(|n| listed(n, 0)).collect();
-        let mut inputs = vec![Input::List { scope: ListScope::Cached, version: 1, lines }];
-        inputs.extend((0..3).map(|proxy| Input::Joined { proxy, zone: 0, usual_per_s: 9.0, fresh: true }));
+        let mut inputs = vec![Input::List {
+            scope: ListScope::Cached,
+            version: 1,
+            lines,
+        }];
+        inputs.extend((0..3).map(|proxy| Input::Joined {
+            proxy,
+            zone: 0,
+            usual_per_s: 9.0,
+            fresh: true,
+        }));
         for step in 0..400 {
             let who = format!("seed {seed}, step {step}");
             for input in &inputs {
@@ -199,10 +214,17 @@
             for effect in controller.handle(now, &inputs) {
                 match effect {
                     Effect::Alarm { in_ms, name } => alarms.push((now + in_ms, name)),
-                    Effect::Line { table, server, weight } => {
+                    Effect::Line {
+                        table,
+                        server,
+                        weight,
+                    } => {
                         let lines = seen.tables.entry(table).or_default();
                         if weight > 0.0 {
-                            assert!(!seen.drained.contains(&server), "{who}: a drained server is written");
+                            assert!(
+                                !seen.drained.contains(&server),
+                                "{who}: a drained server is written"
+                            );
                             lines.insert(server, weight);
                         } else {
                             lines.remove(&server);
@@ -222,7 +244,10 @@
                 }
             }
             let ready = 8 - seen.drained.len();
-            for (table, lines) in seen.tables.iter().filter(|(t, _)| seen.bound.contains_key(t) && ready > 0)
+            for (table, lines) in seen
+                .tables
+                .iter()
+                .filter(|(t, _)| seen.bound.contains_key(t) && ready > 0)
             {
                 assert!(!lines.is_empty(), "{who}: table {table} is bare");
             }
@@ -234,37 +259,77 @@
                 _ = (!later).then(|| inputs.push(Input::Alarm { name: *name }));
                 later
             });
-            inputs.extend(
-                mark.take()
-                    .into_iter()
-                    .flat_map(|mark| (0..3).map(move |proxy| Input::Applied { proxy, mark, took_ms: 90.0 })),
-            );
+            inputs.extend(mark.take().into_iter().flat_map(|mark| {
+                (0..3).map(move |proxy| Input::Applied {
+                    proxy,
+                    mark,
+                    took_ms: 90.0,
+                })
+            }));
             let n = rng.random_range(1..=8_u8);
             match rng.random_range(0..12) {
                 0 | 1 if seen.drained.len() < 6 => {
-                    let line = Listed { stage: Stage::Draining, ..listed(n, 0) };
-                    inputs.push(Input::List { scope: ListScope::Changes, version: 2, lines: vec![line] });
+                    let line = Listed {
+                        stage: Stage::Draining,
+                        ..listed(n, 0)
+                    };
+                    inputs.push(Input::List {
+                        scope: ListScope::Changes,
+                        version: 2,
+                        lines: vec![line],
+                    });
                 }
                 2 => {
-                    let line = Listed { started_ms: now, ..listed(n, 0) };
-                    inputs.push(Input::List { scope: ListScope::Changes, version: 2, lines: vec![line] });
+                    let line = Listed {
+                        started_ms: now,
+                        ..listed(n, 0)
+                    };
+                    inputs.push(Input::List {
+                        scope: ListScope::Changes,
+                        version: 2,
+                        lines: vec![line],
+                    });
                 }
                 3..=5 => {
                     let then: &BTreeMap<_, _> = &old[rng.random_range(0..old.len())];
                     let table = rng.random_range(0..3);
-                    let lines = then.get(&table).cloned().unwrap_or_default().into_iter().collect();
+                    let lines = then
+                        .get(&table)
+                        .cloned()
+                        .unwrap_or_default()
+                        .into_iter()
+                        .collect();
                     inputs.push(Input::GoBack { table, lines });
                 }
-                6 => inputs.push(Input::Release { table: rng.random_range(0..3) }),
-                7 => inputs.push(Input::Lost { table: rng.random_range(0..3) }),
+                6 => inputs.push(Input::Release {
+                    table: rng.random_range(0..3),
+                }),
+                7 => inputs.push(Input::Lost {
+                    table: rng.random_range(0..3),
+                }),
                 _ => {
-                    let bad = if rng.random_range(0..6) == 0 { 15.0 } else { 0.0 };
+                    let bad = if rng.random_range(0..6) == 0 {
+                        15.0
+                    } else {
+                        0.0
+                    };
                     let (tries, mean_ms, span_ms, load) = (20.0, 90.0, 1_000.0, Vec::new());
                     let server = server(n);
-                    inputs.push(Input::Heard { zone: 0, server, tries, bad, mean_ms, span_ms, load });
+                    inputs.push(Input::Heard {
+                        zone: 0,
+                        server,
+                        tries,
+                        bad,
+                        mean_ms,
+                        span_ms,
+                        load,
+                    });
                 }
             }
         }
     }
-    assert!(held > 500 && refused > 50 && ended > 300, "held {held}, refused {refused}, ended {ended}");
+    assert!(
+        held > 500 && refused > 50 && ended > 300,
+        "held {held}, refused {refused}, ended {ended}"
+    );
 }
