--- a/crates/rookpulley-balancer/src/offices.rs
+++ b/crates/rookpulley-balancer/src/controller_selection.rs
@@ -1,4 +1,4 @@
-//! The offices that a courier knows, and which of them is its home.
+//! The controllers that a courier knows, and which of them is its home.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -6,7 +6,7 @@
 
 /// So long a home may be out of touch before another one is looked for.
 const PATIENCE_MS: f64 = 600.0;
-/// An office that nobody names for so long is no longer dialled.
+/// A controller that nobody names for so long is no longer dialled.
 const NAMED_MS: f64 = 60_000.0;
 const MOST: usize = 64;
 /// A newer configuration comes from the home unasked. Where it doesn't for so long, the home is asked for it, and after
@@ -15,13 +15,13 @@
 const LATE_MS: f64 = 700.0;
 const ASKED_MS: f64 = 500.0;
 
-/// One office as this courier sees it.
+/// One controller as this courier sees it.
 struct Seen {
     connected: bool,
     in_touch: bool,
     /// When it was last in touch, or the line began.
     touched_ms: f64,
-    /// When it was last named by a seed or an office.
+    /// When it was last named by a seed or a controller.
     named_ms: f64,
 }
 
@@ -44,7 +44,7 @@
 }
 
 #[derive(Default)]
-pub struct Offices {
+pub struct ControllerSelection {
     seen: BTreeMap<Ipv4Addr, Seen>,
     home: Option<Ipv4Addr>,
     /// The configuration that is held, and since when a newer one is known.
@@ -52,14 +52,14 @@
     asked_ms: Option<f64>,
 }
 
-impl Offices {
+impl ControllerSelection {
     pub fn home(&self) -> Option<Ipv4Addr> {
         self.home
     }
 
-    /// Somebody names an office; true where it wasn't known and is to be dialled.
-    pub fn named(&mut self, now_ms: f64, office: Ipv4Addr) -> bool {
-        if let Some(known) = self.seen.get_mut(&office) {
+    /// Somebody names a controller; true where it wasn't known and is to be dialled.
+    pub fn named(&mut self, now_ms: f64, controller: Ipv4Addr) -> bool {
+        if let Some(known) = self.seen.get_mut(&controller) {
             known.named_ms = now_ms;
             return false;
         }
@@ -73,30 +73,30 @@
             touched_ms,
             named_ms: now_ms,
         };
-        self.seen.insert(office, seen);
+        self.seen.insert(controller, seen);
         true
     }
 
     /// True where nobody has named it for long: it is forgotten.
-    pub fn forgotten(&mut self, now_ms: f64, office: Ipv4Addr) -> bool {
+    pub fn forgotten(&mut self, now_ms: f64, controller: Ipv4Addr) -> bool {
         let old = self
             .seen
-            .get(&office)
+            .get(&controller)
             .is_none_or(|seen| now_ms - seen.named_ms > NAMED_MS);
         if old {
-            self.seen.remove(&office);
+            self.seen.remove(&controller);
         }
         old
     }
 
-    pub fn connected(&mut self, now_ms: f64, office: Ipv4Addr) {
-        if let Some(seen) = self.seen.get_mut(&office) {
+    pub fn connected(&mut self, now_ms: f64, controller: Ipv4Addr) {
+        if let Some(seen) = self.seen.get_mut(&controller) {
             (seen.connected, seen.touched_ms) = (true, now_ms);
         }
     }
 
-    pub fn lost(&mut self, office: Ipv4Addr) {
-        if let Some(seen) = self.seen.get_mut(&office) {
+    pub fn lost(&mut self, controller: Ipv4Addr) {
+        if let Some(seen) = self.seen.get_mut(&controller) {
             (seen.connected, seen.in_touch) = (false, false);
         }
     }
@@ -110,16 +110,16 @@
             .map(|(&ip, _)| ip)
     }
 
-    /// An office says how it stands; true where its newer configuration is to be asked for.
+    /// A controller says how it stands; true where its newer configuration is to be asked for.
     pub fn pulse(
         &mut self,
         now_ms: f64,
-        office: Ipv4Addr,
+        controller: Ipv4Addr,
         in_touch: bool,
         config: u64,
         held: u64,
     ) -> bool {
-        let Some(seen) = self.seen.get_mut(&office) else {
+        let Some(seen) = self.seen.get_mut(&controller) else {
             return false;
         };
         seen.in_touch = in_touch;
@@ -136,7 +136,7 @@
         );
         let late_ms = match self.home {
             Some(home) if !self.seen.get(&home).is_some_and(Seen::fit) => 0.0,
-            Some(home) if home == office => HOME_LATE_MS,
+            Some(home) if home == controller => HOME_LATE_MS,
             Some(_) => LATE_MS,
             None => 0.0,
         };
@@ -158,9 +158,9 @@
         {
             return None;
         }
-        let rank = |office: Ipv4Addr| {
+        let rank = |controller: Ipv4Addr| {
             let mut hasher = DefaultHasher::new();
-            office.hash(&mut hasher);
+            controller.hash(&mut hasher);
             hasher.finish()
         };
         let fit = self
@@ -184,13 +184,13 @@
     fn couriers_choose_alike_and_bear_a_home_that_is_out_of_touch_for_a_while() {
         let ips: Vec<Ipv4Addr> = (1..=3).map(|n| Ipv4Addr::new(10, n, 0, 1)).collect();
         let known = |order: &[Ipv4Addr]| {
-            let mut offices = Offices::default();
+            let mut controllers = ControllerSelection::default();
             for ip in order {
-                assert!(offices.named(0.0, *ip) && !offices.named(1.0, *ip));
-                offices.connected(0.0, *ip);
-                offices.pulse(0.0, *ip, true, 0, 0);
+                assert!(controllers.named(0.0, *ip) && !controllers.named(1.0, *ip));
+                controllers.connected(0.0, *ip);
+                controllers.pulse(0.0, *ip, true, 0, 0);
             }
-            offices
+            controllers
         };
         let (mut one, mut other) = (known(&ips), known(&[ips[2], ips[0], ips[1]]));
         let home = one.choose(0.0).unwrap().to;
@@ -213,29 +213,30 @@
     fn a_newer_configuration_is_asked_for_once_at_a_time_and_not_while_the_home_may_be_sending_it()
     {
         let ips: Vec<Ipv4Addr> = (1..=3).map(|n| Ipv4Addr::new(10, n, 0, 1)).collect();
-        let mut offices = Offices::default();
+        let mut controllers = ControllerSelection::default();
         for ip in &ips {
-            offices.named(0.0, *ip);
-            offices.connected(0.0, *ip);
+            controllers.named(0.0, *ip);
+            controllers.connected(0.0, *ip);
         }
         // Without a home whoever has it is asked.
-        let asked = [0.0, 100.0, 500.0].map(|now| offices.pulse(now, ips[0], true, 7, 6));
+        let asked = [0.0, 100.0, 500.0].map(|now| controllers.pulse(now, ips[0], true, 7, 6));
         assert_eq!(asked, [true, false, true]);
         ips.iter()
-            .for_each(|ip| _ = offices.pulse(600.0, *ip, true, 7, 7));
-        let home = offices.choose(600.0).unwrap().to;
+            .for_each(|ip| _ = controllers.pulse(600.0, *ip, true, 7, 7));
+        let home = controllers.choose(600.0).unwrap().to;
         let other = *ips.iter().find(|ip| **ip != home).unwrap();
         // All say that there is a newer one; only one copy is asked for, of the home first.
         assert!(
-            !offices.pulse(2_000.0, other, true, 9, 7) && !offices.pulse(2_100.0, home, true, 9, 7)
+            !controllers.pulse(2_000.0, other, true, 9, 7)
+                && !controllers.pulse(2_100.0, home, true, 9, 7)
         );
-        assert!(!offices.pulse(2_300.0, other, true, 9, 7));
-        assert!(offices.pulse(2_400.0, home, true, 9, 7));
-        assert!(!offices.pulse(2_700.0, other, true, 9, 7));
-        assert!(offices.pulse(2_900.0, other, true, 9, 7));
+        assert!(!controllers.pulse(2_300.0, other, true, 9, 7));
+        assert!(controllers.pulse(2_400.0, home, true, 9, 7));
+        assert!(!controllers.pulse(2_700.0, other, true, 9, 7));
+        assert!(controllers.pulse(2_900.0, other, true, 9, 7));
         // Another version came meanwhile: the wait begins anew.
-        assert!(!offices.pulse(3_500.0, other, true, 10, 9));
-        offices.lost(home);
-        assert!(offices.pulse(3_600.0, other, true, 10, 9));
+        assert!(!controllers.pulse(3_500.0, other, true, 10, 9));
+        controllers.lost(home);
+        assert!(controllers.pulse(3_600.0, other, true, 10, 9));
     }
 }
--- a/crates/rookpulley-balancer/src/fleet.rs
+++ b/crates/rookpulley-balancer/src/fleet.rs
@@ -18,7 +18,7 @@
         self.couriers
     }
 
-    /// An office says how many there are; true where that makes it another number.
+    /// A controller says how many there are; true where that makes it another number.
     pub fn heard(&mut self, now_ms: f64, couriers: u32) -> bool {
         let before = self.couriers;
         if couriers >= before || now_ms - self.heard_ms > HELD_MS {
--- a/crates/rookpulley-balancer/src/post.rs
+++ b/crates/rookpulley-balancer/src/post.rs
@@ -129,7 +129,7 @@
         self.gone.contains_key(life)
     }
 
-    /// What is told to an office that may not have heard of them.
+    /// What is told to a controller that may not have heard of them.
     pub fn all_gone(&self) -> Vec<Life> {
         self.gone_order.iter().cloned().collect()
     }
--- a/crates/rookpulley-chain/src/chain.rs
+++ b/crates/rookpulley-chain/src/chain.rs
@@ -1,4 +1,4 @@
-//! One office's part in the chain: its state, and what comes in handed to where it belongs.
+//! One controller's part in the chain: its state, and what comes in handed to where it belongs.
 
 use crate::entry::Calls;
 use crate::fill::{Filling, Stock};
@@ -13,7 +13,7 @@
 use crate::{Boot, Effect, Input, Record, State};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Without two-way contact for so long, an office is taken for lost.
+/// Without two-way contact for so long, a controller is taken for lost.
 pub const SILENT_MS: u64 = 600;
 /// The same since its line ended: one that lives dials again meanwhile.
 const HUNG_UP_MS: u64 = 350;
@@ -33,7 +33,7 @@
     Nothing,
 }
 
-/// Another office, as it was last heard.
+/// Aother controller, as it was last heard.
 pub struct Known {
     pub standing: Standing,
     pub heard_ms: u64,
@@ -377,7 +377,7 @@
         self.at_work > 0 && self.at_work == self.decided()
     }
 
-    /// The newest view, where this life of this office is a member of it and has installed it.
+    /// The newest view, where this life of this controller is a member of it and has installed it.
     pub(crate) fn acting(&self) -> Option<&View> {
         let view = self.view()?;
         (view.number == self.installed && view.names(self.me.id, self.me.life)).then_some(view)
--- a/crates/rookpulley-chain/src/entry.rs
+++ b/crates/rookpulley-chain/src/entry.rs
@@ -1,4 +1,4 @@
-//! Calls that were asked of this office: handed to the head, answered by the tail, given up in time.
+//! Calls that were asked of this controller: handed to the head, answered by the tail, given up in time.
 
 use crate::chain::Chain;
 use crate::message::{Asked, Message};
@@ -98,7 +98,7 @@
         (pending.attempt, pending.sent, pending.maybe) =
             (pending.attempt + 1, Some((number, now)), true);
         let from = Asked {
-            office: self.me.id,
+            controller: self.me.id,
             life: self.me.life,
             token,
             attempt: pending.attempt,
--- a/crates/rookpulley-chain/src/fill.rs
+++ b/crates/rookpulley-chain/src/fill.rs
@@ -1,7 +1,7 @@
-//! How an office that lacks much of what is agreed on gets it, while the chain goes on without it; and how copies are
+//! How a controller that lacks much of what is agreed on gets it, while the chain goes on without it; and how copies are
 //! compared.
 //!
-//! Whatever is applied anywhere is the beginning of one order. So one that lacks the rest may take it from any office
+//! Whatever is applied anywhere is the beginning of one order. So one that lacks the rest may take it from any controller
 //! that has it, without any view: updates while they are at hand, else the state itself, piece by piece. It asks for
 //! one part at a time, and for the next once that one is on its disk: who is slow is never flooded.
 
@@ -27,7 +27,7 @@
 /// What comes in, and what is handed out.
 #[derive(Default)]
 pub struct Filling {
-    /// The view that is set to work here once this office holds what it begins with.
+    /// The view that is set to work here once this controller holds what it begins with.
     pub awaited: Option<Awaited>,
     ask: u64,
     /// Until when an answer is waited for.
@@ -106,7 +106,7 @@
         let theirs = self.known.get(&from).map_or(0, |k| k.standing.committed);
         let held = self.flow.committed;
         self.filling.far |= theirs > held + NEAR;
-        // What has come of another office's state is no beginning of this one's.
+        // What has come of another controller's state is no beginning of this one's.
         self.filling.pieces.take_if(|p| p.from != from);
         let piece = self.filling.pieces.as_ref().map(|p| (p.seq, p.next));
         (self.filling.ask, self.filling.until_ms) = (self.filling.ask + 1, now + AGAIN_MS);
--- a/crates/rookpulley-chain/src/flow.rs
+++ b/crates/rookpulley-chain/src/flow.rs
@@ -11,7 +11,7 @@
 use crate::{CallKind, Effect, Record, State};
 use std::collections::VecDeque;
 
-/// A call may be so old, by the head's own clock and that of the office that was asked: it doesn't begin anew with
+/// A call may be so old, by the head's own clock and that of the controller that was asked: it doesn't begin anew with
 /// each try. What a cut held up and let go takes no effect, and its caller, who waits a second, knows that.
 const STALE_MS: u64 = 750;
 /// A snapshot is written anew after so many entries, or so many of their bytes.
@@ -176,11 +176,11 @@
         let fresh = |time: &u64| time.saturating_add(age_ms) <= echo.saturating_add(STALE_MS);
         let time = self.ledger_time(now).filter(fresh);
         let (Some(at_ms), Some(ours)) = (time, self.acting()) else {
-            return self.send(now, from.office, Message::Refuse { from });
+            return self.send(now, from.controller, Message::Refuse { from });
         };
         let full = self.flow.log.len() >= WAITING || self.flow.waiting_bytes >= WAITING_BYTES;
         if ours.number != view || ours.members.len() <= self.losses || full {
-            return self.send(now, from.office, Message::Refuse { from });
+            return self.send(now, from.controller, Message::Refuse { from });
         }
         match kind {
             CallKind::Read => self.flow.questions.push(Question { body, from }),
@@ -242,7 +242,7 @@
         self.push(now);
     }
 
-    /// For the disk: the applied part of the log needs no other office's word at the next start.
+    /// For the disk: the applied part of the log needs no other controller's word at the next start.
     pub(crate) fn put_agreed(&self) -> Record {
         kept::put_agreed(self.flow.committed, self.flow.last_at)
     }
@@ -311,7 +311,7 @@
             for (from, body) in answers {
                 self.send(
                     now,
-                    from.office,
+                    from.controller,
                     Message::Answer {
                         from,
                         view,
@@ -333,7 +333,7 @@
             let (from, committed) = (question.from, self.flow.committed);
             self.send(
                 now,
-                from.office,
+                from.controller,
                 Message::Answer {
                     from,
                     view,
--- a/crates/rookpulley-chain/src/lib.rs
+++ b/crates/rookpulley-chain/src/lib.rs
@@ -3,7 +3,7 @@
 //! `view` and `message` hold the values, `kept` what stands on the disk, `votes` the acceptor, `mend` how a new view
 //! comes about, `install` how it is set to work, `fill` how one that lacks much gets it and how copies are compared,
 //! `flow` updates and reads through a chain at work, `recent` what was answered lately, `entry` the calls that were
-//! asked of this office, `refound` the way out when a majority is gone, `flaws` what is wrong with a disk.
+//! asked of this controller, `refound` the way out when a majority is gone, `flaws` what is wrong with a disk.
 //! `docs/design/chain.md` says why it is right.
 
 mod chain;
@@ -62,7 +62,7 @@
     Tick,
     /// It is now known that this one is to make the first view, if it knows of none.
     Found,
-    /// An office said who it is.
+    /// A controller said who it is.
     Met {
         member: Member,
     },
@@ -77,7 +77,7 @@
     Disk {
         slow: bool,
     },
-    /// The line from an office ended. That is no proof, but if it isn't heard again soon it is lost.
+    /// The line from a controller ended. That is no proof, but if it isn't heard again soon it is lost.
     HungUp {
         id: u64,
     },
--- a/crates/rookpulley-chain/src/message.rs
+++ b/crates/rookpulley-chain/src/message.rs
@@ -1,4 +1,4 @@
-//! What offices say to each other about the chain.
+//! What controllers say to each other about the chain.
 
 use crate::CallKind;
 use crate::view::{Ballot, Member, View};
@@ -16,13 +16,13 @@
     pub at_ms: u64,
     #[serde(serialize_with = "whole")]
     pub body: Vec<u8>,
-    /// Which office it was asked of, by which token and which of its tries.
+    /// Which controller it was asked of, by which token and which of its tries.
     pub from: Asked,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Asked {
-    pub office: u64,
+    pub controller: u64,
     pub life: u64,
     pub token: u64,
     pub attempt: u32,
@@ -34,7 +34,7 @@
     pub from: Asked,
 }
 
-/// How an office stands, as it tells the others a few times a second.
+/// How a controller stands, as it tells the others a few times a second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standing {
     pub me: Member,
@@ -67,7 +67,7 @@
     }
 }
 
-/// A part of what an office has applied, for one that has less.
+/// A part of what a controller has applied, for one that has less.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fill {
     /// What follows the asker's last; the sender has applied all up to `committed`.
--- a/crates/rookpulley-chain/src/recent.rs
+++ b/crates/rookpulley-chain/src/recent.rs
@@ -1,4 +1,4 @@
-//! Calls that were answered lately. An office whose view has changed asks again; what took effect must not do so twice.
+//! Calls that were answered lately. A controller whose view has changed asks again; what took effect must not do so twice.
 
 use crate::message::{Asked, Entry};
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 /// Much longer than the tries of one call last, by the ledger's time.
 const KEEP_MS: u64 = 4_000;
 
-/// The office, its life, its token: one call, whichever of its tries.
+/// The controller, its life, its token: one call, whichever of its tries.
 type Key = (u64, u64, u64);
 
 #[derive(Default)]
@@ -24,7 +24,7 @@
 }
 
 fn key(from: &Asked) -> Key {
-    (from.office, from.life, from.token)
+    (from.controller, from.life, from.token)
 }
 
 impl Recent {
--- a/crates/rookpulley-chain/src/shown.rs
+++ b/crates/rookpulley-chain/src/shown.rs
@@ -1,4 +1,4 @@
-//! What may be looked at: an office's part in the chain, and what a disk holds of it.
+//! What may be looked at: a controller's part in the chain, and what a disk holds of it.
 
 use crate::State;
 use crate::chain::Chain;
@@ -13,7 +13,7 @@
     pub view: u64,
     pub installed: u64,
     pub at_work: u64,
-    /// This life of this office is a member and has installed it.
+    /// This life of this controller is a member and has installed it.
     pub acting: bool,
     pub in_touch: bool,
     /// The last update held, and the last that is applied.
@@ -99,7 +99,7 @@
     }
 }
 
-/// What a disk holds, as an office that starts with it takes it.
+/// What a disk holds, as a controller that starts with it takes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShownKept<'a> {
     pub installed: u64,
--- a/crates/rookpulley-chain/src/view.rs
+++ b/crates/rookpulley-chain/src/view.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// An office: its disk's identity, its process's life, where it is.
+/// A controller: its disk's identity, its process's life, where it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
     pub id: u64,
--- a/crates/rookpulley-chain/tests/doubts.rs
+++ b/crates/rookpulley-chain/tests/doubts.rs
@@ -1,4 +1,4 @@
-//! Single doubts, each shown on one office by hand: what it says, and what its disk holds when it says it.
+//! Single doubts, each shown on one controller by hand: what it says, and what its disk holds when it says it.
 
 mod world;
 
@@ -37,8 +37,8 @@
     }
 }
 
-/// One office; what it wants written waits until it is told to be synced.
-struct Office {
+/// One controller; what it wants written waits until it is told to be synced.
+struct Controller {
     chain: Chain<Names>,
     now: u64,
     rows: Rows,
@@ -47,7 +47,7 @@
     outcomes: Vec<Outcome>,
 }
 
-impl Office {
+impl Controller {
     fn begin(id: u64, life: u64, rows: Rows) -> Self {
         let kept = (!rows.is_empty()).then(|| Kept::read(rows.clone()));
         let boot = Boot {
@@ -154,12 +154,12 @@
     }
 }
 
-/// The disk of an office that has installed view 1 with these members, as its life 1.
+/// The disk of a controller that has installed view 1 with these members, as its life 1.
 fn disk_with_view(id: u64, ids: &[(u64, u64)]) -> Rows {
-    let mut office = Office::begin(id, 1, Rows::new());
+    let mut controller = Controller::begin(id, 1, Rows::new());
     let first = ids[0].0;
     let source = first == id;
-    office.hear(
+    controller.hear(
         first,
         Message::Learn {
             views: vec![view(1, ids)],
@@ -168,7 +168,7 @@
     if !source {
         let before = ids[ids.iter().position(|m| m.0 == id).unwrap() - 1].0;
         let (view, log) = (view(1, ids), Vec::new());
-        office.hear(
+        controller.hear(
             before,
             Message::Install {
                 view,
@@ -178,8 +178,8 @@
             },
         );
     }
-    office.sync();
-    office.rows
+    controller.sync();
+    controller.rows
 }
 
 #[test]
@@ -188,13 +188,13 @@
     let rows = disk_with_view(1, &ids);
     let mut ballots = Vec::new();
     for life in [7, 8] {
-        let mut office = Office::begin(1, life, rows.clone());
+        let mut controller = Controller::begin(1, life, rows.clone());
         let others = [member(2, 1), member(3, 1)];
         others
             .iter()
-            .for_each(|m| office.give(Input::Met { member: *m }));
-        office.with_others(&others, 900);
-        let prepared = office.said.iter().find_map(|(_, m)| match m {
+            .for_each(|m| controller.give(Input::Met { member: *m }));
+        controller.with_others(&others, 900);
+        let prepared = controller.said.iter().find_map(|(_, m)| match m {
             Message::Prepare { ballot, .. } => Some(*ballot),
             _ => None,
         });
@@ -210,25 +210,25 @@
 #[test]
 fn a_vote_is_never_on_the_disk_without_the_view_that_it_follows() {
     let ids = [(1, 1), (2, 1), (3, 1)];
-    let mut office = Office::begin(2, 1, disk_with_view(2, &ids));
-    office.sync();
+    let mut controller = Controller::begin(2, 1, disk_with_view(2, &ids));
+    controller.sync();
     // It votes for view 2, learns that it is decided, and votes for view 3.
-    office.hear(
+    controller.hear(
         1,
         Message::Prepare {
             base: view(1, &ids),
             ballot: ballot(1),
         },
     );
-    office.hear(
+    controller.hear(
         1,
         Message::Accept {
             ballot: ballot(1),
             view: view(2, &ids),
         },
     );
-    office.sync();
-    office.hear(
+    controller.sync();
+    controller.hear(
         1,
         Message::Prepare {
             base: view(2, &ids),
@@ -236,14 +236,14 @@
         },
     );
     // Of the later writes a loss of power leaves only the one with the votes.
-    let (_, votes) = office
+    let (_, votes) = controller
         .writes
         .iter()
         .find(|(_, w)| w.iter().any(is_votes))
         .cloned()
         .expect("votes");
-    votes.iter().for_each(|r| put(&mut office.rows, r));
-    let mut again = Office::begin(2, 2, office.rows.clone());
+    votes.iter().for_each(|r| put(&mut controller.rows, r));
+    let mut again = Controller::begin(2, 2, controller.rows.clone());
     again.hear(
         3,
         Message::Prepare {
@@ -276,65 +276,65 @@
 fn a_wiped_acceptor_is_asked_to_vote_for_an_older_view_and_says_nothing() {
     let ids = [(1, 1), (2, 1), (3, 1)];
     // The machine of member 2 has lost its disk: at its address lives member 22 now, which a later view takes in.
-    let mut office = Office::begin(22, 5, Rows::new());
-    office.hear(
+    let mut controller = Controller::begin(22, 5, Rows::new());
+    controller.hear(
         1,
         Message::Prepare {
             base: view(1, &ids),
             ballot: ballot(4),
         },
     );
-    office.hear(
+    controller.hear(
         1,
         Message::Accept {
             ballot: ballot(4),
             view: view(2, &ids),
         },
     );
-    office.sync();
-    office.hear(
+    controller.sync();
+    controller.hear(
         1,
         Message::Learn {
             views: vec![view(3, &[(1, 1), (3, 1), (22, 5)])],
         },
     );
-    office.hear(
+    controller.hear(
         3,
         Message::Prepare {
             base: view(1, &ids),
             ballot: ballot(6),
         },
     );
-    office.hear(
+    controller.hear(
         3,
         Message::Accept {
             ballot: ballot(6),
             view: view(2, &ids),
         },
     );
-    office.sync();
+    controller.sync();
     let votes = |m: &Message| matches!(m, Message::Promise { .. } | Message::Accepted { .. });
-    assert!(office.said.iter().all(|(_, m)| !votes(m)));
+    assert!(controller.said.iter().all(|(_, m)| !votes(m)));
     // For the view after the one that it is part of it does vote.
     let base = view(3, &[(1, 1), (3, 1), (22, 5)]);
-    office.hear(
+    controller.hear(
         1,
         Message::Prepare {
             base,
             ballot: ballot(1),
         },
     );
-    office.sync();
-    assert!(office.said.iter().any(|(_, m)| votes(m)));
+    controller.sync();
+    assert!(controller.said.iter().any(|(_, m)| votes(m)));
 }
 
 #[test]
 fn a_view_that_is_on_its_way_to_the_disk_is_not_promised_to_be_left_out() {
     let ids = [(1, 1), (2, 1), (3, 1)];
-    let mut office = Office::begin(2, 1, Rows::new());
-    office.sync();
+    let mut controller = Controller::begin(2, 1, Rows::new());
+    controller.sync();
     let (view, log) = (view(1, &ids), Vec::new());
-    office.hear(
+    controller.hear(
         1,
         Message::Install {
             view,
@@ -343,15 +343,15 @@
             log,
         },
     );
-    office.hear(3, Message::Bury { ask: 1, number: 1 });
-    office.hear(3, Message::Opinion { ask: 2 });
-    let never = office.said.iter().find_map(|(_, m)| match m {
+    controller.hear(3, Message::Bury { ask: 1, number: 1 });
+    controller.hear(3, Message::Opinion { ask: 2 });
+    let never = controller.said.iter().find_map(|(_, m)| match m {
         Message::Seen { never, .. } => Some(*never),
         _ => None,
     });
     assert_eq!(never, Some(0));
-    office.sync();
-    let buried = office.said.iter().find_map(|(_, m)| match m {
+    controller.sync();
+    let buried = controller.said.iter().find_map(|(_, m)| match m {
         Message::Buried { installed, .. } => Some(*installed),
         _ => None,
     });
@@ -366,36 +366,36 @@
 fn what_a_source_holds_beyond_what_is_agreed_is_not_shown_before_the_view_is_at_work() {
     let two = [(1, 1), (2, 1)];
     // View 1 is at work, an update is taken and passed on, and nobody confirms it.
-    let mut office = Office::begin(1, 1, Rows::new());
-    office.hear(
+    let mut controller = Controller::begin(1, 1, Rows::new());
+    controller.hear(
         1,
         Message::Learn {
             views: vec![view(1, &two)],
         },
     );
-    office.sync();
-    office.hear(2, Message::AtWork { number: 1 });
-    office.play(200);
+    controller.sync();
+    controller.hear(2, Message::AtWork { number: 1 });
+    controller.play(200);
     let call = Input::Call {
         token: 1,
         kind: CallKind::Update,
         body: body(1, Ask::Put { value: 5 }),
     };
-    office.give(call);
-    office.sync();
-    assert!(office.chain.state().given.is_empty());
-    office.hear(
+    controller.give(call);
+    controller.sync();
+    assert!(controller.chain.state().given.is_empty());
+    controller.hear(
         2,
         Message::Learn {
             views: vec![view(2, &[(1, 1), (3, 1)])],
         },
     );
-    office.sync();
+    controller.sync();
     assert!(
-        office.chain.state().given.is_empty(),
+        controller.chain.state().given.is_empty(),
         "view 2 may be passed over and this update with it"
     );
-    let installs = office.said.iter().rev().find_map(|(_, m)| match m {
+    let installs = controller.said.iter().rev().find_map(|(_, m)| match m {
         Message::Install { log, .. } => Some(log.len()),
         _ => None,
     });
@@ -403,20 +403,20 @@
 }
 
 #[test]
-fn a_call_that_lay_in_a_socket_while_its_office_slept_is_refused() {
-    let mut office = Office::begin(1, 1, Rows::new());
-    office.play(500);
-    office.now += 2_000;
+fn a_call_that_lay_in_a_socket_while_its_controller_slept_is_refused() {
+    let mut controller = Controller::begin(1, 1, Rows::new());
+    controller.play(500);
+    controller.now += 2_000;
     let call = |token| Input::Call {
         token,
         kind: CallKind::Update,
         body: body(1, Ask::Put { value: 5 }),
     };
-    office.give(call(1));
-    office.give(Input::Tick);
-    office.now += 20;
-    office.give(call(2));
-    assert_eq!(office.outcomes, [Outcome::Refused, Outcome::Refused]);
+    controller.give(call(1));
+    controller.give(Input::Tick);
+    controller.now += 20;
+    controller.give(call(2));
+    assert_eq!(controller.outcomes, [Outcome::Refused, Outcome::Refused]);
 }
 
 #[test]
@@ -526,7 +526,7 @@
 
 fn entry(seq: u64, value: u64) -> Entry {
     let from = Asked {
-        office: 1,
+        controller: 1,
         life: 1,
         token: value,
         attempt: 1,
@@ -540,17 +540,17 @@
 }
 
 /// Of what waits to be written any may be lost: what a start finds is sound, and shows the beginning of this.
-fn loses_any_write(office: &Office, agreed: &[u64]) {
-    for kept in 0..1 << office.writes.len() {
-        let mut rows = office.rows.clone();
-        let there = office
+fn loses_any_write(controller: &Controller, agreed: &[u64]) {
+    for kept in 0..1 << controller.writes.len() {
+        let mut rows = controller.rows.clone();
+        let there = controller
             .writes
             .iter()
             .enumerate()
             .filter(|(n, _)| kept >> n & 1 == 1);
         there.for_each(|(_, (_, records))| records.iter().for_each(|r| put(&mut rows, r)));
         assert!(Kept::read(rows.clone()).sound(), "writes {kept:b}");
-        let again = Office::begin(2, 9, rows);
+        let again = Controller::begin(2, 9, rows);
         let shown: Vec<u64> = again.chain.state().given.iter().map(|g| g.value).collect();
         assert!(agreed.starts_with(&shown), "writes {kept:b} show {shown:?}");
     }
@@ -566,22 +566,22 @@
         log,
     };
     // With all that it begins with, and with a part of that.
-    let mut office = Office::begin(2, 1, Rows::new());
-    office.sync();
-    office.hear(
+    let mut controller = Controller::begin(2, 1, Rows::new());
+    controller.sync();
+    controller.hear(
         1,
         install(view(1, &ids), 2, (1..=3).map(|n| entry(n, n)).collect()),
     );
-    loses_any_write(&office, &[1, 2]);
-    let mut office = Office::begin(2, 1, Rows::new());
-    office.sync();
-    office.hear(
+    loses_any_write(&controller, &[1, 2]);
+    let mut controller = Controller::begin(2, 1, Rows::new());
+    controller.sync();
+    controller.hear(
         1,
         install(view(1, &ids), 4, (1..=2).map(|n| entry(n, n)).collect()),
     );
-    loses_any_write(&office, &[1, 2]);
-    office.sync();
-    let asked = office.said.iter().rev().find_map(|(_, m)| match m {
+    loses_any_write(&controller, &[1, 2]);
+    controller.sync();
+    let asked = controller.said.iter().rev().find_map(|(_, m)| match m {
         Message::Fetch { ask, held: 2, .. } => Some(*ask),
         _ => None,
     });
@@ -589,19 +589,19 @@
         committed: 4,
         entries: (3..=4).map(|n| entry(n, n)).collect(),
     };
-    office.hear(
+    controller.hear(
         1,
         Message::Filled {
             ask: asked.expect("it asks for the rest"),
             fill,
         },
     );
-    loses_any_write(&office, &[1, 2, 3, 4]);
-    office.sync();
-    assert_eq!(office.chain.shown(office.now).installed, 1);
+    loses_any_write(&controller, &[1, 2, 3, 4]);
+    controller.sync();
+    assert_eq!(controller.chain.shown(controller.now).installed, 1);
     // What was held of a view that was passed over has the place of what is agreed on.
-    let mut office = Office::begin(2, 1, disk_with_view(2, &ids));
-    office.hear(
+    let mut controller = Controller::begin(2, 1, disk_with_view(2, &ids));
+    controller.hear(
         1,
         Message::Pass {
             view: 1,
@@ -610,12 +610,12 @@
             synced_to: 0,
         },
     );
-    office.sync();
-    office.hear(
+    controller.sync();
+    controller.hear(
         1,
         install(view(2, &[(3, 1), (1, 1), (2, 1)]), 1, vec![entry(1, 1)]),
     );
-    loses_any_write(&office, &[1]);
+    loses_any_write(&controller, &[1]);
 }
 
 /// A member that is started again may be the last that holds what was acknowledged behind the state that it is handed.
@@ -623,8 +623,8 @@
 fn what_a_member_holds_behind_a_state_that_comes_stays() {
     let ids = [(1, 1), (2, 1), (3, 1)];
     let entry = |seq: u64| entry(seq, seq);
-    let mut office = Office::begin(2, 1, Rows::new());
-    office.hear(
+    let mut controller = Controller::begin(2, 1, Rows::new());
+    controller.hear(
         1,
         Message::Install {
             view: view(1, &ids),
@@ -633,9 +633,9 @@
             log: Vec::new(),
         },
     );
-    office.sync();
+    controller.sync();
     let entries = (1..=4).map(entry).collect();
-    office.hear(
+    controller.hear(
         1,
         Message::Pass {
             view: 1,
@@ -644,9 +644,9 @@
             synced_to: 4,
         },
     );
-    office.sync();
-    let mut office = Office::begin(2, 2, office.rows);
-    office.give(Input::Met {
+    controller.sync();
+    let mut controller = Controller::begin(2, 2, controller.rows);
+    controller.give(Input::Met {
         member: member(3, 1),
     });
     let (installed, decided, at_work, last, committed) = (1, 1, 1, 4, 4);
@@ -659,12 +659,12 @@
         ..Standing::of(member(3, 1))
     };
     for sent in 1..4 {
-        office.play(100);
-        let echo = office.said.iter().rev().find_map(|(_, m)| match m {
+        controller.play(100);
+        let echo = controller.said.iter().rev().find_map(|(_, m)| match m {
             Message::Ping { sent, .. } => Some(*sent),
             _ => None,
         });
-        office.hear(
+        controller.hear(
             3,
             Message::Ping {
                 standing: standing.clone(),
@@ -674,7 +674,7 @@
             },
         );
     }
-    let ask = office.said.iter().rev().find_map(|(_, m)| match m {
+    let ask = controller.said.iter().rev().find_map(|(_, m)| match m {
         Message::Fetch { ask, .. } => Some(*ask),
         _ => None,
     });
@@ -692,16 +692,16 @@
         sum,
         bytes,
     };
-    office.hear(
+    controller.hear(
         3,
         Message::Filled {
             ask: ask.expect("it asks for what it lacks"),
             fill,
         },
     );
-    office.sync();
-    assert_eq!(office.chain.state().given.len(), 2);
-    let holds = |office: &Office| office.chain.shown(office.now).last;
-    assert_eq!(holds(&office), 4);
-    assert_eq!(holds(&Office::begin(2, 3, office.rows)), 4);
+    controller.sync();
+    assert_eq!(controller.chain.state().given.len(), 2);
+    let holds = |controller: &Controller| controller.chain.shown(controller.now).last;
+    assert_eq!(holds(&controller), 4);
+    assert_eq!(holds(&Controller::begin(2, 3, controller.rows)), 4);
 }
--- a/crates/rookpulley-chain/tests/hard_cases.rs
+++ b/crates/rookpulley-chain/tests/hard_cases.rs
@@ -16,8 +16,8 @@
         .unwrap_or(3)
 }
 
-fn calm(seed: u64, offices: usize) -> World {
-    let mut world = World::new(seed, offices, 1);
+fn calm(seed: u64, controllers: usize) -> World {
+    let mut world = World::new(seed, controllers, 1);
     world.play(2_000 + 7 * seed);
     world
 }
--- a/crates/rookpulley-chain/tests/model/main.rs
+++ b/crates/rookpulley-chain/tests/model/main.rs
@@ -56,7 +56,7 @@
     ballots: [3, 0],
     ..VOTES
 };
-/// One office that may not acknowledge alone.
+/// One controller that may not acknowledge alone.
 const LONELY: Bounds = Bounds {
     first: 1,
     reads: true,
@@ -135,15 +135,15 @@
 }
 
 #[test]
-fn rules_hold_in_calm_and_a_lonely_office_waits_for_others() {
+fn rules_hold_in_calm_and_a_lonely_controller_waits_for_others() {
     let calm = holds("calm", CALM_WITH_READS, true, 50_000);
     assert!(calm.read_in_a_later_view && calm.dead_view_passed_over);
-    let lonely = holds("a lonely office", LONELY, true, 4_000);
+    let lonely = holds("a lonely controller", LONELY, true, 4_000);
     assert!(lonely.read_in_a_later_view);
 }
 
 #[test]
-fn a_wiped_office_under_its_old_identity_is_caught_where_a_second_disk_is_lost() {
+fn a_wiped_controller_under_its_old_identity_is_caught_where_a_second_disk_is_lost() {
     let rule = Broken::ViewAtWorkWithoutWhatWasAcknowledged;
     caught(Fault::WipedUnderItsOldIdentity, SECOND_LOST_DISK, rule);
 }
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_wiped_office_that_votes_under_its_old_identity_is_caught() {
+fn a_wiped_controller_that_votes_under_its_old_identity_is_caught() {
     caught(
         Fault::WipedUnderItsOldIdentity,
         Bounds {
--- a/crates/rookpulley-chain/tests/model/rules.rs
+++ b/crates/rookpulley-chain/tests/model/rules.rs
@@ -8,12 +8,12 @@
 //! Steps that nobody else can tell apart are one. That a smaller number of states still shows all that can go wrong:
 //! - A vote or a promise `never` is one step with its sync: nothing is told before, and a crash in between leaves what
 //!   a message that never came leaves.
-//! - So is the install of a view with its sync: in between the office takes no part in any view, as if it hadn't heard.
+//! - So is the install of a view with its sync: in between the controller takes no part in any view, as if it hadn't heard.
 //! - An entry is synced, by all before and here, at the moment when that is told. Synced and not told is the same as
 //!   a crash after which it happens to be there: a crash keeps any beginning of what isn't synced.
 //! - A crash forgets all views above the one installed and the one voted after: they may be learned again at once, and
 //!   a new life is named in none of them.
-//! - That a view is heard of by who isn't its source changes nothing but that the office takes part in no earlier one,
+//! - That a view is heard of by who isn't its source changes nothing but that the controller takes part in no earlier one,
 //!   and who takes no part is one whose turn doesn't come. So it is one step with what needs it: an install, a promise,
 //!   a vote.
 //! - Of a number with one ballot only, the vote is cast when it is counted, or when its disk is about to go: nothing
@@ -23,15 +23,15 @@
 //! - What nobody can hear any more, or use, is put back to nothing (`tidy`).
 
 use crate::state::{
-    IDS, Known, NUMBERS, Office, PLACES, Read, SLOTS, Slot, State, Told, Views, Vote, bit, member,
-    place_of,
+    Controller, IDS, Known, NUMBERS, PLACES, Read, SLOTS, Slot, State, Told, Views, Vote, bit,
+    member, place_of,
 };
 use rookpulley_chain::View;
 use std::cell::{Cell, RefCell};
 
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// So many offices are in the first view; the others are newcomers.
+    /// So many controllers are in the first view; the others are newcomers.
     pub first: usize,
     pub losses: usize,
     /// For each number from two on, none if there is no such view.
@@ -143,19 +143,21 @@
     /// The first view at work, with nothing in it.
     pub fn begin(&self) -> State {
         let mut state = State::default();
-        for (place, office) in state.offices.iter_mut().enumerate() {
+        for (place, controller) in state.controllers.iter_mut().enumerate() {
             let within = u8::from(place < self.bounds.first);
-            *office = Office {
+            *controller = Controller {
                 id: place as u8,
                 life: 1,
                 known: within,
                 installed: within,
-                ..Office::default()
+                ..Controller::default()
             };
             state.told[0][place].installed = within > 0;
         }
-        let first = state.offices.iter().enumerate().take(self.bounds.first);
-        let members = first.map(|(place, office)| member(place, office)).collect();
+        let first = state.controllers.iter().enumerate().take(self.bounds.first);
+        let members = first
+            .map(|(place, controller)| member(place, controller))
+            .collect();
         state.views[0] = self.views.borrow_mut().keep(View {
             number: 1,
             members,
@@ -201,32 +203,34 @@
 
     /// The place among the members of a view, where it names this life.
     fn names(&self, state: &State, place: usize, number: u8) -> Option<usize> {
-        self.with_view(state, number, |v| v.names(&state.offices[place]))?
+        self.with_view(state, number, |v| v.names(&state.controllers[place]))?
     }
 
     fn length(&self, state: &State, number: u8) -> usize {
         self.with_view(state, number, |v| v.length).unwrap_or(0)
     }
 
-    /// The office once it has heard of this view and of no later one. That its source hears of it is a step of its own.
-    fn hears(&self, state: &State, place: usize, number: u8) -> Option<Office> {
-        let office = state.offices[place];
+    /// The controller once it has heard of this view and of no later one. That its source hears of it is a step of its own.
+    fn hears(&self, state: &State, place: usize, number: u8) -> Option<Controller> {
+        let controller = state.controllers[place];
         let decided = number > 0 && state.views[usize::from(number) - 1] != 0;
-        let may = office.known == number
-            || (office.known < number && decided && self.names(state, place, number) != Some(0));
-        may.then_some(Office {
+        let may = controller.known == number
+            || (controller.known < number
+                && decided
+                && self.names(state, place, number) != Some(0));
+        may.then_some(Controller {
             known: number,
-            ..office
+            ..controller
         })
     }
 
     /// The place among the members of a view in which this life takes part.
     fn acting(&self, state: &State, place: usize, number: u8) -> Option<usize> {
-        let office = &state.offices[place];
+        let controller = &state.controllers[place];
         let takes_part = if self.has(Fault::LeftAndStillTaking) {
-            office.installed >= number
+            controller.installed >= number
         } else {
-            office.installed == number && office.known == number
+            controller.installed == number && controller.known == number
         };
         if takes_part {
             self.names(state, place, number)
@@ -237,7 +241,7 @@
 
     fn votes(&self, state: &State, place: usize, number: u8) -> bool {
         self.with_view(state, number, |v| {
-            v.voters & bit(state.offices[place].id) != 0
+            v.voters & bit(state.controllers[place].id) != 0
         })
         .unwrap_or(false)
     }
@@ -297,7 +301,7 @@
         let Some(at) = self.acting(state, place, view) else {
             return;
         };
-        let (office, told) = (state.offices[place], state.told[usize::from(view) - 1]);
+        let (controller, told) = (state.controllers[place], state.told[usize::from(view) - 1]);
         let length = self.length(state, view);
         let enough = length > self.bounds.losses || self.has(Fault::TooFewAcknowledge);
         let is_tail = at + 1 == length;
@@ -307,7 +311,7 @@
         if takes && state.updates < self.bounds.updates {
             let mut after = *state;
             after.updates += 1;
-            after.offices[place].log.add(after.updates);
+            after.controllers[place].log.add(after.updates);
             let rule = self.early(&mut after, place, view, is_tail);
             tell(&mut after, place, view, at);
             push(
@@ -319,11 +323,11 @@
                 rule,
             );
         }
-        if at > 0 && told[at - 1].log.count() > office.log.count() {
+        if at > 0 && told[at - 1].log.count() > controller.log.count() {
             let mut after = *state;
-            after.offices[place]
+            after.controllers[place]
                 .log
-                .add(told[at - 1].log.at(office.log.count()));
+                .add(told[at - 1].log.at(controller.log.count()));
             let rule = self.early(&mut after, place, view, is_tail);
             tell(&mut after, place, view, at);
             push(
@@ -335,10 +339,11 @@
                 rule,
             );
         }
-        if office.own < office.log.count() && (at == 0 || told[at - 1].own > office.own) {
+        if controller.own < controller.log.count() && (at == 0 || told[at - 1].own > controller.own)
+        {
             let mut after = *state;
-            after.offices[place].own += 1;
-            let to = after.offices[place].own;
+            after.controllers[place].own += 1;
+            let to = after.controllers[place].own;
             let rule = if is_tail {
                 self.settle(&mut after, place, view, to)
             } else {
@@ -355,10 +360,10 @@
             );
         }
         // An older commit is one that came earlier.
-        let committed = told[length - 1].done.min(office.log.count());
-        if !is_tail && committed > office.done {
+        let committed = told[length - 1].done.min(controller.log.count());
+        if !is_tail && committed > controller.done {
             let mut after = *state;
-            after.offices[place].done = committed;
+            after.controllers[place].done = committed;
             tell(&mut after, place, view, at);
             push(
                 Step::Commit {
@@ -378,7 +383,7 @@
         if !is_tail || !self.has(Fault::AcknowledgedBeforeAllHaveSynced) {
             return Ok(());
         }
-        let to = state.offices[place].log.count();
+        let to = state.controllers[place].log.count();
         self.settle(state, place, view, to)
     }
 
@@ -408,7 +413,7 @@
         let mut rule = Ok(());
         if is_tail {
             after.read = Read::default();
-            if state.offices[place].done < asked_at {
+            if state.controllers[place].done < asked_at {
                 rule = Err(Broken::ReadWithoutWhatWasAcknowledged);
             }
             self.note(|seen| seen.read_in_a_later_view |= view > 1 && asked_at > 0);
@@ -425,9 +430,9 @@
 
     /// The tail applies and acknowledges. What is new takes its place in the one order.
     fn settle(&self, state: &mut State, place: usize, view: u8, to: u8) -> Rule {
-        let office = state.offices[place];
-        for at in office.done..to {
-            let update = office.log.at(at);
+        let controller = state.controllers[place];
+        for at in controller.done..to {
+            let update = controller.log.at(at);
             if at < state.order.count() {
                 if state.order.at(at) != update {
                     return Err(Broken::TwoOrders);
@@ -445,14 +450,14 @@
             }
             state.order.add(update);
         }
-        state.offices[place].done = office.done.max(to);
+        state.controllers[place].done = controller.done.max(to);
         Ok(())
     }
 
     fn all_applied_is_agreed(&self, state: &State) -> Rule {
         let agreed =
-            |o: &Office| o.done <= o.log.count() && o.log.first(o.done).begins(state.order);
-        if state.offices.iter().all(agreed) {
+            |o: &Controller| o.done <= o.log.count() && o.log.first(o.done).begins(state.order);
+        if state.controllers.iter().all(agreed) {
             Ok(())
         } else {
             Err(Broken::AppliedAndNotAgreed)
@@ -469,14 +474,15 @@
         number: u8,
         push: &mut impl FnMut(Step, State, Rule),
     ) {
-        if state.offices[place].known >= number || self.names(state, place, number) != Some(0) {
+        if state.controllers[place].known >= number || self.names(state, place, number) != Some(0) {
             return;
         }
         let mut after = *state;
-        let office = &mut after.offices[place];
-        (office.known, office.installed, office.own) = (number, number, office.log.count());
+        let controller = &mut after.controllers[place];
+        (controller.known, controller.installed, controller.own) =
+            (number, number, controller.log.count());
         if self.has(Fault::SourceAppliesAtOnce) {
-            office.done = office.log.count();
+            controller.done = controller.log.count();
         }
         let rule = self.installed(&mut after, place, number, 0);
         push(
@@ -497,10 +503,10 @@
         number: u8,
         push: &mut impl FnMut(Step, State, Rule),
     ) {
-        let Some(office) = self.hears(state, place, number) else {
+        let Some(controller) = self.hears(state, place, number) else {
             return;
         };
-        if office.installed >= number || office.never >= number {
+        if controller.installed >= number || controller.never >= number {
             return;
         }
         let Some(at) = self.names(state, place, number).filter(|at| *at > 0) else {
@@ -512,17 +518,17 @@
         }
         let mut after = *state;
         let mut log = from.log;
-        if office.done > from.done {
-            log = office.log.first(office.done);
-            (office.done..from.log.count()).for_each(|at| log.add(from.log.at(at)));
+        if controller.done > from.done {
+            log = controller.log.first(controller.done);
+            (controller.done..from.log.count()).for_each(|at| log.add(from.log.at(at)));
         }
-        let (own, done) = (log.count(), office.done.max(from.done));
-        after.offices[place] = Office {
+        let (own, done) = (log.count(), controller.done.max(from.done));
+        after.controllers[place] = Controller {
             installed: number,
             log,
             own,
             done,
-            ..office
+            ..controller
         };
         let rule = self.installed(&mut after, place, number, at);
         push(
@@ -539,7 +545,7 @@
     fn installed(&self, state: &mut State, place: usize, number: u8, at: usize) -> Rule {
         let mut rule = Ok(());
         if at + 1 == self.length(state, number) {
-            let log = state.offices[place].log;
+            let log = state.controllers[place].log;
             let newest = state.at_work;
             state.at_work = newest.max(number);
             if newest < number && !state.order.begins(log) {
@@ -572,19 +578,19 @@
         number: u8,
         push: &mut impl FnMut(Step, State, Rule),
     ) {
-        let mut knows = number.max(state.offices[place].known)..=NUMBERS as u8;
-        let Some(office) = knows.find_map(|n| self.hears(state, place, n)) else {
+        let mut knows = number.max(state.controllers[place].known)..=NUMBERS as u8;
+        let Some(controller) = knows.find_map(|n| self.hears(state, place, n)) else {
             return;
         };
-        let is_member = self.with_view(state, number, |v| v.holds(&office)) == Some(true);
-        if !is_member || office.installed >= number || state.is_dead(number) {
+        let is_member = self.with_view(state, number, |v| v.holds(&controller)) == Some(true);
+        if !is_member || controller.installed >= number || state.is_dead(number) {
             return;
         }
         let mut after = *state;
         after.dead |= bit(number - 1);
-        after.offices[place] = Office {
-            never: office.never.max(number),
-            ..office
+        after.controllers[place] = Controller {
+            never: controller.never.max(number),
+            ..controller
         };
         push(
             Step::Never {
@@ -621,11 +627,11 @@
             return;
         }
         let mut views = Vec::new();
-        for (source, office) in state.offices.iter().enumerate() {
+        for (source, controller) in state.controllers.iter().enumerate() {
             let dead = |n: u8| {
                 state.is_dead(n) || (self.has(Fault::DeadWithoutAPromise) && n > state.at_work)
             };
-            let may = office.installed > 0 && (office.installed + 1..number).all(dead);
+            let may = controller.installed > 0 && (controller.installed + 1..number).all(dead);
             if !may && !self.has(Fault::SourceWithoutTheViewBefore) {
                 continue;
             }
@@ -667,7 +673,7 @@
             return;
         };
         let there: Vec<_> = state
-            .offices
+            .controllers
             .iter()
             .enumerate()
             .map(|(place, o)| member(place, o))
@@ -706,18 +712,19 @@
     /// The identities of those in place that have a say after this view, as bits.
     fn voices(&self, state: &State, number: u8, which: impl Fn(usize) -> bool) -> u8 {
         let who = (0..PLACES).filter(|p| self.votes(state, *p, number) && which(*p));
-        who.map(|p| bit(state.offices[p].id)).fold(0, |a, b| a | b)
+        who.map(|p| bit(state.controllers[p].id))
+            .fold(0, |a, b| a | b)
     }
 
     /// What is known of this number's votes, as `Chain::vote_for` has it.
-    fn vote_for(office: &Office, number: u8) -> Option<Vote> {
+    fn vote_for(controller: &Controller, number: u8) -> Option<Vote> {
         let fresh = Vote {
             number,
             ..Vote::default()
         };
-        match office.vote.number.cmp(&number) {
+        match controller.vote.number.cmp(&number) {
             std::cmp::Ordering::Less => Some(fresh),
-            std::cmp::Ordering::Equal => Some(office.vote),
+            std::cmp::Ordering::Equal => Some(controller.vote),
             std::cmp::Ordering::Greater => None,
         }
     }
@@ -733,25 +740,25 @@
         if self.ballots(number) < 2 || !self.votes(state, place, number - 1) {
             return;
         }
-        let Some(office) = self.hears(state, place, number - 1) else {
+        let Some(controller) = self.hears(state, place, number - 1) else {
             return;
         };
-        let Some(vote) = Self::vote_for(&office, number) else {
+        let Some(vote) = Self::vote_for(&controller, number) else {
             return;
         };
         for ballot in vote.promised.max(1)..=self.ballots(number) {
             let at = self.slot(number, ballot);
             let slot = state.slots[at];
-            if slot.wanted != 0 && ballot > 1 && promise(&slot, office.id).is_none() {
+            if slot.wanted != 0 && ballot > 1 && promise(&slot, controller.id).is_none() {
                 let mut after = *state;
-                after.offices[place] = Office {
+                after.controllers[place] = Controller {
                     vote: Vote {
                         promised: ballot,
                         ..vote
                     },
-                    ..office
+                    ..controller
                 };
-                after.slots[at].promises |= u16::from(vote.accepted + 1) << (3 * office.id);
+                after.slots[at].promises |= u16::from(vote.accepted + 1) << (3 * controller.id);
                 push(
                     Step::Promise {
                         place: place as u8,
@@ -762,15 +769,15 @@
                     Ok(()),
                 );
             }
-            if slot.sent != 0 && slot.accepted & bit(office.id) == 0 {
+            if slot.sent != 0 && slot.accepted & bit(controller.id) == 0 {
                 let mut after = *state;
                 let vote = Vote {
                     number,
                     promised: ballot,
                     accepted: ballot,
                 };
-                after.offices[place] = Office { vote, ..office };
-                after.slots[at].accepted |= bit(office.id);
+                after.controllers[place] = Controller { vote, ..controller };
+                after.slots[at].accepted |= bit(controller.id);
                 let rule = self.count_votes(&mut after, number);
                 push(
                     Step::Accept {
@@ -858,10 +865,10 @@
             }
             let mut after = *state;
             for place in within {
-                after.slots[at].accepted |= bit(state.offices[place].id);
-                after.offices[place] = self
+                after.slots[at].accepted |= bit(state.controllers[place].id);
+                after.controllers[place] = self
                     .hears(state, place, number - 1)
-                    .unwrap_or(state.offices[place]);
+                    .unwrap_or(state.controllers[place]);
             }
             let rule = self.count_votes(&mut after, number);
             push(
@@ -898,24 +905,24 @@
     // ---- what goes wrong --------------------------------------------------------------------
 
     fn trouble(&self, state: &State, place: usize, push: &mut impl FnMut(Step, State, Rule)) {
-        let office = state.offices[place];
+        let controller = state.controllers[place];
         if state.crashes < self.bounds.crashes {
-            for keeps in office.own..=office.log.count() {
+            for keeps in controller.own..=controller.log.count() {
                 let mut after = *state;
                 after.crashes += 1;
-                let mut vote = office.vote;
+                let mut vote = controller.vote;
                 if self.has(Fault::VotesForgotten) {
                     vote = Vote::default();
                 }
-                after.offices[place] = Office {
-                    life: office.life + 1,
-                    known: office.installed.max(vote.number.saturating_sub(1)),
+                after.controllers[place] = Controller {
+                    life: controller.life + 1,
+                    known: controller.installed.max(vote.number.saturating_sub(1)),
                     never: 0,
-                    log: office.log.first(keeps),
+                    log: controller.log.first(keeps),
                     own: keeps,
-                    done: office.done.min(keeps),
+                    done: controller.done.min(keeps),
                     vote,
-                    ..office
+                    ..controller
                 };
                 push(
                     Step::Crash {
@@ -940,21 +947,21 @@
                 let mut after = *state;
                 after.wipes += 1;
                 if let Some(number) = voted {
-                    after.slots[self.slot(number, 1)].accepted |= bit(office.id);
+                    after.slots[self.slot(number, 1)].accepted |= bit(controller.id);
                 }
-                let new = Office {
+                let new = Controller {
                     id: PLACES as u8 + state.wipes,
                     life: 1,
-                    ..Office::default()
+                    ..Controller::default()
                 };
-                after.offices[place] = if self.has(Fault::WipedUnderItsOldIdentity) {
-                    Office {
-                        id: office.id,
-                        life: office.life + 1,
+                after.controllers[place] = if self.has(Fault::WipedUnderItsOldIdentity) {
+                    Controller {
+                        id: controller.id,
+                        life: controller.life + 1,
                         ..new
                     }
                 } else {
-                    after.lost |= bit(office.id);
+                    after.lost |= bit(controller.id);
                     new
                 };
                 // One disk less may make the votes enough.
@@ -990,8 +997,8 @@
     /// Whether this place among a view's members may yet take part in it.
     fn may_act(&self, state: &State, number: u8, at: usize) -> bool {
         self.with_view(state, number, |v| {
-            let office = &state.offices[v.places[at]];
-            office.known <= number && v.names(office) == Some(at)
+            let controller = &state.controllers[v.places[at]];
+            controller.known <= number && v.names(controller) == Some(at)
         })
         .unwrap_or(false)
     }
@@ -1033,23 +1040,27 @@
             }
         }
         for place in 0..PLACES {
-            let office = state.offices[place];
-            let named = self.names(state, place, office.known).is_some();
-            if office.never != office.known || office.installed >= office.never || !named {
-                state.offices[place].never = 0;
+            let controller = state.controllers[place];
+            let named = self.names(state, place, controller.known).is_some();
+            if controller.never != controller.known
+                || controller.installed >= controller.never
+                || !named
+            {
+                state.controllers[place].never = 0;
             }
-            let acts = office.known == office.installed
-                && self.names(state, place, office.installed).is_some();
-            if office.installed < newest && !acts {
-                let office = &mut state.offices[place];
-                (office.log, office.own) = (office.log.first(office.done), office.done);
+            let acts = controller.known == controller.installed
+                && self.names(state, place, controller.installed).is_some();
+            if controller.installed < newest && !acts {
+                let controller = &mut state.controllers[place];
+                (controller.log, controller.own) =
+                    (controller.log.first(controller.done), controller.done);
             }
         }
     }
 }
 
 fn tell(state: &mut State, place: usize, view: u8, at: usize) {
-    let Office { log, own, done, .. } = state.offices[place];
+    let Controller { log, own, done, .. } = state.controllers[place];
     state.told[usize::from(view) - 1][at] = Told {
         installed: true,
         log,
--- a/crates/rookpulley-chain/tests/model/state.rs
+++ b/crates/rookpulley-chain/tests/model/state.rs
@@ -1,4 +1,4 @@
-//! What the model holds: three places with their offices, the views, the votes that were told, and all that members of
+//! What the model holds: three places with their controllers, the views, the votes that were told, and all that members of
 //! a view have ever told each other.
 
 use rookpulley_chain::{Member, View};
@@ -37,9 +37,9 @@
     }
 }
 
-/// One office, by its place. Of its votes only the newest number's are kept, as on the real disk.
+/// One controller, by its place. Of its votes only the newest number's are kept, as on the real disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Office {
+pub struct Controller {
     pub id: u8,
     pub life: u8,
     /// The newest view known here, the one installed, the one that it promised never to install.
@@ -92,7 +92,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct State {
-    pub offices: [Office; PLACES],
+    pub controllers: [Controller; PLACES],
     /// Identities whose disks are gone.
     pub lost: u8,
     pub crashes: u8,
@@ -121,11 +121,11 @@
     1 << of
 }
 
-pub fn member(place: usize, office: &Office) -> Member {
+pub fn member(place: usize, controller: &Controller) -> Member {
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, place as u8), 7);
     Member {
-        id: office.id.into(),
-        life: office.life.into(),
+        id: controller.id.into(),
+        life: controller.life.into(),
         address,
     }
 }
@@ -169,15 +169,15 @@
         }
     }
 
-    pub fn holds(&self, office: &Office) -> bool {
-        self.at[usize::from(office.id)].is_some()
+    pub fn holds(&self, controller: &Controller) -> bool {
+        self.at[usize::from(controller.id)].is_some()
     }
 
     /// The place among the members, where this life is one.
-    pub fn names(&self, office: &Office) -> Option<usize> {
-        let id = usize::from(office.id);
+    pub fn names(&self, controller: &Controller) -> Option<usize> {
+        let id = usize::from(controller.id);
         self.at[id]
-            .filter(|_| self.names[id][usize::from(office.life)])
+            .filter(|_| self.names[id][usize::from(controller.life)])
             .map(usize::from)
     }
 }
--- a/crates/rookpulley-chain/tests/refounded.rs
+++ b/crates/rookpulley-chain/tests/refounded.rs
@@ -12,10 +12,10 @@
         .unwrap_or(3)
 }
 
-fn calm(seed: u64, offices: usize, losses: usize) -> World {
-    let mut world = World::new(seed, offices, losses);
+fn calm(seed: u64, controllers: usize, losses: usize) -> World {
+    let mut world = World::new(seed, controllers, losses);
     world.play(2_000 + 7 * seed);
-    assert_eq!(world.members(), offices);
+    assert_eq!(world.members(), controllers);
     world
 }
 
@@ -29,7 +29,7 @@
     for at in world.running() {
         assert!(
             world.given(at) == world.truth,
-            "office {at} shows something else"
+            "controller {at} shows something else"
         );
     }
     world.check();
--- a/crates/rookpulley-chain/tests/simulated.rs
+++ b/crates/rookpulley-chain/tests/simulated.rs
@@ -1,4 +1,4 @@
-//! Whole systems of offices on a simulated network: virtual time, seeded delays, kills, lost power, wiped and broken
+//! Whole systems of controllers on a simulated network: virtual time, seeded delays, kills, lost power, wiped and broken
 //! disks, freezes, cuts and resets. What callers saw is checked for each name to have an order.
 
 mod world;
@@ -8,8 +8,8 @@
 
 /// Random troubles, two of them at once or one in the midst of the other's mending.
 fn troubled(seed: u64, rounds: usize, mutation: Option<Mutation>) -> World {
-    let (offices, losses) = (3 + (seed % 4) as usize, if seed % 4 >= 2 { 2 } else { 1 });
-    let mut world = World::with(seed, offices, losses, mutation);
+    let (controllers, losses) = (3 + (seed % 4) as usize, if seed % 4 >= 2 { 2 } else { 1 });
+    let mut world = World::with(seed, controllers, losses, mutation);
     world.held_up = seed.is_multiple_of(3);
     world.far_ms = if seed.is_multiple_of(5) { 60 } else { 6 };
     world.play(3_000);
@@ -44,8 +44,8 @@
 
 /// Trouble upon trouble, too quick for any mending to be finished: votes, proposals and installs are cut off anywhere.
 fn stormy(seed: u64, mutation: Option<Mutation>) -> World {
-    let (offices, losses) = (3 + (seed % 3) as usize, 1 + usize::from(seed % 3 == 2));
-    let mut world = World::with(seed, offices, losses, mutation);
+    let (controllers, losses) = (3 + (seed % 3) as usize, 1 + usize::from(seed % 3 == 2));
+    let mut world = World::with(seed, controllers, losses, mutation);
     world.far_ms = if seed.is_multiple_of(2) { 60 } else { 6 };
     world.play(2_000);
     let mut disks = 1;
--- a/crates/rookpulley-chain/tests/world/disk.rs
+++ b/crates/rookpulley-chain/tests/world/disk.rs
@@ -39,7 +39,7 @@
     /// Till when such parts may still be lost, with what they took the place of.
     parts: Vec<(u64, Vec<Part>)>,
     writing: VecDeque<Batch>,
-    /// What its owner makes of it: as the office does, by how long writes take.
+    /// What its owner makes of it: as the controller does, by how long writes take.
     pub slow: bool,
     quick: u32,
     judged: u64,
--- a/crates/rookpulley-chain/tests/world/faults.rs
+++ b/crates/rookpulley-chain/tests/world/faults.rs
@@ -7,10 +7,10 @@
 type Way = (usize, usize);
 type Pieces = Vec<Vec<u8>>;
 
-/// What went from office to office.
+/// What went from controller to controller.
 #[derive(Default)]
 pub struct Handed {
-    /// By its identity: what an office has said that it holds, whether that is agreed on or not.
+    /// By its identity: what a controller has said that it holds, whether that is agreed on or not.
     held: BTreeMap<u64, BTreeMap<u64, Entry>>,
     /// The states that are handed out, by who asked whom: up to which update, and what was handed out as its pieces.
     now: BTreeMap<Way, (u64, Pieces)>,
@@ -103,7 +103,7 @@
     }
 }
 
-/// What another office was filled with: without the view that follows it.
+/// What another controller was filled with: without the view that follows it.
 pub fn is_a_part(records: &[Record]) -> bool {
     let puts = |kind: u8| {
         records
--- a/crates/rookpulley-chain/tests/world/mod.rs
+++ b/crates/rookpulley-chain/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! The simulated network: offices with disks and clocks, lines between them, callers that keep what they saw.
+//! The simulated network: controllers with disks and clocks, lines between them, callers that keep what they saw.
 
 #![allow(dead_code)]
 
@@ -73,7 +73,7 @@
     IdentityKept,
     /// A call that is tried again counts as a new one.
     TriesNotKnown,
-    /// A filled office goes on, into views too, before what it was filled with is on its disk.
+    /// A filled controller goes on, into views too, before what it was filled with is on its disk.
     FilledTooSoon,
     /// Whoever fills another hands out what it holds beyond what is agreed on.
     FilledBeyond,
@@ -120,7 +120,7 @@
     handed: Handed,
     /// A message takes up to so long.
     pub far_ms: u64,
-    /// This office loses power when it begins its nth write from here: it alone, or all with it.
+    /// This controller loses power when it begins its nth write from here: it alone, or all with it.
     pub power_at_write: Option<(usize, u64, bool)>,
     /// Milliseconds between two calls.
     pub pace_ms: u64,
@@ -135,13 +135,13 @@
     cut_at: u64,
     held: Vec<(usize, usize, Message)>,
     hold: bool,
-    /// Those under way, by token: which office, which of the calls.
+    /// Those under way, by token: which controller, which of the calls.
     open: BTreeMap<u64, (usize, usize)>,
     calls: Vec<Call>,
     asked_ms: Vec<u64>,
-    /// Each view by its number, as any office has learned it.
+    /// Each view by its number, as any controller has learned it.
     views: BTreeMap<u64, rookpulley_chain::View>,
-    /// The one order of all that went through, as any office has shown it.
+    /// The one order of all that went through, as any controller has shown it.
     pub truth: Vec<Given>,
     /// How far the ledger's time stood before ours at most, by when calls were made: it never runs faster.
     ahead: i64,
@@ -179,11 +179,11 @@
 }
 
 impl World {
-    pub fn new(seed: u64, offices: usize, losses: usize) -> Self {
-        Self::with(seed, offices, losses, None)
+    pub fn new(seed: u64, controllers: usize, losses: usize) -> Self {
+        Self::with(seed, controllers, losses, None)
     }
 
-    pub fn with(seed: u64, offices: usize, losses: usize, mutation: Option<Mutation>) -> Self {
+    pub fn with(seed: u64, controllers: usize, losses: usize, mutation: Option<Mutation>) -> Self {
         let mut world = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
@@ -224,24 +224,29 @@
             forgotten: 0,
             log: Vec::new(),
         };
-        world.begin(offices);
+        world.begin(controllers);
         world
     }
 
     /// With a state that is so many words long from the beginning.
-    pub fn bulky(seed: u64, offices: usize, bulk: usize) -> Self {
-        Self::bulky_with(seed, offices, bulk, None)
+    pub fn bulky(seed: u64, controllers: usize, bulk: usize) -> Self {
+        Self::bulky_with(seed, controllers, bulk, None)
     }
 
-    pub fn bulky_with(seed: u64, offices: usize, bulk: usize, mutation: Option<Mutation>) -> Self {
+    pub fn bulky_with(
+        seed: u64,
+        controllers: usize,
+        bulk: usize,
+        mutation: Option<Mutation>,
+    ) -> Self {
         let mut world = Self::with(seed, 0, 1, mutation);
         world.bulk = bulk;
-        world.begin(offices);
+        world.begin(controllers);
         world
     }
 
-    fn begin(&mut self, offices: usize) {
-        for at in 0..offices {
+    fn begin(&mut self, controllers: usize) {
+        for at in 0..controllers {
             self.add();
             self.start(at, at == 0);
         }
@@ -294,7 +299,7 @@
         let kept = (!fresh).then(|| Kept::read(place.disk.rows.clone()));
         assert!(
             kept.as_ref().is_none_or(Kept::sound),
-            "office {at} finds its disk spoilt"
+            "controller {at} finds its disk spoilt"
         );
         let me = Member {
             id: place.id,
@@ -327,7 +332,7 @@
             }
         }
         self.say(format!(
-            "office {at} starts, id {:x}, life {life:x}",
+            "controller {at} starts, id {:x}, life {life:x}",
             self.places[at].id
         ));
     }
@@ -413,7 +418,7 @@
                     }
                 }
                 Effect::Answer { token, outcome } => self.answered(token, outcome),
-                Effect::Log(line) => self.say(format!("office {at}: {line}")),
+                Effect::Log(line) => self.say(format!("controller {at}: {line}")),
                 Effect::Applied => self.compare(at),
                 Effect::Spoilt => spoilt = true,
             }
@@ -433,7 +438,7 @@
             self.places[at].again_at = Some(self.now + 400);
         }
         if ends {
-            self.say(format!("office {at} ends: its disk refuses"));
+            self.say(format!("controller {at} ends: its disk refuses"));
             self.stop(at, false);
             self.places[at].again_at = Some(self.now + 400);
         }
@@ -484,26 +489,28 @@
         self.wire.insert((at, self.sent), (from, to, message));
     }
 
-    /// What an office shows must be part of the one order: nothing that is shown is ever taken back, given a second
+    /// What a controller shows must be part of the one order: nothing that is shown is ever taken back, given a second
     /// time, or put behind what was asked long after it.
     fn compare(&mut self, at: usize) {
         let place = &mut self.places[at];
         let Some(chain) = &place.chain else { return };
         let founding = chain.view().map_or(0, |view| view.number / 1_000_000);
         if std::mem::replace(&mut place.founding, founding) != founding {
-            // It has given way to an office that founded anew, and may have shown what that one never held.
+            // It has given way to a controller that founded anew, and may have shown what that one never held.
             place.compared = 0;
         }
         let given = &chain.state().given;
         let from = place.compared;
         assert!(
             given.len() >= from,
-            "office {at} goes back from {from} to {}",
+            "controller {at} goes back from {from} to {}",
             given.len()
         );
         for (place, one) in given.iter().enumerate().skip(from) {
             match self.truth.get(place) {
-                Some(known) => assert_eq!(known, one, "office {at} shows another update {place}"),
+                Some(known) => {
+                    assert_eq!(known, one, "controller {at} shows another update {place}")
+                }
                 None => {
                     self.truth.push(*one);
                     let call = &self.calls[one.value as usize];
@@ -578,12 +585,12 @@
             .filter(|a| self.places[*a].chain.is_some())
             .collect();
         if !running.is_empty() {
-            let office = running[self.rng.random_range(0..running.len())];
-            self.call_at(office);
+            let controller = running[self.rng.random_range(0..running.len())];
+            self.call_at(controller);
         }
     }
 
-    pub fn call_at(&mut self, office: usize) {
+    pub fn call_at(&mut self, controller: usize) {
         let name = self.rng.random_range(0..4u8);
         let index = self.calls.len();
         let value = index as u64;
@@ -605,17 +612,17 @@
         });
         self.asked_ms.push(self.now);
         let token = value + 1;
-        self.open.insert(token, (office, index));
+        self.open.insert(token, (controller, index));
         let kind = if ask == Ask::Read {
             CallKind::Read
         } else {
             CallKind::Update
         };
         if kind == CallKind::Read && self.mutation == Some(Mutation::TailAlone) {
-            return self.ask_the_tail(office, token, name);
+            return self.ask_the_tail(controller, token, name);
         }
         self.give(
-            office,
+            controller,
             Input::Call {
                 token,
                 kind,
@@ -624,8 +631,8 @@
         );
     }
 
-    fn ask_the_tail(&mut self, office: usize, token: u64, name: u8) {
-        let tail = self.places[office]
+    fn ask_the_tail(&mut self, controller: usize, token: u64, name: u8) {
+        let tail = self.places[controller]
             .chain
             .as_ref()
             .and_then(|c| Some(c.view()?.tail()?.id));
@@ -633,11 +640,11 @@
             return;
         };
         let there = &self.places[tail];
-        let heard = there.asleep_until <= self.now && !self.cuts.contains(&(office, tail));
+        let heard = there.asleep_until <= self.now && !self.cuts.contains(&(controller, tail));
         if let Some(chain) = there
             .chain
             .as_ref()
-            .filter(|_| heard && !self.cuts.contains(&(tail, office)))
+            .filter(|_| heard && !self.cuts.contains(&(tail, controller)))
         {
             let answer = chain.state().read(&body(name, Ask::Read));
             self.answered(token, Outcome::Done(answer));
@@ -716,7 +723,7 @@
             && let Some(slow) = self.places[at].disk.judge(self.now)
         {
             self.say(format!(
-                "office {at}: its disk is {}",
+                "controller {at}: its disk is {}",
                 if slow { "slow" } else { "quick" }
             ));
             self.give(at, Input::Disk { slow });
@@ -842,16 +849,16 @@
         }
     }
 
-    /// The copy of an office is no longer what it should be.
+    /// The copy of a controller is no longer what it should be.
     pub fn rots(&mut self, at: usize) {
-        self.say(format!("the copy of office {at} rots"));
+        self.say(format!("the copy of controller {at} rots"));
         self.places[at].rot.set(1);
         self.rotten = true;
     }
 
     /// Stops, and nobody starts it again.
     pub fn lose(&mut self, at: usize, power: bool) {
-        self.say(format!("office {at} is lost"));
+        self.say(format!("controller {at} is lost"));
         self.stop(at, power);
         (self.places[at].lost_for_good, self.places[at].back) = (true, None);
     }
@@ -870,7 +877,7 @@
         at
     }
 
-    /// An operator stops this office, lets its store found anew and starts it.
+    /// An operator stops this controller, lets its store found anew and starts it.
     pub fn refound(&mut self, at: usize, power: bool) {
         self.stop(at, power);
         let id: u64 = self.rng.random();
@@ -887,7 +894,7 @@
             }
         }
         assert_eq!(Kept::read(rows.clone()).shown().log, kept.shown().log);
-        self.say(format!("office {at} founds view {} anew", view.number));
+        self.say(format!("controller {at} founds view {} anew", view.number));
         self.forget_what_lacks(&kept);
         self.start(at, false);
     }
@@ -946,7 +953,7 @@
         }
     }
 
-    /// What this office shows, in order.
+    /// What this controller shows, in order.
     pub fn given(&self, at: usize) -> &[Given] {
         self.places[at]
             .chain
@@ -1076,7 +1083,7 @@
                 let place = &self.places[at];
                 let now = self.now - place.born + place.clock;
                 let line = place.chain.as_ref().map(|c| format!("{:?}", c.shown(now)));
-                self.say(format!("office {at}: {line:?}"));
+                self.say(format!("controller {at}: {line:?}"));
             }
         }
         assert!(
--- a/crates/rookpulley-cli/src/call.rs
+++ b/crates/rookpulley-cli/src/call.rs
@@ -1,4 +1,4 @@
-//! One call to an assigner's operators' address, or to an office's control address.
+//! One call to an assigner's operators' address, or to a controller's control address.
 
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Bytes;
@@ -27,9 +27,9 @@
     #[error("the answer from {at} can't be read: {why}; is another program there?")]
     Unreadable { at: SocketAddr, why: String },
     #[error(
-        "no office answers at {at}: {why}; give its controlPlane address with --at, as its settings have it"
+        "no controller answers at {at}: {why}; give its controlPlane address with --at, as its settings have it"
     )]
-    NoOffice { at: SocketAddr, why: String },
+    NoController { at: SocketAddr, why: String },
     #[error("{0}; {help}", help = miette::Diagnostic::help(.0).map(|help| help.to_string()).unwrap_or_default())]
     Store(LookError),
     #[error("the token file {} can't be read: {why}", file.display())]
@@ -42,7 +42,7 @@
         match self {
             Self::No(_) => 1,
             Self::Unreachable { .. }
-            | Self::NoOffice { .. }
+            | Self::NoController { .. }
             | Self::Store(_)
             | Self::Unreadable { .. }
             | Self::Token { .. } => 3,
@@ -97,11 +97,11 @@
         CannotAsk::Unreadable { at: self.at, why }
     }
 
-    /// What an office shows.
-    pub fn office(&self, path: &str) -> Result<Bytes, CannotAsk> {
+    /// What a controller shows.
+    pub fn controller(&self, path: &str) -> Result<Bytes, CannotAsk> {
         let (status, bytes) = self
             .reach("GET", path, None)
-            .map_err(|why| CannotAsk::NoOffice { at: self.at, why })?;
+            .map_err(|why| CannotAsk::NoController { at: self.at, why })?;
         match status {
             200 => Ok(bytes),
             status => Err(self.unreadable(format!("its status is {status}"))),
--- a/crates/rookpulley-cli/src/gateway.rs
+++ b/crates/rookpulley-cli/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Commands on the gateway: what its offices show, checks of its files, where a request would go, what a disk holds
+//! Commands on the gateway: what its controllers show, checks of its files, where a request would go, what a disk holds
 //! and how a chain is founded anew with it.
 
 mod check;
@@ -13,7 +13,7 @@
 
 #[derive(Subcommand)]
 pub enum Gateway {
-    /// Shows how things look from one office; --at is its controlPlane address
+    /// Shows how things look from one controller; --at is its controlPlane address
     ///
     /// Example: rookpulley gateway show view --at 10.4.0.10:8166
     Show {
@@ -35,7 +35,7 @@
     },
     /// Plays days of whole gateways in this process, and shows the first that breaks a rule; ends with 1 where one does
     ///
-    /// No machine is needed or touched: offices and couriers run by the code of the programs, on a simulated network. A
+    /// No machine is needed or touched: controllers and couriers run by the code of the programs, on a simulated network. A
     /// day that breaks a rule is shrunk to the fewest troubles that still break it.
     ///
     /// Example: rookpulley gateway hunt --seeds 0..2000
@@ -49,17 +49,17 @@
         #[arg(long, conflicts_with = "seeds")]
         day: Option<u64>,
     },
-    /// The chain of the offices
+    /// The chain of the controllers
     #[command(subcommand)]
     Chain(Chain),
-    /// An office's store on disk, in place; only while no process uses it
+    /// A controller's store on disk, in place; only while no process uses it
     #[command(subcommand)]
     Store(Store),
 }
 
 #[derive(Subcommand)]
 pub enum Chain {
-    /// Shows the chain as one office sees it, as `show view` does; --at is its controlPlane address
+    /// Shows the chain as one controller sees it, as `show view` does; --at is its controlPlane address
     ///
     /// Example: rookpulley gateway chain show --at 10.4.0.10:8166
     Show,
@@ -69,28 +69,28 @@
 pub enum Store {
     /// Shows what it holds
     ///
-    /// Example: rookpulley gateway store show /data/office
+    /// Example: rookpulley gateway store show /data/controller
     Show {
-        /// The dataDirectory of the office's settings
+        /// The dataDirectory of the controller's settings
         folder: PathBuf,
     },
     /// Says how far it reaches and all that is wrong with it; ends with 1 where something is
     ///
-    /// Example: rookpulley gateway store check /data/office
+    /// Example: rookpulley gateway store check /data/controller
     Check {
-        /// The dataDirectory of the office's settings
+        /// The dataDirectory of the controller's settings
         folder: PathBuf,
     },
-    /// Lets it found the chain anew, where most offices are gone for good; ends with 1 where it can't
+    /// Lets it found the chain anew, where most controllers are gone for good; ends with 1 where it can't
     ///
-    /// Without --yes it only says what it would do. The office gets another identity and a view of its own and keeps
-    /// its state and its whole log; the store as it was is kept beside. Only on one office that is left, the one whose
+    /// Without --yes it only says what it would do. The controller gets another identity and a view of its own and keeps
+    /// its state and its whole log; the store as it was is kept beside. Only on one controller that is left, the one whose
     /// check shows the highest installed view and then the highest update: what the others acknowledged without it is
     /// gone.
     ///
-    /// Example: rookpulley gateway store refound /data/office --yes
+    /// Example: rookpulley gateway store refound /data/controller --yes
     Refound {
-        /// The dataDirectory of the office's settings
+        /// The dataDirectory of the controller's settings
         folder: PathBuf,
         /// Do it
         #[arg(long)]
@@ -104,13 +104,13 @@
     View,
     /// Lives of tasks
     Tasks,
-    /// The tables that this office cuts
+    /// The tables that this controller cuts
     Tables,
     /// Couriers whose line is there
     Couriers,
     /// What the chain keeps
     Ledger,
-    /// Counts since the office began; collectors read them at /rookpulley/show/counters
+    /// Counts since the controller began; collectors read them at /rookpulley/show/counters
     Counters,
 }
 
--- a/crates/rookpulley-cli/src/gateway/check.rs
+++ b/crates/rookpulley-cli/src/gateway/check.rs
@@ -116,7 +116,7 @@
         let disk = match node.data {
             Some(_) => "a disk",
             None if node.serves("control_plane") => {
-                "no disk, so that its office only passes calls on,"
+                "no disk, so that its controller only passes calls on,"
             }
             None => "no disk",
         };
--- a/crates/rookpulley-cli/src/gateway/show.rs
+++ b/crates/rookpulley-cli/src/gateway/show.rs
@@ -1,4 +1,4 @@
-//! What an office shows, as tables or as it was said.
+//! What a controller shows, as tables or as it was said.
 
 use super::Part;
 use crate::call::{CannotAsk, Place};
@@ -23,7 +23,7 @@
         }
         _ => String::new(),
     };
-    let bytes = place.office(&format!("{PATH}/{name}{of}"))?;
+    let bytes = place.controller(&format!("{PATH}/{name}{of}"))?;
     if part == Part::Counters {
         let counters = Counter::all(&String::from_utf8_lossy(&bytes));
         return Ok(if json {
@@ -151,7 +151,7 @@
     rows.sort();
     let live = rows.iter().filter(|row| row[5] == "live").count();
     let settling = match told["settling"].as_bool() {
-        Some(true) => "; this office has just begun, others may be there",
+        Some(true) => "; this controller has just begun, others may be there",
         _ => "",
     };
     let head = [
--- a/crates/rookpulley-cli/src/gateway/store.rs
+++ b/crates/rookpulley-cli/src/gateway/store.rs
@@ -1,4 +1,4 @@
-//! What an office's disk holds, read in place while no process uses it.
+//! What a controller's disk holds, read in place while no process uses it.
 
 pub mod check;
 pub mod refound;
@@ -164,7 +164,7 @@
             if told["sound"] == true {
                 "yes"
             } else {
-                "no: an office begins it anew"
+                "no: a controller begins it anew"
             }
             .into(),
         ),
--- a/crates/rookpulley-cli/src/gateway/store/check.rs
+++ b/crates/rookpulley-cli/src/gateway/store/check.rs
@@ -1,4 +1,4 @@
-//! Whether a store is as an office left it: how far it reaches, and all that is wrong with it.
+//! Whether a store is as a controller left it: how far it reaches, and all that is wrong with it.
 
 use crate::call::CannotAsk;
 use crate::gateway::check::Checked;
@@ -15,7 +15,7 @@
     told: 64,
     shown: 160,
     heading: |faults| format!("{} in the store", counted(faults, "fault")),
-    help: "let the office start and be filled by the others, or found the chain anew from a better store",
+    help: "let the controller start and be filled by the others, or found the chain anew from a better store",
 };
 
 /// A store that could be opened, with all that is wrong with it.
@@ -23,7 +23,7 @@
     pub contents: Contents,
     pub kept: Kept,
     pub faults: Faults,
-    /// Its state is whole and this build reads it: an office that starts with it is a possible source.
+    /// Its state is whole and this build reads it: a controller that starts with it is a possible source.
     pub usable: bool,
     /// The newest configuration that it holds, also one in the log.
     configuration: u64,
@@ -54,7 +54,7 @@
             faults.add(
                 "the identity",
                 "missing",
-                "there since the office's first start",
+                "there since the controller's first start",
             );
         }
         for flaw in flaws(&contents.chain, contents.identity) {
@@ -122,9 +122,9 @@
 
     fn reaches(&self) -> String {
         let goes_on = match (self.usable, self.kept.sound()) {
-            (true, _) => "an office goes on with it",
-            (_, true) => "an office starts with it, and its state is no source",
-            _ => "unsound, an office begins it anew as an empty disk",
+            (true, _) => "a controller goes on with it",
+            (_, true) => "a controller starts with it, and its state is no source",
+            _ => "unsound, a controller begins it anew as an empty disk",
         };
         format!(
             "installed view {} (newest known {}), update {}, configuration {}; {goes_on}",
--- a/crates/rookpulley-cli/src/gateway/store/refound.rs
+++ b/crates/rookpulley-cli/src/gateway/store/refound.rs
@@ -133,7 +133,7 @@
         {
             said += "a newer view than the one installed here was decided: what it acknowledged is not here\n";
         }
-        said += "what the others acknowledged without this office is gone; do this on one office alone\n";
+        said += "what the others acknowledged without this controller is gone; do this on one controller alone\n";
         said += &match done {
             true => format!(
                 "done; the store as it was is in {}\n",
--- a/crates/rookpulley-cli/src/main.rs
+++ b/crates/rookpulley-cli/src/main.rs
@@ -27,7 +27,7 @@
 #[derive(Parser)]
 #[command(version, verbatim_doc_comment, arg_required_else_help = true)]
 struct Given {
-    /// The operators' address of the assigner; for `gateway show` the controlPlane address of an office
+    /// The operators' address of the assigner; for `gateway show` the controlPlane address of a controller
     #[arg(
         long,
         global = true,
--- a/crates/rookpulley-cli/tests/gateway.rs
+++ b/crates/rookpulley-cli/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The commands on the gateway, against an office that answers by script, files, and a store on disk.
+//! The commands on the gateway, against a controller that answers by script, files, and a store on disk.
 
 use assert_cmd::Command;
 use rookpulley_chain::{Boot, CallKind, Chain, Effect, Input, Kept, Member, Outcome, Record};
@@ -36,8 +36,8 @@
     })
 }
 
-/// An office on a thread of its own.
-fn office() -> SocketAddr {
+/// A controller on a thread of its own.
+fn controller() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -72,8 +72,8 @@
 }
 
 #[test]
-fn what_an_office_shows_becomes_tables_or_json() {
-    let at = office().to_string();
+fn what_an_controller_shows_becomes_tables_or_json() {
+    let at = controller().to_string();
     let at = at.as_str();
     for (args, wanted) in [
         (
@@ -96,7 +96,7 @@
         ),
         (
             &["tasks", "--service", "letters +"],
-            &["0 of 0 tasks live; this office has just begun"],
+            &["0 of 0 tasks live; this controller has just begun"],
         ),
         (
             &["tables"],
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn who_asks_no_office_hears_where_to_ask() {
+fn who_asks_no_controller_hears_where_to_ask() {
     let gone = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -163,7 +163,7 @@
         .to_string();
     let (code, _, err) = run(&["show", "view", "--at", &gone]);
     assert!(
-        code == 3 && err.contains("no office answers") && err.contains("controlPlane"),
+        code == 3 && err.contains("no controller answers") && err.contains("controlPlane"),
         "{err}"
     );
     let (code, _, err) = run(&[
@@ -172,7 +172,7 @@
         "--service",
         "nowhere",
         "--at",
-        &office().to_string(),
+        &controller().to_string(),
     ]);
     assert!(code == 3 && err.contains("its status is 404"), "{err}");
     assert_eq!(run(&["show", "secrets"]).0, 2);
@@ -221,7 +221,7 @@
         (
             "settings",
             &diskless,
-            "edge-quay-1 of quay serves control_plane, has no disk, so that its office only passes calls on, and 1 \
+            "edge-quay-1 of quay serves control_plane, has no disk, so that its controller only passes calls on, and 1 \
              seed; can be used\n",
         ),
         (
@@ -355,7 +355,7 @@
     assert_eq!(run(&["explain", &bad, "post.example", "/"]).0, 1);
 }
 
-/// An office alone on its store.
+/// A controller alone on its store.
 struct Alone {
     store: Store,
     heard: tokio::sync::mpsc::UnboundedReceiver<Said>,
@@ -494,7 +494,7 @@
 
 /// With configuration 7 in its snapshot, 8 in its log, a note on a task, and whatever is done to it.
 fn a_store(folder: &Path, then: impl FnOnce(&mut Alone)) {
-    let mut office = Alone::open(folder, 3);
+    let mut controller = Alone::open(folder, 3);
     let cell = |n: u64| {
         Update::PutCell {
             name: format!("g/{}", n % 9),
@@ -503,16 +503,16 @@
         }
         .encode()
     };
-    office.answers(std::iter::once(configured(7, CONFIGURATION)).chain((1..600).map(cell)));
-    office.again(4);
-    office.answers([configured(8, CONFIGURATION), cell(7), cell(8), cell(9)]);
+    controller.answers(std::iter::once(configured(7, CONFIGURATION)).chain((1..600).map(cell)));
+    controller.again(4);
+    controller.answers([configured(8, CONFIGURATION), cell(7), cell(8), cell(9)]);
     let gone = News::Gone {
         life: "i-9be7".into(),
         age_ms: 0.0,
     };
-    office.note("i-9be7", postcard::to_allocvec(&gone).unwrap());
-    then(&mut office);
-    office.close();
+    controller.note("i-9be7", postcard::to_allocvec(&gone).unwrap());
+    then(&mut controller);
+    controller.close();
 }
 
 /// What a command says of a store, once nobody has it any more.
@@ -536,7 +536,7 @@
         // Nothing is there, then something that is no store.
         for _ in 0..2 {
             let (code, _, err) = run(&["store", what, path]);
-            let wanted = ["there is no office's store", "dataDirectory"];
+            let wanted = ["there is no controller's store", "dataDirectory"];
             assert!(code == 3 && in_order(&err, &wanted), "{err}");
             written(folder.path(), "letter", "none of ours");
         }
@@ -599,15 +599,15 @@
 #[test]
 fn a_store_is_checked_with_how_far_it_reaches_and_all_that_is_wrong_with_it() {
     type Spoil = fn(&mut Alone);
-    let whole = "installed view 2 (newest known 2), update 604, configuration 8; an office goes on with it\n";
-    let unsound = "; unsound, an office begins it anew as an empty disk\n";
+    let whole = "installed view 2 (newest known 2), update 604, configuration 8; a controller goes on with it\n";
+    let unsound = "; unsound, a controller begins it anew as an empty disk\n";
     let cases: [(Spoil, i32, &[&str]); 8] = [
         (|_| {}, 0, &[whole]),
         (
-            |office| {
-                let mut piece = office.rows[&keyed(b's', 0)].clone();
+            |controller| {
+                let mut piece = controller.rows[&keyed(b's', 0)].clone();
                 piece[40] ^= 1;
-                office.write(vec![put(&keyed(b's', 0), piece)]);
+                controller.write(vec![put(&keyed(b's', 0), piece)]);
             },
             1,
             &[
@@ -617,8 +617,8 @@
             ],
         ),
         (
-            |office| {
-                office.write(vec![Record::Delete {
+            |controller| {
+                controller.write(vec![Record::Delete {
                     key: keyed(b'e', 602),
                 }])
             },
@@ -626,11 +626,11 @@
             &[
                 "log is without update 602, and 2 behind it are there; it should be whole from update ",
                 // What was agreed on is not all there: it can be no source.
-                "installed view 0 (newest known 2), update 601, configuration 8; an office goes on with it\n",
+                "installed view 0 (newest known 2), update 601, configuration 8; a controller goes on with it\n",
             ],
         ),
         (
-            |office| office.write(vec![put(&keyed(b'v', 2), [255]), put(b"n", [])]),
+            |controller| controller.write(vec![put(&keyed(b'v', 2), [255]), put(b"n", [])]),
             1,
             &[
                 "row n is unreadable (0 bytes); it should be a whole number\n",
@@ -640,15 +640,15 @@
             ],
         ),
         (
-            |office| {
+            |controller| {
                 let vote = postcard::to_allocvec(&(9u64, (1u64, 1u64), None::<u8>)).unwrap();
-                office.write(vec![put(b"p", vote)]);
+                controller.write(vec![put(b"p", vote)]);
             },
             1,
             &["vote is for view 9; it should be for view 3 at most", whole],
         ),
         (
-            |office| office.write(vec![Record::Delete { key: b"S".to_vec() }]),
+            |controller| controller.write(vec![Record::Delete { key: b"S".to_vec() }]),
             1,
             &[
                 "snapshot is missing; it should be there, as view 2 is installed\n",
@@ -656,8 +656,8 @@
             ],
         ),
         (
-            |office| {
-                office.answers([configured(
+            |controller| {
+                controller.answers([configured(
                     9,
                     &CONFIGURATION.replace("\"stamps\"}", "\"\"}"),
                 )])
@@ -665,11 +665,11 @@
             1,
             &[
                 "configuration 9 in update 605, services[0].name is \"\"; it should be",
-                "configuration 9; an",
+                "configuration 9; a controller goes on with it\n",
             ],
         ),
         (
-            |office| office.note("i-41c0", vec![9, 9]),
+            |controller| controller.note("i-41c0", vec![9, 9]),
             1,
             &[
                 "the note on task i-41c0 is unreadable (2 bytes); it should be what was heard of it\n",
@@ -712,7 +712,9 @@
 fn a_store_founds_the_chain_anew_with_all_that_it_holds_and_only_where_it_is_told_to() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().to_str().unwrap();
-    a_store(folder.path(), |office| office.write(vec![put(b"n", [1])]));
+    a_store(folder.path(), |controller| {
+        controller.write(vec![put(b"n", [1])])
+    });
     // Opening a store in place may round its file up: what it holds is the same.
     let holds = || {
         let mut said: Value = serde_json::from_str(&of_store(&["show", path, "--json"]).1).unwrap();
@@ -727,7 +729,7 @@
         "2 of 10.4.0.10:7731  far above 2, of 10.4.0.10:7731 alone\n",
         "up to 604            up to 604\n",
         " to 604 are its log: the last may not have been acknowledged, and are kept\n",
-        "what the others acknowledged without this office is gone; do this on one office alone\n",
+        "what the others acknowledged without this controller is gone; do this on one controller alone\n",
         "nothing was written; with --yes it is done\n",
     ];
     assert!(code == 0 && in_order(&out, &wanted), "{out}");
@@ -748,8 +750,9 @@
     );
     assert!(folder.path().join("store.before/db").is_file());
     let (code, out, _) = of_store(&["check", path]);
-    let reaches =
-        format!("installed view {number} (newest known {number}), update 604, configuration 8; an");
+    let reaches = format!(
+        "installed view {number} (newest known {number}), update 604, configuration 8; a controller goes on with it\n"
+    );
     assert!(code == 0 && out.contains(&reaches), "{out}");
     let (_, out, _) = of_store(&["show", path, "--json"]);
     let (was, is): (Value, Value) = (before, serde_json::from_str(&out).unwrap());
@@ -773,28 +776,28 @@
     );
 
     // It goes to work by itself, under another identity, with all that was there.
-    let mut office = Alone::open(folder.path(), 5);
-    office.answers([configured(9, CONFIGURATION)]);
-    let held = &office.chain.state().ledger;
+    let mut controller = Alone::open(folder.path(), 5);
+    controller.answers([configured(9, CONFIGURATION)]);
+    let held = &controller.chain.state().ledger;
     assert_eq!((held.version(), held.sizes().cells), (9, 9));
-    assert_eq!(office.chain.view().unwrap().number, number + 1);
-    office.close();
+    assert_eq!(controller.chain.view().unwrap().number, number + 1);
+    controller.close();
 }
 
 #[test]
 fn a_store_without_a_whole_state_founds_nothing() {
-    let unsound = |office: &mut Alone| {
-        office.write(vec![Record::Delete {
+    let unsound = |controller: &mut Alone| {
+        controller.write(vec![Record::Delete {
             key: keyed(b's', 0),
         }])
     };
-    let empty = |office: &mut Alone| {
-        let gone: Vec<Record> = office
+    let empty = |controller: &mut Alone| {
+        let gone: Vec<Record> = controller
             .rows
             .keys()
             .map(|key| Record::Delete { key: key.clone() })
             .collect();
-        office.write(gone);
+        controller.write(gone);
     };
     for (spoil, why) in [
         (unsound as fn(&mut Alone), "snapshot is 0 bytes long"),
--- a/crates/rookpulley-control/src/annex.rs
+++ b/crates/rookpulley-control/src/annex.rs
@@ -1,21 +1,21 @@
-//! An office without a disk. It keeps nothing and decides nothing: it knows which offices are in touch and passes each
-//! call on to one of them; it tells couriers and offices that have its address of the others.
+//! A controller without a disk. It keeps nothing and decides nothing: it knows which controllers are in touch and passes each
+//! call on to one of them; it tells couriers and controllers that have its address of the others.
 
-use rookpulley_balancer::Offices;
+use rookpulley_balancer::ControllerSelection;
 use rookpulley_chain::Member;
 use rookpulley_protocol::{Down, Up, frame};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// An office says every 400 ms that it is in touch. One that hasn't for so long may hang.
+/// A controller says every 400 ms that it is in touch. One that hasn't for so long may hang.
 const FRESH_MS: f64 = 1_100.0;
 /// Lines of couriers and of others without a disk.
 const GUESTS_MOST: usize = 4_096;
 
 /// What a process begins with.
 pub struct AnnexStart {
-    /// Where offices reach each other, with this machine's own address.
+    /// Where controllers reach each other, with this machine's own address.
     pub address: SocketAddrV4,
     pub zone: String,
     pub seeds: Vec<SocketAddrV4>,
@@ -25,9 +25,9 @@
 /// What is to be done.
 #[derive(Debug)]
 pub enum AnnexEffect {
-    /// A line to where this office hears couriers is to be kept until it is forgotten.
+    /// A line to where this controller hears couriers is to be kept until it is forgotten.
     Dial(Ipv4Addr),
-    /// To an office, on that line.
+    /// To a controller, on that line.
     Up {
         to: Ipv4Addr,
         up: Up,
@@ -40,7 +40,7 @@
     Log(String),
 }
 
-/// What an office with a disk said of itself.
+/// What a controller with a disk said of itself.
 struct Place {
     zone: String,
     /// Its identity, where it may found the first view.
@@ -49,7 +49,7 @@
 
 pub struct Annex {
     start: AnnexStart,
-    offices: Offices,
+    controllers: ControllerSelection,
     /// Of those that a line is open to. Who hasn't said one has no disk.
     places: BTreeMap<Ipv4Addr, Place>,
     guests: BTreeSet<u64>,
@@ -64,7 +64,7 @@
 impl Annex {
     pub fn new(start: AnnexStart) -> Self {
         let mut annex = Self {
-            offices: Offices::default(),
+            controllers: ControllerSelection::default(),
             places: BTreeMap::new(),
             guests: BTreeSet::new(),
             diskless: BTreeSet::from([*start.address.ip()]),
@@ -93,7 +93,7 @@
     }
 
     fn meet(&mut self, now: f64, ip: Ipv4Addr) {
-        if ip != *self.start.address.ip() && self.offices.named(now, ip) {
+        if ip != *self.start.address.ip() && self.controllers.named(now, ip) {
             self.out.push(AnnexEffect::Dial(ip));
         }
     }
@@ -101,19 +101,19 @@
     // ---- lines that were dialed -------------------------------------------------------------
 
     pub fn opened(&mut self, now: f64, to: Ipv4Addr) {
-        self.offices.connected(now, to);
+        self.controllers.connected(now, to);
         self.introduce(to);
     }
 
     fn introduce(&mut self, to: Ipv4Addr) {
         let up = Up::Annex {
             address: self.start.address,
-            offices: self.known(),
+            controllers: self.known(),
         };
         self.out.push(AnnexEffect::Up { to, up });
     }
 
-    /// All offices with a disk that a line is open to.
+    /// All controllers with a disk that a line is open to.
     fn known(&self) -> Vec<SocketAddrV4> {
         self.places
             .keys()
@@ -122,13 +122,13 @@
     }
 
     pub fn lost(&mut self, ip: Ipv4Addr) {
-        self.offices.lost(ip);
+        self.controllers.lost(ip);
         self.places.remove(&ip);
     }
 
     /// True where nobody has named it for long: it need not be dialed again.
     pub fn forgotten(&mut self, now: f64, ip: Ipv4Addr) -> bool {
-        self.offices.forgotten(now, ip)
+        self.controllers.forgotten(now, ip)
     }
 
     pub fn told(&mut self, now: f64, by: Ipv4Addr, down: Down) {
@@ -145,17 +145,21 @@
                     });
                 }
                 if self.places.insert(by, Place { zone, founds }).is_none() {
-                    // Where it is a seed, offices may know of each other by nobody else.
+                    // Where it is a seed, controllers may know of each other by nobody else.
                     let all: Vec<Ipv4Addr> = self.places.keys().copied().collect();
                     all.into_iter().for_each(|ip| self.introduce(ip));
                 }
             }
             Down::Pulse {
-                in_touch, offices, ..
+                in_touch,
+                controllers,
+                ..
             } => {
                 self.founded |= in_touch;
-                self.offices.pulse(now, by, in_touch, 0, 0);
-                offices.iter().for_each(|other| self.meet(now, *other.ip()));
+                self.controllers.pulse(now, by, in_touch, 0, 0);
+                controllers
+                    .iter()
+                    .for_each(|other| self.meet(now, *other.ip()));
             }
             Down::Config { .. } | Down::Table { .. } | Down::Gone { .. } => {}
         }
@@ -163,12 +167,12 @@
 
     // ---- who comes --------------------------------------------------------------------------
 
-    /// An office that has this address as a seed says who it is.
+    /// A controller that has this address as a seed says who it is.
     pub fn hello(&mut self, now: f64, from: Member) {
         self.meet(now, *from.address.ip());
     }
 
-    /// A courier or another office without a disk, on a line with this number.
+    /// A courier or another controller without a disk, on a line with this number.
     pub fn guest_in(&mut self, line: u64, up: &Up) {
         if self.guests.len() >= GUESTS_MOST {
             return;
@@ -198,13 +202,13 @@
             in_touch: false,
             config: 0,
             couriers: 0,
-            offices: self.known(),
+            controllers: self.known(),
         }
     }
 
     // ---- calls ------------------------------------------------------------------------------
 
-    /// The office that a call goes on to: one of the own zone where there is one in touch. The same call goes the same
+    /// The controller that a call goes on to: one of the own zone where there is one in touch. The same call goes the same
     /// way for as long as that is in touch, but from another annex maybe another.
     pub fn pass_on(&self, now: f64, call: &str) -> Option<Ipv4Addr> {
         let fit: Vec<Ipv4Addr> = self.in_touch(now).collect();
@@ -225,7 +229,7 @@
     }
 
     fn in_touch(&self, now: f64) -> impl Iterator<Item = Ipv4Addr> {
-        self.offices
+        self.controllers
             .in_touch(now, FRESH_MS)
             .filter(|ip| self.places.contains_key(ip))
     }
@@ -294,7 +298,7 @@
 mod tests {
     use super::*;
 
-    const OFFICES: [Ipv4Addr; 3] = [
+    const CONTROLLERS: [Ipv4Addr; 3] = [
         Ipv4Addr::new(10, 1, 0, 1),
         Ipv4Addr::new(10, 2, 0, 1),
         Ipv4Addr::new(10, 3, 0, 1),
@@ -303,14 +307,14 @@
     /// In touch with all three, none of which is in its zone.
     fn annex(own: u8) -> Annex {
         let address = SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, own), 7_731);
-        let seeds = OFFICES.map(|ip| SocketAddrV4::new(ip, 8_166)).to_vec();
+        let seeds = CONTROLLERS.map(|ip| SocketAddrV4::new(ip, 8_166)).to_vec();
         let mut annex = Annex::new(AnnexStart {
             address,
             zone: "quay".into(),
             seeds,
             first_start: false,
         });
-        for ip in OFFICES {
+        for ip in CONTROLLERS {
             annex.opened(0.0, ip);
             annex.told(
                 0.0,
@@ -334,7 +338,7 @@
                 in_touch,
                 config: 0,
                 couriers: 0,
-                offices: Vec::new(),
+                controllers: Vec::new(),
             },
         );
     }
@@ -349,7 +353,7 @@
     fn calls_are_spread_over_those_in_touch_the_same_one_the_same_way_from_another_annex_another() {
         let (one, other) = (annex(1), annex(2));
         let (calls, others) = (of_all(&one, 1.0), of_all(&other, 1.0));
-        for ip in OFFICES {
+        for ip in CONTROLLERS {
             assert!(
                 calls.iter().filter(|to| **to == Some(ip)).count() >= 70,
                 "{ip}"
@@ -360,17 +364,17 @@
     }
 
     #[test]
-    fn nothing_goes_to_an_office_that_is_out_of_touch_silent_or_without_a_disk() {
+    fn nothing_goes_to_an_controller_that_is_out_of_touch_silent_or_without_a_disk() {
         let mut annex = annex(1);
-        pulse(&mut annex, 500.0, OFFICES[0], false);
-        annex.lost(OFFICES[1]);
+        pulse(&mut annex, 500.0, CONTROLLERS[0], false);
+        annex.lost(CONTROLLERS[1]);
         // Its line is open again, and it says that it is in touch, but not that it has a disk.
-        annex.opened(500.0, OFFICES[1]);
-        pulse(&mut annex, 500.0, OFFICES[1], true);
+        annex.opened(500.0, CONTROLLERS[1]);
+        pulse(&mut annex, 500.0, CONTROLLERS[1], true);
         assert!(
             of_all(&annex, 1_000.0)
                 .iter()
-                .all(|to| *to == Some(OFFICES[2]))
+                .all(|to| *to == Some(CONTROLLERS[2]))
         );
         assert!(of_all(&annex, 1_101.0).iter().all(Option::is_none));
     }
--- a/crates/rookpulley-control/src/calls.rs
+++ b/crates/rookpulley-control/src/calls.rs
@@ -331,9 +331,9 @@
 /// What became of a task's word.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Taken {
-    /// It holds, whatever becomes of this office.
+    /// It holds, whatever becomes of this controller.
     Known,
-    /// This office and its couriers go by it; whether others do isn't known.
+    /// This controller and its couriers go by it; whether others do isn't known.
     HereAlone,
     /// Nothing was done.
     Not,
@@ -354,7 +354,7 @@
     use super::*;
 
     #[test]
-    fn a_drain_that_only_this_office_knows_is_not_promised_to_have_done_nothing() {
+    fn a_drain_that_only_this_controller_knows_is_not_promised_to_have_done_nothing() {
         let status = |word| taken(word, false).status;
         assert_eq!(
             [Taken::Known, Taken::HereAlone, Taken::Not].map(status),
--- a/crates/rookpulley-control/src/controller.rs
+++ b/crates/rookpulley-control/src/controller.rs
@@ -1,4 +1,4 @@
-//! Where everything of an office meets: what comes in is handed to the packages that decide, what they want is
+//! Where everything of a controller meets: what comes in is handed to the packages that decide, what they want is
 //! put together as effects. It decides nothing about tables, views or the ledger itself.
 
 mod peers;
@@ -22,7 +22,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// An office that nobody has reached for so long, and that no view names, is forgotten.
+/// A controller that nobody has reached for so long, and that no view names, is forgotten.
 const FORGOTTEN_MS: f64 = 20_000.0;
 /// How long a drain waits to be known elsewhere.
 const CONFIRM_WITHIN_MS: f64 = 700.0;
@@ -37,7 +37,7 @@
 
 /// What a process begins with.
 pub struct Start {
-    /// Of its disk and of this life of it, and where it hears the other offices.
+    /// Of its disk and of this life of it, and where it hears the other controllers.
     pub me: Member,
     pub seeds: Vec<SocketAddrV4>,
     /// So many machines may be lost at once.
@@ -56,11 +56,11 @@
 /// What is to be done.
 #[derive(Debug)]
 pub enum Effect {
-    /// A line to the office at this address is to be kept.
+    /// A line to the controller at this address is to be kept.
     Dial(Ipv4Addr),
     /// It has spoken: no reason to wait with dialing it.
     Spoke(Ipv4Addr),
-    /// To an office, on the line that was dialed.
+    /// To a controller, on the line that was dialed.
     Word {
         to: Ipv4Addr,
         frame: Vec<u8>,
@@ -118,7 +118,7 @@
     }
 }
 
-/// What waits for a word on a task to be on the disk: an answer to another office, or a task's own call.
+/// What waits for a word on a task to be on the disk: an answer to another controller, or a task's own call.
 enum Noted {
     Tell { to: u64, ask: u64 },
     Done { ask: u64 },
@@ -147,7 +147,7 @@
     peers: BTreeMap<Ipv4Addr, Peer>,
     pub couriers: BTreeMap<String, Courier>,
     roll: Roll,
-    /// Lines of offices without a disk, and their addresses. They are told which offices are in touch, and nothing else.
+    /// Lines of controllers without a disk, and their addresses. They are told which controllers are in touch, and nothing else.
     annexes: BTreeMap<u64, Ipv4Addr>,
     zone: String,
     founding: Option<Founding>,
@@ -190,7 +190,7 @@
             seed,
             kept,
         };
-        let mut office = Self {
+        let mut controller = Self {
             me,
             seeds: start.seeds,
             chain: Chain::start(0, boot, Kept::default()),
@@ -222,10 +222,10 @@
             told_touch: false,
             out: Vec::new(),
         };
-        office.begin_with_notes();
-        office.meet_all(0.0, &office.seeds.clone());
-        office.step(0.0, Input::Tick);
-        office
+        controller.begin_with_notes();
+        controller.meet_all(0.0, &controller.seeds.clone());
+        controller.step(0.0, Input::Tick);
+        controller
     }
 
     /// What was known of tasks before this start, as if it were heard now: what no longer beats falls silent soon.
@@ -379,12 +379,12 @@
         &self.chain.state().ledger
     }
 
-    /// From now on others are to go on without this office.
+    /// From now on others are to go on without this controller.
     pub fn end(&mut self) {
         self.ending = true;
     }
 
-    /// Asks the others to go on without this office; true once they do.
+    /// Asks the others to go on without this controller; true once they do.
     pub fn left_the_chain(&mut self, now: f64) -> bool {
         self.step(now, Input::Disk { slow: true });
         self.chain
--- a/crates/rookpulley-control/src/controller/peers.rs
+++ b/crates/rookpulley-control/src/controller/peers.rs
@@ -7,10 +7,10 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 impl Controller {
-    pub fn meet_all(&mut self, now: f64, offices: &[SocketAddrV4]) {
-        offices
+    pub fn meet_all(&mut self, now: f64, controllers: &[SocketAddrV4]) {
+        controllers
             .iter()
-            .for_each(|office| self.meet(now, *office.ip()));
+            .for_each(|controller| self.meet(now, *controller.ip()));
     }
 
     pub(super) fn meet(&mut self, now: f64, ip: Ipv4Addr) {
@@ -45,14 +45,14 @@
 
     pub(super) fn hello(&self) -> Word {
         let port = self.me.address.port();
-        let offices = self
+        let controllers = self
             .reached()
             .map(|ip| SocketAddrV4::new(ip, port))
             .chain([self.me.address])
             .collect();
         Word::Hello {
             from: self.me,
-            offices,
+            controllers,
         }
     }
 
@@ -93,16 +93,16 @@
         self.peers.remove(&ip);
     }
 
-    /// A word from another office; `who` is who said hello on this line.
+    /// A word from another controller; `who` is who said hello on this line.
     pub fn word(&mut self, now: f64, who: &mut Option<u64>, word: Word) {
         match word {
-            Word::Hello { from, offices } => {
+            Word::Hello { from, controllers } => {
                 *who = Some(from.id);
                 let ip = *from.address.ip();
                 // It has got a disk since.
                 self.annexes.retain(|_, annex| *annex != ip);
                 self.meet(now, ip);
-                offices.iter().for_each(|o| self.meet(now, *o.ip()));
+                controllers.iter().for_each(|o| self.meet(now, *o.ip()));
                 self.peers
                     .values_mut()
                     .filter(|p| p.id == Some(from.id))
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The line on which an office spoke is over.
+    /// The line on which a controller spoke is over.
     pub fn line_ended(&mut self, now: f64, id: u64) {
         self.step(now, Input::HungUp { id });
     }
--- a/crates/rookpulley-control/src/controller/publication.rs
+++ b/crates/rookpulley-control/src/controller/publication.rs
@@ -69,7 +69,7 @@
     pub(super) fn pulse(&self, now: f64) -> Down {
         let in_touch = self.in_touch(now) && !self.ending;
         let port = self.me.address.port();
-        let offices = self.reached().chain([*self.me.address.ip()]);
+        let controllers = self.reached().chain([*self.me.address.ip()]);
         Down::Pulse {
             in_touch,
             // What can't be had here is not told of.
@@ -79,7 +79,7 @@
                 0
             },
             couriers: self.roll.count(),
-            offices: offices.map(|ip| SocketAddrV4::new(ip, port)).collect(),
+            controllers: controllers.map(|ip| SocketAddrV4::new(ip, port)).collect(),
         }
     }
 }
--- a/crates/rookpulley-control/src/controller/stateless.rs
+++ b/crates/rookpulley-control/src/controller/stateless.rs
@@ -6,20 +6,20 @@
 use std::net::SocketAddrV4;
 
 impl Controller {
-    /// An office without a disk says hello on a line, which `number` gave.
+    /// A controller without a disk says hello on a line, which `number` gave.
     pub fn annex_in(
         &mut self,
         now: f64,
         line: u64,
         address: SocketAddrV4,
-        offices: &[SocketAddrV4],
+        controllers: &[SocketAddrV4],
     ) {
         let ip = *address.ip();
         if self.annexes.len() >= ANNEXES_MOST || ip == *self.me.address.ip() {
             return;
         }
         self.annexes.insert(line, ip);
-        self.meet_all(now, offices);
+        self.meet_all(now, controllers);
         let view = self.chain.view().is_some();
         let founds = self.founding.as_ref().filter(|_| !view).map(|_| self.me.id);
         for down in [
@@ -55,7 +55,7 @@
             .as_ref()
             .is_some_and(|founding| founding.names(*by));
         match up {
-            Up::Annex { offices, .. } => self.meet_all(now, offices),
+            Up::Annex { controllers, .. } => self.meet_all(now, controllers),
             Up::Found { id } if *id == self.me.id && names => {
                 self.named = true;
                 self.found_if_due(now);
--- a/crates/rookpulley-control/src/founding.rs
+++ b/crates/rookpulley-control/src/founding.rs
@@ -1,7 +1,7 @@
 //! Who makes the first view, told by the seeds of the first start of all.
 //!
 //! The first of the seeds that has a disk does, once each seed before it has said that it has none: silence proves
-//! nothing. Where none has one, the first seed names an office. What a disk was minted with decides, so the same seeds
+//! nothing. Where none has one, the first seed names a controller. What a disk was minted with decides, so the same seeds
 //! hold whatever a later file says.
 
 use std::collections::BTreeSet;
@@ -62,7 +62,7 @@
         self.before.contains(&seed)
     }
 
-    /// `by`: the one that names an office.
+    /// `by`: the one that names a controller.
     pub(crate) fn names(&self, by: Ipv4Addr) -> bool {
         self.before.first() == Some(&by)
     }
--- a/crates/rookpulley-control/src/lib.rs
+++ b/crates/rookpulley-control/src/lib.rs
@@ -1,9 +1,9 @@
-//! All that an office decides and keeps, put together. No sockets, files or clocks.
+//! All that a controller decides and keeps, put together. No sockets, files or clocks.
 //!
 //! `controller` is where its parts meet: each input comes with the time, and what is to be done about it is taken from
 //! `Controller::effects` afterwards. `calls` reads what callers ask and writes what they are told, `watches` are those who
-//! wait for a put, `word` is what offices say to each other, `state` the ledger as the chain keeps it, `tally` counts.
-//! `founding` is who makes the first view, `annex` an office without a disk.
+//! wait for a put, `word` is what controllers say to each other, `state` the ledger as the chain keeps it, `tally` counts.
+//! `founding` is who makes the first view, `annex` a controller without a disk.
 
 mod annex;
 mod calls;
--- a/crates/rookpulley-control/src/tally.rs
+++ b/crates/rookpulley-control/src/tally.rs
@@ -1,4 +1,4 @@
-//! Counts of what an office has met since it began.
+//! Counts of what a controller has met since it began.
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
--- a/crates/rookpulley-control/src/watches.rs
+++ b/crates/rookpulley-control/src/watches.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 const EVENTS: usize = 1_000;
-/// Whether this office is still in touch is looked at so often.
+/// Whether this controller is still in touch is looked at so often.
 const LOOK_MS: f64 = 500.0;
 
 struct Watch {
--- a/crates/rookpulley-control/src/word.rs
+++ b/crates/rookpulley-control/src/word.rs
@@ -1,4 +1,4 @@
-//! What offices say to each other.
+//! What controllers say to each other.
 
 use rookpulley_chain::{Member, Message};
 use rookpulley_registry::News;
@@ -7,10 +7,10 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Word {
-    /// The first on a line, and again every two seconds: the known offices may have changed.
+    /// The first on a line, and again every two seconds: the known controllers may have changed.
     Hello {
         from: Member,
-        offices: Vec<SocketAddrV4>,
+        controllers: Vec<SocketAddrV4>,
     },
     Chain(Message),
     /// `ask`: to be confirmed by this number once it is known there and told on.
--- a/crates/rookpulley-control/tests/compatibility/frames.rs
+++ b/crates/rookpulley-control/tests/compatibility/frames.rs
@@ -32,7 +32,7 @@
 
 fn asked(token: u64) -> Asked {
     Asked {
-        office: 2,
+        controller: 2,
         life: 1 << 40 | 2,
         token,
         attempt: 3,
@@ -261,7 +261,7 @@
             "without a disk",
             Up::Annex {
                 address: address(8),
-                offices: vec![address(1), address(2)],
+                controllers: vec![address(1), address(2)],
             },
         ),
         ("found", Up::Found { id: 3 }),
@@ -277,7 +277,7 @@
         weight: 0.25,
         slots: 12,
     };
-    let offices = vec![address(1), address(2)];
+    let controllers = vec![address(1), address(2)];
     vec![
         (
             "pulse",
@@ -285,7 +285,7 @@
                 in_touch: true,
                 config: 17,
                 couriers: 300,
-                offices,
+                controllers,
             },
         ),
         (
@@ -431,7 +431,7 @@
         "hello",
         &Word::Hello {
             from: member(1),
-            offices: vec![address(2)],
+            controllers: vec![address(2)],
         },
     );
     for (name, note) in notes() {
--- a/crates/rookpulley-control/tests/founding.rs
+++ b/crates/rookpulley-control/tests/founding.rs
@@ -17,7 +17,7 @@
 
 #[allow(clippy::large_enum_variant)]
 enum Process {
-    Controller { office: Controller, round: u64 },
+    Controller { controller: Controller, round: u64 },
     Annex(Annex),
 }
 
@@ -44,8 +44,8 @@
 /// `ends`: who dialed, and who took it.
 struct Line {
     ends: [Place; 2],
-    /// Between offices; else from an annex.
-    of_offices: bool,
+    /// Between controllers; else from an annex.
+    of_controllers: bool,
     number: u64,
     who: Option<u64>,
     greeted: bool,
@@ -184,7 +184,7 @@
                 if fresh {
                     disk.mark = first.then(|| Founding::new(machine.ip, &seeds).mark());
                 }
-                let office = Controller::new(Start {
+                let controller = Controller::new(Start {
                     me: Member {
                         id: *disk.id.get_or_insert(id),
                         life,
@@ -199,7 +199,10 @@
                     held: (!fresh).then(|| disk.rows.clone().into_iter().collect()),
                     lives: Vec::new(),
                 });
-                Process::Controller { office, round: 0 }
+                Process::Controller {
+                    controller,
+                    round: 0,
+                }
             }
         };
         machine.process = Some(process);
@@ -257,7 +260,7 @@
             |line: &Line| line.ends[1].0 == by && self.lives(line.ends[1]) && line.number == number;
         self.lines
             .iter()
-            .find(|(_, line)| !line.of_offices && is(line))
+            .find(|(_, line)| !line.of_controllers && is(line))
             .map(|(n, _)| *n)
     }
 
@@ -265,9 +268,9 @@
         let by = (at, self.machines[at].life);
         match &mut self.machines[at].process {
             None => {}
-            Some(Process::Controller { office, .. }) => {
-                let effects = office.effects();
-                let view = office.chain.view().filter(|view| view.number == 1);
+            Some(Process::Controller { controller, .. }) => {
+                let effects = controller.effects();
+                let view = controller.chain.view().filter(|view| view.number == 1);
                 self.founders.extend(view.map(|view| view.members[0].id));
                 for effect in effects {
                     match effect {
@@ -350,18 +353,18 @@
             return self.dial_again(by, ip);
         };
         let ends = [by, (to, self.machines[to].life)];
-        let of_offices = matches!(
+        let of_controllers = matches!(
             self.machines[by.0].process,
             Some(Process::Controller { .. })
         );
         let number = match self.machines[to].process.as_mut().unwrap() {
-            Process::Controller { office, .. } => office.number(),
+            Process::Controller { controller, .. } => controller.number(),
             Process::Annex(_) => 1_000_000 + self.count,
         };
         self.count += 1;
         let line = Line {
             ends,
-            of_offices,
+            of_controllers,
             number,
             who: None,
             greeted: false,
@@ -369,7 +372,7 @@
         };
         self.lines.insert(self.count, line);
         match self.machines[by.0].process.as_mut().unwrap() {
-            Process::Controller { office, .. } => office.dialed(now, ip),
+            Process::Controller { controller, .. } => controller.dialed(now, ip),
             Process::Annex(annex) => annex.opened(now, ip),
         }
         self.carry_out(by.0);
@@ -378,10 +381,10 @@
     fn dial_again(&mut self, by: Place, ip: Ipv4Addr) {
         let now = self.now as f64;
         let over = match self.machines[by.0].process.as_mut().unwrap() {
-            Process::Controller { office, .. } => {
-                let over = !office.still_known(now, ip);
+            Process::Controller { controller, .. } => {
+                let over = !controller.still_known(now, ip);
                 if over {
-                    office.forget(ip);
+                    controller.forget(ip);
                 }
                 over
             }
@@ -403,15 +406,18 @@
         if machine.life != end.1 {
             return;
         }
-        match (machine.process.as_mut(), side, of.of_offices) {
-            (Some(Process::Controller { office, .. }), 1, true) => {
-                office.word(now, &mut of.who, one::<Word>(bytes));
+        match (machine.process.as_mut(), side, of.of_controllers) {
+            (Some(Process::Controller { controller, .. }), 1, true) => {
+                controller.word(now, &mut of.who, one::<Word>(bytes));
             }
-            (Some(Process::Controller { office, .. }), 1, false) => match one::<Up>(bytes) {
-                Up::Annex { address, offices } if !std::mem::replace(&mut of.greeted, true) => {
-                    office.annex_in(now, of.number, address, &offices);
+            (Some(Process::Controller { controller, .. }), 1, false) => match one::<Up>(bytes) {
+                Up::Annex {
+                    address,
+                    controllers,
+                } if !std::mem::replace(&mut of.greeted, true) => {
+                    controller.annex_in(now, of.number, address, &controllers);
                 }
-                up => office.annex_said(now, of.number, &up),
+                up => controller.annex_said(now, of.number, &up),
             },
             (Some(Process::Annex(annex)), 1, true) => {
                 if let Word::Hello { from, .. } = one(bytes) {
@@ -435,11 +441,13 @@
             return;
         }
         match (self.machines[end.0].process.as_mut().unwrap(), side) {
-            (Process::Controller { office, .. }, 0) => office.hung_up(ip),
-            (Process::Controller { office, .. }, _) if of.of_offices => {
-                of.who.into_iter().for_each(|id| office.line_ended(now, id));
+            (Process::Controller { controller, .. }, 0) => controller.hung_up(ip),
+            (Process::Controller { controller, .. }, _) if of.of_controllers => {
+                of.who
+                    .into_iter()
+                    .for_each(|id| controller.line_ended(now, id));
             }
-            (Process::Controller { office, .. }, _) => office.annex_out(now, of.number),
+            (Process::Controller { controller, .. }, _) => controller.annex_out(now, of.number),
             (Process::Annex(annex), 0) => annex.lost(ip),
             (Process::Annex(annex), _) => annex.guest_out(of.number),
         }
@@ -464,8 +472,8 @@
                 Event::Tick(by) if self.lives(by) => {
                     let now = self.now as f64;
                     match self.machines[by.0].process.as_mut().unwrap() {
-                        Process::Controller { office, round } => {
-                            office.tick(now, *round);
+                        Process::Controller { controller, round } => {
+                            controller.tick(now, *round);
                             *round += 1;
                             self.after(50, Event::Tick(by));
                         }
@@ -492,10 +500,10 @@
                         }
                     }
                     let now = self.now as f64;
-                    if let Some(Process::Controller { office, .. }) =
+                    if let Some(Process::Controller { controller, .. }) =
                         &mut self.machines[by.0].process
                     {
-                        office.stored(now, Some(ticket), None, 1.0);
+                        controller.stored(now, Some(ticket), None, 1.0);
                     }
                     self.carry_out(by.0);
                 }
@@ -507,7 +515,7 @@
 
     fn all_have_a_view(&self) -> bool {
         self.machines.iter().all(|m| match &m.process {
-            Some(Process::Controller { office, .. }) => office.chain.view().is_some(),
+            Some(Process::Controller { controller, .. }) => controller.chain.view().is_some(),
             _ => true,
         })
     }
--- a/crates/rookpulley-controller/src/annex.rs
+++ b/crates/rookpulley-controller/src/annex.rs
@@ -1,4 +1,4 @@
-//! The office of a machine without a disk on sockets and clock: it passes calls on, and keeps nothing.
+//! The controller of a machine without a disk on sockets and clock: it passes calls on, and keeps nothing.
 
 use crate::calls::{Asked, tree};
 use crate::ending::{self, Signals};
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// An office with a disk says something every 400 ms, another one every second.
+/// A controller with a disk says something every 400 ms, another one every second.
 const QUIET: Duration = Duration::from_millis(2_500);
 const DIAL: Duration = Duration::from_millis(500);
 const PAUSE: Duration = Duration::from_millis(100);
@@ -28,7 +28,7 @@
 
 #[derive(Default)]
 struct Lines {
-    offices: BTreeMap<Ipv4Addr, line::Outbox>,
+    controllers: BTreeMap<Ipv4Addr, line::Outbox>,
     guests: BTreeMap<u64, line::Outbox>,
 }
 
@@ -53,12 +53,12 @@
 ) -> miette::Result<()> {
     let [counter, for_couriers, for_peers] = crate::controller::listen(node, control)?;
     tracing::info!(
-        "office: {} begins, without a disk: calls are passed on",
+        "controller: {} begins, without a disk: calls are passed on",
         node.name
     );
     if !node.seeds.iter().any(|seed| *seed.ip() != node.ip) {
         tracing::warn!(
-            "office: seedNodes names nobody else, so calls get 503 until an office dials this one"
+            "controller: seedNodes names nobody else, so calls get 503 until a controller dials this one"
         );
     }
     let shell = Shell::new(node, control).into_diagnostic()?;
@@ -115,7 +115,7 @@
                 beat.tick().await;
                 shell.with(Annex::tick);
                 if round.is_multiple_of(STATUS) {
-                    tracing::info!("office: {}", shell.status());
+                    tracing::info!("controller: {}", shell.status());
                 }
             }
         });
@@ -147,11 +147,11 @@
                 // Where too much waits the line ends, and all is told anew on the next one.
                 AnnexEffect::Up { to, up } => {
                     if lines
-                        .offices
+                        .controllers
                         .get(&to)
                         .is_some_and(|outbox| !outbox.send(&up))
                     {
-                        lines.offices.remove(&to);
+                        lines.controllers.remove(&to);
                     }
                 }
                 AnnexEffect::Down { line, frame } => {
@@ -169,19 +169,19 @@
         came
     }
 
-    /// Dials one office again and again for as long as somebody names it.
+    /// Dials one controller again and again for as long as somebody names it.
     async fn keep(self: Rc<Self>, ip: Ipv4Addr) {
         let mut pause = PAUSE;
         loop {
             if let Ok(stream) = line::dial(SocketAddr::from((ip, self.port)), DIAL).await {
                 let begun = Instant::now();
                 let open = |outbox| {
-                    self.lines.borrow_mut().offices.insert(ip, outbox);
+                    self.lines.borrow_mut().controllers.insert(ip, outbox);
                     self.with(|annex, now| annex.opened(now, ip));
                 };
                 let take = |down: Down| self.with(|annex, now| annex.told(now, ip, down));
                 let why = line::run(stream, Some(QUIET), open, take).await;
-                self.lines.borrow_mut().offices.remove(&ip);
+                self.lines.borrow_mut().controllers.remove(&ip);
                 self.with(|annex, _| annex.lost(ip));
                 tracing::info!("peers: the line to {ip} {why}");
                 if begun.elapsed() > TICK {
@@ -213,7 +213,7 @@
         }
     }
 
-    /// A courier, or another office without a disk.
+    /// A courier, or another controller without a disk.
     async fn guest(self: Rc<Self>, stream: TcpStream) {
         let number = self.next.get() + 1;
         self.next.set(number);
@@ -228,7 +228,7 @@
         self.with(|annex, _| annex.guest_out(number));
     }
 
-    /// An office that has this address as a seed. It is dialed in turn, and stops to dial here.
+    /// A controller that has this address as a seed. It is dialed in turn, and stops to dial here.
     async fn peer(self: Rc<Self>, stream: TcpStream) {
         let mut own = None;
         let take = |word: Word| {
@@ -245,7 +245,7 @@
             Match::WrongMethod => {
                 return Reply::error(405, "there is no such call with this method");
             }
-            // What is shown is of one office alone: whoever asks is to know of which.
+            // What is shown is of one controller alone: whoever asks is to know of which.
             Match::Found(Asked::Show(_), _) => {
                 return Reply::error(
                     404,
--- a/crates/rookpulley-controller/src/annex/tests.rs
+++ b/crates/rookpulley-controller/src/annex/tests.rs
@@ -25,8 +25,8 @@
     Node::parse(&text).unwrap()
 }
 
-/// An office with a disk that is in touch alone, until it is told to end: then all its sockets are closed at once.
-fn office(ip: Ipv4Addr, zone: &str, port: u16) -> (oneshot::Sender<()>, JoinHandle<()>) {
+/// A controller with a disk that is in touch alone, until it is told to end: then all its sockets are closed at once.
+fn controller(ip: Ipv4Addr, zone: &str, port: u16) -> (oneshot::Sender<()>, JoinHandle<()>) {
     let (end, ended) = oneshot::channel::<()>();
     let node = settings(ip, zone, port);
     let run = move || {
@@ -52,7 +52,7 @@
             };
             tokio::select! { () = tick => {}, _ = ended => {} }
             assert!(
-                hub.look(|office| office.couriers.is_empty()),
+                hub.look(|controller| controller.couriers.is_empty()),
                 "it was counted as a courier"
             );
         });
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_call_goes_on_to_an_office_that_lives_near_before_far_and_else_it_is_refused() {
+fn a_call_goes_on_to_an_controller_that_lives_near_before_far_and_else_it_is_refused() {
     // A port that is free at all three.
     let ips = [1, 2, 3].map(|n| Ipv4Addr::new(127, 0, 3, n));
     let free = std::net::TcpListener::bind((ips[0], 0)).unwrap();
@@ -106,10 +106,10 @@
         let none = until(to, call, "503", "nothing was done").await;
         assert!(none.to_ascii_lowercase().contains("\r\nretry-after: 0.2\r\n"), "{none}");
 
-        let (end_far, far) = office(ips[1], "hill", port);
+        let (end_far, far) = controller(ips[1], "hill", port);
         let location = |ip| format!("ocation: http://{ip}:8166/rookpulley/cells/g1.%2Fa?x=1&y\r\n");
         until(to, call, "307", &location(ips[1])).await;
-        let (end_near, near) = office(ips[2], "quay", port);
+        let (end_near, near) = controller(ips[2], "quay", port);
         until(to, call, "307", &location(ips[2])).await;
         assert!(answered(to, call).await.contains(&location(ips[2])));
 
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_courier_is_told_of_the_offices_by_one_without_a_disk_and_not_to_make_it_its_home() {
+fn a_courier_is_told_of_the_controllers_by_one_without_a_disk_and_not_to_make_it_its_home() {
     let ip = Ipv4Addr::new(127, 0, 3, 1);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -140,7 +140,7 @@
         let for_couriers = at(0);
         let to = for_couriers.local_addr().unwrap();
         shell.begin(for_couriers, at(0));
-        // The other stands for an office: it says where it is.
+        // The other stands for a controller: it says where it is.
         let taken = async {
             let (stream, _) = other.accept().await.unwrap();
             let place = Down::Place { zone: "hill".into(), founds: None, view: true };
@@ -162,9 +162,9 @@
                 own = Some(outbox);
             };
             let take = |down: Down| {
-                let Down::Pulse { in_touch, config, couriers, offices } = down else { panic!("{down:?}") };
+                let Down::Pulse { in_touch, config, couriers, controllers } = down else { panic!("{down:?}") };
                 assert_eq!((in_touch, config, couriers), (false, 0, 0));
-                heard.set(offices.iter().any(|office| *office.ip() == Ipv4Addr::new(127, 0, 3, 2)));
+                heard.set(controllers.iter().any(|controller| *controller.ip() == Ipv4Addr::new(127, 0, 3, 2)));
             };
             line::run(stream, None, open, take).await
         };
--- a/crates/rookpulley-controller/src/calls.rs
+++ b/crates/rookpulley-controller/src/calls.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Asked {
     Call(Path),
-    /// Read only, and of this office alone.
+    /// Read only, and of this controller alone.
     Show(Part),
 }
 
@@ -109,13 +109,13 @@
             Asked::Call(path) => path,
             Asked::Show(part) => return show::answer(&self.hub, part, name),
         };
-        let wants = self.hub.look(|office| {
+        let wants = self.hub.look(|controller| {
             clerk::read(
                 path,
                 name,
                 call.body,
                 |of| query(&call.query, of),
-                office.configuration(),
+                controller.configuration(),
             )
         });
         match wants {
--- a/crates/rookpulley-controller/src/controller.rs
+++ b/crates/rookpulley-controller/src/controller.rs
@@ -37,7 +37,7 @@
     pub others: Vec<SocketAddrV4>,
 }
 
-/// For calls, couriers and other offices.
+/// For calls, couriers and other controllers.
 pub fn listen(node: &Node, control: SocketAddrV4) -> miette::Result<[TcpListener; 3]> {
     let inner = |more| SocketAddrV4::new(node.ip, node.inner_ports.0 + more);
     Ok([
@@ -49,7 +49,7 @@
 
 pub fn listen_at(at: SocketAddrV4) -> miette::Result<TcpListener> {
     let listener = line::listen(SocketAddr::V4(at), BACKLOG).into_diagnostic();
-    listener.wrap_err_with(|| format!("office: {at} can't be listened at"))
+    listener.wrap_err_with(|| format!("controller: {at} can't be listened at"))
 }
 
 pub async fn run(
@@ -80,7 +80,7 @@
     let fresh = store.new;
     let hub = Hub::new(node.clone(), store, kept, rand::random());
     tracing::info!(
-        "office: {} begins{}",
+        "controller: {} begins{}",
         node.name,
         if fresh { " with an empty disk" } else { "" }
     );
@@ -125,7 +125,7 @@
         ticks.tick().await;
         hub.tick(round);
         if round.is_multiple_of(STATUS_TICKS) {
-            tracing::info!("office: {}", hub.status());
+            tracing::info!("controller: {}", hub.status());
         }
     }
 }
--- a/crates/rookpulley-controller/src/ending.rs
+++ b/crates/rookpulley-controller/src/ending.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// The others mend the chain while this office is still there, so that nobody waits for what has gone.
+/// The others mend the chain while this controller is still there, so that nobody waits for what has gone.
 const LEAVE_WITHIN: Duration = Duration::from_millis(1_200);
 const LOOK_AGAIN: Duration = Duration::from_millis(20);
 
--- a/crates/rookpulley-controller/src/hub.rs
+++ b/crates/rookpulley-controller/src/hub.rs
@@ -1,4 +1,4 @@
-//! The office on sockets, disk and clock: what comes in goes to the clerk, what the clerk wants is carried out.
+//! The controller on sockets, disk and clock: what comes in goes to the controller, what the controller wants is carried out.
 
 use crate::show::Counts;
 use rookpulley_chain::Member;
@@ -14,7 +14,7 @@
 use std::time::Instant;
 use tokio::sync::{Notify, mpsc, oneshot};
 
-/// What carries words to another office.
+/// What carries words to another controller.
 #[derive(Default)]
 struct Peer {
     /// It has spoken: no reason to wait with dialing it.
@@ -42,7 +42,7 @@
     pub node: Node,
     me: Member,
     born: Instant,
-    office: RefCell<Controller>,
+    controller: RefCell<Controller>,
     lines: RefCell<Lines>,
     /// Asks the main loop to dial what became known.
     pub dial: Notify,
@@ -80,7 +80,7 @@
             node,
             me,
             born: Instant::now(),
-            office: RefCell::new(Controller::new(start)),
+            controller: RefCell::new(Controller::new(start)),
             lines: RefCell::new(lines),
             dial: Notify::new(),
             counts: Counts::default(),
@@ -105,14 +105,14 @@
 
     /// For `show`.
     pub fn look<T>(&self, look: impl FnOnce(&Controller) -> T) -> T {
-        look(&self.office.borrow())
+        look(&self.controller.borrow())
     }
 
-    /// Something comes in; what the clerk wants is carried out.
+    /// Something comes in; what the controller wants is carried out.
     fn with<T>(&self, input: impl FnOnce(&mut Controller, f64) -> T) -> T {
         let (came, effects) = {
-            let mut office = self.office.borrow_mut();
-            (input(&mut office, self.now_ms()), office.effects())
+            let mut controller = self.controller.borrow_mut();
+            (input(&mut controller, self.now_ms()), controller.effects())
         };
         effects
             .into_iter()
@@ -162,30 +162,30 @@
         }
     }
 
-    // ---- offices ----------------------------------------------------------------------------
+    // ---- controllers ----------------------------------------------------------------------------
 
     pub fn meet_seeds(&self, seeds: &[SocketAddrV4]) {
-        self.with(|office, now| office.meet_all(now, seeds));
+        self.with(|controller, now| controller.meet_all(now, seeds));
     }
 
-    /// Offices that became known and have no line yet.
+    /// Controllers that became known and have no line yet.
     pub fn to_dial(&self) -> Vec<Ipv4Addr> {
         std::mem::take(&mut self.lines.borrow_mut().to_dial)
     }
 
     pub fn dialed(&self, ip: Ipv4Addr, outbox: Outbox) {
         self.lines.borrow_mut().peers.entry(ip).or_default().outbox = Some(outbox);
-        self.with(|office, now| office.dialed(now, ip));
+        self.with(|controller, now| controller.dialed(now, ip));
     }
 
     pub fn hung_up(&self, ip: Ipv4Addr) {
         if let Some(peer) = self.lines.borrow_mut().peers.get_mut(&ip) {
             peer.outbox = None;
         }
-        self.with(|office, _| office.hung_up(ip));
+        self.with(|controller, _| controller.hung_up(ip));
     }
 
-    /// Tells when the office at this address has spoken.
+    /// Tells when the controller at this address has spoken.
     pub fn wake(&self, ip: Ipv4Addr) -> Rc<Notify> {
         self.lines
             .borrow()
@@ -195,22 +195,22 @@
     }
 
     pub fn still_known(&self, ip: Ipv4Addr) -> bool {
-        self.look(|office| office.still_known(self.now_ms(), ip))
+        self.look(|controller| controller.still_known(self.now_ms(), ip))
     }
 
     pub fn forget(&self, ip: Ipv4Addr) {
         self.lines.borrow_mut().peers.remove(&ip);
-        self.with(|office, _| office.forget(ip));
+        self.with(|controller, _| controller.forget(ip));
     }
 
-    /// A word from another office; `who` is who said hello on this line.
+    /// A word from another controller; `who` is who said hello on this line.
     pub fn word(&self, who: &mut Option<u64>, word: Word) {
-        self.with(|office, now| office.word(now, who, word));
+        self.with(|controller, now| controller.word(now, who, word));
     }
 
-    /// The line on which an office spoke is over.
+    /// The line on which a controller spoke is over.
     pub fn line_ended(&self, id: u64) {
-        self.with(|office, now| office.line_ended(now, id));
+        self.with(|controller, now| controller.line_ended(now, id));
     }
 
     // ---- the disk, and calls ----------------------------------------------------------------
@@ -242,8 +242,11 @@
 
     /// The other members of the newest view that is known.
     pub fn other_members(&self) -> Vec<SocketAddrV4> {
-        self.look(|office| {
-            let members = office.chain.view().map_or(&[][..], |view| &view.members);
+        self.look(|controller| {
+            let members = controller
+                .chain
+                .view()
+                .map_or(&[][..], |view| &view.members);
             members
                 .iter()
                 .filter(|member| member.id != self.me.id)
@@ -266,27 +269,27 @@
         match said {
             Said::Synced { chain, lives, took } => {
                 let took_ms = took.as_secs_f64() * 1e3;
-                self.with(|office, now| office.stored(now, chain, lives, took_ms));
+                self.with(|controller, now| controller.stored(now, chain, lives, took_ms));
             }
             Said::Failed(why) => self.fail(StoreFailure::Write(format!("a write failed ({why})"))),
         }
     }
 
-    /// Has a call answered; none where the clerk has dropped it.
+    /// Has a call answered; none where the controller has dropped it.
     pub async fn call(&self, wants: Wants) -> Option<Reply> {
         let (done, answer) = oneshot::channel();
-        let token = self.with(|office, _| office.number());
+        let token = self.with(|controller, _| controller.number());
         self.lines.borrow_mut().calls.insert(token, done);
         let _left = Left { hub: self, token };
-        self.with(|office, now| office.call(now, token, wants));
+        self.with(|controller, now| controller.call(now, token, wants));
         answer.await.ok()
     }
 
     // ---- couriers ---------------------------------------------------------------------------
 
-    /// Who has come by its first word: a courier, or an office without a disk. Gives its name and its line's number.
+    /// Who has come by its first word: a courier, or a controller without a disk. Gives its name and its line's number.
     pub fn courier_in(&self, hello: Up, outbox: Outbox) -> Option<(String, u64)> {
-        let line = self.with(|office, _| office.number());
+        let line = self.with(|controller, _| controller.number());
         let came = |name: String| {
             self.lines
                 .borrow_mut()
@@ -304,14 +307,17 @@
                 gone,
             } => {
                 let came = came(node.clone());
-                self.with(|office, now| {
-                    office.courier_in(now, line, (&node, &zone), home, (config, tables), &gone);
+                self.with(|controller, now| {
+                    controller.courier_in(now, line, (&node, &zone), home, (config, tables), &gone);
                 });
                 came
             }
-            Up::Annex { address, offices } => {
-                let came = came(format!("the office without a disk at {}", address.ip()));
-                self.with(|office, now| office.annex_in(now, line, address, &offices));
+            Up::Annex {
+                address,
+                controllers,
+            } => {
+                let came = came(format!("the controller without a disk at {}", address.ip()));
+                self.with(|controller, now| controller.annex_in(now, line, address, &controllers));
                 came
             }
             _ => None,
@@ -319,35 +325,35 @@
     }
 
     pub fn courier_said(&self, node: &str, line: u64, up: Up) {
-        self.with(|office, now| match up {
-            Up::Annex { .. } | Up::Found { .. } => office.annex_said(now, line, &up),
-            up => office.courier_said(now, node, line, up),
+        self.with(|controller, now| match up {
+            Up::Annex { .. } | Up::Found { .. } => controller.annex_said(now, line, &up),
+            up => controller.courier_said(now, node, line, up),
         });
     }
 
     pub fn courier_out(&self, node: &str, line: u64) {
         self.lines.borrow_mut().couriers.remove(&line);
-        self.with(|office, now| {
-            office.courier_out(now, node, line);
-            office.annex_out(now, line);
+        self.with(|controller, now| {
+            controller.courier_out(now, node, line);
+            controller.annex_out(now, line);
         });
     }
 
     // ---- time -------------------------------------------------------------------------------
 
-    /// From now on others are to go on without this office.
+    /// From now on others are to go on without this controller.
     pub fn end(&self) {
-        self.with(|office, _| office.end());
+        self.with(|controller, _| controller.end());
     }
 
-    /// Asks the others to go on without this office; true once they do.
+    /// Asks the others to go on without this controller; true once they do.
     pub fn left_the_chain(&self) -> bool {
         self.with(Controller::left_the_chain)
     }
 
     /// Every 50 ms.
     pub fn tick(&self, round: u64) {
-        self.with(|office, now| office.tick(now, round));
+        self.with(|controller, now| controller.tick(now, round));
     }
 }
 
@@ -360,7 +366,7 @@
 impl Drop for Left<'_> {
     fn drop(&mut self) {
         self.hub.lines.borrow_mut().calls.remove(&self.token);
-        self.hub.office.borrow_mut().call_left(self.token);
+        self.hub.controller.borrow_mut().call_left(self.token);
     }
 }
 
--- a/crates/rookpulley-controller/src/peers.rs
+++ b/crates/rookpulley-controller/src/peers.rs
@@ -1,4 +1,4 @@
-//! Lines between offices. Each office dials every other; what it says goes on the line that it dialed.
+//! Lines between controllers. Each controller dials every other; what it says goes on the line that it dialed.
 
 use crate::hub::Hub;
 use rookpulley_control::Word;
@@ -12,7 +12,7 @@
 const AGAIN_MOST: Duration = Duration::from_millis(500);
 const SILENT: Duration = Duration::from_millis(2_500);
 
-/// Keeps a line to the office at this address until nobody knows of it any more.
+/// Keeps a line to the controller at this address until nobody knows of it any more.
 pub async fn keep_dialing(hub: Rc<Hub>, ip: Ipv4Addr) {
     let port = hub.peer_port();
     let to = SocketAddr::from((ip, port));
@@ -40,7 +40,7 @@
     }
 }
 
-/// Takes lines of other offices.
+/// Takes lines of other controllers.
 pub async fn listen(hub: Rc<Hub>, listener: tokio::net::TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
--- a/crates/rookpulley-controller/src/show.rs
+++ b/crates/rookpulley-controller/src/show.rs
@@ -1,4 +1,4 @@
-//! What operators may look at: how things look from this office, and counters for collectors. Nothing here changes
+//! What operators may look at: how things look from this controller, and counters for collectors. Nothing here changes
 //! anything, and no answer grows beyond bounds.
 
 mod counts;
@@ -29,16 +29,16 @@
 pub fn answer(hub: &Hub, part: Part, service: &str) -> Reply {
     let now = hub.now_ms();
     let shown = |shown: JsonValue| Reply::json(200, &shown);
-    hub.look(|office| match part {
-        Part::View => shown(view(hub, office, now)),
-        Part::Tasks => shown(tasks(office, now, service)),
-        Part::Tables => shown(tables(office, service)),
-        Part::Couriers => shown(couriers(office)),
-        Part::Ledger => shown(ledger(office)),
+    hub.look(|controller| match part {
+        Part::View => shown(view(hub, controller, now)),
+        Part::Tasks => shown(tasks(controller, now, service)),
+        Part::Tables => shown(tables(controller, service)),
+        Part::Couriers => shown(couriers(controller)),
+        Part::Ledger => shown(ledger(controller)),
         Part::Counters => Reply {
             status: 200,
             headers: vec![("content-type", "text/plain; version=0.0.4".into())],
-            body: counts::page(hub, office, now).into_bytes(),
+            body: counts::page(hub, controller, now).into_bytes(),
         },
     })
 }
@@ -69,8 +69,8 @@
     (JsonValue::Array(kept), number(more))
 }
 
-fn view(hub: &Hub, office: &Controller, now: f64) -> JsonValue {
-    let shown = office.chain.shown(now as u64);
+fn view(hub: &Hub, controller: &Controller, now: f64) -> JsonValue {
+    let shown = controller.chain.shown(now as u64);
     let last = shown.members.len().saturating_sub(1);
     let members = shown.members.iter().enumerate().map(|(at, one)| {
         let part = match at {
@@ -86,7 +86,7 @@
             ("part", text(part)),
             ("id", hex(one.member.id)),
             ("address", text(one.member.address)),
-            ("here", (one.member.id == office.chain.me().id).into()),
+            ("here", (one.member.id == controller.chain.me().id).into()),
             ("inContact", one.in_contact.into()),
             ("applied", heard(|h| number(h.applied))),
             ("diskSlow", heard(|h| h.slow.into())),
@@ -103,7 +103,7 @@
         ("inTouch", shown.in_touch.into()),
         ("held", number(shown.last)),
         ("applied", number(shown.applied)),
-        ("diskSlow", office.disk.slow().into()),
+        ("diskSlow", controller.disk.slow().into()),
         ("lossesBorne", number(shown.losses as u64)),
         ("spareNow", number(shown.spare as u64)),
         ("members", JsonValue::Array(members.collect())),
@@ -121,8 +121,8 @@
     }
 }
 
-fn tasks(office: &Controller, now: f64, service: &str) -> JsonValue {
-    let tasks = office
+fn tasks(controller: &Controller, now: f64, service: &str) -> JsonValue {
+    let tasks = controller
         .registry
         .tasks()
         .filter(|t| service.is_empty() || t.beat.service == service);
@@ -139,14 +139,14 @@
     });
     let (rows, more) = bounded(rows);
     object([
-        ("settling", office.registry.settling(now).into()),
+        ("settling", controller.registry.settling(now).into()),
         ("tasks", rows),
         ("more", more),
     ])
 }
 
-fn tables(office: &Controller, service: &str) -> JsonValue {
-    let tables = office
+fn tables(controller: &Controller, service: &str) -> JsonValue {
+    let tables = controller
         .desk
         .shown()
         .into_iter()
@@ -165,8 +165,8 @@
     object([("tables", rows), ("more", more)])
 }
 
-fn couriers(office: &Controller) -> JsonValue {
-    let rows = office.couriers.iter().map(|(name, courier)| {
+fn couriers(controller: &Controller) -> JsonValue {
+    let rows = controller.couriers.iter().map(|(name, courier)| {
         object([
             ("name", text(name)),
             ("zone", text(&courier.zone)),
@@ -178,8 +178,8 @@
     object([("couriers", rows), ("more", more)])
 }
 
-fn ledger(office: &Controller) -> JsonValue {
-    let ledger = &office.chain.state().ledger;
+fn ledger(controller: &Controller) -> JsonValue {
+    let ledger = &controller.chain.state().ledger;
     let sizes = ledger.sizes();
     let size = |n: usize| number(n as u64);
     object([
--- a/crates/rookpulley-controller/src/show/counts.rs
+++ b/crates/rookpulley-controller/src/show/counts.rs
@@ -100,7 +100,7 @@
 }
 
 /// All of them, as a collector reads it.
-pub fn page(hub: &Hub, office: &Controller, now: f64) -> String {
+pub fn page(hub: &Hub, controller: &Controller, now: f64) -> String {
     let counts = &hub.counts;
     let mut page = Page(String::with_capacity(12 << 10));
     let calls = "rookpulley_office_calls_total";
@@ -120,7 +120,10 @@
     }
     let beats = "rookpulley_office_beats_total";
     page.name(beats, "counter", "Beats that tasks sent to this office.");
-    for (state, count) in ["available", "draining"].iter().zip(&office.tally.beats) {
+    for (state, count) in ["available", "draining"]
+        .iter()
+        .zip(&controller.tally.beats)
+    {
         _ = writeln!(page.0, "{beats}{{state=\"{state}\"}} {count}");
     }
     let news = "rookpulley_office_news_total";
@@ -129,35 +132,43 @@
         "counter",
         "Words on tasks between offices: told to all, heard from one.",
     );
-    _ = writeln!(page.0, "{news}{{way=\"told\"}} {}", office.tally.news_told);
+    _ = writeln!(
+        page.0,
+        "{news}{{way=\"told\"}} {}",
+        controller.tally.news_told
+    );
     _ = writeln!(
         page.0,
         "{news}{{way=\"heard\"}} {}",
-        office.tally.news_heard
+        controller.tally.news_heard
     );
     let mut count = |name, help, count: u64| page.one(name, "counter", help, count);
     count(
         "rookpulley_office_drains_total",
         "Lives that couriers were told to spare.",
-        office.tally.drains,
+        controller.tally.drains,
     );
     count(
         "rookpulley_office_view_changes_total",
         "Decided views that became known here.",
-        office.tally.views,
+        controller.tally.views,
     );
     count(
         "rookpulley_office_syncs_total",
         "Writes that reached the disk.",
-        office.tally.syncs,
+        controller.tally.syncs,
     );
     let seconds = "rookpulley_office_sync_seconds_total";
     page.name(seconds, "counter", "Time that these writes took.");
-    _ = writeln!(page.0, "{seconds} {}", office.tally.sync_us as f64 / 1e6);
+    _ = writeln!(
+        page.0,
+        "{seconds} {}",
+        controller.tally.sync_us as f64 / 1e6
+    );
 
-    let shown = office.chain.shown(now as u64);
+    let shown = controller.chain.shown(now as u64);
     let [mut live, mut silent, mut draining, mut displaced] = [0; 4];
-    for task in office.registry.tasks() {
+    for task in controller.registry.tasks() {
         match task.standing {
             Standing::Live => live += 1,
             Standing::Silent => silent += 1,
@@ -179,9 +190,9 @@
     gauge(
         "rookpulley_office_couriers",
         "Couriers whose line is here.",
-        office.couriers.len() as u64,
+        controller.couriers.len() as u64,
     );
-    let homes = office.couriers.values().filter(|c| c.home).count();
+    let homes = controller.couriers.values().filter(|c| c.home).count();
     gauge(
         "rookpulley_office_couriers_at_home",
         "Couriers that call this office home.",
@@ -210,14 +221,14 @@
     gauge(
         "rookpulley_office_disk_slow",
         "1: the disk is slow.",
-        office.disk.slow().into(),
+        controller.disk.slow().into(),
     );
     gauge(
         "rookpulley_office_update_applied",
         "The last update applied.",
         shown.applied,
     );
-    let version = office.chain.state().ledger.version();
+    let version = controller.chain.state().ledger.version();
     gauge(
         "rookpulley_office_configuration_version",
         "Of the configuration held; 0: none.",
--- a/crates/rookpulley-controller/src/show/tests.rs
+++ b/crates/rookpulley-controller/src/show/tests.rs
@@ -54,8 +54,8 @@
     String::from_utf8(reply.body).unwrap()
 }
 
-/// An office alone, at work, with a task, a configuration and a courier at home.
-pub fn at_an_office<F: Future<Output = ()>>(trial: impl FnOnce(Rc<Calls>) -> F) {
+/// A controller alone, at work, with a task, a configuration and a courier at home.
+pub fn at_an_controller<F: Future<Output = ()>>(trial: impl FnOnce(Rc<Calls>) -> F) {
     let folder = tempfile::tempdir().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -110,7 +110,9 @@
             open,
             |_| (),
         ));
-        while hub.look(|office| office.couriers.is_empty() || office.desk.shown().is_empty()) {
+        while hub
+            .look(|controller| controller.couriers.is_empty() || controller.desk.shown().is_empty())
+        {
             tokio::task::yield_now().await;
         }
         trial(calls).await;
@@ -161,7 +163,7 @@
 
 #[test]
 fn what_is_shown_has_the_shape_that_the_operators_command_reads() {
-    at_an_office(|calls| async move {
+    at_an_controller(|calls| async move {
         for (part, example) in [
             (
                 "view",
@@ -193,8 +195,8 @@
 }
 
 #[test]
-fn an_office_shows_itself_its_tasks_its_couriers_and_what_it_keeps() {
-    at_an_office(|calls| async move {
+fn an_controller_shows_itself_its_tasks_its_couriers_and_what_it_keeps() {
+    at_an_controller(|calls| async move {
         let has = |text: String, wanted: &[&str]| {
             wanted
                 .iter()
@@ -243,7 +245,7 @@
 
 #[test]
 fn counters_tell_calls_by_kind_and_outcome_in_the_form_that_collectors_read() {
-    at_an_office(|calls| async move {
+    at_an_controller(|calls| async move {
         call(&calls, "PUT", "cells/g1.a", r#"{"value":"x","active":3}"#).await;
         call(&calls, "GET", "cells/g1.a", "").await;
         call(&calls, "PUT", "configuration", "{").await;
--- a/crates/rookpulley-devcluster/src/beats.rs
+++ b/crates/rookpulley-devcluster/src/beats.rs
@@ -1,4 +1,4 @@
-//! What a task tells the offices: that it lives, that it drains, that it has left.
+//! What a task tells the controllers: that it lives, that it drains, that it has left.
 
 use crate::caller::{SILENCE, field, once};
 use crate::record::{Drain, digest};
@@ -18,9 +18,9 @@
 
 struct Beats {
     task: Rc<Task>,
-    offices: Vec<SocketAddrV4>,
+    controllers: Vec<SocketAddrV4>,
     next: usize,
-    /// Where an office asked for later beats, until one to it fails.
+    /// Where a controller asked for later beats, until one to it fails.
     endpoint: Option<SocketAddrV4>,
     sequence: u64,
 }
@@ -48,20 +48,20 @@
         )
     }
 
-    /// One beat, to one office after another.
+    /// One beat, to one controller after another.
     async fn beat(&mut self) -> bool {
         let path = self.path();
-        for _ in 0..=self.offices.len() {
+        for _ in 0..=self.controllers.len() {
             self.sequence += 1;
             let asked = self.endpoint.take();
             let listed = self
-                .offices
-                .get(self.next % self.offices.len().max(1))
+                .controllers
+                .get(self.next % self.controllers.len().max(1))
                 .copied();
-            let Some(office) = asked.or(listed) else {
+            let Some(controller) = asked.or(listed) else {
                 return false;
             };
-            match once(office, "PUT", &path, &self.body(), SILENCE).await {
+            match once(controller, "PUT", &path, &self.body(), SILENCE).await {
                 Some((200..=299, answer)) if answer.len() <= ACKNOWLEDGEMENT_MOST => {
                     self.endpoint = endpoint(&answer).or(asked);
                     return true;
@@ -76,8 +76,8 @@
     async fn leave(&self) -> bool {
         let path = self.path();
         let given_up = Instant::now() + UNHEARD;
-        for office in self.offices.iter().cycle().skip(self.next) {
-            if let Some((200..=299, _)) = once(*office, "DELETE", &path, "", SILENCE).await {
+        for controller in self.controllers.iter().cycle().skip(self.next) {
+            if let Some((200..=299, _)) = once(*controller, "DELETE", &path, "", SILENCE).await {
                 return true;
             }
             if Instant::now() > given_up {
@@ -96,12 +96,12 @@
         .ok()
 }
 
-/// A task's whole life as the offices hear of it.
-pub async fn live(task: Rc<Task>, offices: Vec<SocketAddrV4>) {
-    let next = digest(&task.life) as usize % offices.len().max(1);
+/// A task's whole life as the controllers hear of it.
+pub async fn live(task: Rc<Task>, controllers: Vec<SocketAddrV4>) {
+    let next = digest(&task.life) as usize % controllers.len().max(1);
     let mut beats = Beats {
         task: task.clone(),
-        offices,
+        controllers,
         next,
         endpoint: None,
         sequence: 0,
--- a/crates/rookpulley-devcluster/src/caller.rs
+++ b/crates/rookpulley-devcluster/src/caller.rs
@@ -1,4 +1,4 @@
-//! Calls of the control plane: to one office after another until one gives a clear answer.
+//! Calls of the control plane: to one controller after another until one gives a clear answer.
 
 use crate::record::{Moment, Record};
 use crate::wire::{Line, Outcome};
@@ -14,7 +14,7 @@
 use tinyjson::JsonValue;
 use tokio::time::{Instant, sleep};
 
-/// An office that says nothing for so long is passed over.
+/// A controller that says nothing for so long is passed over.
 pub const SILENCE: Duration = Duration::from_secs(1);
 const PAUSE: Duration = Duration::from_millis(20);
 const PAUSE_MOST: Duration = Duration::from_millis(160);
@@ -57,7 +57,7 @@
         .cloned()
 }
 
-/// One call to one office on a connection of its own.
+/// One call to one controller on a connection of its own.
 pub async fn once(
     to: SocketAddrV4,
     method: &str,
@@ -84,16 +84,16 @@
 }
 
 pub struct Caller {
-    offices: Vec<SocketAddrV4>,
+    controllers: Vec<SocketAddrV4>,
     next: Cell<usize>,
     record: Rc<Record>,
 }
 
 impl Caller {
-    /// `first`: where it begins. Each call goes to another office than the one before.
-    pub fn new(offices: Vec<SocketAddrV4>, first: usize, record: Rc<Record>) -> Self {
+    /// `first`: where it begins. Each call goes to another controller than the one before.
+    pub fn new(controllers: Vec<SocketAddrV4>, first: usize, record: Rc<Record>) -> Self {
         Self {
-            offices,
+            controllers,
             next: Cell::new(first),
             record,
         }
@@ -101,7 +101,9 @@
 
     fn next(&self) -> Option<SocketAddrV4> {
         let place = self.next.replace(self.next.get().wrapping_add(1));
-        self.offices.get(place % self.offices.len().max(1)).copied()
+        self.controllers
+            .get(place % self.controllers.len().max(1))
+            .copied()
     }
 
     /// Sends the same call until the answer is clear or the time is over.
@@ -125,9 +127,9 @@
     ) -> Option<Reply> {
         let mut pause = PAUSE;
         loop {
-            let office = self.next()?;
+            let controller = self.next()?;
             let sent = self.record.now();
-            let answer = once(office, method, path, body, silence).await;
+            let answer = once(controller, method, path, body, silence).await;
             let clear = answer.filter(|(status, _)| *status < 500 && !matches!(status, 408 | 429));
             if let Some((status, body)) = clear {
                 return Some(Reply {
--- a/crates/rookpulley-devcluster/src/coordination.rs
+++ b/crates/rookpulley-devcluster/src/coordination.rs
@@ -71,7 +71,7 @@
 }
 
 pub struct Applications {
-    offices: Vec<SocketAddrV4>,
+    controllers: Vec<SocketAddrV4>,
     record: Rc<Record>,
     pub told: Told,
     pub over: Cell<bool>,
@@ -81,9 +81,9 @@
 }
 
 impl Applications {
-    pub fn new(offices: Vec<SocketAddrV4>, record: Rc<Record>) -> Self {
+    pub fn new(controllers: Vec<SocketAddrV4>, record: Rc<Record>) -> Self {
         Self {
-            offices,
+            controllers,
             record,
             told: Told::default(),
             over: Cell::new(false),
@@ -109,7 +109,7 @@
     }
 
     fn caller(&self, first: usize) -> Caller {
-        Caller::new(self.offices.clone(), first, self.record.clone())
+        Caller::new(self.controllers.clone(), first, self.record.clone())
     }
 
     fn odd(&self, what: String) {
--- a/crates/rookpulley-devcluster/src/ground.rs
+++ b/crates/rookpulley-devcluster/src/ground.rs
@@ -37,7 +37,7 @@
     }
 
     /// Looks for a block of free ports, from where the system's own next port says. It lies below the ports that
-    /// the system gives to outgoing connections, where it can: a killed office's would be given away meanwhile.
+    /// the system gives to outgoing connections, where it can: a killed controller's would be given away meanwhile.
     fn find() -> Result<Self, DepotError> {
         let given =
             TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|listener| listener.local_addr());
--- a/crates/rookpulley-devcluster/src/processes.rs
+++ b/crates/rookpulley-devcluster/src/processes.rs
@@ -1,4 +1,4 @@
-//! The offices and couriers as processes: started, looked after, killed, ended.
+//! The controllers and couriers as processes: started, looked after, killed, ended.
 
 use crate::faults::DepotError;
 use crate::ground::{Ground, MACHINES};
@@ -25,13 +25,13 @@
 }
 
 pub struct Processes {
-    offices: PathBuf,
+    controllers: PathBuf,
     couriers: PathBuf,
     verbose: bool,
     all: Vec<Process>,
 }
 
-/// All offices, then all couriers.
+/// All controllers, then all couriers.
 fn places() -> impl Iterator<Item = (Role, usize)> {
     Role::ALL
         .into_iter()
@@ -52,7 +52,7 @@
 
 impl Processes {
     pub fn find(verbose: bool) -> Result<Self, DepotError> {
-        let (offices, couriers) = (
+        let (controllers, couriers) = (
             sibling("rookpulley-controller")?,
             sibling("rookpulley-proxy")?,
         );
@@ -66,7 +66,7 @@
             }
         });
         Ok(Self {
-            offices,
+            controllers,
             couriers,
             verbose,
             all: all.collect(),
@@ -99,8 +99,8 @@
         let again = log
             .try_clone()
             .map_err(DepotError::system("a log can't be written"))?;
-        let program = if process.role == Role::Office {
-            &self.offices
+        let program = if process.role == Role::Controller {
+            &self.controllers
         } else {
             &self.couriers
         };
--- a/crates/rookpulley-devcluster/src/sheet.rs
+++ b/crates/rookpulley-devcluster/src/sheet.rs
@@ -16,16 +16,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Role {
     Courier,
-    Office,
+    Controller,
 }
 
 impl Role {
-    pub const ALL: [Role; 2] = [Role::Office, Role::Courier];
+    pub const ALL: [Role; 2] = [Role::Controller, Role::Courier];
 
     fn word(self) -> &'static str {
         match self {
             Role::Courier => "courier",
-            Role::Office => "office",
+            Role::Controller => "office",
         }
     }
 
@@ -50,7 +50,7 @@
                 },
             )
         }
-        Role::Office => (
+        Role::Controller => (
             "control_plane",
             Listen {
                 control: Some(ground.control(machine)),
@@ -69,7 +69,7 @@
         seeds: ground.controls(),
         first_start: first,
         loss_counted: true,
-        data: (role == Role::Office).then(|| ground.folder().join(format!("{name}.data"))),
+        data: (role == Role::Controller).then(|| ground.folder().join(format!("{name}.data"))),
         heartbeat_ms: HEARTBEAT_MS,
         zones: ZONES
             .iter()
--- a/crates/rookpulley-devcluster/src/task.rs
+++ b/crates/rookpulley-devcluster/src/task.rs
@@ -281,8 +281,8 @@
     _ = server.serve_connection(TokioIo::new(stream), service).await;
 }
 
-/// Runs a task: its server, and what it tells the offices.
-pub fn begin(task: &Rc<Task>, listener: TcpListener, offices: Vec<SocketAddrV4>) {
+/// Runs a task: its server, and what it tells the controllers.
+pub fn begin(task: &Rc<Task>, listener: TcpListener, controllers: Vec<SocketAddrV4>) {
     spawn_local(serve(task.clone(), listener));
-    spawn_local(crate::beats::live(task.clone(), offices));
+    spawn_local(crate::beats::live(task.clone(), controllers));
 }
--- a/crates/rookpulley-devcluster/src/trial.rs
+++ b/crates/rookpulley-devcluster/src/trial.rs
@@ -1,4 +1,4 @@
-//! A trial: clients and applications at work while an office is killed, a route added and a task drained.
+//! A trial: clients and applications at work while a controller is killed, a route added and a task drained.
 
 use crate::caller::once;
 use crate::clients::Clients;
@@ -51,7 +51,7 @@
     }
 }
 
-/// `machine`: whose office is killed.
+/// `machine`: whose controller is killed.
 pub async fn run(depot: &mut Depot, machine: usize) -> Result<Trial, DepotError> {
     let couriers = (0..MACHINES)
         .map(|machine| depot.ground.front(machine))
@@ -120,10 +120,10 @@
     clients: &Rc<Clients>,
     applications: &Rc<Applications>,
 ) -> Result<Moment, DepotError> {
-    let office = Role::Office.name(machine);
+    let controller = Role::Controller.name(machine);
     say(
         depot,
-        "requests go through all couriers, applications call all offices",
+        "requests go through all couriers, applications call all controllers",
     );
     let served = |courier: Option<usize>| {
         let tries = clients.tries.borrow();
@@ -151,9 +151,9 @@
         })
         .await?;
 
-    depot.processes.kill(&office).await;
+    depot.processes.kill(&controller).await;
     let killed = depot.record.now();
-    say(depot, &format!("{office} is killed"));
+    say(depot, &format!("{controller} is killed"));
     let numbered = async || {
         told.numbers
             .borrow()
@@ -161,12 +161,12 @@
             .any(|number| number.sent > killed)
     };
     depot
-        .wait("a number from the offices that are left", numbered)
+        .wait("a number from the controllers that are left", numbered)
         .await?;
     let waited = depot.record.now().saturating_sub(killed).as_millis();
     say(
         depot,
-        &format!("the offices that are left answer, {waited} ms later"),
+        &format!("the controllers that are left answer, {waited} ms later"),
     );
 
     depot.configure(SECOND).await?;
@@ -175,8 +175,8 @@
         depot,
         &format!("configuration {SECOND} is acknowledged by them"),
     );
-    depot.processes.start(&depot.ground, &office)?;
-    say(depot, &format!("{office} starts again"));
+    depot.processes.start(&depot.ground, &controller)?;
+    say(depot, &format!("{controller} starts again"));
     let (control, newest) = (
         depot.ground.control(machine),
         (200, Bytes::from(configuration(SECOND))),
@@ -184,11 +184,11 @@
     let knows = async || held_by(control).await.as_ref() == Some(&newest);
     depot
         .wait(
-            &format!("that {office} is back and knows configuration {SECOND}"),
+            &format!("that {controller} is back and knows configuration {SECOND}"),
             knows,
         )
         .await?;
-    say(depot, &format!("{office} is back and knows it"));
+    say(depot, &format!("{controller} is back and knows it"));
     depot
         .wait("the time by which the new route must hold", async || {
             record.now() > holds
@@ -258,20 +258,20 @@
     }
 }
 
-/// The status and configuration that an office gives back.
-async fn held_by(office: SocketAddrV4) -> Option<(u16, Bytes)> {
-    once(office, "GET", "/rookpulley/configuration", "", ANSWERS).await
+/// The status and configuration that a controller gives back.
+async fn held_by(controller: SocketAddrV4) -> Option<(u16, Bytes)> {
+    once(controller, "GET", "/rookpulley/configuration", "", ANSWERS).await
 }
 
-/// Every office must give back the newest configuration as it was sent.
+/// Every controller must give back the newest configuration as it was sent.
 async fn read_back(depot: &Depot) -> Check {
-    let mut check = Check::new("every office reads the newest configuration back");
+    let mut check = Check::new("every controller reads the newest configuration back");
     let sent = (200, Bytes::from(configuration(SECOND)));
-    for (machine, office) in depot.ground.controls().into_iter().enumerate() {
-        let held = held_by(office).await;
+    for (machine, controller) in depot.ground.controls().into_iter().enumerate() {
+        let held = held_by(controller).await;
         let status = held.as_ref().map(|(status, _)| *status);
         check.look(held.as_ref() == Some(&sent), || {
-            format!("{}: {status:?}", Role::Office.name(machine))
+            format!("{}: {status:?}", Role::Controller.name(machine))
         });
     }
     check
--- a/crates/rookpulley-devcluster/tests/trial.rs
+++ b/crates/rookpulley-devcluster/tests/trial.rs
@@ -1,4 +1,4 @@
-//! The command as users start it, with the offices and couriers of this very source.
+//! The command as users start it, with the controllers and couriers of this very source.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -39,11 +39,14 @@
             .arg(folder.parent().unwrap())
             .status()
             .unwrap();
-        assert!(done.success(), "the office and the courier can't be built");
+        assert!(
+            done.success(),
+            "the controller and the courier can't be built"
+        );
     });
 }
 
-/// The depot, with its folder in memory where this machine has a place for that: offices sync what they are told, and
+/// The depot, with its folder in memory where this machine has a place for that: controllers sync what they are told, and
 /// the verdict must not hang on how busy the disk is.
 fn depot() -> Command {
     let mounts = std::fs::read_to_string("/proc/self/mounts").unwrap_or_default();
--- a/crates/rookpulley-protocol/src/messages.rs
+++ b/crates/rookpulley-protocol/src/messages.rs
@@ -1,4 +1,4 @@
-//! The values that couriers and offices exchange.
+//! The values that couriers and controllers exchange.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
@@ -6,10 +6,10 @@
 /// The id of one life of a task.
 pub type Life = String;
 
-/// What a courier tells an office.
+/// What a courier tells a controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Up {
-    /// The first word on a connection. `home`: this office is asked to cut the courier's tables; `tables`: it holds
+    /// The first word on a connection. `home`: this controller is asked to cut the courier's tables; `tables`: it holds
     /// some already.
     Hello {
         node: String,
@@ -30,13 +30,13 @@
     Report(Report),
     /// The tables up to this mark are in use.
     Took { mark: u64 },
-    /// The first word of an office that has no disk, and where it hears other offices. It only passes calls on. It says
-    /// so again when the offices with a disk that it knows of have changed.
+    /// The first word of a controller that has no disk, and where it hears other controllers. It only passes calls on. It says
+    /// so again when the controllers with a disk that it knows of have changed.
     Annex {
         address: SocketAddrV4,
-        offices: Vec<SocketAddrV4>,
+        controllers: Vec<SocketAddrV4>,
     },
-    /// From the first seed, which has no disk: the office with this identity is to found the first view.
+    /// From the first seed, which has no disk: the controller with this identity is to found the first view.
     Found { id: u64 },
 }
 
@@ -64,15 +64,15 @@
     pub mean_ms: f32,
 }
 
-/// What an office tells a courier.
+/// What a controller tells a courier.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Down {
-    /// A few times a second. `in_touch`: this office stands in a view that is at work.
+    /// A few times a second. `in_touch`: this controller stands in a view that is at work.
     Pulse {
         in_touch: bool,
         config: u64,
         couriers: u32,
-        offices: Vec<SocketAddrV4>,
+        controllers: Vec<SocketAddrV4>,
     },
     /// The operator's bytes as they were sent, packed on those of another version; 0: on nothing.
     Config {
@@ -90,7 +90,7 @@
     },
     /// These lives drain or have ended: nothing new goes there from now on, whatever tables say.
     Gone { lives: Vec<Life> },
-    /// To an office without a disk, first: where this one is, its identity if it may found the first view, and
+    /// To a controller without a disk, first: where this one is, its identity if it may found the first view, and
     /// whether it knows of a view.
     Place {
         zone: String,
--- a/crates/rookpulley-protocol/src/pack.rs
+++ b/crates/rookpulley-protocol/src/pack.rs
@@ -4,7 +4,7 @@
 use zstd::bulk::{Compressor, Decompressor};
 use zstd::zstd_safe::CParameter;
 
-/// Higher levels cost an office more time than the bytes they save are worth.
+/// Higher levels cost a controller more time than the bytes they save are worth.
 const LEVEL: i32 = 3;
 /// The window of that level.
 const LEVEL_WINDOW: usize = 1 << 21;
--- a/crates/rookpulley-proxy-core/src/satchel.rs
+++ b/crates/rookpulley-proxy-core/src/satchel.rs
@@ -1,7 +1,7 @@
-//! What a courier holds: the configuration, tables and drains as offices tell them, and what pays for further tries.
+//! What a courier holds: the configuration, tables and drains as controllers tell them, and what pays for further tries.
 
 use crate::tally::Tally;
-use rookpulley_balancer::{Budget, Fleet, Move, Offices, Post};
+use rookpulley_balancer::{Budget, ControllerSelection, Fleet, Move, Post};
 use rookpulley_protocol::frame::LONGEST;
 use rookpulley_protocol::{Down, Life, Up, unpack};
 use rookpulley_routes::Book;
@@ -12,9 +12,9 @@
 /// What is to be done.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// A line to this office is to be kept until it is forgotten.
+    /// A line to this controller is to be kept until it is forgotten.
     Dial(Ipv4Addr),
-    /// To an office, on its line.
+    /// To a controller, on its line.
     Say(Ipv4Addr, Up),
     /// No connection to this life is to be used again.
     Forget(Life),
@@ -36,7 +36,7 @@
     budgets: HashMap<String, Budget>,
     fleet: Fleet,
     pub(crate) tally: Tally,
-    offices: Offices,
+    controllers: ControllerSelection,
     pub ending: bool,
     out: Vec<Effect>,
 }
@@ -62,7 +62,7 @@
             budgets: HashMap::new(),
             fleet: Fleet::default(),
             tally: Tally::default(),
-            offices: Offices::default(),
+            controllers: ControllerSelection::default(),
             ending: false,
             out: Vec::new(),
         }
@@ -124,26 +124,26 @@
         with(budget)
     }
 
-    // ---- offices ----------------------------------------------------------------------------
+    // ---- controllers ----------------------------------------------------------------------------
 
     pub fn set_seeds(&mut self, seeds: Vec<Ipv4Addr>) {
         self.seeds = seeds;
     }
 
-    /// The line to an office is over.
-    pub fn lost(&mut self, office: Ipv4Addr) {
-        self.offices.lost(office);
+    /// The line to a controller is over.
+    pub fn lost(&mut self, controller: Ipv4Addr) {
+        self.controllers.lost(controller);
     }
 
     pub fn home(&self) -> Option<Ipv4Addr> {
-        self.offices.home()
+        self.controllers.home()
     }
 
-    fn say(&mut self, office: Ipv4Addr, up: Up) {
-        self.out.push(Effect::Say(office, up));
+    fn say(&mut self, controller: Ipv4Addr, up: Up) {
+        self.out.push(Effect::Say(controller, up));
     }
 
-    /// What is due from time to time: lines to offices named anew, and another home where this one is no good.
+    /// What is due from time to time: lines to controllers named anew, and another home where this one is no good.
     pub fn tend(&mut self, now: f64) {
         self.seeds
             .clone()
@@ -159,47 +159,50 @@
         self.say(home, Up::Report(report));
     }
 
-    fn named(&mut self, now: f64, office: Ipv4Addr) {
-        if self.offices.named(now, office) {
-            self.out.push(Effect::Dial(office));
+    fn named(&mut self, now: f64, controller: Ipv4Addr) {
+        if self.controllers.named(now, controller) {
+            self.out.push(Effect::Dial(controller));
         }
     }
 
     /// True where nobody has named it for long: it need not be dialed again.
-    pub fn forgotten(&mut self, now: f64, office: Ipv4Addr) -> bool {
-        self.offices.forgotten(now, office)
+    pub fn forgotten(&mut self, now: f64, controller: Ipv4Addr) -> bool {
+        self.controllers.forgotten(now, controller)
     }
 
-    pub fn opened(&mut self, now: f64, office: Ipv4Addr) {
+    pub fn opened(&mut self, now: f64, controller: Ipv4Addr) {
         let hello = Up::Hello {
             node: self.name.clone(),
             zone: self.zone.clone(),
-            home: self.home() == Some(office),
+            home: self.home() == Some(controller),
             config: self.version(),
             tables: self.post.any(),
             gone: self.post.all_gone(),
         };
-        self.say(office, hello);
-        self.offices.connected(now, office);
+        self.say(controller, hello);
+        self.controllers.connected(now, controller);
     }
 
-    /// An office says something.
-    pub fn take(&mut self, now: f64, office: Ipv4Addr, down: Down) {
+    /// A controller says something.
+    pub fn take(&mut self, now: f64, controller: Ipv4Addr, down: Down) {
         match down {
             Down::Pulse {
                 in_touch,
                 config,
                 couriers,
-                offices,
+                controllers,
             } => {
                 let have = self.version();
-                if self.offices.pulse(now, office, in_touch, config, have) {
-                    self.say(office, Up::WantConfig { have });
+                if self
+                    .controllers
+                    .pulse(now, controller, in_touch, config, have)
+                {
+                    self.say(controller, Up::WantConfig { have });
                 }
                 if couriers > 0 {
                     self.take_couriers(now, couriers);
                 }
-                offices
+                controllers
                     .iter()
                     .for_each(|other| self.named(now, *other.ip()));
                 self.choose_home(now);
@@ -211,21 +214,21 @@
                 packed,
             } => {
                 if let Some(have) =
-                    self.take_configuration(office, version, (base, length as usize), &packed)
+                    self.take_configuration(controller, version, (base, length as usize), &packed)
                 {
-                    self.say(office, Up::WantConfig { have });
+                    self.say(controller, Up::WantConfig { have });
                 }
             }
-            // Another office than the home may still think that it is the home.
+            // Aother controller than the home may still think that it is the home.
             Down::Table {
                 service,
                 mark,
                 lines,
                 ..
-            } if self.home() == Some(office) => {
+            } if self.home() == Some(controller) => {
                 let left = self.post.table(&service, lines);
                 self.out.extend(left.into_iter().map(Effect::Forget));
-                self.say(office, Up::Took { mark });
+                self.say(controller, Up::Took { mark });
             }
             Down::Table { .. } | Down::Place { .. } => {}
             Down::Gone { lives } => {
@@ -238,7 +241,7 @@
     /// What is to be asked for instead, where it can't be used: something newer than that.
     fn take_configuration(
         &mut self,
-        office: Ipv4Addr,
+        controller: Ipv4Addr,
         version: u64,
         (base, length): (u64, usize),
         packed: &[u8],
@@ -259,7 +262,7 @@
             Ok(body) => body,
             Err(why) => {
                 let line = format!(
-                    "links: configuration {version} from {office} on {base} came to nothing: {why}"
+                    "links: configuration {version} from {controller} on {base} came to nothing: {why}"
                 );
                 self.out.push(Effect::Complain(line));
                 return (base != 0).then_some(0);
@@ -272,8 +275,9 @@
         match Book::read_after(&body, earlier) {
             Ok(book) => self.take_book(book, body),
             Err(faults) => {
-                let line =
-                    format!("links: configuration {version} from {office} can't be used: {faults}");
+                let line = format!(
+                    "links: configuration {version} from {controller} can't be used: {faults}"
+                );
                 self.out.push(Effect::Complain(line));
             }
         }
@@ -281,7 +285,7 @@
     }
 
     pub fn choose_home(&mut self, now: f64) {
-        let Some(Move { from, to }) = self.offices.choose(now) else {
+        let Some(Move { from, to }) = self.controllers.choose(now) else {
             return;
         };
         self.out
--- a/crates/rookpulley-proxy/src/lib.rs
+++ b/crates/rookpulley-proxy/src/lib.rs
@@ -1,6 +1,6 @@
-//! Carries requests from clients to tasks, by the tables and the configuration that offices tell.
+//! Carries requests from clients to tasks, by the tables and the configuration that controllers tell.
 //!
-//! `state` is what the parts share, `links` are the lines to offices. A request passes `listener`, `check`, `carry`
+//! `state` is what the parts share, `links` are the lines to controllers. A request passes `listener`, `check`, `carry`
 //! (its tries), `attempt` (one try) and `head` (what an answer is worth); `wires` keeps connections to tasks, `bodies`
 //! carries bytes both ways. `ear` stands between a client's connection and the parser, `sieve` between a task's and
 //! the parser, `span` tells both where a body ends. `ending` hears the platform, `readiness` tells it. What is decided, is decided in the satchel.
--- a/crates/rookpulley-proxy/src/state.rs
+++ b/crates/rookpulley-proxy/src/state.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use tokio::time::Instant;
 
-/// Descriptors for offices, listeners, the runtime, and those kept for files.
+/// Descriptors for controllers, listeners, the runtime, and those kept for files.
 const KEPT_FILES: u64 = 400;
 
 pub struct Courier {
@@ -84,8 +84,8 @@
 
     fn carry_out(self: &Rc<Self>, effect: Effect) {
         match effect {
-            Effect::Dial(office) => links::dial(self, office),
-            Effect::Say(office, up) => links::say(self, office, &up),
+            Effect::Dial(controller) => links::dial(self, controller),
+            Effect::Say(controller, up) => links::say(self, controller, &up),
             Effect::Forget(life) => self.wires.forget(&life),
             Effect::Log(line) => tracing::info!("{line}"),
             Effect::Complain(line) => tracing::warn!("{line}"),
