--- a/crates/rookpulley-proxy/tests/courier/homes.rs
+++ b/crates/rookpulley-proxy/tests/courier/homes.rs
@@ -1,4 +1,4 @@
-//! Which office a courier calls home.
+//! Which controller a courier calls home.
 
 use crate::scene::{Scene, good, play, request, status};
 use rookpulley_protocol::{Down, Line, Up};
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-struct Office {
+struct Controller {
     listener: TcpListener,
     outbox: Outbox,
     heard: mpsc::UnboundedReceiver<Up>,
@@ -37,11 +37,11 @@
     (open.recv().await.unwrap(), heard, line)
 }
 
-impl Office {
-    async fn new(listener: TcpListener) -> Office {
+impl Controller {
+    async fn new(listener: TcpListener) -> Controller {
         let (stream, _) = listener.accept().await.unwrap();
         let (outbox, heard, line) = open(stream).await;
-        Office {
+        Controller {
             listener,
             outbox,
             heard,
@@ -49,16 +49,16 @@
         }
     }
 
-    fn pulse(&self, offices: Vec<SocketAddrV4>) {
+    fn pulse(&self, controllers: Vec<SocketAddrV4>) {
         assert!(self.outbox.send(&Down::Pulse {
             in_touch: true,
             config: 0,
             couriers: 1,
-            offices
+            controllers
         }));
     }
 
-    /// Waits until the courier says whether this office is its home.
+    /// Waits until the courier says whether this controller is its home.
     async fn home(&mut self) -> bool {
         loop {
             match self.heard.recv().await.unwrap() {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn one_office_is_the_home_and_another_takes_its_place_when_it_is_lost() {
+fn one_controller_is_the_home_and_another_takes_its_place_when_it_is_lost() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -118,13 +118,13 @@
         let (_tell, signals) = Signals::by_hand();
         tokio::task::spawn_local(run(Courier::new(node), bound, None, signals));
 
-        // One office is a seed, the other is heard of from it.
-        let mut first = Office::new(first).await;
+        // One controller is a seed, the other is heard of from it.
+        let mut first = Controller::new(first).await;
         first.pulse(vec![SocketAddrV4::new([127, 0, 0, 3].into(), 9)]);
         assert!(first.home().await);
-        let mut second = Office::new(second).await;
+        let mut second = Controller::new(second).await;
         second.pulse(Vec::new());
-        // What another office than the home says of tables counts for nothing.
+        // What another controller than the home says of tables counts for nothing.
         second.table("s", 7);
         first.table("s", 8);
         assert_eq!(first.took().await, 8);
--- a/crates/rookpulley-proxy/tests/courier/main.rs
+++ b/crates/rookpulley-proxy/tests/courier/main.rs
@@ -1,4 +1,4 @@
-//! A courier on loopback: what clients, tasks and offices see of it.
+//! A courier on loopback: what clients, tasks and controllers see of it.
 
 mod clients;
 mod homes;
--- a/crates/rookpulley-proxy/tests/courier/scene/mod.rs
+++ b/crates/rookpulley-proxy/tests/courier/scene/mod.rs
@@ -1,4 +1,4 @@
-//! A courier on loopback between a stand-in office, stand-in tasks and a client that sends bytes.
+//! A courier on loopback between a stand-in controller, stand-in tasks and a client that sends bytes.
 
 use rookpulley_protocol::{Down, Line, Report, Up, pack};
 use rookpulley_proxy::{Bound, Courier, Signal, Signals, run};
@@ -61,7 +61,7 @@
     pub front: SocketAddr,
     pub readiness: SocketAddr,
     pub tell: mpsc::Sender<Signal>,
-    office: line::Outbox,
+    controller: line::Outbox,
     took: mpsc::UnboundedReceiver<u64>,
     reports: mpsc::UnboundedReceiver<Report>,
     asked: mpsc::UnboundedReceiver<u64>,
@@ -77,7 +77,7 @@
     r#""maxHeaderBytes":9000,"maxBodyBytes":300000,"headerTimeoutMs":3000,"idleTimeoutMs":15000"#;
 
 impl Scene {
-    /// A courier with one office; nothing is known to it yet.
+    /// A courier with one controller; nothing is known to it yet.
     pub async fn new(script: impl Fn(&Got) -> Act + 'static) -> Scene {
         Scene::with_files(1_000, script).await
     }
@@ -118,21 +118,21 @@
                 }
             },
         ));
-        let office = open.recv().await.unwrap();
+        let controller = open.recv().await.unwrap();
         let pulse = Down::Pulse {
             in_touch: true,
             config: 0,
             couriers: 1,
-            offices: Vec::new(),
+            controllers: Vec::new(),
         };
-        assert!(office.send(&pulse));
+        assert!(controller.send(&pulse));
         let got = Rc::default();
         let (script, limits) = (Rc::new(script), USUAL);
         Scene {
             front,
             readiness,
             tell,
-            office,
+            controller,
             took,
             reports,
             asked,
@@ -184,7 +184,7 @@
     /// Sends a configuration packed on the bytes of another version.
     pub fn configuration(&mut self, version: u64, base: u64, body: &[u8], on: &[u8]) {
         let (length, packed) = (body.len() as u32, pack(body, on).unwrap());
-        assert!(self.office.send(&Down::Config {
+        assert!(self.controller.send(&Down::Config {
             version,
             base,
             length,
@@ -206,7 +206,7 @@
             mark: self.mark,
             lines,
         };
-        assert!(self.office.send(&table));
+        assert!(self.controller.send(&table));
         assert_eq!(self.took.recv().await, Some(self.mark));
     }
 
@@ -219,12 +219,12 @@
             mark: self.mark,
             lines: Vec::new(),
         };
-        assert!(self.office.send(&table));
+        assert!(self.controller.send(&table));
         assert_eq!(self.took.recv().await, Some(self.mark));
     }
 
     pub async fn gone(&mut self, life: &str) {
-        assert!(self.office.send(&Down::Gone {
+        assert!(self.controller.send(&Down::Gone {
             lives: vec![life.into()]
         }));
         // What follows on the line is taken after it.
--- a/crates/rookpulley-registry/src/desk.rs
+++ b/crates/rookpulley-registry/src/desk.rs
@@ -1,4 +1,4 @@
-//! The desk: the couriers that call this office home, and a controller for each service.
+//! The desk: the couriers that call this controller home, and a controller for each service.
 
 use crate::hosted::{Hosted, Member};
 use crate::posted::hash_of;
@@ -128,7 +128,7 @@
         self.known = count;
     }
 
-    /// A courier calls this office home. `holds_tables`: it is not newly started.
+    /// A courier calls this controller home. `holds_tables`: it is not newly started.
     pub fn courier_in(
         &mut self,
         now: f64,
--- a/crates/rookpulley-registry/src/drains.rs
+++ b/crates/rookpulley-registry/src/drains.rs
@@ -12,7 +12,7 @@
 }
 
 /// A drain or an end may be acknowledged once as many others know as may be lost: then the word reaches every courier
-/// in touch, whatever becomes of this office.
+/// in touch, whatever becomes of this controller.
 pub struct Drains {
     losses: usize,
     asked: BTreeMap<u64, Asked>,
@@ -54,10 +54,10 @@
         wanted > 0
     }
 
-    /// Another office has it on its disk; true once that are enough.
-    pub fn took(&mut self, number: u64, office: u64) -> bool {
+    /// Aother controller has it on its disk; true once that are enough.
+    pub fn took(&mut self, number: u64, controller: u64) -> bool {
         self.asked.get_mut(&number).is_some_and(|asked| {
-            asked.by.insert(office);
+            asked.by.insert(controller);
             asked.by.len() >= asked.wanted
         })
     }
@@ -78,7 +78,7 @@
         assert!(!drains.ask(1, 0));
         assert!(drains.ask(2, 4));
         assert_eq!(
-            [7, 7, 8].map(|office| drains.took(2, office)),
+            [7, 7, 8].map(|controller| drains.took(2, controller)),
             [false, false, true]
         );
         drains.over(2);
--- a/crates/rookpulley-registry/src/editions.rs
+++ b/crates/rookpulley-registry/src/editions.rs
@@ -3,7 +3,7 @@
 use rookpulley_protocol::{Down, frame, pack};
 use std::collections::{BTreeMap, VecDeque};
 
-/// So many versions are remembered as what others differ from, and so many of their bytes. In a storm offices tell of
+/// So many versions are remembered as what others differ from, and so many of their bytes. In a storm controllers tell of
 /// different ones: what a courier has from one is to be known to another.
 const VERSIONS: usize = 24;
 const BYTES: usize = 4 << 20;
--- a/crates/rookpulley-registry/src/hosted.rs
+++ b/crates/rookpulley-registry/src/hosted.rs
@@ -25,7 +25,7 @@
 /// So many marks of one courier wait for its answer at most; the oldest are given up.
 const MARKS_MOST: usize = 64;
 
-/// A courier that calls this office home.
+/// A courier that calls this controller home.
 #[derive(Clone, Copy)]
 pub struct Member {
     pub proxy: ProxyId,
--- a/crates/rookpulley-registry/src/news.rs
+++ b/crates/rookpulley-registry/src/news.rs
@@ -1,10 +1,10 @@
-//! What offices tell each other of tasks.
+//! What controllers tell each other of tasks.
 
 use crate::beat::Beat;
 use rookpulley_protocol::Life;
 use serde::{Deserialize, Serialize};
 
-/// Ages instead of times: offices share no clock.
+/// Ages instead of times: controllers share no clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum News {
     Beat {
--- a/crates/rookpulley-registry/src/registry.rs
+++ b/crates/rookpulley-registry/src/registry.rs
@@ -1,7 +1,7 @@
-//! The lives of tasks, as beats and other offices tell of them.
+//! The lives of tasks, as beats and other controllers tell of them.
 //!
 //! What is kept of a life doesn't depend on the order in which its words came: the beat of the highest number, and
-//! draining or ended once and for all. So offices that have heard the same agree.
+//! draining or ended once and for all. So controllers that have heard the same agree.
 
 use crate::beat::{Beat, names_a_life};
 use crate::news::{News, Outcome, Still, Word};
@@ -14,7 +14,7 @@
 const SILENT_SLACK_MS: f64 = 500.0;
 /// After a start, or a pause of this process, so many heartbeats pass before silence means anything.
 const SETTLING_BEATS: f64 = 2.0;
-/// An office out of touch takes beats for so long; then tasks had better call another.
+/// A controller out of touch takes beats for so long; then tasks had better call another.
 const UNTOUCHED_MS: f64 = 1_500.0;
 /// Nobody turned the clock for so long: this process slept, and the tasks need not have been silent.
 const PAUSE_MS: f64 = 1_000.0;
@@ -44,7 +44,7 @@
     beat: Beat,
     heard_ms: f64,
     silent: bool,
-    /// It has beaten here, and the other offices don't know yet.
+    /// It has beaten here, and the other controllers don't know yet.
     fresh: bool,
 }
 
@@ -81,7 +81,7 @@
         now < self.settled_ms
     }
 
-    /// Whether this office is in touch with most of the others now.
+    /// Whether this controller is in touch with most of the others now.
     pub fn touch(&mut self, now: f64, in_touch: bool) {
         if in_touch || self.settling(now) {
             self.touched_ms = now;
@@ -108,7 +108,7 @@
         self.end(now, now, life)
     }
 
-    /// What another office says.
+    /// What another controller says.
     pub fn take_news(&mut self, now: f64, news: &News) -> Outcome {
         match news {
             News::Beat { beat, age_ms } => self.take_beat(now, now - age_ms, beat.clone(), false),
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Lives that a courier knows to be gone, from this or other offices. Gives those that are news here.
+    /// Lives that a courier knows to be gone, from this or other controllers. Gives those that are news here.
     pub fn take_gone(&mut self, now: f64, lives: &[Life]) -> Vec<Life> {
         lives
             .iter()
@@ -149,7 +149,7 @@
             .collect()
     }
 
-    /// All that an office has to know that has just come in touch.
+    /// All that a controller has to know that has just come in touch.
     pub fn all_news(&self, now: f64) -> Vec<News> {
         let beats = self.lives.values().map(|known| News::Beat {
             beat: known.beat.clone(),
--- a/crates/rookpulley-registry/src/roll.rs
+++ b/crates/rookpulley-registry/src/roll.rs
@@ -1,4 +1,4 @@
-//! The couriers of the whole system, as this office sees them come and go.
+//! The couriers of the whole system, as this controller sees them come and go.
 
 use std::collections::BTreeMap;
 
--- a/crates/rookpulley-registry/tests/registry.rs
+++ b/crates/rookpulley-registry/tests/registry.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 const HEARTBEAT_MS: f64 = 1_500.0;
-const OFFICES: usize = 3;
+const CONTROLLERS: usize = 3;
 const LIVES: usize = 8;
 
 fn beat(life: usize, sequence: u64, draining: bool) -> Beat {
@@ -47,16 +47,16 @@
 
 struct World {
     now: f64,
-    offices: Vec<Registry>,
+    controllers: Vec<Registry>,
     on_the_way: Vec<(usize, Way)>,
-    /// By office, the lives that it has been told drain or are gone.
+    /// By controller, the lives that it has been told drain or are gone.
     gone: Vec<BTreeSet<String>>,
 }
 
 impl World {
     fn deliver(&mut self, at: usize) {
         let (to, way) = self.on_the_way.swap_remove(at);
-        let (now, office) = (self.now, &mut self.offices[to]);
+        let (now, controller) = (self.now, &mut self.controllers[to]);
         let (
             life,
             Outcome {
@@ -66,10 +66,10 @@
         ) = match way {
             Way::Beat(beat) => {
                 let gone = beat.draining.then(|| beat.life.clone());
-                (gone, office.beat(now, beat))
+                (gone, controller.beat(now, beat))
             }
             Way::Leave(life) => {
-                let outcome = office.leave(now, &life);
+                let outcome = controller.leave(now, &life);
                 (Some(life), outcome)
             }
             Way::News(news, sent_ms) => {
@@ -78,7 +78,7 @@
                     News::Gone { life, .. } => Some(life.clone()),
                     News::Heard { .. } => None,
                 };
-                (gone, office.take_news(now, &aged(&news, now - sent_ms)))
+                (gone, controller.take_news(now, &aged(&news, now - sent_ms)))
             }
         };
         assert_eq!(
@@ -91,23 +91,23 @@
     }
 
     fn spread(&mut self, from: usize, news: &News) {
-        let others = (0..OFFICES).filter(|to| *to != from);
+        let others = (0..CONTROLLERS).filter(|to| *to != from);
         self.on_the_way
             .extend(others.map(|to| (to, Way::News(news.clone(), self.now))));
     }
 
     fn check(&self) {
-        for (office, gone) in self.offices.iter().zip(&self.gone) {
-            let listed = listed(office);
+        for (controller, gone) in self.controllers.iter().zip(&self.gone) {
+            let listed = listed(controller);
             assert!(
                 listed.is_disjoint(gone),
                 "a gone life is listed: {listed:?}, {gone:?}"
             );
-            let kept: BTreeSet<String> = office.gone_lives().into_iter().collect();
+            let kept: BTreeSet<String> = controller.gone_lives().into_iter().collect();
             assert_eq!(kept, *gone);
-            let places = office
+            let places = controller
                 .listed("a")
-                .chain(office.listed("b"))
+                .chain(controller.listed("b"))
                 .map(|beat| beat.address);
             assert_eq!(
                 places.collect::<BTreeSet<_>>().len(),
@@ -124,15 +124,15 @@
 }
 
 #[test]
-fn offices_that_heard_the_same_in_any_order_agree_and_list_no_gone_life() {
+fn controllers_that_heard_the_same_in_any_order_agree_and_list_no_gone_life() {
     plays_of(300, longer, |u| {
-        let offices = (0..OFFICES)
+        let controllers = (0..CONTROLLERS)
             .map(|_| Registry::new(0.0, HEARTBEAT_MS, 2_500.0))
             .collect();
-        let gone = vec![BTreeSet::new(); OFFICES];
+        let gone = vec![BTreeSet::new(); CONTROLLERS];
         let mut world = World {
             now: 0.0,
-            offices,
+            controllers,
             on_the_way: Vec::new(),
             gone,
         };
@@ -140,14 +140,14 @@
         for _ in 0..u.int_in_range(10..=120)? {
             world.now += f64::from(u.int_in_range(1..=400)?);
             let life = u.choose_index(LIVES)?;
-            let to = u.choose_index(OFFICES)?;
+            let to = u.choose_index(CONTROLLERS)?;
             match u.int_in_range(0..=9)? {
                 0 => draining[life] = true,
                 1 if sequence[life] > 0 => {
                     world.on_the_way.push((to, Way::Leave(format!("i-{life}"))))
                 }
                 2 => {
-                    let news = world.offices[to].fresh_news(world.now);
+                    let news = world.controllers[to].fresh_news(world.now);
                     news.iter().for_each(|news| world.spread(to, news));
                 }
                 3..=5 => {
@@ -164,19 +164,19 @@
             }
             let now = world.now;
             world
-                .offices
+                .controllers
                 .iter_mut()
-                .for_each(|office| _ = office.tick(now));
+                .for_each(|controller| _ = controller.tick(now));
             world.check();
         }
         while !world.on_the_way.is_empty() {
             let at = u.choose_index(world.on_the_way.len()).unwrap_or(0);
             world.deliver(at);
         }
-        for from in 0..OFFICES {
+        for from in 0..CONTROLLERS {
             let now = world.now;
-            let news = world.offices[from].fresh_news(now);
-            let all = world.offices[from].all_news(now);
+            let news = world.controllers[from].fresh_news(now);
+            let all = world.controllers[from].all_news(now);
             news.iter()
                 .chain(&all)
                 .for_each(|news| world.spread(from, news));
@@ -186,59 +186,59 @@
         }
         let now = world.now;
         world
-            .offices
+            .controllers
             .iter_mut()
-            .for_each(|office| _ = office.tick(now));
+            .for_each(|controller| _ = controller.tick(now));
         world.check();
-        assert_eq!(listed(&world.offices[0]), listed(&world.offices[1]));
-        assert_eq!(listed(&world.offices[0]), listed(&world.offices[2]));
+        assert_eq!(listed(&world.controllers[0]), listed(&world.controllers[1]));
+        assert_eq!(listed(&world.controllers[0]), listed(&world.controllers[2]));
         Ok(())
     });
 }
 
 #[test]
 fn a_silent_life_leaves_and_comes_back_and_nobody_is_silent_to_one_that_settles_or_slept() {
-    let mut office = Registry::new(0.0, HEARTBEAT_MS, 2_500.0);
+    let mut controller = Registry::new(0.0, HEARTBEAT_MS, 2_500.0);
     let old = News::Beat {
         beat: beat(1, 1, false),
         age_ms: 9_000.0,
     };
-    assert!(matches!(office.take_news(0.0, &old).word, Word::Now(_)));
-    let pass = |office: &mut Registry, from: u32, to: u32| {
+    assert!(matches!(controller.take_news(0.0, &old).word, Word::Now(_)));
+    let pass = |controller: &mut Registry, from: u32, to: u32| {
         (from..to)
             .step_by(100)
-            .flat_map(|at| office.tick(f64::from(at)))
+            .flat_map(|at| controller.tick(f64::from(at)))
             .collect::<Vec<_>>()
     };
-    assert_eq!(pass(&mut office, 100, 3_000), [""; 0]);
-    assert!(office.settling(2_999.0) && listed(&office).len() == 1);
-    assert_eq!(pass(&mut office, 3_000, 3_200), ["i-1"]);
-    assert_eq!(office.standing("i-1"), Standing::Silent);
+    assert_eq!(pass(&mut controller, 100, 3_000), [""; 0]);
+    assert!(controller.settling(2_999.0) && listed(&controller).len() == 1);
+    assert_eq!(pass(&mut controller, 3_000, 3_200), ["i-1"]);
+    assert_eq!(controller.standing("i-1"), Standing::Silent);
     assert!(matches!(
-        office.beat(3_200.0, beat(1, 2, false)).word,
+        controller.beat(3_200.0, beat(1, 2, false)).word,
         Word::Now(_)
     ));
-    assert_eq!(listed(&office).len(), 1);
-    assert_eq!(pass(&mut office, 3_300, 8_200), [""; 0]);
+    assert_eq!(listed(&controller).len(), 1);
+    assert_eq!(pass(&mut controller, 3_300, 8_200), [""; 0]);
     // It sleeps, and the beats of that time wait for it.
-    assert_eq!(office.tick(12_000.0), [""; 0]);
-    assert!(office.settling(12_000.0));
-    assert_eq!(pass(&mut office, 12_100, 15_000), [""; 0]);
-    assert_eq!(pass(&mut office, 15_000, 15_200), ["i-1"]);
+    assert_eq!(controller.tick(12_000.0), [""; 0]);
+    assert!(controller.settling(12_000.0));
+    assert_eq!(pass(&mut controller, 12_100, 15_000), [""; 0]);
+    assert_eq!(pass(&mut controller, 15_000, 15_200), ["i-1"]);
 }
 
 #[test]
-fn what_a_courier_knows_to_be_gone_is_never_listed_by_an_office_that_starts_anew() {
-    let mut office = Registry::new(0.0, HEARTBEAT_MS, 2_500.0);
+fn what_a_courier_knows_to_be_gone_is_never_listed_by_an_controller_that_starts_anew() {
+    let mut controller = Registry::new(0.0, HEARTBEAT_MS, 2_500.0);
     let gone = ["i-1".to_string(), "i-2".to_string()];
-    assert_eq!(office.take_gone(0.0, &gone), gone);
-    assert_eq!(office.take_gone(1.0, &gone), [""; 0]);
-    assert_eq!(office.beat(2.0, beat(1, 7, false)).word, Word::Late);
-    assert!(listed(&office).is_empty());
+    assert_eq!(controller.take_gone(0.0, &gone), gone);
+    assert_eq!(controller.take_gone(1.0, &gone), [""; 0]);
+    assert_eq!(controller.beat(2.0, beat(1, 7, false)).word, Word::Late);
+    assert!(listed(&controller).is_empty());
 }
 
 #[test]
-fn an_office_out_of_touch_takes_beats_only_for_a_while_after_it_has_settled() {
+fn an_controller_out_of_touch_takes_beats_only_for_a_while_after_it_has_settled() {
     let mut registry = Registry::new(0.0, 1_000.0, 2_500.0);
     registry.touch(1_900.0, false);
     assert!(registry.takes_beats(3_400.0));
--- a/crates/rookpulley-scale/src/hollow_proxy.rs
+++ b/crates/rookpulley-scale/src/hollow_proxy.rs
@@ -1,7 +1,7 @@
 //! Proxies that carry nothing: each keeps a line to every controller, chooses its primary, takes tables, drains and
 //! configurations and acknowledges and reports as a real one does. What it is sent is counted, and then dropped.
 
-use rookpulley_balancer::Offices;
+use rookpulley_balancer::ControllerSelection;
 use rookpulley_protocol::{Down, Frames, Report, ServiceReport, Up, frame};
 use rookpulley_runtime::line;
 use std::cell::{Cell, RefCell};
@@ -41,7 +41,7 @@
 struct Hollow {
     name: String,
     zone: String,
-    controllers: RefCell<Offices>,
+    controllers: RefCell<ControllerSelection>,
     lines: RefCell<BTreeMap<Ipv4Addr, mpsc::UnboundedSender<Vec<u8>>>>,
     version: Cell<u64>,
     tables: Cell<bool>,
@@ -198,7 +198,7 @@
             Down::Pulse {
                 in_touch,
                 config,
-                offices,
+                controllers,
                 ..
             } => {
                 let (now, have) = (self.now_ms(), self.version.get());
@@ -209,7 +209,7 @@
                 {
                     self.say(from, &Up::WantConfig { have });
                 }
-                offices.iter().for_each(|other| self.named(*other.ip()));
+                controllers.iter().for_each(|other| self.named(*other.ip()));
                 self.choose();
             }
             Down::Config { version, .. } if version > self.version.get() => {
--- a/crates/rookpulley-settings/src/node.rs
+++ b/crates/rookpulley-settings/src/node.rs
@@ -39,7 +39,7 @@
         self.serves.iter().any(|one| one == whom)
     }
 
-    /// Where this machine's office hears the other programs of ours.
+    /// Where this machine's controller hears the other programs of ours.
     pub fn inner_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip, self.inner_ports.0)
     }
--- a/crates/rookpulley-simulator/src/annexes.rs
+++ b/crates/rookpulley-simulator/src/annexes.rs
@@ -1,4 +1,4 @@
-//! The office of a machine without a disk: the clerk's annex with simulated lines and callers round it.
+//! The controller of a machine without a disk: the controller's annex with simulated lines and callers round it.
 
 use crate::net::unframed;
 use crate::world::{Core, What, World};
@@ -44,7 +44,7 @@
                 dialers: BTreeMap::new(),
             }),
         );
-        self.say(|| format!("office {machine}: begins, without a disk"));
+        self.say(|| format!("controller {machine}: begins, without a disk"));
         self.after(TICK, self.address(process), What::Tick);
         self.with_annex(process, |_, _| ());
     }
@@ -98,7 +98,7 @@
             AnnexEffect::Down { line, frame } => self.send_line(line, 1, frame),
             AnnexEffect::Log(line) => {
                 let machine = self.processes[process].machine;
-                self.say(|| format!("office {machine}: {line}"));
+                self.say(|| format!("controller {machine}: {line}"));
             }
         }
     }
--- a/crates/rookpulley-simulator/src/callers.rs
+++ b/crates/rookpulley-simulator/src/callers.rs
@@ -1,4 +1,4 @@
-//! Calls from outside to offices: who gets no clear answer goes to another one, with the same call.
+//! Calls from outside to controllers: who gets no clear answer goes to another one, with the same call.
 
 use crate::net::Host;
 use crate::world::{What, World};
@@ -92,7 +92,7 @@
         call
     }
 
-    /// The list that callers choose from: machines with an office, up or not.
+    /// The list that callers choose from: machines with a controller, up or not.
     pub fn callable(&self) -> Vec<usize> {
         let serves = |m: &usize| self.machines[*m].core || self.machines[*m].annex;
         (0..self.machines.len())
@@ -172,7 +172,7 @@
         }
     }
 
-    /// An office without a disk names another one; that is followed at once.
+    /// A controller without a disk names another one; that is followed at once.
     pub fn redirected(&mut self, call: u64, attempt: u32, machine: usize) {
         if let Some(of) = self.calls.get_mut(&call).filter(|of| of.attempt == attempt) {
             of.machine = machine;
@@ -203,7 +203,7 @@
         }
     }
 
-    /// To another office after a pause that grows, or given up.
+    /// To another controller after a pause that grows, or given up.
     fn unanswered(&mut self, call: u64, unclear: bool) {
         let core = self.callable();
         let now = self.now;
--- a/crates/rookpulley-simulator/src/offices.rs
+++ b/crates/rookpulley-simulator/src/controllers.rs
@@ -1,4 +1,4 @@
-//! An office's process: the clerk with a simulated store, lines and callers round it.
+//! A controller's process: the controller with a simulated store, lines and callers round it.
 
 use crate::net::unframed;
 use crate::world::{Core, Mutation, What, World};
@@ -32,11 +32,11 @@
     dials: bool,
 }
 
-pub struct OfficeProcess {
-    office: Controller,
+pub struct ControllerProcess {
+    controller: Controller,
     round: u64,
     dialers: BTreeMap<Ipv4Addr, Dialer>,
-    /// Lines of couriers by the office's number for them.
+    /// Lines of couriers by the controller's number for them.
     couriers: BTreeMap<u64, u64>,
     /// Calls by their tokens.
     calls: BTreeMap<u64, (u64, u32)>,
@@ -62,7 +62,7 @@
             .collect()
     }
 
-    pub fn start_office(&mut self, machine: usize, first: bool) {
+    pub fn start_controller(&mut self, machine: usize, first: bool) {
         let process = self.process_of(machine, true);
         if self.running(process) {
             return;
@@ -95,12 +95,12 @@
             lives: at.disk.lives.clone().into_iter().collect(),
         };
         if torn {
-            self.say(|| format!("office {machine}: its disk is torn"));
+            self.say(|| format!("controller {machine}: its disk is torn"));
             self.record
-                .fault(format!("the disk of office {machine} is torn"));
+                .fault(format!("the disk of controller {machine} is torn"));
         }
-        let office = OfficeProcess {
-            office: Controller::new(start),
+        let controller = ControllerProcess {
+            controller: Controller::new(start),
             round: 0,
             dialers: BTreeMap::new(),
             couriers: BTreeMap::new(),
@@ -108,42 +108,42 @@
             leaves: None,
             deaf: false,
         };
-        self.begin(process, Core::Office(office));
-        self.say(|| format!("office {machine}: begins, {identity:x}"));
+        self.begin(process, Core::Controller(controller));
+        self.say(|| format!("controller {machine}: begins, {identity:x}"));
         self.after(TICK, self.address(process), What::Tick);
-        self.with_office(process, |_, _| ());
+        self.with_controller(process, |_, _| ());
     }
 
-    fn office(&mut self, process: usize) -> Option<&mut OfficeProcess> {
+    fn controller(&mut self, process: usize) -> Option<&mut ControllerProcess> {
         match self.processes.get_mut(process)?.core.as_mut()? {
-            Core::Office(office) => Some(office),
+            Core::Controller(controller) => Some(controller),
             _ => None,
         }
     }
 
-    /// Something comes in; what the clerk wants is carried out.
-    fn with_office<T>(
+    /// Something comes in; what the controller wants is carried out.
+    fn with_controller<T>(
         &mut self,
         process: usize,
         input: impl FnOnce(&mut Controller, f64) -> T,
     ) -> Option<T> {
         let clock = self.clock(process);
-        let office = self.office(process)?;
-        let came = input(&mut office.office, clock);
-        let effects = office.office.effects();
+        let controller = self.controller(process)?;
+        let came = input(&mut controller.controller, clock);
+        let effects = controller.controller.effects();
         for effect in effects {
-            self.office_wants(process, effect);
+            self.controller_wants(process, effect);
         }
         Some(came)
     }
 
-    fn office_wants(&mut self, process: usize, effect: Effect) {
+    fn controller_wants(&mut self, process: usize, effect: Effect) {
         let me = self.address(process);
         let machine = self.processes[process].machine;
         match effect {
             Effect::Dial(ip) => {
-                if let Some(office) = self.office(process) {
-                    office.dialers.insert(
+                if let Some(controller) = self.controller(process) {
+                    controller.dialers.insert(
                         ip,
                         Dialer {
                             line: None,
@@ -156,8 +156,8 @@
             }
             Effect::Spoke(ip) => {
                 let waits = self
-                    .office(process)
-                    .and_then(|office| office.dialers.get_mut(&ip));
+                    .controller(process)
+                    .and_then(|controller| controller.dialers.get_mut(&ip));
                 if let Some(dialer) = waits.filter(|dialer| dialer.line.is_none() && !dialer.dials)
                 {
                     (dialer.pause, dialer.dials) = (AGAIN_FIRST, true);
@@ -166,15 +166,15 @@
             }
             Effect::Word { to, frame } => {
                 let line = self
-                    .office(process)
-                    .and_then(|office| office.dialers.get(&to)?.line);
+                    .controller(process)
+                    .and_then(|controller| controller.dialers.get(&to)?.line);
                 line.into_iter()
                     .for_each(|line| self.send_line(line, 0, frame.clone()));
             }
             Effect::Down { line, frame } => {
                 let line = self
-                    .office(process)
-                    .and_then(|office| office.couriers.get(&line).copied());
+                    .controller(process)
+                    .and_then(|controller| controller.couriers.get(&line).copied());
                 line.into_iter()
                     .for_each(|line| self.send_line(line, 1, frame.clone()));
             }
@@ -182,16 +182,16 @@
             Effect::Note { ticket, records } => self.write(process, false, ticket, records),
             Effect::Reply { token, reply } => {
                 let call = self
-                    .office(process)
-                    .and_then(|office| office.calls.remove(&token));
+                    .controller(process)
+                    .and_then(|controller| controller.calls.remove(&token));
                 if let Some((call, attempt)) = call {
                     self.reply(process, call, attempt, reply);
                 }
             }
             Effect::Spoilt => {
-                self.say(|| format!("office {machine}: its copy is spoilt"));
+                self.say(|| format!("controller {machine}: its copy is spoilt"));
                 self.record
-                    .fault(format!("office {machine} gives its disk up"));
+                    .fault(format!("controller {machine} gives its disk up"));
                 self.stop(process, false);
                 self.machines[machine].disk.wipe();
                 self.after(
@@ -199,13 +199,13 @@
                     None,
                     What::Start {
                         machine,
-                        office: true,
+                        controller: true,
                         courier: false,
                     },
                 );
             }
             Effect::Log(line) | Effect::Complain(line) => {
-                self.say(|| format!("office {machine}: {line}"))
+                self.say(|| format!("controller {machine}: {line}"))
             }
         }
     }
@@ -247,33 +247,33 @@
         );
     }
 
-    pub fn office_takes(&mut self, process: usize, what: What) {
+    pub fn controller_takes(&mut self, process: usize, what: What) {
         let me = self.address(process);
         match what {
             What::Tick => {
-                let round = self.office(process).map_or(0, |office| {
-                    office.round += 1;
-                    office.round - 1
+                let round = self.controller(process).map_or(0, |controller| {
+                    controller.round += 1;
+                    controller.round - 1
                 });
                 self.after(TICK, me, What::Tick);
-                self.with_office(process, |office, now| office.tick(now, round));
+                self.with_controller(process, |controller, now| controller.tick(now, round));
             }
             What::Dial(ip)
                 if self
-                    .office(process)
-                    .is_some_and(|office| office.dialers.contains_key(&ip)) =>
+                    .controller(process)
+                    .is_some_and(|controller| controller.dialers.contains_key(&ip)) =>
             {
                 self.dial(process, ip, DIAL_WITHIN);
             }
-            What::Dialed { ip, up } => self.office_dialed(process, ip, up),
+            What::Dialed { ip, up } => self.controller_dialed(process, ip, up),
             What::Line { line, side, bytes } => {
                 if let Some(bytes) = self.heard_line(line, side, bytes) {
-                    self.office_hears(process, line, &bytes);
+                    self.controller_hears(process, line, &bytes);
                 }
             }
-            What::LineEnd { line, side } => self.office_line_ends(process, line, side, false),
+            What::LineEnd { line, side } => self.controller_line_ends(process, line, side, false),
             What::LineCheck { line, side } if self.check_line(line, side) => {
-                self.office_line_ends(process, line, side, true);
+                self.controller_line_ends(process, line, side, true);
             }
             What::Synced => {
                 let (machine, now) = (self.processes[process].machine, self.now);
@@ -284,8 +284,8 @@
                 }
                 if let Some(synced) = synced.filter(|_| !lies) {
                     let took_ms = synced.took as f64 / 1e3;
-                    self.with_office(process, |office, now| {
-                        office.stored(now, synced.chain, synced.lives, took_ms);
+                    self.with_controller(process, |controller, now| {
+                        controller.stored(now, synced.chain, synced.lives, took_ms);
                     });
                 }
             }
@@ -295,15 +295,17 @@
                 } else {
                     (None, Some(ticket))
                 };
-                self.with_office(process, |office, now| office.stored(now, chain, lives, 1.0));
+                self.with_controller(process, |controller, now| {
+                    controller.stored(now, chain, lives, 1.0)
+                });
             }
-            What::Call { call, attempt } => self.office_called(process, call, attempt),
+            What::Call { call, attempt } => self.controller_called(process, call, attempt),
             What::Leaving => self.leaving(process),
             _ => {}
         }
     }
 
-    fn office_dialed(&mut self, process: usize, ip: Ipv4Addr, up: bool) {
+    fn controller_dialed(&mut self, process: usize, ip: Ipv4Addr, up: bool) {
         let Some(me) = self.address(process) else {
             return;
         };
@@ -313,36 +315,38 @@
         let there = there.and_then(|there| self.address(there)).filter(|_| up);
         let Some(there) = there else {
             let Some(dialer) = self
-                .office(process)
-                .and_then(|office| office.dialers.get_mut(&ip))
+                .controller(process)
+                .and_then(|controller| controller.dialers.get_mut(&ip))
             else {
                 return;
             };
             dialer.pause = (dialer.pause * 2).min(AGAIN_MOST);
-            return self.office_dials_again(process, ip);
+            return self.controller_dials_again(process, ip);
         };
         let line = self.open_line(me, there, [false, true]);
         if let Some(dialer) = self
-            .office(process)
-            .and_then(|office| office.dialers.get_mut(&ip))
+            .controller(process)
+            .and_then(|controller| controller.dialers.get_mut(&ip))
         {
             (dialer.line, dialer.pause, dialer.dials) = (Some(line), AGAIN_FIRST, false);
         }
-        self.with_office(process, |office, now| office.dialed(now, ip));
+        self.with_controller(process, |controller, now| controller.dialed(now, ip));
     }
 
-    fn office_dials_again(&mut self, process: usize, ip: Ipv4Addr) {
+    fn controller_dials_again(&mut self, process: usize, ip: Ipv4Addr) {
         let me = self.address(process);
-        if self.with_office(process, |office, now| office.still_known(now, ip)) != Some(true) {
-            self.office(process)
+        if self.with_controller(process, |controller, now| controller.still_known(now, ip))
+            != Some(true)
+        {
+            self.controller(process)
                 .into_iter()
-                .for_each(|office| _ = office.dialers.remove(&ip));
-            self.with_office(process, |office, _| office.forget(ip));
+                .for_each(|controller| _ = controller.dialers.remove(&ip));
+            self.with_controller(process, |controller, _| controller.forget(ip));
             return;
         }
         let Some(dialer) = self
-            .office(process)
-            .and_then(|office| office.dialers.get_mut(&ip))
+            .controller(process)
+            .and_then(|controller| controller.dialers.get_mut(&ip))
         else {
             return;
         };
@@ -351,7 +355,7 @@
         self.after(pause, me, What::Dial(ip));
     }
 
-    fn office_hears(&mut self, process: usize, line: u64, bytes: &[u8]) {
+    fn controller_hears(&mut self, process: usize, line: u64, bytes: &[u8]) {
         let Some(of) = self.lines.get(&line) else {
             return;
         };
@@ -360,7 +364,9 @@
                 return;
             };
             let mut who = of.who;
-            self.with_office(process, |office, now| office.word(now, &mut who, word));
+            self.with_controller(process, |controller, now| {
+                controller.word(now, &mut who, word)
+            });
             self.lines
                 .get_mut(&line)
                 .into_iter()
@@ -382,42 +388,61 @@
                 },
                 None,
             ) => {
-                let Some(number) = self.with_office(process, |office, _| office.number()) else {
+                let Some(number) =
+                    self.with_controller(process, |controller, _| controller.number())
+                else {
                     return;
                 };
-                self.office(process)
+                self.controller(process)
                     .into_iter()
-                    .for_each(|office| _ = office.couriers.insert(number, line));
+                    .for_each(|controller| _ = controller.couriers.insert(number, line));
                 self.lines
                     .get_mut(&line)
                     .into_iter()
                     .for_each(|of| of.courier = Some((node.clone(), number)));
-                self.with_office(process, |office, now| {
-                    office.courier_in(now, number, (&node, &zone), home, (config, tables), &gone);
+                self.with_controller(process, |controller, now| {
+                    controller.courier_in(
+                        now,
+                        number,
+                        (&node, &zone),
+                        home,
+                        (config, tables),
+                        &gone,
+                    );
                 });
             }
-            (Up::Annex { address, offices }, None) => {
-                let Some(number) = self.with_office(process, |office, _| office.number()) else {
+            (
+                Up::Annex {
+                    address,
+                    controllers,
+                },
+                None,
+            ) => {
+                let Some(number) =
+                    self.with_controller(process, |controller, _| controller.number())
+                else {
                     return;
                 };
-                self.office(process)
+                self.controller(process)
                     .into_iter()
-                    .for_each(|office| _ = office.couriers.insert(number, line));
+                    .for_each(|controller| _ = controller.couriers.insert(number, line));
                 let name = Some((address.ip().to_string(), number));
                 self.lines
                     .get_mut(&line)
                     .into_iter()
                     .for_each(|of| of.courier = name.clone());
-                self.with_office(process, |office, now| {
-                    office.annex_in(now, number, address, &offices)
+                self.with_controller(process, |controller, now| {
+                    controller.annex_in(now, number, address, &controllers)
                 });
             }
             (up @ (Up::Annex { .. } | Up::Found { .. }), Some((_, number))) => {
-                self.with_office(process, |office, now| office.annex_said(now, number, &up));
+                self.with_controller(process, |controller, now| {
+                    controller.annex_said(now, number, &up)
+                });
             }
             (up, Some((node, number))) => {
-                self.with_office(process, |office, now| {
-                    office.courier_said(now, &node, number, up)
+                self.with_controller(process, |controller, now| {
+                    controller.courier_said(now, &node, number, up)
                 });
             }
             _ => {}
@@ -425,7 +450,7 @@
     }
 
     /// `own`: this side ends it.
-    fn office_line_ends(&mut self, process: usize, line: u64, side: usize, own: bool) {
+    fn controller_line_ends(&mut self, process: usize, line: u64, side: usize, own: bool) {
         let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else {
             return;
         };
@@ -434,31 +459,34 @@
         if side == 0 {
             let ip = self.machines[self.processes[other].machine].ip;
             if let Some(dialer) = self
-                .office(process)
-                .and_then(|office| office.dialers.get_mut(&ip))
+                .controller(process)
+                .and_then(|controller| controller.dialers.get_mut(&ip))
             {
                 dialer.line = None;
             }
-            self.with_office(process, |office, _| office.hung_up(ip));
-            return self.office_dials_again(process, ip);
+            self.with_controller(process, |controller, _| controller.hung_up(ip));
+            return self.controller_dials_again(process, ip);
         }
         if let Some((node, number)) = courier {
-            self.office(process)
+            self.controller(process)
                 .into_iter()
-                .for_each(|office| _ = office.couriers.remove(&number));
-            self.with_office(process, |office, now| {
-                office.courier_out(now, &node, number);
-                office.annex_out(now, number);
+                .for_each(|controller| _ = controller.couriers.remove(&number));
+            self.with_controller(process, |controller, now| {
+                controller.courier_out(now, &node, number);
+                controller.annex_out(now, number);
             });
         } else if let Some(id) = who {
-            self.with_office(process, |office, now| office.line_ended(now, id));
+            self.with_controller(process, |controller, now| controller.line_ended(now, id));
         }
     }
 
     // ---- callers ----------------------------------------------------------------------------
 
-    fn office_called(&mut self, process: usize, call: u64, attempt: u32) {
-        if self.office(process).is_none_or(|office| office.deaf) {
+    fn controller_called(&mut self, process: usize, call: u64, attempt: u32) {
+        if self
+            .controller(process)
+            .is_none_or(|controller| controller.deaf)
+        {
             return self.call_not_heard(process, call, attempt);
         }
         let Some(of) = self.calls.get(&call) else {
@@ -473,8 +501,8 @@
                 .map(|(_, value)| value.as_str())
         };
         let held = self
-            .office(process)
-            .and_then(|of| of.office.configuration());
+            .controller(process)
+            .and_then(|of| of.controller.configuration());
         let wants = read(path, &name, body.clone(), value, held);
         let wants = match wants {
             Ok(wants) => self.mutated(wants),
@@ -503,13 +531,15 @@
             let reply = self.read_alone(process, name);
             return self.reply(process, call, attempt, reply);
         }
-        let Some(token) = self.with_office(process, |office, _| office.number()) else {
+        let Some(token) = self.with_controller(process, |controller, _| controller.number()) else {
             return;
         };
-        self.office(process)
+        self.controller(process)
             .into_iter()
-            .for_each(|office| _ = office.calls.insert(token, (call, attempt)));
-        self.with_office(process, |office, now| office.call(now, token, wants));
+            .for_each(|controller| _ = controller.calls.insert(token, (call, attempt)));
+        self.with_controller(process, |controller, now| {
+            controller.call(now, token, wants)
+        });
     }
 
     fn mutated(&self, wants: Wants) -> Wants {
@@ -532,16 +562,16 @@
             return false;
         };
         let held = self
-            .office(process)
-            .map_or(0, |of| of.office.chain.state().ledger.version());
+            .controller(process)
+            .map_or(0, |of| of.controller.chain.state().ledger.version());
         *version <= held
     }
 
     fn read_alone(&mut self, process: usize, name: &str) -> Reply {
         let ask = Ask::Cell { name: name.into() };
         let answer = self
-            .office(process)
-            .map(|office| office.office.chain.state().ledger.read(&ask));
+            .controller(process)
+            .map(|controller| controller.controller.chain.state().ledger.read(&ask));
         let (status, content) = match answer {
             Some(Answer::Cell { value, revision }) => {
                 let fields = HashMap::from([
@@ -561,16 +591,16 @@
 
     // ---- its end ----------------------------------------------------------------------------
 
-    pub fn term_office(&mut self, process: usize) {
+    pub fn term_controller(&mut self, process: usize) {
         let (me, now) = (self.address(process), self.now);
         if self.machines[self.processes[process].machine].annex {
             return self.after(LOOK_AGAIN, me, What::Leaving);
         }
-        if let Some(office) = self.office(process)
-            && office.leaves.is_none()
+        if let Some(controller) = self.controller(process)
+            && controller.leaves.is_none()
         {
-            office.leaves = Some(now);
-            self.with_office(process, |office, _| office.end());
+            controller.leaves = Some(now);
+            self.with_controller(process, |controller, _| controller.end());
             self.after(0, me, What::Leaving);
         }
     }
@@ -578,35 +608,40 @@
     /// As the program does: the chain is left first, then calls at work are answered.
     fn leaving(&mut self, process: usize) {
         let (me, now) = (self.address(process), self.now);
-        let Some(since) = self.office(process).and_then(|office| office.leaves) else {
+        let Some(since) = self
+            .controller(process)
+            .and_then(|controller| controller.leaves)
+        else {
             return;
         };
-        let deaf = self.office(process).is_some_and(|office| office.deaf);
+        let deaf = self
+            .controller(process)
+            .is_some_and(|controller| controller.deaf);
         if !deaf {
-            let left = self.with_office(process, Controller::left_the_chain) == Some(true);
+            let left = self.with_controller(process, Controller::left_the_chain) == Some(true);
             if left || now - since >= LEAVE_WITHIN {
-                self.office(process)
+                self.controller(process)
                     .into_iter()
-                    .for_each(|office| office.deaf = true);
+                    .for_each(|controller| controller.deaf = true);
             }
             return self.after(LOOK_AGAIN, me, What::Leaving);
         }
         let calm = self
-            .office(process)
-            .is_none_or(|office| office.calls.is_empty());
+            .controller(process)
+            .is_none_or(|controller| controller.calls.is_empty());
         if calm || now - since >= LEAVE_WITHIN + 2 * S {
             return self.stop(process, false);
         }
         self.after(LOOK_AGAIN, me, What::Leaving);
     }
 
-    /// Callers of an office that is gone hear its connections end, if anything.
-    pub fn office_ended(&mut self, machine: usize, office: OfficeProcess, quiet: bool) {
+    /// Callers of a controller that is gone hear its connections end, if anything.
+    pub fn controller_ended(&mut self, machine: usize, controller: ControllerProcess, quiet: bool) {
         if quiet {
             return;
         }
         let from = crate::net::Host::Machine(machine);
-        for (call, attempt) in office.calls.into_values() {
+        for (call, attempt) in controller.calls.into_values() {
             let to = self.caller_host(call);
             self.post(
                 from,
--- a/crates/rookpulley-simulator/src/couriers.rs
+++ b/crates/rookpulley-simulator/src/couriers.rs
@@ -327,7 +327,7 @@
         }
     }
 
-    // ---- offices ----------------------------------------------------------------------------
+    // ---- controllers ----------------------------------------------------------------------------
 
     fn courier_dialed(&mut self, process: usize, ip: Ipv4Addr, up: bool) {
         let (Some(me), now) = (self.address(process), self.now) else {
--- a/crates/rookpulley-simulator/src/day.rs
+++ b/crates/rookpulley-simulator/src/day.rs
@@ -20,10 +20,10 @@
         power: bool,
         down_ms: u64,
     },
-    /// Only its office ends, or only its courier.
+    /// Only its controller ends, or only its courier.
     KillOne {
         machine: usize,
-        office: bool,
+        controller: bool,
         down_ms: u64,
     },
     /// A machine of the core loses power and its disk.
@@ -35,7 +35,7 @@
         machine: usize,
         ms: u64,
     },
-    /// What these machines say to all others, to offices and tasks, doesn't come; `both`: nor the other way.
+    /// What these machines say to all others, to controllers and tasks, doesn't come; `both`: nor the other way.
     Cut {
         machines: Vec<usize>,
         both: bool,
@@ -125,7 +125,7 @@
         places: Vec<usize>,
     },
     /// These machines and all others don't hear each other; tasks and clients they reach.
-    CutOffices {
+    CutControllers {
         machines: Vec<usize>,
         ms: u64,
     },
@@ -149,7 +149,7 @@
     Retarget {
         kind: RouteKind,
     },
-    /// Two operators change it at the same moment at two offices.
+    /// Two operators change it at the same moment at two controllers.
     Race,
     /// Several changes, one right after the other.
     Storm {
@@ -215,8 +215,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Day {
     pub seed: u64,
-    pub offices: usize,
-    /// Machines behind the offices whose office has no disk, and whether they come first among the seeds.
+    pub controllers: usize,
+    /// Machines behind the controllers whose controller has no disk, and whether they come first among the seeds.
     pub annexes: usize,
     pub annex_seeds: bool,
     pub couriers: usize,
@@ -240,8 +240,8 @@
 impl Day {
     pub fn draw(seed: u64) -> Day {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xd417);
-        let offices = rng.random_range(3..=5usize);
-        let couriers = rng.random_range(6..=12usize).max(offices);
+        let controllers = rng.random_range(3..=5usize);
+        let couriers = rng.random_range(6..=12usize).max(controllers);
         let length_ms = 30_000;
         // Drawn apart: the days without them stay as they were.
         let mut apart = ChaCha8Rng::seed_from_u64(seed ^ 0xa446);
@@ -252,12 +252,12 @@
         };
         let mut day = Day {
             seed,
-            offices,
-            annexes: some.min(couriers - offices),
+            controllers,
+            annexes: some.min(couriers - controllers),
             annex_seeds: apart.random_range(0..2u32) == 0,
             couriers,
             zones: rng.random_range(2..=3),
-            losses: if offices == 5 {
+            losses: if controllers == 5 {
                 rng.random_range(1..=2)
             } else {
                 1
@@ -281,7 +281,7 @@
         let mut disk_lost: Vec<u64> = Vec::new();
         if rng.random_range(0..3u32) == 0 {
             let at = rng.random_range(9_000..last - 3_000);
-            let machine = rng.random_range(0..offices);
+            let machine = rng.random_range(0..controllers);
             let happens = match rng.random_range(0..4u32) {
                 0 => Happens::Replace {
                     machine,
@@ -322,7 +322,7 @@
             let close = disk_lost
                 .iter()
                 .any(|lost| at.abs_diff(*lost) < CATCHES_UP_MS);
-            if !(close && happens.touches_core(offices)) {
+            if !(close && happens.touches_core(controllers)) {
                 day.happens.push((at, happens));
             }
         }
@@ -356,7 +356,7 @@
             let close = |at: &u64| last + 1_000 - *at < CATCHES_UP_MS;
             if matches!(how, Closing::Disks { .. }) {
                 day.happens
-                    .retain(|(at, happens)| !(close(at) && happens.touches_core(offices)));
+                    .retain(|(at, happens)| !(close(at) && happens.touches_core(controllers)));
             }
             day.happens.push((at, Happens::Closing { how }));
         }
@@ -368,7 +368,7 @@
     pub fn calm(seed: u64) -> Day {
         Day {
             seed,
-            offices: 3,
+            controllers: 3,
             couriers: 8,
             annexes: 0,
             annex_seeds: false,
@@ -389,7 +389,7 @@
 
     fn draw_trouble(&self, rng: &mut ChaCha8Rng) -> Happens {
         let any = rng.random_range(0..self.couriers);
-        let core = rng.random_range(0..self.offices);
+        let core = rng.random_range(0..self.controllers);
         let machine = if rng.random_range(0..2u32) == 0 {
             core
         } else {
@@ -410,7 +410,7 @@
             },
             2 => Happens::KillOne {
                 machine: core,
-                office: rng.random_range(0..2u32) == 0,
+                controller: rng.random_range(0..2u32) == 0,
                 down_ms,
             },
             3 | 4 => Happens::Freeze { machine, ms },
@@ -492,7 +492,7 @@
 }
 
 impl Happens {
-    fn touches_core(&self, offices: usize) -> bool {
+    fn touches_core(&self, controllers: usize) -> bool {
         match self {
             Happens::Kill { machine, .. }
             | Happens::KillOne { machine, .. }
@@ -502,9 +502,9 @@
             | Happens::Lossy { machine, .. }
             | Happens::SlowDisk { machine, .. }
             | Happens::Term { machine }
-            | Happens::Replace { machine, .. } => *machine < offices,
+            | Happens::Replace { machine, .. } => *machine < controllers,
             Happens::Cut { machines, .. } | Happens::Deaf { machines, .. } => {
-                machines.iter().any(|machine| *machine < offices)
+                machines.iter().any(|machine| *machine < controllers)
             }
             Happens::Herd { .. }
             | Happens::Dark { .. }
@@ -519,10 +519,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "day {}: {} offices, {} without a disk{}, {} couriers in {} zones, losses {}, {} services, {} tasks, {} requests/s, {} apps, \
+            "day {}: {} controllers, {} without a disk{}, {} couriers in {} zones, losses {}, {} services, {} tasks, {} requests/s, {} apps, \
              further tries {} + {}{}",
             self.seed,
-            self.offices,
+            self.controllers,
             self.annexes,
             if self.annexes > 0 && self.annex_seeds {
                 " as first seeds"
--- a/crates/rookpulley-simulator/src/disk.rs
+++ b/crates/rookpulley-simulator/src/disk.rs
@@ -1,4 +1,4 @@
-//! The disk of an office: batches that are whole, of which the one under way may be there or missing after an end.
+//! The disk of a controller: batches that are whole, of which the one under way may be there or missing after an end.
 
 use crate::{MS, Us};
 use rand::RngExt;
--- a/crates/rookpulley-simulator/src/judge.rs
+++ b/crates/rookpulley-simulator/src/judge.rs
@@ -107,15 +107,15 @@
 
     fn is_core(&self, machine: usize) -> bool {
         // Who came later in the place of another is of the core, too.
-        machine < self.day.offices || machine >= self.day.couriers.max(self.day.offices)
+        machine < self.day.controllers || machine >= self.day.couriers.max(self.day.controllers)
     }
 
     /// A machine of the core that reaches more than half of it, at this moment.
     fn reaches_most(&self, machine: usize, at: Us) -> bool {
         let since = at.saturating_sub(CONTACT);
-        let away = (0..self.day.offices)
+        let away = (0..self.day.controllers)
             .filter(|other| *other != machine && self.cut(machine, *other, since, at));
-        (self.day.offices - away.count()) * 2 > self.day.offices
+        (self.day.controllers - away.count()) * 2 > self.day.controllers
     }
 
     fn cut(&self, a: usize, b: usize, since: Us, at: Us) -> bool {
@@ -133,7 +133,7 @@
             .iter()
             .any(|(of, from, until)| *of == machine && *from <= at && *until >= since);
         calm && self.settled(at)
-            && (0..self.day.offices).all(|core| {
+            && (0..self.day.controllers).all(|core| {
                 core == machine
                     || !self.cut(machine, core, since, at)
                     || !self.reaches_most(core, at)
--- a/crates/rookpulley-simulator/src/judge/requests.rs
+++ b/crates/rookpulley-simulator/src/judge/requests.rs
@@ -1,8 +1,8 @@
 //! The rules on requests, drains, configurations and further tries.
 
 use super::{APPLY, CONTACT, DOWNGRADE, Judge, Rule};
+use crate::controllers::DRAIN_MS;
 use crate::couriers::GRACE;
-use crate::offices::DRAIN_MS;
 use crate::record::{Arrival, Ended, Put, Try};
 use crate::{MS, S, Us};
 use std::collections::{BTreeMap, HashMap};
--- a/crates/rookpulley-simulator/src/net.rs
+++ b/crates/rookpulley-simulator/src/net.rs
@@ -62,7 +62,7 @@
     heard: [Us; 2],
     /// Whether that side hangs up on silence.
     quiet: [bool; 2],
-    /// Between offices: who said hello. From a courier: its name and the office's number for it.
+    /// Between controllers: who said hello. From a courier: its name and the controller's number for it.
     pub who: Option<u64>,
     pub courier: Option<(String, u64)>,
 }
--- a/crates/rookpulley-simulator/src/tasks.rs
+++ b/crates/rookpulley-simulator/src/tasks.rs
@@ -3,9 +3,9 @@
 
 use crate::callers::{Call, Who};
 use crate::clients::hash;
+use crate::controllers::{DRAIN_MS, HEARTBEAT_MS};
 use crate::day::{BadTask, Happens};
 use crate::net::Host;
-use crate::offices::{DRAIN_MS, HEARTBEAT_MS};
 use crate::record::{Arrival, Drain, Run};
 use crate::world::{What, World};
 use crate::{MS, S, Us};
--- a/crates/rookpulley-simulator/src/troubles.rs
+++ b/crates/rookpulley-simulator/src/troubles.rs
@@ -35,10 +35,10 @@
             } => self.kill(machine, (true, true), power, down_ms),
             Happens::KillOne {
                 machine,
-                office,
+                controller,
                 down_ms,
             } => {
-                self.kill(machine, (office, !office), false, down_ms);
+                self.kill(machine, (controller, !controller), false, down_ms);
             }
             Happens::Wipe { machine, down_ms } => {
                 self.kill(machine, (true, true), true, down_ms);
@@ -139,7 +139,7 @@
                 self.unplanned(0);
                 places.into_iter().for_each(|place| self.pass_on(place));
             }
-            Happens::CutOffices { machines, ms } => {
+            Happens::CutControllers { machines, ms } => {
                 let others = (0..self.machines.len()).filter(|machine| !machines.contains(machine));
                 let others: BTreeSet<Host> = others.map(Host::Machine).collect();
                 let these = machines.into_iter().map(Host::Machine).collect();
@@ -259,22 +259,28 @@
 
     // ---- machines ---------------------------------------------------------------------------
 
-    fn kill(&mut self, machine: usize, (office, courier): (bool, bool), power: bool, down_ms: u64) {
+    fn kill(
+        &mut self,
+        machine: usize,
+        (controller, courier): (bool, bool),
+        power: bool,
+        down_ms: u64,
+    ) {
         if self.machines[machine].gone {
             return;
         }
         let (now, until) = (self.now, self.now + down_ms * MS);
         self.record.trouble.machine.push((machine, now, until));
         self.unplanned(down_ms);
-        if self.machines[machine].core && office {
+        if self.machines[machine].core && controller {
             self.record.trouble.core.extend([now, until]);
         }
         if power {
             self.machines[machine].power = false;
         }
-        for (is_office, hit) in [(true, office), (false, courier)] {
+        for (is_controller, hit) in [(true, controller), (false, courier)] {
             if hit {
-                let process = self.process_of(machine, is_office);
+                let process = self.process_of(machine, is_controller);
                 self.stop(process, power);
             }
         }
@@ -286,22 +292,22 @@
             None,
             What::Start {
                 machine,
-                office,
+                controller,
                 courier,
             },
         );
     }
 
-    pub fn start_again(&mut self, machine: usize, office: bool, courier: bool) {
+    pub fn start_again(&mut self, machine: usize, controller: bool, courier: bool) {
         if self.machines[machine].gone {
             return;
         }
-        let core = self.machines[machine].core && office;
+        let core = self.machines[machine].core && controller;
         self.machines[machine].power = true;
         if core {
-            self.start_office(machine, false);
+            self.start_controller(machine, false);
         }
-        if self.machines[machine].annex && office {
+        if self.machines[machine].annex && controller {
             self.start_annex(machine, false);
         }
         if courier {
@@ -364,36 +370,36 @@
         self.heals_in(ms, number, Heals::Cut { core });
     }
 
-    fn term(&mut self, machine: usize, office: bool) {
+    fn term(&mut self, machine: usize, controller: bool) {
         if self.machines[machine].gone || !self.machines[machine].power {
             return;
         }
         let (now, until) = (self.now, self.now + GRACE + S);
         self.record.terms.push((machine, now));
         self.record.trouble.machine.push((machine, now, until));
-        if self.machines[machine].core && office {
+        if self.machines[machine].core && controller {
             let mut at = now;
             while at < until {
                 self.record.trouble.core.push(at);
                 at += S;
             }
         }
-        for is_office in [true, false] {
-            let process = self.process_of(machine, is_office);
-            if (is_office && !office) || !self.running(process) {
+        for is_controller in [true, false] {
+            let process = self.process_of(machine, is_controller);
+            if (is_controller && !controller) || !self.running(process) {
                 continue;
             }
             let life = self.processes[process].life;
             self.processes[process].termed = true;
-            match is_office {
-                true => self.term_office(process),
+            match is_controller {
+                true => self.term_controller(process),
                 false => self.term_courier(process),
             }
             self.after(GRACE, None, What::Kill { process, life });
         }
     }
 
-    /// A courier after the other; of the offices only the first one's machine.
+    /// A courier after the other; of the controllers only the first one's machine.
     pub fn roll(&mut self, machine: usize, pause_ms: u64) {
         if machine >= self.machines.len() {
             return;
@@ -428,7 +434,7 @@
             None,
             What::Start {
                 machine: another,
-                office: true,
+                controller: true,
                 courier: true,
             },
         );
@@ -457,9 +463,9 @@
 
     /// A process that ended in order is started again, unless its machine goes.
     pub fn ended_in_order(&mut self, process: usize) {
-        let (machine, office) = (
+        let (machine, controller) = (
             self.processes[process].machine,
-            self.processes[process].is_office,
+            self.processes[process].is_controller,
         );
         if std::mem::take(&mut self.processes[process].termed) && !self.machines[machine].leaves {
             self.after(
@@ -467,8 +473,8 @@
                 None,
                 What::Start {
                     machine,
-                    office,
-                    courier: !office,
+                    controller,
+                    courier: !controller,
                 },
             );
         }
--- a/crates/rookpulley-simulator/src/world.rs
+++ b/crates/rookpulley-simulator/src/world.rs
@@ -4,12 +4,12 @@
 use crate::apps::{App, Watcher};
 use crate::callers::Call;
 use crate::clients::Clients;
+use crate::controllers::ControllerProcess;
 use crate::couriers::CourierProcess;
 use crate::day::{BEGINS_MS, Day};
 use crate::disk::Disk;
 use crate::judge::{self, Breach, Rule};
 use crate::net::{Host, Line, Net};
-use crate::offices::OfficeProcess;
 use crate::operator::Operator;
 use crate::record::Record;
 use crate::seen::Seen;
@@ -45,7 +45,7 @@
     FreeTries,
     /// A sync is left out.
     SyncLeftOut,
-    /// An office reads from its own copy, without the chain.
+    /// A controller reads from its own copy, without the chain.
     ReadsAlone,
     /// What may have taken effect is told to be refused.
     RefusedAfterAll,
@@ -63,7 +63,7 @@
     NothingLearnt,
     /// The same, and they don't know what they have under way: all tasks look alike.
     NothingCounted,
-    /// A courier that is out of touch with all offices takes the whole slack for its own.
+    /// A courier that is out of touch with all controllers takes the whole slack for its own.
     AloneTakesAll,
     /// Refusals name no time to come back.
     NoTimeTold,
@@ -71,7 +71,7 @@
     RefusedLate,
     /// Couriers use the tasks of their own zone alone, where there are any.
     OwnZoneAlone,
-    /// Offices give out no line of a table whose revisions are all tainted.
+    /// Controllers give out no line of a table whose revisions are all tainted.
     TaintedBare,
     /// Couriers take no table after their first ones.
     TablesMissed,
@@ -145,7 +145,7 @@
 
 #[derive(Debug)]
 pub enum What {
-    // To an office or a courier.
+    // To a controller or a courier.
     Tick,
     Dial(Ipv4Addr),
     Dialed {
@@ -165,7 +165,7 @@
         line: u64,
         side: usize,
     },
-    // To an office.
+    // To a controller.
     Synced,
     Lied {
         of_chain: bool,
@@ -269,7 +269,7 @@
     Heal(u64),
     Start {
         machine: usize,
-        office: bool,
+        controller: bool,
         courier: bool,
     },
     Wake {
@@ -301,14 +301,14 @@
 
 #[allow(clippy::large_enum_variant)]
 pub enum Core {
-    Office(OfficeProcess),
+    Controller(ControllerProcess),
     Annex(AnnexProcess),
     Courier(CourierProcess),
 }
 
 pub struct Process {
     pub machine: usize,
-    pub is_office: bool,
+    pub is_controller: bool,
     pub life: u32,
     pub core: Option<Core>,
     pub born: Us,
@@ -322,7 +322,7 @@
     pub ip: Ipv4Addr,
     pub zone: usize,
     pub core: bool,
-    /// Its office has no disk.
+    /// Its controller has no disk.
     pub annex: bool,
     pub power: bool,
     pub gone: bool,
@@ -406,10 +406,10 @@
             heals: BTreeMap::new(),
             closing: None,
         };
-        for machine in 0..day.couriers.max(day.offices) {
-            world.add_machine(machine < day.offices);
+        for machine in 0..day.couriers.max(day.controllers) {
+            world.add_machine(machine < day.controllers);
             world.machines[machine].annex =
-                (day.offices..day.offices + day.annexes).contains(&machine);
+                (day.controllers..day.controllers + day.annexes).contains(&machine);
         }
         for machine in 0..world.machines.len() {
             world.start_machine(machine, true);
@@ -488,10 +488,10 @@
             disk,
             readiness_missed: 2,
         });
-        for is_office in [true, false] {
+        for is_controller in [true, false] {
             self.processes.push(Process {
                 machine,
-                is_office,
+                is_controller,
                 life: 0,
                 core: None,
                 born: 0,
@@ -507,14 +507,14 @@
         self.machines.iter().position(|machine| machine.ip == ip)
     }
 
-    pub fn process_of(&self, machine: usize, office: bool) -> usize {
-        2 * machine + usize::from(!office)
+    pub fn process_of(&self, machine: usize, controller: bool) -> usize {
+        2 * machine + usize::from(!controller)
     }
 
-    /// An office with a disk.
+    /// A controller with a disk.
     pub fn keeps_control(&self, process: usize) -> bool {
         let process = &self.processes[process];
-        process.is_office && !self.machines[process.machine].annex
+        process.is_controller && !self.machines[process.machine].annex
     }
 
     pub fn running(&self, process: usize) -> bool {
@@ -543,7 +543,7 @@
         }
         self.machines[machine].power = true;
         if self.machines[machine].core {
-            self.start_office(machine, first);
+            self.start_controller(machine, first);
         }
         if self.machines[machine].annex {
             self.start_annex(machine, first);
@@ -574,9 +574,9 @@
         let machine = self.processes[process].machine;
         self.end_lines(process, quiet);
         match core {
-            Core::Office(office) => {
+            Core::Controller(controller) => {
                 self.machines[machine].disk.ends(&mut self.rng);
-                self.office_ended(machine, office, quiet);
+                self.controller_ended(machine, controller, quiet);
             }
             Core::Annex(_) => {}
             Core::Courier(courier) => self.courier_ended(process, life, courier, quiet),
@@ -596,11 +596,11 @@
             at.inbox.push_back(event);
             return;
         }
-        match at.is_office {
+        match at.is_controller {
             true if self.machines[at.machine].annex => {
                 self.annex_takes(process, event.what);
             }
-            true => self.office_takes(process, event.what),
+            true => self.controller_takes(process, event.what),
             false => self.courier_takes(process, event.what),
         }
     }
@@ -668,9 +668,9 @@
             What::Heal(number) => self.heal(number),
             What::Start {
                 machine,
-                office,
+                controller,
                 courier,
-            } => self.start_again(machine, office, courier),
+            } => self.start_again(machine, controller, courier),
             What::Wake { process } => self.wake(process),
             What::Roll { machine, pause_ms } => self.roll(machine, pause_ms),
             What::Retire { machine } => self.retire(machine),
--- a/crates/rookpulley-simulator/tests/days.rs
+++ b/crates/rookpulley-simulator/tests/days.rs
@@ -46,7 +46,7 @@
 fn where_no_seed_has_a_disk_one_is_named_and_days_go_as_others_do() {
     for seed in 0..4 {
         let mut day = Day::draw(seed);
-        (day.offices, day.annexes, day.couriers, day.annex_seeds) =
+        (day.controllers, day.annexes, day.couriers, day.annex_seeds) =
             (3, 3, day.couriers.max(6), true);
         day.losses = 1;
         day.happens.retain(|(at, _)| *at > 9_000);
@@ -161,7 +161,7 @@
 #[test]
 fn what_decides_has_no_clock_no_socket_and_no_file() {
     let sources = deciding();
-    // The clerk, the satchel and what they stand on.
+    // The controller, the satchel and what they stand on.
     assert!(sources.len() > 60, "{}", sources.len());
     for (path, code) in sources {
         for word in [
--- a/crates/rookpulley-simulator/tests/round.rs
+++ b/crates/rookpulley-simulator/tests/round.rs
@@ -36,7 +36,7 @@
     seen.came(from_ms, to_ms).filter(|of| fits(of)).count()
 }
 
-/// What the offices logged with this in it, and when.
+/// What the controllers logged with this in it, and when.
 fn logged<'a>(played: &'a Played, what: &'a str) -> impl Iterator<Item = u64> + 'a {
     let lines = played.log.iter().filter(move |line| line.contains(what));
     lines.filter_map(|line| {
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn half_of_the_couriers_cut_off_from_all_offices_keep_to_their_part_of_the_budget() {
+fn half_of_the_couriers_cut_off_from_all_controllers_keep_to_their_part_of_the_budget() {
     fn day(seed: u64) -> Day {
         let mut day = alike(seed);
         (day.rate, day.couriers, day.length_ms) = (200, 12, 36_000);
@@ -341,7 +341,7 @@
         day.happens = vec![
             (
                 3_000,
-                Happens::CutOffices {
+                Happens::CutControllers {
                     machines: (6..12).collect(),
                     ms: 15_000,
                 },
@@ -389,7 +389,7 @@
         day.rate = 600;
         let kill = |machine| Happens::KillOne {
             machine,
-            office: false,
+            controller: false,
             down_ms: 300,
         };
         day.happens = (0..8)
--- a/crates/rookpulley-simulator/tests/worst_days.rs
+++ b/crates/rookpulley-simulator/tests/worst_days.rs
@@ -9,7 +9,7 @@
 /// Five controllers of which two may be lost, with applications, and changes and drains all the while.
 fn five(seed: u64) -> Day {
     let mut day = Day::calm(seed);
-    (day.offices, day.losses, day.couriers, day.zones) = (5, 2, 12, 3);
+    (day.controllers, day.losses, day.couriers, day.zones) = (5, 2, 12, 3);
     (day.services, day.tasks, day.apps, day.rate) = (2, 16, 6, 120);
     day.length_ms = 46_000;
     day
@@ -130,7 +130,7 @@
                     9_000,
                     Happens::KillOne {
                         machine,
-                        office: true,
+                        controller: true,
                         down_ms: 900,
                     },
                 ),
@@ -173,7 +173,7 @@
         day.rate = 240;
         let killed = Happens::KillOne {
             machine,
-            office: true,
+            controller: true,
             down_ms: 900,
         };
         with(
@@ -275,7 +275,7 @@
                     7_000,
                     Happens::KillOne {
                         machine,
-                        office: true,
+                        controller: true,
                         down_ms: 20_000,
                     },
                 ),
@@ -362,7 +362,7 @@
                     24_000,
                     Happens::KillOne {
                         machine: 2,
-                        office: true,
+                        controller: true,
                         down_ms: 700,
                     },
                 ),
@@ -370,7 +370,7 @@
                     27_000,
                     Happens::KillOne {
                         machine: 3,
-                        office: true,
+                        controller: true,
                         down_ms: 700,
                     },
                 ),
@@ -399,7 +399,7 @@
 /// Six controllers before ninety couriers lose two disks, are cut in two for long, and lose two others.
 fn six_before_ninety(seed: u64) {
     let mut day = five(seed);
-    (day.offices, day.couriers, day.tasks, day.length_ms) = (6, 90, 40, 90_000);
+    (day.controllers, day.couriers, day.tasks, day.length_ms) = (6, 90, 40, 90_000);
     let machine = (seed % 6) as usize;
     let lost = |by: usize| Happens::Wipe {
         machine: (machine + by) % 6,
--- a/crates/rookpulley-state/src/bounds.rs
+++ b/crates/rookpulley-state/src/bounds.rs
@@ -1,6 +1,6 @@
-//! How much a ledger may hold, so that a snapshot always fits one frame between two offices.
+//! How much a ledger may hold, so that a snapshot always fits one frame between two controllers.
 
-/// The same on all offices: a ledger that has other bounds answers otherwise.
+/// The same on all controllers: a ledger that has other bounds answers otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Locks, numbers and cells: so many of each.
--- a/crates/rookpulley-state/src/call.rs
+++ b/crates/rookpulley-state/src/call.rs
@@ -91,7 +91,7 @@
 pub enum CallError {
     #[error("the bytes can't be read as a call or an answer: {0}")]
     #[diagnostic(help(
-        "send what `encode` of the same build gives; all offices must run one build"
+        "send what `encode` of the same build gives; all controllers must run one build"
     ))]
     Spoilt(#[from] postcard::Error),
     #[error("{0} bytes follow the call")]
--- a/crates/rookpulley-state/src/cells.rs
+++ b/crates/rookpulley-state/src/cells.rs
@@ -25,7 +25,7 @@
     Events { events: Vec<Event>, revision: u64 },
     /// At once and without events: `after` was 0, which asks for the present revision only.
     Present { revision: u64 },
-    /// There is nothing yet. Who has waited long enough is told its own `after` again: an office that lags behind
+    /// There is nothing yet. Who has waited long enough is told its own `after` again: a controller that lags behind
     /// takes nobody back.
     Nothing { revision: u64 },
     /// Some of the puts above `after` are no longer kept (410).
--- a/crates/rookpulley-state/src/ledger.rs
+++ b/crates/rookpulley-state/src/ledger.rs
@@ -83,7 +83,7 @@
     }
 
     /// The puts of a group above a revision, `most` of them at once. It shows what is applied here; that may lag
-    /// behind other offices, but what is shown is never taken back.
+    /// behind other controllers, but what is shown is never taken back.
     pub fn watch(&self, group: &str, after: u64, most: usize) -> Watched {
         self.cells.watch(group, after, most)
     }
@@ -127,7 +127,7 @@
         }
     }
 
-    /// By the stamps alone, so that all offices forget the same at the same update.
+    /// By the stamps alone, so that all controllers forget the same at the same update.
     fn sweep(&mut self, now_ms: u64) {
         if now_ms.saturating_sub(self.swept_ms) >= SWEEP_MS {
             self.swept_ms = now_ms;
--- a/crates/rookpulley-state/src/lib.rs
+++ b/crates/rookpulley-state/src/lib.rs
@@ -3,7 +3,7 @@
 //! `call` holds what may be asked and answered, `locks`, `numbers` and `cells` one kind of state each, `ledger` puts
 //! them together under one time and one set of bounds, `snapshot` turns the whole into bytes and back.
 //!
-//! Every office applies the same updates with the same stamps and so holds the same ledger to the last byte: nothing
+//! Every controller applies the same updates with the same stamps and so holds the same ledger to the last byte: nothing
 //! here looks at a clock or at the order of a hash map.
 
 mod bounds;
--- a/crates/rookpulley-state/src/snapshot.rs
+++ b/crates/rookpulley-state/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The whole ledger as bytes: written to disk from time to time, and handed to an office that joins the chain.
+//! The whole ledger as bytes: written to disk from time to time, and handed to a controller that joins the chain.
 
 use crate::cells::{Cells, Group};
 use crate::ledger::Ledger;
@@ -15,17 +15,19 @@
 pub enum SnapshotError {
     #[error("the bytes can't be read as a snapshot: {0}")]
     #[diagnostic(help(
-        "give the bytes of `snapshot` whole and unchanged; fetch them again from another office"
+        "give the bytes of `snapshot` whole and unchanged; fetch them again from another controller"
     ))]
     Spoilt(#[from] postcard::Error),
     #[error("the snapshot has format {0}; this build reads {FORMAT}")]
-    #[diagnostic(help("run the same build on all offices, and let it write a new snapshot"))]
+    #[diagnostic(help("run the same build on all controllers, and let it write a new snapshot"))]
     Format(u8),
     #[error("{0} bytes follow the snapshot")]
     #[diagnostic(help("give the bytes of `snapshot` and nothing behind them"))]
     Trailing(usize),
     #[error("the {0} of the snapshot don't fit together")]
-    #[diagnostic(help("give a snapshot that an office wrote; fetch it again from another office"))]
+    #[diagnostic(help(
+        "give a snapshot that a controller wrote; fetch it again from another controller"
+    ))]
     Unsound(&'static str),
 }
 
@@ -98,7 +100,7 @@
         Ok(())
     }
 
-    /// Equal for equal ledgers, on all offices.
+    /// Equal for equal ledgers, on all controllers.
     pub fn digest(&self) -> u64 {
         XxHash64::oneshot(0, &self.snapshot())
     }
--- a/crates/rookpulley-state/tests/ledger/main.rs
+++ b/crates/rookpulley-state/tests/ledger/main.rs
@@ -74,7 +74,7 @@
     )
 }
 
-/// The same ledger after a move to another office.
+/// The same ledger after a move to another controller.
 fn moved(ledger: &Ledger) -> Ledger {
     let mut other = ledger.clone();
     other.apply(
--- a/crates/rookpulley-store/examples/call_cost.rs
+++ b/crates/rookpulley-store/examples/call_cost.rs
@@ -1,7 +1,7 @@
-//! What a call of the chain takes in all its offices together: `cargo run --release -p rookpulley-store --example
-//! call_cost [OFFICES KIND CALLS]`, the kind one of `update`, `read` and `idle`. Offices with their ledgers on one
+//! What a call of the chain takes in all its controllers together: `cargo run --release -p rookpulley-store --example
+//! call_cost [OFFICES KIND CALLS]`, the kind one of `update`, `read` and `idle`. Controllers with their ledgers on one
 //! thread, messages framed and read back, disks that take no time; a call every 20 ms of their clock, asked of each
-//! office in turn. For instructions: `valgrind --tool=callgrind`, the difference to `idle` of as many calls.
+//! controller in turn. For instructions: `valgrind --tool=callgrind`, the difference to `idle` of as many calls.
 
 mod load;
 
@@ -20,7 +20,7 @@
     Idle,
 }
 
-struct Offices {
+struct ControllerSelection {
     now: u64,
     all: Vec<Chain<Kept>>,
     /// Of pings, and of all else.
@@ -28,7 +28,7 @@
     written: u64,
 }
 
-impl Offices {
+impl ControllerSelection {
     fn member(at: usize) -> Member {
         Member {
             id: at as u64 + 1,
@@ -37,14 +37,14 @@
         }
     }
 
-    fn begin(offices: usize) -> Self {
+    fn begin(controllers: usize) -> Self {
         let mut new = Self {
             now: 0,
             all: Vec::new(),
             said: [(0, 0); 2],
             written: 0,
         };
-        for at in 0..offices {
+        for at in 0..controllers {
             let boot = Boot {
                 me: Self::member(at),
                 founder: at == 0,
@@ -54,8 +54,8 @@
             };
             new.all.push(Chain::start(0, boot, Kept::default()));
         }
-        for at in 0..offices {
-            for other in (0..offices).filter(|other| *other != at) {
+        for at in 0..controllers {
+            for other in (0..controllers).filter(|other| *other != at) {
                 new.give(
                     at,
                     Input::Met {
@@ -147,9 +147,9 @@
 }
 
 /// Microseconds a call, the least of five rounds.
-fn micros(offices: usize, kind: Kind, calls: u64) -> f64 {
+fn micros(controllers: usize, kind: Kind, calls: u64) -> f64 {
     let rounds = (0..5).map(|_| {
-        let mut all = Offices::begin(offices);
+        let mut all = ControllerSelection::begin(controllers);
         let began = Instant::now();
         all.calls(kind, calls);
         began.elapsed().as_secs_f64() * 1e6 / calls as f64
@@ -159,28 +159,29 @@
 
 fn main() {
     let told: Vec<String> = std::env::args().skip(1).collect();
-    if let [offices, kind, calls] = &told[..] {
+    if let [controllers, kind, calls] = &told[..] {
         let kind = match kind.as_str() {
             "update" => Kind::Update,
             "read" => Kind::Read,
             _ => Kind::Idle,
         };
-        return Offices::begin(offices.parse().unwrap()).calls(kind, calls.parse().unwrap());
+        return ControllerSelection::begin(controllers.parse().unwrap())
+            .calls(kind, calls.parse().unwrap());
     }
-    for offices in [3, 5] {
-        let idle = micros(offices, Kind::Idle, 8_192);
+    for controllers in [3, 5] {
+        let idle = micros(controllers, Kind::Idle, 8_192);
         for (name, kind) in [("update", Kind::Update), ("read", Kind::Read)] {
-            let mut all = Offices::begin(offices);
+            let mut all = ControllerSelection::begin(controllers);
             let (before, written) = (all.said, all.written);
             all.calls(kind, 8_192);
             let each = |now: u64, before: u64| (now - before) as f64 / 8_192.0;
             println!(
-                "{offices} offices, {name}: {:.2} messages, {:.0} bytes, {:.2} rows, {:.2} us beside {idle:.2} idle; \
+                "{controllers} controllers, {name}: {:.2} messages, {:.0} bytes, {:.2} rows, {:.2} us beside {idle:.2} idle; \
                  pings {:.1} bytes each",
                 each(all.said[1].0, before[1].0),
                 each(all.said[1].1, before[1].1),
                 each(all.written, written),
-                micros(offices, kind, 8_192) - idle,
+                micros(controllers, kind, 8_192) - idle,
                 (all.said[0].1 - before[0].1) as f64 / (all.said[0].0 - before[0].0) as f64,
             );
         }
--- a/crates/rookpulley-store/examples/disk_use.rs
+++ b/crates/rookpulley-store/examples/disk_use.rs
@@ -1,5 +1,5 @@
-//! What an office's store takes on the disk, and how long it takes to open: `cargo run --release -p
-//! rookpulley-store --example disk_use [FOLDER [LOAD]]`, for all loads or those with this in their name. An office
+//! What a controller's store takes on the disk, and how long it takes to open: `cargo run --release -p
+//! rookpulley-store --example disk_use [FOLDER [LOAD]]`, for all loads or those with this in their name. A controller
 //! alone, with its chain, its ledger and its store, takes one update every 20 ms of its clock; each waits for its sync.
 
 mod load;
@@ -17,7 +17,7 @@
 const PACE_MS: u64 = 20;
 const TICK_MS: u64 = 50;
 
-struct Office {
+struct Controller {
     chain: Chain<Kept>,
     store: Store,
     heard: UnboundedReceiver<Said>,
@@ -26,7 +26,7 @@
     syncs: u64,
 }
 
-impl Office {
+impl Controller {
     /// Also how long opening took, the chain's start included.
     fn open(folder: &Path, life: u64) -> (Self, f64) {
         let began = Instant::now();
@@ -47,7 +47,7 @@
         };
         let chain = Chain::start(0, boot, Kept::default());
         let took = began.elapsed().as_secs_f64() * 1e3;
-        let mut office = Self {
+        let mut controller = Self {
             chain,
             store,
             heard,
@@ -55,8 +55,8 @@
             ticked: 0,
             syncs: 0,
         };
-        office.play(1_000);
-        (office, took)
+        controller.play(1_000);
+        (controller, took)
     }
 
     /// One input, and all that comes of it till the disk has all.
@@ -132,11 +132,11 @@
         return;
     }
     let folder = tempfile::tempdir_in(at).unwrap();
-    let (mut office, _) = Office::open(folder.path(), 1);
+    let (mut controller, _) = Controller::open(folder.path(), 1);
     let (mut highest, mut most_files, began) = (0, 0, Instant::now());
     for n in 1..=updates {
         let body = load.update(n).encode();
-        let outcome = office.step(Input::Call {
+        let outcome = controller.step(Input::Call {
             token: n,
             kind: CallKind::Update,
             body,
@@ -155,19 +155,22 @@
                 mib(highest)
             );
         }
-        office.play(PACE_MS);
+        controller.play(PACE_MS);
     }
     let took = began.elapsed().as_secs_f64();
-    let (state, syncs) = (office.chain.state().ledger.snapshot().len(), office.syncs);
-    let digest = office.chain.state().ledger.digest();
-    office.close();
+    let (state, syncs) = (
+        controller.chain.state().ledger.snapshot().len(),
+        controller.syncs,
+    );
+    let digest = controller.chain.state().ledger.digest();
+    controller.close();
     let (left, files) = size(folder.path());
     let mut opened = Vec::new();
     for life in 2..7 {
-        let (office, took) = Office::open(folder.path(), life);
-        assert_eq!(office.chain.state().ledger.digest(), digest);
+        let (controller, took) = Controller::open(folder.path(), life);
+        assert_eq!(controller.chain.state().ledger.digest(), digest);
         opened.push(took);
-        office.close();
+        controller.close();
     }
     opened.sort_by(f64::total_cmp);
     println!(
--- a/crates/rookpulley-store/examples/fill_time.rs
+++ b/crates/rookpulley-store/examples/fill_time.rs
@@ -1,5 +1,5 @@
-//! How long an empty office takes to be filled, and how long updates pause meanwhile: `cargo run --release -p
-//! rookpulley-store --example fill_time [FOLDER]`. Three offices, a thread and a store each, lines over loopback;
+//! How long an empty controller takes to be filled, and how long updates pause meanwhile: `cargo run --release -p
+//! rookpulley-store --example fill_time [FOLDER]`. Three controllers, a thread and a store each, lines over loopback;
 //! an update every 5 ms as long as the one before is answered.
 
 mod load;
@@ -21,19 +21,19 @@
     Met(Member),
     Heard(u64, Message),
     Said(Said),
-    /// Asked of this office; who asked hears what became of it.
+    /// Asked of this controller; who asked hears what became of it.
     Call(Vec<u8>, Sender<Outcome>),
     End,
 }
 
-/// What an office tells of itself.
+/// What a controller tells of itself.
 enum Told {
     /// It is part of a chain at work.
     Serving(u64),
     Filled,
 }
 
-struct Office {
+struct Controller {
     me: Member,
     events: Sender<Event>,
 }
@@ -62,10 +62,10 @@
 fn start(
     folder: PathBuf,
     number: u64,
-    others: &[Office],
+    others: &[Controller],
     began: Instant,
     told: Sender<Told>,
-) -> Office {
+) -> Controller {
     std::fs::create_dir_all(&folder).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address: SocketAddrV4 = listener.local_addr().unwrap().to_string().parse().unwrap();
@@ -106,7 +106,7 @@
         other.events.send(Event::Met(me)).unwrap();
         events.send(Event::Met(other.me)).unwrap();
     }
-    Office { me, events }
+    Controller { me, events }
 }
 
 fn runs(
@@ -177,10 +177,10 @@
 }
 
 /// These updates, many at once; what isn't taken is asked again.
-fn asks(office: &Office, updates: impl Iterator<Item = Update>) {
+fn asks(controller: &Controller, updates: impl Iterator<Item = Update>) {
     let ask = |update: &Update| {
         let (answer, answered) = channel();
-        office
+        controller
             .events
             .send(Event::Call(update.encode(), answer))
             .unwrap();
@@ -210,11 +210,11 @@
 }
 
 /// Updates one by one until it is told to end: the longest time without an answer, in milliseconds.
-fn longest_pause(office: &Office, mut ends: impl FnMut() -> bool) -> f64 {
+fn longest_pause(controller: &Controller, mut ends: impl FnMut() -> bool) -> f64 {
     let (mut longest, mut last) = (0.0_f64, Instant::now());
     while !ends() {
         let (answer, answered) = channel();
-        office
+        controller
             .events
             .send(Event::Call(number().encode(), answer))
             .unwrap();
@@ -231,12 +231,12 @@
     let folder = tempfile::tempdir_in(at).unwrap();
     let began = Instant::now();
     let (told, heard) = channel();
-    let mut offices: Vec<Office> = Vec::new();
+    let mut controllers: Vec<Controller> = Vec::new();
     for n in 1..3 {
-        offices.push(start(
+        controllers.push(start(
             folder.path().join(n.to_string()),
             n,
-            &offices,
+            &controllers,
             began,
             told.clone(),
         ));
@@ -245,7 +245,7 @@
     let body = configuration(routes, 1);
     let length = body.len() + 200 * cells as usize;
     asks(
-        &offices[0],
+        &controllers[0],
         (0..cells).map(|n| Update::PutCell {
             name: format!("group{}.cell{n}", n % 100),
             value: "v".repeat(60),
@@ -253,17 +253,17 @@
         }),
     );
     asks(
-        &offices[0],
+        &controllers[0],
         std::iter::once(Update::PutConfiguration { version: 1, body }),
     );
     // More than is kept at hand.
-    asks(&offices[0], (0..4_200).map(|_| number()));
+    asks(&controllers[0], (0..4_200).map(|_| number()));
     let mut calm = Instant::now();
-    let before = longest_pause(&offices[0], || calm.elapsed().as_millis() > 2_000);
+    let before = longest_pause(&controllers[0], || calm.elapsed().as_millis() > 2_000);
     calm = Instant::now();
-    offices.push(start(folder.path().join("3"), 3, &offices, began, told));
+    controllers.push(start(folder.path().join("3"), 3, &controllers, began, told));
     let (mut filled, mut serving) = (0.0, 0.0);
-    let meanwhile = longest_pause(&offices[0], || {
+    let meanwhile = longest_pause(&controllers[0], || {
         match heard.try_recv() {
             Ok(Told::Filled) => filled = calm.elapsed().as_secs_f64() * 1e3,
             Ok(Told::Serving(3)) => serving = calm.elapsed().as_secs_f64() * 1e3,
@@ -276,7 +276,9 @@
          {meanwhile:.0} ms, of 2 s before {before:.0} ms",
         length / 1000
     );
-    offices.iter().for_each(|o| _ = o.events.send(Event::End));
+    controllers
+        .iter()
+        .for_each(|o| _ = o.events.send(Event::End));
 }
 
 fn main() {
--- a/crates/rookpulley-store/src/lib.rs
+++ b/crates/rookpulley-store/src/lib.rs
@@ -1,4 +1,4 @@
-//! An office's store on disk. `store` is what an office writes to, `rows` how long rows are kept, `look` reads a store
+//! A controller's store on disk. `store` is what a controller writes to, `rows` how long rows are kept, `look` reads a store
 //! that nobody uses, `replace` puts another in its place.
 
 mod look;
--- a/crates/rookpulley-store/src/look.rs
+++ b/crates/rookpulley-store/src/look.rs
@@ -8,23 +8,23 @@
 
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum LookError {
-    #[error("there is no office's store in {0}")]
-    #[diagnostic(help("give the dataDirectory of an office's settings"))]
+    #[error("there is no controller's store in {0}")]
+    #[diagnostic(help("give the dataDirectory of a controller's settings"))]
     Nothing(PathBuf),
     #[error("the store in {0} is in use by a process")]
-    #[diagnostic(help("ask that office by `rookpulley gateway show`, or end it first"))]
+    #[diagnostic(help("ask that controller by `rookpulley gateway show`, or end it first"))]
     InUse(PathBuf),
     #[error("the store in {0} can't be read: {1}")]
-    #[diagnostic(help("read it as the user that the office runs as"))]
+    #[diagnostic(help("read it as the user that the controller runs as"))]
     Refused(PathBuf, std::io::Error),
     #[error("the store in {0} is spoilt: {1}")]
     #[diagnostic(help(
-        "let the office start: it begins such a store anew and is filled by the others"
+        "let the controller start: it begins such a store anew and is filled by the others"
     ))]
     Spoilt(PathBuf, sled::Error),
     #[error("another store can't be put into {0}: {1}")]
     #[diagnostic(help(
-        "write as the user that the office runs as, and look at the disk; the store is the old one or the new one, whole"
+        "write as the user that the controller runs as, and look at the disk; the store is the old one or the new one, whole"
     ))]
     Unwritten(PathBuf, std::io::Error),
     #[error("{0} is there from an earlier time, and would be lost")]
@@ -35,14 +35,14 @@
 /// The rows as they stand.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Contents {
-    /// None: no office has begun to use it.
+    /// None: no controller has begun to use it.
     pub identity: Option<u64>,
     pub chain: Rows,
     pub lives: Rows,
     pub bytes_on_disk: u64,
 }
 
-/// Reads the store in an office's data folder. It is opened in place, as an office opens it at its start: an end that
+/// Reads the store in a controller's data folder. It is opened in place, as a controller opens it at its start: an end that
 /// was torn is mended, a replacement that was begun is ended, and nothing else is written.
 pub fn look(folder: &Path) -> Result<Contents, LookError> {
     let at = folder.join(FOLDER);
--- a/crates/rookpulley-store/src/replace.rs
+++ b/crates/rookpulley-store/src/replace.rs
@@ -57,7 +57,7 @@
     Err(ErrorKind::WouldBlock.into())
 }
 
-/// Gives the office in this folder another identity and other rows of the chain. What it knows of tasks stays; `old` is
+/// Gives the controller in this folder another identity and other rows of the chain. What it knows of tasks stays; `old` is
 /// what `look` has just shown. The store as it was is kept beside.
 pub fn replace(
     folder: &Path,
--- a/crates/rookpulley-store/src/store.rs
+++ b/crates/rookpulley-store/src/store.rs
@@ -60,7 +60,7 @@
 
 /// A store that another process is letting go of is asked for so often, after such a pause.
 pub(crate) const PATIENCE: u32 = 100;
-/// The same at the opening of an office's own store. Who opens it goes on without it meanwhile, and asks again.
+/// The same at the opening of a controller's own store. Who opens it goes on without it meanwhile, and asks again.
 const OPEN_PATIENCE: u32 = 10;
 pub(crate) const AGAIN: Duration = Duration::from_millis(100);
 pub(crate) const IDENTITY: &[u8] = b"identity";
@@ -68,7 +68,7 @@
 /// A file beside the store that says that it holds what it shouldn't: it is begun anew.
 const SPOILT: &str = "spoilt";
 
-/// Where in its data folder an office has its store.
+/// Where in its data folder a controller has its store.
 pub(crate) const FOLDER: &str = "store";
 pub(crate) const CHAIN: &str = "chain";
 pub(crate) const LIVES: &str = "lives";
--- a/crates/rookpulley-store/tests/room.rs
+++ b/crates/rookpulley-store/tests/room.rs
@@ -1,4 +1,4 @@
-//! The room that an office's store takes, and what is written into it. A binary of its own: it counts what its process
+//! The room that a controller's store takes, and what is written into it. A binary of its own: it counts what its process
 //! writes.
 
 #[path = "../examples/load/mod.rs"]
@@ -12,14 +12,14 @@
 use std::path::Path;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-struct Office {
+struct Controller {
     now: u64,
     chain: Chain<Kept>,
     store: Store,
     heard: UnboundedReceiver<Said>,
 }
 
-impl Office {
+impl Controller {
     fn begin(folder: &Path) -> Self {
         let (said, heard) = tokio::sync::mpsc::unbounded_channel();
         let store = Store::open(folder, 7, Some(&[]), said).unwrap();
@@ -85,11 +85,11 @@
 /// The longest that the store's file was, and what was written for each update behind the first ones, in bytes.
 fn plays(load: &Load, updates: u64) -> (u64, u64) {
     let folder = tempfile::tempdir().unwrap();
-    let (mut office, mut longest, mut from) = (Office::begin(folder.path()), 0, 0);
+    let (mut controller, mut longest, mut from) = (Controller::begin(folder.path()), 0, 0);
     let first = updates / 5;
     for n in 1..=updates {
         let body = load.update(n).encode();
-        let outcome = office.give(Input::Call {
+        let outcome = controller.give(Input::Call {
             token: n,
             kind: CallKind::Update,
             body,
@@ -103,7 +103,7 @@
             from = written();
         }
         if n % 3 == 0 {
-            office.tick();
+            controller.tick();
         }
     }
     (longest, (written() - from) / (updates - first))
@@ -131,7 +131,7 @@
 
     // A little changed all over: no page is written anew for that.
     let folder = tempfile::tempdir().unwrap();
-    let mut office = Office::begin(folder.path());
+    let mut controller = Controller::begin(folder.path());
     let mut value: Vec<u8> = (0..state / 8)
         .flat_map(|n| load::drawn(n).to_be_bytes())
         .collect();
@@ -145,11 +145,11 @@
             value: value.clone(),
         };
         assert!(
-            office
+            controller
                 .store
                 .write(Part::Chain, u64::MAX - 150 + n, vec![put])
         );
-        office.synced(u64::MAX - 150 + n);
+        controller.synced(u64::MAX - 150 + n);
         longest = longest.max(length(folder.path()));
     }
     let each = (written() - from) / 150;
--- a/crates/rookpulley-store/tests/torn.rs
+++ b/crates/rookpulley-store/tests/torn.rs
@@ -1,4 +1,4 @@
-//! Power lost while an office's store is written: of what isn't synced any part may have reached the disk, cut anywhere.
+//! Power lost while a controller's store is written: of what isn't synced any part may have reached the disk, cut anywhere.
 
 use rookpulley_chain::{Boot, CallKind, Chain, Effect, Input, Member, Outcome, Record};
 use rookpulley_control::Kept;
@@ -9,16 +9,16 @@
 
 type Batches = Vec<Vec<Record>>;
 
-/// Offices whose messages and disks take no time; what each writes is noted.
+/// Controllers whose messages and disks take no time; what each writes is noted.
 #[derive(Default)]
-struct Offices {
+struct ControllerSelection {
     now: u64,
     all: Vec<(Chain<Kept>, Batches)>,
     token: u64,
     losses: usize,
 }
 
-impl Offices {
+impl ControllerSelection {
     fn member(at: usize) -> Member {
         Member {
             id: at as u64 + 1,
@@ -97,7 +97,7 @@
         assert!(matches!(self.give(0, call), Some(Outcome::Done(_))));
     }
 
-    /// An office that starts on these rows shows all that was answered, or the one update more that was being written.
+    /// A controller that starts on these rows shows all that was answered, or the one update more that was being written.
     fn starts_on(&mut self, rows: Rows, copies: &[(usize, u64)], answered: usize) {
         let kept = rookpulley_chain::Kept::read(rows);
         let me = Member {
@@ -150,27 +150,27 @@
 
 /// What the founder writes in its first seconds, and what one writes that is filled by pieces and then takes updates.
 fn written() -> [Batches; 2] {
-    let mut offices = Offices {
+    let mut controllers = ControllerSelection {
         losses: 1,
-        ..Offices::default()
+        ..ControllerSelection::default()
     };
-    offices.start();
-    offices.start();
-    (0..6).for_each(|n| offices.configure(300 + 9_000 * (n % 2)));
-    let first = offices.all[0].1.clone();
-    (0..24).for_each(|_| offices.configure(100 << 10));
-    offices.start();
+    controllers.start();
+    controllers.start();
+    (0..6).for_each(|n| controllers.configure(300 + 9_000 * (n % 2)));
+    let first = controllers.all[0].1.clone();
+    (0..24).for_each(|_| controllers.configure(100 << 10));
+    controllers.start();
     for n in 0..5 {
-        offices.update(&Update::NextNumber {
+        controllers.update(&Update::NextNumber {
             name: format!("n{n}"),
         });
-        offices.configure(40 << 10);
+        controllers.configure(40 << 10);
     }
     assert_eq!(
-        offices.all[2].0.state().ledger.digest(),
-        offices.all[0].0.state().ledger.digest()
+        controllers.all[2].0.state().ledger.digest(),
+        controllers.all[0].0.state().ledger.digest()
     );
-    [first, std::mem::take(&mut offices.all[2].1)]
+    [first, std::mem::take(&mut controllers.all[2].1)]
 }
 
 /// Drawn by a seed, spread by the mixer of SplitMix64.
@@ -326,28 +326,28 @@
     assert!(whole > 4 * empty, "{whole} whole, {empty} empty");
 }
 
-/// An office alone that takes configurations, each much like the one before, puts and numbers; it loses its power at any
-/// write. The office that starts on what is left shows, once it is at work, what a copy in memory shows after all updates
+/// A controller alone that takes configurations, each much like the one before, puts and numbers; it loses its power at any
+/// write. The controller that starts on what is left shows, once it is at work, what a copy in memory shows after all updates
 /// that were answered, or after the one more that was being written.
 #[test]
-fn an_office_that_lost_its_power_at_any_write_has_all_that_it_answered() {
+fn an_controller_that_lost_its_power_at_any_write_has_all_that_it_answered() {
     arbtest::arbtest(|u| {
-        let mut office = Offices { losses: 0, ..Offices::default() };
-        office.start();
+        let mut controller = ControllerSelection { losses: 0, ..ControllerSelection::default() };
+        controller.start();
         let (length, mut copies) = (*u.choose(&[20_000, 300_000, 1_100_000])?, Vec::new());
         for _ in 0..u.int_in_range(4..=9)? {
             match u.int_in_range(0..=3)? {
-                0 => office.update(&Update::NextNumber { name: "n".into() }),
-                1 => office.update(&Update::PutCell {
+                0 => controller.update(&Update::NextNumber { name: "n".into() }),
+                1 => controller.update(&Update::PutCell {
                     name: format!("g.{}", u.int_in_range(0..=3)?),
-                    value: "v".repeat(u.int_in_range(1..=9_000)?) + &office.token.to_string(),
+                    value: "v".repeat(u.int_in_range(1..=9_000)?) + &controller.token.to_string(),
                     active: None,
                 }),
-                _ => office.configure(length),
+                _ => controller.configure(length),
             }
-            copies.push((office.all[0].1.len(), office.all[0].0.state().ledger.digest()));
+            copies.push((controller.all[0].1.len(), controller.all[0].0.state().ledger.digest()));
         }
-        let (_, batches) = office.all.remove(0);
+        let (_, batches) = controller.all.remove(0);
         let (folder, mut coins) = (tempfile::tempdir().unwrap(), Coins(u.arbitrary()?));
         let (store, mut heard) = open(folder.path(), 1);
         let mut before = image(folder.path());
@@ -362,7 +362,7 @@
                 assert!(rows.is_some() || !last, "all was there, and the disk is taken for empty");
                 let answered =
                     copies.iter().filter(|(written, _)| *written < n as usize + usize::from(last)).count();
-                rows.into_iter().for_each(|rows| office.starts_on(rows, &copies, answered));
+                rows.into_iter().for_each(|rows| controller.starts_on(rows, &copies, answered));
             }
             before = after;
         }
