--- a/crates/rookpulley-api/src/chunks.rs
+++ b/crates/rookpulley-api/src/chunks.rs
@@ -1,6 +1,6 @@
 //! Makes a chunked body plain, byte by byte where lines are, slice by slice where data is.
 //!
-//! Stricter than the courier's `span`, which must end a body where hyper does and so takes what hyper takes.
+//! Stricter than the proxy's `span`, which must end a body where hyper does and so takes what hyper takes.
 
 use crate::head::LINES;
 use crate::refusal::Refusal;
--- a/crates/rookpulley-balancer/src/budget.rs
+++ b/crates/rookpulley-balancer/src/budget.rs
@@ -2,11 +2,11 @@
 
 /// A bucket of tokens. The first try of each request puts in a part of a token, a further send takes a whole one.
 ///
-/// The users allow a service, over all couriers and in any window, `ratio` further sends a request and `slack` more.
+/// The users allow a service, over all proxies and in any window, `ratio` further sends a request and `slack` more.
 /// A bucket starts empty, so a restart adds nothing. What one bucket pays in a window is at most what it held at
 /// its start plus what came in during it: the first is bounded by a share of 0.7 of the slack, the second is
-/// 0.8 of `ratio` for each request, and both add up over couriers to less than what is allowed. The rest
-/// is left for sends that arrive in a later window than they were paid in, and for couriers not counted yet.
+/// 0.8 of `ratio` for each request, and both add up over proxies to less than what is allowed. The rest
+/// is left for sends that arrive in a later window than they were paid in, and for proxies not counted yet.
 /// Where a share is less than one token, up to two can still be saved, so that one is left when a try has ended, but
 /// what is above the share leaks away within seconds: it is then backed by requests of the same window.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     tokens: f64,
     deposit: f64,
     slack: f64,
-    /// Nothing is paid before the number of couriers is known.
+    /// Nothing is paid before the number of proxies is known.
     share: Option<f64>,
     leaked_ms: f64,
 }
@@ -25,7 +25,7 @@
 const SAVED: f64 = 2.0;
 
 impl Budget {
-    /// `ratio` and `slack` as the users state them for all couriers together.
+    /// `ratio` and `slack` as the users state them for all proxies together.
     pub fn new(ratio: f64, slack: f64) -> Budget {
         let sane = |value: f64| {
             if value.is_finite() {
@@ -43,9 +43,9 @@
         }
     }
 
-    /// How many couriers share the slack.
-    pub fn shared_by(&mut self, couriers: u32) {
-        self.share = Some(self.slack / f64::from(couriers.max(1)));
+    /// How many proxies share the slack.
+    pub fn shared_by(&mut self, proxies: u32) {
+        self.share = Some(self.slack / f64::from(proxies.max(1)));
         self.bound();
     }
 
--- a/crates/rookpulley-balancer/src/controller_selection.rs
+++ b/crates/rookpulley-balancer/src/controller_selection.rs
@@ -1,4 +1,4 @@
-//! The controllers that a courier knows, and which of them is its home.
+//! The controllers that a proxy knows, and which of them is its home.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -15,7 +15,7 @@
 const LATE_MS: f64 = 700.0;
 const ASKED_MS: f64 = 500.0;
 
-/// One controller as this courier sees it.
+/// One controller as this proxy sees it.
 struct Seen {
     connected: bool,
     in_touch: bool,
@@ -148,7 +148,7 @@
         wants
     }
 
-    /// The home stays as long as it can be borne. All couriers choose by the same rank: the module that cuts their
+    /// The home stays as long as it can be borne. All proxies choose by the same rank: the module that cuts their
     /// tables then knows the whole of the demand, and hears of each task from all.
     pub fn choose(&mut self, now_ms: f64) -> Option<Move> {
         let from = self.home;
@@ -181,7 +181,7 @@
     use super::*;
 
     #[test]
-    fn couriers_choose_alike_and_bear_a_home_that_is_out_of_touch_for_a_while() {
+    fn proxies_choose_alike_and_bear_a_home_that_is_out_of_touch_for_a_while() {
         let ips: Vec<Ipv4Addr> = (1..=3).map(|n| Ipv4Addr::new(10, n, 0, 1)).collect();
         let known = |order: &[Ipv4Addr]| {
             let mut controllers = ControllerSelection::default();
--- a/crates/rookpulley-balancer/src/fleet.rs
+++ b/crates/rookpulley-balancer/src/fleet.rs
@@ -1,4 +1,4 @@
-//! How many couriers there are, and what of all is this one's.
+//! How many proxies there are, and what of all is this one's.
 
 /// A number that was heard holds so long against smaller ones: a cut must not make shares larger.
 const HELD_MS: f64 = 60_000.0;
@@ -8,30 +8,30 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fleet {
-    couriers: u32,
+    proxies: u32,
     heard_ms: f64,
 }
 
 impl Fleet {
     /// As far as heard lately; 0: not heard yet.
-    pub fn couriers(&self) -> u32 {
-        self.couriers
+    pub fn proxies(&self) -> u32 {
+        self.proxies
     }
 
     /// A controller says how many there are; true where that makes it another number.
-    pub fn heard(&mut self, now_ms: f64, couriers: u32) -> bool {
-        let before = self.couriers;
-        if couriers >= before || now_ms - self.heard_ms > HELD_MS {
-            (self.couriers, self.heard_ms) = (couriers, now_ms);
+    pub fn heard(&mut self, now_ms: f64, proxies: u32) -> bool {
+        let before = self.proxies;
+        if proxies >= before || now_ms - self.heard_ms > HELD_MS {
+            (self.proxies, self.heard_ms) = (proxies, now_ms);
         }
-        self.couriers != before
+        self.proxies != before
     }
 
-    /// How many connections this courier may have to one task, which accepts so many from all; 0: not known.
+    /// How many connections this proxy may have to one task, which accepts so many from all; 0: not known.
     pub fn connections(&self, max_connections: u32) -> usize {
         match max_connections {
             0 => UNKNOWN,
-            most => (most.div_ceil(self.couriers.max(1)) as usize).max(LEAST),
+            most => (most.div_ceil(self.proxies.max(1)) as usize).max(LEAST),
         }
     }
 }
@@ -41,14 +41,14 @@
     use super::*;
 
     #[test]
-    fn fewer_couriers_are_believed_only_after_a_while() {
+    fn fewer_proxies_are_believed_only_after_a_while() {
         let mut fleet = Fleet::default();
         assert_eq!(fleet.connections(130), 130);
         assert!(fleet.heard(0.0, 12));
         assert!(!fleet.heard(59_000.0, 3));
         assert_eq!(
             (
-                fleet.couriers(),
+                fleet.proxies(),
                 fleet.connections(130),
                 fleet.connections(0)
             ),
--- a/crates/rookpulley-balancer/src/post.rs
+++ b/crates/rookpulley-balancer/src/post.rs
@@ -38,7 +38,7 @@
     usual_ms: Option<f64>,
 }
 
-/// All tables of a courier, and what it knows of the tasks in them.
+/// All tables of a proxy, and what it knows of the tasks in them.
 pub struct Post {
     zone: String,
     tables: HashMap<String, Table>,
--- a/crates/rookpulley-balancer/src/spot.rs
+++ b/crates/rookpulley-balancer/src/spot.rs
@@ -1,4 +1,4 @@
-//! What this courier knows of one task from the tries that it sent there.
+//! What this proxy knows of one task from the tries that it sent there.
 
 use crate::Fate;
 use rookpulley_protocol::Line;
--- a/crates/rookpulley-balancer/tests/rounds.rs
+++ b/crates/rookpulley-balancer/tests/rounds.rs
@@ -105,20 +105,20 @@
 }
 
 #[test]
-fn further_sends_of_all_couriers_stay_within_what_a_service_is_allowed_in_every_window() {
+fn further_sends_of_all_proxies_stay_within_what_a_service_is_allowed_in_every_window() {
     const WINDOW_MS: f64 = 10_000.0;
     plays(60, 1 << 14, |u| {
         let (ratio, slack) = (
             f64::from(u.int_in_range(1..=10u32)?) / 10.0,
             f64::from(u.int_in_range(8..=80u32)?),
         );
-        let couriers = *u.choose(&[1, 2, 8, 60])?;
+        let proxies = *u.choose(&[1, 2, 8, 60])?;
         let fresh = || {
             let mut budget = Budget::new(ratio, slack);
-            budget.shared_by(couriers);
+            budget.shared_by(proxies);
             budget
         };
-        let mut budgets: Vec<Budget> = (0..couriers).map(|_| fresh()).collect();
+        let mut budgets: Vec<Budget> = (0..proxies).map(|_| fresh()).collect();
         let (mut now_ms, mut requests, mut further) = (0.0, Vec::new(), Vec::new());
         for _ in 0..u.int_in_range(50..=400u32)? {
             now_ms += f64::from(*u.choose(&[0, 1, 10, 100, 1_000, 4_000])?);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn nothing_is_paid_before_the_couriers_are_counted_or_from_what_leaked_away() {
+fn nothing_is_paid_before_the_proxies_are_counted_or_from_what_leaked_away() {
     let mut budget = Budget::new(1.0, 4.0);
     (0..100).for_each(|_| budget.request(0.0));
     assert!(!budget.has(0.0));
@@ -170,10 +170,10 @@
 /// As it is on a large site: a token is a second's requests or so, and a try takes a while to fail.
 #[test]
 fn a_share_of_less_than_one_pays_for_further_sends_of_tries_that_took_time() {
-    let (ratio, slack, couriers, per_s) = (0.2, 64.0, 91, 20.0);
+    let (ratio, slack, proxies, per_s) = (0.2, 64.0, 91, 20.0);
     for took_ms in [5.0, 50.0, 250.0] {
         let mut budget = Budget::new(ratio, slack);
-        budget.shared_by(couriers);
+        budget.shared_by(proxies);
         let (mut paid, mut now_ms) = (0, 0.0);
         for _ in 0..400 {
             now_ms += 1_000.0 / per_s;
--- a/crates/rookpulley-cli/src/gateway.rs
+++ b/crates/rookpulley-cli/src/gateway.rs
@@ -35,7 +35,7 @@
     },
     /// Plays days of whole gateways in this process, and shows the first that breaks a rule; ends with 1 where one does
     ///
-    /// No machine is needed or touched: controllers and couriers run by the code of the programs, on a simulated network. A
+    /// No machine is needed or touched: controllers and proxies run by the code of the programs, on a simulated network. A
     /// day that breaks a rule is shrunk to the fewest troubles that still break it.
     ///
     /// Example: rookpulley gateway hunt --seeds 0..2000
@@ -106,8 +106,8 @@
     Tasks,
     /// The tables that this controller cuts
     Tables,
-    /// Couriers whose line is there
-    Couriers,
+    /// Proxies whose line is there
+    Proxies,
     /// What the chain keeps
     Ledger,
     /// Counts since the controller began; collectors read them at /rookpulley/show/counters
--- a/crates/rookpulley-cli/src/gateway/explain.rs
+++ b/crates/rookpulley-cli/src/gateway/explain.rs
@@ -26,7 +26,7 @@
     Found { taken, lost }
 }
 
-/// The host without its port, the path without its query, as couriers take them.
+/// The host without its port, the path without its query, as proxies take them.
 fn asked<'a>(host: &'a str, path: &'a str) -> (&'a str, &'a str) {
     let host = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
--- a/crates/rookpulley-cli/src/gateway/show.rs
+++ b/crates/rookpulley-cli/src/gateway/show.rs
@@ -13,7 +13,7 @@
         Part::View => "view",
         Part::Tasks => "tasks",
         Part::Tables => "tables",
-        Part::Couriers => "couriers",
+        Part::Proxies => "couriers",
         Part::Ledger => "ledger",
         Part::Counters => "counters",
     };
@@ -41,7 +41,7 @@
         Part::View => view(&told),
         Part::Tasks => tasks(&told),
         Part::Tables => tables(&told),
-        Part::Couriers => couriers(&told),
+        Part::Proxies => proxies(&told),
         _ => ledger(&told),
     })
 }
@@ -187,7 +187,7 @@
     shown + &more(told)
 }
 
-fn couriers(told: &Value) -> String {
+fn proxies(told: &Value) -> String {
     let all = told["couriers"].as_array().map_or(&[][..], Vec::as_slice);
     let rows = all.iter().map(|one| {
         let config = match one["config"].as_u64() {
--- a/crates/rookpulley-cli/tests/gateway.rs
+++ b/crates/rookpulley-cli/tests/gateway.rs
@@ -227,7 +227,7 @@
         (
             "deploy",
             &share,
-            "2 roles (courier, office); can be used; on a machine without a disk, office only passes calls on\n",
+            "2 roles (proxy, office); can be used; on a machine without a disk, office only passes calls on\n",
         ),
         (
             "configuration",
@@ -237,7 +237,7 @@
         (
             "deploy",
             deployed,
-            "2 roles (courier, office); can be used; on a machine without a disk, office only passes calls on\n",
+            "2 roles (proxy, office); can be used; on a machine without a disk, office only passes calls on\n",
         ),
     ] {
         let file = written(folder.path(), what, text);
--- a/crates/rookpulley-control/src/annex.rs
+++ b/crates/rookpulley-control/src/annex.rs
@@ -1,5 +1,5 @@
 //! A controller without a disk. It keeps nothing and decides nothing: it knows which controllers are in touch and passes each
-//! call on to one of them; it tells couriers and controllers that have its address of the others.
+//! call on to one of them; it tells proxies and controllers that have its address of the others.
 
 use rookpulley_balancer::ControllerSelection;
 use rookpulley_chain::Member;
@@ -10,7 +10,7 @@
 
 /// A controller says every 400 ms that it is in touch. One that hasn't for so long may hang.
 const FRESH_MS: f64 = 1_100.0;
-/// Lines of couriers and of others without a disk.
+/// Lines of proxies and of others without a disk.
 const GUESTS_MOST: usize = 4_096;
 
 /// What a process begins with.
@@ -25,7 +25,7 @@
 /// What is to be done.
 #[derive(Debug)]
 pub enum AnnexEffect {
-    /// A line to where this controller hears couriers is to be kept until it is forgotten.
+    /// A line to where this controller hears proxies is to be kept until it is forgotten.
     Dial(Ipv4Addr),
     /// To a controller, on that line.
     Up {
@@ -172,7 +172,7 @@
         self.meet(now, *from.address.ip());
     }
 
-    /// A courier or another controller without a disk, on a line with this number.
+    /// A proxy or another controller without a disk, on a line with this number.
     pub fn guest_in(&mut self, line: u64, up: &Up) {
         if self.guests.len() >= GUESTS_MOST {
             return;
@@ -196,12 +196,12 @@
         self.guests.remove(&line);
     }
 
-    /// Not in touch: no courier takes it for its home.
+    /// Not in touch: no proxy takes it for its home.
     fn pulse(&self) -> Down {
         Down::Pulse {
             in_touch: false,
             config: 0,
-            couriers: 0,
+            proxies: 0,
             controllers: self.known(),
         }
     }
@@ -337,7 +337,7 @@
             Down::Pulse {
                 in_touch,
                 config: 0,
-                couriers: 0,
+                proxies: 0,
                 controllers: Vec::new(),
             },
         );
--- a/crates/rookpulley-control/src/calls.rs
+++ b/crates/rookpulley-control/src/calls.rs
@@ -333,7 +333,7 @@
 pub(crate) enum Taken {
     /// It holds, whatever becomes of this controller.
     Known,
-    /// This controller and its couriers go by it; whether others do isn't known.
+    /// This controller and its proxies go by it; whether others do isn't known.
     HereAlone,
     /// Nothing was done.
     Not,
--- a/crates/rookpulley-control/src/controller.rs
+++ b/crates/rookpulley-control/src/controller.rs
@@ -65,7 +65,7 @@
         to: Ipv4Addr,
         frame: Vec<u8>,
     },
-    /// To a courier, on its line.
+    /// To a proxy, on its line.
     Down {
         line: u64,
         frame: Vec<u8>,
@@ -98,7 +98,7 @@
     seen_ms: f64,
 }
 
-pub struct Courier {
+pub struct ProxySession {
     line: u64,
     pub zone: String,
     pub home: bool,
@@ -106,7 +106,7 @@
     pub config: u64,
 }
 
-impl Courier {
+impl ProxySession {
     fn send_newer(&mut self, editions: &mut Editions, out: &mut Vec<Effect>) {
         if let Some(frame) = editions.frame_for(self.config) {
             out.push(Effect::Down {
@@ -145,7 +145,7 @@
     /// What was known of tasks before this start, until it is tidied.
     lives: Rows,
     peers: BTreeMap<Ipv4Addr, Peer>,
-    pub couriers: BTreeMap<String, Courier>,
+    pub proxies: BTreeMap<String, ProxySession>,
     roll: Roll,
     /// Lines of controllers without a disk, and their addresses. They are told which controllers are in touch, and nothing else.
     annexes: BTreeMap<u64, Ipv4Addr>,
@@ -163,7 +163,7 @@
     notes: u64,
     noting: Vec<(u64, Noted)>,
     next: u64,
-    /// The configurations that couriers are told of, and the newest of them as it was read.
+    /// The configurations that proxies are told of, and the newest of them as it was read.
     editions: Editions,
     book: Option<Book>,
     /// When the newest was told, and whether a newer one waits for its turn.
@@ -198,7 +198,7 @@
             desk: Desk::new(seed),
             lives: start.lives,
             peers: BTreeMap::new(),
-            couriers: BTreeMap::new(),
+            proxies: BTreeMap::new(),
             roll: Roll::default(),
             annexes: BTreeMap::new(),
             zone: start.zone,
@@ -249,11 +249,11 @@
     }
 
     pub fn status(&self) -> String {
-        let homes = self.couriers.values().filter(|c| c.home).count();
+        let homes = self.proxies.values().filter(|c| c.home).count();
         format!(
-            "{}; couriers {} (home of {homes})",
+            "{}; proxies {} (home of {homes})",
             self.chain.status(),
-            self.couriers.len()
+            self.proxies.len()
         )
     }
 
@@ -423,12 +423,12 @@
         }
         if round.is_multiple_of(8) {
             self.roll.forget_old(now);
-            self.desk.set_couriers(self.roll.count());
+            self.desk.set_proxies(self.roll.count());
         }
         if round.is_multiple_of(8) || std::mem::replace(&mut self.told_touch, in_touch) != in_touch
         {
             let pulse = self.pulse(now);
-            self.tell_couriers(&pulse);
+            self.tell_proxies(&pulse);
             let frame = frame(&pulse);
             let tell = |line: &u64| Effect::Down {
                 line: *line,
--- a/crates/rookpulley-control/src/controller/proxies.rs
+++ b/crates/rookpulley-control/src/controller/proxies.rs
@@ -1,13 +1,13 @@
 //! The lines of proxies: what they say, and the tables and drains that they are told.
 
-use super::{Controller, Courier, Effect};
+use super::{Controller, Effect, ProxySession};
 use crate::word::Word;
 use rookpulley_protocol::{Down, Up, frame};
 use rookpulley_registry::{News, Out};
 
 impl Controller {
-    /// A courier says hello on a line, which `number` gave.
-    pub fn courier_in(
+    /// A proxy says hello on a line, which `number` gave.
+    pub fn proxy_in(
         &mut self,
         now: f64,
         line: u64,
@@ -17,18 +17,18 @@
         gone: &[String],
     ) {
         self.roll.came(node);
-        self.couriers.insert(
+        self.proxies.insert(
             node.into(),
-            Courier {
+            ProxySession {
                 line,
                 zone: zone.into(),
                 home,
                 config,
             },
         );
-        self.desk.courier_out(now, node);
+        self.desk.proxy_out(now, node);
         if home {
-            self.desk.courier_in(now, node, zone, 1.0, tables);
+            self.desk.proxy_in(now, node, zone, 1.0, tables);
         }
         let news = self.registry.take_gone(now, gone);
         if !news.is_empty() {
@@ -58,7 +58,7 @@
             self.tables(now);
         }
         self.log(format!(
-            "couriers: {node} of {zone} is here{}",
+            "proxies: {node} of {zone} is here{}",
             if home { ", at home" } else { "" }
         ));
     }
@@ -68,18 +68,18 @@
     }
 
     pub(super) fn send_configuration(&mut self, now: f64, node: &str) {
-        // One that isn't part of the chain may hold an old one: a courier that has none would begin with it.
+        // One that isn't part of the chain may hold an old one: a proxy that has none would begin with it.
         if !self.serving(now) {
             return;
         }
-        if let Some(courier) = self.couriers.get_mut(node) {
-            courier.send_newer(&mut self.editions, &mut self.out);
+        if let Some(proxy) = self.proxies.get_mut(node) {
+            proxy.send_newer(&mut self.editions, &mut self.out);
         }
     }
 
-    pub fn courier_said(&mut self, now: f64, node: &str, line: u64, up: Up) {
+    pub fn proxy_said(&mut self, now: f64, node: &str, line: u64, up: Up) {
         let serving = self.serving(now);
-        let Some(courier) = self.couriers.get_mut(node).filter(|c| c.line == line) else {
+        let Some(proxy) = self.proxies.get_mut(node).filter(|c| c.line == line) else {
             return;
         };
         match up {
@@ -88,18 +88,18 @@
                 config,
                 tables,
             } => {
-                (courier.home, courier.config) = (home, config);
-                self.desk.courier_out(now, node);
+                (proxy.home, proxy.config) = (home, config);
+                self.desk.proxy_out(now, node);
                 if home {
-                    self.desk.courier_in(now, node, &courier.zone, 1.0, tables);
+                    self.desk.proxy_in(now, node, &proxy.zone, 1.0, tables);
                     if serving {
-                        courier.send_newer(&mut self.editions, &mut self.out);
+                        proxy.send_newer(&mut self.editions, &mut self.out);
                     }
                 }
             }
             Up::WantConfig { have } if serving => {
-                courier.config = have;
-                courier.send_newer(&mut self.editions, &mut self.out);
+                proxy.config = have;
+                proxy.send_newer(&mut self.editions, &mut self.out);
             }
             Up::Report(report) => self.desk.report(node, &report),
             Up::Took { mark } => self.desk.took(node, mark),
@@ -107,21 +107,21 @@
         }
     }
 
-    pub fn courier_out(&mut self, now: f64, node: &str, line: u64) {
-        if self.couriers.get(node).is_some_and(|c| c.line == line) {
-            self.couriers.remove(node);
-            self.desk.courier_out(now, node);
+    pub fn proxy_out(&mut self, now: f64, node: &str, line: u64) {
+        if self.proxies.get(node).is_some_and(|c| c.line == line) {
+            self.proxies.remove(node);
+            self.desk.proxy_out(now, node);
             self.roll.went(now, node);
         }
     }
 
-    pub(super) fn tell_couriers(&mut self, down: &Down) {
+    pub(super) fn tell_proxies(&mut self, down: &Down) {
         let bytes = frame(down);
-        let each = |courier: &Courier| Effect::Down {
-            line: courier.line,
+        let each = |proxy: &ProxySession| Effect::Down {
+            line: proxy.line,
             frame: bytes.clone(),
         };
-        self.out.extend(self.couriers.values().map(each));
+        self.out.extend(self.proxies.values().map(each));
     }
 
     pub(super) fn tell_gone(&mut self, now: f64, lives: Vec<String>) {
@@ -130,7 +130,7 @@
         }
         self.log(format!("registry: {} drain or have left", lives.join(" ")));
         self.tally.drains += lives.len() as u64;
-        self.tell_couriers(&Down::Gone { lives });
+        self.tell_proxies(&Down::Gone { lives });
         self.tables(now);
     }
 
@@ -139,13 +139,13 @@
         for out in self.desk.tick(now) {
             match out {
                 Out::Table {
-                    courier,
+                    proxy,
                     service,
                     name,
                     mark,
                     lines,
                 } => {
-                    if let Some(to) = self.couriers.get(&courier) {
+                    if let Some(to) = self.proxies.get(&proxy) {
                         let frame = frame(&Down::Table {
                             service,
                             name,
--- a/crates/rookpulley-control/src/controller/publication.rs
+++ b/crates/rookpulley-control/src/controller/publication.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddrV4;
 
 impl Controller {
-    /// The configuration that couriers are told of, with its bytes.
+    /// The configuration that proxies are told of, with its bytes.
     pub fn configuration(&self) -> Option<(&[u8], &Book)> {
         self.editions.newest_body().zip(self.book.as_ref())
     }
@@ -31,12 +31,12 @@
         self.set_services(&body);
         self.editions.tell();
         let pulse = frame(&self.pulse(now));
-        for courier in self.couriers.values_mut() {
-            if courier.home {
-                courier.send_newer(&mut self.editions, &mut self.out);
+        for proxy in self.proxies.values_mut() {
+            if proxy.home {
+                proxy.send_newer(&mut self.editions, &mut self.out);
             } else {
                 self.out.push(Effect::Down {
-                    line: courier.line,
+                    line: proxy.line,
                     frame: pulse.clone(),
                 });
             }
@@ -78,7 +78,7 @@
             } else {
                 0
             },
-            couriers: self.roll.count(),
+            proxies: self.roll.count(),
             controllers: controllers.map(|ip| SocketAddrV4::new(ip, port)).collect(),
         }
     }
--- a/crates/rookpulley-control/src/controller/tasks.rs
+++ b/crates/rookpulley-control/src/controller/tasks.rs
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Waits until as many others know as may be lost: then the word reaches every courier in touch whatever
+    /// Waits until as many others know as may be lost: then the word reaches every proxy in touch whatever
     /// becomes of this machine, and it may be acknowledged.
     pub(super) fn known_elsewhere(&mut self, now: f64, caller: Caller, life: String) {
         let others = self
--- a/crates/rookpulley-control/src/lib.rs
+++ b/crates/rookpulley-control/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use annex::{Annex, AnnexEffect, AnnexStart};
 pub use calls::{Content, Path, Reply, Wants, read};
-pub use controller::{Controller, Courier, Effect, Rows, Start};
+pub use controller::{Controller, Effect, ProxySession, Rows, Start};
 pub use founding::Founding;
 pub use state::Kept;
 pub use tally::Tally;
--- a/crates/rookpulley-control/tests/compatibility/frames.rs
+++ b/crates/rookpulley-control/tests/compatibility/frames.rs
@@ -284,7 +284,7 @@
             Down::Pulse {
                 in_touch: true,
                 config: 17,
-                couriers: 300,
+                proxies: 300,
                 controllers,
             },
         ),
--- a/crates/rookpulley-control/tests/configuration.rs
+++ b/crates/rookpulley-control/tests/configuration.rs
@@ -119,7 +119,7 @@
 
     fn proxy_calls_it_home(&mut self, now: u64) {
         self.controller
-            .courier_in(now as f64, LINE, ("edge-1", "quay"), true, (0, false), &[]);
+            .proxy_in(now as f64, LINE, ("edge-1", "quay"), true, (0, false), &[]);
         self.carry_out(now as f64);
     }
 }
--- a/crates/rookpulley-controller/src/annex.rs
+++ b/crates/rookpulley-controller/src/annex.rs
@@ -51,7 +51,7 @@
     path: PathBuf,
     signals: &mut Signals,
 ) -> miette::Result<()> {
-    let [counter, for_couriers, for_peers] = crate::controller::listen(node, control)?;
+    let [counter, for_proxies, for_peers] = crate::controller::listen(node, control)?;
     tracing::info!(
         "controller: {} begins, without a disk: calls are passed on",
         node.name
@@ -71,7 +71,7 @@
         stopped,
         handler,
     ));
-    shell.begin(for_couriers, for_peers);
+    shell.begin(for_proxies, for_peers);
     let of = shell.clone();
     signals
         .wait(File::new(path), |seeds| {
@@ -104,8 +104,8 @@
         }))
     }
 
-    fn begin(self: &Rc<Self>, for_couriers: TcpListener, for_peers: TcpListener) {
-        tokio::task::spawn_local(self.clone().take_lines(for_couriers, Shell::guest));
+    fn begin(self: &Rc<Self>, for_proxies: TcpListener, for_peers: TcpListener) {
+        tokio::task::spawn_local(self.clone().take_lines(for_proxies, Shell::guest));
         tokio::task::spawn_local(self.clone().take_lines(for_peers, Shell::peer));
         let shell = self.clone();
         tokio::task::spawn_local(async move {
@@ -213,7 +213,7 @@
         }
     }
 
-    /// A courier, or another controller without a disk.
+    /// A proxy, or another controller without a disk.
     async fn guest(self: Rc<Self>, stream: TcpStream) {
         let number = self.next.get() + 1;
         self.next.set(number);
--- a/crates/rookpulley-controller/src/annex/tests.rs
+++ b/crates/rookpulley-controller/src/annex/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::couriers;
 use crate::hub::Hub;
+use crate::proxy_sessions;
 use rookpulley_control::Founding;
 use rookpulley_store::Store;
 use std::thread::JoinHandle;
@@ -42,7 +42,7 @@
             let hub = Hub::new(node, store, Vec::new(), 11);
             hub.hear_store(heard);
             let listener = line::listen(SocketAddr::from((ip, port)), 16).unwrap();
-            tokio::task::spawn_local(couriers::listen(hub.clone(), listener));
+            tokio::task::spawn_local(proxy_sessions::listen(hub.clone(), listener));
             let tick = async {
                 let mut beat = tokio::time::interval(Duration::from_millis(10));
                 for round in 1.. {
@@ -52,8 +52,8 @@
             };
             tokio::select! { () = tick => {}, _ = ended => {} }
             assert!(
-                hub.look(|controller| controller.couriers.is_empty()),
-                "it was counted as a courier"
+                hub.look(|controller| controller.proxies.is_empty()),
+                "it was counted as a proxy"
             );
         });
     };
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_courier_is_told_of_the_controllers_by_one_without_a_disk_and_not_to_make_it_its_home() {
+fn a_proxy_is_told_of_the_controllers_by_one_without_a_disk_and_not_to_make_it_its_home() {
     let ip = Ipv4Addr::new(127, 0, 3, 1);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -137,9 +137,9 @@
         let node = settings(ip, "quay", port);
         let shell = Shell::new(&node, node.listen.control.unwrap()).unwrap();
         let at = |port| line::listen(SocketAddr::from((ip, port)), 16).unwrap();
-        let for_couriers = at(0);
-        let to = for_couriers.local_addr().unwrap();
-        shell.begin(for_couriers, at(0));
+        let for_proxies = at(0);
+        let to = for_proxies.local_addr().unwrap();
+        shell.begin(for_proxies, at(0));
         // The other stands for a controller: it says where it is.
         let taken = async {
             let (stream, _) = other.accept().await.unwrap();
@@ -152,7 +152,7 @@
             line::run::<Up>(stream, None, open, |up| assert!(matches!(up, Up::Annex { .. }))).await
         };
         let heard = Rc::new(Cell::new(false));
-        let courier = async {
+        let proxy = async {
             let stream = line::dial(to, Duration::from_secs(60)).await.unwrap();
             let (node, zone) = ("edge-quay-2".into(), "quay".into());
             let hello = Up::Hello { node, zone, home: false, config: 0, tables: false, gone: Vec::new() };
@@ -162,8 +162,8 @@
                 own = Some(outbox);
             };
             let take = |down: Down| {
-                let Down::Pulse { in_touch, config, couriers, controllers } = down else { panic!("{down:?}") };
-                assert_eq!((in_touch, config, couriers), (false, 0, 0));
+                let Down::Pulse { in_touch, config, proxies, controllers } = down else { panic!("{down:?}") };
+                assert_eq!((in_touch, config, proxies), (false, 0, 0));
                 heard.set(controllers.iter().any(|controller| *controller.ip() == Ipv4Addr::new(127, 0, 3, 2)));
             };
             line::run(stream, None, open, take).await
@@ -173,6 +173,6 @@
                 tokio::task::yield_now().await;
             }
         };
-        tokio::select! { why = taken => panic!("{why}"), why = courier => panic!("{why}"), () = told => {} }
+        tokio::select! { why = taken => panic!("{why}"), why = proxy => panic!("{why}"), () = told => {} }
     });
 }
--- a/crates/rookpulley-controller/src/calls.rs
+++ b/crates/rookpulley-controller/src/calls.rs
@@ -43,7 +43,7 @@
         ("GET /rookpulley/show/tasks/{}", show(Part::Tasks)),
         ("GET /rookpulley/show/tables", show(Part::Tables)),
         ("GET /rookpulley/show/tables/{}", show(Part::Tables)),
-        ("GET /rookpulley/show/couriers", show(Part::Couriers)),
+        ("GET /rookpulley/show/couriers", show(Part::Proxies)),
         ("GET /rookpulley/show/ledger", show(Part::Ledger)),
         ("GET /rookpulley/show/counters", show(Part::Counters)),
     ])
--- a/crates/rookpulley-controller/src/controller.rs
+++ b/crates/rookpulley-controller/src/controller.rs
@@ -3,7 +3,7 @@
 
 use crate::ending::{self, Signals};
 use crate::hub::{Hub, StoreFailure};
-use crate::{calls, couriers, peers};
+use crate::{calls, peers, proxy_sessions};
 use miette::{IntoDiagnostic, WrapErr};
 use rookpulley_control::Founding;
 use rookpulley_runtime::{File, line};
@@ -37,7 +37,7 @@
     pub others: Vec<SocketAddrV4>,
 }
 
-/// For calls, couriers and other controllers.
+/// For calls, proxies and other controllers.
 pub fn listen(node: &Node, control: SocketAddrV4) -> miette::Result<[TcpListener; 3]> {
     let inner = |more| SocketAddrV4::new(node.ip, node.inner_ports.0 + more);
     Ok([
@@ -61,7 +61,7 @@
 ) -> miette::Result<Ended> {
     // Before the store is opened: who dials meanwhile waits, and isn't refused. At a start proxies that reach all
     // controllers at once choose the same primary.
-    let [counter, for_couriers, for_peers] = listen(node, control)?;
+    let [counter, for_proxies, for_peers] = listen(node, control)?;
     let (said, heard) = tokio::sync::mpsc::unbounded_channel();
     let founding = node
         .first_start
@@ -87,7 +87,7 @@
 
     let (stop, stopped) = tokio::sync::watch::channel(false);
     let counter = calls::Calls::new(hub.clone())?.serve(counter, stopped);
-    tokio::task::spawn_local(couriers::listen(hub.clone(), for_couriers));
+    tokio::task::spawn_local(proxy_sessions::listen(hub.clone(), for_proxies));
     tokio::task::spawn_local(peers::listen(hub.clone(), for_peers));
     hub.hear_store(heard);
     tokio::task::spawn_local(dial_peers(hub.clone()));
--- a/crates/rookpulley-controller/src/hub.rs
+++ b/crates/rookpulley-controller/src/hub.rs
@@ -26,7 +26,7 @@
     store: Store,
     peers: BTreeMap<Ipv4Addr, Peer>,
     to_dial: Vec<Ipv4Addr>,
-    couriers: BTreeMap<u64, Outbox>,
+    proxies: BTreeMap<u64, Outbox>,
     calls: BTreeMap<u64, oneshot::Sender<Reply>>,
 }
 
@@ -73,7 +73,7 @@
             store,
             peers: BTreeMap::new(),
             to_dial: Vec::new(),
-            couriers: BTreeMap::new(),
+            proxies: BTreeMap::new(),
             calls: BTreeMap::new(),
         };
         let hub = Rc::new(Self {
@@ -141,11 +141,11 @@
             }
             Effect::Down { line, frame } => {
                 if lines
-                    .couriers
+                    .proxies
                     .get(&line)
                     .is_some_and(|outbox| !outbox.send_framed(frame))
                 {
-                    lines.couriers.remove(&line);
+                    lines.proxies.remove(&line);
                 }
             }
             Effect::Write { ticket, records } => {
@@ -285,16 +285,13 @@
         answer.await.ok()
     }
 
-    // ---- couriers ---------------------------------------------------------------------------
+    // ---- proxies ---------------------------------------------------------------------------
 
-    /// Who has come by its first word: a courier, or a controller without a disk. Gives its name and its line's number.
-    pub fn courier_in(&self, hello: Up, outbox: Outbox) -> Option<(String, u64)> {
+    /// Who has come by its first word: a proxy, or a controller without a disk. Gives its name and its line's number.
+    pub fn proxy_in(&self, hello: Up, outbox: Outbox) -> Option<(String, u64)> {
         let line = self.with(|controller, _| controller.number());
         let came = |name: String| {
-            self.lines
-                .borrow_mut()
-                .couriers
-                .insert(line, outbox.clone());
+            self.lines.borrow_mut().proxies.insert(line, outbox.clone());
             Some((name, line))
         };
         match hello {
@@ -308,7 +305,7 @@
             } => {
                 let came = came(node.clone());
                 self.with(|controller, now| {
-                    controller.courier_in(now, line, (&node, &zone), home, (config, tables), &gone);
+                    controller.proxy_in(now, line, (&node, &zone), home, (config, tables), &gone);
                 });
                 came
             }
@@ -324,17 +321,17 @@
         }
     }
 
-    pub fn courier_said(&self, node: &str, line: u64, up: Up) {
+    pub fn proxy_said(&self, node: &str, line: u64, up: Up) {
         self.with(|controller, now| match up {
             Up::Annex { .. } | Up::Found { .. } => controller.annex_said(now, line, &up),
-            up => controller.courier_said(now, node, line, up),
+            up => controller.proxy_said(now, node, line, up),
         });
     }
 
-    pub fn courier_out(&self, node: &str, line: u64) {
-        self.lines.borrow_mut().couriers.remove(&line);
+    pub fn proxy_out(&self, node: &str, line: u64) {
+        self.lines.borrow_mut().proxies.remove(&line);
         self.with(|controller, now| {
-            controller.courier_out(now, node, line);
+            controller.proxy_out(now, node, line);
             controller.annex_out(now, line);
         });
     }
--- a/crates/rookpulley-controller/src/main.rs
+++ b/crates/rookpulley-controller/src/main.rs
@@ -3,10 +3,10 @@
 mod annex;
 mod calls;
 mod controller;
-mod couriers;
 mod ending;
 mod hub;
 mod peers;
+mod proxy_sessions;
 mod show;
 mod standby;
 
--- a/crates/rookpulley-controller/src/couriers.rs
+++ b/crates/rookpulley-controller/src/proxy_sessions.rs
@@ -1,4 +1,4 @@
-//! Lines of couriers: what they report, and what they are told. A courier whose home is elsewhere says nothing here for
+//! Lines of proxies: what they report, and what they are told. A proxy whose home is elsewhere says nothing here for
 //! long; that it is there shows in what is told to it.
 
 use crate::hub::Hub;
@@ -27,16 +27,16 @@
                         let Some(outbox) = outbox.borrow_mut().take() else {
                             return;
                         };
-                        *name.borrow_mut() = hub.courier_in(hello, outbox);
+                        *name.borrow_mut() = hub.proxy_in(hello, outbox);
                     }
-                    (up, Some((node, line))) => hub.courier_said(&node, line, up),
+                    (up, Some((node, line))) => hub.proxy_said(&node, line, up),
                     _ => {}
                 }
             };
             let why = line::run::<Up>(stream, None, open, take).await;
             if let Some((node, line)) = name.into_inner() {
-                hub.courier_out(&node, line);
-                tracing::info!("couriers: the line of {node} {why}");
+                hub.proxy_out(&node, line);
+                tracing::info!("proxies: the line of {node} {why}");
             }
         });
     }
@@ -47,12 +47,12 @@
     use crate::show::tests::at_an_controller;
 
     #[test]
-    fn a_courier_that_too_much_waits_for_is_hung_up_on_so_that_it_misses_nothing() {
+    fn a_proxy_that_too_much_waits_for_is_hung_up_on_so_that_it_misses_nothing() {
         at_an_controller(|calls| async move {
             // Nothing is written meanwhile.
             (0..2_000).for_each(|_| calls.hub.tick(8));
             for _ in 0..10_000 {
-                if calls.hub.look(|controller| controller.couriers.is_empty()) {
+                if calls.hub.look(|controller| controller.proxies.is_empty()) {
                     return;
                 }
                 tokio::task::yield_now().await;
--- a/crates/rookpulley-controller/src/show.rs
+++ b/crates/rookpulley-controller/src/show.rs
@@ -17,7 +17,7 @@
     View,
     Tasks,
     Tables,
-    Couriers,
+    Proxies,
     Ledger,
     Counters,
 }
@@ -33,7 +33,7 @@
         Part::View => shown(view(hub, controller, now)),
         Part::Tasks => shown(tasks(controller, now, service)),
         Part::Tables => shown(tables(controller, service)),
-        Part::Couriers => shown(couriers(controller)),
+        Part::Proxies => shown(proxies(controller)),
         Part::Ledger => shown(ledger(controller)),
         Part::Counters => Reply {
             status: 200,
@@ -154,7 +154,7 @@
     let rows = tables.map(|table| {
         object([
             ("service", text(&table.service)),
-            ("courier", text(&table.courier)),
+            ("courier", text(&table.proxy)),
             ("revision", hex(table.name)),
             ("revisions", number(table.revisions as u64)),
             ("lines", number(table.lines as u64)),
@@ -165,13 +165,13 @@
     object([("tables", rows), ("more", more)])
 }
 
-fn couriers(controller: &Controller) -> JsonValue {
-    let rows = controller.couriers.iter().map(|(name, courier)| {
+fn proxies(controller: &Controller) -> JsonValue {
+    let rows = controller.proxies.iter().map(|(name, proxy)| {
         object([
             ("name", text(name)),
-            ("zone", text(&courier.zone)),
-            ("home", courier.home.into()),
-            ("config", number(courier.config)),
+            ("zone", text(&proxy.zone)),
+            ("home", proxy.home.into()),
+            ("config", number(proxy.config)),
         ])
     });
     let (rows, more) = bounded(rows);
--- a/crates/rookpulley-controller/src/show/counts.rs
+++ b/crates/rookpulley-controller/src/show/counts.rs
@@ -190,9 +190,9 @@
     gauge(
         "rookpulley_office_couriers",
         "Couriers whose line is here.",
-        controller.couriers.len() as u64,
+        controller.proxies.len() as u64,
     );
-    let homes = controller.couriers.values().filter(|c| c.home).count();
+    let homes = controller.proxies.values().filter(|c| c.home).count();
     gauge(
         "rookpulley_office_couriers_at_home",
         "Couriers that call this office home.",
--- a/crates/rookpulley-controller/src/show/tests.rs
+++ b/crates/rookpulley-controller/src/show/tests.rs
@@ -1,6 +1,6 @@
 use crate::calls::Calls;
-use crate::couriers;
 use crate::hub::Hub;
+use crate::proxy_sessions;
 use rookpulley_api::{Bounds, Call, Reply};
 use rookpulley_protocol::Up;
 use rookpulley_runtime::line;
@@ -54,7 +54,7 @@
     String::from_utf8(reply.body).unwrap()
 }
 
-/// A controller alone, at work, with a task, a configuration and a courier at home.
+/// A controller alone, at work, with a task, a configuration and a proxy at home.
 pub fn at_an_controller<F: Future<Output = ()>>(trial: impl FnOnce(Rc<Calls>) -> F) {
     let folder = tempfile::tempdir().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -87,7 +87,7 @@
         );
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
-        tokio::task::spawn_local(couriers::listen(hub.clone(), listener));
+        tokio::task::spawn_local(proxy_sessions::listen(hub.clone(), listener));
         let hello = Up::Hello {
             node: "edge-quay-2".into(),
             zone: "quay".into(),
@@ -111,7 +111,7 @@
             |_| (),
         ));
         while hub
-            .look(|controller| controller.couriers.is_empty() || controller.desk.shown().is_empty())
+            .look(|controller| controller.proxies.is_empty() || controller.desk.shown().is_empty())
         {
             tokio::task::yield_now().await;
         }
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn an_controller_shows_itself_its_tasks_its_couriers_and_what_it_keeps() {
+fn an_controller_shows_itself_its_tasks_its_proxies_and_what_it_keeps() {
     at_an_controller(|calls| async move {
         let has = |text: String, wanted: &[&str]| {
             wanted
--- a/crates/rookpulley-devcluster/src/clients.rs
+++ b/crates/rookpulley-devcluster/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: requests at a steady pace whatever becomes of those before, through all couriers in turn.
+//! Clients: requests at a steady pace whatever becomes of those before, through all proxies in turn.
 
 use crate::operator::{FIRST, Kind, ROUTES, Route, SECOND};
 use crate::record::{Moment, Record, digest};
@@ -20,7 +20,7 @@
 pub const REQUESTS_MOST: u32 = 1_000;
 const PATIENCE: Duration = Duration::from_millis(2_500);
 const TRIES: u32 = 4;
-/// Connections kept at each courier.
+/// Connections kept at each proxy.
 const KEPT: usize = 12;
 
 /// What a client saw of one try.
@@ -53,7 +53,7 @@
 pub struct Try {
     pub id: String,
     pub request: u32,
-    pub courier: usize,
+    pub proxy: usize,
     pub route: &'static Route,
     pub method: &'static str,
     pub target: String,
@@ -76,7 +76,7 @@
 }
 
 pub struct Clients {
-    couriers: Vec<SocketAddrV4>,
+    proxies: Vec<SocketAddrV4>,
     kept: Vec<RefCell<Vec<Line>>>,
     record: Rc<Record>,
     pub tries: RefCell<Vec<Try>>,
@@ -87,10 +87,10 @@
 }
 
 impl Clients {
-    pub fn new(couriers: Vec<SocketAddrV4>, record: Rc<Record>) -> Rc<Self> {
-        let kept = couriers.iter().map(|_| RefCell::default()).collect();
+    pub fn new(proxies: Vec<SocketAddrV4>, record: Rc<Record>) -> Rc<Self> {
+        let kept = proxies.iter().map(|_| RefCell::default()).collect();
         Rc::new(Self {
-            couriers,
+            proxies,
             kept,
             record,
             tries: RefCell::default(),
@@ -147,7 +147,7 @@
         route: &'static Route,
         until: Instant,
     ) -> (Seen, Option<Duration>) {
-        let courier = (number + number / 5 + again) as usize % self.couriers.len().max(1);
+        let proxy = (number + number / 5 + again) as usize % self.proxies.len().max(1);
         let id = format!("{:016x}", digest((number, again)));
         let target = format!(
             "{}{}?part={number}&mark=%2e%2E",
@@ -178,7 +178,7 @@
         let body = Bytes::from(body);
         let digested = digest(&body);
         let outcome = match request.body(Full::new(body)) {
-            Ok(request) => self.exchange(courier, request, fresh, until).await,
+            Ok(request) => self.exchange(proxy, request, fresh, until).await,
             Err(_) => Outcome::Nothing,
         };
         let mut wait = None;
@@ -200,7 +200,7 @@
         self.tries.borrow_mut().push(Try {
             id,
             request: number,
-            courier,
+            proxy,
             route,
             method,
             target,
@@ -217,12 +217,12 @@
 
     async fn exchange(
         &self,
-        courier: usize,
+        proxy: usize,
         request: Request<Full<Bytes>>,
         fresh: bool,
         until: Instant,
     ) -> Outcome {
-        let (Some(to), Some(kept)) = (self.couriers.get(courier), self.kept.get(courier)) else {
+        let (Some(to), Some(kept)) = (self.proxies.get(proxy), self.kept.get(proxy)) else {
             return Outcome::Nothing;
         };
         let mut line = None;
--- a/crates/rookpulley-devcluster/src/depot.rs
+++ b/crates/rookpulley-devcluster/src/depot.rs
@@ -41,7 +41,7 @@
         })
     }
 
-    /// Returns once all couriers say that they are ready.
+    /// Returns once all proxies say that they are ready.
     pub async fn come_up(&mut self) -> Result<(), DepotError> {
         self.processes.start_all(&self.ground)?;
         self.start_tasks().await?;
@@ -53,7 +53,7 @@
                 answer.is_some_and(|(status, _)| status == 200)
             };
             self.wait(
-                &format!("that {} is ready", Role::Courier.name(machine)),
+                &format!("that {} is ready", Role::Proxy.name(machine)),
                 ready,
             )
             .await?;
--- a/crates/rookpulley-devcluster/src/judge.rs
+++ b/crates/rookpulley-devcluster/src/judge.rs
@@ -320,9 +320,9 @@
     };
     let took = one.ended.saturating_sub(one.sent).as_millis();
     let at = one.sent.as_secs_f64();
-    let courier = Role::Courier.name(one.courier);
+    let proxy = Role::Proxy.name(one.proxy);
     format!(
-        "{} at {at:.2} s by {courier} ({}): {seen} after {took} ms",
+        "{} at {at:.2} s by {proxy} ({}): {seen} after {took} ms",
         one.id, one.route.name
     )
 }
--- a/crates/rookpulley-devcluster/src/main.rs
+++ b/crates/rookpulley-devcluster/src/main.rs
@@ -1,6 +1,6 @@
 //! A whole gateway on one machine against stand-in tasks: to be tried by hand, and to be tested from end to end.
 //!
-//! `ground`, `sheet` and `processes` start the controllers and couriers; `task` and `beats` are the tasks, `operator` and
+//! `ground`, `sheet` and `processes` start the controllers and proxies; `task` and `beats` are the tasks, `operator` and
 //! `caller` the operator; `depot` holds all of it together. `trial` runs `clients` and `coordination` against it,
 //! `judge` and `order` decide what comes of that.
 
@@ -41,7 +41,7 @@
 use trial::Trial;
 
 xflags::xflags! {
-    /// Starts a gateway of three couriers and three controllers on 127.0.0.1, 127.0.0.2 and 127.0.0.3, with stand-in
+    /// Starts a gateway of three proxies and three controllers on 127.0.0.1, 127.0.0.2 and 127.0.0.3, with stand-in
     /// tasks, and serves until Ctrl-C.
     cmd rookpulley-devcluster {
         /// Sends requests and calls itself, makes some trouble, checks what comes of it, prints a table, and ends with 0 or 1.
--- a/crates/rookpulley-devcluster/src/processes.rs
+++ b/crates/rookpulley-devcluster/src/processes.rs
@@ -1,4 +1,4 @@
-//! The controllers and couriers as processes: started, looked after, killed, ended.
+//! The controllers and proxies as processes: started, looked after, killed, ended.
 
 use crate::faults::DepotError;
 use crate::ground::{Ground, MACHINES};
@@ -26,12 +26,12 @@
 
 pub struct Processes {
     controllers: PathBuf,
-    couriers: PathBuf,
+    proxies: PathBuf,
     verbose: bool,
     all: Vec<Process>,
 }
 
-/// All controllers, then all couriers.
+/// All controllers, then all proxies.
 fn places() -> impl Iterator<Item = (Role, usize)> {
     Role::ALL
         .into_iter()
@@ -52,7 +52,7 @@
 
 impl Processes {
     pub fn find(verbose: bool) -> Result<Self, DepotError> {
-        let (controllers, couriers) = (
+        let (controllers, proxies) = (
             sibling("rookpulley-controller")?,
             sibling("rookpulley-proxy")?,
         );
@@ -67,7 +67,7 @@
         });
         Ok(Self {
             controllers,
-            couriers,
+            proxies,
             verbose,
             all: all.collect(),
         })
@@ -102,7 +102,7 @@
         let program = if process.role == Role::Controller {
             &self.controllers
         } else {
-            &self.couriers
+            &self.proxies
         };
         let mut command = Command::new(program);
         if self.verbose {
--- a/crates/rookpulley-devcluster/src/sheet.rs
+++ b/crates/rookpulley-devcluster/src/sheet.rs
@@ -15,16 +15,16 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Role {
-    Courier,
+    Proxy,
     Controller,
 }
 
 impl Role {
-    pub const ALL: [Role; 2] = [Role::Controller, Role::Courier];
+    pub const ALL: [Role; 2] = [Role::Controller, Role::Proxy];
 
     fn word(self) -> &'static str {
         match self {
-            Role::Courier => "courier",
+            Role::Proxy => "courier",
             Role::Controller => "office",
         }
     }
@@ -39,7 +39,7 @@
 pub fn sheet(ground: &Ground, machine: usize, role: Role, first: bool) -> Node {
     let name = role.name(machine);
     let (serves, listen) = match role {
-        Role::Courier => {
+        Role::Proxy => {
             let (front, readiness) = (Some(ground.front(machine)), Some(ground.readiness(machine)));
             (
                 "edge",
--- a/crates/rookpulley-devcluster/src/tests.rs
+++ b/crates/rookpulley-devcluster/src/tests.rs
@@ -56,7 +56,7 @@
         history.tries.push(Try {
             id: id.clone(),
             request: number,
-            courier: 0,
+            proxy: 0,
             route,
             method,
             target,
@@ -254,7 +254,7 @@
 #[test]
 fn settings_and_configurations_are_what_the_programs_read() {
     let ground = Ground::find(false).unwrap();
-    for (machine, role) in [(0, Role::Controller), (2, Role::Courier)] {
+    for (machine, role) in [(0, Role::Controller), (2, Role::Proxy)] {
         let node = sheet(&ground, machine, role, true);
         assert_eq!(Node::parse(&node.to_string()).unwrap(), node);
     }
--- a/crates/rookpulley-devcluster/src/trial.rs
+++ b/crates/rookpulley-devcluster/src/trial.rs
@@ -53,10 +53,10 @@
 
 /// `machine`: whose controller is killed.
 pub async fn run(depot: &mut Depot, machine: usize) -> Result<Trial, DepotError> {
-    let couriers = (0..MACHINES)
+    let proxies = (0..MACHINES)
         .map(|machine| depot.ground.front(machine))
         .collect();
-    let clients = Clients::new(couriers, depot.record.clone());
+    let clients = Clients::new(proxies, depot.record.clone());
     let applications = Rc::new(Applications::new(
         depot.ground.controls(),
         depot.record.clone(),
@@ -80,7 +80,7 @@
 
     let (tries, record) = (clients.tries.borrow(), depot.record.clone());
     let (arrivals, drains) = (record.arrivals.borrow(), record.drains.borrow());
-    let bounds = sheet(&depot.ground, 0, Role::Courier, false).bounds;
+    let bounds = sheet(&depot.ground, 0, Role::Proxy, false).bounds;
     let requests = Requests {
         tries: &tries,
         arrivals: &arrivals,
@@ -123,17 +123,17 @@
     let controller = Role::Controller.name(machine);
     say(
         depot,
-        "requests go through all couriers, applications call all controllers",
+        "requests go through all proxies, applications call all controllers",
     );
-    let served = |courier: Option<usize>| {
+    let served = |proxy: Option<usize>| {
         let tries = clients.tries.borrow();
         tries
             .iter()
-            .filter(|one| one.served() && courier.is_none_or(|at| at == one.courier))
+            .filter(|one| one.served() && proxy.is_none_or(|at| at == one.proxy))
             .count()
     };
     depot
-        .wait("that every courier serves", async || {
+        .wait("that every proxy serves", async || {
             served(None) >= BEFORE && (0..MACHINES).all(|at| served(Some(at)) > 0)
         })
         .await?;
--- a/crates/rookpulley-devcluster/tests/trial.rs
+++ b/crates/rookpulley-devcluster/tests/trial.rs
@@ -1,4 +1,4 @@
-//! The command as users start it, with the controllers and couriers of this very source.
+//! The command as users start it, with the controllers and proxies of this very source.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -41,7 +41,7 @@
             .unwrap();
         assert!(
             done.success(),
-            "the controller and the courier can't be built"
+            "the controller and the proxy can't be built"
         );
     });
 }
--- a/crates/rookpulley-protocol/src/lib.rs
+++ b/crates/rookpulley-protocol/src/lib.rs
@@ -1,6 +1,6 @@
 //! What the programs of the gateway say to each other: values and their bytes.
 //!
-//! `messages` holds the values between couriers and controllers, `frame` turns values into bytes and back,
+//! `messages` holds the values between proxies and controllers, `frame` turns values into bytes and back,
 //! `pack` makes the operator's configuration short.
 
 pub mod frame;
--- a/crates/rookpulley-protocol/src/messages.rs
+++ b/crates/rookpulley-protocol/src/messages.rs
@@ -1,4 +1,4 @@
-//! The values that couriers and controllers exchange.
+//! The values that proxies and controllers exchange.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
@@ -6,10 +6,10 @@
 /// The id of one life of a task.
 pub type Life = String;
 
-/// What a courier tells a controller.
+/// What a proxy tells a controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Up {
-    /// The first word on a connection. `home`: this controller is asked to cut the courier's tables; `tables`: it holds
+    /// The first word on a connection. `home`: this controller is asked to cut the proxy's tables; `tables`: it holds
     /// some already.
     Hello {
         node: String,
@@ -64,14 +64,14 @@
     pub mean_ms: f32,
 }
 
-/// What a controller tells a courier.
+/// What a controller tells a proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Down {
     /// A few times a second. `in_touch`: this controller stands in a view that is at work.
     Pulse {
         in_touch: bool,
         config: u64,
-        couriers: u32,
+        proxies: u32,
         controllers: Vec<SocketAddrV4>,
     },
     /// The operator's bytes as they were sent, packed on those of another version; 0: on nothing.
--- a/crates/rookpulley-protocol/src/pack.rs
+++ b/crates/rookpulley-protocol/src/pack.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration on its way to couriers: as what differs from one that the courier holds, or packed
+//! The operator's configuration on its way to proxies: as what differs from one that the proxy holds, or packed
 //! whole. Links may be slow and configurations long, and a new one differs little from the one before.
 
 use zstd::bulk::{Compressor, Decompressor};
--- a/crates/rookpulley-proxy-core/src/journey.rs
+++ b/crates/rookpulley-proxy-core/src/journey.rs
@@ -21,7 +21,7 @@
     pub max_connections: u32,
 }
 
-/// An answer of the courier itself.
+/// An answer of the proxy itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tell {
     pub status: u16,
--- a/crates/rookpulley-proxy-core/src/lib.rs
+++ b/crates/rookpulley-proxy-core/src/lib.rs
@@ -1,6 +1,6 @@
-//! All that a courier holds and decides. No sockets, files or clocks.
+//! All that a proxy holds and decides. No sockets, files or clocks.
 //!
-//! `satchel` is what a courier holds: configuration, tables, budgets, and the controllers that tell them. `journey` is one
+//! `satchel` is what a proxy holds: configuration, tables, budgets, and the controllers that tell them. `journey` is one
 //! request's way from its head to its answer, `answer` says what a task's answer is worth, `tally` counts for the home.
 
 mod answer;
--- a/crates/rookpulley-proxy-core/src/satchel.rs
+++ b/crates/rookpulley-proxy-core/src/satchel.rs
@@ -1,4 +1,4 @@
-//! What a courier holds: the configuration, tables and drains as controllers tell them, and what pays for further tries.
+//! What a proxy holds: the configuration, tables and drains as controllers tell them, and what pays for further tries.
 
 use crate::tally::Tally;
 use rookpulley_balancer::{Budget, ControllerSelection, Fleet, Move, Post};
@@ -42,7 +42,7 @@
 }
 
 impl Satchel {
-    /// `ratio` and `slack`: what further tries a service may get from all couriers.
+    /// `ratio` and `slack`: what further tries a service may get from all proxies.
     pub fn new(
         name: &str,
         zone: &str,
@@ -86,7 +86,7 @@
         if book.version > self.version() {
             self.edition = edition;
             self.out.push(Effect::Log(format!(
-                "courier: configuration {} is in force",
+                "proxy: configuration {} is in force",
                 book.version
             )));
             self.book = Some(Rc::new(book));
@@ -101,12 +101,12 @@
         self.fleet
     }
 
-    pub fn take_couriers(&mut self, now: f64, heard: u32) {
+    pub fn take_proxies(&mut self, now: f64, heard: u32) {
         if self.fleet.heard(now, heard) {
-            let couriers = self.fleet.couriers();
+            let proxies = self.fleet.proxies();
             self.budgets
                 .values_mut()
-                .for_each(|budget| budget.shared_by(couriers));
+                .for_each(|budget| budget.shared_by(proxies));
         }
     }
 
@@ -118,8 +118,8 @@
             .budgets
             .entry(service.to_owned())
             .or_insert(Budget::new(self.ratio, self.slack));
-        if self.fleet.couriers() > 0 {
-            budget.shared_by(self.fleet.couriers());
+        if self.fleet.proxies() > 0 {
+            budget.shared_by(self.fleet.proxies());
         }
         with(budget)
     }
@@ -189,7 +189,7 @@
             Down::Pulse {
                 in_touch,
                 config,
-                couriers,
+                proxies,
                 controllers,
             } => {
                 let have = self.version();
@@ -199,8 +199,8 @@
                 {
                     self.say(controller, Up::WantConfig { have });
                 }
-                if couriers > 0 {
-                    self.take_couriers(now, couriers);
+                if proxies > 0 {
+                    self.take_proxies(now, proxies);
                 }
                 controllers
                     .iter()
--- a/crates/rookpulley-proxy/src/answers.rs
+++ b/crates/rookpulley-proxy/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the courier itself.
+//! Answers of the proxy itself.
 
 use crate::bodies::Reply;
 use bytes::Bytes;
--- a/crates/rookpulley-proxy/src/attempt.rs
+++ b/crates/rookpulley-proxy/src/attempt.rs
@@ -3,7 +3,7 @@
 use crate::bodies::{self, Parcel, Reply, Stream, Upload};
 use crate::check::{DEADLINE_MS, strip};
 use crate::head::worth;
-use crate::state::Courier;
+use crate::state::ProxyContext;
 use crate::wires::{self, NoWire, Wire};
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING};
@@ -25,7 +25,7 @@
 
 /// A request as it goes to tasks.
 pub struct Errand {
-    pub courier: Rc<Courier>,
+    pub proxy: Rc<ProxyContext>,
     pub method: Method,
     pub target: Uri,
     /// Without those of the client's connection.
@@ -76,11 +76,11 @@
 
     /// `left` turns true once bytes of the request may have left.
     pub async fn attempt(&self, to: &Line, mut parcel: Parcel, left: &Cell<bool>) -> Ended {
-        let bound = self.courier.look(|satchel| satchel.connections(&self.way));
+        let bound = self.proxy.look(|satchel| satchel.connections(&self.way));
         let mut leaving = Leaving::default();
         loop {
             let mut wire = match self
-                .courier
+                .proxy
                 .wires
                 .take(to, bound, self.once(), leaving.anew())
                 .await
@@ -95,7 +95,7 @@
                 Err(NoWire::Unreachable) => return Ended::unsent(Some(parcel)),
             };
             // It may have begun to drain while the connection came up.
-            if !self.courier.look(|satchel| satchel.may_leave(&to.life)) {
+            if !self.proxy.look(|satchel| satchel.may_leave(&to.life)) {
                 return Ended {
                     parcel: Some(parcel),
                     ..Ended::so(How::Full)
@@ -142,7 +142,7 @@
         *request.version_mut() = Version::HTTP_11;
         let headers = request.headers_mut();
         *headers = self.headers.clone();
-        let left_ms = (self.way.until_ms - self.courier.now_ms() - WAY_MS).max(1.0) as u64;
+        let left_ms = (self.way.until_ms - self.proxy.now_ms() - WAY_MS).max(1.0) as u64;
         headers.insert(&DEADLINE_MS, HeaderValue::from(left_ms));
         headers.insert(&TARGET_INSTANCE, life);
         if chunks {
@@ -175,14 +175,14 @@
     ) -> Ended {
         let status = head.status.as_u16();
         let length = body.size_hint().exact();
-        let wanted = length.map_or(self.courier.hold_bytes, |length| {
+        let wanted = length.map_or(self.proxy.hold_bytes, |length| {
             usize::try_from(length).unwrap_or(usize::MAX)
         });
-        let held = (wanted <= self.courier.hold_bytes)
-            .then(|| self.courier.hold(wanted))
+        let held = (wanted <= self.proxy.hold_bytes)
+            .then(|| self.proxy.hold(wanted))
             .flatten();
         let most = if held.is_some() {
-            self.courier.hold_bytes
+            self.proxy.hold_bytes
         } else {
             0
         };
@@ -206,7 +206,7 @@
             Answer::Whole(Response::from_parts(head, Reply::whole(bytes)))
         } else {
             let until = Box::pin(tokio::time::sleep_until(
-                self.courier.instant(self.way.until_ms),
+                self.proxy.instant(self.way.until_ms),
             ));
             let wire = Some((wire, kept_for));
             let stream = Stream {
@@ -242,17 +242,17 @@
 
 /// A try as the post counts it: dropped without an end, the client left.
 pub struct Trial {
-    courier: Rc<Courier>,
+    proxy: Rc<ProxyContext>,
     service: Rc<str>,
     pick: Option<Pick>,
     began_ms: f64,
 }
 
 impl Trial {
-    pub fn new(courier: &Rc<Courier>, service: &Rc<str>, pick: Pick) -> Trial {
-        let began_ms = courier.now_ms();
+    pub fn new(proxy: &Rc<ProxyContext>, service: &Rc<str>, pick: Pick) -> Trial {
+        let began_ms = proxy.now_ms();
         Trial {
-            courier: courier.clone(),
+            proxy: proxy.clone(),
             service: service.clone(),
             pick: Some(pick),
             began_ms,
@@ -267,10 +267,10 @@
         let Some(pick) = self.pick.take() else { return };
         let life = pick.line.life.clone();
         let left = self
-            .courier
+            .proxy
             .with(|satchel, now| satchel.tried(&self.service, pick, how, self.began_ms, now));
         if left {
-            self.courier.wires.forget(&life);
+            self.proxy.wires.forget(&life);
         }
     }
 }
@@ -278,7 +278,7 @@
 impl Drop for Trial {
     fn drop(&mut self) {
         if let Some(pick) = self.pick.take() {
-            self.courier.with(|satchel, _| satchel.post.left(pick));
+            self.proxy.with(|satchel, _| satchel.post.left(pick));
         }
     }
 }
--- a/crates/rookpulley-proxy/src/carry.rs
+++ b/crates/rookpulley-proxy/src/carry.rs
@@ -6,7 +6,7 @@
 use crate::check;
 use crate::ear::Watch;
 use crate::span::{Chunks, Span};
-use crate::state::Courier;
+use crate::state::ProxyContext;
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONNECTION, EXPECT, HeaderValue};
@@ -22,12 +22,12 @@
 const READ_WHOLE: usize = 64 << 10;
 
 /// Counts among what is at work as long as it lives.
-struct Counted(Rc<Courier>);
+struct Counted(Rc<ProxyContext>);
 
 impl Counted {
-    fn new(courier: &Rc<Courier>) -> Counted {
-        courier.at_work.set(courier.at_work.get() + 1);
-        Counted(courier.clone())
+    fn new(proxy: &Rc<ProxyContext>) -> Counted {
+        proxy.at_work.set(proxy.at_work.get() + 1);
+        Counted(proxy.clone())
     }
 }
 
@@ -44,11 +44,11 @@
 }
 
 impl AtWork {
-    fn new(courier: &Rc<Courier>, watch: &Rc<Watch>, body: Span) -> AtWork {
+    fn new(proxy: &Rc<ProxyContext>, watch: &Rc<Watch>, body: Span) -> AtWork {
         watch.begins(body);
         AtWork {
             watch: watch.clone(),
-            _counted: Counted::new(courier),
+            _counted: Counted::new(proxy),
         }
     }
 }
@@ -69,7 +69,7 @@
 }
 
 pub async fn serve(
-    courier: Rc<Courier>,
+    proxy: Rc<ProxyContext>,
     watch: Rc<Watch>,
     request: Request<Incoming>,
 ) -> Response<Reply> {
@@ -78,10 +78,10 @@
         .size_hint()
         .exact()
         .map_or(Span::Chunks(Chunks::Start), Span::Length);
-    let work = AtWork::new(&courier, &watch, body);
-    let mut answer = carry(&courier, &watch, request).await;
+    let work = AtWork::new(&proxy, &watch, body);
+    let mut answer = carry(&proxy, &watch, request).await;
     // What the client still sends isn't read to its end.
-    if courier.ending() || watch.unread() {
+    if proxy.ending() || watch.unread() {
         answer
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -91,33 +91,33 @@
 }
 
 async fn carry(
-    courier: &Rc<Courier>,
+    proxy: &Rc<ProxyContext>,
     watch: &Watch,
     request: Request<Incoming>,
 ) -> Response<Reply> {
     let (mut head, body) = request.into_parts();
-    let limits = courier
+    let limits = proxy
         .book()
         .map_or_else(Limits::default, |book| book.limits);
     let checked = match check::check(&head, watch, limits) {
         Ok(checked) => checked,
         Err(status) => return answers::last(status),
     };
-    let way = courier.with(|satchel, now| {
+    let way = proxy.with(|satchel, now| {
         satchel.arrives(now, &checked.host, head.uri.path(), checked.deadline_ms)
     });
     let way = match way {
         Ok(way) => way,
         Err(tell) => return told(tell),
     };
-    let parcel = match gather(courier, body, checked.length, limits, way.until_ms).await {
+    let parcel = match gather(proxy, body, checked.length, limits, way.until_ms).await {
         Ok(parcel) => parcel,
         Err(status) => return answers::last(status),
     };
     check::strip(&mut head.headers);
     head.headers.remove(EXPECT);
     let errand = Errand {
-        courier: courier.clone(),
+        proxy: proxy.clone(),
         method: head.method,
         target: head.uri,
         headers: head.headers,
@@ -129,7 +129,7 @@
         return tries(errand, parcel, gone).await;
     }
     // A task that has begun on it may finish though the client has left: its work is done once and not broken off.
-    let (_leaves, counted) = (Leaves(gone.clone()), Counted::new(courier));
+    let (_leaves, counted) = (Leaves(gone.clone()), Counted::new(proxy));
     let work = tokio::task::spawn_local(async move {
         let _counted = counted;
         tries(errand, parcel, gone).await
@@ -139,7 +139,7 @@
 
 /// The body whole, if it is short; else what there is of it, to be passed on as it comes.
 async fn gather(
-    courier: &Courier,
+    proxy: &ProxyContext,
     mut body: Incoming,
     length: Option<u64>,
     limits: Limits,
@@ -152,16 +152,12 @@
         usize::try_from(length).unwrap_or(usize::MAX)
     });
     let held = (wanted <= READ_WHOLE)
-        .then(|| courier.hold_sent(wanted))
+        .then(|| proxy.hold_sent(wanted))
         .flatten();
     let Some(held) = held else {
         return Ok(Parcel::stream(VecDeque::new(), body, limits.body_bytes));
     };
-    let read = match timeout_at(
-        courier.instant(until_ms),
-        bodies::read(&mut body, READ_WHOLE),
-    )
-    .await
+    let read = match timeout_at(proxy.instant(until_ms), bodies::read(&mut body, READ_WHOLE)).await
     {
         Err(_) => return Err(408),
         Ok(Err(_)) => return Err(400),
@@ -179,18 +175,18 @@
 
 /// `gone` turns true when the client leaves: nothing is begun for it any more.
 async fn tries(errand: Errand, parcel: Parcel, gone: Rc<Cell<bool>>) -> Response<Reply> {
-    let courier = &errand.courier;
+    let proxy = &errand.proxy;
     let again = parcel.again().is_some();
-    let mut journey = courier.with(|satchel, _| Journey::new(satchel, errand.way.clone(), again));
+    let mut journey = proxy.with(|satchel, _| Journey::new(satchel, errand.way.clone(), again));
     let mut parcel = Some(parcel);
     loop {
         let wanted = !gone.get() && parcel.is_some();
-        let (pick, to, turn_ms) =
-            match courier.with(|satchel, now| journey.go(satchel, now, wanted)) {
-                Go::Try { pick, to, turn_ms } => (pick, to, turn_ms),
-                Go::Tell(tell) => return told(tell),
-            };
-        let trial = Trial::new(courier, &errand.way.service, pick);
+        let (pick, to, turn_ms) = match proxy.with(|satchel, now| journey.go(satchel, now, wanted))
+        {
+            Go::Try { pick, to, turn_ms } => (pick, to, turn_ms),
+            Go::Tell(tell) => return told(tell),
+        };
+        let trial = Trial::new(proxy, &errand.way.service, pick);
         let Some(body) = parcel.take() else {
             return answers::own(502, None);
         };
@@ -198,10 +194,10 @@
         let (left, upload) = (Cell::new(false), body.upload());
         let ended = {
             let mut work = std::pin::pin!(errand.attempt(&to, body, &left));
-            match timeout_at(courier.instant(turn_ms), work.as_mut()).await {
+            match timeout_at(proxy.instant(turn_ms), work.as_mut()).await {
                 Ok(ended) => Some(ended),
-                Err(_) if courier.with(|satchel, now| journey.turns(satchel, now)) => None,
-                Err(_) => timeout_at(courier.instant(errand.way.until_ms), work)
+                Err(_) if proxy.with(|satchel, now| journey.turns(satchel, now)) => None,
+                Err(_) => timeout_at(proxy.instant(errand.way.until_ms), work)
                     .await
                     .ok(),
             }
@@ -236,7 +232,7 @@
             parcel = ended.parcel;
         }
         let status = answer.as_ref().map(|answer| answer.status().as_u16());
-        let then = courier
+        let then = proxy
             .with(|satchel, now| journey.ended(satchel, now, ended.how, status, parcel.is_some()));
         match (then, answer) {
             (Then::Again, _) => {}
--- a/crates/rookpulley-proxy/src/ending.rs
+++ b/crates/rookpulley-proxy/src/ending.rs
@@ -1,6 +1,6 @@
 //! What the platform says by signals, and all that is due from time to time.
 
-use crate::state::Courier;
+use crate::state::ProxyContext;
 use rookpulley_proxy_core::Satchel;
 use rookpulley_routes::Limits;
 use rookpulley_runtime::File;
@@ -56,7 +56,7 @@
 }
 
 /// Returns when the program may end.
-pub async fn attend(courier: Rc<Courier>, path: Option<PathBuf>, mut signals: Signals) {
+pub async fn attend(proxy: Rc<ProxyContext>, path: Option<PathBuf>, mut signals: Signals) {
     let mut file = path.map(File::new);
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -65,64 +65,64 @@
         tokio::select! {
             Some(heard) = signals.heard.recv() => match (heard, &file) {
                 (Signal::End, _) => break,
-                (Signal::Read, Some(file)) => take_settings(&courier, file.read()),
+                (Signal::Read, Some(file)) => take_settings(&proxy, file.read()),
                 (Signal::Read, None) => {}
             },
             _ = ticks.tick() => {
                 tick = tick.wrapping_add(1);
-                due(&courier, tick);
+                due(&proxy, tick);
                 if tick.is_multiple_of(8) && let Some(file) = &mut file {
-                    take_settings(&courier, file.look());
+                    take_settings(&proxy, file.look());
                 }
             }
         }
     }
-    end(&courier).await;
+    end(&proxy).await;
 }
 
-fn take_settings(courier: &Rc<Courier>, node: Option<Node>) {
+fn take_settings(proxy: &Rc<ProxyContext>, node: Option<Node>) {
     if let Some(node) = node {
         let seeds = node.seeds.iter().map(|seed| *seed.ip()).collect();
-        courier.with(|satchel, _| satchel.set_seeds(seeds));
+        proxy.with(|satchel, _| satchel.set_seeds(seeds));
     }
 }
 
-fn due(courier: &Rc<Courier>, tick: u32) {
-    courier.with(Satchel::tend);
+fn due(proxy: &Rc<ProxyContext>, tick: u32) {
+    proxy.with(Satchel::tend);
     if tick.is_multiple_of(2) {
-        courier.wires.sweep();
-        courier.clients.sweep(limits(courier), courier.ending());
+        proxy.wires.sweep();
+        proxy.clients.sweep(limits(proxy), proxy.ending());
     }
     if tick.is_multiple_of(4) {
-        courier.with(Satchel::report);
+        proxy.with(Satchel::report);
     }
 }
 
-fn limits(courier: &Courier) -> Limits {
-    courier
+fn limits(proxy: &ProxyContext) -> Limits {
+    proxy
         .book()
         .map_or_else(Limits::default, |book| book.limits)
 }
 
 /// Not ready from now on, but at work for what still comes, until nothing does.
-async fn end(courier: &Rc<Courier>) {
+async fn end(proxy: &Rc<ProxyContext>) {
     tracing::info!("ending: no longer ready");
-    courier.with(|satchel, _| satchel.ending = true);
+    proxy.with(|satchel, _| satchel.ending = true);
     let begun = Instant::now();
-    let grace = Duration::from_secs_f64(courier.node.bounds.grace_period_s.clamp(0.0, 3_600.0));
+    let grace = Duration::from_secs_f64(proxy.node.bounds.grace_period_s.clamp(0.0, 3_600.0));
     let latest = grace.saturating_sub(BEFORE_KILL).max(grace / 2);
     let mut ticks = interval(LAST_TICK);
     let mut tick = 0u32;
     while begun.elapsed() < latest {
         ticks.tick().await;
         tick = tick.wrapping_add(1);
-        courier.clients.sweep(limits(courier), true);
+        proxy.clients.sweep(limits(proxy), true);
         if tick.is_multiple_of(2) {
-            due(courier, tick / 2);
+            due(proxy, tick / 2);
         }
-        if begun.elapsed() >= STILL_SENT && courier.at_work.get() == 0 && courier.clients.calm() {
+        if begun.elapsed() >= STILL_SENT && proxy.at_work.get() == 0 && proxy.clients.calm() {
             break;
         }
     }
-    tracing::info!("ending: done, {} requests are left", courier.at_work.get());
+    tracing::info!("ending: done, {} requests are left", proxy.at_work.get());
 }
--- a/crates/rookpulley-proxy/src/lib.rs
+++ b/crates/rookpulley-proxy/src/lib.rs
@@ -22,7 +22,7 @@
 mod wires;
 
 pub use ending::{Signal, Signals};
-pub use state::Courier;
+pub use state::ProxyContext;
 
 use rookpulley_proxy_core::Satchel;
 use rookpulley_runtime::line;
@@ -34,13 +34,13 @@
 
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum CannotRun {
-    #[error("courier: the system refuses what every program needs: {0}")]
+    #[error("proxy: the system refuses what every program needs: {0}")]
     #[diagnostic(help("look at the limits of the process: descriptors, memory"))]
     System(std::io::Error),
-    #[error("courier: the settings give no {0}")]
+    #[error("proxy: the settings give no {0}")]
     #[diagnostic(help("write \"edge\" under `serves` and both addresses under `listenAddresses`"))]
     NoAddress(&'static str),
-    #[error("courier: {at} can't be listened at: {why}")]
+    #[error("proxy: {at} can't be listened at: {why}")]
     #[diagnostic(help("write an address of this machine, with a port that no other program has"))]
     Listen {
         at: SocketAddrV4,
@@ -48,7 +48,7 @@
     },
 }
 
-/// The addresses that a courier serves, taken.
+/// The addresses that a proxy serves, taken.
 pub struct Bound {
     front: TcpListener,
     readiness: TcpListener,
@@ -73,10 +73,10 @@
 }
 
 /// Runs until the platform ends it, inside a `LocalSet`. `path`: the settings file, read again when it changes.
-pub async fn run(courier: Rc<Courier>, bound: Bound, path: Option<PathBuf>, signals: Signals) {
-    tracing::info!("courier: {} begins", courier.node.name);
-    tokio::task::spawn_local(readiness::serve(courier.clone(), bound.readiness));
-    tokio::task::spawn_local(listener::serve(courier.clone(), bound.front));
-    courier.with(Satchel::tend);
-    ending::attend(courier, path, signals).await;
+pub async fn run(proxy: Rc<ProxyContext>, bound: Bound, path: Option<PathBuf>, signals: Signals) {
+    tracing::info!("proxy: {} begins", proxy.node.name);
+    tokio::task::spawn_local(readiness::serve(proxy.clone(), bound.readiness));
+    tokio::task::spawn_local(listener::serve(proxy.clone(), bound.front));
+    proxy.with(Satchel::tend);
+    ending::attend(proxy, path, signals).await;
 }
--- a/crates/rookpulley-proxy/src/links.rs
+++ b/crates/rookpulley-proxy/src/links.rs
@@ -1,6 +1,6 @@
-//! The lines to all controllers: each is heard, one of them is this courier's home.
+//! The lines to all controllers: each is heard, one of them is this proxy's home.
 
-use crate::state::Courier;
+use crate::state::ProxyContext;
 use rookpulley_protocol::Up;
 use rookpulley_runtime::line;
 use std::cell::RefCell;
@@ -20,54 +20,54 @@
     lines: RefCell<BTreeMap<Ipv4Addr, line::Outbox>>,
 }
 
-pub fn say(courier: &Rc<Courier>, controller: Ipv4Addr, up: &Up) {
-    let ended = courier
+pub fn say(proxy: &Rc<ProxyContext>, controller: Ipv4Addr, up: &Up) {
+    let ended = proxy
         .links
         .lines
         .borrow()
         .get(&controller)
         .is_some_and(|line| !line.send(up));
     if ended {
-        lost(courier, controller);
+        lost(proxy, controller);
     }
 }
 
-fn lost(courier: &Rc<Courier>, controller: Ipv4Addr) {
-    courier.links.lines.borrow_mut().remove(&controller);
-    courier.with(|satchel, _| satchel.lost(controller));
+fn lost(proxy: &Rc<ProxyContext>, controller: Ipv4Addr) {
+    proxy.links.lines.borrow_mut().remove(&controller);
+    proxy.with(|satchel, _| satchel.lost(controller));
 }
 
-pub fn dial(courier: &Rc<Courier>, controller: Ipv4Addr) {
-    tokio::task::spawn_local(keep(courier.clone(), controller));
+pub fn dial(proxy: &Rc<ProxyContext>, controller: Ipv4Addr) {
+    tokio::task::spawn_local(keep(proxy.clone(), controller));
 }
 
 /// Dials one controller again and again for as long as somebody names it.
-async fn keep(courier: Rc<Courier>, controller: Ipv4Addr) {
-    let to = SocketAddr::from((controller, courier.node.inner_ports.0));
+async fn keep(proxy: Rc<ProxyContext>, controller: Ipv4Addr) {
+    let to = SocketAddr::from((controller, proxy.node.inner_ports.0));
     let mut pause = PAUSE;
     loop {
         if let Ok(stream) = line::dial(to, DIAL).await {
-            let begun_ms = courier.now_ms();
+            let begun_ms = proxy.now_ms();
             let why = line::run(
                 stream,
                 Some(QUIET),
                 |outbox| {
-                    courier.links.lines.borrow_mut().insert(controller, outbox);
-                    courier.with(|satchel, now| satchel.opened(now, controller));
+                    proxy.links.lines.borrow_mut().insert(controller, outbox);
+                    proxy.with(|satchel, now| satchel.opened(now, controller));
                 },
-                |down| courier.with(|satchel, now| satchel.take(now, controller, down)),
+                |down| proxy.with(|satchel, now| satchel.take(now, controller, down)),
             );
             let why = why.await;
             tracing::info!("links: the line to {controller} {why}");
-            lost(&courier, controller);
-            courier.with(|satchel, now| satchel.choose_home(now));
-            if courier.now_ms() - begun_ms > 1_000.0 {
+            lost(&proxy, controller);
+            proxy.with(|satchel, now| satchel.choose_home(now));
+            if proxy.now_ms() - begun_ms > 1_000.0 {
                 pause = PAUSE;
             }
         }
         tokio::time::sleep(pause).await;
         pause = (pause * 2).min(LONGEST_PAUSE);
-        if courier.with(|satchel, now| satchel.forgotten(now, controller)) {
+        if proxy.with(|satchel, now| satchel.forgotten(now, controller)) {
             return;
         }
     }
--- a/crates/rookpulley-proxy/src/listener.rs
+++ b/crates/rookpulley-proxy/src/listener.rs
@@ -2,7 +2,7 @@
 
 use crate::carry;
 use crate::ear::{Due, Ear, Watch};
-use crate::state::Courier;
+use crate::state::ProxyContext;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
@@ -87,35 +87,35 @@
     }
 }
 
-pub async fn serve(courier: Rc<Courier>, listener: TcpListener) {
+pub async fn serve(proxy: Rc<ProxyContext>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                if let Some((number, watch)) = courier.clients.admit() {
-                    tokio::task::spawn_local(client(courier.clone(), stream, number, watch));
+                if let Some((number, watch)) = proxy.clients.admit() {
+                    tokio::task::spawn_local(client(proxy.clone(), stream, number, watch));
                 }
             }
             Err(why) => {
                 tracing::warn!("listener: no connection can be taken: {why}");
-                courier.clients.make_room();
+                proxy.clients.make_room();
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
     }
 }
 
-async fn client(courier: Rc<Courier>, stream: TcpStream, number: u64, watch: Rc<Watch>) {
+async fn client(proxy: Rc<ProxyContext>, stream: TcpStream, number: u64, watch: Rc<Watch>) {
     line::tend(&stream, UNHEARD);
-    let bound = limits(&courier)
+    let bound = limits(&proxy)
         .header_bytes
         .clamp(Limits::default().header_bytes, LONGEST_HEAD)
         + BEYOND_HEAD;
     let io = TokioIo::new(Ear::new(stream, watch.clone()));
     let service = {
-        let (courier, watch) = (courier.clone(), watch.clone());
+        let (proxy, watch) = (proxy.clone(), watch.clone());
         service_fn(move |request| {
-            let (courier, watch) = (courier.clone(), watch.clone());
-            async move { Ok::<_, Infallible>(carry::serve(courier, watch, request).await) }
+            let (proxy, watch) = (proxy.clone(), watch.clone());
+            async move { Ok::<_, Infallible>(carry::serve(proxy, watch, request).await) }
         })
     };
     // The time for a head is kept by the sweep: the parser's own would also run while a connection is idle.
@@ -135,7 +135,7 @@
             }
             () = watch.close.notified() => {}
         }
-        match watch.due(limits(&courier), courier.ending()) {
+        match watch.due(limits(&proxy), proxy.ending()) {
             // Nothing of a request is here, or the client leaves us to sit.
             Some(Due::Idle | Due::Stuck) => break,
             Some(Due::SlowHead) if watch.held_up() => break,
@@ -148,7 +148,7 @@
             None => {}
         }
     }
-    courier.clients.watches.borrow_mut().remove(&number);
+    proxy.clients.watches.borrow_mut().remove(&number);
 }
 
 async fn too_slow(mut ear: Ear) {
@@ -159,8 +159,8 @@
     }
 }
 
-fn limits(courier: &Courier) -> Limits {
-    courier
+fn limits(proxy: &ProxyContext) -> Limits {
+    proxy
         .book()
         .map_or_else(Limits::default, |book| book.limits)
 }
--- a/crates/rookpulley-proxy/src/main.rs
+++ b/crates/rookpulley-proxy/src/main.rs
@@ -1,6 +1,6 @@
 //! The program that carries traffic.
 
-use rookpulley_proxy::{Bound, CannotRun, Courier, Signals, run};
+use rookpulley_proxy::{Bound, CannotRun, ProxyContext, Signals, run};
 use rookpulley_runtime::log;
 use rookpulley_settings::Node;
 use std::io::Write;
@@ -39,7 +39,7 @@
         // Before anything else, lest a signal that comes early ends the program.
         let signals = Signals::take().map_err(CannotRun::System)?;
         let bound = Bound::new(&node)?;
-        run(Courier::new(node), bound, Some(path), signals).await;
+        run(ProxyContext::new(node), bound, Some(path), signals).await;
         Ok::<_, CannotRun>(())
     });
     runtime.shutdown_background();
--- a/crates/rookpulley-proxy/src/readiness.rs
+++ b/crates/rookpulley-proxy/src/readiness.rs
@@ -1,6 +1,6 @@
 //! Tells the platform whether clients should come here.
 
-use crate::state::Courier;
+use crate::state::ProxyContext;
 use rookpulley_api::{Bounds, Call, Reply};
 use std::future::ready;
 use std::rc::Rc;
@@ -11,8 +11,8 @@
 const CONNECTIONS: usize = 32;
 const BODY: usize = 64 << 10;
 
-pub async fn serve(courier: Rc<Courier>, listener: TcpListener) {
-    let answer = move |_: Call| ready(Reply::empty(if courier.ready() { 200 } else { 503 }));
+pub async fn serve(proxy: Rc<ProxyContext>, listener: TcpListener) {
+    let answer = move |_: Call| ready(Reply::empty(if proxy.ready() { 200 } else { 503 }));
     let bounds = Bounds {
         connections: CONNECTIONS,
         body_bytes: BODY,
--- a/crates/rookpulley-proxy/src/sieve/tests.rs
+++ b/crates/rookpulley-proxy/src/sieve/tests.rs
@@ -51,9 +51,9 @@
 #[test]
 fn each_gets_its_own_answer_and_none_of_those_that_come_again() {
     plays(200, 1 << 11, |u| {
-        let (mut task, courier) = tokio::io::duplex(1 << 16);
+        let (mut task, proxy) = tokio::io::duplex(1 << 16);
         let awaited = Rc::new(Awaited::default());
-        let mut sieve = Sieve::new(courier, awaited.clone());
+        let mut sieve = Sieve::new(proxy, awaited.clone());
         let mut before: Vec<Vec<u8>> = Vec::new();
         let mut again = false;
         for number in 0..u.int_in_range(1..=6)? {
@@ -135,9 +135,9 @@
 #[test]
 fn an_answer_that_came_before_the_task_stopped_listening_is_read() {
     play(async {
-        let (mut task, courier) = tokio::io::duplex(8);
+        let (mut task, proxy) = tokio::io::duplex(8);
         let awaited = Rc::new(Awaited::default());
-        let mut sieve = Sieve::new(courier, awaited.clone());
+        let mut sieve = Sieve::new(proxy, awaited.clone());
         awaited.begin(&id(1), false, false);
         sieve.write_all(b"part").await.unwrap();
         task.write_all(b"no more").await.unwrap();
@@ -148,8 +148,8 @@
         assert_eq!(got, b"no more");
         // Where nothing had left, a failure is one.
         awaited.begin(&id(2), false, false);
-        let (_, courier) = tokio::io::duplex(8);
-        let mut sieve = Sieve::new(courier, awaited.clone());
+        let (_, proxy) = tokio::io::duplex(8);
+        let mut sieve = Sieve::new(proxy, awaited.clone());
         assert!(sieve.write_all(b"all").await.is_err() && awaited.unsent());
     });
 }
--- a/crates/rookpulley-proxy/src/state.rs
+++ b/crates/rookpulley-proxy/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a courier share. Nothing borrowed from here is held across a wait.
+//! What the parts of a proxy share. Nothing borrowed from here is held across a wait.
 
 use crate::links::{self, Links};
 use crate::listener::Clients;
@@ -17,7 +17,7 @@
 /// Descriptors for controllers, listeners, the runtime, and those kept for files.
 const KEPT_FILES: u64 = 400;
 
-pub struct Courier {
+pub struct ProxyContext {
     pub node: Node,
     begun: Instant,
     satchel: RefCell<Satchel>,
@@ -33,8 +33,8 @@
     pub hold_bytes: usize,
 }
 
-impl Courier {
-    pub fn new(node: Node) -> Rc<Courier> {
+impl ProxyContext {
+    pub fn new(node: Node) -> Rc<ProxyContext> {
         let seed = RandomState::new().hash_one(&node.name);
         let files = node.limits.open_files.saturating_sub(KEPT_FILES).max(100) as usize;
         let to_tasks = (files / 3).min(800);
@@ -48,7 +48,7 @@
             node.bounds.retry_budget_ratio,
             node.bounds.retry_budget_slack,
         );
-        Rc::new(Courier {
+        Rc::new(ProxyContext {
             begun: Instant::now(),
             satchel: RefCell::new(Satchel::new(&node.name, &node.zone, seeds, further, seed)),
             links: Links::default(),
@@ -178,17 +178,17 @@
             "nodeName = \"one\"\nserves = []\nipAddress = \"127.0.0.1\"\nzone = \"east\"\nregion = \"r\"\n\
              internalPortRange = [1, 1]\nseedNodes = []\n[limits]\nmemoryMb = 4",
         );
-        let courier = Courier::new(node.unwrap());
-        let all = courier.held_most;
-        assert!(courier.hold(all + 1).is_none() && courier.hold_sent(all / 2 + 1).is_none());
-        let bytes = courier
+        let proxy = ProxyContext::new(node.unwrap());
+        let all = proxy.held_most;
+        assert!(proxy.hold(all + 1).is_none() && proxy.hold_sent(all / 2 + 1).is_none());
+        let bytes = proxy
             .hold(all)
             .map(|held| held.around(Bytes::from(vec![1; 10])));
-        assert!(courier.hold(all - 9).is_none());
+        assert!(proxy.hold(all - 9).is_none());
         let part = bytes.as_ref().map(|bytes| bytes.slice(2..3));
         drop(bytes);
-        assert!(courier.hold(all - 9).is_none());
+        assert!(proxy.hold(all - 9).is_none());
         drop(part);
-        assert!(courier.hold(all).is_some());
+        assert!(proxy.hold(all).is_some());
     }
 }
--- a/crates/rookpulley-proxy/src/wires/tests.rs
+++ b/crates/rookpulley-proxy/src/wires/tests.rs
@@ -42,7 +42,7 @@
             wires.take(&one, 2, false, false).await.err(),
             Some(NoWire::Full)
         );
-        // More couriers, a smaller bound: what is idle goes first.
+        // More proxies, a smaller bound: what is idle goes first.
         first.free(None);
         assert_eq!(
             wires.take(&one, 1, false, true).await.err(),
--- a/crates/rookpulley-proxy/tests/courier/main.rs
+++ /dev/null
@@ -1,8 +0,0 @@
-//! A courier on loopback: what clients, tasks and controllers see of it.
-
-mod clients;
-mod homes;
-mod requests;
-mod rude;
-mod scene;
-mod tasks;
--- a/crates/rookpulley-proxy/tests/courier/homes.rs
+++ b/crates/rookpulley-proxy/tests/proxy/homes.rs
@@ -1,8 +1,8 @@
-//! Which controller a courier calls home.
+//! Which controller a proxy calls home.
 
 use crate::scene::{Scene, good, play, request, status};
 use rookpulley_protocol::{Down, Line, Up};
-use rookpulley_proxy::{Bound, Courier, Signals, run};
+use rookpulley_proxy::{Bound, ProxyContext, Signals, run};
 use rookpulley_runtime::line::{self, Outbox};
 use rookpulley_settings::Node;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -53,12 +53,12 @@
         assert!(self.outbox.send(&Down::Pulse {
             in_touch: true,
             config: 0,
-            couriers: 1,
+            proxies: 1,
             controllers
         }));
     }
 
-    /// Waits until the courier says whether this controller is its home.
+    /// Waits until the proxy says whether this controller is its home.
     async fn home(&mut self) -> bool {
         loop {
             match self.heard.recv().await.unwrap() {
@@ -116,7 +116,7 @@
         (node.listen.front, node.listen.readiness) = (any, any);
         let bound = Bound::new(&node).unwrap();
         let (_tell, signals) = Signals::by_hand();
-        tokio::task::spawn_local(run(Courier::new(node), bound, None, signals));
+        tokio::task::spawn_local(run(ProxyContext::new(node), bound, None, signals));
 
         // One controller is a seed, the other is heard of from it.
         let mut first = Controller::new(first).await;
--- a/crates/rookpulley-proxy/tests/courier/requests.rs
+++ b/crates/rookpulley-proxy/tests/proxy/requests.rs
@@ -1,4 +1,4 @@
-//! What clients and tasks see of a courier, on loopback.
+//! What clients and tasks see of a proxy, on loopback.
 
 use crate::scene::{Act, Scene, Talk, answer, good, play, request, status, turned_away};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/rookpulley-proxy/tests/courier/scene/mod.rs
+++ b/crates/rookpulley-proxy/tests/proxy/scene/mod.rs
@@ -1,7 +1,7 @@
-//! A courier on loopback between a stand-in controller, stand-in tasks and a client that sends bytes.
+//! A proxy on loopback between a stand-in controller, stand-in tasks and a client that sends bytes.
 
 use rookpulley_protocol::{Down, Line, Report, Up, pack};
-use rookpulley_proxy::{Bound, Courier, Signal, Signals, run};
+use rookpulley_proxy::{Bound, ProxyContext, Signal, Signals, run};
 use rookpulley_runtime::line;
 use rookpulley_settings::Node;
 use std::cell::RefCell;
@@ -77,7 +77,7 @@
     r#""maxHeaderBytes":9000,"maxBodyBytes":300000,"headerTimeoutMs":3000,"idleTimeoutMs":15000"#;
 
 impl Scene {
-    /// A courier with one controller; nothing is known to it yet.
+    /// A proxy with one controller; nothing is known to it yet.
     pub async fn new(script: impl Fn(&Got) -> Act + 'static) -> Scene {
         Scene::with_files(1_000, script).await
     }
@@ -99,7 +99,7 @@
         let bound = Bound::new(&node).unwrap();
         let (front, readiness) = bound.addresses().unwrap();
         let (tell, signals) = Signals::by_hand();
-        tokio::task::spawn_local(run(Courier::new(node), bound, None, signals));
+        tokio::task::spawn_local(run(ProxyContext::new(node), bound, None, signals));
         let (stream, _) = listener.accept().await.unwrap();
         let (opened, mut open) = mpsc::unbounded_channel();
         let ((marks, took), (tell_report, reports)) =
@@ -122,7 +122,7 @@
         let pulse = Down::Pulse {
             in_touch: true,
             config: 0,
-            couriers: 1,
+            proxies: 1,
             controllers: Vec::new(),
         };
         assert!(controller.send(&pulse));
--- a/crates/rookpulley-registry/examples/pick_cost.rs
+++ b/crates/rookpulley-registry/examples/pick_cost.rs
@@ -2,7 +2,7 @@
 //!
 //!     cargo run --release -p rookpulley-registry --example pick_cost
 //!
-//! A pick is measured with its end, on the tables that a desk cuts for one courier; beside it, in the same rounds, the
+//! A pick is measured with its end, on the tables that a desk cuts for one proxy; beside it, in the same rounds, the
 //! least busy of two tasks drawn from the whole fleet. A revision is what one task more and one less cost the desk,
 //! until all tables that change are cut.
 
@@ -49,7 +49,7 @@
 }
 
 impl Site {
-    fn new(tasks: usize, couriers: usize) -> Site {
+    fn new(tasks: usize, proxies: usize) -> Site {
         let mut desk = Desk::new(7);
         desk.set_services(&[Service {
             name: "a".into(),
@@ -67,11 +67,11 @@
             tables,
         };
         (0..tasks).for_each(|_| site.start());
-        site.desk.set_couriers(couriers as u32);
-        for courier in 0..couriers {
-            let zone = format!("z{}", courier % 3);
+        site.desk.set_proxies(proxies as u32);
+        for proxy in 0..proxies {
+            let zone = format!("z{}", proxy % 3);
             site.desk
-                .courier_in(0.0, &format!("c{courier}"), &zone, 10.0, false);
+                .proxy_in(0.0, &format!("c{proxy}"), &zone, 10.0, false);
         }
         site.passes(12_000.0);
         site
@@ -109,14 +109,11 @@
         let mut cut = 0;
         for out in self.desk.tick(self.now) {
             if let Out::Table {
-                courier,
-                mark,
-                lines,
-                ..
+                proxy, mark, lines, ..
             } = out
             {
-                self.desk.took(&courier, mark);
-                self.tables.insert(courier, lines);
+                self.desk.took(&proxy, mark);
+                self.tables.insert(proxy, lines);
                 cut += 1;
             }
         }
@@ -200,10 +197,10 @@
 
 fn main() {
     println!(
-        "tasks couriers | lines | pick us, allocations | least of two us | revision us, at most at once, tables, allocations"
+        "tasks proxies | lines | pick us, allocations | least of two us | revision us, at most at once, tables, allocations"
     );
-    for (tasks, couriers) in [(33, 12), (33, 91), (450, 12), (450, 91)] {
-        let mut site = Site::new(tasks, couriers);
+    for (tasks, proxies) in [(33, 12), (33, 91), (450, 12), (450, 91)] {
+        let mut site = Site::new(tasks, proxies);
         let lines = site.tables.get("c0").cloned().unwrap_or_default();
         let held: usize = site.tables.values().map(Vec::len).sum();
         let mut post = Post::new("z0", 1);
@@ -220,8 +217,8 @@
         }
         let revisions: Vec<_> = (0..ROUNDS).map(|_| site.revision()).collect();
         println!(
-            "{tasks:>5} {couriers:>8} | {:>5.1} | {:.3}, {:.2} | {:.3} | {:.0}, {:.0}, {:.0}, {:.0}",
-            held as f64 / couriers as f64,
+            "{tasks:>5} {proxies:>8} | {:>5.1} | {:.3}, {:.2} | {:.3} | {:.0}, {:.0}, {:.0}, {:.0}",
+            held as f64 / proxies as f64,
             median(pick_us),
             median(pick_allocations),
             median(plain_us),
--- a/crates/rookpulley-registry/src/desk.rs
+++ b/crates/rookpulley-registry/src/desk.rs
@@ -1,4 +1,4 @@
-//! The desk: the couriers that call this controller home, and a controller for each service.
+//! The desk: the proxies that call this controller home, and a controller for each service.
 
 use crate::hosted::{Hosted, Member};
 use crate::posted::hash_of;
@@ -7,8 +7,8 @@
 use rookpulley_protocol::{Line, Report};
 use std::collections::BTreeMap;
 
-/// So many couriers are remembered by their ids; beyond that the id of one that has long been out is passed on.
-const COURIERS_MOST: usize = 4_096;
+/// So many proxies are remembered by their ids; beyond that the id of one that has long been out is passed on.
+const PROXIES_MOST: usize = 4_096;
 /// Zones beyond this many count as one.
 const ZONES_MOST: usize = 1_024;
 
@@ -26,7 +26,7 @@
 pub enum Out {
     /// A whole table in the place of the one before, to be answered with its mark.
     Table {
-        courier: String,
+        proxy: String,
         service: String,
         name: u64,
         mark: u64,
@@ -38,11 +38,11 @@
     },
 }
 
-/// A courier's table for `show`.
+/// A proxy's table for `show`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shown {
     pub service: String,
-    pub courier: String,
+    pub proxy: String,
     /// The revision last ordered, by the hash of its lines.
     pub name: u64,
     pub revisions: usize,
@@ -51,7 +51,7 @@
     pub mark: u64,
 }
 
-struct Courier {
+struct Proxy {
     member: Member,
     joined: bool,
     /// When it last came or went.
@@ -76,10 +76,10 @@
 
 pub struct Desk {
     seed: u64,
-    /// The couriers of the whole system, as far as is known.
+    /// The proxies of the whole system, as far as is known.
     known: u32,
     services: BTreeMap<String, Hosted>,
-    couriers: BTreeMap<String, Courier>,
+    proxies: BTreeMap<String, Proxy>,
     zones: Zones,
     marks: u64,
     hosted: usize,
@@ -94,7 +94,7 @@
             seed,
             known: 0,
             services: BTreeMap::new(),
-            couriers: BTreeMap::new(),
+            proxies: BTreeMap::new(),
             zones: Zones::default(),
             marks: 0,
             hosted: 0,
@@ -114,22 +114,22 @@
             }
             let mut hosted = Hosted::new(self.seed, self.hosted, service.clone());
             self.hosted += 1;
-            self.couriers
+            self.proxies
                 .values()
                 .filter(|c| c.joined)
-                .for_each(|c| hosted.courier_in(c.member));
+                .for_each(|c| hosted.proxy_in(c.member));
             self.services.insert(service.name.clone(), hosted);
             self.seen = None;
         }
     }
 
-    /// How many couriers the whole system has: arcs are sized by that.
-    pub fn set_couriers(&mut self, count: u32) {
+    /// How many proxies the whole system has: arcs are sized by that.
+    pub fn set_proxies(&mut self, count: u32) {
         self.known = count;
     }
 
-    /// A courier calls this controller home. `holds_tables`: it is not newly started.
-    pub fn courier_in(
+    /// A proxy calls this controller home. `holds_tables`: it is not newly started.
+    pub fn proxy_in(
         &mut self,
         now: f64,
         name: &str,
@@ -137,7 +137,7 @@
         usual_per_s: f64,
         holds_tables: bool,
     ) {
-        self.courier_out(now, name);
+        self.proxy_out(now, name);
         let sound = usual_per_s.is_finite() && usual_per_s > 0.0;
         let per_s = if sound { usual_per_s } else { 1.0 };
         let Some(proxy) = self.proxy(name) else {
@@ -149,9 +149,9 @@
             per_s,
             holds_tables,
         };
-        self.couriers.insert(
+        self.proxies.insert(
             name.into(),
-            Courier {
+            Proxy {
                 member,
                 joined: true,
                 moved_ms: now,
@@ -159,46 +159,46 @@
         );
         self.services
             .values_mut()
-            .for_each(|hosted| hosted.courier_in(member));
+            .for_each(|hosted| hosted.proxy_in(member));
     }
 
-    pub fn courier_out(&mut self, now: f64, name: &str) {
-        let Some(courier) = self.couriers.get_mut(name).filter(|c| c.joined) else {
+    pub fn proxy_out(&mut self, now: f64, name: &str) {
+        let Some(proxy) = self.proxies.get_mut(name).filter(|c| c.joined) else {
             return;
         };
-        (courier.joined, courier.moved_ms) = (false, now);
-        let proxy = courier.member.proxy;
+        (proxy.joined, proxy.moved_ms) = (false, now);
+        let proxy = proxy.member.proxy;
         self.services
             .values_mut()
-            .for_each(|hosted| hosted.courier_out(proxy));
+            .for_each(|hosted| hosted.proxy_out(proxy));
     }
 
-    /// The id that a courier had, or a free one.
+    /// The id that a proxy had, or a free one.
     fn proxy(&mut self, name: &str) -> Option<ProxyId> {
-        if let Some(courier) = self.couriers.get(name) {
-            return Some(courier.member.proxy);
+        if let Some(proxy) = self.proxies.get(name) {
+            return Some(proxy.member.proxy);
         }
-        if self.couriers.len() < COURIERS_MOST {
+        if self.proxies.len() < PROXIES_MOST {
             // Ids are given in order and passed on with their names: the count is free.
-            return Some(self.couriers.len() as ProxyId);
+            return Some(self.proxies.len() as ProxyId);
         }
-        let out = self.couriers.iter().filter(|(_, c)| !c.joined);
+        let out = self.proxies.iter().filter(|(_, c)| !c.joined);
         let longest = out
             .min_by(|a, b| a.1.moved_ms.total_cmp(&b.1.moved_ms))
             .map(|(name, _)| name.clone());
         longest
-            .and_then(|name| self.couriers.remove(&name))
-            .map(|courier| courier.member.proxy)
+            .and_then(|name| self.proxies.remove(&name))
+            .map(|proxy| proxy.member.proxy)
     }
 
     fn member(&self, name: &str) -> Option<Member> {
-        self.couriers
+        self.proxies
             .get(name)
             .filter(|c| c.joined)
             .map(|c| c.member)
     }
 
-    /// What a courier has met since its last report.
+    /// What a proxy has met since its last report.
     pub fn report(&mut self, name: &str, report: &Report) {
         let Some(member) = self.member(name) else {
             return;
@@ -210,7 +210,7 @@
         }
     }
 
-    /// A courier uses its tables up to this mark.
+    /// A proxy uses its tables up to this mark.
     pub fn took(&mut self, name: &str, mark: u64) {
         let Some(member) = self.member(name) else {
             return;
@@ -236,16 +236,16 @@
             }
         }
         let members = self.members();
-        let couriers = self.known.max(members.len() as u32);
+        let proxies = self.known.max(members.len() as u32);
         for (name, hosted) in &mut self.services {
             let tasks = tasks.remove(name.as_str()).unwrap_or_default();
             let changed = stale && hosted.list.see(tasks.into_iter());
-            hosted.sync(now, changed, couriers, &members, self.settling);
+            hosted.sync(now, changed, proxies, &members, self.settling);
         }
     }
 
     fn members(&self) -> Vec<Member> {
-        self.couriers
+        self.proxies
             .values()
             .filter(|c| c.joined)
             .map(|c| c.member)
@@ -256,7 +256,7 @@
     pub fn tick(&mut self, now: f64) -> Vec<Out> {
         let members = self.members();
         let names: BTreeMap<ProxyId, &String> = self
-            .couriers
+            .proxies
             .iter()
             .map(|(name, c)| (c.member.proxy, name))
             .collect();
@@ -269,13 +269,13 @@
                 text,
             }));
             for post in posts {
-                let Some(courier) = names.get(&post.proxy) else {
+                let Some(proxy) = names.get(&post.proxy) else {
                     continue;
                 };
-                let (courier, service, name) =
-                    ((*courier).clone(), service.clone(), hash_of(&post.lines));
+                let (proxy, service, name) =
+                    ((*proxy).clone(), service.clone(), hash_of(&post.lines));
                 out.push(Out::Table {
-                    courier,
+                    proxy,
                     service,
                     name,
                     mark: post.mark,
@@ -287,14 +287,14 @@
     }
 
     pub fn shown(&self) -> Vec<Shown> {
-        let joined: Vec<_> = self.couriers.iter().filter(|(_, c)| c.joined).collect();
+        let joined: Vec<_> = self.proxies.iter().filter(|(_, c)| c.joined).collect();
         let each = |(service, hosted): (&String, &Hosted)| {
-            let of = joined.iter().filter_map(|(courier, c)| {
+            let of = joined.iter().filter_map(|(proxy, c)| {
                 let (name, revisions, lines, mark) = hosted.shown(c.member.proxy)?;
-                let (service, courier) = (service.clone(), (*courier).clone());
+                let (service, proxy) = (service.clone(), (*proxy).clone());
                 Some(Shown {
                     service,
-                    courier,
+                    proxy,
                     name,
                     revisions,
                     lines,
--- a/crates/rookpulley-registry/src/drains.rs
+++ b/crates/rookpulley-registry/src/drains.rs
@@ -11,7 +11,7 @@
     wanted: usize,
 }
 
-/// A drain or an end may be acknowledged once as many others know as may be lost: then the word reaches every courier
+/// A drain or an end may be acknowledged once as many others know as may be lost: then the word reaches every proxy
 /// in touch, whatever becomes of this controller.
 pub struct Drains {
     losses: usize,
--- a/crates/rookpulley-registry/src/editions.rs
+++ b/crates/rookpulley-registry/src/editions.rs
@@ -1,10 +1,10 @@
-//! The configuration as it goes out to couriers: to each what differs from the one that it holds.
+//! The configuration as it goes out to proxies: to each what differs from the one that it holds.
 
 use rookpulley_protocol::{Down, frame, pack};
 use std::collections::{BTreeMap, VecDeque};
 
 /// So many versions are remembered as what others differ from, and so many of their bytes. In a storm controllers tell of
-/// different ones: what a courier has from one is to be known to another.
+/// different ones: what a proxy has from one is to be known to another.
 const VERSIONS: usize = 24;
 const BYTES: usize = 4 << 20;
 /// So many are remembered however long they are: what is told, and what is to be told next.
@@ -14,14 +14,14 @@
 pub struct Editions {
     /// The newest last.
     held: VecDeque<(u64, Vec<u8>)>,
-    /// The version that couriers are told of.
+    /// The version that proxies are told of.
     told: u64,
     /// It as a frame, by the version that it is packed on.
     frames: BTreeMap<u64, Vec<u8>>,
 }
 
 impl Editions {
-    /// The version that couriers are told of; 0: there is none.
+    /// The version that proxies are told of; 0: there is none.
     pub fn newest(&self) -> u64 {
         self.told
     }
@@ -38,7 +38,7 @@
             .map(|(_, body)| body.as_slice())
     }
 
-    /// A newer one than those held. Couriers aren't told of it yet.
+    /// A newer one than those held. Proxies aren't told of it yet.
     pub fn take(&mut self, version: u64, body: &[u8]) {
         if self
             .held
@@ -49,7 +49,7 @@
         }
         self.held.push_back((version, body.to_vec()));
         while self.held.len() > FEWEST && (self.held.len() > VERSIONS || self.bytes() > BYTES) {
-            // Neither the one that couriers are told of now nor the newest.
+            // Neither the one that proxies are told of now nor the newest.
             let told = self
                 .held
                 .front()
@@ -62,13 +62,13 @@
         self.held.iter().map(|(_, body)| body.len()).sum()
     }
 
-    /// From now on couriers are told of the newest.
+    /// From now on proxies are told of the newest.
     pub fn tell(&mut self) {
         self.told = self.held.back().map_or(0, |(version, _)| *version);
         self.frames.clear();
     }
 
-    /// The frame for a courier that holds this version; None: it holds the newest, or there is none.
+    /// The frame for a proxy that holds this version; None: it holds the newest, or there is none.
     pub fn frame_for(&mut self, have: u64) -> Option<Vec<u8>> {
         let version = Some(self.told).filter(|told| *told > have)?;
         let body = self.body(version)?;
--- a/crates/rookpulley-registry/src/editions/tests.rs
+++ b/crates/rookpulley-registry/src/editions/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn each_courier_gets_the_newest_on_what_it_holds_or_whole() {
+fn each_proxy_gets_the_newest_on_what_it_holds_or_whole() {
     let (mut editions, mut all) = (Editions::default(), BTreeMap::new());
     assert!(editions.frame_for(0).is_none());
     for version in 1..40u64 {
--- a/crates/rookpulley-registry/src/hosted.rs
+++ b/crates/rookpulley-registry/src/hosted.rs
@@ -1,4 +1,4 @@
-//! One service: its controller, what it is told, and what its couriers were sent.
+//! One service: its controller, what it is told, and what its proxies were sent.
 
 use crate::desk::Service;
 use crate::list::List;
@@ -8,12 +8,12 @@
 use rookpulley_protocol::{Line, ServiceReport};
 use std::collections::BTreeMap;
 
-/// The number of couriers that arcs are sized for is held until there are so many times more, or less, for so
+/// The number of proxies that arcs are sized for is held until there are so many times more, or less, for so
 /// long: another one lays every arc anew. Too few lay too much on a task's connections, so they bind sooner.
-const COURIERS_MORE: f64 = 1.5;
-const COURIERS_MORE_FOR_MS: f64 = 2_000.0;
-const COURIERS_LESS: f64 = 2.5;
-const COURIERS_LESS_FOR_MS: f64 = 10_000.0;
+const PROXIES_MORE: f64 = 1.5;
+const PROXIES_MORE_FOR_MS: f64 = 2_000.0;
+const PROXIES_LESS: f64 = 2.5;
+const PROXIES_LESS_FOR_MS: f64 = 10_000.0;
 /// Arcs keep the places where they were laid, so tasks that came since are in few of them. All are laid anew once there
 /// are more by so large a part for a second, or by a smaller part for as much longer; not for less than the least.
 const TASKS_MORE: f64 = 0.3;
@@ -22,10 +22,10 @@
 /// What is new is told to the module so often.
 const ENTER_MS: f64 = 1_000.0;
 const ENTER_SETTLING_MS: f64 = 300.0;
-/// So many marks of one courier wait for its answer at most; the oldest are given up.
+/// So many marks of one proxy wait for its answer at most; the oldest are given up.
 const MARKS_MOST: usize = 64;
 
-/// A courier that calls this controller home.
+/// A proxy that calls this controller home.
 #[derive(Clone, Copy)]
 pub struct Member {
     pub proxy: ProxyId,
@@ -52,14 +52,14 @@
     }
 }
 
-/// A table for a courier, and the module's marks that its answer answers.
+/// A table for a proxy, and the module's marks that its answer answers.
 pub struct Post {
     pub proxy: ProxyId,
     pub lines: Vec<Line>,
     pub mark: u64,
 }
 
-/// Sums of what couriers reported since the module was last called.
+/// Sums of what proxies reported since the module was last called.
 #[derive(Default)]
 struct Reports {
     heard: BTreeMap<(ServerId, ZoneId), [f64; 3]>,
@@ -118,7 +118,7 @@
         self.service = service.clone();
     }
 
-    pub fn courier_in(&mut self, member: Member) {
+    pub fn proxy_in(&mut self, member: Member) {
         self.waiting.remove(&member.proxy);
         self.posted.insert(member.proxy, Posted::new());
         if let Some(module) = &mut self.module {
@@ -128,7 +128,7 @@
         }
     }
 
-    pub fn courier_out(&mut self, proxy: ProxyId) {
+    pub fn proxy_out(&mut self, proxy: ProxyId) {
         self.waiting.remove(&proxy);
         self.posted.remove(&proxy);
         self.reports.usage.remove(&proxy);
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The tables up to this mark are in use at a courier.
+    /// The tables up to this mark are in use at a proxy.
     pub fn took(&mut self, proxy: ProxyId, mark: u64) {
         let Some(waiting) = self.waiting.get_mut(&proxy) else {
             return;
@@ -178,12 +178,12 @@
         }
     }
 
-    /// Brings the module's list up to date; makes the module where there is none, or not for so many couriers.
+    /// Brings the module's list up to date; makes the module where there is none, or not for so many proxies.
     pub fn sync(
         &mut self,
         now: f64,
         changed: bool,
-        couriers: u32,
+        proxies: u32,
         members: &[Member],
         settling: bool,
     ) {
@@ -195,9 +195,9 @@
         if members.is_empty() && self.module.is_none() {
             return;
         }
-        let off = self.long_off(now, f64::from(couriers.max(1))) | self.long_more(now);
+        let off = self.long_off(now, f64::from(proxies.max(1))) | self.long_more(now);
         if self.module.is_none() || off {
-            self.make(now, couriers, members);
+            self.make(now, proxies, members);
             return;
         }
         let lines = self.list.leaves();
@@ -215,12 +215,12 @@
         }
     }
 
-    /// Whether arcs are sized for another number of couriers, and have long been.
+    /// Whether arcs are sized for another number of proxies, and have long been.
     fn long_off(&mut self, now: f64, wanted: f64) -> bool {
         let made_for = self.module.as_ref().map_or(0.0, |m| f64::from(m.made_for));
-        let for_ms = match wanted > made_for * COURIERS_MORE {
-            true => COURIERS_MORE_FOR_MS,
-            false if wanted * COURIERS_LESS < made_for => COURIERS_LESS_FOR_MS,
+        let for_ms = match wanted > made_for * PROXIES_MORE {
+            true => PROXIES_MORE_FOR_MS,
+            false if wanted * PROXIES_LESS < made_for => PROXIES_LESS_FOR_MS,
             false => {
                 self.off_since_ms = None;
                 return false;
@@ -259,7 +259,7 @@
         lines
     }
 
-    fn make(&mut self, now: f64, couriers: u32, members: &[Member]) {
+    fn make(&mut self, now: f64, proxies: u32, members: &[Member]) {
         let aim_ms = if self.service.aim_ms > 0.0 {
             self.service.aim_ms
         } else {
@@ -267,14 +267,14 @@
         };
         let facts = Facts {
             seed: self.seed,
-            couriers: couriers.max(1),
+            proxies: proxies.max(1),
             max_connections: self.service.max_connections,
             aim_ms: aim_ms.clamp(20.0, 60_000.0),
             number: self.number,
         };
         (self.laid_for, self.more_since_ms) = (self.list.live(), None);
         self.log.push(format!(
-            "arcs are cut for {couriers} couriers and {} tasks",
+            "arcs are cut for {proxies} proxies and {} tasks",
             self.laid_for
         ));
         self.module = Some(Module::new(now, &facts));
@@ -389,7 +389,7 @@
         posts
     }
 
-    /// A courier's table: the name of what was last ordered for it, the count of its revisions, and what was sent.
+    /// A proxy's table: the name of what was last ordered for it, the count of its revisions, and what was sent.
     pub fn shown(&self, proxy: ProxyId) -> Option<(u64, usize, usize, u64)> {
         let ordered = self.module.as_ref()?.ordered(proxy)?;
         let posted = self.posted.get(&proxy)?;
--- a/crates/rookpulley-registry/src/lib.rs
+++ b/crates/rookpulley-registry/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! `registry` keeps the lives of tasks by their `beat`s and by `news` of other controllers. `desk` hosts the module,
 //! one controller a service (`hosted`, `module`): `list` turns the registry into the module's list, `posted` holds
-//! what a courier was sent.
+//! what a proxy was sent.
 
 mod beat;
 mod desk;
--- a/crates/rookpulley-registry/src/list.rs
+++ b/crates/rookpulley-registry/src/list.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Whether a line of a courier's table may stay.
+/// Whether a line of a proxy's table may stay.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Fate {
     Listed,
@@ -228,7 +228,7 @@
         self.places.get(life).copied()
     }
 
-    /// A line as couriers read it, where it may be in a table.
+    /// A line as proxies read it, where it may be in a table.
     pub fn line(&self, server: &ServerId, weight: f64) -> Option<Line> {
         let told = self
             .told
@@ -244,7 +244,7 @@
         })
     }
 
-    /// What has become of a line that a courier holds.
+    /// What has become of a line that a proxy holds.
     pub fn fate(&self, line: &Line) -> Fate {
         let seen = self
             .seen
--- a/crates/rookpulley-registry/src/module.rs
+++ b/crates/rookpulley-registry/src/module.rs
@@ -12,11 +12,11 @@
 const STAGGER_MS: f64 = 100.0;
 /// No pace is kept to: a whole table is a few KB, once a second.
 const LINES_PER_S: f64 = 1e6;
-/// A mean courier's arc has so many lines at most. With more, a courier that is one of many sends each task so little
+/// A mean proxy's arc has so many lines at most. With more, a proxy that is one of many sends each task so little
 /// that it knows nothing of it, and opens a connection for nearly every request. The module has a bound for it by what
 /// may wait for all proxies: a fifth of it, less one line each.
 const LINES_MOST: f64 = 32.0;
-/// What a request that goes to another zone costs: a part of its worth. The module keeps arcs in their couriers' zone as
+/// What a request that goes to another zone costs: a part of its worth. The module keeps arcs in their proxies' zone as
 /// far as it has room.
 const CROSS_ZONE_PRICE: f64 = 0.03;
 /// In eighths, as where tables are dear, a zone with a tenth more than it has room for keeps all of it.
@@ -27,13 +27,13 @@
 /// What a controller starts with.
 pub struct Facts {
     pub seed: u64,
-    pub couriers: u32,
+    pub proxies: u32,
     pub max_connections: u32,
     pub aim_ms: f64,
     pub number: usize,
 }
 
-/// The table that the module has ordered for a courier.
+/// The table that the module has ordered for a proxy.
 #[derive(Default)]
 pub struct Ordered {
     pub lines: Lines,
@@ -44,7 +44,7 @@
 /// What one call of the module has brought.
 #[derive(Default)]
 pub struct Brought {
-    /// Couriers whose tables were touched.
+    /// Proxies whose tables were touched.
     pub touched: BTreeSet<ProxyId>,
     pub mark: Option<u64>,
     pub log: Vec<String>,
@@ -61,7 +61,7 @@
     pub made_for: u32,
 }
 
-/// A table's name, by its lines as couriers get them.
+/// A table's name, by its lines as proxies get them.
 pub fn name_as_sent(lines: impl Iterator<Item = (ServerId, f32)>) -> u64 {
     name_of(
         &lines
@@ -88,7 +88,7 @@
         seed: facts.seed,
         place: Place {
             controllers: 1,
-            proxies: facts.couriers,
+            proxies: facts.proxies,
             ..Place::default()
         },
         kinds: vec![kind],
@@ -105,7 +105,7 @@
             lines_per_s: LINES_PER_S,
             head_lines: 1.0,
             bind_lines: 1.0,
-            backlog_lines: 5.0 * (LINES_MOST + 1.0) * f64::from(facts.couriers),
+            backlog_lines: 5.0 * (LINES_MOST + 1.0) * f64::from(facts.proxies),
             messages_most: 0,
             messages_over_ms: 10_000.0,
             transit_ms: 50.0,
@@ -138,7 +138,7 @@
             tables: BTreeMap::new(),
             bound: BTreeMap::new(),
             shut: BTreeSet::new(),
-            made_for: facts.couriers,
+            made_for: facts.proxies,
         }
     }
 
@@ -199,7 +199,7 @@
                         .push((now + in_ms + std::mem::take(&mut self.stagger_ms), name));
                 }
                 Effect::Log(text) => brought.log.push(text),
-                // Levels, peers, probes and questions for the list are not for couriers.
+                // Levels, peers, probes and questions for the list are not for proxies.
                 _ => {}
             }
         }
@@ -218,7 +218,7 @@
         brought
     }
 
-    /// The courier holds nothing of ours any more.
+    /// The proxy holds nothing of ours any more.
     pub fn unbind(&mut self, proxy: ProxyId) {
         self.bound.remove(&proxy);
     }
@@ -229,7 +229,7 @@
             .and_then(|table| self.tables.get(table))
     }
 
-    /// The lines that a courier is to hold, but for servers that are shut out.
+    /// The lines that a proxy is to hold, but for servers that are shut out.
     pub fn lines(&self, proxy: ProxyId) -> impl Iterator<Item = (&ServerId, f64)> {
         let lines = self
             .ordered(proxy)
--- a/crates/rookpulley-registry/src/news.rs
+++ b/crates/rookpulley-registry/src/news.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
     pub word: Word,
-    /// This life is to get nothing new from now on: all couriers must know before it is acknowledged.
+    /// This life is to get nothing new from now on: all proxies must know before it is acknowledged.
     pub newly_draining: Option<Life>,
 }
 
--- a/crates/rookpulley-registry/src/posted.rs
+++ b/crates/rookpulley-registry/src/posted.rs
@@ -1,11 +1,11 @@
-//! What a courier was sent of one service's tables, and when it may be sent another.
+//! What a proxy was sent of one service's tables, and when it may be sent another.
 
 use crate::list::{Fate, List, server_id};
 use crate::module::{Module, name_as_sent};
 use rookpulley::facts::ProxyId;
 use rookpulley_protocol::Line;
 
-/// A courier gets another table so often, drains aside.
+/// A proxy gets another table so often, drains aside.
 const PACE_MS: f64 = 1_000.0;
 /// More often while tasks are still being heard for the first time.
 const SETTLING_PACE_MS: f64 = 300.0;
@@ -22,7 +22,7 @@
     pub marks: Vec<u64>,
 }
 
-/// What is to be done about a courier's table.
+/// What is to be done about a proxy's table.
 #[derive(PartialEq)]
 pub enum Next {
     Nothing,
--- a/crates/rookpulley-registry/src/registry.rs
+++ b/crates/rookpulley-registry/src/registry.rs
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Lives that a courier knows to be gone, from this or other controllers. Gives those that are news here.
+    /// Lives that a proxy knows to be gone, from this or other controllers. Gives those that are news here.
     pub fn take_gone(&mut self, now: f64, lives: &[Life]) -> Vec<Life> {
         lives
             .iter()
--- a/crates/rookpulley-registry/src/roll.rs
+++ b/crates/rookpulley-registry/src/roll.rs
@@ -1,32 +1,32 @@
-//! The couriers of the whole system, as this controller sees them come and go.
+//! The proxies of the whole system, as this controller sees them come and go.
 
 use std::collections::BTreeMap;
 
-/// A courier that was here so lately still counts, so that a budget is never dealt out twice.
+/// A proxy that was here so lately still counts, so that a budget is never dealt out twice.
 const COUNTED_MS: f64 = 12_000.0;
 
 #[derive(Default)]
 pub struct Roll {
     /// None: it is here; else when it went.
-    couriers: BTreeMap<String, Option<f64>>,
+    proxies: BTreeMap<String, Option<f64>>,
 }
 
 impl Roll {
-    pub fn came(&mut self, courier: &str) {
-        self.couriers.insert(courier.into(), None);
+    pub fn came(&mut self, proxy: &str) {
+        self.proxies.insert(proxy.into(), None);
     }
 
-    pub fn went(&mut self, now: f64, courier: &str) {
-        self.couriers.insert(courier.into(), Some(now));
+    pub fn went(&mut self, now: f64, proxy: &str) {
+        self.proxies.insert(proxy.into(), Some(now));
     }
 
     pub fn forget_old(&mut self, now: f64) {
-        self.couriers
+        self.proxies
             .retain(|_, went| went.is_none_or(|at| now - at < COUNTED_MS));
     }
 
     pub fn count(&self) -> u32 {
-        self.couriers.len() as u32
+        self.proxies.len() as u32
     }
 }
 
--- a/crates/rookpulley-registry/tests/desk.rs
+++ b/crates/rookpulley-registry/tests/desk.rs
@@ -1,4 +1,4 @@
-//! A registry and a desk with tasks and couriers of chance.
+//! A registry and a desk with tasks and proxies of chance.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_protocol::{Line, Report, ServiceReport, TaskReport};
@@ -15,7 +15,7 @@
     due_ms: f64,
 }
 
-/// What a courier holds of a service.
+/// What a proxy holds of a service.
 #[derive(Clone, Default)]
 struct Held {
     lines: Vec<Line>,
@@ -27,7 +27,7 @@
     registry: Registry,
     desk: Desk,
     tasks: Vec<Task>,
-    couriers: BTreeSet<String>,
+    proxies: BTreeSet<String>,
     held: BTreeMap<(String, String), Held>,
     lives: usize,
     log: Vec<String>,
@@ -47,7 +47,7 @@
             registry: Registry::new(0.0, HEARTBEAT_MS, 2_500.0),
             desk,
             tasks: Vec::new(),
-            couriers: BTreeSet::new(),
+            proxies: BTreeSet::new(),
             held: BTreeMap::new(),
             lives: 0,
             log: Vec::new(),
@@ -86,15 +86,15 @@
         }
     }
 
-    fn courier_in(&mut self, name: &str) {
-        self.courier_in_zone(name, "z0");
+    fn proxy_in(&mut self, name: &str) {
+        self.proxy_in_zone(name, "z0");
     }
 
-    fn courier_in_zone(&mut self, name: &str, zone: &str) {
-        self.couriers.insert(name.into());
-        self.held.retain(|(courier, _), _| courier != name);
-        self.desk.courier_in(self.now, name, zone, 1.0, false);
-        self.desk.set_couriers(self.couriers.len() as u32);
+    fn proxy_in_zone(&mut self, name: &str, zone: &str) {
+        self.proxies.insert(name.into());
+        self.held.retain(|(proxy, _), _| proxy != name);
+        self.desk.proxy_in(self.now, name, zone, 1.0, false);
+        self.desk.set_proxies(self.proxies.len() as u32);
     }
 
     /// One step of time: beats that are due, a tick, and what goes out is taken.
@@ -111,16 +111,16 @@
         for out in self.desk.tick(self.now) {
             match out {
                 Out::Table {
-                    courier,
+                    proxy,
                     service,
                     mark,
                     lines,
                     ..
                 } => {
-                    self.check_sent(&courier, &service, &lines);
-                    self.desk.took(&courier, mark);
+                    self.check_sent(&proxy, &service, &lines);
+                    self.desk.took(&proxy, mark);
                     self.held.insert(
-                        (courier, service),
+                        (proxy, service),
                         Held {
                             lines,
                             at_ms: self.now,
@@ -144,10 +144,10 @@
         )
     }
 
-    fn check_sent(&self, courier: &str, service: &str, lines: &[Line]) {
+    fn check_sent(&self, proxy: &str, service: &str, lines: &[Line]) {
         assert!(
-            self.couriers.contains(courier),
-            "a table for a courier that is out"
+            self.proxies.contains(proxy),
+            "a table for a proxy that is out"
         );
         let live: BTreeMap<_, _> = self
             .registry
@@ -156,7 +156,7 @@
             .collect();
         let named: BTreeSet<_> = lines.iter().map(|line| &line.life).collect();
         assert_eq!(named.len(), lines.len());
-        let before = self.lives_held(courier, service);
+        let before = self.lives_held(proxy, service);
         for line in lines {
             // One that is merely silent may stay where there is nothing better, and is never new.
             let silent = self.registry.standing(&line.life) == Standing::Silent;
@@ -167,7 +167,7 @@
             );
             assert!(line.weight > 0.0);
         }
-        if let Some(held) = self.held.get(&(courier.into(), service.into())) {
+        if let Some(held) = self.held.get(&(proxy.into(), service.into())) {
             let urgent = held.lines.is_empty() || held.lines.iter().any(|line| self.gone(line));
             let pace_ms = if self.registry.settling(self.now) {
                 300.0
@@ -191,13 +191,13 @@
         }
     }
 
-    /// Each courier reports tries at all that it holds.
+    /// Each proxy reports tries at all that it holds.
     fn report(&mut self, tries: u32, bad: u32) {
         self.report_of(tries, |_| bad);
     }
 
     fn report_of(&mut self, tries: u32, bad: impl Fn(&str) -> u32) {
-        for ((courier, service), held) in &self.held {
+        for ((proxy, service), held) in &self.held {
             let mean_ms = 20.0;
             let task = |l: &Line| TaskReport {
                 life: l.life.clone(),
@@ -214,7 +214,7 @@
                 tasks,
             };
             self.desk.report(
-                courier,
+                proxy,
                 &Report {
                     span_ms: 1_000,
                     services: vec![of],
@@ -223,8 +223,8 @@
         }
     }
 
-    fn lives_held(&self, courier: &str, service: &str) -> BTreeSet<String> {
-        let held = self.held.get(&(courier.into(), service.into()));
+    fn lives_held(&self, proxy: &str, service: &str) -> BTreeSet<String> {
+        let held = self.held.get(&(proxy.into(), service.into()));
         held.into_iter()
             .flat_map(|h| &h.lines)
             .map(|line| line.life.clone())
@@ -259,13 +259,13 @@
             (6, Some(at)) => _ = self.tasks.swap_remove(at),
             (7 | 8, _) => {
                 let name = format!("c{}", u.choose_index(4)?);
-                self.courier_in(&name);
+                self.proxy_in(&name);
             }
             (9, _) => {
                 let name = format!("c{}", u.choose_index(4)?);
-                self.couriers.remove(&name);
-                self.held.retain(|(courier, _), _| *courier != name);
-                self.desk.courier_out(self.now, &name);
+                self.proxies.remove(&name);
+                self.held.retain(|(proxy, _), _| *proxy != name);
+                self.desk.proxy_out(self.now, &name);
             }
             _ => {
                 let bad = u.int_in_range(0..=10)?;
@@ -290,7 +290,7 @@
             world.steps(u.int_in_range(1..=8)?);
         }
         // Once all is calm for longer than anybody is held out, every task is in a table of somebody.
-        world.courier_in("c9");
+        world.proxy_in("c9");
         (0..40).for_each(|_| {
             world.report(10, 0);
             world.steps(10);
@@ -302,9 +302,9 @@
                 .map(|b| b.life.clone())
                 .collect();
             let held: BTreeSet<String> = world
-                .couriers
+                .proxies
                 .iter()
-                .flat_map(|courier| world.lives_held(courier, service))
+                .flat_map(|proxy| world.lives_held(proxy, service))
                 .collect();
             assert!(
                 live.is_subset(&held),
@@ -316,11 +316,11 @@
 }
 
 #[test]
-fn a_small_zone_is_open_to_all_its_couriers_and_a_large_one_in_parts() {
-    for (tasks, couriers, most, least) in [(25, 12, 130, 8), (419, 91, 610, 24)] {
+fn a_small_zone_is_open_to_all_its_proxies_and_a_large_one_in_parts() {
+    for (tasks, proxies, most, least) in [(25, 12, 130, 8), (419, 91, 610, 24)] {
         let mut world = World::new(&["a"], most);
         (0..tasks).for_each(|place| _ = world.start("a", place, 0.0));
-        (0..couriers).for_each(|n| world.courier_in_zone(&format!("c{n}"), &format!("z{}", n % 3)));
+        (0..proxies).for_each(|n| world.proxy_in_zone(&format!("c{n}"), &format!("z{}", n % 3)));
         world.steps(100);
         let mut reach = BTreeMap::<String, usize>::new();
         for held in world.held.values() {
@@ -330,7 +330,7 @@
                 .iter()
                 .for_each(|line| *reach.entry(line.life.clone()).or_default() += 1);
         }
-        assert_eq!((world.held.len(), reach.len()), (couriers, tasks));
+        assert_eq!((world.held.len(), reach.len()), (proxies, tasks));
         let mean = reach.values().sum::<usize>() / tasks;
         assert!(
             reach.values().all(|count| *count >= mean / 2),
@@ -339,11 +339,11 @@
     }
 }
 
-/// What each zone's couriers send where, as shares of what all bring, where each brings as much.
+/// What each zone's proxies send where, as shares of what all bring, where each brings as much.
 fn flows(world: &World) -> BTreeMap<(String, String), f64> {
     let mut flows = BTreeMap::new();
-    for ((courier, _), held) in &world.held {
-        let from = format!("z{}", courier.rsplit('z').next().unwrap());
+    for ((proxy, _), held) in &world.held {
+        let from = format!("z{}", proxy.rsplit('z').next().unwrap());
         let all: f64 = held.lines.iter().map(|line| f64::from(line.weight)).sum();
         for line in &held.lines {
             *flows
@@ -355,17 +355,17 @@
 }
 
 #[test]
-fn arcs_stay_in_their_couriers_zone_as_far_as_it_has_room_and_the_rest_goes_where_room_is() {
-    // Couriers by zone; tasks stand evenly in z0, z1 and z2.
-    for (couriers, home) in [
+fn arcs_stay_in_their_proxies_zone_as_far_as_it_has_room_and_the_rest_goes_where_room_is() {
+    // Proxies by zone; tasks stand evenly in z0, z1 and z2.
+    for (proxies, home) in [
         ([4, 4, 4], [0.33, 0.33, 0.33]),
         ([9, 3, 0], [0.33, 0.25, 0.0]),
     ] {
         let mut world = World::new(&["a"], 610);
         (0..90).for_each(|place| _ = world.start("a", place, 0.0));
-        for (zone, count) in couriers.iter().enumerate() {
+        for (zone, count) in proxies.iter().enumerate() {
             (0..*count)
-                .for_each(|n| world.courier_in_zone(&format!("c{n}z{zone}"), &format!("z{zone}")));
+                .for_each(|n| world.proxy_in_zone(&format!("c{n}z{zone}"), &format!("z{zone}")));
         }
         world.steps(100);
         let flows = flows(&world);
@@ -384,23 +384,23 @@
                 .unwrap_or(0.0);
             assert!(
                 (stays - wanted).abs() < 0.08,
-                "{couriers:?}: {stays} of {zone} stay, of {flows:?}"
+                "{proxies:?}: {stays} of {zone} stay, of {flows:?}"
             );
             assert!(
                 (0.2..0.5).contains(&into(&zone)),
-                "{couriers:?}: {} go to {zone}",
+                "{proxies:?}: {} go to {zone}",
                 into(&zone)
             );
         }
     }
 }
 
-/// As it is at a start: couriers call before most tasks have been heard of.
+/// As it is at a start: proxies call before most tasks have been heard of.
 #[test]
-fn tasks_that_come_after_the_couriers_are_in_as_many_tables_as_those_that_came_before() {
-    for (tasks, couriers) in [(29, 91), (419, 91), (25, 12)] {
+fn tasks_that_come_after_the_proxies_are_in_as_many_tables_as_those_that_came_before() {
+    for (tasks, proxies) in [(29, 91), (419, 91), (25, 12)] {
         let mut world = World::new(&["a"], 610);
-        (0..couriers).for_each(|n| world.courier_in(&format!("c{n}")));
+        (0..proxies).for_each(|n| world.proxy_in(&format!("c{n}")));
         for place in 0..tasks {
             world.start("a", place, 0.0);
             if place % (tasks / 15 + 1) == 0 {
@@ -426,7 +426,7 @@
 fn a_table_that_fails_is_tainted_and_the_one_before_comes_back_without_what_drains() {
     let mut world = World::new(&["a"], 130);
     let lives: Vec<String> = (0..4).map(|place| world.start("a", place, 0.0)).collect();
-    world.courier_in("c0");
+    world.proxy_in("c0");
     for _ in 0..10 {
         world.report(20, 0);
         world.steps(10);
@@ -467,7 +467,7 @@
 fn revisions_that_follow_each_other_faster_than_any_is_judged_are_tainted_together() {
     let mut world = World::new(&["a"], 130);
     let lives: Vec<String> = (0..12).map(|place| world.start("a", place, 0.0)).collect();
-    world.courier_in("c0");
+    world.proxy_in("c0");
     for _ in 0..10 {
         world.report(20, 0);
         world.steps(10);
@@ -509,9 +509,9 @@
 fn one_that_holds_tables_gets_none_from_an_controller_that_is_still_settling() {
     let mut world = World::new(&["a"], 130);
     world.start("a", 0, 0.0);
-    world.desk.courier_in(0.0, "old", "z0", 1.0, true);
-    world.couriers.insert("old".into());
-    world.courier_in("new");
+    world.desk.proxy_in(0.0, "old", "z0", 1.0, true);
+    world.proxies.insert("old".into());
+    world.proxy_in("new");
     world.steps(25);
     assert_eq!(world.lives_held("new", "a").len(), 1);
     assert_eq!(world.lives_held("old", "a").len(), 0);
@@ -523,7 +523,7 @@
 fn the_last_known_tasks_stay_while_they_are_merely_silent() {
     let mut world = World::new(&["a"], 130);
     let life = world.start("a", 0, 0.0);
-    world.courier_in("c0");
+    world.proxy_in("c0");
     world.steps(40);
     world.tasks.clear();
     world.steps(100);
--- a/crates/rookpulley-registry/tests/registry.rs
+++ b/crates/rookpulley-registry/tests/registry.rs
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn what_a_courier_knows_to_be_gone_is_never_listed_by_an_controller_that_starts_anew() {
+fn what_a_proxy_knows_to_be_gone_is_never_listed_by_an_controller_that_starts_anew() {
     let mut controller = Registry::new(0.0, HEARTBEAT_MS, 2_500.0);
     let gone = ["i-1".to_string(), "i-2".to_string()];
     assert_eq!(controller.take_gone(0.0, &gone), gone);
--- a/crates/rookpulley-simulator/src/clients.rs
+++ b/crates/rookpulley-simulator/src/clients.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for clients and for the platform that brings them to couriers.
+//! Stand-ins for clients and for the platform that brings them to proxies.
 
 use crate::net::Host;
 use crate::record::{Ended, Try};
@@ -49,7 +49,7 @@
         for machine in 0..self.machines.len() {
             let ready = self.machines[machine].power
                 && !self.machines[machine].gone
-                && self.courier_ready(machine)
+                && self.proxy_ready(machine)
                 && !self
                     .net
                     .lossy
@@ -65,7 +65,7 @@
         self.after(S, None, What::Readiness);
     }
 
-    fn courier_for(&mut self, zone: usize) -> Option<usize> {
+    fn proxy_for(&mut self, zone: usize) -> Option<usize> {
         let there = |w: &World, m: &usize| !w.machines[*m].gone && w.machines[*m].zone == zone;
         let all: Vec<usize> = (0..self.machines.len())
             .filter(|m| there(self, m))
@@ -131,7 +131,7 @@
     pub fn client_sends(&mut self, index: usize) {
         let zone = self.record.tries[index].zone;
         let now = self.now;
-        let machine = self.courier_for(zone);
+        let machine = self.proxy_for(zone);
         let of = &mut self.record.tries[index];
         of.sent_us = now;
         let left = of.until.saturating_sub(now);
--- a/crates/rookpulley-simulator/src/controllers.rs
+++ b/crates/rookpulley-simulator/src/controllers.rs
@@ -36,8 +36,8 @@
     controller: Controller,
     round: u64,
     dialers: BTreeMap<Ipv4Addr, Dialer>,
-    /// Lines of couriers by the controller's number for them.
-    couriers: BTreeMap<u64, u64>,
+    /// Lines of proxies by the controller's number for them.
+    proxies: BTreeMap<u64, u64>,
     /// Calls by their tokens.
     calls: BTreeMap<u64, (u64, u32)>,
     /// Since when it leaves.
@@ -103,7 +103,7 @@
             controller: Controller::new(start),
             round: 0,
             dialers: BTreeMap::new(),
-            couriers: BTreeMap::new(),
+            proxies: BTreeMap::new(),
             calls: BTreeMap::new(),
             leaves: None,
             deaf: false,
@@ -174,7 +174,7 @@
             Effect::Down { line, frame } => {
                 let line = self
                     .controller(process)
-                    .and_then(|controller| controller.couriers.get(&line).copied());
+                    .and_then(|controller| controller.proxies.get(&line).copied());
                 line.into_iter()
                     .for_each(|line| self.send_line(line, 1, frame.clone()));
             }
@@ -200,7 +200,7 @@
                     What::Start {
                         machine,
                         controller: true,
-                        courier: false,
+                        proxy: false,
                     },
                 );
             }
@@ -373,7 +373,7 @@
                 .for_each(|of| of.who = who);
             return;
         }
-        let (Some(up), known) = (unframed::<Up>(bytes), of.courier.clone()) else {
+        let (Some(up), known) = (unframed::<Up>(bytes), of.proxy.clone()) else {
             return;
         };
         match (up, known) {
@@ -395,20 +395,13 @@
                 };
                 self.controller(process)
                     .into_iter()
-                    .for_each(|controller| _ = controller.couriers.insert(number, line));
+                    .for_each(|controller| _ = controller.proxies.insert(number, line));
                 self.lines
                     .get_mut(&line)
                     .into_iter()
-                    .for_each(|of| of.courier = Some((node.clone(), number)));
+                    .for_each(|of| of.proxy = Some((node.clone(), number)));
                 self.with_controller(process, |controller, now| {
-                    controller.courier_in(
-                        now,
-                        number,
-                        (&node, &zone),
-                        home,
-                        (config, tables),
-                        &gone,
-                    );
+                    controller.proxy_in(now, number, (&node, &zone), home, (config, tables), &gone);
                 });
             }
             (
@@ -425,12 +418,12 @@
                 };
                 self.controller(process)
                     .into_iter()
-                    .for_each(|controller| _ = controller.couriers.insert(number, line));
+                    .for_each(|controller| _ = controller.proxies.insert(number, line));
                 let name = Some((address.ip().to_string(), number));
                 self.lines
                     .get_mut(&line)
                     .into_iter()
-                    .for_each(|of| of.courier = name.clone());
+                    .for_each(|of| of.proxy = name.clone());
                 self.with_controller(process, |controller, now| {
                     controller.annex_in(now, number, address, &controllers)
                 });
@@ -442,7 +435,7 @@
             }
             (up, Some((node, number))) => {
                 self.with_controller(process, |controller, now| {
-                    controller.courier_said(now, &node, number, up)
+                    controller.proxy_said(now, &node, number, up)
                 });
             }
             _ => {}
@@ -454,7 +447,7 @@
         let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else {
             return;
         };
-        let (who, courier, other) = (of.who, of.courier.clone(), of.ends[1 - side].0);
+        let (who, proxy, other) = (of.who, of.proxy.clone(), of.ends[1 - side].0);
         self.end_line(line, side, !own);
         if side == 0 {
             let ip = self.machines[self.processes[other].machine].ip;
@@ -467,12 +460,12 @@
             self.with_controller(process, |controller, _| controller.hung_up(ip));
             return self.controller_dials_again(process, ip);
         }
-        if let Some((node, number)) = courier {
+        if let Some((node, number)) = proxy {
             self.controller(process)
                 .into_iter()
-                .for_each(|controller| _ = controller.couriers.remove(&number));
+                .for_each(|controller| _ = controller.proxies.remove(&number));
             self.with_controller(process, |controller, now| {
-                controller.courier_out(now, &node, number);
+                controller.proxy_out(now, &node, number);
                 controller.annex_out(now, number);
             });
         } else if let Some(id) = who {
--- a/crates/rookpulley-simulator/src/day.rs
+++ b/crates/rookpulley-simulator/src/day.rs
@@ -20,7 +20,7 @@
         power: bool,
         down_ms: u64,
     },
-    /// Only its controller ends, or only its courier.
+    /// Only its controller ends, or only its proxy.
     KillOne {
         machine: usize,
         controller: bool,
@@ -219,7 +219,7 @@
     /// Machines behind the controllers whose controller has no disk, and whether they come first among the seeds.
     pub annexes: usize,
     pub annex_seeds: bool,
-    pub couriers: usize,
+    pub proxies: usize,
     pub zones: usize,
     pub losses: u32,
     pub services: usize,
@@ -241,7 +241,7 @@
     pub fn draw(seed: u64) -> Day {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xd417);
         let controllers = rng.random_range(3..=5usize);
-        let couriers = rng.random_range(6..=12usize).max(controllers);
+        let proxies = rng.random_range(6..=12usize).max(controllers);
         let length_ms = 30_000;
         // Drawn apart: the days without them stay as they were.
         let mut apart = ChaCha8Rng::seed_from_u64(seed ^ 0xa446);
@@ -253,9 +253,9 @@
         let mut day = Day {
             seed,
             controllers,
-            annexes: some.min(couriers - controllers),
+            annexes: some.min(proxies - controllers),
             annex_seeds: apart.random_range(0..2u32) == 0,
-            couriers,
+            proxies,
             zones: rng.random_range(2..=3),
             losses: if controllers == 5 {
                 rng.random_range(1..=2)
@@ -369,7 +369,7 @@
         Day {
             seed,
             controllers: 3,
-            couriers: 8,
+            proxies: 8,
             annexes: 0,
             annex_seeds: false,
             zones: 2,
@@ -388,7 +388,7 @@
     }
 
     fn draw_trouble(&self, rng: &mut ChaCha8Rng) -> Happens {
-        let any = rng.random_range(0..self.couriers);
+        let any = rng.random_range(0..self.proxies);
         let core = rng.random_range(0..self.controllers);
         let machine = if rng.random_range(0..2u32) == 0 {
             core
@@ -415,11 +415,11 @@
             },
             3 | 4 => Happens::Freeze { machine, ms },
             5 | 6 => {
-                let first = rng.random_range(0..self.couriers);
+                let first = rng.random_range(0..self.proxies);
                 let machines = match rng.random_range(0..3u32) {
                     0 => vec![core],
                     1 => vec![first],
-                    _ => (0..self.couriers)
+                    _ => (0..self.proxies)
                         .filter(|m| m % self.zones == core % self.zones)
                         .collect(),
                 };
@@ -519,7 +519,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "day {}: {} controllers, {} without a disk{}, {} couriers in {} zones, losses {}, {} services, {} tasks, {} requests/s, {} apps, \
+            "day {}: {} controllers, {} without a disk{}, {} proxies in {} zones, losses {}, {} services, {} tasks, {} requests/s, {} apps, \
              further tries {} + {}{}",
             self.seed,
             self.controllers,
@@ -529,7 +529,7 @@
             } else {
                 ""
             },
-            self.couriers,
+            self.proxies,
             self.zones,
             self.losses,
             self.services,
--- a/crates/rookpulley-simulator/src/judge.rs
+++ b/crates/rookpulley-simulator/src/judge.rs
@@ -107,7 +107,7 @@
 
     fn is_core(&self, machine: usize) -> bool {
         // Who came later in the place of another is of the core, too.
-        machine < self.day.controllers || machine >= self.day.couriers.max(self.day.controllers)
+        machine < self.day.controllers || machine >= self.day.proxies.max(self.day.controllers)
     }
 
     /// A machine of the core that reaches more than half of it, at this moment.
--- a/crates/rookpulley-simulator/src/judge/requests.rs
+++ b/crates/rookpulley-simulator/src/judge/requests.rs
@@ -2,7 +2,7 @@
 
 use super::{APPLY, CONTACT, DOWNGRADE, Judge, Rule};
 use crate::controllers::DRAIN_MS;
-use crate::couriers::GRACE;
+use crate::proxies::GRACE;
 use crate::record::{Arrival, Ended, Put, Try};
 use crate::{MS, S, Us};
 use std::collections::{BTreeMap, HashMap};
--- a/crates/rookpulley-simulator/src/lib.rs
+++ b/crates/rookpulley-simulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! Whole gateways in one process, on a simulated network: controllers and couriers by the code that decides in the
+//! Whole gateways in one process, on a simulated network: controllers and proxies by the code that decides in the
 //! programs, everything round them by stand-ins. `docs/design/drill.md` says what is simulated and what isn't.
 //!
 //! `day` draws what happens on a day from a seed, `world` plays it: `net` carries what is said, `disk`, `controllers`, `annexes`
-//! and `couriers` stand in for the programs' shells, `tasks`, `clients`, `operator` and `apps` for those outside. What
+//! and `proxies` stand in for the programs' shells, `tasks`, `clients`, `operator` and `apps` for those outside. What
 //! those outside saw stands in `record`; `judge` holds it against the rules and knows nothing else. `hunt` plays many
 //! days and shrinks one that fails.
 
@@ -11,13 +11,13 @@
 mod callers;
 mod clients;
 mod controllers;
-mod couriers;
 mod day;
 mod disk;
 mod hunt;
 mod judge;
 mod net;
 mod operator;
+mod proxies;
 mod record;
 mod seen;
 mod tasks;
--- a/crates/rookpulley-simulator/src/net.rs
+++ b/crates/rookpulley-simulator/src/net.rs
@@ -62,9 +62,9 @@
     heard: [Us; 2],
     /// Whether that side hangs up on silence.
     quiet: [bool; 2],
-    /// Between controllers: who said hello. From a courier: its name and the controller's number for it.
+    /// Between controllers: who said hello. From a proxy: its name and the controller's number for it.
     pub who: Option<u64>,
-    pub courier: Option<(String, u64)>,
+    pub proxy: Option<(String, u64)>,
 }
 
 impl World {
@@ -172,7 +172,7 @@
                 heard: [now; 2],
                 quiet,
                 who: None,
-                courier: None,
+                proxy: None,
             },
         );
         for (side, end) in [from, to].into_iter().enumerate() {
--- a/crates/rookpulley-simulator/src/couriers.rs
+++ b/crates/rookpulley-simulator/src/proxies.rs
@@ -1,4 +1,4 @@
-//! A courier's process: the satchel and its journeys, with lines, clients and connections to tasks round them.
+//! A proxy's process: the satchel and its journeys, with lines, clients and connections to tasks round them.
 
 use crate::clients::Told;
 use crate::net::{Host, unframed};
@@ -61,7 +61,7 @@
     wire: Option<(u64, bool)>,
 }
 
-pub struct CourierProcess {
+pub struct ProxyProcess {
     satchel: Satchel,
     dialers: BTreeMap<Ipv4Addr, Dialer>,
     pools: HashMap<String, Pool>,
@@ -76,13 +76,13 @@
 }
 
 impl World {
-    pub fn start_courier(&mut self, machine: usize) {
+    pub fn start_proxy(&mut self, machine: usize) {
         let process = self.process_of(machine, false);
         if self.running(process) {
             return;
         }
         let satchel = self.satchel(machine);
-        let courier = CourierProcess {
+        let proxy = ProxyProcess {
             satchel,
             dialers: BTreeMap::new(),
             pools: HashMap::new(),
@@ -93,8 +93,8 @@
             first: None,
             gone_back: false,
         };
-        self.begin(process, Core::Courier(courier));
-        self.say(|| format!("courier {machine}: begins"));
+        self.begin(process, Core::Proxy(proxy));
+        self.say(|| format!("proxy {machine}: begins"));
         self.after(TICK, self.address(process), What::Tick);
         self.with_satchel(process, Satchel::tend);
     }
@@ -115,9 +115,9 @@
         )
     }
 
-    fn courier(&mut self, process: usize) -> Option<&mut CourierProcess> {
+    fn proxy(&mut self, process: usize) -> Option<&mut ProxyProcess> {
         match self.processes.get_mut(process)?.core.as_mut()? {
-            Core::Courier(courier) => Some(courier),
+            Core::Proxy(proxy) => Some(proxy),
             _ => None,
         }
     }
@@ -128,9 +128,9 @@
         input: impl FnOnce(&mut Satchel, f64) -> T,
     ) -> Option<T> {
         let clock = self.clock(process);
-        let courier = self.courier(process)?;
-        let came = input(&mut courier.satchel, clock);
-        let effects = courier.satchel.effects();
+        let proxy = self.proxy(process)?;
+        let came = input(&mut proxy.satchel, clock);
+        let effects = proxy.satchel.effects();
         effects
             .into_iter()
             .for_each(|effect| self.satchel_wants(process, effect));
@@ -145,10 +145,10 @@
         input: impl FnOnce(&mut Work, &mut Satchel, f64) -> T,
     ) -> Option<T> {
         let clock = self.clock(process);
-        let courier = self.courier(process)?;
-        let work = courier.works.get_mut(&request)?;
-        let came = input(work, &mut courier.satchel, clock);
-        let effects = courier.satchel.effects();
+        let proxy = self.proxy(process)?;
+        let work = proxy.works.get_mut(&request)?;
+        let came = input(work, &mut proxy.satchel, clock);
+        let effects = proxy.satchel.effects();
         effects
             .into_iter()
             .for_each(|effect| self.satchel_wants(process, effect));
@@ -159,8 +159,8 @@
         let me = self.address(process);
         match effect {
             Effect::Dial(ip) => {
-                if let Some(courier) = self.courier(process) {
-                    courier.dialers.insert(
+                if let Some(proxy) = self.proxy(process) {
+                    proxy.dialers.insert(
                         ip,
                         Dialer {
                             line: None,
@@ -176,22 +176,22 @@
                     self.spoil_report(report);
                 }
                 let line = self
-                    .courier(process)
-                    .and_then(|courier| courier.dialers.get(&ip)?.line);
+                    .proxy(process)
+                    .and_then(|proxy| proxy.dialers.get(&ip)?.line);
                 line.into_iter()
                     .for_each(|line| self.send_line(line, 0, frame(&up)));
             }
             Effect::Forget(life) => {
                 let pool = self
-                    .courier(process)
-                    .and_then(|courier| courier.pools.remove(&life));
+                    .proxy(process)
+                    .and_then(|proxy| proxy.pools.remove(&life));
                 let idle = pool.map_or(Vec::new(), |pool| pool.idle);
                 idle.into_iter()
                     .for_each(|wire| self.end_wire(process, wire.number));
             }
             Effect::Log(line) | Effect::Complain(line) => {
                 let machine = self.processes[process].machine;
-                self.say(|| format!("courier {machine}: {line}"));
+                self.say(|| format!("proxy {machine}: {line}"));
             }
         }
     }
@@ -213,25 +213,25 @@
         }
     }
 
-    pub fn courier_ready(&self, machine: usize) -> bool {
+    pub fn proxy_ready(&self, machine: usize) -> bool {
         let process = &self.processes[self.process_of(machine, false)];
         !process.asleep
-            && matches!(&process.core, Some(Core::Courier(courier)) if courier.satchel.ready())
+            && matches!(&process.core, Some(Core::Proxy(proxy)) if proxy.satchel.ready())
     }
 
-    pub fn courier_takes(&mut self, process: usize, what: What) {
+    pub fn proxy_takes(&mut self, process: usize, what: What) {
         match what {
-            What::Tick => self.courier_ticks(process),
+            What::Tick => self.proxy_ticks(process),
             What::Dial(ip) => self.dial(process, ip, DIAL_WITHIN),
-            What::Dialed { ip, up } => self.courier_dialed(process, ip, up),
+            What::Dialed { ip, up } => self.proxy_dialed(process, ip, up),
             What::Line { line, side, bytes } => {
                 if let Some(bytes) = self.heard_line(line, side, bytes) {
-                    self.courier_hears(process, line, bytes);
+                    self.proxy_hears(process, line, bytes);
                 }
             }
-            What::LineEnd { line, side } => self.courier_line_ends(process, line, side, false),
+            What::LineEnd { line, side } => self.proxy_line_ends(process, line, side, false),
             What::LineCheck { line, side } if self.check_line(line, side) => {
-                self.courier_line_ends(process, line, side, true);
+                self.proxy_line_ends(process, line, side, true);
             }
             What::Request(try_) => self.request(process, try_),
             What::ClientClosed(try_) => self.client_closed(process, try_),
@@ -255,13 +255,13 @@
         }
     }
 
-    fn courier_ticks(&mut self, process: usize) {
+    fn proxy_ticks(&mut self, process: usize) {
         let (me, now) = (self.address(process), self.now);
-        let Some(courier) = self.courier(process) else {
+        let Some(proxy) = self.proxy(process) else {
             return;
         };
-        courier.tick = courier.tick.wrapping_add(1);
-        let (tick, ends, calm) = (courier.tick, courier.ends, courier.works.is_empty());
+        proxy.tick = proxy.tick.wrapping_add(1);
+        let (tick, ends, calm) = (proxy.tick, proxy.ends, proxy.works.is_empty());
         let due = match ends {
             None => Some(tick),
             Some(_) => tick.is_multiple_of(2).then_some(tick / 2),
@@ -296,40 +296,40 @@
         let machine = self.processes[process].machine;
         let fresh = self.satchel(machine);
         let clock = self.clock(process);
-        let Some(courier) = self.courier(process) else {
+        let Some(proxy) = self.proxy(process) else {
             return;
         };
-        let Some(first) = courier.first.clone() else {
+        let Some(first) = proxy.first.clone() else {
             return;
         };
         let (post, ending) = (
-            std::mem::replace(&mut courier.satchel, fresh),
-            courier.satchel.ending,
+            std::mem::replace(&mut proxy.satchel, fresh),
+            proxy.satchel.ending,
         );
-        (courier.satchel.post, courier.satchel.ending) = (post.post, ending);
-        courier.gone_back = true;
+        (proxy.satchel.post, proxy.satchel.ending) = (post.post, ending);
+        proxy.gone_back = true;
         if let Some(down) = unframed::<Down>(&first) {
-            courier.satchel.take(clock, Ipv4Addr::LOCALHOST, down);
+            proxy.satchel.take(clock, Ipv4Addr::LOCALHOST, down);
         }
-        _ = courier.satchel.effects();
+        _ = proxy.satchel.effects();
     }
 
-    pub fn term_courier(&mut self, process: usize) {
+    pub fn term_proxy(&mut self, process: usize) {
         let now = self.now;
         if self.mutation == Some(Mutation::EndsAtOnce) {
             return self.stop(process, false);
         }
-        if let Some(courier) = self.courier(process)
-            && courier.ends.is_none()
+        if let Some(proxy) = self.proxy(process)
+            && proxy.ends.is_none()
         {
-            courier.ends = Some(now);
+            proxy.ends = Some(now);
             self.with_satchel(process, |satchel, _| satchel.ending = true);
         }
     }
 
     // ---- controllers ----------------------------------------------------------------------------
 
-    fn courier_dialed(&mut self, process: usize, ip: Ipv4Addr, up: bool) {
+    fn proxy_dialed(&mut self, process: usize, ip: Ipv4Addr, up: bool) {
         let (Some(me), now) = (self.address(process), self.now) else {
             return;
         };
@@ -337,29 +337,29 @@
             .machine_at(ip)
             .map(|machine| self.process_of(machine, true));
         let Some(there) = there.and_then(|there| self.address(there)).filter(|_| up) else {
-            return self.courier_dials_again(process, ip);
+            return self.proxy_dials_again(process, ip);
         };
         let line = self.open_line(me, there, [true, false]);
         if let Some(dialer) = self
-            .courier(process)
-            .and_then(|courier| courier.dialers.get_mut(&ip))
+            .proxy(process)
+            .and_then(|proxy| proxy.dialers.get_mut(&ip))
         {
             (dialer.line, dialer.begun) = (Some(line), now);
         }
         self.with_satchel(process, |satchel, now| satchel.opened(now, ip));
     }
 
-    fn courier_dials_again(&mut self, process: usize, ip: Ipv4Addr) {
+    fn proxy_dials_again(&mut self, process: usize, ip: Ipv4Addr) {
         let me = self.address(process);
         if self.with_satchel(process, |satchel, now| satchel.forgotten(now, ip)) == Some(true) {
-            self.courier(process)
+            self.proxy(process)
                 .into_iter()
-                .for_each(|courier| _ = courier.dialers.remove(&ip));
+                .for_each(|proxy| _ = proxy.dialers.remove(&ip));
             return;
         }
         let Some(dialer) = self
-            .courier(process)
-            .and_then(|courier| courier.dialers.get_mut(&ip))
+            .proxy(process)
+            .and_then(|proxy| proxy.dialers.get_mut(&ip))
         else {
             return;
         };
@@ -368,7 +368,7 @@
         self.after(pause, me, What::Dial(ip));
     }
 
-    fn courier_hears(&mut self, process: usize, line: u64, bytes: Vec<u8>) {
+    fn proxy_hears(&mut self, process: usize, line: u64, bytes: Vec<u8>) {
         let Some(of) = self.lines.get(&line) else {
             return;
         };
@@ -396,34 +396,30 @@
             (Down::Table { .. }, Some(Mutation::TablesMissed)) => {
                 self.now > 5 * S
                     && self
-                        .courier(process)
-                        .is_some_and(|courier| courier.satchel.ready())
+                        .proxy(process)
+                        .is_some_and(|proxy| proxy.satchel.ready())
             }
             (Down::Gone { .. } | Down::Table { .. }, Some(Mutation::DrainsUnheard)) => {
                 self.now > 3 * S
                     && self
-                        .courier(process)
-                        .is_some_and(|courier| courier.satchel.ready())
+                        .proxy(process)
+                        .is_some_and(|proxy| proxy.satchel.ready())
             }
             (Down::Config { .. }, Some(Mutation::ConfigurationsMissed)) => {
-                self.courier(process)
-                    .is_some_and(|c| c.satchel.version() > 0)
-                    && !self.chance(4)
+                self.proxy(process).is_some_and(|c| c.satchel.version() > 0) && !self.chance(4)
             }
             (Down::Config { .. }, Some(Mutation::GoesBack)) => {
-                let courier = self.courier(process);
-                courier.is_some_and(|courier| {
-                    courier.first.get_or_insert(bytes);
-                    courier.gone_back
+                let proxy = self.proxy(process);
+                proxy.is_some_and(|proxy| {
+                    proxy.first.get_or_insert(bytes);
+                    proxy.gone_back
                 })
             }
             (_, Some(Mutation::HomePresumedInTouch)) => {
                 if let Down::Pulse { in_touch, .. } = &mut down {
                     *in_touch = true;
                 }
-                let home = self
-                    .courier(process)
-                    .and_then(|courier| courier.satchel.home());
+                let home = self.proxy(process).and_then(|proxy| proxy.satchel.home());
                 home.is_some_and(|home| home != ip)
             }
             _ => false,
@@ -433,7 +429,7 @@
         }
     }
 
-    fn courier_line_ends(&mut self, process: usize, line: u64, side: usize, own: bool) {
+    fn proxy_line_ends(&mut self, process: usize, line: u64, side: usize, own: bool) {
         let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else {
             return;
         };
@@ -441,8 +437,8 @@
         self.end_line(line, side, !own);
         let now = self.now;
         if let Some(dialer) = self
-            .courier(process)
-            .and_then(|courier| courier.dialers.get_mut(&ip))
+            .proxy(process)
+            .and_then(|proxy| proxy.dialers.get_mut(&ip))
         {
             dialer.line = None;
             if now - dialer.begun > S {
@@ -451,16 +447,16 @@
         }
         let alone = self.mutation == Some(Mutation::AloneTakesAll)
             && self
-                .courier(process)
+                .proxy(process)
                 .is_some_and(|c| c.dialers.values().all(|dialer| dialer.line.is_none()));
         self.with_satchel(process, |satchel, now| {
             satchel.lost(ip);
             satchel.choose_home(now);
             if alone {
-                satchel.take_couriers(now + 1e9, 1);
+                satchel.take_proxies(now + 1e9, 1);
             }
         });
-        self.courier_dials_again(process, ip);
+        self.proxy_dials_again(process, ip);
     }
 
     // ---- requests ---------------------------------------------------------------------------
@@ -492,8 +488,8 @@
                     left: false,
                     wire: None,
                 };
-                if let Some(courier) = self.courier(process) {
-                    courier.works.insert(try_, work);
+                if let Some(proxy) = self.proxy(process) {
+                    proxy.works.insert(try_, work);
                 }
                 self.go(process, try_);
             }
@@ -537,9 +533,9 @@
             let of = &self.record.tries[try_];
             late = (of.sent_us + of.deadline).saturating_sub(self.now + 30 * MS);
         }
-        self.courier(process)
+        self.proxy(process)
             .into_iter()
-            .for_each(|courier| _ = courier.works.remove(&try_));
+            .for_each(|proxy| _ = proxy.works.remove(&try_));
         let from = self.host_of(process);
         let what = What::ClientAnswer { try_, answer: told };
         match late {
@@ -593,10 +589,10 @@
         let Some((Some(to), bound, once, anew)) = taken else {
             return;
         };
-        let Some(courier) = self.courier(process) else {
+        let Some(proxy) = self.proxy(process) else {
             return;
         };
-        let pool = courier.pools.entry(to.life.clone()).or_default();
+        let pool = proxy.pools.entry(to.life.clone()).or_default();
         let fit = pool.idle.last().is_some_and(|wire| {
             !anew && now - wire.freed < IDLE && (!once || now - wire.freed <= FRESH)
         });
@@ -610,11 +606,11 @@
             }
         }
         let wire = self.number();
-        let Some(courier) = self.courier(process) else {
+        let Some(proxy) = self.proxy(process) else {
             return;
         };
-        courier.pools.entry(to.life.clone()).or_default().open += 1;
-        courier.lives.insert(wire, to.life.clone());
+        proxy.pools.entry(to.life.clone()).or_default().open += 1;
+        proxy.lives.insert(wire, to.life.clone());
         let machine = self.host_of(process);
         let place = self.place_of(to.address);
         let near =
@@ -648,7 +644,7 @@
     }
 
     fn current(&mut self, process: usize, request: usize, attempt: u32) -> Option<&mut Work> {
-        self.courier(process)?
+        self.proxy(process)?
             .works
             .get_mut(&request)
             .filter(|work| work.attempt == attempt)
@@ -666,9 +662,9 @@
     }
 
     fn end_wire(&mut self, process: usize, wire: u64) {
-        if let Some(courier) = self.courier(process)
-            && let Some(life) = courier.lives.remove(&wire)
-            && let Some(pool) = courier.pools.get_mut(&life)
+        if let Some(proxy) = self.proxy(process)
+            && let Some(life) = proxy.lives.remove(&wire)
+            && let Some(pool) = proxy.pools.get_mut(&life)
         {
             pool.open = pool.open.saturating_sub(1);
         }
@@ -678,9 +674,9 @@
     /// It may serve again.
     fn free_wire(&mut self, process: usize, wire: u64) {
         let now = self.now;
-        if let Some(courier) = self.courier(process)
-            && let Some(life) = courier.lives.get(&wire)
-            && let Some(pool) = courier.pools.get_mut(life)
+        if let Some(proxy) = self.proxy(process)
+            && let Some(life) = proxy.lives.get(&wire)
+            && let Some(pool) = proxy.pools.get_mut(life)
         {
             return pool.idle.push(Wire {
                 number: wire,
@@ -911,8 +907,8 @@
     /// The client has left. What may run once goes on, whatever is under way.
     fn client_closed(&mut self, process: usize, request: usize) {
         let Some(work) = self
-            .courier(process)
-            .and_then(|courier| courier.works.get_mut(&request))
+            .proxy(process)
+            .and_then(|proxy| proxy.works.get_mut(&request))
         else {
             return;
         };
@@ -927,18 +923,18 @@
         self.with_satchel(process, |satchel, _| {
             pick.into_iter().for_each(|pick| satchel.post.left(pick))
         });
-        self.courier(process)
+        self.proxy(process)
             .into_iter()
-            .for_each(|courier| _ = courier.works.remove(&request));
+            .for_each(|proxy| _ = proxy.works.remove(&request));
     }
 
     fn sweep_wires(&mut self, process: usize) {
         let now = self.now;
-        let Some(courier) = self.courier(process) else {
+        let Some(proxy) = self.proxy(process) else {
             return;
         };
         let mut old = Vec::new();
-        courier.pools.retain(|_, pool| {
+        proxy.pools.retain(|_, pool| {
             old.extend(pool.idle.extract_if(.., |wire| now - wire.freed >= IDLE));
             pool.open > 0
         });
@@ -947,15 +943,9 @@
     }
 
     /// Its requests and connections end with it.
-    pub fn courier_ended(
-        &mut self,
-        process: usize,
-        life: u32,
-        courier: CourierProcess,
-        quiet: bool,
-    ) {
+    pub fn proxy_ended(&mut self, process: usize, life: u32, proxy: ProxyProcess, quiet: bool) {
         let from = self.host_of(process);
-        for (request, work) in courier.works {
+        for (request, work) in proxy.works {
             if quiet {
                 continue;
             }
@@ -990,7 +980,7 @@
             }
         }
         self.wires_ended((process, life));
-        for wire in courier.pools.into_values().flat_map(|pool| pool.idle) {
+        for wire in proxy.pools.into_values().flat_map(|pool| pool.idle) {
             self.close_wire(wire.number);
         }
     }
@@ -999,10 +989,10 @@
     pub fn reset_requests(&mut self, machine: usize) {
         let process = self.process_of(machine, false);
         let from = self.host_of(process);
-        let Some(courier) = self.courier(process) else {
+        let Some(proxy) = self.proxy(process) else {
             return;
         };
-        let works: Vec<usize> = courier.works.keys().copied().collect();
+        let works: Vec<usize> = proxy.works.keys().copied().collect();
         for request in works {
             let told = Told {
                 whole: false,
--- a/crates/rookpulley-simulator/src/tasks.rs
+++ b/crates/rookpulley-simulator/src/tasks.rs
@@ -31,7 +31,7 @@
 /// What comes back.
 #[derive(Clone, Debug)]
 pub enum Answer {
-    /// The connection ended. `unread`: the courier knows that nothing of the request was written.
+    /// The connection ended. `unread`: the proxy knows that nothing of the request was written.
     Reset { unread: bool },
     Head {
         status: u16,
--- a/crates/rookpulley-simulator/src/troubles.rs
+++ b/crates/rookpulley-simulator/src/troubles.rs
@@ -1,9 +1,9 @@
 //! What happens on a day, when it happens and when it is over.
 
-use crate::couriers::GRACE;
 use crate::day::{Closing, Happens};
 use crate::disk::DiskTrouble;
 use crate::net::Host;
+use crate::proxies::GRACE;
 use crate::world::{What, World};
 use crate::{MS, S, Us};
 use rand::RngExt;
@@ -262,7 +262,7 @@
     fn kill(
         &mut self,
         machine: usize,
-        (controller, courier): (bool, bool),
+        (controller, proxy): (bool, bool),
         power: bool,
         down_ms: u64,
     ) {
@@ -278,7 +278,7 @@
         if power {
             self.machines[machine].power = false;
         }
-        for (is_controller, hit) in [(true, controller), (false, courier)] {
+        for (is_controller, hit) in [(true, controller), (false, proxy)] {
             if hit {
                 let process = self.process_of(machine, is_controller);
                 self.stop(process, power);
@@ -293,12 +293,12 @@
             What::Start {
                 machine,
                 controller,
-                courier,
+                proxy,
             },
         );
     }
 
-    pub fn start_again(&mut self, machine: usize, controller: bool, courier: bool) {
+    pub fn start_again(&mut self, machine: usize, controller: bool, proxy: bool) {
         if self.machines[machine].gone {
             return;
         }
@@ -310,8 +310,8 @@
         if self.machines[machine].annex && controller {
             self.start_annex(machine, false);
         }
-        if courier {
-            self.start_courier(machine);
+        if proxy {
+            self.start_proxy(machine);
         }
         self.record.started(self.now, machine, core);
     }
@@ -393,13 +393,13 @@
             self.processes[process].termed = true;
             match is_controller {
                 true => self.term_controller(process),
-                false => self.term_courier(process),
+                false => self.term_proxy(process),
             }
             self.after(GRACE, None, What::Kill { process, life });
         }
     }
 
-    /// A courier after the other; of the controllers only the first one's machine.
+    /// A proxy after the other; of the controllers only the first one's machine.
     pub fn roll(&mut self, machine: usize, pause_ms: u64) {
         if machine >= self.machines.len() {
             return;
@@ -435,7 +435,7 @@
             What::Start {
                 machine: another,
                 controller: true,
-                courier: true,
+                proxy: true,
             },
         );
     }
@@ -474,7 +474,7 @@
                 What::Start {
                     machine,
                     controller,
-                    courier: !controller,
+                    proxy: !controller,
                 },
             );
         }
--- a/crates/rookpulley-simulator/src/world.rs
+++ b/crates/rookpulley-simulator/src/world.rs
@@ -5,12 +5,12 @@
 use crate::callers::Call;
 use crate::clients::Clients;
 use crate::controllers::ControllerProcess;
-use crate::couriers::CourierProcess;
 use crate::day::{BEGINS_MS, Day};
 use crate::disk::Disk;
 use crate::judge::{self, Breach, Rule};
 use crate::net::{Host, Line, Net};
 use crate::operator::Operator;
+use crate::proxies::ProxyProcess;
 use crate::record::Record;
 use crate::seen::Seen;
 use crate::tasks::Task;
@@ -33,11 +33,11 @@
     NobodyMeant,
     /// A task gets its request with another path.
     OtherPath,
-    /// Couriers don't hear of drains, and their tables don't change either.
+    /// Proxies don't hear of drains, and their tables don't change either.
     DrainsUnheard,
-    /// Couriers miss most configurations.
+    /// Proxies miss most configurations.
     ConfigurationsMissed,
-    /// A courier takes up its first configuration again amid its life.
+    /// A proxy takes up its first configuration again amid its life.
     GoesBack,
     /// An invalid configuration is taken.
     TakesInvalid,
@@ -51,37 +51,37 @@
     RefusedAfterAll,
     /// A lock is kept for its holder half as long as promised.
     LocksShort,
-    /// A courier ends at SIGTERM with requests at work.
+    /// A proxy ends at SIGTERM with requests at work.
     EndsAtOnce,
 
     // What these spoil is no rule: `tests/round.rs` sees it in what is served, refused and sent.
-    /// Couriers report no failure of a task.
+    /// Proxies report no failure of a task.
     FailuresUntold,
-    /// Couriers report the failures of one task as those of all.
+    /// Proxies report the failures of one task as those of all.
     FailuresSpread,
-    /// Couriers learn nothing from how a try ended.
+    /// Proxies learn nothing from how a try ended.
     NothingLearnt,
     /// The same, and they don't know what they have under way: all tasks look alike.
     NothingCounted,
-    /// A courier that is out of touch with all controllers takes the whole slack for its own.
+    /// A proxy that is out of touch with all controllers takes the whole slack for its own.
     AloneTakesAll,
     /// Refusals name no time to come back.
     NoTimeTold,
     /// Refusals come when the request's time is over.
     RefusedLate,
-    /// Couriers use the tasks of their own zone alone, where there are any.
+    /// Proxies use the tasks of their own zone alone, where there are any.
     OwnZoneAlone,
     /// Controllers give out no line of a table whose revisions are all tainted.
     TaintedBare,
-    /// Couriers take no table after their first ones.
+    /// Proxies take no table after their first ones.
     TablesMissed,
 
     // What `tests/worst_days.rs` must find.
-    /// A courier hears its home alone, and takes it to be in touch whatever it says.
+    /// A proxy hears its home alone, and takes it to be in touch whatever it says.
     HomePresumedInTouch,
     /// A configuration whose version is not above the one held is refused.
     RepeatRefused,
-    /// Couriers fail what comes on routes that the first configuration didn't have.
+    /// Proxies fail what comes on routes that the first configuration didn't have.
     LaterRoutesFail,
 }
 
@@ -145,7 +145,7 @@
 
 #[derive(Debug)]
 pub enum What {
-    // To a controller or a courier.
+    // To a controller or a proxy.
     Tick,
     Dial(Ipv4Addr),
     Dialed {
@@ -176,7 +176,7 @@
         call: u64,
         attempt: u32,
     },
-    // To a courier.
+    // To a proxy.
     Request(usize),
     ClientClosed(usize),
     WireUp {
@@ -270,7 +270,7 @@
     Start {
         machine: usize,
         controller: bool,
-        courier: bool,
+        proxy: bool,
     },
     Wake {
         process: usize,
@@ -303,7 +303,7 @@
 pub enum Core {
     Controller(ControllerProcess),
     Annex(AnnexProcess),
-    Courier(CourierProcess),
+    Proxy(ProxyProcess),
 }
 
 pub struct Process {
@@ -406,7 +406,7 @@
             heals: BTreeMap::new(),
             closing: None,
         };
-        for machine in 0..day.couriers.max(day.controllers) {
+        for machine in 0..day.proxies.max(day.controllers) {
             world.add_machine(machine < day.controllers);
             world.machines[machine].annex =
                 (day.controllers..day.controllers + day.annexes).contains(&machine);
@@ -548,7 +548,7 @@
         if self.machines[machine].annex {
             self.start_annex(machine, first);
         }
-        self.start_courier(machine);
+        self.start_proxy(machine);
         self.record
             .started(self.now, machine, self.machines[machine].core);
     }
@@ -579,7 +579,7 @@
                 self.controller_ended(machine, controller, quiet);
             }
             Core::Annex(_) => {}
-            Core::Courier(courier) => self.courier_ended(process, life, courier, quiet),
+            Core::Proxy(proxy) => self.proxy_ended(process, life, proxy, quiet),
         }
         self.ended_in_order(process);
     }
@@ -601,7 +601,7 @@
                 self.annex_takes(process, event.what);
             }
             true => self.controller_takes(process, event.what),
-            false => self.courier_takes(process, event.what),
+            false => self.proxy_takes(process, event.what),
         }
     }
 
@@ -669,8 +669,8 @@
             What::Start {
                 machine,
                 controller,
-                courier,
-            } => self.start_again(machine, controller, courier),
+                proxy,
+            } => self.start_again(machine, controller, proxy),
             What::Wake { process } => self.wake(process),
             What::Roll { machine, pause_ms } => self.roll(machine, pause_ms),
             What::Retire { machine } => self.retire(machine),
--- a/crates/rookpulley-simulator/tests/round.rs
+++ b/crates/rookpulley-simulator/tests/round.rs
@@ -1,4 +1,4 @@
-//! The hard cases of the round: where limits, further tries and overload of all couriers together must hold, whatever
+//! The hard cases of the round: where limits, further tries and overload of all proxies together must hold, whatever
 //! steers the requests. Each is a scripted day, played for several seeds and judged like any other day; beside that
 //! something must be seen that a broken mechanism misses. The mutations of a case show that it can fail.
 
@@ -332,10 +332,10 @@
 }
 
 #[test]
-fn half_of_the_couriers_cut_off_from_all_controllers_keep_to_their_part_of_the_budget() {
+fn half_of_the_proxies_cut_off_from_all_controllers_keep_to_their_part_of_the_budget() {
     fn day(seed: u64) -> Day {
         let mut day = alike(seed);
-        (day.rate, day.couriers, day.length_ms) = (200, 12, 36_000);
+        (day.rate, day.proxies, day.length_ms) = (200, 12, 36_000);
         (day.retry_ratio, day.retry_slack) = (0.2, 48.0);
         (day.shape.attempts, day.shape.once) = (Some(3), true);
         day.happens = vec![
@@ -383,7 +383,7 @@
 }
 
 #[test]
-fn couriers_that_all_begin_anew_within_a_second_dont_herd() {
+fn proxies_that_all_begin_anew_within_a_second_dont_herd() {
     fn day(seed: u64) -> Day {
         let mut day = alike(seed);
         day.rate = 600;
@@ -479,7 +479,7 @@
 fn a_zone_with_a_third_of_the_clients_and_a_tenth_of_the_tasks_is_served_by_all() {
     fn day(seed: u64) -> Day {
         let mut day = alike(seed);
-        (day.zones, day.couriers, day.tasks, day.rate) = (3, 9, 20, 900);
+        (day.zones, day.proxies, day.tasks, day.rate) = (3, 9, 20, 900);
         (day.shape.lopsided, day.length_ms) = (true, 14_000);
         day
     }
--- a/crates/rookpulley-simulator/tests/worst_days.rs
+++ b/crates/rookpulley-simulator/tests/worst_days.rs
@@ -9,7 +9,7 @@
 /// Five controllers of which two may be lost, with applications, and changes and drains all the while.
 fn five(seed: u64) -> Day {
     let mut day = Day::calm(seed);
-    (day.controllers, day.losses, day.couriers, day.zones) = (5, 2, 12, 3);
+    (day.controllers, day.losses, day.proxies, day.zones) = (5, 2, 12, 3);
     (day.services, day.tasks, day.apps, day.rate) = (2, 16, 6, 120);
     day.length_ms = 46_000;
     day
@@ -396,10 +396,10 @@
     case(day, wrong, &mutations);
 }
 
-/// Six controllers before ninety couriers lose two disks, are cut in two for long, and lose two others.
+/// Six controllers before ninety proxies lose two disks, are cut in two for long, and lose two others.
 fn six_before_ninety(seed: u64) {
     let mut day = five(seed);
-    (day.controllers, day.couriers, day.tasks, day.length_ms) = (6, 90, 40, 90_000);
+    (day.controllers, day.proxies, day.tasks, day.length_ms) = (6, 90, 40, 90_000);
     let machine = (seed % 6) as usize;
     let lost = |by: usize| Happens::Wipe {
         machine: (machine + by) % 6,
@@ -429,13 +429,13 @@
 }
 
 #[test]
-fn six_controllers_before_ninety_couriers_bear_the_loss_of_two_again_and_again() {
+fn six_controllers_before_ninety_proxies_bear_the_loss_of_two_again_and_again() {
     six_before_ninety(0);
 }
 
 #[test]
 #[ignore = "long, CI plays seed 0: WORST_SEEDS=0..200 cargo test --release -p rookpulley-simulator --test worst_days -- --ignored --nocapture"]
-fn six_controllers_before_ninety_couriers_on_many_seeds() {
+fn six_controllers_before_ninety_proxies_on_many_seeds() {
     let text = std::env::var("WORST_SEEDS").unwrap_or_default();
     let (from, to) = text.split_once("..").unwrap_or(("0", "4"));
     (from.parse::<u64>().unwrap()..to.parse().unwrap()).for_each(six_before_ninety);
