--- a/crates/rookpulley-control/src/controller.rs
+++ b/crates/rookpulley-control/src/controller.rs
@@ -29,7 +29,7 @@
 /// What was noted before a start and hasn't been heard of since is dropped after so long.
 const NOTES_KEPT_MS: f64 = 90_000.0;
 const PEERS_MOST: usize = 64;
-const ANNEXES_MOST: usize = 1_024;
+const STATELESS_CONTROLLERS_MOST: usize = 1_024;
 const CALLS_MOST: usize = 4_096;
 
 /// Rows of a store.
@@ -148,7 +148,7 @@
     pub proxies: BTreeMap<String, ProxySession>,
     roll: Roll,
     /// Lines of controllers without a disk, and their addresses. They are told which controllers are in touch, and nothing else.
-    annexes: BTreeMap<u64, Ipv4Addr>,
+    stateless_controllers: BTreeMap<u64, Ipv4Addr>,
     zone: String,
     founding: Option<Founding>,
     /// Of the seeds that this one waits for: those that have said that they have no disk.
@@ -200,7 +200,7 @@
             peers: BTreeMap::new(),
             proxies: BTreeMap::new(),
             roll: Roll::default(),
-            annexes: BTreeMap::new(),
+            stateless_controllers: BTreeMap::new(),
             zone: start.zone,
             founding: start.founding,
             diskless: BTreeSet::new(),
@@ -434,7 +434,7 @@
                 line: *line,
                 frame: frame.clone(),
             };
-            self.out.extend(self.annexes.keys().map(tell));
+            self.out.extend(self.stateless_controllers.keys().map(tell));
         }
         if round.is_multiple_of(40) {
             let hello = self.hello();
--- a/crates/rookpulley-control/src/controller/peers.rs
+++ b/crates/rookpulley-control/src/controller/peers.rs
@@ -16,7 +16,7 @@
     pub(super) fn meet(&mut self, now: f64, ip: Ipv4Addr) {
         let (own, known) = (
             ip == *self.me.address.ip(),
-            self.peers.contains_key(&ip) || self.is_annex(ip),
+            self.peers.contains_key(&ip) || self.is_stateless(ip),
         );
         if own || known || self.peers.len() >= PEERS_MOST {
             return;
@@ -35,12 +35,14 @@
     pub(super) fn reached(&self) -> impl Iterator<Item = Ipv4Addr> {
         self.peers
             .iter()
-            .filter(|(ip, p)| p.dialed && !self.is_annex(**ip))
+            .filter(|(ip, p)| p.dialed && !self.is_stateless(**ip))
             .map(|(ip, _)| *ip)
     }
 
-    pub(super) fn is_annex(&self, ip: Ipv4Addr) -> bool {
-        self.annexes.values().any(|annex| *annex == ip)
+    pub(super) fn is_stateless(&self, ip: Ipv4Addr) -> bool {
+        self.stateless_controllers
+            .values()
+            .any(|stateless| *stateless == ip)
     }
 
     pub(super) fn hello(&self) -> Word {
@@ -86,7 +88,7 @@
             .peers
             .get(&ip)
             .is_some_and(|p| now - p.seen_ms < FORGOTTEN_MS);
-        (named || seed || lately) && !self.is_annex(ip)
+        (named || seed || lately) && !self.is_stateless(ip)
     }
 
     pub fn forget(&mut self, ip: Ipv4Addr) {
@@ -100,7 +102,8 @@
                 *who = Some(from.id);
                 let ip = *from.address.ip();
                 // It has got a disk since.
-                self.annexes.retain(|_, annex| *annex != ip);
+                self.stateless_controllers
+                    .retain(|_, stateless| *stateless != ip);
                 self.meet(now, ip);
                 controllers.iter().for_each(|o| self.meet(now, *o.ip()));
                 self.peers
--- a/crates/rookpulley-control/src/controller/proxies.rs
+++ b/crates/rookpulley-control/src/controller/proxies.rs
@@ -103,7 +103,10 @@
             }
             Up::Report(report) => self.desk.report(node, &report),
             Up::Took { mark } => self.desk.took(node, mark),
-            Up::Hello { .. } | Up::WantConfig { .. } | Up::Annex { .. } | Up::Found { .. } => {}
+            Up::Hello { .. }
+            | Up::WantConfig { .. }
+            | Up::StatelessHello { .. }
+            | Up::Found { .. } => {}
         }
     }
 
--- a/crates/rookpulley-control/src/controller/stateless.rs
+++ b/crates/rookpulley-control/src/controller/stateless.rs
@@ -1,13 +1,13 @@
 //! The lines of controllers without a disk, and who founds the first view.
 
-use super::{ANNEXES_MOST, Controller, Effect};
+use super::{Controller, Effect, STATELESS_CONTROLLERS_MOST};
 use rookpulley_chain::Input;
 use rookpulley_protocol::{Down, Up, frame};
 use std::net::SocketAddrV4;
 
 impl Controller {
     /// A controller without a disk says hello on a line, which `number` gave.
-    pub fn annex_in(
+    pub fn stateless_in(
         &mut self,
         now: f64,
         line: u64,
@@ -15,10 +15,12 @@
         controllers: &[SocketAddrV4],
     ) {
         let ip = *address.ip();
-        if self.annexes.len() >= ANNEXES_MOST || ip == *self.me.address.ip() {
+        if self.stateless_controllers.len() >= STATELESS_CONTROLLERS_MOST
+            || ip == *self.me.address.ip()
+        {
             return;
         }
-        self.annexes.insert(line, ip);
+        self.stateless_controllers.insert(line, ip);
         self.meet_all(now, controllers);
         let view = self.chain.view().is_some();
         let founds = self.founding.as_ref().filter(|_| !view).map(|_| self.me.id);
@@ -35,7 +37,9 @@
                 frame: frame(&down),
             });
         }
-        self.log(format!("annexes: {ip} has no disk; it passes calls on"));
+        self.log(format!(
+            "stateless controllers: {ip} has no disk; it passes calls on"
+        ));
         if self
             .founding
             .as_ref()
@@ -46,8 +50,8 @@
         }
     }
 
-    pub fn annex_said(&mut self, now: f64, line: u64, up: &Up) {
-        let Some(by) = self.annexes.get(&line) else {
+    pub fn stateless_said(&mut self, now: f64, line: u64, up: &Up) {
+        let Some(by) = self.stateless_controllers.get(&line) else {
             return;
         };
         let names = self
@@ -55,7 +59,7 @@
             .as_ref()
             .is_some_and(|founding| founding.names(*by));
         match up {
-            Up::Annex { controllers, .. } => self.meet_all(now, controllers),
+            Up::StatelessHello { controllers, .. } => self.meet_all(now, controllers),
             Up::Found { id } if *id == self.me.id && names => {
                 self.named = true;
                 self.found_if_due(now);
@@ -64,8 +68,8 @@
         }
     }
 
-    pub fn annex_out(&mut self, now: f64, line: u64) {
-        let ip = self.annexes.remove(&line);
+    pub fn stateless_out(&mut self, now: f64, line: u64) {
+        let ip = self.stateless_controllers.remove(&line);
         if let Some(ip) = ip.filter(|ip| self.seeds.iter().any(|seed| seed.ip() == ip)) {
             self.meet(now, ip);
         }
--- a/crates/rookpulley-control/src/annex.rs
+++ b/crates/rookpulley-control/src/stateless.rs
@@ -14,7 +14,7 @@
 const GUESTS_MOST: usize = 4_096;
 
 /// What a process begins with.
-pub struct AnnexStart {
+pub struct StatelessStart {
     /// Where controllers reach each other, with this machine's own address.
     pub address: SocketAddrV4,
     pub zone: String,
@@ -24,7 +24,7 @@
 
 /// What is to be done.
 #[derive(Debug)]
-pub enum AnnexEffect {
+pub enum StatelessEffect {
     /// A line to where this controller hears proxies is to be kept until it is forgotten.
     Dial(Ipv4Addr),
     /// To a controller, on that line.
@@ -47,8 +47,8 @@
     founds: Option<u64>,
 }
 
-pub struct Annex {
-    start: AnnexStart,
+pub struct StatelessController {
+    start: StatelessStart,
     controllers: ControllerSelection,
     /// Of those that a line is open to. Who hasn't said one has no disk.
     places: BTreeMap<Ipv4Addr, Place>,
@@ -58,12 +58,12 @@
     /// A view was heard of: nobody is named any more.
     founded: bool,
     named: Option<(Ipv4Addr, u64)>,
-    out: Vec<AnnexEffect>,
+    out: Vec<StatelessEffect>,
 }
 
-impl Annex {
-    pub fn new(start: AnnexStart) -> Self {
-        let mut annex = Self {
+impl StatelessController {
+    pub fn new(start: StatelessStart) -> Self {
+        let mut stateless = Self {
             controllers: ControllerSelection::default(),
             places: BTreeMap::new(),
             guests: BTreeSet::new(),
@@ -73,12 +73,12 @@
             out: Vec::new(),
             start,
         };
-        annex.tick(0.0);
-        annex
+        stateless.tick(0.0);
+        stateless
     }
 
     /// What came of all inputs since the last time.
-    pub fn effects(&mut self) -> Vec<AnnexEffect> {
+    pub fn effects(&mut self) -> Vec<StatelessEffect> {
         std::mem::take(&mut self.out)
     }
 
@@ -94,7 +94,7 @@
 
     fn meet(&mut self, now: f64, ip: Ipv4Addr) {
         if ip != *self.start.address.ip() && self.controllers.named(now, ip) {
-            self.out.push(AnnexEffect::Dial(ip));
+            self.out.push(StatelessEffect::Dial(ip));
         }
     }
 
@@ -106,11 +106,11 @@
     }
 
     fn introduce(&mut self, to: Ipv4Addr) {
-        let up = Up::Annex {
+        let up = Up::StatelessHello {
             address: self.start.address,
             controllers: self.known(),
         };
-        self.out.push(AnnexEffect::Up { to, up });
+        self.out.push(StatelessEffect::Up { to, up });
     }
 
     /// All controllers with a disk that a line is open to.
@@ -139,7 +139,7 @@
                     .named
                     .filter(|(ip, id)| *ip == by && founds == Some(*id))
                 {
-                    self.out.push(AnnexEffect::Up {
+                    self.out.push(StatelessEffect::Up {
                         to: named,
                         up: Up::Found { id },
                     });
@@ -177,7 +177,7 @@
         if self.guests.len() >= GUESTS_MOST {
             return;
         }
-        if let Up::Annex { address, .. } = up
+        if let Up::StatelessHello { address, .. } = up
             && self
                 .start
                 .seeds
@@ -188,7 +188,7 @@
         }
         if self.guests.insert(line) {
             let frame = frame(&self.pulse());
-            self.out.push(AnnexEffect::Down { line, frame });
+            self.out.push(StatelessEffect::Down { line, frame });
         }
     }
 
@@ -209,7 +209,7 @@
     // ---- calls ------------------------------------------------------------------------------
 
     /// The controller that a call goes on to: one of the own zone where there is one in touch. The same call goes the same
-    /// way for as long as that is in touch, but from another annex maybe another.
+    /// way for as long as that is in touch, but from another stateless controller maybe another.
     pub fn pass_on(&self, now: f64, call: &str) -> Option<Ipv4Addr> {
         let fit: Vec<Ipv4Addr> = self.in_touch(now).collect();
         let near = |ip: &Ipv4Addr| {
@@ -242,7 +242,7 @@
         self.name_founder();
         if !self.guests.is_empty() {
             let frame = frame(&self.pulse());
-            let tell = |line: &u64| AnnexEffect::Down {
+            let tell = |line: &u64| StatelessEffect::Down {
                 line: *line,
                 frame: frame.clone(),
             };
@@ -268,11 +268,11 @@
             .find_map(|(ip, place)| Some((*ip, place.founds?)));
         if let Some((to, id)) = named {
             self.named = named;
-            self.out.push(AnnexEffect::Up {
+            self.out.push(StatelessEffect::Up {
                 to,
                 up: Up::Found { id },
             });
-            self.out.push(AnnexEffect::Log(format!(
+            self.out.push(StatelessEffect::Log(format!(
                 "founding: no seed has a disk; {to} is named"
             )));
         }
@@ -305,18 +305,18 @@
     ];
 
     /// In touch with all three, none of which is in its zone.
-    fn annex(own: u8) -> Annex {
+    fn stateless(own: u8) -> StatelessController {
         let address = SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, own), 7_731);
         let seeds = CONTROLLERS.map(|ip| SocketAddrV4::new(ip, 8_166)).to_vec();
-        let mut annex = Annex::new(AnnexStart {
+        let mut stateless = StatelessController::new(StatelessStart {
             address,
             zone: "quay".into(),
             seeds,
             first_start: false,
         });
         for ip in CONTROLLERS {
-            annex.opened(0.0, ip);
-            annex.told(
+            stateless.opened(0.0, ip);
+            stateless.told(
                 0.0,
                 ip,
                 Down::Place {
@@ -325,13 +325,13 @@
                     view: true,
                 },
             );
-            pulse(&mut annex, 0.0, ip, true);
+            pulse(&mut stateless, 0.0, ip, true);
         }
-        annex
+        stateless
     }
 
-    fn pulse(annex: &mut Annex, now: f64, ip: Ipv4Addr, in_touch: bool) {
-        annex.told(
+    fn pulse(stateless: &mut StatelessController, now: f64, ip: Ipv4Addr, in_touch: bool) {
+        stateless.told(
             now,
             ip,
             Down::Pulse {
@@ -343,15 +343,16 @@
         );
     }
 
-    fn of_all(annex: &Annex, now: f64) -> Vec<Option<Ipv4Addr>> {
+    fn of_all(stateless: &StatelessController, now: f64) -> Vec<Option<Ipv4Addr>> {
         (0..300)
-            .map(|n| annex.pass_on(now, &format!("/rookpulley/locks/l{n}")))
+            .map(|n| stateless.pass_on(now, &format!("/rookpulley/locks/l{n}")))
             .collect()
     }
 
     #[test]
-    fn calls_are_spread_over_those_in_touch_the_same_one_the_same_way_from_another_annex_another() {
-        let (one, other) = (annex(1), annex(2));
+    fn calls_are_spread_over_those_in_touch_the_same_one_the_same_way_from_another_stateless_another()
+     {
+        let (one, other) = (stateless(1), stateless(2));
         let (calls, others) = (of_all(&one, 1.0), of_all(&other, 1.0));
         for ip in CONTROLLERS {
             assert!(
@@ -365,17 +366,17 @@
 
     #[test]
     fn nothing_goes_to_an_controller_that_is_out_of_touch_silent_or_without_a_disk() {
-        let mut annex = annex(1);
-        pulse(&mut annex, 500.0, CONTROLLERS[0], false);
-        annex.lost(CONTROLLERS[1]);
+        let mut stateless = stateless(1);
+        pulse(&mut stateless, 500.0, CONTROLLERS[0], false);
+        stateless.lost(CONTROLLERS[1]);
         // Its line is open again, and it says that it is in touch, but not that it has a disk.
-        annex.opened(500.0, CONTROLLERS[1]);
-        pulse(&mut annex, 500.0, CONTROLLERS[1], true);
+        stateless.opened(500.0, CONTROLLERS[1]);
+        pulse(&mut stateless, 500.0, CONTROLLERS[1], true);
         assert!(
-            of_all(&annex, 1_000.0)
+            of_all(&stateless, 1_000.0)
                 .iter()
                 .all(|to| *to == Some(CONTROLLERS[2]))
         );
-        assert!(of_all(&annex, 1_101.0).iter().all(Option::is_none));
+        assert!(of_all(&stateless, 1_101.0).iter().all(Option::is_none));
     }
 }
--- a/crates/rookpulley-control/tests/compatibility/frames.rs
+++ b/crates/rookpulley-control/tests/compatibility/frames.rs
@@ -259,7 +259,7 @@
         ("took", Up::Took { mark: 88 }),
         (
             "without a disk",
-            Up::Annex {
+            Up::StatelessHello {
                 address: address(8),
                 controllers: vec![address(1), address(2)],
             },
--- a/crates/rookpulley-control/tests/founding.rs
+++ b/crates/rookpulley-control/tests/founding.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha8Rng;
 use rookpulley_chain::{Member, Record};
 use rookpulley_control::{
-    Annex, AnnexEffect, AnnexStart, Controller, Effect, Founding, Start, Word,
+    Controller, Effect, Founding, Start, StatelessController, StatelessEffect, StatelessStart, Word,
 };
 use rookpulley_protocol::{Down, Frames, Up, frame};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
 #[allow(clippy::large_enum_variant)]
 enum Process {
     Controller { controller: Controller, round: u64 },
-    Annex(Annex),
+    StatelessController(StatelessController),
 }
 
 #[derive(Default)]
@@ -44,7 +44,7 @@
 /// `ends`: who dialed, and who took it.
 struct Line {
     ends: [Place; 2],
-    /// Between controllers; else from an annex.
+    /// Between controllers; else from a stateless controller.
     of_controllers: bool,
     number: u64,
     who: Option<u64>,
@@ -173,7 +173,7 @@
         machine.life = life;
         let address = SocketAddrV4::new(machine.ip, PORT);
         let process = match &mut machine.disk {
-            None => Process::Annex(Annex::new(AnnexStart {
+            None => Process::StatelessController(StatelessController::new(StatelessStart {
                 address,
                 zone: "quay".into(),
                 seeds,
@@ -298,11 +298,11 @@
                     }
                 }
             }
-            Some(Process::Annex(annex)) => {
-                for effect in annex.effects() {
+            Some(Process::StatelessController(stateless)) => {
+                for effect in stateless.effects() {
                     match effect {
-                        AnnexEffect::Dial(ip) => self.after(1, Event::Dial { by, ip }),
-                        AnnexEffect::Up { to, up } => {
+                        StatelessEffect::Dial(ip) => self.after(1, Event::Dial { by, ip }),
+                        StatelessEffect::Up { to, up } => {
                             if self.strikes && matches!(up, Up::Found { .. }) {
                                 self.strike_naming(at, to);
                             }
@@ -311,10 +311,10 @@
                                 self.say(self.dialed_line(at, to), 1, frame(&up));
                             }
                         }
-                        AnnexEffect::Down { line, frame } => {
+                        StatelessEffect::Down { line, frame } => {
                             self.say(self.taken_line(at, line), 0, frame)
                         }
-                        AnnexEffect::Log(_) => {}
+                        StatelessEffect::Log(_) => {}
                     }
                 }
             }
@@ -359,7 +359,7 @@
         );
         let number = match self.machines[to].process.as_mut().unwrap() {
             Process::Controller { controller, .. } => controller.number(),
-            Process::Annex(_) => 1_000_000 + self.count,
+            Process::StatelessController(_) => 1_000_000 + self.count,
         };
         self.count += 1;
         let line = Line {
@@ -373,7 +373,7 @@
         self.lines.insert(self.count, line);
         match self.machines[by.0].process.as_mut().unwrap() {
             Process::Controller { controller, .. } => controller.dialed(now, ip),
-            Process::Annex(annex) => annex.opened(now, ip),
+            Process::StatelessController(stateless) => stateless.opened(now, ip),
         }
         self.carry_out(by.0);
     }
@@ -388,7 +388,7 @@
                 }
                 over
             }
-            Process::Annex(annex) => annex.forgotten(now, ip),
+            Process::StatelessController(stateless) => stateless.forgotten(now, ip),
         };
         if !over {
             self.after(150, Event::Dial { by, ip });
@@ -411,21 +411,25 @@
                 controller.word(now, &mut of.who, one::<Word>(bytes));
             }
             (Some(Process::Controller { controller, .. }), 1, false) => match one::<Up>(bytes) {
-                Up::Annex {
+                Up::StatelessHello {
                     address,
                     controllers,
                 } if !std::mem::replace(&mut of.greeted, true) => {
-                    controller.annex_in(now, of.number, address, &controllers);
+                    controller.stateless_in(now, of.number, address, &controllers);
                 }
-                up => controller.annex_said(now, of.number, &up),
+                up => controller.stateless_said(now, of.number, &up),
             },
-            (Some(Process::Annex(annex)), 1, true) => {
+            (Some(Process::StatelessController(stateless)), 1, true) => {
                 if let Word::Hello { from, .. } = one(bytes) {
-                    annex.hello(now, from);
+                    stateless.hello(now, from);
                 }
             }
-            (Some(Process::Annex(annex)), 1, false) => annex.guest_in(of.number, &one::<Up>(bytes)),
-            (Some(Process::Annex(annex)), 0, _) => annex.told(now, from, one::<Down>(bytes)),
+            (Some(Process::StatelessController(stateless)), 1, false) => {
+                stateless.guest_in(of.number, &one::<Up>(bytes))
+            }
+            (Some(Process::StatelessController(stateless)), 0, _) => {
+                stateless.told(now, from, one::<Down>(bytes))
+            }
             _ => {}
         }
         self.carry_out(end.0);
@@ -447,9 +451,9 @@
                     .into_iter()
                     .for_each(|id| controller.line_ended(now, id));
             }
-            (Process::Controller { controller, .. }, _) => controller.annex_out(now, of.number),
-            (Process::Annex(annex), 0) => annex.lost(ip),
-            (Process::Annex(annex), _) => annex.guest_out(of.number),
+            (Process::Controller { controller, .. }, _) => controller.stateless_out(now, of.number),
+            (Process::StatelessController(stateless), 0) => stateless.lost(ip),
+            (Process::StatelessController(stateless), _) => stateless.guest_out(of.number),
         }
         if side == 0 {
             self.dial_again(end, ip);
@@ -477,8 +481,8 @@
                             *round += 1;
                             self.after(50, Event::Tick(by));
                         }
-                        Process::Annex(annex) => {
-                            annex.tick(now);
+                        Process::StatelessController(stateless) => {
+                            stateless.tick(now);
                             self.after(1_000, Event::Tick(by));
                         }
                     }
--- a/crates/rookpulley-controller/src/hub.rs
+++ b/crates/rookpulley-controller/src/hub.rs
@@ -309,12 +309,14 @@
                 });
                 came
             }
-            Up::Annex {
+            Up::StatelessHello {
                 address,
                 controllers,
             } => {
                 let came = came(format!("the controller without a disk at {}", address.ip()));
-                self.with(|controller, now| controller.annex_in(now, line, address, &controllers));
+                self.with(|controller, now| {
+                    controller.stateless_in(now, line, address, &controllers)
+                });
                 came
             }
             _ => None,
@@ -323,7 +325,9 @@
 
     pub fn proxy_said(&self, node: &str, line: u64, up: Up) {
         self.with(|controller, now| match up {
-            Up::Annex { .. } | Up::Found { .. } => controller.annex_said(now, line, &up),
+            Up::StatelessHello { .. } | Up::Found { .. } => {
+                controller.stateless_said(now, line, &up)
+            }
             up => controller.proxy_said(now, node, line, up),
         });
     }
@@ -332,7 +336,7 @@
         self.lines.borrow_mut().proxies.remove(&line);
         self.with(|controller, now| {
             controller.proxy_out(now, node, line);
-            controller.annex_out(now, line);
+            controller.stateless_out(now, line);
         });
     }
 
--- a/crates/rookpulley-controller/src/main.rs
+++ b/crates/rookpulley-controller/src/main.rs
@@ -1,6 +1,5 @@
 //! The program that keeps control: beats, configurations, coordination, tables.
 
-mod annex;
 mod calls;
 mod controller;
 mod ending;
@@ -9,6 +8,7 @@
 mod proxy_sessions;
 mod show;
 mod standby;
+mod stateless;
 
 use controller::Ended;
 use ending::Signals;
@@ -61,7 +61,7 @@
         .wrap_err("ending: signals can't be heard")?;
     let Some(folder) = node.data.clone() else {
         return LocalSet::new()
-            .run_until(annex::run(&node, control, path, &mut signals))
+            .run_until(stateless::run(&node, control, path, &mut signals))
             .await;
     };
     // A set of tasks for each incarnation: with the set all its tasks and sockets are gone.
--- a/crates/rookpulley-controller/src/proxy_sessions.rs
+++ b/crates/rookpulley-controller/src/proxy_sessions.rs
@@ -23,7 +23,7 @@
             let take = |up: Up| {
                 let known = name.borrow().clone();
                 match (up, known) {
-                    (hello @ (Up::Hello { .. } | Up::Annex { .. }), None) => {
+                    (hello @ (Up::Hello { .. } | Up::StatelessHello { .. }), None) => {
                         let Some(outbox) = outbox.borrow_mut().take() else {
                             return;
                         };
--- a/crates/rookpulley-controller/src/annex.rs
+++ b/crates/rookpulley-controller/src/stateless.rs
@@ -4,7 +4,7 @@
 use crate::ending::{self, Signals};
 use miette::IntoDiagnostic;
 use rookpulley_api::{Bounds, Call, Match, Reply, Tree};
-use rookpulley_control::{Annex, AnnexEffect, AnnexStart, Word};
+use rookpulley_control::{StatelessController, StatelessEffect, StatelessStart, Word};
 use rookpulley_protocol::{Down, Up};
 use rookpulley_runtime::{File, line};
 use rookpulley_settings::Node;
@@ -33,7 +33,7 @@
 }
 
 struct Shell {
-    annex: RefCell<Annex>,
+    stateless: RefCell<StatelessController>,
     lines: RefCell<Lines>,
     born: Instant,
     next: Cell<u64>,
@@ -75,7 +75,7 @@
     let of = shell.clone();
     signals
         .wait(File::new(path), |seeds| {
-            of.with(|annex, now| annex.set_seeds(now, seeds))
+            of.with(|stateless, now| stateless.set_seeds(now, seeds))
         })
         .await;
     tracing::info!("ending: {}", shell.status());
@@ -85,14 +85,14 @@
 
 impl Shell {
     fn new(node: &Node, control: SocketAddrV4) -> Result<Rc<Shell>, rookpulley_api::TreeError> {
-        let start = AnnexStart {
+        let start = StatelessStart {
             address: SocketAddrV4::new(node.ip, node.inner_ports.0 + 1),
             zone: node.zone.clone(),
             seeds: node.seeds.clone(),
             first_start: node.first_start,
         };
         Ok(Rc::new(Shell {
-            annex: RefCell::new(Annex::new(start)),
+            stateless: RefCell::new(StatelessController::new(start)),
             lines: RefCell::default(),
             born: Instant::now(),
             next: Cell::new(0),
@@ -113,7 +113,7 @@
             beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
             for round in 0u64.. {
                 beat.tick().await;
-                shell.with(Annex::tick);
+                shell.with(StatelessController::tick);
                 if round.is_multiple_of(STATUS) {
                     tracing::info!("controller: {}", shell.status());
                 }
@@ -126,7 +126,7 @@
     }
 
     fn status(&self) -> String {
-        let stands = self.annex.borrow().status(self.now_ms());
+        let stands = self.stateless.borrow().status(self.now_ms());
         format!(
             "{stands}; calls passed on {}, refused {}",
             self.passed.get(),
@@ -135,17 +135,17 @@
     }
 
     /// Something comes in; what is wanted is carried out.
-    fn with<T>(self: &Rc<Self>, input: impl FnOnce(&mut Annex, f64) -> T) -> T {
+    fn with<T>(self: &Rc<Self>, input: impl FnOnce(&mut StatelessController, f64) -> T) -> T {
         let (came, effects) = {
-            let mut annex = self.annex.borrow_mut();
-            (input(&mut annex, self.now_ms()), annex.effects())
+            let mut stateless = self.stateless.borrow_mut();
+            (input(&mut stateless, self.now_ms()), stateless.effects())
         };
         for effect in effects {
             let mut lines = self.lines.borrow_mut();
             match effect {
-                AnnexEffect::Dial(ip) => drop(tokio::task::spawn_local(self.clone().keep(ip))),
+                StatelessEffect::Dial(ip) => drop(tokio::task::spawn_local(self.clone().keep(ip))),
                 // Where too much waits the line ends, and all is told anew on the next one.
-                AnnexEffect::Up { to, up } => {
+                StatelessEffect::Up { to, up } => {
                     if lines
                         .controllers
                         .get(&to)
@@ -154,7 +154,7 @@
                         lines.controllers.remove(&to);
                     }
                 }
-                AnnexEffect::Down { line, frame } => {
+                StatelessEffect::Down { line, frame } => {
                     if lines
                         .guests
                         .get(&line)
@@ -163,7 +163,7 @@
                         lines.guests.remove(&line);
                     }
                 }
-                AnnexEffect::Log(line) => tracing::info!("{line}"),
+                StatelessEffect::Log(line) => tracing::info!("{line}"),
             }
         }
         came
@@ -177,12 +177,12 @@
                 let begun = Instant::now();
                 let open = |outbox| {
                     self.lines.borrow_mut().controllers.insert(ip, outbox);
-                    self.with(|annex, now| annex.opened(now, ip));
+                    self.with(|stateless, now| stateless.opened(now, ip));
                 };
-                let take = |down: Down| self.with(|annex, now| annex.told(now, ip, down));
+                let take = |down: Down| self.with(|stateless, now| stateless.told(now, ip, down));
                 let why = line::run(stream, Some(QUIET), open, take).await;
                 self.lines.borrow_mut().controllers.remove(&ip);
-                self.with(|annex, _| annex.lost(ip));
+                self.with(|stateless, _| stateless.lost(ip));
                 tracing::info!("peers: the line to {ip} {why}");
                 if begun.elapsed() > TICK {
                     pause = PAUSE;
@@ -190,7 +190,7 @@
             }
             tokio::time::sleep(pause).await;
             pause = (pause * 2).min(LONGEST_PAUSE);
-            if self.with(|annex, now| annex.forgotten(now, ip)) {
+            if self.with(|stateless, now| stateless.forgotten(now, ip)) {
                 return;
             }
         }
@@ -219,13 +219,13 @@
         self.next.set(number);
         let open = |outbox| _ = self.lines.borrow_mut().guests.insert(number, outbox);
         let take = |up: Up| {
-            if matches!(up, Up::Hello { .. } | Up::Annex { .. }) {
-                self.with(|annex, _| annex.guest_in(number, &up));
+            if matches!(up, Up::Hello { .. } | Up::StatelessHello { .. }) {
+                self.with(|stateless, _| stateless.guest_in(number, &up));
             }
         };
         line::run(stream, None, open, take).await;
         self.lines.borrow_mut().guests.remove(&number);
-        self.with(|annex, _| annex.guest_out(number));
+        self.with(|stateless, _| stateless.guest_out(number));
     }
 
     /// A controller that has this address as a seed. It is dialed in turn, and stops to dial here.
@@ -233,7 +233,7 @@
         let mut own = None;
         let take = |word: Word| {
             if let Word::Hello { from, .. } = word {
-                self.with(|annex, now| annex.hello(now, from));
+                self.with(|stateless, now| stateless.hello(now, from));
             }
         };
         line::run(stream, Some(QUIET), |outbox| own = Some(outbox), take).await;
@@ -254,7 +254,7 @@
             }
             Match::Found(Asked::Call(_), _) => {}
         }
-        let Some(to) = self.annex.borrow().pass_on(self.now_ms(), &call.path) else {
+        let Some(to) = self.stateless.borrow().pass_on(self.now_ms(), &call.path) else {
             self.refused.set(self.refused.get() + 1);
             let sentence =
                 "not now: this office has no disk and reaches none that has; nothing was done";
--- a/crates/rookpulley-controller/src/annex/tests.rs
+++ b/crates/rookpulley-controller/src/stateless/tests.rs
@@ -149,7 +149,7 @@
                 assert!(outbox.send(&place));
                 own = Some(outbox);
             };
-            line::run::<Up>(stream, None, open, |up| assert!(matches!(up, Up::Annex { .. }))).await
+            line::run::<Up>(stream, None, open, |up| assert!(matches!(up, Up::StatelessHello { .. }))).await
         };
         let heard = Rc::new(Cell::new(false));
         let proxy = async {
--- a/crates/rookpulley-protocol/src/messages.rs
+++ b/crates/rookpulley-protocol/src/messages.rs
@@ -32,7 +32,7 @@
     Took { mark: u64 },
     /// The first word of a controller that has no disk, and where it hears other controllers. It only passes calls on. It says
     /// so again when the controllers with a disk that it knows of have changed.
-    Annex {
+    StatelessHello {
         address: SocketAddrV4,
         controllers: Vec<SocketAddrV4>,
     },
--- a/crates/rookpulley-simulator/src/callers.rs
+++ b/crates/rookpulley-simulator/src/callers.rs
@@ -94,7 +94,7 @@
 
     /// The list that callers choose from: machines with a controller, up or not.
     pub fn callable(&self) -> Vec<usize> {
-        let serves = |m: &usize| self.machines[*m].core || self.machines[*m].annex;
+        let serves = |m: &usize| self.machines[*m].core || self.machines[*m].stateless;
         (0..self.machines.len())
             .filter(|m| serves(m) && !self.machines[*m].gone)
             .collect()
--- a/crates/rookpulley-simulator/src/controllers.rs
+++ b/crates/rookpulley-simulator/src/controllers.rs
@@ -47,15 +47,15 @@
 
 impl World {
     pub fn seeds(&self) -> Vec<SocketAddrV4> {
-        let annexes = self
+        let stateless_controllers = self
             .machines
             .iter()
-            .filter(|machine| machine.annex && self.day.annex_seeds);
+            .filter(|machine| machine.stateless && self.day.stateless_seeds);
         let core = self
             .machines
             .iter()
             .filter(|machine| machine.core && !machine.gone);
-        annexes
+        stateless_controllers
             .chain(core)
             .take(3)
             .map(|machine| SocketAddrV4::new(machine.ip, 8_166))
@@ -405,7 +405,7 @@
                 });
             }
             (
-                Up::Annex {
+                Up::StatelessHello {
                     address,
                     controllers,
                 },
@@ -425,12 +425,12 @@
                     .into_iter()
                     .for_each(|of| of.proxy = name.clone());
                 self.with_controller(process, |controller, now| {
-                    controller.annex_in(now, number, address, &controllers)
+                    controller.stateless_in(now, number, address, &controllers)
                 });
             }
-            (up @ (Up::Annex { .. } | Up::Found { .. }), Some((_, number))) => {
+            (up @ (Up::StatelessHello { .. } | Up::Found { .. }), Some((_, number))) => {
                 self.with_controller(process, |controller, now| {
-                    controller.annex_said(now, number, &up)
+                    controller.stateless_said(now, number, &up)
                 });
             }
             (up, Some((node, number))) => {
@@ -466,7 +466,7 @@
                 .for_each(|controller| _ = controller.proxies.remove(&number));
             self.with_controller(process, |controller, now| {
                 controller.proxy_out(now, &node, number);
-                controller.annex_out(now, number);
+                controller.stateless_out(now, number);
             });
         } else if let Some(id) = who {
             self.with_controller(process, |controller, now| controller.line_ended(now, id));
@@ -586,7 +586,7 @@
 
     pub fn term_controller(&mut self, process: usize) {
         let (me, now) = (self.address(process), self.now);
-        if self.machines[self.processes[process].machine].annex {
+        if self.machines[self.processes[process].machine].stateless {
             return self.after(LOOK_AGAIN, me, What::Leaving);
         }
         if let Some(controller) = self.controller(process)
--- a/crates/rookpulley-simulator/src/day.rs
+++ b/crates/rookpulley-simulator/src/day.rs
@@ -217,8 +217,8 @@
     pub seed: u64,
     pub controllers: usize,
     /// Machines behind the controllers whose controller has no disk, and whether they come first among the seeds.
-    pub annexes: usize,
-    pub annex_seeds: bool,
+    pub stateless_controllers: usize,
+    pub stateless_seeds: bool,
     pub proxies: usize,
     pub zones: usize,
     pub losses: u32,
@@ -253,8 +253,8 @@
         let mut day = Day {
             seed,
             controllers,
-            annexes: some.min(proxies - controllers),
-            annex_seeds: apart.random_range(0..2u32) == 0,
+            stateless_controllers: some.min(proxies - controllers),
+            stateless_seeds: apart.random_range(0..2u32) == 0,
             proxies,
             zones: rng.random_range(2..=3),
             losses: if controllers == 5 {
@@ -370,8 +370,8 @@
             seed,
             controllers: 3,
             proxies: 8,
-            annexes: 0,
-            annex_seeds: false,
+            stateless_controllers: 0,
+            stateless_seeds: false,
             zones: 2,
             losses: 1,
             services: 1,
@@ -523,8 +523,8 @@
              further tries {} + {}{}",
             self.seed,
             self.controllers,
-            self.annexes,
-            if self.annexes > 0 && self.annex_seeds {
+            self.stateless_controllers,
+            if self.stateless_controllers > 0 && self.stateless_seeds {
                 " as first seeds"
             } else {
                 ""
--- a/crates/rookpulley-simulator/src/lib.rs
+++ b/crates/rookpulley-simulator/src/lib.rs
@@ -1,12 +1,11 @@
 //! Whole gateways in one process, on a simulated network: controllers and proxies by the code that decides in the
 //! programs, everything round them by stand-ins. `docs/design/drill.md` says what is simulated and what isn't.
 //!
-//! `day` draws what happens on a day from a seed, `world` plays it: `net` carries what is said, `disk`, `controllers`, `annexes`
+//! `day` draws what happens on a day from a seed, `world` plays it: `net` carries what is said, `disk`, `controllers`, `stateless_controllers`
 //! and `proxies` stand in for the programs' shells, `tasks`, `clients`, `operator` and `apps` for those outside. What
 //! those outside saw stands in `record`; `judge` holds it against the rules and knows nothing else. `hunt` plays many
 //! days and shrinks one that fails.
 
-mod annexes;
 mod apps;
 mod callers;
 mod clients;
@@ -20,6 +19,7 @@
 mod proxies;
 mod record;
 mod seen;
+mod stateless_controllers;
 mod tasks;
 mod troubles;
 mod world;
--- a/crates/rookpulley-simulator/src/annexes.rs
+++ b/crates/rookpulley-simulator/src/stateless_controllers.rs
@@ -1,9 +1,11 @@
-//! The controller of a machine without a disk: the controller's annex with simulated lines and callers round it.
+//! The controller of a machine without a disk: the controller's stateless controller with simulated lines and callers round it.
 
 use crate::net::unframed;
 use crate::world::{Core, What, World};
 use crate::{MS, S, Us};
-use rookpulley_control::{Annex, AnnexEffect, AnnexStart, Content, Reply, Word};
+use rookpulley_control::{
+    Content, Reply, StatelessController, StatelessEffect, StatelessStart, Word,
+};
 use rookpulley_protocol::{Down, Up, frame};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -19,19 +21,19 @@
     begun: Us,
 }
 
-pub struct AnnexProcess {
-    annex: Annex,
+pub struct StatelessProcess {
+    stateless: StatelessController,
     dialers: BTreeMap<Ipv4Addr, Dialer>,
 }
 
 impl World {
-    pub fn start_annex(&mut self, machine: usize, first: bool) {
+    pub fn start_stateless(&mut self, machine: usize, first: bool) {
         let process = self.process_of(machine, true);
         if self.running(process) {
             return;
         }
         let at = &self.machines[machine];
-        let annex = Annex::new(AnnexStart {
+        let stateless = StatelessController::new(StatelessStart {
             address: SocketAddrV4::new(at.ip, 7_721),
             zone: at.zone.to_string(),
             seeds: self.seeds(),
@@ -39,45 +41,45 @@
         });
         self.begin(
             process,
-            Core::Annex(AnnexProcess {
-                annex,
+            Core::StatelessController(StatelessProcess {
+                stateless,
                 dialers: BTreeMap::new(),
             }),
         );
         self.say(|| format!("controller {machine}: begins, without a disk"));
         self.after(TICK, self.address(process), What::Tick);
-        self.with_annex(process, |_, _| ());
+        self.with_stateless(process, |_, _| ());
     }
 
-    fn annex(&mut self, process: usize) -> Option<&mut AnnexProcess> {
+    fn stateless(&mut self, process: usize) -> Option<&mut StatelessProcess> {
         match self.processes.get_mut(process)?.core.as_mut()? {
-            Core::Annex(annex) => Some(annex),
+            Core::StatelessController(stateless) => Some(stateless),
             _ => None,
         }
     }
 
     /// Something comes in; what is wanted is carried out.
-    fn with_annex<T>(
+    fn with_stateless<T>(
         &mut self,
         process: usize,
-        input: impl FnOnce(&mut Annex, f64) -> T,
+        input: impl FnOnce(&mut StatelessController, f64) -> T,
     ) -> Option<T> {
         let clock = self.clock(process);
-        let annex = self.annex(process)?;
-        let came = input(&mut annex.annex, clock);
-        let effects = annex.annex.effects();
+        let stateless = self.stateless(process)?;
+        let came = input(&mut stateless.stateless, clock);
+        let effects = stateless.stateless.effects();
         for effect in effects {
-            self.annex_wants(process, effect);
+            self.stateless_wants(process, effect);
         }
         Some(came)
     }
 
-    fn annex_wants(&mut self, process: usize, effect: AnnexEffect) {
+    fn stateless_wants(&mut self, process: usize, effect: StatelessEffect) {
         let me = self.address(process);
         match effect {
-            AnnexEffect::Dial(ip) => {
-                if let Some(annex) = self.annex(process) {
-                    annex.dialers.insert(
+            StatelessEffect::Dial(ip) => {
+                if let Some(stateless) = self.stateless(process) {
+                    stateless.dialers.insert(
                         ip,
                         Dialer {
                             line: None,
@@ -88,46 +90,46 @@
                 }
                 self.after(0, me, What::Dial(ip));
             }
-            AnnexEffect::Up { to, up } => {
+            StatelessEffect::Up { to, up } => {
                 let line = self
-                    .annex(process)
-                    .and_then(|annex| annex.dialers.get(&to)?.line);
+                    .stateless(process)
+                    .and_then(|stateless| stateless.dialers.get(&to)?.line);
                 line.into_iter()
                     .for_each(|line| self.send_line(line, 0, frame(&up)));
             }
-            AnnexEffect::Down { line, frame } => self.send_line(line, 1, frame),
-            AnnexEffect::Log(line) => {
+            StatelessEffect::Down { line, frame } => self.send_line(line, 1, frame),
+            StatelessEffect::Log(line) => {
                 let machine = self.processes[process].machine;
                 self.say(|| format!("controller {machine}: {line}"));
             }
         }
     }
 
-    pub fn annex_takes(&mut self, process: usize, what: What) {
+    pub fn stateless_takes(&mut self, process: usize, what: What) {
         let me = self.address(process);
         match what {
             What::Tick => {
                 self.after(TICK, me, What::Tick);
-                self.with_annex(process, Annex::tick);
+                self.with_stateless(process, StatelessController::tick);
             }
             What::Dial(ip) => self.dial(process, ip, DIAL_WITHIN),
-            What::Dialed { ip, up } => self.annex_dialed(process, ip, up),
+            What::Dialed { ip, up } => self.stateless_dialed(process, ip, up),
             What::Line { line, side, bytes } => {
                 if let Some(bytes) = self.heard_line(line, side, bytes) {
-                    self.annex_hears(process, line, side, &bytes);
+                    self.stateless_hears(process, line, side, &bytes);
                 }
             }
-            What::LineEnd { line, side } => self.annex_line_ends(process, line, side, false),
+            What::LineEnd { line, side } => self.stateless_line_ends(process, line, side, false),
             What::LineCheck { line, side } if self.check_line(line, side) => {
-                self.annex_line_ends(process, line, side, true);
+                self.stateless_line_ends(process, line, side, true);
             }
-            What::Call { call, attempt } => self.annex_called(process, call, attempt),
+            What::Call { call, attempt } => self.stateless_called(process, call, attempt),
             What::Leaving => self.stop(process, false),
             _ => {}
         }
     }
 
-    fn annex_dialed(&mut self, process: usize, ip: Ipv4Addr, up: bool) {
+    fn stateless_dialed(&mut self, process: usize, ip: Ipv4Addr, up: bool) {
         let (Some(me), now) = (self.address(process), self.now) else {
             return;
         };
@@ -135,29 +137,30 @@
             .machine_at(ip)
             .map(|machine| self.process_of(machine, true));
         let Some(there) = there.and_then(|there| self.address(there)).filter(|_| up) else {
-            return self.annex_dials_again(process, ip);
+            return self.stateless_dials_again(process, ip);
         };
         let line = self.open_line(me, there, [true, false]);
         if let Some(dialer) = self
-            .annex(process)
-            .and_then(|annex| annex.dialers.get_mut(&ip))
+            .stateless(process)
+            .and_then(|stateless| stateless.dialers.get_mut(&ip))
         {
             (dialer.line, dialer.begun) = (Some(line), now);
         }
-        self.with_annex(process, |annex, now| annex.opened(now, ip));
+        self.with_stateless(process, |stateless, now| stateless.opened(now, ip));
     }
 
-    fn annex_dials_again(&mut self, process: usize, ip: Ipv4Addr) {
+    fn stateless_dials_again(&mut self, process: usize, ip: Ipv4Addr) {
         let me = self.address(process);
-        if self.with_annex(process, |annex, now| annex.forgotten(now, ip)) == Some(true) {
-            self.annex(process)
+        if self.with_stateless(process, |stateless, now| stateless.forgotten(now, ip)) == Some(true)
+        {
+            self.stateless(process)
                 .into_iter()
-                .for_each(|annex| _ = annex.dialers.remove(&ip));
+                .for_each(|stateless| _ = stateless.dialers.remove(&ip));
             return;
         }
         let Some(dialer) = self
-            .annex(process)
-            .and_then(|annex| annex.dialers.get_mut(&ip))
+            .stateless(process)
+            .and_then(|stateless| stateless.dialers.get_mut(&ip))
         else {
             return;
         };
@@ -166,7 +169,7 @@
         self.after(pause, me, What::Dial(ip));
     }
 
-    fn annex_hears(&mut self, process: usize, line: u64, side: usize, bytes: &[u8]) {
+    fn stateless_hears(&mut self, process: usize, line: u64, side: usize, bytes: &[u8]) {
         let Some(of) = self.lines.get(&line) else {
             return;
         };
@@ -176,49 +179,49 @@
             let Some(down) = unframed::<Down>(bytes) else {
                 return;
             };
-            self.with_annex(process, |annex, now| annex.told(now, ip, down));
+            self.with_stateless(process, |stateless, now| stateless.told(now, ip, down));
         } else if self.keeps_control(other) {
             let Some(Word::Hello { from, .. }) = unframed(bytes) else {
                 return;
             };
-            self.with_annex(process, |annex, now| annex.hello(now, from));
+            self.with_stateless(process, |stateless, now| stateless.hello(now, from));
         } else if let Some(up) = unframed::<Up>(bytes) {
-            self.with_annex(process, |annex, _| annex.guest_in(line, &up));
+            self.with_stateless(process, |stateless, _| stateless.guest_in(line, &up));
         }
     }
 
     /// `own`: this side ends it.
-    fn annex_line_ends(&mut self, process: usize, line: u64, side: usize, own: bool) {
+    fn stateless_line_ends(&mut self, process: usize, line: u64, side: usize, own: bool) {
         let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else {
             return;
         };
         let ip = self.machines[self.processes[of.ends[1 - side].0].machine].ip;
         self.end_line(line, side, !own);
         if side == 1 {
-            self.with_annex(process, |annex, _| annex.guest_out(line));
+            self.with_stateless(process, |stateless, _| stateless.guest_out(line));
             return;
         }
         let now = self.now;
         if let Some(dialer) = self
-            .annex(process)
-            .and_then(|annex| annex.dialers.get_mut(&ip))
+            .stateless(process)
+            .and_then(|stateless| stateless.dialers.get_mut(&ip))
         {
             dialer.line = None;
             if now - dialer.begun > S {
                 dialer.pause = PAUSE;
             }
         }
-        self.with_annex(process, |annex, _| annex.lost(ip));
-        self.annex_dials_again(process, ip);
+        self.with_stateless(process, |stateless, _| stateless.lost(ip));
+        self.stateless_dials_again(process, ip);
     }
 
-    fn annex_called(&mut self, process: usize, call: u64, attempt: u32) {
+    fn stateless_called(&mut self, process: usize, call: u64, attempt: u32) {
         let Some(of) = self.calls.get(&call) else {
             return;
         };
         let name = of.name.clone();
         let to = self
-            .with_annex(process, |annex, now| annex.pass_on(now, &name))
+            .with_stateless(process, |stateless, now| stateless.pass_on(now, &name))
             .flatten();
         let (from, caller) = (self.host_of(process), self.caller_host(call));
         let what = match to.and_then(|ip| self.machine_at(ip)) {
--- a/crates/rookpulley-simulator/src/troubles.rs
+++ b/crates/rookpulley-simulator/src/troubles.rs
@@ -307,8 +307,8 @@
         if core {
             self.start_controller(machine, false);
         }
-        if self.machines[machine].annex && controller {
-            self.start_annex(machine, false);
+        if self.machines[machine].stateless && controller {
+            self.start_stateless(machine, false);
         }
         if proxy {
             self.start_proxy(machine);
--- a/crates/rookpulley-simulator/src/world.rs
+++ b/crates/rookpulley-simulator/src/world.rs
@@ -1,6 +1,5 @@
 //! The day's clock and all that stands on it.
 
-use crate::annexes::AnnexProcess;
 use crate::apps::{App, Watcher};
 use crate::callers::Call;
 use crate::clients::Clients;
@@ -13,6 +12,7 @@
 use crate::proxies::ProxyProcess;
 use crate::record::Record;
 use crate::seen::Seen;
+use crate::stateless_controllers::StatelessProcess;
 use crate::tasks::Task;
 use crate::{MS, S, Us};
 use rand::{RngExt, SeedableRng};
@@ -302,7 +302,7 @@
 #[allow(clippy::large_enum_variant)]
 pub enum Core {
     Controller(ControllerProcess),
-    Annex(AnnexProcess),
+    StatelessController(StatelessProcess),
     Proxy(ProxyProcess),
 }
 
@@ -323,7 +323,7 @@
     pub zone: usize,
     pub core: bool,
     /// Its controller has no disk.
-    pub annex: bool,
+    pub stateless: bool,
     pub power: bool,
     pub gone: bool,
     /// It is to go once its processes have ended.
@@ -408,8 +408,8 @@
         };
         for machine in 0..day.proxies.max(day.controllers) {
             world.add_machine(machine < day.controllers);
-            world.machines[machine].annex =
-                (day.controllers..day.controllers + day.annexes).contains(&machine);
+            world.machines[machine].stateless =
+                (day.controllers..day.controllers + day.stateless_controllers).contains(&machine);
         }
         for machine in 0..world.machines.len() {
             world.start_machine(machine, true);
@@ -481,7 +481,7 @@
             ip,
             zone: machine % self.day.zones,
             core,
-            annex: false,
+            stateless: false,
             power: true,
             gone: false,
             leaves: false,
@@ -514,7 +514,7 @@
     /// A controller with a disk.
     pub fn keeps_control(&self, process: usize) -> bool {
         let process = &self.processes[process];
-        process.is_controller && !self.machines[process.machine].annex
+        process.is_controller && !self.machines[process.machine].stateless
     }
 
     pub fn running(&self, process: usize) -> bool {
@@ -545,8 +545,8 @@
         if self.machines[machine].core {
             self.start_controller(machine, first);
         }
-        if self.machines[machine].annex {
-            self.start_annex(machine, first);
+        if self.machines[machine].stateless {
+            self.start_stateless(machine, first);
         }
         self.start_proxy(machine);
         self.record
@@ -578,7 +578,7 @@
                 self.machines[machine].disk.ends(&mut self.rng);
                 self.controller_ended(machine, controller, quiet);
             }
-            Core::Annex(_) => {}
+            Core::StatelessController(_) => {}
             Core::Proxy(proxy) => self.proxy_ended(process, life, proxy, quiet),
         }
         self.ended_in_order(process);
@@ -597,8 +597,8 @@
             return;
         }
         match at.is_controller {
-            true if self.machines[at.machine].annex => {
-                self.annex_takes(process, event.what);
+            true if self.machines[at.machine].stateless => {
+                self.stateless_takes(process, event.what);
             }
             true => self.controller_takes(process, event.what),
             false => self.proxy_takes(process, event.what),
--- a/crates/rookpulley-simulator/tests/days.rs
+++ b/crates/rookpulley-simulator/tests/days.rs
@@ -46,8 +46,12 @@
 fn where_no_seed_has_a_disk_one_is_named_and_days_go_as_others_do() {
     for seed in 0..4 {
         let mut day = Day::draw(seed);
-        (day.controllers, day.annexes, day.proxies, day.annex_seeds) =
-            (3, 3, day.proxies.max(6), true);
+        (
+            day.controllers,
+            day.stateless_controllers,
+            day.proxies,
+            day.stateless_seeds,
+        ) = (3, 3, day.proxies.max(6), true);
         day.losses = 1;
         day.happens.retain(|(at, _)| *at > 9_000);
         let played = play(&day, None);
