--- a/crates/rookpulley-balancer/src/post.rs
+++ b/crates/rookpulley-balancer/src/post.rs
@@ -4,7 +4,7 @@
 use crate::{Fate, Round};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rookpulley_protocol::{Life, Line};
+use rookpulley_protocol::{IncarnationId, Line};
 use rookpulley_routes::RouteKind;
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 /// In longer tables only a sample is looked at.
 const LOOKED_AT: usize = 64;
 const SAMPLE: usize = 8;
-/// A life that is gone is remembered so long: longer than any table that could still name it.
+/// An incarnation that is gone is remembered so long: longer than any table that could still name it.
 const GONE_MS: f64 = 600_000.0;
 const GONE_MOST: usize = 10_000;
 /// What a task of another zone costs more, since its bytes do. Little: a table names others only as far as its own zone
@@ -44,9 +44,9 @@
     tables: HashMap<String, Table>,
     spots: Vec<Option<Spot>>,
     free: Vec<usize>,
-    by_life: HashMap<Life, usize>,
-    gone: HashMap<Life, f64>,
-    gone_order: VecDeque<Life>,
+    by_incarnation: HashMap<IncarnationId, usize>,
+    gone: HashMap<IncarnationId, f64>,
+    gone_order: VecDeque<IncarnationId>,
     chance: ChaCha8Rng,
 }
 
@@ -57,7 +57,7 @@
             tables: HashMap::new(),
             spots: Vec::new(),
             free: Vec::new(),
-            by_life: HashMap::new(),
+            by_incarnation: HashMap::new(),
             gone: HashMap::new(),
             gone_order: VecDeque::new(),
             chance: ChaCha8Rng::seed_from_u64(seed),
@@ -69,8 +69,8 @@
         self.chance.random()
     }
 
-    /// Puts a whole table in the place of the one before. Returns the lives that are in no table any more.
-    pub fn table(&mut self, service: &str, lines: Vec<Line>) -> Vec<Life> {
+    /// Puts a whole table in the place of the one before. Returns the incarnations that are in no table any more.
+    pub fn table(&mut self, service: &str, lines: Vec<Line>) -> Vec<IncarnationId> {
         let before = self
             .tables
             .get_mut(service)
@@ -87,30 +87,30 @@
         before.iter().for_each(|&at| self.list(at, -1));
         self.tables.entry(service.to_owned()).or_default().spots = spots;
         let left: Vec<usize> = before.into_iter().filter(|&at| !self.listed(at)).collect();
-        let lives = left
+        let incarnations = left
             .iter()
-            .filter_map(|&at| Some(self.spot(at)?.line.life.clone()))
+            .filter_map(|&at| Some(self.spot(at)?.line.incarnation.clone()))
             .collect();
         for at in left {
             self.tidy(at);
         }
-        lives
+        incarnations
     }
 
-    /// These lives get nothing new from now on, whatever tables say. Returns those not known before.
-    pub fn gone(&mut self, lives: Vec<Life>, now_ms: f64) -> Vec<Life> {
+    /// These incarnations get nothing new from now on, whatever tables say. Returns those not known before.
+    pub fn gone(&mut self, incarnations: Vec<IncarnationId>, now_ms: f64) -> Vec<IncarnationId> {
         let mut news = Vec::new();
-        for life in lives {
-            if self.gone.insert(life.clone(), now_ms).is_some() {
+        for incarnation in incarnations {
+            if self.gone.insert(incarnation.clone(), now_ms).is_some() {
                 continue;
             }
-            if let Some(&at) = self.by_life.get(&life)
+            if let Some(&at) = self.by_incarnation.get(&incarnation)
                 && let Some(Some(spot)) = self.spots.get_mut(at)
             {
                 spot.gone = true;
             }
-            self.gone_order.push_back(life.clone());
-            news.push(life);
+            self.gone_order.push_back(incarnation.clone());
+            news.push(incarnation);
         }
         while let Some(oldest) = self.gone_order.front() {
             let since_ms = self.gone.get(oldest).copied().unwrap_or(f64::MIN);
@@ -124,13 +124,13 @@
         news
     }
 
-    /// Whether it was told that this life drains or has ended.
-    pub fn is_gone(&self, life: &Life) -> bool {
-        self.gone.contains_key(life)
+    /// Whether it was told that this incarnation drains or has ended.
+    pub fn is_gone(&self, incarnation: &IncarnationId) -> bool {
+        self.gone.contains_key(incarnation)
     }
 
     /// What is told to a controller that may not have heard of them.
-    pub fn all_gone(&self) -> Vec<Life> {
+    pub fn all_gone(&self) -> Vec<IncarnationId> {
         self.gone_order.iter().cloned().collect()
     }
 
@@ -162,7 +162,7 @@
         let spots = &self.spots;
         let look = |at: usize, chance: f64| {
             let spot = spots.get(at)?.as_ref()?;
-            if spot.gone || round.tried().contains(&spot.line.life) {
+            if spot.gone || round.tried().contains(&spot.line.incarnation) {
                 return None;
             }
             let held = spot.held(now_ms, round.repeatable());
@@ -212,7 +212,7 @@
     /// Whether `pick` would find a task.
     pub fn another(&self, service: &str, round: &Round) -> bool {
         self.tables.get(service).is_some_and(|table| {
-            let fit = |spot: &Spot| !spot.gone && !round.tried().contains(&spot.line.life);
+            let fit = |spot: &Spot| !spot.gone && !round.tried().contains(&spot.line.incarnation);
             table.spots.iter().any(|&at| self.spot(at).is_some_and(fit))
         })
     }
@@ -269,14 +269,17 @@
     }
 
     fn place(&mut self, line: Line) -> usize {
-        if let Some(&at) = self.by_life.get(&line.life)
+        if let Some(&at) = self.by_incarnation.get(&line.incarnation)
             && let Some(Some(spot)) = self.spots.get_mut(at)
         {
             spot.line = Rc::new(line);
             return at;
         }
-        let life = line.life.clone();
-        let spot = Some(Spot::new(Rc::new(line), self.gone.contains_key(&life)));
+        let incarnation = line.incarnation.clone();
+        let spot = Some(Spot::new(
+            Rc::new(line),
+            self.gone.contains_key(&incarnation),
+        ));
         let at = match self.free.pop() {
             Some(at) => at,
             None => {
@@ -287,7 +290,7 @@
         if let Some(place) = self.spots.get_mut(at) {
             *place = spot;
         }
-        self.by_life.insert(life, at);
+        self.by_incarnation.insert(incarnation, at);
         at
     }
 
@@ -298,7 +301,7 @@
             && place.as_ref().is_some_and(done)
             && let Some(spot) = place.take()
         {
-            self.by_life.remove(&spot.line.life);
+            self.by_incarnation.remove(&spot.line.incarnation);
             self.free.push(at);
         }
     }
--- a/crates/rookpulley-balancer/src/round.rs
+++ b/crates/rookpulley-balancer/src/round.rs
@@ -1,7 +1,7 @@
 //! What may still be done for one request, and what its client is told in the end.
 
 use crate::Budget;
-use rookpulley_protocol::Life;
+use rookpulley_protocol::IncarnationId;
 use rookpulley_routes::RouteKind;
 
 /// How one try ended.
@@ -41,14 +41,14 @@
 /// With less time left than this a further try can't come to anything.
 const USEFUL_MS: f64 = 8.0;
 
-/// The life of one request.
+/// The course of one request.
 #[derive(Clone, Debug)]
 pub struct Round {
     kind: RouteKind,
     attempts: u32,
     until_ms: f64,
     retry_after_ms: f64,
-    tried: Vec<Life>,
+    tried: Vec<IncarnationId>,
     sends: u32,
     unsent: u32,
     may_have_run: bool,
@@ -77,8 +77,8 @@
         self.until_ms
     }
 
-    /// The lives that a next try must not go to.
-    pub fn tried(&self) -> &[Life] {
+    /// The incarnations that a next try must not go to.
+    pub fn tried(&self) -> &[IncarnationId] {
         &self.tried
     }
 
@@ -92,9 +92,9 @@
         self.attempts = self.attempts.min(1);
     }
 
-    /// A try goes to this life.
-    pub fn goes_to(&mut self, life: &Life) {
-        self.tried.push(life.clone());
+    /// A try goes to this incarnation.
+    pub fn goes_to(&mut self, incarnation: &IncarnationId) {
+        self.tried.push(incarnation.clone());
     }
 
     /// When to turn from a task that is slow beyond its habit to another one, if ever.
--- a/crates/rookpulley-balancer/tests/picks.rs
+++ b/crates/rookpulley-balancer/tests/picks.rs
@@ -6,9 +6,9 @@
 use rookpulley_samples::plays;
 use std::collections::BTreeSet;
 
-fn line(life: &str, zone: &str) -> Line {
+fn line(incarnation: &str, zone: &str) -> Line {
     Line {
-        life: life.to_owned(),
+        incarnation: incarnation.to_owned(),
         address: "10.0.0.1:80".parse().unwrap(),
         zone: zone.to_owned(),
         weight: 1.0,
@@ -33,29 +33,34 @@
             let table = u.choose_index(2)?;
             let service = ["s0", "s1"][table];
             // Some stand in both tables, which the module wouldn't order: nothing may get lost or mixed up by it.
-            let life = |number: u32| match number % 3 {
+            let incarnation = |number: u32| match number % 3 {
                 0 => format!("both-{number}"),
                 _ => format!("{service}-{number}"),
             };
             match u.int_in_range(0..=5)? {
                 0 => {
-                    let lives: BTreeSet<String> = (0..most)
+                    let incarnations: BTreeSet<String> = (0..most)
                         .filter(|_| u.ratio(1, 2).unwrap_or(true))
-                        .map(life)
+                        .map(incarnation)
                         .collect();
-                    let left =
-                        post.table(service, lives.iter().map(|life| line(life, "a")).collect());
+                    let left = post.table(
+                        service,
+                        incarnations
+                            .iter()
+                            .map(|incarnation| line(incarnation, "a"))
+                            .collect(),
+                    );
                     let want = listed[table]
-                        .difference(&lives)
-                        .filter(|life| !listed[1 - table].contains(*life));
+                        .difference(&incarnations)
+                        .filter(|incarnation| !listed[1 - table].contains(*incarnation));
                     assert_eq!(left.iter().collect::<BTreeSet<_>>(), want.collect());
-                    listed[table] = lives;
+                    listed[table] = incarnations;
                 }
                 1 => {
-                    let life = life(u.int_in_range(0..=most - 1)?);
+                    let incarnation = incarnation(u.int_in_range(0..=most - 1)?);
                     assert_eq!(
-                        post.gone(vec![life.clone()], now_ms).is_empty(),
-                        !gone.insert(life)
+                        post.gone(vec![incarnation.clone()], now_ms).is_empty(),
+                        !gone.insert(incarnation)
                     );
                 }
                 2 if !flying.is_empty() => {
@@ -77,9 +82,9 @@
                 _ => {
                     let mut round = round(*u.choose(&[RouteKind::ReadOnly, RouteKind::Mutating])?);
                     for _ in 0..4 {
-                        let open = listed[table]
-                            .iter()
-                            .any(|life| !gone.contains(life) && !round.tried().contains(life));
+                        let open = listed[table].iter().any(|incarnation| {
+                            !gone.contains(incarnation) && !round.tried().contains(incarnation)
+                        });
                         assert_eq!(post.another(service, &round), open);
                         let Some(pick) = post.pick(service, &round, RouteKind::ReadOnly, now_ms)
                         else {
@@ -87,23 +92,26 @@
                             break;
                         };
                         assert!(
-                            listed[table].contains(&pick.line.life)
-                                && !gone.contains(&pick.line.life)
+                            listed[table].contains(&pick.line.incarnation)
+                                && !gone.contains(&pick.line.incarnation)
                         );
-                        assert!(!round.tried().contains(&pick.line.life));
-                        round.goes_to(&pick.line.life);
+                        assert!(!round.tried().contains(&pick.line.incarnation));
+                        round.goes_to(&pick.line.incarnation);
                         flying.push((table, pick));
                     }
                 }
             }
-            let any = listed.iter().flatten().any(|life| !gone.contains(life));
+            let any = listed
+                .iter()
+                .flatten()
+                .any(|incarnation| !gone.contains(incarnation));
             assert_eq!(post.any(), any);
         }
         Ok(())
     });
 }
 
-/// Sends so many requests one after the other; each task answers by its rule. Returns how many each life got.
+/// Sends so many requests one after the other; each task answers by its rule. Returns how many each incarnation got.
 fn play(
     post: &mut Post,
     count: usize,
@@ -114,9 +122,9 @@
     for turn in 0..count {
         let now_ms = 25.0 * turn as f64;
         let pick = post.pick("s", &round(kind), kind, now_ms).unwrap();
-        let life = pick.line.life.clone();
-        got[life[1..].parse::<usize>().unwrap()] += 1;
-        let (fate, took_ms) = answer(&life, now_ms);
+        let incarnation = pick.line.incarnation.clone();
+        got[incarnation[1..].parse::<usize>().unwrap()] += 1;
+        let (fate, took_ms) = answer(&incarnation, now_ms);
         post.settle("s", pick, fate, took_ms, now_ms + 1.0);
     }
     got
@@ -131,16 +139,21 @@
             .map(|number| line(&format!("t{number}"), "a"))
             .collect(),
     );
-    let got = play(&mut post, 2_000, RouteKind::ReadOnly, |life, now_ms| {
-        if life == "t0" && now_ms < 25_000.0 {
-            (Fate::Broken, 1.0)
-        } else {
-            (Fate::Answered(200), 10.0)
-        }
-    });
+    let got = play(
+        &mut post,
+        2_000,
+        RouteKind::ReadOnly,
+        |incarnation, now_ms| {
+            if incarnation == "t0" && now_ms < 25_000.0 {
+                (Fate::Broken, 1.0)
+            } else {
+                (Fate::Answered(200), 10.0)
+            }
+        },
+    );
     assert!((150..=400).contains(&got[0]), "{got:?}");
-    let got = play(&mut post, 400, RouteKind::ReadOnly, |life, _| {
-        if life == "t0" {
+    let got = play(&mut post, 400, RouteKind::ReadOnly, |incarnation, _| {
+        if incarnation == "t0" {
             (Fate::Unsent, 1.0)
         } else {
             (Fate::Answered(200), 10.0)
@@ -192,7 +205,11 @@
         let now_ms = 5.0 * f64::from(turn);
         while let Some(at) = flying.iter().position(|(end_ms, _)| *end_ms <= now_ms) {
             let (end_ms, pick) = flying.swap_remove(at);
-            let took_ms = if pick.line.life == "t0" { 20.0 } else { 60.0 };
+            let took_ms = if pick.line.incarnation == "t0" {
+                20.0
+            } else {
+                60.0
+            };
             post.settle("s", pick, Fate::Answered(200), took_ms, end_ms);
         }
         let pick = post
@@ -203,7 +220,7 @@
                 now_ms,
             )
             .unwrap();
-        let fast = pick.line.life == "t0";
+        let fast = pick.line.incarnation == "t0";
         got[usize::from(!fast)] += 1;
         flying.push((now_ms + if fast { 20.0 } else { 60.0 }, pick));
     }
--- a/crates/rookpulley-chain/src/chain.rs
+++ b/crates/rookpulley-chain/src/chain.rs
@@ -66,7 +66,7 @@
     pub(crate) filling: Filling,
     pub(crate) stock: Stock,
     pub(crate) slow: bool,
-    /// This life has written to its disk. One that can't is not taken into a chain.
+    /// This incarnation has written to its disk. One that can't is not taken into a chain.
     pub(crate) proven: bool,
     pub(crate) ticked_ms: u64,
     pub(crate) woke_ms: u64,
@@ -137,7 +137,7 @@
         // What was shown before is where it begins: nothing has moved yet.
         new.apply_to(agreed.0);
         new.out.clear();
-        new.write(vec![kept::put_begun(new.me.life)], Then::Proven);
+        new.write(vec![kept::put_begun(new.me.incarnation)], Then::Proven);
         if boot.founder {
             new.found();
         }
@@ -377,10 +377,11 @@
         self.at_work > 0 && self.at_work == self.decided()
     }
 
-    /// The newest view, where this life of this controller is a member of it and has installed it.
+    /// The newest view, where this incarnation of this controller is a member of it and has installed it.
     pub(crate) fn acting(&self) -> Option<&View> {
         let view = self.view()?;
-        (view.number == self.installed && view.names(self.me.id, self.me.life)).then_some(view)
+        (view.number == self.installed && view.names(self.me.id, self.me.incarnation))
+            .then_some(view)
     }
 
     pub(crate) fn in_contact(&self, now: u64, id: u64) -> bool {
@@ -524,7 +525,7 @@
             echoed: None,
         };
         let known = self.known.entry(member.id).or_insert(fresh);
-        if known.standing.me.life != member.life {
+        if known.standing.me.incarnation != member.incarnation {
             (known.standing.me, known.sent, known.contact_ms) = (member, None, None);
         }
         // Who has just come is heard of both ways as soon as can be.
@@ -533,9 +534,9 @@
         }
     }
 
-    /// Our steady clock, from a start of this life's own: an echo of an earlier life means nothing.
+    /// Our steady clock, from a start of this incarnation's own: an echo of an earlier incarnation means nothing.
     fn mark(&self, now: u64) -> u64 {
-        (self.me.life >> 16) + now
+        (self.me.incarnation >> 16) + now
     }
 
     fn ping_one(&mut self, now: u64, to: u64) {
@@ -576,7 +577,7 @@
         let Some(known) = self
             .known
             .get_mut(&from)
-            .filter(|k| k.standing.me.life == standing.me.life)
+            .filter(|k| k.standing.me.incarnation == standing.me.incarnation)
         else {
             return self.met(now, standing.me);
         };
--- a/crates/rookpulley-chain/src/entry.rs
+++ b/crates/rookpulley-chain/src/entry.rs
@@ -99,7 +99,7 @@
             (pending.attempt + 1, Some((number, now)), true);
         let from = Asked {
             controller: self.me.id,
-            life: self.me.life,
+            incarnation: self.me.incarnation,
             token,
             attempt: pending.attempt,
         };
@@ -125,7 +125,7 @@
     pub(crate) fn refused(&mut self, from: Asked) {
         let pending = self.calls.pending.get_mut(&from.token);
         if let Some(pending) =
-            pending.filter(|p| p.attempt == from.attempt && from.life == self.me.life)
+            pending.filter(|p| p.attempt == from.attempt && from.incarnation == self.me.incarnation)
         {
             (pending.sent, pending.maybe) = (None, false);
         }
@@ -143,7 +143,9 @@
             self.take_commit(view, committed);
             self.fetch_up_to(now, committed);
         }
-        if from.life == self.me.life && self.calls.pending.remove(&from.token).is_some() {
+        if from.incarnation == self.me.incarnation
+            && self.calls.pending.remove(&from.token).is_some()
+        {
             self.out.push(Effect::Answer {
                 token: from.token,
                 outcome: Outcome::Done(body),
--- a/crates/rookpulley-chain/src/fill.rs
+++ b/crates/rookpulley-chain/src/fill.rs
@@ -81,7 +81,7 @@
         }
         let view = self
             .view()
-            .filter(|v| self.is_at_work() && !v.names(self.me.id, self.me.life))?;
+            .filter(|v| self.is_at_work() && !v.names(self.me.id, self.me.incarnation))?;
         let ahead = |id: &u64| {
             let more = |k: &crate::chain::Known| k.standing.committed > self.flow.committed;
             self.in_contact(now, *id) && self.known.get(id).is_some_and(more)
--- a/crates/rookpulley-chain/src/install.rs
+++ b/crates/rookpulley-chain/src/install.rs
@@ -43,7 +43,7 @@
         let Some(view) = self.view() else { return };
         let source = view
             .head()
-            .is_some_and(|m| m.id == self.me.id && m.life == self.me.life);
+            .is_some_and(|m| m.id == self.me.id && m.incarnation == self.me.incarnation);
         if !source || self.flow.installing >= view.number || self.filling.writing {
             return;
         }
@@ -57,7 +57,7 @@
     fn time_left_at(&self, now: u64) -> u64 {
         let left = self.views.iter().find(|v| v.number == self.installed);
         let time = match left.and_then(View::head) {
-            Some(head) if (head.id, head.life) == (self.me.id, self.me.life) => {
+            Some(head) if (head.id, head.incarnation) == (self.me.id, self.me.incarnation) => {
                 self.flow.time_now(now)
             }
             _ => self.calls.ledger_of(self.installed).unwrap_or(0),
@@ -70,7 +70,7 @@
         self.learn(now, vec![awaited.view.clone()]);
         let ours = self
             .view()
-            .is_some_and(|v| v.number == number && v.names(self.me.id, self.me.life));
+            .is_some_and(|v| v.number == number && v.names(self.me.id, self.me.incarnation));
         let before = self.predecessor().is_some_and(|m| m.id == awaited.from);
         if !ours || !before || number <= self.never || number <= self.flow.installing {
             return;
@@ -220,14 +220,16 @@
     pub(crate) fn look_after_successor(&mut self, now: u64, from: u64, its: &Standing) {
         let Some(view) = self.acting() else { return };
         let number = view.number;
-        let tail = view.tail().map(|m| (m.id, m.life));
+        let tail = view.tail().map(|m| (m.id, m.incarnation));
         // One that knows of a later view may have been filled with what that one agreed on, in the place of ours.
-        if tail == Some((from, its.me.life)) && (its.installed, its.decided) == (number, number) {
+        if tail == Some((from, its.me.incarnation))
+            && (its.installed, its.decided) == (number, number)
+        {
             self.take_commit(number, its.committed);
         }
         let next = self
             .successor()
-            .filter(|n| n.id == from && n.life == its.me.life);
+            .filter(|n| n.id == from && n.incarnation == its.me.incarnation);
         if next.is_none() {
             return;
         }
--- a/crates/rookpulley-chain/src/kept.rs
+++ b/crates/rookpulley-chain/src/kept.rs
@@ -63,11 +63,11 @@
     XxHash64::oneshot(0, bytes)
 }
 
-/// The first write of each life: that it succeeds is all that it is for.
-pub fn put_begun(life: u64) -> Record {
+/// The first write of each incarnation: that it succeeds is all that it is for.
+pub fn put_begun(incarnation: u64) -> Record {
     Record::Put {
         key: vec![b'b'],
-        value: bytes(&life),
+        value: bytes(&incarnation),
     }
 }
 
--- a/crates/rookpulley-chain/src/mend.rs
+++ b/crates/rookpulley-chain/src/mend.rs
@@ -149,12 +149,12 @@
         let settled = now >= self.learned_ms + SILENT_MS;
         let awake = now >= self.woke_ms + WAKING_MS;
         let restarted = |m: &Member| {
-            let life = if m.id == self.me.id {
-                Some(self.me.life)
+            let incarnation = if m.id == self.me.id {
+                Some(self.me.incarnation)
             } else {
-                self.life_of(m.id)
+                self.incarnation_of(m.id)
             };
-            life.is_some_and(|life| life != m.life)
+            incarnation.is_some_and(|incarnation| incarnation != m.incarnation)
         };
         let lost = |m: &Member| {
             // One that was heard in this view and is no longer, or that had time enough to be.
@@ -212,8 +212,8 @@
             .is_some_and(|k| now < k.heard_ms + SAY_MS)
     }
 
-    fn life_of(&self, id: u64) -> Option<u64> {
-        self.known.get(&id).map(|k| k.standing.me.life)
+    fn incarnation_of(&self, id: u64) -> Option<u64> {
+        self.known.get(&id).map(|k| k.standing.me.incarnation)
     }
 
     fn slow_one(&self, id: u64) -> bool {
@@ -229,8 +229,8 @@
             .known
             .iter()
             .filter(|(id, _)| self.in_contact(now, **id));
-        near.map(|(id, k)| (*id, k.standing.me.life))
-            .chain([(self.me.id, self.me.life)])
+        near.map(|(id, k)| (*id, k.standing.me.incarnation))
+            .chain([(self.me.id, self.me.incarnation)])
             .collect()
     }
 
@@ -319,8 +319,10 @@
         }
         // The largest part in which all hear each other: whoever misses most of the others is left out first,
         // newcomers before old members.
-        let hears =
-            |a: &Opinion, b: &Opinion| a.contacts.contains(&(b.standing.me.id, b.standing.me.life));
+        let hears = |a: &Opinion, b: &Opinion| {
+            a.contacts
+                .contains(&(b.standing.me.id, b.standing.me.incarnation))
+        };
         let mut chosen: Vec<u64> = opinions.keys().copied().collect();
         loop {
             let misses = |id: &u64| {
@@ -520,7 +522,7 @@
         self.mending.round += 1;
         let ballot = Ballot {
             round: self.mending.round,
-            by: self.me.life,
+            by: self.me.incarnation,
         };
         let to: Vec<u64> = base.acceptors().map(|m| m.id).collect();
         self.mending.step = Step::Preparing {
--- a/crates/rookpulley-chain/src/message.rs
+++ b/crates/rookpulley-chain/src/message.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Asked {
     pub controller: u64,
-    pub life: u64,
+    pub incarnation: u64,
     pub token: u64,
     pub attempt: u32,
 }
@@ -85,7 +85,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// `sent`: the sender's clock, from a start of its own for each life; `echo`: the newest `sent` heard from the
+    /// `sent`: the sender's clock, from a start of its own for each incarnation; `echo`: the newest `sent` heard from the
     /// receiver. `ledger`: its time, from a head.
     Ping {
         standing: Standing,
--- a/crates/rookpulley-chain/src/recent.rs
+++ b/crates/rookpulley-chain/src/recent.rs
@@ -7,7 +7,7 @@
 /// Much longer than the tries of one call last, by the ledger's time.
 const KEEP_MS: u64 = 4_000;
 
-/// The controller, its life, its token: one call, whichever of its tries.
+/// The controller, its incarnation, its token: one call, whichever of its tries.
 type Key = (u64, u64, u64);
 
 #[derive(Default)]
@@ -24,7 +24,7 @@
 }
 
 fn key(from: &Asked) -> Key {
-    (from.controller, from.life, from.token)
+    (from.controller, from.incarnation, from.token)
 }
 
 impl Recent {
--- a/crates/rookpulley-chain/src/refound.rs
+++ b/crates/rookpulley-chain/src/refound.rs
@@ -45,12 +45,12 @@
         let address = known.map_or(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0), |member| {
             member.address
         });
-        // No process has life 0: whichever starts with this disk makes the next view, with its own life and address.
+        // No process has incarnation 0: whichever starts with this disk makes the next view, with its own incarnation and address.
         let view = View {
             number,
             members: vec![Member {
                 id,
-                life: 0,
+                incarnation: 0,
                 address,
             }],
             voters: Vec::new(),
--- a/crates/rookpulley-chain/src/shown.rs
+++ b/crates/rookpulley-chain/src/shown.rs
@@ -13,7 +13,7 @@
     pub view: u64,
     pub installed: u64,
     pub at_work: u64,
-    /// This life of this controller is a member and has installed it.
+    /// This incarnation of this controller is a member and has installed it.
     pub acting: bool,
     pub in_touch: bool,
     /// The last update held, and the last that is applied.
--- a/crates/rookpulley-chain/src/view.rs
+++ b/crates/rookpulley-chain/src/view.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// A controller: its disk's identity, its process's life, where it is.
+/// A controller: its disk's identity, its process's incarnation, where it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
     pub id: u64,
-    pub life: u64,
+    pub incarnation: u64,
     pub address: SocketAddrV4,
 }
 
@@ -27,8 +27,10 @@
         self.members.iter().position(|m| m.id == id)
     }
 
-    pub fn names(&self, id: u64, life: u64) -> bool {
-        self.members.iter().any(|m| m.id == id && m.life == life)
+    pub fn names(&self, id: u64, incarnation: u64) -> bool {
+        self.members
+            .iter()
+            .any(|m| m.id == id && m.incarnation == incarnation)
     }
 
     pub fn head(&self) -> Option<&Member> {
@@ -65,7 +67,7 @@
     }
 }
 
-/// Orders proposals for one view number. `by` is the proposer's life: one that has restarted and forgotten its rounds
+/// Orders proposals for one view number. `by` is the proposer's incarnation: one that has restarted and forgotten its rounds
 /// must never use a ballot twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
--- a/crates/rookpulley-chain/tests/doubts.rs
+++ b/crates/rookpulley-chain/tests/doubts.rs
@@ -14,10 +14,10 @@
 
 type Rows = BTreeMap<Vec<u8>, Vec<u8>>;
 
-fn member(id: u64, life: u64) -> Member {
+fn member(id: u64, incarnation: u64) -> Member {
     Member {
         id,
-        life,
+        incarnation,
         address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, id as u8), 7),
     }
 }
@@ -25,7 +25,10 @@
 fn view(number: u64, ids: &[(u64, u64)]) -> View {
     View {
         number,
-        members: ids.iter().map(|(id, life)| member(*id, *life)).collect(),
+        members: ids
+            .iter()
+            .map(|(id, incarnation)| member(*id, *incarnation))
+            .collect(),
         voters: Vec::new(),
     }
 }
@@ -48,13 +51,13 @@
 }
 
 impl Controller {
-    fn begin(id: u64, life: u64, rows: Rows) -> Self {
+    fn begin(id: u64, incarnation: u64, rows: Rows) -> Self {
         let kept = (!rows.is_empty()).then(|| Kept::read(rows.clone()));
         let boot = Boot {
-            me: member(id, life),
+            me: member(id, incarnation),
             founder: false,
             losses: 1,
-            seed: life,
+            seed: incarnation,
             kept,
         };
         let chain = Chain::start(0, boot, Names::default());
@@ -130,7 +133,11 @@
                     }
                     Message::Opinion { ask } => {
                         let me = self.chain.me();
-                        let contacts = others.iter().chain([&me]).map(|m| (m.id, m.life)).collect();
+                        let contacts = others
+                            .iter()
+                            .chain([&me])
+                            .map(|m| (m.id, m.incarnation))
+                            .collect();
                         let standing = as_its(Standing {
                             decided: 1,
                             installed: 1,
@@ -154,7 +161,7 @@
     }
 }
 
-/// The disk of a controller that has installed view 1 with these members, as its life 1.
+/// The disk of a controller that has installed view 1 with these members, as its incarnation 1.
 fn disk_with_view(id: u64, ids: &[(u64, u64)]) -> Rows {
     let mut controller = Controller::begin(id, 1, Rows::new());
     let first = ids[0].0;
@@ -187,8 +194,8 @@
     let ids = [(1, 1), (2, 1), (3, 1)];
     let rows = disk_with_view(1, &ids);
     let mut ballots = Vec::new();
-    for life in [7, 8] {
-        let mut controller = Controller::begin(1, life, rows.clone());
+    for incarnation in [7, 8] {
+        let mut controller = Controller::begin(1, incarnation, rows.clone());
         let others = [member(2, 1), member(3, 1)];
         others
             .iter()
@@ -527,7 +534,7 @@
 fn entry(seq: u64, value: u64) -> Entry {
     let from = Asked {
         controller: 1,
-        life: 1,
+        incarnation: 1,
         token: value,
         attempt: 1,
     };
--- a/crates/rookpulley-chain/tests/model/rules.rs
+++ b/crates/rookpulley-chain/tests/model/rules.rs
@@ -12,7 +12,7 @@
 //! - An entry is synced, by all before and here, at the moment when that is told. Synced and not told is the same as
 //!   a crash after which it happens to be there: a crash keeps any beginning of what isn't synced.
 //! - A crash forgets all views above the one installed and the one voted after: they may be learned again at once, and
-//!   a new life is named in none of them.
+//!   a new incarnation is named in none of them.
 //! - That a view is heard of by who isn't its source changes nothing but that the controller takes part in no earlier one,
 //!   and who takes no part is one whose turn doesn't come. So it is one step with what needs it: an install, a promise,
 //!   a vote.
@@ -147,7 +147,7 @@
             let within = u8::from(place < self.bounds.first);
             *controller = Controller {
                 id: place as u8,
-                life: 1,
+                incarnation: 1,
                 known: within,
                 installed: within,
                 ..Controller::default()
@@ -201,7 +201,7 @@
         self.views.borrow().get(at).map(look)
     }
 
-    /// The place among the members of a view, where it names this life.
+    /// The place among the members of a view, where it names this incarnation.
     fn names(&self, state: &State, place: usize, number: u8) -> Option<usize> {
         self.with_view(state, number, |v| v.names(&state.controllers[place]))?
     }
@@ -224,7 +224,7 @@
         })
     }
 
-    /// The place among the members of a view in which this life takes part.
+    /// The place among the members of a view in which this incarnation takes part.
     fn acting(&self, state: &State, place: usize, number: u8) -> Option<usize> {
         let controller = &state.controllers[place];
         let takes_part = if self.has(Fault::LeftAndStillTaking) {
@@ -915,7 +915,7 @@
                     vote = Vote::default();
                 }
                 after.controllers[place] = Controller {
-                    life: controller.life + 1,
+                    incarnation: controller.incarnation + 1,
                     known: controller.installed.max(vote.number.saturating_sub(1)),
                     never: 0,
                     log: controller.log.first(keeps),
@@ -951,13 +951,13 @@
                 }
                 let new = Controller {
                     id: PLACES as u8 + state.wipes,
-                    life: 1,
+                    incarnation: 1,
                     ..Controller::default()
                 };
                 after.controllers[place] = if self.has(Fault::WipedUnderItsOldIdentity) {
                     Controller {
                         id: controller.id,
-                        life: controller.life + 1,
+                        incarnation: controller.incarnation + 1,
                         ..new
                     }
                 } else {
--- a/crates/rookpulley-chain/tests/model/state.rs
+++ b/crates/rookpulley-chain/tests/model/state.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Controller {
     pub id: u8,
-    pub life: u8,
+    pub incarnation: u8,
     /// The newest view known here, the one installed, the one that it promised never to install.
     pub known: u8,
     pub installed: u8,
@@ -125,7 +125,7 @@
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, place as u8), 7);
     Member {
         id: controller.id.into(),
-        life: controller.life.into(),
+        incarnation: controller.incarnation.into(),
         address,
     }
 }
@@ -134,11 +134,11 @@
     member.address.ip().octets()[3].into()
 }
 
-/// Lives count from one, and identities from zero.
+/// Incarnations count from one, and identities from zero.
 pub const IDS: u8 = 5;
-const LIVES: usize = 4;
+const INCARNATIONS: usize = 4;
 
-/// What a view says of each identity and life, asked once.
+/// What a view says of each identity and incarnation, asked once.
 pub struct Known {
     pub view: View,
     pub majority: u32,
@@ -148,7 +148,7 @@
     /// Identities with a say in the next one, as bits.
     pub voters: u8,
     at: [Option<u8>; IDS as usize],
-    names: [[bool; LIVES]; IDS as usize],
+    names: [[bool; INCARNATIONS]; IDS as usize],
 }
 
 impl Known {
@@ -163,7 +163,7 @@
                 .sum(),
             at: std::array::from_fn(|id| view.place(id as u64).map(|at| at as u8)),
             names: std::array::from_fn(|id| {
-                std::array::from_fn(|life| view.names(id as u64, life as u64))
+                std::array::from_fn(|incarnation| view.names(id as u64, incarnation as u64))
             }),
             view,
         }
@@ -173,11 +173,11 @@
         self.at[usize::from(controller.id)].is_some()
     }
 
-    /// The place among the members, where this life is one.
+    /// The place among the members, where this incarnation is one.
     pub fn names(&self, controller: &Controller) -> Option<usize> {
         let id = usize::from(controller.id);
         self.at[id]
-            .filter(|_| self.names[id][usize::from(controller.life)])
+            .filter(|_| self.names[id][usize::from(controller.incarnation)])
             .map(usize::from)
     }
 }
@@ -196,7 +196,7 @@
     }
 
     pub fn keep(&mut self, view: View) -> u16 {
-        let who = view.acceptors().flat_map(|m| [m.id, m.life]);
+        let who = view.acceptors().flat_map(|m| [m.id, m.incarnation]);
         let key = [view.number, view.members.len() as u64]
             .into_iter()
             .chain(who)
--- a/crates/rookpulley-chain/tests/world/mod.rs
+++ b/crates/rookpulley-chain/tests/world/mod.rs
@@ -277,7 +277,7 @@
     }
 
     fn start(&mut self, at: usize, founder: bool) {
-        let (life, seed) = (self.rng.random(), self.rng.random());
+        let (incarnation, seed) = (self.rng.random(), self.rng.random());
         let clock = self.rng.random_range(0..1_000_000_000u64);
         let place = &mut self.places[at];
         let fresh = !place.disk.rows.contains_key(&b"0id"[..]);
@@ -303,7 +303,7 @@
         );
         let me = Member {
             id: place.id,
-            life,
+            incarnation,
             address: place.address,
         };
         let boot = Boot {
@@ -332,7 +332,7 @@
             }
         }
         self.say(format!(
-            "controller {at} starts, id {:x}, life {life:x}",
+            "controller {at} starts, id {:x}, life {incarnation:x}",
             self.places[at].id
         ));
     }
@@ -348,10 +348,10 @@
 
     fn member(&self, at: usize) -> Member {
         let place = &self.places[at];
-        let life = place.chain.as_ref().map_or(0, |c| c.me().life);
+        let incarnation = place.chain.as_ref().map_or(0, |c| c.me().incarnation);
         Member {
             id: place.id,
-            life,
+            incarnation,
             address: place.address,
         }
     }
@@ -450,7 +450,7 @@
             && from.attempt > 1
         {
             // Under another name to the chain, under its own to who asked.
-            from.life ^= 1 << 63;
+            from.incarnation ^= 1 << 63;
         }
         match self.mutation {
             Some(Mutation::FilledBeyond) => {
--- a/crates/rookpulley-cli/src/gateway.rs
+++ b/crates/rookpulley-cli/src/gateway.rs
@@ -102,7 +102,7 @@
 pub enum Part {
     /// Who is in the chain, and how it is
     View,
-    /// Lives of tasks
+    /// Incarnations of tasks
     Tasks,
     /// The tables that this controller cuts
     Tables,
--- a/crates/rookpulley-cli/src/gateway/store.rs
+++ b/crates/rookpulley-cli/src/gateway/store.rs
@@ -55,7 +55,7 @@
         .filter_map(|(_, _, body)| configuration(body))
         .collect();
     let (mut noted, mut gone, mut unreadable) = (0, 0, 0);
-    for (_, value) in &contents.lives {
+    for (_, value) in &contents.incarnations {
         match postcard::from_bytes::<News>(value) {
             Ok(News::Gone { .. }) => gone += 1,
             Ok(_) => noted += 1,
@@ -144,8 +144,8 @@
         count("cells", "cell"),
     ]
     .join(", ");
-    let lives = &told["lives"];
-    let unreadable = match lives["unreadable"].as_u64() {
+    let incarnations = &told["lives"];
+    let unreadable = match incarnations["unreadable"].as_u64() {
         Some(0) | None => String::new(),
         Some(n) => format!(", {n} unreadable"),
     };
@@ -178,7 +178,10 @@
         ("keeps", or_none(snapshot, kept)),
         (
             "lives noted",
-            format!("{} and {} gone{unreadable}", lives["noted"], lives["gone"]),
+            format!(
+                "{} and {} gone{unreadable}",
+                incarnations["noted"], incarnations["gone"]
+            ),
         ),
     ];
     table(
--- a/crates/rookpulley-cli/src/gateway/store/check.rs
+++ b/crates/rookpulley-cli/src/gateway/store/check.rs
@@ -90,9 +90,9 @@
                 }
             }
         }
-        for (life, value) in &contents.lives {
+        for (incarnation, value) in &contents.incarnations {
             if postcard::from_bytes::<News>(value).is_err() {
-                let place = format!("the note on task {}", life.escape_ascii());
+                let place = format!("the note on task {}", incarnation.escape_ascii());
                 faults.add(
                     place,
                     format!("unreadable ({} bytes)", value.len()),
--- a/crates/rookpulley-cli/tests/gateway.rs
+++ b/crates/rookpulley-cli/tests/gateway.rs
@@ -366,11 +366,11 @@
 }
 
 impl Alone {
-    fn open(folder: &Path, life: u64) -> Self {
+    fn open(folder: &Path, incarnation: u64) -> Self {
         let (said, heard) = tokio::sync::mpsc::unbounded_channel();
         let mut store = Store::open(folder, 0x5f0c_1be2_a9d4_7731, None, said).unwrap();
         let rows = BTreeMap::from_iter(std::mem::take(&mut store.held));
-        let chain = Self::begin(&store, &rows, life);
+        let chain = Self::begin(&store, &rows, incarnation);
         Self {
             store,
             heard,
@@ -381,10 +381,10 @@
         }
     }
 
-    fn begin(store: &Store, rows: &BTreeMap<Vec<u8>, Vec<u8>>, life: u64) -> Chain<Held> {
+    fn begin(store: &Store, rows: &BTreeMap<Vec<u8>, Vec<u8>>, incarnation: u64) -> Chain<Held> {
         let me = Member {
             id: store.identity,
-            life,
+            incarnation,
             address: "10.4.0.10:7731".parse().unwrap(),
         };
         let kept = (!rows.is_empty()).then(|| Kept::read(rows.clone()));
@@ -398,9 +398,9 @@
         Chain::start(0, boot, Held::default())
     }
 
-    /// Another life on the same store: with its view goes a snapshot of all before.
-    fn again(&mut self, life: u64) {
-        self.chain = Self::begin(&self.store, &self.rows, life);
+    /// Another incarnation on the same store: with its view goes a snapshot of all before.
+    fn again(&mut self, incarnation: u64) {
+        self.chain = Self::begin(&self.store, &self.rows, incarnation);
         self.now = 0;
     }
 
@@ -455,12 +455,12 @@
         }
     }
 
-    fn note(&self, life: &str, value: Vec<u8>) {
+    fn note(&self, incarnation: &str, value: Vec<u8>) {
         let record = Record::Put {
-            key: life.into(),
+            key: incarnation.into(),
             value,
         };
-        assert!(self.store.write(Part::Lives, 1, vec![record]));
+        assert!(self.store.write(Part::Incarnations, 1, vec![record]));
     }
 
     fn close(self) {
@@ -507,7 +507,7 @@
     controller.again(4);
     controller.answers([configured(8, CONFIGURATION), cell(7), cell(8), cell(9)]);
     let gone = News::Gone {
-        life: "i-9be7".into(),
+        incarnation: "i-9be7".into(),
         age_ms: 0.0,
     };
     controller.note("i-9be7", postcard::to_allocvec(&gone).unwrap());
--- a/crates/rookpulley-control/src/calls.rs
+++ b/crates/rookpulley-control/src/calls.rs
@@ -2,7 +2,7 @@
 
 use rookpulley_chain::Outcome;
 use rookpulley_diagnostics::{Bounds, Nesting, Unread, read as read_json};
-use rookpulley_protocol::Life;
+use rookpulley_protocol::IncarnationId;
 use rookpulley_registry::Beat;
 use rookpulley_routes::Book;
 use rookpulley_state::{Answer, Ask, Update};
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Wants {
     Beat(Beat),
-    Leave(Life),
+    Leave(IncarnationId),
     Update(Update),
     Ask(Ask),
     Watch {
--- a/crates/rookpulley-control/src/controller.rs
+++ b/crates/rookpulley-control/src/controller.rs
@@ -37,7 +37,7 @@
 
 /// What a process begins with.
 pub struct Start {
-    /// Of its disk and of this life of it, and where it hears the other controllers.
+    /// Of its disk and of this incarnation of it, and where it hears the other controllers.
     pub me: Member,
     pub seeds: Vec<SocketAddrV4>,
     /// So many machines may be lost at once.
@@ -50,7 +50,7 @@
     /// What the disk holds of the chain; None: it is new.
     pub held: Option<Rows>,
     /// What it holds on tasks.
-    pub lives: Rows,
+    pub incarnations: Rows,
 }
 
 /// What is to be done.
@@ -130,7 +130,7 @@
 /// A drain that is to be known elsewhere before it is acknowledged.
 struct Confirm {
     caller: Caller,
-    life: String,
+    incarnation: String,
     until_ms: f64,
     noted: bool,
     told: bool,
@@ -143,7 +143,7 @@
     pub registry: Registry,
     pub desk: Desk,
     /// What was known of tasks before this start, until it is tidied.
-    lives: Rows,
+    incarnations: Rows,
     peers: BTreeMap<Ipv4Addr, Peer>,
     pub proxies: BTreeMap<String, ProxySession>,
     roll: Roll,
@@ -168,7 +168,7 @@
     book: Option<Book>,
     /// When the newest was told, and whether a newer one waits for its turn.
     pace: Pace,
-    /// Something was applied in this life: it was agreed on.
+    /// Something was applied in this incarnation: it was agreed on.
     applied: bool,
     pub disk: Disk,
     pub tally: Tally,
@@ -178,9 +178,9 @@
 }
 
 impl Controller {
-    /// At the time 0. `start.me.life` also is what chance begins with.
+    /// At the time 0. `start.me.incarnation` also is what chance begins with.
     pub fn new(start: Start) -> Self {
-        let (me, seed) = (start.me, start.me.life);
+        let (me, seed) = (start.me, start.me.incarnation);
         let kept = start.held.map(rookpulley_chain::Kept::read);
         let founder = start.founding.as_ref().is_some_and(Founding::at_once);
         let boot = Boot {
@@ -196,7 +196,7 @@
             chain: Chain::start(0, boot, Kept::default()),
             registry: Registry::new(0.0, start.heartbeat_ms as f64, start.drain_ms as f64),
             desk: Desk::new(seed),
-            lives: start.lives,
+            incarnations: start.incarnations,
             peers: BTreeMap::new(),
             proxies: BTreeMap::new(),
             roll: Roll::default(),
@@ -230,7 +230,7 @@
 
     /// What was known of tasks before this start, as if it were heard now: what no longer beats falls silent soon.
     fn begin_with_notes(&mut self) {
-        for (_, value) in &self.lives {
+        for (_, value) in &self.incarnations {
             if let Ok(news) = postcard::from_bytes::<News>(value) {
                 self.registry.take_news(0.0, &news.as_of_now());
             }
@@ -297,13 +297,19 @@
     }
 
     /// All up to these tickets is on the disk, as far as there were any; syncing took so long.
-    pub fn stored(&mut self, now: f64, chain: Option<u64>, lives: Option<u64>, took_ms: f64) {
+    pub fn stored(
+        &mut self,
+        now: f64,
+        chain: Option<u64>,
+        incarnations: Option<u64>,
+        took_ms: f64,
+    ) {
         self.tally.sync(took_ms);
         self.disk.synced(chain, took_ms);
         if let Some(ticket) = chain {
             self.step(now, Input::Synced { ticket });
         }
-        if let Some(ticket) = lives {
+        if let Some(ticket) = incarnations {
             self.noted(now, ticket);
         }
     }
@@ -332,7 +338,7 @@
         let kind = Kind::of(&wants);
         match wants {
             Wants::Beat(beat) => self.beat(now, token, beat),
-            Wants::Leave(life) => self.leave(now, token, &life),
+            Wants::Leave(incarnation) => self.leave(now, token, &incarnation),
             Wants::Update(update) => {
                 self.call_chain(now, token, (kind, CallKind::Update), update.encode())
             }
--- a/crates/rookpulley-control/src/controller/proxies.rs
+++ b/crates/rookpulley-control/src/controller/proxies.rs
@@ -34,8 +34,8 @@
         if !news.is_empty() {
             let told = news
                 .iter()
-                .map(|life| News::Gone {
-                    life: life.clone(),
+                .map(|incarnation| News::Gone {
+                    incarnation: incarnation.clone(),
                     age_ms: 0.0,
                 })
                 .collect();
@@ -45,7 +45,7 @@
         for down in [
             self.pulse(now),
             Down::Gone {
-                lives: self.registry.gone_lives(),
+                incarnations: self.registry.gone_incarnations(),
             },
         ] {
             self.out.push(Effect::Down {
@@ -127,13 +127,16 @@
         self.out.extend(self.proxies.values().map(each));
     }
 
-    pub(super) fn tell_gone(&mut self, now: f64, lives: Vec<String>) {
-        if lives.is_empty() {
+    pub(super) fn tell_gone(&mut self, now: f64, incarnations: Vec<String>) {
+        if incarnations.is_empty() {
             return;
         }
-        self.log(format!("registry: {} drain or have left", lives.join(" ")));
-        self.tally.drains += lives.len() as u64;
-        self.tell_proxies(&Down::Gone { lives });
+        self.log(format!(
+            "registry: {} drain or have left",
+            incarnations.join(" ")
+        ));
+        self.tally.drains += incarnations.len() as u64;
+        self.tell_proxies(&Down::Gone { incarnations });
         self.tables(now);
     }
 
--- a/crates/rookpulley-control/src/controller/tasks.rs
+++ b/crates/rookpulley-control/src/controller/tasks.rs
@@ -6,15 +6,15 @@
 use rookpulley_chain::Record;
 use rookpulley_registry::{Beat, News, Outcome as Sorted, Standing, Word as Spread};
 
-/// A life and the last that matters of it, as it stands on the disk.
+/// An incarnation and the last that matters of it, as it stands on the disk.
 fn note_of(news: &News) -> Record {
-    let life = match news {
-        News::Beat { beat, .. } => beat.life.as_str(),
-        News::Gone { life, .. } => life.as_str(),
+    let incarnation = match news {
+        News::Beat { beat, .. } => beat.incarnation.as_str(),
+        News::Gone { incarnation, .. } => incarnation.as_str(),
         News::Heard { .. } => "",
     };
     Record::Put {
-        key: life.into(),
+        key: incarnation.into(),
         value: postcard::to_allocvec(news).unwrap_or_default(),
     }
 }
@@ -27,21 +27,21 @@
         }
         let draining = beat.draining;
         self.tally.beat(draining);
-        let life = beat.life.clone();
+        let incarnation = beat.incarnation.clone();
         let sorted = self.registry.beat(now, beat);
         self.sorted(now, sorted);
         // A drain is acknowledged only once it is known elsewhere, also when it is told again.
         if draining {
-            self.drain_known(now, (token, true), life);
+            self.drain_known(now, (token, true), incarnation);
         } else {
             self.taken((token, true), Taken::Known);
         }
     }
 
-    pub(super) fn leave(&mut self, now: f64, token: u64, life: &str) {
-        let sorted = self.registry.leave(now, life);
+    pub(super) fn leave(&mut self, now: f64, token: u64, incarnation: &str) {
+        let sorted = self.registry.leave(now, incarnation);
         self.sorted(now, sorted);
-        self.drain_known(now, (token, false), life.into());
+        self.drain_known(now, (token, false), incarnation.into());
     }
 
     pub(super) fn taken(&mut self, (token, beat): Caller, word: Taken) {
@@ -51,12 +51,12 @@
         });
     }
 
-    /// A life that drains or ends: once that is known elsewhere it need not be asked about again.
-    pub(super) fn drain_known(&mut self, now: f64, caller: Caller, life: String) {
-        if self.drains.is_known(&life) {
+    /// An incarnation that drains or ends: once that is known elsewhere it need not be asked about again.
+    pub(super) fn drain_known(&mut self, now: f64, caller: Caller, incarnation: String) {
+        if self.drains.is_known(&incarnation) {
             return self.taken(caller, Taken::Known);
         }
-        self.known_elsewhere(now, caller, life);
+        self.known_elsewhere(now, caller, incarnation);
     }
 
     /// Carries out what came of a beat or of news.
@@ -96,14 +96,14 @@
         }
     }
 
-    /// Once beats have had time to come, what is noted of lives that are unknown now is dropped.
+    /// Once beats have had time to come, what is noted of incarnations that are unknown now is dropped.
     pub(super) fn tidy_notes(&mut self) {
-        let lives = std::mem::take(&mut self.lives);
+        let incarnations = std::mem::take(&mut self.incarnations);
         let gone = |key: &Vec<u8>| {
-            let life = std::str::from_utf8(key).unwrap_or_default();
-            self.registry.standing(life) == Standing::Unknown
+            let incarnation = std::str::from_utf8(key).unwrap_or_default();
+            self.registry.standing(incarnation) == Standing::Unknown
         };
-        let drops = lives
+        let drops = incarnations
             .into_iter()
             .filter(|(key, _)| gone(key))
             .map(|(key, _)| Record::Delete { key });
@@ -115,7 +115,7 @@
 
     /// Waits until as many others know as may be lost: then the word reaches every proxy in touch whatever
     /// becomes of this machine, and it may be acknowledged.
-    pub(super) fn known_elsewhere(&mut self, now: f64, caller: Caller, life: String) {
+    pub(super) fn known_elsewhere(&mut self, now: f64, caller: Caller, incarnation: String) {
         let others = self
             .chain
             .view()
@@ -130,7 +130,7 @@
             ask,
             Confirm {
                 caller,
-                life: life.clone(),
+                incarnation: incarnation.clone(),
                 until_ms,
                 noted: false,
                 told,
@@ -138,7 +138,10 @@
         );
         self.send_all(&Word::News {
             ask,
-            news: vec![News::Gone { life, age_ms: 0.0 }],
+            news: vec![News::Gone {
+                incarnation,
+                age_ms: 0.0,
+            }],
         });
         self.note(Vec::new(), Some(Noted::Done { ask }));
     }
@@ -158,7 +161,7 @@
         self.drains.over(ask);
         let known = self.in_touch(now);
         if known {
-            self.drains.known(now, confirm.life);
+            self.drains.known(now, confirm.incarnation);
         }
         self.taken(
             confirm.caller,
--- a/crates/rookpulley-control/src/stateless.rs
+++ b/crates/rookpulley-control/src/stateless.rs
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Where no seed has a disk, the first one says who makes the first view: once in its life, and only in the life
+    /// Where no seed has a disk, the first one says who makes the first view: once in its incarnation, and only in the incarnation
     /// that was the first start.
     fn name_founder(&mut self) {
         let mut seeds = self.start.seeds.iter().map(|seed| seed.ip());
--- a/crates/rookpulley-control/src/tally.rs
+++ b/crates/rookpulley-control/src/tally.rs
@@ -4,7 +4,7 @@
 pub struct Tally {
     /// Of tasks that are available, of those that drain.
     pub beats: [u64; 2],
-    /// Lives that were told to the proxies to get nothing more.
+    /// Incarnations that were told to the proxies to get nothing more.
     pub drains: u64,
     /// The newest view that is known, and how many there were.
     pub view: u64,
--- a/crates/rookpulley-control/tests/compatibility/frames.rs
+++ b/crates/rookpulley-control/tests/compatibility/frames.rs
@@ -17,7 +17,7 @@
 fn member(id: u64) -> Member {
     Member {
         id,
-        life: 1 << 40 | id,
+        incarnation: 1 << 40 | id,
         address: address(id as u8),
     }
 }
@@ -33,7 +33,7 @@
 fn asked(token: u64) -> Asked {
     Asked {
         controller: 2,
-        life: 1 << 40 | 2,
+        incarnation: 1 << 40 | 2,
         token,
         attempt: 3,
     }
@@ -63,7 +63,7 @@
 
 fn beat() -> Beat {
     Beat {
-        life: "i-1".into(),
+        incarnation: "i-1".into(),
         service: "lots".into(),
         address: address(9),
         zone: "quay".into(),
@@ -215,7 +215,7 @@
 
 fn to_controllers() -> Vec<(&'static str, Up)> {
     let task = TaskReport {
-        life: "i-1".into(),
+        incarnation: "i-1".into(),
         tries: 90,
         bad: 2,
         mean_ms: 12.5,
@@ -269,9 +269,9 @@
 }
 
 fn to_proxies() -> Vec<(&'static str, Down)> {
-    let (service, zone, life) = ("lots".to_string(), "quay".to_string(), "i-1".to_string());
+    let (service, zone, incarnation) = ("lots".to_string(), "quay".to_string(), "i-1".to_string());
     let line = Line {
-        life: life.clone(),
+        incarnation: incarnation.clone(),
         address: address(9),
         zone: zone.clone(),
         weight: 0.25,
@@ -306,7 +306,12 @@
                 lines: vec![line],
             },
         ),
-        ("gone", Down::Gone { lives: vec![life] }),
+        (
+            "gone",
+            Down::Gone {
+                incarnations: vec![incarnation],
+            },
+        ),
         (
             "place",
             Down::Place {
@@ -320,7 +325,7 @@
 
 fn notes() -> Vec<(&'static str, News)> {
     let still = Still {
-        life: "i-1".into(),
+        incarnation: "i-1".into(),
         sequence: 43,
         age_ms: 20.0,
     };
@@ -335,11 +340,16 @@
         (
             "gone",
             News::Gone {
-                life: "i-1".into(),
+                incarnation: "i-1".into(),
                 age_ms: 0.5,
             },
         ),
-        ("heard", News::Heard { lives: vec![still] }),
+        (
+            "heard",
+            News::Heard {
+                incarnations: vec![still],
+            },
+        ),
     ]
 }
 
--- a/crates/rookpulley-control/tests/compatibility/rows.rs
+++ b/crates/rookpulley-control/tests/compatibility/rows.rs
@@ -12,7 +12,7 @@
     let id = at as u64 + 1;
     Member {
         id,
-        life: 1 << 20 | id,
+        incarnation: 1 << 20 | id,
         address: format!("10.0.0.{id}:7332").parse().unwrap(),
     }
 }
@@ -185,7 +185,7 @@
         let kept = rookpulley_chain::Kept::read(rows);
         assert!(kept.sound());
         let me = Member {
-            life: 2 << 20,
+            incarnation: 2 << 20,
             ..member(at)
         };
         let boot = Boot {
--- a/crates/rookpulley-control/tests/configuration.rs
+++ b/crates/rookpulley-control/tests/configuration.rs
@@ -9,12 +9,12 @@
 const IP: Ipv4Addr = Ipv4Addr::new(10, 1, 0, 1);
 const LINE: u64 = 900;
 
-fn start(life: u64, losses: u32, held: Option<Rows>) -> Start {
+fn start(incarnation: u64, losses: u32, held: Option<Rows>) -> Start {
     let seeds = vec![SocketAddrV4::new(IP, 8_166)];
     Start {
         me: Member {
             id: 7,
-            life,
+            incarnation,
             address: SocketAddrV4::new(IP, 7_721),
         },
         founding: held.is_none().then(|| Founding::new(IP, &seeds)),
@@ -24,7 +24,7 @@
         drain_ms: 2_500,
         zone: "quay".into(),
         held,
-        lives: Vec::new(),
+        incarnations: Vec::new(),
     }
 }
 
@@ -157,7 +157,7 @@
     // It is one member of more: the others may hold a newer one.
     let other = |id: u64| Member {
         id,
-        life: 1,
+        incarnation: 1,
         address: SocketAddrV4::new(IP, 7_000 + id as u16),
     };
     let members = vec![first.controller.chain.me(), other(8), other(9)];
--- a/crates/rookpulley-control/tests/founding.rs
+++ b/crates/rookpulley-control/tests/founding.rs
@@ -34,7 +34,7 @@
     ip: Ipv4Addr,
     disk: Option<Disk>,
     process: Option<Process>,
-    life: u64,
+    incarnation: u64,
     /// Its disk was lost: this is no first start any more.
     wiped: bool,
 }
@@ -117,7 +117,7 @@
                 ip: Ipv4Addr::new(10, 9, 0, rng.random_range(0..20u8) + 20 * at as u8),
                 disk: disks[at].then(Disk::default),
                 process: None,
-                life: 0,
+                incarnation: 0,
                 wiped: false,
             })
             .collect();
@@ -159,18 +159,18 @@
             .random_range(if long { 300..1_500u64 } else { 1..40 })
     }
 
-    fn lives(&self, (at, life): Place) -> bool {
-        self.machines[at].process.is_some() && self.machines[at].life == life
+    fn incarnations(&self, (at, incarnation): Place) -> bool {
+        self.machines[at].process.is_some() && self.machines[at].incarnation == incarnation
     }
 
     fn start(&mut self, at: usize, first: bool) {
         if self.machines[at].process.is_some() {
             return;
         }
-        let (life, id): (u64, u64) = (self.rng.random(), self.rng.random());
+        let (incarnation, id): (u64, u64) = (self.rng.random(), self.rng.random());
         let (seeds, machine) = (self.seeds.clone(), &mut self.machines[at]);
         let first = first && !machine.wiped;
-        machine.life = life;
+        machine.incarnation = incarnation;
         let address = SocketAddrV4::new(machine.ip, PORT);
         let process = match &mut machine.disk {
             None => Process::StatelessController(StatelessController::new(StatelessStart {
@@ -187,7 +187,7 @@
                 let controller = Controller::new(Start {
                     me: Member {
                         id: *disk.id.get_or_insert(id),
-                        life,
+                        incarnation,
                         address,
                     },
                     seeds,
@@ -197,7 +197,7 @@
                     zone: "quay".into(),
                     founding: disk.mark.as_deref().and_then(Founding::read),
                     held: (!fresh).then(|| disk.rows.clone().into_iter().collect()),
-                    lives: Vec::new(),
+                    incarnations: Vec::new(),
                 });
                 Process::Controller {
                     controller,
@@ -206,7 +206,7 @@
             }
         };
         machine.process = Some(process);
-        self.after(50, Event::Tick((at, life)));
+        self.after(50, Event::Tick((at, incarnation)));
         self.carry_out(at);
     }
 
@@ -246,7 +246,7 @@
     }
 
     fn dialed_line(&self, by: usize, ip: Ipv4Addr) -> Option<u64> {
-        let is = |line: &Line| self.lives(line.ends[0]) && line.ends[0].0 == by;
+        let is = |line: &Line| self.incarnations(line.ends[0]) && line.ends[0].0 == by;
         let to = |line: &Line| self.machines[line.ends[1].0].ip == ip;
         self.lines
             .iter()
@@ -256,8 +256,9 @@
     }
 
     fn taken_line(&self, by: usize, number: u64) -> Option<u64> {
-        let is =
-            |line: &Line| line.ends[1].0 == by && self.lives(line.ends[1]) && line.number == number;
+        let is = |line: &Line| {
+            line.ends[1].0 == by && self.incarnations(line.ends[1]) && line.number == number
+        };
         self.lines
             .iter()
             .find(|(_, line)| !line.of_controllers && is(line))
@@ -265,7 +266,7 @@
     }
 
     fn carry_out(&mut self, at: usize) {
-        let by = (at, self.machines[at].life);
+        let by = (at, self.machines[at].incarnation);
         match &mut self.machines[at].process {
             None => {}
             Some(Process::Controller { controller, .. }) => {
@@ -352,7 +353,7 @@
         let Some(to) = to else {
             return self.dial_again(by, ip);
         };
-        let ends = [by, (to, self.machines[to].life)];
+        let ends = [by, (to, self.machines[to].incarnation)];
         let of_controllers = matches!(
             self.machines[by.0].process,
             Some(Process::Controller { .. })
@@ -403,7 +404,7 @@
         let (end, other) = (of.ends[side], of.ends[1 - side]);
         let from = self.machines[other.0].ip;
         let machine = &mut self.machines[end.0];
-        if machine.life != end.1 {
+        if machine.incarnation != end.1 {
             return;
         }
         match (machine.process.as_mut(), side, of.of_controllers) {
@@ -441,7 +442,7 @@
             return;
         };
         let (end, ip) = (of.ends[side], self.machines[of.ends[1 - side].0].ip);
-        if !self.lives(end) {
+        if !self.incarnations(end) {
             return;
         }
         match (self.machines[end.0].process.as_mut().unwrap(), side) {
@@ -471,9 +472,11 @@
             self.now = at;
             match event {
                 Event::Start { at, first } => self.start(at, first),
-                Event::Again { at, first } if self.machines[at].life != 0 => self.start(at, first),
+                Event::Again { at, first } if self.machines[at].incarnation != 0 => {
+                    self.start(at, first)
+                }
                 Event::Stop { at, wiped } => self.stop(at, wiped),
-                Event::Tick(by) if self.lives(by) => {
+                Event::Tick(by) if self.incarnations(by) => {
                     let now = self.now as f64;
                     match self.machines[by.0].process.as_mut().unwrap() {
                         Process::Controller { controller, round } => {
@@ -488,14 +491,14 @@
                     }
                     self.carry_out(by.0);
                 }
-                Event::Dial { by, ip } if self.lives(by) => self.dial(by, ip),
+                Event::Dial { by, ip } if self.incarnations(by) => self.dial(by, ip),
                 Event::Heard { line, side, bytes } => self.heard(line, side, &bytes),
                 Event::Ended { line, side } => self.ended(line, side),
                 Event::Synced {
                     by,
                     ticket,
                     records,
-                } if self.lives(by) => {
+                } if self.incarnations(by) => {
                     let rows = &mut self.machines[by.0].disk.as_mut().unwrap().rows;
                     for record in records {
                         match record {
--- a/crates/rookpulley-controller/src/hub.rs
+++ b/crates/rookpulley-controller/src/hub.rs
@@ -55,7 +55,7 @@
     pub fn new(node: Node, mut store: Store, kept: Vec<(Vec<u8>, Vec<u8>)>, seed: u64) -> Rc<Self> {
         let me = Member {
             id: store.identity,
-            life: seed,
+            incarnation: seed,
             address: SocketAddrV4::new(node.ip, node.inner_ports.0 + 1),
         };
         let start = Start {
@@ -67,7 +67,7 @@
             zone: node.zone.clone(),
             founding: store.founding.as_deref().and_then(Founding::read),
             held: (!store.new).then_some(kept),
-            lives: std::mem::take(&mut store.lives),
+            incarnations: std::mem::take(&mut store.incarnations),
         };
         let lines = Lines {
             store,
@@ -151,7 +151,9 @@
             Effect::Write { ticket, records } => {
                 _ = lines.store.write(Part::Chain, ticket, records)
             }
-            Effect::Note { ticket, records } => _ = lines.store.write(Part::Lives, ticket, records),
+            Effect::Note { ticket, records } => {
+                _ = lines.store.write(Part::Incarnations, ticket, records)
+            }
             Effect::Reply { token, reply } => {
                 let waiting = lines.calls.remove(&token);
                 _ = waiting.map(|waiting| waiting.send(reply));
@@ -267,9 +269,13 @@
 
     fn stored(&self, said: Said) {
         match said {
-            Said::Synced { chain, lives, took } => {
+            Said::Synced {
+                chain,
+                incarnations,
+                took,
+            } => {
                 let took_ms = took.as_secs_f64() * 1e3;
-                self.with(|controller, now| controller.stored(now, chain, lives, took_ms));
+                self.with(|controller, now| controller.stored(now, chain, incarnations, took_ms));
             }
             Said::Failed(why) => self.fail(StoreFailure::Write(format!("a write failed ({why})"))),
         }
--- a/crates/rookpulley-controller/src/show.rs
+++ b/crates/rookpulley-controller/src/show.rs
@@ -128,7 +128,7 @@
         .filter(|t| service.is_empty() || t.beat.service == service);
     let rows = tasks.map(|task| {
         object([
-            ("life", text(&task.beat.life)),
+            ("life", text(&task.beat.incarnation)),
             ("service", text(&task.beat.service)),
             ("address", text(task.beat.address)),
             ("zone", text(&task.beat.zone)),
--- a/crates/rookpulley-devcluster/src/beats.rs
+++ b/crates/rookpulley-devcluster/src/beats.rs
@@ -27,7 +27,7 @@
 
 impl Beats {
     fn path(&self) -> String {
-        format!("/rookpulley/instances/{}", self.task.life)
+        format!("/rookpulley/instances/{}", self.task.incarnation)
     }
 
     fn body(&self) -> String {
@@ -96,9 +96,9 @@
         .ok()
 }
 
-/// A task's whole life as the controllers hear of it.
+/// A task's whole incarnation as the controllers hear of it.
 pub async fn live(task: Rc<Task>, controllers: Vec<SocketAddrV4>) {
-    let next = digest(&task.life) as usize % controllers.len().max(1);
+    let next = digest(&task.incarnation) as usize % controllers.len().max(1);
     let mut beats = Beats {
         task: task.clone(),
         controllers,
@@ -119,9 +119,9 @@
     let given_up = Instant::now() + UNHEARD;
     let acknowledged = loop {
         if beats.beat().await {
-            let (life, now) = (task.life.clone(), task.record.now());
+            let (incarnation, now) = (task.incarnation.clone(), task.record.now());
             task.record.drains.borrow_mut().push(Drain {
-                life,
+                incarnation,
                 acknowledged: now,
             });
             break true;
@@ -138,7 +138,10 @@
         beats.beat().await;
     }
     if !beats.leave().await {
-        task.record.unheard.borrow_mut().push(task.life.clone());
+        task.record
+            .unheard
+            .borrow_mut()
+            .push(task.incarnation.clone());
     }
     task.stage.send_replace(Stage::Gone);
 }
--- a/crates/rookpulley-devcluster/src/depot.rs
+++ b/crates/rookpulley-devcluster/src/depot.rs
@@ -71,9 +71,16 @@
                     .map_err(DepotError::system("a task can't listen"))?
                     .port();
                 let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
-                let life = format!("i-{service}-{}-{port}", at + 1);
+                let incarnation = format!("i-{service}-{}-{port}", at + 1);
                 let zone = ZONES.get(at % MACHINES).copied().unwrap_or_default();
-                let task = Task::new(life, service, zone, address, *slots, self.record.clone());
+                let task = Task::new(
+                    incarnation,
+                    service,
+                    zone,
+                    address,
+                    *slots,
+                    self.record.clone(),
+                );
                 begin(&task, listener, self.ground.controls());
                 self.tasks.push(task);
             }
@@ -162,7 +169,7 @@
         faults.extend(
             unheard
                 .iter()
-                .map(|life| format!("nobody acknowledged that {life} left")),
+                .map(|incarnation| format!("nobody acknowledged that {incarnation} left")),
         );
         faults
     }
--- a/crates/rookpulley-devcluster/src/judge.rs
+++ b/crates/rookpulley-devcluster/src/judge.rs
@@ -110,15 +110,18 @@
         let mut check = Check::new("what may run once ran once at most");
         let tries = self.tries_by_id();
         let mut runs: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-        self.runs()
-            .for_each(|(arrival, _)| runs.entry(&arrival.id).or_default().push(&arrival.life));
-        for (id, lives) in runs {
+        self.runs().for_each(|(arrival, _)| {
+            runs.entry(&arrival.id)
+                .or_default()
+                .push(&arrival.incarnation)
+        });
+        for (id, incarnations) in runs {
             if tries
                 .get(id)
                 .is_some_and(|one| !one.route.kind.repeatable())
             {
-                check.look(lives.len() == 1, || {
-                    format!("{id} ran at {}", lives.join(", "))
+                check.look(incarnations.len() == 1, || {
+                    format!("{id} ran at {}", incarnations.join(", "))
                 });
             }
         }
@@ -237,14 +240,18 @@
         for drain in self.drains {
             let latest = drain.acknowledged + self.drain;
             let late = |arrival: &&Arrival| {
-                arrival.life == drain.life && !arrival.foreign && arrival.at > latest
+                arrival.incarnation == drain.incarnation && !arrival.foreign && arrival.at > latest
             };
             let late: Vec<&Arrival> = self.arrivals.iter().filter(late).collect();
             check.look(late.is_empty(), || {
                 let after = late
                     .iter()
                     .map(|arrival| (arrival.at - drain.acknowledged).as_millis());
-                format!("{} after {:?} ms", drain.life, after.collect::<Vec<_>>())
+                format!(
+                    "{} after {:?} ms",
+                    drain.incarnation,
+                    after.collect::<Vec<_>>()
+                )
             });
         }
         check
--- a/crates/rookpulley-devcluster/src/main.rs
+++ b/crates/rookpulley-devcluster/src/main.rs
@@ -190,7 +190,7 @@
     for task in &depot.tasks {
         tell!(
             "depot: task {} at {}, {} slots",
-            task.life,
+            task.incarnation,
             task.address,
             task.slots
         );
--- a/crates/rookpulley-devcluster/src/record.rs
+++ b/crates/rookpulley-devcluster/src/record.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
     pub id: String,
-    pub life: String,
+    pub incarnation: String,
     pub service: &'static str,
     pub method: String,
     pub target: String,
@@ -40,7 +40,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Drain {
-    pub life: String,
+    pub incarnation: String,
     /// When the task had the acknowledgement in hand.
     pub acknowledged: Moment,
 }
@@ -49,7 +49,7 @@
     began: Instant,
     pub arrivals: RefCell<Vec<Arrival>>,
     pub drains: RefCell<Vec<Drain>>,
-    /// Lives that told of their leaving and got no answer.
+    /// Incarnations that told of their leaving and got no answer.
     pub unheard: RefCell<Vec<String>>,
 }
 
--- a/crates/rookpulley-devcluster/src/task.rs
+++ b/crates/rookpulley-devcluster/src/task.rs
@@ -44,7 +44,7 @@
 }
 
 pub struct Task {
-    pub life: String,
+    pub incarnation: String,
     pub service: &'static str,
     pub zone: &'static str,
     pub address: SocketAddrV4,
@@ -67,7 +67,7 @@
 
 impl Task {
     pub fn new(
-        life: String,
+        incarnation: String,
         service: &'static str,
         zone: &'static str,
         address: SocketAddrV4,
@@ -75,7 +75,7 @@
         record: Rc<Record>,
     ) -> Rc<Self> {
         Rc::new(Self {
-            life,
+            incarnation,
             service,
             zone,
             address,
@@ -110,7 +110,7 @@
         };
         let arrival = Arrival {
             id: String::from_utf8_lossy(id.as_bytes()).into_owned(),
-            life: self.life.clone(),
+            incarnation: self.incarnation.clone(),
             service: self.service,
             method: head.method.to_string(),
             target: head.uri.to_string(),
@@ -120,7 +120,7 @@
             foreign: head
                 .headers
                 .get(TARGET)
-                .is_some_and(|meant| meant.as_bytes() != self.life.as_bytes()),
+                .is_some_and(|meant| meant.as_bytes() != self.incarnation.as_bytes()),
         };
         let answer = if arrival.foreign {
             self.record.arrivals.borrow_mut().push(arrival);
@@ -161,7 +161,7 @@
         let large = arrival.target.starts_with("/fetch/");
         let line = format!(
             "{} by {} for {} {}\n",
-            arrival.id, self.life, arrival.method, arrival.target
+            arrival.id, self.incarnation, arrival.method, arrival.target
         );
         let body = if large {
             line.repeat(LARGE / line.len().max(1))
@@ -177,7 +177,7 @@
         };
         let done = Instant::now() + work;
         let status = if done <= until { 200 } else { 504 };
-        let signature = format!("{}.{:016x}", self.life, digest((&arrival.id, &body)));
+        let signature = format!("{}.{:016x}", self.incarnation, digest((&arrival.id, &body)));
         let given = Given {
             status,
             signature: signature.clone(),
@@ -197,8 +197,8 @@
     }
 
     fn signed_off(&self, mut answer: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
-        if let Ok(life) = HeaderValue::try_from(self.life.as_str()) {
-            answer.headers_mut().insert(INSTANCE, life);
+        if let Ok(incarnation) = HeaderValue::try_from(self.incarnation.as_str()) {
+            answer.headers_mut().insert(INSTANCE, incarnation);
         }
         answer
     }
--- a/crates/rookpulley-devcluster/src/tests.rs
+++ b/crates/rookpulley-devcluster/src/tests.rs
@@ -40,7 +40,7 @@
         let (signature, body) = (format!("sign-{number}"), u64::from(number) + 1_000);
         history.arrivals.push(Arrival {
             id: id.clone(),
-            life: format!("life-{service}"),
+            incarnation: format!("life-{service}"),
             service,
             method: method.into(),
             target: target.clone(),
@@ -72,7 +72,7 @@
         });
     }
     history.drains.push(Drain {
-        life: "life-elsewhere".into(),
+        incarnation: "life-elsewhere".into(),
         acknowledged: at(100),
     });
     history
@@ -117,7 +117,7 @@
     let cases: &[(&str, Spoil)] = &[
         ("ran once at most", |h| {
             h.arrivals.push(Arrival {
-                life: "other".into(),
+                incarnation: "other".into(),
                 ..h.arrivals[1].clone()
             })
         }),
@@ -153,7 +153,7 @@
         ("handled by its route", |h| h.arrivals[1].service = PARCELS),
         ("handled by its route", |h| h.tries[4].seen = seen(404)),
         ("too long after its drain", |h| {
-            h.drains[0].life = format!("life-{LETTERS}")
+            h.drains[0].incarnation = format!("life-{LETTERS}")
         }),
         ("within their budget", |h| {
             let again: Vec<Arrival> = h
--- a/crates/rookpulley-devcluster/src/trial.rs
+++ b/crates/rookpulley-devcluster/src/trial.rs
@@ -200,13 +200,13 @@
         return Ok(holds);
     };
     task.stage.send_replace(Stage::Draining);
-    say(depot, &format!("{} drains", task.life));
+    say(depot, &format!("{} drains", task.incarnation));
     let acknowledged = async || {
         record
             .drains
             .borrow()
             .iter()
-            .any(|drain| drain.life == task.life)
+            .any(|drain| drain.incarnation == task.incarnation)
     };
     depot
         .wait("an acknowledgement of the drain", acknowledged)
--- a/crates/rookpulley-protocol/src/messages.rs
+++ b/crates/rookpulley-protocol/src/messages.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// The id of one life of a task.
-pub type Life = String;
+/// The id of one incarnation of a task.
+pub type IncarnationId = String;
 
 /// What a proxy tells a controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -17,7 +17,7 @@
         home: bool,
         config: u64,
         tables: bool,
-        gone: Vec<Life>,
+        gone: Vec<IncarnationId>,
     },
     Home {
         home: bool,
@@ -57,7 +57,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskReport {
-    pub life: Life,
+    pub incarnation: IncarnationId,
     pub tries: u32,
     pub bad: u32,
     /// Over the good tries.
@@ -88,8 +88,8 @@
         mark: u64,
         lines: Vec<Line>,
     },
-    /// These lives drain or have ended: nothing new goes there from now on, whatever tables say.
-    Gone { lives: Vec<Life> },
+    /// These incarnations drain or have ended: nothing new goes there from now on, whatever tables say.
+    Gone { incarnations: Vec<IncarnationId> },
     /// To a controller without a disk, first: where this one is, its identity if it may found the first view, and
     /// whether it knows of a view.
     Place {
@@ -102,7 +102,7 @@
 /// A task in a table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    pub life: Life,
+    pub incarnation: IncarnationId,
     pub address: SocketAddrV4,
     pub zone: String,
     pub weight: f32,
--- a/crates/rookpulley-proxy-core/src/journey.rs
+++ b/crates/rookpulley-proxy-core/src/journey.rs
@@ -3,7 +3,7 @@
 use crate::Worth;
 use crate::satchel::Satchel;
 use rookpulley_balancer::{Fate, Next, Pick, Round};
-use rookpulley_protocol::{Life, Line};
+use rookpulley_protocol::{IncarnationId, Line};
 use rookpulley_routes::RouteKind;
 use std::rc::Rc;
 
@@ -127,12 +127,12 @@
         self.fleet().connections(way.max_connections)
     }
 
-    /// Whether a request may still leave for this life: it may have begun to drain while a connection came up.
-    pub fn may_leave(&self, life: &Life) -> bool {
-        !self.post.is_gone(life)
+    /// Whether a request may still leave for this incarnation: it may have begun to drain while a connection came up.
+    pub fn may_leave(&self, incarnation: &IncarnationId) -> bool {
+        !self.post.is_gone(incarnation)
     }
 
-    /// A try ended so; it began at `began_ms`. True where no connection to that life is to be used again.
+    /// A try ended so; it began at `began_ms`. True where no connection to that incarnation is to be used again.
     pub fn tried(&mut self, service: &str, pick: Pick, how: How, began_ms: f64, now: f64) -> bool {
         let fate = match how {
             How::Fate(fate) => fate,
@@ -147,7 +147,8 @@
             }
         };
         let took_ms = now - began_ms;
-        self.tally.tried(service, &pick.line.life, fate, took_ms);
+        self.tally
+            .tried(service, &pick.line.incarnation, fate, took_ms);
         if how == How::Stranger {
             self.post.stranger(pick, now);
             return true;
@@ -197,7 +198,7 @@
             let next = satchel.budget(service, |budget| self.round.no_task(now, budget));
             return Go::Tell(satchel.give_up(service, next));
         };
-        self.round.goes_to(&pick.line.life);
+        self.round.goes_to(&pick.line.incarnation);
         let patience_ms = self.round.patience_ms(now, self.way.aim_ms, pick.habit_ms);
         self.patient = patience_ms.is_none();
         Go::Try {
--- a/crates/rookpulley-proxy-core/src/satchel.rs
+++ b/crates/rookpulley-proxy-core/src/satchel.rs
@@ -3,7 +3,7 @@
 use crate::tally::Tally;
 use rookpulley_balancer::{Budget, ControllerSelection, Fleet, Move, Post};
 use rookpulley_protocol::frame::LONGEST;
-use rookpulley_protocol::{Down, Life, Up, unpack};
+use rookpulley_protocol::{Down, IncarnationId, Up, unpack};
 use rookpulley_routes::Book;
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -16,8 +16,8 @@
     Dial(Ipv4Addr),
     /// To a controller, on its line.
     Say(Ipv4Addr, Up),
-    /// No connection to this life is to be used again.
-    Forget(Life),
+    /// No connection to this incarnation is to be used again.
+    Forget(IncarnationId),
     Log(String),
     /// Something is wrong.
     Complain(String),
@@ -81,7 +81,7 @@
         self.book.as_ref().map_or(0, |book| book.version)
     }
 
-    /// Within a life the version only rises: an older configuration that comes late changes nothing.
+    /// Within an incarnation the version only rises: an older configuration that comes late changes nothing.
     pub fn take_book(&mut self, book: Book, edition: Vec<u8>) {
         if book.version > self.version() {
             self.edition = edition;
@@ -231,8 +231,8 @@
                 self.say(controller, Up::Took { mark });
             }
             Down::Table { .. } | Down::Place { .. } => {}
-            Down::Gone { lives } => {
-                let news = self.post.gone(lives, now);
+            Down::Gone { incarnations } => {
+                let news = self.post.gone(incarnations, now);
                 self.out.extend(news.into_iter().map(Effect::Forget));
             }
         }
--- a/crates/rookpulley-proxy-core/src/tally.rs
+++ b/crates/rookpulley-proxy-core/src/tally.rs
@@ -1,7 +1,7 @@
 //! What is counted for the home's next report.
 
 use rookpulley_balancer::Fate;
-use rookpulley_protocol::{Life, Report, ServiceReport, TaskReport};
+use rookpulley_protocol::{IncarnationId, Report, ServiceReport, TaskReport};
 use std::collections::HashMap;
 
 #[derive(Default)]
@@ -16,7 +16,7 @@
 struct OfService {
     came: u32,
     bad: u32,
-    tasks: HashMap<Life, OfTask>,
+    tasks: HashMap<IncarnationId, OfTask>,
 }
 
 #[derive(Default)]
@@ -35,8 +35,12 @@
         self.of(service).bad += 1;
     }
 
-    pub fn tried(&mut self, service: &str, life: &Life, fate: Fate, took_ms: f64) {
-        let task = self.of(service).tasks.entry(life.clone()).or_default();
+    pub fn tried(&mut self, service: &str, incarnation: &IncarnationId, fate: Fate, took_ms: f64) {
+        let task = self
+            .of(service)
+            .tasks
+            .entry(incarnation.clone())
+            .or_default();
         task.tries += 1;
         match fate {
             Fate::Answered(..500) => {
@@ -70,7 +74,7 @@
         let tasks = self
             .tasks
             .into_iter()
-            .map(|(life, of)| of.report(life))
+            .map(|(incarnation, of)| of.report(incarnation))
             .collect();
         ServiceReport {
             service,
@@ -82,14 +86,14 @@
 }
 
 impl OfTask {
-    fn report(self, life: Life) -> TaskReport {
+    fn report(self, incarnation: IncarnationId) -> TaskReport {
         let mean_ms = if self.good > 0 {
             (self.good_ms / f64::from(self.good)) as f32
         } else {
             0.0
         };
         TaskReport {
-            life,
+            incarnation,
             tries: self.tries,
             bad: self.bad,
             mean_ms,
--- a/crates/rookpulley-proxy/src/attempt.rs
+++ b/crates/rookpulley-proxy/src/attempt.rs
@@ -95,7 +95,10 @@
                 Err(NoWire::Unreachable) => return Ended::unsent(Some(parcel)),
             };
             // It may have begun to drain while the connection came up.
-            if !self.proxy.look(|satchel| satchel.may_leave(&to.life)) {
+            if !self
+                .proxy
+                .look(|satchel| satchel.may_leave(&to.incarnation))
+            {
                 return Ended {
                     parcel: Some(parcel),
                     ..Ended::so(How::Full)
@@ -133,7 +136,7 @@
 
     /// None where it couldn't be told to whom it goes.
     fn request(&self, to: &Line, parcel: Parcel) -> Option<Request<Parcel>> {
-        let life = HeaderValue::from_str(&to.life).ok()?;
+        let incarnation = HeaderValue::from_str(&to.incarnation).ok()?;
         // A body that comes in chunks goes on in chunks, whatever the method.
         let chunks = parcel.size_hint().exact().is_none();
         let mut request = Request::new(parcel);
@@ -144,7 +147,7 @@
         *headers = self.headers.clone();
         let left_ms = (self.way.until_ms - self.proxy.now_ms() - WAY_MS).max(1.0) as u64;
         headers.insert(&DEADLINE_MS, HeaderValue::from(left_ms));
-        headers.insert(&TARGET_INSTANCE, life);
+        headers.insert(&TARGET_INSTANCE, incarnation);
         if chunks {
             headers.insert(TRANSFER_ENCODING, HeaderValue::from_static("chunked"));
         }
@@ -265,12 +268,12 @@
 
     pub fn end(mut self, how: How) {
         let Some(pick) = self.pick.take() else { return };
-        let life = pick.line.life.clone();
+        let incarnation = pick.line.incarnation.clone();
         let left = self
             .proxy
             .with(|satchel, now| satchel.tried(&self.service, pick, how, self.began_ms, now));
         if left {
-            self.proxy.wires.forget(&life);
+            self.proxy.wires.forget(&incarnation);
         }
     }
 }
--- a/crates/rookpulley-proxy/src/state.rs
+++ b/crates/rookpulley-proxy/src/state.rs
@@ -86,7 +86,7 @@
         match effect {
             Effect::Dial(controller) => links::dial(self, controller),
             Effect::Say(controller, up) => links::say(self, controller, &up),
-            Effect::Forget(life) => self.wires.forget(&life),
+            Effect::Forget(incarnation) => self.wires.forget(&incarnation),
             Effect::Log(line) => tracing::info!("{line}"),
             Effect::Complain(line) => tracing::warn!("{line}"),
         }
--- a/crates/rookpulley-proxy/src/wires.rs
+++ b/crates/rookpulley-proxy/src/wires.rs
@@ -5,7 +5,7 @@
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper::header::{CONNECTION, HeaderMap, HeaderValue};
 use hyper_util::rt::TokioIo;
-use rookpulley_protocol::{Life, Line};
+use rookpulley_protocol::{IncarnationId, Line};
 use rookpulley_runtime::line;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -33,7 +33,7 @@
 const REST: Duration = Duration::from_millis(1);
 const LONGEST_REST: Duration = Duration::from_millis(10);
 
-/// Connections to one life of a task.
+/// Connections to one incarnation of a task.
 #[derive(Default)]
 struct Pool {
     open: Cell<usize>,
@@ -43,7 +43,7 @@
 
 pub struct Wires {
     zone: String,
-    pools: RefCell<HashMap<Life, Rc<Pool>>>,
+    pools: RefCell<HashMap<IncarnationId, Rc<Pool>>>,
     open: Rc<Cell<usize>>,
     most: usize,
 }
@@ -92,7 +92,7 @@
         let pool = self
             .pools
             .borrow_mut()
-            .entry(to.life.clone())
+            .entry(to.incarnation.clone())
             .or_default()
             .clone();
         while let Some(mut wire) = if anew { None } else { pool.pop(once) } {
@@ -172,9 +172,9 @@
         self.open.get() < self.most || pool.idle.borrow_mut().pop().is_some() || self.free_one()
     }
 
-    /// No request goes to this life any more.
-    pub fn forget(&self, life: &Life) {
-        let pool = self.pools.borrow_mut().remove(life);
+    /// No request goes to this incarnation any more.
+    pub fn forget(&self, incarnation: &IncarnationId) {
+        let pool = self.pools.borrow_mut().remove(incarnation);
         if let Some(pool) = pool {
             pool.forgotten.set(true);
             let idle = std::mem::take(&mut *pool.idle.borrow_mut());
--- a/crates/rookpulley-proxy/src/wires/tests.rs
+++ b/crates/rookpulley-proxy/src/wires/tests.rs
@@ -13,7 +13,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
-async fn task(life: &str) -> (TcpListener, Line) {
+async fn task(incarnation: &str) -> (TcpListener, Line) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
         unreachable!()
@@ -21,7 +21,7 @@
     (
         listener,
         Line {
-            life: life.into(),
+            incarnation: incarnation.into(),
             address,
             zone: "z".into(),
             weight: 1.0,
--- a/crates/rookpulley-proxy/tests/proxy/homes.rs
+++ b/crates/rookpulley-proxy/tests/proxy/homes.rs
@@ -80,7 +80,7 @@
     fn table(&self, service: &str, mark: u64) {
         let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
         let line = Line {
-            life: service.to_owned(),
+            incarnation: service.to_owned(),
             address,
             zone: "east".to_owned(),
             weight: 1.0,
--- a/crates/rookpulley-proxy/tests/proxy/rude.rs
+++ b/crates/rookpulley-proxy/tests/proxy/rude.rs
@@ -228,12 +228,12 @@
                 if deed.runs() {
                     tell.borrow_mut().push(id);
                 }
-                let life = got.header("target-instance").unwrap().to_owned();
+                let incarnation = got.header("target-instance").unwrap().to_owned();
                 deed.act(
                     got,
                     lasts
                         .borrow_mut()
-                        .entry((life, got.connection))
+                        .entry((incarnation, got.connection))
                         .or_default(),
                 )
             })
--- a/crates/rookpulley-proxy/tests/proxy/scene/mod.rs
+++ b/crates/rookpulley-proxy/tests/proxy/scene/mod.rs
@@ -223,22 +223,22 @@
         assert_eq!(self.took.recv().await, Some(self.mark));
     }
 
-    pub async fn gone(&mut self, life: &str) {
+    pub async fn gone(&mut self, incarnation: &str) {
         assert!(self.controller.send(&Down::Gone {
-            lives: vec![life.into()]
+            incarnations: vec![incarnation.into()]
         }));
         // What follows on the line is taken after it.
         self.table(Vec::new()).await;
     }
 
-    pub async fn task(&self, life: &str) -> Line {
+    pub async fn task(&self, incarnation: &str) -> Line {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
             unreachable!()
         };
         let (got, script) = (self.got.clone(), self.script.clone());
         let line = Line {
-            life: life.to_owned(),
+            incarnation: incarnation.to_owned(),
             address,
             zone: "east".to_owned(),
             weight: 1.0,
@@ -259,9 +259,9 @@
         let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
             unreachable!()
         };
-        let (life, zone) = ("by-hand".to_owned(), "east".to_owned());
+        let (incarnation, zone) = ("by-hand".to_owned(), "east".to_owned());
         self.table(vec![Line {
-            life,
+            incarnation,
             address,
             zone,
             weight: 1.0,
--- a/crates/rookpulley-registry/examples/pick_cost.rs
+++ b/crates/rookpulley-registry/examples/pick_cost.rs
@@ -81,7 +81,7 @@
         let place = self.born;
         self.born += 1;
         let beat = Beat {
-            life: format!("i-{place}"),
+            incarnation: format!("i-{place}"),
             service: "a".into(),
             address: format!(
                 "10.{}.{}.{}:80",
--- a/crates/rookpulley-registry/src/beat.rs
+++ b/crates/rookpulley-registry/src/beat.rs
@@ -1,7 +1,7 @@
 //! A task's beat, read from the body of its call.
 
 use rookpulley_diagnostics::{Bounds, Nesting, Unread, read};
-use rookpulley_protocol::Life;
+use rookpulley_protocol::IncarnationId;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -20,7 +20,7 @@
 /// What a task says of itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Beat {
-    pub life: Life,
+    pub incarnation: IncarnationId,
     pub service: String,
     pub address: SocketAddrV4,
     pub zone: String,
@@ -30,17 +30,17 @@
     pub draining: bool,
     /// How much longer it stays slow after its start.
     pub cold_ms: f64,
-    /// Goes up with each call of this life.
+    /// Goes up with each call of this incarnation.
     pub sequence: u64,
 }
 
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum BeatFault {
-    #[error("the path of the beat holds no id of a task's life")]
+    #[error("the path of the beat holds no id of a task's incarnation")]
     #[diagnostic(help(
         "write /rookpulley/instances/ID with 1 to {NAME_LONGEST} visible ASCII characters"
     ))]
-    Life,
+    IncarnationId,
     #[error("the body of the beat has {0} bytes")]
     #[diagnostic(help("write one JSON object of at most {LONGEST} bytes"))]
     Long(usize),
@@ -114,16 +114,17 @@
     }
 }
 
-/// Whether this can be the id of a life; it goes into a header.
-pub(crate) fn names_a_life(life: &str) -> bool {
-    (1..=NAME_LONGEST).contains(&life.len()) && life.bytes().all(|b| b.is_ascii_graphic())
+/// Whether this can be the id of an incarnation; it goes into a header.
+pub(crate) fn names_a_incarnation(incarnation: &str) -> bool {
+    (1..=NAME_LONGEST).contains(&incarnation.len())
+        && incarnation.bytes().all(|b| b.is_ascii_graphic())
 }
 
 impl Beat {
     /// Reads the body of a beat, its fields in their two parts or all at the top.
-    pub fn read(life: &str, body: &[u8]) -> Result<Self, BeatFault> {
-        if !names_a_life(life) {
-            return Err(BeatFault::Life);
+    pub fn read(incarnation: &str, body: &[u8]) -> Result<Self, BeatFault> {
+        if !names_a_incarnation(incarnation) {
+            return Err(BeatFault::IncarnationId);
         }
         let value = read(body, BOUNDS).map_err(|why| match why {
             Unread::Long => BeatFault::Long(body.len()),
@@ -154,7 +155,7 @@
             .and_then(|v| v.get::<f64>())
             .copied();
         Ok(Self {
-            life: life.into(),
+            incarnation: incarnation.into(),
             service: node.name("targetService", 1)?,
             address,
             zone: node.name("zone", 1)?,
--- a/crates/rookpulley-registry/src/drains.rs
+++ b/crates/rookpulley-registry/src/drains.rs
@@ -1,6 +1,6 @@
 //! Drains that are to be acknowledged, and who else knows of them.
 
-use rookpulley_protocol::Life;
+use rookpulley_protocol::IncarnationId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A confirmed drain is remembered so long.
@@ -16,8 +16,8 @@
 pub struct Drains {
     losses: usize,
     asked: BTreeMap<u64, Asked>,
-    /// Lives that others know to be draining, and since when.
-    known: BTreeMap<Life, f64>,
+    /// Incarnations that others know to be draining, and since when.
+    known: BTreeMap<IncarnationId, f64>,
 }
 
 impl Drains {
@@ -30,13 +30,13 @@
     }
 
     /// Once that is known elsewhere it need not be asked about again.
-    pub fn is_known(&self, life: &str) -> bool {
-        self.known.contains_key(life)
+    pub fn is_known(&self, incarnation: &str) -> bool {
+        self.known.contains_key(incarnation)
     }
 
-    pub fn known(&mut self, now: f64, life: Life) {
+    pub fn known(&mut self, now: f64, incarnation: IncarnationId) {
         self.known.retain(|_, at| now - *at < KNOWN_MS);
-        self.known.insert(life, now);
+        self.known.insert(incarnation, now);
     }
 
     /// The others, so many of them, are asked under this number; false where there is nobody to wait for.
--- a/crates/rookpulley-registry/src/hosted.rs
+++ b/crates/rookpulley-registry/src/hosted.rs
@@ -143,7 +143,7 @@
         usage[0] += f64::from(report.came);
         usage[1] += f64::from(report.bad);
         for task in &report.tasks {
-            let Some(server) = self.list.server_of(&task.life) else {
+            let Some(server) = self.list.server_of(&task.incarnation) else {
                 continue;
             };
             let (tries, bad) = (f64::from(task.tries), f64::from(task.bad.min(task.tries)));
--- a/crates/rookpulley-registry/src/lib.rs
+++ b/crates/rookpulley-registry/src/lib.rs
@@ -1,6 +1,6 @@
 //! Which tasks there are, and the tables that controllers cut from them. No sockets, files or clocks.
 //!
-//! `registry` keeps the lives of tasks by their `beat`s and by `news` of other controllers. `desk` hosts the module,
+//! `registry` keeps the incarnations of tasks by their `beat`s and by `news` of other controllers. `desk` hosts the module,
 //! one controller a service (`hosted`, `module`): `list` turns the registry into the module's list, `posted` holds
 //! what a proxy was sent.
 
--- a/crates/rookpulley-registry/src/list.rs
+++ b/crates/rookpulley-registry/src/list.rs
@@ -2,7 +2,7 @@
 
 use crate::registry::{Standing, Task};
 use rookpulley::facts::{Listed, ServerId, Stage, ZoneId};
-use rookpulley_protocol::{Life, Line};
+use rookpulley_protocol::{IncarnationId, Line};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
@@ -22,7 +22,7 @@
 /// A task as the registry has it now.
 #[derive(Clone, PartialEq)]
 pub struct Seen {
-    pub life: Life,
+    pub incarnation: IncarnationId,
     pub address: SocketAddrV4,
     pub zone: String,
     pub zone_id: ZoneId,
@@ -32,7 +32,7 @@
 
 /// What the module was told of a server.
 struct Told {
-    life: Life,
+    incarnation: IncarnationId,
     stage: Stage,
     weight: f64,
     zone: ZoneId,
@@ -67,8 +67,8 @@
 pub struct List {
     seen: BTreeMap<ServerId, (Seen, f64)>,
     told: BTreeMap<ServerId, Told>,
-    /// Where the lives are that the module was told of.
-    places: BTreeMap<Life, ServerId>,
+    /// Where the incarnations are that the module was told of.
+    places: BTreeMap<IncarnationId, ServerId>,
     mean_slots: f64,
 }
 
@@ -89,10 +89,11 @@
             let other = seen.get(&server_id(beat.address));
             let free = other.is_none_or(|(other, _)| other.standing == Standing::Draining);
             if standing != Standing::Displaced && free {
-                let (life, address, zone) = (beat.life.clone(), beat.address, beat.zone.clone());
+                let (incarnation, address, zone) =
+                    (beat.incarnation.clone(), beat.address, beat.zone.clone());
                 let warm_ms = heard_ms + beat.cold_ms;
                 let one = Seen {
-                    life,
+                    incarnation,
                     address,
                     zone,
                     zone_id,
@@ -141,7 +142,7 @@
             let seen = self
                 .seen
                 .get(server)
-                .filter(|(seen, _)| seen.life == told.life);
+                .filter(|(seen, _)| seen.incarnation == told.incarnation);
             let stage = match seen.map(|(seen, _)| seen.standing) {
                 Some(Standing::Live) => continue,
                 Some(Standing::Draining) => Stage::Draining,
@@ -184,31 +185,31 @@
             // Warm ones count as started at the latest when their coldness may just be over.
             let fresh_ms = fresh_ms.max(now - COLD_MS + EPOCH_MS);
             let started_ms = match self.told.get(server) {
-                Some(told) if told.life == seen.life => {
+                Some(told) if told.incarnation == seen.incarnation => {
                     if told.stage == Stage::Ready && told.weight == weight {
                         continue;
                     }
                     told.started_ms
                 }
-                // Another life at this place is a later start.
+                // Another incarnation at this place is a later start.
                 Some(told) => fresh_ms.max(told.started_ms + 1.0),
                 None => fresh_ms,
             };
             let told = Told {
-                life: seen.life.clone(),
+                incarnation: seen.incarnation.clone(),
                 stage: Stage::Ready,
                 weight,
                 zone,
                 started_ms,
             };
             lines.push(told.line(*server));
-            self.places.insert(seen.life.clone(), *server);
+            self.places.insert(seen.incarnation.clone(), *server);
             if let Some(before) = self
                 .told
                 .insert(*server, told)
-                .filter(|before| before.life != seen.life)
+                .filter(|before| before.incarnation != seen.incarnation)
             {
-                self.places.remove(&before.life);
+                self.places.remove(&before.incarnation);
             }
         }
         lines
@@ -219,13 +220,15 @@
         self.told
             .retain(|server, told| told.stage != Stage::Gone || knows(server));
         let told = &self.told;
-        self.places
-            .retain(|life, server| told.get(server).is_some_and(|t| t.life == *life));
+        self.places.retain(|incarnation, server| {
+            told.get(server)
+                .is_some_and(|t| t.incarnation == *incarnation)
+        });
     }
 
-    /// The place of a life that the module was told of.
-    pub fn server_of(&self, life: &str) -> Option<ServerId> {
-        self.places.get(life).copied()
+    /// The place of an incarnation that the module was told of.
+    pub fn server_of(&self, incarnation: &str) -> Option<ServerId> {
+        self.places.get(incarnation).copied()
     }
 
     /// A line as proxies read it, where it may be in a table.
@@ -235,8 +238,8 @@
             .get(server)
             .filter(|told| told.stage == Stage::Ready)?;
         let (seen, _) = self.seen.get(server)?;
-        (seen.life == told.life && seen.standing == Standing::Live).then(|| Line {
-            life: seen.life.clone(),
+        (seen.incarnation == told.incarnation && seen.standing == Standing::Live).then(|| Line {
+            incarnation: seen.incarnation.clone(),
             address: seen.address,
             zone: seen.zone.clone(),
             weight: weight as f32,
@@ -249,7 +252,7 @@
         let seen = self
             .seen
             .get(&server_id(line.address))
-            .filter(|(seen, _)| seen.life == line.life);
+            .filter(|(seen, _)| seen.incarnation == line.incarnation);
         match seen.map(|(seen, _)| seen.standing) {
             Some(Standing::Live) => Fate::Listed,
             Some(Standing::Silent) => Fate::Unheard,
--- a/crates/rookpulley-registry/src/news.rs
+++ b/crates/rookpulley-registry/src/news.rs
@@ -1,7 +1,7 @@
 //! What controllers tell each other of tasks.
 
 use crate::beat::Beat;
-use rookpulley_protocol::Life;
+use rookpulley_protocol::IncarnationId;
 use serde::{Deserialize, Serialize};
 
 /// Ages instead of times: controllers share no clock.
@@ -12,12 +12,12 @@
         age_ms: f64,
     },
     Gone {
-        life: Life,
+        incarnation: IncarnationId,
         age_ms: f64,
     },
-    /// Later beats of lives that are known, many at once.
+    /// Later beats of incarnations that are known, many at once.
     Heard {
-        lives: Vec<Still>,
+        incarnations: Vec<Still>,
     },
 }
 
@@ -26,16 +26,19 @@
     pub fn as_of_now(self) -> Self {
         match self {
             News::Beat { beat, .. } => News::Beat { beat, age_ms: 0.0 },
-            News::Gone { life, .. } => News::Gone { life, age_ms: 0.0 },
-            News::Heard { lives } => News::Heard { lives },
+            News::Gone { incarnation, .. } => News::Gone {
+                incarnation,
+                age_ms: 0.0,
+            },
+            News::Heard { incarnations } => News::Heard { incarnations },
         }
     }
 }
 
-/// A life that goes on beating.
+/// An incarnation that goes on beating.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Still {
-    pub life: Life,
+    pub incarnation: IncarnationId,
     pub sequence: u64,
     pub age_ms: f64,
 }
@@ -54,8 +57,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
     pub word: Word,
-    /// This life is to get nothing new from now on: all proxies must know before it is acknowledged.
-    pub newly_draining: Option<Life>,
+    /// This incarnation is to get nothing new from now on: all proxies must know before it is acknowledged.
+    pub newly_draining: Option<IncarnationId>,
 }
 
 impl Outcome {
--- a/crates/rookpulley-registry/src/registry.rs
+++ b/crates/rookpulley-registry/src/registry.rs
@@ -1,15 +1,15 @@
-//! The lives of tasks, as beats and other controllers tell of them.
+//! The incarnations of tasks, as beats and other controllers tell of them.
 //!
-//! What is kept of a life doesn't depend on the order in which its words came: the beat of the highest number, and
+//! What is kept of an incarnation doesn't depend on the order in which its words came: the beat of the highest number, and
 //! draining or ended once and for all. So controllers that have heard the same agree.
 
-use crate::beat::{Beat, names_a_life};
+use crate::beat::{Beat, names_a_incarnation};
 use crate::news::{News, Outcome, Still, Word};
-use rookpulley_protocol::Life;
+use rookpulley_protocol::IncarnationId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// A life that was not heard for so many heartbeats and this slack is silent.
+/// An incarnation that was not heard for so many heartbeats and this slack is silent.
 const SILENT_BEATS: f64 = 3.0;
 const SILENT_SLACK_MS: f64 = 500.0;
 /// After a start, or a pause of this process, so many heartbeats pass before silence means anything.
@@ -19,20 +19,20 @@
 /// Nobody turned the clock for so long: this process slept, and the tasks need not have been silent.
 const PAUSE_MS: f64 = 1_000.0;
 const REMEMBER_MS: f64 = 60_000.0;
-const LIVES_MOST: usize = 20_000;
+const INCARNATIONS_MOST: usize = 20_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
     Live,
     Silent,
     Draining,
-    /// A life heard of later has its address.
+    /// An incarnation heard of later has its address.
     Displaced,
     Ended,
     Unknown,
 }
 
-/// A life that has not ended.
+/// An incarnation that has not ended.
 #[derive(Clone, Copy)]
 pub struct Task<'a> {
     pub beat: &'a Beat,
@@ -54,10 +54,10 @@
     settled_ms: f64,
     ticked_ms: f64,
     touched_ms: f64,
-    lives: BTreeMap<Life, Known>,
+    incarnations: BTreeMap<IncarnationId, Known>,
     /// Those that said that they end, and when.
-    ended: BTreeMap<Life, f64>,
-    addresses: BTreeMap<SocketAddrV4, BTreeSet<Life>>,
+    ended: BTreeMap<IncarnationId, f64>,
+    addresses: BTreeMap<SocketAddrV4, BTreeSet<IncarnationId>>,
     version: u64,
 }
 
@@ -69,7 +69,7 @@
             settled_ms: start_ms + SETTLING_BEATS * heartbeat_ms,
             ticked_ms: start_ms,
             touched_ms: start_ms,
-            lives: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
             ended: BTreeMap::new(),
             addresses: BTreeMap::new(),
             version: 0,
@@ -93,7 +93,7 @@
         now - self.touched_ms <= UNTOUCHED_MS
     }
 
-    /// Another one each time that the standing or the facts of any life change.
+    /// Another one each time that the standing or the facts of any incarnation change.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -104,24 +104,30 @@
     }
 
     /// A task's own word that it ends.
-    pub fn leave(&mut self, now: f64, life: &str) -> Outcome {
-        self.end(now, now, life)
+    pub fn leave(&mut self, now: f64, incarnation: &str) -> Outcome {
+        self.end(now, now, incarnation)
     }
 
     /// What another controller says.
     pub fn take_news(&mut self, now: f64, news: &News) -> Outcome {
         match news {
             News::Beat { beat, age_ms } => self.take_beat(now, now - age_ms, beat.clone(), false),
-            News::Gone { life, age_ms } => self.end(now, now - age_ms, life),
-            News::Heard { lives } => {
+            News::Gone {
+                incarnation,
+                age_ms,
+            } => self.end(now, now - age_ms, incarnation),
+            News::Heard { incarnations } => {
                 let mut outcome = Outcome::LATE;
                 for Still {
-                    life,
+                    incarnation,
                     sequence,
                     age_ms,
-                } in lives
+                } in incarnations
                 {
-                    let Some(known) = self.lives.get(life).filter(|k| k.beat.sequence < *sequence)
+                    let Some(known) = self
+                        .incarnations
+                        .get(incarnation)
+                        .filter(|k| k.beat.sequence < *sequence)
                     else {
                         continue;
                     };
@@ -141,55 +147,57 @@
         }
     }
 
-    /// Lives that a proxy knows to be gone, from this or other controllers. Gives those that are news here.
-    pub fn take_gone(&mut self, now: f64, lives: &[Life]) -> Vec<Life> {
-        lives
+    /// Incarnations that a proxy knows to be gone, from this or other controllers. Gives those that are news here.
+    pub fn take_gone(&mut self, now: f64, incarnations: &[IncarnationId]) -> Vec<IncarnationId> {
+        incarnations
             .iter()
-            .filter_map(|life| self.end(now, now, life).newly_draining)
+            .filter_map(|incarnation| self.end(now, now, incarnation).newly_draining)
             .collect()
     }
 
     /// All that a controller has to know that has just come in touch.
     pub fn all_news(&self, now: f64) -> Vec<News> {
-        let beats = self.lives.values().map(|known| News::Beat {
+        let beats = self.incarnations.values().map(|known| News::Beat {
             beat: known.beat.clone(),
             age_ms: now - known.heard_ms,
         });
-        let gone = self.ended.iter().map(|(life, at)| News::Gone {
-            life: life.clone(),
+        let gone = self.ended.iter().map(|(incarnation, at)| News::Gone {
+            incarnation: incarnation.clone(),
             age_ms: now - at,
         });
         beats.chain(gone).collect()
     }
 
-    /// The lives that went on beating here since the last call.
+    /// The incarnations that went on beating here since the last call.
     pub fn fresh_news(&mut self, now: f64) -> Option<News> {
         let fresh = self
-            .lives
+            .incarnations
             .iter_mut()
-            .filter_map(|(life, known)| std::mem::take(&mut known.fresh).then_some((life, known)));
-        let lives: Vec<Still> = fresh
-            .map(|(life, known)| Still {
-                life: life.clone(),
+            .filter_map(|(incarnation, known)| {
+                std::mem::take(&mut known.fresh).then_some((incarnation, known))
+            });
+        let incarnations: Vec<Still> = fresh
+            .map(|(incarnation, known)| Still {
+                incarnation: incarnation.clone(),
                 sequence: known.beat.sequence,
                 age_ms: now - known.heard_ms,
             })
             .collect();
-        (!lives.is_empty()).then_some(News::Heard { lives })
+        (!incarnations.is_empty()).then_some(News::Heard { incarnations })
     }
 
-    /// Lives that drain or have ended: nothing new may go there.
-    pub fn gone_lives(&self) -> Vec<Life> {
+    /// Incarnations that drain or have ended: nothing new may go there.
+    pub fn gone_incarnations(&self) -> Vec<IncarnationId> {
         let draining = self
-            .lives
+            .incarnations
             .iter()
             .filter(|(_, known)| known.beat.draining)
-            .map(|(life, _)| life);
+            .map(|(incarnation, _)| incarnation);
         draining.chain(self.ended.keys()).cloned().collect()
     }
 
     /// Lets time pass. Gives those that have fallen silent.
-    pub fn tick(&mut self, now: f64) -> Vec<Life> {
+    pub fn tick(&mut self, now: f64) -> Vec<IncarnationId> {
         if now - self.ticked_ms > PAUSE_MS {
             self.settled_ms = self
                 .settled_ms
@@ -199,33 +207,36 @@
         let remember_ms = self.remember_ms;
         self.ended.retain(|_, at| now - *at < remember_ms);
         let old = self
-            .lives
+            .incarnations
             .iter()
             .filter(|(_, known)| now - known.heard_ms >= remember_ms);
-        for life in old.map(|(life, _)| life.clone()).collect::<Vec<_>>() {
-            self.drop_life(&life);
+        for incarnation in old
+            .map(|(incarnation, _)| incarnation.clone())
+            .collect::<Vec<_>>()
+        {
+            self.drop_incarnation(&incarnation);
         }
         let mut silent = Vec::new();
         if !self.settling(now) {
             let since = now - self.silent_ms();
-            for (life, known) in self
-                .lives
+            for (incarnation, known) in self
+                .incarnations
                 .iter_mut()
                 .filter(|(_, k)| !k.silent && k.heard_ms < since)
             {
                 known.silent = true;
-                silent.push(life.clone());
+                silent.push(incarnation.clone());
             }
         }
         self.version += u64::from(!silent.is_empty());
         silent
     }
 
-    /// All lives that have not ended.
+    /// All incarnations that have not ended.
     pub fn tasks(&self) -> impl Iterator<Item = Task<'_>> {
-        self.lives.iter().map(|(life, known)| Task {
+        self.incarnations.iter().map(|(incarnation, known)| Task {
             beat: &known.beat,
-            standing: self.standing_of(life, known),
+            standing: self.standing_of(incarnation, known),
             heard_ms: known.heard_ms,
         })
     }
@@ -233,37 +244,38 @@
     /// The tasks of a service that requests may go to.
     pub fn listed(&self, service: &str) -> impl Iterator<Item = &Beat> {
         let of_it = self
-            .lives
+            .incarnations
             .iter()
             .filter(move |(_, known)| known.beat.service == service);
-        let live = of_it.filter(|(life, known)| self.standing_of(life, known) == Standing::Live);
+        let live = of_it
+            .filter(|(incarnation, known)| self.standing_of(incarnation, known) == Standing::Live);
         live.map(|(_, known)| &known.beat)
     }
 
-    pub fn standing(&self, life: &str) -> Standing {
-        match self.lives.get(life) {
-            Some(known) => self.standing_of(life, known),
-            None if self.ended.contains_key(life) => Standing::Ended,
+    pub fn standing(&self, incarnation: &str) -> Standing {
+        match self.incarnations.get(incarnation) {
+            Some(known) => self.standing_of(incarnation, known),
+            None if self.ended.contains_key(incarnation) => Standing::Ended,
             None => Standing::Unknown,
         }
     }
 
-    fn standing_of(&self, life: &str, known: &Known) -> Standing {
+    fn standing_of(&self, incarnation: &str, known: &Known) -> Standing {
         if known.beat.draining {
             return Standing::Draining;
         }
-        // Of two lives at one address only the later one can be there. An earlier one that still beats gets
+        // Of two incarnations at one address only the later one can be there. An earlier one that still beats gets
         // it back, so a word that was long on its way shuts nobody out for good.
         let others = self
             .addresses
             .get(&known.beat.address)
             .into_iter()
             .flatten()
-            .filter(|o| *o != life);
-        let later = |other: &&Life| {
-            self.lives
+            .filter(|o| *o != incarnation);
+        let later = |other: &&IncarnationId| {
+            self.incarnations
                 .get(*other)
-                .is_some_and(|o| (o.heard_ms, other.as_str()) > (known.heard_ms, life))
+                .is_some_and(|o| (o.heard_ms, other.as_str()) > (known.heard_ms, incarnation))
         };
         match (others.clone().any(|other| later(&other)), known.silent) {
             (true, _) => Standing::Displaced,
@@ -277,12 +289,12 @@
     }
 
     fn take_beat(&mut self, now: f64, heard_ms: f64, beat: Beat, own: bool) -> Outcome {
-        if self.ended.contains_key(&beat.life) {
+        if self.ended.contains_key(&beat.incarnation) {
             return Outcome::LATE;
         }
         let silent = !self.settling(now) && now - heard_ms > self.silent_ms();
-        let life = beat.life.clone();
-        let Some(known) = self.lives.get_mut(&life) else {
+        let incarnation = beat.incarnation.clone();
+        let Some(known) = self.incarnations.get_mut(&incarnation) else {
             if now - heard_ms >= self.remember_ms || !self.make_room() {
                 return Outcome::LATE;
             }
@@ -290,9 +302,9 @@
             self.addresses
                 .entry(beat.address)
                 .or_default()
-                .insert(life.clone());
-            self.lives.insert(
-                life.clone(),
+                .insert(incarnation.clone());
+            self.incarnations.insert(
+                incarnation.clone(),
                 Known {
                     beat,
                     heard_ms,
@@ -300,7 +312,7 @@
                     fresh: false,
                 },
             );
-            return self.told(now, &life, true);
+            return self.told(now, &incarnation, true);
         };
         let newer = beat.sequence > known.beat.sequence;
         let drains = beat.draining && !known.beat.draining;
@@ -317,96 +329,99 @@
         known.beat.draining = draining;
         let moved = known.beat.address;
         if moved != address {
-            self.vacate(address, &life);
+            self.vacate(address, &incarnation);
             self.addresses
                 .entry(moved)
                 .or_default()
-                .insert(life.clone());
+                .insert(incarnation.clone());
         }
         let contested = self
             .addresses
             .get(&moved)
-            .is_some_and(|lives| lives.len() > 1);
+            .is_some_and(|incarnations| incarnations.len() > 1);
         self.version += u64::from(told_anew || contested);
         if told_anew {
-            self.told(now, &life, drains)
+            self.told(now, &incarnation, drains)
         } else {
             Outcome::LATER
         }
     }
 
-    /// What the others must know of a life at once; `first`: of its draining, too.
-    fn told(&self, now: f64, life: &Life, first: bool) -> Outcome {
-        let Some(known) = self.lives.get(life) else {
+    /// What the others must know of an incarnation at once; `first`: of its draining, too.
+    fn told(&self, now: f64, incarnation: &IncarnationId, first: bool) -> Outcome {
+        let Some(known) = self.incarnations.get(incarnation) else {
             return Outcome::LATE;
         };
         let news = News::Beat {
             beat: known.beat.clone(),
             age_ms: now - known.heard_ms,
         };
-        let newly_draining = (first && known.beat.draining).then(|| life.clone());
+        let newly_draining = (first && known.beat.draining).then(|| incarnation.clone());
         Outcome {
             word: Word::Now(news),
             newly_draining,
         }
     }
 
-    /// A life that was never heard of may end, too: its beats may still be on their way.
-    fn end(&mut self, now: f64, at_ms: f64, life: &str) -> Outcome {
-        let old = now - at_ms >= self.remember_ms && !self.lives.contains_key(life);
-        if self.ended.contains_key(life) || old || !names_a_life(life) {
+    /// An incarnation that was never heard of may end, too: its beats may still be on their way.
+    fn end(&mut self, now: f64, at_ms: f64, incarnation: &str) -> Outcome {
+        let old = now - at_ms >= self.remember_ms && !self.incarnations.contains_key(incarnation);
+        if self.ended.contains_key(incarnation) || old || !names_a_incarnation(incarnation) {
             return Outcome::LATE;
         }
         let drained = self
-            .lives
-            .get(life)
+            .incarnations
+            .get(incarnation)
             .is_some_and(|known| known.beat.draining);
-        self.drop_life(life);
-        if self.ended.len() >= LIVES_MOST {
+        self.drop_incarnation(incarnation);
+        if self.ended.len() >= INCARNATIONS_MOST {
             let oldest = self
                 .ended
                 .iter()
                 .min_by(|a, b| a.1.total_cmp(b.1))
-                .map(|(life, _)| life.clone());
-            oldest.and_then(|life| self.ended.remove(&life));
+                .map(|(incarnation, _)| incarnation.clone());
+            oldest.and_then(|incarnation| self.ended.remove(&incarnation));
         }
-        self.ended.insert(life.into(), at_ms);
+        self.ended.insert(incarnation.into(), at_ms);
         self.version += 1;
         let word = Word::Now(News::Gone {
-            life: life.into(),
+            incarnation: incarnation.into(),
             age_ms: now - at_ms,
         });
         Outcome {
             word,
-            newly_draining: (!drained).then(|| life.into()),
+            newly_draining: (!drained).then(|| incarnation.into()),
         }
     }
 
-    fn drop_life(&mut self, life: &str) {
-        if let Some(known) = self.lives.remove(life) {
+    fn drop_incarnation(&mut self, incarnation: &str) {
+        if let Some(known) = self.incarnations.remove(incarnation) {
             self.version += 1;
-            self.vacate(known.beat.address, life);
+            self.vacate(known.beat.address, incarnation);
         }
     }
 
-    fn vacate(&mut self, address: SocketAddrV4, life: &str) {
-        if let Some(lives) = self.addresses.get_mut(&address) {
-            lives.remove(life);
-            if lives.is_empty() {
+    fn vacate(&mut self, address: SocketAddrV4, incarnation: &str) {
+        if let Some(incarnations) = self.addresses.get_mut(&address) {
+            incarnations.remove(incarnation);
+            if incarnations.is_empty() {
                 self.addresses.remove(&address);
             }
         }
     }
 
-    /// Where there are too many lives the one that has been silent longest makes room.
+    /// Where there are too many incarnations the one that has been silent longest makes room.
     fn make_room(&mut self) -> bool {
-        if self.lives.len() < LIVES_MOST {
+        if self.incarnations.len() < INCARNATIONS_MOST {
             return true;
         }
-        let silent = self.lives.iter().filter(|(_, known)| known.silent);
+        let silent = self.incarnations.iter().filter(|(_, known)| known.silent);
         let oldest = silent.min_by(|a, b| a.1.heard_ms.total_cmp(&b.1.heard_ms));
-        let oldest = oldest.map(|(life, _)| life.clone());
-        oldest.as_ref().map(|life| self.drop_life(life)).is_some()
+        let oldest = oldest.map(|(incarnation, _)| incarnation.clone());
+        oldest
+            .as_ref()
+            .map(|incarnation| self.drop_incarnation(incarnation))
+            .is_some()
     }
 }
 
--- a/crates/rookpulley-registry/tests/desk.rs
+++ b/crates/rookpulley-registry/tests/desk.rs
@@ -29,7 +29,7 @@
     tasks: Vec<Task>,
     proxies: BTreeSet<String>,
     held: BTreeMap<(String, String), Held>,
-    lives: usize,
+    incarnations: usize,
     log: Vec<String>,
 }
 
@@ -49,21 +49,21 @@
             tasks: Vec::new(),
             proxies: BTreeSet::new(),
             held: BTreeMap::new(),
-            lives: 0,
+            incarnations: 0,
             log: Vec::new(),
         }
     }
 
     fn start(&mut self, service: &str, place: usize, cold_ms: f64) -> String {
-        self.lives += 1;
-        let life = format!("i-{}", self.lives);
+        self.incarnations += 1;
+        let incarnation = format!("i-{}", self.incarnations);
         let address = format!("10.0.{}.{}:80", place / 200, place % 200 + 1)
             .parse()
             .unwrap();
-        // A new life at a place means that the one before has ended.
+        // A new incarnation at a place means that the one before has ended.
         self.tasks.retain(|task| task.beat.address != address);
         let beat = Beat {
-            life: life.clone(),
+            incarnation: incarnation.clone(),
             service: service.into(),
             address,
             zone: format!("z{}", place % 3),
@@ -77,11 +77,15 @@
             beat,
             due_ms: self.now,
         });
-        life
+        incarnation
     }
 
-    fn drain(&mut self, life: &str) {
-        for task in self.tasks.iter_mut().filter(|task| task.beat.life == life) {
+    fn drain(&mut self, incarnation: &str) {
+        for task in self
+            .tasks
+            .iter_mut()
+            .filter(|task| task.beat.incarnation == incarnation)
+        {
             (task.beat.draining, task.due_ms) = (true, self.now);
         }
     }
@@ -139,7 +143,7 @@
 
     fn gone(&self, line: &Line) -> bool {
         !matches!(
-            self.registry.standing(&line.life),
+            self.registry.standing(&line.incarnation),
             Standing::Live | Standing::Silent
         )
     }
@@ -152,17 +156,17 @@
         let live: BTreeMap<_, _> = self
             .registry
             .listed(service)
-            .map(|b| (&b.life, b.address))
+            .map(|b| (&b.incarnation, b.address))
             .collect();
-        let named: BTreeSet<_> = lines.iter().map(|line| &line.life).collect();
+        let named: BTreeSet<_> = lines.iter().map(|line| &line.incarnation).collect();
         assert_eq!(named.len(), lines.len());
-        let before = self.lives_held(proxy, service);
+        let before = self.incarnations_held(proxy, service);
         for line in lines {
             // One that is merely silent may stay where there is nothing better, and is never new.
-            let silent = self.registry.standing(&line.life) == Standing::Silent;
-            let kept = silent && before.contains(&line.life);
+            let silent = self.registry.standing(&line.incarnation) == Standing::Silent;
+            let kept = silent && before.contains(&line.incarnation);
             assert!(
-                live.get(&line.life) == Some(&line.address) || kept,
+                live.get(&line.incarnation) == Some(&line.address) || kept,
                 "{line:?} is not live"
             );
             assert!(line.weight > 0.0);
@@ -200,9 +204,9 @@
         for ((proxy, service), held) in &self.held {
             let mean_ms = 20.0;
             let task = |l: &Line| TaskReport {
-                life: l.life.clone(),
+                incarnation: l.incarnation.clone(),
                 tries,
-                bad: bad(&l.life),
+                bad: bad(&l.incarnation),
                 mean_ms,
             };
             let tasks: Vec<_> = held.lines.iter().map(task).collect();
@@ -223,11 +227,11 @@
         }
     }
 
-    fn lives_held(&self, proxy: &str, service: &str) -> BTreeSet<String> {
+    fn incarnations_held(&self, proxy: &str, service: &str) -> BTreeSet<String> {
         let held = self.held.get(&(proxy.into(), service.into()));
         held.into_iter()
             .flat_map(|h| &h.lines)
-            .map(|line| line.life.clone())
+            .map(|line| line.incarnation.clone())
             .collect()
     }
 
@@ -245,12 +249,12 @@
                 self.start(service, place, cold_ms);
             }
             (3, Some(at)) => {
-                let life = self.tasks[at].beat.life.clone();
-                self.drain(&life);
+                let incarnation = self.tasks[at].beat.incarnation.clone();
+                self.drain(&incarnation);
             }
             (4, Some(at)) => {
                 let task = self.tasks.swap_remove(at);
-                self.registry.leave(self.now, &task.beat.life);
+                self.registry.leave(self.now, &task.beat.incarnation);
             }
             // Its beats stop for a while, or for good.
             (5, Some(at)) => {
@@ -299,12 +303,12 @@
             let live: BTreeSet<String> = world
                 .registry
                 .listed(service)
-                .map(|b| b.life.clone())
+                .map(|b| b.incarnation.clone())
                 .collect();
             let held: BTreeSet<String> = world
                 .proxies
                 .iter()
-                .flat_map(|proxy| world.lives_held(proxy, service))
+                .flat_map(|proxy| world.incarnations_held(proxy, service))
                 .collect();
             assert!(
                 live.is_subset(&held),
@@ -328,7 +332,7 @@
             assert!((least..=110).contains(&count), "{count} lines of {tasks}");
             held.lines
                 .iter()
-                .for_each(|line| *reach.entry(line.life.clone()).or_default() += 1);
+                .for_each(|line| *reach.entry(line.incarnation.clone()).or_default() += 1);
         }
         assert_eq!((world.held.len(), reach.len()), (proxies, tasks));
         let mean = reach.values().sum::<usize>() / tasks;
@@ -410,7 +414,7 @@
         world.steps(140);
         let mut reach = BTreeMap::<String, usize>::new();
         let lines = world.held.values().flat_map(|held| &held.lines);
-        lines.for_each(|line| *reach.entry(line.life.clone()).or_default() += 1);
+        lines.for_each(|line| *reach.entry(line.incarnation.clone()).or_default() += 1);
         let mean = reach.values().sum::<usize>() / tasks;
         assert_eq!(reach.len(), tasks, "{reach:?}");
         assert!(
@@ -425,20 +429,20 @@
 #[test]
 fn a_table_that_fails_is_tainted_and_the_one_before_comes_back_without_what_drains() {
     let mut world = World::new(&["a"], 130);
-    let lives: Vec<String> = (0..4).map(|place| world.start("a", place, 0.0)).collect();
+    let incarnations: Vec<String> = (0..4).map(|place| world.start("a", place, 0.0)).collect();
     world.proxy_in("c0");
     for _ in 0..10 {
         world.report(20, 0);
         world.steps(10);
     }
-    assert_eq!(world.lives_held("c0", "a").len(), 4);
+    assert_eq!(world.incarnations_held("c0", "a").len(), 4);
     let before = world.desk.shown()[0].name;
     let new = world.start("a", 4, 0.0);
-    world.drain(&lives[0]);
+    world.drain(&incarnations[0]);
     world.steps(15);
-    let held = world.lives_held("c0", "a");
+    let held = world.incarnations_held("c0", "a");
     assert!(
-        held.contains(&new) && !held.contains(&lives[0]) && held.len() == 4,
+        held.contains(&new) && !held.contains(&incarnations[0]) && held.len() == 4,
         "{held:?}"
     );
     assert_ne!(world.desk.shown()[0].name, before);
@@ -446,10 +450,10 @@
         world.report(20, 3);
         world.steps(10);
     }
-    let held = world.lives_held("c0", "a");
+    let held = world.incarnations_held("c0", "a");
     assert_eq!(
         held.iter().collect::<Vec<_>>(),
-        [&lives[1], &lives[2], &lives[3]],
+        [&incarnations[1], &incarnations[2], &incarnations[3]],
         "{:?}",
         world.log
     );
@@ -466,32 +470,38 @@
 #[test]
 fn revisions_that_follow_each_other_faster_than_any_is_judged_are_tainted_together() {
     let mut world = World::new(&["a"], 130);
-    let lives: Vec<String> = (0..12).map(|place| world.start("a", place, 0.0)).collect();
+    let incarnations: Vec<String> = (0..12).map(|place| world.start("a", place, 0.0)).collect();
     world.proxy_in("c0");
     for _ in 0..10 {
         world.report(20, 0);
         world.steps(10);
     }
     let mut bad = BTreeSet::new();
-    for (place, oldest) in lives.iter().enumerate().take(3) {
+    for (place, oldest) in incarnations.iter().enumerate().take(3) {
         bad.insert(world.start("a", 12 + place, 0.0));
         world.drain(oldest);
         world.steps(10);
-        world.report_of(20, |life| if bad.contains(life) { 8 } else { 0 });
+        world.report_of(
+            20,
+            |incarnation| if bad.contains(incarnation) { 8 } else { 0 },
+        );
     }
-    let released = world.lives_held("c0", "a");
+    let released = world.incarnations_held("c0", "a");
     assert!(
         bad.is_subset(&released) && released.len() == 12,
         "{released:?}"
     );
     for _ in 0..4 {
         world.steps(10);
-        world.report_of(20, |life| if bad.contains(life) { 8 } else { 0 });
+        world.report_of(
+            20,
+            |incarnation| if bad.contains(incarnation) { 8 } else { 0 },
+        );
     }
-    let held = world.lives_held("c0", "a");
+    let held = world.incarnations_held("c0", "a");
     assert_eq!(
         held,
-        lives[3..].iter().cloned().collect(),
+        incarnations[3..].iter().cloned().collect(),
         "{:?}",
         world.log
     );
@@ -513,23 +523,23 @@
     world.proxies.insert("old".into());
     world.proxy_in("new");
     world.steps(25);
-    assert_eq!(world.lives_held("new", "a").len(), 1);
-    assert_eq!(world.lives_held("old", "a").len(), 0);
+    assert_eq!(world.incarnations_held("new", "a").len(), 1);
+    assert_eq!(world.incarnations_held("old", "a").len(), 0);
     world.steps(10);
-    assert_eq!(world.lives_held("old", "a").len(), 1);
+    assert_eq!(world.incarnations_held("old", "a").len(), 1);
 }
 
 #[test]
 fn the_last_known_tasks_stay_while_they_are_merely_silent() {
     let mut world = World::new(&["a"], 130);
-    let life = world.start("a", 0, 0.0);
+    let incarnation = world.start("a", 0, 0.0);
     world.proxy_in("c0");
     world.steps(40);
     world.tasks.clear();
     world.steps(100);
-    assert_eq!(world.registry.standing(&life), Standing::Silent);
-    assert_eq!(world.lives_held("c0", "a").len(), 1);
-    world.registry.leave(world.now, &life);
+    assert_eq!(world.registry.standing(&incarnation), Standing::Silent);
+    assert_eq!(world.incarnations_held("c0", "a").len(), 1);
+    world.registry.leave(world.now, &incarnation);
     world.step();
-    assert_eq!(world.lives_held("c0", "a").len(), 0);
+    assert_eq!(world.incarnations_held("c0", "a").len(), 0);
 }
--- a/crates/rookpulley-registry/tests/registry.rs
+++ b/crates/rookpulley-registry/tests/registry.rs
@@ -6,14 +6,20 @@
 
 const HEARTBEAT_MS: f64 = 1_500.0;
 const CONTROLLERS: usize = 3;
-const LIVES: usize = 8;
+const INCARNATIONS: usize = 8;
 
-fn beat(life: usize, sequence: u64, draining: bool) -> Beat {
-    // Two lives share each address, and some of these pairs are of different services.
-    let address = format!("10.0.0.{}:80", life / 2 + 1).parse().unwrap();
-    let service = if life.is_multiple_of(3) { "a" } else { "b" };
+fn beat(incarnation: usize, sequence: u64, draining: bool) -> Beat {
+    // Two incarnations share each address, and some of these pairs are of different services.
+    let address = format!("10.0.0.{}:80", incarnation / 2 + 1)
+        .parse()
+        .unwrap();
+    let service = if incarnation.is_multiple_of(3) {
+        "a"
+    } else {
+        "b"
+    };
     Beat {
-        life: format!("i-{life}"),
+        incarnation: format!("i-{incarnation}"),
         service: service.into(),
         address,
         zone: "z".into(),
@@ -27,14 +33,16 @@
 
 fn listed(registry: &Registry) -> BTreeSet<String> {
     let both = registry.listed("a").chain(registry.listed("b"));
-    both.map(|beat| beat.life.clone()).collect()
+    both.map(|beat| beat.incarnation.clone()).collect()
 }
 
 fn aged(news: &News, by_ms: f64) -> News {
     let mut news = news.clone();
     match &mut news {
         News::Beat { age_ms, .. } | News::Gone { age_ms, .. } => *age_ms += by_ms,
-        News::Heard { lives } => lives.iter_mut().for_each(|still| still.age_ms += by_ms),
+        News::Heard { incarnations } => incarnations
+            .iter_mut()
+            .for_each(|still| still.age_ms += by_ms),
     }
     news
 }
@@ -49,7 +57,7 @@
     now: f64,
     controllers: Vec<Registry>,
     on_the_way: Vec<(usize, Way)>,
-    /// By controller, the lives that it has been told drain or are gone.
+    /// By controller, the incarnations that it has been told drain or are gone.
     gone: Vec<BTreeSet<String>>,
 }
 
@@ -58,24 +66,24 @@
         let (to, way) = self.on_the_way.swap_remove(at);
         let (now, controller) = (self.now, &mut self.controllers[to]);
         let (
-            life,
+            incarnation,
             Outcome {
                 word,
                 newly_draining,
             },
         ) = match way {
             Way::Beat(beat) => {
-                let gone = beat.draining.then(|| beat.life.clone());
+                let gone = beat.draining.then(|| beat.incarnation.clone());
                 (gone, controller.beat(now, beat))
             }
-            Way::Leave(life) => {
-                let outcome = controller.leave(now, &life);
-                (Some(life), outcome)
+            Way::Leave(incarnation) => {
+                let outcome = controller.leave(now, &incarnation);
+                (Some(incarnation), outcome)
             }
             Way::News(news, sent_ms) => {
                 let gone = match &news {
-                    News::Beat { beat, .. } => beat.draining.then(|| beat.life.clone()),
-                    News::Gone { life, .. } => Some(life.clone()),
+                    News::Beat { beat, .. } => beat.draining.then(|| beat.incarnation.clone()),
+                    News::Gone { incarnation, .. } => Some(incarnation.clone()),
                     News::Heard { .. } => None,
                 };
                 (gone, controller.take_news(now, &aged(&news, now - sent_ms)))
@@ -83,7 +91,7 @@
         };
         assert_eq!(
             newly_draining.is_some(),
-            life.is_some_and(|life| self.gone[to].insert(life))
+            incarnation.is_some_and(|incarnation| self.gone[to].insert(incarnation))
         );
         if let Word::Now(news) = word {
             self.spread(to, &news);
@@ -103,7 +111,7 @@
                 listed.is_disjoint(gone),
                 "a gone life is listed: {listed:?}, {gone:?}"
             );
-            let kept: BTreeSet<String> = controller.gone_lives().into_iter().collect();
+            let kept: BTreeSet<String> = controller.gone_incarnations().into_iter().collect();
             assert_eq!(kept, *gone);
             let places = controller
                 .listed("a")
@@ -112,7 +120,7 @@
             assert_eq!(
                 places.collect::<BTreeSet<_>>().len(),
                 listed.len(),
-                "one address, two lives"
+                "one address, two incarnations"
             );
         }
     }
@@ -124,7 +132,7 @@
 }
 
 #[test]
-fn controllers_that_heard_the_same_in_any_order_agree_and_list_no_gone_life() {
+fn controllers_that_heard_the_same_in_any_order_agree_and_list_no_gone_incarnation() {
     plays_of(300, longer, |u| {
         let controllers = (0..CONTROLLERS)
             .map(|_| Registry::new(0.0, HEARTBEAT_MS, 2_500.0))
@@ -136,25 +144,30 @@
             on_the_way: Vec::new(),
             gone,
         };
-        let (mut sequence, mut draining) = ([0; LIVES], [false; LIVES]);
+        let (mut sequence, mut draining) = ([0; INCARNATIONS], [false; INCARNATIONS]);
         for _ in 0..u.int_in_range(10..=120)? {
             world.now += f64::from(u.int_in_range(1..=400)?);
-            let life = u.choose_index(LIVES)?;
+            let incarnation = u.choose_index(INCARNATIONS)?;
             let to = u.choose_index(CONTROLLERS)?;
             match u.int_in_range(0..=9)? {
-                0 => draining[life] = true,
-                1 if sequence[life] > 0 => {
-                    world.on_the_way.push((to, Way::Leave(format!("i-{life}"))))
-                }
+                0 => draining[incarnation] = true,
+                1 if sequence[incarnation] > 0 => world
+                    .on_the_way
+                    .push((to, Way::Leave(format!("i-{incarnation}")))),
                 2 => {
                     let news = world.controllers[to].fresh_news(world.now);
                     news.iter().for_each(|news| world.spread(to, news));
                 }
                 3..=5 => {
-                    sequence[life] += 1;
-                    world
-                        .on_the_way
-                        .push((to, Way::Beat(beat(life, sequence[life], draining[life]))));
+                    sequence[incarnation] += 1;
+                    world.on_the_way.push((
+                        to,
+                        Way::Beat(beat(
+                            incarnation,
+                            sequence[incarnation],
+                            draining[incarnation],
+                        )),
+                    ));
                 }
                 _ if !world.on_the_way.is_empty() => {
                     let at = u.choose_index(world.on_the_way.len())?;
@@ -197,7 +210,7 @@
 }
 
 #[test]
-fn a_silent_life_leaves_and_comes_back_and_nobody_is_silent_to_one_that_settles_or_slept() {
+fn a_silent_incarnation_leaves_and_comes_back_and_nobody_is_silent_to_one_that_settles_or_slept() {
     let mut controller = Registry::new(0.0, HEARTBEAT_MS, 2_500.0);
     let old = News::Beat {
         beat: beat(1, 1, false),
--- a/crates/rookpulley-simulator/src/callers.rs
+++ b/crates/rookpulley-simulator/src/callers.rs
@@ -10,7 +10,7 @@
 pub enum Who {
     Beat {
         task: usize,
-        life: u64,
+        incarnation: u64,
         draining: bool,
         leaving: bool,
     },
@@ -232,11 +232,17 @@
         match call.who.clone() {
             Who::Beat {
                 task,
-                life,
+                incarnation,
                 draining,
                 leaving,
             } => {
-                self.beat_ended(task, life, (draining, leaving), &call, reply.as_ref());
+                self.beat_ended(
+                    task,
+                    incarnation,
+                    (draining, leaving),
+                    &call,
+                    reply.as_ref(),
+                );
             }
             Who::Operator(put) => self.put_ended(put, &call, reply.as_ref()),
             Who::ReadBack => self.read_back_ended(&call, reply.as_ref()),
--- a/crates/rookpulley-simulator/src/clients.rs
+++ b/crates/rookpulley-simulator/src/clients.rs
@@ -113,7 +113,7 @@
             path,
             kind: route.kind,
             machine: 0,
-            process_life: 0,
+            process_incarnation: 0,
             sent_us: 0,
             deadline,
             until: self.now + deadline,
@@ -145,7 +145,7 @@
         let from = Host::Outside(zone);
         let to = Host::Machine(machine);
         if let Some(address) = self.address(process) {
-            self.record.tries[index].process_life = address.1;
+            self.record.tries[index].process_incarnation = address.1;
             let us = 2 * self.delay(from, to);
             self.after(us, Some(address), What::Request(index));
             // A repeatable one that isn't read is given up after a while.
@@ -197,12 +197,13 @@
         if of.ended.is_some() || (self.now < of.sent_us + of.deadline && of.read_us.is_some()) {
             return;
         }
-        let (machine, life, read) = (of.machine, of.process_life, of.read_us.is_some());
+        let (machine, incarnation, read) =
+            (of.machine, of.process_incarnation, of.read_us.is_some());
         let process = self.process_of(machine, false);
         let zone = of.zone;
         self.ends(index, if read { Ended::Late } else { Ended::GivenUp });
         let us = self.delay(Host::Outside(zone), Host::Machine(machine));
-        self.after(us, Some((process, life)), What::ClientClosed(index));
+        self.after(us, Some((process, incarnation)), What::ClientClosed(index));
     }
 
     pub fn client_hears(&mut self, index: usize, told: Told) {
--- a/crates/rookpulley-simulator/src/controllers.rs
+++ b/crates/rookpulley-simulator/src/controllers.rs
@@ -67,7 +67,7 @@
         if self.running(process) {
             return;
         }
-        let (life, mint): (u64, u64) = (self.rng.random(), self.rng.random());
+        let (incarnation, mint): (u64, u64) = (self.rng.random(), self.rng.random());
         let seeds = self.seeds();
         let at = &mut self.machines[machine];
         let torn = at.disk.identity.is_some() && !Kept::read(at.disk.chain.clone()).sound();
@@ -82,7 +82,7 @@
         let start = Start {
             me: Member {
                 id: identity,
-                life,
+                incarnation,
                 address: SocketAddrV4::new(at.ip, 7_721),
             },
             seeds,
@@ -92,7 +92,7 @@
             zone: at.zone.to_string(),
             founding: at.disk.founding.clone(),
             held: (!fresh).then(|| at.disk.chain.clone().into_iter().collect()),
-            lives: at.disk.lives.clone().into_iter().collect(),
+            incarnations: at.disk.incarnations.clone().into_iter().collect(),
         };
         if torn {
             self.say(|| format!("controller {machine}: its disk is torn"));
@@ -285,18 +285,18 @@
                 if let Some(synced) = synced.filter(|_| !lies) {
                     let took_ms = synced.took as f64 / 1e3;
                     self.with_controller(process, |controller, now| {
-                        controller.stored(now, synced.chain, synced.lives, took_ms);
+                        controller.stored(now, synced.chain, synced.incarnations, took_ms);
                     });
                 }
             }
             What::Lied { of_chain, ticket } => {
-                let (chain, lives) = if of_chain {
+                let (chain, incarnations) = if of_chain {
                     (Some(ticket), None)
                 } else {
                     (None, Some(ticket))
                 };
                 self.with_controller(process, |controller, now| {
-                    controller.stored(now, chain, lives, 1.0)
+                    controller.stored(now, chain, incarnations, 1.0)
                 });
             }
             What::Call { call, attempt } => self.controller_called(process, call, attempt),
--- a/crates/rookpulley-simulator/src/judge/requests.rs
+++ b/crates/rookpulley-simulator/src/judge/requests.rs
@@ -66,7 +66,7 @@
                         let status = run.map_or(0, |run| run.status);
                         format!(
                             "{} from {} ms on, its answer {status}",
-                            arrival.life,
+                            arrival.incarnation,
                             arrival.at / MS
                         )
                     })
@@ -77,9 +77,9 @@
             }
             let status = try_.status();
             if once && PROMISES.contains(&status) && !ran.is_empty() {
-                let life = &ran[0].life;
+                let incarnation = &ran[0].incarnation;
                 self.breach(Rule::Refused, at, || {
-                    format!("try {index} gets {status} and runs at {life}")
+                    format!("try {index} gets {status} and runs at {incarnation}")
                 });
             }
             if let Some((_, Ended::Told(told))) = &try_.ended
@@ -107,7 +107,7 @@
                     self.breach(Rule::Route, arrival.at, || {
                         format!(
                             "try {index} of {}{} runs at {}",
-                            try_.host, try_.path, arrival.life
+                            try_.host, try_.path, arrival.incarnation
                         )
                     });
                 }
@@ -119,7 +119,7 @@
         let mut drained: BTreeMap<&str, Vec<(Us, usize)>> = BTreeMap::new();
         for drain in &self.record.drains {
             drained
-                .entry(&drain.life)
+                .entry(&drain.incarnation)
                 .or_default()
                 .push((drain.at, drain.machine));
         }
@@ -129,7 +129,7 @@
             .iter()
             .filter(|arrival| !arrival.stranger)
         {
-            let Some(acks) = drained.get(arrival.life.as_str()) else {
+            let Some(acks) = drained.get(arrival.incarnation.as_str()) else {
                 continue;
             };
             let late = |at: &Us| arrival.at > *at + DRAIN_MS * MS;
@@ -156,7 +156,7 @@
                     format!(
                         "try {} from machine {machine} comes to {} {} ms after machine {by} acknowledged",
                         arrival.request,
-                        arrival.life,
+                        arrival.incarnation,
                         (arrival.at - at) / MS
                     )
                 });
@@ -223,7 +223,9 @@
             }
             proper += 1;
             denied += usize::from(service.is_none() && most.is_none() && touched);
-            let floors = floors.entry((try_.machine, try_.process_life)).or_default();
+            let floors = floors
+                .entry((try_.machine, try_.process_incarnation))
+                .or_default();
             let floor = floors
                 .iter()
                 .filter(|(seen, _)| seen + DOWNGRADE < sent)
--- a/crates/rookpulley-simulator/src/net.rs
+++ b/crates/rookpulley-simulator/src/net.rs
@@ -264,9 +264,9 @@
         let (here, there) = (of.ends[side], of.ends[1 - side]);
         let unheard = of.stuck[side].is_some_and(|since| now - since > UNHEARD);
         let quiet = of.quiet[side] && now - of.heard[side] > UNHEARD;
-        // The other side has another life: it answers with a reset.
+        // The other side has another incarnation: it answers with a reset.
         let reset = !of.open[1 - side]
-            && self.processes[there.0].life != there.1
+            && self.processes[there.0].incarnation != there.1
             && self.powered(self.host_of(there.0))
             && !self
                 .net
--- a/crates/rookpulley-simulator/src/proxies.rs
+++ b/crates/rookpulley-simulator/src/proxies.rs
@@ -65,8 +65,8 @@
     satchel: Satchel,
     dialers: BTreeMap<Ipv4Addr, Dialer>,
     pools: HashMap<String, Pool>,
-    /// The lives that connections go to.
-    lives: HashMap<u64, String>,
+    /// The incarnations that connections go to.
+    incarnations: HashMap<u64, String>,
     works: BTreeMap<usize, Work>,
     tick: u32,
     ends: Option<Us>,
@@ -86,7 +86,7 @@
             satchel,
             dialers: BTreeMap::new(),
             pools: HashMap::new(),
-            lives: HashMap::new(),
+            incarnations: HashMap::new(),
             works: BTreeMap::new(),
             tick: 0,
             ends: None,
@@ -181,10 +181,10 @@
                 line.into_iter()
                     .for_each(|line| self.send_line(line, 0, frame(&up)));
             }
-            Effect::Forget(life) => {
+            Effect::Forget(incarnation) => {
                 let pool = self
                     .proxy(process)
-                    .and_then(|proxy| proxy.pools.remove(&life));
+                    .and_then(|proxy| proxy.pools.remove(&incarnation));
                 let idle = pool.map_or(Vec::new(), |pool| pool.idle);
                 idle.into_iter()
                     .for_each(|wire| self.end_wire(process, wire.number));
@@ -592,7 +592,7 @@
         let Some(proxy) = self.proxy(process) else {
             return;
         };
-        let pool = proxy.pools.entry(to.life.clone()).or_default();
+        let pool = proxy.pools.entry(to.incarnation.clone()).or_default();
         let fit = pool.idle.last().is_some_and(|wire| {
             !anew && now - wire.freed < IDLE && (!once || now - wire.freed <= FRESH)
         });
@@ -609,8 +609,8 @@
         let Some(proxy) = self.proxy(process) else {
             return;
         };
-        proxy.pools.entry(to.life.clone()).or_default().open += 1;
-        proxy.lives.insert(wire, to.life.clone());
+        proxy.pools.entry(to.incarnation.clone()).or_default().open += 1;
+        proxy.incarnations.insert(wire, to.incarnation.clone());
         let machine = self.host_of(process);
         let place = self.place_of(to.address);
         let near =
@@ -663,8 +663,8 @@
 
     fn end_wire(&mut self, process: usize, wire: u64) {
         if let Some(proxy) = self.proxy(process)
-            && let Some(life) = proxy.lives.remove(&wire)
-            && let Some(pool) = proxy.pools.get_mut(&life)
+            && let Some(incarnation) = proxy.incarnations.remove(&wire)
+            && let Some(pool) = proxy.pools.get_mut(&incarnation)
         {
             pool.open = pool.open.saturating_sub(1);
         }
@@ -675,8 +675,8 @@
     fn free_wire(&mut self, process: usize, wire: u64) {
         let now = self.now;
         if let Some(proxy) = self.proxy(process)
-            && let Some(life) = proxy.lives.get(&wire)
-            && let Some(pool) = proxy.pools.get_mut(life)
+            && let Some(incarnation) = proxy.incarnations.get(&wire)
+            && let Some(pool) = proxy.pools.get_mut(incarnation)
         {
             return pool.idle.push(Wire {
                 number: wire,
@@ -689,7 +689,7 @@
     fn wire_at_hand(&mut self, process: usize, request: usize, attempt: u32, wire: (u64, bool)) {
         let may = self.with_work(process, request, |work, satchel, now| {
             let to = work.to.clone()?;
-            if !satchel.may_leave(&to.life) {
+            if !satchel.may_leave(&to.incarnation) {
                 return None;
             }
             (work.wire, work.left) = (Some(wire), true);
@@ -711,7 +711,7 @@
         let meant = if self.mutation == Some(Mutation::NobodyMeant) {
             String::new()
         } else {
-            to.life.clone()
+            to.incarnation.clone()
         };
         let Some(place) = self.place_of(to.address) else {
             return;
@@ -871,9 +871,9 @@
         let nothing_learnt = self.mutation == Some(Mutation::NothingLearnt);
         let then = self.with_work(process, request, |work, satchel, now| {
             let way: &Way = work.journey.way();
-            let (service, life) = (
+            let (service, incarnation) = (
                 way.service.clone(),
-                work.to.as_ref().map(|to| to.life.clone()),
+                work.to.as_ref().map(|to| to.incarnation.clone()),
             );
             let forget = match work.pick.take() {
                 Some(pick) if nothing_learnt => {
@@ -886,12 +886,12 @@
             // It belongs to no try any more.
             work.attempt += 1;
             let then = work.journey.ended(satchel, now, how, status, true);
-            (then, life.filter(|_| forget))
+            (then, incarnation.filter(|_| forget))
         });
         let Some((then, forget)) = then else { return };
         forget
             .into_iter()
-            .for_each(|life| self.satchel_wants(process, Effect::Forget(life)));
+            .for_each(|incarnation| self.satchel_wants(process, Effect::Forget(incarnation)));
         match (then, passed) {
             (Then::Again, _) => self.go(process, request),
             (Then::Pass, Some(told)) => self.tell(process, request, told),
@@ -943,7 +943,13 @@
     }
 
     /// Its requests and connections end with it.
-    pub fn proxy_ended(&mut self, process: usize, life: u32, proxy: ProxyProcess, quiet: bool) {
+    pub fn proxy_ended(
+        &mut self,
+        process: usize,
+        incarnation: u32,
+        proxy: ProxyProcess,
+        quiet: bool,
+    ) {
         let from = self.host_of(process);
         for (request, work) in proxy.works {
             if quiet {
@@ -979,7 +985,7 @@
                 );
             }
         }
-        self.wires_ended((process, life));
+        self.wires_ended((process, incarnation));
         for wire in proxy.pools.into_values().flat_map(|pool| pool.idle) {
             self.close_wire(wire.number);
         }
--- a/crates/rookpulley-simulator/src/record.rs
+++ b/crates/rookpulley-simulator/src/record.rs
@@ -27,7 +27,7 @@
     pub path: String,
     pub kind: RouteKind,
     pub machine: usize,
-    pub process_life: u32,
+    pub process_incarnation: u32,
     pub sent_us: Us,
     pub deadline: Us,
     pub until: Us,
@@ -66,13 +66,13 @@
 pub struct Arrival {
     /// The number of the client's try, as its id says.
     pub request: usize,
-    pub life: String,
+    pub incarnation: String,
     pub service: usize,
     pub at: Us,
     pub machine: usize,
     pub task: usize,
     pub path: String,
-    /// Another life was meant: 421.
+    /// Another incarnation was meant: 421.
     pub stranger: bool,
     pub ran: Option<Run>,
     pub broke_off: bool,
@@ -80,7 +80,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Drain {
-    pub life: String,
+    pub incarnation: String,
     pub at: Us,
     pub machine: usize,
 }
@@ -219,7 +219,7 @@
     pub trouble: Trouble,
     /// When a machine was told to end in order.
     pub terms: Vec<(usize, Us)>,
-    pub lives: BTreeMap<String, usize>,
+    pub incarnations: BTreeMap<String, usize>,
     /// Ends by themselves and what else must not happen.
     pub faults: Vec<String>,
     pub wires: crate::tasks::Wires,
@@ -227,8 +227,8 @@
 }
 
 impl Record {
-    pub fn life(&mut self, life: String, service: usize) {
-        self.lives.insert(life, service);
+    pub fn incarnation(&mut self, incarnation: String, service: usize) {
+        self.incarnations.insert(incarnation, service);
     }
 
     pub fn fault(&mut self, fault: String) {
--- a/crates/rookpulley-simulator/src/seen.rs
+++ b/crates/rookpulley-simulator/src/seen.rs
@@ -35,7 +35,7 @@
     pub machine: usize,
     /// Of its request, it was not the first.
     pub further: bool,
-    /// Another life was meant.
+    /// Another incarnation was meant.
     pub stranger: bool,
     pub ran: bool,
     /// The task's answer; 0: none, or it turned the try away.
--- a/crates/rookpulley-simulator/src/tasks.rs
+++ b/crates/rookpulley-simulator/src/tasks.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for tasks: lives with slots, a queue and a speed, which beat, drain, end, crash and answer badly. A place
-//! is an address; after one life another may have it, also of another service.
+//! Stand-ins for tasks: incarnations with slots, a queue and a speed, which beat, drain, end, crash and answer badly. A place
+//! is an address; after one incarnation another may have it, also of another service.
 
 use crate::callers::{Call, Who};
 use crate::clients::hash;
@@ -22,7 +22,7 @@
     pub attempt: u32,
     pub wire: u64,
     pub place: usize,
-    /// The life that is to run it; empty: any.
+    /// The incarnation that is to run it; empty: any.
     pub meant: String,
     pub path: String,
     pub left_us: Us,
@@ -62,7 +62,7 @@
 
 struct WireEnd {
     place: usize,
-    life: u64,
+    incarnation: u64,
     owner: Option<(usize, u32)>,
     bad: bool,
 }
@@ -71,7 +71,7 @@
     pub zone: usize,
     address: SocketAddrV4,
     pub service: usize,
-    pub life: u64,
+    pub incarnation: u64,
     state: State,
     slots: usize,
     queue: usize,
@@ -99,8 +99,8 @@
     format!("svc{service}")
 }
 
-pub fn life_name(place: usize, life: u64) -> String {
-    format!("i-{place}-{life}")
+pub fn incarnation_name(place: usize, incarnation: u64) -> String {
+    format!("i-{place}-{incarnation}")
 }
 
 impl World {
@@ -130,7 +130,7 @@
             zone,
             address: SocketAddrV4::new(Ipv4Addr::new(10, 128, 0, place as u8 + 1), 8_080),
             service,
-            life: 0,
+            incarnation: 0,
             state: State::Down,
             slots: shape.slots.unwrap_or(slots),
             queue,
@@ -170,13 +170,13 @@
         self.after(pause_ms * MS, None, What::Goes(rest));
     }
 
-    /// The life at a place ends, and another service has its address at once.
+    /// The incarnation at a place ends, and another service has its address at once.
     pub fn pass_on(&mut self, task: usize) {
         if self.tasks[task].state == State::Down {
             return;
         }
-        let life = self.tasks[task].life;
-        self.end_life(task, life, Some(false));
+        let incarnation = self.tasks[task].incarnation;
+        self.end_incarnation(task, incarnation, Some(false));
         self.tasks[task].service = (self.tasks[task].service + 1) % self.day.services;
         self.after(20 * MS, None, What::TaskStarts { task });
     }
@@ -187,24 +187,25 @@
     }
 
     pub fn task_starts(&mut self, task: usize) {
-        let (life, now) = (self.number(), self.now);
+        let (incarnation, now) = (self.number(), self.now);
         let cold = self.rng.random_range(0..3_000u64) * MS;
         let of = &mut self.tasks[task];
-        (of.life, of.state, of.sequence) = (life, State::Up, 0);
+        (of.incarnation, of.state, of.sequence) = (incarnation, State::Up, 0);
         of.cold_until = if now < 2 * S || self.day.shape.warm {
             0
         } else {
             now + cold
         };
         (of.wires, of.drained) = (0, false);
-        self.record.life(life_name(task, life), of.service);
+        self.record
+            .incarnation(incarnation_name(task, incarnation), of.service);
         let text = format!(
             "task {task}: {} of {}",
-            life_name(task, life),
+            incarnation_name(task, incarnation),
             service_name(of.service)
         );
         self.say(|| text);
-        self.after(0, None, What::TaskBeat { task, life });
+        self.after(0, None, What::TaskBeat { task, incarnation });
     }
 
     // ---- beats ------------------------------------------------------------------------------
@@ -231,18 +232,18 @@
         )
     }
 
-    pub fn task_beats(&mut self, task: usize, life: u64) {
-        if self.tasks[task].life != life
+    pub fn task_beats(&mut self, task: usize, incarnation: u64) {
+        if self.tasks[task].incarnation != incarnation
             || matches!(self.tasks[task].state, State::Down | State::Leaving)
         {
             return;
         }
         let draining = self.tasks[task].state == State::Draining;
         let body = self.beat_body(task);
-        let name = life_name(task, life);
+        let name = incarnation_name(task, incarnation);
         let who = Who::Beat {
             task,
-            life,
+            incarnation,
             draining,
             leaving: false,
         };
@@ -250,7 +251,7 @@
         self.call(who, Path::Beat, &name, body, Vec::new(), (within, 0));
         if !draining {
             let us = HEARTBEAT_MS * MS + self.rng.random_range(0..60u64) * MS;
-            self.after(us, None, What::TaskBeat { task, life });
+            self.after(us, None, What::TaskBeat { task, incarnation });
         }
     }
 
@@ -258,17 +259,17 @@
     pub fn drain(&mut self, task: usize) {
         if self.tasks[task].state == State::Up {
             self.tasks[task].state = State::Draining;
-            let life = self.tasks[task].life;
-            let name = life_name(task, life);
+            let incarnation = self.tasks[task].incarnation;
+            let name = incarnation_name(task, incarnation);
             self.say(|| format!("task {task}: {name} drains"));
-            self.task_beats(task, life);
+            self.task_beats(task, incarnation);
         }
     }
 
     pub fn beat_ended(
         &mut self,
         task: usize,
-        life: u64,
+        incarnation: u64,
         (draining, leaving): (bool, bool),
         call: &Call,
         reply: Option<&Reply>,
@@ -276,14 +277,14 @@
         let acknowledged = reply.is_some_and(|reply| reply.status == 200);
         let now = self.now;
         if (draining || leaving) && acknowledged {
-            let name = life_name(task, life);
+            let name = incarnation_name(task, incarnation);
             self.record.drains.push(Drain {
-                life: name,
+                incarnation: name,
                 at: now,
                 machine: call.machine,
             });
         }
-        if self.tasks[task].life != life
+        if self.tasks[task].incarnation != incarnation
             || !draining
             || leaving
             || self.tasks[task].state != State::Draining
@@ -297,17 +298,17 @@
         } else {
             2 * S
         };
-        self.after(us, None, What::TaskLeaves { task, life });
+        self.after(us, None, What::TaskLeaves { task, incarnation });
     }
 
-    pub fn task_leaves(&mut self, task: usize, life: u64) {
-        if self.tasks[task].life != life {
+    pub fn task_leaves(&mut self, task: usize, incarnation: u64) {
+        if self.tasks[task].incarnation != incarnation {
             return;
         }
-        let name = life_name(task, life);
+        let name = incarnation_name(task, incarnation);
         let who = Who::Beat {
             task,
-            life,
+            incarnation,
             draining: true,
             leaving: true,
         };
@@ -324,18 +325,18 @@
             None,
             What::TaskEnds {
                 task,
-                life,
+                incarnation,
                 crash: None,
             },
         );
     }
 
     /// `crash`: not in order, and whether its connections end without a word.
-    pub fn task_ends(&mut self, task: usize, life: u64, crash: Option<bool>) {
-        if self.tasks[task].life != life || self.tasks[task].state == State::Down {
+    pub fn task_ends(&mut self, task: usize, incarnation: u64, crash: Option<bool>) {
+        if self.tasks[task].incarnation != incarnation || self.tasks[task].state == State::Down {
             return;
         }
-        self.end_life(task, life, crash);
+        self.end_incarnation(task, incarnation, crash);
         if self.tasks[task].retires {
             return;
         }
@@ -349,10 +350,10 @@
         self.after(us, None, What::TaskStarts { task });
     }
 
-    fn end_life(&mut self, task: usize, life: u64, crash: Option<bool>) {
+    fn end_incarnation(&mut self, task: usize, incarnation: u64, crash: Option<bool>) {
         let of = &mut self.tasks[task];
         of.state = State::Down;
-        let name = life_name(task, life);
+        let name = incarnation_name(task, incarnation);
         let jobs: Vec<Job> = of.running.drain(..).chain(of.waiting.drain(..)).collect();
         self.say(|| format!("task {task}: {name} ends"));
         if crash != Some(true) {
@@ -367,8 +368,8 @@
     }
 
     pub fn crash(&mut self, task: usize, silent: bool) {
-        let life = self.tasks[task].life;
-        self.task_ends(task, life, Some(silent));
+        let incarnation = self.tasks[task].incarnation;
+        self.task_ends(task, incarnation, Some(silent));
     }
 
     // ---- connections ------------------------------------------------------------------------
@@ -386,7 +387,7 @@
         of.wires += 1;
         let end = WireEnd {
             place,
-            life: of.life,
+            incarnation: of.incarnation,
             owner: None,
             bad,
         };
@@ -397,7 +398,7 @@
     pub fn close_wire(&mut self, wire: u64) {
         if let Some(end) = self.record.wires.open.remove(&wire) {
             let of = &mut self.tasks[end.place];
-            if of.life == end.life {
+            if of.incarnation == end.incarnation {
                 of.wires = of.wires.saturating_sub(1);
             }
         }
@@ -436,20 +437,22 @@
 
     pub fn arrives_at_task(&mut self, errand: Errand) {
         let (task, now) = (errand.place, self.now);
-        let life = self.tasks[task].life;
+        let incarnation = self.tasks[task].incarnation;
         let end = self.record.wires.open.get_mut(&errand.wire);
-        let sound = end.as_ref().is_some_and(|end| end.life == life && !end.bad);
+        let sound = end
+            .as_ref()
+            .is_some_and(|end| end.incarnation == incarnation && !end.bad);
         end.into_iter()
             .for_each(|end| end.owner = Some(errand.from));
         if self.tasks[task].state == State::Down || !sound {
             // Nobody is there, or it is another one that knows nothing of this connection.
             return self.answer(task, &errand, Answer::Reset { unread: false });
         }
-        let name = life_name(task, life);
+        let name = incarnation_name(task, incarnation);
         let stranger = !errand.meant.is_empty() && errand.meant != name;
         let arrival = Arrival {
             request: errand.request,
-            life: name,
+            incarnation: name,
             service: self.tasks[task].service,
             at: now,
             machine: self.processes[errand.from.0].machine,
--- a/crates/rookpulley-simulator/src/troubles.rs
+++ b/crates/rookpulley-simulator/src/troubles.rs
@@ -389,13 +389,20 @@
             if (is_controller && !controller) || !self.running(process) {
                 continue;
             }
-            let life = self.processes[process].life;
+            let incarnation = self.processes[process].incarnation;
             self.processes[process].termed = true;
             match is_controller {
                 true => self.term_controller(process),
                 false => self.term_proxy(process),
             }
-            self.after(GRACE, None, What::Kill { process, life });
+            self.after(
+                GRACE,
+                None,
+                What::Kill {
+                    process,
+                    incarnation,
+                },
+            );
         }
     }
 
--- a/crates/rookpulley-simulator/src/world.rs
+++ b/crates/rookpulley-simulator/src/world.rs
@@ -37,7 +37,7 @@
     DrainsUnheard,
     /// Proxies miss most configurations.
     ConfigurationsMissed,
-    /// A proxy takes up its first configuration again amid its life.
+    /// A proxy takes up its first configuration again amid its incarnation.
     GoesBack,
     /// An invalid configuration is taken.
     TakesInvalid,
@@ -214,15 +214,15 @@
     },
     TaskBeat {
         task: usize,
-        life: u64,
+        incarnation: u64,
     },
     TaskLeaves {
         task: usize,
-        life: u64,
+        incarnation: u64,
     },
     TaskEnds {
         task: usize,
-        life: u64,
+        incarnation: u64,
         crash: Option<bool>,
     },
     TaskStarts {
@@ -287,14 +287,14 @@
     },
     Kill {
         process: usize,
-        life: u32,
+        incarnation: u32,
     },
     Held,
 }
 
 #[derive(Debug)]
 pub struct Event {
-    /// A process and its life; none: somebody outside.
+    /// A process and its incarnation; none: somebody outside.
     pub to: Option<(usize, u32)>,
     pub what: What,
 }
@@ -309,7 +309,7 @@
 pub struct Process {
     pub machine: usize,
     pub is_controller: bool,
-    pub life: u32,
+    pub incarnation: u32,
     pub core: Option<Core>,
     pub born: Us,
     pub asleep: bool,
@@ -492,7 +492,7 @@
             self.processes.push(Process {
                 machine,
                 is_controller,
-                life: 0,
+                incarnation: 0,
                 core: None,
                 born: 0,
                 asleep: false,
@@ -525,7 +525,7 @@
 
     pub fn address(&self, process: usize) -> Option<(usize, u32)> {
         self.running(process)
-            .then(|| (process, self.processes[process].life))
+            .then(|| (process, self.processes[process].incarnation))
     }
 
     pub fn host_of(&self, process: usize) -> Host {
@@ -553,11 +553,11 @@
             .started(self.now, machine, self.machines[machine].core);
     }
 
-    /// A new life of a process.
+    /// A new incarnation of a process.
     pub fn begin(&mut self, process: usize, core: Core) {
         let now = self.now;
         let process = &mut self.processes[process];
-        process.life += 1;
+        process.incarnation += 1;
         (process.core, process.born, process.asleep, process.termed) =
             (Some(core), now, false, false);
         process.inbox.clear();
@@ -568,7 +568,7 @@
         let Some(core) = self.processes[process].core.take() else {
             return;
         };
-        let life = self.processes[process].life;
+        let incarnation = self.processes[process].incarnation;
         self.processes[process].inbox.clear();
         self.processes[process].asleep = false;
         let machine = self.processes[process].machine;
@@ -579,17 +579,17 @@
                 self.controller_ended(machine, controller, quiet);
             }
             Core::StatelessController(_) => {}
-            Core::Proxy(proxy) => self.proxy_ended(process, life, proxy, quiet),
+            Core::Proxy(proxy) => self.proxy_ended(process, incarnation, proxy, quiet),
         }
         self.ended_in_order(process);
     }
 
     fn hand(&mut self, event: Event) {
-        let Some((process, life)) = event.to else {
+        let Some((process, incarnation)) = event.to else {
             return self.outside(event.what);
         };
         let at = &mut self.processes[process];
-        if at.life != life || at.core.is_none() {
+        if at.incarnation != incarnation || at.core.is_none() {
             return self.undelivered(process, event.what);
         }
         if at.asleep {
@@ -636,9 +636,13 @@
                 request,
                 attempt,
             } => self.task_done(task, request, attempt),
-            What::TaskBeat { task, life } => self.task_beats(task, life),
-            What::TaskLeaves { task, life } => self.task_leaves(task, life),
-            What::TaskEnds { task, life, crash } => self.task_ends(task, life, crash),
+            What::TaskBeat { task, incarnation } => self.task_beats(task, incarnation),
+            What::TaskLeaves { task, incarnation } => self.task_leaves(task, incarnation),
+            What::TaskEnds {
+                task,
+                incarnation,
+                crash,
+            } => self.task_ends(task, incarnation, crash),
             What::TaskStarts { task } => self.task_starts(task),
             What::TaskRetires { task } => self.drain(task),
             What::Client => self.client_comes(),
@@ -675,9 +679,10 @@
             What::Roll { machine, pause_ms } => self.roll(machine, pause_ms),
             What::Retire { machine } => self.retire(machine),
             What::Gone { machine } => self.retired(machine, false),
-            What::Kill { process, life } if self.processes[process].life == life => {
-                self.stop(process, false)
-            }
+            What::Kill {
+                process,
+                incarnation,
+            } if self.processes[process].incarnation == incarnation => self.stop(process, false),
             What::Held => self.hold_up(),
             _ => {}
         }
--- a/crates/rookpulley-simulator/tests/round.rs
+++ b/crates/rookpulley-simulator/tests/round.rs
@@ -316,7 +316,7 @@
         let strangers = |of: &Arrived| of.stranger;
         unless([
             part("served", any(seen, 6_000, 13_500), 0.97),
-            // A life that was told to be gone is sent nothing: only who hasn't heard yet meets the next one.
+            // An incarnation that was told to be gone is sent nothing: only who hasn't heard yet meets the next one.
             most(
                 "tries that meet another life",
                 came(seen, 0, 16_000, strangers),
--- a/crates/rookpulley-store/examples/call_cost.rs
+++ b/crates/rookpulley-store/examples/call_cost.rs
@@ -32,7 +32,7 @@
     fn member(at: usize) -> Member {
         Member {
             id: at as u64 + 1,
-            life: 77,
+            incarnation: 77,
             address: format!("10.0.0.{}:7", at + 1).parse().unwrap(),
         }
     }
--- a/crates/rookpulley-store/examples/disk_use.rs
+++ b/crates/rookpulley-store/examples/disk_use.rs
@@ -28,13 +28,13 @@
 
 impl Controller {
     /// Also how long opening took, the chain's start included.
-    fn open(folder: &Path, life: u64) -> (Self, f64) {
+    fn open(folder: &Path, incarnation: u64) -> (Self, f64) {
         let began = Instant::now();
         let (said, heard) = tokio::sync::mpsc::unbounded_channel();
         let store = Store::open(folder, 7, Some(&[]), said).unwrap();
         let me = Member {
             id: store.identity,
-            life,
+            incarnation,
             address: "127.0.0.1:7".parse().unwrap(),
         };
         let kept = (!store.new).then(|| rookpulley_chain::Kept::read(store.held.iter().cloned()));
@@ -42,7 +42,7 @@
             me,
             founder: store.founding.is_some(),
             losses: 0,
-            seed: life,
+            seed: incarnation,
             kept,
         };
         let chain = Chain::start(0, boot, Kept::default());
@@ -166,8 +166,8 @@
     controller.close();
     let (left, files) = size(folder.path());
     let mut opened = Vec::new();
-    for life in 2..7 {
-        let (controller, took) = Controller::open(folder.path(), life);
+    for incarnation in 2..7 {
+        let (controller, took) = Controller::open(folder.path(), incarnation);
         assert_eq!(controller.chain.state().ledger.digest(), digest);
         opened.push(took);
         controller.close();
--- a/crates/rookpulley-store/examples/fill_time.rs
+++ b/crates/rookpulley-store/examples/fill_time.rs
@@ -74,7 +74,7 @@
     let store = Store::open(&folder, number, (number == 1).then_some(&[]), said).unwrap();
     let me = Member {
         id: store.identity,
-        life: 77,
+        incarnation: 77,
         address,
     };
     let boot = Boot {
--- a/crates/rookpulley-store/src/look.rs
+++ b/crates/rookpulley-store/src/look.rs
@@ -2,7 +2,7 @@
 
 use crate::replace::settle;
 use crate::rows::{Long, Rows};
-use crate::store::{CHAIN, FOLDER, IDENTITY, LIVES, caught, in_use, open_at, sync_all};
+use crate::store::{CHAIN, FOLDER, IDENTITY, INCARNATIONS, caught, in_use, open_at, sync_all};
 use std::fs::{File, TryLockError};
 use std::path::{Path, PathBuf};
 
@@ -38,7 +38,7 @@
     /// None: no controller has begun to use it.
     pub identity: Option<u64>,
     pub chain: Rows,
-    pub lives: Rows,
+    pub incarnations: Rows,
     pub bytes_on_disk: u64,
 }
 
@@ -88,7 +88,7 @@
     Ok(Contents {
         identity: identity.map(u64::from_le_bytes),
         chain: rows(CHAIN)?,
-        lives: rows(LIVES)?,
+        incarnations: rows(INCARNATIONS)?,
         bytes_on_disk: db.size_on_disk()?,
     })
 }
@@ -121,12 +121,12 @@
             value: vec![1; 9],
         };
         assert!(store.write(Part::Chain, 1, vec![put("a"), put("b")]));
-        assert!(store.write(Part::Lives, 1, vec![put("i-1")]));
+        assert!(store.write(Part::Incarnations, 1, vec![put("i-1")]));
         drop(store);
         while heard.blocking_recv().is_some() {}
         let seen = looked(folder.path());
         assert_eq!(
-            (seen.identity, seen.chain.len(), seen.lives.len()),
+            (seen.identity, seen.chain.len(), seen.incarnations.len()),
             (Some(7), 2, 1)
         );
         assert_eq!(looked(folder.path()), seen);
--- a/crates/rookpulley-store/src/replace.rs
+++ b/crates/rookpulley-store/src/replace.rs
@@ -5,7 +5,7 @@
 
 use crate::look::{Contents, LookError};
 use crate::rows::Long;
-use crate::store::{AGAIN, CHAIN, FOLDER, IDENTITY, LIVES, PATIENCE, open_at, sync_all};
+use crate::store::{AGAIN, CHAIN, FOLDER, IDENTITY, INCARNATIONS, PATIENCE, open_at, sync_all};
 use rookpulley_chain::Record;
 use std::fs::{File, TryLockError, remove_dir_all, rename};
 use std::io::{Error, ErrorKind};
@@ -99,11 +99,14 @@
 fn fill(making: &Path, old: &Contents, identity: u64, chain: &[Record]) -> Result<(), sled::Error> {
     let db = open_at(making)?;
     db.insert(IDENTITY, &identity.to_le_bytes())?;
-    let lives = old.lives.iter().map(|(key, value)| Record::Put {
+    let incarnations = old.incarnations.iter().map(|(key, value)| Record::Put {
         key: key.clone(),
         value: value.clone(),
     });
-    for (tree, records) in [(CHAIN, chain.to_vec()), (LIVES, lives.collect())] {
+    for (tree, records) in [
+        (CHAIN, chain.to_vec()),
+        (INCARNATIONS, incarnations.collect()),
+    ] {
         let (mut long, mut batch) = (Long::default(), sled::Batch::default());
         records
             .into_iter()
@@ -141,7 +144,7 @@
         let (said, mut heard) = tokio::sync::mpsc::unbounded_channel();
         let store = Store::open(folder.path(), 7, None, said).unwrap();
         assert!(store.write(Part::Chain, 1, vec![put("a")]));
-        assert!(store.write(Part::Lives, 1, vec![put("i-1")]));
+        assert!(store.write(Part::Incarnations, 1, vec![put("i-1")]));
         drop(store);
         while heard.blocking_recv().is_some() {}
         let old = looked(folder.path());
@@ -152,7 +155,7 @@
         fn keys(rows: &[(Vec<u8>, Vec<u8>)]) -> Vec<&[u8]> {
             rows.iter().map(|(key, _)| key.as_slice()).collect()
         }
-        (seen.identity, keys(&seen.chain), keys(&seen.lives))
+        (seen.identity, keys(&seen.chain), keys(&seen.incarnations))
     }
 
     #[test]
--- a/crates/rookpulley-store/src/store.rs
+++ b/crates/rookpulley-store/src/store.rs
@@ -32,7 +32,7 @@
     /// All up to these tickets is on the disk, as far as there were any; syncing took so long.
     Synced {
         chain: Option<u64>,
-        lives: Option<u64>,
+        incarnations: Option<u64>,
         took: Duration,
     },
     Failed(String),
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Part {
     Chain,
-    Lives,
+    Incarnations,
 }
 
 type Job = (Part, u64, Vec<Record>);
@@ -55,7 +55,7 @@
     /// It was minted at the first start of all, and what was noted then of who is to found the first view.
     pub founding: Option<Vec<u8>>,
     pub held: Rows,
-    pub lives: Rows,
+    pub incarnations: Rows,
 }
 
 /// A store that another process is letting go of is asked for so often, after such a pause.
@@ -71,7 +71,7 @@
 /// Where in its data folder a controller has its store.
 pub(crate) const FOLDER: &str = "store";
 pub(crate) const CHAIN: &str = "chain";
-pub(crate) const LIVES: &str = "lives";
+pub(crate) const INCARNATIONS: &str = "lives";
 /// Of this tree only that it is written to matters, see `sweep`.
 const SWEEP: &str = "sweep";
 /// A page is moved for so many bytes of chunks; so many of them with one write, so that none of them takes long; and what
@@ -177,19 +177,19 @@
             let identity = db
                 .get(IDENTITY)?
                 .and_then(|v| v.as_ref().try_into().ok().map(u64::from_le_bytes));
-            let (held, lives) = (
+            let (held, incarnations) = (
                 Long::read(&db.open_tree(CHAIN)?)?,
-                Long::read(&db.open_tree(LIVES)?)?,
+                Long::read(&db.open_tree(INCARNATIONS)?)?,
             );
             match rookpulley_chain::Kept::read(held.0.iter().cloned()).sound() {
-                true => Ok((identity, held, lives, db)),
+                true => Ok((identity, held, incarnations, db)),
                 false => Err(sled::Error::ReportableBug(
                     "the chain's rows are torn".into(),
                 )),
             }
         };
         let opened = opened.and_then(|db| caught(|| read(db)));
-        let (kept, (held, mut long), (lives, mut long_lives), db) = match opened {
+        let (kept, (held, mut long), (incarnations, mut long_incarnations), db) = match opened {
             Ok(opened) => opened,
             Err(sled::Error::Io(why)) if why.raw_os_error().is_some() => return Err(troubled(why)),
             // Not spoilt: who has it must not lose it.
@@ -201,8 +201,8 @@
                 (None, Default::default(), Default::default(), open_at(&at)?)
             }
         };
-        let (held, lives) = if kept.is_some() {
-            (held, lives)
+        let (held, incarnations) = if kept.is_some() {
+            (held, incarnations)
         } else {
             (Vec::new(), Vec::new())
         };
@@ -224,7 +224,7 @@
             .and_then(|f| f.sync_all())
             .map_err(troubled)?;
         let file = File::open(at.join("db")).map_err(troubled)?;
-        let (chain_tree, lives_tree) = (db.open_tree(CHAIN)?, db.open_tree(LIVES)?);
+        let (chain_tree, incarnations_tree) = (db.open_tree(CHAIN)?, db.open_tree(INCARNATIONS)?);
         let sweep_tree = db.open_tree(SWEEP)?;
         let (jobs, queue) = mpsc::channel::<Job>();
         let mut owed = 0;
@@ -235,10 +235,10 @@
                 for (part, ticket, records) in
                     std::iter::once(first).chain(std::iter::from_fn(|| queue.try_recv().ok()))
                 {
-                    let [chain, lives] = &mut batches;
+                    let [chain, incarnations] = &mut batches;
                     let (batch, long, at) = match part {
                         Part::Chain => (chain, &mut long, 0),
-                        Part::Lives => (lives, &mut long_lives, 1),
+                        Part::Incarnations => (incarnations, &mut long_incarnations, 1),
                     };
                     // A probe of the disk has ticket 0, and may come behind others.
                     tickets[at] = tickets[at].max(Some(ticket));
@@ -247,22 +247,22 @@
                         .for_each(|record| long.write(record, batch));
                 }
                 let from = Instant::now();
-                let [of_chain, of_lives] = batches;
+                let [of_chain, of_incarnations] = batches;
                 let applied = chain_tree
                     .apply_batch(of_chain)
-                    .and_then(|()| lives_tree.apply_batch(of_lives));
-                let written = long.written() + long_lives.written();
+                    .and_then(|()| incarnations_tree.apply_batch(of_incarnations));
+                let written = long.written() + long_incarnations.written();
                 owed = (owed + written / SWEEP_EACH).min(SWEEP_OWED);
                 let pages = owed.min(SWEEP_AT_ONCE);
                 owed -= pages;
                 let applied = applied.and_then(|()| sweep(&sweep_tree, pages));
                 let done = applied.and_then(|()| db.flush()).map_err(|e| e.to_string());
                 let done = done.and_then(|_| file.sync_data().map_err(|e| e.to_string()));
-                let [chain, lives] = tickets;
+                let [chain, incarnations] = tickets;
                 let word = match done {
                     Ok(()) => Said::Synced {
                         chain,
-                        lives,
+                        incarnations,
                         took: from.elapsed(),
                     },
                     Err(why) => Said::Failed(why),
@@ -283,7 +283,7 @@
             new: kept.is_none(),
             founding,
             held,
-            lives,
+            incarnations,
         })
     }
 
--- a/crates/rookpulley-store/tests/earlier_build.rs
+++ b/crates/rookpulley-store/tests/earlier_build.rs
@@ -44,7 +44,10 @@
         (b"x-short".to_vec(), b"short".to_vec()),
     ];
     assert_eq!(store.held, rows);
-    assert_eq!(store.lives, vec![(b"i-1".to_vec(), b"note".to_vec())]);
+    assert_eq!(
+        store.incarnations,
+        vec![(b"i-1".to_vec(), b"note".to_vec())]
+    );
     drop(store);
     while heard.blocking_recv().is_some() {}
 }
@@ -55,5 +58,5 @@
     unpack(&folder.path().join("store"));
     let contents = look(folder.path()).unwrap();
     assert_eq!(contents.identity, Some(IDENTITY));
-    assert_eq!((contents.chain.len(), contents.lives.len()), (2, 1));
+    assert_eq!((contents.chain.len(), contents.incarnations.len()), (2, 1));
 }
--- a/crates/rookpulley-store/tests/room.rs
+++ b/crates/rookpulley-store/tests/room.rs
@@ -25,7 +25,7 @@
         let store = Store::open(folder, 7, Some(&[]), said).unwrap();
         let me = Member {
             id: 7,
-            life: 1,
+            incarnation: 1,
             address: "127.0.0.1:7".parse().unwrap(),
         };
         let boot = Boot {
--- a/crates/rookpulley-store/tests/torn.rs
+++ b/crates/rookpulley-store/tests/torn.rs
@@ -22,7 +22,7 @@
     fn member(at: usize) -> Member {
         Member {
             id: at as u64 + 1,
-            life: 77,
+            incarnation: 77,
             address: format!("10.0.0.{}:7", at + 1).parse().unwrap(),
         }
     }
@@ -101,7 +101,7 @@
     fn starts_on(&mut self, rows: Rows, copies: &[(usize, u64)], answered: usize) {
         let kept = rookpulley_chain::Kept::read(rows);
         let me = Member {
-            life: 78,
+            incarnation: 78,
             ..Self::member(0)
         };
         let boot = Boot {
