--- a/crates/rookpulley-control/src/calls.rs
+++ b/crates/rookpulley-control/src/calls.rs
@@ -3,7 +3,7 @@
 use rookpulley_chain::Outcome;
 use rookpulley_diagnostics::{Bounds, Nesting, Unread, read as read_json};
 use rookpulley_protocol::IncarnationId;
-use rookpulley_registry::Beat;
+use rookpulley_registry::Heartbeat;
 use rookpulley_routes::Book;
 use rookpulley_state::{Answer, Ask, Update};
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Path {
-    Beat,
+    Heartbeat,
     Leave,
     PutConfiguration,
     GetConfiguration,
@@ -36,7 +36,7 @@
 /// What a caller wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Wants {
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     Leave(IncarnationId),
     Update(Update),
     Ask(Ask),
@@ -163,10 +163,10 @@
     let name = name.to_string();
     let update = |update| Ok(Wants::Update(update));
     match path {
-        Path::Beat => {
-            let beat =
-                Beat::read(&name, &body).map_err(|why| Reply::error(400, &why.to_string()))?;
-            Ok(Wants::Beat(beat))
+        Path::Heartbeat => {
+            let heartbeat =
+                Heartbeat::read(&name, &body).map_err(|why| Reply::error(400, &why.to_string()))?;
+            Ok(Wants::Heartbeat(heartbeat))
         }
         Path::Leave => Ok(Wants::Leave(name)),
         Path::PutConfiguration => {
@@ -340,9 +340,9 @@
 }
 
 /// Only what did nothing may be promised to have done nothing.
-pub(crate) fn taken(taken: Taken, beat: bool) -> Reply {
+pub(crate) fn taken(taken: Taken, heartbeat: bool) -> Reply {
     match taken {
-        Taken::Known if beat => Reply::json([]),
+        Taken::Known if heartbeat => Reply::json([]),
         Taken::Known => Reply::so(200, Content::Nothing),
         Taken::HereAlone => unknown(),
         Taken::Not => later(),
--- a/crates/rookpulley-control/src/controller.rs
+++ b/crates/rookpulley-control/src/controller.rs
@@ -124,7 +124,7 @@
     Done { ask: u64 },
 }
 
-/// The token of a task's call, and whether that is a beat.
+/// The token of a task's call, and whether that is a heartbeat.
 type Caller = (u64, bool);
 
 /// A drain that is to be known elsewhere before it is acknowledged.
@@ -228,7 +228,7 @@
         controller
     }
 
-    /// What was known of tasks before this start, as if it were heard now: what no longer beats falls silent soon.
+    /// What was known of tasks before this start, as if it were heard now: what no longer sends heartbeats falls silent soon.
     fn begin_with_notes(&mut self) {
         for (_, value) in &self.incarnations {
             if let Ok(news) = postcard::from_bytes::<News>(value) {
@@ -337,7 +337,7 @@
     pub fn call(&mut self, now: f64, token: u64, wants: Wants) {
         let kind = Kind::of(&wants);
         match wants {
-            Wants::Beat(beat) => self.beat(now, token, beat),
+            Wants::Heartbeat(heartbeat) => self.heartbeat(now, token, heartbeat),
             Wants::Leave(incarnation) => self.leave(now, token, &incarnation),
             Wants::Update(update) => {
                 self.call_chain(now, token, (kind, CallKind::Update), update.encode())
--- a/crates/rookpulley-control/src/controller/tasks.rs
+++ b/crates/rookpulley-control/src/controller/tasks.rs
@@ -1,15 +1,15 @@
-//! Beats and drains of tasks: taken, kept on disk, and known elsewhere before a drain is acknowledged.
+//! Heartbeats and drains of tasks: taken, kept on disk, and known elsewhere before a drain is acknowledged.
 
 use super::{CONFIRM_WITHIN_MS, Caller, Confirm, Controller, Effect, Noted};
 use crate::calls::{Taken, taken};
 use crate::word::Word;
 use rookpulley_chain::Record;
-use rookpulley_registry::{Beat, News, Outcome as Sorted, Standing, Word as Spread};
+use rookpulley_registry::{Heartbeat, News, Outcome as Sorted, Standing, Word as Spread};
 
 /// An incarnation and the last that matters of it, as it stands on the disk.
 fn note_of(news: &News) -> Record {
     let incarnation = match news {
-        News::Beat { beat, .. } => beat.incarnation.as_str(),
+        News::Heartbeat { heartbeat, .. } => heartbeat.incarnation.as_str(),
         News::Gone { incarnation, .. } => incarnation.as_str(),
         News::Heard { .. } => "",
     };
@@ -20,15 +20,15 @@
 }
 
 impl Controller {
-    /// Takes a beat.
-    pub(super) fn beat(&mut self, now: f64, token: u64, beat: Beat) {
-        if !self.registry.takes_beats(now) {
+    /// Takes a heartbeat.
+    pub(super) fn heartbeat(&mut self, now: f64, token: u64, heartbeat: Heartbeat) {
+        if !self.registry.takes_heartbeats(now) {
             return self.taken((token, true), Taken::Not);
         }
-        let draining = beat.draining;
-        self.tally.beat(draining);
-        let incarnation = beat.incarnation.clone();
-        let sorted = self.registry.beat(now, beat);
+        let draining = heartbeat.draining;
+        self.tally.heartbeat(draining);
+        let incarnation = heartbeat.incarnation.clone();
+        let sorted = self.registry.heartbeat(now, heartbeat);
         self.sorted(now, sorted);
         // A drain is acknowledged only once it is known elsewhere, also when it is told again.
         if draining {
@@ -44,10 +44,10 @@
         self.drain_known(now, (token, false), incarnation.into());
     }
 
-    pub(super) fn taken(&mut self, (token, beat): Caller, word: Taken) {
+    pub(super) fn taken(&mut self, (token, heartbeat): Caller, word: Taken) {
         self.out.push(Effect::Reply {
             token,
-            reply: taken(word, beat),
+            reply: taken(word, heartbeat),
         });
     }
 
@@ -59,7 +59,7 @@
         self.known_elsewhere(now, caller, incarnation);
     }
 
-    /// Carries out what came of a beat or of news.
+    /// Carries out what came of a heartbeat or of news.
     pub(super) fn sorted(&mut self, now: f64, sorted: Sorted) {
         if let Spread::Now(news) = sorted.word {
             self.note(vec![note_of(&news)], None);
@@ -71,7 +71,7 @@
         self.tell_gone(now, sorted.newly_draining.into_iter().collect());
     }
 
-    /// Writes what is known of tasks. After a crash it is where the registry begins: beats alone would take a while,
+    /// Writes what is known of tasks. After a crash it is where the registry begins: heartbeats alone would take a while,
     /// and a drain that was acknowledged must hold.
     pub(super) fn note(&mut self, records: Vec<Record>, then: Option<Noted>) {
         self.notes += 1;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Once beats have had time to come, what is noted of incarnations that are unknown now is dropped.
+    /// Once heartbeats have had time to come, what is noted of incarnations that are unknown now is dropped.
     pub(super) fn tidy_notes(&mut self) {
         let incarnations = std::mem::take(&mut self.incarnations);
         let gone = |key: &Vec<u8>| {
--- a/crates/rookpulley-control/src/tally.rs
+++ b/crates/rookpulley-control/src/tally.rs
@@ -3,7 +3,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     /// Of tasks that are available, of those that drain.
-    pub beats: [u64; 2],
+    pub heartbeats: [u64; 2],
     /// Incarnations that were told to the proxies to get nothing more.
     pub drains: u64,
     /// The newest view that is known, and how many there were.
@@ -16,8 +16,8 @@
 }
 
 impl Tally {
-    pub(crate) fn beat(&mut self, draining: bool) {
-        let [available, drains] = &mut self.beats;
+    pub(crate) fn heartbeat(&mut self, draining: bool) {
+        let [available, drains] = &mut self.heartbeats;
         *if draining { drains } else { available } += 1;
     }
 
--- a/crates/rookpulley-control/tests/compatibility/frames.rs
+++ b/crates/rookpulley-control/tests/compatibility/frames.rs
@@ -6,7 +6,7 @@
 };
 use rookpulley_control::Word;
 use rookpulley_protocol::{Down, Line, Report, ServiceReport, TaskReport, Up};
-use rookpulley_registry::{Beat, News, Still};
+use rookpulley_registry::{Heartbeat, News, Still};
 use rookpulley_state::{Answer, Ask, Update};
 use std::net::SocketAddrV4;
 
@@ -61,8 +61,8 @@
     }
 }
 
-fn beat() -> Beat {
-    Beat {
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
         incarnation: "i-1".into(),
         service: "lots".into(),
         address: address(9),
@@ -332,8 +332,8 @@
     vec![
         (
             "heartbeat",
-            News::Beat {
-                beat: beat(),
+            News::Heartbeat {
+                heartbeat: heartbeat(),
                 age_ms: 250.0,
             },
         ),
--- a/crates/rookpulley-controller/src/calls.rs
+++ b/crates/rookpulley-controller/src/calls.rs
@@ -21,7 +21,7 @@
     let call = Asked::Call;
     let show = Asked::Show;
     Tree::new(&[
-        ("PUT /rookpulley/instances/{}", call(Path::Beat)),
+        ("PUT /rookpulley/instances/{}", call(Path::Heartbeat)),
         ("DELETE /rookpulley/instances/{}", call(Path::Leave)),
         (
             "PUT /rookpulley/configuration",
--- a/crates/rookpulley-controller/src/main.rs
+++ b/crates/rookpulley-controller/src/main.rs
@@ -1,4 +1,4 @@
-//! The program that keeps control: beats, configurations, coordination, tables.
+//! The program that keeps control: heartbeats, configurations, coordination, tables.
 
 mod calls;
 mod controller;
--- a/crates/rookpulley-controller/src/show.rs
+++ b/crates/rookpulley-controller/src/show.rs
@@ -125,14 +125,14 @@
     let tasks = controller
         .registry
         .tasks()
-        .filter(|t| service.is_empty() || t.beat.service == service);
+        .filter(|t| service.is_empty() || t.heartbeat.service == service);
     let rows = tasks.map(|task| {
         object([
-            ("life", text(&task.beat.incarnation)),
-            ("service", text(&task.beat.service)),
-            ("address", text(task.beat.address)),
-            ("zone", text(&task.beat.zone)),
-            ("slots", number(task.beat.slots.into())),
+            ("life", text(&task.heartbeat.incarnation)),
+            ("service", text(&task.heartbeat.service)),
+            ("address", text(task.heartbeat.address)),
+            ("zone", text(&task.heartbeat.zone)),
+            ("slots", number(task.heartbeat.slots.into())),
             ("standing", text(standing_name(task.standing))),
             ("ageMs", whole_ms(now - task.heard_ms)),
         ])
--- a/crates/rookpulley-controller/src/show/counts.rs
+++ b/crates/rookpulley-controller/src/show/counts.rs
@@ -30,7 +30,7 @@
         return NO_CALL - 1;
     };
     match path {
-        Path::Beat => 0,
+        Path::Heartbeat => 0,
         Path::Leave => 1,
         Path::PutConfiguration => 2,
         Path::GetConfiguration => 3,
@@ -118,13 +118,17 @@
             );
         }
     }
-    let beats = "rookpulley_office_beats_total";
-    page.name(beats, "counter", "Beats that tasks sent to this office.");
+    let heartbeats = "rookpulley_office_beats_total";
+    page.name(
+        heartbeats,
+        "counter",
+        "Beats that tasks sent to this office.",
+    );
     for (state, count) in ["available", "draining"]
         .iter()
-        .zip(&controller.tally.beats)
+        .zip(&controller.tally.heartbeats)
     {
-        _ = writeln!(page.0, "{beats}{{state=\"{state}\"}} {count}");
+        _ = writeln!(page.0, "{heartbeats}{{state=\"{state}\"}} {count}");
     }
     let news = "rookpulley_office_news_total";
     page.name(
--- a/crates/rookpulley-controller/src/show/tests.rs
+++ b/crates/rookpulley-controller/src/show/tests.rs
@@ -25,7 +25,7 @@
 "#;
 const CONFIGURATION: &str = r#"{"configVersion":7,"services":[{"name":"stamps"}],"hostnames":[{"hostname":"a.example",
     "pathRules":[{"pathPrefix":"/s/","routeKind":"read_only","timeoutMs":900,"targetService":"stamps","maxAttempts":2}]}]}"#;
-const BEAT: &str = r#"{"address":"10.128.4.7:8080",
+const HEARTBEAT: &str = r#"{"address":"10.128.4.7:8080",
     "nodeInfo":{"targetService":"stamps","configVersion":"v1","zone":"quay","capacitySlots":4},
     "currentStatus":{"lifecycleState":"available","callSequence":1,"coldRemainingMs":0}}"#;
 
@@ -68,9 +68,9 @@
         hub.hear_store(heard);
         let to = hub.clone();
         tokio::task::spawn_local(async move {
-            let mut beat = tokio::time::interval(std::time::Duration::from_millis(10));
+            let mut heartbeat = tokio::time::interval(std::time::Duration::from_millis(10));
             for round in 1.. {
-                beat.tick().await;
+                heartbeat.tick().await;
                 to.tick(round);
             }
         });
@@ -82,7 +82,9 @@
             200
         );
         assert_eq!(
-            call(&calls, "PUT", "instances/i-41c0", BEAT).await.status,
+            call(&calls, "PUT", "instances/i-41c0", HEARTBEAT)
+                .await
+                .status,
             200
         );
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/rookpulley-controller/src/stateless.rs
+++ b/crates/rookpulley-controller/src/stateless.rs
@@ -109,10 +109,10 @@
         tokio::task::spawn_local(self.clone().take_lines(for_peers, Shell::peer));
         let shell = self.clone();
         tokio::task::spawn_local(async move {
-            let mut beat = tokio::time::interval(TICK);
-            beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+            let mut heartbeat = tokio::time::interval(TICK);
+            heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
             for round in 0u64.. {
-                beat.tick().await;
+                heartbeat.tick().await;
                 shell.with(StatelessController::tick);
                 if round.is_multiple_of(STATUS) {
                     tracing::info!("controller: {}", shell.status());
--- a/crates/rookpulley-controller/src/stateless/tests.rs
+++ b/crates/rookpulley-controller/src/stateless/tests.rs
@@ -44,9 +44,9 @@
             let listener = line::listen(SocketAddr::from((ip, port)), 16).unwrap();
             tokio::task::spawn_local(proxy_sessions::listen(hub.clone(), listener));
             let tick = async {
-                let mut beat = tokio::time::interval(Duration::from_millis(10));
+                let mut heartbeat = tokio::time::interval(Duration::from_millis(10));
                 for round in 1.. {
-                    beat.tick().await;
+                    heartbeat.tick().await;
                     hub.tick(round);
                 }
             };
--- a/crates/rookpulley-devcluster/src/beats.rs
+++ b/crates/rookpulley-devcluster/src/heartbeats.rs
@@ -16,16 +16,16 @@
 const LINGER: Duration = Duration::from_millis(900);
 const PAUSE: Duration = Duration::from_millis(50);
 
-struct Beats {
+struct Heartbeats {
     task: Rc<Task>,
     controllers: Vec<SocketAddrV4>,
     next: usize,
-    /// Where a controller asked for later beats, until one to it fails.
+    /// Where a controller asked for later heartbeats, until one to it fails.
     endpoint: Option<SocketAddrV4>,
     sequence: u64,
 }
 
-impl Beats {
+impl Heartbeats {
     fn path(&self) -> String {
         format!("/rookpulley/instances/{}", self.task.incarnation)
     }
@@ -48,8 +48,8 @@
         )
     }
 
-    /// One beat, to one controller after another.
-    async fn beat(&mut self) -> bool {
+    /// One heartbeat, to one controller after another.
+    async fn heartbeat(&mut self) -> bool {
         let path = self.path();
         for _ in 0..=self.controllers.len() {
             self.sequence += 1;
@@ -99,7 +99,7 @@
 /// A task's whole incarnation as the controllers hear of it.
 pub async fn live(task: Rc<Task>, controllers: Vec<SocketAddrV4>) {
     let next = digest(&task.incarnation) as usize % controllers.len().max(1);
-    let mut beats = Beats {
+    let mut heartbeats = Heartbeats {
         task: task.clone(),
         controllers,
         next,
@@ -108,7 +108,7 @@
     };
     let mut stage = task.stage.subscribe();
     while *stage.borrow_and_update() == Stage::Available {
-        let pause = if beats.beat().await {
+        let pause = if heartbeats.heartbeat().await {
             Duration::from_millis(HEARTBEAT_MS)
         } else {
             PAUSE
@@ -118,7 +118,7 @@
     }
     let given_up = Instant::now() + UNHEARD;
     let acknowledged = loop {
-        if beats.beat().await {
+        if heartbeats.heartbeat().await {
             let (incarnation, now) = (task.incarnation.clone(), task.record.now());
             task.record.drains.borrow_mut().push(Drain {
                 incarnation,
@@ -135,9 +135,9 @@
     while acknowledged && Instant::now() < serves_until {
         let next = Instant::now() + Duration::from_millis(HEARTBEAT_MS);
         sleep_until(next.min(serves_until)).await;
-        beats.beat().await;
+        heartbeats.heartbeat().await;
     }
-    if !beats.leave().await {
+    if !heartbeats.leave().await {
         task.record
             .unheard
             .borrow_mut()
--- a/crates/rookpulley-devcluster/src/main.rs
+++ b/crates/rookpulley-devcluster/src/main.rs
@@ -1,6 +1,6 @@
 //! A whole gateway on one machine against stand-in tasks: to be tried by hand, and to be tested from end to end.
 //!
-//! `ground`, `sheet` and `processes` start the controllers and proxies; `task` and `beats` are the tasks, `operator` and
+//! `ground`, `sheet` and `processes` start the controllers and proxies; `task` and `heartbeats` are the tasks, `operator` and
 //! `caller` the operator; `depot` holds all of it together. `trial` runs `clients` and `coordination` against it,
 //! `judge` and `order` decide what comes of that.
 
@@ -12,13 +12,13 @@
     }};
 }
 
-mod beats;
 mod caller;
 mod clients;
 mod coordination;
 mod depot;
 mod faults;
 mod ground;
+mod heartbeats;
 mod judge;
 mod operator;
 mod order;
--- a/crates/rookpulley-devcluster/src/task.rs
+++ b/crates/rookpulley-devcluster/src/task.rs
@@ -284,5 +284,5 @@
 /// Runs a task: its server, and what it tells the controllers.
 pub fn begin(task: &Rc<Task>, listener: TcpListener, controllers: Vec<SocketAddrV4>) {
     spawn_local(serve(task.clone(), listener));
-    spawn_local(crate::beats::live(task.clone(), controllers));
+    spawn_local(crate::heartbeats::live(task.clone(), controllers));
 }
--- a/crates/rookpulley-registry/examples/pick_cost.rs
+++ b/crates/rookpulley-registry/examples/pick_cost.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use rookpulley_balancer::{Fate, Post, Round};
 use rookpulley_protocol::Line;
-use rookpulley_registry::{Beat, Desk, Out, Registry, Service};
+use rookpulley_registry::{Desk, Heartbeat, Out, Registry, Service};
 use rookpulley_routes::RouteKind;
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
@@ -43,7 +43,7 @@
     now: f64,
     registry: Registry,
     desk: Desk,
-    tasks: VecDeque<Beat>,
+    tasks: VecDeque<Heartbeat>,
     born: usize,
     tables: BTreeMap<String, Vec<Line>>,
 }
@@ -80,7 +80,7 @@
     fn start(&mut self) {
         let place = self.born;
         self.born += 1;
-        let beat = Beat {
+        let heartbeat = Heartbeat {
             incarnation: format!("i-{place}"),
             service: "a".into(),
             address: format!(
@@ -98,8 +98,8 @@
             cold_ms: 0.0,
             sequence: 1,
         };
-        self.registry.beat(self.now, beat.clone());
-        self.tasks.push_back(beat);
+        self.registry.heartbeat(self.now, heartbeat.clone());
+        self.tasks.push_back(heartbeat);
     }
 
     /// All that is due at this moment; gives how many tables were cut.
@@ -125,9 +125,9 @@
         while self.now < until {
             self.now += 100.0;
             if (self.now as u64).is_multiple_of(1_000) {
-                for beat in &mut self.tasks {
-                    beat.sequence += 1;
-                    self.registry.beat(self.now, beat.clone());
+                for heartbeat in &mut self.tasks {
+                    heartbeat.sequence += 1;
+                    self.registry.heartbeat(self.now, heartbeat.clone());
                 }
             }
             self.due();
@@ -140,7 +140,7 @@
         self.start();
         if let Some(mut oldest) = self.tasks.pop_front() {
             (oldest.draining, oldest.sequence) = (true, oldest.sequence + 1);
-            self.registry.beat(self.now, oldest);
+            self.registry.heartbeat(self.now, oldest);
         }
         let (mut cut, mut all_us, mut dearest_us, mut allocations) = (0, 0.0, 0.0, 0.0);
         for _ in 0..12 {
--- a/crates/rookpulley-registry/src/desk.rs
+++ b/crates/rookpulley-registry/src/desk.rs
@@ -227,10 +227,10 @@
         let stale = self.seen != Some(registry.version());
         self.seen = Some(registry.version());
         for task in registry.tasks().filter(|_| stale) {
-            if self.services.contains_key(&task.beat.service) {
-                let zone = self.zones.id(&task.beat.zone);
+            if self.services.contains_key(&task.heartbeat.service) {
+                let zone = self.zones.id(&task.heartbeat.zone);
                 tasks
-                    .entry(task.beat.service.as_str())
+                    .entry(task.heartbeat.service.as_str())
                     .or_default()
                     .push((task, zone));
             }
--- a/crates/rookpulley-registry/src/beat.rs
+++ b/crates/rookpulley-registry/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! A task's beat, read from the body of its call.
+//! A task's heartbeat, read from the body of its call.
 
 use rookpulley_diagnostics::{Bounds, Nesting, Unread, read};
 use rookpulley_protocol::IncarnationId;
@@ -7,9 +7,9 @@
 use std::net::SocketAddrV4;
 use tinyjson::JsonValue;
 
-/// A beat is some hundred bytes.
+/// A heartbeat is some hundred bytes.
 const LONGEST: usize = 16 << 10;
-/// A beat needs three brackets.
+/// A heartbeat needs three brackets.
 const BOUNDS: Bounds = Bounds {
     bytes: LONGEST,
     nesting: Nesting::Brackets(64),
@@ -19,7 +19,7 @@
 
 /// What a task says of itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     pub incarnation: IncarnationId,
     pub service: String,
     pub address: SocketAddrV4,
@@ -35,8 +35,8 @@
 }
 
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
-pub enum BeatFault {
-    #[error("the path of the beat holds no id of a task's incarnation")]
+pub enum HeartbeatError {
+    #[error("the path of the beat holds no id of a task's life")]
     #[diagnostic(help(
         "write /rookpulley/instances/ID with 1 to {NAME_LONGEST} visible ASCII characters"
     ))]
@@ -60,7 +60,7 @@
 
 type Object = HashMap<String, JsonValue>;
 
-/// The parts of a beat. A flat one has all fields at the top.
+/// The parts of a heartbeat. A flat one has all fields at the top.
 struct Parts<'a> {
     top: &'a Object,
     inner: Option<&'a Object>,
@@ -78,7 +78,7 @@
             .or_else(|| self.top.get(field))
     }
 
-    fn wrong(&self, field: &'static str, instead: &'static str) -> BeatFault {
+    fn wrong(&self, field: &'static str, instead: &'static str) -> HeartbeatError {
         let found = match self.find(field) {
             None => "missing",
             Some(JsonValue::Null) => "null",
@@ -86,14 +86,14 @@
             Some(JsonValue::Number(_)) => "a number that won't do",
             Some(_) => "of another type",
         };
-        BeatFault::Field {
+        HeartbeatError::Field {
             field,
             found,
             instead,
         }
     }
 
-    fn name(&self, field: &'static str, least: usize) -> Result<String, BeatFault> {
+    fn name(&self, field: &'static str, least: usize) -> Result<String, HeartbeatError> {
         let wrong = || self.wrong(field, "a text of at most 128 bytes");
         let text = self.find(field).and_then(|v| v.get::<String>());
         let text = match text {
@@ -107,7 +107,7 @@
         }
     }
 
-    fn whole(&self, field: &'static str, least: f64, most: f64) -> Result<f64, BeatFault> {
+    fn whole(&self, field: &'static str, least: f64, most: f64) -> Result<f64, HeartbeatError> {
         let number = self.find(field).and_then(|v| v.get::<f64>()).copied();
         let sound = number.filter(|n| n.fract() == 0.0 && (least..=most).contains(n));
         sound.ok_or_else(|| self.wrong(field, "a whole number in its range"))
@@ -120,27 +120,27 @@
         && incarnation.bytes().all(|b| b.is_ascii_graphic())
 }
 
-impl Beat {
-    /// Reads the body of a beat, its fields in their two parts or all at the top.
-    pub fn read(incarnation: &str, body: &[u8]) -> Result<Self, BeatFault> {
+impl Heartbeat {
+    /// Reads the body of a heartbeat, its fields in their two parts or all at the top.
+    pub fn read(incarnation: &str, body: &[u8]) -> Result<Self, HeartbeatError> {
         if !names_a_incarnation(incarnation) {
-            return Err(BeatFault::IncarnationId);
+            return Err(HeartbeatError::IncarnationId);
         }
         let value = read(body, BOUNDS).map_err(|why| match why {
-            Unread::Long => BeatFault::Long(body.len()),
-            Unread::Deep { .. } => BeatFault::Json("too many brackets".into()),
-            why => BeatFault::Json(why.to_string()),
+            Unread::Long => HeartbeatError::Long(body.len()),
+            Unread::Deep { .. } => HeartbeatError::Json("too many brackets".into()),
+            why => HeartbeatError::Json(why.to_string()),
         })?;
         let top = value
             .get::<Object>()
-            .ok_or_else(|| BeatFault::Json("it is no JSON object".into()))?;
+            .ok_or_else(|| HeartbeatError::Json("it is no JSON object".into()))?;
         let (node, status) = (Parts::of(top, "nodeInfo"), Parts::of(top, "currentStatus"));
         let address = status.name("address", 1)?;
         let address: SocketAddrV4 = address
             .parse()
             .ok()
             .filter(|a: &SocketAddrV4| a.port() != 0)
-            .ok_or(BeatFault::Field {
+            .ok_or(HeartbeatError::Field {
                 field: "address",
                 found: "no address",
                 instead: "an IPv4 address and a port",
@@ -182,14 +182,17 @@
         "capacitySlots":4,"lifecycleState":"draining","callSequence":4,"coldRemainingMs":0}"#;
 
     #[test]
-    fn a_beat_reads_alike_in_parts_and_flat() {
-        let beat = Beat::read("i-1", NESTED.as_bytes()).unwrap();
-        assert_eq!(beat, Beat::read("i-1", FLAT.as_bytes()).unwrap());
-        assert_eq!((beat.slots, beat.draining, beat.sequence), (4, true, 4));
+    fn a_heartbeat_reads_alike_in_parts_and_flat() {
+        let heartbeat = Heartbeat::read("i-1", NESTED.as_bytes()).unwrap();
+        assert_eq!(heartbeat, Heartbeat::read("i-1", FLAT.as_bytes()).unwrap());
+        assert_eq!(
+            (heartbeat.slots, heartbeat.draining, heartbeat.sequence),
+            (4, true, 4)
+        );
     }
 
     #[test]
-    fn a_spoilt_beat_is_refused_with_words_and_never_ends_the_program() {
+    fn a_spoilt_heartbeat_is_refused_with_words_and_never_ends_the_program() {
         let spoilt = [
             ("\"a\"", "7"),
             ("4", "0"),
@@ -198,18 +201,18 @@
             ("\"z\"", "[[]]"),
         ];
         for (was, is) in spoilt {
-            let fault = Beat::read("i-1", NESTED.replacen(was, is, 1).as_bytes()).unwrap_err();
+            let fault = Heartbeat::read("i-1", NESTED.replacen(was, is, 1).as_bytes()).unwrap_err();
             assert!(miette::Diagnostic::help(&fault).is_some(), "{fault}");
         }
-        assert!(Beat::read("i-1", &[b'['; 10_000]).is_err());
-        assert!(Beat::read("i 1", NESTED.as_bytes()).is_err());
+        assert!(Heartbeat::read("i-1", &[b'['; 10_000]).is_err());
+        assert!(Heartbeat::read("i 1", NESTED.as_bytes()).is_err());
         rookpulley_samples::plays(2_000, 64, |u| {
             let mut body = NESTED.as_bytes().to_vec();
             for _ in 0..u.int_in_range(1..=4)? {
                 let at = u.choose_index(body.len())?;
                 body[at] = u.arbitrary()?;
             }
-            _ = Beat::read("i-1", &body);
+            _ = Heartbeat::read("i-1", &body);
             Ok(())
         });
     }
--- a/crates/rookpulley-registry/src/hosted.rs
+++ b/crates/rookpulley-registry/src/hosted.rs
@@ -31,7 +31,7 @@
     pub proxy: ProxyId,
     pub zone: ZoneId,
     pub per_s: f64,
-    /// It came with tables of its own: while tasks are still being heard of, those beat ours.
+    /// It came with tables of its own: while tasks are still being heard of, those count for more than ours.
     pub holds_tables: bool,
 }
 
--- a/crates/rookpulley-registry/src/list.rs
+++ b/crates/rookpulley-registry/src/list.rs
@@ -78,7 +78,7 @@
         let mut seen = BTreeMap::<ServerId, (Seen, f64)>::new();
         for (
             Task {
-                beat,
+                heartbeat,
                 standing,
                 heard_ms,
             },
@@ -86,18 +86,21 @@
         ) in tasks
         {
             // One that drains may still be known at an address that another one has by now.
-            let other = seen.get(&server_id(beat.address));
+            let other = seen.get(&server_id(heartbeat.address));
             let free = other.is_none_or(|(other, _)| other.standing == Standing::Draining);
             if standing != Standing::Displaced && free {
-                let (incarnation, address, zone) =
-                    (beat.incarnation.clone(), beat.address, beat.zone.clone());
-                let warm_ms = heard_ms + beat.cold_ms;
+                let (incarnation, address, zone) = (
+                    heartbeat.incarnation.clone(),
+                    heartbeat.address,
+                    heartbeat.zone.clone(),
+                );
+                let warm_ms = heard_ms + heartbeat.cold_ms;
                 let one = Seen {
                     incarnation,
                     address,
                     zone,
                     zone_id,
-                    slots: beat.slots,
+                    slots: heartbeat.slots,
                     standing,
                 };
                 seen.insert(server_id(address), (one, warm_ms));
--- a/crates/rookpulley-registry/src/news.rs
+++ b/crates/rookpulley-registry/src/news.rs
@@ -1,21 +1,21 @@
 //! What controllers tell each other of tasks.
 
-use crate::beat::Beat;
+use crate::heartbeat::Heartbeat;
 use rookpulley_protocol::IncarnationId;
 use serde::{Deserialize, Serialize};
 
 /// Ages instead of times: controllers share no clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum News {
-    Beat {
-        beat: Beat,
+    Heartbeat {
+        heartbeat: Heartbeat,
         age_ms: f64,
     },
     Gone {
         incarnation: IncarnationId,
         age_ms: f64,
     },
-    /// Later beats of incarnations that are known, many at once.
+    /// Later heartbeats of incarnations that are known, many at once.
     Heard {
         incarnations: Vec<Still>,
     },
@@ -25,7 +25,10 @@
     /// What was kept, told as if it came now: how long ago it was heard isn't known after a start.
     pub fn as_of_now(self) -> Self {
         match self {
-            News::Beat { beat, .. } => News::Beat { beat, age_ms: 0.0 },
+            News::Heartbeat { heartbeat, .. } => News::Heartbeat {
+                heartbeat,
+                age_ms: 0.0,
+            },
             News::Gone { incarnation, .. } => News::Gone {
                 incarnation,
                 age_ms: 0.0,
@@ -35,7 +38,7 @@
     }
 }
 
-/// An incarnation that goes on beating.
+/// An incarnation that keeps sending heartbeats.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Still {
     pub incarnation: IncarnationId,
--- a/crates/rookpulley-registry/src/posted.rs
+++ b/crates/rookpulley-registry/src/posted.rs
@@ -59,7 +59,7 @@
             .filter_map(|(server, w)| list.line(server, w))
             .collect();
         let Some(held) = &self.lines else {
-            // Whatever it may hold from before beats nothing.
+            // Whatever it may hold from before is better than nothing.
             return if cut.is_empty() {
                 Next::Nothing
             } else {
@@ -67,7 +67,7 @@
             };
         };
         if cut.is_empty() {
-            // Tasks that nobody has heard of late beat none; those that have gone do not.
+            // Tasks that nobody has heard of late are better than none; those that have gone do not.
             let kept: Vec<Line> = held
                 .iter()
                 .filter(|l| list.fate(l) != Fate::Gone)
--- a/crates/rookpulley-registry/src/registry.rs
+++ b/crates/rookpulley-registry/src/registry.rs
@@ -1,20 +1,20 @@
-//! The incarnations of tasks, as beats and other controllers tell of them.
+//! The incarnations of tasks, as heartbeats and other controllers tell of them.
 //!
-//! What is kept of an incarnation doesn't depend on the order in which its words came: the beat of the highest number, and
+//! What is kept of an incarnation doesn't depend on the order in which its words came: the heartbeat of the highest number, and
 //! draining or ended once and for all. So controllers that have heard the same agree.
 
-use crate::beat::{Beat, names_a_incarnation};
+use crate::heartbeat::{Heartbeat, names_a_incarnation};
 use crate::news::{News, Outcome, Still, Word};
 use rookpulley_protocol::IncarnationId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
 /// An incarnation that was not heard for so many heartbeats and this slack is silent.
-const SILENT_BEATS: f64 = 3.0;
+const SILENT_HEARTBEATS: f64 = 3.0;
 const SILENT_SLACK_MS: f64 = 500.0;
 /// After a start, or a pause of this process, so many heartbeats pass before silence means anything.
-const SETTLING_BEATS: f64 = 2.0;
-/// A controller out of touch takes beats for so long; then tasks had better call another.
+const SETTLING_HEARTBEATS: f64 = 2.0;
+/// A controller out of touch takes heartbeats for so long; then tasks had better call another.
 const UNTOUCHED_MS: f64 = 1_500.0;
 /// Nobody turned the clock for so long: this process slept, and the tasks need not have been silent.
 const PAUSE_MS: f64 = 1_000.0;
@@ -35,16 +35,16 @@
 /// An incarnation that has not ended.
 #[derive(Clone, Copy)]
 pub struct Task<'a> {
-    pub beat: &'a Beat,
+    pub heartbeat: &'a Heartbeat,
     pub standing: Standing,
     pub heard_ms: f64,
 }
 
 struct Known {
-    beat: Beat,
+    heartbeat: Heartbeat,
     heard_ms: f64,
     silent: bool,
-    /// It has beaten here, and the other controllers don't know yet.
+    /// It has sent a heartbeat here, and the other controllers don't know yet.
     fresh: bool,
 }
 
@@ -66,7 +66,7 @@
         Self {
             heartbeat_ms,
             remember_ms: REMEMBER_MS.max(4.0 * drain_ms),
-            settled_ms: start_ms + SETTLING_BEATS * heartbeat_ms,
+            settled_ms: start_ms + SETTLING_HEARTBEATS * heartbeat_ms,
             ticked_ms: start_ms,
             touched_ms: start_ms,
             incarnations: BTreeMap::new(),
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Whether a beat may be acknowledged here.
-    pub fn takes_beats(&self, now: f64) -> bool {
+    /// Whether a heartbeat may be acknowledged here.
+    pub fn takes_heartbeats(&self, now: f64) -> bool {
         now - self.touched_ms <= UNTOUCHED_MS
     }
 
@@ -98,9 +98,9 @@
         self.version
     }
 
-    /// A task's own beat.
-    pub fn beat(&mut self, now: f64, beat: Beat) -> Outcome {
-        self.take_beat(now, now, beat, true)
+    /// A task's own heartbeat.
+    pub fn heartbeat(&mut self, now: f64, heartbeat: Heartbeat) -> Outcome {
+        self.take_heartbeat(now, now, heartbeat, true)
     }
 
     /// A task's own word that it ends.
@@ -111,7 +111,9 @@
     /// What another controller says.
     pub fn take_news(&mut self, now: f64, news: &News) -> Outcome {
         match news {
-            News::Beat { beat, age_ms } => self.take_beat(now, now - age_ms, beat.clone(), false),
+            News::Heartbeat { heartbeat, age_ms } => {
+                self.take_heartbeat(now, now - age_ms, heartbeat.clone(), false)
+            }
             News::Gone {
                 incarnation,
                 age_ms,
@@ -127,19 +129,19 @@
                     let Some(known) = self
                         .incarnations
                         .get(incarnation)
-                        .filter(|k| k.beat.sequence < *sequence)
+                        .filter(|k| k.heartbeat.sequence < *sequence)
                     else {
                         continue;
                     };
                     let (sequence, heard_ms) = (*sequence, now - age_ms);
                     // It has warmed up meanwhile.
-                    let cold_ms = (known.beat.cold_ms - (heard_ms - known.heard_ms)).max(0.0);
-                    let beat = Beat {
+                    let cold_ms = (known.heartbeat.cold_ms - (heard_ms - known.heard_ms)).max(0.0);
+                    let heartbeat = Heartbeat {
                         sequence,
                         cold_ms,
-                        ..known.beat.clone()
+                        ..known.heartbeat.clone()
                     };
-                    self.take_beat(now, heard_ms, beat, false);
+                    self.take_heartbeat(now, heard_ms, heartbeat, false);
                     outcome = Outcome::LATER;
                 }
                 outcome
@@ -157,18 +159,18 @@
 
     /// All that a controller has to know that has just come in touch.
     pub fn all_news(&self, now: f64) -> Vec<News> {
-        let beats = self.incarnations.values().map(|known| News::Beat {
-            beat: known.beat.clone(),
+        let heartbeats = self.incarnations.values().map(|known| News::Heartbeat {
+            heartbeat: known.heartbeat.clone(),
             age_ms: now - known.heard_ms,
         });
         let gone = self.ended.iter().map(|(incarnation, at)| News::Gone {
             incarnation: incarnation.clone(),
             age_ms: now - at,
         });
-        beats.chain(gone).collect()
+        heartbeats.chain(gone).collect()
     }
 
-    /// The incarnations that went on beating here since the last call.
+    /// The incarnations that kept sending heartbeats here since the last call.
     pub fn fresh_news(&mut self, now: f64) -> Option<News> {
         let fresh = self
             .incarnations
@@ -179,7 +181,7 @@
         let incarnations: Vec<Still> = fresh
             .map(|(incarnation, known)| Still {
                 incarnation: incarnation.clone(),
-                sequence: known.beat.sequence,
+                sequence: known.heartbeat.sequence,
                 age_ms: now - known.heard_ms,
             })
             .collect();
@@ -191,7 +193,7 @@
         let draining = self
             .incarnations
             .iter()
-            .filter(|(_, known)| known.beat.draining)
+            .filter(|(_, known)| known.heartbeat.draining)
             .map(|(incarnation, _)| incarnation);
         draining.chain(self.ended.keys()).cloned().collect()
     }
@@ -201,7 +203,7 @@
         if now - self.ticked_ms > PAUSE_MS {
             self.settled_ms = self
                 .settled_ms
-                .max(now + SETTLING_BEATS * self.heartbeat_ms);
+                .max(now + SETTLING_HEARTBEATS * self.heartbeat_ms);
         }
         self.ticked_ms = now;
         let remember_ms = self.remember_ms;
@@ -235,21 +237,21 @@
     /// All incarnations that have not ended.
     pub fn tasks(&self) -> impl Iterator<Item = Task<'_>> {
         self.incarnations.iter().map(|(incarnation, known)| Task {
-            beat: &known.beat,
+            heartbeat: &known.heartbeat,
             standing: self.standing_of(incarnation, known),
             heard_ms: known.heard_ms,
         })
     }
 
     /// The tasks of a service that requests may go to.
-    pub fn listed(&self, service: &str) -> impl Iterator<Item = &Beat> {
+    pub fn listed(&self, service: &str) -> impl Iterator<Item = &Heartbeat> {
         let of_it = self
             .incarnations
             .iter()
-            .filter(move |(_, known)| known.beat.service == service);
+            .filter(move |(_, known)| known.heartbeat.service == service);
         let live = of_it
             .filter(|(incarnation, known)| self.standing_of(incarnation, known) == Standing::Live);
-        live.map(|(_, known)| &known.beat)
+        live.map(|(_, known)| &known.heartbeat)
     }
 
     pub fn standing(&self, incarnation: &str) -> Standing {
@@ -261,14 +263,14 @@
     }
 
     fn standing_of(&self, incarnation: &str, known: &Known) -> Standing {
-        if known.beat.draining {
+        if known.heartbeat.draining {
             return Standing::Draining;
         }
-        // Of two incarnations at one address only the later one can be there. An earlier one that still beats gets
+        // Of two incarnations at one address only the later one can be there. An earlier one that still sends heartbeats gets
         // it back, so a word that was long on its way shuts nobody out for good.
         let others = self
             .addresses
-            .get(&known.beat.address)
+            .get(&known.heartbeat.address)
             .into_iter()
             .flatten()
             .filter(|o| *o != incarnation);
@@ -285,28 +287,34 @@
     }
 
     fn silent_ms(&self) -> f64 {
-        SILENT_BEATS * self.heartbeat_ms + SILENT_SLACK_MS
+        SILENT_HEARTBEATS * self.heartbeat_ms + SILENT_SLACK_MS
     }
 
-    fn take_beat(&mut self, now: f64, heard_ms: f64, beat: Beat, own: bool) -> Outcome {
-        if self.ended.contains_key(&beat.incarnation) {
+    fn take_heartbeat(
+        &mut self,
+        now: f64,
+        heard_ms: f64,
+        heartbeat: Heartbeat,
+        own: bool,
+    ) -> Outcome {
+        if self.ended.contains_key(&heartbeat.incarnation) {
             return Outcome::LATE;
         }
         let silent = !self.settling(now) && now - heard_ms > self.silent_ms();
-        let incarnation = beat.incarnation.clone();
+        let incarnation = heartbeat.incarnation.clone();
         let Some(known) = self.incarnations.get_mut(&incarnation) else {
             if now - heard_ms >= self.remember_ms || !self.make_room() {
                 return Outcome::LATE;
             }
             self.version += 1;
             self.addresses
-                .entry(beat.address)
+                .entry(heartbeat.address)
                 .or_default()
                 .insert(incarnation.clone());
             self.incarnations.insert(
                 incarnation.clone(),
                 Known {
-                    beat,
+                    heartbeat,
                     heard_ms,
                     silent,
                     fresh: false,
@@ -314,20 +322,20 @@
             );
             return self.told(now, &incarnation, true);
         };
-        let newer = beat.sequence > known.beat.sequence;
-        let drains = beat.draining && !known.beat.draining;
+        let newer = heartbeat.sequence > known.heartbeat.sequence;
+        let drains = heartbeat.draining && !known.heartbeat.draining;
         if !newer && !drains {
             return Outcome::LATE;
         }
-        let draining = known.beat.draining || beat.draining;
-        let (address, returns) = (known.beat.address, newer && known.silent && !silent);
-        let told_anew = returns || drains || (newer && !same_facts(&known.beat, &beat));
+        let draining = known.heartbeat.draining || heartbeat.draining;
+        let (address, returns) = (known.heartbeat.address, newer && known.silent && !silent);
+        let told_anew = returns || drains || (newer && !same_facts(&known.heartbeat, &heartbeat));
         if newer {
-            (known.beat, known.heard_ms, known.silent) = (beat, heard_ms, silent);
+            (known.heartbeat, known.heard_ms, known.silent) = (heartbeat, heard_ms, silent);
             known.fresh |= own && !told_anew;
         }
-        known.beat.draining = draining;
-        let moved = known.beat.address;
+        known.heartbeat.draining = draining;
+        let moved = known.heartbeat.address;
         if moved != address {
             self.vacate(address, &incarnation);
             self.addresses
@@ -352,18 +360,18 @@
         let Some(known) = self.incarnations.get(incarnation) else {
             return Outcome::LATE;
         };
-        let news = News::Beat {
-            beat: known.beat.clone(),
+        let news = News::Heartbeat {
+            heartbeat: known.heartbeat.clone(),
             age_ms: now - known.heard_ms,
         };
-        let newly_draining = (first && known.beat.draining).then(|| incarnation.clone());
+        let newly_draining = (first && known.heartbeat.draining).then(|| incarnation.clone());
         Outcome {
             word: Word::Now(news),
             newly_draining,
         }
     }
 
-    /// An incarnation that was never heard of may end, too: its beats may still be on their way.
+    /// An incarnation that was never heard of may end, too: its heartbeats may still be on their way.
     fn end(&mut self, now: f64, at_ms: f64, incarnation: &str) -> Outcome {
         let old = now - at_ms >= self.remember_ms && !self.incarnations.contains_key(incarnation);
         if self.ended.contains_key(incarnation) || old || !names_a_incarnation(incarnation) {
@@ -372,7 +380,7 @@
         let drained = self
             .incarnations
             .get(incarnation)
-            .is_some_and(|known| known.beat.draining);
+            .is_some_and(|known| known.heartbeat.draining);
         self.drop_incarnation(incarnation);
         if self.ended.len() >= INCARNATIONS_MOST {
             let oldest = self
@@ -397,7 +405,7 @@
     fn drop_incarnation(&mut self, incarnation: &str) {
         if let Some(known) = self.incarnations.remove(incarnation) {
             self.version += 1;
-            self.vacate(known.beat.address, incarnation);
+            self.vacate(known.heartbeat.address, incarnation);
         }
     }
 
@@ -426,7 +434,7 @@
 }
 
 /// Whether nothing but the count and the warmth of a task has changed.
-fn same_facts(was: &Beat, is: &Beat) -> bool {
+fn same_facts(was: &Heartbeat, is: &Heartbeat) -> bool {
     (&was.service, was.address, &was.zone, was.slots)
         == (&is.service, is.address, &is.zone, is.slots)
 }
--- a/crates/rookpulley-registry/tests/desk.rs
+++ b/crates/rookpulley-registry/tests/desk.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_protocol::{Line, Report, ServiceReport, TaskReport};
-use rookpulley_registry::{Beat, Desk, Out, Registry, Service, Standing};
+use rookpulley_registry::{Desk, Heartbeat, Out, Registry, Service, Standing};
 use rookpulley_samples::plays_of;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 
 #[derive(Clone)]
 struct Task {
-    beat: Beat,
+    heartbeat: Heartbeat,
     due_ms: f64,
 }
 
@@ -61,8 +61,8 @@
             .parse()
             .unwrap();
         // A new incarnation at a place means that the one before has ended.
-        self.tasks.retain(|task| task.beat.address != address);
-        let beat = Beat {
+        self.tasks.retain(|task| task.heartbeat.address != address);
+        let heartbeat = Heartbeat {
             incarnation: incarnation.clone(),
             service: service.into(),
             address,
@@ -74,7 +74,7 @@
             sequence: 0,
         };
         self.tasks.push(Task {
-            beat,
+            heartbeat,
             due_ms: self.now,
         });
         incarnation
@@ -84,9 +84,9 @@
         for task in self
             .tasks
             .iter_mut()
-            .filter(|task| task.beat.incarnation == incarnation)
+            .filter(|task| task.heartbeat.incarnation == incarnation)
         {
-            (task.beat.draining, task.due_ms) = (true, self.now);
+            (task.heartbeat.draining, task.due_ms) = (true, self.now);
         }
     }
 
@@ -101,14 +101,14 @@
         self.desk.set_proxies(self.proxies.len() as u32);
     }
 
-    /// One step of time: beats that are due, a tick, and what goes out is taken.
+    /// One step of time: heartbeats that are due, a tick, and what goes out is taken.
     fn step(&mut self) {
         self.now += STEP_MS;
         for task in self.tasks.iter_mut().filter(|task| task.due_ms <= self.now) {
             task.due_ms = self.now + HEARTBEAT_MS;
-            task.beat.sequence += 1;
-            self.registry.beat(self.now, task.beat.clone());
-            task.beat.cold_ms = (task.beat.cold_ms - HEARTBEAT_MS).max(0.0);
+            task.heartbeat.sequence += 1;
+            self.registry.heartbeat(self.now, task.heartbeat.clone());
+            task.heartbeat.cold_ms = (task.heartbeat.cold_ms - HEARTBEAT_MS).max(0.0);
         }
         self.registry.tick(self.now);
         self.desk.sync(self.now, &self.registry);
@@ -249,14 +249,14 @@
                 self.start(service, place, cold_ms);
             }
             (3, Some(at)) => {
-                let incarnation = self.tasks[at].beat.incarnation.clone();
+                let incarnation = self.tasks[at].heartbeat.incarnation.clone();
                 self.drain(&incarnation);
             }
             (4, Some(at)) => {
                 let task = self.tasks.swap_remove(at);
-                self.registry.leave(self.now, &task.beat.incarnation);
+                self.registry.leave(self.now, &task.heartbeat.incarnation);
             }
-            // Its beats stop for a while, or for good.
+            // Its heartbeats stop for a while, or for good.
             (5, Some(at)) => {
                 self.tasks[at].due_ms = self.now + f64::from(u.int_in_range(1..=9)?) * 1e3
             }
--- a/crates/rookpulley-registry/tests/registry.rs
+++ b/crates/rookpulley-registry/tests/registry.rs
@@ -1,6 +1,6 @@
 //! Several registries, each told a part, in orders of chance.
 
-use rookpulley_registry::{Beat, News, Outcome, Registry, Standing, Word};
+use rookpulley_registry::{Heartbeat, News, Outcome, Registry, Standing, Word};
 use rookpulley_samples::plays_of;
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 const CONTROLLERS: usize = 3;
 const INCARNATIONS: usize = 8;
 
-fn beat(incarnation: usize, sequence: u64, draining: bool) -> Beat {
+fn heartbeat(incarnation: usize, sequence: u64, draining: bool) -> Heartbeat {
     // Two incarnations share each address, and some of these pairs are of different services.
     let address = format!("10.0.0.{}:80", incarnation / 2 + 1)
         .parse()
@@ -18,7 +18,7 @@
     } else {
         "b"
     };
-    Beat {
+    Heartbeat {
         incarnation: format!("i-{incarnation}"),
         service: service.into(),
         address,
@@ -33,13 +33,14 @@
 
 fn listed(registry: &Registry) -> BTreeSet<String> {
     let both = registry.listed("a").chain(registry.listed("b"));
-    both.map(|beat| beat.incarnation.clone()).collect()
+    both.map(|heartbeat| heartbeat.incarnation.clone())
+        .collect()
 }
 
 fn aged(news: &News, by_ms: f64) -> News {
     let mut news = news.clone();
     match &mut news {
-        News::Beat { age_ms, .. } | News::Gone { age_ms, .. } => *age_ms += by_ms,
+        News::Heartbeat { age_ms, .. } | News::Gone { age_ms, .. } => *age_ms += by_ms,
         News::Heard { incarnations } => incarnations
             .iter_mut()
             .for_each(|still| still.age_ms += by_ms),
@@ -48,7 +49,7 @@
 }
 
 enum Way {
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     Leave(String),
     News(News, f64),
 }
@@ -72,9 +73,9 @@
                 newly_draining,
             },
         ) = match way {
-            Way::Beat(beat) => {
-                let gone = beat.draining.then(|| beat.incarnation.clone());
-                (gone, controller.beat(now, beat))
+            Way::Heartbeat(heartbeat) => {
+                let gone = heartbeat.draining.then(|| heartbeat.incarnation.clone());
+                (gone, controller.heartbeat(now, heartbeat))
             }
             Way::Leave(incarnation) => {
                 let outcome = controller.leave(now, &incarnation);
@@ -82,7 +83,9 @@
             }
             Way::News(news, sent_ms) => {
                 let gone = match &news {
-                    News::Beat { beat, .. } => beat.draining.then(|| beat.incarnation.clone()),
+                    News::Heartbeat { heartbeat, .. } => {
+                        heartbeat.draining.then(|| heartbeat.incarnation.clone())
+                    }
                     News::Gone { incarnation, .. } => Some(incarnation.clone()),
                     News::Heard { .. } => None,
                 };
@@ -116,7 +119,7 @@
             let places = controller
                 .listed("a")
                 .chain(controller.listed("b"))
-                .map(|beat| beat.address);
+                .map(|heartbeat| heartbeat.address);
             assert_eq!(
                 places.collect::<BTreeSet<_>>().len(),
                 listed.len(),
@@ -162,7 +165,7 @@
                     sequence[incarnation] += 1;
                     world.on_the_way.push((
                         to,
-                        Way::Beat(beat(
+                        Way::Heartbeat(heartbeat(
                             incarnation,
                             sequence[incarnation],
                             draining[incarnation],
@@ -212,8 +215,8 @@
 #[test]
 fn a_silent_incarnation_leaves_and_comes_back_and_nobody_is_silent_to_one_that_settles_or_slept() {
     let mut controller = Registry::new(0.0, HEARTBEAT_MS, 2_500.0);
-    let old = News::Beat {
-        beat: beat(1, 1, false),
+    let old = News::Heartbeat {
+        heartbeat: heartbeat(1, 1, false),
         age_ms: 9_000.0,
     };
     assert!(matches!(controller.take_news(0.0, &old).word, Word::Now(_)));
@@ -228,12 +231,12 @@
     assert_eq!(pass(&mut controller, 3_000, 3_200), ["i-1"]);
     assert_eq!(controller.standing("i-1"), Standing::Silent);
     assert!(matches!(
-        controller.beat(3_200.0, beat(1, 2, false)).word,
+        controller.heartbeat(3_200.0, heartbeat(1, 2, false)).word,
         Word::Now(_)
     ));
     assert_eq!(listed(&controller).len(), 1);
     assert_eq!(pass(&mut controller, 3_300, 8_200), [""; 0]);
-    // It sleeps, and the beats of that time wait for it.
+    // It sleeps, and the heartbeats of that time wait for it.
     assert_eq!(controller.tick(12_000.0), [""; 0]);
     assert!(controller.settling(12_000.0));
     assert_eq!(pass(&mut controller, 12_100, 15_000), [""; 0]);
@@ -246,17 +249,20 @@
     let gone = ["i-1".to_string(), "i-2".to_string()];
     assert_eq!(controller.take_gone(0.0, &gone), gone);
     assert_eq!(controller.take_gone(1.0, &gone), [""; 0]);
-    assert_eq!(controller.beat(2.0, beat(1, 7, false)).word, Word::Late);
+    assert_eq!(
+        controller.heartbeat(2.0, heartbeat(1, 7, false)).word,
+        Word::Late
+    );
     assert!(listed(&controller).is_empty());
 }
 
 #[test]
-fn an_controller_out_of_touch_takes_beats_only_for_a_while_after_it_has_settled() {
+fn an_controller_out_of_touch_takes_heartbeats_only_for_a_while_after_it_has_settled() {
     let mut registry = Registry::new(0.0, 1_000.0, 2_500.0);
     registry.touch(1_900.0, false);
-    assert!(registry.takes_beats(3_400.0));
+    assert!(registry.takes_heartbeats(3_400.0));
     registry.touch(2_100.0, false);
-    assert!(!registry.takes_beats(3_401.0));
+    assert!(!registry.takes_heartbeats(3_401.0));
     registry.touch(3_402.0, true);
-    assert!(registry.takes_beats(3_403.0));
+    assert!(registry.takes_heartbeats(3_403.0));
 }
--- a/crates/rookpulley-scale/src/hollow_tasks.rs
+++ b/crates/rookpulley-scale/src/hollow_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that serve nothing: each beats as a real one does. Some share a connection.
+//! Tasks that serve nothing: each sends heartbeats as a real one does. Some share a connection.
 
 use crate::Sizes;
 use crate::configuration::service;
@@ -10,18 +10,18 @@
 
 /// Tasks that share a connection.
 const SHARED: usize = 64;
-const BEAT_EVERY: Duration = Duration::from_millis(1_500);
+const HEARTBEAT_EVERY: Duration = Duration::from_millis(1_500);
 const PAUSE: Duration = Duration::from_millis(200);
 /// Ports on one address of the stand-in network.
 const PORTS: usize = 200;
 
 #[derive(Default)]
-pub struct Beats {
+pub struct Heartbeats {
     pub acknowledged: Cell<u64>,
     pub failed: Cell<u64>,
 }
 
-pub fn start(sizes: &Sizes, zones: usize, controls: &[SocketAddrV4], beats: &Rc<Beats>) {
+pub fn start(sizes: &Sizes, zones: usize, controls: &[SocketAddrV4], heartbeats: &Rc<Heartbeats>) {
     for (at, first) in (0..sizes.tasks).step_by(SHARED).enumerate() {
         let last = (first + SHARED).min(sizes.tasks);
         let bodies: Vec<(String, String)> = (first..last)
@@ -33,11 +33,11 @@
             })
             .collect();
         let controls = controls.to_vec();
-        tokio::task::spawn_local(beat_all(at, bodies, controls, beats.clone()));
+        tokio::task::spawn_local(heartbeat_all(at, bodies, controls, heartbeats.clone()));
     }
 }
 
-/// A beat up to its number.
+/// A heartbeat up to its number.
 fn facts(sizes: &Sizes, zones: usize, task: usize) -> String {
     let ip = Ipv4Addr::from(u32::from(Ipv4Addr::new(10, 128, 0, 0)) + (task / PORTS) as u32);
     format!(
@@ -49,17 +49,17 @@
     )
 }
 
-async fn beat_all(
+async fn heartbeat_all(
     at: usize,
     bodies: Vec<(String, String)>,
     controls: Vec<SocketAddrV4>,
-    beats: Rc<Beats>,
+    heartbeats: Rc<Heartbeats>,
 ) {
     let mut to = at;
     let mut connection = None;
     // All begin spread over one interval.
-    tokio::time::sleep(BEAT_EVERY.mul_f64((at % 16) as f64 / 16.0)).await;
-    let mut ticks = tokio::time::interval(BEAT_EVERY);
+    tokio::time::sleep(HEARTBEAT_EVERY.mul_f64((at % 16) as f64 / 16.0)).await;
+    let mut ticks = tokio::time::interval(HEARTBEAT_EVERY);
     for sequence in 1u64.. {
         ticks.tick().await;
         for (path, facts) in &bodies {
@@ -75,9 +75,11 @@
                 continue;
             };
             match open.put(path, &format!("{facts}{sequence}}}}}")).await {
-                Ok(200) => beats.acknowledged.set(beats.acknowledged.get() + 1),
+                Ok(200) => heartbeats
+                    .acknowledged
+                    .set(heartbeats.acknowledged.get() + 1),
                 _ => {
-                    beats.failed.set(beats.failed.get() + 1);
+                    heartbeats.failed.set(heartbeats.failed.get() + 1);
                     (connection, to) = (None, to + 1);
                 }
             }
--- a/crates/rookpulley-scale/src/http.rs
+++ b/crates/rookpulley-scale/src/http.rs
@@ -1,4 +1,4 @@
-//! Calls to controllers over one kept connection: as much of HTTP/1.1 as beats and orders need.
+//! Calls to controllers over one kept connection: as much of HTTP/1.1 as heartbeats and orders need.
 
 use std::net::SocketAddrV4;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/rookpulley-scale/src/main.rs
+++ b/crates/rookpulley-scale/src/main.rs
@@ -23,7 +23,7 @@
         optional --proxies proxies: usize
         /// Hollow proxies. [100]
         optional --hollow hollow: usize
-        /// Hollow tasks, beating every 1.5 s. [1000]
+        /// Hollow tasks, with a heartbeat every 1.5 s. [1000]
         optional --tasks tasks: usize
         /// Services, among which tasks and routes are spread. [50]
         optional --services services: usize
--- a/crates/rookpulley-scale/src/report.rs
+++ b/crates/rookpulley-scale/src/report.rs
@@ -56,8 +56,8 @@
         );
         _ = writeln!(
             text,
-            "  beats {:.0} a second, {} failed",
-            span.beats_per_s, span.beats_failed
+            "  heartbeats {:.0} a second, {} failed",
+            span.heartbeats_per_s, span.heartbeats_failed
         );
     }
     _ = writeln!(
@@ -110,8 +110,8 @@
         ("hollowBytesOutPerS", number(of.proxy_out_per_s)),
         ("hollowMessagesInPerS", number(of.proxy_messages_per_s)),
         ("tablesPerS", number(of.tables_per_s)),
-        ("beatsPerS", number(of.beats_per_s)),
-        ("beatsFailed", number(of.beats_failed as f64)),
+        ("beatsPerS", number(of.heartbeats_per_s)),
+        ("beatsFailed", number(of.heartbeats_failed as f64)),
     ])
 }
 
--- a/crates/rookpulley-scale/src/run.rs
+++ b/crates/rookpulley-scale/src/run.rs
@@ -3,7 +3,7 @@
 use crate::Sizes;
 use crate::configuration;
 use crate::hollow_proxy::{self, Counts};
-use crate::hollow_tasks::{self, Beats};
+use crate::hollow_tasks::{self, Heartbeats};
 use crate::http::Connection;
 use crate::processes::{Process, Processes, Role, Usage, ZONES, address, zone};
 use std::rc::Rc;
@@ -29,8 +29,8 @@
     pub proxy_out_per_s: f64,
     pub proxy_messages_per_s: f64,
     pub tables_per_s: f64,
-    pub beats_per_s: f64,
-    pub beats_failed: u64,
+    pub heartbeats_per_s: f64,
+    pub heartbeats_failed: u64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -61,7 +61,7 @@
     sizes: &'a Sizes,
     processes: Processes,
     counts: Rc<Counts>,
-    beats: Rc<Beats>,
+    heartbeats: Rc<Heartbeats>,
 }
 
 pub async fn run(sizes: &Sizes) -> miette::Result<Figures> {
@@ -71,7 +71,7 @@
         sizes,
         processes,
         counts: Rc::default(),
-        beats: Rc::default(),
+        heartbeats: Rc::default(),
     };
     let mut figures = Figures::default();
     let first = configuration::body(sizes, 1);
@@ -79,12 +79,15 @@
     scene.order(&first).await?;
     scene.start_hollow();
     while scene.counts.ready.get() < sizes.hollow
-        || scene.beats.acknowledged.get() < sizes.tasks as u64
+        || scene.heartbeats.acknowledged.get() < sizes.tasks as u64
     {
         if begun.elapsed() > READY_WITHIN {
-            let (ready, beats) = (scene.counts.ready.get(), scene.beats.acknowledged.get());
+            let (ready, heartbeats) = (
+                scene.counts.ready.get(),
+                scene.heartbeats.acknowledged.get(),
+            );
             return Err(miette::miette!(
-                "{ready} hollow proxies hold tables, {beats} beats are acknowledged"
+                "{ready} hollow proxies hold tables, {heartbeats} heartbeats are acknowledged"
             ));
         }
         sleep(LOOK_EVERY).await;
@@ -121,7 +124,7 @@
                 &self.counts,
             );
         }
-        hollow_tasks::start(self.sizes, ZONES, &controls, &self.beats);
+        hollow_tasks::start(self.sizes, ZONES, &controls, &self.heartbeats);
     }
 
     /// Sends an order, again and again until it is acknowledged.
@@ -199,8 +202,8 @@
             counts.bytes_out.get(),
             counts.messages_in.get(),
             counts.tables.get(),
-            self.beats.acknowledged.get(),
-            self.beats.failed.get(),
+            self.heartbeats.acknowledged.get(),
+            self.heartbeats.failed.get(),
         ];
         Moment {
             at: Instant::now(),
@@ -234,7 +237,7 @@
         proxy_out_per_s: next() / hollow,
         proxy_messages_per_s: next() / hollow,
         tables_per_s: next(),
-        beats_per_s: next(),
-        beats_failed: (next() * seconds).round() as u64,
+        heartbeats_per_s: next(),
+        heartbeats_failed: (next() * seconds).round() as u64,
     }
 }
--- a/crates/rookpulley-simulator/src/callers.rs
+++ b/crates/rookpulley-simulator/src/callers.rs
@@ -8,7 +8,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Who {
-    Beat {
+    Heartbeat {
         task: usize,
         incarnation: u64,
         draining: bool,
@@ -109,7 +109,7 @@
 
     pub fn caller_host(&self, call: u64) -> Host {
         match self.calls.get(&call).map(|call| &call.who) {
-            Some(Who::Beat { task, .. }) => Host::Task(*task),
+            Some(Who::Heartbeat { task, .. }) => Host::Task(*task),
             _ => Host::Outside(0),
         }
     }
@@ -230,13 +230,13 @@
 
     fn call_ended(&mut self, call: Call, reply: Option<Reply>) {
         match call.who.clone() {
-            Who::Beat {
+            Who::Heartbeat {
                 task,
                 incarnation,
                 draining,
                 leaving,
             } => {
-                self.beat_ended(
+                self.heartbeat_ended(
                     task,
                     incarnation,
                     (draining, leaving),
--- a/crates/rookpulley-simulator/src/day.rs
+++ b/crates/rookpulley-simulator/src/day.rs
@@ -5,7 +5,7 @@
 use rookpulley_routes::RouteKind;
 use std::fmt;
 
-/// The first configuration and the tasks' first beats are given so long before traffic; after the last trouble the
+/// The first configuration and the tasks' first heartbeats are given so long before traffic; after the last trouble the
 /// day goes on calmly for so long.
 pub const BEGINS_MS: u64 = 2_500;
 pub const CALM_MS: u64 = 11_000;
--- a/crates/rookpulley-simulator/src/tasks.rs
+++ b/crates/rookpulley-simulator/src/tasks.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for tasks: incarnations with slots, a queue and a speed, which beat, drain, end, crash and answer badly. A place
+//! Stand-ins for tasks: incarnations with slots, a queue and a speed, which send heartbeats, drain, end, crash and answer badly. A place
 //! is an address; after one incarnation another may have it, also of another service.
 
 use crate::callers::{Call, Who};
@@ -205,12 +205,12 @@
             service_name(of.service)
         );
         self.say(|| text);
-        self.after(0, None, What::TaskBeat { task, incarnation });
+        self.after(0, None, What::TaskHeartbeat { task, incarnation });
     }
 
-    // ---- beats ------------------------------------------------------------------------------
+    // ---- heartbeats ------------------------------------------------------------------------------
 
-    fn beat_body(&mut self, task: usize) -> String {
+    fn heartbeat_body(&mut self, task: usize) -> String {
         let now = self.now;
         let of = &mut self.tasks[task];
         of.sequence += 1;
@@ -232,26 +232,26 @@
         )
     }
 
-    pub fn task_beats(&mut self, task: usize, incarnation: u64) {
+    pub fn task_heartbeats(&mut self, task: usize, incarnation: u64) {
         if self.tasks[task].incarnation != incarnation
             || matches!(self.tasks[task].state, State::Down | State::Leaving)
         {
             return;
         }
         let draining = self.tasks[task].state == State::Draining;
-        let body = self.beat_body(task);
+        let body = self.heartbeat_body(task);
         let name = incarnation_name(task, incarnation);
-        let who = Who::Beat {
+        let who = Who::Heartbeat {
             task,
             incarnation,
             draining,
             leaving: false,
         };
         let within = if draining { 4 * S } else { HEARTBEAT_MS * MS };
-        self.call(who, Path::Beat, &name, body, Vec::new(), (within, 0));
+        self.call(who, Path::Heartbeat, &name, body, Vec::new(), (within, 0));
         if !draining {
             let us = HEARTBEAT_MS * MS + self.rng.random_range(0..60u64) * MS;
-            self.after(us, None, What::TaskBeat { task, incarnation });
+            self.after(us, None, What::TaskHeartbeat { task, incarnation });
         }
     }
 
@@ -262,11 +262,11 @@
             let incarnation = self.tasks[task].incarnation;
             let name = incarnation_name(task, incarnation);
             self.say(|| format!("task {task}: {name} drains"));
-            self.task_beats(task, incarnation);
+            self.task_heartbeats(task, incarnation);
         }
     }
 
-    pub fn beat_ended(
+    pub fn heartbeat_ended(
         &mut self,
         task: usize,
         incarnation: u64,
@@ -306,7 +306,7 @@
             return;
         }
         let name = incarnation_name(task, incarnation);
-        let who = Who::Beat {
+        let who = Who::Heartbeat {
             task,
             incarnation,
             draining: true,
--- a/crates/rookpulley-simulator/src/world.rs
+++ b/crates/rookpulley-simulator/src/world.rs
@@ -212,7 +212,7 @@
         request: usize,
         attempt: u32,
     },
-    TaskBeat {
+    TaskHeartbeat {
         task: usize,
         incarnation: u64,
     },
@@ -636,7 +636,7 @@
                 request,
                 attempt,
             } => self.task_done(task, request, attempt),
-            What::TaskBeat { task, incarnation } => self.task_beats(task, incarnation),
+            What::TaskHeartbeat { task, incarnation } => self.task_heartbeats(task, incarnation),
             What::TaskLeaves { task, incarnation } => self.task_leaves(task, incarnation),
             What::TaskEnds {
                 task,
