--- a/crates/rookpulley-chain/src/votes.rs
+++ b/crates/rookpulley-chain/src/acceptor.rs
@@ -2,8 +2,8 @@
 //! crash, since it says nothing before it is on the disk; one whose disk is new has another identity.
 
 use crate::chain::{Chain, Then};
-use crate::kept::{self, Vote};
 use crate::message::Message;
+use crate::persisted::{self, Vote};
 use crate::view::{Ballot, View};
 use crate::{Effect, State};
 use std::cmp::Ordering;
@@ -25,8 +25,8 @@
     /// Votes take the place of those for the view before, so that one goes along: a disk that holds the votes and
     /// not the view would open the older number again.
     fn keep_vote(&mut self, vote: Vote, to: u64, message: Message) {
-        let mut records: Vec<_> = self.view().map(kept::put_view).into_iter().collect();
-        records.push(kept::put_vote(&vote));
+        let mut records: Vec<_> = self.view().map(persisted::put_view).into_iter().collect();
+        records.push(persisted::put_vote(&vote));
         self.vote = vote;
         self.write(records, Then::Send { to, message });
     }
@@ -107,7 +107,7 @@
         if number > self.never && self.installed < number && self.flow.installing < number {
             self.never = number;
             self.write(
-                vec![kept::put_never(number)],
+                vec![persisted::put_never(number)],
                 Then::Buried {
                     to: from,
                     ask,
--- a/crates/rookpulley-chain/src/fill.rs
+++ b/crates/rookpulley-chain/src/catch_up.rs
@@ -6,10 +6,10 @@
 //! one part at a time, and for the next once that one is on its disk: who is slow is never flooded.
 
 use crate::chain::{Chain, Then};
+use crate::deduplication::Recent;
 use crate::install::Awaited;
-use crate::kept;
 use crate::message::{Entry, Fill, Message};
-use crate::recent::Recent;
+use crate::persisted;
 use crate::{Effect, Record, State};
 use twox_hash::XxHash64;
 
@@ -187,9 +187,9 @@
                     self.flow
                         .on_disk()
                         .filter(|at| *at > entry.seq)
-                        .map(kept::drop_entry),
+                        .map(persisted::drop_entry),
                 );
-                records.push(kept::put_entry(0, &entry));
+                records.push(persisted::put_entry(0, &entry));
                 self.flow.drop_log();
                 self.flow.add(entry);
             }
@@ -256,7 +256,7 @@
             .flow
             .on_disk()
             .filter(|at| *at <= seq || *at > last)
-            .map(kept::drop_entry);
+            .map(persisted::drop_entry);
         let mut records: Vec<Record> = gone.collect();
         let at_ms = at_ms.max(self.flow.last_at);
         self.flow.begin(seq, at_ms, now);
--- a/crates/rookpulley-chain/src/chain.rs
+++ b/crates/rookpulley-chain/src/chain.rs
@@ -1,14 +1,14 @@
 //! One controller's part in the chain: its state, and what comes in handed to where it belongs.
 
-use crate::entry::Calls;
-use crate::fill::{Filling, Stock};
-use crate::flow::Flow;
+use crate::catch_up::{Filling, Stock};
+use crate::client_requests::Calls;
+use crate::deduplication::Recent;
 use crate::install::Awaited;
-use crate::kept::{self, Kept, VIEWS, Vote};
-use crate::mend::{Mending, Opinion};
 use crate::message::{Message, Standing};
-use crate::recent::Recent;
+use crate::persisted::{self, Kept, VIEWS, Vote};
+use crate::reconfiguration::{Mending, Opinion};
 use crate::refound::apart;
+use crate::replication::Flow;
 use crate::view::{Member, View};
 use crate::{Boot, Effect, Input, Record, State};
 use std::collections::{BTreeMap, VecDeque};
@@ -137,7 +137,7 @@
         // What was shown before is where it begins: nothing has moved yet.
         new.apply_to(agreed.0);
         new.out.clear();
-        new.write(vec![kept::put_begun(new.me.incarnation)], Then::Proven);
+        new.write(vec![persisted::put_begun(new.me.incarnation)], Then::Proven);
         if boot.founder {
             new.found();
         }
@@ -158,8 +158,8 @@
         let mut records = self.first_state();
         records.extend([
             self.put_agreed(),
-            kept::put_view(&view),
-            kept::put_installed(view.number),
+            persisted::put_view(&view),
+            persisted::put_installed(view.number),
         ]);
         self.write(records, Then::Founded);
     }
@@ -463,11 +463,11 @@
         if new.is_empty() {
             return;
         }
-        let mut records: Vec<Record> = new.iter().map(kept::put_view).collect();
+        let mut records: Vec<Record> = new.iter().map(persisted::put_view).collect();
         self.views.extend(new);
         self.views.sort_by_key(|v| v.number);
         while self.views.len() > VIEWS {
-            records.push(kept::drop_view(self.views.remove(0).number));
+            records.push(persisted::drop_view(self.views.remove(0).number));
         }
         self.write(records, Then::Nothing);
         let Some(view) = self.views.last().filter(|v| v.number > before) else {
--- a/crates/rookpulley-chain/src/install.rs
+++ b/crates/rookpulley-chain/src/install.rs
@@ -6,8 +6,8 @@
 //! once the view is at work and not before: till then nobody applies it, for the view may yet be passed over.
 
 use crate::chain::{Chain, Then};
-use crate::kept;
 use crate::message::{Entry, Message, Standing};
+use crate::persisted;
 use crate::view::{Member, View};
 use crate::{Effect, Record, State};
 
@@ -130,14 +130,14 @@
             self.flow
                 .on_disk()
                 .filter(|at| *at > last)
-                .map(kept::drop_entry),
+                .map(persisted::drop_entry),
         );
-        records.extend(log.iter().map(|entry| kept::put_entry(number, entry)));
+        records.extend(log.iter().map(|entry| persisted::put_entry(number, entry)));
         // With the view in one batch: who has installed it knows of it.
         records.extend([
-            kept::put_agreed(seq, at_ms),
-            kept::put_view(view),
-            kept::put_installed(number),
+            persisted::put_agreed(seq, at_ms),
+            persisted::put_view(view),
+            persisted::put_installed(number),
         ]);
         self.flow.go_on(at_ms, now, log);
         self.flow.installing = number;
--- a/crates/rookpulley-chain/src/flaws.rs
+++ b/crates/rookpulley-chain/src/integrity.rs
@@ -1,7 +1,7 @@
 //! All that is wrong with the rows of a disk, for who wants to know more than whether they are sound.
 
-use crate::kept::{Head, Kept, Vote};
 use crate::message::Entry;
+use crate::persisted::{Head, Kept, Vote};
 use crate::view::View;
 use serde::de::DeserializeOwned;
 use std::fmt::Display;
--- a/crates/rookpulley-chain/src/lib.rs
+++ b/crates/rookpulley-chain/src/lib.rs
@@ -1,33 +1,33 @@
 //! Ordered updates through the machines with a disk, and the agreed view that mends the chain. Free of I/O.
 //!
-//! `view` and `message` hold the values, `kept` what stands on the disk, `votes` the acceptor, `mend` how a new view
-//! comes about, `install` how it is set to work, `fill` how one that lacks much gets it and how copies are compared,
-//! `flow` updates and reads through a chain at work, `recent` what was answered lately, `entry` the calls that were
-//! asked of this controller, `refound` the way out when a majority is gone, `flaws` what is wrong with a disk.
+//! `view` and `message` hold the values, `persisted` what stands on the disk, `acceptor` the acceptor, `reconfiguration` how a new view
+//! comes about, `install` how it is set to work, `catch_up` how one that lacks much gets it and how copies are compared,
+//! `replication` updates and reads through a chain at work, `deduplication` what was answered lately, `client_requests` the calls that were
+//! asked of this controller, `refound` the way out when a majority is gone, `integrity` what is wrong with a disk.
 //! `docs/design/chain.md` says why it is right.
 
+mod acceptor;
+mod catch_up;
 mod chain;
-mod disk;
-mod entry;
-mod fill;
-mod flaws;
-mod flow;
+mod client_requests;
+mod deduplication;
+mod disk_health;
 mod install;
-mod kept;
-mod mend;
+mod integrity;
 mod message;
-mod recent;
+mod persisted;
+mod reconfiguration;
 mod refound;
-mod shown;
+mod replication;
+mod status;
 mod view;
-mod votes;
 
 pub use chain::Chain;
-pub use disk::Disk;
-pub use flaws::{Flaw, flaws};
-pub use kept::{Kept, Record};
+pub use disk_health::Disk;
+pub use integrity::{Flaw, flaws};
 pub use message::{Asked, Entry, Fill, Message, Question, Standing};
-pub use shown::{Heard, Shown, ShownKept, ShownMember};
+pub use persisted::{Kept, Record};
+pub use status::{Heard, Shown, ShownKept, ShownMember};
 pub use view::{Ballot, Member, View};
 
 /// What the chain keeps: a state that applies entries, the same everywhere.
--- a/crates/rookpulley-chain/src/mend.rs
+++ b/crates/rookpulley-chain/src/reconfiguration.rs
@@ -3,8 +3,8 @@
 //! There is no leader: whoever sees trouble first, after a pause by rank. Nothing is proposed before a majority of the
 //! present members has answered, so one that can speak but not hear disturbs nobody.
 
+use crate::catch_up::NEAR;
 use crate::chain::{Chain, SILENT_MS};
-use crate::fill::NEAR;
 use crate::message::{Message, Standing};
 use crate::view::{Ballot, Member, View};
 use crate::{Effect, State};
--- a/crates/rookpulley-chain/src/refound.rs
+++ b/crates/rookpulley-chain/src/refound.rs
@@ -4,7 +4,7 @@
 //! that the chain it leaves never comes to. Whoever hears of that number gives way. The numbers between were never
 //! decided, so no view of the old chain can be gone on from.
 
-use crate::kept::{self, Kept, Record};
+use crate::persisted::{self, Kept, Record};
 use crate::view::{Member, View};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -55,12 +55,16 @@
             }],
             voters: Vec::new(),
         };
-        let (mut records, _) = kept::put_snapshot(head.seq, head.at_ms, snapshot, 0);
-        records.extend(self.log.iter().map(|entry| kept::put_entry(number, entry)));
+        let (mut records, _) = persisted::put_snapshot(head.seq, head.at_ms, snapshot, 0);
+        records.extend(
+            self.log
+                .iter()
+                .map(|entry| persisted::put_entry(number, entry)),
+        );
         records.extend([
-            kept::put_view(&view),
-            kept::put_installed(number),
-            kept::put_agreed(self.agreed.0, self.agreed.1),
+            persisted::put_view(&view),
+            persisted::put_installed(number),
+            persisted::put_agreed(self.agreed.0, self.agreed.1),
         ]);
         Some((view, records))
     }
--- a/crates/rookpulley-chain/src/flow.rs
+++ b/crates/rookpulley-chain/src/replication.rs
@@ -4,10 +4,10 @@
 //! A read goes the same way. That it has passed every member shows that none of them had left this view before, so
 //! that no later view was at work yet: the tail's word is as new as the asking, without any clock.
 
+use crate::catch_up::SWEEP_ENTRIES;
 use crate::chain::{Chain, Then};
-use crate::fill::SWEEP_ENTRIES;
-use crate::kept;
 use crate::message::{Asked, Entry, Message, Question};
+use crate::persisted;
 use crate::{CallKind, Effect, Record, State};
 use std::collections::VecDeque;
 
@@ -192,7 +192,7 @@
                     from,
                 };
                 self.flow.add(entry.clone());
-                let records = vec![kept::put_entry(view, &entry), self.put_agreed()];
+                let records = vec![persisted::put_entry(view, &entry), self.put_agreed()];
                 self.write(
                     records,
                     Then::Entries {
@@ -221,7 +221,7 @@
         let mut records = Vec::new();
         for entry in entries {
             if entry.seq == self.flow.last + 1 {
-                records.push(kept::put_entry(view, &entry));
+                records.push(persisted::put_entry(view, &entry));
                 self.flow.add(entry);
             }
         }
@@ -244,7 +244,7 @@
 
     /// For the disk: the applied part of the log needs no other controller's word at the next start.
     pub(crate) fn put_agreed(&self) -> Record {
-        kept::put_agreed(self.flow.committed, self.flow.last_at)
+        persisted::put_agreed(self.flow.committed, self.flow.last_at)
     }
 
     pub(crate) fn entries_synced(&mut self, now: u64, view: u64, to: u64) {
@@ -408,8 +408,8 @@
         // The stamp of the last entry applied isn't kept apart: that of the last held is later, and no later than
         // now, so time still never runs fast.
         let (mut records, pieces) =
-            kept::put_snapshot(committed, last_at, &self.snapshot(), self.pieces);
-        records.extend((from..=committed).map(kept::drop_entry));
+            persisted::put_snapshot(committed, last_at, &self.snapshot(), self.pieces);
+        records.extend((from..=committed).map(persisted::drop_entry));
         (self.pieces, self.flow.disk.0, self.flow.disk_bytes) = (pieces, committed + 1, 0);
         records
     }
--- a/crates/rookpulley-chain/src/shown.rs
+++ b/crates/rookpulley-chain/src/status.rs
@@ -2,8 +2,8 @@
 
 use crate::State;
 use crate::chain::Chain;
-use crate::kept::Kept;
-use crate::recent::Recent;
+use crate::deduplication::Recent;
+use crate::persisted::Kept;
 use crate::view::{Member, View};
 
 /// How the chain looks from here.
