--- a/crates/rookpulley-chain/src/acceptor.rs
+++ b/crates/rookpulley-chain/src/acceptor.rs
@@ -1,19 +1,19 @@
 //! The acceptor: promises and accepts for the view after the one decided. What it said it still knows after any
 //! crash, since it says nothing before it is on the disk; one whose disk is new has another identity.
 
-use crate::chain::{Chain, Then};
+use crate::chain::{AfterSync, Chain};
 use crate::message::Message;
-use crate::persisted::{self, Vote};
+use crate::persisted::{self, AcceptorState};
 use crate::view::{Ballot, View};
 use crate::{Effect, State};
 use std::cmp::Ordering;
 
 impl<S: State> Chain<S> {
     /// What was voted for this view. None: of an older one than was voted for since, nothing is known any more.
-    fn vote_for(&self, number: u64) -> Option<Vote> {
-        let fresh = Vote {
+    fn vote_for(&self, number: u64) -> Option<AcceptorState> {
+        let fresh = AcceptorState {
             number,
-            ..Vote::default()
+            ..AcceptorState::default()
         };
         match self.vote.number.cmp(&number) {
             Ordering::Less => Some(fresh),
@@ -24,11 +24,11 @@
 
     /// Votes take the place of those for the view before, so that one goes along: a disk that holds the votes and
     /// not the view would open the older number again.
-    fn keep_vote(&mut self, vote: Vote, to: u64, message: Message) {
+    fn keep_vote(&mut self, vote: AcceptorState, to: u64, message: Message) {
         let mut records: Vec<_> = self.view().map(persisted::put_view).into_iter().collect();
         records.push(persisted::put_vote(&vote));
         self.vote = vote;
-        self.write(records, Then::Send { to, message });
+        self.write(records, AfterSync::Send { to, message });
     }
 
     pub(crate) fn prepare(&mut self, now: u64, from: u64, base: View, ballot: Ballot) {
@@ -55,7 +55,7 @@
             self.send(
                 now,
                 from,
-                Message::Outbid {
+                Message::Preempted {
                     number,
                     ballot: vote.promised,
                 },
@@ -86,7 +86,7 @@
         if ballot < vote.promised {
             self.out.push(Effect::Send {
                 to: from,
-                message: Message::Outbid {
+                message: Message::Preempted {
                     number,
                     ballot: vote.promised,
                 },
@@ -108,7 +108,7 @@
             self.never = number;
             self.write(
                 vec![persisted::put_never(number)],
-                Then::Buried {
+                AfterSync::ViewAbandoned {
                     to: from,
                     ask,
                     number,
@@ -117,7 +117,7 @@
         } else {
             self.write(
                 Vec::new(),
-                Then::Buried {
+                AfterSync::ViewAbandoned {
                     to: from,
                     ask,
                     number,
--- a/crates/rookpulley-chain/src/catch_up.rs
+++ b/crates/rookpulley-chain/src/catch_up.rs
@@ -5,10 +5,10 @@
 //! that has it, without any view: updates while they are at hand, else the state itself, piece by piece. It asks for
 //! one part at a time, and for the next once that one is on its disk: who is slow is never flooded.
 
-use crate::chain::{Chain, Then};
-use crate::deduplication::Recent;
-use crate::install::Awaited;
-use crate::message::{Entry, Fill, Message};
+use crate::chain::{AfterSync, Chain};
+use crate::deduplication::ReplyCache;
+use crate::install::PendingInstall;
+use crate::message::{CatchUpChunk, Entry, Message};
 use crate::persisted;
 use crate::{Effect, Record, State};
 use twox_hash::XxHash64;
@@ -26,21 +26,21 @@
 
 /// What comes in, and what is handed out.
 #[derive(Default)]
-pub struct Filling {
+pub struct CatchUp {
     /// The view that is set to work here once this controller holds what it begins with.
-    pub awaited: Option<Awaited>,
+    pub awaited: Option<PendingInstall>,
     ask: u64,
     /// Until when an answer is waited for.
     until_ms: u64,
     /// A part is on its way to the disk.
     pub writing: bool,
     far: bool,
-    pieces: Option<Pieces>,
-    frozen: Option<Frozen>,
+    pieces: Option<PartialSnapshot>,
+    frozen: Option<ServedSnapshot>,
 }
 
 /// A state, as far as it has come.
-struct Pieces {
+struct PartialSnapshot {
     from: u64,
     seq: u64,
     next: u32,
@@ -48,7 +48,7 @@
 }
 
 /// A state that is handed out.
-struct Frozen {
+struct ServedSnapshot {
     seq: u64,
     at_ms: u64,
     sum: u64,
@@ -56,7 +56,7 @@
     used_ms: u64,
 }
 
-impl Filling {
+impl CatchUp {
     /// A new view is known: what the one before waited for is not waited for any more.
     pub fn give_up(&mut self) {
         self.awaited = None;
@@ -65,7 +65,7 @@
 
 /// What this copy's digests have told.
 #[derive(Default)]
-pub struct Stock {
+pub struct StateDigests {
     /// After which update it was last taken, and the digest.
     pub swept: (u64, u64),
     told: u64,
@@ -83,7 +83,7 @@
             .view()
             .filter(|v| self.is_at_work() && !v.names(self.me.id, self.me.incarnation))?;
         let ahead = |id: &u64| {
-            let more = |k: &crate::chain::Known| k.standing.committed > self.flow.committed;
+            let more = |k: &crate::chain::PeerState| k.standing.committed > self.flow.committed;
             self.in_contact(now, *id) && self.known.get(id).is_some_and(more)
         };
         view.members
@@ -111,7 +111,7 @@
         let piece = self.filling.pieces.as_ref().map(|p| (p.seq, p.next));
         (self.filling.ask, self.filling.until_ms) = (self.filling.ask + 1, now + AGAIN_MS);
         let ask = self.filling.ask;
-        self.send(now, from, Message::Fetch { ask, held, piece });
+        self.send(now, from, Message::CatchUpRequest { ask, held, piece });
     }
 
     /// An answer shows that others are so far.
@@ -121,17 +121,17 @@
         }
     }
 
-    pub(crate) fn take_fill(&mut self, now: u64, from: u64, ask: u64, fill: Fill) {
+    pub(crate) fn take_fill(&mut self, now: u64, from: u64, ask: u64, fill: CatchUpChunk) {
         if ask != self.filling.ask || self.filling.until_ms == 0 || self.acting().is_some() {
             return;
         }
         self.filling.until_ms = 0;
         let records = match fill {
-            Fill::Updates { entries, .. } => {
+            CatchUpChunk::Updates { entries, .. } => {
                 self.filling.pieces = None;
                 self.absorb(entries)
             }
-            Fill::Piece {
+            CatchUpChunk::Piece {
                 seq,
                 at_ms,
                 piece,
@@ -147,8 +147,8 @@
             return self.near(now);
         }
         self.filling.writing = true;
-        self.write(records, Then::Filled);
-        self.out.push(Effect::Applied);
+        self.write(records, AfterSync::CaughtUp);
+        self.out.push(Effect::StateChanged);
     }
 
     /// A part is on the disk.
@@ -216,7 +216,7 @@
             .take()
             .filter(|p| p.from == from && p.seq == seq && p.next == piece);
         let fresh = || {
-            (piece == 0).then_some(Pieces {
+            (piece == 0).then_some(PartialSnapshot {
                 from,
                 seq,
                 next: 0,
@@ -235,7 +235,7 @@
         if seq <= self.flow.committed || XxHash64::oneshot(0, &all.bytes) != sum {
             return Vec::new();
         }
-        let Some((recent, state)) = Recent::parse(&all.bytes) else {
+        let Some((recent, state)) = ReplyCache::parse(&all.bytes) else {
             return Vec::new();
         };
         if !self.state.restore(state) {
@@ -279,23 +279,23 @@
     ) {
         let committed = self.flow.committed;
         let fill = if self.flow.joins(held) {
-            Fill::Updates {
+            CatchUpChunk::Updates {
                 committed,
                 entries: self.flow.applied_behind(held, PART_BYTES),
             }
         } else {
             self.piece(now, piece)
         };
-        self.send(now, from, Message::Filled { ask, fill });
+        self.send(now, from, Message::CatchUpReply { ask, fill });
     }
 
     /// The piece of the state that is handed out, or the first of a newer one where that can't be followed any more.
-    fn piece(&mut self, now: u64, wanted: Option<(u64, u32)>) -> Fill {
-        let joins = |f: &Frozen| self.flow.joins(f.seq);
+    fn piece(&mut self, now: u64, wanted: Option<(u64, u32)>) -> CatchUpChunk {
+        let joins = |f: &ServedSnapshot| self.flow.joins(f.seq);
         let frozen = self.filling.frozen.take().filter(joins).unwrap_or_else(|| {
             let bytes = self.snapshot();
             let (seq, at_ms) = (self.flow.committed, self.flow.last_at);
-            Frozen {
+            ServedSnapshot {
                 seq,
                 at_ms,
                 sum: XxHash64::oneshot(0, &bytes),
@@ -313,7 +313,7 @@
             .unwrap_or_default()
             .to_vec();
         let pieces = frozen.bytes.len().div_ceil(PART_BYTES) as u32;
-        let fill = Fill::Piece {
+        let fill = CatchUpChunk::Piece {
             seq: frozen.seq,
             at_ms: frozen.at_ms,
             piece: at,
@@ -321,7 +321,7 @@
             sum: frozen.sum,
             bytes,
         };
-        self.filling.frozen = Some(Frozen {
+        self.filling.frozen = Some(ServedSnapshot {
             used_ms: now,
             ..frozen
         });
@@ -366,7 +366,7 @@
             .is_none_or(|v| v.members.len() > self.losses + 1);
         if alone && outvoted && spared {
             self.log("the copy here differs from all others: it is begun anew".into());
-            self.out.push(Effect::Spoilt);
+            self.out.push(Effect::DiscardStore);
         }
     }
 }
--- a/crates/rookpulley-chain/src/chain.rs
+++ b/crates/rookpulley-chain/src/chain.rs
@@ -1,16 +1,16 @@
 //! One controller's part in the chain: its state, and what comes in handed to where it belongs.
 
-use crate::catch_up::{Filling, Stock};
-use crate::client_requests::Calls;
-use crate::deduplication::Recent;
-use crate::install::Awaited;
-use crate::message::{Message, Standing};
-use crate::persisted::{self, Kept, VIEWS, Vote};
-use crate::reconfiguration::{Mending, Opinion};
+use crate::catch_up::{CatchUp, StateDigests};
+use crate::client_requests::PendingRequests;
+use crate::deduplication::ReplyCache;
+use crate::install::PendingInstall;
+use crate::message::{MemberStatus, Message};
+use crate::persisted::{self, AcceptorState, PersistedState, VIEWS};
+use crate::reconfiguration::{Reconfiguration, StatusReply};
 use crate::refound::apart;
-use crate::replication::Flow;
+use crate::replication::ReplicationState;
 use crate::view::{Member, View};
-use crate::{Boot, Effect, Input, Record, State};
+use crate::{Effect, Input, Record, StartState, State};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Without two-way contact for so long, a controller is taken for lost.
@@ -22,20 +22,20 @@
 const HELD_UP_MS: u64 = 250;
 
 /// What to do once something is on the disk.
-pub enum Then {
+pub enum AfterSync {
     Send { to: u64, message: Message },
     Installed { number: u64 },
-    Entries { view: u64, to: u64 },
-    Buried { to: u64, ask: u64, number: u64 },
-    Founded,
-    Filled,
-    Proven,
+    Appended { view: u64, to: u64 },
+    ViewAbandoned { to: u64, ask: u64, number: u64 },
+    Bootstrapped,
+    CaughtUp,
+    DiskProven,
     Nothing,
 }
 
 /// Aother controller, as it was last heard.
-pub struct Known {
-    pub standing: Standing,
+pub struct PeerState {
+    pub standing: MemberStatus,
     pub heard_ms: u64,
     /// The newest clock of its that was heard, and when ours last came back from it.
     pub sent: Option<u64>,
@@ -54,17 +54,17 @@
     pub(crate) installed: u64,
     pub(crate) never: u64,
     pub(crate) at_work: u64,
-    pub(crate) vote: Vote,
+    pub(crate) vote: AcceptorState,
     /// The disk has lost what was synced: it has no say in views, for it may have forgotten what it said.
     spoilt: bool,
-    pub(crate) flow: Flow,
-    pub(crate) recent: Recent,
+    pub(crate) flow: ReplicationState,
+    pub(crate) recent: ReplyCache,
     pub(crate) pieces: u32,
-    pub(crate) known: BTreeMap<u64, Known>,
-    pub(crate) mending: Mending,
-    pub(crate) calls: Calls,
-    pub(crate) filling: Filling,
-    pub(crate) stock: Stock,
+    pub(crate) known: BTreeMap<u64, PeerState>,
+    pub(crate) mending: Reconfiguration,
+    pub(crate) calls: PendingRequests,
+    pub(crate) filling: CatchUp,
+    pub(crate) stock: StateDigests,
     pub(crate) slow: bool,
     /// This incarnation has written to its disk. One that can't is not taken into a chain.
     pub(crate) proven: bool,
@@ -72,14 +72,14 @@
     pub(crate) woke_ms: u64,
     pinged_ms: u64,
     ticket: u64,
-    then: VecDeque<(u64, Then)>,
+    then: VecDeque<(u64, AfterSync)>,
     pub(crate) out: Vec<Effect>,
 }
 
 impl<S: State> Chain<S> {
-    pub fn start(now: u64, boot: Boot, mut state: S) -> Self {
+    pub fn start(now: u64, boot: StartState, mut state: S) -> Self {
         let kept = boot.kept.unwrap_or_default();
-        let Kept {
+        let PersistedState {
             mut installed,
             never,
             vote,
@@ -90,9 +90,10 @@
             places,
             mut spoilt,
         } = kept;
-        let (mut flow, mut recent, mut pieces) = (Flow::default(), Recent::default(), 0);
+        let (mut flow, mut recent, mut pieces) =
+            (ReplicationState::default(), ReplyCache::default(), 0);
         if let Some((head, bytes)) = snapshot {
-            let parsed = Recent::parse(&bytes).filter(|(_, rest)| state.restore(rest));
+            let parsed = ReplyCache::parse(&bytes).filter(|(_, rest)| state.restore(rest));
             spoilt |= parsed.is_none();
             if let Some((known, _)) = parsed {
                 (recent, pieces) = (known, head.pieces);
@@ -121,10 +122,10 @@
             recent,
             pieces,
             known: BTreeMap::new(),
-            mending: Mending::default(),
-            calls: Calls::default(),
-            filling: Filling::default(),
-            stock: Stock::default(),
+            mending: Reconfiguration::default(),
+            calls: PendingRequests::default(),
+            filling: CatchUp::default(),
+            stock: StateDigests::default(),
             slow: false,
             proven: false,
             ticked_ms: now,
@@ -137,7 +138,10 @@
         // What was shown before is where it begins: nothing has moved yet.
         new.apply_to(agreed.0);
         new.out.clear();
-        new.write(vec![persisted::put_begun(new.me.incarnation)], Then::Proven);
+        new.write(
+            vec![persisted::put_begun(new.me.incarnation)],
+            AfterSync::DiskProven,
+        );
         if boot.founder {
             new.found();
         }
@@ -149,7 +153,7 @@
         let founding = self
             .then
             .iter()
-            .any(|(_, then)| matches!(then, Then::Founded));
+            .any(|(_, then)| matches!(then, AfterSync::Bootstrapped));
         if founding || !self.views.is_empty() {
             return;
         }
@@ -161,7 +165,7 @@
             persisted::put_view(&view),
             persisted::put_installed(view.number),
         ]);
-        self.write(records, Then::Founded);
+        self.write(records, AfterSync::Bootstrapped);
     }
 
     pub fn handle(&mut self, now: u64, input: Input) -> Vec<Effect> {
@@ -180,9 +184,9 @@
                 self.tend_calls(now);
                 self.tend_fill(now);
             }
-            Input::Found => self.found(),
-            Input::Met { member } => self.met(now, member),
-            Input::Heard { from, message } => self.heard(now, from, message),
+            Input::Bootstrap => self.found(),
+            Input::PeerDiscovered { member } => self.met(now, member),
+            Input::Received { from, message } => self.heard(now, from, message),
             Input::Synced { ticket } => {
                 while self.then.front().is_some_and(|(t, _)| *t <= ticket) {
                     if let Some((_, then)) = self.then.pop_front() {
@@ -190,18 +194,18 @@
                     }
                 }
             }
-            Input::Disk { slow } => {
+            Input::DiskHealth { slow } => {
                 self.slow = slow;
                 self.mend(now);
             }
-            Input::HungUp { id } => {
+            Input::Disconnected { id } => {
                 let Some(known) = self.known.get_mut(&id) else {
                     return Vec::new();
                 };
                 let at_most = now.saturating_sub(SILENT_MS - HUNG_UP_MS);
                 known.contact_ms = known.contact_ms.map(|at| at.min(at_most));
             }
-            Input::Call { token, kind, body } => self.call(now, token, kind, body),
+            Input::ClientRequest { token, kind, body } => self.call(now, token, kind, body),
         }
         self.compact();
         std::mem::take(&mut self.out)
@@ -212,14 +216,14 @@
             return;
         }
         match message {
-            Message::Ping {
+            Message::Heartbeat {
                 standing,
                 sent,
                 echo,
                 ledger,
             } => self.pinged(now, from, standing, sent, echo, ledger),
-            Message::Opinion { ask } => self.say_seen(now, from, ask),
-            Message::Seen {
+            Message::StatusRequest { ask } => self.say_seen(now, from, ask),
+            Message::StatusReply {
                 ask,
                 standing,
                 contacts,
@@ -231,15 +235,15 @@
                     now,
                     from,
                     ask,
-                    Opinion {
+                    StatusReply {
                         standing,
                         contacts,
                         never,
                     },
                 );
             }
-            Message::Bury { ask, number } => self.bury(from, ask, number),
-            Message::Buried {
+            Message::AbandonView { ask, number } => self.bury(from, ask, number),
+            Message::ViewAbandoned {
                 ask,
                 number,
                 installed,
@@ -252,7 +256,7 @@
             } => self.take_promise(now, from, number, ballot, accepted),
             Message::Accept { ballot, view } => self.accept(from, ballot, view),
             Message::Accepted { number, ballot } => self.take_accepted(now, from, number, ballot),
-            Message::Outbid { number, ballot } => self.outbid(now, number, ballot),
+            Message::Preempted { number, ballot } => self.outbid(now, number, ballot),
             Message::Learn { views } => self.learn(now, views),
             Message::Install {
                 view,
@@ -261,7 +265,7 @@
                 log,
             } => self.take_install(
                 now,
-                Awaited {
+                PendingInstall {
                     from,
                     view,
                     committed,
@@ -269,9 +273,11 @@
                     log,
                 },
             ),
-            Message::Fetch { ask, held, piece } => self.fetched(now, from, ask, held, piece),
-            Message::Filled { ask, fill } => self.take_fill(now, from, ask, fill),
-            Message::AtWork { number } => self.works(now, number),
+            Message::CatchUpRequest { ask, held, piece } => {
+                self.fetched(now, from, ask, held, piece)
+            }
+            Message::CatchUpReply { ask, fill } => self.take_fill(now, from, ask, fill),
+            Message::ViewActive { number } => self.works(now, number),
             Message::Forward {
                 view,
                 echo,
@@ -280,8 +286,8 @@
                 kind,
                 body,
             } => self.forwarded(now, view, (echo, age_ms), from, (kind, body)),
-            Message::Refuse { from } => self.refused(from),
-            Message::Pass {
+            Message::Reject { from } => self.refused(from),
+            Message::Append {
                 view,
                 entries,
                 questions,
@@ -289,7 +295,7 @@
             } => {
                 self.passed(now, from, view, entries, questions, synced_to);
             }
-            Message::Answer {
+            Message::Response {
                 from,
                 view,
                 committed,
@@ -299,36 +305,36 @@
         }
     }
 
-    fn carry_on(&mut self, now: u64, then: Then) {
+    fn carry_on(&mut self, now: u64, then: AfterSync) {
         match then {
-            Then::Send { to, message } => self.send(now, to, message),
-            Then::Installed { number } => self.has_installed(now, number),
-            Then::Entries { view, to } => self.entries_synced(now, view, to),
-            Then::Buried { to, ask, number } => {
+            AfterSync::Send { to, message } => self.send(now, to, message),
+            AfterSync::Installed { number } => self.has_installed(now, number),
+            AfterSync::Appended { view, to } => self.entries_synced(now, view, to),
+            AfterSync::ViewAbandoned { to, ask, number } => {
                 let installed = self.installed;
                 self.send(
                     now,
                     to,
-                    Message::Buried {
+                    Message::ViewAbandoned {
                         ask,
                         number,
                         installed,
                     },
                 );
             }
-            Then::Founded => {
+            AfterSync::Bootstrapped => {
                 let view = self.first_view();
                 self.flow.installing = view.number;
                 self.learn(now, vec![view.clone()]);
                 self.has_installed(now, view.number);
             }
-            Then::Filled => self.filled(now),
-            Then::Proven => {
+            AfterSync::CaughtUp => self.filled(now),
+            AfterSync::DiskProven => {
                 self.proven = true;
                 self.ping(now);
                 self.mend(now);
             }
-            Then::Nothing => {}
+            AfterSync::Nothing => {}
         }
     }
 
@@ -351,7 +357,7 @@
         }
     }
 
-    pub(crate) fn write(&mut self, records: Vec<Record>, then: Then) {
+    pub(crate) fn write(&mut self, records: Vec<Record>, then: AfterSync) {
         self.ticket += 1;
         self.then.push_back((self.ticket, then));
         self.out.push(Effect::Write {
@@ -385,7 +391,7 @@
     }
 
     pub(crate) fn in_contact(&self, now: u64, id: u64) -> bool {
-        let contact = |k: &Known| k.contact_ms.is_some_and(|at| now < at + SILENT_MS);
+        let contact = |k: &PeerState| k.contact_ms.is_some_and(|at| now < at + SILENT_MS);
         id == self.me.id || self.known.get(&id).is_some_and(contact)
     }
 
@@ -433,8 +439,8 @@
         )
     }
 
-    pub(crate) fn standing(&self) -> Standing {
-        Standing {
+    pub(crate) fn standing(&self) -> MemberStatus {
+        MemberStatus {
             me: self.me,
             decided: self.decided(),
             installed: self.installed,
@@ -469,7 +475,7 @@
         while self.views.len() > VIEWS {
             records.push(persisted::drop_view(self.views.remove(0).number));
         }
-        self.write(records, Then::Nothing);
+        self.write(records, AfterSync::Nothing);
         let Some(view) = self.views.last().filter(|v| v.number > before) else {
             return;
         };
@@ -485,7 +491,7 @@
         ));
         if apart(before, self.decided()) {
             self.log("the chain was founded anew without what is kept here: it is given up".into());
-            self.out.push(Effect::Spoilt);
+            self.out.push(Effect::DiscardStore);
         }
         self.learned_ms = now;
         self.mending.calm(now);
@@ -516,8 +522,8 @@
         if member.id == self.me.id {
             return;
         }
-        let standing = Standing::of(member);
-        let fresh = Known {
+        let standing = MemberStatus::of(member);
+        let fresh = PeerState {
             standing,
             heard_ms: now,
             sent: None,
@@ -546,7 +552,7 @@
         let (standing, sent, ledger) = (self.standing(), self.mark(now), self.ledger_time(now));
         self.out.push(Effect::Send {
             to,
-            message: Message::Ping {
+            message: Message::Heartbeat {
                 standing,
                 sent,
                 echo,
@@ -556,7 +562,7 @@
     }
 
     pub(crate) fn ping(&mut self, now: u64) {
-        let old = |k: &Known| now > k.heard_ms + 30_000;
+        let old = |k: &PeerState| now > k.heard_ms + 30_000;
         let view = self.views.last();
         self.known
             .retain(|id, k| !old(k) || view.is_some_and(|v| v.votes(*id)));
@@ -568,7 +574,7 @@
         &mut self,
         now: u64,
         from: u64,
-        standing: Standing,
+        standing: MemberStatus,
         sent: u64,
         echo: Option<u64>,
         ledger: Option<u64>,
@@ -593,7 +599,7 @@
             known.contact_ms = known.contact_ms.max(Some(at));
             known.echoed = known.echoed.max(Some(at));
             // Two identities at one address: only the later one is there, the other has lost its disk.
-            let there = |k: &Known| k.standing.me.address == standing.me.address;
+            let there = |k: &PeerState| k.standing.me.address == standing.me.address;
             if self
                 .known
                 .iter()
--- a/crates/rookpulley-chain/src/client_requests.rs
+++ b/crates/rookpulley-chain/src/client_requests.rs
@@ -1,8 +1,8 @@
 //! Calls that were asked of this controller: handed to the head, answered by the tail, given up in time.
 
 use crate::chain::Chain;
-use crate::message::{Asked, Message};
-use crate::{CallKind, Effect, Outcome, State};
+use crate::message::{Message, RequestId};
+use crate::{Effect, Outcome, RequestKind, State};
 use std::collections::BTreeMap;
 
 /// Callers go elsewhere after a second of silence.
@@ -17,7 +17,7 @@
 const WAKING_MS: u64 = 100;
 
 struct Pending {
-    kind: CallKind,
+    kind: RequestKind,
     body: Vec<u8>,
     asked_ms: u64,
     attempt: u32,
@@ -29,13 +29,13 @@
 }
 
 #[derive(Default)]
-pub struct Calls {
+pub struct PendingRequests {
     pending: BTreeMap<u64, Pending>,
     /// The view, its head, and the time that was heard from it at that moment of our clock.
     ledger: Option<(u64, u64, u64, u64)>,
 }
 
-impl Calls {
+impl PendingRequests {
     pub fn heard_ledger(&mut self, view: u64, head: u64, at_ms: u64, now: u64) {
         if self
             .ledger
@@ -54,12 +54,12 @@
 }
 
 impl<S: State> Chain<S> {
-    pub(crate) fn call(&mut self, now: u64, token: u64, kind: CallKind, body: Vec<u8>) {
+    pub(crate) fn call(&mut self, now: u64, token: u64, kind: RequestKind, body: Vec<u8>) {
         let asleep = now > self.ticked_ms + ASLEEP_MS || now < self.woke_ms + WAKING_MS;
         if asleep {
-            return self.out.push(Effect::Answer {
+            return self.out.push(Effect::Reply {
                 token,
-                outcome: Outcome::Refused,
+                outcome: Outcome::Rejected,
             });
         }
         let pending = Pending {
@@ -97,7 +97,7 @@
         pending.ghost |= pending.maybe;
         (pending.attempt, pending.sent, pending.maybe) =
             (pending.attempt + 1, Some((number, now)), true);
-        let from = Asked {
+        let from = RequestId {
             controller: self.me.id,
             incarnation: self.me.incarnation,
             token,
@@ -122,7 +122,7 @@
         );
     }
 
-    pub(crate) fn refused(&mut self, from: Asked) {
+    pub(crate) fn refused(&mut self, from: RequestId) {
         let pending = self.calls.pending.get_mut(&from.token);
         if let Some(pending) =
             pending.filter(|p| p.attempt == from.attempt && from.incarnation == self.me.incarnation)
@@ -134,7 +134,7 @@
     pub(crate) fn answered(
         &mut self,
         now: u64,
-        from: Asked,
+        from: RequestId,
         (view, committed): (u64, u64),
         body: Vec<u8>,
     ) {
@@ -146,9 +146,9 @@
         if from.incarnation == self.me.incarnation
             && self.calls.pending.remove(&from.token).is_some()
         {
-            self.out.push(Effect::Answer {
+            self.out.push(Effect::Reply {
                 token: from.token,
-                outcome: Outcome::Done(body),
+                outcome: Outcome::Completed(body),
             });
         }
     }
@@ -160,13 +160,13 @@
             .extract_if(.., |_, p| now >= p.asked_ms + GIVE_UP_MS);
         for (token, pending) in late.collect::<Vec<_>>() {
             // A read takes no effect, whatever became of it.
-            let none = pending.kind == CallKind::Read || !(pending.maybe || pending.ghost);
+            let none = pending.kind == RequestKind::Read || !(pending.maybe || pending.ghost);
             let outcome = if none {
-                Outcome::Refused
+                Outcome::Rejected
             } else {
                 Outcome::Unknown
             };
-            self.out.push(Effect::Answer { token, outcome });
+            self.out.push(Effect::Reply { token, outcome });
         }
         self.forward_due(now);
     }
@@ -178,7 +178,7 @@
         let due = |p: &Pending| match p.sent {
             None => true,
             Some((view, at)) => {
-                view != decided || (p.kind == CallKind::Read && now >= at + READ_AGAIN_MS)
+                view != decided || (p.kind == RequestKind::Read && now >= at + READ_AGAIN_MS)
             }
         };
         let again: Vec<u64> = self
--- a/crates/rookpulley-chain/src/deduplication.rs
+++ b/crates/rookpulley-chain/src/deduplication.rs
@@ -1,6 +1,6 @@
 //! Calls that were answered lately. A controller whose view has changed asks again; what took effect must not do so twice.
 
-use crate::message::{Asked, Entry};
+use crate::message::{Entry, RequestId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,28 +8,28 @@
 const KEEP_MS: u64 = 4_000;
 
 /// The controller, its incarnation, its token: one call, whichever of its tries.
-type Key = (u64, u64, u64);
+type RequestKey = (u64, u64, u64);
 
 #[derive(Default)]
-pub struct Recent {
-    answers: BTreeMap<Key, Vec<u8>>,
-    order: VecDeque<(u64, Key)>,
+pub struct ReplyCache {
+    answers: BTreeMap<RequestKey, Vec<u8>>,
+    order: VecDeque<(u64, RequestKey)>,
 }
 
 #[derive(Serialize, Deserialize)]
 struct Row {
     at_ms: u64,
-    key: Key,
+    key: RequestKey,
     answer: Vec<u8>,
 }
 
-fn key(from: &Asked) -> Key {
+fn key(from: &RequestId) -> RequestKey {
     (from.controller, from.incarnation, from.token)
 }
 
-impl Recent {
+impl ReplyCache {
     /// What the same call was answered before, if it has taken effect already.
-    pub fn answer(&self, from: &Asked) -> Option<Vec<u8>> {
+    pub fn answer(&self, from: &RequestId) -> Option<Vec<u8>> {
         self.answers.get(&key(from)).cloned()
     }
 
@@ -51,7 +51,7 @@
 
     /// Its bytes, with the state's own behind them.
     pub fn before(&self, state: &[u8]) -> Vec<u8> {
-        let row = |(at_ms, key): &(u64, Key)| {
+        let row = |(at_ms, key): &(u64, RequestKey)| {
             Some(Row {
                 at_ms: *at_ms,
                 key: *key,
--- a/crates/rookpulley-chain/src/disk_health.rs
+++ b/crates/rookpulley-chain/src/disk_health.rs
@@ -8,7 +8,7 @@
 const HELD_UP_MS: f64 = 100.0;
 
 #[derive(Default)]
-pub struct Disk {
+pub struct DiskHealth {
     /// The first write of the chain that waits for its sync, and since when.
     writing: Option<(u64, f64)>,
     looked_ms: f64,
@@ -18,14 +18,14 @@
 
 /// What is to be done after a look.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Look {
+pub struct DiskCheck {
     /// It has turned slow, or quick again.
     pub turned: Option<bool>,
     /// Nothing else is written by one that has left the chain: an empty write with this ticket tells when it is well.
     pub probe: Option<u64>,
 }
 
-impl Disk {
+impl DiskHealth {
     pub fn slow(&self) -> bool {
         self.slow
     }
@@ -47,7 +47,7 @@
         };
     }
 
-    pub fn look(&mut self, now_ms: f64) -> Look {
+    pub fn look(&mut self, now_ms: f64) -> DiskCheck {
         if now_ms - std::mem::replace(&mut self.looked_ms, now_ms) > HELD_UP_MS {
             self.writing = self.writing.map(|(ticket, _)| (ticket, now_ms));
         }
@@ -68,7 +68,7 @@
         };
         let turned = (slow != self.slow).then_some(slow);
         self.slow = slow;
-        Look { turned, probe }
+        DiskCheck { turned, probe }
     }
 }
 
@@ -78,12 +78,12 @@
 
     #[test]
     fn a_disk_is_slow_by_one_write_and_well_by_many_and_a_pause_of_the_process_is_no_fault_of_it() {
-        let mut disk = Disk::default();
+        let mut disk = DiskHealth::default();
         disk.look(0.0);
         disk.begins(0.0, 1);
         // The process itself stood still: the write is given its time anew.
-        assert_eq!(disk.look(500.0), Look::default());
-        assert_eq!(disk.look(550.0), Look::default());
+        assert_eq!(disk.look(500.0), DiskCheck::default());
+        assert_eq!(disk.look(550.0), DiskCheck::default());
         assert_eq!(disk.look(561.0).turned, Some(true));
         disk.synced(Some(1), 70.0);
         for round in 0..QUICK_WRITES {
--- a/crates/rookpulley-chain/src/install.rs
+++ b/crates/rookpulley-chain/src/install.rs
@@ -5,8 +5,8 @@
 //! from the moment it takes stock it refuses all that belongs to earlier views. What it holds beyond that is decided
 //! once the view is at work and not before: till then nobody applies it, for the view may yet be passed over.
 
-use crate::chain::{Chain, Then};
-use crate::message::{Entry, Message, Standing};
+use crate::chain::{AfterSync, Chain};
+use crate::message::{Entry, MemberStatus, Message};
 use crate::persisted;
 use crate::view::{Member, View};
 use crate::{Effect, Record, State};
@@ -17,7 +17,7 @@
 const PASS_BYTES: usize = 256 << 10;
 
 /// A view that can't be set to work here before what it begins with has come.
-pub struct Awaited {
+pub struct PendingInstall {
     pub from: u64,
     pub view: View,
     pub committed: u64,
@@ -65,7 +65,7 @@
         time.max(self.flow.last_at)
     }
 
-    pub(crate) fn take_install(&mut self, now: u64, awaited: Awaited) {
+    pub(crate) fn take_install(&mut self, now: u64, awaited: PendingInstall) {
         let number = awaited.view.number;
         self.learn(now, vec![awaited.view.clone()]);
         let ours = self
@@ -97,7 +97,7 @@
             awaited.log.iter().cloned().partition(|e| e.seq <= to);
         let records = self.absorb(agreed);
         if !records.is_empty() {
-            self.out.push(Effect::Applied);
+            self.out.push(Effect::StateChanged);
         }
         if self.flow.committed >= to {
             let log = log
@@ -111,7 +111,7 @@
             return self.fetch(now);
         }
         self.filling.writing = true;
-        self.write(records, Then::Filled);
+        self.write(records, AfterSync::CaughtUp);
     }
 
     /// Goes on from what is applied here and this log behind it. What the disk holds behind it goes.
@@ -141,7 +141,7 @@
         ]);
         self.flow.go_on(at_ms, now, log);
         self.flow.installing = number;
-        self.write(records, Then::Installed { number });
+        self.write(records, AfterSync::Installed { number });
     }
 
     /// A disk that holds no state yet gets it with the first that is written behind it.
@@ -209,7 +209,7 @@
             self.send(
                 now,
                 member.id,
-                Message::AtWork {
+                Message::ViewActive {
                     number: view.number,
                 },
             );
@@ -217,7 +217,7 @@
     }
 
     /// Sends again what the next in the chain has not got, by what it says of itself.
-    pub(crate) fn look_after_successor(&mut self, now: u64, from: u64, its: &Standing) {
+    pub(crate) fn look_after_successor(&mut self, now: u64, from: u64, its: &MemberStatus) {
         let Some(view) = self.acting() else { return };
         let number = view.number;
         let tail = view.tail().map(|m| (m.id, m.incarnation));
--- a/crates/rookpulley-chain/src/integrity.rs
+++ b/crates/rookpulley-chain/src/integrity.rs
@@ -1,26 +1,26 @@
 //! All that is wrong with the rows of a disk, for who wants to know more than whether they are sound.
 
 use crate::message::Entry;
-use crate::persisted::{Head, Kept, Vote};
+use crate::persisted::{AcceptorState, PersistedState, SnapshotHeader};
 use crate::view::View;
 use serde::de::DeserializeOwned;
 use std::fmt::Display;
 
 /// A place, what was found there, and what should be there.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Flaw {
+pub struct Inconsistency {
     pub place: String,
     pub found: String,
     pub instead: String,
 }
 
 #[derive(Default)]
-struct Flaws(Vec<Flaw>);
+struct Inconsistencies(Vec<Inconsistency>);
 
-impl Flaws {
+impl Inconsistencies {
     fn add(&mut self, place: impl Display, found: impl Display, instead: impl Display) {
         let (place, found, instead) = (place.to_string(), found.to_string(), instead.to_string());
-        self.0.push(Flaw {
+        self.0.push(Inconsistency {
             place,
             found,
             instead,
@@ -69,13 +69,14 @@
 type Rows = [(Vec<u8>, Vec<u8>)];
 
 /// What is wrong with the chain's rows of a disk with this identity, apart from what its state and updates mean.
-pub fn flaws(rows: &Rows, identity: Option<u64>) -> Vec<Flaw> {
-    let (mut flaws, mut head, mut agreed, mut entries) = (Flaws::default(), None, None, Vec::new());
+pub fn find_inconsistencies(rows: &Rows, identity: Option<u64>) -> Vec<Inconsistency> {
+    let (mut flaws, mut head, mut agreed, mut entries) =
+        (Inconsistencies::default(), None, None, Vec::new());
     for (key, row) in rows {
         match key.first() {
             Some(b'b' | b'i' | b'n') => _ = flaws.read::<u64>(key, row, "a whole number"),
             Some(b'c') => agreed = flaws.read::<(u64, u64)>(key, row, "an update with its time"),
-            Some(b'p') => _ = flaws.read::<Vote>(key, row, "a vote"),
+            Some(b'p') => _ = flaws.read::<AcceptorState>(key, row, "a vote"),
             Some(b'v') => {
                 if let Some(view) = flaws.read::<View>(key, row, "a view") {
                     flaws.under(key, view.number);
@@ -89,11 +90,11 @@
                     entries.push((view, entry));
                 }
             }
-            Some(b'S') => head = flaws.read::<Head>(key, row, "the head of a snapshot"),
+            Some(b'S') => head = flaws.read::<SnapshotHeader>(key, row, "the head of a snapshot"),
             _ => {}
         }
     }
-    let kept = Kept::read(rows.iter().cloned());
+    let kept = PersistedState::read(rows.iter().cloned());
     of_state(&mut flaws, rows, &kept, head);
     of_log(
         &mut flaws,
@@ -105,7 +106,12 @@
     flaws.0
 }
 
-fn of_state(flaws: &mut Flaws, rows: &Rows, kept: &Kept, head: Option<Head>) {
+fn of_state(
+    flaws: &mut Inconsistencies,
+    rows: &Rows,
+    kept: &PersistedState,
+    head: Option<SnapshotHeader>,
+) {
     let headless = rows.iter().all(|(key, _)| key != b"S");
     match head {
         None if headless && kept.installed > 0 => flaws.add(
@@ -142,7 +148,12 @@
     }
 }
 
-fn of_log(flaws: &mut Flaws, kept: &Kept, agreed: u64, entries: &[(u64, Entry)]) {
+fn of_log(
+    flaws: &mut Inconsistencies,
+    kept: &PersistedState,
+    agreed: u64,
+    entries: &[(u64, Entry)],
+) {
     let Some((head, _)) = &kept.snapshot else {
         return;
     };
@@ -179,7 +190,7 @@
     }
 }
 
-fn of_views(flaws: &mut Flaws, kept: &Kept, identity: Option<u64>) {
+fn of_views(flaws: &mut Inconsistencies, kept: &PersistedState, identity: Option<u64>) {
     for view in &kept.views {
         if view.members.is_empty() {
             flaws.add(
--- a/crates/rookpulley-chain/src/lib.rs
+++ b/crates/rookpulley-chain/src/lib.rs
@@ -23,11 +23,11 @@
 mod view;
 
 pub use chain::Chain;
-pub use disk_health::Disk;
-pub use integrity::{Flaw, flaws};
-pub use message::{Asked, Entry, Fill, Message, Question, Standing};
-pub use persisted::{Kept, Record};
-pub use status::{Heard, Shown, ShownKept, ShownMember};
+pub use disk_health::DiskHealth;
+pub use integrity::{Inconsistency, find_inconsistencies};
+pub use message::{CatchUpChunk, Entry, MemberStatus, Message, ReadRequest, RequestId};
+pub use persisted::{PersistedState, Record};
+pub use status::{ChainStatus, MemberReport, PeerReport, StoreStatus};
 pub use view::{Ballot, Member, View};
 
 /// What the chain keeps: a state that applies entries, the same everywhere.
@@ -40,18 +40,18 @@
 }
 
 /// What a start brings.
-pub struct Boot {
+pub struct StartState {
     pub me: Member,
     /// Its disk was empty at the first start of all, at the first seed: this one makes the first view, if it hasn't yet.
     pub founder: bool,
     /// So many machines may be lost at once with their disks.
     pub losses: usize,
     pub seed: u64,
-    pub kept: Option<Kept>,
+    pub kept: Option<PersistedState>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum CallKind {
+pub enum RequestKind {
     Update,
     Read,
 }
@@ -61,12 +61,12 @@
     /// Every 50 ms.
     Tick,
     /// It is now known that this one is to make the first view, if it knows of none.
-    Found,
+    Bootstrap,
     /// A controller said who it is.
-    Met {
+    PeerDiscovered {
         member: Member,
     },
-    Heard {
+    Received {
         from: u64,
         message: Message,
     },
@@ -74,25 +74,25 @@
     Synced {
         ticket: u64,
     },
-    Disk {
+    DiskHealth {
         slow: bool,
     },
     /// The line from a controller ended. That is no proof, but if it isn't heard again soon it is lost.
-    HungUp {
+    Disconnected {
         id: u64,
     },
-    Call {
+    ClientRequest {
         token: u64,
-        kind: CallKind,
+        kind: RequestKind,
         body: Vec<u8>,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    Done(Vec<u8>),
+    Completed(Vec<u8>),
     /// It took no effect and never will.
-    Refused,
+    Rejected,
     /// It may or may not have taken effect.
     Unknown,
 }
@@ -108,13 +108,13 @@
         ticket: u64,
         records: Vec<Record>,
     },
-    Answer {
+    Reply {
         token: u64,
         outcome: Outcome,
     },
     /// The state here has moved.
-    Applied,
+    StateChanged,
     /// What is kept here is not what the others keep: to be begun anew, as an empty disk.
-    Spoilt,
+    DiscardStore,
     Log(String),
 }
--- a/crates/rookpulley-chain/src/message.rs
+++ b/crates/rookpulley-chain/src/message.rs
@@ -1,6 +1,6 @@
 //! What controllers say to each other about the chain.
 
-use crate::CallKind;
+use crate::RequestKind;
 use crate::view::{Ballot, Member, View};
 use serde::{Deserialize, Serialize, Serializer};
 
@@ -17,11 +17,11 @@
     #[serde(serialize_with = "whole")]
     pub body: Vec<u8>,
     /// Which controller it was asked of, by which token and which of its tries.
-    pub from: Asked,
+    pub from: RequestId,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Asked {
+pub struct RequestId {
     pub controller: u64,
     pub incarnation: u64,
     pub token: u64,
@@ -29,14 +29,14 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct ReadRequest {
     pub body: Vec<u8>,
-    pub from: Asked,
+    pub from: RequestId,
 }
 
 /// How a controller stands, as it tells the others a few times a second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct MemberStatus {
     pub me: Member,
     /// The newest view that it knows to be decided, the one it has installed, the newest known to be at work.
     pub decided: u64,
@@ -50,7 +50,7 @@
     pub swept: (u64, u64),
 }
 
-impl Standing {
+impl MemberStatus {
     /// Of one that has said nothing yet.
     pub fn of(me: Member) -> Self {
         let (decided, installed, at_work, last, committed) = (0, 0, 0, 0, 0);
@@ -69,7 +69,7 @@
 
 /// A part of what a controller has applied, for one that has less.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fill {
+pub enum CatchUpChunk {
     /// What follows the asker's last; the sender has applied all up to `committed`.
     Updates { committed: u64, entries: Vec<Entry> },
     /// The state itself, up to `seq`, where the updates to it are no longer at hand.
@@ -87,30 +87,30 @@
 pub enum Message {
     /// `sent`: the sender's clock, from a start of its own for each incarnation; `echo`: the newest `sent` heard from the
     /// receiver. `ledger`: its time, from a head.
-    Ping {
-        standing: Standing,
+    Heartbeat {
+        standing: MemberStatus,
         sent: u64,
         echo: Option<u64>,
         ledger: Option<u64>,
     },
     /// Asks what another sees, before anything is proposed.
-    Opinion {
+    StatusRequest {
         ask: u64,
     },
-    Seen {
+    StatusReply {
         ask: u64,
-        standing: Standing,
+        standing: MemberStatus,
         contacts: Vec<(u64, u64)>,
         never: u64,
         /// All decided views that it remembers: who missed one needs it to prove that it is dead.
         views: Vec<View>,
     },
     /// Asks for a promise never to install this view or an earlier one.
-    Bury {
+    AbandonView {
         ask: u64,
         number: u64,
     },
-    Buried {
+    ViewAbandoned {
         ask: u64,
         number: u64,
         installed: u64,
@@ -134,7 +134,7 @@
         ballot: Ballot,
     },
     /// A higher ballot was promised.
-    Outbid {
+    Preempted {
         number: u64,
         ballot: Ballot,
     },
@@ -151,16 +151,16 @@
         log: Vec<Entry>,
     },
     /// Asks for what was applied behind `held`, or for a piece of the state up to an update.
-    Fetch {
+    CatchUpRequest {
         ask: u64,
         held: u64,
         piece: Option<(u64, u32)>,
     },
-    Filled {
+    CatchUpReply {
         ask: u64,
-        fill: Fill,
+        fill: CatchUpChunk,
     },
-    AtWork {
+    ViewActive {
         number: u64,
     },
     /// `echo`: the head's time as last heard; `age_ms`: how long ago the call was made.
@@ -168,23 +168,23 @@
         view: u64,
         echo: u64,
         age_ms: u64,
-        from: Asked,
-        kind: CallKind,
+        from: RequestId,
+        kind: RequestKind,
         body: Vec<u8>,
     },
     /// The head took nothing of it and never will.
-    Refuse {
-        from: Asked,
+    Reject {
+        from: RequestId,
     },
-    Pass {
+    Append {
         view: u64,
         entries: Vec<Entry>,
-        questions: Vec<Question>,
+        questions: Vec<ReadRequest>,
         synced_to: u64,
     },
     /// `committed`: how far the tail was.
-    Answer {
-        from: Asked,
+    Response {
+        from: RequestId,
         view: u64,
         committed: u64,
         body: Vec<u8>,
@@ -200,7 +200,10 @@
     pub(crate) fn asks_for_a_say(&self) -> bool {
         matches!(
             self,
-            Self::Opinion { .. } | Self::Bury { .. } | Self::Prepare { .. } | Self::Accept { .. }
+            Self::StatusRequest { .. }
+                | Self::AbandonView { .. }
+                | Self::Prepare { .. }
+                | Self::Accept { .. }
         )
     }
 }
--- a/crates/rookpulley-chain/src/persisted.rs
+++ b/crates/rookpulley-chain/src/persisted.rs
@@ -20,14 +20,14 @@
 
 /// What an acceptor has promised and accepted for one view number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Vote {
+pub struct AcceptorState {
     pub number: u64,
     pub promised: Ballot,
     pub accepted: Option<(Ballot, View)>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct SnapshotHeader {
     pub seq: u64,
     pub at_ms: u64,
     pub pieces: u32,
@@ -37,12 +37,12 @@
 
 /// All that a disk held.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct PersistedState {
     pub(crate) installed: u64,
     pub(crate) never: u64,
-    pub(crate) vote: Vote,
+    pub(crate) vote: AcceptorState,
     pub(crate) views: Vec<View>,
-    pub(crate) snapshot: Option<(Head, Vec<u8>)>,
+    pub(crate) snapshot: Option<(SnapshotHeader, Vec<u8>)>,
     pub(crate) log: Vec<Entry>,
     /// Up to here the log is agreed on, and the ledger's time was at least that.
     pub(crate) agreed: (u64, u64),
@@ -85,7 +85,7 @@
     }
 }
 
-pub fn put_vote(vote: &Vote) -> Record {
+pub fn put_vote(vote: &AcceptorState) -> Record {
     Record::Put {
         key: vec![b'p'],
         value: bytes(vote),
@@ -136,7 +136,7 @@
 ) -> (Vec<Record>, u32) {
     let pieces: Vec<&[u8]> = snapshot.chunks(PIECE).collect();
     let length = snapshot.len() as u64;
-    let head = Head {
+    let head = SnapshotHeader {
         seq,
         at_ms,
         pieces: pieces.len() as u32,
@@ -158,7 +158,7 @@
     (records, head.pieces)
 }
 
-impl Kept {
+impl PersistedState {
     /// Rebuilds what was kept from the store's rows, in any order. Batches of the store are whole, and any of those
     /// that weren't synced may be missing.
     pub fn read(rows: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>) -> Self {
@@ -167,7 +167,8 @@
             *spoilt |= value.is_none();
             value
         }
-        let (mut kept, mut pieces, mut head) = (Self::default(), BTreeMap::new(), None::<Head>);
+        let (mut kept, mut pieces, mut head) =
+            (Self::default(), BTreeMap::new(), None::<SnapshotHeader>);
         let mut log: Vec<(u64, Entry)> = Vec::new();
         let bad = &mut false;
         for (key, row) in rows {
--- a/crates/rookpulley-chain/src/reconfiguration.rs
+++ b/crates/rookpulley-chain/src/reconfiguration.rs
@@ -5,7 +5,7 @@
 
 use crate::catch_up::NEAR;
 use crate::chain::{Chain, SILENT_MS};
-use crate::message::{Message, Standing};
+use crate::message::{MemberStatus, Message};
 use crate::view::{Ballot, Member, View};
 use crate::{Effect, State};
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,22 +26,22 @@
 const VOTE_MS: u64 = 400;
 const AGAIN_MS: u64 = 250;
 
-pub struct Opinion {
-    pub standing: Standing,
+pub struct StatusReply {
+    pub standing: MemberStatus,
     pub contacts: Vec<(u64, u64)>,
     pub never: u64,
 }
 
 enum Step {
-    Rest,
-    Asking {
+    Idle,
+    CollectingStatus {
         ask: u64,
-        opinions: BTreeMap<u64, Opinion>,
+        opinions: BTreeMap<u64, StatusReply>,
         of: BTreeSet<u64>,
     },
-    Burying {
+    AbandoningView {
         ask: u64,
-        opinions: BTreeMap<u64, Opinion>,
+        opinions: BTreeMap<u64, StatusReply>,
         members: Vec<Member>,
     },
     Preparing {
@@ -56,7 +56,7 @@
     },
 }
 
-pub struct Mending {
+pub struct Reconfiguration {
     step: Step,
     since_ms: u64,
     trouble_since: Option<u64>,
@@ -65,10 +65,10 @@
     asks: u64,
 }
 
-impl Default for Mending {
+impl Default for Reconfiguration {
     fn default() -> Self {
         Self {
-            step: Step::Rest,
+            step: Step::Idle,
             since_ms: 0,
             trouble_since: None,
             not_before: 0,
@@ -78,10 +78,10 @@
     }
 }
 
-impl Mending {
+impl Reconfiguration {
     /// A view was decided: whatever was on its way is over.
     pub fn calm(&mut self, now: u64) {
-        (self.step, self.since_ms, self.trouble_since) = (Step::Rest, now, None);
+        (self.step, self.since_ms, self.trouble_since) = (Step::Idle, now, None);
         self.round = 0;
     }
 }
@@ -96,18 +96,18 @@
         }
         let waited = now.saturating_sub(self.mending.since_ms);
         match &self.mending.step {
-            Step::Rest => {}
-            Step::Asking { .. } if waited >= STEP_MS || self.all_answered(now) => {
+            Step::Idle => {}
+            Step::CollectingStatus { .. } if waited >= STEP_MS || self.all_answered(now) => {
                 return self.weigh(now);
             }
-            Step::Burying { .. } | Step::Preparing { .. } | Step::Accepting { .. } => {
+            Step::AbandoningView { .. } | Step::Preparing { .. } | Step::Accepting { .. } => {
                 // Longer with each round: a disk that is slow must get its vote through at last.
                 if waited >= VOTE_MS * self.mending.round.clamp(1, 5) {
                     self.rest(now, AGAIN_MS);
                 }
                 return;
             }
-            Step::Asking { .. } => return,
+            Step::CollectingStatus { .. } => return,
         }
         let Some(pause) = self.trouble(now) else {
             self.mending.trouble_since = None;
@@ -139,7 +139,7 @@
     }
 
     fn rest(&mut self, now: u64, pause: u64) {
-        (self.mending.step, self.mending.since_ms) = (Step::Rest, now);
+        (self.mending.step, self.mending.since_ms) = (Step::Idle, now);
         self.mending.not_before = now + pause + self.jitter(now, 128);
     }
 
@@ -254,7 +254,7 @@
         self.send(
             now,
             to,
-            Message::Seen {
+            Message::StatusReply {
                 ask,
                 standing,
                 contacts,
@@ -269,18 +269,18 @@
         let ask = self.mending.asks;
         let to: Vec<u64> = self.contacts(now).into_iter().map(|(id, _)| id).collect();
         let of = to.iter().copied().collect();
-        self.mending.step = Step::Asking {
+        self.mending.step = Step::CollectingStatus {
             ask,
             opinions: BTreeMap::new(),
             of,
         };
         self.mending.since_ms = now;
         to.into_iter()
-            .for_each(|id| self.send(now, id, Message::Opinion { ask }));
+            .for_each(|id| self.send(now, id, Message::StatusRequest { ask }));
     }
 
-    pub(crate) fn take_seen(&mut self, now: u64, from: u64, ask: u64, opinion: Opinion) {
-        if let Step::Asking {
+    pub(crate) fn take_seen(&mut self, now: u64, from: u64, ask: u64, opinion: StatusReply) {
+        if let Step::CollectingStatus {
             ask: asked,
             opinions,
             ..
@@ -295,7 +295,7 @@
     }
 
     fn all_answered(&self, now: u64) -> bool {
-        let Step::Asking { opinions, of, .. } = &self.mending.step else {
+        let Step::CollectingStatus { opinions, of, .. } = &self.mending.step else {
             return false;
         };
         of.iter()
@@ -304,7 +304,8 @@
 
     /// Who would be in the next view, by what all that answered see.
     fn weigh(&mut self, now: u64) {
-        let Step::Asking { opinions, .. } = std::mem::replace(&mut self.mending.step, Step::Rest)
+        let Step::CollectingStatus { opinions, .. } =
+            std::mem::replace(&mut self.mending.step, Step::Idle)
         else {
             return;
         };
@@ -319,7 +320,7 @@
         }
         // The largest part in which all hear each other: whoever misses most of the others is left out first,
         // newcomers before old members.
-        let hears = |a: &Opinion, b: &Opinion| {
+        let hears = |a: &StatusReply, b: &StatusReply| {
             a.contacts
                 .contains(&(b.standing.me.id, b.standing.me.incarnation))
         };
@@ -355,7 +356,7 @@
             .max()
             .unwrap_or(0);
         let near = |id: &u64| {
-            let holds = |o: &Opinion| match o.standing.installed == view.number {
+            let holds = |o: &StatusReply| match o.standing.installed == view.number {
                 true => o.standing.last,
                 false => o.standing.committed,
             };
@@ -403,7 +404,7 @@
             .copied()
             .filter(|id| view.place(*id).is_some())
             .collect();
-        self.mending.step = Step::Burying {
+        self.mending.step = Step::AbandoningView {
             ask,
             opinions,
             members,
@@ -413,7 +414,7 @@
             self.send(
                 now,
                 id,
-                Message::Bury {
+                Message::AbandonView {
                     ask,
                     number: view.number,
                 },
@@ -429,7 +430,7 @@
         number: u64,
         installed: u64,
     ) {
-        let Step::Burying {
+        let Step::AbandoningView {
             ask: asked,
             opinions,
             ..
@@ -447,7 +448,7 @@
     }
 
     fn try_buried(&mut self, now: u64) {
-        let Step::Burying {
+        let Step::AbandoningView {
             opinions, members, ..
         } = &self.mending.step
         else {
@@ -467,7 +468,7 @@
             let Some(view) = self.views.iter().find(|v| v.number == number) else {
                 return false;
             };
-            let never = |o: &Opinion| o.never >= number && o.standing.installed < number;
+            let never = |o: &StatusReply| o.never >= number && o.standing.installed < number;
             opinions
                 .iter()
                 .any(|(id, o)| view.place(*id).is_some() && never(o))
@@ -475,9 +476,9 @@
         if !(newest + 1..=decided).all(dead) {
             return;
         }
-        if let Step::Burying {
+        if let Step::AbandoningView {
             opinions, members, ..
-        } = std::mem::replace(&mut self.mending.step, Step::Rest)
+        } = std::mem::replace(&mut self.mending.step, Step::Idle)
         {
             self.log(format!(
                 "view {decided} never came to work; the one before, {newest}, is gone on from"
@@ -490,7 +491,7 @@
     fn propose_from(
         &mut self,
         now: u64,
-        opinions: BTreeMap<u64, Opinion>,
+        opinions: BTreeMap<u64, StatusReply>,
         mut members: Vec<Member>,
         from: u64,
     ) {
@@ -551,7 +552,7 @@
         now: u64,
         base: &View,
         members: &[Member],
-        opinions: &BTreeMap<u64, Opinion>,
+        opinions: &BTreeMap<u64, StatusReply>,
     ) -> Vec<Member> {
         let gone = self.gone(now);
         let out = |m: &&Member| members.iter().all(|n| n.id != m.id) && !gone.contains(&m.id);
--- a/crates/rookpulley-chain/src/refound.rs
+++ b/crates/rookpulley-chain/src/refound.rs
@@ -4,7 +4,7 @@
 //! that the chain it leaves never comes to. Whoever hears of that number gives way. The numbers between were never
 //! decided, so no view of the old chain can be gone on from.
 
-use crate::persisted::{self, Kept, Record};
+use crate::persisted::{self, PersistedState, Record};
 use crate::view::{Member, View};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -19,7 +19,7 @@
     known > 0 && view >= known.saturating_add(STEP / 2)
 }
 
-impl Kept {
+impl PersistedState {
     /// The highest number of a view that this disk has heard of, decided or not.
     pub fn newest(&self) -> u64 {
         let views = self.views.iter().map(|view| view.number);
--- a/crates/rookpulley-chain/src/replication.rs
+++ b/crates/rookpulley-chain/src/replication.rs
@@ -5,10 +5,10 @@
 //! that no later view was at work yet: the tail's word is as new as the asking, without any clock.
 
 use crate::catch_up::SWEEP_ENTRIES;
-use crate::chain::{Chain, Then};
-use crate::message::{Asked, Entry, Message, Question};
+use crate::chain::{AfterSync, Chain};
+use crate::message::{Entry, Message, ReadRequest, RequestId};
 use crate::persisted;
-use crate::{CallKind, Effect, Record, State};
+use crate::{Effect, Record, RequestKind, State};
 use std::collections::VecDeque;
 
 /// A call may be so old, by the head's own clock and that of the controller that was asked: it doesn't begin anew with
@@ -27,7 +27,7 @@
 const PAST_BYTES: usize = 2 << 20;
 
 #[derive(Default)]
-pub struct Flow {
+pub struct ReplicationState {
     /// Entries that are held and not applied, in order.
     pub log: VecDeque<Entry>,
     /// What was applied last, in order, up to `committed`.
@@ -42,7 +42,7 @@
     pub sent_to: u64,
     pub sent_synced: u64,
     pub told_last: Option<u64>,
-    pub questions: Vec<Question>,
+    pub questions: Vec<ReadRequest>,
     pub installing: u64,
     pub state_passed_ms: u64,
     /// The ledger's time began here at that moment of our clock.
@@ -54,7 +54,7 @@
     waiting_bytes: usize,
 }
 
-impl Flow {
+impl ReplicationState {
     /// Goes on from a state that holds all up to `seq` and stands on the disk.
     pub fn begin(&mut self, seq: u64, at_ms: u64, now: u64) {
         let disk = (seq + 1, self.disk.1.max(seq));
@@ -170,21 +170,21 @@
         now: u64,
         view: u64,
         (echo, age_ms): (u64, u64),
-        from: Asked,
-        (kind, body): (CallKind, Vec<u8>),
+        from: RequestId,
+        (kind, body): (RequestKind, Vec<u8>),
     ) {
         let fresh = |time: &u64| time.saturating_add(age_ms) <= echo.saturating_add(STALE_MS);
         let time = self.ledger_time(now).filter(fresh);
         let (Some(at_ms), Some(ours)) = (time, self.acting()) else {
-            return self.send(now, from.controller, Message::Refuse { from });
+            return self.send(now, from.controller, Message::Reject { from });
         };
         let full = self.flow.log.len() >= WAITING || self.flow.waiting_bytes >= WAITING_BYTES;
         if ours.number != view || ours.members.len() <= self.losses || full {
-            return self.send(now, from.controller, Message::Refuse { from });
+            return self.send(now, from.controller, Message::Reject { from });
         }
         match kind {
-            CallKind::Read => self.flow.questions.push(Question { body, from }),
-            CallKind::Update => {
+            RequestKind::Read => self.flow.questions.push(ReadRequest { body, from }),
+            RequestKind::Update => {
                 let entry = Entry {
                     seq: self.flow.last + 1,
                     at_ms,
@@ -195,7 +195,7 @@
                 let records = vec![persisted::put_entry(view, &entry), self.put_agreed()];
                 self.write(
                     records,
-                    Then::Entries {
+                    AfterSync::Appended {
                         view,
                         to: entry.seq,
                     },
@@ -211,7 +211,7 @@
         from: u64,
         view: u64,
         entries: Vec<Entry>,
-        questions: Vec<Question>,
+        questions: Vec<ReadRequest>,
         synced_to: u64,
     ) {
         let ours = self.acting().is_some_and(|v| v.number == view);
@@ -229,7 +229,7 @@
             records.push(self.put_agreed());
             self.write(
                 records,
-                Then::Entries {
+                AfterSync::Appended {
                     view,
                     to: self.flow.last,
                 },
@@ -294,7 +294,7 @@
             self.send(
                 now,
                 next.id,
-                Message::Pass {
+                Message::Append {
                     view,
                     entries,
                     questions,
@@ -312,7 +312,7 @@
                 self.send(
                     now,
                     from.controller,
-                    Message::Answer {
+                    Message::Response {
                         from,
                         view,
                         committed: to,
@@ -334,7 +334,7 @@
             self.send(
                 now,
                 from.controller,
-                Message::Answer {
+                Message::Response {
                     from,
                     view,
                     committed,
@@ -351,7 +351,7 @@
     }
 
     /// Applies what is held up to here, with the answers to those who asked.
-    pub(crate) fn apply_to(&mut self, to: u64) -> Vec<(Asked, Vec<u8>)> {
+    pub(crate) fn apply_to(&mut self, to: u64) -> Vec<(RequestId, Vec<u8>)> {
         let mut answers = Vec::new();
         while let Some(entry) = self.flow.log.front().filter(|e| e.seq <= to) {
             let (seq, from) = (entry.seq, entry.from);
@@ -367,7 +367,7 @@
             }
         }
         if !answers.is_empty() {
-            self.out.push(Effect::Applied);
+            self.out.push(Effect::StateChanged);
         }
         answers
     }
@@ -384,7 +384,7 @@
     /// Writes the state anew where much that is applied stands behind it on the disk. What is long goes at once: else the
     /// disk has to hold all that comes meanwhile.
     pub(crate) fn compact(&mut self) {
-        let Flow {
+        let ReplicationState {
             committed,
             disk: (from, _),
             disk_bytes,
@@ -394,12 +394,12 @@
             return;
         }
         let records = self.put_state();
-        self.write(records, Then::Nothing);
+        self.write(records, AfterSync::Nothing);
     }
 
     /// The state in the place of the one on the disk and of what stands there behind it up to here.
     pub(crate) fn put_state(&mut self) -> Vec<Record> {
-        let Flow {
+        let ReplicationState {
             committed,
             last_at,
             disk: (from, _),
--- a/crates/rookpulley-chain/src/status.rs
+++ b/crates/rookpulley-chain/src/status.rs
@@ -2,13 +2,13 @@
 
 use crate::State;
 use crate::chain::Chain;
-use crate::deduplication::Recent;
-use crate::persisted::Kept;
+use crate::deduplication::ReplyCache;
+use crate::persisted::PersistedState;
 use crate::view::{Member, View};
 
 /// How the chain looks from here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Shown {
+pub struct ChainStatus {
     /// The newest view that is decided, the one installed here, the newest known to be at work.
     pub view: u64,
     pub installed: u64,
@@ -28,34 +28,34 @@
     /// left to agree on the next view, and updates go on.
     pub spare: usize,
     /// Head first, tail last.
-    pub members: Vec<ShownMember>,
+    pub members: Vec<MemberReport>,
 }
 
 /// A member, as it was last heard.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ShownMember {
+pub struct MemberReport {
     pub member: Member,
     pub in_contact: bool,
     /// None: not heard since this process began.
-    pub heard: Option<Heard>,
+    pub heard: Option<PeerReport>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct PeerReport {
     pub ago_ms: u64,
     pub applied: u64,
     pub slow: bool,
 }
 
 impl<S: State> Chain<S> {
-    pub fn shown(&self, now: u64) -> Shown {
-        let own = Heard {
+    pub fn shown(&self, now: u64) -> ChainStatus {
+        let own = PeerReport {
             ago_ms: 0,
             applied: self.flow.committed,
             slow: self.slow,
         };
         let heard = |id: u64| {
-            let other = self.known.get(&id).map(|k| Heard {
+            let other = self.known.get(&id).map(|k| PeerReport {
                 ago_ms: now.saturating_sub(k.heard_ms),
                 applied: k.standing.committed,
                 slow: k.standing.slow,
@@ -63,12 +63,12 @@
             if id == self.me().id { Some(own) } else { other }
         };
         let members = self.view().map_or(&[][..], |view| &view.members);
-        let members = members.iter().map(|member| ShownMember {
+        let members = members.iter().map(|member| MemberReport {
             member: *member,
             in_contact: self.in_contact(now, member.id),
             heard: heard(member.id),
         });
-        Shown {
+        ChainStatus {
             view: self.decided(),
             installed: self.installed,
             at_work: self.at_work,
@@ -101,7 +101,7 @@
 
 /// What a disk holds, as a controller that starts with it takes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ShownKept<'a> {
+pub struct StoreStatus<'a> {
     pub installed: u64,
     /// This view and those before it are never installed here.
     pub never: u64,
@@ -116,16 +116,16 @@
     pub log: Vec<(u64, u64, &'a [u8])>,
 }
 
-impl Kept {
-    pub fn shown(&self) -> ShownKept<'_> {
-        ShownKept {
+impl PersistedState {
+    pub fn shown(&self) -> StoreStatus<'_> {
+        StoreStatus {
             installed: self.installed,
             never: self.never,
             vote: self.vote.number,
             accepted: self.vote.accepted.as_ref().map(|(_, view)| view),
             views: &self.views,
             snapshot: self.snapshot.as_ref().and_then(|(head, bytes)| {
-                let (_, state) = Recent::parse(bytes)?;
+                let (_, state) = ReplyCache::parse(bytes)?;
                 Some((head.seq, head.at_ms, state))
             }),
             log: self
--- a/crates/rookpulley-chain/tests/doubts.rs
+++ b/crates/rookpulley-chain/tests/doubts.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use rookpulley_chain::{
-    Asked, Ballot, Boot, CallKind, Chain, Effect, Entry, Fill, Input, Kept, Member, Message,
-    Outcome, Record, Standing, State, View,
+    Ballot, CatchUpChunk, Chain, Effect, Entry, Input, Member, MemberStatus, Message, Outcome,
+    PersistedState, Record, RequestId, RequestKind, StartState, State, View,
 };
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -52,8 +52,8 @@
 
 impl Controller {
     fn begin(id: u64, incarnation: u64, rows: Rows) -> Self {
-        let kept = (!rows.is_empty()).then(|| Kept::read(rows.clone()));
-        let boot = Boot {
+        let kept = (!rows.is_empty()).then(|| PersistedState::read(rows.clone()));
+        let boot = StartState {
             me: member(id, incarnation),
             founder: false,
             losses: 1,
@@ -77,14 +77,14 @@
             match effect {
                 Effect::Write { ticket, records } => self.writes.push((ticket, records)),
                 Effect::Send { to, message } => self.said.push((to, message)),
-                Effect::Answer { outcome, .. } => self.outcomes.push(outcome),
+                Effect::Reply { outcome, .. } => self.outcomes.push(outcome),
                 _ => {}
             }
         }
     }
 
     fn hear(&mut self, from: u64, message: Message) {
-        self.give(Input::Heard { from, message });
+        self.give(Input::Received { from, message });
     }
 
     /// All that waits is written, in order.
@@ -114,16 +114,16 @@
                 let Some(other) = others.iter().find(|m| m.id == to) else {
                     continue;
                 };
-                let as_its = |mut standing: Standing| {
+                let as_its = |mut standing: MemberStatus| {
                     (standing.me, standing.installed, standing.at_work) = (*other, 1, 0);
                     standing
                 };
                 match message {
-                    Message::Ping { standing, sent, .. } => {
+                    Message::Heartbeat { standing, sent, .. } => {
                         let (echo, ledger) = (Some(sent), None);
                         self.hear(
                             to,
-                            Message::Ping {
+                            Message::Heartbeat {
                                 standing: as_its(standing),
                                 sent: 1,
                                 echo,
@@ -131,21 +131,21 @@
                             },
                         );
                     }
-                    Message::Opinion { ask } => {
+                    Message::StatusRequest { ask } => {
                         let me = self.chain.me();
                         let contacts = others
                             .iter()
                             .chain([&me])
                             .map(|m| (m.id, m.incarnation))
                             .collect();
-                        let standing = as_its(Standing {
+                        let standing = as_its(MemberStatus {
                             decided: 1,
                             installed: 1,
-                            ..Standing::of(me)
+                            ..MemberStatus::of(me)
                         });
                         self.hear(
                             to,
-                            Message::Seen {
+                            Message::StatusReply {
                                 ask,
                                 standing,
                                 contacts,
@@ -199,7 +199,7 @@
         let others = [member(2, 1), member(3, 1)];
         others
             .iter()
-            .for_each(|m| controller.give(Input::Met { member: *m }));
+            .for_each(|m| controller.give(Input::PeerDiscovered { member: *m }));
         controller.with_others(&others, 900);
         let prepared = controller.said.iter().find_map(|(_, m)| match m {
             Message::Prepare { ballot, .. } => Some(*ballot),
@@ -350,16 +350,16 @@
             log,
         },
     );
-    controller.hear(3, Message::Bury { ask: 1, number: 1 });
-    controller.hear(3, Message::Opinion { ask: 2 });
+    controller.hear(3, Message::AbandonView { ask: 1, number: 1 });
+    controller.hear(3, Message::StatusRequest { ask: 2 });
     let never = controller.said.iter().find_map(|(_, m)| match m {
-        Message::Seen { never, .. } => Some(*never),
+        Message::StatusReply { never, .. } => Some(*never),
         _ => None,
     });
     assert_eq!(never, Some(0));
     controller.sync();
     let buried = controller.said.iter().find_map(|(_, m)| match m {
-        Message::Buried { installed, .. } => Some(*installed),
+        Message::ViewAbandoned { installed, .. } => Some(*installed),
         _ => None,
     });
     assert_eq!(
@@ -381,11 +381,11 @@
         },
     );
     controller.sync();
-    controller.hear(2, Message::AtWork { number: 1 });
+    controller.hear(2, Message::ViewActive { number: 1 });
     controller.play(200);
-    let call = Input::Call {
+    let call = Input::ClientRequest {
         token: 1,
-        kind: CallKind::Update,
+        kind: RequestKind::Update,
         body: body(1, Ask::Put { value: 5 }),
     };
     controller.give(call);
@@ -414,33 +414,33 @@
     let mut controller = Controller::begin(1, 1, Rows::new());
     controller.play(500);
     controller.now += 2_000;
-    let call = |token| Input::Call {
+    let call = |token| Input::ClientRequest {
         token,
-        kind: CallKind::Update,
+        kind: RequestKind::Update,
         body: body(1, Ask::Put { value: 5 }),
     };
     controller.give(call(1));
     controller.give(Input::Tick);
     controller.now += 20;
     controller.give(call(2));
-    assert_eq!(controller.outcomes, [Outcome::Refused, Outcome::Refused]);
+    assert_eq!(controller.outcomes, [Outcome::Rejected, Outcome::Rejected]);
 }
 
 #[test]
 fn a_disk_whose_state_is_torn_is_not_sound() {
     let rows = disk_with_view(2, &[(1, 1), (2, 1)]);
-    assert!(Kept::read(rows.clone()).sound());
-    assert!(Kept::read(Rows::new()).sound());
+    assert!(PersistedState::read(rows.clone()).sound());
+    assert!(PersistedState::read(Rows::new()).sound());
     let mut torn = rows.clone();
     torn.remove(&b"S"[..]);
-    assert!(!Kept::read(torn).sound());
+    assert!(!PersistedState::read(torn).sound());
     for key in rows.keys() {
         let mut torn = rows.clone();
         let row = torn.get_mut(key).unwrap();
         if row.len() > 1 {
             row.truncate(row.len() / 2);
             assert!(
-                !Kept::read(torn).sound(),
+                !PersistedState::read(torn).sound(),
                 "a torn {key:?} is taken for whole"
             );
         }
@@ -532,7 +532,7 @@
 }
 
 fn entry(seq: u64, value: u64) -> Entry {
-    let from = Asked {
+    let from = RequestId {
         controller: 1,
         incarnation: 1,
         token: value,
@@ -556,7 +556,10 @@
             .enumerate()
             .filter(|(n, _)| kept >> n & 1 == 1);
         there.for_each(|(_, (_, records))| records.iter().for_each(|r| put(&mut rows, r)));
-        assert!(Kept::read(rows.clone()).sound(), "writes {kept:b}");
+        assert!(
+            PersistedState::read(rows.clone()).sound(),
+            "writes {kept:b}"
+        );
         let again = Controller::begin(2, 9, rows);
         let shown: Vec<u64> = again.chain.state().given.iter().map(|g| g.value).collect();
         assert!(agreed.starts_with(&shown), "writes {kept:b} show {shown:?}");
@@ -589,16 +592,16 @@
     loses_any_write(&controller, &[1, 2]);
     controller.sync();
     let asked = controller.said.iter().rev().find_map(|(_, m)| match m {
-        Message::Fetch { ask, held: 2, .. } => Some(*ask),
+        Message::CatchUpRequest { ask, held: 2, .. } => Some(*ask),
         _ => None,
     });
-    let fill = Fill::Updates {
+    let fill = CatchUpChunk::Updates {
         committed: 4,
         entries: (3..=4).map(|n| entry(n, n)).collect(),
     };
     controller.hear(
         1,
-        Message::Filled {
+        Message::CatchUpReply {
             ask: asked.expect("it asks for the rest"),
             fill,
         },
@@ -610,7 +613,7 @@
     let mut controller = Controller::begin(2, 1, disk_with_view(2, &ids));
     controller.hear(
         1,
-        Message::Pass {
+        Message::Append {
             view: 1,
             entries: vec![entry(1, 7)],
             questions: Vec::new(),
@@ -644,7 +647,7 @@
     let entries = (1..=4).map(entry).collect();
     controller.hear(
         1,
-        Message::Pass {
+        Message::Append {
             view: 1,
             entries,
             questions: Vec::new(),
@@ -653,27 +656,27 @@
     );
     controller.sync();
     let mut controller = Controller::begin(2, 2, controller.rows);
-    controller.give(Input::Met {
+    controller.give(Input::PeerDiscovered {
         member: member(3, 1),
     });
     let (installed, decided, at_work, last, committed) = (1, 1, 1, 4, 4);
-    let standing = Standing {
+    let standing = MemberStatus {
         installed,
         decided,
         at_work,
         last,
         committed,
-        ..Standing::of(member(3, 1))
+        ..MemberStatus::of(member(3, 1))
     };
     for sent in 1..4 {
         controller.play(100);
         let echo = controller.said.iter().rev().find_map(|(_, m)| match m {
-            Message::Ping { sent, .. } => Some(*sent),
+            Message::Heartbeat { sent, .. } => Some(*sent),
             _ => None,
         });
         controller.hear(
             3,
-            Message::Ping {
+            Message::Heartbeat {
                 standing: standing.clone(),
                 sent,
                 echo,
@@ -682,7 +685,7 @@
         );
     }
     let ask = controller.said.iter().rev().find_map(|(_, m)| match m {
-        Message::Fetch { ask, .. } => Some(*ask),
+        Message::CatchUpRequest { ask, .. } => Some(*ask),
         _ => None,
     });
     let mut names = Names::default();
@@ -691,7 +694,7 @@
         .for_each(|e| _ = names.apply(e.at_ms, &e.body));
     let bytes = [vec![0], names.snapshot()].concat();
     let sum = XxHash64::oneshot(0, &bytes);
-    let fill = Fill::Piece {
+    let fill = CatchUpChunk::Piece {
         seq: 2,
         at_ms: 20,
         piece: 0,
@@ -701,7 +704,7 @@
     };
     controller.hear(
         3,
-        Message::Filled {
+        Message::CatchUpReply {
             ask: ask.expect("it asks for what it lacks"),
             fill,
         },
--- a/crates/rookpulley-chain/tests/world/faults.rs
+++ b/crates/rookpulley-chain/tests/world/faults.rs
@@ -1,6 +1,6 @@
 //! Faults of a filling, put in on purpose: into what is said and into what is written.
 
-use rookpulley_chain::{Entry, Fill, Message, Record};
+use rookpulley_chain::{CatchUpChunk, Entry, Message, Record};
 use std::collections::BTreeMap;
 use twox_hash::XxHash64;
 
@@ -20,7 +20,7 @@
 impl Handed {
     /// Whoever says or hears this holds what is in it.
     pub fn holds(&mut self, who: u64, message: &Message) {
-        if let Message::Pass { entries, .. } | Message::Install { log: entries, .. } = message {
+        if let Message::Append { entries, .. } | Message::Install { log: entries, .. } = message {
             let held = self.held.entry(who).or_default();
             held.extend(entries.iter().map(|entry| (entry.seq, entry.clone())));
             while held.len() > 64 {
@@ -31,8 +31,8 @@
 
     /// Behind the updates that are agreed on goes what else the sender holds.
     pub fn beyond(&mut self, from: u64, message: &mut Message) {
-        if let Message::Filled {
-            fill: Fill::Updates { entries, .. },
+        if let Message::CatchUpReply {
+            fill: CatchUpChunk::Updates { entries, .. },
             ..
         } = message
             && let Some(last) = entries.last().map(|e| e.seq)
@@ -45,9 +45,9 @@
     /// Where a state is asked for anew because the one before can't be followed any more, its last piece is joined to
     /// those of that one.
     pub fn mix(&mut self, way: Way, message: &mut Message) {
-        let Message::Filled {
+        let Message::CatchUpReply {
             fill:
-                Fill::Piece {
+                CatchUpChunk::Piece {
                     seq,
                     piece,
                     pieces,
--- a/crates/rookpulley-chain/tests/world/mod.rs
+++ b/crates/rookpulley-chain/tests/world/mod.rs
@@ -14,7 +14,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rookpulley_chain::{
-    Boot, CallKind, Chain, Effect, Fill, Input, Kept, Member, Message, Outcome, Record, State,
+    CatchUpChunk, Chain, Effect, Input, Member, Message, Outcome, PersistedState, Record,
+    RequestKind, StartState, State,
 };
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -296,9 +297,9 @@
         if self.mutation == Some(Mutation::VotesForgotten) {
             place.disk.rows.remove(&b"p"[..]);
         }
-        let kept = (!fresh).then(|| Kept::read(place.disk.rows.clone()));
+        let kept = (!fresh).then(|| PersistedState::read(place.disk.rows.clone()));
         assert!(
-            kept.as_ref().is_none_or(Kept::sound),
+            kept.as_ref().is_none_or(PersistedState::sound),
             "controller {at} finds its disk spoilt"
         );
         let me = Member {
@@ -306,7 +307,7 @@
             incarnation,
             address: place.address,
         };
-        let boot = Boot {
+        let boot = StartState {
             me,
             founder,
             losses: self.losses,
@@ -341,7 +342,7 @@
         for (who, of) in [(a, b), (b, a)] {
             if !self.cuts.contains(&(of, who)) && self.places[of].chain.is_some() {
                 let member = self.member(of);
-                self.give(who, Input::Met { member });
+                self.give(who, Input::PeerDiscovered { member });
             }
         }
     }
@@ -417,10 +418,10 @@
                         *left = left.saturating_sub(1);
                     }
                 }
-                Effect::Answer { token, outcome } => self.answered(token, outcome),
+                Effect::Reply { token, outcome } => self.answered(token, outcome),
                 Effect::Log(line) => self.say(format!("controller {at}: {line}")),
-                Effect::Applied => self.compare(at),
-                Effect::Spoilt => spoilt = true,
+                Effect::StateChanged => self.compare(at),
+                Effect::DiscardStore => spoilt = true,
             }
         }
         if let Some((_, 0, all)) = self.power_at_write {
@@ -446,7 +447,7 @@
 
     fn send(&mut self, from: usize, to: usize, mut message: Message) {
         if self.mutation == Some(Mutation::TriesNotKnown)
-            && let Message::Forward { from, .. } | Message::Answer { from, .. } = &mut message
+            && let Message::Forward { from, .. } | Message::Response { from, .. } = &mut message
             && from.attempt > 1
         {
             // Under another name to the chain, under its own to who asked.
@@ -462,8 +463,8 @@
         }
         self.pieces += u64::from(matches!(
             message,
-            Message::Filled {
-                fill: Fill::Piece { .. },
+            Message::CatchUpReply {
+                fill: CatchUpChunk::Piece { .. },
                 ..
             }
         ));
@@ -542,7 +543,7 @@
         self.events += 1;
         let call = &mut self.calls[index];
         match outcome {
-            Outcome::Done(bytes) => {
+            Outcome::Completed(bytes) => {
                 let reply = Reply::read(&bytes);
                 call.answered = Some((self.events, reply));
                 self.seen.insert(call.name, reply.revision);
@@ -565,7 +566,7 @@
                     );
                 }
             }
-            Outcome::Refused => call.refused = true,
+            Outcome::Rejected => call.refused = true,
             Outcome::Unknown => {
                 self.unknown += 1;
                 call.refused = self.mutation == Some(Mutation::RefusedAfterAll);
@@ -614,16 +615,16 @@
         let token = value + 1;
         self.open.insert(token, (controller, index));
         let kind = if ask == Ask::Read {
-            CallKind::Read
+            RequestKind::Read
         } else {
-            CallKind::Update
+            RequestKind::Update
         };
-        if kind == CallKind::Read && self.mutation == Some(Mutation::TailAlone) {
+        if kind == RequestKind::Read && self.mutation == Some(Mutation::TailAlone) {
             return self.ask_the_tail(controller, token, name);
         }
         self.give(
             controller,
-            Input::Call {
+            Input::ClientRequest {
                 token,
                 kind,
                 body: body(name, ask),
@@ -647,7 +648,7 @@
             .filter(|_| heard && !self.cuts.contains(&(tail, controller)))
         {
             let answer = chain.state().read(&body(name, Ask::Read));
-            self.answered(token, Outcome::Done(answer));
+            self.answered(token, Outcome::Completed(answer));
         }
     }
 
@@ -663,7 +664,7 @@
                         self.handed.holds(self.places[to].id, &message);
                     }
                     self.judge_disk(to);
-                    self.give(to, Input::Heard { from, message });
+                    self.give(to, Input::Received { from, message });
                 }
             }
             let again: Vec<_> = self
@@ -673,7 +674,7 @@
             for ((a, b), _) in again {
                 if self.places[a].chain.is_some() && !self.cuts.contains(&(a, b)) {
                     let member = self.member(a);
-                    self.give(b, Input::Met { member });
+                    self.give(b, Input::PeerDiscovered { member });
                 }
             }
             for at in 0..self.places.len() {
@@ -726,7 +727,7 @@
                 "controller {at}: its disk is {}",
                 if slow { "slow" } else { "quick" }
             ));
-            self.give(at, Input::Disk { slow });
+            self.give(at, Input::DiskHealth { slow });
         }
     }
 
@@ -770,7 +771,7 @@
         self.held.retain(|(from, to, _)| *to != at && *from != at);
         if !power {
             for other in (0..self.places.len()).filter(|o| *o != at) {
-                self.give(other, Input::HungUp { id });
+                self.give(other, Input::Disconnected { id });
             }
         }
     }
@@ -791,7 +792,7 @@
             let until = self.now + self.rng.random_range(20..200u64);
             self.down.insert((from, to), until);
             let id = self.places[from].id;
-            self.give(to, Input::HungUp { id });
+            self.give(to, Input::Disconnected { id });
         }
     }
 
@@ -882,7 +883,7 @@
         self.stop(at, power);
         let id: u64 = self.rng.random();
         let rows = &mut self.places[at].disk.rows;
-        let kept = Kept::read(rows.clone());
+        let kept = PersistedState::read(rows.clone());
         let was = u64::from_le_bytes(rows[&b"0id"[..]].clone().try_into().unwrap());
         let (view, records) = kept.refounded(was, id).expect("its disk has a state");
         rows.clear();
@@ -893,14 +894,17 @@
                 Record::Delete { .. } => panic!("there is nothing to delete"),
             }
         }
-        assert_eq!(Kept::read(rows.clone()).shown().log, kept.shown().log);
+        assert_eq!(
+            PersistedState::read(rows.clone()).shown().log,
+            kept.shown().log
+        );
         self.say(format!("controller {at} founds view {} anew", view.number));
         self.forget_what_lacks(&kept);
         self.start(at, false);
     }
 
     /// What this disk doesn't hold is gone, and so is what callers were told of it.
-    fn forget_what_lacks(&mut self, kept: &Kept) {
+    fn forget_what_lacks(&mut self, kept: &PersistedState) {
         let shown = kept.shown();
         let mut held = Names::default();
         assert!(held.restore(shown.snapshot.unwrap().2));
@@ -1134,7 +1138,7 @@
         self.newest().members.len()
     }
 
-    pub fn shown(&self, at: usize) -> Option<rookpulley_chain::Shown> {
+    pub fn shown(&self, at: usize) -> Option<rookpulley_chain::ChainStatus> {
         let place = &self.places[at];
         place
             .chain
--- a/crates/rookpulley-cli/src/gateway/store.rs
+++ b/crates/rookpulley-cli/src/gateway/store.rs
@@ -5,7 +5,7 @@
 
 use crate::call::CannotAsk;
 use crate::show::table;
-use rookpulley_chain::{Kept, View};
+use rookpulley_chain::{PersistedState, View};
 use rookpulley_diagnostics::counted;
 use rookpulley_registry::News;
 use rookpulley_state::{Ledger, Update};
@@ -36,7 +36,7 @@
 }
 
 fn told(folder: &Path, contents: Contents) -> Value {
-    let kept = Kept::read(contents.chain);
+    let kept = PersistedState::read(contents.chain);
     let chain = kept.shown();
     let snapshot = chain.snapshot.map(|(update, at_ms, bytes)| {
         let mut ledger = Ledger::default();
--- a/crates/rookpulley-cli/src/gateway/store/check.rs
+++ b/crates/rookpulley-cli/src/gateway/store/check.rs
@@ -2,7 +2,7 @@
 
 use crate::call::CannotAsk;
 use crate::gateway::check::Checked;
-use rookpulley_chain::{Kept, flaws};
+use rookpulley_chain::{PersistedState, find_inconsistencies};
 use rookpulley_diagnostics::{Faults, Manner, counted};
 use rookpulley_registry::News;
 use rookpulley_routes::Book;
@@ -21,7 +21,7 @@
 /// A store that could be opened, with all that is wrong with it.
 pub struct Examined {
     pub contents: Contents,
-    pub kept: Kept,
+    pub kept: PersistedState,
     pub faults: Faults,
     /// Its state is whole and this build reads it: a controller that starts with it is a possible source.
     pub usable: bool,
@@ -48,7 +48,7 @@
 
 impl Examined {
     fn of(contents: Contents) -> Self {
-        let kept = Kept::read(contents.chain.iter().cloned());
+        let kept = PersistedState::read(contents.chain.iter().cloned());
         let mut faults = Faults::none(&STORE);
         if contents.identity.is_none() {
             faults.add(
@@ -57,7 +57,7 @@
                 "there since the controller's first start",
             );
         }
-        for flaw in flaws(&contents.chain, contents.identity) {
+        for flaw in find_inconsistencies(&contents.chain, contents.identity) {
             faults.add(flaw.place, flaw.found, flaw.instead);
         }
         let chain = kept.shown();
--- a/crates/rookpulley-cli/tests/gateway.rs
+++ b/crates/rookpulley-cli/tests/gateway.rs
@@ -1,8 +1,10 @@
 //! The commands on the gateway, against a controller that answers by script, files, and a store on disk.
 
 use assert_cmd::Command;
-use rookpulley_chain::{Boot, CallKind, Chain, Effect, Input, Kept, Member, Outcome, Record};
-use rookpulley_control::Kept as Held;
+use rookpulley_chain::{
+    Chain, Effect, Input, Member, Outcome, PersistedState, Record, RequestKind, StartState,
+};
+use rookpulley_control::ReplicatedState;
 use rookpulley_registry::News;
 use rookpulley_state::Update;
 use rookpulley_store::{Part, Said, Store};
@@ -360,7 +362,7 @@
     store: Store,
     heard: tokio::sync::mpsc::UnboundedReceiver<Said>,
     rows: BTreeMap<Vec<u8>, Vec<u8>>,
-    chain: Chain<Held>,
+    chain: Chain<ReplicatedState>,
     now: u64,
     done: usize,
 }
@@ -381,21 +383,25 @@
         }
     }
 
-    fn begin(store: &Store, rows: &BTreeMap<Vec<u8>, Vec<u8>>, incarnation: u64) -> Chain<Held> {
+    fn begin(
+        store: &Store,
+        rows: &BTreeMap<Vec<u8>, Vec<u8>>,
+        incarnation: u64,
+    ) -> Chain<ReplicatedState> {
         let me = Member {
             id: store.identity,
             incarnation,
             address: "10.4.0.10:7731".parse().unwrap(),
         };
-        let kept = (!rows.is_empty()).then(|| Kept::read(rows.clone()));
-        let boot = Boot {
+        let kept = (!rows.is_empty()).then(|| PersistedState::read(rows.clone()));
+        let boot = StartState {
             me,
             founder: kept.is_none(),
             losses: 0,
             seed: 5,
             kept,
         };
-        Chain::start(0, boot, Held::default())
+        Chain::start(0, boot, ReplicatedState::default())
     }
 
     /// Another incarnation on the same store: with its view goes a snapshot of all before.
@@ -428,9 +434,9 @@
             {
                 asked += 1;
                 due = bodies.next();
-                let call = Input::Call {
+                let call = Input::ClientRequest {
                     token: self.now,
-                    kind: CallKind::Update,
+                    kind: RequestKind::Update,
                     body,
                 };
                 effects.extend(self.chain.handle(self.now, call));
@@ -443,8 +449,8 @@
                             self.write(records);
                             next.extend(self.chain.handle(self.now, Input::Synced { ticket }));
                         }
-                        Effect::Answer {
-                            outcome: Outcome::Done(_),
+                        Effect::Reply {
+                            outcome: Outcome::Completed(_),
                             ..
                         } => self.done += 1,
                         _ => {}
--- a/crates/rookpulley-control/src/calls.rs
+++ b/crates/rookpulley-control/src/calls.rs
@@ -270,11 +270,11 @@
 /// What the chain has for a call.
 pub(crate) fn told(kind: Kind, outcome: Outcome) -> Reply {
     let answer = match outcome {
-        Outcome::Done(bytes) => match Answer::decode(&bytes) {
+        Outcome::Completed(bytes) => match Answer::decode(&bytes) {
             Ok(answer) => answer,
             Err(_) => return unknown(),
         },
-        Outcome::Refused => return later(),
+        Outcome::Rejected => return later(),
         Outcome::Unknown => return unknown(),
     };
     match (kind, answer) {
--- a/crates/rookpulley-control/src/controller.rs
+++ b/crates/rookpulley-control/src/controller.rs
@@ -10,11 +10,13 @@
 use crate::calls::{Kind, Reply, Wants, later, told};
 use crate::founding::Founding;
 use crate::pace::Pace;
-use crate::state::Kept;
+use crate::replicated_state::ReplicatedState;
 use crate::tally::Tally;
 use crate::watches::Watches;
 use crate::word::Word;
-use rookpulley_chain::{Boot, CallKind, Chain, Disk, Effect as Order, Input, Member, Record};
+use rookpulley_chain::{
+    Chain, DiskHealth, Effect as ChainEffect, Input, Member, Record, RequestKind, StartState,
+};
 use rookpulley_protocol::frame;
 use rookpulley_registry::{Desk, Drains, Editions, News, Registry, Roll};
 use rookpulley_routes::Book;
@@ -85,7 +87,7 @@
         reply: Reply,
     },
     /// The others keep something else: what is kept here is given up, and the next start is filled by them.
-    Spoilt,
+    DiscardStore,
     Log(String),
     /// Something is wrong.
     Complain(String),
@@ -139,7 +141,7 @@
 pub struct Controller {
     me: Member,
     seeds: Vec<SocketAddrV4>,
-    pub chain: Chain<Kept>,
+    pub chain: Chain<ReplicatedState>,
     pub registry: Registry,
     pub desk: Desk,
     /// What was known of tasks before this start, until it is tidied.
@@ -170,7 +172,7 @@
     pace: Pace,
     /// Something was applied in this incarnation: it was agreed on.
     applied: bool,
-    pub disk: Disk,
+    pub disk: DiskHealth,
     pub tally: Tally,
     ending: bool,
     told_touch: bool,
@@ -181,9 +183,9 @@
     /// At the time 0. `start.me.incarnation` also is what chance begins with.
     pub fn new(start: Start) -> Self {
         let (me, seed) = (start.me, start.me.incarnation);
-        let kept = start.held.map(rookpulley_chain::Kept::read);
+        let kept = start.held.map(rookpulley_chain::PersistedState::read);
         let founder = start.founding.as_ref().is_some_and(Founding::at_once);
-        let boot = Boot {
+        let boot = StartState {
             me,
             founder,
             losses: start.losses as usize,
@@ -193,7 +195,7 @@
         let mut controller = Self {
             me,
             seeds: start.seeds,
-            chain: Chain::start(0, boot, Kept::default()),
+            chain: Chain::start(0, boot, ReplicatedState::default()),
             registry: Registry::new(0.0, start.heartbeat_ms as f64, start.drain_ms as f64),
             desk: Desk::new(seed),
             incarnations: start.incarnations,
@@ -216,7 +218,7 @@
             book: None,
             pace: Pace::default(),
             applied: false,
-            disk: Disk::default(),
+            disk: DiskHealth::default(),
             tally: Tally::default(),
             ending: false,
             told_touch: false,
@@ -270,12 +272,12 @@
         let mut moved = false;
         for order in orders {
             match order {
-                Order::Send { to, message } => self.send_to(to, &Word::Chain(message)),
-                Order::Write { ticket, records } => {
+                ChainEffect::Send { to, message } => self.send_to(to, &Word::Chain(message)),
+                ChainEffect::Write { ticket, records } => {
                     self.disk.begins(now, ticket);
                     self.out.push(Effect::Write { ticket, records });
                 }
-                Order::Answer { token, outcome } => {
+                ChainEffect::Reply { token, outcome } => {
                     if let Some(kind) = self.calls.remove(&token) {
                         self.out.push(Effect::Reply {
                             token,
@@ -283,9 +285,9 @@
                         });
                     }
                 }
-                Order::Log(line) => self.log(line),
-                Order::Applied => moved = true,
-                Order::Spoilt => self.out.push(Effect::Spoilt),
+                ChainEffect::Log(line) => self.log(line),
+                ChainEffect::StateChanged => moved = true,
+                ChainEffect::DiscardStore => self.out.push(Effect::DiscardStore),
             }
         }
         self.tally.view(self.chain.view().map_or(0, |v| v.number));
@@ -329,7 +331,7 @@
                 "store: the disk is {}",
                 if slow { "slow" } else { "quick again" }
             ));
-            self.step(now, Input::Disk { slow });
+            self.step(now, Input::DiskHealth { slow });
         }
     }
 
@@ -340,9 +342,9 @@
             Wants::Heartbeat(heartbeat) => self.heartbeat(now, token, heartbeat),
             Wants::Leave(incarnation) => self.leave(now, token, &incarnation),
             Wants::Update(update) => {
-                self.call_chain(now, token, (kind, CallKind::Update), update.encode())
+                self.call_chain(now, token, (kind, RequestKind::Update), update.encode())
             }
-            Wants::Ask(ask) => self.call_chain(now, token, (kind, CallKind::Read), ask.encode()),
+            Wants::Ask(ask) => self.call_chain(now, token, (kind, RequestKind::Read), ask.encode()),
             Wants::Watch {
                 group,
                 after,
@@ -359,7 +361,7 @@
         self.watches.forget(token);
     }
 
-    fn call_chain(&mut self, now: f64, token: u64, (of, kind): (Kind, CallKind), body: Vec<u8>) {
+    fn call_chain(&mut self, now: f64, token: u64, (of, kind): (Kind, RequestKind), body: Vec<u8>) {
         if self.calls.len() >= CALLS_MOST {
             return self.out.push(Effect::Reply {
                 token,
@@ -367,7 +369,7 @@
             });
         }
         self.calls.insert(token, of);
-        self.step(now, Input::Call { token, kind, body });
+        self.step(now, Input::ClientRequest { token, kind, body });
     }
 
     fn look_at_watches(&mut self, now: f64, moved: bool) {
@@ -392,7 +394,7 @@
 
     /// Asks the others to go on without this controller; true once they do.
     pub fn left_the_chain(&mut self, now: f64) -> bool {
-        self.step(now, Input::Disk { slow: true });
+        self.step(now, Input::DiskHealth { slow: true });
         self.chain
             .view()
             .is_none_or(|v| v.members.iter().all(|m| m.id != self.me.id))
--- a/crates/rookpulley-control/src/controller/peers.rs
+++ b/crates/rookpulley-control/src/controller/peers.rs
@@ -114,12 +114,12 @@
                     (peer.id, peer.seen_ms) = (Some(from.id), now);
                     self.out.push(Effect::Spoke(ip));
                 }
-                self.step(now, Input::Met { member: from });
+                self.step(now, Input::PeerDiscovered { member: from });
             }
             Word::Chain(message) => {
                 if let Some(from) = *who {
                     self.watch_disk(now);
-                    self.step(now, Input::Heard { from, message });
+                    self.step(now, Input::Received { from, message });
                 }
             }
             Word::News { ask, news } => {
@@ -147,7 +147,7 @@
 
     /// The line on which a controller spoke is over.
     pub fn line_ended(&mut self, now: f64, id: u64) {
-        self.step(now, Input::HungUp { id });
+        self.step(now, Input::Disconnected { id });
     }
 
     pub(super) fn send_to(&mut self, id: u64, word: &Word) {
--- a/crates/rookpulley-control/src/controller/stateless.rs
+++ b/crates/rookpulley-control/src/controller/stateless.rs
@@ -81,7 +81,7 @@
             .as_ref()
             .is_some_and(|founding| founding.due(&self.diskless, self.named));
         if due && self.chain.view().is_none() {
-            self.step(now, Input::Found);
+            self.step(now, Input::Bootstrap);
         }
     }
 }
--- a/crates/rookpulley-control/src/state.rs
+++ b/crates/rookpulley-control/src/replicated_state.rs
@@ -3,11 +3,11 @@
 use rookpulley_state::Ledger;
 
 #[derive(Default)]
-pub struct Kept {
+pub struct ReplicatedState {
     pub ledger: Ledger,
 }
 
-impl rookpulley_chain::State for Kept {
+impl rookpulley_chain::State for ReplicatedState {
     fn apply(&mut self, at_ms: u64, entry: &[u8]) -> Vec<u8> {
         self.ledger.apply_bytes(at_ms, entry)
     }
--- a/crates/rookpulley-control/tests/compatibility/frames.rs
+++ b/crates/rookpulley-control/tests/compatibility/frames.rs
@@ -2,7 +2,8 @@
 
 use crate::Encoded;
 use rookpulley_chain::{
-    Asked, Ballot, CallKind, Entry, Fill, Member, Message, Question, Standing, View,
+    Ballot, CatchUpChunk, Entry, Member, MemberStatus, Message, ReadRequest, RequestId,
+    RequestKind, View,
 };
 use rookpulley_control::Word;
 use rookpulley_protocol::{Down, Line, Report, ServiceReport, TaskReport, Up};
@@ -30,8 +31,8 @@
     }
 }
 
-fn asked(token: u64) -> Asked {
-    Asked {
+fn asked(token: u64) -> RequestId {
+    RequestId {
         controller: 2,
         incarnation: 1 << 40 | 2,
         token,
@@ -48,8 +49,8 @@
     }
 }
 
-fn standing() -> Standing {
-    Standing {
+fn standing() -> MemberStatus {
+    MemberStatus {
         me: member(2),
         decided: 7,
         installed: 6,
@@ -77,12 +78,12 @@
 
 fn chain_messages() -> Vec<(&'static str, Message)> {
     let (ballot, ask, number) = (Ballot { round: 4, by: 9 }, 11, 7);
-    let updates = Fill::Updates {
+    let updates = CatchUpChunk::Updates {
         committed: 399,
         entries: vec![entry(398), entry(399)],
     };
     let (seq, at_ms, piece, pieces) = (399, 90_399, 1, 3);
-    let piece = Fill::Piece {
+    let piece = CatchUpChunk::Piece {
         seq,
         at_ms,
         piece,
@@ -90,8 +91,8 @@
         sum: 77,
         bytes: vec![9, 8, 7],
     };
-    let (kind, body) = (CallKind::Update, vec![5, 6]);
-    let question = Question {
+    let (kind, body) = (RequestKind::Update, vec![5, 6]);
+    let question = ReadRequest {
         body: vec![4],
         from: asked(2),
     };
@@ -99,17 +100,17 @@
     vec![
         (
             "ping",
-            Message::Ping {
+            Message::Heartbeat {
                 standing: standing.clone(),
                 sent: 500,
                 echo: Some(450),
                 ledger: Some(90_500),
             },
         ),
-        ("opinion", Message::Opinion { ask }),
+        ("opinion", Message::StatusRequest { ask }),
         (
             "seen",
-            Message::Seen {
+            Message::StatusReply {
                 ask,
                 standing,
                 contacts: vec![(1, 2), (3, 4)],
@@ -117,10 +118,10 @@
                 views: vec![view(6)],
             },
         ),
-        ("bury", Message::Bury { ask, number }),
+        ("bury", Message::AbandonView { ask, number }),
         (
             "buried",
-            Message::Buried {
+            Message::ViewAbandoned {
                 ask,
                 number,
                 installed: 6,
@@ -149,7 +150,7 @@
             },
         ),
         ("accepted", Message::Accepted { number, ballot }),
-        ("outbid", Message::Outbid { number, ballot }),
+        ("outbid", Message::Preempted { number, ballot }),
         (
             "learn",
             Message::Learn {
@@ -167,7 +168,7 @@
         ),
         (
             "fetch",
-            Message::Fetch {
+            Message::CatchUpRequest {
                 ask,
                 held: 120,
                 piece: Some((399, 2)),
@@ -175,10 +176,13 @@
         ),
         (
             "filled with updates",
-            Message::Filled { ask, fill: updates },
+            Message::CatchUpReply { ask, fill: updates },
         ),
-        ("filled with a piece", Message::Filled { ask, fill: piece }),
-        ("at work", Message::AtWork { number }),
+        (
+            "filled with a piece",
+            Message::CatchUpReply { ask, fill: piece },
+        ),
+        ("at work", Message::ViewActive { number }),
         (
             "forward",
             Message::Forward {
@@ -190,10 +194,10 @@
                 body,
             },
         ),
-        ("refuse", Message::Refuse { from: asked(1) }),
+        ("refuse", Message::Reject { from: asked(1) }),
         (
             "pass",
-            Message::Pass {
+            Message::Append {
                 view: 7,
                 entries: vec![entry(400)],
                 questions: vec![question],
@@ -202,7 +206,7 @@
         ),
         (
             "answer",
-            Message::Answer {
+            Message::Response {
                 from: asked(1),
                 view: 7,
                 committed,
--- a/crates/rookpulley-control/tests/compatibility/rows.rs
+++ b/crates/rookpulley-control/tests/compatibility/rows.rs
@@ -1,8 +1,10 @@
 //! What two members of a chain have on their disks after a few updates, row by row.
 
 use crate::{Encoded, read};
-use rookpulley_chain::{Boot, CallKind, Chain, Effect, Input, Member, Outcome, Record, flaws};
-use rookpulley_control::Kept;
+use rookpulley_chain::{
+    Chain, Effect, Input, Member, Outcome, Record, RequestKind, StartState, find_inconsistencies,
+};
+use rookpulley_control::ReplicatedState;
 use rookpulley_state::{Answer, Update};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -21,27 +23,29 @@
 #[derive(Default)]
 struct Cluster {
     now: u64,
-    chains: Vec<(Chain<Kept>, Rows)>,
+    chains: Vec<(Chain<ReplicatedState>, Rows)>,
     token: u64,
 }
 
 impl Cluster {
     fn start(&mut self) {
         let at = self.chains.len();
-        let boot = Boot {
+        let boot = StartState {
             me: member(at),
             founder: at == 0,
             losses: 1,
             seed: 7,
             kept: None,
         };
-        self.chains
-            .push((Chain::start(self.now, boot, Kept::default()), Rows::new()));
+        self.chains.push((
+            Chain::start(self.now, boot, ReplicatedState::default()),
+            Rows::new(),
+        ));
         for other in 0..at {
-            self.give(other, Input::Met { member: member(at) });
+            self.give(other, Input::PeerDiscovered { member: member(at) });
             self.give(
                 at,
-                Input::Met {
+                Input::PeerDiscovered {
                     member: member(other),
                 },
             );
@@ -69,13 +73,13 @@
                 match effect {
                     Effect::Send { to, message } if to as usize <= members => {
                         let from = member(at).id;
-                        inputs.push_back((to as usize - 1, Input::Heard { from, message }));
+                        inputs.push_back((to as usize - 1, Input::Received { from, message }));
                     }
                     Effect::Write { ticket, records } => {
                         write(rows, records);
                         inputs.push_back((at, Input::Synced { ticket }));
                     }
-                    Effect::Answer { outcome, .. } => answer = Some(outcome),
+                    Effect::Reply { outcome, .. } => answer = Some(outcome),
                     _ => {}
                 }
             }
@@ -88,13 +92,13 @@
         let body = update.encode();
         let outcome = self.give(
             1,
-            Input::Call {
+            Input::ClientRequest {
                 token: self.token,
-                kind: CallKind::Update,
+                kind: RequestKind::Update,
                 body,
             },
         );
-        let Some(Outcome::Done(answer)) = outcome else {
+        let Some(Outcome::Completed(answer)) = outcome else {
             panic!("{update:?}: {outcome:?}")
         };
         Answer::decode(&answer).unwrap()
@@ -181,21 +185,21 @@
         };
         let rows: Vec<(Vec<u8>, Vec<u8>)> = fixture.iter().filter_map(row).collect();
         assert!(rows.len() > 80, "{} rows", rows.len());
-        assert_eq!(flaws(&rows, Some(member(at).id)), Vec::new());
-        let kept = rookpulley_chain::Kept::read(rows);
+        assert_eq!(find_inconsistencies(&rows, Some(member(at).id)), Vec::new());
+        let kept = rookpulley_chain::PersistedState::read(rows);
         assert!(kept.sound());
         let me = Member {
             incarnation: 2 << 20,
             ..member(at)
         };
-        let boot = Boot {
+        let boot = StartState {
             me,
             founder: false,
             losses: 1,
             seed: 7,
             kept: Some(kept),
         };
-        let started = Chain::start(0, boot, Kept::default());
+        let started = Chain::start(0, boot, ReplicatedState::default());
         let ledger = &started.state().ledger;
         let sizes = ledger.sizes();
         assert_eq!((sizes.locks, sizes.numbers, sizes.cells), (1, 1, 3));
--- a/crates/rookpulley-control/tests/founding.rs
+++ b/crates/rookpulley-control/tests/founding.rs
@@ -294,7 +294,7 @@
                                 },
                             );
                         }
-                        Effect::Spoilt => panic!("a copy is spoilt"),
+                        Effect::DiscardStore => panic!("a copy is spoilt"),
                         _ => {}
                     }
                 }
--- a/crates/rookpulley-controller/src/hub.rs
+++ b/crates/rookpulley-controller/src/hub.rs
@@ -158,7 +158,7 @@
                 let waiting = lines.calls.remove(&token);
                 _ = waiting.map(|waiting| waiting.send(reply));
             }
-            Effect::Spoilt => self.begin_anew(),
+            Effect::DiscardStore => self.begin_anew(),
             Effect::Log(line) => tracing::info!("{line}"),
             Effect::Complain(line) => tracing::error!("{line}"),
         }
--- a/crates/rookpulley-controller/src/show.rs
+++ b/crates/rookpulley-controller/src/show.rs
@@ -79,7 +79,7 @@
             at if at == last => "tail",
             _ => "middle",
         };
-        let heard = |of: fn(&rookpulley_chain::Heard) -> JsonValue| {
+        let heard = |of: fn(&rookpulley_chain::PeerReport) -> JsonValue| {
             one.heard.as_ref().map_or(JsonValue::Null, of)
         };
         object([
--- a/crates/rookpulley-simulator/src/controllers.rs
+++ b/crates/rookpulley-simulator/src/controllers.rs
@@ -4,7 +4,7 @@
 use crate::world::{Core, Mutation, What, World};
 use crate::{MS, S, Us};
 use rand::RngExt;
-use rookpulley_chain::{Kept, Member};
+use rookpulley_chain::{Member, PersistedState};
 use rookpulley_control::{
     Content, Controller, Effect, Founding, Path, Reply, Start, Wants, Word, read,
 };
@@ -70,7 +70,8 @@
         let (incarnation, mint): (u64, u64) = (self.rng.random(), self.rng.random());
         let seeds = self.seeds();
         let at = &mut self.machines[machine];
-        let torn = at.disk.identity.is_some() && !Kept::read(at.disk.chain.clone()).sound();
+        let torn =
+            at.disk.identity.is_some() && !PersistedState::read(at.disk.chain.clone()).sound();
         if torn {
             at.disk.wipe();
         }
@@ -188,7 +189,7 @@
                     self.reply(process, call, attempt, reply);
                 }
             }
-            Effect::Spoilt => {
+            Effect::DiscardStore => {
                 self.say(|| format!("controller {machine}: its copy is spoilt"));
                 self.record
                     .fault(format!("controller {machine} gives its disk up"));
--- a/crates/rookpulley-store/examples/call_cost.rs
+++ b/crates/rookpulley-store/examples/call_cost.rs
@@ -6,8 +6,8 @@
 mod load;
 
 use load::Load;
-use rookpulley_chain::{Boot, CallKind, Chain, Effect, Input, Member, Message, Outcome};
-use rookpulley_control::Kept;
+use rookpulley_chain::{Chain, Effect, Input, Member, Message, Outcome, RequestKind, StartState};
+use rookpulley_control::ReplicatedState;
 use rookpulley_protocol::{Frames, frame};
 use rookpulley_state::{Answer, Ask};
 use std::collections::VecDeque;
@@ -22,7 +22,7 @@
 
 struct ControllerSelection {
     now: u64,
-    all: Vec<Chain<Kept>>,
+    all: Vec<Chain<ReplicatedState>>,
     /// Of pings, and of all else.
     said: [(u64, u64); 2],
     written: u64,
@@ -45,20 +45,21 @@
             written: 0,
         };
         for at in 0..controllers {
-            let boot = Boot {
+            let boot = StartState {
                 me: Self::member(at),
                 founder: at == 0,
                 losses: 1,
                 seed: 7 + at as u64,
                 kept: None,
             };
-            new.all.push(Chain::start(0, boot, Kept::default()));
+            new.all
+                .push(Chain::start(0, boot, ReplicatedState::default()));
         }
         for at in 0..controllers {
             for other in (0..controllers).filter(|other| *other != at) {
                 new.give(
                     at,
-                    Input::Met {
+                    Input::PeerDiscovered {
                         member: Self::member(other),
                     },
                 );
@@ -74,8 +75,8 @@
             for effect in self.all[at].handle(self.now, input) {
                 match effect {
                     Effect::Send { to, message } => {
-                        let said =
-                            &mut self.said[usize::from(!matches!(message, Message::Ping { .. }))];
+                        let said = &mut self.said
+                            [usize::from(!matches!(message, Message::Heartbeat { .. }))];
                         let mut frames = Frames::default();
                         let bytes = frame(&message);
                         *said = (said.0 + 1, said.1 + bytes.len() as u64);
@@ -83,7 +84,7 @@
                         let message: Message = frames.take().unwrap().unwrap();
                         inputs.push_back((
                             to as usize - 1,
-                            Input::Heard {
+                            Input::Received {
                                 from: at as u64 + 1,
                                 message,
                             },
@@ -93,7 +94,7 @@
                         self.written += records.len() as u64;
                         inputs.push_back((at, Input::Synced { ticket }));
                     }
-                    Effect::Answer { outcome, .. } => answer = Some(outcome),
+                    Effect::Reply { outcome, .. } => answer = Some(outcome),
                     _ => {}
                 }
             }
@@ -110,27 +111,27 @@
         let load = Load::Cells(1_000);
         for n in 1..=calls {
             let (kind, body) = match kind {
-                Kind::Update => (CallKind::Update, load.update(n).encode()),
+                Kind::Update => (RequestKind::Update, load.update(n).encode()),
                 Kind::Read => (
-                    CallKind::Read,
+                    RequestKind::Read,
                     Ask::Cell {
                         name: format!("group{}.cell{n}", n % 100),
                     }
                     .encode(),
                 ),
-                Kind::Idle => (CallKind::Read, Vec::new()),
+                Kind::Idle => (RequestKind::Read, Vec::new()),
             };
             if !body.is_empty() {
                 let at = n as usize % self.all.len();
                 let outcome = self.give(
                     at,
-                    Input::Call {
+                    Input::ClientRequest {
                         token: n,
                         kind,
                         body,
                     },
                 );
-                let Some(Outcome::Done(answer)) = outcome else {
+                let Some(Outcome::Completed(answer)) = outcome else {
                     panic!("call {n}: {outcome:?}")
                 };
                 let answer = Answer::decode(&answer).unwrap();
--- a/crates/rookpulley-store/examples/disk_use.rs
+++ b/crates/rookpulley-store/examples/disk_use.rs
@@ -5,8 +5,8 @@
 mod load;
 
 use load::Load;
-use rookpulley_chain::{Boot, CallKind, Chain, Effect, Input, Member, Outcome};
-use rookpulley_control::Kept;
+use rookpulley_chain::{Chain, Effect, Input, Member, Outcome, RequestKind, StartState};
+use rookpulley_control::ReplicatedState;
 use rookpulley_state::Answer;
 use rookpulley_store::{Part, Said, Store};
 use std::collections::VecDeque;
@@ -18,7 +18,7 @@
 const TICK_MS: u64 = 50;
 
 struct Controller {
-    chain: Chain<Kept>,
+    chain: Chain<ReplicatedState>,
     store: Store,
     heard: UnboundedReceiver<Said>,
     now: u64,
@@ -37,15 +37,16 @@
             incarnation,
             address: "127.0.0.1:7".parse().unwrap(),
         };
-        let kept = (!store.new).then(|| rookpulley_chain::Kept::read(store.held.iter().cloned()));
-        let boot = Boot {
+        let kept = (!store.new)
+            .then(|| rookpulley_chain::PersistedState::read(store.held.iter().cloned()));
+        let boot = StartState {
             me,
             founder: store.founding.is_some(),
             losses: 0,
             seed: incarnation,
             kept,
         };
-        let chain = Chain::start(0, boot, Kept::default());
+        let chain = Chain::start(0, boot, ReplicatedState::default());
         let took = began.elapsed().as_secs_f64() * 1e3;
         let mut controller = Self {
             chain,
@@ -75,7 +76,7 @@
                         self.syncs += 1;
                         inputs.push_back(Input::Synced { ticket });
                     }
-                    Effect::Answer { outcome, .. } => answer = Some(outcome),
+                    Effect::Reply { outcome, .. } => answer = Some(outcome),
                     _ => {}
                 }
             }
@@ -136,12 +137,12 @@
     let (mut highest, mut most_files, began) = (0, 0, Instant::now());
     for n in 1..=updates {
         let body = load.update(n).encode();
-        let outcome = controller.step(Input::Call {
+        let outcome = controller.step(Input::ClientRequest {
             token: n,
-            kind: CallKind::Update,
+            kind: RequestKind::Update,
             body,
         });
-        let Some(Outcome::Done(answer)) = outcome else {
+        let Some(Outcome::Completed(answer)) = outcome else {
             panic!("update {n}: {outcome:?}")
         };
         let answer = Answer::decode(&answer).unwrap();
--- a/crates/rookpulley-store/examples/fill_time.rs
+++ b/crates/rookpulley-store/examples/fill_time.rs
@@ -5,8 +5,8 @@
 mod load;
 
 use load::configuration;
-use rookpulley_chain::{Boot, CallKind, Chain, Effect, Input, Member, Message, Outcome};
-use rookpulley_control::Kept;
+use rookpulley_chain::{Chain, Effect, Input, Member, Message, Outcome, RequestKind, StartState};
+use rookpulley_control::ReplicatedState;
 use rookpulley_protocol::{Frames, frame};
 use rookpulley_state::Update;
 use rookpulley_store::{Part, Said, Store};
@@ -77,7 +77,7 @@
         incarnation: 77,
         address,
     };
-    let boot = Boot {
+    let boot = StartState {
         me,
         founder: store.founding.is_some(),
         losses: 1,
@@ -85,7 +85,7 @@
         kept: None,
     };
     let now = began.elapsed().as_millis() as u64;
-    let chain = Chain::start(now, boot, Kept::default());
+    let chain = Chain::start(now, boot, ReplicatedState::default());
     let to = events.clone();
     std::thread::spawn(move || {
         while let Some(said) = heard.blocking_recv() {
@@ -110,7 +110,7 @@
 }
 
 fn runs(
-    mut chain: Chain<Kept>,
+    mut chain: Chain<ReplicatedState>,
     store: &Store,
     queue: &Receiver<Event>,
     began: Instant,
@@ -132,9 +132,9 @@
                 line.set_nodelay(true).unwrap();
                 line.write_all(&chain.me().id.to_le_bytes()).unwrap();
                 lines.insert(member.id, line);
-                Input::Met { member }
+                Input::PeerDiscovered { member }
             }
-            Ok(Event::Heard(from, message)) => Input::Heard { from, message },
+            Ok(Event::Heard(from, message)) => Input::Received { from, message },
             Ok(Event::Said(Said::Synced {
                 chain: Some(ticket),
                 ..
@@ -143,9 +143,9 @@
             Ok(Event::Call(body, answer)) => {
                 token += 1;
                 asked.insert(token, answer);
-                Input::Call {
+                Input::ClientRequest {
                     token,
-                    kind: CallKind::Update,
+                    kind: RequestKind::Update,
                     body,
                 }
             }
@@ -163,7 +163,7 @@
                 Effect::Write { ticket, records } => {
                     assert!(store.write(Part::Chain, ticket, records))
                 }
-                Effect::Answer { token, outcome } => {
+                Effect::Reply { token, outcome } => {
                     _ = asked.remove(&token).map(|a| a.send(outcome))
                 }
                 Effect::Log(line) if line.contains("filled") => _ = told.send(Told::Filled),
@@ -189,7 +189,7 @@
     let mut waiting = VecDeque::new();
     let settle = |(update, answered): (Update, Receiver<Outcome>)| {
         let mut answered = answered;
-        while !matches!(answered.recv(), Ok(Outcome::Done(_))) {
+        while !matches!(answered.recv(), Ok(Outcome::Completed(_))) {
             answered = ask(&update);
         }
     };
@@ -218,7 +218,7 @@
             .events
             .send(Event::Call(number().encode(), answer))
             .unwrap();
-        if matches!(answered.recv(), Ok(Outcome::Done(_))) {
+        if matches!(answered.recv(), Ok(Outcome::Completed(_))) {
             longest = longest.max(last.elapsed().as_secs_f64() * 1e3);
             last = Instant::now();
         }
--- a/crates/rookpulley-store/tests/room.rs
+++ b/crates/rookpulley-store/tests/room.rs
@@ -5,8 +5,8 @@
 mod load;
 
 use load::Load;
-use rookpulley_chain::{Boot, CallKind, Chain, Effect, Input, Member, Outcome, Record};
-use rookpulley_control::Kept;
+use rookpulley_chain::{Chain, Effect, Input, Member, Outcome, Record, RequestKind, StartState};
+use rookpulley_control::ReplicatedState;
 use rookpulley_store::{Part, Said, Store};
 use std::collections::VecDeque;
 use std::path::Path;
@@ -14,7 +14,7 @@
 
 struct Controller {
     now: u64,
-    chain: Chain<Kept>,
+    chain: Chain<ReplicatedState>,
     store: Store,
     heard: UnboundedReceiver<Said>,
 }
@@ -28,7 +28,7 @@
             incarnation: 1,
             address: "127.0.0.1:7".parse().unwrap(),
         };
-        let boot = Boot {
+        let boot = StartState {
             me,
             founder: true,
             losses: 0,
@@ -37,7 +37,7 @@
         };
         let mut new = Self {
             now: 0,
-            chain: Chain::start(0, boot, Kept::default()),
+            chain: Chain::start(0, boot, ReplicatedState::default()),
             store,
             heard,
         };
@@ -55,7 +55,7 @@
                         self.synced(ticket);
                         inputs.push_back(Input::Synced { ticket });
                     }
-                    Effect::Answer { outcome, .. } => answer = Some(outcome),
+                    Effect::Reply { outcome, .. } => answer = Some(outcome),
                     _ => {}
                 }
             }
@@ -89,13 +89,13 @@
     let first = updates / 5;
     for n in 1..=updates {
         let body = load.update(n).encode();
-        let outcome = controller.give(Input::Call {
+        let outcome = controller.give(Input::ClientRequest {
             token: n,
-            kind: CallKind::Update,
+            kind: RequestKind::Update,
             body,
         });
         assert!(
-            matches!(outcome, Some(Outcome::Done(_))),
+            matches!(outcome, Some(Outcome::Completed(_))),
             "update {n}: {outcome:?}"
         );
         longest = longest.max(length(folder.path()));
--- a/crates/rookpulley-store/tests/torn.rs
+++ b/crates/rookpulley-store/tests/torn.rs
@@ -1,7 +1,7 @@
 //! Power lost while a controller's store is written: of what isn't synced any part may have reached the disk, cut anywhere.
 
-use rookpulley_chain::{Boot, CallKind, Chain, Effect, Input, Member, Outcome, Record};
-use rookpulley_control::Kept;
+use rookpulley_chain::{Chain, Effect, Input, Member, Outcome, Record, RequestKind, StartState};
+use rookpulley_control::ReplicatedState;
 use rookpulley_state::Update;
 use rookpulley_store::{Part, Said, Store, look, replace};
 use std::collections::{BTreeMap, VecDeque};
@@ -13,7 +13,7 @@
 #[derive(Default)]
 struct ControllerSelection {
     now: u64,
-    all: Vec<(Chain<Kept>, Batches)>,
+    all: Vec<(Chain<ReplicatedState>, Batches)>,
     token: u64,
     losses: usize,
 }
@@ -30,20 +30,22 @@
     fn start(&mut self) {
         let at = self.all.len();
         let me = Self::member(at);
-        let boot = Boot {
+        let boot = StartState {
             me,
             founder: at == 0,
             losses: self.losses,
             seed: 7 + at as u64,
             kept: None,
         };
-        self.all
-            .push((Chain::start(self.now, boot, Kept::default()), Vec::new()));
+        self.all.push((
+            Chain::start(self.now, boot, ReplicatedState::default()),
+            Vec::new(),
+        ));
         for other in 0..at {
-            self.give(other, Input::Met { member: me });
+            self.give(other, Input::PeerDiscovered { member: me });
             self.give(
                 at,
-                Input::Met {
+                Input::PeerDiscovered {
                     member: Self::member(other),
                 },
             );
@@ -61,7 +63,7 @@
                     Effect::Send { to, message } if to as usize <= known => {
                         inputs.push_back((
                             to as usize - 1,
-                            Input::Heard {
+                            Input::Received {
                                 from: at as u64 + 1,
                                 message,
                             },
@@ -71,7 +73,7 @@
                         batches.push(records);
                         inputs.push_back((at, Input::Synced { ticket }));
                     }
-                    Effect::Answer { outcome, .. } => answer = Some(outcome),
+                    Effect::Reply { outcome, .. } => answer = Some(outcome),
                     _ => {}
                 }
             }
@@ -89,36 +91,41 @@
     fn update(&mut self, update: &Update) {
         self.play(50);
         self.token += 1;
-        let call = Input::Call {
+        let call = Input::ClientRequest {
             token: self.token,
-            kind: CallKind::Update,
+            kind: RequestKind::Update,
             body: update.encode(),
         };
-        assert!(matches!(self.give(0, call), Some(Outcome::Done(_))));
+        assert!(matches!(self.give(0, call), Some(Outcome::Completed(_))));
     }
 
     /// A controller that starts on these rows shows all that was answered, or the one update more that was being written.
     fn starts_on(&mut self, rows: Rows, copies: &[(usize, u64)], answered: usize) {
-        let kept = rookpulley_chain::Kept::read(rows);
+        let kept = rookpulley_chain::PersistedState::read(rows);
         let me = Member {
             incarnation: 78,
             ..Self::member(0)
         };
-        let boot = Boot {
+        let boot = StartState {
             me,
             founder: true,
             losses: 0,
             seed: 9,
             kept: Some(kept),
         };
-        self.all = vec![(Chain::start(self.now, boot, Kept::default()), Vec::new())];
+        self.all = vec![(
+            Chain::start(self.now, boot, ReplicatedState::default()),
+            Vec::new(),
+        )];
         self.play(3_000);
         let chain = &self.all[0].0;
         assert!(chain.serving(self.now));
         let digest = chain.state().ledger.digest();
         let shown = answered
             .checked_sub(1)
-            .map_or(Kept::default().ledger.digest(), |last| copies[last].1);
+            .map_or(ReplicatedState::default().ledger.digest(), |last| {
+                copies[last].1
+            });
         let next = copies.get(answered).map(|(_, digest)| *digest);
         assert!(
             digest == shown || Some(digest) == next,
