--- /dev/null
+++ b/crates/rookpulley-chain/src/chain/candidates.rs
@@ -0,0 +1,150 @@
+//! Who would be in the next view, by what all members that replied see.
+
+use super::Chain;
+use super::reconfiguration::NEAR_ENTRIES;
+use crate::reconfiguration_state::{StatusReplies, StatusReply};
+use crate::state::State;
+use crate::view::{Member, View};
+use std::collections::BTreeSet;
+
+/// Why no view is proposed.
+#[derive(Debug, PartialEq)]
+pub(super) enum NoCandidates {
+    /// Somebody knows a newer view than the one to be followed.
+    ViewIsOld,
+    /// Too few have replied to decide anything.
+    NoQuorum,
+    /// This member would not be in the view that it proposed.
+    NotAMember,
+    /// It would be the view that is there.
+    Unchanged,
+    /// It would have too few members to lose one.
+    TooFewMembers,
+}
+
+impl<S: State> Chain<S> {
+    /// The members of the next view, in their order.
+    pub(super) fn choose_members(
+        &self,
+        now: u64,
+        view: &View,
+        replies: &StatusReplies,
+    ) -> Result<Vec<Member>, NoCandidates> {
+        if replies.values().any(|r| r.status.decided > view.number) {
+            return Err(NoCandidates::ViewIsOld);
+        }
+        let responded: BTreeSet<u64> = replies.keys().copied().collect();
+        if !view.is_quorum(&responded, &self.lost_disks(now)) {
+            return Err(NoCandidates::NoQuorum);
+        }
+        let mut chosen = fully_connected(view, replies);
+        let is_quick = |id: &u64| replies.get(id).is_some_and(|r| !r.status.slow);
+        self.prefer(&mut chosen, is_quick);
+        // Who lacks much is filled first, beside the chain, as far as the chain is long enough without it.
+        let newest = replies.values().map(|r| r.status.committed).max();
+        let lacks_little = |id: &u64| {
+            let last = replies.get(id).map(|r| last_of(r, view));
+            last.is_some_and(|last| last + NEAR_ENTRIES >= newest.unwrap_or(0))
+        };
+        self.prefer(&mut chosen, lacks_little);
+        let is_in = chosen.contains(&self.me.id) || self.disk_slow;
+        if !replies.contains_key(&self.me.id) || !is_in {
+            return Err(NoCandidates::NotAMember);
+        }
+        let members = in_order(view, &chosen, replies);
+        let voters = self.choose_voters(now, view, &members, replies);
+        if members == view.members && voters == view.voters && self.is_view_active() {
+            return Err(NoCandidates::Unchanged);
+        }
+        // Unless there were no more before.
+        if members.len() <= self.tolerated_losses && members.len() < view.members.len() {
+            return Err(NoCandidates::TooFewMembers);
+        }
+        Ok(members)
+    }
+
+    /// Leaves only those that `fits` accepts, where they are enough to lose what may be lost.
+    fn prefer(&self, chosen: &mut Vec<u64>, fits: impl Fn(&u64) -> bool) {
+        if chosen.iter().filter(|id| fits(id)).count() > self.tolerated_losses {
+            chosen.retain(|id| fits(id));
+        }
+    }
+
+    /// Acceptors that are left out as members stay voters if they still reply, as far as the chain is shorter than it
+    /// would have to be to lose what it may lose and still be a majority. Of the silent ones one stays for a while,
+    /// where that makes the majority no larger: most often it only did not run, and is back before another is lost.
+    pub(super) fn choose_voters(
+        &self,
+        now: u64,
+        base: &View,
+        members: &[Member],
+        replies: &StatusReplies,
+    ) -> Vec<Member> {
+        let lost = self.lost_disks(now);
+        let is_left_out = |acceptor: &&Member| {
+            let is_member = members.iter().any(|member| member.id == acceptor.id);
+            !is_member && !lost.contains(&acceptor.id)
+        };
+        let present = |acceptor: &Member| replies.get(&acceptor.id).map(|r| r.status.member);
+        let room = (2 * self.tolerated_losses + 1).saturating_sub(members.len());
+        let mut voters: Vec<Member> = base
+            .acceptors()
+            .filter(is_left_out)
+            .filter_map(present)
+            .take(room)
+            .collect();
+        if voters.len() < room && (members.len() + voters.len()).is_multiple_of(2) {
+            let fell_silent =
+                |m: &&Member| present(m).is_none() && self.was_heard_lately(now, m.id);
+            voters.extend(base.acceptors().filter(is_left_out).find(fell_silent));
+        }
+        voters
+    }
+}
+
+/// The largest part in which all are in contact with each other: whoever misses most of the others is left out first,
+/// newcomers before members.
+fn fully_connected(view: &View, replies: &StatusReplies) -> Vec<u64> {
+    let hears = |a: &StatusReply, b: &StatusReply| a.contacts.contains(&b.status.member.into());
+    let mut chosen: Vec<u64> = replies.keys().copied().collect();
+    loop {
+        let missed_by = |id: &u64| {
+            let Some(reply) = replies.get(id) else {
+                return 0;
+            };
+            let others = chosen.iter().filter(|other| *other != id);
+            others
+                .filter_map(|other| replies.get(other))
+                .filter(|other| !(hears(reply, other) && hears(other, reply)))
+                .count()
+        };
+        let worst = chosen
+            .iter()
+            .map(|id| (missed_by(id), view.position(*id).is_none(), *id))
+            .max();
+        match worst {
+            Some((missed, _, id)) if missed > 0 => chosen.retain(|other| *other != id),
+            _ => return chosen,
+        }
+    }
+}
+
+/// The last entry that a member could bring into the next view.
+fn last_of(reply: &StatusReply, view: &View) -> u64 {
+    if reply.status.installed == view.number {
+        reply.status.last
+    } else {
+        reply.status.committed
+    }
+}
+
+/// The members that stay in their order, then the newcomers.
+fn in_order(view: &View, chosen: &[u64], replies: &StatusReplies) -> Vec<Member> {
+    let stay = view.members.iter().map(|m| m.id);
+    let stay = stay.filter(|id| chosen.contains(id));
+    let join = chosen.iter().copied();
+    let join = join.filter(|id| view.position(*id).is_none());
+    stay.chain(join)
+        .filter_map(|id| replies.get(&id).map(|r| r.status.member))
+        .collect()
+}
--- /dev/null
+++ b/crates/rookpulley-chain/src/chain/digests.rs
@@ -0,0 +1,48 @@
+//! How replicas are compared: by a digest of the state after each so many entries, which goes along with heartbeats.
+
+use super::Chain;
+use crate::effect::Effect;
+use crate::message::StateDigest;
+use crate::persisted::checksum;
+use crate::state::State;
+
+/// So many other replicas must agree before one that differs from them is given up.
+const AGREEING_REPLICAS: usize = 2;
+
+impl<S: State> Chain<S> {
+    pub(super) fn take_digest(&mut self, seq: u64) {
+        let digest = checksum(&self.encode_snapshot());
+        self.digests.latest = StateDigest { seq, digest };
+    }
+
+    /// Compares another replica's digest with ours. Where two others agree and nobody agrees with us, this replica is
+    /// given up. One that the chain can't spare is only logged, and so is a difference between two.
+    pub(super) fn compare_digests(&mut self, theirs: StateDigest) {
+        let ours = self.digests.latest;
+        let seq = theirs.seq;
+        if seq == 0 || seq != ours.seq || theirs.digest == ours.digest {
+            return;
+        }
+        if self.digests.logged_difference < seq {
+            self.digests.logged_difference = seq;
+            self.log(format_args!("copies differ at update {seq}"));
+        }
+        let others: Vec<u64> = self
+            .peers
+            .values()
+            .map(|peer| peer.status.digest)
+            .filter(|theirs| theirs.seq == seq)
+            .map(|theirs| theirs.digest)
+            .collect();
+        let is_alone = !others.contains(&ours.digest);
+        let count = |digest: &u64| others.iter().filter(|other| *other == digest).count();
+        let is_outvoted = others.iter().any(|d| count(d) >= AGREEING_REPLICAS);
+        let is_spare = self
+            .installed_view()
+            .is_none_or(|view| view.members.len() > self.tolerated_losses + 1);
+        if is_alone && is_outvoted && is_spare {
+            self.log("the copy here differs from all others: it is begun anew");
+            self.effects.push(Effect::DiscardStore);
+        }
+    }
+}
--- /dev/null
+++ b/crates/rookpulley-chain/src/chain/replication.rs
@@ -0,0 +1,285 @@
+//! Updates and reads through an active view: in at the head, on to each successor at once, synced by each member,
+//! committed and answered by the tail.
+//!
+//! Invariant: an entry is committed only once it is on the disks of all members, in the order of the chain. So whichever
+//! member is left has all that was acknowledged.
+//!
+//! A read passes the same members. That it has passed a member shows that the member had not left this view before, so
+//! that no later view was active yet: the tail's answer is as new as the question, without any clock.
+
+use super::Chain;
+use crate::after_sync::AfterSync;
+use crate::effect::Effect;
+use crate::input::RequestKind;
+use crate::message::{Entry, ForwardedRequest, Message, ReadRequest, RequestId};
+use crate::persisted::{self, Record};
+use crate::state::State;
+
+/// A request may be so old, by the head's clock and that of the controller that was asked: its age doesn't begin anew
+/// with each attempt. What a partition held back and then let go takes no effect, and its caller, who waits a second,
+/// knows that.
+const MAX_REQUEST_AGE_MS: u64 = 750;
+/// A snapshot is written after so many entries, or so many bytes of them.
+const SNAPSHOT_ENTRIES: u64 = 512;
+const SNAPSHOT_BYTES: usize = 2 << 20;
+/// No more entries wait to be committed: all of them go along with a new view.
+const MAX_UNCOMMITTED_ENTRIES: usize = 4_096;
+const MAX_UNCOMMITTED_BYTES: usize = 3 << 20;
+const MAX_WAITING_READS: usize = 4_096;
+/// A message carries so much; a larger entry goes alone.
+const MAX_APPEND_BYTES: usize = 1 << 20;
+/// All replicas take a digest of their state after each so many entries.
+pub(super) const DIGEST_ENTRIES: u64 = 1_024;
+
+impl<S: State> Chain<S> {
+    fn is_head(&self) -> bool {
+        let head = self.installed_view().and_then(|view| view.head());
+        head.is_some_and(|head| head.id == self.me.id)
+    }
+
+    /// The replicated time, at the head of an active view. It goes on from where the source left the view before, so
+    /// it only ever loses time.
+    pub(super) fn replicated_time(&self, now: u64) -> Option<u64> {
+        (self.is_view_active() && self.is_head()).then(|| self.replication.clock_now(now))
+    }
+
+    pub(super) fn handle_forward(&mut self, now: u64, forwarded: ForwardedRequest) {
+        let Some(at_ms) = self.time_to_take(now, &forwarded) else {
+            let request = forwarded.request;
+            return self.send(now, request.controller, Message::Reject { request });
+        };
+        let ForwardedRequest {
+            request,
+            kind,
+            body,
+            ..
+        } = forwarded;
+        match kind {
+            RequestKind::Read => self.replication.reads.push(ReadRequest { body, request }),
+            RequestKind::Update => self.append_at_head(at_ms, request, body),
+        }
+        self.replicate(now);
+    }
+
+    /// The replicated time to stamp on a request, where this member may take it.
+    fn time_to_take(&self, now: u64, forwarded: &ForwardedRequest) -> Option<u64> {
+        let time = self.replicated_time(now)?;
+        let view = self.installed_view()?;
+        let oldest = forwarded.echo.saturating_add(MAX_REQUEST_AGE_MS);
+        let is_fresh = time.saturating_add(forwarded.age_ms) <= oldest;
+        let is_long_enough = view.members.len() > self.tolerated_losses;
+        let has_room = self.replication.log.len() < MAX_UNCOMMITTED_ENTRIES
+            && self.replication.uncommitted_bytes() < MAX_UNCOMMITTED_BYTES;
+        let is_taken = is_fresh && view.number == forwarded.view && is_long_enough && has_room;
+        is_taken.then_some(time)
+    }
+
+    fn append_at_head(&mut self, at_ms: u64, request: RequestId, body: Vec<u8>) {
+        let view = self.installed;
+        let entry = Entry {
+            seq: self.replication.last + 1,
+            at_ms,
+            body,
+            request,
+        };
+        let to = entry.seq;
+        let record = persisted::put_entry(view, &entry);
+        self.replication.append(entry);
+        let records = vec![record, self.committed_record()];
+        self.write(records, AfterSync::Appended { view, to });
+    }
+
+    pub(super) fn handle_append(
+        &mut self,
+        now: u64,
+        from: u64,
+        view: u64,
+        entries: Vec<Entry>,
+        reads: Vec<ReadRequest>,
+        synced_up_to: u64,
+    ) {
+        let is_from_predecessor = self.predecessor().is_some_and(|m| m.id == from);
+        if !self.has_installed(view) || !is_from_predecessor {
+            return;
+        }
+        let mut records = Vec::new();
+        for entry in entries {
+            if entry.seq == self.replication.last + 1 {
+                records.push(persisted::put_entry(view, &entry));
+                self.replication.append(entry);
+            }
+        }
+        if !records.is_empty() {
+            records.push(self.committed_record());
+            let to = self.replication.last;
+            self.write(records, AfterSync::Appended { view, to });
+        }
+        let known = self.replication.synced_upstream;
+        self.replication.synced_upstream = known.max(synced_up_to);
+        if self.replication.reads.len() < MAX_WAITING_READS {
+            self.replication.reads.extend(reads);
+        }
+        self.replicate(now);
+    }
+
+    /// How far the log is committed, for the disk: up to there it needs no other controller's word at the next start.
+    pub(super) fn committed_record(&self) -> Record {
+        persisted::put_committed(self.replication.committed, self.replication.last_at_ms)
+    }
+
+    pub(super) fn handle_entries_synced(&mut self, now: u64, view: u64, to: u64) {
+        if self.has_installed(view) {
+            self.replication.synced_here = self.replication.synced_here.max(to);
+            self.replicate(now);
+        }
+    }
+
+    /// The last entry that this member and all before it have on their disks.
+    fn synced_up_to_here(&self) -> u64 {
+        let synced_here = self.replication.synced_here;
+        if self.is_head() {
+            synced_here
+        } else {
+            synced_here.min(self.replication.synced_upstream)
+        }
+    }
+
+    /// Hands what is new to the successor, or commits it at the tail.
+    pub(super) fn replicate(&mut self, now: u64) {
+        let Some(view) = self.installed_view().map(|view| view.number) else {
+            return;
+        };
+        let synced_up_to = self.synced_up_to_here();
+        let Some(next) = self.successor() else {
+            return self.commit_at_tail(now, view, synced_up_to);
+        };
+        let mut reads = std::mem::take(&mut self.replication.reads);
+        let mut has_synced_more = synced_up_to > self.replication.sent_synced_up_to;
+        loop {
+            let entries = self.replication.unsent(MAX_APPEND_BYTES);
+            if entries.is_empty() && reads.is_empty() && !has_synced_more {
+                return;
+            }
+            has_synced_more = false;
+            if let Some(last) = entries.last() {
+                self.replication.sent_to = last.seq;
+            }
+            self.replication.sent_synced_up_to = synced_up_to;
+            let message = Message::Append {
+                view,
+                entries,
+                reads: std::mem::take(&mut reads),
+                synced_up_to,
+            };
+            self.send(now, next.id, message);
+        }
+    }
+
+    fn commit_at_tail(&mut self, now: u64, view: u64, synced_up_to: u64) {
+        let seq = synced_up_to.min(self.replication.last);
+        if seq > self.replication.committed {
+            for (request, answer) in self.apply_up_to(seq) {
+                self.respond(now, view, request, answer);
+            }
+            for member in self.other_members() {
+                self.send_to_peer(member, Message::Commit { view, seq });
+            }
+        }
+        for read in std::mem::take(&mut self.replication.reads) {
+            let answer = self.state.read(&read.body);
+            self.respond(now, view, read.request, answer);
+        }
+    }
+
+    fn other_members(&self) -> Vec<u64> {
+        let members = self.installed_view().map_or(&[][..], |view| &view.members);
+        let ids = members.iter().map(|member| member.id);
+        ids.filter(|id| *id != self.me.id).collect()
+    }
+
+    fn respond(&mut self, now: u64, view: u64, request: RequestId, body: Vec<u8>) {
+        let message = Message::Response {
+            request,
+            view,
+            committed: self.replication.committed,
+            body,
+        };
+        self.send(now, request.controller, message);
+    }
+
+    pub(super) fn handle_commit(&mut self, view: u64, seq: u64) {
+        if self.has_installed(view) {
+            self.apply_up_to(seq.min(self.replication.last));
+        }
+    }
+
+    /// Applies the entries up to `seq`. Returns the answers to their callers.
+    pub(super) fn apply_up_to(&mut self, seq: u64) -> Vec<(RequestId, Vec<u8>)> {
+        let mut answers = Vec::new();
+        while let Some(entry) = self.replication.log.front().filter(|e| e.seq <= seq) {
+            let (applied, request) = (entry.seq, entry.request);
+            let answer = self.reply_cache.answer(&request).unwrap_or_else(|| {
+                let answer = self.state.apply(entry.at_ms, &entry.body);
+                self.reply_cache.record(entry, &answer);
+                answer
+            });
+            answers.push((request, answer));
+            self.replication.advance_commit();
+            if applied.is_multiple_of(DIGEST_ENTRIES) {
+                self.take_digest(applied);
+            }
+        }
+        if !answers.is_empty() {
+            self.effects.push(Effect::StateChanged);
+        }
+        answers
+    }
+
+    pub(super) fn tick_replication(&mut self, now: u64) {
+        let is_tail = self.installed_view().is_some() && self.successor().is_none();
+        if is_tail && !self.is_view_active() {
+            self.announce_view_active(now);
+        }
+    }
+
+    /// Writes a snapshot where much is applied behind the one on the disk. One that is due by its bytes is written at
+    /// once: else the disk had to hold all that comes meanwhile.
+    pub(super) fn write_snapshot_if_due(&mut self) {
+        let (entries, bytes) = self.replication.applied_after_snapshot();
+        let is_due = entries > SNAPSHOT_ENTRIES || bytes >= SNAPSHOT_BYTES;
+        if entries > 0 && is_due {
+            let records = self.snapshot_records();
+            self.write(records, AfterSync::Nothing);
+        }
+    }
+
+    /// A snapshot in place of the one on the disk and of the entries that it covers.
+    pub(super) fn snapshot_records(&mut self) -> Vec<Record> {
+        // The time of the last entry applied isn't kept apart: that of the last one held is later, and no later than
+        // now, so the replicated time still never runs fast.
+        let (mut records, chunks) = persisted::put_snapshot(
+            self.replication.committed,
+            self.replication.last_at_ms,
+            &self.encode_snapshot(),
+            self.snapshot_chunks,
+        );
+        let covered = self.replication.snapshot_written();
+        records.extend(covered.map(persisted::delete_entry));
+        self.snapshot_chunks = chunks;
+        records
+    }
+
+    /// A disk that holds no snapshot yet gets one with the first entries that are written behind it.
+    pub(super) fn first_snapshot_records(&mut self) -> Vec<Record> {
+        if self.snapshot_chunks == 0 {
+            self.snapshot_records()
+        } else {
+            Vec::new()
+        }
+    }
+
+    /// The state with the answers that were given lately.
+    pub(super) fn encode_snapshot(&self) -> Vec<u8> {
+        self.reply_cache.encode_before(&self.state.snapshot())
+    }
+}
--- a/crates/rookpulley-chain/src/integrity.rs
+++ b/crates/rookpulley-chain/src/integrity.rs
@@ -1,145 +1,136 @@
-//! All that is wrong with the rows of a disk, for who wants to know more than whether they are sound.
+//! What is wrong with the chain's rows of a store, for operators who want to know more than that it is unsound.
 
 use crate::message::Entry;
-use crate::persisted::{AcceptorState, PersistedState, SnapshotHeader};
+use crate::persisted::{AcceptorState, CommittedUpTo, PersistedState, SnapshotHeader, kind};
 use crate::view::View;
 use serde::de::DeserializeOwned;
 use std::fmt::Display;
 
-/// A place, what was found there, and what should be there.
+/// One thing that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Inconsistency {
+    /// Where.
     pub place: String,
+    /// What was found there.
     pub found: String,
-    pub instead: String,
+    /// What should be there.
+    pub expected: String,
 }
 
 #[derive(Default)]
 struct Inconsistencies(Vec<Inconsistency>);
 
 impl Inconsistencies {
-    fn add(&mut self, place: impl Display, found: impl Display, instead: impl Display) {
-        let (place, found, instead) = (place.to_string(), found.to_string(), instead.to_string());
+    fn add(&mut self, place: impl Display, found: impl Display, expected: impl Display) {
         self.0.push(Inconsistency {
-            place,
-            found,
-            instead,
+            place: place.to_string(),
+            found: found.to_string(),
+            expected: expected.to_string(),
         });
     }
 
-    fn read<T: DeserializeOwned>(&mut self, key: &[u8], row: &[u8], kind: &str) -> Option<T> {
+    /// Decodes a row of a kind.
+    fn decode<T: DeserializeOwned>(&mut self, key: &[u8], row: &[u8], kind: &str) -> Option<T> {
         let value = postcard::from_bytes(row).ok();
         if value.is_none() {
-            self.add(
-                named(key),
-                format!("unreadable ({} bytes)", row.len()),
-                kind,
-            );
+            let found = format!("unreadable ({} bytes)", row.len());
+            self.add(row_name(key), found, kind);
         }
         value
     }
 
-    /// A row stands under the number that it is of.
-    fn under(&mut self, key: &[u8], number: u64) {
-        if numbered(key) != Some(number) {
-            self.add(
-                named(key),
-                format!("of number {number}"),
-                "of the number of its key",
-            );
+    /// A row must stand under the number that it is of.
+    fn check_number(&mut self, key: &[u8], number: u64) {
+        if number_in(key) != Some(number) {
+            let found = format!("of number {number}");
+            self.add(row_name(key), found, "of the number of its key");
         }
     }
 }
 
-fn numbered(key: &[u8]) -> Option<u64> {
+fn number_in(key: &[u8]) -> Option<u64> {
     key.get(1..)?.try_into().ok().map(u64::from_be_bytes)
 }
 
-/// `i`, or `v 6`.
-fn named(key: &[u8]) -> String {
-    let kind = key
-        .first()
-        .map_or(String::new(), |kind| kind.escape_ascii().to_string());
-    match numbered(key) {
-        Some(number) => format!("row {kind} {number}"),
-        None => format!("row {}", key.escape_ascii()),
+/// `row i`, or `row v 6`.
+fn row_name(key: &[u8]) -> String {
+    match (key.first(), number_in(key)) {
+        (Some(kind), Some(number)) => format!("row {} {number}", kind.escape_ascii()),
+        _ => format!("row {}", key.escape_ascii()),
     }
 }
 
 type Rows = [(Vec<u8>, Vec<u8>)];
 
-/// What is wrong with the chain's rows of a disk with this identity, apart from what its state and updates mean.
+/// Checks the chain's rows of a store with this identity. What its state and its updates mean is not looked at.
 pub fn find_inconsistencies(rows: &Rows, identity: Option<u64>) -> Vec<Inconsistency> {
-    let (mut flaws, mut head, mut agreed, mut entries) =
-        (Inconsistencies::default(), None, None, Vec::new());
+    let mut found = Inconsistencies::default();
+    let mut header = None;
+    let mut committed = CommittedUpTo::default();
+    let mut entries = Vec::new();
     for (key, row) in rows {
-        match key.first() {
-            Some(b'b' | b'i' | b'n') => _ = flaws.read::<u64>(key, row, "a whole number"),
-            Some(b'c') => agreed = flaws.read::<(u64, u64)>(key, row, "an update with its time"),
-            Some(b'p') => _ = flaws.read::<AcceptorState>(key, row, "a vote"),
-            Some(b'v') => {
-                if let Some(view) = flaws.read::<View>(key, row, "a view") {
-                    flaws.under(key, view.number);
+        match key.first().copied() {
+            Some(kind::BEGUN | kind::INSTALLED | kind::ABANDONED) => {
+                _ = found.decode::<u64>(key, row, "a whole number");
+            }
+            Some(kind::COMMITTED) => {
+                let decoded = found.decode(key, row, "an update with its time");
+                committed = decoded.unwrap_or_default();
+            }
+            Some(kind::ACCEPTOR) => _ = found.decode::<AcceptorState>(key, row, "a vote"),
+            Some(kind::VIEW) => {
+                if let Some(view) = found.decode::<View>(key, row, "a view") {
+                    found.check_number(key, view.number);
                 }
             }
-            Some(b'e') => {
-                if let Some((view, entry)) =
-                    flaws.read::<(u64, Entry)>(key, row, "an update with its view")
-                {
-                    flaws.under(key, entry.seq);
+            Some(kind::ENTRY) => {
+                let entry = found.decode::<(u64, Entry)>(key, row, "an update with its view");
+                if let Some((view, entry)) = entry {
+                    found.check_number(key, entry.seq);
                     entries.push((view, entry));
                 }
             }
-            Some(b'S') => head = flaws.read::<SnapshotHeader>(key, row, "the head of a snapshot"),
+            Some(kind::SNAPSHOT_HEADER) => {
+                header = found.decode(key, row, "the head of a snapshot");
+            }
             _ => {}
         }
     }
-    let kept = PersistedState::read(rows.iter().cloned());
-    of_state(&mut flaws, rows, &kept, head);
-    of_log(
-        &mut flaws,
-        &kept,
-        agreed.map_or(0, |(seq, _)| seq),
-        &entries,
-    );
-    of_views(&mut flaws, &kept, identity);
-    flaws.0
+    let persisted = PersistedState::read(rows.iter().cloned());
+    check_snapshot(&mut found, rows, &persisted, header);
+    check_log(&mut found, &persisted, committed.seq, &entries);
+    check_views(&mut found, &persisted, identity);
+    check_acceptor(&mut found, &persisted, identity);
+    found.0
 }
 
-fn of_state(
-    flaws: &mut Inconsistencies,
+fn check_snapshot(
+    found: &mut Inconsistencies,
     rows: &Rows,
-    kept: &PersistedState,
-    head: Option<SnapshotHeader>,
+    persisted: &PersistedState,
+    header: Option<SnapshotHeader>,
 ) {
-    let headless = rows.iter().all(|(key, _)| key != b"S");
-    match head {
-        None if headless && kept.installed > 0 => flaws.add(
-            "snapshot",
-            "missing",
-            format!("there, as view {} is installed", kept.installed),
-        ),
-        Some(head) if kept.snapshot.is_none() => {
-            let pieces = rows.iter().filter(|(key, _)| key.first() == Some(&b's'));
-            let length: usize = pieces
-                .take(head.pieces as usize)
-                .map(|(_, piece)| piece.len())
-                .sum();
-            if length as u64 == head.length {
-                flaws.add(
-                    "snapshot",
-                    "spoilt (its sum is another)",
-                    "as it was written",
-                );
+    let has_header = rows.iter().any(|(key, _)| key == &[kind::SNAPSHOT_HEADER]);
+    match header {
+        None if !has_header && persisted.installed > 0 => {
+            let expected = format!("there, as view {} is installed", persisted.installed);
+            found.add("snapshot", "missing", expected);
+        }
+        Some(header) if persisted.snapshot.is_none() => {
+            let chunks = rows
+                .iter()
+                .filter(|(key, _)| key.first() == Some(&kind::SNAPSHOT_CHUNK));
+            let lengths = chunks.take(header.chunks as usize).map(|(_, c)| c.len());
+            let length: usize = lengths.sum();
+            if length as u64 == header.length {
+                let is = "spoilt (its sum is another)";
+                found.add("snapshot", is, "as it was written");
             } else {
-                flaws.add(
-                    "snapshot",
-                    format!("{length} bytes long"),
-                    format!("{} bytes long", head.length),
-                );
+                let is = format!("{length} bytes long");
+                found.add("snapshot", is, format!("{} bytes long", header.length));
             }
         }
-        Some(_) if kept.shown().snapshot.is_none() => flaws.add(
+        Some(_) if persisted.status().snapshot.is_none() => found.add(
             "snapshot",
             "without the late answers",
             "the late answers, then the state",
@@ -148,114 +139,97 @@
     }
 }
 
-fn of_log(
-    flaws: &mut Inconsistencies,
-    kept: &PersistedState,
-    agreed: u64,
+fn check_log(
+    found: &mut Inconsistencies,
+    persisted: &PersistedState,
+    committed: u64,
     entries: &[(u64, Entry)],
 ) {
-    let Some((head, _)) = &kept.snapshot else {
+    let Some((header, _)) = &persisted.snapshot else {
         return;
     };
-    let last = kept.log.last().map_or(head.seq, |entry| entry.seq);
+    let last = persisted.log.last().map_or(header.seq, |entry| entry.seq);
     let newest = entries.iter().map(|(view, _)| *view).max().unwrap_or(0);
-    let counts =
-        |view: u64, seq: u64| seq <= agreed || (view == newest && kept.installed <= newest);
+    let belongs =
+        |view: u64, seq: u64| seq <= committed || (view == newest && persisted.installed <= newest);
     let behind = entries
         .iter()
-        .filter(|(view, e)| e.seq > last && counts(*view, e.seq))
+        .filter(|(view, entry)| entry.seq > last && belongs(*view, entry.seq))
         .count();
-    if behind > 0 || agreed > last {
-        let found = format!(
-            "without update {}, and {behind} behind it are there",
-            last + 1
-        );
-        flaws.add(
-            "log",
-            found,
-            format!("whole from update {} on", head.seq + 1),
-        );
+    if behind > 0 || committed > last {
+        let missing = last + 1;
+        let is = format!("without update {missing}, and {behind} behind it are there");
+        let expected = format!("whole from update {} on", header.seq + 1);
+        found.add("log", is, expected);
     }
-    for pair in kept.log.windows(2) {
-        if let [before, entry] = pair
-            && entry.at_ms < before.at_ms
-        {
-            let least = before.at_ms;
-            flaws.add(
-                format!("update {}", entry.seq),
-                format!("of {} ms", entry.at_ms),
-                format!("of {least} ms or later"),
-            );
+    for (before, entry) in persisted.log.iter().zip(persisted.log.iter().skip(1)) {
+        if entry.at_ms < before.at_ms {
+            let place = format!("update {}", entry.seq);
+            let is = format!("of {} ms", entry.at_ms);
+            found.add(place, is, format!("of {} ms or later", before.at_ms));
         }
     }
 }
 
-fn of_views(flaws: &mut Inconsistencies, kept: &PersistedState, identity: Option<u64>) {
-    for view in &kept.views {
+fn check_views(found: &mut Inconsistencies, persisted: &PersistedState, identity: Option<u64>) {
+    for view in &persisted.views {
         if view.members.is_empty() {
-            flaws.add(
-                format!("view {}", view.number),
-                "without members",
-                "of one member at least",
-            );
+            let place = format!("view {}", view.number);
+            found.add(place, "without members", "of one member at least");
         }
     }
-    let (oldest, newest) = (
-        kept.views.first().map(|v| v.number),
-        kept.views.last().map_or(0, |v| v.number),
-    );
-    let of = |number: u64| kept.views.iter().find(|view| view.number == number);
+    let oldest = persisted.views.first().map(|view| view.number);
+    let newest = persisted.views.last().map_or(0, |view| view.number);
     // A view that was installed long ago may be forgotten.
-    if kept.installed > 0 && oldest.is_none_or(|oldest| oldest <= kept.installed) {
-        match of(kept.installed) {
-            None => flaws.add(
-                "installed view",
-                format!("{}, which is not known", kept.installed),
-                "a known one",
-            ),
-            Some(view) if identity.is_some_and(|id| view.place(id).is_none()) => flaws.add(
-                "installed view",
-                format!("{} without this identity", view.number),
-                "one that names it",
-            ),
+    let installed = persisted.installed;
+    if installed > 0 && oldest.is_none_or(|oldest| oldest <= installed) {
+        match view_of(persisted, installed) {
+            None => {
+                let is = format!("{installed}, which is not known");
+                found.add("installed view", is, "a known one");
+            }
+            Some(view) if identity.is_some_and(|id| view.position(id).is_none()) => {
+                let is = format!("{installed} without this identity");
+                found.add("installed view", is, "one that names it");
+            }
             _ => {}
         }
     }
-    if kept.never > newest {
-        let found = format!("{} (never installed up to it)", kept.never);
-        flaws.add("row n", found, format!("at most {newest}, the newest view"));
+    if persisted.abandoned > newest {
+        let is = format!("{} (never installed up to it)", persisted.abandoned);
+        found.add("row n", is, format!("at most {newest}, the newest view"));
     }
-    let vote = &kept.vote;
-    if vote.number > newest + 1 {
-        let found = format!("for view {}", vote.number);
-        flaws.add(
-            "vote",
-            found,
-            format!("for view {} at most, the one after the newest", newest + 1),
-        );
+}
+
+fn check_acceptor(found: &mut Inconsistencies, persisted: &PersistedState, identity: Option<u64>) {
+    let acceptor = &persisted.acceptor;
+    let number = acceptor.number;
+    let newest = persisted.views.last().map_or(0, |view| view.number);
+    if number > newest + 1 {
+        let after = newest + 1;
+        let expected = format!("for view {after} at most, the one after the newest");
+        found.add("vote", format!("for view {number}"), expected);
     }
-    let before = vote.number.checked_sub(1).and_then(of);
-    if before.is_some_and(|view| identity.is_some_and(|id| !view.votes(id))) {
-        flaws.add(
-            "vote",
-            format!("for view {}", vote.number),
-            "for a view after one that this identity votes in",
-        );
+    let before = number
+        .checked_sub(1)
+        .and_then(|before| view_of(persisted, before));
+    if before.is_some_and(|view| identity.is_some_and(|id| !view.is_acceptor(id))) {
+        let expected = "for a view after one that this identity votes in";
+        found.add("vote", format!("for view {number}"), expected);
     }
-    if let Some((ballot, view)) = &vote.accepted {
-        if view.number != vote.number {
-            flaws.add(
-                "vote",
-                format!("an accepted view {}", view.number),
-                format!("view {}", vote.number),
-            );
-        }
-        if *ballot > vote.promised {
-            flaws.add(
-                "vote",
-                "accepted in a ballot above the promised one",
-                "of the promised ballot at most",
-            );
-        }
+    let Some((ballot, view)) = &acceptor.accepted else {
+        return;
+    };
+    if view.number != number {
+        let is = format!("an accepted view {}", view.number);
+        found.add("vote", is, format!("view {number}"));
+    }
+    if *ballot > acceptor.promised {
+        let is = "accepted in a ballot above the promised one";
+        found.add("vote", is, "of the promised ballot at most");
     }
 }
+
+fn view_of(persisted: &PersistedState, number: u64) -> Option<&View> {
+    persisted.views.iter().find(|view| view.number == number)
+}
--- a/crates/rookpulley-chain/src/lib.rs
+++ b/crates/rookpulley-chain/src/lib.rs
@@ -1,120 +1,58 @@
-//! Ordered updates through the machines with a disk, and the agreed view that mends the chain. Free of I/O.
+//! Chain replication with reconfiguration by Paxos, free of I/O and of any clock.
 //!
-//! `view` and `message` hold the values, `persisted` what stands on the disk, `acceptor` the acceptor, `reconfiguration` how a new view
-//! comes about, `install` how it is set to work, `catch_up` how one that lacks much gets it and how copies are compared,
-//! `replication` updates and reads through a chain at work, `deduplication` what was answered lately, `client_requests` the calls that were
-//! asked of this controller, `refound` the way out when a majority is gone, `integrity` what is wrong with a disk.
-//! `docs/design/chain.md` says why it is right.
+//! The machines with a disk form a *chain*. An update enters at the *head*, is handed from each member to its
+//! *successor*, is synced to the disk of each, and takes effect once the *tail* has it: then it is *committed*. A read
+//! passes the same members and is answered by the tail. Which machines are members, and in which order, says the
+//! *view*; views are numbered, and each is decided by a quorum of the one before (single-decree Paxos a view number).
+//! There is no elected leader: whoever notices a fault first proposes the next view.
+//!
+//! [`Chain`] is one member. [`Chain::handle`] takes an [`Input`] with the time and returns [`Effect`]s; the caller owns
+//! sockets, disk and clock. The caller's [`State`] is what is replicated.
+//!
+//! | file | what it owns |
+//! | --- | --- |
+//! | `input`, `effect`, `message`, `view` | the values that go in, come out, and pass between controllers |
+//! | `chain` | one member: its fields, and which part handles an input |
+//! | `chain/heartbeats` | who is reachable, and the time of the head |
+//! | `chain/reconfiguration`, `chain/candidates`, `chain/proposer`, `chain/acceptor` | how the next view is agreed on |
+//! | `chain/views`, `chain/install` | what a decided view changes, and how it becomes active |
+//! | `chain/replication`, `chain/client_requests` | updates and reads through an active view |
+//! | `chain/catch_up`, `chain/digests` | how a replica gets what it lacks, and how replicas are compared |
+//! | `persisted`, `integrity`, `refound`, `disk_health` | what is on the disk, what can be wrong with it, the way out of a lost quorum |
+//!
+//! `docs/design/chain.md` argues why nothing acknowledged is lost; the model under `tests/model` searches the protocol
+//! exhaustively, and `tests/world` simulates whole chains with faults.
 
-mod acceptor;
-mod catch_up;
+mod after_sync;
+mod catch_up_state;
 mod chain;
-mod client_requests;
-mod deduplication;
 mod disk_health;
-mod install;
+mod effect;
+mod input;
 mod integrity;
 mod message;
+mod peer;
+mod pending_requests;
 mod persisted;
-mod reconfiguration;
+mod reconfiguration_state;
 mod refound;
-mod replication;
-mod status;
+mod replication_state;
+mod reply_cache;
+mod state;
 mod view;
 
 pub use chain::Chain;
-pub use disk_health::DiskHealth;
+pub use chain::status::{
+    ChainStatus, MemberReport, PeerReport, StoreStatus, StoredSnapshot, StoredUpdate,
+};
+pub use disk_health::{DiskCheck, DiskHealth};
+pub use effect::{Effect, Outcome};
+pub use input::{Input, RequestKind, StartState};
 pub use integrity::{Inconsistency, find_inconsistencies};
-pub use message::{CatchUpChunk, Entry, MemberStatus, Message, ReadRequest, RequestId};
+pub use message::{
+    CatchUpData, ChunkPosition, Contact, Entry, ForwardedRequest, MemberStatus, Message,
+    ReadRequest, RequestId, StateDigest,
+};
 pub use persisted::{PersistedState, Record};
-pub use status::{ChainStatus, MemberReport, PeerReport, StoreStatus};
+pub use state::State;
 pub use view::{Ballot, Member, View};
-
-/// What the chain keeps: a state that applies entries, the same everywhere.
-pub trait State {
-    /// `at_ms` is the ledger's time; it never falls and never runs faster than real time.
-    fn apply(&mut self, at_ms: u64, entry: &[u8]) -> Vec<u8>;
-    fn read(&self, ask: &[u8]) -> Vec<u8>;
-    fn snapshot(&self) -> Vec<u8>;
-    fn restore(&mut self, bytes: &[u8]) -> bool;
-}
-
-/// What a start brings.
-pub struct StartState {
-    pub me: Member,
-    /// Its disk was empty at the first start of all, at the first seed: this one makes the first view, if it hasn't yet.
-    pub founder: bool,
-    /// So many machines may be lost at once with their disks.
-    pub losses: usize,
-    pub seed: u64,
-    pub kept: Option<PersistedState>,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum RequestKind {
-    Update,
-    Read,
-}
-
-#[derive(Debug)]
-pub enum Input {
-    /// Every 50 ms.
-    Tick,
-    /// It is now known that this one is to make the first view, if it knows of none.
-    Bootstrap,
-    /// A controller said who it is.
-    PeerDiscovered {
-        member: Member,
-    },
-    Received {
-        from: u64,
-        message: Message,
-    },
-    /// All that was written up to this ticket is on the disk.
-    Synced {
-        ticket: u64,
-    },
-    DiskHealth {
-        slow: bool,
-    },
-    /// The line from a controller ended. That is no proof, but if it isn't heard again soon it is lost.
-    Disconnected {
-        id: u64,
-    },
-    ClientRequest {
-        token: u64,
-        kind: RequestKind,
-        body: Vec<u8>,
-    },
-}
-
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    Completed(Vec<u8>),
-    /// It took no effect and never will.
-    Rejected,
-    /// It may or may not have taken effect.
-    Unknown,
-}
-
-#[derive(Debug)]
-pub enum Effect {
-    Send {
-        to: u64,
-        message: Message,
-    },
-    /// To be applied as one, in the order of tickets, and synced.
-    Write {
-        ticket: u64,
-        records: Vec<Record>,
-    },
-    Reply {
-        token: u64,
-        outcome: Outcome,
-    },
-    /// The state here has moved.
-    StateChanged,
-    /// What is kept here is not what the others keep: to be begun anew, as an empty disk.
-    DiscardStore,
-    Log(String),
-}
--- a/crates/rookpulley-chain/src/persisted.rs
+++ b/crates/rookpulley-chain/src/persisted.rs
@@ -1,22 +1,58 @@
-//! What stands on the disk, key by key, and how it is read back. `docs/formats/chain-store.md` is the page on it.
+//! What the chain has on the disk, row by row, and how it is read back.
+//!
+//! `docs/formats/chain-store.md` describes the rows. They are encoded by `postcard`, by position: the names of fields
+//! are not part of the format.
 
 use crate::message::Entry;
 use crate::view::{Ballot, View};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use std::collections::BTreeMap;
+use std::ops::RangeInclusive;
 use twox_hash::XxHash64;
 
 /// A change of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    Put { key: Vec<u8>, value: Vec<u8> },
-    Delete { key: Vec<u8> },
+    /// Put a row in place of the one under this key.
+    Put {
+        /// The key.
+        key: Vec<u8>,
+        /// The row.
+        value: Vec<u8>,
+    },
+    /// Remove the row under this key, if there is one.
+    Delete {
+        /// The key.
+        key: Vec<u8>,
+    },
 }
 
-/// A row of the snapshot is so long. The fewer of them, the fewer borders that move what stands behind a change.
-const PIECE: usize = 1 << 20;
-/// Decided views that are remembered. One that never came to work can only be passed over while it is.
-pub const VIEWS: usize = 32;
+/// The kinds of rows: the first byte of each key.
+pub(crate) mod kind {
+    /// The incarnation that began last.
+    pub const BEGUN: u8 = b'b';
+    /// How far the log is committed.
+    pub const COMMITTED: u8 = b'c';
+    /// An entry of the log; with its number.
+    pub const ENTRY: u8 = b'e';
+    /// The installed view's number.
+    pub const INSTALLED: u8 = b'i';
+    /// Views up to this number are never installed.
+    pub const ABANDONED: u8 = b'n';
+    /// What the acceptor has promised and accepted.
+    pub const ACCEPTOR: u8 = b'p';
+    /// A chunk of the snapshot; with its number.
+    pub const SNAPSHOT_CHUNK: u8 = b's';
+    /// The snapshot's header.
+    pub const SNAPSHOT_HEADER: u8 = b'S';
+    /// A decided view; with its number.
+    pub const VIEW: u8 = b'v';
+}
+
+/// How long a row of the snapshot is. The fewer rows, the fewer borders that shift what stands behind a change.
+const SNAPSHOT_CHUNK_BYTES: usize = 1 << 20;
+/// How many decided views are remembered. One that never became active can only be passed over while it is.
+pub const MAX_VIEWS: usize = 32;
 
 /// What an acceptor has promised and accepted for one view number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,204 +62,214 @@
     pub accepted: Option<(Ballot, View)>,
 }
 
+/// What a snapshot on the disk holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotHeader {
+    /// The last entry applied.
     pub seq: u64,
+    /// The replicated time.
     pub at_ms: u64,
-    pub pieces: u32,
+    pub chunks: u32,
     pub length: u64,
-    pub sum: u64,
+    /// XXH64 of all chunks joined, with seed 0.
+    pub checksum: u64,
+}
+
+/// How far the log is committed, whichever view its entries came in, and a lower bound of the replicated time.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct CommittedUpTo {
+    pub seq: u64,
+    pub at_ms: u64,
 }
 
-/// All that a disk held.
+/// All that a disk holds of the chain.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistedState {
     pub(crate) installed: u64,
-    pub(crate) never: u64,
-    pub(crate) vote: AcceptorState,
+    pub(crate) abandoned: u64,
+    pub(crate) acceptor: AcceptorState,
     pub(crate) views: Vec<View>,
     pub(crate) snapshot: Option<(SnapshotHeader, Vec<u8>)>,
     pub(crate) log: Vec<Entry>,
-    /// Up to here the log is agreed on, and the ledger's time was at least that.
-    pub(crate) agreed: (u64, u64),
-    /// The places of all entries on the disk, of whichever view: they are dropped together.
-    pub(crate) places: Option<(u64, u64)>,
-    pub(crate) spoilt: bool,
+    pub(crate) committed: CommittedUpTo,
+    /// All entries on the disk, of whichever view.
+    pub(crate) entry_range: Option<RangeInclusive<u64>>,
+    pub(crate) corrupted: bool,
 }
 
-fn bytes<T: Serialize>(value: &T) -> Vec<u8> {
+fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_allocvec(value).unwrap_or_default()
 }
 
-fn keyed(kind: u8, number: u64) -> Vec<u8> {
+fn numbered_key(kind: u8, number: u64) -> Vec<u8> {
     [&[kind][..], &number.to_be_bytes()].concat()
 }
 
-fn sum(bytes: &[u8]) -> u64 {
+fn put<T: Serialize>(key: Vec<u8>, value: &T) -> Record {
+    Record::Put {
+        key,
+        value: encode(value),
+    }
+}
+
+pub(crate) fn checksum(bytes: &[u8]) -> u64 {
     XxHash64::oneshot(0, bytes)
 }
 
 /// The first write of each incarnation: that it succeeds is all that it is for.
 pub fn put_begun(incarnation: u64) -> Record {
-    Record::Put {
-        key: vec![b'b'],
-        value: bytes(&incarnation),
-    }
+    put(vec![kind::BEGUN], &incarnation)
 }
 
 pub fn put_installed(number: u64) -> Record {
-    Record::Put {
-        key: vec![b'i'],
-        value: bytes(&number),
-    }
+    put(vec![kind::INSTALLED], &number)
 }
 
-pub fn put_never(number: u64) -> Record {
-    Record::Put {
-        key: vec![b'n'],
-        value: bytes(&number),
-    }
+pub fn put_abandoned(number: u64) -> Record {
+    put(vec![kind::ABANDONED], &number)
 }
 
-pub fn put_vote(vote: &AcceptorState) -> Record {
-    Record::Put {
-        key: vec![b'p'],
-        value: bytes(vote),
-    }
+pub fn put_acceptor(acceptor: &AcceptorState) -> Record {
+    put(vec![kind::ACCEPTOR], acceptor)
 }
 
 pub fn put_view(view: &View) -> Record {
-    Record::Put {
-        key: keyed(b'v', view.number),
-        value: bytes(view),
-    }
+    put(numbered_key(kind::VIEW, view.number), view)
 }
 
-pub fn drop_view(number: u64) -> Record {
+pub fn delete_view(number: u64) -> Record {
     Record::Delete {
-        key: keyed(b'v', number),
+        key: numbered_key(kind::VIEW, number),
     }
 }
 
-/// With the view that it came in: what another one left behind its snapshot is no part of this one's log.
+/// An entry with the view that it came in: what another view left behind the snapshot is no part of this one's log.
 pub fn put_entry(view: u64, entry: &Entry) -> Record {
-    Record::Put {
-        key: keyed(b'e', entry.seq),
-        value: bytes(&(view, entry)),
-    }
+    put(numbered_key(kind::ENTRY, entry.seq), &(view, entry))
 }
 
-/// All entries up to here are agreed on, whichever view they came in.
-pub fn put_agreed(seq: u64, at_ms: u64) -> Record {
-    Record::Put {
-        key: vec![b'c'],
-        value: bytes(&(seq, at_ms)),
+pub fn delete_entry(seq: u64) -> Record {
+    Record::Delete {
+        key: numbered_key(kind::ENTRY, seq),
     }
 }
 
-pub fn drop_entry(seq: u64) -> Record {
-    Record::Delete {
-        key: keyed(b'e', seq),
-    }
+/// All entries up to `seq` are committed, whichever view they came in.
+pub fn put_committed(seq: u64, at_ms: u64) -> Record {
+    put(vec![kind::COMMITTED], &CommittedUpTo { seq, at_ms })
 }
 
-/// A snapshot in the place of the one before, which had so many pieces.
+/// A snapshot in place of the one before, which had `chunks_before` rows. Also returns how many it has.
 pub fn put_snapshot(
     seq: u64,
     at_ms: u64,
     snapshot: &[u8],
-    pieces_before: u32,
+    chunks_before: u32,
 ) -> (Vec<Record>, u32) {
-    let pieces: Vec<&[u8]> = snapshot.chunks(PIECE).collect();
-    let length = snapshot.len() as u64;
-    let head = SnapshotHeader {
+    let chunks: Vec<&[u8]> = snapshot.chunks(SNAPSHOT_CHUNK_BYTES).collect();
+    let header = SnapshotHeader {
         seq,
         at_ms,
-        pieces: pieces.len() as u32,
-        length,
-        sum: sum(snapshot),
+        chunks: chunks.len() as u32,
+        length: snapshot.len() as u64,
+        checksum: checksum(snapshot),
+    };
+    let put_chunk = |(number, chunk): (u64, &&[u8])| Record::Put {
+        key: numbered_key(kind::SNAPSHOT_CHUNK, number),
+        value: chunk.to_vec(),
     };
-    let put = |(n, piece): (usize, &&[u8])| Record::Put {
-        key: keyed(b's', n as u64),
-        value: piece.to_vec(),
+    let delete_chunk = |number: u32| Record::Delete {
+        key: numbered_key(kind::SNAPSHOT_CHUNK, number.into()),
     };
-    let mut records: Vec<Record> = pieces.iter().enumerate().map(put).collect();
-    records.extend((head.pieces..pieces_before).map(|n| Record::Delete {
-        key: keyed(b's', n.into()),
-    }));
-    records.push(Record::Put {
-        key: vec![b'S'],
-        value: bytes(&head),
-    });
-    (records, head.pieces)
+    let mut records: Vec<Record> = (0..).zip(&chunks).map(put_chunk).collect();
+    records.extend((header.chunks..chunks_before).map(delete_chunk));
+    records.push(put(vec![kind::SNAPSHOT_HEADER], &header));
+    (records, header.chunks)
+}
+
+/// Decodes rows, and remembers whether one could not be.
+#[derive(Default)]
+struct RowReader {
+    corrupted: bool,
+}
+
+impl RowReader {
+    fn decode<T: DeserializeOwned>(&mut self, row: &[u8]) -> Option<T> {
+        let value = postcard::from_bytes(row).ok();
+        self.corrupted |= value.is_none();
+        value
+    }
 }
 
 impl PersistedState {
-    /// Rebuilds what was kept from the store's rows, in any order. Batches of the store are whole, and any of those
-    /// that weren't synced may be missing.
+    /// Reads the rows of a store, in any order. Batches of a store are whole, and any of those that weren't synced may
+    /// be missing.
     pub fn read(rows: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>) -> Self {
-        fn value<T: DeserializeOwned>(bytes: &[u8], spoilt: &mut bool) -> Option<T> {
-            let value = postcard::from_bytes(bytes).ok();
-            *spoilt |= value.is_none();
-            value
-        }
-        let (mut kept, mut pieces, mut head) =
-            (Self::default(), BTreeMap::new(), None::<SnapshotHeader>);
-        let mut log: Vec<(u64, Entry)> = Vec::new();
-        let bad = &mut false;
+        let mut state = Self::default();
+        let mut reader = RowReader::default();
+        let mut chunks = BTreeMap::new();
+        let mut header: Option<SnapshotHeader> = None;
+        let mut entries: Vec<(u64, Entry)> = Vec::new();
         for (key, row) in rows {
-            match key.first() {
-                Some(b'c') => kept.agreed = value(&row, bad).unwrap_or_default(),
-                Some(b'i') => kept.installed = value(&row, bad).unwrap_or(0),
-                Some(b'n') => kept.never = value(&row, bad).unwrap_or(0),
-                Some(b'p') => kept.vote = value(&row, bad).unwrap_or_default(),
-                Some(b'v') => kept.views.extend(value::<View>(&row, bad)),
-                Some(b'e') => log.extend(value(&row, bad)),
-                Some(b'S') => head = value(&row, bad),
-                Some(b's') => _ = pieces.insert(key, row),
+            match key.first().copied() {
+                Some(kind::COMMITTED) => state.committed = reader.decode(&row).unwrap_or_default(),
+                Some(kind::INSTALLED) => state.installed = reader.decode(&row).unwrap_or(0),
+                Some(kind::ABANDONED) => state.abandoned = reader.decode(&row).unwrap_or(0),
+                Some(kind::ACCEPTOR) => state.acceptor = reader.decode(&row).unwrap_or_default(),
+                Some(kind::VIEW) => state.views.extend(reader.decode::<View>(&row)),
+                Some(kind::ENTRY) => entries.extend(reader.decode::<(u64, Entry)>(&row)),
+                Some(kind::SNAPSHOT_HEADER) => header = reader.decode(&row),
+                Some(kind::SNAPSHOT_CHUNK) => _ = chunks.insert(key, row),
                 _ => {}
             }
         }
-        kept.views.sort_by_key(|v| v.number);
-        kept.places = log
-            .iter()
-            .map(|(_, e)| e.seq)
-            .min()
-            .zip(log.iter().map(|(_, e)| e.seq).max());
-        let counts = |view: u64, seq: u64| view == kept.installed || seq <= kept.agreed.0;
-        let log = log
+        state.views.sort_by_key(|view| view.number);
+        state.take_entries(entries);
+        if let Some(header) = header {
+            let chunks = chunks.into_values().take(header.chunks as usize);
+            state.take_snapshot(header, chunks.flatten().collect());
+        }
+        state.corrupted = reader.corrupted || (state.installed > 0 && state.snapshot.is_none());
+        state
+    }
+
+    /// An entry belongs to the log if it came in the installed view, or is committed.
+    fn take_entries(&mut self, entries: Vec<(u64, Entry)>) {
+        let positions = entries.iter().map(|(_, entry)| entry.seq);
+        let first = positions.clone().min();
+        self.entry_range = first.zip(positions.max()).map(|(first, last)| first..=last);
+        let belongs = |view: u64, seq: u64| view == self.installed || seq <= self.committed.seq;
+        let mut log: Vec<Entry> = entries
             .into_iter()
-            .filter(|(view, e)| counts(*view, e.seq))
-            .map(|(_, e)| e);
-        kept.log = log.collect();
-        kept.log.sort_by_key(|e| e.seq);
-        if let Some(head) = head {
-            let whole: Vec<u8> = pieces
-                .into_values()
-                .take(head.pieces as usize)
-                .flatten()
-                .collect();
-            if whole.len() as u64 == head.length && sum(&whole) == head.sum {
-                let mut next = head.seq + 1;
-                kept.log.retain(|e| {
-                    let follows = e.seq == next;
-                    next += u64::from(follows);
-                    follows
-                });
-                if next <= kept.agreed.0 {
-                    // A write before the last one is missing: none of them was synced, and nobody was told of them.
-                    (kept.installed, kept.agreed.0) = (0, next - 1);
-                }
-                kept.snapshot = Some((head, whole));
-            }
+            .filter(|(view, entry)| belongs(*view, entry.seq))
+            .map(|(_, entry)| entry)
+            .collect();
+        log.sort_by_key(|entry| entry.seq);
+        self.log = log;
+    }
+
+    /// Takes a snapshot that is whole, and of the log what follows it without a gap.
+    fn take_snapshot(&mut self, header: SnapshotHeader, bytes: Vec<u8>) {
+        if bytes.len() as u64 != header.length || checksum(&bytes) != header.checksum {
+            return;
+        }
+        let mut next = header.seq + 1;
+        self.log.retain(|entry| {
+            let follows = entry.seq == next;
+            next += u64::from(follows);
+            follows
+        });
+        if next <= self.committed.seq {
+            // A write before the last one is missing: none of them was synced, and nobody was told of them.
+            self.installed = 0;
+            self.committed.seq = next - 1;
         }
-        kept.spoilt = *bad || (kept.installed > 0 && kept.snapshot.is_none());
-        kept
+        self.snapshot = Some((header, bytes));
     }
 
-    /// Whether it is all there. If not, the disk has lost what was synced, perhaps votes too: take it for empty and
-    /// mint a new identity.
-    pub fn sound(&self) -> bool {
-        !self.spoilt
+    /// Whether it is all there. If not, the disk has lost what was synced, maybe also what its acceptor promised: it is
+    /// to be taken for empty, and for another identity.
+    pub fn is_sound(&self) -> bool {
+        !self.corrupted
     }
 }
--- a/crates/rookpulley-chain/tests/doubts.rs
+++ b/crates/rookpulley-chain/tests/doubts.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use rookpulley_chain::{
-    Ballot, CatchUpChunk, Chain, Effect, Entry, Input, Member, MemberStatus, Message, Outcome,
-    PersistedState, Record, RequestId, RequestKind, StartState, State, View,
+    Ballot, CatchUpData, Chain, Contact, Effect, Entry, Input, Member, MemberStatus, Message,
+    Outcome, PersistedState, Record, RequestId, RequestKind, StartState, State, View,
 };
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -56,9 +56,9 @@
         let boot = StartState {
             me: member(id, incarnation),
             founder: false,
-            losses: 1,
+            tolerated_losses: 1,
             seed: incarnation,
-            kept,
+            persisted: kept,
         };
         let chain = Chain::start(0, boot, Names::default());
         let (writes, said, outcomes) = (Vec::new(), Vec::new(), Vec::new());
@@ -114,42 +114,42 @@
                 let Some(other) = others.iter().find(|m| m.id == to) else {
                     continue;
                 };
-                let as_its = |mut standing: MemberStatus| {
-                    (standing.me, standing.installed, standing.at_work) = (*other, 1, 0);
-                    standing
+                let as_its = |mut status: MemberStatus| {
+                    (status.member, status.installed, status.active) = (*other, 1, 0);
+                    status
                 };
                 match message {
-                    Message::Heartbeat { standing, sent, .. } => {
-                        let (echo, ledger) = (Some(sent), None);
+                    Message::Heartbeat { status, sent, .. } => {
+                        let (echo, head_time_ms) = (Some(sent), None);
                         self.hear(
                             to,
                             Message::Heartbeat {
-                                standing: as_its(standing),
+                                status: as_its(status),
                                 sent: 1,
                                 echo,
-                                ledger,
+                                head_time_ms,
                             },
                         );
                     }
-                    Message::StatusRequest { ask } => {
+                    Message::StatusRequest { query } => {
                         let me = self.chain.me();
                         let contacts = others
                             .iter()
                             .chain([&me])
-                            .map(|m| (m.id, m.incarnation))
+                            .map(|m| Contact::from(*m))
                             .collect();
-                        let standing = as_its(MemberStatus {
+                        let status = as_its(MemberStatus {
                             decided: 1,
                             installed: 1,
-                            ..MemberStatus::of(me)
+                            ..MemberStatus::unknown(me)
                         });
                         self.hear(
                             to,
                             Message::StatusReply {
-                                ask,
-                                standing,
+                                query,
+                                status,
                                 contacts,
-                                never: 0,
+                                abandoned: 0,
                                 views: Vec::new(),
                             },
                         );
@@ -350,13 +350,19 @@
             log,
         },
     );
-    controller.hear(3, Message::AbandonView { ask: 1, number: 1 });
-    controller.hear(3, Message::StatusRequest { ask: 2 });
-    let never = controller.said.iter().find_map(|(_, m)| match m {
-        Message::StatusReply { never, .. } => Some(*never),
+    controller.hear(
+        3,
+        Message::AbandonView {
+            query: 1,
+            number: 1,
+        },
+    );
+    controller.hear(3, Message::StatusRequest { query: 2 });
+    let abandoned = controller.said.iter().find_map(|(_, m)| match m {
+        Message::StatusReply { abandoned, .. } => Some(*abandoned),
         _ => None,
     });
-    assert_eq!(never, Some(0));
+    assert_eq!(abandoned, Some(0));
     controller.sync();
     let buried = controller.said.iter().find_map(|(_, m)| match m {
         Message::ViewAbandoned { installed, .. } => Some(*installed),
@@ -429,18 +435,18 @@
 #[test]
 fn a_disk_whose_state_is_torn_is_not_sound() {
     let rows = disk_with_view(2, &[(1, 1), (2, 1)]);
-    assert!(PersistedState::read(rows.clone()).sound());
-    assert!(PersistedState::read(Rows::new()).sound());
+    assert!(PersistedState::read(rows.clone()).is_sound());
+    assert!(PersistedState::read(Rows::new()).is_sound());
     let mut torn = rows.clone();
     torn.remove(&b"S"[..]);
-    assert!(!PersistedState::read(torn).sound());
+    assert!(!PersistedState::read(torn).is_sound());
     for key in rows.keys() {
         let mut torn = rows.clone();
         let row = torn.get_mut(key).unwrap();
         if row.len() > 1 {
             row.truncate(row.len() / 2);
             assert!(
-                !PersistedState::read(torn).sound(),
+                !PersistedState::read(torn).is_sound(),
                 "a torn {key:?} is taken for whole"
             );
         }
@@ -532,7 +538,7 @@
 }
 
 fn entry(seq: u64, value: u64) -> Entry {
-    let from = RequestId {
+    let request = RequestId {
         controller: 1,
         incarnation: 1,
         token: value,
@@ -542,7 +548,7 @@
         seq,
         at_ms: 10 * seq,
         body: body(0, Ask::Put { value }),
-        from,
+        request,
     }
 }
 
@@ -557,7 +563,7 @@
             .filter(|(n, _)| kept >> n & 1 == 1);
         there.for_each(|(_, (_, records))| records.iter().for_each(|r| put(&mut rows, r)));
         assert!(
-            PersistedState::read(rows.clone()).sound(),
+            PersistedState::read(rows.clone()).is_sound(),
             "writes {kept:b}"
         );
         let again = Controller::begin(2, 9, rows);
@@ -592,23 +598,25 @@
     loses_any_write(&controller, &[1, 2]);
     controller.sync();
     let asked = controller.said.iter().rev().find_map(|(_, m)| match m {
-        Message::CatchUpRequest { ask, held: 2, .. } => Some(*ask),
+        Message::CatchUpRequest {
+            query, applied: 2, ..
+        } => Some(*query),
         _ => None,
     });
-    let fill = CatchUpChunk::Updates {
+    let data = CatchUpData::Updates {
         committed: 4,
         entries: (3..=4).map(|n| entry(n, n)).collect(),
     };
     controller.hear(
         1,
         Message::CatchUpReply {
-            ask: asked.expect("it asks for the rest"),
-            fill,
+            query: asked.expect("it asks for the rest"),
+            data,
         },
     );
     loses_any_write(&controller, &[1, 2, 3, 4]);
     controller.sync();
-    assert_eq!(controller.chain.shown(controller.now).installed, 1);
+    assert_eq!(controller.chain.status(controller.now).installed, 1);
     // What was held of a view that was passed over has the place of what is agreed on.
     let mut controller = Controller::begin(2, 1, disk_with_view(2, &ids));
     controller.hear(
@@ -616,8 +624,8 @@
         Message::Append {
             view: 1,
             entries: vec![entry(1, 7)],
-            questions: Vec::new(),
-            synced_to: 0,
+            reads: Vec::new(),
+            synced_up_to: 0,
         },
     );
     controller.sync();
@@ -650,8 +658,8 @@
         Message::Append {
             view: 1,
             entries,
-            questions: Vec::new(),
-            synced_to: 4,
+            reads: Vec::new(),
+            synced_up_to: 4,
         },
     );
     controller.sync();
@@ -659,14 +667,14 @@
     controller.give(Input::PeerDiscovered {
         member: member(3, 1),
     });
-    let (installed, decided, at_work, last, committed) = (1, 1, 1, 4, 4);
-    let standing = MemberStatus {
+    let (installed, decided, active, last, committed) = (1, 1, 1, 4, 4);
+    let status = MemberStatus {
         installed,
         decided,
-        at_work,
+        active,
         last,
         committed,
-        ..MemberStatus::of(member(3, 1))
+        ..MemberStatus::unknown(member(3, 1))
     };
     for sent in 1..4 {
         controller.play(100);
@@ -677,15 +685,15 @@
         controller.hear(
             3,
             Message::Heartbeat {
-                standing: standing.clone(),
+                status: status.clone(),
                 sent,
                 echo,
-                ledger: None,
+                head_time_ms: None,
             },
         );
     }
-    let ask = controller.said.iter().rev().find_map(|(_, m)| match m {
-        Message::CatchUpRequest { ask, .. } => Some(*ask),
+    let query = controller.said.iter().rev().find_map(|(_, m)| match m {
+        Message::CatchUpRequest { query, .. } => Some(*query),
         _ => None,
     });
     let mut names = Names::default();
@@ -693,25 +701,25 @@
         .map(entry)
         .for_each(|e| _ = names.apply(e.at_ms, &e.body));
     let bytes = [vec![0], names.snapshot()].concat();
-    let sum = XxHash64::oneshot(0, &bytes);
-    let fill = CatchUpChunk::Piece {
+    let checksum = XxHash64::oneshot(0, &bytes);
+    let data = CatchUpData::SnapshotChunk {
         seq: 2,
         at_ms: 20,
-        piece: 0,
-        pieces: 1,
-        sum,
+        chunk: 0,
+        chunks: 1,
+        checksum,
         bytes,
     };
     controller.hear(
         3,
         Message::CatchUpReply {
-            ask: ask.expect("it asks for what it lacks"),
-            fill,
+            query: query.expect("it asks for what it lacks"),
+            data,
         },
     );
     controller.sync();
     assert_eq!(controller.chain.state().given.len(), 2);
-    let holds = |controller: &Controller| controller.chain.shown(controller.now).last;
+    let holds = |controller: &Controller| controller.chain.status(controller.now).last;
     assert_eq!(holds(&controller), 4);
     assert_eq!(holds(&Controller::begin(2, 3, controller.rows)), 4);
 }
--- a/crates/rookpulley-chain/tests/filling.rs
+++ b/crates/rookpulley-chain/tests/filling.rs
@@ -147,10 +147,10 @@
             .places()
             .into_iter()
             .filter_map(|at| world.shown(at))
-            .map(|s| s.swept)
+            .map(|s| s.digest)
             .collect();
         assert!(
-            digests[0].0 > 0 && digests.iter().all(|d| *d == digests[0]),
+            digests[0].seq > 0 && digests.iter().all(|d| *d == digests[0]),
             "{digests:?}"
         );
     }
--- a/crates/rookpulley-chain/tests/model/rules.rs
+++ b/crates/rookpulley-chain/tests/model/rules.rs
@@ -684,7 +684,7 @@
             .iter()
             .filter(|m| others & bit(place_of(m) as u8) != 0)
             .collect();
-        rest.sort_by_key(|m| base.place(m.id).unwrap_or(PLACES));
+        rest.sort_by_key(|m| base.position(m.id).unwrap_or(PLACES));
         members.extend(rest);
         let few = members.len() <= self.bounds.losses && members.len() < base.members.len();
         if few {
@@ -693,7 +693,7 @@
         let room = (2 * self.bounds.losses + 1).saturating_sub(members.len());
         let out = there
             .iter()
-            .filter(|m| base.votes(m.id) && !members.contains(m));
+            .filter(|m| base.is_acceptor(m.id) && !members.contains(m));
         let voters: Vec<_> = out.take(room).copied().collect();
         for voters in [
             Some(Vec::new()),
--- a/crates/rookpulley-chain/tests/model/state.rs
+++ b/crates/rookpulley-chain/tests/model/state.rs
@@ -158,12 +158,12 @@
             length: view.members.len(),
             places: view.members.iter().map(place_of).collect(),
             voters: (0..IDS)
-                .filter(|id| view.votes((*id).into()))
+                .filter(|id| view.is_acceptor((*id).into()))
                 .map(bit)
                 .sum(),
-            at: std::array::from_fn(|id| view.place(id as u64).map(|at| at as u8)),
+            at: std::array::from_fn(|id| view.position(id as u64).map(|at| at as u8)),
             names: std::array::from_fn(|id| {
-                std::array::from_fn(|incarnation| view.names(id as u64, incarnation as u64))
+                std::array::from_fn(|incarnation| view.has_member(id as u64, incarnation as u64))
             }),
             view,
         }
@@ -220,6 +220,6 @@
         *self
             .decides
             .entry((number, voices, lost))
-            .or_insert_with(|| known.view.decides(&set(voices), &set(lost)))
+            .or_insert_with(|| known.view.is_quorum(&set(voices), &set(lost)))
     }
 }
--- a/crates/rookpulley-chain/tests/refounded.rs
+++ b/crates/rookpulley-chain/tests/refounded.rs
@@ -51,7 +51,7 @@
         world.play(700);
         let shown = world.shown(left).unwrap();
         assert!(
-            shown.acting && shown.in_touch && shown.view == shown.at_work,
+            shown.acting && shown.in_touch && shown.view == shown.active,
             "{shown:?}"
         );
         assert!(shown.view >= 1_000_000 && world.members() == 1);
--- a/crates/rookpulley-chain/tests/world/faults.rs
+++ b/crates/rookpulley-chain/tests/world/faults.rs
@@ -1,6 +1,6 @@
 //! Faults of a filling, put in on purpose: into what is said and into what is written.
 
-use rookpulley_chain::{CatchUpChunk, Entry, Message, Record};
+use rookpulley_chain::{CatchUpData, Entry, Message, Record};
 use std::collections::BTreeMap;
 use twox_hash::XxHash64;
 
@@ -32,7 +32,7 @@
     /// Behind the updates that are agreed on goes what else the sender holds.
     pub fn beyond(&mut self, from: u64, message: &mut Message) {
         if let Message::CatchUpReply {
-            fill: CatchUpChunk::Updates { entries, .. },
+            data: CatchUpData::Updates { entries, .. },
             ..
         } = message
             && let Some(last) = entries.last().map(|e| e.seq)
@@ -46,12 +46,12 @@
     /// those of that one.
     pub fn mix(&mut self, way: Way, message: &mut Message) {
         let Message::CatchUpReply {
-            fill:
-                CatchUpChunk::Piece {
+            data:
+                CatchUpData::SnapshotChunk {
                     seq,
-                    piece,
-                    pieces,
-                    sum,
+                    chunk,
+                    chunks,
+                    checksum,
                     bytes,
                     ..
                 },
@@ -68,16 +68,16 @@
         let other = self
             .before
             .get(&way)
-            .and_then(|before| before.get(*piece as usize));
+            .and_then(|before| before.get(*chunk as usize));
         if let Some(other) =
-            other.filter(|other| *piece + 1 < *pieces && other.len() == bytes.len())
+            other.filter(|other| *chunk + 1 < *chunks && other.len() == bytes.len())
         {
             *bytes = other.clone();
         }
-        now.1.truncate(*piece as usize);
+        now.1.truncate(*chunk as usize);
         now.1.push(bytes.clone());
-        if now.1.len() == *pieces as usize {
-            *sum = XxHash64::oneshot(0, &now.1.concat());
+        if now.1.len() == *chunks as usize {
+            *checksum = XxHash64::oneshot(0, &now.1.concat());
         }
     }
 }
--- a/crates/rookpulley-chain/tests/world/mod.rs
+++ b/crates/rookpulley-chain/tests/world/mod.rs
@@ -14,8 +14,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rookpulley_chain::{
-    CatchUpChunk, Chain, Effect, Input, Member, Message, Outcome, PersistedState, Record,
-    RequestKind, StartState, State,
+    CatchUpData, Chain, Effect, ForwardedRequest, Input, Member, Message, Outcome, PersistedState,
+    Record, RequestKind, StartState, State, StoredUpdate,
 };
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -299,7 +299,7 @@
         }
         let kept = (!fresh).then(|| PersistedState::read(place.disk.rows.clone()));
         assert!(
-            kept.as_ref().is_none_or(PersistedState::sound),
+            kept.as_ref().is_none_or(PersistedState::is_sound),
             "controller {at} finds its disk spoilt"
         );
         let me = Member {
@@ -310,9 +310,9 @@
         let boot = StartState {
             me,
             founder,
-            losses: self.losses,
+            tolerated_losses: self.losses,
             seed,
-            kept,
+            persisted: kept,
         };
         place.disk.open();
         let names = Names::long(self.bulk);
@@ -447,11 +447,12 @@
 
     fn send(&mut self, from: usize, to: usize, mut message: Message) {
         if self.mutation == Some(Mutation::TriesNotKnown)
-            && let Message::Forward { from, .. } | Message::Response { from, .. } = &mut message
-            && from.attempt > 1
+            && let Message::Forward(ForwardedRequest { request, .. })
+            | Message::Response { request, .. } = &mut message
+            && request.attempt > 1
         {
             // Under another name to the chain, under its own to who asked.
-            from.incarnation ^= 1 << 63;
+            request.incarnation ^= 1 << 63;
         }
         match self.mutation {
             Some(Mutation::FilledBeyond) => {
@@ -464,7 +465,7 @@
         self.pieces += u64::from(matches!(
             message,
             Message::CatchUpReply {
-                fill: CatchUpChunk::Piece { .. },
+                data: CatchUpData::SnapshotChunk { .. },
                 ..
             }
         ));
@@ -895,8 +896,8 @@
             }
         }
         assert_eq!(
-            PersistedState::read(rows.clone()).shown().log,
-            kept.shown().log
+            PersistedState::read(rows.clone()).status().log,
+            kept.status().log
         );
         self.say(format!("controller {at} founds view {} anew", view.number));
         self.forget_what_lacks(&kept);
@@ -905,10 +906,10 @@
 
     /// What this disk doesn't hold is gone, and so is what callers were told of it.
     fn forget_what_lacks(&mut self, kept: &PersistedState) {
-        let shown = kept.shown();
+        let shown = kept.status();
         let mut held = Names::default();
-        assert!(held.restore(shown.snapshot.unwrap().2));
-        for (_, at_ms, body) in shown.log {
+        assert!(held.restore(shown.snapshot.unwrap().bytes));
+        for StoredUpdate { at_ms, body, .. } in shown.log {
             // One that was tried again stands there twice.
             if !held
                 .given
@@ -1086,7 +1087,7 @@
             for at in self.running() {
                 let place = &self.places[at];
                 let now = self.now - place.born + place.clock;
-                let line = place.chain.as_ref().map(|c| format!("{:?}", c.shown(now)));
+                let line = place.chain.as_ref().map(|c| format!("{:?}", c.status(now)));
                 self.say(format!("controller {at}: {line:?}"));
             }
         }
@@ -1143,7 +1144,7 @@
         place
             .chain
             .as_ref()
-            .map(|c| c.shown(self.now - place.born + place.clock))
+            .map(|c| c.status(self.now - place.born + place.clock))
     }
 
     pub fn calls_tried(&self) -> usize {
--- a/crates/rookpulley-cli/src/gateway.rs
+++ b/crates/rookpulley-cli/src/gateway.rs
@@ -107,6 +107,7 @@
     /// The tables that this controller cuts
     Tables,
     /// Proxies whose line is there
+    #[value(name = "couriers")]
     Proxies,
     /// What the chain keeps
     Ledger,
--- a/crates/rookpulley-cli/src/gateway/store.rs
+++ b/crates/rookpulley-cli/src/gateway/store.rs
@@ -5,7 +5,7 @@
 
 use crate::call::CannotAsk;
 use crate::show::table;
-use rookpulley_chain::{PersistedState, View};
+use rookpulley_chain::{PersistedState, StoredSnapshot, View};
 use rookpulley_diagnostics::counted;
 use rookpulley_registry::News;
 use rookpulley_state::{Ledger, Update};
@@ -37,8 +37,8 @@
 
 fn told(folder: &Path, contents: Contents) -> Value {
     let kept = PersistedState::read(contents.chain);
-    let chain = kept.shown();
-    let snapshot = chain.snapshot.map(|(update, at_ms, bytes)| {
+    let chain = kept.status();
+    let snapshot = chain.snapshot.map(|StoredSnapshot { seq: update, at_ms, bytes }| {
         let mut ledger = Ledger::default();
         match ledger.restore(bytes) {
             Ok(()) => {
@@ -52,7 +52,7 @@
     let configurations: Vec<u64> = chain
         .log
         .iter()
-        .filter_map(|(_, _, body)| configuration(body))
+        .filter_map(|update| configuration(update.body))
         .collect();
     let (mut noted, mut gone, mut unreadable) = (0, 0, 0);
     for (_, value) in &contents.incarnations {
@@ -66,15 +66,15 @@
         "folder": folder,
         "identity": contents.identity.map(hex),
         "bytesOnDisk": contents.bytes_on_disk,
-        "sound": kept.sound(),
+        "sound": kept.is_sound(),
         "view": chain.views.last().map(view),
         "viewsKept": chain.views.iter().map(|view| view.number).collect::<Vec<_>>(),
         "installed": chain.installed,
-        "neverUpTo": chain.never,
-        "vote": {"view": chain.vote, "accepted": chain.accepted.map(view)},
+        "neverUpTo": chain.abandoned,
+        "vote": {"view": chain.acceptor, "accepted": chain.accepted.map(view)},
         "snapshot": snapshot,
-        "log": {"entries": chain.log.len(), "first": chain.log.first().map(|e| e.0),
-            "last": chain.log.last().map(|e| e.0), "configVersions": configurations},
+        "log": {"entries": chain.log.len(), "first": chain.log.first().map(|e| e.seq),
+            "last": chain.log.last().map(|e| e.seq), "configVersions": configurations},
         "lives": {"noted": noted, "gone": gone, "unreadable": unreadable},
     })
 }
--- a/crates/rookpulley-cli/src/gateway/store/check.rs
+++ b/crates/rookpulley-cli/src/gateway/store/check.rs
@@ -2,7 +2,7 @@
 
 use crate::call::CannotAsk;
 use crate::gateway::check::Checked;
-use rookpulley_chain::{PersistedState, find_inconsistencies};
+use rookpulley_chain::{PersistedState, StoredSnapshot, StoredUpdate, find_inconsistencies};
 use rookpulley_diagnostics::{Faults, Manner, counted};
 use rookpulley_registry::News;
 use rookpulley_routes::Book;
@@ -57,15 +57,22 @@
                 "there since the controller's first start",
             );
         }
-        for flaw in find_inconsistencies(&contents.chain, contents.identity) {
-            faults.add(flaw.place, flaw.found, flaw.instead);
+        for inconsistency in find_inconsistencies(&contents.chain, contents.identity) {
+            faults.add(
+                inconsistency.place,
+                inconsistency.found,
+                inconsistency.expected,
+            );
         }
-        let chain = kept.shown();
+        let chain = kept.status();
         let (mut ledger, mut usable) = (
             Ledger::default(),
-            kept.sound() && contents.identity.is_some(),
+            kept.is_sound() && contents.identity.is_some(),
         );
-        if let Some((update, _, bytes)) = chain.snapshot {
+        if let Some(StoredSnapshot {
+            seq: update, bytes, ..
+        }) = chain.snapshot
+        {
             if let Err(why) = ledger.restore(bytes) {
                 let found = format!("up to update {update} and unreadable ({why})");
                 faults.add("snapshot", found, "one that this build wrote");
@@ -76,7 +83,7 @@
             }
         }
         let mut configuration = ledger.version();
-        for (seq, _, body) in &chain.log {
+        for StoredUpdate { seq, body, .. } in &chain.log {
             match Update::decode(body) {
                 Ok(Update::PutConfiguration { version, body }) => {
                     configuration = configuration.max(version);
@@ -111,24 +118,28 @@
 
     /// The last update that it holds.
     pub fn update(&self) -> u64 {
-        let chain = self.kept.shown();
-        let snapshot = chain.snapshot.map_or(0, |(update, ..)| update);
-        chain.log.last().map_or(snapshot, |(update, ..)| *update)
+        let chain = self.kept.status();
+        let snapshot = chain.snapshot.map_or(0, |snapshot| snapshot.seq);
+        chain.log.last().map_or(snapshot, |update| update.seq)
     }
 
     fn newest(&self) -> u64 {
-        self.kept.shown().views.last().map_or(0, |view| view.number)
+        self.kept
+            .status()
+            .views
+            .last()
+            .map_or(0, |view| view.number)
     }
 
     fn reaches(&self) -> String {
-        let goes_on = match (self.usable, self.kept.sound()) {
+        let goes_on = match (self.usable, self.kept.is_sound()) {
             (true, _) => "a controller goes on with it",
             (_, true) => "a controller starts with it, and its state is no source",
             _ => "unsound, a controller begins it anew as an empty disk",
         };
         format!(
             "installed view {} (newest known {}), update {}, configuration {}; {goes_on}",
-            self.kept.shown().installed,
+            self.kept.status().installed,
             self.newest(),
             self.update(),
             self.configuration
@@ -136,8 +147,8 @@
     }
 
     fn as_json(&self) -> Value {
-        json!({"installed": self.kept.shown().installed, "view": self.newest(), "update": self.update(),
-            "configVersion": self.configuration, "sound": self.kept.sound(), "usable": self.usable})
+        json!({"installed": self.kept.status().installed, "view": self.newest(), "update": self.update(),
+            "configVersion": self.configuration, "sound": self.kept.is_sound(), "usable": self.usable})
     }
 }
 
--- a/crates/rookpulley-cli/src/gateway/store/refound.rs
+++ b/crates/rookpulley-cli/src/gateway/store/refound.rs
@@ -59,7 +59,7 @@
 
 impl Founding<'_> {
     fn as_json(&self, folder: &Path, done: bool) -> Value {
-        let chain = self.store.kept.shown();
+        let chain = self.store.kept.status();
         // Before it is done another identity is minted each time, and another number goes with it.
         let minted = |value: Value| if done { value } else { Value::Null };
         json!({
@@ -69,13 +69,13 @@
             "view": {"was": chain.views.last().map(view), "is": minted(view(&self.view))},
             "installed": chain.installed,
             "update": self.store.update(),
-            "log": {"entries": chain.log.len(), "first": chain.log.first().map(|e| e.0)},
+            "log": {"entries": chain.log.len(), "first": chain.log.first().map(|e| e.seq)},
             "before": minted(json!(before(folder))),
         })
     }
 
     fn text(&self, folder: &Path, done: bool) -> String {
-        let chain = self.store.kept.shown();
+        let chain = self.store.kept.status();
         let known = chain
             .views
             .last()
@@ -89,10 +89,10 @@
             true => self.view.number.to_string(),
             false => format!("far above {}", self.store.kept.newest()),
         };
-        let vote = if chain.vote == 0 {
+        let vote = if chain.acceptor == 0 {
             "none".into()
         } else {
-            format!("for view {}", chain.vote)
+            format!("for view {}", chain.acceptor)
         };
         let keeps = format!("up to {}", self.store.update());
         let rows = [
@@ -107,7 +107,11 @@
                 chain.installed.to_string(),
                 "the new one".into(),
             ),
-            ("never installs up to", chain.never.to_string(), "0".into()),
+            (
+                "never installs up to",
+                chain.abandoned.to_string(),
+                "0".into(),
+            ),
             ("vote", vote, "none".into()),
             ("updates", keeps.clone(), keeps),
         ];
@@ -121,7 +125,8 @@
             rows.into_iter()
                 .map(|(what, was, is)| [what.to_string(), was, is]),
         );
-        if let (Some((first, ..)), Some((last, ..))) = (chain.log.first(), chain.log.last()) {
+        if let (Some(first), Some(last)) = (chain.log.first(), chain.log.last()) {
+            let (first, last) = (first.seq, last.seq);
             said += &format!(
                 "updates {first} to {last} are its log: the last may not have been acknowledged, and are kept\n"
             );
--- a/crates/rookpulley-cli/tests/gateway.rs
+++ b/crates/rookpulley-cli/tests/gateway.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_an_controller_shows_becomes_tables_or_json() {
+fn what_a_controller_shows_becomes_tables_or_json() {
     let at = controller().to_string();
     let at = at.as_str();
     for (args, wanted) in [
@@ -229,7 +229,7 @@
         (
             "deploy",
             &share,
-            "2 roles (proxy, office); can be used; on a machine without a disk, office only passes calls on\n",
+            "2 roles (courier, office); can be used; on a machine without a disk, office only passes calls on\n",
         ),
         (
             "configuration",
@@ -239,7 +239,7 @@
         (
             "deploy",
             deployed,
-            "2 roles (proxy, office); can be used; on a machine without a disk, office only passes calls on\n",
+            "2 roles (courier, office); can be used; on a machine without a disk, office only passes calls on\n",
         ),
     ] {
         let file = written(folder.path(), what, text);
@@ -397,9 +397,9 @@
         let boot = StartState {
             me,
             founder: kept.is_none(),
-            losses: 0,
+            tolerated_losses: 0,
             seed: 5,
-            kept,
+            persisted: kept,
         };
         Chain::start(0, boot, ReplicatedState::default())
     }
--- a/crates/rookpulley-control/src/controller.rs
+++ b/crates/rookpulley-control/src/controller.rs
@@ -188,9 +188,9 @@
         let boot = StartState {
             me,
             founder,
-            losses: start.losses as usize,
+            tolerated_losses: start.losses as usize,
             seed,
-            kept,
+            persisted: kept,
         };
         let mut controller = Self {
             me,
@@ -254,7 +254,7 @@
         let homes = self.proxies.values().filter(|c| c.home).count();
         format!(
             "{}; proxies {} (home of {homes})",
-            self.chain.status(),
+            self.chain.summary(),
             self.proxies.len()
         )
     }
@@ -274,7 +274,7 @@
             match order {
                 ChainEffect::Send { to, message } => self.send_to(to, &Word::Chain(message)),
                 ChainEffect::Write { ticket, records } => {
-                    self.disk.begins(now, ticket);
+                    self.disk.write_began(now, ticket);
                     self.out.push(Effect::Write { ticket, records });
                 }
                 ChainEffect::Reply { token, outcome } => {
@@ -320,13 +320,13 @@
         if self.ending {
             return;
         }
-        let look = self.disk.look(now);
+        let look = self.disk.check(now);
         let probe = look.probe.map(|ticket| Effect::Write {
             ticket,
             records: Vec::new(),
         });
         self.out.extend(probe);
-        if let Some(slow) = look.turned {
+        if let Some(slow) = look.changed {
             self.log(format!(
                 "store: the disk is {}",
                 if slow { "slow" } else { "quick again" }
--- a/crates/rookpulley-control/src/stateless.rs
+++ b/crates/rookpulley-control/src/stateless.rs
@@ -365,7 +365,7 @@
     }
 
     #[test]
-    fn nothing_goes_to_an_controller_that_is_out_of_touch_silent_or_without_a_disk() {
+    fn nothing_goes_to_a_controller_that_is_out_of_touch_silent_or_without_a_disk() {
         let mut stateless = stateless(1);
         pulse(&mut stateless, 500.0, CONTROLLERS[0], false);
         stateless.lost(CONTROLLERS[1]);
--- a/crates/rookpulley-control/tests/compatibility/frames.rs
+++ b/crates/rookpulley-control/tests/compatibility/frames.rs
@@ -2,8 +2,8 @@
 
 use crate::Encoded;
 use rookpulley_chain::{
-    Ballot, CatchUpChunk, Entry, Member, MemberStatus, Message, ReadRequest, RequestId,
-    RequestKind, View,
+    Ballot, CatchUpData, ChunkPosition, Contact, Entry, ForwardedRequest, Member, MemberStatus,
+    Message, ReadRequest, RequestId, RequestKind, StateDigest, View,
 };
 use rookpulley_control::Word;
 use rookpulley_protocol::{Down, Line, Report, ServiceReport, TaskReport, Up};
@@ -31,7 +31,7 @@
     }
 }
 
-fn asked(token: u64) -> RequestId {
+fn request(token: u64) -> RequestId {
     RequestId {
         controller: 2,
         incarnation: 1 << 40 | 2,
@@ -45,20 +45,23 @@
         seq,
         at_ms: 90_000 + seq,
         body: vec![1, 2, 3, 200],
-        from: asked(seq),
+        request: request(seq),
     }
 }
 
-fn standing() -> MemberStatus {
+fn status() -> MemberStatus {
     MemberStatus {
-        me: member(2),
+        member: member(2),
         decided: 7,
         installed: 6,
-        at_work: 5,
+        active: 5,
         last: 400,
         committed: 399,
         slow: true,
-        swept: (256, u64::MAX),
+        digest: StateDigest {
+            seq: 256,
+            digest: u64::MAX,
+        },
     }
 }
 
@@ -77,142 +80,131 @@
 }
 
 fn chain_messages() -> Vec<(&'static str, Message)> {
-    let (ballot, ask, number) = (Ballot { round: 4, by: 9 }, 11, 7);
-    let updates = CatchUpChunk::Updates {
+    let mut messages = status_messages();
+    messages.extend(paxos_messages());
+    messages.extend(catch_up_messages());
+    messages.extend(replication_messages());
+    messages
+}
+
+fn status_messages() -> Vec<(&'static str, Message)> {
+    let contact = |id, incarnation| Contact { id, incarnation };
+    let (query, number) = (11, 7);
+    let heartbeat = Message::Heartbeat {
+        status: status(),
+        sent: 500,
+        echo: Some(450),
+        head_time_ms: Some(90_500),
+    };
+    let reply = Message::StatusReply {
+        query,
+        status: status(),
+        contacts: vec![contact(1, 2), contact(3, 4)],
+        abandoned: 5,
+        views: vec![view(6)],
+    };
+    let abandoned = Message::ViewAbandoned {
+        query,
+        number,
+        installed: 6,
+    };
+    vec![
+        ("heartbeat", heartbeat),
+        ("status request", Message::StatusRequest { query }),
+        ("status reply", reply),
+        ("abandon view", Message::AbandonView { query, number }),
+        ("view abandoned", abandoned),
+        ("view active", Message::ViewActive { number }),
+    ]
+}
+
+fn paxos_messages() -> Vec<(&'static str, Message)> {
+    let (ballot, number) = (Ballot { round: 4, by: 9 }, 7);
+    let accepted = Some((ballot, view(7)));
+    let promise = Message::Promise {
+        number,
+        ballot,
+        accepted,
+    };
+    let (base, next) = (view(6), view(7));
+    let views = vec![view(6), view(7)];
+    vec![
+        ("prepare", Message::Prepare { base, ballot }),
+        ("promise", promise),
+        ("accept", Message::Accept { ballot, view: next }),
+        ("accepted", Message::Accepted { number, ballot }),
+        ("preempted", Message::Preempted { number, ballot }),
+        ("learn", Message::Learn { views }),
+    ]
+}
+
+fn catch_up_messages() -> Vec<(&'static str, Message)> {
+    let query = 11;
+    let install = Message::Install {
+        view: view(7),
+        committed: 399,
+        at_ms: 90_400,
+        log: vec![entry(400)],
+    };
+    let request = Message::CatchUpRequest {
+        query,
+        applied: 120,
+        chunk: Some(ChunkPosition { seq: 399, chunk: 2 }),
+    };
+    let updates = CatchUpData::Updates {
         committed: 399,
         entries: vec![entry(398), entry(399)],
     };
-    let (seq, at_ms, piece, pieces) = (399, 90_399, 1, 3);
-    let piece = CatchUpChunk::Piece {
-        seq,
-        at_ms,
-        piece,
-        pieces,
-        sum: 77,
+    let chunk = CatchUpData::SnapshotChunk {
+        seq: 399,
+        at_ms: 90_399,
+        chunk: 1,
+        chunks: 3,
+        checksum: 77,
         bytes: vec![9, 8, 7],
     };
-    let (kind, body) = (RequestKind::Update, vec![5, 6]);
-    let question = ReadRequest {
+    let reply = |data| Message::CatchUpReply { query, data };
+    vec![
+        ("install", install),
+        ("catch-up request", request),
+        ("catch-up reply with updates", reply(updates)),
+        ("catch-up reply with a chunk", reply(chunk)),
+    ]
+}
+
+fn replication_messages() -> Vec<(&'static str, Message)> {
+    let forward = ForwardedRequest {
+        view: 7,
+        echo: 90_400,
+        age_ms: 12,
+        request: request(1),
+        kind: RequestKind::Update,
+        body: vec![5, 6],
+    };
+    let read = ReadRequest {
         body: vec![4],
-        from: asked(2),
+        request: request(2),
+    };
+    let append = Message::Append {
+        view: 7,
+        entries: vec![entry(400)],
+        reads: vec![read],
+        synced_up_to: 398,
+    };
+    let response = Message::Response {
+        request: request(1),
+        view: 7,
+        committed: 399,
+        body: vec![3],
+    };
+    let reject = Message::Reject {
+        request: request(1),
     };
-    let (standing, committed) = (standing(), 399);
     vec![
-        (
-            "ping",
-            Message::Heartbeat {
-                standing: standing.clone(),
-                sent: 500,
-                echo: Some(450),
-                ledger: Some(90_500),
-            },
-        ),
-        ("opinion", Message::StatusRequest { ask }),
-        (
-            "seen",
-            Message::StatusReply {
-                ask,
-                standing,
-                contacts: vec![(1, 2), (3, 4)],
-                never: 5,
-                views: vec![view(6)],
-            },
-        ),
-        ("bury", Message::AbandonView { ask, number }),
-        (
-            "buried",
-            Message::ViewAbandoned {
-                ask,
-                number,
-                installed: 6,
-            },
-        ),
-        (
-            "prepare",
-            Message::Prepare {
-                base: view(6),
-                ballot,
-            },
-        ),
-        (
-            "promise",
-            Message::Promise {
-                number,
-                ballot,
-                accepted: Some((ballot, view(7))),
-            },
-        ),
-        (
-            "accept",
-            Message::Accept {
-                ballot,
-                view: view(7),
-            },
-        ),
-        ("accepted", Message::Accepted { number, ballot }),
-        ("outbid", Message::Preempted { number, ballot }),
-        (
-            "learn",
-            Message::Learn {
-                views: vec![view(6), view(7)],
-            },
-        ),
-        (
-            "install",
-            Message::Install {
-                view: view(7),
-                committed,
-                at_ms: 90_400,
-                log: vec![entry(400)],
-            },
-        ),
-        (
-            "fetch",
-            Message::CatchUpRequest {
-                ask,
-                held: 120,
-                piece: Some((399, 2)),
-            },
-        ),
-        (
-            "filled with updates",
-            Message::CatchUpReply { ask, fill: updates },
-        ),
-        (
-            "filled with a piece",
-            Message::CatchUpReply { ask, fill: piece },
-        ),
-        ("at work", Message::ViewActive { number }),
-        (
-            "forward",
-            Message::Forward {
-                view: 7,
-                echo: 90_400,
-                age_ms: 12,
-                from: asked(1),
-                kind,
-                body,
-            },
-        ),
-        ("refuse", Message::Reject { from: asked(1) }),
-        (
-            "pass",
-            Message::Append {
-                view: 7,
-                entries: vec![entry(400)],
-                questions: vec![question],
-                synced_to: 398,
-            },
-        ),
-        (
-            "answer",
-            Message::Response {
-                from: asked(1),
-                view: 7,
-                committed,
-                body: vec![3],
-            },
-        ),
+        ("forward", Message::Forward(forward)),
+        ("reject", reject),
+        ("append", append),
+        ("response", response),
         ("commit", Message::Commit { view: 7, seq: 400 }),
     ]
 }
--- a/crates/rookpulley-control/tests/compatibility/rows.rs
+++ b/crates/rookpulley-control/tests/compatibility/rows.rs
@@ -33,9 +33,9 @@
         let boot = StartState {
             me: member(at),
             founder: at == 0,
-            losses: 1,
+            tolerated_losses: 1,
             seed: 7,
-            kept: None,
+            persisted: None,
         };
         self.chains.push((
             Chain::start(self.now, boot, ReplicatedState::default()),
@@ -187,7 +187,7 @@
         assert!(rows.len() > 80, "{} rows", rows.len());
         assert_eq!(find_inconsistencies(&rows, Some(member(at).id)), Vec::new());
         let kept = rookpulley_chain::PersistedState::read(rows);
-        assert!(kept.sound());
+        assert!(kept.is_sound());
         let me = Member {
             incarnation: 2 << 20,
             ..member(at)
@@ -195,9 +195,9 @@
         let boot = StartState {
             me,
             founder: false,
-            losses: 1,
+            tolerated_losses: 1,
             seed: 7,
-            kept: Some(kept),
+            persisted: Some(kept),
         };
         let started = Chain::start(0, boot, ReplicatedState::default());
         let ledger = &started.state().ledger;
--- a/crates/rookpulley-controller/src/hub/tests.rs
+++ b/crates/rookpulley-controller/src/hub/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::show::tests::at_an_controller;
+use crate::show::tests::at_a_controller;
 
 #[test]
 fn a_write_that_fails_ends_the_incarnation_and_not_the_process() {
-    at_an_controller(|calls| async move {
+    at_a_controller(|calls| async move {
         let hub = calls.hub.clone();
         hub.stored(Said::Failed("no room".into()));
         hub.stored(Said::Failed("again".into()));
--- a/crates/rookpulley-controller/src/proxy_sessions.rs
+++ b/crates/rookpulley-controller/src/proxy_sessions.rs
@@ -44,11 +44,11 @@
 
 #[cfg(test)]
 mod tests {
-    use crate::show::tests::at_an_controller;
+    use crate::show::tests::at_a_controller;
 
     #[test]
     fn a_proxy_that_too_much_waits_for_is_hung_up_on_so_that_it_misses_nothing() {
-        at_an_controller(|calls| async move {
+        at_a_controller(|calls| async move {
             // Nothing is written meanwhile.
             (0..2_000).for_each(|_| calls.hub.tick(8));
             for _ in 0..10_000 {
--- a/crates/rookpulley-controller/src/show.rs
+++ b/crates/rookpulley-controller/src/show.rs
@@ -70,7 +70,7 @@
 }
 
 fn view(hub: &Hub, controller: &Controller, now: f64) -> JsonValue {
-    let shown = controller.chain.shown(now as u64);
+    let shown = controller.chain.status(now as u64);
     let last = shown.members.len().saturating_sub(1);
     let members = shown.members.iter().enumerate().map(|(at, one)| {
         let part = match at {
@@ -98,13 +98,13 @@
         ("zone", text(&hub.node.zone)),
         ("view", number(shown.view)),
         ("installed", number(shown.installed)),
-        ("atWork", number(shown.at_work)),
+        ("atWork", number(shown.active)),
         ("acting", shown.acting.into()),
         ("inTouch", shown.in_touch.into()),
         ("held", number(shown.last)),
         ("applied", number(shown.applied)),
-        ("diskSlow", controller.disk.slow().into()),
-        ("lossesBorne", number(shown.losses as u64)),
+        ("diskSlow", controller.disk.is_slow().into()),
+        ("lossesBorne", number(shown.tolerated_losses as u64)),
         ("spareNow", number(shown.spare as u64)),
         ("members", JsonValue::Array(members.collect())),
     ])
--- a/crates/rookpulley-controller/src/show/counts.rs
+++ b/crates/rookpulley-controller/src/show/counts.rs
@@ -170,7 +170,7 @@
         controller.tally.sync_us as f64 / 1e6
     );
 
-    let shown = controller.chain.shown(now as u64);
+    let shown = controller.chain.status(now as u64);
     let [mut live, mut silent, mut draining, mut displaced] = [0; 4];
     for task in controller.registry.tasks() {
         match task.standing {
@@ -210,7 +210,7 @@
     gauge(
         "rookpulley_office_view_at_work",
         "The newest view known to be at work.",
-        shown.at_work,
+        shown.active,
     );
     gauge(
         "rookpulley_office_acting",
@@ -225,7 +225,7 @@
     gauge(
         "rookpulley_office_disk_slow",
         "1: the disk is slow.",
-        controller.disk.slow().into(),
+        controller.disk.is_slow().into(),
     );
     gauge(
         "rookpulley_office_update_applied",
--- a/crates/rookpulley-controller/src/show/tests.rs
+++ b/crates/rookpulley-controller/src/show/tests.rs
@@ -55,7 +55,7 @@
 }
 
 /// A controller alone, at work, with a task, a configuration and a proxy at home.
-pub fn at_an_controller<F: Future<Output = ()>>(trial: impl FnOnce(Rc<Calls>) -> F) {
+pub fn at_a_controller<F: Future<Output = ()>>(trial: impl FnOnce(Rc<Calls>) -> F) {
     let folder = tempfile::tempdir().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -165,7 +165,7 @@
 
 #[test]
 fn what_is_shown_has_the_shape_that_the_operators_command_reads() {
-    at_an_controller(|calls| async move {
+    at_a_controller(|calls| async move {
         for (part, example) in [
             (
                 "view",
@@ -197,8 +197,8 @@
 }
 
 #[test]
-fn an_controller_shows_itself_its_tasks_its_proxies_and_what_it_keeps() {
-    at_an_controller(|calls| async move {
+fn a_controller_shows_itself_its_tasks_its_proxies_and_what_it_keeps() {
+    at_a_controller(|calls| async move {
         let has = |text: String, wanted: &[&str]| {
             wanted
                 .iter()
@@ -247,7 +247,7 @@
 
 #[test]
 fn counters_tell_calls_by_kind_and_outcome_in_the_form_that_collectors_read() {
-    at_an_controller(|calls| async move {
+    at_a_controller(|calls| async move {
         call(&calls, "PUT", "cells/g1.a", r#"{"value":"x","active":3}"#).await;
         call(&calls, "GET", "cells/g1.a", "").await;
         call(&calls, "PUT", "configuration", "{").await;
--- a/crates/rookpulley-registry/tests/desk.rs
+++ b/crates/rookpulley-registry/tests/desk.rs
@@ -516,7 +516,7 @@
 }
 
 #[test]
-fn one_that_holds_tables_gets_none_from_an_controller_that_is_still_settling() {
+fn one_that_holds_tables_gets_none_from_a_controller_that_is_still_settling() {
     let mut world = World::new(&["a"], 130);
     world.start("a", 0, 0.0);
     world.desk.proxy_in(0.0, "old", "z0", 1.0, true);
--- a/crates/rookpulley-registry/tests/registry.rs
+++ b/crates/rookpulley-registry/tests/registry.rs
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn what_a_proxy_knows_to_be_gone_is_never_listed_by_an_controller_that_starts_anew() {
+fn what_a_proxy_knows_to_be_gone_is_never_listed_by_a_controller_that_starts_anew() {
     let mut controller = Registry::new(0.0, HEARTBEAT_MS, 2_500.0);
     let gone = ["i-1".to_string(), "i-2".to_string()];
     assert_eq!(controller.take_gone(0.0, &gone), gone);
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn an_controller_out_of_touch_takes_heartbeats_only_for_a_while_after_it_has_settled() {
+fn a_controller_out_of_touch_takes_heartbeats_only_for_a_while_after_it_has_settled() {
     let mut registry = Registry::new(0.0, 1_000.0, 2_500.0);
     registry.touch(1_900.0, false);
     assert!(registry.takes_heartbeats(3_400.0));
--- a/crates/rookpulley-simulator/src/controllers.rs
+++ b/crates/rookpulley-simulator/src/controllers.rs
@@ -71,7 +71,7 @@
         let seeds = self.seeds();
         let at = &mut self.machines[machine];
         let torn =
-            at.disk.identity.is_some() && !PersistedState::read(at.disk.chain.clone()).sound();
+            at.disk.identity.is_some() && !PersistedState::read(at.disk.chain.clone()).is_sound();
         if torn {
             at.disk.wipe();
         }
--- a/crates/rookpulley-store/examples/call_cost.rs
+++ b/crates/rookpulley-store/examples/call_cost.rs
@@ -48,9 +48,9 @@
             let boot = StartState {
                 me: Self::member(at),
                 founder: at == 0,
-                losses: 1,
+                tolerated_losses: 1,
                 seed: 7 + at as u64,
-                kept: None,
+                persisted: None,
             };
             new.all
                 .push(Chain::start(0, boot, ReplicatedState::default()));
--- a/crates/rookpulley-store/examples/disk_use.rs
+++ b/crates/rookpulley-store/examples/disk_use.rs
@@ -42,9 +42,9 @@
         let boot = StartState {
             me,
             founder: store.founding.is_some(),
-            losses: 0,
+            tolerated_losses: 0,
             seed: incarnation,
-            kept,
+            persisted: kept,
         };
         let chain = Chain::start(0, boot, ReplicatedState::default());
         let took = began.elapsed().as_secs_f64() * 1e3;
--- a/crates/rookpulley-store/examples/fill_time.rs
+++ b/crates/rookpulley-store/examples/fill_time.rs
@@ -80,9 +80,9 @@
     let boot = StartState {
         me,
         founder: store.founding.is_some(),
-        losses: 1,
+        tolerated_losses: 1,
         seed: number,
-        kept: None,
+        persisted: None,
     };
     let now = began.elapsed().as_millis() as u64;
     let chain = Chain::start(now, boot, ReplicatedState::default());
--- a/crates/rookpulley-store/src/rows.rs
+++ b/crates/rookpulley-store/src/rows.rs
@@ -492,7 +492,7 @@
             .map(|(key, value)| (key.to_vec(), value.to_vec()));
         assert!(
             !rookpulley_chain::PersistedState::read(seen_by_older.filter(|(key, _)| key != b"e1"))
-                .sound()
+                .is_sound()
         );
         assert_eq!(Long::read(&db).unwrap().0, vec![(b"e1".to_vec(), value)]);
         db.remove(chunk(3)).unwrap();
--- a/crates/rookpulley-store/src/store.rs
+++ b/crates/rookpulley-store/src/store.rs
@@ -181,7 +181,7 @@
                 Long::read(&db.open_tree(CHAIN)?)?,
                 Long::read(&db.open_tree(INCARNATIONS)?)?,
             );
-            match rookpulley_chain::PersistedState::read(held.0.iter().cloned()).sound() {
+            match rookpulley_chain::PersistedState::read(held.0.iter().cloned()).is_sound() {
                 true => Ok((identity, held, incarnations, db)),
                 false => Err(sled::Error::ReportableBug(
                     "the chain's rows are torn".into(),
--- a/crates/rookpulley-store/tests/room.rs
+++ b/crates/rookpulley-store/tests/room.rs
@@ -31,9 +31,9 @@
         let boot = StartState {
             me,
             founder: true,
-            losses: 0,
+            tolerated_losses: 0,
             seed: 7,
-            kept: None,
+            persisted: None,
         };
         let mut new = Self {
             now: 0,
--- a/crates/rookpulley-store/tests/torn.rs
+++ b/crates/rookpulley-store/tests/torn.rs
@@ -33,9 +33,9 @@
         let boot = StartState {
             me,
             founder: at == 0,
-            losses: self.losses,
+            tolerated_losses: self.losses,
             seed: 7 + at as u64,
-            kept: None,
+            persisted: None,
         };
         self.all.push((
             Chain::start(self.now, boot, ReplicatedState::default()),
@@ -109,9 +109,9 @@
         let boot = StartState {
             me,
             founder: true,
-            losses: 0,
+            tolerated_losses: 0,
             seed: 9,
-            kept: Some(kept),
+            persisted: Some(kept),
         };
         self.all = vec![(
             Chain::start(self.now, boot, ReplicatedState::default()),
@@ -337,7 +337,7 @@
 /// write. The controller that starts on what is left shows, once it is at work, what a copy in memory shows after all updates
 /// that were answered, or after the one more that was being written.
 #[test]
-fn an_controller_that_lost_its_power_at_any_write_has_all_that_it_answered() {
+fn a_controller_that_lost_its_power_at_any_write_has_all_that_it_answered() {
     arbtest::arbtest(|u| {
         let mut controller = ControllerSelection { losses: 0, ..ControllerSelection::default() };
         controller.start();
