--- a/crates/rookpulley-api/src/serve.rs
+++ b/crates/rookpulley-api/src/serve.rs
@@ -6,7 +6,7 @@
 use crate::hall::{Guest, Hall};
 use crate::letter;
 use crate::refusal::Refusal;
-use rookpulley_runtime::line;
+use rookpulley_runtime::connection;
 use std::io::ErrorKind;
 use std::rc::Rc;
 use std::time::Duration;
@@ -94,7 +94,7 @@
         tracing::warn!("counter: all connections are at work, the newest is refused");
         return;
     };
-    line::tend(&stream, UNHEARD);
+    connection::configure(&stream, UNHEARD);
     guests.spawn_local(attend(stream, guest, handler.clone()));
 }
 
--- a/crates/rookpulley-balancer/src/post.rs
+++ b/crates/rookpulley-balancer/src/post.rs
@@ -4,7 +4,7 @@
 use crate::{Fate, Round};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rookpulley_protocol::{IncarnationId, Line};
+use rookpulley_protocol::{IncarnationId, TableEntry};
 use rookpulley_routes::RouteKind;
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -27,7 +27,7 @@
 #[must_use]
 pub struct Pick {
     spot: usize,
-    pub line: Rc<Line>,
+    pub line: Rc<TableEntry>,
     /// How long an answer usually takes there.
     pub habit_ms: f64,
 }
@@ -70,7 +70,7 @@
     }
 
     /// Puts a whole table in the place of the one before. Returns the incarnations that are in no table any more.
-    pub fn table(&mut self, service: &str, lines: Vec<Line>) -> Vec<IncarnationId> {
+    pub fn table(&mut self, service: &str, lines: Vec<TableEntry>) -> Vec<IncarnationId> {
         let before = self
             .tables
             .get_mut(service)
@@ -268,7 +268,7 @@
         }
     }
 
-    fn place(&mut self, line: Line) -> usize {
+    fn place(&mut self, line: TableEntry) -> usize {
         if let Some(&at) = self.by_incarnation.get(&line.incarnation)
             && let Some(Some(spot)) = self.spots.get_mut(at)
         {
--- a/crates/rookpulley-balancer/src/round.rs
+++ b/crates/rookpulley-balancer/src/round.rs
@@ -98,9 +98,9 @@
     }
 
     /// When to turn from a task that is slow beyond its habit to another one, if ever.
-    pub fn patience_ms(&self, now_ms: f64, aim_ms: f64, habit_ms: f64) -> Option<f64> {
+    pub fn patience_ms(&self, now_ms: f64, latency_target_ms: f64, habit_ms: f64) -> Option<f64> {
         let elsewhere = self.repeatable() && self.sends + 1 < self.attempts;
-        let at_ms = now_ms + (0.8 * aim_ms).max(4.0 * habit_ms);
+        let at_ms = now_ms + (0.8 * latency_target_ms).max(4.0 * habit_ms);
         (elsewhere && at_ms + habit_ms.max(USEFUL_MS) < self.until_ms).then_some(at_ms)
     }
 
--- a/crates/rookpulley-balancer/src/spot.rs
+++ b/crates/rookpulley-balancer/src/spot.rs
@@ -1,7 +1,7 @@
 //! What this proxy knows of one task from the tries that it sent there.
 
 use crate::Fate;
-use rookpulley_protocol::Line;
+use rookpulley_protocol::TableEntry;
 use std::rc::Rc;
 
 /// The first pause after a failure, and the longest.
@@ -18,7 +18,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Spot {
-    pub line: Rc<Line>,
+    pub line: Rc<TableEntry>,
     pub in_flight: u32,
     /// The tables that have it: one, or none while its last tries end. A place is given to another only then.
     pub listed: u32,
@@ -31,7 +31,7 @@
 }
 
 impl Spot {
-    pub fn new(line: Rc<Line>, gone: bool) -> Spot {
+    pub fn new(line: Rc<TableEntry>, gone: bool) -> Spot {
         Spot {
             line,
             in_flight: 0,
--- a/crates/rookpulley-balancer/tests/picks.rs
+++ b/crates/rookpulley-balancer/tests/picks.rs
@@ -1,13 +1,13 @@
 //! Which task a request goes to.
 
 use rookpulley_balancer::{Fate, Pick, Post, Round};
-use rookpulley_protocol::Line;
+use rookpulley_protocol::TableEntry;
 use rookpulley_routes::RouteKind;
 use rookpulley_samples::plays;
 use std::collections::BTreeSet;
 
-fn line(incarnation: &str, zone: &str) -> Line {
-    Line {
+fn line(incarnation: &str, zone: &str) -> TableEntry {
+    TableEntry {
         incarnation: incarnation.to_owned(),
         address: "10.0.0.1:80".parse().unwrap(),
         zone: zone.to_owned(),
--- a/crates/rookpulley-cli/src/call.rs
+++ b/crates/rookpulley-cli/src/call.rs
@@ -5,7 +5,7 @@
 use hyper::header::{AUTHORIZATION, CONTENT_TYPE, HOST};
 use hyper_util::rt::TokioIo;
 use rookpulley_operators::asks::Refusal;
-use rookpulley_store::LookError;
+use rookpulley_store::InspectError;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -31,7 +31,7 @@
     )]
     NoController { at: SocketAddr, why: String },
     #[error("{0}; {help}", help = miette::Diagnostic::help(.0).map(|help| help.to_string()).unwrap_or_default())]
-    Store(LookError),
+    Store(InspectError),
     #[error("the token file {} can't be read: {why}", file.display())]
     Token { file: PathBuf, why: std::io::Error },
 }
--- a/crates/rookpulley-cli/src/gateway.rs
+++ b/crates/rookpulley-cli/src/gateway.rs
@@ -102,15 +102,16 @@
 pub enum Part {
     /// Who is in the chain, and how it is
     View,
-    /// Incarnations of tasks
+    /// Instances
     Tasks,
-    /// The tables that this controller cuts
+    /// The tables that this controller publishes
     Tables,
-    /// Proxies whose line is there
+    /// Proxies that are connected
     #[value(name = "couriers")]
     Proxies,
-    /// What the chain keeps
-    Ledger,
+    /// What the chain replicates
+    #[value(name = "ledger")]
+    State,
     /// Counts since the controller began; collectors read them at /rookpulley/show/counters
     Counters,
 }
--- a/crates/rookpulley-cli/src/gateway/explain.rs
+++ b/crates/rookpulley-cli/src/gateway/explain.rs
@@ -3,7 +3,7 @@
 use super::check::{read, refused};
 use crate::show::table;
 use rookpulley_diagnostics::counted;
-use rookpulley_routes::{Book, Route, RouteKind};
+use rookpulley_routes::{Route, RouteKind, RouteTable};
 use serde_json::{Value, json};
 use std::path::Path;
 
@@ -16,7 +16,7 @@
     lost: Vec<&'a Route>,
 }
 
-fn found<'a>(book: &'a Book, host: &str, path: &str) -> Found<'a> {
+fn found<'a>(book: &'a RouteTable, host: &str, path: &str) -> Found<'a> {
     let taken = book.route(host, path);
     let begins =
         |route: &&Route| route.host.eq_ignore_ascii_case(host) && path.starts_with(&route.prefix);
@@ -44,7 +44,7 @@
 }
 
 /// Services with their part of the requests.
-fn shares(book: &Book, route: &Route) -> Vec<(String, f64)> {
+fn shares(book: &RouteTable, route: &Route) -> Vec<(String, f64)> {
     let sum: f64 = route.targets.iter().map(|(_, weight)| weight).sum();
     let name = |at: usize| {
         book.service(at)
@@ -58,7 +58,7 @@
 }
 
 /// Why no route takes a request, and what there is.
-fn why_none(book: &Book, host: &str, path: &str) -> (String, Vec<String>) {
+fn why_none(book: &RouteTable, host: &str, path: &str) -> (String, Vec<String>) {
     let of_host: Vec<&Route> = book
         .routes()
         .filter(|r| r.host.eq_ignore_ascii_case(host))
@@ -108,14 +108,14 @@
     }
 }
 
-fn as_json(book: &Book, route: &Route) -> Value {
+fn as_json(book: &RouteTable, route: &Route) -> Value {
     let services = shares(book, route);
     let services: Vec<Value> = services
         .iter()
         .map(|(name, share)| json!({"name": name, "share": share}))
         .collect();
     json!({"name": route.name, "prefix": route.prefix, "kind": kind(route.kind).0, "services": services,
-        "timeoutMs": route.timeout_ms, "targetLatencyMs": route.aim_ms, "priority": route.priority,
+        "timeoutMs": route.timeout_ms, "targetLatencyMs": route.latency_target_ms, "priority": route.priority,
         "maxAttempts": route.attempts})
 }
 
@@ -159,7 +159,7 @@
         route.prefix,
         counted(route.attempts as usize, "task"),
         route.timeout_ms,
-        route.aim_ms,
+        route.latency_target_ms,
         route.priority,
         table(["service", "share"], rows),
     );
@@ -200,7 +200,7 @@
                 .collect();
             let text = json!({"configVersion": 1, "services": [{"name": "s"}],
                 "hostnames": [{"hostname": "post.example", "pathRules": rules}]});
-            let book = Book::read(text.to_string().as_bytes()).unwrap();
+            let book = RouteTable::read(text.to_string().as_bytes()).unwrap();
             for _ in 0..8 {
                 let path = format!(
                     "/{}{}",
--- a/crates/rookpulley-cli/src/gateway/show.rs
+++ b/crates/rookpulley-cli/src/gateway/show.rs
@@ -14,7 +14,7 @@
         Part::Tasks => "tasks",
         Part::Tables => "tables",
         Part::Proxies => "couriers",
-        Part::Ledger => "ledger",
+        Part::State => "ledger",
         Part::Counters => "counters",
     };
     let of = match part {
@@ -42,7 +42,7 @@
         Part::Tasks => tasks(&told),
         Part::Tables => tables(&told),
         Part::Proxies => proxies(&told),
-        _ => ledger(&told),
+        _ => state(&told),
     })
 }
 
@@ -209,7 +209,7 @@
     format!("{shown}{home} of {} at home\n{}", all.len(), more(told))
 }
 
-fn ledger(told: &Value) -> String {
+fn state(told: &Value) -> String {
     let names = [
         ("configuration version", "configVersion"),
         ("configuration bytes", "configurationBytes"),
--- a/crates/rookpulley-cli/src/gateway/store.rs
+++ b/crates/rookpulley-cli/src/gateway/store.rs
@@ -7,14 +7,14 @@
 use crate::show::table;
 use rookpulley_chain::{PersistedState, StoredSnapshot, View};
 use rookpulley_diagnostics::counted;
-use rookpulley_registry::News;
-use rookpulley_state::{Ledger, Update};
-use rookpulley_store::{Contents, look};
+use rookpulley_registry::InstanceUpdate;
+use rookpulley_state::{StateMachine, Update};
+use rookpulley_store::{Contents, inspect};
 use serde_json::{Value, json};
 use std::path::Path;
 
 pub fn shown(json: bool, folder: &Path) -> Result<String, CannotAsk> {
-    let contents = look(folder).map_err(CannotAsk::Store)?;
+    let contents = inspect(folder).map_err(CannotAsk::Store)?;
     let told = told(folder, contents);
     Ok(if json {
         told.to_string() + "\n"
@@ -36,15 +36,15 @@
 }
 
 fn told(folder: &Path, contents: Contents) -> Value {
-    let kept = PersistedState::read(contents.chain);
+    let kept = PersistedState::read(contents.chain_rows);
     let chain = kept.status();
     let snapshot = chain.snapshot.map(|StoredSnapshot { seq: update, at_ms, bytes }| {
-        let mut ledger = Ledger::default();
+        let mut ledger = StateMachine::default();
         match ledger.restore(bytes) {
             Ok(()) => {
-                let sizes = ledger.sizes();
+                let sizes = ledger.usage();
                 json!({"update": update, "atMs": at_ms, "bytes": bytes.len(), "configVersion": ledger.version(),
-                    "locks": sizes.locks, "numbers": sizes.numbers, "cells": sizes.cells})
+                    "locks": sizes.locks, "numbers": sizes.counters, "cells": sizes.keys})
             }
             Err(why) => json!({"update": update, "atMs": at_ms, "bytes": bytes.len(), "why": why.to_string()}),
         }
@@ -55,9 +55,9 @@
         .filter_map(|update| configuration(update.body))
         .collect();
     let (mut noted, mut gone, mut unreadable) = (0, 0, 0);
-    for (_, value) in &contents.incarnations {
-        match postcard::from_bytes::<News>(value) {
-            Ok(News::Gone { .. }) => gone += 1,
+    for (_, value) in &contents.instance_rows {
+        match postcard::from_bytes::<InstanceUpdate>(value) {
+            Ok(InstanceUpdate::Gone { .. }) => gone += 1,
             Ok(_) => noted += 1,
             Err(_) => unreadable += 1,
         }
--- a/crates/rookpulley-cli/src/gateway/store/check.rs
+++ b/crates/rookpulley-cli/src/gateway/store/check.rs
@@ -4,10 +4,10 @@
 use crate::gateway::check::Checked;
 use rookpulley_chain::{PersistedState, StoredSnapshot, StoredUpdate, find_inconsistencies};
 use rookpulley_diagnostics::{Faults, Manner, counted};
-use rookpulley_registry::News;
-use rookpulley_routes::Book;
-use rookpulley_state::{Ledger, Update};
-use rookpulley_store::{Contents, LookError, look};
+use rookpulley_registry::InstanceUpdate;
+use rookpulley_routes::RouteTable;
+use rookpulley_state::{StateMachine, Update};
+use rookpulley_store::{Contents, InspectError, inspect};
 use serde_json::{Value, json};
 use std::path::Path;
 
@@ -31,9 +31,9 @@
 
 /// Examines a store. One that can't be opened is at fault itself.
 pub fn examined(folder: &Path) -> Result<Result<Examined, Faults>, CannotAsk> {
-    match look(folder) {
+    match inspect(folder) {
         Ok(contents) => Ok(Ok(Examined::of(contents))),
-        Err(LookError::Spoilt(_, why)) => {
+        Err(InspectError::Corrupted(_, why)) => {
             let found = format!("spoilt ({why})");
             Ok(Err(Faults::one(
                 &STORE,
@@ -48,7 +48,7 @@
 
 impl Examined {
     fn of(contents: Contents) -> Self {
-        let kept = PersistedState::read(contents.chain.iter().cloned());
+        let kept = PersistedState::read(contents.chain_rows.iter().cloned());
         let mut faults = Faults::none(&STORE);
         if contents.identity.is_none() {
             faults.add(
@@ -57,7 +57,7 @@
                 "there since the controller's first start",
             );
         }
-        for inconsistency in find_inconsistencies(&contents.chain, contents.identity) {
+        for inconsistency in find_inconsistencies(&contents.chain_rows, contents.identity) {
             faults.add(
                 inconsistency.place,
                 inconsistency.found,
@@ -66,7 +66,7 @@
         }
         let chain = kept.status();
         let (mut ledger, mut usable) = (
-            Ledger::default(),
+            StateMachine::default(),
             kept.is_sound() && contents.identity.is_some(),
         );
         if let Some(StoredSnapshot {
@@ -97,8 +97,8 @@
                 }
             }
         }
-        for (incarnation, value) in &contents.incarnations {
-            if postcard::from_bytes::<News>(value).is_err() {
+        for (incarnation, value) in &contents.instance_rows {
+            if postcard::from_bytes::<InstanceUpdate>(value).is_err() {
                 let place = format!("the note on task {}", incarnation.escape_ascii());
                 faults.add(
                     place,
@@ -153,7 +153,9 @@
 }
 
 fn of_configuration(faults: &mut Faults, place: String, body: &[u8]) {
-    let Err(told) = Book::read(body) else { return };
+    let Err(told) = RouteTable::read(body) else {
+        return;
+    };
     for fault in told.faults {
         faults.add(
             format!("{place}, {}", fault.place),
--- a/crates/rookpulley-cli/src/gateway/store/refound.rs
+++ b/crates/rookpulley-cli/src/gateway/store/refound.rs
@@ -5,7 +5,7 @@
 use crate::call::CannotAsk;
 use crate::show::table;
 use rookpulley_chain::{Record, View};
-use rookpulley_store::{before, replace};
+use rookpulley_store::{replace, replaced_store};
 use serde_json::{Value, json};
 use std::hash::{BuildHasher, RandomState};
 use std::path::Path;
@@ -70,7 +70,7 @@
             "installed": chain.installed,
             "update": self.store.update(),
             "log": {"entries": chain.log.len(), "first": chain.log.first().map(|e| e.seq)},
-            "before": minted(json!(before(folder))),
+            "before": minted(json!(replaced_store(folder))),
         })
     }
 
@@ -142,7 +142,7 @@
         said += &match done {
             true => format!(
                 "done; the store as it was is in {}\n",
-                before(folder).display()
+                replaced_store(folder).display()
             ),
             false => "nothing was written; with --yes it is done\n".to_string(),
         };
--- a/crates/rookpulley-cli/tests/gateway.rs
+++ b/crates/rookpulley-cli/tests/gateway.rs
@@ -5,9 +5,9 @@
     Chain, Effect, Input, Member, Outcome, PersistedState, Record, RequestKind, StartState,
 };
 use rookpulley_control::ReplicatedState;
-use rookpulley_registry::News;
+use rookpulley_registry::InstanceUpdate;
 use rookpulley_state::Update;
-use rookpulley_store::{Part, Said, Store};
+use rookpulley_store::{Store, StoreEvent, StoreTree};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -360,7 +360,7 @@
 /// A controller alone on its store.
 struct Alone {
     store: Store,
-    heard: tokio::sync::mpsc::UnboundedReceiver<Said>,
+    heard: tokio::sync::mpsc::UnboundedReceiver<StoreEvent>,
     rows: BTreeMap<Vec<u8>, Vec<u8>>,
     chain: Chain<ReplicatedState>,
     now: u64,
@@ -371,7 +371,7 @@
     fn open(folder: &Path, incarnation: u64) -> Self {
         let (said, heard) = tokio::sync::mpsc::unbounded_channel();
         let mut store = Store::open(folder, 0x5f0c_1be2_a9d4_7731, None, said).unwrap();
-        let rows = BTreeMap::from_iter(std::mem::take(&mut store.held));
+        let rows = BTreeMap::from_iter(std::mem::take(&mut store.chain_rows));
         let chain = Self::begin(&store, &rows, incarnation);
         Self {
             store,
@@ -466,7 +466,7 @@
             key: incarnation.into(),
             value,
         };
-        assert!(self.store.write(Part::Incarnations, 1, vec![record]));
+        assert!(self.store.write(StoreTree::Instances, 1, vec![record]));
     }
 
     fn close(self) {
@@ -480,7 +480,7 @@
             .into_iter()
             .map(|(key, value)| Record::Put { key, value })
             .collect();
-        assert!(store.write(Part::Chain, 1, all));
+        assert!(store.write(StoreTree::Chain, 1, all));
         drop(store);
         while heard.blocking_recv().is_some() {}
     }
@@ -502,17 +502,17 @@
 fn a_store(folder: &Path, then: impl FnOnce(&mut Alone)) {
     let mut controller = Alone::open(folder, 3);
     let cell = |n: u64| {
-        Update::PutCell {
+        Update::PutKey {
             name: format!("g/{}", n % 9),
             value: "5".into(),
-            active: None,
+            expected: None,
         }
         .encode()
     };
     controller.answers(std::iter::once(configured(7, CONFIGURATION)).chain((1..600).map(cell)));
     controller.again(4);
     controller.answers([configured(8, CONFIGURATION), cell(7), cell(8), cell(9)]);
-    let gone = News::Gone {
+    let gone = InstanceUpdate::Gone {
         incarnation: "i-9be7".into(),
         age_ms: 0.0,
     };
@@ -784,8 +784,8 @@
     // It goes to work by itself, under another identity, with all that was there.
     let mut controller = Alone::open(folder.path(), 5);
     controller.answers([configured(9, CONFIGURATION)]);
-    let held = &controller.chain.state().ledger;
-    assert_eq!((held.version(), held.sizes().cells), (9, 9));
+    let held = &controller.chain.state().machine;
+    assert_eq!((held.version(), held.usage().keys), (9, 9));
     assert_eq!(controller.chain.view().unwrap().number, number + 1);
     controller.close();
 }
--- a/crates/rookpulley-control/src/controller/peers.rs
+++ b/crates/rookpulley-control/src/controller/peers.rs
@@ -1,177 +1,193 @@
-//! The lines to other controllers: who is known, dialed, heard and told.
+//! The connections to other controllers: who is known, connected, heard and told.
 
-use super::{Controller, Effect, FORGOTTEN_MS, Noted, PEERS_MOST, Peer};
-use crate::word::Word;
-use rookpulley_chain::Input;
+use super::Controller;
+use crate::effect::Effect;
+use crate::peer_message::PeerMessage;
+use rookpulley_chain::{Input, Member};
 use rookpulley_protocol::frame;
+use rookpulley_registry::InstanceUpdate;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
+/// A controller that was not reached for so long, and that no view names, is forgotten.
+const FORGET_MS: f64 = 20_000.0;
+const MAX_PEERS: usize = 64;
+/// Instance updates that need no answer are sent under this number.
+const NO_QUERY: u64 = 0;
+
+/// Another controller.
+pub(super) struct Peer {
+    /// The connection to it is open.
+    is_connected: bool,
+    /// The identity of its disk, once it has said it.
+    id: Option<u64>,
+    seen_ms: f64,
+}
+
 impl Controller {
-    pub fn meet_all(&mut self, now: f64, controllers: &[SocketAddrV4]) {
-        controllers
-            .iter()
-            .for_each(|controller| self.meet(now, *controller.ip()));
+    /// Controllers are named at these addresses.
+    pub fn discover_peers(&mut self, now: f64, controllers: &[SocketAddrV4]) {
+        for controller in controllers {
+            self.discover_peer(now, *controller.ip());
+        }
     }
 
-    pub(super) fn meet(&mut self, now: f64, ip: Ipv4Addr) {
-        let (own, known) = (
-            ip == *self.me.address.ip(),
-            self.peers.contains_key(&ip) || self.is_stateless(ip),
-        );
-        if own || known || self.peers.len() >= PEERS_MOST {
+    pub(super) fn discover_peer(&mut self, now: f64, ip: Ipv4Addr) {
+        let is_me = ip == *self.me.address.ip();
+        let is_known = self.peers.contains_key(&ip) || self.is_stateless(ip);
+        if is_me || is_known || self.peers.len() >= MAX_PEERS {
             return;
         }
-        self.peers.insert(
-            ip,
-            Peer {
-                dialed: false,
-                id: None,
-                seen_ms: now,
-            },
-        );
-        self.out.push(Effect::Dial(ip));
+        let peer = Peer {
+            is_connected: false,
+            id: None,
+            seen_ms: now,
+        };
+        self.peers.insert(ip, peer);
+        self.effects.push(Effect::Connect(ip));
     }
 
-    pub(super) fn reached(&self) -> impl Iterator<Item = Ipv4Addr> {
-        self.peers
-            .iter()
-            .filter(|(ip, p)| p.dialed && !self.is_stateless(**ip))
-            .map(|(ip, _)| *ip)
+    /// The controllers with a disk that a connection is open to.
+    pub(super) fn connected_peers(&self) -> impl Iterator<Item = Ipv4Addr> {
+        let connected = self.peers.iter().filter(|(_, peer)| peer.is_connected);
+        let with_disk = connected.filter(|(ip, _)| !self.is_stateless(**ip));
+        with_disk.map(|(ip, _)| *ip)
     }
 
-    pub(super) fn is_stateless(&self, ip: Ipv4Addr) -> bool {
-        self.stateless_controllers
-            .values()
-            .any(|stateless| *stateless == ip)
+    /// The addresses of the connected controllers, and our own.
+    pub(super) fn known_controllers(&self) -> Vec<SocketAddrV4> {
+        let port = self.me.address.port();
+        let peers = self.connected_peers();
+        let peers = peers.map(|ip| SocketAddrV4::new(ip, port));
+        peers.chain([self.me.address]).collect()
     }
 
-    pub(super) fn hello(&self) -> Word {
-        let port = self.me.address.port();
-        let controllers = self
-            .reached()
-            .map(|ip| SocketAddrV4::new(ip, port))
-            .chain([self.me.address])
-            .collect();
-        Word::Hello {
+    pub(super) fn hello(&self) -> PeerMessage {
+        PeerMessage::Hello {
             from: self.me,
-            controllers,
+            controllers: self.known_controllers(),
         }
     }
 
-    pub fn dialed(&mut self, now: f64, ip: Ipv4Addr) {
-        let news = self.registry.all_news(now);
-        for word in [self.hello(), Word::News { ask: 0, news }] {
-            self.out.push(Effect::Word {
-                to: ip,
-                frame: frame(&word),
-            });
+    /// The connection to a controller is open.
+    pub fn peer_connected(&mut self, now: f64, ip: Ipv4Addr) {
+        let updates = PeerMessage::InstanceUpdates {
+            query: NO_QUERY,
+            updates: self.registry.all_updates(now),
+        };
+        for message in [self.hello(), updates] {
+            let frame = frame(&message);
+            self.effects.push(Effect::SendToPeer { to: ip, frame });
         }
         if let Some(peer) = self.peers.get_mut(&ip) {
-            (peer.dialed, peer.seen_ms) = (true, now);
+            peer.is_connected = true;
+            peer.seen_ms = now;
         }
         self.log(format!("peers: reached {ip}"));
     }
 
-    pub fn hung_up(&mut self, ip: Ipv4Addr) {
+    /// The connection to a controller is over.
+    pub fn peer_disconnected(&mut self, ip: Ipv4Addr) {
         if let Some(peer) = self.peers.get_mut(&ip) {
-            peer.dialed = false;
+            peer.is_connected = false;
         }
     }
 
-    pub fn still_known(&self, now: f64, ip: Ipv4Addr) -> bool {
-        let named = self
-            .chain
-            .view()
-            .is_some_and(|v| v.members.iter().any(|m| *m.address.ip() == ip));
-        let seed = self.seeds.iter().any(|s| *s.ip() == ip);
-        let lately = self
+    /// Whether a connection to this controller is still wanted.
+    pub fn is_peer_wanted(&self, now: f64, ip: Ipv4Addr) -> bool {
+        let is_member = self.chain.view().is_some_and(|view| {
+            let mut members = view.members.iter();
+            members.any(|member| *member.address.ip() == ip)
+        });
+        let is_seed = self.seeds.iter().any(|seed| *seed.ip() == ip);
+        let was_seen = self
             .peers
             .get(&ip)
-            .is_some_and(|p| now - p.seen_ms < FORGOTTEN_MS);
-        (named || seed || lately) && !self.is_stateless(ip)
+            .is_some_and(|peer| now - peer.seen_ms < FORGET_MS);
+        (is_member || is_seed || was_seen) && !self.is_stateless(ip)
     }
 
-    pub fn forget(&mut self, ip: Ipv4Addr) {
+    /// No connection to this controller is wanted any more.
+    pub fn forget_peer(&mut self, ip: Ipv4Addr) {
         self.peers.remove(&ip);
     }
 
-    /// A word from another controller; `who` is who said hello on this line.
-    pub fn word(&mut self, now: f64, who: &mut Option<u64>, word: Word) {
-        match word {
-            Word::Hello { from, controllers } => {
-                *who = Some(from.id);
-                let ip = *from.address.ip();
-                // It has got a disk since.
-                self.stateless_controllers
-                    .retain(|_, stateless| *stateless != ip);
-                self.meet(now, ip);
-                controllers.iter().for_each(|o| self.meet(now, *o.ip()));
-                self.peers
-                    .values_mut()
-                    .filter(|p| p.id == Some(from.id))
-                    .for_each(|p| p.id = None);
-                if let Some(peer) = self.peers.get_mut(&ip) {
-                    (peer.id, peer.seen_ms) = (Some(from.id), now);
-                    self.out.push(Effect::Spoke(ip));
-                }
-                self.step(now, Input::PeerDiscovered { member: from });
+    /// A message has come from another controller. `sender`: who said hello on this connection.
+    pub fn handle_peer_message(
+        &mut self,
+        now: f64,
+        sender: &mut Option<u64>,
+        message: PeerMessage,
+    ) {
+        match message {
+            PeerMessage::Hello { from, controllers } => {
+                *sender = Some(from.id);
+                self.handle_hello(now, from, &controllers);
             }
-            Word::Chain(message) => {
-                if let Some(from) = *who {
-                    self.watch_disk(now);
-                    self.step(now, Input::Received { from, message });
+            PeerMessage::Chain(message) => {
+                if let Some(from) = *sender {
+                    self.check_disk(now);
+                    self.step_chain(now, Input::Received { from, message });
                 }
             }
-            Word::News { ask, news } => {
-                self.tally.news_heard += news.len() as u64;
-                for item in &news {
-                    let sorted = self.registry.take_news(now, item);
-                    self.sorted(now, sorted);
-                }
-                if ask > 0
-                    && let Some(from) = *who
-                {
-                    self.note(Vec::new(), Some(Noted::Tell { to: from, ask }));
-                }
+            PeerMessage::InstanceUpdates { query, updates } => {
+                self.handle_updates(now, *sender, query, &updates);
             }
-            Word::Took { ask } => {
-                if who.is_some_and(|from| self.drains.took(ask, from))
-                    && let Some(confirm) = self.confirms.get_mut(&ask)
-                {
-                    confirm.told = true;
-                    self.confirmed(now, ask);
+            PeerMessage::UpdatesStored { query } => {
+                if let Some(from) = *sender {
+                    self.handle_updates_stored(now, from, query);
                 }
             }
         }
     }
 
-    /// The line on which a controller spoke is over.
-    pub fn line_ended(&mut self, now: f64, id: u64) {
-        self.step(now, Input::Disconnected { id });
+    fn handle_hello(&mut self, now: f64, from: Member, controllers: &[SocketAddrV4]) {
+        let ip = *from.address.ip();
+        // It has got a disk since.
+        self.stateless.retain(|_, stateless| *stateless != ip);
+        self.discover_peer(now, ip);
+        self.discover_peers(now, controllers);
+        for peer in self.peers.values_mut() {
+            peer.id.take_if(|id| *id == from.id);
+        }
+        if let Some(peer) = self.peers.get_mut(&ip) {
+            peer.id = Some(from.id);
+            peer.seen_ms = now;
+            self.effects.push(Effect::PeerIsAlive(ip));
+        }
+        self.step_chain(now, Input::PeerDiscovered { member: from });
     }
 
-    pub(super) fn send_to(&mut self, id: u64, word: &Word) {
-        let line = self
-            .peers
-            .iter()
-            .find(|(_, p)| p.id == Some(id) && p.dialed);
-        if let Some((&to, _)) = line {
-            self.out.push(Effect::Word {
-                to,
-                frame: frame(word),
-            });
+    /// The connection on which a controller has sent is over.
+    pub fn peer_session_ended(&mut self, now: f64, id: u64) {
+        self.step_chain(now, Input::Disconnected { id });
+    }
+
+    pub(super) fn send_to_peer(&mut self, id: u64, message: &PeerMessage) {
+        let mut peers = self.peers.iter();
+        let peer = peers.find(|(_, peer)| peer.id == Some(id) && peer.is_connected);
+        if let Some((&to, _)) = peer {
+            let frame = frame(message);
+            self.effects.push(Effect::SendToPeer { to, frame });
         }
     }
 
-    pub(super) fn send_all(&mut self, word: &Word) {
-        if matches!(word, Word::News { .. }) {
-            self.tally.news_told += 1;
+    pub(super) fn send_to_all_peers(&mut self, message: &PeerMessage) {
+        if matches!(message, PeerMessage::InstanceUpdates { .. }) {
+            self.counters.updates_sent += 1;
+        }
+        let bytes = frame(message);
+        let peers: Vec<Ipv4Addr> = self.connected_peers().collect();
+        for to in peers {
+            let frame = bytes.clone();
+            self.effects.push(Effect::SendToPeer { to, frame });
         }
-        let bytes = frame(word);
-        let to: Vec<Ipv4Addr> = self.reached().collect();
-        self.out.extend(to.into_iter().map(|to| Effect::Word {
-            to,
-            frame: bytes.clone(),
-        }));
+    }
+
+    /// Tells all other controllers of instances, without asking for an answer.
+    pub(super) fn send_updates(&mut self, updates: Vec<InstanceUpdate>) {
+        self.send_to_all_peers(&PeerMessage::InstanceUpdates {
+            query: NO_QUERY,
+            updates,
+        });
     }
 }
--- a/crates/rookpulley-control/src/controller/proxies.rs
+++ b/crates/rookpulley-control/src/controller/proxies.rs
@@ -1,133 +1,143 @@
-//! The lines of proxies: what they say, and the tables and drains that they are told.
+//! The connections of proxies: what they say, and the tables and drains that they are told.
 
-use super::{Controller, Effect, ProxySession};
-use crate::word::Word;
-use rookpulley_protocol::{Down, Up, frame};
-use rookpulley_registry::{News, Out};
+use super::Controller;
+use crate::effect::Effect;
+use crate::proxy_session::ProxySession;
+use rookpulley_protocol::{ControllerToProxy, IncarnationId, ProxyHello, ProxyToController, frame};
+use rookpulley_registry::{InstanceUpdate, PublisherOutput};
+
+/// Proxies don't say how many requests they get.
+const REQUESTS_PER_S: f64 = 1.0;
 
 impl Controller {
-    /// A proxy says hello on a line, which `number` gave.
-    pub fn proxy_in(
-        &mut self,
-        now: f64,
-        line: u64,
-        (node, zone): (&str, &str),
-        home: bool,
-        (config, tables): (u64, bool),
-        gone: &[String],
-    ) {
-        self.roll.came(node);
-        self.proxies.insert(
-            node.into(),
-            ProxySession {
-                line,
-                zone: zone.into(),
-                home,
-                config,
-            },
-        );
-        self.desk.proxy_out(now, node);
-        if home {
-            self.desk.proxy_in(now, node, zone, 1.0, tables);
-        }
-        let news = self.registry.take_gone(now, gone);
-        if !news.is_empty() {
-            let told = news
-                .iter()
-                .map(|incarnation| News::Gone {
-                    incarnation: incarnation.clone(),
-                    age_ms: 0.0,
-                })
-                .collect();
-            self.send_all(&Word::News { ask: 0, news: told });
-            self.tell_gone(now, news);
+    /// A proxy says hello on a connection, whose number `next_number` gave.
+    pub fn proxy_connected(&mut self, now: f64, connection: u64, hello: ProxyHello) {
+        let ProxyHello {
+            node,
+            zone,
+            is_primary,
+            configuration,
+            has_tables,
+            gone,
+        } = hello;
+        self.roster.connected(&node);
+        let session = ProxySession {
+            connection,
+            zone: zone.clone(),
+            is_primary,
+            configuration,
+        };
+        self.proxies.insert(node.clone(), session);
+        self.tables.proxy_disconnected(now, &node);
+        if is_primary {
+            self.tables
+                .proxy_connected(now, &node, &zone, REQUESTS_PER_S, has_tables);
         }
-        for down in [
-            self.pulse(now),
-            Down::Gone {
-                incarnations: self.registry.gone_incarnations(),
-            },
-        ] {
-            self.out.push(Effect::Down {
-                line,
-                frame: frame(&down),
-            });
+        self.take_gone(now, &gone);
+        let known_gone = ControllerToProxy::InstancesGone {
+            incarnations: self.registry.gone_incarnations(),
+        };
+        for message in [self.status_message(now), known_gone] {
+            let frame = frame(&message);
+            self.effects.push(Effect::SendToProxy { connection, frame });
         }
-        if home {
-            self.send_configuration(now, node);
-            self.tables(now);
+        if is_primary {
+            self.send_configuration(now, &node);
+            self.publish_tables(now);
         }
-        self.log(format!(
-            "proxies: {node} of {zone} is here{}",
-            if home { ", at home" } else { "" }
-        ));
+        let primary = if is_primary { ", as its primary" } else { "" };
+        self.log(format!("proxies: {node} of {zone} is here{primary}"));
     }
 
-    pub fn serving(&self, now: f64) -> bool {
-        self.chain.serving(now as u64)
+    /// A proxy knows these incarnations to be gone, from this or other controllers.
+    fn take_gone(&mut self, now: f64, gone: &[IncarnationId]) {
+        let new = self.registry.apply_gone(now, gone);
+        if new.is_empty() {
+            return;
+        }
+        let updates = new.iter().map(|incarnation| InstanceUpdate::Gone {
+            incarnation: incarnation.clone(),
+            age_ms: 0.0,
+        });
+        self.send_updates(updates.collect());
+        self.announce_gone(now, new);
     }
 
-    pub(super) fn send_configuration(&mut self, now: f64, node: &str) {
-        // One that isn't part of the chain may hold an old one: a proxy that has none would begin with it.
-        if !self.serving(now) {
+    fn send_configuration(&mut self, now: f64, node: &str) {
+        // One that isn't part of the chain may have an old one: a proxy that has none would begin with it.
+        if !self.is_serving(now) {
             return;
         }
         if let Some(proxy) = self.proxies.get_mut(node) {
-            proxy.send_newer(&mut self.editions, &mut self.out);
+            proxy.send_newer(&mut self.history, &mut self.effects);
         }
     }
 
-    pub fn proxy_said(&mut self, now: f64, node: &str, line: u64, up: Up) {
-        let serving = self.serving(now);
-        let Some(proxy) = self.proxies.get_mut(node).filter(|c| c.line == line) else {
+    /// A proxy says something on its connection.
+    pub fn handle_proxy_message(
+        &mut self,
+        now: f64,
+        node: &str,
+        connection: u64,
+        message: ProxyToController,
+    ) {
+        let is_serving = self.is_serving(now);
+        let proxy = self.proxies.get_mut(node);
+        let Some(proxy) = proxy.filter(|proxy| proxy.connection == connection) else {
             return;
         };
-        match up {
-            Up::Home {
-                home,
-                config,
-                tables,
+        match message {
+            ProxyToController::PrimaryChanged {
+                is_primary,
+                configuration,
+                has_tables,
             } => {
-                (proxy.home, proxy.config) = (home, config);
-                self.desk.proxy_out(now, node);
-                if home {
-                    self.desk.proxy_in(now, node, &proxy.zone, 1.0, tables);
-                    if serving {
-                        proxy.send_newer(&mut self.editions, &mut self.out);
+                proxy.is_primary = is_primary;
+                proxy.configuration = configuration;
+                self.tables.proxy_disconnected(now, node);
+                if is_primary {
+                    let zone = &proxy.zone;
+                    self.tables
+                        .proxy_connected(now, node, zone, REQUESTS_PER_S, has_tables);
+                    if is_serving {
+                        proxy.send_newer(&mut self.history, &mut self.effects);
                     }
                 }
             }
-            Up::WantConfig { have } if serving => {
-                proxy.config = have;
-                proxy.send_newer(&mut self.editions, &mut self.out);
+            ProxyToController::RequestConfiguration { held } if is_serving => {
+                proxy.configuration = held;
+                proxy.send_newer(&mut self.history, &mut self.effects);
             }
-            Up::Report(report) => self.desk.report(node, &report),
-            Up::Took { mark } => self.desk.took(node, mark),
-            Up::Hello { .. }
-            | Up::WantConfig { .. }
-            | Up::StatelessHello { .. }
-            | Up::Found { .. } => {}
+            ProxyToController::Report(report) => self.tables.report(node, &report),
+            ProxyToController::TablesApplied { up_to } => self.tables.tables_applied(node, up_to),
+            ProxyToController::Hello(_)
+            | ProxyToController::RequestConfiguration { .. }
+            | ProxyToController::StatelessHello { .. }
+            | ProxyToController::AppointFounder { .. } => {}
         }
     }
 
-    pub fn proxy_out(&mut self, now: f64, node: &str, line: u64) {
-        if self.proxies.get(node).is_some_and(|c| c.line == line) {
+    /// The connection of a proxy is over.
+    pub fn proxy_disconnected(&mut self, now: f64, node: &str, connection: u64) {
+        let proxy = self.proxies.get(node);
+        if proxy.is_some_and(|proxy| proxy.connection == connection) {
             self.proxies.remove(node);
-            self.desk.proxy_out(now, node);
-            self.roll.went(now, node);
+            self.tables.proxy_disconnected(now, node);
+            self.roster.disconnected(now, node);
         }
     }
 
-    pub(super) fn tell_proxies(&mut self, down: &Down) {
-        let bytes = frame(down);
-        let each = |proxy: &ProxySession| Effect::Down {
-            line: proxy.line,
-            frame: bytes.clone(),
-        };
-        self.out.extend(self.proxies.values().map(each));
+    pub(super) fn send_to_all_proxies(&mut self, message: &ControllerToProxy) {
+        let bytes = frame(message);
+        for proxy in self.proxies.values() {
+            let connection = proxy.connection;
+            let frame = bytes.clone();
+            self.effects.push(Effect::SendToProxy { connection, frame });
+        }
     }
 
-    pub(super) fn tell_gone(&mut self, now: f64, incarnations: Vec<String>) {
+    /// Tells all proxies that these incarnations get nothing new from now on.
+    pub(super) fn announce_gone(&mut self, now: f64, incarnations: Vec<IncarnationId>) {
         if incarnations.is_empty() {
             return;
         }
@@ -135,36 +145,38 @@
             "registry: {} drain or have left",
             incarnations.join(" ")
         ));
-        self.tally.drains += incarnations.len() as u64;
-        self.tell_proxies(&Down::Gone { incarnations });
-        self.tables(now);
+        self.counters.drains += incarnations.len() as u64;
+        self.send_to_all_proxies(&ControllerToProxy::InstancesGone { incarnations });
+        self.publish_tables(now);
     }
 
-    pub(super) fn tables(&mut self, now: f64) {
-        self.desk.sync(now, &self.registry);
-        for out in self.desk.tick(now) {
-            match out {
-                Out::Table {
+    /// Brings the tables up to date with the registry, and sends those that are due.
+    pub(super) fn publish_tables(&mut self, now: f64) {
+        self.tables.sync(now, &self.registry);
+        for output in self.tables.tick(now) {
+            match output {
+                PublisherOutput::Table {
                     proxy,
                     service,
-                    name,
-                    mark,
-                    lines,
+                    revision,
+                    sequence,
+                    entries,
                 } => {
-                    if let Some(to) = self.proxies.get(&proxy) {
-                        let frame = frame(&Down::Table {
-                            service,
-                            name,
-                            mark,
-                            lines,
-                        });
-                        self.out.push(Effect::Down {
-                            line: to.line,
-                            frame,
-                        });
-                    }
+                    let Some(proxy) = self.proxies.get(&proxy) else {
+                        continue;
+                    };
+                    let connection = proxy.connection;
+                    let frame = frame(&ControllerToProxy::Table {
+                        service,
+                        revision,
+                        sequence,
+                        entries,
+                    });
+                    self.effects.push(Effect::SendToProxy { connection, frame });
+                }
+                PublisherOutput::Log { service, text } => {
+                    self.log(format!("tables: {service}: {text}"));
                 }
-                Out::Log { service, text } => self.log(format!("desk: {service}: {text}")),
             }
         }
     }
--- a/crates/rookpulley-control/src/controller/publication.rs
+++ b/crates/rookpulley-control/src/controller/publication.rs
@@ -1,85 +1,82 @@
 //! The configuration as it goes out to proxies.
 
-use super::{Controller, Effect};
-use rookpulley_protocol::{Down, frame};
+use super::Controller;
+use crate::effect::Effect;
+use rookpulley_protocol::{ControllerToProxy, frame};
 use rookpulley_registry::Service;
-use rookpulley_routes::Book;
-use std::net::SocketAddrV4;
+use rookpulley_routes::RouteTable;
 
 impl Controller {
     /// The configuration that proxies are told of, with its bytes.
-    pub fn configuration(&self) -> Option<(&[u8], &Book)> {
-        self.editions.newest_body().zip(self.book.as_ref())
+    pub fn configuration(&self) -> Option<(&[u8], &RouteTable)> {
+        self.history.published_body().zip(self.routes.as_ref())
     }
 
-    /// What holds here is remembered at once, and told when its turn has come. What was held at the start is told once
-    /// this controller serves: the others may hold a newer one, and a proxy that has none would begin with it.
-    pub(super) fn tell_configuration(&mut self, now: f64) {
-        let version = self.ledger().version();
-        if version <= self.editions.newest() {
+    /// Publishes the configuration of the replicated state, where it is newer than the published one and its turn has
+    /// come. It is remembered at once. What the state held at the start is published once this controller serves: the
+    /// others may have a newer one, and a proxy that has none would begin with it.
+    pub(super) fn publish_configuration(&mut self, now: f64) {
+        if self.state().version() <= self.history.published() {
             return;
         }
-        let Some((_, body)) = self.chain.state().ledger.configuration() else {
+        let Some((version, body)) = self.chain.state().machine.configuration() else {
             return;
         };
-        self.editions.take(version, body);
-        if !self.pace.is_due(now) || !(self.applied || self.serving(now)) {
+        self.history.add(version, body);
+        let may_publish = self.has_applied || self.is_serving(now);
+        if !self.pacer.is_due(now) || !may_publish {
             return;
         }
         let body = body.to_vec();
-        self.pace.told(now, body.len());
+        self.pacer.published(now, body.len());
         self.set_services(&body);
-        self.editions.tell();
-        let pulse = frame(&self.pulse(now));
+        self.history.publish();
+        let status = frame(&self.status_message(now));
         for proxy in self.proxies.values_mut() {
-            if proxy.home {
-                proxy.send_newer(&mut self.editions, &mut self.out);
+            if proxy.is_primary {
+                proxy.send_newer(&mut self.history, &mut self.effects);
             } else {
-                self.out.push(Effect::Down {
-                    line: proxy.line,
-                    frame: pulse.clone(),
-                });
+                let connection = proxy.connection;
+                let frame = status.clone();
+                self.effects.push(Effect::SendToProxy { connection, frame });
             }
         }
-        self.log(format!("ledger: configuration {version} holds"));
-        self.tables(now);
+        self.log(format!("state: configuration {version} holds"));
+        self.publish_tables(now);
     }
 
-    pub(super) fn set_services(&mut self, body: &[u8]) {
-        let book = match Book::read_after(body, self.configuration()) {
-            Ok(book) => book,
+    /// Takes the services of a configuration. What differs little from the published one is read quickly.
+    fn set_services(&mut self, body: &[u8]) {
+        let routes = match RouteTable::read_after(body, self.configuration()) {
+            Ok(routes) => routes,
             Err(why) => {
-                let line = format!("ledger: the configuration held can't be read: {why}");
-                return self.out.push(Effect::Complain(line));
+                let line = format!("state: the configuration held can't be read: {why}");
+                return self.effects.push(Effect::LogError(line));
             }
         };
-        let services = book
-            .services
-            .iter()
-            .enumerate()
-            .map(|(at, service)| Service {
-                name: service.name.clone(),
-                max_connections: service.max_connections,
-                aim_ms: book.least_aim_ms(at).unwrap_or(0.0),
-            });
-        self.desk.set_services(&services.collect::<Vec<_>>());
-        self.book = Some(book);
+        let services = routes.services.iter().enumerate();
+        let services = services.map(|(index, service)| Service {
+            name: service.name.clone(),
+            max_connections: service.max_connections,
+            latency_target_ms: routes.least_latency_target_ms(index).unwrap_or(0.0),
+        });
+        self.tables.set_services(&services.collect::<Vec<_>>());
+        self.routes = Some(routes);
     }
 
-    pub(super) fn pulse(&self, now: f64) -> Down {
-        let in_touch = self.in_touch(now) && !self.ending;
-        let port = self.me.address.port();
-        let controllers = self.reached().chain([*self.me.address.ip()]);
-        Down::Pulse {
-            in_touch,
-            // What can't be had here is not told of.
-            config: if self.serving(now) {
-                self.editions.newest()
+    /// How this controller stands, for proxies.
+    pub(super) fn status_message(&self, now: f64) -> ControllerToProxy {
+        // What can't be had here is not told of.
+        let is_serving = self.is_serving(now);
+        ControllerToProxy::Status {
+            in_touch: self.in_touch(now) && !self.is_ending,
+            configuration: if is_serving {
+                self.history.published()
             } else {
                 0
             },
-            proxies: self.roll.count(),
-            controllers: controllers.map(|ip| SocketAddrV4::new(ip, port)).collect(),
+            proxies: self.roster.count(),
+            controllers: self.known_controllers(),
         }
     }
 }
--- a/crates/rookpulley-control/src/controller/stateless.rs
+++ b/crates/rookpulley-control/src/controller/stateless.rs
@@ -1,87 +1,99 @@
-//! The lines of controllers without a disk, and who founds the first view.
+//! The connections of controllers without a disk, and who makes the first view.
 
-use super::{Controller, Effect, STATELESS_CONTROLLERS_MOST};
+use super::Controller;
+use crate::effect::Effect;
 use rookpulley_chain::Input;
-use rookpulley_protocol::{Down, Up, frame};
-use std::net::SocketAddrV4;
+use rookpulley_protocol::{ControllerToProxy, ProxyToController, frame};
+use std::net::{Ipv4Addr, SocketAddrV4};
+
+const MAX_STATELESS: usize = 1_024;
 
 impl Controller {
-    /// A controller without a disk says hello on a line, which `number` gave.
-    pub fn stateless_in(
+    pub(super) fn is_stateless(&self, ip: Ipv4Addr) -> bool {
+        self.stateless.values().any(|stateless| *stateless == ip)
+    }
+
+    /// A controller without a disk says hello on a connection, whose number `next_number` gave.
+    pub fn stateless_connected(
         &mut self,
         now: f64,
-        line: u64,
+        connection: u64,
         address: SocketAddrV4,
         controllers: &[SocketAddrV4],
     ) {
         let ip = *address.ip();
-        if self.stateless_controllers.len() >= STATELESS_CONTROLLERS_MOST
-            || ip == *self.me.address.ip()
-        {
+        if self.stateless.len() >= MAX_STATELESS || ip == *self.me.address.ip() {
             return;
         }
-        self.stateless_controllers.insert(line, ip);
-        self.meet_all(now, controllers);
-        let view = self.chain.view().is_some();
-        let founds = self.founding.as_ref().filter(|_| !view).map(|_| self.me.id);
-        for down in [
-            Down::Place {
-                zone: self.zone.clone(),
-                founds,
-                view,
-            },
-            self.pulse(now),
-        ] {
-            self.out.push(Effect::Down {
-                line,
-                frame: frame(&down),
-            });
+        self.stateless.insert(connection, ip);
+        self.discover_peers(now, controllers);
+        let knows_view = self.chain.view().is_some();
+        let may_found = self.bootstrap.is_some() && !knows_view;
+        let info = ControllerToProxy::ControllerInfo {
+            zone: self.zone.clone(),
+            founder: may_found.then_some(self.me.id),
+            knows_view,
+        };
+        for message in [info, self.status_message(now)] {
+            let frame = frame(&message);
+            self.effects.push(Effect::SendToProxy { connection, frame });
         }
         self.log(format!(
             "stateless controllers: {ip} has no disk; it passes calls on"
         ));
-        if self
-            .founding
+        let is_awaited = self
+            .bootstrap
             .as_ref()
-            .is_some_and(|founding| founding.waits_for(ip))
-        {
-            self.diskless.insert(ip);
-            self.found_if_due(now);
+            .is_some_and(|bootstrap| bootstrap.waits_for(ip));
+        if is_awaited {
+            self.without_disk.insert(ip);
+            self.bootstrap_if_due(now);
         }
     }
 
-    pub fn stateless_said(&mut self, now: f64, line: u64, up: &Up) {
-        let Some(by) = self.stateless_controllers.get(&line) else {
+    /// A controller without a disk says something on its connection.
+    pub fn handle_stateless_message(
+        &mut self,
+        now: f64,
+        connection: u64,
+        message: &ProxyToController,
+    ) {
+        let Some(sender) = self.stateless.get(&connection) else {
             return;
         };
-        let names = self
-            .founding
+        let may_appoint = self
+            .bootstrap
             .as_ref()
-            .is_some_and(|founding| founding.names(*by));
-        match up {
-            Up::StatelessHello { controllers, .. } => self.meet_all(now, controllers),
-            Up::Found { id } if *id == self.me.id && names => {
-                self.named = true;
-                self.found_if_due(now);
+            .is_some_and(|bootstrap| bootstrap.may_appoint(*sender));
+        match message {
+            ProxyToController::StatelessHello { controllers, .. } => {
+                self.discover_peers(now, controllers);
+            }
+            ProxyToController::AppointFounder { id } if *id == self.me.id && may_appoint => {
+                self.is_appointed = true;
+                self.bootstrap_if_due(now);
             }
             _ => {}
         }
     }
 
-    pub fn stateless_out(&mut self, now: f64, line: u64) {
-        let ip = self.stateless_controllers.remove(&line);
-        if let Some(ip) = ip.filter(|ip| self.seeds.iter().any(|seed| seed.ip() == ip)) {
-            self.meet(now, ip);
+    /// The connection of a controller without a disk is over.
+    pub fn stateless_disconnected(&mut self, now: f64, connection: u64) {
+        let Some(ip) = self.stateless.remove(&connection) else {
+            return;
+        };
+        if self.seeds.iter().any(|seed| *seed.ip() == ip) {
+            self.discover_peer(now, ip);
         }
     }
 
-    pub(super) fn found_if_due(&mut self, now: f64) {
-        let due = self
-            .founding
+    fn bootstrap_if_due(&mut self, now: f64) {
+        let is_due = self
+            .bootstrap
             .as_ref()
-            .is_some_and(|founding| founding.due(&self.diskless, self.named));
-        if due && self.chain.view().is_none() {
-            self.step(now, Input::Bootstrap);
+            .is_some_and(|bootstrap| bootstrap.is_due(&self.without_disk, self.is_appointed));
+        if is_due && self.chain.view().is_none() {
+            self.step_chain(now, Input::Bootstrap);
         }
     }
 }
--- a/crates/rookpulley-control/src/replicated_state.rs
+++ b/crates/rookpulley-control/src/replicated_state.rs
@@ -1,26 +1,28 @@
-//! The ledger as the state that the chain keeps.
+//! The state machine as the chain replicates it.
 
-use rookpulley_state::Ledger;
+use rookpulley_state::StateMachine;
 
+/// Adapts the state machine to the chain's interface.
 #[derive(Default)]
 pub struct ReplicatedState {
-    pub ledger: Ledger,
+    /// What is replicated.
+    pub machine: StateMachine,
 }
 
 impl rookpulley_chain::State for ReplicatedState {
     fn apply(&mut self, at_ms: u64, entry: &[u8]) -> Vec<u8> {
-        self.ledger.apply_bytes(at_ms, entry)
+        self.machine.apply_bytes(at_ms, entry)
     }
 
-    fn read(&self, ask: &[u8]) -> Vec<u8> {
-        self.ledger.read_bytes(ask)
+    fn read(&self, request: &[u8]) -> Vec<u8> {
+        self.machine.read_bytes(request)
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        self.ledger.snapshot()
+        self.machine.snapshot()
     }
 
     fn restore(&mut self, bytes: &[u8]) -> bool {
-        self.ledger.restore(bytes).is_ok()
+        self.machine.restore(bytes).is_ok()
     }
 }
--- a/crates/rookpulley-control/src/watches.rs
+++ b/crates/rookpulley-control/src/watches.rs
@@ -1,70 +1,78 @@
-//! Those who wait for a put in a group.
+//! Calls that wait for a put in a group.
 
-use crate::calls::{Reply, later, shown, too_old};
-use rookpulley_state::{Ledger, Watched};
+use crate::reply::Reply;
+use rookpulley_state::{StateMachine, WatchResult};
 use std::collections::BTreeMap;
 
-const EVENTS: usize = 1_000;
-/// Whether this controller is still in touch is looked at so often.
-const LOOK_MS: f64 = 500.0;
+const MAX_EVENTS: usize = 1_000;
+/// A watch that waits is looked at so often: this controller may be out of touch by then.
+const CHECK_INTERVAL_MS: f64 = 500.0;
 
 struct Watch {
     group: String,
     after: u64,
     until_ms: f64,
-    look_ms: f64,
+    next_check_ms: f64,
 }
 
+/// All watches that wait.
 #[derive(Default)]
 pub(crate) struct Watches {
+    /// By the number of the call.
     waiting: BTreeMap<u64, Watch>,
 }
 
 impl Watches {
     pub fn add(&mut self, now: f64, token: u64, group: String, after: u64, wait_ms: u64) {
-        let until_ms = now + wait_ms as f64;
-        self.waiting.insert(
-            token,
-            Watch {
-                group,
-                after,
-                until_ms,
-                look_ms: now,
-            },
-        );
+        let watch = Watch {
+            group,
+            after,
+            until_ms: now + wait_ms as f64,
+            next_check_ms: now,
+        };
+        self.waiting.insert(token, watch);
     }
 
-    pub fn forget(&mut self, token: u64) {
+    pub fn remove(&mut self, token: u64) {
         self.waiting.remove(&token);
     }
 
-    /// Those that are answered now. `moved`: the ledger has; else only those are looked at whose time has come.
-    pub fn due(
+    /// The watches that are answered now. `has_changed`: the state has; else only those are looked at whose time has come.
+    pub fn take_due(
         &mut self,
         now: f64,
-        moved: bool,
-        serving: bool,
-        ledger: &Ledger,
+        has_changed: bool,
+        is_serving: bool,
+        state: &StateMachine,
     ) -> Vec<(u64, Reply)> {
-        let mut done = Vec::new();
+        let mut answered = Vec::new();
         self.waiting.retain(|token, watch| {
-            if !moved && now < watch.look_ms {
+            if !has_changed && now < watch.next_check_ms {
                 return true;
             }
-            watch.look_ms = watch.until_ms.min(now + LOOK_MS);
-            let reply = match ledger.watch(&watch.group, watch.after, EVENTS) {
-                Watched::Present { revision } => shown(Vec::new(), revision),
-                Watched::TooOld => too_old(),
-                Watched::Events { events, revision } => shown(events, revision),
-                Watched::Nothing { .. } if !serving => later(),
-                Watched::Nothing { revision } if now >= watch.until_ms => {
-                    shown(Vec::new(), revision.max(watch.after))
-                }
-                Watched::Nothing { .. } => return true,
+            watch.next_check_ms = watch.until_ms.min(now + CHECK_INTERVAL_MS);
+            let Some(reply) = watch.reply(now, is_serving, state) else {
+                return true;
             };
-            done.push((*token, reply));
+            answered.push((*token, reply));
             false
         });
-        done
+        answered
+    }
+}
+
+impl Watch {
+    /// None: it waits on.
+    fn reply(&self, now: f64, is_serving: bool, state: &StateMachine) -> Option<Reply> {
+        match state.watch(&self.group, self.after, MAX_EVENTS) {
+            WatchResult::Present { revision } => Some(Reply::events(Vec::new(), revision)),
+            WatchResult::TooOld => Some(Reply::too_old()),
+            WatchResult::Events { events, revision } => Some(Reply::events(events, revision)),
+            WatchResult::Nothing { .. } if !is_serving => Some(Reply::not_in_touch()),
+            WatchResult::Nothing { revision } if now >= self.until_ms => {
+                Some(Reply::events(Vec::new(), revision.max(self.after)))
+            }
+            WatchResult::Nothing { .. } => None,
+        }
     }
 }
--- a/crates/rookpulley-control/tests/compatibility/frames.rs
+++ b/crates/rookpulley-control/tests/compatibility/frames.rs
@@ -5,10 +5,13 @@
     Ballot, CatchUpData, ChunkPosition, Contact, Entry, ForwardedRequest, Member, MemberStatus,
     Message, ReadRequest, RequestId, RequestKind, StateDigest, View,
 };
-use rookpulley_control::Word;
-use rookpulley_protocol::{Down, Line, Report, ServiceReport, TaskReport, Up};
-use rookpulley_registry::{Heartbeat, News, Still};
-use rookpulley_state::{Answer, Ask, Update};
+use rookpulley_control::PeerMessage;
+use rookpulley_protocol::{
+    ControllerToProxy, InstanceLoad, LoadReport, ProxyHello, ProxyToController, ServiceLoad,
+    TableEntry,
+};
+use rookpulley_registry::{Heartbeat, InstanceUpdate, Refresh};
+use rookpulley_state::{Answer, Query, Update};
 use std::net::SocketAddrV4;
 
 fn address(last: u8) -> SocketAddrV4 {
@@ -71,10 +74,10 @@
         service: "lots".into(),
         address: address(9),
         zone: "quay".into(),
-        software: "v2".into(),
+        software_version: "v2".into(),
         slots: 12,
         draining: true,
-        cold_ms: 1_500.0,
+        warm_up_ms: 1_500.0,
         sequence: 42,
     }
 }
@@ -209,64 +212,67 @@
     ]
 }
 
-fn to_controllers() -> Vec<(&'static str, Up)> {
-    let task = TaskReport {
+fn to_controllers() -> Vec<(&'static str, ProxyToController)> {
+    let task = InstanceLoad {
         incarnation: "i-1".into(),
-        tries: 90,
-        bad: 2,
+        attempts: 90,
+        failed: 2,
         mean_ms: 12.5,
     };
-    let service = ServiceReport {
+    let service = ServiceLoad {
         service: "lots".into(),
-        came: 100,
-        bad: 3,
-        tasks: vec![task],
+        received: 100,
+        failed: 3,
+        instances: vec![task],
     };
     let (config, tables) = (17, true);
     let (node, zone) = ("edge-7".into(), "quay".into());
     vec![
         (
             "hello",
-            Up::Hello {
+            ProxyToController::Hello(ProxyHello {
                 node,
                 zone,
-                home: true,
-                config,
-                tables,
+                is_primary: true,
+                configuration: config,
+                has_tables: tables,
                 gone: vec!["i-2".into()],
-            },
+            }),
         ),
         (
             "home",
-            Up::Home {
-                home: false,
-                config,
-                tables,
+            ProxyToController::PrimaryChanged {
+                is_primary: false,
+                configuration: config,
+                has_tables: tables,
             },
         ),
-        ("want configuration", Up::WantConfig { have: 16 }),
+        (
+            "want configuration",
+            ProxyToController::RequestConfiguration { held: 16 },
+        ),
         (
             "report",
-            Up::Report(Report {
+            ProxyToController::Report(LoadReport {
                 span_ms: 1_000,
                 services: vec![service],
             }),
         ),
-        ("took", Up::Took { mark: 88 }),
+        ("took", ProxyToController::TablesApplied { up_to: 88 }),
         (
             "without a disk",
-            Up::StatelessHello {
+            ProxyToController::StatelessHello {
                 address: address(8),
                 controllers: vec![address(1), address(2)],
             },
         ),
-        ("found", Up::Found { id: 3 }),
+        ("found", ProxyToController::AppointFounder { id: 3 }),
     ]
 }
 
-fn to_proxies() -> Vec<(&'static str, Down)> {
+fn to_proxies() -> Vec<(&'static str, ControllerToProxy)> {
     let (service, zone, incarnation) = ("lots".to_string(), "quay".to_string(), "i-1".to_string());
-    let line = Line {
+    let line = TableEntry {
         incarnation: incarnation.clone(),
         address: address(9),
         zone: zone.clone(),
@@ -277,16 +283,16 @@
     vec![
         (
             "pulse",
-            Down::Pulse {
+            ControllerToProxy::Status {
                 in_touch: true,
-                config: 17,
+                configuration: 17,
                 proxies: 300,
                 controllers,
             },
         ),
         (
             "configuration",
-            Down::Config {
+            ControllerToProxy::Configuration {
                 version: 17,
                 base: 16,
                 length: 4_000,
@@ -295,32 +301,32 @@
         ),
         (
             "table",
-            Down::Table {
+            ControllerToProxy::Table {
                 service,
-                name: u64::MAX - 1,
-                mark: 88,
-                lines: vec![line],
+                revision: u64::MAX - 1,
+                sequence: 88,
+                entries: vec![line],
             },
         ),
         (
             "gone",
-            Down::Gone {
+            ControllerToProxy::InstancesGone {
                 incarnations: vec![incarnation],
             },
         ),
         (
             "place",
-            Down::Place {
+            ControllerToProxy::ControllerInfo {
                 zone,
-                founds: Some(3),
-                view: true,
+                founder: Some(3),
+                knows_view: true,
             },
         ),
     ]
 }
 
-fn notes() -> Vec<(&'static str, News)> {
-    let still = Still {
+fn notes() -> Vec<(&'static str, InstanceUpdate)> {
+    let still = Refresh {
         incarnation: "i-1".into(),
         sequence: 43,
         age_ms: 20.0,
@@ -328,21 +334,21 @@
     vec![
         (
             "heartbeat",
-            News::Heartbeat {
+            InstanceUpdate::Heartbeat {
                 heartbeat: heartbeat(),
                 age_ms: 250.0,
             },
         ),
         (
             "gone",
-            News::Gone {
+            InstanceUpdate::Gone {
                 incarnation: "i-1".into(),
                 age_ms: 0.5,
             },
         ),
         (
             "heard",
-            News::Heard {
+            InstanceUpdate::Refreshed {
                 incarnations: vec![still],
             },
         ),
@@ -361,10 +367,10 @@
         ),
         (
             "take lock",
-            Update::TakeLock {
+            Update::AcquireLock {
                 name: name.clone(),
                 holder: holder.clone(),
-                hold_ms: 900,
+                lease_ms: 900,
             },
         ),
         (
@@ -373,12 +379,12 @@
                 name: name.clone(),
                 holder: holder.clone(),
                 fence: 5,
-                hold_ms: 900,
+                lease_ms: 900,
             },
         ),
         (
             "drop lock",
-            Update::DropLock {
+            Update::ReleaseLock {
                 name: name.clone(),
                 holder,
                 fence: 5,
@@ -387,10 +393,10 @@
         ("next number", Update::NextNumber { name: name.clone() }),
         (
             "put key",
-            Update::PutCell {
+            Update::PutKey {
                 name,
                 value: "open".into(),
-                active: Some(4),
+                expected: Some(4),
             },
         ),
     ]
@@ -399,21 +405,21 @@
 fn answers() -> Vec<(&'static str, Answer)> {
     vec![
         ("configured", Answer::Configured { version: 17 }),
-        ("fence", Answer::Fence(5)),
+        ("fence", Answer::Acquired(5)),
         ("renewed", Answer::Renewed),
-        ("held", Answer::Held),
-        ("dropped", Answer::Dropped),
+        ("held", Answer::LockHeld),
+        ("dropped", Answer::Released),
         ("number", Answer::Number(6)),
         ("revision", Answer::Revision(7)),
         ("conflict", Answer::Conflict { revision: 8 }),
         (
             "key",
-            Answer::Cell {
+            Answer::Value {
                 value: "open".into(),
                 revision: 9,
             },
         ),
-        ("nothing", Answer::Nothing),
+        ("nothing", Answer::NotFound),
         (
             "configuration",
             Answer::Configuration {
@@ -421,9 +427,9 @@
                 body: b"{}".to_vec(),
             },
         ),
-        ("full", Answer::Full),
+        ("full", Answer::CapacityExceeded),
         ("too long", Answer::TooLong),
-        ("unreadable", Answer::Unreadable),
+        ("unreadable", Answer::Malformed),
     ]
 }
 
@@ -431,11 +437,11 @@
 fn messages_between_controllers_keep_their_bytes() {
     let mut encoded = Encoded::default();
     for (name, message) in chain_messages() {
-        encoded.add(name, &Word::Chain(message));
+        encoded.add(name, &PeerMessage::Chain(message));
     }
     encoded.add(
         "hello",
-        &Word::Hello {
+        &PeerMessage::Hello {
             from: member(1),
             controllers: vec![address(2)],
         },
@@ -443,13 +449,13 @@
     for (name, note) in notes() {
         encoded.add(
             &format!("news: {name}"),
-            &Word::News {
-                ask: 12,
-                news: vec![note],
+            &PeerMessage::InstanceUpdates {
+                query: 12,
+                updates: vec![note],
             },
         );
     }
-    encoded.add("took", &Word::Took { ask: 12 });
+    encoded.add("took", &PeerMessage::UpdatesStored { query: 12 });
     encoded.matches("between-controllers.txt");
 }
 
@@ -462,7 +468,10 @@
     for (name, message) in to_proxies() {
         encoded.add(&format!("to a proxy: {name}"), &message);
     }
-    encoded.add_bytes("frame", rookpulley_protocol::frame(&Up::Took { mark: 88 }));
+    encoded.add_bytes(
+        "frame",
+        rookpulley_protocol::frame(&ProxyToController::TablesApplied { up_to: 88 }),
+    );
     encoded.matches("proxies-and-controllers.txt");
 }
 
@@ -483,9 +492,9 @@
     }
     let (name, group) = ("hearings.7".into(), "hearings.".into());
     for (name, ask) in [
-        ("configuration", Ask::Configuration),
-        ("key", Ask::Cell { name }),
-        ("revision", Ask::Revision { group }),
+        ("configuration", Query::Configuration),
+        ("key", Query::Key { name }),
+        ("revision", Query::Revision { group }),
     ] {
         encoded.add(&format!("read: {name}"), &ask);
     }
--- a/crates/rookpulley-control/tests/compatibility/rows.rs
+++ b/crates/rookpulley-control/tests/compatibility/rows.rs
@@ -115,18 +115,18 @@
 }
 
 fn put(name: &str, value: &str) -> Update {
-    Update::PutCell {
+    Update::PutKey {
         name: name.into(),
         value: value.into(),
-        active: None,
+        expected: None,
     }
 }
 
 fn updates() -> Vec<Update> {
-    let lock = Update::TakeLock {
+    let lock = Update::AcquireLock {
         name: "hearing".into(),
         holder: "counter".into(),
-        hold_ms: 5_000,
+        lease_ms: 5_000,
     };
     let configuration = Update::PutConfiguration {
         version: 17,
@@ -200,9 +200,9 @@
             persisted: Some(kept),
         };
         let started = Chain::start(0, boot, ReplicatedState::default());
-        let ledger = &started.state().ledger;
-        let sizes = ledger.sizes();
-        assert_eq!((sizes.locks, sizes.numbers, sizes.cells), (1, 1, 3));
+        let ledger = &started.state().machine;
+        let sizes = ledger.usage();
+        assert_eq!((sizes.locks, sizes.counters, sizes.keys), (1, 1, 3));
         // That the last of 603 puts was agreed on is not on the disk yet.
         assert_eq!((ledger.version(), ledger.revision("lots.")), (17, 602));
         assert_eq!(started.view().map(|view| view.number), Some(2));
--- a/crates/rookpulley-control/tests/configuration.rs
+++ b/crates/rookpulley-control/tests/configuration.rs
@@ -1,71 +1,71 @@
 //! When a controller hands out the configuration that it holds.
 
 use rookpulley_chain::{Member, Record, View};
-use rookpulley_control::{Controller, Effect, Founding, Path, Rows, Start, read};
-use rookpulley_protocol::{Down, Frames};
+use rookpulley_control::{Bootstrap, Controller, ControllerStart, Effect, Endpoint, Rows, parse};
+use rookpulley_protocol::{ControllerToProxy, Frames, ProxyHello};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 const IP: Ipv4Addr = Ipv4Addr::new(10, 1, 0, 1);
-const LINE: u64 = 900;
+const CONNECTION: u64 = 900;
 
-fn start(incarnation: u64, losses: u32, held: Option<Rows>) -> Start {
+fn start(incarnation: u64, tolerated_losses: u32, chain_rows: Option<Rows>) -> ControllerStart {
     let seeds = vec![SocketAddrV4::new(IP, 8_166)];
-    Start {
+    ControllerStart {
         me: Member {
             id: 7,
             incarnation,
             address: SocketAddrV4::new(IP, 7_721),
         },
-        founding: held.is_none().then(|| Founding::new(IP, &seeds)),
+        bootstrap: chain_rows.is_none().then(|| Bootstrap::new(IP, &seeds)),
         seeds,
-        losses,
+        tolerated_losses,
         heartbeat_ms: 1_500,
         drain_ms: 2_500,
         zone: "quay".into(),
-        held,
-        incarnations: Vec::new(),
+        chain_rows,
+        instance_rows: Vec::new(),
     }
 }
 
 /// A controller with its disk. What it writes is synced at once.
-struct Alone {
+struct SingleController {
     controller: Controller,
     disk: BTreeMap<Vec<u8>, Vec<u8>>,
-    /// Versions that a proxy was sent, and those that pulses named.
+    /// Versions that a proxy was sent, and those that statuses announced.
     sent: Vec<u64>,
-    named: Vec<u64>,
+    announced: Vec<u64>,
 }
 
-impl Alone {
-    fn new(start: Start) -> Self {
-        let disk = start.held.iter().flatten().cloned().collect();
-        let mut alone = Self {
+impl SingleController {
+    fn new(start: ControllerStart) -> Self {
+        let disk = start.chain_rows.iter().flatten().cloned().collect();
+        let mut cluster = Self {
             controller: Controller::new(start),
             disk,
             sent: Vec::new(),
-            named: Vec::new(),
+            announced: Vec::new(),
         };
-        alone.carry_out(0.0);
-        alone
+        cluster.carry_out(0.0);
+        cluster
     }
 
     fn carry_out(&mut self, now: f64) {
         loop {
-            let effects = self.controller.effects();
+            let effects = self.controller.take_effects();
             if effects.is_empty() {
                 return;
             }
             for effect in effects {
                 match effect {
-                    Effect::Write { ticket, records } => {
+                    Effect::WriteChain { ticket, records } => {
                         self.write(records);
-                        self.controller.stored(now, Some(ticket), None, 1.0);
+                        self.controller.handle_synced(now, Some(ticket), None, 1.0);
                     }
-                    Effect::Note { ticket, .. } => {
-                        self.controller.stored(now, None, Some(ticket), 1.0)
+                    Effect::WriteInstances { ticket, .. } => {
+                        self.controller.handle_synced(now, None, Some(ticket), 1.0)
                     }
-                    Effect::Down { frame, .. } => self.told(&frame),
+                    Effect::SendToProxy { frame, .. } => self.record_frame(&frame),
 
                     _ => {}
                 }
@@ -82,17 +82,19 @@
         }
     }
 
-    fn told(&mut self, frame: &[u8]) {
+    fn record_frame(&mut self, frame: &[u8]) {
         let mut frames = Frames::default();
         frames.push(frame);
-        match frames.take::<Down>().unwrap() {
-            Some(Down::Config { version, .. }) => self.sent.push(version),
-            Some(Down::Pulse { config, .. }) => self.named.push(config),
+        match frames.take::<ControllerToProxy>().unwrap() {
+            Some(ControllerToProxy::Configuration { version, .. }) => self.sent.push(version),
+            Some(ControllerToProxy::Status { configuration, .. }) => {
+                self.announced.push(configuration)
+            }
             _ => {}
         }
     }
 
-    fn ticks(&mut self, from: u64, to: u64) {
+    fn tick_between(&mut self, from: u64, to: u64) {
         for (round, now) in (from..to).step_by(50).enumerate() {
             self.controller.tick(now as f64, round as u64);
             self.carry_out(now as f64);
@@ -104,35 +106,43 @@
             "{{\"configVersion\":{version},\"services\":[{{\"name\":\"s\"}}],\"hostnames\":[{{\"hostname\":\"h\",\"pathRules\":[\
              {{\"pathPrefix\":\"/\",\"routeKind\":\"read_only\",\"timeoutMs\":{version},\"targetService\":\"s\",\"maxAttempts\":1}}]}}]}}"
         );
-        let wants = read(
-            Path::PutConfiguration,
+        let operation = parse(
+            Endpoint::PutConfiguration,
             "",
             body.into_bytes(),
             |_| None,
             None,
         )
         .unwrap();
-        let token = self.controller.number();
-        self.controller.call(now as f64, token, wants);
+        let token = self.controller.next_number();
+        self.controller.handle_call(now as f64, token, operation);
         self.carry_out(now as f64);
     }
 
-    fn proxy_calls_it_home(&mut self, now: u64) {
+    fn proxy_connects(&mut self, now: u64) {
+        let hello = ProxyHello {
+            node: "edge-1".into(),
+            zone: "quay".into(),
+            is_primary: true,
+            configuration: 0,
+            has_tables: false,
+            gone: Vec::new(),
+        };
         self.controller
-            .proxy_in(now as f64, LINE, ("edge-1", "quay"), true, (0, false), &[]);
+            .proxy_connected(now as f64, CONNECTION, hello);
         self.carry_out(now as f64);
     }
 }
 
 /// One that was alone, has handed out version 5, and has ended.
-fn held_five() -> Alone {
-    let mut first = Alone::new(start(11, 0, None));
-    first.ticks(0, 1_000);
+fn with_configuration_five() -> SingleController {
+    let mut first = SingleController::new(start(11, 0, None));
+    first.tick_between(0, 1_000);
     first.put(1_000, 3);
-    first.ticks(1_050, 1_250);
-    first.proxy_calls_it_home(1_250);
+    first.tick_between(1_050, 1_250);
+    first.proxy_connects(1_250);
     first.put(1_250, 5);
-    first.ticks(1_300, 2_500);
+    first.tick_between(1_300, 2_500);
     assert_eq!(
         (first.sent.first(), first.sent.last()),
         (Some(&3), Some(&5))
@@ -142,17 +152,17 @@
 
 #[test]
 fn after_a_start_one_that_serves_hands_out_what_it_holds_though_nothing_new_comes() {
-    let rows: Rows = held_five().disk.into_iter().collect();
-    let mut again = Alone::new(start(12, 0, Some(rows)));
-    again.proxy_calls_it_home(100);
-    again.ticks(100, 4_000);
+    let rows: Rows = with_configuration_five().disk.into_iter().collect();
+    let mut again = SingleController::new(start(12, 0, Some(rows)));
+    again.proxy_connects(100);
+    again.tick_between(100, 4_000);
     assert_eq!(again.sent, [5]);
-    assert_eq!(again.named.last(), Some(&5));
+    assert_eq!(again.announced.last(), Some(&5));
 }
 
 #[test]
 fn after_a_start_one_that_is_not_in_touch_hands_out_nothing() {
-    let first = held_five();
+    let first = with_configuration_five();
     let mut rows: Rows = first.disk.clone().into_iter().collect();
     // It is one member of more: the others may hold a newer one.
     let other = |id: u64| Member {
@@ -168,13 +178,13 @@
     };
     let key = [b"v".to_vec(), 2u64.to_be_bytes().to_vec()].concat();
     rows.push((key, postcard::to_allocvec(&view).unwrap()));
-    let mut again = Alone::new(start(12, 1, Some(rows)));
-    again.proxy_calls_it_home(100);
-    again.ticks(100, 4_000);
+    let mut again = SingleController::new(start(12, 1, Some(rows)));
+    again.proxy_connects(100);
+    again.tick_between(100, 4_000);
     assert_eq!(again.sent, []);
     assert!(
-        !again.named.is_empty() && again.named.iter().all(|version| *version == 0),
+        !again.announced.is_empty() && again.announced.iter().all(|version| *version == 0),
         "{:?}",
-        again.named
+        again.announced
     );
 }
--- a/crates/rookpulley-control/tests/founding.rs
+++ b/crates/rookpulley-control/tests/founding.rs
@@ -1,13 +1,14 @@
-//! Who makes the first view, with and without disks at the seeds: on a simulated network on which words come late and
+//! Who makes the first view, with and without disks at the seeds: on a simulated network on which messages arrive late and
 //! twice, and processes end at any moment. Never do two found, and where nothing speaks against it one does.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rookpulley_chain::{Member, Record};
 use rookpulley_control::{
-    Controller, Effect, Founding, Start, StatelessController, StatelessEffect, StatelessStart, Word,
+    Bootstrap, Controller, ControllerStart, Effect, PeerMessage, StatelessController,
+    StatelessEffect, StatelessStart,
 };
-use rookpulley_protocol::{Down, Frames, Up, frame};
+use rookpulley_protocol::{ControllerToProxy, Frames, ProxyToController, frame};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -24,7 +25,7 @@
 #[derive(Default)]
 struct Disk {
     id: Option<u64>,
-    mark: Option<Vec<u8>>,
+    bootstrap: Option<Vec<u8>>,
     rows: Rows,
     /// When the last write is there.
     synced_ms: u64,
@@ -39,16 +40,16 @@
     wiped: bool,
 }
 
-type Place = (usize, u64);
+type ProcessId = (usize, u64);
 
-/// `ends`: who dialed, and who took it.
-struct Line {
-    ends: [Place; 2],
+/// `ends`: who made it, and who accepted it.
+struct Connection {
+    ends: [ProcessId; 2],
     /// Between controllers; else from a stateless controller.
     of_controllers: bool,
     number: u64,
-    who: Option<u64>,
-    greeted: bool,
+    peer: Option<u64>,
+    said_hello: bool,
     /// What is sent later comes later.
     last_ms: [u64; 2],
 }
@@ -67,50 +68,50 @@
         at: usize,
         wiped: bool,
     },
-    Tick(Place),
-    Dial {
-        by: Place,
+    Tick(ProcessId),
+    Connect {
+        by: ProcessId,
         ip: Ipv4Addr,
     },
-    Heard {
-        line: u64,
+    Received {
+        connection: u64,
         side: usize,
         bytes: Vec<u8>,
     },
-    Ended {
-        line: u64,
+    Closed {
+        connection: u64,
         side: usize,
     },
     Synced {
-        by: Place,
+        by: ProcessId,
         ticket: u64,
         records: Vec<Record>,
     },
 }
 
-struct World {
+struct Network {
     rng: ChaCha8Rng,
     now: u64,
     events: BTreeMap<(u64, u64), Event>,
     count: u64,
     machines: Vec<Machine>,
     seeds: Vec<SocketAddrV4>,
-    lines: BTreeMap<u64, Line>,
+    connections: BTreeMap<u64, Connection>,
     founders: BTreeSet<u64>,
-    strikes: bool,
+    faults: bool,
     /// Nothing speaks against a first view.
-    calm: bool,
+    undisturbed: bool,
 }
 
-fn one<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> T {
+fn decode<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> T {
     let mut frames = Frames::default();
     frames.push(bytes);
     frames.take().unwrap().unwrap()
 }
 
-impl World {
+impl Network {
     /// The first `seeds` machines are the seeds; who has a disk is told by `disks`.
-    fn new(seed: u64, seeds: usize, disks: &[bool]) -> World {
+    fn new(seed: u64, seeds: usize, disks: &[bool]) -> Network {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut machines: Vec<Machine> = (0..disks.len())
             .map(|at| Machine {
@@ -130,17 +131,17 @@
             .iter()
             .map(|m| SocketAddrV4::new(m.ip, 8_166))
             .collect();
-        World {
+        Network {
             rng,
             now: 0,
             events: BTreeMap::new(),
             count: 0,
             machines,
             seeds,
-            lines: BTreeMap::new(),
+            connections: BTreeMap::new(),
             founders: BTreeSet::new(),
-            strikes: false,
-            calm: true,
+            faults: false,
+            undisturbed: true,
         }
     }
 
@@ -159,7 +160,7 @@
             .random_range(if long { 300..1_500u64 } else { 1..40 })
     }
 
-    fn incarnations(&self, (at, incarnation): Place) -> bool {
+    fn is_running(&self, (at, incarnation): ProcessId) -> bool {
         self.machines[at].process.is_some() && self.machines[at].incarnation == incarnation
     }
 
@@ -182,22 +183,22 @@
             Some(disk) => {
                 let fresh = disk.id.is_none();
                 if fresh {
-                    disk.mark = first.then(|| Founding::new(machine.ip, &seeds).mark());
+                    disk.bootstrap = first.then(|| Bootstrap::new(machine.ip, &seeds).encode());
                 }
-                let controller = Controller::new(Start {
+                let controller = Controller::new(ControllerStart {
                     me: Member {
                         id: *disk.id.get_or_insert(id),
                         incarnation,
                         address,
                     },
                     seeds,
-                    losses: 0,
+                    tolerated_losses: 0,
                     heartbeat_ms: 1_500,
                     drain_ms: 2_500,
                     zone: "quay".into(),
-                    founding: disk.mark.as_deref().and_then(Founding::read),
-                    held: (!fresh).then(|| disk.rows.clone().into_iter().collect()),
-                    incarnations: Vec::new(),
+                    bootstrap: disk.bootstrap.as_deref().and_then(Bootstrap::decode),
+                    chain_rows: (!fresh).then(|| disk.rows.clone().into_iter().collect()),
+                    instance_rows: Vec::new(),
                 });
                 Process::Controller {
                     controller,
@@ -207,7 +208,7 @@
         };
         machine.process = Some(process);
         self.after(50, Event::Tick((at, incarnation)));
-        self.carry_out(at);
+        self.run_effects(at);
     }
 
     fn stop(&mut self, at: usize, wiped: bool) {
@@ -218,69 +219,82 @@
             *disk = Disk::default();
             self.machines[at].wiped = true;
         }
-        let of = |line: &Line| line.ends.iter().position(|end| end.0 == at);
+        let of = |connection: &Connection| connection.ends.iter().position(|end| end.0 == at);
         let ended: Vec<(u64, usize)> = self
-            .lines
+            .connections
             .iter()
-            .filter_map(|(n, line)| Some((*n, 1 - of(line)?)))
+            .filter_map(|(n, connection)| Some((*n, 1 - of(connection)?)))
             .collect();
-        for (line, side) in ended {
-            self.send(line, side, |line, side| Event::Ended { line, side });
+        for (connection, side) in ended {
+            self.send(connection, side, |connection, side| Event::Closed {
+                connection,
+                side,
+            });
         }
     }
 
-    /// To the end of a line with this side.
-    fn send(&mut self, line: u64, side: usize, event: impl FnOnce(u64, usize) -> Event) {
+    /// To the end of a connection with this side.
+    fn send(&mut self, connection: u64, side: usize, event: impl FnOnce(u64, usize) -> Event) {
         let ms = self.now + self.delay();
-        let Some(of) = self.lines.get_mut(&line) else {
+        let Some(of) = self.connections.get_mut(&connection) else {
             return;
         };
         of.last_ms[side] = of.last_ms[side].max(ms);
         let ms = of.last_ms[side];
-        self.at(ms, event(line, side));
+        self.at(ms, event(connection, side));
     }
 
-    fn say(&mut self, line: Option<u64>, side: usize, bytes: Vec<u8>) {
-        let Some(line) = line else { return };
-        self.send(line, side, |line, side| Event::Heard { line, side, bytes });
+    fn send_frame(&mut self, connection: Option<u64>, side: usize, bytes: Vec<u8>) {
+        let Some(connection) = connection else { return };
+        self.send(connection, side, |connection, side| Event::Received {
+            connection,
+            side,
+            bytes,
+        });
     }
 
-    fn dialed_line(&self, by: usize, ip: Ipv4Addr) -> Option<u64> {
-        let is = |line: &Line| self.incarnations(line.ends[0]) && line.ends[0].0 == by;
-        let to = |line: &Line| self.machines[line.ends[1].0].ip == ip;
-        self.lines
+    fn outgoing_connection(&self, by: usize, ip: Ipv4Addr) -> Option<u64> {
+        let is = |connection: &Connection| {
+            self.is_running(connection.ends[0]) && connection.ends[0].0 == by
+        };
+        let to = |connection: &Connection| self.machines[connection.ends[1].0].ip == ip;
+        self.connections
             .iter()
-            .filter(|(_, line)| is(line) && to(line))
+            .filter(|(_, connection)| is(connection) && to(connection))
             .map(|(n, _)| *n)
             .next_back()
     }
 
-    fn taken_line(&self, by: usize, number: u64) -> Option<u64> {
-        let is = |line: &Line| {
-            line.ends[1].0 == by && self.incarnations(line.ends[1]) && line.number == number
+    fn accepted_connection(&self, by: usize, number: u64) -> Option<u64> {
+        let is = |connection: &Connection| {
+            connection.ends[1].0 == by
+                && self.is_running(connection.ends[1])
+                && connection.number == number
         };
-        self.lines
+        self.connections
             .iter()
-            .find(|(_, line)| !line.of_controllers && is(line))
+            .find(|(_, connection)| !connection.of_controllers && is(connection))
             .map(|(n, _)| *n)
     }
 
-    fn carry_out(&mut self, at: usize) {
+    fn run_effects(&mut self, at: usize) {
         let by = (at, self.machines[at].incarnation);
         match &mut self.machines[at].process {
             None => {}
             Some(Process::Controller { controller, .. }) => {
-                let effects = controller.effects();
+                let effects = controller.take_effects();
                 let view = controller.chain.view().filter(|view| view.number == 1);
                 self.founders.extend(view.map(|view| view.members[0].id));
                 for effect in effects {
                     match effect {
-                        Effect::Dial(ip) => self.after(1, Event::Dial { by, ip }),
-                        Effect::Word { to, frame } => self.say(self.dialed_line(at, to), 1, frame),
-                        Effect::Down { line, frame } => {
-                            self.say(self.taken_line(at, line), 0, frame)
+                        Effect::Connect(ip) => self.after(1, Event::Connect { by, ip }),
+                        Effect::SendToPeer { to, frame } => {
+                            self.send_frame(self.outgoing_connection(at, to), 1, frame)
+                        }
+                        Effect::SendToProxy { connection, frame } => {
+                            self.send_frame(self.accepted_connection(at, connection), 0, frame)
                         }
-                        Effect::Write { ticket, records } => {
+                        Effect::WriteChain { ticket, records } => {
                             let ms = self.now + self.rng.random_range(1..120u64);
                             let disk = self.machines[at].disk.as_mut().unwrap();
                             disk.synced_ms = disk.synced_ms.max(ms);
@@ -294,26 +308,32 @@
                                 },
                             );
                         }
-                        Effect::DiscardStore => panic!("a copy is spoilt"),
+                        Effect::DiscardStore => panic!("a store is to be discarded"),
                         _ => {}
                     }
                 }
             }
             Some(Process::StatelessController(stateless)) => {
-                for effect in stateless.effects() {
+                for effect in stateless.take_effects() {
                     match effect {
-                        StatelessEffect::Dial(ip) => self.after(1, Event::Dial { by, ip }),
-                        StatelessEffect::Up { to, up } => {
-                            if self.strikes && matches!(up, Up::Found { .. }) {
-                                self.strike_naming(at, to);
+                        StatelessEffect::Connect(ip) => self.after(1, Event::Connect { by, ip }),
+                        StatelessEffect::SendToController { to, message } => {
+                            if self.faults
+                                && matches!(message, ProxyToController::AppointFounder { .. })
+                            {
+                                self.fail_around_appointment(at, to);
                             }
-                            // Words may come twice.
+                            // Messages may arrive twice.
                             for _ in 0..self.rng.random_range(1..=2u32) {
-                                self.say(self.dialed_line(at, to), 1, frame(&up));
+                                self.send_frame(
+                                    self.outgoing_connection(at, to),
+                                    1,
+                                    frame(&message),
+                                );
                             }
                         }
-                        StatelessEffect::Down { line, frame } => {
-                            self.say(self.taken_line(at, line), 0, frame)
+                        StatelessEffect::SendToClient { connection, frame } => {
+                            self.send_frame(self.accepted_connection(at, connection), 0, frame)
                         }
                         StatelessEffect::Log(_) => {}
                     }
@@ -328,7 +348,7 @@
     }
 
     /// Who names and who is named end at about the moment that it is said.
-    fn strike_naming(&mut self, by: usize, to: Ipv4Addr) {
+    fn fail_around_appointment(&mut self, by: usize, to: Ipv4Addr) {
         let named = self.machines.iter().position(|m| m.ip == to).unwrap();
         for (at, first) in [(by, false), (named, true)] {
             if self.rng.random_range(0..3u32) > 0 {
@@ -338,12 +358,12 @@
                 );
                 self.after(ms, Event::Stop { at, wiped: false });
                 self.after(ms + down, Event::Again { at, first });
-                self.calm &= at != by;
+                self.undisturbed &= at != by;
             }
         }
     }
 
-    fn dial(&mut self, by: Place, ip: Ipv4Addr) {
+    fn connect(&mut self, by: ProcessId, ip: Ipv4Addr) {
         let now = self.now as f64;
         let to = self
             .machines
@@ -351,7 +371,7 @@
             .position(|m| m.ip == ip)
             .filter(|to| self.machines[*to].process.is_some());
         let Some(to) = to else {
-            return self.dial_again(by, ip);
+            return self.connect_again(by, ip);
         };
         let ends = [by, (to, self.machines[to].incarnation)];
         let of_controllers = matches!(
@@ -359,46 +379,46 @@
             Some(Process::Controller { .. })
         );
         let number = match self.machines[to].process.as_mut().unwrap() {
-            Process::Controller { controller, .. } => controller.number(),
+            Process::Controller { controller, .. } => controller.next_number(),
             Process::StatelessController(_) => 1_000_000 + self.count,
         };
         self.count += 1;
-        let line = Line {
+        let connection = Connection {
             ends,
             of_controllers,
             number,
-            who: None,
-            greeted: false,
+            peer: None,
+            said_hello: false,
             last_ms: [self.now; 2],
         };
-        self.lines.insert(self.count, line);
+        self.connections.insert(self.count, connection);
         match self.machines[by.0].process.as_mut().unwrap() {
-            Process::Controller { controller, .. } => controller.dialed(now, ip),
-            Process::StatelessController(stateless) => stateless.opened(now, ip),
+            Process::Controller { controller, .. } => controller.peer_connected(now, ip),
+            Process::StatelessController(stateless) => stateless.controller_connected(now, ip),
         }
-        self.carry_out(by.0);
+        self.run_effects(by.0);
     }
 
-    fn dial_again(&mut self, by: Place, ip: Ipv4Addr) {
+    fn connect_again(&mut self, by: ProcessId, ip: Ipv4Addr) {
         let now = self.now as f64;
         let over = match self.machines[by.0].process.as_mut().unwrap() {
             Process::Controller { controller, .. } => {
-                let over = !controller.still_known(now, ip);
+                let over = !controller.is_peer_wanted(now, ip);
                 if over {
-                    controller.forget(ip);
+                    controller.forget_peer(ip);
                 }
                 over
             }
-            Process::StatelessController(stateless) => stateless.forgotten(now, ip),
+            Process::StatelessController(stateless) => stateless.is_forgotten(now, ip),
         };
         if !over {
-            self.after(150, Event::Dial { by, ip });
+            self.after(150, Event::Connect { by, ip });
         }
     }
 
-    fn heard(&mut self, line: u64, side: usize, bytes: &[u8]) {
+    fn receive(&mut self, connection: u64, side: usize, bytes: &[u8]) {
         let now = self.now as f64;
-        let Some(of) = self.lines.get_mut(&line) else {
+        let Some(of) = self.connections.get_mut(&connection) else {
             return;
         };
         let (end, other) = (of.ends[side], of.ends[1 - side]);
@@ -409,60 +429,66 @@
         }
         match (machine.process.as_mut(), side, of.of_controllers) {
             (Some(Process::Controller { controller, .. }), 1, true) => {
-                controller.word(now, &mut of.who, one::<Word>(bytes));
+                controller.handle_peer_message(now, &mut of.peer, decode::<PeerMessage>(bytes));
             }
-            (Some(Process::Controller { controller, .. }), 1, false) => match one::<Up>(bytes) {
-                Up::StatelessHello {
-                    address,
-                    controllers,
-                } if !std::mem::replace(&mut of.greeted, true) => {
-                    controller.stateless_in(now, of.number, address, &controllers);
+            (Some(Process::Controller { controller, .. }), 1, false) => {
+                match decode::<ProxyToController>(bytes) {
+                    ProxyToController::StatelessHello {
+                        address,
+                        controllers,
+                    } if !std::mem::replace(&mut of.said_hello, true) => {
+                        controller.stateless_connected(now, of.number, address, &controllers);
+                    }
+                    message => controller.handle_stateless_message(now, of.number, &message),
                 }
-                up => controller.stateless_said(now, of.number, &up),
-            },
+            }
             (Some(Process::StatelessController(stateless)), 1, true) => {
-                if let Word::Hello { from, .. } = one(bytes) {
-                    stateless.hello(now, from);
+                if let PeerMessage::Hello { from, .. } = decode(bytes) {
+                    stateless.handle_peer_hello(now, from);
                 }
             }
             (Some(Process::StatelessController(stateless)), 1, false) => {
-                stateless.guest_in(of.number, &one::<Up>(bytes))
+                stateless.client_connected(of.number, &decode::<ProxyToController>(bytes))
             }
             (Some(Process::StatelessController(stateless)), 0, _) => {
-                stateless.told(now, from, one::<Down>(bytes))
+                stateless.handle_controller_message(now, from, decode::<ControllerToProxy>(bytes))
             }
             _ => {}
         }
-        self.carry_out(end.0);
+        self.run_effects(end.0);
     }
 
-    fn ended(&mut self, line: u64, side: usize) {
+    fn close(&mut self, connection: u64, side: usize) {
         let now = self.now as f64;
-        let Some(of) = self.lines.remove(&line) else {
+        let Some(of) = self.connections.remove(&connection) else {
             return;
         };
         let (end, ip) = (of.ends[side], self.machines[of.ends[1 - side].0].ip);
-        if !self.incarnations(end) {
+        if !self.is_running(end) {
             return;
         }
         match (self.machines[end.0].process.as_mut().unwrap(), side) {
-            (Process::Controller { controller, .. }, 0) => controller.hung_up(ip),
+            (Process::Controller { controller, .. }, 0) => controller.peer_disconnected(ip),
             (Process::Controller { controller, .. }, _) if of.of_controllers => {
-                of.who
+                of.peer
                     .into_iter()
-                    .for_each(|id| controller.line_ended(now, id));
+                    .for_each(|id| controller.peer_session_ended(now, id));
+            }
+            (Process::Controller { controller, .. }, _) => {
+                controller.stateless_disconnected(now, of.number)
+            }
+            (Process::StatelessController(stateless), 0) => stateless.controller_disconnected(ip),
+            (Process::StatelessController(stateless), _) => {
+                stateless.client_disconnected(of.number)
             }
-            (Process::Controller { controller, .. }, _) => controller.stateless_out(now, of.number),
-            (Process::StatelessController(stateless), 0) => stateless.lost(ip),
-            (Process::StatelessController(stateless), _) => stateless.guest_out(of.number),
         }
         if side == 0 {
-            self.dial_again(end, ip);
+            self.connect_again(end, ip);
         }
-        self.carry_out(end.0);
+        self.run_effects(end.0);
     }
 
-    fn play(&mut self, until: u64) {
+    fn run(&mut self, until: u64) {
         while let Some(entry) = self
             .events
             .first_entry()
@@ -476,7 +502,7 @@
                     self.start(at, first)
                 }
                 Event::Stop { at, wiped } => self.stop(at, wiped),
-                Event::Tick(by) if self.incarnations(by) => {
+                Event::Tick(by) if self.is_running(by) => {
                     let now = self.now as f64;
                     match self.machines[by.0].process.as_mut().unwrap() {
                         Process::Controller { controller, round } => {
@@ -489,16 +515,20 @@
                             self.after(1_000, Event::Tick(by));
                         }
                     }
-                    self.carry_out(by.0);
+                    self.run_effects(by.0);
                 }
-                Event::Dial { by, ip } if self.incarnations(by) => self.dial(by, ip),
-                Event::Heard { line, side, bytes } => self.heard(line, side, &bytes),
-                Event::Ended { line, side } => self.ended(line, side),
+                Event::Connect { by, ip } if self.is_running(by) => self.connect(by, ip),
+                Event::Received {
+                    connection,
+                    side,
+                    bytes,
+                } => self.receive(connection, side, &bytes),
+                Event::Closed { connection, side } => self.close(connection, side),
                 Event::Synced {
                     by,
                     ticket,
                     records,
-                } if self.incarnations(by) => {
+                } if self.is_running(by) => {
                     let rows = &mut self.machines[by.0].disk.as_mut().unwrap().rows;
                     for record in records {
                         match record {
@@ -510,9 +540,9 @@
                     if let Some(Process::Controller { controller, .. }) =
                         &mut self.machines[by.0].process
                     {
-                        controller.stored(now, Some(ticket), None, 1.0);
+                        controller.handle_synced(now, Some(ticket), None, 1.0);
                     }
-                    self.carry_out(by.0);
+                    self.run_effects(by.0);
                 }
                 _ => {}
             }
@@ -528,23 +558,23 @@
     }
 }
 
-/// All orders of seeds with and without disks, and others with a disk behind them. `strikes`: ends of processes in the
+/// All orders of seeds with and without disks, and others with a disk behind them. `faults`: ends of processes in the
 /// first seconds.
-fn played(seed: u64, strikes: bool) -> (World, String) {
+fn simulate(seed: u64, faults: bool) -> (Network, String) {
     let (seeds, mask) = (1 + (seed % 3) as usize, (seed / 3) % 8);
     let mut disks: Vec<bool> = (0..seeds).map(|at| mask >> at & 1 == 1).collect();
     let mut draw = ChaCha8Rng::seed_from_u64(seed);
     let others = draw.random_range(1..=3usize);
     disks.extend((0..others).map(|at| at == 0 || draw.random_range(0..2u32) == 0));
     let named = !disks[..seeds].contains(&true);
-    let mut world = World::new(seed, seeds, &disks);
+    let mut network = Network::new(seed, seeds, &disks);
     for at in 0..disks.len() {
         let ms = draw.random_range(0..1_500u64);
-        world.at(ms, Event::Start { at, first: true });
+        network.at(ms, Event::Start { at, first: true });
     }
     // The first seed names once, so it must not be told twice that this is the first start.
-    world.strikes = strikes;
-    for _ in 0..if strikes {
+    network.faults = faults;
+    for _ in 0..if faults {
         draw.random_range(1..=6u32)
     } else {
         0
@@ -560,27 +590,29 @@
         );
         let wiped = disks[at] && draw.random_range(0..6u32) == 0;
         let first = !wiped && (!named || at != 0) && draw.random_range(0..2u32) == 0;
-        world.calm &= !wiped && (!named || at != 0);
-        world.at(ms, Event::Stop { at, wiped });
-        world.at(ms + down, Event::Again { at, first });
+        network.undisturbed &= !wiped && (!named || at != 0);
+        network.at(ms, Event::Stop { at, wiped });
+        network.at(ms + down, Event::Again { at, first });
     }
-    world.play(12_000);
+    network.run(12_000);
     let told = format!("seed {seed}: {seeds} seeds, disks {disks:?}");
-    if world.calm {
-        assert!(world.founders.len() == 1, "nobody founded: {told}");
-        assert!(world.all_have_a_view(), "one knows of no view: {told}");
+    if network.undisturbed {
+        assert!(network.founders.len() == 1, "nobody founded: {told}");
+        assert!(network.all_have_a_view(), "one knows of no view: {told}");
     }
-    (world, told)
+    (network, told)
 }
 
 #[test]
 fn the_first_seed_with_a_disk_founds_else_one_that_the_first_seed_names() {
     for seed in 0..72 {
-        let (world, told) = played(seed, false);
+        let (network, told) = simulate(seed, false);
         let with_disk = |m: &&Machine| m.disk.is_some();
-        let first = world.machines[..world.seeds.len()].iter().find(with_disk);
+        let first = network.machines[..network.seeds.len()]
+            .iter()
+            .find(with_disk);
         let id = first.map(|m| m.disk.as_ref().unwrap().id.unwrap());
-        let founder = *world.founders.first().unwrap();
+        let founder = *network.founders.first().unwrap();
         assert!(id.is_none_or(|id| id == founder), "{told}");
     }
 }
@@ -588,23 +620,23 @@
 #[test]
 fn never_do_two_found_whatever_ends_when() {
     for seed in 0..240 {
-        played(seed, true);
+        simulate(seed, true);
     }
 }
 
 #[test]
-fn a_mark_is_read_as_it_was_written() {
+fn a_bootstrap_record_is_read_as_it_was_written() {
     let seeds: Vec<SocketAddrV4> = (1..=3)
         .map(|n| SocketAddrV4::new(Ipv4Addr::new(10, n, 0, 1), 8_166))
         .collect();
     for me in (1..=4).map(|n| Ipv4Addr::new(10, n, 0, 1)) {
-        let founding = Founding::new(me, &seeds);
-        assert_eq!(Founding::read(&founding.mark()), Some(founding));
+        let bootstrap = Bootstrap::new(me, &seeds);
+        assert_eq!(Bootstrap::decode(&bootstrap.encode()), Some(bootstrap));
     }
     // As disks had it that were minted to found.
     assert_eq!(
-        Founding::read(&[]),
-        Some(Founding::new(*seeds[0].ip(), &seeds))
+        Bootstrap::decode(&[]),
+        Some(Bootstrap::new(*seeds[0].ip(), &seeds))
     );
-    assert_eq!(Founding::read(&[1, 10, 0, 0]), None);
+    assert_eq!(Bootstrap::decode(&[1, 10, 0, 0]), None);
 }
--- /dev/null
+++ b/crates/rookpulley-controller/src/api.rs
@@ -0,0 +1,111 @@
+//! The HTTP calls of instances, the operator and applications, and how their answers go out.
+
+use crate::inspect;
+use crate::request::{ApiRequest, request_tree};
+use crate::server::Server;
+use rookpulley_api::{Bounds, Call, Match, Reply, Tree, TreeError, query};
+use rookpulley_control::{self as control, Content, Endpoint};
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tokio::task::JoinHandle;
+
+/// Answers calls on behalf of a controller.
+pub struct Api {
+    pub server: Rc<Server>,
+    tree: Tree<ApiRequest>,
+}
+
+impl Api {
+    pub fn new(server: Rc<Server>) -> Result<Rc<Self>, TreeError> {
+        let tree = request_tree()?;
+        Ok(Rc::new(Self { server, tree }))
+    }
+
+    /// Takes calls until it is told to stop.
+    pub fn serve(
+        self: &Rc<Self>,
+        listener: TcpListener,
+        stopped: watch::Receiver<bool>,
+    ) -> JoinHandle<()> {
+        let api = self.clone();
+        let handler = Rc::new(move |call| {
+            let api = api.clone();
+            async move { api.answer(call).await }
+        });
+        let bounds = Bounds::default();
+        tokio::task::spawn_local(rookpulley_api::serve(listener, bounds, stopped, handler))
+    }
+
+    pub async fn answer(&self, call: Call) -> Reply {
+        let (request, reply) = match self.tree.lookup(&call.method, &call.path) {
+            Match::Nothing => (None, no_such_call()),
+            Match::WrongMethod => (None, wrong_method()),
+            Match::Found(request, name) => (Some(request), self.take(request, &name, call).await),
+        };
+        self.server.metrics.count_call(request, reply.status);
+        reply
+    }
+
+    async fn take(&self, request: ApiRequest, name: &str, call: Call) -> Reply {
+        let endpoint = match request {
+            ApiRequest::Call(endpoint) => endpoint,
+            ApiRequest::Inspect(section) => return inspect::answer(&self.server, section, name),
+        };
+        let operation = self.server.inspect(|controller| {
+            let field = |field: &str| query(&call.query, field);
+            control::parse(endpoint, name, call.body, field, controller.configuration())
+        });
+        match operation {
+            Ok(operation) => match self.server.call(operation).await {
+                Some(reply) => encode(reply),
+                None => Reply::error(504, "no answer: it may or may not have taken effect"),
+            },
+            Err(reply) => {
+                if endpoint == Endpoint::PutConfiguration {
+                    tracing::info!("calls: a configuration was refused: {:?}", reply.content);
+                }
+                encode(reply)
+            }
+        }
+    }
+}
+
+/// There is nothing under this path.
+pub fn no_such_call() -> Reply {
+    Reply::error(404, "there is no such call")
+}
+
+/// There is something under this path, but not by this method.
+pub fn wrong_method() -> Reply {
+    Reply::error(405, "there is no such call with this method")
+}
+
+/// Sends a call to the same path and query at another controller.
+pub fn redirect(to: std::net::Ipv4Addr, port: u16, call: &Call) -> Reply {
+    let query = if call.query.is_empty() {
+        String::new()
+    } else {
+        format!("?{}", call.query)
+    };
+    let location = format!("http://{to}:{port}{}{query}", call.path);
+    Reply::empty(307).with("Location", location)
+}
+
+fn encode(reply: control::Reply) -> Reply {
+    let control::Reply {
+        status,
+        retry_after,
+        content,
+    } = reply;
+    let encoded = match content {
+        Content::Nothing => Reply::empty(status),
+        Content::Json(value) => Reply::json(status, &value),
+        Content::Bytes(bytes) => Reply::bytes(status, bytes),
+        Content::Error(sentence) => Reply::error(status, &sentence),
+    };
+    match retry_after {
+        Some(seconds) => encoded.with("Retry-After", seconds),
+        None => encoded,
+    }
+}
--- a/crates/rookpulley-controller/src/show/tests.rs
+++ b/crates/rookpulley-controller/src/inspect/tests.rs
@@ -1,9 +1,9 @@
-use crate::calls::Calls;
-use crate::hub::Hub;
+use crate::api::Api;
 use crate::proxy_sessions;
+use crate::server::Server;
 use rookpulley_api::{Bounds, Call, Reply};
-use rookpulley_protocol::Up;
-use rookpulley_runtime::line;
+use rookpulley_protocol::{ProxyHello, ProxyToController};
+use rookpulley_runtime::connection;
 use rookpulley_settings::Node;
 use rookpulley_store::Store;
 use std::cell::RefCell;
@@ -30,10 +30,10 @@
     "currentStatus":{"lifecycleState":"available","callSequence":1,"coldRemainingMs":0}}"#;
 
 /// As callers do, it asks again where the answer is that nothing was done.
-async fn call(calls: &Calls, method: &str, path: &str, body: &str) -> Reply {
+async fn call(api: &Api, method: &str, path: &str, body: &str) -> Reply {
     loop {
         let (method, path) = (method.into(), format!("/rookpulley/{path}"));
-        let reply = calls
+        let reply = api
             .answer(Call {
                 method,
                 path,
@@ -48,25 +48,25 @@
     }
 }
 
-async fn shown(calls: &Calls, part: &str) -> String {
-    let reply = call(calls, "GET", &format!("show/{part}"), "").await;
+async fn shown(api: &Api, part: &str) -> String {
+    let reply = call(api, "GET", &format!("show/{part}"), "").await;
     assert_eq!(reply.status, 200);
     String::from_utf8(reply.body).unwrap()
 }
 
 /// A controller alone, at work, with a task, a configuration and a proxy at home.
-pub fn at_a_controller<F: Future<Output = ()>>(trial: impl FnOnce(Rc<Calls>) -> F) {
+pub fn with_controller<F: Future<Output = ()>>(scenario: impl FnOnce(Rc<Api>) -> F) {
     let folder = tempfile::tempdir().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let (said, heard) = tokio::sync::mpsc::unbounded_channel();
-        let store = Store::open(folder.path(), 7, Some(&[]), said).unwrap();
-        let hub = Hub::new(Node::parse(SETTINGS).unwrap(), store, Vec::new(), 11);
-        hub.hear_store(heard);
-        let to = hub.clone();
+        let (sender, events) = tokio::sync::mpsc::unbounded_channel();
+        let store = Store::open(folder.path(), 7, Some(&[]), sender).unwrap();
+        let server = Server::new(Node::parse(SETTINGS).unwrap(), store, Vec::new(), 11);
+        server.hear_store(events);
+        let to = server.clone();
         tokio::task::spawn_local(async move {
             let mut heartbeat = tokio::time::interval(std::time::Duration::from_millis(10));
             for round in 1.. {
@@ -74,64 +74,64 @@
                 to.tick(round);
             }
         });
-        let calls = Calls::new(hub.clone()).unwrap();
+        let api = Api::new(server.clone()).unwrap();
         assert_eq!(
-            call(&calls, "PUT", "configuration", CONFIGURATION)
+            call(&api, "PUT", "configuration", CONFIGURATION)
                 .await
                 .status,
             200
         );
         assert_eq!(
-            call(&calls, "PUT", "instances/i-41c0", HEARTBEAT)
+            call(&api, "PUT", "instances/i-41c0", HEARTBEAT)
                 .await
                 .status,
             200
         );
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
-        tokio::task::spawn_local(proxy_sessions::listen(hub.clone(), listener));
-        let hello = Up::Hello {
+        tokio::task::spawn_local(proxy_sessions::listen(server.clone(), listener));
+        let hello = ProxyToController::Hello(ProxyHello {
             node: "edge-quay-2".into(),
             zone: "quay".into(),
-            home: true,
-            config: 5,
-            tables: false,
+            is_primary: true,
+            configuration: 5,
+            has_tables: false,
             gone: Vec::new(),
-        };
+        });
         let wait = std::time::Duration::from_secs(60);
-        let stream = line::dial(at, wait).await.unwrap();
+        let stream = connection::connect(at, wait).await.unwrap();
         let outbox = Rc::new(RefCell::new(None));
         let held = outbox.clone();
-        let open = move |to: line::Outbox| {
+        let open = move |to: connection::Outbox| {
             assert!(to.send(&hello));
             *held.borrow_mut() = Some(to);
         };
-        tokio::task::spawn_local(line::run::<rookpulley_protocol::Down>(
+        tokio::task::spawn_local(connection::run::<rookpulley_protocol::ControllerToProxy>(
             stream,
             None,
             open,
             |_| (),
         ));
-        while hub
-            .look(|controller| controller.proxies.is_empty() || controller.desk.shown().is_empty())
-        {
+        while server.inspect(|controller| {
+            controller.proxies.is_empty() || controller.tables.tables().is_empty()
+        }) {
             tokio::task::yield_now().await;
         }
-        trial(calls).await;
+        scenario(api).await;
         drop(outbox);
     });
 }
 
 /// As a collector gets it.
-async fn over_a_socket(calls: Rc<Calls>, line: &str) -> String {
+async fn over_a_socket(api: Rc<Api>, line: &str) -> String {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut stream = tokio::net::TcpStream::connect(listener.local_addr().unwrap())
         .await
         .unwrap();
     let (_stop, stopped) = tokio::sync::watch::channel(false);
     let handler = move |call| {
-        let calls = calls.clone();
-        async move { calls.answer(call).await }
+        let api = api.clone();
+        async move { api.answer(call).await }
     };
     tokio::task::spawn_local(rookpulley_api::serve(
         listener,
@@ -165,7 +165,7 @@
 
 #[test]
 fn what_is_shown_has_the_shape_that_the_operators_command_reads() {
-    at_a_controller(|calls| async move {
+    with_controller(|api| async move {
         for (part, example) in [
             (
                 "view",
@@ -189,7 +189,7 @@
             ),
         ] {
             let (mut here, mut there) = (BTreeSet::new(), BTreeSet::new());
-            shape(part, &shown(&calls, part).await.parse().unwrap(), &mut here);
+            shape(part, &shown(&api, part).await.parse().unwrap(), &mut here);
             shape(part, &example.parse().unwrap(), &mut there);
             assert_eq!(here, there);
         }
@@ -198,7 +198,7 @@
 
 #[test]
 fn a_controller_shows_itself_its_tasks_its_proxies_and_what_it_keeps() {
-    at_a_controller(|calls| async move {
+    with_controller(|api| async move {
         let has = |text: String, wanted: &[&str]| {
             wanted
                 .iter()
@@ -211,48 +211,48 @@
             "\"part\":\"alone\"",
             "\"here\":true",
         ];
-        has(shown(&calls, "view").await, &alone);
+        has(shown(&api, "view").await, &alone);
         has(
-            shown(&calls, "tasks/stamps").await,
+            shown(&api, "tasks/stamps").await,
             &["\"life\":\"i-41c0\"", "\"standing\":\"live\"", "\"more\":0"],
         );
-        has(shown(&calls, "tasks/parcels").await, &["\"tasks\":[]"]);
+        has(shown(&api, "tasks/parcels").await, &["\"tasks\":[]"]);
         has(
-            shown(&calls, "tables/stamps").await,
+            shown(&api, "tables/stamps").await,
             &["\"courier\":\"edge-quay-2\"", "\"lines\":1"],
         );
         has(
-            shown(&calls, "couriers").await,
+            shown(&api, "couriers").await,
             &["\"home\":true", "\"config\":7"],
         );
         has(
-            shown(&calls, "ledger").await,
+            shown(&api, "ledger").await,
             &["\"configVersion\":7", "\"locks\":0"],
         );
-        assert_eq!(call(&calls, "PUT", "show/view", "").await.status, 405);
-        assert_eq!(call(&calls, "GET", "show/secrets", "").await.status, 404);
+        assert_eq!(call(&api, "PUT", "show/view", "").await.status, 405);
+        assert_eq!(call(&api, "GET", "show/secrets", "").await.status, 404);
     });
 }
 
 #[test]
 fn an_answer_has_so_many_rows_and_says_how_many_it_lacks() {
     let rows = |count: usize| super::bounded((0..count).map(|n| super::number(n as u64)));
-    let (kept, more) = rows(super::ROWS + 3);
+    let first = rows(super::MAX_ROWS + 3);
     assert_eq!(
-        (kept.get::<Vec<JsonValue>>().map(Vec::len), more),
-        (Some(super::ROWS), 3.0.into())
+        (first.rows.get::<Vec<JsonValue>>().map(Vec::len), first.more),
+        (Some(super::MAX_ROWS), 3.0.into())
     );
-    assert_eq!(rows(2).1, 0.0.into());
+    assert_eq!(rows(2).more, 0.0.into());
 }
 
 #[test]
 fn counters_tell_calls_by_kind_and_outcome_in_the_form_that_collectors_read() {
-    at_a_controller(|calls| async move {
-        call(&calls, "PUT", "cells/g1.a", r#"{"value":"x","active":3}"#).await;
-        call(&calls, "GET", "cells/g1.a", "").await;
-        call(&calls, "PUT", "configuration", "{").await;
-        call(&calls, "GET", "nothing", "").await;
-        let answer = over_a_socket(calls, "GET /rookpulley/show/counters HTTP/1.1").await;
+    with_controller(|api| async move {
+        call(&api, "PUT", "cells/g1.a", r#"{"value":"x","active":3}"#).await;
+        call(&api, "GET", "cells/g1.a", "").await;
+        call(&api, "PUT", "configuration", "{").await;
+        call(&api, "GET", "nothing", "").await;
+        let answer = over_a_socket(api, "GET /rookpulley/show/counters HTTP/1.1").await;
         let (head, page) = answer.split_once("\r\n\r\n").unwrap();
         assert!(
             head.contains("content-type: text/plain; version=0.0.4\r\n"),
--- a/crates/rookpulley-controller/src/main.rs
+++ b/crates/rookpulley-controller/src/main.rs
@@ -1,21 +1,28 @@
 //! The program that keeps control: heartbeats, configurations, coordination, tables.
+//!
+//! It is a thin shell. What is decided is decided in `rookpulley-control`; here are sockets, the store, the clock and
+//! signals. A machine with a disk runs `incarnation`s of a controller, and is on `standby` while its store can't be used;
+//! one without a disk runs `stateless`.
 
-mod calls;
-mod controller;
-mod ending;
-mod hub;
+mod api;
+mod incarnation;
+mod inspect;
+mod json;
+mod metrics;
 mod peers;
 mod proxy_sessions;
-mod show;
+mod request;
+mod server;
+mod shutdown;
 mod standby;
 mod stateless;
 
-use controller::Ended;
-use ending::Signals;
+use incarnation::Ended;
 use miette::{IntoDiagnostic, WrapErr};
 use rookpulley_runtime::log;
 use rookpulley_settings::Node;
-use standby::Standby;
+use shutdown::Signals;
+use standby::StandbyEnded;
 use std::path::PathBuf;
 use tokio::task::LocalSet;
 
@@ -31,25 +38,26 @@
 
 fn main() -> miette::Result<()> {
     let flags = RookpulleyController::from_env_or_exit();
-    let path = rookpulley_settings::boot_path()?;
-    let node = Node::read(&path)?;
+    let settings_file = rookpulley_settings::boot_path()?;
+    let node = Node::read(&settings_file)?;
     if flags.check {
         print!("{node}");
         return Ok(());
     }
-    log::begin(if flags.verbose {
+    let level = if flags.verbose {
         tracing::Level::DEBUG
     } else {
         tracing::Level::INFO
-    });
+    };
+    log::begin(level);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .into_diagnostic()?;
-    runtime.block_on(run(node, path))
+    runtime.block_on(run(node, settings_file))
 }
 
-async fn run(node: Node, path: PathBuf) -> miette::Result<()> {
+async fn run(node: Node, settings_file: PathBuf) -> miette::Result<()> {
     let Some(control) = node.listen.control else {
         return Err(miette::miette!(
             help = "give the role `control_plane` under serves",
@@ -60,34 +68,26 @@
         .into_diagnostic()
         .wrap_err("ending: signals can't be heard")?;
     let Some(folder) = node.data.clone() else {
-        return LocalSet::new()
-            .run_until(stateless::run(&node, control, path, &mut signals))
-            .await;
+        let run = stateless::run(&node, control, settings_file, &mut signals);
+        return LocalSet::new().run_until(run).await;
     };
     // A set of tasks for each incarnation: with the set all its tasks and sockets are gone.
     loop {
         let set = LocalSet::new();
-        let run = controller::run(&node, control, &folder, path.clone(), &mut signals);
+        let file = settings_file.clone();
+        let run = incarnation::run(&node, control, &folder, file, &mut signals);
         let loss = match set.run_until(run).await? {
             Ended::Stopped => return Ok(()),
-            Ended::StoreGivenUp => continue,
+            Ended::StoreDiscarded => continue,
             Ended::StoreLost(loss) => loss,
         };
         drop(set);
         let set = LocalSet::new();
-        match set
-            .run_until(standby::run(
-                &node,
-                control,
-                &folder,
-                loss,
-                path.clone(),
-                &mut signals,
-            ))
-            .await?
-        {
-            Standby::Stopped => return Ok(()),
-            Standby::StoreUsable => {}
+        let file = settings_file.clone();
+        let run = standby::run(&node, control, &folder, loss, file, &mut signals);
+        match set.run_until(run).await? {
+            StandbyEnded::Stopped => return Ok(()),
+            StandbyEnded::StoreUsable => {}
         }
     }
 }
--- a/crates/rookpulley-controller/src/peers.rs
+++ b/crates/rookpulley-controller/src/peers.rs
@@ -1,66 +1,70 @@
-//! Lines between controllers. Each controller dials every other; what it says goes on the line that it dialed.
+//! Connections between controllers. Each controller connects to every other; what it says goes on the connection that it
+//! made.
 
-use crate::hub::Hub;
-use rookpulley_control::Word;
-use rookpulley_runtime::line;
+use crate::proxy_sessions::ACCEPT_RETRY;
+use crate::server::Server;
+use rookpulley_control::PeerMessage;
+use rookpulley_runtime::connection;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
 
-const DIAL_WITHIN: Duration = Duration::from_millis(400);
-const AGAIN_FIRST: Duration = Duration::from_millis(60);
-const AGAIN_MOST: Duration = Duration::from_millis(500);
-const SILENT: Duration = Duration::from_millis(2_500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// The pause before connecting again doubles with each failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(60);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// A controller says something every two seconds at least.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Keeps a line to the controller at this address until nobody knows of it any more.
-pub async fn keep_dialing(hub: Rc<Hub>, ip: Ipv4Addr) {
-    let port = hub.peer_port();
-    let to = SocketAddr::from((ip, port));
-    let mut pause = AGAIN_FIRST;
+/// Keeps a connection to the controller at this address until it isn't wanted any more.
+pub async fn keep_connected(server: Rc<Server>, ip: Ipv4Addr) {
+    let to = SocketAddr::from((ip, server.peer_port()));
+    let mut backoff = MIN_BACKOFF;
     loop {
-        match line::dial(to, DIAL_WITHIN).await {
+        match connection::connect(to, CONNECT_TIMEOUT).await {
             Ok(stream) => {
-                pause = AGAIN_FIRST;
-                let why =
-                    line::run::<()>(stream, None, |outbox| hub.dialed(ip, outbox), |()| ()).await;
-                hub.hung_up(ip);
-                tracing::info!("peers: the line to {ip} {why}");
+                backoff = MIN_BACKOFF;
+                let open = |outbox| server.peer_connected(ip, outbox);
+                let why = connection::run::<()>(stream, None, open, |()| ()).await;
+                server.peer_disconnected(ip);
+                tracing::info!("peers: the connection to {ip} {why}");
             }
-            Err(_) => pause = (pause * 2).min(AGAIN_MOST),
+            Err(_) => backoff = (backoff * 2).min(MAX_BACKOFF),
         }
-        let wake = hub.wake(ip);
+        let is_alive = server.peer_is_alive(ip);
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
-            () = wake.notified() => pause = AGAIN_FIRST,
+            () = tokio::time::sleep(backoff) => {}
+            () = is_alive.notified() => backoff = MIN_BACKOFF,
         }
-        if !hub.still_known(ip) {
-            hub.forget(ip);
+        if !server.is_peer_wanted(ip) {
+            server.forget_peer(ip);
             return;
         }
     }
 }
 
-/// Takes lines of other controllers.
-pub async fn listen(hub: Rc<Hub>, listener: tokio::net::TcpListener) {
+/// Takes connections of other controllers.
+pub async fn listen(server: Rc<Server>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            tokio::time::sleep(Duration::from_millis(20)).await;
+            tokio::time::sleep(ACCEPT_RETRY).await;
             continue;
         };
-        line::tend(&stream, line::UNHEARD);
-        let hub = hub.clone();
-        tokio::task::spawn_local(async move {
-            let mut who = None;
-            let mut own = None;
-            let why = line::run::<Word>(
-                stream,
-                Some(SILENT),
-                |outbox| own = Some(outbox),
-                |word| hub.word(&mut who, word),
-            )
-            .await;
-            who.into_iter().for_each(|id| hub.line_ended(id));
-            tracing::debug!("peers: the line from {from} {why}");
-        });
+        connection::configure(&stream, connection::UNACKNOWLEDGED);
+        tokio::task::spawn_local(serve(server.clone(), stream, from));
     }
 }
+
+async fn serve(server: Rc<Server>, stream: TcpStream, from: SocketAddr) {
+    let mut sender = None;
+    // Nothing is sent on this connection, but it ends with its outbox.
+    let mut _outbox = None;
+    let open = |opened| _outbox = Some(opened);
+    let take = |message: PeerMessage| server.handle_peer_message(&mut sender, message);
+    let why = connection::run(stream, Some(SILENCE_TIMEOUT), open, take).await;
+    if let Some(id) = sender {
+        server.peer_session_ended(id);
+    }
+    tracing::debug!("peers: the connection from {from} {why}");
+}
--- a/crates/rookpulley-controller/src/proxy_sessions.rs
+++ b/crates/rookpulley-controller/src/proxy_sessions.rs
@@ -1,63 +1,56 @@
-//! Lines of proxies: what they report, and what they are told. A proxy whose home is elsewhere says nothing here for
-//! long; that it is there shows in what is told to it.
+//! Connections of proxies, and of controllers without a disk.
+//!
+//! A proxy whose primary is another controller says nothing here for long; that it is there shows in what is written to
+//! it.
 
-use crate::hub::Hub;
-use rookpulley_protocol::Up;
-use rookpulley_runtime::line;
+use crate::server::{ClientSession, Server};
+use rookpulley_protocol::ProxyToController;
+use rookpulley_runtime::connection;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
 
-pub async fn listen(hub: Rc<Hub>, listener: tokio::net::TcpListener) {
+/// After a connection could not be accepted.
+pub const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+
+/// Takes connections for as long as the listener is there.
+pub async fn listen(server: Rc<Server>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(Duration::from_millis(20)).await;
+            tokio::time::sleep(ACCEPT_RETRY).await;
             continue;
         };
-        line::tend(&stream, line::UNHEARD);
-        let hub = hub.clone();
-        tokio::task::spawn_local(async move {
-            let outbox = Rc::new(RefCell::new(None));
-            let name = RefCell::new(None);
-            let open = |o| *outbox.borrow_mut() = Some(o);
-            let take = |up: Up| {
-                let known = name.borrow().clone();
-                match (up, known) {
-                    (hello @ (Up::Hello { .. } | Up::StatelessHello { .. }), None) => {
-                        let Some(outbox) = outbox.borrow_mut().take() else {
-                            return;
-                        };
-                        *name.borrow_mut() = hub.proxy_in(hello, outbox);
-                    }
-                    (up, Some((node, line))) => hub.proxy_said(&node, line, up),
-                    _ => {}
-                }
-            };
-            let why = line::run::<Up>(stream, None, open, take).await;
-            if let Some((node, line)) = name.into_inner() {
-                hub.proxy_out(&node, line);
-                tracing::info!("proxies: the line of {node} {why}");
-            }
-        });
+        connection::configure(&stream, connection::UNACKNOWLEDGED);
+        tokio::task::spawn_local(serve(server.clone(), stream));
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use crate::show::tests::at_a_controller;
-
-    #[test]
-    fn a_proxy_that_too_much_waits_for_is_hung_up_on_so_that_it_misses_nothing() {
-        at_a_controller(|calls| async move {
-            // Nothing is written meanwhile.
-            (0..2_000).for_each(|_| calls.hub.tick(8));
-            for _ in 0..10_000 {
-                if calls.hub.look(|controller| controller.proxies.is_empty()) {
-                    return;
+async fn serve(server: Rc<Server>, stream: TcpStream) {
+    let outbox = RefCell::new(None);
+    let session: RefCell<Option<ClientSession>> = RefCell::new(None);
+    let open = |opened| *outbox.borrow_mut() = Some(opened);
+    let take = |message: ProxyToController| {
+        let mut session = session.borrow_mut();
+        match (message, session.as_ref()) {
+            (message, Some(session)) => server.handle_client_message(session, message),
+            (
+                hello @ (ProxyToController::Hello(_) | ProxyToController::StatelessHello { .. }),
+                None,
+            ) => {
+                if let Some(outbox) = outbox.borrow_mut().take() {
+                    *session = server.client_connected(hello, outbox);
                 }
-                tokio::task::yield_now().await;
             }
-            panic!("its line goes on, without what was dropped");
-        });
+            (_, None) => {}
+        }
+    };
+    let why = connection::run::<ProxyToController>(stream, None, open, take).await;
+    if let Some(session) = session.into_inner() {
+        server.client_disconnected(&session);
+        tracing::info!("proxies: the connection of {} {why}", session.name);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/rookpulley-controller/src/standby/tests.rs
+++ b/crates/rookpulley-controller/src/standby/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use std::time::Instant;
+use std::net::Ipv4Addr;
+use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -96,8 +97,8 @@
     let data = base.path().join("data");
     std::fs::create_dir_all(&data).unwrap();
     // Another process has the store: it is asked for again and again for a second.
-    let (said, _heard) = tokio::sync::mpsc::unbounded_channel();
-    let held = rookpulley_store::Store::open(&data, 7, None, said).unwrap();
+    let (sender, _events) = tokio::sync::mpsc::unbounded_channel();
+    let held = rookpulley_store::Store::open(&data, 7, None, sender).unwrap();
     let mut node = settings(&data);
     node.ip = Ipv4Addr::new(127, 0, 5, 3);
     node.listen.control = Some(OTHER_CONTROL.parse().unwrap());
--- a/crates/rookpulley-controller/src/stateless.rs
+++ b/crates/rookpulley-controller/src/stateless.rs
@@ -1,12 +1,15 @@
-//! The controller of a machine without a disk on sockets and clock: it passes calls on, and keeps nothing.
+//! The controller of a machine without a disk, on sockets and clock. It redirects calls, and keeps nothing.
 
-use crate::calls::{Asked, tree};
-use crate::ending::{self, Signals};
+use crate::api::{no_such_call, redirect, wrong_method};
+use crate::incarnation::{Listeners, listen};
+use crate::proxy_sessions::ACCEPT_RETRY;
+use crate::request::{ApiRequest, request_tree};
+use crate::shutdown::{self, Signals};
 use miette::IntoDiagnostic;
-use rookpulley_api::{Bounds, Call, Match, Reply, Tree};
-use rookpulley_control::{StatelessController, StatelessEffect, StatelessStart, Word};
-use rookpulley_protocol::{Down, Up};
-use rookpulley_runtime::{File, line};
+use rookpulley_api::{Bounds, Call, Match, Reply, Tree, TreeError};
+use rookpulley_control::{PeerMessage, StatelessController, StatelessEffect, StatelessStart};
+use rookpulley_protocol::{ControllerToProxy, ProxyToController};
+use rookpulley_runtime::{SettingsFile, connection};
 use rookpulley_settings::Node;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,256 +21,268 @@
 use tokio::sync::watch;
 
 /// A controller with a disk says something every 400 ms, another one every second.
-const QUIET: Duration = Duration::from_millis(2_500);
-const DIAL: Duration = Duration::from_millis(500);
-const PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The pause before connecting again doubles with each failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 const TICK: Duration = Duration::from_secs(1);
-/// So often it says in the log how it stands, in ticks.
-const STATUS: u64 = 10;
+/// How often the log says how it stands, in ticks.
+const SUMMARY_TICKS: u64 = 10;
+/// In seconds.
+const RETRY_AFTER: &str = "0.2";
 
 #[derive(Default)]
-struct Lines {
-    controllers: BTreeMap<Ipv4Addr, line::Outbox>,
-    guests: BTreeMap<u64, line::Outbox>,
+struct Connections {
+    controllers: BTreeMap<Ipv4Addr, connection::Outbox>,
+    /// Of proxies and other controllers without a disk, by their numbers.
+    clients: BTreeMap<u64, connection::Outbox>,
 }
 
-struct Shell {
-    stateless: RefCell<StatelessController>,
-    lines: RefCell<Lines>,
-    born: Instant,
-    next: Cell<u64>,
-    port: u16,
-    control: u16,
-    tree: Tree<Asked>,
-    /// Calls that were passed on, and those that nobody could take.
-    passed: Cell<u64>,
+struct StatelessServer {
+    controller: RefCell<StatelessController>,
+    connections: RefCell<Connections>,
+    started: Instant,
+    last_connection: Cell<u64>,
+    /// Where controllers listen for proxies.
+    proxy_port: u16,
+    control_port: u16,
+    tree: Tree<ApiRequest>,
+    /// Calls that were redirected, and those that nobody could take.
+    redirected: Cell<u64>,
     refused: Cell<u64>,
 }
 
 pub async fn run(
     node: &Node,
     control: SocketAddrV4,
-    path: PathBuf,
+    settings_file: PathBuf,
     signals: &mut Signals,
 ) -> miette::Result<()> {
-    let [counter, for_proxies, for_peers] = crate::controller::listen(node, control)?;
+    let listeners = listen(node, control)?;
     tracing::info!(
         "controller: {} begins, without a disk: calls are passed on",
         node.name
     );
-    if !node.seeds.iter().any(|seed| *seed.ip() != node.ip) {
+    if node.seeds.iter().all(|seed| *seed.ip() == node.ip) {
         tracing::warn!(
             "controller: seedNodes names nobody else, so calls get 503 until a controller dials this one"
         );
     }
-    let shell = Shell::new(node, control).into_diagnostic()?;
+    let server = StatelessServer::new(node, control).into_diagnostic()?;
     let (stop, stopped) = watch::channel(false);
-    let calls = shell.clone();
+    let Listeners {
+        api,
+        proxies,
+        peers,
+    } = listeners;
+    let calls = server.clone();
     let handler = Rc::new(move |call: Call| std::future::ready(calls.answer(&call)));
-    let counter = tokio::task::spawn_local(rookpulley_api::serve(
-        counter,
-        Bounds::default(),
-        stopped,
-        handler,
-    ));
-    shell.begin(for_proxies, for_peers);
-    let of = shell.clone();
-    signals
-        .wait(File::new(path), |seeds| {
-            of.with(|stateless, now| stateless.set_seeds(now, seeds))
-        })
-        .await;
-    tracing::info!("ending: {}", shell.status());
-    ending::close(node, stop, counter).await;
+    let bounds = Bounds::default();
+    let api = tokio::task::spawn_local(rookpulley_api::serve(api, bounds, stopped, handler));
+    server.begin(proxies, peers);
+    let take_seeds = |seeds: &[SocketAddrV4]| {
+        server.step(|controller, now| controller.set_seeds(now, seeds));
+    };
+    let file = SettingsFile::new(settings_file);
+    signals.wait(file, take_seeds).await;
+    tracing::info!("ending: {}", server.summary());
+    shutdown::close(node, stop, api).await;
     Ok(())
 }
 
-impl Shell {
-    fn new(node: &Node, control: SocketAddrV4) -> Result<Rc<Shell>, rookpulley_api::TreeError> {
+impl StatelessServer {
+    fn new(node: &Node, control: SocketAddrV4) -> Result<Rc<Self>, TreeError> {
         let start = StatelessStart {
             address: SocketAddrV4::new(node.ip, node.inner_ports.0 + 1),
             zone: node.zone.clone(),
             seeds: node.seeds.clone(),
             first_start: node.first_start,
         };
-        Ok(Rc::new(Shell {
-            stateless: RefCell::new(StatelessController::new(start)),
-            lines: RefCell::default(),
-            born: Instant::now(),
-            next: Cell::new(0),
-            port: node.inner_ports.0,
-            control: control.port(),
-            tree: tree()?,
-            passed: Cell::new(0),
+        Ok(Rc::new(Self {
+            controller: RefCell::new(StatelessController::new(start)),
+            connections: RefCell::default(),
+            started: Instant::now(),
+            last_connection: Cell::new(0),
+            proxy_port: node.inner_ports.0,
+            control_port: control.port(),
+            tree: request_tree()?,
+            redirected: Cell::new(0),
             refused: Cell::new(0),
         }))
     }
 
     fn begin(self: &Rc<Self>, for_proxies: TcpListener, for_peers: TcpListener) {
-        tokio::task::spawn_local(self.clone().take_lines(for_proxies, Shell::guest));
-        tokio::task::spawn_local(self.clone().take_lines(for_peers, Shell::peer));
-        let shell = self.clone();
-        tokio::task::spawn_local(async move {
-            let mut heartbeat = tokio::time::interval(TICK);
-            heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-            for round in 0u64.. {
-                heartbeat.tick().await;
-                shell.with(StatelessController::tick);
-                if round.is_multiple_of(STATUS) {
-                    tracing::info!("controller: {}", shell.status());
-                }
+        tokio::task::spawn_local(self.clone().accept(for_proxies, Self::serve_client));
+        tokio::task::spawn_local(self.clone().accept(for_peers, Self::serve_peer));
+        tokio::task::spawn_local(self.clone().tick());
+    }
+
+    async fn tick(self: Rc<Self>) {
+        let mut ticks = tokio::time::interval(TICK);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        for tick in 0u64.. {
+            ticks.tick().await;
+            self.step(StatelessController::tick);
+            if tick.is_multiple_of(SUMMARY_TICKS) {
+                tracing::info!("controller: {}", self.summary());
             }
-        });
+        }
     }
 
     fn now_ms(&self) -> f64 {
-        self.born.elapsed().as_secs_f64() * 1e3
+        self.started.elapsed().as_secs_f64() * 1e3
     }
 
-    fn status(&self) -> String {
-        let stands = self.stateless.borrow().status(self.now_ms());
-        format!(
-            "{stands}; calls passed on {}, refused {}",
-            self.passed.get(),
-            self.refused.get()
-        )
+    fn summary(&self) -> String {
+        let summary = self.controller.borrow().summary(self.now_ms());
+        let redirected = self.redirected.get();
+        let refused = self.refused.get();
+        format!("{summary}; calls passed on {redirected}, refused {refused}")
     }
 
-    /// Something comes in; what is wanted is carried out.
-    fn with<T>(self: &Rc<Self>, input: impl FnOnce(&mut StatelessController, f64) -> T) -> T {
-        let (came, effects) = {
-            let mut stateless = self.stateless.borrow_mut();
-            (input(&mut stateless, self.now_ms()), stateless.effects())
+    /// Hands something to the controller, and carries out what it wants.
+    fn step<T>(self: &Rc<Self>, input: impl FnOnce(&mut StatelessController, f64) -> T) -> T {
+        let (result, effects) = {
+            let mut controller = self.controller.borrow_mut();
+            let result = input(&mut controller, self.now_ms());
+            (result, controller.take_effects())
         };
         for effect in effects {
-            let mut lines = self.lines.borrow_mut();
-            match effect {
-                StatelessEffect::Dial(ip) => drop(tokio::task::spawn_local(self.clone().keep(ip))),
-                // Where too much waits the line ends, and all is told anew on the next one.
-                StatelessEffect::Up { to, up } => {
-                    if lines
-                        .controllers
-                        .get(&to)
-                        .is_some_and(|outbox| !outbox.send(&up))
-                    {
-                        lines.controllers.remove(&to);
-                    }
+            self.carry_out(effect);
+        }
+        result
+    }
+
+    /// Where too much waits a connection ends, and all is told anew on the next one.
+    fn carry_out(self: &Rc<Self>, effect: StatelessEffect) {
+        let mut connections = self.connections.borrow_mut();
+        match effect {
+            StatelessEffect::Connect(ip) => {
+                tokio::task::spawn_local(self.clone().keep_connected(ip));
+            }
+            StatelessEffect::SendToController { to, message } => {
+                let outbox = connections.controllers.get(&to);
+                if outbox.is_some_and(|outbox| !outbox.send(&message)) {
+                    connections.controllers.remove(&to);
                 }
-                StatelessEffect::Down { line, frame } => {
-                    if lines
-                        .guests
-                        .get(&line)
-                        .is_some_and(|outbox| !outbox.send_framed(frame))
-                    {
-                        lines.guests.remove(&line);
-                    }
+            }
+            StatelessEffect::SendToClient { connection, frame } => {
+                let outbox = connections.clients.get(&connection);
+                if outbox.is_some_and(|outbox| !outbox.send_framed(frame)) {
+                    connections.clients.remove(&connection);
                 }
-                StatelessEffect::Log(line) => tracing::info!("{line}"),
             }
+            StatelessEffect::Log(line) => tracing::info!("{line}"),
         }
-        came
     }
 
-    /// Dials one controller again and again for as long as somebody names it.
-    async fn keep(self: Rc<Self>, ip: Ipv4Addr) {
-        let mut pause = PAUSE;
+    /// Connects to one controller again and again for as long as somebody names it.
+    async fn keep_connected(self: Rc<Self>, ip: Ipv4Addr) {
+        let to = SocketAddr::from((ip, self.proxy_port));
+        let mut backoff = MIN_BACKOFF;
         loop {
-            if let Ok(stream) = line::dial(SocketAddr::from((ip, self.port)), DIAL).await {
+            if let Ok(stream) = connection::connect(to, CONNECT_TIMEOUT).await {
                 let begun = Instant::now();
-                let open = |outbox| {
-                    self.lines.borrow_mut().controllers.insert(ip, outbox);
-                    self.with(|stateless, now| stateless.opened(now, ip));
-                };
-                let take = |down: Down| self.with(|stateless, now| stateless.told(now, ip, down));
-                let why = line::run(stream, Some(QUIET), open, take).await;
-                self.lines.borrow_mut().controllers.remove(&ip);
-                self.with(|stateless, _| stateless.lost(ip));
-                tracing::info!("peers: the line to {ip} {why}");
+                self.serve_controller(stream, ip).await;
                 if begun.elapsed() > TICK {
-                    pause = PAUSE;
+                    backoff = MIN_BACKOFF;
                 }
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
-            if self.with(|stateless, now| stateless.forgotten(now, ip)) {
+            tokio::time::sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
+            if self.step(|controller, now| controller.is_forgotten(now, ip)) {
                 return;
             }
         }
     }
 
-    async fn take_lines<F>(
-        self: Rc<Self>,
-        listener: TcpListener,
-        attend: fn(Rc<Self>, TcpStream) -> F,
-    ) where
+    async fn serve_controller(self: &Rc<Self>, stream: TcpStream, ip: Ipv4Addr) {
+        let open = |outbox| {
+            self.connections.borrow_mut().controllers.insert(ip, outbox);
+            self.step(|controller, now| controller.controller_connected(now, ip));
+        };
+        let take = |message: ControllerToProxy| {
+            self.step(|controller, now| controller.handle_controller_message(now, ip, message));
+        };
+        let why = connection::run(stream, Some(SILENCE_TIMEOUT), open, take).await;
+        self.connections.borrow_mut().controllers.remove(&ip);
+        self.step(|controller, _| controller.controller_disconnected(ip));
+        tracing::info!("peers: the connection to {ip} {why}");
+    }
+
+    async fn accept<F>(self: Rc<Self>, listener: TcpListener, serve: fn(Rc<Self>, TcpStream) -> F)
+    where
         F: Future<Output = ()> + 'static,
     {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                tokio::time::sleep(Duration::from_millis(20)).await;
+                tokio::time::sleep(ACCEPT_RETRY).await;
                 continue;
             };
-            line::tend(&stream, line::UNHEARD);
-            tokio::task::spawn_local(attend(self.clone(), stream));
+            connection::configure(&stream, connection::UNACKNOWLEDGED);
+            tokio::task::spawn_local(serve(self.clone(), stream));
         }
     }
 
     /// A proxy, or another controller without a disk.
-    async fn guest(self: Rc<Self>, stream: TcpStream) {
-        let number = self.next.get() + 1;
-        self.next.set(number);
-        let open = |outbox| _ = self.lines.borrow_mut().guests.insert(number, outbox);
-        let take = |up: Up| {
-            if matches!(up, Up::Hello { .. } | Up::StatelessHello { .. }) {
-                self.with(|stateless, _| stateless.guest_in(number, &up));
+    async fn serve_client(self: Rc<Self>, stream: TcpStream) {
+        let number = self.last_connection.get() + 1;
+        self.last_connection.set(number);
+        let open = |outbox| {
+            self.connections.borrow_mut().clients.insert(number, outbox);
+        };
+        let take = |message: ProxyToController| {
+            let is_hello = matches!(
+                message,
+                ProxyToController::Hello(_) | ProxyToController::StatelessHello { .. }
+            );
+            if is_hello {
+                self.step(|controller, _| controller.client_connected(number, &message));
             }
         };
-        line::run(stream, None, open, take).await;
-        self.lines.borrow_mut().guests.remove(&number);
-        self.with(|stateless, _| stateless.guest_out(number));
+        connection::run(stream, None, open, take).await;
+        self.connections.borrow_mut().clients.remove(&number);
+        self.step(|controller, _| controller.client_disconnected(number));
     }
 
-    /// A controller that has this address as a seed. It is dialed in turn, and stops to dial here.
-    async fn peer(self: Rc<Self>, stream: TcpStream) {
-        let mut own = None;
-        let take = |word: Word| {
-            if let Word::Hello { from, .. } = word {
-                self.with(|stateless, now| stateless.hello(now, from));
+    /// A controller that has this address as a seed. It is connected to in turn, and stops to connect here.
+    async fn serve_peer(self: Rc<Self>, stream: TcpStream) {
+        // Nothing is sent on this connection, but it ends with its outbox.
+        let mut _outbox = None;
+        let open = |opened| _outbox = Some(opened);
+        let take = |message: PeerMessage| {
+            if let PeerMessage::Hello { from, .. } = message {
+                self.step(|controller, now| controller.handle_peer_hello(now, from));
             }
         };
-        line::run(stream, Some(QUIET), |outbox| own = Some(outbox), take).await;
+        connection::run(stream, Some(SILENCE_TIMEOUT), open, take).await;
     }
 
     fn answer(&self, call: &Call) -> Reply {
         match self.tree.lookup(&call.method, &call.path) {
-            Match::Nothing => return Reply::error(404, "there is no such call"),
-            Match::WrongMethod => {
-                return Reply::error(405, "there is no such call with this method");
+            Match::Nothing => return no_such_call(),
+            Match::WrongMethod => return wrong_method(),
+            // What could be looked at is of one controller alone: whoever asks is to know of which.
+            Match::Found(ApiRequest::Inspect(_), _) => {
+                let sentence = "this office has no disk and nothing to show; ask one that has";
+                return Reply::error(404, sentence);
             }
-            // What is shown is of one controller alone: whoever asks is to know of which.
-            Match::Found(Asked::Show(_), _) => {
-                return Reply::error(
-                    404,
-                    "this office has no disk and nothing to show; ask one that has",
-                );
+            Match::Found(ApiRequest::Call(_), _) => {}
+        }
+        let to = self.controller.borrow().redirect(self.now_ms(), &call.path);
+        match to {
+            Some(to) => {
+                self.redirected.set(self.redirected.get() + 1);
+                redirect(to, self.control_port, call)
+            }
+            None => {
+                self.refused.set(self.refused.get() + 1);
+                let sentence =
+                    "not now: this office has no disk and reaches none that has; nothing was done";
+                Reply::error(503, sentence).with("Retry-After", RETRY_AFTER)
             }
-            Match::Found(Asked::Call(_), _) => {}
         }
-        let Some(to) = self.stateless.borrow().pass_on(self.now_ms(), &call.path) else {
-            self.refused.set(self.refused.get() + 1);
-            let sentence =
-                "not now: this office has no disk and reaches none that has; nothing was done";
-            return Reply::error(503, sentence).with("Retry-After", "0.2");
-        };
-        self.passed.set(self.passed.get() + 1);
-        let query = if call.query.is_empty() {
-            String::new()
-        } else {
-            format!("?{}", call.query)
-        };
-        let location = format!("http://{to}:{}{}{query}", self.control, call.path);
-        Reply::empty(307).with("Location", location)
     }
 }
 
--- a/crates/rookpulley-controller/src/stateless/tests.rs
+++ b/crates/rookpulley-controller/src/stateless/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
-use crate::hub::Hub;
 use crate::proxy_sessions;
-use rookpulley_control::Founding;
+use crate::server::Server;
+use rookpulley_control::Bootstrap;
+use rookpulley_protocol::ProxyHello;
 use rookpulley_store::Store;
 use std::thread::JoinHandle;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -36,23 +37,23 @@
             .build()
             .unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let (said, heard) = tokio::sync::mpsc::unbounded_channel();
-            let mark = Founding::new(ip, &[SocketAddrV4::new(ip, 8_166)]).mark();
-            let store = Store::open(folder.path(), 7, Some(&mark), said).unwrap();
-            let hub = Hub::new(node, store, Vec::new(), 11);
-            hub.hear_store(heard);
-            let listener = line::listen(SocketAddr::from((ip, port)), 16).unwrap();
-            tokio::task::spawn_local(proxy_sessions::listen(hub.clone(), listener));
+            let (sender, events) = tokio::sync::mpsc::unbounded_channel();
+            let bootstrap = Bootstrap::new(ip, &[SocketAddrV4::new(ip, 8_166)]).encode();
+            let store = Store::open(folder.path(), 7, Some(&bootstrap), sender).unwrap();
+            let server = Server::new(node, store, Vec::new(), 11);
+            server.hear_store(events);
+            let listener = connection::listen(SocketAddr::from((ip, port)), 16).unwrap();
+            tokio::task::spawn_local(proxy_sessions::listen(server.clone(), listener));
             let tick = async {
                 let mut heartbeat = tokio::time::interval(Duration::from_millis(10));
                 for round in 1.. {
                     heartbeat.tick().await;
-                    hub.tick(round);
+                    server.tick(round);
                 }
             };
             tokio::select! { () = tick => {}, _ = ended => {} }
             assert!(
-                hub.look(|controller| controller.proxies.is_empty()),
+                server.inspect(|controller| controller.proxies.is_empty()),
                 "it was counted as a proxy"
             );
         });
@@ -92,13 +93,13 @@
         .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let node = settings(ips[0], "quay", port);
-        let shell = Shell::new(&node, node.listen.control.unwrap()).unwrap();
-        let at = |port| line::listen(SocketAddr::from((ips[0], port)), 16).unwrap();
-        shell.begin(at(port), at(0));
+        let server = StatelessServer::new(&node, node.listen.control.unwrap()).unwrap();
+        let at = |port| connection::listen(SocketAddr::from((ips[0], port)), 16).unwrap();
+        server.begin(at(port), at(0));
         let counter = at(0);
         let to = counter.local_addr().unwrap();
         let (_stop, stopped) = watch::channel(false);
-        let calls = shell.clone();
+        let calls = server.clone();
         let handler = Rc::new(move |call: Call| std::future::ready(calls.answer(&call)));
         tokio::task::spawn_local(rookpulley_api::serve(counter, Bounds::default(), stopped, handler));
 
@@ -132,41 +133,41 @@
         .build()
         .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let other = line::listen(SocketAddr::from((Ipv4Addr::new(127, 0, 3, 2), 0)), 16).unwrap();
+        let other = connection::listen(SocketAddr::from((Ipv4Addr::new(127, 0, 3, 2), 0)), 16).unwrap();
         let port = other.local_addr().unwrap().port();
         let node = settings(ip, "quay", port);
-        let shell = Shell::new(&node, node.listen.control.unwrap()).unwrap();
-        let at = |port| line::listen(SocketAddr::from((ip, port)), 16).unwrap();
+        let server = StatelessServer::new(&node, node.listen.control.unwrap()).unwrap();
+        let at = |port| connection::listen(SocketAddr::from((ip, port)), 16).unwrap();
         let for_proxies = at(0);
         let to = for_proxies.local_addr().unwrap();
-        shell.begin(for_proxies, at(0));
+        server.begin(for_proxies, at(0));
         // The other stands for a controller: it says where it is.
         let taken = async {
             let (stream, _) = other.accept().await.unwrap();
-            let place = Down::Place { zone: "hill".into(), founds: None, view: true };
+            let place = ControllerToProxy::ControllerInfo { zone: "hill".into(), founder: None, knows_view: true };
             let mut own = None;
-            let open = |outbox: line::Outbox| {
+            let open = |outbox: connection::Outbox| {
                 assert!(outbox.send(&place));
                 own = Some(outbox);
             };
-            line::run::<Up>(stream, None, open, |up| assert!(matches!(up, Up::StatelessHello { .. }))).await
+            connection::run::<ProxyToController>(stream, None, open, |up| assert!(matches!(up, ProxyToController::StatelessHello { .. }))).await
         };
         let heard = Rc::new(Cell::new(false));
         let proxy = async {
-            let stream = line::dial(to, Duration::from_secs(60)).await.unwrap();
+            let stream = connection::connect(to, Duration::from_secs(60)).await.unwrap();
             let (node, zone) = ("edge-quay-2".into(), "quay".into());
-            let hello = Up::Hello { node, zone, home: false, config: 0, tables: false, gone: Vec::new() };
+            let hello = ProxyToController::Hello(ProxyHello { node, zone, is_primary: false, configuration: 0, has_tables: false, gone: Vec::new() });
             let mut own = None;
-            let open = |outbox: line::Outbox| {
+            let open = |outbox: connection::Outbox| {
                 assert!(outbox.send(&hello));
                 own = Some(outbox);
             };
-            let take = |down: Down| {
-                let Down::Pulse { in_touch, config, proxies, controllers } = down else { panic!("{down:?}") };
+            let take = |down: ControllerToProxy| {
+                let ControllerToProxy::Status { in_touch, configuration: config, proxies, controllers } = down else { panic!("{down:?}") };
                 assert_eq!((in_touch, config, proxies), (false, 0, 0));
                 heard.set(controllers.iter().any(|controller| *controller.ip() == Ipv4Addr::new(127, 0, 3, 2)));
             };
-            line::run(stream, None, open, take).await
+            connection::run(stream, None, open, take).await
         };
         let told = async {
             while !heard.get() {
--- a/crates/rookpulley-proxy-core/src/journey.rs
+++ b/crates/rookpulley-proxy-core/src/journey.rs
@@ -3,7 +3,7 @@
 use crate::Worth;
 use crate::satchel::Satchel;
 use rookpulley_balancer::{Fate, Next, Pick, Round};
-use rookpulley_protocol::{IncarnationId, Line};
+use rookpulley_protocol::{IncarnationId, TableEntry};
 use rookpulley_routes::RouteKind;
 use std::rc::Rc;
 
@@ -16,7 +16,7 @@
     pub service: Rc<str>,
     pub kind: RouteKind,
     pub attempts: u32,
-    pub aim_ms: f64,
+    pub latency_target_ms: f64,
     pub until_ms: f64,
     pub max_connections: u32,
 }
@@ -68,7 +68,7 @@
     /// A try at this task. At `turn_ms` it is asked whether to go on with it; it ends at the way's `until_ms` at last.
     Try {
         pick: Pick,
-        to: Rc<Line>,
+        to: Rc<TableEntry>,
         turn_ms: f64,
     },
     Tell(Tell),
@@ -116,7 +116,7 @@
             service: Rc::from(service.name.as_str()),
             kind: route.kind,
             attempts: route.attempts,
-            aim_ms: route.aim_ms,
+            latency_target_ms: route.latency_target_ms,
             until_ms,
             max_connections: service.max_connections,
         })
@@ -199,7 +199,9 @@
             return Go::Tell(satchel.give_up(service, next));
         };
         self.round.goes_to(&pick.line.incarnation);
-        let patience_ms = self.round.patience_ms(now, self.way.aim_ms, pick.habit_ms);
+        let patience_ms = self
+            .round
+            .patience_ms(now, self.way.latency_target_ms, pick.habit_ms);
         self.patient = patience_ms.is_none();
         Go::Try {
             to: pick.line.clone(),
--- a/crates/rookpulley-proxy-core/src/satchel.rs
+++ b/crates/rookpulley-proxy-core/src/satchel.rs
@@ -3,8 +3,10 @@
 use crate::tally::Tally;
 use rookpulley_balancer::{Budget, ControllerSelection, Fleet, Move, Post};
 use rookpulley_protocol::frame::LONGEST;
-use rookpulley_protocol::{Down, IncarnationId, Up, unpack};
-use rookpulley_routes::Book;
+use rookpulley_protocol::{
+    ControllerToProxy, IncarnationId, ProxyHello, ProxyToController, unpack,
+};
+use rookpulley_routes::RouteTable;
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -15,7 +17,7 @@
     /// A line to this controller is to be kept until it is forgotten.
     Dial(Ipv4Addr),
     /// To a controller, on its line.
-    Say(Ipv4Addr, Up),
+    Say(Ipv4Addr, ProxyToController),
     /// No connection to this incarnation is to be used again.
     Forget(IncarnationId),
     Log(String),
@@ -29,7 +31,7 @@
     ratio: f64,
     slack: f64,
     seeds: Vec<Ipv4Addr>,
-    book: Option<Rc<Book>>,
+    book: Option<Rc<RouteTable>>,
     /// The bytes that it was read from: newer ones come as what differs.
     edition: Vec<u8>,
     pub post: Post,
@@ -73,7 +75,7 @@
         std::mem::take(&mut self.out)
     }
 
-    pub fn book(&self) -> Option<Rc<Book>> {
+    pub fn book(&self) -> Option<Rc<RouteTable>> {
         self.book.clone()
     }
 
@@ -82,7 +84,7 @@
     }
 
     /// Within an incarnation the version only rises: an older configuration that comes late changes nothing.
-    pub fn take_book(&mut self, book: Book, edition: Vec<u8>) {
+    pub fn take_book(&mut self, book: RouteTable, edition: Vec<u8>) {
         if book.version > self.version() {
             self.edition = edition;
             self.out.push(Effect::Log(format!(
@@ -139,7 +141,7 @@
         self.controllers.home()
     }
 
-    fn say(&mut self, controller: Ipv4Addr, up: Up) {
+    fn say(&mut self, controller: Ipv4Addr, up: ProxyToController) {
         self.out.push(Effect::Say(controller, up));
     }
 
@@ -156,7 +158,7 @@
     pub fn report(&mut self, now: f64) {
         let Some(home) = self.home() else { return };
         let report = self.tally.report(now);
-        self.say(home, Up::Report(report));
+        self.say(home, ProxyToController::Report(report));
     }
 
     fn named(&mut self, now: f64, controller: Ipv4Addr) {
@@ -171,24 +173,24 @@
     }
 
     pub fn opened(&mut self, now: f64, controller: Ipv4Addr) {
-        let hello = Up::Hello {
+        let hello = ProxyToController::Hello(ProxyHello {
             node: self.name.clone(),
             zone: self.zone.clone(),
-            home: self.home() == Some(controller),
-            config: self.version(),
-            tables: self.post.any(),
+            is_primary: self.home() == Some(controller),
+            configuration: self.version(),
+            has_tables: self.post.any(),
             gone: self.post.all_gone(),
-        };
+        });
         self.say(controller, hello);
         self.controllers.connected(now, controller);
     }
 
     /// A controller says something.
-    pub fn take(&mut self, now: f64, controller: Ipv4Addr, down: Down) {
+    pub fn take(&mut self, now: f64, controller: Ipv4Addr, down: ControllerToProxy) {
         match down {
-            Down::Pulse {
+            ControllerToProxy::Status {
                 in_touch,
-                config,
+                configuration: config,
                 proxies,
                 controllers,
             } => {
@@ -197,7 +199,10 @@
                     .controllers
                     .pulse(now, controller, in_touch, config, have)
                 {
-                    self.say(controller, Up::WantConfig { have });
+                    self.say(
+                        controller,
+                        ProxyToController::RequestConfiguration { held: have },
+                    );
                 }
                 if proxies > 0 {
                     self.take_proxies(now, proxies);
@@ -207,7 +212,7 @@
                     .for_each(|other| self.named(now, *other.ip()));
                 self.choose_home(now);
             }
-            Down::Config {
+            ControllerToProxy::Configuration {
                 version,
                 base,
                 length,
@@ -216,22 +221,25 @@
                 if let Some(have) =
                     self.take_configuration(controller, version, (base, length as usize), &packed)
                 {
-                    self.say(controller, Up::WantConfig { have });
+                    self.say(
+                        controller,
+                        ProxyToController::RequestConfiguration { held: have },
+                    );
                 }
             }
-            // Aother controller than the home may still think that it is the home.
-            Down::Table {
+            // Another controller than the home may still think that it is the home.
+            ControllerToProxy::Table {
                 service,
-                mark,
-                lines,
+                sequence: mark,
+                entries: lines,
                 ..
             } if self.home() == Some(controller) => {
                 let left = self.post.table(&service, lines);
                 self.out.extend(left.into_iter().map(Effect::Forget));
-                self.say(controller, Up::Took { mark });
+                self.say(controller, ProxyToController::TablesApplied { up_to: mark });
             }
-            Down::Table { .. } | Down::Place { .. } => {}
-            Down::Gone { incarnations } => {
+            ControllerToProxy::Table { .. } | ControllerToProxy::ControllerInfo { .. } => {}
+            ControllerToProxy::InstancesGone { incarnations } => {
                 let news = self.post.gone(incarnations, now);
                 self.out.extend(news.into_iter().map(Effect::Forget));
             }
@@ -272,7 +280,7 @@
             .book
             .as_ref()
             .map(|book| (self.edition.as_slice(), book.as_ref()));
-        match Book::read_after(&body, earlier) {
+        match RouteTable::read_after(&body, earlier) {
             Ok(book) => self.take_book(book, body),
             Err(faults) => {
                 let line = format!(
@@ -294,19 +302,19 @@
         from.into_iter().for_each(|from| {
             self.say(
                 from,
-                Up::Home {
-                    home: false,
-                    config,
-                    tables,
+                ProxyToController::PrimaryChanged {
+                    is_primary: false,
+                    configuration: config,
+                    has_tables: tables,
                 },
             )
         });
         self.say(
             to,
-            Up::Home {
-                home: true,
-                config,
-                tables,
+            ProxyToController::PrimaryChanged {
+                is_primary: true,
+                configuration: config,
+                has_tables: tables,
             },
         );
     }
--- a/crates/rookpulley-proxy-core/src/tally.rs
+++ b/crates/rookpulley-proxy-core/src/tally.rs
@@ -1,7 +1,7 @@
 //! What is counted for the home's next report.
 
 use rookpulley_balancer::Fate;
-use rookpulley_protocol::{IncarnationId, Report, ServiceReport, TaskReport};
+use rookpulley_protocol::{IncarnationId, InstanceLoad, LoadReport, ServiceLoad};
 use std::collections::HashMap;
 
 #[derive(Default)]
@@ -53,15 +53,15 @@
         }
     }
 
-    pub fn report(&mut self, now_ms: f64) -> Report {
+    pub fn report(&mut self, now_ms: f64) -> LoadReport {
         let span_ms = (now_ms - self.since_ms).clamp(0.0, 1e9) as u32;
         self.since_ms = now_ms;
-        let mut services: Vec<ServiceReport> = std::mem::take(&mut self.services)
+        let mut services: Vec<ServiceLoad> = std::mem::take(&mut self.services)
             .into_iter()
             .map(|(name, of)| of.report(name))
             .collect();
         services.sort_by(|a, b| a.service.cmp(&b.service));
-        Report { span_ms, services }
+        LoadReport { span_ms, services }
     }
 
     fn of(&mut self, service: &str) -> &mut OfService {
@@ -70,32 +70,32 @@
 }
 
 impl OfService {
-    fn report(self, service: String) -> ServiceReport {
+    fn report(self, service: String) -> ServiceLoad {
         let tasks = self
             .tasks
             .into_iter()
             .map(|(incarnation, of)| of.report(incarnation))
             .collect();
-        ServiceReport {
+        ServiceLoad {
             service,
-            came: self.came,
-            bad: self.bad,
-            tasks,
+            received: self.came,
+            failed: self.bad,
+            instances: tasks,
         }
     }
 }
 
 impl OfTask {
-    fn report(self, incarnation: IncarnationId) -> TaskReport {
+    fn report(self, incarnation: IncarnationId) -> InstanceLoad {
         let mean_ms = if self.good > 0 {
             (self.good_ms / f64::from(self.good)) as f32
         } else {
             0.0
         };
-        TaskReport {
+        InstanceLoad {
             incarnation,
-            tries: self.tries,
-            bad: self.bad,
+            attempts: self.tries,
+            failed: self.bad,
             mean_ms,
         }
     }
--- a/crates/rookpulley-proxy/src/attempt.rs
+++ b/crates/rookpulley-proxy/src/attempt.rs
@@ -10,7 +10,7 @@
 use hyper::http::response;
 use hyper::{Method, Request, Response, Uri, Version};
 use rookpulley_balancer::{Fate, Pick};
-use rookpulley_protocol::Line;
+use rookpulley_protocol::TableEntry;
 use rookpulley_proxy_core::{Back, How, Leaving, Way};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -75,7 +75,7 @@
     }
 
     /// `left` turns true once bytes of the request may have left.
-    pub async fn attempt(&self, to: &Line, mut parcel: Parcel, left: &Cell<bool>) -> Ended {
+    pub async fn attempt(&self, to: &TableEntry, mut parcel: Parcel, left: &Cell<bool>) -> Ended {
         let bound = self.proxy.look(|satchel| satchel.connections(&self.way));
         let mut leaving = Leaving::default();
         loop {
@@ -135,7 +135,7 @@
     }
 
     /// None where it couldn't be told to whom it goes.
-    fn request(&self, to: &Line, parcel: Parcel) -> Option<Request<Parcel>> {
+    fn request(&self, to: &TableEntry, parcel: Parcel) -> Option<Request<Parcel>> {
         let incarnation = HeaderValue::from_str(&to.incarnation).ok()?;
         // A body that comes in chunks goes on in chunks, whatever the method.
         let chunks = parcel.size_hint().exact().is_none();
--- a/crates/rookpulley-proxy/src/ending.rs
+++ b/crates/rookpulley-proxy/src/ending.rs
@@ -3,7 +3,7 @@
 use crate::state::ProxyContext;
 use rookpulley_proxy_core::Satchel;
 use rookpulley_routes::Limits;
-use rookpulley_runtime::File;
+use rookpulley_runtime::SettingsFile;
 use rookpulley_settings::Node;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -57,7 +57,7 @@
 
 /// Returns when the program may end.
 pub async fn attend(proxy: Rc<ProxyContext>, path: Option<PathBuf>, mut signals: Signals) {
-    let mut file = path.map(File::new);
+    let mut file = path.map(SettingsFile::new);
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut tick = 0u32;
@@ -72,7 +72,7 @@
                 tick = tick.wrapping_add(1);
                 due(&proxy, tick);
                 if tick.is_multiple_of(8) && let Some(file) = &mut file {
-                    take_settings(&proxy, file.look());
+                    take_settings(&proxy, file.read_if_changed());
                 }
             }
         }
--- a/crates/rookpulley-proxy/src/lib.rs
+++ b/crates/rookpulley-proxy/src/lib.rs
@@ -25,7 +25,7 @@
 pub use state::ProxyContext;
 
 use rookpulley_proxy_core::Satchel;
-use rookpulley_runtime::line;
+use rookpulley_runtime::connection;
 use rookpulley_settings::Node;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::PathBuf;
@@ -58,7 +58,8 @@
     pub fn new(node: &Node) -> Result<Bound, CannotRun> {
         let listen = |at: Option<SocketAddrV4>, name, backlog| {
             let at = at.ok_or(CannotRun::NoAddress(name))?;
-            line::listen(SocketAddr::V4(at), backlog).map_err(|why| CannotRun::Listen { at, why })
+            connection::listen(SocketAddr::V4(at), backlog)
+                .map_err(|why| CannotRun::Listen { at, why })
         };
         Ok(Bound {
             front: listen(node.listen.front, "frontHttp", 4_096)?,
--- a/crates/rookpulley-proxy/src/links.rs
+++ b/crates/rookpulley-proxy/src/links.rs
@@ -1,8 +1,8 @@
 //! The lines to all controllers: each is heard, one of them is this proxy's home.
 
 use crate::state::ProxyContext;
-use rookpulley_protocol::Up;
-use rookpulley_runtime::line;
+use rookpulley_protocol::ProxyToController;
+use rookpulley_runtime::connection;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,10 +17,10 @@
 
 #[derive(Default)]
 pub struct Links {
-    lines: RefCell<BTreeMap<Ipv4Addr, line::Outbox>>,
+    lines: RefCell<BTreeMap<Ipv4Addr, connection::Outbox>>,
 }
 
-pub fn say(proxy: &Rc<ProxyContext>, controller: Ipv4Addr, up: &Up) {
+pub fn say(proxy: &Rc<ProxyContext>, controller: Ipv4Addr, up: &ProxyToController) {
     let ended = proxy
         .links
         .lines
@@ -46,9 +46,9 @@
     let to = SocketAddr::from((controller, proxy.node.inner_ports.0));
     let mut pause = PAUSE;
     loop {
-        if let Ok(stream) = line::dial(to, DIAL).await {
+        if let Ok(stream) = connection::connect(to, DIAL).await {
             let begun_ms = proxy.now_ms();
-            let why = line::run(
+            let why = connection::run(
                 stream,
                 Some(QUIET),
                 |outbox| {
--- a/crates/rookpulley-proxy/src/listener.rs
+++ b/crates/rookpulley-proxy/src/listener.rs
@@ -7,7 +7,7 @@
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
 use rookpulley_routes::Limits;
-use rookpulley_runtime::line;
+use rookpulley_runtime::connection;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -105,7 +105,7 @@
 }
 
 async fn client(proxy: Rc<ProxyContext>, stream: TcpStream, number: u64, watch: Rc<Watch>) {
-    line::tend(&stream, UNHEARD);
+    connection::configure(&stream, UNHEARD);
     let bound = limits(&proxy)
         .header_bytes
         .clamp(Limits::default().header_bytes, LONGEST_HEAD)
--- a/crates/rookpulley-proxy/src/state.rs
+++ b/crates/rookpulley-proxy/src/state.rs
@@ -5,7 +5,7 @@
 use crate::wires::Wires;
 use bytes::Bytes;
 use rookpulley_proxy_core::{Effect, Satchel};
-use rookpulley_routes::Book;
+use rookpulley_routes::RouteTable;
 use rookpulley_settings::Node;
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
@@ -97,7 +97,7 @@
         look(&self.satchel.borrow())
     }
 
-    pub fn book(&self) -> Option<Rc<Book>> {
+    pub fn book(&self) -> Option<Rc<RouteTable>> {
         self.look(Satchel::book)
     }
 
--- a/crates/rookpulley-proxy/src/wires.rs
+++ b/crates/rookpulley-proxy/src/wires.rs
@@ -5,8 +5,8 @@
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper::header::{CONNECTION, HeaderMap, HeaderValue};
 use hyper_util::rt::TokioIo;
-use rookpulley_protocol::{IncarnationId, Line};
-use rookpulley_runtime::line;
+use rookpulley_protocol::{IncarnationId, TableEntry};
+use rookpulley_runtime::connection;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -84,7 +84,7 @@
     /// `anew`: none that was used before.
     pub async fn take(
         &self,
-        to: &Line,
+        to: &TableEntry,
         bound: usize,
         once: bool,
         anew: bool,
@@ -126,7 +126,7 @@
             return Err(NoWire::Unreachable);
         };
         let way = began.elapsed();
-        line::tend(&stream, line::UNHEARD);
+        connection::configure(&stream, connection::UNACKNOWLEDGED);
         let awaited = Rc::new(Awaited::default());
         let sieve = TokioIo::new(Sieve::new(stream, awaited.clone()));
         let shaken = Builder::new().max_buf_size(BUFFER).handshake(sieve).await;
--- a/crates/rookpulley-proxy/src/wires/tests.rs
+++ b/crates/rookpulley-proxy/src/wires/tests.rs
@@ -13,14 +13,14 @@
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
-async fn task(incarnation: &str) -> (TcpListener, Line) {
+async fn task(incarnation: &str) -> (TcpListener, TableEntry) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
         unreachable!()
     };
     (
         listener,
-        Line {
+        TableEntry {
             incarnation: incarnation.into(),
             address,
             zone: "z".into(),
--- a/crates/rookpulley-proxy/tests/proxy/homes.rs
+++ b/crates/rookpulley-proxy/tests/proxy/homes.rs
@@ -1,9 +1,9 @@
 //! Which controller a proxy calls home.
 
 use crate::scene::{Scene, good, play, request, status};
-use rookpulley_protocol::{Down, Line, Up};
+use rookpulley_protocol::{ControllerToProxy, ProxyHello, ProxyToController, TableEntry};
 use rookpulley_proxy::{Bound, ProxyContext, Signals, run};
-use rookpulley_runtime::line::{self, Outbox};
+use rookpulley_runtime::connection::{self, Outbox};
 use rookpulley_settings::Node;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use tokio::net::{TcpListener, TcpStream};
@@ -12,7 +12,7 @@
 struct Controller {
     listener: TcpListener,
     outbox: Outbox,
-    heard: mpsc::UnboundedReceiver<Up>,
+    heard: mpsc::UnboundedReceiver<ProxyToController>,
     line: tokio::task::JoinHandle<()>,
 }
 
@@ -20,13 +20,13 @@
     stream: TcpStream,
 ) -> (
     Outbox,
-    mpsc::UnboundedReceiver<Up>,
+    mpsc::UnboundedReceiver<ProxyToController>,
     tokio::task::JoinHandle<()>,
 ) {
     let (opened, mut open) = mpsc::unbounded_channel();
     let (tell, heard) = mpsc::unbounded_channel();
     let line = tokio::task::spawn_local(async move {
-        line::run(
+        connection::run(
             stream,
             None,
             move |outbox| _ = opened.send(outbox),
@@ -50,9 +50,9 @@
     }
 
     fn pulse(&self, controllers: Vec<SocketAddrV4>) {
-        assert!(self.outbox.send(&Down::Pulse {
+        assert!(self.outbox.send(&ControllerToProxy::Status {
             in_touch: true,
-            config: 0,
+            configuration: 0,
             proxies: 1,
             controllers
         }));
@@ -62,8 +62,12 @@
     async fn home(&mut self) -> bool {
         loop {
             match self.heard.recv().await.unwrap() {
-                Up::Hello { home: true, .. } => return true,
-                Up::Home { home, .. } => return home,
+                ProxyToController::Hello(ProxyHello {
+                    is_primary: true, ..
+                }) => return true,
+                ProxyToController::PrimaryChanged {
+                    is_primary: home, ..
+                } => return home,
                 _ => {}
             }
         }
@@ -71,7 +75,9 @@
 
     async fn took(&mut self) -> u64 {
         loop {
-            if let Up::Took { mark } = self.heard.recv().await.unwrap() {
+            if let ProxyToController::TablesApplied { up_to: mark } =
+                self.heard.recv().await.unwrap()
+            {
                 return mark;
             }
         }
@@ -79,18 +85,18 @@
 
     fn table(&self, service: &str, mark: u64) {
         let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
-        let line = Line {
+        let line = TableEntry {
             incarnation: service.to_owned(),
             address,
             zone: "east".to_owned(),
             weight: 1.0,
             slots: 1,
         };
-        let table = Down::Table {
+        let table = ControllerToProxy::Table {
             service: service.to_owned(),
-            name: 1,
-            mark,
-            lines: vec![line],
+            revision: 1,
+            sequence: mark,
+            entries: vec![line],
         };
         assert!(self.outbox.send(&table));
     }
@@ -105,7 +111,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let first = TcpListener::bind("127.0.0.2:0").await.unwrap();
         let port = first.local_addr().unwrap().port();
-        let second = line::listen(SocketAddr::from(([127, 0, 0, 3], port)), 8).unwrap();
+        let second = connection::listen(SocketAddr::from(([127, 0, 0, 3], port)), 8).unwrap();
         let mut node = Node::parse(&format!(
             "nodeName = \"one\"\nserves = [\"edge\"]\nipAddress = \"127.0.0.1\"\nzone = \"east\"\nregion = \"r\"\n\
              internalPortRange = [{port}, {port}]\nseedNodes = [\"127.0.0.2:9\"]\n[listenAddresses]\n\
--- a/crates/rookpulley-proxy/tests/proxy/scene/mod.rs
+++ b/crates/rookpulley-proxy/tests/proxy/scene/mod.rs
@@ -1,8 +1,8 @@
 //! A proxy on loopback between a stand-in controller, stand-in tasks and a client that sends bytes.
 
-use rookpulley_protocol::{Down, Line, Report, Up, pack};
+use rookpulley_protocol::{ControllerToProxy, LoadReport, ProxyToController, TableEntry, pack};
 use rookpulley_proxy::{Bound, ProxyContext, Signal, Signals, run};
-use rookpulley_runtime::line;
+use rookpulley_runtime::connection;
 use rookpulley_settings::Node;
 use std::cell::RefCell;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -61,9 +61,9 @@
     pub front: SocketAddr,
     pub readiness: SocketAddr,
     pub tell: mpsc::Sender<Signal>,
-    controller: line::Outbox,
+    controller: connection::Outbox,
     took: mpsc::UnboundedReceiver<u64>,
-    reports: mpsc::UnboundedReceiver<Report>,
+    reports: mpsc::UnboundedReceiver<LoadReport>,
     asked: mpsc::UnboundedReceiver<u64>,
     pub got: Rc<RefCell<Vec<Got>>>,
     script: Script,
@@ -105,23 +105,25 @@
         let ((marks, took), (tell_report, reports)) =
             (mpsc::unbounded_channel(), mpsc::unbounded_channel());
         let (ask, asked) = mpsc::unbounded_channel();
-        tokio::task::spawn_local(line::run(
+        tokio::task::spawn_local(connection::run(
             stream,
             None,
             move |outbox| _ = opened.send(outbox),
             move |up| {
                 _ = match up {
-                    Up::Took { mark } => marks.send(mark).is_ok(),
-                    Up::Report(report) => tell_report.send(report).is_ok(),
-                    Up::WantConfig { have } => ask.send(have).is_ok(),
+                    ProxyToController::TablesApplied { up_to: mark } => marks.send(mark).is_ok(),
+                    ProxyToController::Report(report) => tell_report.send(report).is_ok(),
+                    ProxyToController::RequestConfiguration { held: have } => {
+                        ask.send(have).is_ok()
+                    }
                     _ => true,
                 }
             },
         ));
         let controller = open.recv().await.unwrap();
-        let pulse = Down::Pulse {
+        let pulse = ControllerToProxy::Status {
             in_touch: true,
-            config: 0,
+            configuration: 0,
             proxies: 1,
             controllers: Vec::new(),
         };
@@ -184,7 +186,7 @@
     /// Sends a configuration packed on the bytes of another version.
     pub fn configuration(&mut self, version: u64, base: u64, body: &[u8], on: &[u8]) {
         let (length, packed) = (body.len() as u32, pack(body, on).unwrap());
-        assert!(self.controller.send(&Down::Config {
+        assert!(self.controller.send(&ControllerToProxy::Configuration {
             version,
             base,
             length,
@@ -198,13 +200,13 @@
     }
 
     /// Tells a whole table and waits until it is in use.
-    pub async fn table(&mut self, lines: Vec<Line>) {
+    pub async fn table(&mut self, lines: Vec<TableEntry>) {
         self.mark += 1;
-        let table = Down::Table {
+        let table = ControllerToProxy::Table {
             service: "s".into(),
-            name: 1,
-            mark: self.mark,
-            lines,
+            revision: 1,
+            sequence: self.mark,
+            entries: lines,
         };
         assert!(self.controller.send(&table));
         assert_eq!(self.took.recv().await, Some(self.mark));
@@ -213,31 +215,31 @@
     /// Waits until all that was told before is in use.
     pub async fn marked(&mut self) {
         self.mark += 1;
-        let table = Down::Table {
+        let table = ControllerToProxy::Table {
             service: "nobody's".into(),
-            name: 1,
-            mark: self.mark,
-            lines: Vec::new(),
+            revision: 1,
+            sequence: self.mark,
+            entries: Vec::new(),
         };
         assert!(self.controller.send(&table));
         assert_eq!(self.took.recv().await, Some(self.mark));
     }
 
     pub async fn gone(&mut self, incarnation: &str) {
-        assert!(self.controller.send(&Down::Gone {
+        assert!(self.controller.send(&ControllerToProxy::InstancesGone {
             incarnations: vec![incarnation.into()]
         }));
         // What follows on the line is taken after it.
         self.table(Vec::new()).await;
     }
 
-    pub async fn task(&self, incarnation: &str) -> Line {
+    pub async fn task(&self, incarnation: &str) -> TableEntry {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
             unreachable!()
         };
         let (got, script) = (self.got.clone(), self.script.clone());
-        let line = Line {
+        let line = TableEntry {
             incarnation: incarnation.to_owned(),
             address,
             zone: "east".to_owned(),
@@ -260,7 +262,7 @@
             unreachable!()
         };
         let (incarnation, zone) = ("by-hand".to_owned(), "east".to_owned());
-        self.table(vec![Line {
+        self.table(vec![TableEntry {
             incarnation,
             address,
             zone,
@@ -283,17 +285,19 @@
         Talk::new(TcpStream::connect(self.front).await.unwrap())
     }
 
-    /// The tries at tasks, and the bad ones, of all that is reported until `came` requests are.
-    pub async fn reported(&mut self, came: u32) -> (u32, u32) {
-        let (mut so_far, mut tries, mut bad) = (0, 0, 0);
-        while so_far < came {
+    /// The attempts at instances, and the failed ones, of all that is reported until so many requests are.
+    pub async fn reported(&mut self, requests: u32) -> (u32, u32) {
+        let (mut received, mut attempts, mut failed) = (0, 0, 0);
+        while received < requests {
             for service in self.reports.recv().await.unwrap().services {
-                so_far += service.came;
-                tries += service.tasks.iter().map(|task| task.tries).sum::<u32>();
-                bad += service.tasks.iter().map(|task| task.bad).sum::<u32>();
+                received += service.received;
+                for instance in service.instances {
+                    attempts += instance.attempts;
+                    failed += instance.failed;
+                }
             }
         }
-        (tries, bad)
+        (attempts, failed)
     }
 
     /// Sends bytes on a connection of their own and returns all that comes back until it ends.
--- a/crates/rookpulley-registry/examples/pick_cost.rs
+++ b/crates/rookpulley-registry/examples/pick_cost.rs
@@ -9,8 +9,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rookpulley_balancer::{Fate, Post, Round};
-use rookpulley_protocol::Line;
-use rookpulley_registry::{Desk, Heartbeat, Out, Registry, Service};
+use rookpulley_protocol::TableEntry;
+use rookpulley_registry::{Heartbeat, PublisherOutput, Registry, Service, TablePublisher};
 use rookpulley_routes::RouteKind;
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
@@ -42,36 +42,36 @@
 struct Site {
     now: f64,
     registry: Registry,
-    desk: Desk,
+    publisher: TablePublisher,
     tasks: VecDeque<Heartbeat>,
     born: usize,
-    tables: BTreeMap<String, Vec<Line>>,
+    tables: BTreeMap<String, Vec<TableEntry>>,
 }
 
 impl Site {
     fn new(tasks: usize, proxies: usize) -> Site {
-        let mut desk = Desk::new(7);
-        desk.set_services(&[Service {
+        let mut publisher = TablePublisher::new(7);
+        publisher.set_services(&[Service {
             name: "a".into(),
             max_connections: 610,
-            aim_ms: 250.0,
+            latency_target_ms: 250.0,
         }]);
         let registry = Registry::new(0.0, 1_500.0, 2_500.0);
         let (tasks_there, tables) = (VecDeque::new(), BTreeMap::new());
         let mut site = Site {
             now: 0.0,
             registry,
-            desk,
+            publisher,
             tasks: tasks_there,
             born: 0,
             tables,
         };
         (0..tasks).for_each(|_| site.start());
-        site.desk.set_proxies(proxies as u32);
+        site.publisher.set_proxy_count(proxies as u32);
         for proxy in 0..proxies {
             let zone = format!("z{}", proxy % 3);
-            site.desk
-                .proxy_in(0.0, &format!("c{proxy}"), &zone, 10.0, false);
+            site.publisher
+                .proxy_connected(0.0, &format!("c{proxy}"), &zone, 10.0, false);
         }
         site.passes(12_000.0);
         site
@@ -92,10 +92,10 @@
             .parse()
             .unwrap(),
             zone: format!("z{}", place % 3),
-            software: "v1".into(),
+            software_version: "v1".into(),
             slots: 4,
             draining: false,
-            cold_ms: 0.0,
+            warm_up_ms: 0.0,
             sequence: 1,
         };
         self.registry.heartbeat(self.now, heartbeat.clone());
@@ -105,14 +105,17 @@
     /// All that is due at this moment; gives how many tables were cut.
     fn due(&mut self) -> usize {
         self.registry.tick(self.now);
-        self.desk.sync(self.now, &self.registry);
+        self.publisher.sync(self.now, &self.registry);
         let mut cut = 0;
-        for out in self.desk.tick(self.now) {
-            if let Out::Table {
-                proxy, mark, lines, ..
+        for out in self.publisher.tick(self.now) {
+            if let PublisherOutput::Table {
+                proxy,
+                sequence: mark,
+                entries: lines,
+                ..
             } = out
             {
-                self.desk.took(&proxy, mark);
+                self.publisher.tables_applied(&proxy, mark);
                 self.tables.insert(proxy, lines);
                 cut += 1;
             }
--- /dev/null
+++ b/crates/rookpulley-registry/src/drain_tracker/tests.rs
@@ -0,0 +1,17 @@
+use super::*;
+
+#[test]
+fn as_many_others_must_confirm_as_may_be_lost_and_each_counts_once() {
+    let mut drains = DrainTracker::new(2);
+    assert!(!drains.begin(1, 0));
+    assert!(drains.begin(2, 4));
+    assert_eq!(
+        [7, 7, 8].map(|controller| drains.confirmed_by(2, controller)),
+        [false, false, true]
+    );
+    drains.finish(2);
+    assert!(!drains.confirmed_by(2, 9));
+    drains.confirm(0.0, "i-1".into());
+    drains.confirm(70_000.0, "i-2".into());
+    assert!(!drains.is_confirmed("i-1") && drains.is_confirmed("i-2"));
+}
