--- a/crates/rookpulley-registry/src/heartbeat.rs
+++ b/crates/rookpulley-registry/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! A task's heartbeat, read from the body of its call.
+//! An instance's heartbeat, read from the body of its call. The page PROTOCOL names its fields.
 
 use rookpulley_diagnostics::{Bounds, Nesting, Unread, read};
 use rookpulley_protocol::IncarnationId;
@@ -7,78 +7,95 @@
 use std::net::SocketAddrV4;
 use tinyjson::JsonValue;
 
-/// A heartbeat is some hundred bytes.
-const LONGEST: usize = 16 << 10;
+/// A heartbeat has a few hundred bytes.
+const MAX_BYTES: usize = 16 << 10;
 /// A heartbeat needs three brackets.
 const BOUNDS: Bounds = Bounds {
-    bytes: LONGEST,
+    bytes: MAX_BYTES,
     nesting: Nesting::Brackets(64),
     values: usize::MAX,
 };
-const NAME_LONGEST: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
+/// What an instance says of its warm-up beyond this isn't believed.
+const MAX_WARM_UP_MS: f64 = 600_000.0;
+/// Whole numbers up to this are exact in JSON.
+const MAX_SEQUENCE: f64 = 9e15;
 
-/// What a task says of itself.
+/// What an instance says of itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
+    /// The id in the path of the call.
     pub incarnation: IncarnationId,
+    /// The service that it belongs to (`targetService`).
     pub service: String,
+    /// Where it serves.
     pub address: SocketAddrV4,
+    /// Its zone.
     pub zone: String,
-    /// The version of the task's software.
-    pub software: String,
+    /// The version of its software (`configVersion`). Empty: not given.
+    pub software_version: String,
+    /// How many requests it works on at once (`capacitySlots`).
     pub slots: u16,
+    /// It is about to leave, and wants no new requests.
     pub draining: bool,
-    /// How much longer it stays slow after its start.
-    pub cold_ms: f64,
-    /// Goes up with each call of this incarnation.
+    /// How much longer it stays slow after its start, in milliseconds (`coldRemainingMs`).
+    pub warm_up_ms: f64,
+    /// Rises with each call of this incarnation (`callSequence`).
     pub sequence: u64,
 }
 
+/// Why a heartbeat is refused. The text is the answer to the instance.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum HeartbeatError {
+    /// The path holds no id.
     #[error("the path of the beat holds no id of a task's life")]
     #[diagnostic(help(
-        "write /rookpulley/instances/ID with 1 to {NAME_LONGEST} visible ASCII characters"
+        "write /rookpulley/instances/ID with 1 to {MAX_NAME_BYTES} visible ASCII characters"
     ))]
     IncarnationId,
+    /// The body is too long; its bytes.
     #[error("the body of the beat has {0} bytes")]
-    #[diagnostic(help("write one JSON object of at most {LONGEST} bytes"))]
-    Long(usize),
+    #[diagnostic(help("write one JSON object of at most {MAX_BYTES} bytes"))]
+    TooLong(usize),
+    /// The body is no JSON object; why.
     #[error("the body of the beat can't be read: {0}")]
     #[diagnostic(help(
         "write one JSON object, in UTF-8, with the parts nodeInfo and currentStatus"
     ))]
     Json(String),
+    /// A field is missing or has a value that it can't have.
     #[error("in the beat, `{field}` is {found}")]
-    #[diagnostic(help("write {instead} as `{field}`"))]
+    #[diagnostic(help("write {expected} as `{field}`"))]
     Field {
+        /// Its name.
         field: &'static str,
+        /// What is there.
         found: &'static str,
-        instead: &'static str,
+        /// What should be there.
+        expected: &'static str,
     },
 }
 
 type Object = HashMap<String, JsonValue>;
 
-/// The parts of a heartbeat. A flat one has all fields at the top.
-struct Parts<'a> {
+/// One part of a heartbeat. Where the part is missing its fields are looked for at the top.
+struct Part<'a> {
     top: &'a Object,
     inner: Option<&'a Object>,
 }
 
-impl<'a> Parts<'a> {
-    fn of(top: &'a Object, part: &str) -> Self {
-        let inner = top.get(part).and_then(|v| v.get::<Object>());
+impl<'a> Part<'a> {
+    fn new(top: &'a Object, name: &str) -> Self {
+        let inner = top.get(name).and_then(|value| value.get::<Object>());
         Self { top, inner }
     }
 
     fn find(&self, field: &'static str) -> Option<&'a JsonValue> {
-        self.inner
-            .and_then(|part| part.get(field))
-            .or_else(|| self.top.get(field))
+        let inner = self.inner.and_then(|part| part.get(field));
+        inner.or_else(|| self.top.get(field))
     }
 
-    fn wrong(&self, field: &'static str, instead: &'static str) -> HeartbeatError {
+    fn error(&self, field: &'static str, expected: &'static str) -> HeartbeatError {
         let found = match self.find(field) {
             None => "missing",
             Some(JsonValue::Null) => "null",
@@ -89,131 +106,103 @@
         HeartbeatError::Field {
             field,
             found,
-            instead,
+            expected,
         }
     }
 
-    fn name(&self, field: &'static str, least: usize) -> Result<String, HeartbeatError> {
-        let wrong = || self.wrong(field, "a text of at most 128 bytes");
-        let text = self.find(field).and_then(|v| v.get::<String>());
-        let text = match text {
-            None if least == 0 && self.find(field).is_none() => return Ok(String::new()),
-            text => text.ok_or_else(wrong)?,
-        };
-        if (least..=NAME_LONGEST).contains(&text.len()) {
-            Ok(text.clone())
-        } else {
-            Err(wrong())
+    fn text(&self, field: &'static str) -> Result<String, HeartbeatError> {
+        let text = self.find(field).and_then(|value| value.get::<String>());
+        text.filter(|text| (1..=MAX_NAME_BYTES).contains(&text.len()))
+            .cloned()
+            .ok_or_else(|| self.error(field, "a text of at most 128 bytes"))
+    }
+
+    /// Empty where the field is missing or empty.
+    fn optional_text(&self, field: &'static str) -> Result<String, HeartbeatError> {
+        match self.find(field) {
+            None => Ok(String::new()),
+            Some(JsonValue::String(text)) if text.is_empty() => Ok(String::new()),
+            Some(_) => self.text(field),
         }
     }
 
-    fn whole(&self, field: &'static str, least: f64, most: f64) -> Result<f64, HeartbeatError> {
-        let number = self.find(field).and_then(|v| v.get::<f64>()).copied();
-        let sound = number.filter(|n| n.fract() == 0.0 && (least..=most).contains(n));
-        sound.ok_or_else(|| self.wrong(field, "a whole number in its range"))
+    fn number(&self, field: &'static str) -> Option<f64> {
+        self.find(field)
+            .and_then(|value| value.get::<f64>())
+            .copied()
+    }
+
+    fn whole_number(
+        &self,
+        field: &'static str,
+        least: f64,
+        most: f64,
+    ) -> Result<f64, HeartbeatError> {
+        self.number(field)
+            .filter(|n| n.fract() == 0.0 && (least..=most).contains(n))
+            .ok_or_else(|| self.error(field, "a whole number in its range"))
+    }
+
+    fn address(&self, field: &'static str) -> Result<SocketAddrV4, HeartbeatError> {
+        let address = self.text(field)?.parse().ok();
+        address
+            .filter(|address: &SocketAddrV4| address.port() != 0)
+            .ok_or(HeartbeatError::Field {
+                field,
+                found: "no address",
+                expected: "an IPv4 address and a port",
+            })
+    }
+
+    fn is_draining(&self) -> Result<bool, HeartbeatError> {
+        const FIELD: &str = "lifecycleState";
+        match self.text(FIELD)?.as_str() {
+            "available" => Ok(false),
+            "draining" => Ok(true),
+            _ => Err(self.error(FIELD, "`available` or `draining`")),
+        }
     }
 }
 
-/// Whether this can be the id of an incarnation; it goes into a header.
-pub(crate) fn names_a_incarnation(incarnation: &str) -> bool {
-    (1..=NAME_LONGEST).contains(&incarnation.len())
-        && incarnation.bytes().all(|b| b.is_ascii_graphic())
+/// Whether this can be the id of an incarnation. It goes into a header.
+pub(crate) fn is_incarnation_id(id: &str) -> bool {
+    (1..=MAX_NAME_BYTES).contains(&id.len()) && id.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
 impl Heartbeat {
-    /// Reads the body of a heartbeat, its fields in their two parts or all at the top.
+    /// Reads the body of a heartbeat: a JSON object with its fields in the parts `nodeInfo` and `currentStatus`, or all
+    /// at the top.
     pub fn read(incarnation: &str, body: &[u8]) -> Result<Self, HeartbeatError> {
-        if !names_a_incarnation(incarnation) {
+        if !is_incarnation_id(incarnation) {
             return Err(HeartbeatError::IncarnationId);
         }
         let value = read(body, BOUNDS).map_err(|why| match why {
-            Unread::Long => HeartbeatError::Long(body.len()),
+            Unread::Long => HeartbeatError::TooLong(body.len()),
             Unread::Deep { .. } => HeartbeatError::Json("too many brackets".into()),
             why => HeartbeatError::Json(why.to_string()),
         })?;
         let top = value
             .get::<Object>()
             .ok_or_else(|| HeartbeatError::Json("it is no JSON object".into()))?;
-        let (node, status) = (Parts::of(top, "nodeInfo"), Parts::of(top, "currentStatus"));
-        let address = status.name("address", 1)?;
-        let address: SocketAddrV4 = address
-            .parse()
-            .ok()
-            .filter(|a: &SocketAddrV4| a.port() != 0)
-            .ok_or(HeartbeatError::Field {
-                field: "address",
-                found: "no address",
-                instead: "an IPv4 address and a port",
-            })?;
-        let draining = match status.name("lifecycleState", 1)?.as_str() {
-            "available" => false,
-            "draining" => true,
-            _ => return Err(status.wrong("lifecycleState", "`available` or `draining`")),
-        };
-        let cold = status
-            .find("coldRemainingMs")
-            .and_then(|v| v.get::<f64>())
-            .copied();
+        let node = Part::new(top, "nodeInfo");
+        let status = Part::new(top, "currentStatus");
+        let address = status.address("address")?;
+        let draining = status.is_draining()?;
+        let warm_up_ms = status.number("coldRemainingMs").filter(|ms| ms.is_finite());
         Ok(Self {
             incarnation: incarnation.into(),
-            service: node.name("targetService", 1)?,
+            service: node.text("targetService")?,
             address,
-            zone: node.name("zone", 1)?,
-            software: node.name("configVersion", 0)?,
-            slots: node.whole("capacitySlots", 1.0, f64::from(u16::MAX))? as u16,
+            zone: node.text("zone")?,
+            software_version: node.optional_text("configVersion")?,
+            // Within the bounds that are asked for, so nothing is lost.
+            slots: node.whole_number("capacitySlots", 1.0, f64::from(u16::MAX))? as u16,
             draining,
-            cold_ms: cold
-                .filter(|ms| ms.is_finite())
-                .unwrap_or(0.0)
-                .clamp(0.0, 600_000.0),
-            sequence: status.whole("callSequence", 0.0, 9e15)? as u64,
+            warm_up_ms: warm_up_ms.unwrap_or(0.0).clamp(0.0, MAX_WARM_UP_MS),
+            sequence: status.whole_number("callSequence", 0.0, MAX_SEQUENCE)? as u64,
         })
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const NESTED: &str = r#"{"address":"10.128.0.9:8080",
-        "nodeInfo":{"targetService":"a","configVersion":"v1","zone":"z","capacitySlots":4},
-        "currentStatus":{"lifecycleState":"draining","callSequence":4,"coldRemainingMs":0}}"#;
-    const FLAT: &str = r#"{"address":"10.128.0.9:8080","targetService":"a","configVersion":"v1","zone":"z",
-        "capacitySlots":4,"lifecycleState":"draining","callSequence":4,"coldRemainingMs":0}"#;
-
-    #[test]
-    fn a_heartbeat_reads_alike_in_parts_and_flat() {
-        let heartbeat = Heartbeat::read("i-1", NESTED.as_bytes()).unwrap();
-        assert_eq!(heartbeat, Heartbeat::read("i-1", FLAT.as_bytes()).unwrap());
-        assert_eq!(
-            (heartbeat.slots, heartbeat.draining, heartbeat.sequence),
-            (4, true, 4)
-        );
-    }
-
-    #[test]
-    fn a_spoilt_heartbeat_is_refused_with_words_and_never_ends_the_program() {
-        let spoilt = [
-            ("\"a\"", "7"),
-            ("4", "0"),
-            ("draining", "gone"),
-            (":8080", ""),
-            ("\"z\"", "[[]]"),
-        ];
-        for (was, is) in spoilt {
-            let fault = Heartbeat::read("i-1", NESTED.replacen(was, is, 1).as_bytes()).unwrap_err();
-            assert!(miette::Diagnostic::help(&fault).is_some(), "{fault}");
-        }
-        assert!(Heartbeat::read("i-1", &[b'['; 10_000]).is_err());
-        assert!(Heartbeat::read("i 1", NESTED.as_bytes()).is_err());
-        rookpulley_samples::plays(2_000, 64, |u| {
-            let mut body = NESTED.as_bytes().to_vec();
-            for _ in 0..u.int_in_range(1..=4)? {
-                let at = u.choose_index(body.len())?;
-                body[at] = u.arbitrary()?;
-            }
-            _ = Heartbeat::read("i-1", &body);
-            Ok(())
-        });
-    }
-}
+mod tests;
--- a/crates/rookpulley-registry/src/lib.rs
+++ b/crates/rookpulley-registry/src/lib.rs
@@ -1,25 +1,37 @@
-//! Which tasks there are, and the tables that controllers cut from them. No sockets, files or clocks.
+//! The instances of all services, and the tables that controllers publish to proxies. No sockets, files or clocks.
 //!
-//! `registry` keeps the incarnations of tasks by their `heartbeat`s and by `news` of other controllers. `desk` hosts the module,
-//! one controller a service (`hosted`, `module`): `list` turns the registry into the module's list, `posted` holds
-//! what a proxy was sent.
+//! | file | what it owns |
+//! | --- | --- |
+//! | `heartbeat` | a heartbeat, read from the body of its call |
+//! | `instance_update` | what controllers tell each other of instances |
+//! | `registry` | which incarnations there are, and which of them may get requests |
+//! | `drain_tracker` | which drains enough other controllers have on their disks |
+//! | `configuration_history` | the configuration on its way to proxies |
+//! | `proxy_roster` | how many proxies there are |
+//! | `table_publisher` | the proxies that this controller is primary for, and one `hosted_service` each service |
+//! | `hosted_service` | one service: its decision module, what the module is told, and what proxies were sent |
+//! | `decision_module`, `server_list`, `published_table` | the design's module, its input, its output |
+//!
+//! Nothing here survives the process. A controller writes instance updates to its disk and begins with them.
 
-mod desk;
-mod drains;
-mod editions;
+mod configuration_history;
+mod decision_module;
+mod drain_tracker;
 mod heartbeat;
-mod hosted;
-mod list;
-mod module;
-mod news;
-mod posted;
+mod hosted_service;
+mod instance_update;
+mod proxy_roster;
+mod published_table;
 mod registry;
-mod roll;
+mod server_list;
+mod service;
+mod table_publisher;
 
-pub use desk::{Desk, Out, Service, Shown};
-pub use drains::Drains;
-pub use editions::Editions;
+pub use configuration_history::ConfigurationHistory;
+pub use drain_tracker::DrainTracker;
 pub use heartbeat::{Heartbeat, HeartbeatError};
-pub use news::{News, Outcome, Still, Word};
-pub use registry::{Registry, Standing, Task};
-pub use roll::Roll;
+pub use instance_update::{InstanceUpdate, Propagation, Refresh, UpdateOutcome};
+pub use proxy_roster::ProxyRoster;
+pub use registry::{Instance, InstanceStatus, Registry};
+pub use service::Service;
+pub use table_publisher::{PublisherOutput, TablePublisher, TableStatus};
--- a/crates/rookpulley-registry/tests/registry.rs
+++ b/crates/rookpulley-registry/tests/registry.rs
@@ -1,6 +1,8 @@
 //! Several registries, each told a part, in orders of chance.
 
-use rookpulley_registry::{Heartbeat, News, Outcome, Registry, Standing, Word};
+use rookpulley_registry::{
+    Heartbeat, InstanceStatus, InstanceUpdate, Propagation, Registry, UpdateOutcome,
+};
 use rookpulley_samples::plays_of;
 use std::collections::BTreeSet;
 
@@ -23,25 +25,29 @@
         service: service.into(),
         address,
         zone: "z".into(),
-        software: "v1".into(),
+        software_version: "v1".into(),
         slots: 4,
         draining,
-        cold_ms: 0.0,
+        warm_up_ms: 0.0,
         sequence,
     }
 }
 
 fn listed(registry: &Registry) -> BTreeSet<String> {
-    let both = registry.listed("a").chain(registry.listed("b"));
+    let both = registry
+        .live_instances("a")
+        .chain(registry.live_instances("b"));
     both.map(|heartbeat| heartbeat.incarnation.clone())
         .collect()
 }
 
-fn aged(news: &News, by_ms: f64) -> News {
+fn aged(news: &InstanceUpdate, by_ms: f64) -> InstanceUpdate {
     let mut news = news.clone();
     match &mut news {
-        News::Heartbeat { age_ms, .. } | News::Gone { age_ms, .. } => *age_ms += by_ms,
-        News::Heard { incarnations } => incarnations
+        InstanceUpdate::Heartbeat { age_ms, .. } | InstanceUpdate::Gone { age_ms, .. } => {
+            *age_ms += by_ms
+        }
+        InstanceUpdate::Refreshed { incarnations } => incarnations
             .iter_mut()
             .for_each(|still| still.age_ms += by_ms),
     }
@@ -51,7 +57,7 @@
 enum Way {
     Heartbeat(Heartbeat),
     Leave(String),
-    News(News, f64),
+    InstanceUpdate(InstanceUpdate, f64),
 }
 
 struct World {
@@ -68,8 +74,8 @@
         let (now, controller) = (self.now, &mut self.controllers[to]);
         let (
             incarnation,
-            Outcome {
-                word,
+            UpdateOutcome {
+                propagation: word,
                 newly_draining,
             },
         ) = match way {
@@ -81,30 +87,33 @@
                 let outcome = controller.leave(now, &incarnation);
                 (Some(incarnation), outcome)
             }
-            Way::News(news, sent_ms) => {
+            Way::InstanceUpdate(news, sent_ms) => {
                 let gone = match &news {
-                    News::Heartbeat { heartbeat, .. } => {
+                    InstanceUpdate::Heartbeat { heartbeat, .. } => {
                         heartbeat.draining.then(|| heartbeat.incarnation.clone())
                     }
-                    News::Gone { incarnation, .. } => Some(incarnation.clone()),
-                    News::Heard { .. } => None,
+                    InstanceUpdate::Gone { incarnation, .. } => Some(incarnation.clone()),
+                    InstanceUpdate::Refreshed { .. } => None,
                 };
-                (gone, controller.take_news(now, &aged(&news, now - sent_ms)))
+                (
+                    gone,
+                    controller.apply_update(now, &aged(&news, now - sent_ms)),
+                )
             }
         };
         assert_eq!(
             newly_draining.is_some(),
             incarnation.is_some_and(|incarnation| self.gone[to].insert(incarnation))
         );
-        if let Word::Now(news) = word {
+        if let Propagation::Immediate(news) = word {
             self.spread(to, &news);
         }
     }
 
-    fn spread(&mut self, from: usize, news: &News) {
+    fn spread(&mut self, from: usize, news: &InstanceUpdate) {
         let others = (0..CONTROLLERS).filter(|to| *to != from);
         self.on_the_way
-            .extend(others.map(|to| (to, Way::News(news.clone(), self.now))));
+            .extend(others.map(|to| (to, Way::InstanceUpdate(news.clone(), self.now))));
     }
 
     fn check(&self) {
@@ -117,8 +126,8 @@
             let kept: BTreeSet<String> = controller.gone_incarnations().into_iter().collect();
             assert_eq!(kept, *gone);
             let places = controller
-                .listed("a")
-                .chain(controller.listed("b"))
+                .live_instances("a")
+                .chain(controller.live_instances("b"))
                 .map(|heartbeat| heartbeat.address);
             assert_eq!(
                 places.collect::<BTreeSet<_>>().len(),
@@ -158,7 +167,7 @@
                     .on_the_way
                     .push((to, Way::Leave(format!("i-{incarnation}")))),
                 2 => {
-                    let news = world.controllers[to].fresh_news(world.now);
+                    let news = world.controllers[to].take_refreshes(world.now);
                     news.iter().for_each(|news| world.spread(to, news));
                 }
                 3..=5 => {
@@ -191,8 +200,8 @@
         }
         for from in 0..CONTROLLERS {
             let now = world.now;
-            let news = world.controllers[from].fresh_news(now);
-            let all = world.controllers[from].all_news(now);
+            let news = world.controllers[from].take_refreshes(now);
+            let all = world.controllers[from].all_updates(now);
             news.iter()
                 .chain(&all)
                 .for_each(|news| world.spread(from, news));
@@ -215,11 +224,14 @@
 #[test]
 fn a_silent_incarnation_leaves_and_comes_back_and_nobody_is_silent_to_one_that_settles_or_slept() {
     let mut controller = Registry::new(0.0, HEARTBEAT_MS, 2_500.0);
-    let old = News::Heartbeat {
+    let old = InstanceUpdate::Heartbeat {
         heartbeat: heartbeat(1, 1, false),
         age_ms: 9_000.0,
     };
-    assert!(matches!(controller.take_news(0.0, &old).word, Word::Now(_)));
+    assert!(matches!(
+        controller.apply_update(0.0, &old).propagation,
+        Propagation::Immediate(_)
+    ));
     let pass = |controller: &mut Registry, from: u32, to: u32| {
         (from..to)
             .step_by(100)
@@ -227,18 +239,20 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(pass(&mut controller, 100, 3_000), [""; 0]);
-    assert!(controller.settling(2_999.0) && listed(&controller).len() == 1);
+    assert!(controller.is_settling(2_999.0) && listed(&controller).len() == 1);
     assert_eq!(pass(&mut controller, 3_000, 3_200), ["i-1"]);
-    assert_eq!(controller.standing("i-1"), Standing::Silent);
+    assert_eq!(controller.status("i-1"), InstanceStatus::Silent);
     assert!(matches!(
-        controller.heartbeat(3_200.0, heartbeat(1, 2, false)).word,
-        Word::Now(_)
+        controller
+            .heartbeat(3_200.0, heartbeat(1, 2, false))
+            .propagation,
+        Propagation::Immediate(_)
     ));
     assert_eq!(listed(&controller).len(), 1);
     assert_eq!(pass(&mut controller, 3_300, 8_200), [""; 0]);
     // It sleeps, and the heartbeats of that time wait for it.
     assert_eq!(controller.tick(12_000.0), [""; 0]);
-    assert!(controller.settling(12_000.0));
+    assert!(controller.is_settling(12_000.0));
     assert_eq!(pass(&mut controller, 12_100, 15_000), [""; 0]);
     assert_eq!(pass(&mut controller, 15_000, 15_200), ["i-1"]);
 }
@@ -247,11 +261,13 @@
 fn what_a_proxy_knows_to_be_gone_is_never_listed_by_a_controller_that_starts_anew() {
     let mut controller = Registry::new(0.0, HEARTBEAT_MS, 2_500.0);
     let gone = ["i-1".to_string(), "i-2".to_string()];
-    assert_eq!(controller.take_gone(0.0, &gone), gone);
-    assert_eq!(controller.take_gone(1.0, &gone), [""; 0]);
+    assert_eq!(controller.apply_gone(0.0, &gone), gone);
+    assert_eq!(controller.apply_gone(1.0, &gone), [""; 0]);
     assert_eq!(
-        controller.heartbeat(2.0, heartbeat(1, 7, false)).word,
-        Word::Late
+        controller
+            .heartbeat(2.0, heartbeat(1, 7, false))
+            .propagation,
+        Propagation::Stale
     );
     assert!(listed(&controller).is_empty());
 }
@@ -259,10 +275,10 @@
 #[test]
 fn a_controller_out_of_touch_takes_heartbeats_only_for_a_while_after_it_has_settled() {
     let mut registry = Registry::new(0.0, 1_000.0, 2_500.0);
-    registry.touch(1_900.0, false);
-    assert!(registry.takes_heartbeats(3_400.0));
-    registry.touch(2_100.0, false);
-    assert!(!registry.takes_heartbeats(3_401.0));
-    registry.touch(3_402.0, true);
-    assert!(registry.takes_heartbeats(3_403.0));
+    registry.set_in_touch(1_900.0, false);
+    assert!(registry.accepts_heartbeats(3_400.0));
+    registry.set_in_touch(2_100.0, false);
+    assert!(!registry.accepts_heartbeats(3_401.0));
+    registry.set_in_touch(3_402.0, true);
+    assert!(registry.accepts_heartbeats(3_403.0));
 }
--- a/crates/rookpulley-registry/tests/desk.rs
+++ b/crates/rookpulley-registry/tests/table_publisher.rs
@@ -1,8 +1,10 @@
 //! A registry and a desk with tasks and proxies of chance.
 
 use arbtest::arbitrary::{Result, Unstructured};
-use rookpulley_protocol::{Line, Report, ServiceReport, TaskReport};
-use rookpulley_registry::{Desk, Heartbeat, Out, Registry, Service, Standing};
+use rookpulley_protocol::{InstanceLoad, LoadReport, ServiceLoad, TableEntry};
+use rookpulley_registry::{
+    Heartbeat, InstanceStatus, PublisherOutput, Registry, Service, TablePublisher,
+};
 use rookpulley_samples::plays_of;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,14 +20,14 @@
 /// What a proxy holds of a service.
 #[derive(Clone, Default)]
 struct Held {
-    lines: Vec<Line>,
+    lines: Vec<TableEntry>,
     at_ms: f64,
 }
 
 struct World {
     now: f64,
     registry: Registry,
-    desk: Desk,
+    publisher: TablePublisher,
     tasks: Vec<Task>,
     proxies: BTreeSet<String>,
     held: BTreeMap<(String, String), Held>,
@@ -35,17 +37,17 @@
 
 impl World {
     fn new(services: &[&str], max_connections: u32) -> Self {
-        let mut desk = Desk::new(7);
+        let mut publisher = TablePublisher::new(7);
         let service = |name: &&str| Service {
             name: name.to_string(),
             max_connections,
-            aim_ms: 250.0,
+            latency_target_ms: 250.0,
         };
-        desk.set_services(&services.iter().map(service).collect::<Vec<_>>());
+        publisher.set_services(&services.iter().map(service).collect::<Vec<_>>());
         Self {
             now: 0.0,
             registry: Registry::new(0.0, HEARTBEAT_MS, 2_500.0),
-            desk,
+            publisher,
             tasks: Vec::new(),
             proxies: BTreeSet::new(),
             held: BTreeMap::new(),
@@ -54,7 +56,7 @@
         }
     }
 
-    fn start(&mut self, service: &str, place: usize, cold_ms: f64) -> String {
+    fn start(&mut self, service: &str, place: usize, warm_up_ms: f64) -> String {
         self.incarnations += 1;
         let incarnation = format!("i-{}", self.incarnations);
         let address = format!("10.0.{}.{}:80", place / 200, place % 200 + 1)
@@ -67,10 +69,10 @@
             service: service.into(),
             address,
             zone: format!("z{}", place % 3),
-            software: "v1".into(),
+            software_version: "v1".into(),
             slots: 4 + (place % 3) as u16,
             draining: false,
-            cold_ms,
+            warm_up_ms,
             sequence: 0,
         };
         self.tasks.push(Task {
@@ -90,15 +92,16 @@
         }
     }
 
-    fn proxy_in(&mut self, name: &str) {
+    fn proxy_connected(&mut self, name: &str) {
         self.proxy_in_zone(name, "z0");
     }
 
     fn proxy_in_zone(&mut self, name: &str, zone: &str) {
         self.proxies.insert(name.into());
         self.held.retain(|(proxy, _), _| proxy != name);
-        self.desk.proxy_in(self.now, name, zone, 1.0, false);
-        self.desk.set_proxies(self.proxies.len() as u32);
+        self.publisher
+            .proxy_connected(self.now, name, zone, 1.0, false);
+        self.publisher.set_proxy_count(self.proxies.len() as u32);
     }
 
     /// One step of time: heartbeats that are due, a tick, and what goes out is taken.
@@ -108,21 +111,21 @@
             task.due_ms = self.now + HEARTBEAT_MS;
             task.heartbeat.sequence += 1;
             self.registry.heartbeat(self.now, task.heartbeat.clone());
-            task.heartbeat.cold_ms = (task.heartbeat.cold_ms - HEARTBEAT_MS).max(0.0);
+            task.heartbeat.warm_up_ms = (task.heartbeat.warm_up_ms - HEARTBEAT_MS).max(0.0);
         }
         self.registry.tick(self.now);
-        self.desk.sync(self.now, &self.registry);
-        for out in self.desk.tick(self.now) {
+        self.publisher.sync(self.now, &self.registry);
+        for out in self.publisher.tick(self.now) {
             match out {
-                Out::Table {
+                PublisherOutput::Table {
                     proxy,
                     service,
-                    mark,
-                    lines,
+                    sequence: mark,
+                    entries: lines,
                     ..
                 } => {
                     self.check_sent(&proxy, &service, &lines);
-                    self.desk.took(&proxy, mark);
+                    self.publisher.tables_applied(&proxy, mark);
                     self.held.insert(
                         (proxy, service),
                         Held {
@@ -131,7 +134,7 @@
                         },
                     );
                 }
-                Out::Log { text, .. } => self.log.push(text),
+                PublisherOutput::Log { text, .. } => self.log.push(text),
             }
         }
         self.check_held();
@@ -141,21 +144,21 @@
         (0..count).for_each(|_| self.step());
     }
 
-    fn gone(&self, line: &Line) -> bool {
+    fn gone(&self, line: &TableEntry) -> bool {
         !matches!(
-            self.registry.standing(&line.incarnation),
-            Standing::Live | Standing::Silent
+            self.registry.status(&line.incarnation),
+            InstanceStatus::Live | InstanceStatus::Silent
         )
     }
 
-    fn check_sent(&self, proxy: &str, service: &str, lines: &[Line]) {
+    fn check_sent(&self, proxy: &str, service: &str, lines: &[TableEntry]) {
         assert!(
             self.proxies.contains(proxy),
             "a table for a proxy that is out"
         );
         let live: BTreeMap<_, _> = self
             .registry
-            .listed(service)
+            .live_instances(service)
             .map(|b| (&b.incarnation, b.address))
             .collect();
         let named: BTreeSet<_> = lines.iter().map(|line| &line.incarnation).collect();
@@ -163,7 +166,7 @@
         let before = self.incarnations_held(proxy, service);
         for line in lines {
             // One that is merely silent may stay where there is nothing better, and is never new.
-            let silent = self.registry.standing(&line.incarnation) == Standing::Silent;
+            let silent = self.registry.status(&line.incarnation) == InstanceStatus::Silent;
             let kept = silent && before.contains(&line.incarnation);
             assert!(
                 live.get(&line.incarnation) == Some(&line.address) || kept,
@@ -173,7 +176,7 @@
         }
         if let Some(held) = self.held.get(&(proxy.into(), service.into())) {
             let urgent = held.lines.is_empty() || held.lines.iter().any(|line| self.gone(line));
-            let pace_ms = if self.registry.settling(self.now) {
+            let pace_ms = if self.registry.is_settling(self.now) {
                 300.0
             } else {
                 1_000.0
@@ -190,7 +193,7 @@
         for (of, held) in &self.held {
             let gone: Vec<_> = held.lines.iter().filter(|line| self.gone(line)).collect();
             // Lines of which none is any good are as bad as no lines.
-            let settling = self.registry.settling(self.now) && gone.len() == held.lines.len();
+            let settling = self.registry.is_settling(self.now) && gone.len() == held.lines.len();
             assert!(gone.is_empty() || settling, "{of:?} still holds {gone:?}");
         }
     }
@@ -203,23 +206,23 @@
     fn report_of(&mut self, tries: u32, bad: impl Fn(&str) -> u32) {
         for ((proxy, service), held) in &self.held {
             let mean_ms = 20.0;
-            let task = |l: &Line| TaskReport {
+            let task = |l: &TableEntry| InstanceLoad {
                 incarnation: l.incarnation.clone(),
-                tries,
-                bad: bad(&l.incarnation),
+                attempts: tries,
+                failed: bad(&l.incarnation),
                 mean_ms,
             };
             let tasks: Vec<_> = held.lines.iter().map(task).collect();
             let came = tries * tasks.len() as u32;
-            let of = ServiceReport {
+            let of = ServiceLoad {
                 service: service.clone(),
-                came,
-                bad: 0,
-                tasks,
+                received: came,
+                failed: 0,
+                instances: tasks,
             };
-            self.desk.report(
+            self.publisher.report(
                 proxy,
-                &Report {
+                &LoadReport {
                     span_ms: 1_000,
                     services: vec![of],
                 },
@@ -263,13 +266,13 @@
             (6, Some(at)) => _ = self.tasks.swap_remove(at),
             (7 | 8, _) => {
                 let name = format!("c{}", u.choose_index(4)?);
-                self.proxy_in(&name);
+                self.proxy_connected(&name);
             }
             (9, _) => {
                 let name = format!("c{}", u.choose_index(4)?);
                 self.proxies.remove(&name);
                 self.held.retain(|(proxy, _), _| *proxy != name);
-                self.desk.proxy_out(self.now, &name);
+                self.publisher.proxy_disconnected(self.now, &name);
             }
             _ => {
                 let bad = u.int_in_range(0..=10)?;
@@ -294,7 +297,7 @@
             world.steps(u.int_in_range(1..=8)?);
         }
         // Once all is calm for longer than anybody is held out, every task is in a table of somebody.
-        world.proxy_in("c9");
+        world.proxy_connected("c9");
         (0..40).for_each(|_| {
             world.report(10, 0);
             world.steps(10);
@@ -302,7 +305,7 @@
         for service in ["a", "b"] {
             let live: BTreeSet<String> = world
                 .registry
-                .listed(service)
+                .live_instances(service)
                 .map(|b| b.incarnation.clone())
                 .collect();
             let held: BTreeSet<String> = world
@@ -404,7 +407,7 @@
 fn tasks_that_come_after_the_proxies_are_in_as_many_tables_as_those_that_came_before() {
     for (tasks, proxies) in [(29, 91), (419, 91), (25, 12)] {
         let mut world = World::new(&["a"], 610);
-        (0..proxies).for_each(|n| world.proxy_in(&format!("c{n}")));
+        (0..proxies).for_each(|n| world.proxy_connected(&format!("c{n}")));
         for place in 0..tasks {
             world.start("a", place, 0.0);
             if place % (tasks / 15 + 1) == 0 {
@@ -430,13 +433,13 @@
 fn a_table_that_fails_is_tainted_and_the_one_before_comes_back_without_what_drains() {
     let mut world = World::new(&["a"], 130);
     let incarnations: Vec<String> = (0..4).map(|place| world.start("a", place, 0.0)).collect();
-    world.proxy_in("c0");
+    world.proxy_connected("c0");
     for _ in 0..10 {
         world.report(20, 0);
         world.steps(10);
     }
     assert_eq!(world.incarnations_held("c0", "a").len(), 4);
-    let before = world.desk.shown()[0].name;
+    let before = world.publisher.tables()[0].revision;
     let new = world.start("a", 4, 0.0);
     world.drain(&incarnations[0]);
     world.steps(15);
@@ -445,7 +448,7 @@
         held.contains(&new) && !held.contains(&incarnations[0]) && held.len() == 4,
         "{held:?}"
     );
-    assert_ne!(world.desk.shown()[0].name, before);
+    assert_ne!(world.publisher.tables()[0].revision, before);
     for _ in 0..10 {
         world.report(20, 3);
         world.steps(10);
@@ -471,7 +474,7 @@
 fn revisions_that_follow_each_other_faster_than_any_is_judged_are_tainted_together() {
     let mut world = World::new(&["a"], 130);
     let incarnations: Vec<String> = (0..12).map(|place| world.start("a", place, 0.0)).collect();
-    world.proxy_in("c0");
+    world.proxy_connected("c0");
     for _ in 0..10 {
         world.report(20, 0);
         world.steps(10);
@@ -519,9 +522,9 @@
 fn one_that_holds_tables_gets_none_from_a_controller_that_is_still_settling() {
     let mut world = World::new(&["a"], 130);
     world.start("a", 0, 0.0);
-    world.desk.proxy_in(0.0, "old", "z0", 1.0, true);
+    world.publisher.proxy_connected(0.0, "old", "z0", 1.0, true);
     world.proxies.insert("old".into());
-    world.proxy_in("new");
+    world.proxy_connected("new");
     world.steps(25);
     assert_eq!(world.incarnations_held("new", "a").len(), 1);
     assert_eq!(world.incarnations_held("old", "a").len(), 0);
@@ -533,11 +536,11 @@
 fn the_last_known_tasks_stay_while_they_are_merely_silent() {
     let mut world = World::new(&["a"], 130);
     let incarnation = world.start("a", 0, 0.0);
-    world.proxy_in("c0");
+    world.proxy_connected("c0");
     world.steps(40);
     world.tasks.clear();
     world.steps(100);
-    assert_eq!(world.registry.standing(&incarnation), Standing::Silent);
+    assert_eq!(world.registry.status(&incarnation), InstanceStatus::Silent);
     assert_eq!(world.incarnations_held("c0", "a").len(), 1);
     world.registry.leave(world.now, &incarnation);
     world.step();
--- a/crates/rookpulley-routes/examples/read_cost.rs
+++ b/crates/rookpulley-routes/examples/read_cost.rs
@@ -1,6 +1,6 @@
 //! What it costs to read a configuration by its number of routes: `cargo run --release -p rookpulley-routes --example read_cost`.
 
-use rookpulley_routes::Book;
+use rookpulley_routes::RouteTable;
 use std::fmt::Write;
 use std::time::Instant;
 
@@ -46,10 +46,10 @@
             let (first, second) = (body(routes, play + 1), body(routes, play + 2));
             bytes = first.len();
             let begun = Instant::now();
-            let book = Book::read(first.as_bytes()).unwrap();
+            let book = RouteTable::read(first.as_bytes()).unwrap();
             alone.push(begun.elapsed().as_secs_f64() * 1e3);
             let begun = Instant::now();
-            let next = Book::read_after(second.as_bytes(), Some((first.as_bytes(), &book)));
+            let next = RouteTable::read_after(second.as_bytes(), Some((first.as_bytes(), &book)));
             after.push(begun.elapsed().as_secs_f64() * 1e3);
             assert!(next.is_ok());
         }
--- a/crates/rookpulley-routes/src/lib.rs
+++ b/crates/rookpulley-routes/src/lib.rs
@@ -3,15 +3,15 @@
 //! `split` cuts the bytes into rules and the rest, `json` turns bytes into values within bounds, `values` takes fields out of them, `read` checks what they say,
 //! `book` and `route` are the snapshot, `faults` says how what is wrong with it is told.
 
-mod book;
 mod faults;
 mod json;
 mod read;
 mod route;
+mod route_table;
 mod split;
 mod values;
 
-pub use book::{Book, Limits, Service};
 pub use json::{BYTES_MOST, DEPTH_MOST, VALUES_MOST};
 pub use rookpulley_diagnostics::{Fault, Faults};
 pub use route::{Route, RouteKind};
+pub use route_table::{Limits, RouteTable, Service};
--- a/crates/rookpulley-routes/src/read.rs
+++ b/crates/rookpulley-routes/src/read.rs
@@ -1,9 +1,9 @@
 //! From the operator's bytes to the snapshot, or to all that is wrong with them.
 
-use crate::book::{Book, Limits, Service};
 use crate::faults::CONFIGURATION;
 use crate::json::{BYTES_MOST, parse, parse_rule, unread};
 use crate::route::{Route, RouteKind};
+use crate::route_table::{Limits, RouteTable, Service};
 use crate::split::split;
 use crate::values::Value;
 use rookpulley_diagnostics::{Faults, Unread};
@@ -18,7 +18,7 @@
 const ABOVE_0: &str = "a number of milliseconds above 0";
 const WEIGHT: &str = "a number from 0 on";
 
-impl Book {
+impl RouteTable {
     /// The operator's configuration as it was sent. Nothing of the bytes is kept.
     pub fn read(bytes: &[u8]) -> Result<Self, Faults> {
         Self::read_after(bytes, None)
@@ -26,7 +26,7 @@
 
     /// The same after an earlier one, with the bytes that it was read from: routes whose rules have not changed are
     /// shared with it, so that a change costs what it changes.
-    pub fn read_after(bytes: &[u8], earlier: Option<(&[u8], &Book)>) -> Result<Self, Faults> {
+    pub fn read_after(bytes: &[u8], earlier: Option<(&[u8], &RouteTable)>) -> Result<Self, Faults> {
         // What is faulty is read whole, to be told of with all that is wrong with it.
         match read_by_rule(bytes, earlier) {
             Ok(book) => Ok(book),
@@ -36,7 +36,7 @@
 }
 
 /// `found`: what is known to be wrong with it, where it is too much to be built at once.
-fn read_whole(bytes: &[u8], found: Faults) -> Result<Book, Faults> {
+fn read_whole(bytes: &[u8], found: Faults) -> Result<RouteTable, Faults> {
     let json = match parse(bytes) {
         Ok(json) => json,
         Err(Unread::Many { .. }) if !found.is_empty() => return Err(found),
@@ -54,7 +54,10 @@
 /// Rules of an earlier configuration with their hosts, and the routes that came of them.
 type KnownRules<'a> = HashMap<(&'a str, &'a [u8]), &'a Arc<Route>>;
 
-fn known_rules<'a>(services: &[Service], earlier: Option<(&'a [u8], &'a Book)>) -> KnownRules<'a> {
+fn known_rules<'a>(
+    services: &[Service],
+    earlier: Option<(&'a [u8], &'a RouteTable)>,
+) -> KnownRules<'a> {
     let Some((bytes, book)) = earlier else {
         return KnownRules::new();
     };
@@ -71,7 +74,7 @@
 }
 
 /// What is wrong with it as far as that was found: nothing, where it must be read whole to tell.
-fn read_by_rule(bytes: &[u8], earlier: Option<(&[u8], &Book)>) -> Result<Book, Faults> {
+fn read_by_rule(bytes: &[u8], earlier: Option<(&[u8], &RouteTable)>) -> Result<RouteTable, Faults> {
     let faults = RefCell::new(Faults::none(&CONFIGURATION));
     let short = Some(bytes).filter(|bytes| bytes.len() <= BYTES_MOST);
     let rest = short
@@ -99,7 +102,11 @@
     }
 }
 
-fn book_by_rule(top: Value, rules: &RuleText, earlier: Option<(&[u8], &Book)>) -> Option<Book> {
+fn book_by_rule(
+    top: Value,
+    rules: &RuleText,
+    earlier: Option<(&[u8], &RouteTable)>,
+) -> Option<RouteTable> {
     if !top.is_object() {
         return None;
     }
@@ -133,13 +140,13 @@
     if routes.windows(2).any(alike) {
         return None;
     }
-    let mut book = Book::bound(version, limits, services, places, routes);
+    let mut book = RouteTable::bound(version, limits, services, places, routes);
     book.rules = read;
     Some(book)
 }
 
 /// Goes on after a fault, so that all are noted.
-fn book(top: Value) -> Option<Book> {
+fn book(top: Value) -> Option<RouteTable> {
     if !top.is_object() {
         return None;
     }
@@ -160,7 +167,9 @@
     let mut routes = routes.routes;
     routes.sort_by(|one, other| (&one.host, &one.prefix).cmp(&(&other.host, &other.prefix)));
     let routes = routes.into_iter().map(Arc::new).collect();
-    Some(Book::bound(version?, limits, services, places, routes))
+    Some(RouteTable::bound(
+        version?, limits, services, places, routes,
+    ))
 }
 
 fn limits(limits: Value) -> Limits {
@@ -289,7 +298,7 @@
         prefix: prefix.into(),
         kind: kind?,
         timeout_ms: timeout,
-        aim_ms: aim
+        latency_target_ms: aim
             .filter(|ms| *ms > 0.0)
             .map_or(timeout, |ms| ms.min(DAY_MS)),
         priority: u32::try_from(priority).unwrap_or(u32::MAX),
--- a/crates/rookpulley-routes/src/route.rs
+++ b/crates/rookpulley-routes/src/route.rs
@@ -26,12 +26,12 @@
     /// Above 0 and a day at most, so that it can be turned into any form of time.
     pub timeout_ms: f64,
     /// Inside it, an answer earns its full worth.
-    pub aim_ms: f64,
+    pub latency_target_ms: f64,
     /// 0 is the highest.
     pub priority: u32,
     /// The tasks that one request may be sent to, at least 1.
     pub attempts: u32,
-    /// Places in `Book::services`, each with its weight. No weight is below 0, and their sum is above it.
+    /// Places in `RouteTable::services`, each with its weight. No weight is below 0, and their sum is above it.
     pub targets: Vec<(usize, f64)>,
 }
 
--- a/crates/rookpulley-routes/src/book.rs
+++ b/crates/rookpulley-routes/src/route_table.rs
@@ -8,7 +8,7 @@
 
 /// A configuration. It never changes: a newer one is a new value, swapped in whole.
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct RouteTable {
     pub version: u64,
     pub limits: Limits,
     pub services: Vec<Service>,
@@ -17,7 +17,7 @@
     routes: Vec<Arc<Route>>,
     hosts: HashMap<String, Host>,
     /// By service: the shortest aim of its routes.
-    least_aims_ms: Vec<Option<f64>>,
+    least_latency_targets_ms: Vec<Option<f64>>,
     /// Where rules stand in the bytes that it was read from, and the routes that came of them.
     pub(crate) rules: Vec<(Range<usize>, Arc<Route>)>,
 }
@@ -58,7 +58,7 @@
     longest: usize,
 }
 
-impl Book {
+impl RouteTable {
     /// `routes` are sorted by host and prefix, and no two are alike in both.
     pub(crate) fn bound(
         version: u64,
@@ -86,13 +86,15 @@
             );
             from += of_host.len();
         }
-        let mut least_aims_ms = vec![None; services.len()];
-        for (service, aim_ms) in routes
+        let mut least_latency_targets_ms = vec![None; services.len()];
+        for (service, latency_target_ms) in routes
             .iter()
-            .flat_map(|r| r.targets.iter().map(|(at, _)| (*at, r.aim_ms)))
+            .flat_map(|r| r.targets.iter().map(|(at, _)| (*at, r.latency_target_ms)))
         {
-            if let Some(least) = least_aims_ms.get_mut(service) {
-                *least = Some(least.map_or(aim_ms, |least: f64| least.min(aim_ms)));
+            if let Some(least) = least_latency_targets_ms.get_mut(service) {
+                *least = Some(
+                    least.map_or(latency_target_ms, |least: f64| least.min(latency_target_ms)),
+                );
             }
         }
         Self {
@@ -102,14 +104,17 @@
             places,
             routes,
             hosts,
-            least_aims_ms,
+            least_latency_targets_ms,
             rules: Vec::new(),
         }
     }
 
     /// The shortest aim of the routes that may go to this service; none: no route does.
-    pub fn least_aim_ms(&self, service: usize) -> Option<f64> {
-        self.least_aims_ms.get(service).copied().flatten()
+    pub fn least_latency_target_ms(&self, service: usize) -> Option<f64> {
+        self.least_latency_targets_ms
+            .get(service)
+            .copied()
+            .flatten()
     }
 
     /// The route of a request: of the host's routes, the one with the longest prefix that begins the path. The
--- a/crates/rookpulley-routes/tests/changes.rs
+++ b/crates/rookpulley-routes/tests/changes.rs
@@ -1,7 +1,7 @@
 //! A configuration read after an earlier one is what it is when it is read alone and whole.
 
 use arbtest::arbitrary::{Result, Unstructured};
-use rookpulley_routes::{Book, Route};
+use rookpulley_routes::{Route, RouteTable};
 use rookpulley_samples::plays;
 use std::cell::Cell;
 use std::fmt::Write;
@@ -55,11 +55,13 @@
 }
 
 /// All that a configuration says, or all that is wrong with it.
-fn said(book: std::result::Result<Book, rookpulley_routes::Faults>) -> String {
+fn said(book: std::result::Result<RouteTable, rookpulley_routes::Faults>) -> String {
     match book {
         Ok(book) => {
             let routes: Vec<&Route> = book.routes().collect();
-            let aims: Vec<_> = (0..3).map(|service| book.least_aim_ms(service)).collect();
+            let aims: Vec<_> = (0..3)
+                .map(|service| book.least_latency_target_ms(service))
+                .collect();
             let found = HOSTS.map(|host| book.route(host, "/x/y/1").map(|route| route.timeout_ms));
             format!(
                 "{} {:?} {:?} {routes:?} {aims:?} {found:?}",
@@ -87,11 +89,11 @@
     plays(3_000, 1_024, |u| {
         let (earlier, later) = (text(u, 3)?, text(u, 4)?);
         // The other way to write it moves the places of faults that the parser tells.
-        let alone = said(Book::read(later.as_bytes()));
-        let read_whole = said(Book::read(whole(&later).as_bytes()));
-        let before = Book::read(earlier.as_bytes()).ok();
+        let alone = said(RouteTable::read(later.as_bytes()));
+        let read_whole = said(RouteTable::read(whole(&later).as_bytes()));
+        let before = RouteTable::read(earlier.as_bytes()).ok();
         let known = before.as_ref().map(|before| (earlier.as_bytes(), before));
-        let after = Book::read_after(later.as_bytes(), known);
+        let after = RouteTable::read_after(later.as_bytes(), known);
         if let (Ok(after), Some(before)) = (&after, &before) {
             assert_eq!(alone, read_whole, "{later}");
             good.set(good.get() + 1);
@@ -122,7 +124,7 @@
         "{{\"configVersion\":7,\"services\":[{{\"name\":\"s\"}}],\"hostnames\":[{{\"hostname\":\"h\",\"pathRules\":[{}]}}]}}",
         rules.join(",")
     );
-    let told = Book::read(text.as_bytes()).unwrap_err().to_string();
+    let told = RouteTable::read(text.as_bytes()).unwrap_err().to_string();
     assert!(
         told.contains("hostnames[0].pathRules[31007].maxAttempts is 0"),
         "{told}"
@@ -147,8 +149,9 @@
         text + "]}]}"
     };
     let (first, second) = (body(7, 5), body(8, 11));
-    let before = Book::read(first.as_bytes()).unwrap();
-    let after = Book::read_after(second.as_bytes(), Some((first.as_bytes(), &before))).unwrap();
+    let before = RouteTable::read(first.as_bytes()).unwrap();
+    let after =
+        RouteTable::read_after(second.as_bytes(), Some((first.as_bytes(), &before))).unwrap();
     assert_eq!(after.routes().len(), 35_000);
     let anew = after.routes().filter(|route| {
         let old = before.route("h", &route.prefix);
--- a/crates/rookpulley-routes/tests/book.rs
+++ b/crates/rookpulley-routes/tests/route_table.rs
@@ -1,7 +1,7 @@
 //! Configurations printed, cut, spoilt and read back.
 
 use arbtest::arbitrary::{Result, Unstructured};
-use rookpulley_routes::{Book, Faults, Limits, RouteKind};
+use rookpulley_routes::{Faults, Limits, RouteKind, RouteTable};
 use rookpulley_samples::plays;
 
 /// A small configuration with something of everything.
@@ -26,8 +26,8 @@
   ]
 }"#;
 
-fn read(text: &str) -> std::result::Result<Book, Faults> {
-    Book::read(text.as_bytes())
+fn read(text: &str) -> std::result::Result<RouteTable, Faults> {
+    RouteTable::read(text.as_bytes())
 }
 
 #[test]
@@ -62,13 +62,13 @@
         ("sell", RouteKind::Mutating, 2)
     );
     assert_eq!(
-        (sell.timeout_ms, sell.aim_ms, sell.priority),
+        (sell.timeout_ms, sell.latency_target_ms, sell.priority),
         (900.0, 90.5, 1)
     );
     assert_eq!(sell.targets, [(0, 1.0)]);
     let track = book.route("post.example", "/track/").unwrap();
     assert_eq!(
-        (track.timeout_ms, track.aim_ms, track.priority),
+        (track.timeout_ms, track.latency_target_ms, track.priority),
         (800.5, 800.5, 0)
     );
     assert_eq!(track.targets, [(1, 3.0), (0, 1.0)]);
@@ -176,8 +176,10 @@
     }
     assert!(read(&format!(" {WHOLE}\r\n\t ")).is_ok());
     assert!(
-        Book::read(b"{\"configVersion\": 1, \"services\": [], \"hostnames\": [], \"x\": \"\xff\"}")
-            .is_err()
+        RouteTable::read(
+            b"{\"configVersion\": 1, \"services\": [], \"hostnames\": [], \"x\": \"\xff\"}"
+        )
+        .is_err()
     );
 }
 
@@ -200,7 +202,7 @@
                 }
             }
         }
-        let book = match Book::read(&bytes) {
+        let book = match RouteTable::read(&bytes) {
             Ok(book) => book,
             Err(faults) => {
                 assert!(!faults.faults.is_empty() && faults.to_string().len() < 8_000);
@@ -217,7 +219,10 @@
             assert!(
                 route.attempts > 0 && route.timeout_ms > 0.0 && route.timeout_ms <= 86_400_000.0
             );
-            assert!(route.aim_ms > 0.0 && route.targets.iter().all(|(_, weight)| *weight >= 0.0));
+            assert!(
+                route.latency_target_ms > 0.0
+                    && route.targets.iter().all(|(_, weight)| *weight >= 0.0)
+            );
             let drawn = route
                 .draw(u.int_in_range(0..=999)? as f64 / 1_000.0)
                 .unwrap();
--- a/crates/rookpulley-runtime/src/lib.rs
+++ b/crates/rookpulley-runtime/src/lib.rs
@@ -1,7 +1,7 @@
-//! What both programs of the gateway stand on: lines between them, the log, the settings file while they run.
+//! What both programs of the gateway stand on: connections between them, the log, the settings file while they run.
 
-pub mod line;
+pub mod connection;
 pub mod log;
 mod settings;
 
-pub use settings::File;
+pub use settings::SettingsFile;
--- a/crates/rookpulley-runtime/src/settings.rs
+++ b/crates/rookpulley-runtime/src/settings.rs
@@ -4,28 +4,31 @@
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-pub struct File {
+/// The settings file of a running program.
+pub struct SettingsFile {
     path: PathBuf,
-    changed: Option<SystemTime>,
+    /// When it was changed, as last seen. None: it could not be looked at.
+    modified: Option<SystemTime>,
 }
 
-impl File {
-    pub fn new(path: PathBuf) -> File {
-        let changed = changed(&path);
-        File { path, changed }
+impl SettingsFile {
+    /// A file whose present text is known already.
+    pub fn new(path: PathBuf) -> Self {
+        let modified = modified(&path);
+        Self { path, modified }
     }
 
     /// What it says, if it has changed since it was last looked at.
-    pub fn look(&mut self) -> Option<Node> {
-        let now = changed(&self.path);
-        if now.is_none() || now == self.changed {
+    pub fn read_if_changed(&mut self) -> Option<Node> {
+        let now = modified(&self.path);
+        if now.is_none() || now == self.modified {
             return None;
         }
-        self.changed = now;
+        self.modified = now;
         self.read()
     }
 
-    /// What it says now. Where it can't be used, what was known holds.
+    /// What it says now. None: it can't be used, and what was known holds.
     pub fn read(&self) -> Option<Node> {
         match Node::read(&self.path) {
             Ok(node) => {
@@ -42,8 +45,7 @@
     }
 }
 
-fn changed(path: &Path) -> Option<SystemTime> {
-    std::fs::metadata(path)
-        .and_then(|about| about.modified())
-        .ok()
+fn modified(path: &Path) -> Option<SystemTime> {
+    let metadata = std::fs::metadata(path).ok()?;
+    metadata.modified().ok()
 }
--- a/crates/rookpulley-scale/src/hollow_proxy.rs
+++ b/crates/rookpulley-scale/src/hollow_proxy.rs
@@ -2,8 +2,10 @@
 //! configurations and acknowledges and reports as a real one does. What it is sent is counted, and then dropped.
 
 use rookpulley_balancer::ControllerSelection;
-use rookpulley_protocol::{Down, Frames, Report, ServiceReport, Up, frame};
-use rookpulley_runtime::line;
+use rookpulley_protocol::{
+    ControllerToProxy, Frames, LoadReport, ProxyHello, ProxyToController, ServiceLoad, frame,
+};
+use rookpulley_runtime::connection;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -86,7 +88,7 @@
         }
     }
 
-    fn say(&self, to: Ipv4Addr, up: &Up) {
+    fn say(&self, to: Ipv4Addr, up: &ProxyToController) {
         let bytes = frame(up);
         add(&self.counts.bytes_out, bytes.len());
         _ = self.lines.borrow().get(&to).map(|line| line.send(bytes));
@@ -101,19 +103,19 @@
         if let Some(from) = moved.from {
             self.say(
                 from,
-                &Up::Home {
-                    home: false,
-                    config,
-                    tables,
+                &ProxyToController::PrimaryChanged {
+                    is_primary: false,
+                    configuration: config,
+                    has_tables: tables,
                 },
             );
         }
         self.say(
             moved.to,
-            &Up::Home {
-                home: true,
-                config,
-                tables,
+            &ProxyToController::PrimaryChanged {
+                is_primary: true,
+                configuration: config,
+                has_tables: tables,
             },
         );
     }
@@ -124,14 +126,14 @@
             self.choose();
             let home = self.controllers.borrow().home();
             if let Some(home) = home.filter(|_| round.is_multiple_of(REPORT_ROUNDS)) {
-                let service = ServiceReport {
+                let service = ServiceLoad {
                     service: "svc0000".into(),
-                    came: 1,
+                    received: 1,
                     ..Default::default()
                 };
                 self.say(
                     home,
-                    &Up::Report(Report {
+                    &ProxyToController::Report(LoadReport {
                         span_ms: 1_000,
                         services: vec![service],
                     }),
@@ -142,7 +144,9 @@
 
     async fn keep(self: Rc<Self>, ip: Ipv4Addr) {
         loop {
-            if let Ok(stream) = line::dial(SocketAddr::from((ip, self.port)), DIAL_WITHIN).await {
+            if let Ok(stream) =
+                connection::connect(SocketAddr::from((ip, self.port)), DIAL_WITHIN).await
+            {
                 _ = self.converse(ip, stream).await;
             }
             self.lines.borrow_mut().remove(&ip);
@@ -158,14 +162,14 @@
     ) -> std::io::Result<()> {
         let (queue, mut waiting) = mpsc::unbounded_channel::<Vec<u8>>();
         self.lines.borrow_mut().insert(ip, queue);
-        let hello = Up::Hello {
+        let hello = ProxyToController::Hello(ProxyHello {
             node: self.name.clone(),
             zone: self.zone.clone(),
-            home: self.controllers.borrow().home() == Some(ip),
-            config: self.version.get(),
-            tables: self.tables.get(),
+            is_primary: self.controllers.borrow().home() == Some(ip),
+            configuration: self.version.get(),
+            has_tables: self.tables.get(),
             gone: Vec::new(),
-        };
+        });
         self.say(ip, &hello);
         let now = self.now_ms();
         self.controllers.borrow_mut().connected(now, ip);
@@ -184,7 +188,7 @@
                     }
                     add(&self.counts.bytes_in, read);
                     frames.push(chunk.get(..read).unwrap_or_default());
-                    while let Ok(Some(down)) = frames.take::<Down>() {
+                    while let Ok(Some(down)) = frames.take::<ControllerToProxy>() {
                         self.take(ip, down);
                     }
                 }
@@ -192,12 +196,12 @@
         }
     }
 
-    fn take(self: &Rc<Self>, from: Ipv4Addr, down: Down) {
+    fn take(self: &Rc<Self>, from: Ipv4Addr, down: ControllerToProxy) {
         add(&self.counts.messages_in, 1);
         match down {
-            Down::Pulse {
+            ControllerToProxy::Status {
                 in_touch,
-                config,
+                configuration: config,
                 controllers,
                 ..
             } => {
@@ -207,12 +211,15 @@
                     .borrow_mut()
                     .pulse(now, from, in_touch, config, have)
                 {
-                    self.say(from, &Up::WantConfig { have });
+                    self.say(
+                        from,
+                        &ProxyToController::RequestConfiguration { held: have },
+                    );
                 }
                 controllers.iter().for_each(|other| self.named(*other.ip()));
                 self.choose();
             }
-            Down::Config { version, .. } if version > self.version.get() => {
+            ControllerToProxy::Configuration { version, .. } if version > self.version.get() => {
                 add(&self.counts.configurations, 1);
                 self.version.set(version);
                 self.counts
@@ -222,14 +229,16 @@
                     .or_default()
                     .push(Instant::now());
             }
-            Down::Table { mark, .. } => {
+            ControllerToProxy::Table { sequence: mark, .. } => {
                 add(&self.counts.tables, 1);
                 if !self.tables.replace(true) {
                     self.counts.ready.set(self.counts.ready.get() + 1);
                 }
-                self.say(from, &Up::Took { mark });
+                self.say(from, &ProxyToController::TablesApplied { up_to: mark });
             }
-            Down::Config { .. } | Down::Gone { .. } | Down::Place { .. } => {}
+            ControllerToProxy::Configuration { .. }
+            | ControllerToProxy::InstancesGone { .. }
+            | ControllerToProxy::ControllerInfo { .. } => {}
         }
     }
 }
--- a/crates/rookpulley-simulator/src/apps.rs
+++ b/crates/rookpulley-simulator/src/apps.rs
@@ -5,7 +5,7 @@
 use crate::world::{What, World};
 use crate::{MS, S, Us};
 use rand::RngExt;
-use rookpulley_control::{Content, Path, Reply};
+use rookpulley_control::{Content, Endpoint, Reply};
 use std::collections::HashMap;
 use tinyjson::JsonValue;
 
@@ -106,7 +106,14 @@
         self.now + 4_500 * MS >= self.day.length_ms * MS
     }
 
-    fn app_calls(&mut self, app: usize, asked: Asked, path: Path, name: &str, body: String) {
+    fn app_calls(
+        &mut self,
+        app: usize,
+        asked: Asked,
+        endpoint: Endpoint,
+        name: &str,
+        body: String,
+    ) {
         let number = self.record.calls.len();
         self.record.calls.push(AppCall {
             asked,
@@ -117,7 +124,7 @@
             unclear: false,
         });
         self.apps[app].call = Some(number);
-        self.call(Who::App(app), path, name, body, Vec::new(), (WITHIN, 0));
+        self.call(Who::App(app), endpoint, name, body, Vec::new(), (WITHIN, 0));
     }
 
     pub fn app_acts(&mut self, app: usize) {
@@ -142,23 +149,35 @@
             if self.chance(2) {
                 let body =
                     format!("{{\"holder\":\"a{app}\",\"fence\":{fence},\"holdMs\":{hold_ms}}}");
-                return self.app_calls(app, Asked::Renew { hold }, Path::RenewLock, &lock, body);
+                return self.app_calls(
+                    app,
+                    Asked::Renew { hold },
+                    Endpoint::RenewLock,
+                    &lock,
+                    body,
+                );
             }
             self.record.holds[hold].until = now;
             self.apps[app].held = None;
             let body = format!("{{\"holder\":\"a{app}\",\"fence\":{fence}}}");
-            return self.app_calls(app, Asked::Drop, Path::DropLock, &lock, body);
+            return self.app_calls(app, Asked::Drop, Endpoint::ReleaseLock, &lock, body);
         }
         match self.rng.random_range(0..10u32) {
             0..=2 => {
                 let lock = format!("l{}", self.rng.random_range(0..LOCKS));
                 let hold_ms = self.rng.random_range(300..3_000u64);
                 let body = format!("{{\"holder\":\"a{app}\",\"holdMs\":{hold_ms}}}");
-                self.app_calls(app, Asked::Take { hold_ms }, Path::TakeLock, &lock, body);
+                self.app_calls(
+                    app,
+                    Asked::Take { hold_ms },
+                    Endpoint::AcquireLock,
+                    &lock,
+                    body,
+                );
             }
             3 | 4 => {
                 let name = format!("n{}", self.rng.random_range(0..NUMBERS));
-                self.app_calls(app, Asked::Number, Path::Number, &name, "{}".into());
+                self.app_calls(app, Asked::Number, Endpoint::NextNumber, &name, "{}".into());
             }
             5..=7 => {
                 let name = self.cell();
@@ -174,14 +193,14 @@
                 self.app_calls(
                     app,
                     Asked::Put { value, active },
-                    Path::PutCell,
+                    Endpoint::PutKey,
                     &name,
                     body,
                 );
             }
             _ => {
                 let name = self.cell();
-                self.app_calls(app, Asked::Get, Path::GetCell, &name, String::new());
+                self.app_calls(app, Asked::Get, Endpoint::GetKey, &name, String::new());
             }
         }
     }
@@ -277,7 +296,7 @@
         let query = vec![("after", after.to_string()), ("waitMs", "800".to_string())];
         self.call(
             Who::Watcher(watcher),
-            Path::Watch,
+            Endpoint::Watch,
             &group,
             String::new(),
             query,
@@ -311,7 +330,7 @@
 
     /// Keys are read back, numbers asked for, locks too.
     pub fn apps_end(&mut self) {
-        let mut last = |asked: Asked, path: Path, name: String, body: String| {
+        let mut last = |asked: Asked, endpoint: Endpoint, name: String, body: String| {
             let number = self.record.calls.len();
             self.record.calls.push(AppCall {
                 asked,
@@ -324,7 +343,7 @@
             self.record.last.push(number);
             self.call(
                 Who::Last(number),
-                path,
+                endpoint,
                 &name,
                 body,
                 Vec::new(),
@@ -335,7 +354,7 @@
             for key in 0..KEYS {
                 last(
                     Asked::Get,
-                    Path::GetCell,
+                    Endpoint::GetKey,
                     format!("g{group}.k{key}"),
                     String::new(),
                 );
@@ -344,7 +363,7 @@
         for number in 0..NUMBERS {
             last(
                 Asked::Number,
-                Path::Number,
+                Endpoint::NextNumber,
                 format!("n{number}"),
                 "{}".into(),
             );
--- a/crates/rookpulley-simulator/src/callers.rs
+++ b/crates/rookpulley-simulator/src/callers.rs
@@ -4,7 +4,7 @@
 use crate::world::{What, World};
 use crate::{MS, S, Us};
 use rand::RngExt;
-use rookpulley_control::{Path, Reply};
+use rookpulley_control::{Endpoint, Reply};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Who {
@@ -25,7 +25,7 @@
 
 pub struct Call {
     pub who: Who,
-    pub path: Path,
+    pub endpoint: Endpoint,
     pub name: String,
     pub body: Vec<u8>,
     pub query: Vec<(&'static str, String)>,
@@ -48,7 +48,7 @@
     pub fn call(
         &mut self,
         who: Who,
-        path: Path,
+        endpoint: Endpoint,
         name: &str,
         body: String,
         query: Vec<(&'static str, String)>,
@@ -56,14 +56,22 @@
     ) -> u64 {
         let core: Vec<usize> = self.callable();
         let machine = core[self.rng.random_range(0..core.len())];
-        self.call_at(who, path, name, body, query, (within, patience), machine)
+        self.call_at(
+            who,
+            endpoint,
+            name,
+            body,
+            query,
+            (within, patience),
+            machine,
+        )
     }
 
     #[allow(clippy::too_many_arguments)]
     pub fn call_at(
         &mut self,
         who: Who,
-        path: Path,
+        endpoint: Endpoint,
         name: &str,
         body: String,
         query: Vec<(&'static str, String)>,
@@ -75,7 +83,7 @@
             call,
             Call {
                 who,
-                path,
+                endpoint,
                 name: name.into(),
                 body: body.into_bytes(),
                 query,
--- a/crates/rookpulley-simulator/src/controllers.rs
+++ b/crates/rookpulley-simulator/src/controllers.rs
@@ -6,10 +6,11 @@
 use rand::RngExt;
 use rookpulley_chain::{Member, PersistedState};
 use rookpulley_control::{
-    Content, Controller, Effect, Founding, Path, Reply, Start, Wants, Word, read,
+    Bootstrap, Content, Controller, ControllerStart, Effect, Endpoint, Operation, PeerMessage,
+    Reply, parse,
 };
-use rookpulley_protocol::Up;
-use rookpulley_state::{Answer, Ask, Update};
+use rookpulley_protocol::ProxyToController;
+use rookpulley_state::{Answer, Query, Update};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use tinyjson::JsonValue;
@@ -78,22 +79,22 @@
         let fresh = at.disk.identity.is_none();
         let identity = *at.disk.identity.get_or_insert(mint);
         if fresh && first {
-            at.disk.founding = Some(Founding::new(at.ip, &seeds));
+            at.disk.bootstrap = Some(Bootstrap::new(at.ip, &seeds));
         }
-        let start = Start {
+        let start = ControllerStart {
             me: Member {
                 id: identity,
                 incarnation,
                 address: SocketAddrV4::new(at.ip, 7_721),
             },
             seeds,
-            losses: self.day.losses,
+            tolerated_losses: self.day.losses,
             heartbeat_ms: HEARTBEAT_MS,
             drain_ms: DRAIN_MS,
             zone: at.zone.to_string(),
-            founding: at.disk.founding.clone(),
-            held: (!fresh).then(|| at.disk.chain.clone().into_iter().collect()),
-            incarnations: at.disk.incarnations.clone().into_iter().collect(),
+            bootstrap: at.disk.bootstrap.clone(),
+            chain_rows: (!fresh).then(|| at.disk.chain.clone().into_iter().collect()),
+            instance_rows: at.disk.instances.clone().into_iter().collect(),
         };
         if torn {
             self.say(|| format!("controller {machine}: its disk is torn"));
@@ -131,7 +132,7 @@
         let clock = self.clock(process);
         let controller = self.controller(process)?;
         let came = input(&mut controller.controller, clock);
-        let effects = controller.controller.effects();
+        let effects = controller.controller.take_effects();
         for effect in effects {
             self.controller_wants(process, effect);
         }
@@ -142,7 +143,7 @@
         let me = self.address(process);
         let machine = self.processes[process].machine;
         match effect {
-            Effect::Dial(ip) => {
+            Effect::Connect(ip) => {
                 if let Some(controller) = self.controller(process) {
                     controller.dialers.insert(
                         ip,
@@ -155,7 +156,7 @@
                     self.after(0, me, What::Dial(ip));
                 }
             }
-            Effect::Spoke(ip) => {
+            Effect::PeerIsAlive(ip) => {
                 let waits = self
                     .controller(process)
                     .and_then(|controller| controller.dialers.get_mut(&ip));
@@ -165,22 +166,24 @@
                     self.after(0, me, What::Dial(ip));
                 }
             }
-            Effect::Word { to, frame } => {
+            Effect::SendToPeer { to, frame } => {
                 let line = self
                     .controller(process)
                     .and_then(|controller| controller.dialers.get(&to)?.line);
                 line.into_iter()
                     .for_each(|line| self.send_line(line, 0, frame.clone()));
             }
-            Effect::Down { line, frame } => {
+            Effect::SendToProxy { connection, frame } => {
                 let line = self
                     .controller(process)
-                    .and_then(|controller| controller.proxies.get(&line).copied());
+                    .and_then(|controller| controller.proxies.get(&connection).copied());
                 line.into_iter()
                     .for_each(|line| self.send_line(line, 1, frame.clone()));
             }
-            Effect::Write { ticket, records } => self.write(process, true, ticket, records),
-            Effect::Note { ticket, records } => self.write(process, false, ticket, records),
+            Effect::WriteChain { ticket, records } => self.write(process, true, ticket, records),
+            Effect::WriteInstances { ticket, records } => {
+                self.write(process, false, ticket, records)
+            }
             Effect::Reply { token, reply } => {
                 let call = self
                     .controller(process)
@@ -205,7 +208,7 @@
                     },
                 );
             }
-            Effect::Log(line) | Effect::Complain(line) => {
+            Effect::Log(line) | Effect::LogError(line) => {
                 self.say(|| format!("controller {machine}: {line}"))
             }
         }
@@ -286,18 +289,18 @@
                 if let Some(synced) = synced.filter(|_| !lies) {
                     let took_ms = synced.took as f64 / 1e3;
                     self.with_controller(process, |controller, now| {
-                        controller.stored(now, synced.chain, synced.incarnations, took_ms);
+                        controller.handle_synced(now, synced.chain, synced.instances, took_ms);
                     });
                 }
             }
             What::Lied { of_chain, ticket } => {
-                let (chain, incarnations) = if of_chain {
+                let (chain, instances) = if of_chain {
                     (Some(ticket), None)
                 } else {
                     (None, Some(ticket))
                 };
                 self.with_controller(process, |controller, now| {
-                    controller.stored(now, chain, incarnations, 1.0)
+                    controller.handle_synced(now, chain, instances, 1.0)
                 });
             }
             What::Call { call, attempt } => self.controller_called(process, call, attempt),
@@ -331,18 +334,21 @@
         {
             (dialer.line, dialer.pause, dialer.dials) = (Some(line), AGAIN_FIRST, false);
         }
-        self.with_controller(process, |controller, now| controller.dialed(now, ip));
+        self.with_controller(process, |controller, now| {
+            controller.peer_connected(now, ip)
+        });
     }
 
     fn controller_dials_again(&mut self, process: usize, ip: Ipv4Addr) {
         let me = self.address(process);
-        if self.with_controller(process, |controller, now| controller.still_known(now, ip))
-            != Some(true)
+        if self.with_controller(process, |controller, now| {
+            controller.is_peer_wanted(now, ip)
+        }) != Some(true)
         {
             self.controller(process)
                 .into_iter()
                 .for_each(|controller| _ = controller.dialers.remove(&ip));
-            self.with_controller(process, |controller, _| controller.forget(ip));
+            self.with_controller(process, |controller, _| controller.forget_peer(ip));
             return;
         }
         let Some(dialer) = self
@@ -361,12 +367,12 @@
             return;
         };
         if self.keeps_control(of.ends[0].0) {
-            let Some(word) = unframed::<Word>(bytes) else {
+            let Some(message) = unframed::<PeerMessage>(bytes) else {
                 return;
             };
             let mut who = of.who;
             self.with_controller(process, |controller, now| {
-                controller.word(now, &mut who, word)
+                controller.handle_peer_message(now, &mut who, message)
             });
             self.lines
                 .get_mut(&line)
@@ -374,23 +380,13 @@
                 .for_each(|of| of.who = who);
             return;
         }
-        let (Some(up), known) = (unframed::<Up>(bytes), of.proxy.clone()) else {
+        let (Some(up), known) = (unframed::<ProxyToController>(bytes), of.proxy.clone()) else {
             return;
         };
         match (up, known) {
-            (
-                Up::Hello {
-                    node,
-                    zone,
-                    home,
-                    config,
-                    tables,
-                    gone,
-                },
-                None,
-            ) => {
+            (ProxyToController::Hello(hello), None) => {
                 let Some(number) =
-                    self.with_controller(process, |controller, _| controller.number())
+                    self.with_controller(process, |controller, _| controller.next_number())
                 else {
                     return;
                 };
@@ -400,20 +396,20 @@
                 self.lines
                     .get_mut(&line)
                     .into_iter()
-                    .for_each(|of| of.proxy = Some((node.clone(), number)));
+                    .for_each(|of| of.proxy = Some((hello.node.clone(), number)));
                 self.with_controller(process, |controller, now| {
-                    controller.proxy_in(now, number, (&node, &zone), home, (config, tables), &gone);
+                    controller.proxy_connected(now, number, hello);
                 });
             }
             (
-                Up::StatelessHello {
+                ProxyToController::StatelessHello {
                     address,
                     controllers,
                 },
                 None,
             ) => {
                 let Some(number) =
-                    self.with_controller(process, |controller, _| controller.number())
+                    self.with_controller(process, |controller, _| controller.next_number())
                 else {
                     return;
                 };
@@ -426,17 +422,21 @@
                     .into_iter()
                     .for_each(|of| of.proxy = name.clone());
                 self.with_controller(process, |controller, now| {
-                    controller.stateless_in(now, number, address, &controllers)
+                    controller.stateless_connected(now, number, address, &controllers)
                 });
             }
-            (up @ (Up::StatelessHello { .. } | Up::Found { .. }), Some((_, number))) => {
+            (
+                up @ (ProxyToController::StatelessHello { .. }
+                | ProxyToController::AppointFounder { .. }),
+                Some((_, number)),
+            ) => {
                 self.with_controller(process, |controller, now| {
-                    controller.stateless_said(now, number, &up)
+                    controller.handle_stateless_message(now, number, &up)
                 });
             }
             (up, Some((node, number))) => {
                 self.with_controller(process, |controller, now| {
-                    controller.proxy_said(now, &node, number, up)
+                    controller.handle_proxy_message(now, &node, number, up)
                 });
             }
             _ => {}
@@ -458,7 +458,7 @@
             {
                 dialer.line = None;
             }
-            self.with_controller(process, |controller, _| controller.hung_up(ip));
+            self.with_controller(process, |controller, _| controller.peer_disconnected(ip));
             return self.controller_dials_again(process, ip);
         }
         if let Some((node, number)) = proxy {
@@ -466,11 +466,13 @@
                 .into_iter()
                 .for_each(|controller| _ = controller.proxies.remove(&number));
             self.with_controller(process, |controller, now| {
-                controller.proxy_out(now, &node, number);
-                controller.stateless_out(now, number);
+                controller.proxy_disconnected(now, &node, number);
+                controller.stateless_disconnected(now, number);
             });
         } else if let Some(id) = who {
-            self.with_controller(process, |controller, now| controller.line_ended(now, id));
+            self.with_controller(process, |controller, now| {
+                controller.peer_session_ended(now, id)
+            });
         }
     }
 
@@ -486,7 +488,7 @@
         let Some(of) = self.calls.get(&call) else {
             return;
         };
-        let (path, name, body) = (of.path, of.name.clone(), of.body.clone());
+        let (endpoint, name, body) = (of.endpoint, of.name.clone(), of.body.clone());
         let query = of.query.clone();
         let value = |wanted: &str| {
             query
@@ -497,21 +499,21 @@
         let held = self
             .controller(process)
             .and_then(|of| of.controller.configuration());
-        let wants = read(path, &name, body.clone(), value, held);
-        let wants = match wants {
-            Ok(wants) => self.mutated(wants),
+        let parsed = parse(endpoint, &name, body.clone(), value, held);
+        let operation = match parsed {
+            Ok(operation) => self.mutated(operation),
             Err(_)
                 if self.mutation == Some(Mutation::TakesInvalid)
-                    && path == Path::PutConfiguration =>
+                    && endpoint == Endpoint::PutConfiguration =>
             {
-                Wants::Update(Update::PutConfiguration {
+                Operation::Update(Update::PutConfiguration {
                     version: self.operator.newest + 1,
                     body,
                 })
             }
             Err(reply) => return self.reply(process, call, attempt, reply),
         };
-        if self.mutation == Some(Mutation::RepeatRefused) && self.repeats(process, &wants) {
+        if self.mutation == Some(Mutation::RepeatRefused) && self.repeats(process, &operation) {
             let refused = Reply {
                 status: 409,
                 retry_after: None,
@@ -520,54 +522,57 @@
             return self.reply(process, call, attempt, refused);
         }
         if self.mutation == Some(Mutation::ReadsAlone)
-            && let Wants::Ask(Ask::Cell { name }) = &wants
+            && let Operation::Read(Query::Key { name }) = &operation
         {
             let reply = self.read_alone(process, name);
             return self.reply(process, call, attempt, reply);
         }
-        let Some(token) = self.with_controller(process, |controller, _| controller.number()) else {
+        let Some(token) = self.with_controller(process, |controller, _| controller.next_number())
+        else {
             return;
         };
         self.controller(process)
             .into_iter()
             .for_each(|controller| _ = controller.calls.insert(token, (call, attempt)));
         self.with_controller(process, |controller, now| {
-            controller.call(now, token, wants)
+            controller.handle_call(now, token, operation)
         });
     }
 
-    fn mutated(&self, wants: Wants) -> Wants {
-        match wants {
-            Wants::Update(Update::TakeLock {
+    fn mutated(&self, operation: Operation) -> Operation {
+        match operation {
+            Operation::Update(Update::AcquireLock {
                 name,
                 holder,
-                hold_ms,
-            }) if self.mutation == Some(Mutation::LocksShort) => Wants::Update(Update::TakeLock {
-                name,
-                holder,
-                hold_ms: hold_ms / 2,
-            }),
-            wants => wants,
+                lease_ms,
+            }) if self.mutation == Some(Mutation::LocksShort) => {
+                Operation::Update(Update::AcquireLock {
+                    name,
+                    holder,
+                    lease_ms: lease_ms / 2,
+                })
+            }
+            operation => operation,
         }
     }
 
-    fn repeats(&mut self, process: usize, wants: &Wants) -> bool {
-        let Wants::Update(Update::PutConfiguration { version, .. }) = wants else {
+    fn repeats(&mut self, process: usize, operation: &Operation) -> bool {
+        let Operation::Update(Update::PutConfiguration { version, .. }) = operation else {
             return false;
         };
         let held = self
             .controller(process)
-            .map_or(0, |of| of.controller.chain.state().ledger.version());
+            .map_or(0, |of| of.controller.chain.state().machine.version());
         *version <= held
     }
 
     fn read_alone(&mut self, process: usize, name: &str) -> Reply {
-        let ask = Ask::Cell { name: name.into() };
+        let ask = Query::Key { name: name.into() };
         let answer = self
             .controller(process)
-            .map(|controller| controller.controller.chain.state().ledger.read(&ask));
+            .map(|controller| controller.controller.chain.state().machine.read(&ask));
         let (status, content) = match answer {
-            Some(Answer::Cell { value, revision }) => {
+            Some(Answer::Value { value, revision }) => {
                 let fields = HashMap::from([
                     ("value".to_string(), JsonValue::String(value)),
                     ("revision".to_string(), JsonValue::Number(revision as f64)),
@@ -594,7 +599,7 @@
             && controller.leaves.is_none()
         {
             controller.leaves = Some(now);
-            self.with_controller(process, |controller, _| controller.end());
+            self.with_controller(process, |controller, _| controller.begin_shutdown());
             self.after(0, me, What::Leaving);
         }
     }
@@ -612,7 +617,7 @@
             .controller(process)
             .is_some_and(|controller| controller.deaf);
         if !deaf {
-            let left = self.with_controller(process, Controller::left_the_chain) == Some(true);
+            let left = self.with_controller(process, Controller::leave_chain) == Some(true);
             if left || now - since >= LEAVE_WITHIN {
                 self.controller(process)
                     .into_iter()
--- a/crates/rookpulley-simulator/src/day.rs
+++ b/crates/rookpulley-simulator/src/day.rs
@@ -85,7 +85,7 @@
         machine: usize,
     },
     /// The same for one machine after the other.
-    Roll {
+    ProxyRoster {
         pause_ms: u64,
     },
     /// Another machine with the same roles comes, and this one goes for good.
@@ -455,7 +455,7 @@
                 by_s: rng.random_range(-9..=9),
             },
             15 => Happens::Term { machine },
-            _ => Happens::Roll {
+            _ => Happens::ProxyRoster {
                 pause_ms: rng.random_range(400..1_500),
             },
         }
@@ -508,7 +508,7 @@
             }
             Happens::Herd { .. }
             | Happens::Dark { .. }
-            | Happens::Roll { .. }
+            | Happens::ProxyRoster { .. }
             | Happens::CutCore { .. } => true,
             _ => false,
         }
--- a/crates/rookpulley-simulator/src/disk.rs
+++ b/crates/rookpulley-simulator/src/disk.rs
@@ -23,16 +23,16 @@
 /// What the store says once a batch is synced.
 pub struct Synced {
     pub chain: Option<u64>,
-    pub incarnations: Option<u64>,
+    pub instances: Option<u64>,
     pub took: Us,
 }
 
 #[derive(Default)]
 pub struct Disk {
     pub identity: Option<u64>,
-    pub founding: Option<rookpulley_control::Founding>,
+    pub bootstrap: Option<rookpulley_control::Bootstrap>,
     pub chain: Rows,
-    pub incarnations: Rows,
+    pub instances: Rows,
     pub trouble: Option<DiskTrouble>,
     /// It says of everything at once that it is synced, long before it is.
     pub lies: bool,
@@ -82,13 +82,13 @@
         let (begun, jobs) = self.under_way.take()?;
         let mut synced = Synced {
             chain: None,
-            incarnations: None,
+            instances: None,
             took: now - begun,
         };
         for job in jobs {
             let (rows, ticket) = match job.of_chain {
                 true => (&mut self.chain, &mut synced.chain),
-                false => (&mut self.incarnations, &mut synced.incarnations),
+                false => (&mut self.instances, &mut synced.instances),
             };
             apply(rows, job.records);
             *ticket = (*ticket).max(Some(job.ticket));
@@ -107,7 +107,7 @@
             let rows = if job.of_chain {
                 &mut self.chain
             } else {
-                &mut self.incarnations
+                &mut self.instances
             };
             if there[usize::from(job.of_chain)] {
                 apply(rows, job.records);
--- a/crates/rookpulley-simulator/src/operator.rs
+++ b/crates/rookpulley-simulator/src/operator.rs
@@ -7,7 +7,7 @@
 use crate::{MS, S, Us};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
-use rookpulley_control::{Content, Path, Reply};
+use rookpulley_control::{Content, Endpoint, Reply};
 use rookpulley_routes::RouteKind;
 use std::fmt::Write;
 
@@ -150,7 +150,7 @@
                 let within = (KEEPS_ON, 0);
                 self.call_at(
                     who,
-                    Path::PutConfiguration,
+                    Endpoint::PutConfiguration,
                     "",
                     body,
                     Vec::new(),
@@ -161,7 +161,7 @@
             None => {
                 _ = self.call(
                     who,
-                    Path::PutConfiguration,
+                    Endpoint::PutConfiguration,
                     "",
                     body,
                     Vec::new(),
@@ -278,7 +278,7 @@
         self.record.read_back_asked = Some(self.now);
         self.call(
             Who::ReadBack,
-            Path::GetConfiguration,
+            Endpoint::GetConfiguration,
             "",
             String::new(),
             Vec::new(),
--- a/crates/rookpulley-simulator/src/proxies.rs
+++ b/crates/rookpulley-simulator/src/proxies.rs
@@ -7,7 +7,9 @@
 use crate::{MS, S, Us};
 use rand::RngExt;
 use rookpulley_balancer::{Fate, Pick};
-use rookpulley_protocol::{Down, Line as TableLine, Report, TaskReport, Up, frame};
+use rookpulley_protocol::{
+    ControllerToProxy, InstanceLoad, LoadReport, ProxyToController, TableEntry, frame,
+};
 use rookpulley_proxy_core::{
     Back, Effect, Go, Head, How, Journey, Leaving, Satchel, Then, Way, worth,
 };
@@ -54,7 +56,7 @@
     /// A later one makes what was begun for an earlier one void.
     attempt: u32,
     pick: Option<Pick>,
-    to: Option<Rc<TableLine>>,
+    to: Option<Rc<TableEntry>>,
     began_ms: f64,
     leaving: Leaving,
     left: bool,
@@ -172,7 +174,7 @@
                 self.after(0, me, What::Dial(ip));
             }
             Effect::Say(ip, mut up) => {
-                if let Up::Report(report) = &mut up {
+                if let ProxyToController::Report(report) = &mut up {
                     self.spoil_report(report);
                 }
                 let line = self
@@ -196,17 +198,22 @@
         }
     }
 
-    fn spoil_report(&self, report: &mut Report) {
+    fn spoil_report(&self, report: &mut LoadReport) {
         for of in &mut report.services {
             match self.mutation {
-                Some(Mutation::FailuresUntold) => of.tasks.iter_mut().for_each(|task| task.bad = 0),
+                Some(Mutation::FailuresUntold) => of
+                    .instances
+                    .iter_mut()
+                    .for_each(|instance| instance.failed = 0),
                 Some(Mutation::FailuresSpread) => {
-                    let (bad, tries) = of
-                        .tasks
-                        .iter()
-                        .fold((0, 0), |(b, t), task| (b + task.bad, t + task.tries));
-                    let part = |task: &TaskReport| (task.tries * bad).div_ceil(tries.max(1));
-                    of.tasks.iter_mut().for_each(|task| task.bad = part(task));
+                    let (bad, tries) = of.instances.iter().fold((0, 0), |(b, t), instance| {
+                        (b + instance.failed, t + instance.attempts)
+                    });
+                    let part =
+                        |instance: &InstanceLoad| (instance.attempts * bad).div_ceil(tries.max(1));
+                    of.instances
+                        .iter_mut()
+                        .for_each(|instance| instance.failed = part(instance));
                 }
                 _ => {}
             }
@@ -308,7 +315,7 @@
         );
         (proxy.satchel.post, proxy.satchel.ending) = (post.post, ending);
         proxy.gone_back = true;
-        if let Some(down) = unframed::<Down>(&first) {
+        if let Some(down) = unframed::<ControllerToProxy>(&first) {
             proxy.satchel.take(clock, Ipv4Addr::LOCALHOST, down);
         }
         _ = proxy.satchel.effects();
@@ -373,10 +380,10 @@
             return;
         };
         let ip = self.machines[self.processes[of.ends[1].0].machine].ip;
-        let Some(mut down) = unframed::<Down>(&bytes) else {
+        let Some(mut down) = unframed::<ControllerToProxy>(&bytes) else {
             return;
         };
-        if let Down::Table { lines, .. } = &mut down {
+        if let ControllerToProxy::Table { entries: lines, .. } = &mut down {
             let zone = format!(
                 "zone-{}",
                 self.machines[self.processes[process].machine].zone
@@ -393,22 +400,25 @@
             }
         }
         let missed = match (&mut down, self.mutation) {
-            (Down::Table { .. }, Some(Mutation::TablesMissed)) => {
+            (ControllerToProxy::Table { .. }, Some(Mutation::TablesMissed)) => {
                 self.now > 5 * S
                     && self
                         .proxy(process)
                         .is_some_and(|proxy| proxy.satchel.ready())
             }
-            (Down::Gone { .. } | Down::Table { .. }, Some(Mutation::DrainsUnheard)) => {
+            (
+                ControllerToProxy::InstancesGone { .. } | ControllerToProxy::Table { .. },
+                Some(Mutation::DrainsUnheard),
+            ) => {
                 self.now > 3 * S
                     && self
                         .proxy(process)
                         .is_some_and(|proxy| proxy.satchel.ready())
             }
-            (Down::Config { .. }, Some(Mutation::ConfigurationsMissed)) => {
+            (ControllerToProxy::Configuration { .. }, Some(Mutation::ConfigurationsMissed)) => {
                 self.proxy(process).is_some_and(|c| c.satchel.version() > 0) && !self.chance(4)
             }
-            (Down::Config { .. }, Some(Mutation::GoesBack)) => {
+            (ControllerToProxy::Configuration { .. }, Some(Mutation::GoesBack)) => {
                 let proxy = self.proxy(process);
                 proxy.is_some_and(|proxy| {
                     proxy.first.get_or_insert(bytes);
@@ -416,7 +426,7 @@
                 })
             }
             (_, Some(Mutation::HomePresumedInTouch)) => {
-                if let Down::Pulse { in_touch, .. } = &mut down {
+                if let ControllerToProxy::Status { in_touch, .. } = &mut down {
                     *in_touch = true;
                 }
                 let home = self.proxy(process).and_then(|proxy| proxy.satchel.home());
--- a/crates/rookpulley-simulator/src/stateless_controllers.rs
+++ b/crates/rookpulley-simulator/src/stateless_controllers.rs
@@ -1,12 +1,12 @@
-//! The controller of a machine without a disk: the controller's stateless controller with simulated lines and callers round it.
+//! The controller of a machine without a disk: the stateless controller with simulated lines and callers round it.
 
 use crate::net::unframed;
 use crate::world::{Core, What, World};
 use crate::{MS, S, Us};
 use rookpulley_control::{
-    Content, Reply, StatelessController, StatelessEffect, StatelessStart, Word,
+    Content, PeerMessage, Reply, StatelessController, StatelessEffect, StatelessStart,
 };
-use rookpulley_protocol::{Down, Up, frame};
+use rookpulley_protocol::{ControllerToProxy, ProxyToController, frame};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -67,7 +67,7 @@
         let clock = self.clock(process);
         let stateless = self.stateless(process)?;
         let came = input(&mut stateless.stateless, clock);
-        let effects = stateless.stateless.effects();
+        let effects = stateless.stateless.take_effects();
         for effect in effects {
             self.stateless_wants(process, effect);
         }
@@ -77,7 +77,7 @@
     fn stateless_wants(&mut self, process: usize, effect: StatelessEffect) {
         let me = self.address(process);
         match effect {
-            StatelessEffect::Dial(ip) => {
+            StatelessEffect::Connect(ip) => {
                 if let Some(stateless) = self.stateless(process) {
                     stateless.dialers.insert(
                         ip,
@@ -90,14 +90,16 @@
                 }
                 self.after(0, me, What::Dial(ip));
             }
-            StatelessEffect::Up { to, up } => {
+            StatelessEffect::SendToController { to, message } => {
                 let line = self
                     .stateless(process)
                     .and_then(|stateless| stateless.dialers.get(&to)?.line);
                 line.into_iter()
-                    .for_each(|line| self.send_line(line, 0, frame(&up)));
+                    .for_each(|line| self.send_line(line, 0, frame(&message)));
+            }
+            StatelessEffect::SendToClient { connection, frame } => {
+                self.send_line(connection, 1, frame)
             }
-            StatelessEffect::Down { line, frame } => self.send_line(line, 1, frame),
             StatelessEffect::Log(line) => {
                 let machine = self.processes[process].machine;
                 self.say(|| format!("controller {machine}: {line}"));
@@ -146,12 +148,15 @@
         {
             (dialer.line, dialer.begun) = (Some(line), now);
         }
-        self.with_stateless(process, |stateless, now| stateless.opened(now, ip));
+        self.with_stateless(process, |stateless, now| {
+            stateless.controller_connected(now, ip)
+        });
     }
 
     fn stateless_dials_again(&mut self, process: usize, ip: Ipv4Addr) {
         let me = self.address(process);
-        if self.with_stateless(process, |stateless, now| stateless.forgotten(now, ip)) == Some(true)
+        if self.with_stateless(process, |stateless, now| stateless.is_forgotten(now, ip))
+            == Some(true)
         {
             self.stateless(process)
                 .into_iter()
@@ -176,17 +181,23 @@
         let other = of.ends[1 - side].0;
         let ip = self.machines[self.processes[other].machine].ip;
         if side == 0 {
-            let Some(down) = unframed::<Down>(bytes) else {
+            let Some(down) = unframed::<ControllerToProxy>(bytes) else {
                 return;
             };
-            self.with_stateless(process, |stateless, now| stateless.told(now, ip, down));
+            self.with_stateless(process, |stateless, now| {
+                stateless.handle_controller_message(now, ip, down)
+            });
         } else if self.keeps_control(other) {
-            let Some(Word::Hello { from, .. }) = unframed(bytes) else {
+            let Some(PeerMessage::Hello { from, .. }) = unframed(bytes) else {
                 return;
             };
-            self.with_stateless(process, |stateless, now| stateless.hello(now, from));
-        } else if let Some(up) = unframed::<Up>(bytes) {
-            self.with_stateless(process, |stateless, _| stateless.guest_in(line, &up));
+            self.with_stateless(process, |stateless, now| {
+                stateless.handle_peer_hello(now, from)
+            });
+        } else if let Some(up) = unframed::<ProxyToController>(bytes) {
+            self.with_stateless(process, |stateless, _| {
+                stateless.client_connected(line, &up)
+            });
         }
     }
 
@@ -198,7 +209,7 @@
         let ip = self.machines[self.processes[of.ends[1 - side].0].machine].ip;
         self.end_line(line, side, !own);
         if side == 1 {
-            self.with_stateless(process, |stateless, _| stateless.guest_out(line));
+            self.with_stateless(process, |stateless, _| stateless.client_disconnected(line));
             return;
         }
         let now = self.now;
@@ -211,7 +222,9 @@
                 dialer.pause = PAUSE;
             }
         }
-        self.with_stateless(process, |stateless, _| stateless.lost(ip));
+        self.with_stateless(process, |stateless, _| {
+            stateless.controller_disconnected(ip)
+        });
         self.stateless_dials_again(process, ip);
     }
 
@@ -221,7 +234,7 @@
         };
         let name = of.name.clone();
         let to = self
-            .with_stateless(process, |stateless, now| stateless.pass_on(now, &name))
+            .with_stateless(process, |stateless, now| stateless.redirect(now, &name))
             .flatten();
         let (from, caller) = (self.host_of(process), self.caller_host(call));
         let what = match to.and_then(|ip| self.machine_at(ip)) {
--- a/crates/rookpulley-simulator/src/tasks.rs
+++ b/crates/rookpulley-simulator/src/tasks.rs
@@ -10,7 +10,7 @@
 use crate::world::{What, World};
 use crate::{MS, S, Us};
 use rand::RngExt;
-use rookpulley_control::{Path, Reply};
+use rookpulley_control::{Endpoint, Reply};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -47,8 +47,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    Down,
-    Up,
+    ControllerToProxy,
+    ProxyToController,
     Draining,
     /// Its drain is acknowledged, or it doesn't wait for that any more.
     Leaving,
@@ -131,7 +131,7 @@
             address: SocketAddrV4::new(Ipv4Addr::new(10, 128, 0, place as u8 + 1), 8_080),
             service,
             incarnation: 0,
-            state: State::Down,
+            state: State::ControllerToProxy,
             slots: shape.slots.unwrap_or(slots),
             queue,
             most_wires: MOST_WIRES,
@@ -153,7 +153,9 @@
         if count == 0 || self.tasks.len() >= 200 {
             return;
         }
-        let of = |task: &Task| task.service == service && task.state == State::Up && !task.retires;
+        let of = |task: &Task| {
+            task.service == service && task.state == State::ProxyToController && !task.retires
+        };
         if let Some(oldest) = self.tasks.iter().position(of) {
             self.tasks[oldest].retires = true;
             self.after(100 * MS, None, What::TaskRetires { task: oldest });
@@ -172,7 +174,7 @@
 
     /// The incarnation at a place ends, and another service has its address at once.
     pub fn pass_on(&mut self, task: usize) {
-        if self.tasks[task].state == State::Down {
+        if self.tasks[task].state == State::ControllerToProxy {
             return;
         }
         let incarnation = self.tasks[task].incarnation;
@@ -190,7 +192,7 @@
         let (incarnation, now) = (self.number(), self.now);
         let cold = self.rng.random_range(0..3_000u64) * MS;
         let of = &mut self.tasks[task];
-        (of.incarnation, of.state, of.sequence) = (incarnation, State::Up, 0);
+        (of.incarnation, of.state, of.sequence) = (incarnation, State::ProxyToController, 0);
         of.cold_until = if now < 2 * S || self.day.shape.warm {
             0
         } else {
@@ -222,7 +224,7 @@
             service_name(of.service),
             of.zone,
             of.slots,
-            if of.state == State::Up {
+            if of.state == State::ProxyToController {
                 "available"
             } else {
                 "draining"
@@ -234,7 +236,10 @@
 
     pub fn task_heartbeats(&mut self, task: usize, incarnation: u64) {
         if self.tasks[task].incarnation != incarnation
-            || matches!(self.tasks[task].state, State::Down | State::Leaving)
+            || matches!(
+                self.tasks[task].state,
+                State::ControllerToProxy | State::Leaving
+            )
         {
             return;
         }
@@ -248,7 +253,14 @@
             leaving: false,
         };
         let within = if draining { 4 * S } else { HEARTBEAT_MS * MS };
-        self.call(who, Path::Heartbeat, &name, body, Vec::new(), (within, 0));
+        self.call(
+            who,
+            Endpoint::Heartbeat,
+            &name,
+            body,
+            Vec::new(),
+            (within, 0),
+        );
         if !draining {
             let us = HEARTBEAT_MS * MS + self.rng.random_range(0..60u64) * MS;
             self.after(us, None, What::TaskHeartbeat { task, incarnation });
@@ -257,7 +269,7 @@
 
     /// It reports that it drains.
     pub fn drain(&mut self, task: usize) {
-        if self.tasks[task].state == State::Up {
+        if self.tasks[task].state == State::ProxyToController {
             self.tasks[task].state = State::Draining;
             let incarnation = self.tasks[task].incarnation;
             let name = incarnation_name(task, incarnation);
@@ -314,7 +326,7 @@
         };
         self.call(
             who,
-            Path::Leave,
+            Endpoint::Leave,
             &name,
             String::new(),
             Vec::new(),
@@ -333,7 +345,9 @@
 
     /// `crash`: not in order, and whether its connections end without a word.
     pub fn task_ends(&mut self, task: usize, incarnation: u64, crash: Option<bool>) {
-        if self.tasks[task].incarnation != incarnation || self.tasks[task].state == State::Down {
+        if self.tasks[task].incarnation != incarnation
+            || self.tasks[task].state == State::ControllerToProxy
+        {
             return;
         }
         self.end_incarnation(task, incarnation, crash);
@@ -352,7 +366,7 @@
 
     fn end_incarnation(&mut self, task: usize, incarnation: u64, crash: Option<bool>) {
         let of = &mut self.tasks[task];
-        of.state = State::Down;
+        of.state = State::ControllerToProxy;
         let name = incarnation_name(task, incarnation);
         let jobs: Vec<Job> = of.running.drain(..).chain(of.waiting.drain(..)).collect();
         self.say(|| format!("task {task}: {name} ends"));
@@ -377,7 +391,7 @@
     /// A task resets what is beyond its bound; whoever waits a little sees it.
     pub fn accepts_wire(&mut self, place: usize, wire: u64, once: bool) -> bool {
         let of = &mut self.tasks[place];
-        if of.state == State::Down {
+        if of.state == State::ControllerToProxy {
             return false;
         }
         let bad = of.wires >= of.most_wires;
@@ -444,7 +458,7 @@
             .is_some_and(|end| end.incarnation == incarnation && !end.bad);
         end.into_iter()
             .for_each(|end| end.owner = Some(errand.from));
-        if self.tasks[task].state == State::Down || !sound {
+        if self.tasks[task].state == State::ControllerToProxy || !sound {
             // Nobody is there, or it is another one that knows nothing of this connection.
             return self.answer(task, &errand, Answer::Reset { unread: false });
         }
--- a/crates/rookpulley-simulator/src/troubles.rs
+++ b/crates/rookpulley-simulator/src/troubles.rs
@@ -92,7 +92,7 @@
             }
             Happens::ClockStep { machine, .. } => self.trouble(machine, 0),
             Happens::Term { machine } => self.term(machine, true),
-            Happens::Roll { pause_ms } => self.roll(0, pause_ms),
+            Happens::ProxyRoster { pause_ms } => self.roll(0, pause_ms),
             Happens::Replace { machine, orderly } => self.replace(machine, orderly),
             Happens::CrashTasks { share, silent } => {
                 self.unplanned(0);
@@ -415,7 +415,7 @@
         self.after(
             pause_ms * MS,
             None,
-            What::Roll {
+            What::ProxyRoster {
                 machine: machine + 1,
                 pause_ms,
             },
--- a/crates/rookpulley-simulator/src/world.rs
+++ b/crates/rookpulley-simulator/src/world.rs
@@ -275,7 +275,7 @@
     Wake {
         process: usize,
     },
-    Roll {
+    ProxyRoster {
         machine: usize,
         pause_ms: u64,
     },
@@ -676,7 +676,7 @@
                 proxy,
             } => self.start_again(machine, controller, proxy),
             What::Wake { process } => self.wake(process),
-            What::Roll { machine, pause_ms } => self.roll(machine, pause_ms),
+            What::ProxyRoster { machine, pause_ms } => self.roll(machine, pause_ms),
             What::Retire { machine } => self.retire(machine),
             What::Gone { machine } => self.retired(machine, false),
             What::Kill {
--- a/crates/rookpulley-simulator/tests/worst_days.rs
+++ b/crates/rookpulley-simulator/tests/worst_days.rs
@@ -288,7 +288,7 @@
                         down_ms: 700,
                     },
                 ),
-                (34_000, Happens::Roll { pause_ms: 1_500 }),
+                (34_000, Happens::ProxyRoster { pause_ms: 1_500 }),
             ],
         )
     }
--- a/crates/rookpulley-state/src/lib.rs
+++ b/crates/rookpulley-state/src/lib.rs
@@ -1,21 +1,26 @@
-//! What the chain applies: the operator's configuration, locks, numbers, and cells with their watches.
+//! What the chain replicates: the operator's configuration, locks, counters, and keys with their watches.
 //!
-//! `call` holds what may be asked and answered, `locks`, `numbers` and `cells` one kind of state each, `ledger` puts
-//! them together under one time and one set of bounds, `snapshot` turns the whole into bytes and back.
+//! | file | what it owns |
+//! | --- | --- |
+//! | `requests` | the updates, queries and answers, and their bytes |
+//! | `state_machine` | all parts under one replicated time and one set of limits |
+//! | `locks`, `counters`, `key_value` | one part each |
+//! | `limits` | how much each part may hold |
+//! | `snapshot` | the whole as bytes, and back |
 //!
-//! Every controller applies the same updates with the same stamps and so holds the same ledger to the last byte: nothing
-//! here looks at a clock or at the order of a hash map.
+//! Invariant: every controller applies the same updates with the same times and so holds the same state to the last
+//! byte. Nothing here looks at a clock or at the order of a hash map.
 
-mod bounds;
-mod call;
-mod cells;
-mod ledger;
+mod counters;
+mod key_value;
+mod limits;
 mod locks;
-mod numbers;
+mod requests;
 mod snapshot;
+mod state_machine;
 
-pub use bounds::{Bounds, Sizes};
-pub use call::{Answer, Ask, CallError, Update};
-pub use cells::{Event, Watched, group_of};
-pub use ledger::Ledger;
+pub use key_value::{Event, WatchResult, group_of};
+pub use limits::{Limits, Usage};
+pub use requests::{Answer, DecodeError, Query, Update};
 pub use snapshot::SnapshotError;
+pub use state_machine::StateMachine;
--- a/crates/rookpulley-state/src/locks.rs
+++ b/crates/rookpulley-state/src/locks.rs
@@ -1,157 +1,163 @@
-//! Locks: who has which, under what fence, until when by the ledger's time.
+//! Locks: who holds which, under what fencing token, until when by the replicated time.
 //!
-//! Calls come twice, late and out of order, from holders that use one name for all their holds. What keeps them apart
-//! is the fence: each hold that begins gets one above all fences ever given, for whatever lock, so that a renewal or a
-//! drop of an earlier hold fits no later one. A drop that was sent before its holder took the lock *again* while it
-//! still had it is the exception, as both stand under one fence. It can't come so late: a caller waits a second for
-//! an answer before it goes on, and the chain lets no call take effect that is 750 ms old.
+//! Requests come twice, late and out of order, from holders that use one name for all their leases. What keeps them
+//! apart is the fencing token: each lease that begins gets one above all tokens ever given, for whatever lock, so that a
+//! renewal or a release of an earlier lease fits no later one. The exception is a release that was sent before its
+//! holder took the lock *again* while it still had it, as both stand under one token. It can't come so late: a caller
+//! waits a second for an answer before it goes on, and the chain lets no request take effect that is 750 ms old.
 
-use crate::bounds::{Bounds, ENTRY};
-use crate::call::Answer;
+use crate::limits::{ENTRY_OVERHEAD_BYTES, Limits};
+use crate::requests::Answer;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// Who holds a lock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Hold {
+pub(crate) struct Lease {
     pub holder: String,
+    /// The fencing token.
     pub fence: u64,
-    /// From here on another may have the lock: the hold and the spare time after it.
+    /// From here on another may have the lock: the lease and the grace time after it.
     pub until_ms: u64,
 }
 
+/// All locks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Locks {
-    /// A lock that nobody has needs no entry. One whose time is over stays a while, for its holder's late renewal.
-    holds: BTreeMap<String, Hold>,
-    /// The last fence given. It outlives all entries.
-    fences: u64,
+    /// A lock that nobody holds needs no entry. One whose lease has ended stays a while, for its holder's late renewal.
+    leases: BTreeMap<String, Lease>,
+    /// The last fencing token given. It outlives all entries.
+    last_fence: u64,
     bytes: usize,
 }
 
-fn weight(name: &str, holder: &str) -> usize {
-    name.len() + holder.len() + ENTRY
+fn size_of(name: &str, holder: &str) -> usize {
+    name.len() + holder.len() + ENTRY_OVERHEAD_BYTES
 }
 
-/// A caller counts its hold from when it sent its call, which is before the call was stamped.
-fn end(now_ms: u64, hold_ms: u64, bounds: &Bounds) -> u64 {
+/// A caller counts its lease from when it sent its request, which is before the request was stamped.
+fn end_of_lease(now_ms: u64, lease_ms: u64, limits: &Limits) -> u64 {
     now_ms
-        .saturating_add(hold_ms)
-        .saturating_add(bounds.spare_ms)
+        .saturating_add(lease_ms)
+        .saturating_add(limits.lease_grace_ms)
 }
 
 impl Locks {
-    pub fn take(
+    pub fn acquire(
         &mut self,
         now_ms: u64,
         name: &str,
         holder: &str,
-        hold_ms: u64,
+        lease_ms: u64,
         room: usize,
-        bounds: &Bounds,
+        limits: &Limits,
     ) -> Answer {
-        let until_ms = end(now_ms, hold_ms, bounds);
-        let before = match self.holds.get_mut(name) {
-            Some(hold) if now_ms < hold.until_ms && hold.holder == holder => {
-                // Perhaps a repeat that overtook a later call: a longer hold stays as long as it was.
-                hold.until_ms = hold.until_ms.max(until_ms);
-                return Answer::Fence(hold.fence);
+        let until_ms = end_of_lease(now_ms, lease_ms, limits);
+        let size_before = match self.leases.get_mut(name) {
+            Some(lease) if now_ms < lease.until_ms && lease.holder == holder => {
+                // Maybe a repeat that overtook a later request: a longer lease stays as long as it was.
+                lease.until_ms = lease.until_ms.max(until_ms);
+                return Answer::Acquired(lease.fence);
             }
-            Some(hold) if now_ms < hold.until_ms => return Answer::Held,
-            Some(hold) => weight(name, &hold.holder),
+            Some(lease) if now_ms < lease.until_ms => return Answer::LockHeld,
+            Some(lease) => size_of(name, &lease.holder),
             None => 0,
         };
-        let after = weight(name, holder);
-        if before == 0 && self.holds.len() >= bounds.names {
+        let is_new = size_before == 0;
+        if is_new && self.leases.len() >= limits.names {
             self.forget(now_ms, 0);
         }
-        let too_many = before == 0 && self.holds.len() >= bounds.names;
-        if too_many || after.saturating_sub(before) > room || self.fences == u64::MAX {
-            return Answer::Full;
+        let is_full = is_new && self.leases.len() >= limits.names;
+        let size = size_of(name, holder);
+        let is_spent = self.last_fence == u64::MAX;
+        if is_full || is_spent || size.saturating_sub(size_before) > room {
+            return Answer::CapacityExceeded;
         }
-        self.fences += 1;
-        self.bytes = self.bytes - before + after;
-        let hold = Hold {
+        self.last_fence += 1;
+        self.bytes = self.bytes - size_before + size;
+        let lease = Lease {
             holder: holder.to_owned(),
-            fence: self.fences,
+            fence: self.last_fence,
             until_ms,
         };
-        self.holds.insert(name.to_owned(), hold);
-        Answer::Fence(self.fences)
+        self.leases.insert(name.to_owned(), lease);
+        Answer::Acquired(self.last_fence)
     }
 
-    /// Also brings back a hold whose time is over, as long as nobody else has begun one since: the lock is not lost.
+    /// Also brings back a lease that has ended, as long as nobody else has begun one since: the lock is not lost.
     pub fn renew(
         &mut self,
         now_ms: u64,
         name: &str,
         holder: &str,
         fence: u64,
-        hold_ms: u64,
-        bounds: &Bounds,
+        lease_ms: u64,
+        limits: &Limits,
     ) -> Answer {
-        match self.holds.get_mut(name) {
-            Some(hold) if hold.holder == holder && hold.fence == fence => {
-                hold.until_ms = hold.until_ms.max(end(now_ms, hold_ms, bounds));
+        match self.leases.get_mut(name) {
+            Some(lease) if lease.holder == holder && lease.fence == fence => {
+                let until_ms = end_of_lease(now_ms, lease_ms, limits);
+                lease.until_ms = lease.until_ms.max(until_ms);
                 Answer::Renewed
             }
-            _ => Answer::Held,
+            _ => Answer::LockHeld,
         }
     }
 
-    /// The entry goes, so that a renewal sent before the drop and come after it finds nothing to bring back.
-    pub fn drop(&mut self, name: &str, holder: &str, fence: u64) -> Answer {
-        if self
-            .holds
-            .get(name)
-            .is_some_and(|hold| hold.holder == holder && hold.fence == fence)
-        {
-            self.holds.remove(name);
-            self.bytes -= weight(name, holder);
+    /// The entry goes, so that a renewal sent before the release and come after it finds nothing to bring back.
+    pub fn release(&mut self, name: &str, holder: &str, fence: u64) -> Answer {
+        let is_held = |lease: &Lease| lease.holder == holder && lease.fence == fence;
+        if self.leases.get(name).is_some_and(is_held) {
+            self.leases.remove(name);
+            self.bytes -= size_of(name, holder);
         }
-        Answer::Dropped
+        Answer::Released
     }
 
-    /// Drops what has been over for `kept_ms`.
+    /// Drops the leases that ended `kept_ms` ago or longer.
     pub fn forget(&mut self, now_ms: u64, kept_ms: u64) {
         let bytes = &mut self.bytes;
-        self.holds.retain(|name, hold| {
-            let stays = now_ms < hold.until_ms.saturating_add(kept_ms);
+        self.leases.retain(|name, lease| {
+            let stays = now_ms < lease.until_ms.saturating_add(kept_ms);
             if !stays {
-                *bytes -= weight(name, &hold.holder);
+                *bytes -= size_of(name, &lease.holder);
             }
             stays
         });
     }
 
     pub fn len(&self) -> usize {
-        self.holds.len()
+        self.leases.len()
     }
 
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    pub fn all(&self) -> &BTreeMap<String, Hold> {
-        &self.holds
+    /// For a snapshot.
+    pub fn leases(&self) -> &BTreeMap<String, Lease> {
+        &self.leases
     }
 
-    pub fn fences(&self) -> u64 {
-        self.fences
+    /// For a snapshot.
+    pub fn last_fence(&self) -> u64 {
+        self.last_fence
     }
 
-    /// None: a hold stands under a fence that was never given.
-    pub fn of(holds: BTreeMap<String, Hold>, fences: u64) -> Option<Self> {
-        let bytes = holds
-            .iter()
-            .map(|(name, hold)| weight(name, &hold.holder))
+    /// Of a snapshot. None: a lease stands under a fencing token that was never given.
+    pub fn from_leases(leases: BTreeMap<String, Lease>, last_fence: u64) -> Option<Self> {
+        let given = 1..=last_fence;
+        if !leases.values().all(|lease| given.contains(&lease.fence)) {
+            return None;
+        }
+        let sizes = leases.iter();
+        let bytes = sizes
+            .map(|(name, lease)| size_of(name, &lease.holder))
             .sum();
-        holds
-            .values()
-            .all(|hold| (1..=fences).contains(&hold.fence))
-            .then_some(Self {
-                holds,
-                fences,
-                bytes,
-            })
+        Some(Self {
+            leases,
+            last_fence,
+            bytes,
+        })
     }
 }
--- a/crates/rookpulley-state/tests/ledger/callers.rs
+++ b/crates/rookpulley-state/tests/state_machine/callers.rs
@@ -2,7 +2,7 @@
 
 use super::{moved, plays};
 use arbtest::arbitrary::{Result, Unstructured};
-use rookpulley_state::{Answer, Ledger, Update};
+use rookpulley_state::{Answer, StateMachine, Update};
 
 /// How late a call may take effect after it was sent, and how long a caller waits for an answer.
 const LATE_MS: u64 = 900;
@@ -35,7 +35,7 @@
 
 /// The lock's past, as an onlooker who sees every answer would write it.
 #[derive(Default)]
-struct Past {
+struct PastEvent {
     /// Fences with the caller that got them.
     fences: Vec<(u64, usize)>,
     /// Who may have it at the latest until when, by real time: the last good call's hold and a margin.
@@ -45,18 +45,18 @@
 fn update(lock: usize, who: usize, call: Call, hold_ms: u64) -> Update {
     let (name, holder) = (LOCKS[lock].to_owned(), format!("a{who}"));
     match call {
-        Call::Take => Update::TakeLock {
+        Call::Take => Update::AcquireLock {
             name,
             holder,
-            hold_ms,
+            lease_ms: hold_ms,
         },
         Call::Renew(fence) => Update::RenewLock {
             name,
             holder,
             fence,
-            hold_ms,
+            lease_ms: hold_ms,
         },
-        Call::Drop(fence) => Update::DropLock {
+        Call::Drop(fence) => Update::ReleaseLock {
             name,
             holder,
             fence,
@@ -94,10 +94,10 @@
     })
 }
 
-fn check_answer(now_ms: u64, flight: &Flight, answer: &Answer, past: &mut Past) {
+fn check_answer(now_ms: u64, flight: &Flight, answer: &Answer, past: &mut PastEvent) {
     let who = flight.caller;
     let good = match (flight.call, answer) {
-        (Call::Take, Answer::Fence(fence)) => {
+        (Call::Take, Answer::Acquired(fence)) => {
             let last = past.fences.last().copied();
             assert!(
                 last.is_none_or(|(last, of)| *fence > last || *fence == last && of == who),
@@ -116,14 +116,14 @@
             );
             true
         }
-        (Call::Take, Answer::Held) => {
+        (Call::Take, Answer::LockHeld) => {
             // Real time is up to a fifth ahead of the ledger's in these runs, and no more.
             let busy = past.may.is_some_and(|(of, end)| of != who && now_ms < end);
             assert!(busy, "a free lock was refused");
             false
         }
-        (Call::Renew(_), Answer::Held) => false,
-        (Call::Drop(fence), Answer::Dropped) => {
+        (Call::Renew(_), Answer::LockHeld) => false,
+        (Call::Drop(fence), Answer::Released) => {
             if past.fences.last() == Some(&(fence, who)) {
                 past.may = None;
             }
@@ -141,13 +141,13 @@
 }
 
 fn play(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut ledger = Ledger::default();
+    let mut state = StateMachine::default();
     let mut flights: Vec<(usize, Flight)> = Vec::new();
     let mut callers: Vec<Vec<Caller>> = LOCKS
         .iter()
         .map(|_| (0..3).map(|_| Caller::default()).collect())
         .collect();
-    let mut pasts: Vec<Past> = LOCKS.iter().map(|_| Past::default()).collect();
+    let mut pasts: Vec<PastEvent> = LOCKS.iter().map(|_| PastEvent::default()).collect();
     // The ledger's time never runs fast; here it may run a fifth slow.
     let (mut now_ms, mut ledger_us, mut rate) = (0u64, 0u64, 1_000u64);
     while !u.is_empty() {
@@ -158,7 +158,7 @@
             rate = u.int_in_range(800..=1_000)?;
         }
         if u.ratio(1, 40)? {
-            ledger = moved(&ledger);
+            state = moved(&state);
         }
 
         flights.sort_by_key(|(_, flight)| flight.arrives_ms);
@@ -167,7 +167,7 @@
             .is_some_and(|(_, flight)| flight.arrives_ms <= now_ms)
         {
             let (lock, flight) = flights.remove(0);
-            let answer = ledger.apply(
+            let answer = state.apply(
                 ledger_us / 1_000,
                 &update(lock, flight.caller, flight.call, flight.hold_ms),
             );
@@ -179,7 +179,7 @@
             caller.next_ms = now_ms;
             let end = flight.sent_ms + flight.hold_ms;
             caller.holds = match (flight.call, &answer, caller.holds) {
-                (Call::Take, Answer::Fence(fence), _) if now_ms < end => Some((*fence, end)),
+                (Call::Take, Answer::Acquired(fence), _) if now_ms < end => Some((*fence, end)),
                 // A good renewal that comes after the time was over counts for nothing.
                 (Call::Renew(_), Answer::Renewed, Some((fence, before))) if now_ms < before => {
                     Some((fence, before.max(end)))
--- a/crates/rookpulley-state/tests/ledger/model.rs
+++ b/crates/rookpulley-state/tests/state_machine/model.rs
@@ -2,17 +2,17 @@
 
 use super::{moved, plays};
 use arbtest::arbitrary::{Result, Unstructured};
-use rookpulley_state::{Answer, Ask, Bounds, Ledger, Update, Watched};
+use rookpulley_state::{Answer, Limits, Query, StateMachine, Update, WatchResult};
 use std::collections::BTreeMap;
 
 /// Small, so that runs reach every bound.
-fn bounds() -> Bounds {
-    Bounds {
+fn bounds() -> Limits {
+    Limits {
         group_events: 8,
         keep_ms: 3_000,
         promised_ms: 1_500,
         history_bytes: 1_400,
-        ..Bounds::default()
+        ..Limits::default()
     }
 }
 
@@ -68,7 +68,7 @@
                 assert_eq!(*revision, present);
                 assert!(active.is_some_and(|active| active != present));
             }
-            Answer::Full => {
+            Answer::CapacityExceeded => {
                 let young = self.groups.values().flatten().filter(|put| self.young(put));
                 let many = self
                     .puts(group)
@@ -101,10 +101,10 @@
 
     fn judge(&mut self, update: &Update, answer: &Answer) {
         match update {
-            Update::PutCell {
+            Update::PutKey {
                 name,
                 value,
-                active,
+                expected: active,
             } => self.judge_put(name, value, *active, answer),
             Update::NextNumber { name } => {
                 let last = self.numbers.entry(name.clone()).or_default();
@@ -129,22 +129,22 @@
         }
     }
 
-    fn judge_watch(&self, group: &str, after: u64, most: usize, watched: &Watched) {
+    fn judge_watch(&self, group: &str, after: u64, most: usize, watched: &WatchResult) {
         let puts = self.puts(group);
         let present = puts.len() as u64;
         match watched {
-            Watched::Present { revision } => assert_eq!((after, *revision), (0, present)),
-            Watched::Nothing { revision } => {
+            WatchResult::Present { revision } => assert_eq!((after, *revision), (0, present)),
+            WatchResult::Nothing { revision } => {
                 assert_eq!(*revision, after);
                 assert!(after >= present && after > 0);
             }
-            Watched::TooOld => {
+            WatchResult::TooOld => {
                 assert!(
                     !self.young(&puts[after as usize]),
                     "history that was promised is gone"
                 )
             }
-            Watched::Events { events, revision } => {
+            WatchResult::Events { events, revision } => {
                 assert!(!events.is_empty() && events.len() <= most && *revision <= present);
                 assert!(events.len() == most || *revision == present);
                 assert_eq!(*revision, after + events.len() as u64);
@@ -160,11 +160,11 @@
         }
     }
 
-    fn judge_reads(&self, ledger: &Ledger) {
+    fn judge_reads(&self, state: &StateMachine) {
         for (name, group) in NAMES {
-            let seen = match ledger.read(&Ask::Cell { name: name.into() }) {
-                Answer::Cell { value, revision } => Some((value, revision)),
-                Answer::Nothing => None,
+            let seen = match state.read(&Query::Key { name: name.into() }) {
+                Answer::Value { value, revision } => Some((value, revision)),
+                Answer::NotFound => None,
                 other => panic!("{other:?} is no cell"),
             };
             assert_eq!(
@@ -174,7 +174,7 @@
             );
             let revision = Answer::Revision(self.puts(group).len() as u64);
             assert_eq!(
-                ledger.read(&Ask::Revision {
+                state.read(&Query::Revision {
                     group: group.into()
                 }),
                 revision
@@ -182,9 +182,9 @@
         }
         let held = match self.configuration.clone() {
             Some((version, body)) => Answer::Configuration { version, body },
-            None => Answer::Nothing,
+            None => Answer::NotFound,
         };
-        assert_eq!(ledger.read(&Ask::Configuration), held);
+        assert_eq!(state.read(&Query::Configuration), held);
     }
 }
 
@@ -212,15 +212,15 @@
             version: u.int_in_range(1..=40)?,
             body: u.arbitrary()?,
         },
-        2 => Update::TakeLock {
+        2 => Update::AcquireLock {
             name,
             holder: "a".into(),
-            hold_ms: u.int_in_range(0..=900)?,
+            lease_ms: u.int_in_range(0..=900)?,
         },
-        3 => Update::TakeLock {
+        3 => Update::AcquireLock {
             name,
             holder: "b".into(),
-            hold_ms: u.int_in_range(0..=900)?,
+            lease_ms: u.int_in_range(0..=900)?,
         },
         _ => {
             *fresh += 1;
@@ -229,10 +229,10 @@
                 1 => None,
                 _ => Some(model.present(&name).map_or(0, |(_, revision)| revision)),
             };
-            Update::PutCell {
+            Update::PutKey {
                 name,
                 value: format!("v{fresh}"),
-                active,
+                expected: active,
             }
         }
     })
@@ -240,8 +240,8 @@
 
 fn play(u: &mut Unstructured<'_>) -> Result<()> {
     // The other one never moves: where a move changed anything, the two would part.
-    let mut ledger = Ledger::new(bounds());
-    let mut stays = ledger.clone();
+    let mut state = StateMachine::new(bounds());
+    let mut stays = state.clone();
     let (mut model, mut sent, mut fresh) = (Model::default(), Vec::<Update>::new(), 0);
     while !u.is_empty() {
         model.now_ms += u.int_in_range(0..=100)?;
@@ -253,7 +253,7 @@
             true => sent[sent.len() - 1 - u.int_in_range(0..=(sent.len() - 1).min(15))?].clone(),
             false => draw(u, &mut fresh, &model)?,
         };
-        let answer = ledger.apply(model.now_ms, &update);
+        let answer = state.apply(model.now_ms, &update);
         assert_eq!(stays.apply(model.now_ms, &update), answer);
         model.judge(&update, &answer);
         sent.push(update);
@@ -263,14 +263,14 @@
             u.int_in_range(0..=model.puts(group).len() as u64 + 2)?,
             u.int_in_range(1..=15)?,
         );
-        model.judge_watch(group, after, most, &ledger.watch(group, after, most));
+        model.judge_watch(group, after, most, &state.watch(group, after, most));
         if u.ratio(1, 8)? {
-            model.judge_reads(&ledger);
-            ledger = moved(&ledger);
-            assert!(ledger == stays);
+            model.judge_reads(&state);
+            state = moved(&state);
+            assert!(state == stays);
         }
     }
-    model.judge_reads(&ledger);
+    model.judge_reads(&state);
     Ok(())
 }
 
--- a/crates/rookpulley-store/examples/call_cost.rs
+++ b/crates/rookpulley-store/examples/call_cost.rs
@@ -9,7 +9,7 @@
 use rookpulley_chain::{Chain, Effect, Input, Member, Message, Outcome, RequestKind, StartState};
 use rookpulley_control::ReplicatedState;
 use rookpulley_protocol::{Frames, frame};
-use rookpulley_state::{Answer, Ask};
+use rookpulley_state::{Answer, Query};
 use std::collections::VecDeque;
 use std::time::Instant;
 
@@ -114,7 +114,7 @@
                 Kind::Update => (RequestKind::Update, load.update(n).encode()),
                 Kind::Read => (
                     RequestKind::Read,
-                    Ask::Cell {
+                    Query::Key {
                         name: format!("group{}.cell{n}", n % 100),
                     }
                     .encode(),
@@ -136,7 +136,7 @@
                 };
                 let answer = Answer::decode(&answer).unwrap();
                 assert!(
-                    matches!(answer, Answer::Revision(_) | Answer::Nothing),
+                    matches!(answer, Answer::Revision(_) | Answer::NotFound),
                     "call {n}: {answer:?}"
                 );
             }
--- a/crates/rookpulley-store/examples/disk_use.rs
+++ b/crates/rookpulley-store/examples/disk_use.rs
@@ -8,7 +8,7 @@
 use rookpulley_chain::{Chain, Effect, Input, Member, Outcome, RequestKind, StartState};
 use rookpulley_control::ReplicatedState;
 use rookpulley_state::Answer;
-use rookpulley_store::{Part, Said, Store};
+use rookpulley_store::{Store, StoreEvent, StoreTree};
 use std::collections::VecDeque;
 use std::path::Path;
 use std::time::Instant;
@@ -20,7 +20,7 @@
 struct Controller {
     chain: Chain<ReplicatedState>,
     store: Store,
-    heard: UnboundedReceiver<Said>,
+    heard: UnboundedReceiver<StoreEvent>,
     now: u64,
     ticked: u64,
     syncs: u64,
@@ -37,11 +37,11 @@
             incarnation,
             address: "127.0.0.1:7".parse().unwrap(),
         };
-        let kept = (!store.new)
-            .then(|| rookpulley_chain::PersistedState::read(store.held.iter().cloned()));
+        let kept = (!store.is_new)
+            .then(|| rookpulley_chain::PersistedState::read(store.chain_rows.iter().cloned()));
         let boot = StartState {
             me,
-            founder: store.founding.is_some(),
+            founder: store.bootstrap.is_some(),
             tolerated_losses: 0,
             seed: incarnation,
             persisted: kept,
@@ -67,8 +67,10 @@
             for effect in self.chain.handle(self.now, input) {
                 match effect {
                     Effect::Write { ticket, records } => {
-                        assert!(self.store.write(Part::Chain, ticket, records));
-                        while let Some(Said::Synced { chain, .. }) = self.heard.blocking_recv() {
+                        assert!(self.store.write(StoreTree::Chain, ticket, records));
+                        while let Some(StoreEvent::Synced { chain, .. }) =
+                            self.heard.blocking_recv()
+                        {
                             if chain >= Some(ticket) {
                                 break;
                             }
@@ -160,16 +162,16 @@
     }
     let took = began.elapsed().as_secs_f64();
     let (state, syncs) = (
-        controller.chain.state().ledger.snapshot().len(),
+        controller.chain.state().machine.snapshot().len(),
         controller.syncs,
     );
-    let digest = controller.chain.state().ledger.digest();
+    let digest = controller.chain.state().machine.digest();
     controller.close();
     let (left, files) = size(folder.path());
     let mut opened = Vec::new();
     for incarnation in 2..7 {
         let (controller, took) = Controller::open(folder.path(), incarnation);
-        assert_eq!(controller.chain.state().ledger.digest(), digest);
+        assert_eq!(controller.chain.state().machine.digest(), digest);
         opened.push(took);
         controller.close();
     }
--- a/crates/rookpulley-store/examples/fill_time.rs
+++ b/crates/rookpulley-store/examples/fill_time.rs
@@ -9,7 +9,7 @@
 use rookpulley_control::ReplicatedState;
 use rookpulley_protocol::{Frames, frame};
 use rookpulley_state::Update;
-use rookpulley_store::{Part, Said, Store};
+use rookpulley_store::{Store, StoreEvent, StoreTree};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{Read, Write};
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
@@ -20,7 +20,7 @@
 enum Event {
     Met(Member),
     Heard(u64, Message),
-    Said(Said),
+    StoreEvent(StoreEvent),
     /// Asked of this controller; who asked hears what became of it.
     Call(Vec<u8>, Sender<Outcome>),
     End,
@@ -79,7 +79,7 @@
     };
     let boot = StartState {
         me,
-        founder: store.founding.is_some(),
+        founder: store.bootstrap.is_some(),
         tolerated_losses: 1,
         seed: number,
         persisted: None,
@@ -89,7 +89,7 @@
     let to = events.clone();
     std::thread::spawn(move || {
         while let Some(said) = heard.blocking_recv() {
-            if to.send(Event::Said(said)).is_err() {
+            if to.send(Event::StoreEvent(said)).is_err() {
                 return;
             }
         }
@@ -135,11 +135,11 @@
                 Input::PeerDiscovered { member }
             }
             Ok(Event::Heard(from, message)) => Input::Received { from, message },
-            Ok(Event::Said(Said::Synced {
+            Ok(Event::StoreEvent(StoreEvent::Synced {
                 chain: Some(ticket),
                 ..
             })) => Input::Synced { ticket },
-            Ok(Event::Said(said)) => panic!("{said:?}"),
+            Ok(Event::StoreEvent(said)) => panic!("{said:?}"),
             Ok(Event::Call(body, answer)) => {
                 token += 1;
                 asked.insert(token, answer);
@@ -161,7 +161,7 @@
                         .for_each(|l| l.write_all(&frame(&message)).unwrap());
                 }
                 Effect::Write { ticket, records } => {
-                    assert!(store.write(Part::Chain, ticket, records))
+                    assert!(store.write(StoreTree::Chain, ticket, records))
                 }
                 Effect::Reply { token, outcome } => {
                     _ = asked.remove(&token).map(|a| a.send(outcome))
@@ -246,10 +246,10 @@
     let length = body.len() + 200 * cells as usize;
     asks(
         &controllers[0],
-        (0..cells).map(|n| Update::PutCell {
+        (0..cells).map(|n| Update::PutKey {
             name: format!("group{}.cell{n}", n % 100),
             value: "v".repeat(60),
-            active: None,
+            expected: None,
         }),
     );
     asks(
--- a/crates/rookpulley-store/examples/load/mod.rs
+++ b/crates/rookpulley-store/examples/load/mod.rs
@@ -38,10 +38,10 @@
             Load::Cells(cells) => {
                 let cell = drawn(n) % cells;
                 let value = format!("{:016x}", drawn(!n)).repeat(1 + (drawn(n << 1) % 12) as usize);
-                Update::PutCell {
+                Update::PutKey {
                     name: format!("group{}.cell{cell}", cell % 100),
                     value,
-                    active: None,
+                    expected: None,
                 }
             }
             Load::Longest if n.is_multiple_of(100) => Load::Routes(45_000).update(n),
--- a/crates/rookpulley-store/src/lib.rs
+++ b/crates/rookpulley-store/src/lib.rs
@@ -1,11 +1,24 @@
-//! A controller's store on disk. `store` is what a controller writes to, `rows` how long rows are kept, `look` reads a store
-//! that nobody uses, `replace` puts another in its place.
+//! A controller's durable store, on `sled`, and the inspection of one that no process uses.
+//!
+//! | file | what it owns |
+//! | --- | --- |
+//! | `store` | the store of a running controller: how it is opened, and what it held |
+//! | `writer` | the thread that writes batches and syncs them |
+//! | `rows`, `chunks` | how rows of any length are kept as short ones, and what several hold kept once |
+//! | `inspect`, `replace` | reading a store that nobody uses, and putting another one in its place |
+//! | `database` | the folder, its files, and `sled` itself |
+//!
+//! Invariant: a write is reported as synced only once it and all before it survive a loss of power.
 
-mod look;
+mod chunks;
+mod database;
+mod inspect;
 mod replace;
 mod rows;
 mod store;
+mod writer;
 
-pub use look::{Contents, LookError, look};
-pub use replace::{before, replace};
-pub use store::{Part, Said, Store, StoreError};
+pub use inspect::{Contents, InspectError, inspect};
+pub use replace::{replace, replaced_store};
+pub use store::{Store, StoreError};
+pub use writer::{StoreEvent, StoreTree};
--- a/crates/rookpulley-store/src/store.rs
+++ b/crates/rookpulley-store/src/store.rs
@@ -1,441 +1,243 @@
-//! The disk: a thread that applies batches to `sled` and says which are synced.
-//!
-//! `flush` of sled 0.34 does not sync (measured: the last puts are lost with the power), so its file `db` is synced
-//! after each flush, and the folder and all its files once after opening.
-
-use crate::replace::{put_aside, settle};
-use crate::rows::{Long, Rows};
-use rookpulley_chain::Record;
+//! The store of a running controller.
+
+use crate::database::{
+    BOOTSTRAP, CHAIN, FOLDER, IDENTITY, INSTANCES, PAGES, RETRY, catch_panic, corrupted, identity,
+    is_in_use, is_refused, open_at, sync_all, sync_folder,
+};
+use crate::replace::{finish_replacement, put_aside};
+use crate::rows::{RowWriter, Rows};
+use crate::writer::{StoreEvent, StoreTree, TreeWriter, WriteRequest, Writer};
+use rookpulley_chain::{PersistedState, Record};
 use std::fs::File;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
-use std::time::{Duration, Instant};
 use tokio::sync::mpsc::UnboundedSender;
 
+/// Why a store can't be opened.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum StoreError {
+    /// The system refuses something in the folder.
     #[error("the folder {0} can't be used: {1}")]
     #[diagnostic(help("dataDirectory must name a folder that this process may write to"))]
-    Folder(PathBuf, std::io::Error),
+    Folder(PathBuf, #[source] std::io::Error),
+    /// Another process has it.
     #[error("the store in {0} is in use by another process")]
     #[diagnostic(help("let one process at a time have a dataDirectory; end the other one first"))]
     InUse(PathBuf),
+    /// Not even a new one can be made.
     #[error("the store can't be opened, even as a new one: {0}")]
     Store(#[from] sled::Error),
+    /// The system refuses a thread.
     #[error("the store's thread can't be started: {0}")]
-    Thread(std::io::Error),
-}
-
-/// What the store says.
-#[derive(Debug)]
-pub enum Said {
-    /// All up to these tickets is on the disk, as far as there were any; syncing took so long.
-    Synced {
-        chain: Option<u64>,
-        incarnations: Option<u64>,
-        took: Duration,
-    },
-    Failed(String),
+    Thread(#[source] std::io::Error),
 }
 
-/// What a write belongs to: the chain's records, or what is known of tasks.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Part {
-    Chain,
-    Incarnations,
-}
-
-type Job = (Part, u64, Vec<Record>);
-
+/// A controller's store. All writes go to a thread of its own.
 pub struct Store {
-    jobs: mpsc::Sender<Job>,
-    /// The identity that was minted with the disk, and whether that was just now.
+    requests: mpsc::Sender<WriteRequest>,
+    /// The identity that was minted with the store.
     pub identity: u64,
-    pub new: bool,
-    /// It was minted at the first start of all, and what was noted then of who is to found the first view.
-    pub founding: Option<Vec<u8>>,
-    pub held: Rows,
-    pub incarnations: Rows,
+    /// The store was made just now.
+    pub is_new: bool,
+    /// What the store was minted with, where that was at the first start of the whole system: who makes the first view.
+    pub bootstrap: Option<Vec<u8>>,
+    /// What it held of the chain when it was opened.
+    pub chain_rows: Rows,
+    /// What it held of instances when it was opened.
+    pub instance_rows: Rows,
 }
 
-/// A store that another process is letting go of is asked for so often, after such a pause.
-pub(crate) const PATIENCE: u32 = 100;
-/// The same at the opening of a controller's own store. Who opens it goes on without it meanwhile, and asks again.
-const OPEN_PATIENCE: u32 = 10;
-pub(crate) const AGAIN: Duration = Duration::from_millis(100);
-pub(crate) const IDENTITY: &[u8] = b"identity";
-const FOUNDER: &[u8] = b"founder";
-/// A file beside the store that says that it holds what it shouldn't: it is begun anew.
-const SPOILT: &str = "spoilt";
-
-/// Where in its data folder a controller has its store.
-pub(crate) const FOLDER: &str = "store";
-pub(crate) const CHAIN: &str = "chain";
-pub(crate) const INCARNATIONS: &str = "lives";
-/// Of this tree only that it is written to matters, see `sweep`.
-const SWEEP: &str = "sweep";
-/// A page is moved for so many bytes of chunks; so many of them with one write, so that none of them takes long; and what
-/// is owed beyond this is forgotten, as sled moves pages by itself where many are written anew.
-const SWEEP_EACH: usize = 2 << 10;
-const SWEEP_AT_ONCE: usize = 8;
-const SWEEP_OWED: usize = 1024;
-
-/// Another process has the store. `sled` tells it in words only.
-pub(crate) fn in_use(why: &sled::Error) -> bool {
-    let told = |why: &std::io::Error| why.to_string().starts_with("could not acquire lock");
-    matches!(why, sled::Error::Io(io) if io.raw_os_error().is_none() && told(io))
+/// How often a store that can't be opened now is tried again. Who opens it goes on without it meanwhile, and asks again.
+const OPEN_RETRIES: u32 = 10;
+/// A file beside the store that says that it is to be discarded.
+const DISCARDED: &str = "spoilt";
+
+/// A store that was opened, with what it held.
+struct OpenedStore {
+    db: sled::Db,
+    /// None: it is new.
+    identity: Option<u64>,
+    chain_rows: Rows,
+    chain: RowWriter,
+    instance_rows: Rows,
+    instances: RowWriter,
 }
 
-pub(crate) fn sync_all(folder: &Path) -> std::io::Result<()> {
-    for entry in std::fs::read_dir(folder)? {
-        let entry = entry?;
-        if entry.file_type()?.is_dir() {
-            sync_all(&entry.path())?;
-        } else {
-            File::open(entry.path())?.sync_all()?;
+impl OpenedStore {
+    /// Reads all of it. What was written before must be found again whole, the identity too.
+    fn read(db: sled::Db) -> Result<Self, sled::Error> {
+        let identity = identity(&db)?;
+        let (chain_rows, chain) = RowWriter::read(&db.open_tree(CHAIN)?)?;
+        let (instance_rows, instances) = RowWriter::read(&db.open_tree(INSTANCES)?)?;
+        let persisted = PersistedState::read(chain_rows.iter().cloned());
+        if !persisted.is_sound() {
+            return Err(corrupted("the chain's rows are torn"));
+        }
+        let mut opened = Self {
+            db,
+            identity,
+            chain_rows,
+            chain,
+            instance_rows,
+            instances,
+        };
+        if identity.is_none() {
+            // Whatever else it holds was written before it was a store.
+            opened.chain_rows.clear();
+            opened.instance_rows.clear();
         }
+        Ok(opened)
     }
-    File::open(folder)?.sync_all()
-}
-
-/// What spoils `sled` may make it panic, when it is opened and also when it is read: that is an error as well.
-pub(crate) fn caught<T>(work: impl FnOnce() -> Result<T, sled::Error>) -> Result<T, sled::Error> {
-    let work = std::panic::AssertUnwindSafe(work);
-    std::panic::catch_unwind(work)
-        .unwrap_or(Err(sled::Error::ReportableBug("it can't be read".into())))
-}
 
-pub(crate) fn open_at(folder: &Path) -> Result<sled::Db, sled::Error> {
-    let open = || {
-        sled::Config::new()
-            .path(folder)
-            .cache_capacity(2 << 20)
-            .flush_every_ms(None)
-            .mode(sled::Mode::LowSpace)
-            .open()
-    };
-    caught(open)
-}
+    fn new(db: sled::Db) -> Self {
+        Self {
+            db,
+            identity: None,
+            chain_rows: Rows::new(),
+            chain: RowWriter::default(),
+            instance_rows: Rows::new(),
+            instances: RowWriter::default(),
+        }
+    }
 
-/// Has `sled` move pages out of segments of which little is in use: so many of them. It does so where it writes a page
-/// anew, once for each, which is after ten changes of that page; that is too seldom where few rows of each page change.
-/// What it has for that apart is a thread with a timer and syncs of its own.
-fn sweep(tree: &sled::Tree, pages: usize) -> Result<(), sled::Error> {
-    for change in 0..10 * pages as u64 {
-        tree.insert(SWEEP, &change.to_le_bytes())?;
+    fn mint(&self, identity: u64, bootstrap: Option<&[u8]>) -> Result<(), sled::Error> {
+        let mut batch = sled::Batch::default();
+        batch.insert(IDENTITY, &identity.to_le_bytes());
+        if let Some(bootstrap) = bootstrap {
+            batch.insert(BOOTSTRAP, bootstrap);
+        }
+        self.db.apply_batch(batch)
     }
-    Ok(())
 }
 
 impl Store {
-    /// Opens the store in a folder. One that can't be opened is an empty disk: it is begun anew. `founding`: what a new
-    /// one keeps on who is to found the first view.
+    /// Opens the store in a data folder. One that is corrupted is discarded: a new one is minted with this identity, and
+    /// with who makes the first view, if this is the first start of the whole system.
+    ///
+    /// What the store says comes by `events`.
     pub fn open(
         folder: &Path,
-        mint: u64,
-        founding: Option<&[u8]>,
-        said: UnboundedSender<Said>,
+        new_identity: u64,
+        bootstrap: Option<&[u8]>,
+        events: UnboundedSender<StoreEvent>,
     ) -> Result<Self, StoreError> {
-        Self::open_with(folder, mint, founding, said, OPEN_PATIENCE)
+        Self::open_with_retries(folder, new_identity, bootstrap, events, OPEN_RETRIES)
     }
 
-    /// Has the store in a folder begun anew at the next opening, whatever happens till then.
-    pub fn give_up(folder: &Path) -> std::io::Result<()> {
-        File::create(folder.join(SPOILT))?.sync_all()?;
-        File::open(folder)?.sync_all()
+    /// Has the store in a folder discarded at the next opening, whatever happens till then.
+    pub fn discard(folder: &Path) -> std::io::Result<()> {
+        File::create(folder.join(DISCARDED))?.sync_all()?;
+        sync_folder(folder)
     }
 
-    fn open_with(
+    fn open_with_retries(
         folder: &Path,
-        mint: u64,
-        founding: Option<&[u8]>,
-        said: UnboundedSender<Said>,
-        patience: u32,
+        new_identity: u64,
+        bootstrap: Option<&[u8]>,
+        events: UnboundedSender<StoreEvent>,
+        retries: u32,
     ) -> Result<Self, StoreError> {
+        let refused = |why| StoreError::Folder(folder.to_path_buf(), why);
         let at = folder.join(FOLDER);
-        let troubled = |e| StoreError::Folder(folder.to_path_buf(), e);
-        settle(folder).map_err(troubled)?;
-        std::fs::create_dir_all(&at).map_err(troubled)?;
-        let spoilt = folder.join(SPOILT);
-        if spoilt.exists() {
+        let discarded = folder.join(DISCARDED);
+        finish_replacement(folder).map_err(refused)?;
+        std::fs::create_dir_all(&at).map_err(refused)?;
+        if discarded.exists() {
             tracing::error!("store: was given up; begun anew as an empty disk");
-            put_aside(folder).map_err(troubled)?;
-            std::fs::create_dir_all(&at).map_err(troubled)?;
-        }
-        let mut opened = open_at(&at);
-        // What the system refuses now it may grant soon; only a store that is spoilt itself is given up.
-        for _ in 0..patience {
-            let refused = |why: &sled::Error| matches!(why, sled::Error::Io(io) if io.raw_os_error().is_some());
-            if !matches!(&opened, Err(why) if refused(why) || in_use(why)) {
-                break;
-            }
-            std::thread::sleep(AGAIN);
-            opened = open_at(&at);
+            put_aside(folder).map_err(refused)?;
+            std::fs::create_dir_all(&at).map_err(refused)?;
         }
-        // What was written before must be found again whole, the identity too.
-        let read = |db: sled::Db| {
-            let identity = db
-                .get(IDENTITY)?
-                .and_then(|v| v.as_ref().try_into().ok().map(u64::from_le_bytes));
-            let (held, incarnations) = (
-                Long::read(&db.open_tree(CHAIN)?)?,
-                Long::read(&db.open_tree(INCARNATIONS)?)?,
-            );
-            match rookpulley_chain::PersistedState::read(held.0.iter().cloned()).is_sound() {
-                true => Ok((identity, held, incarnations, db)),
-                false => Err(sled::Error::ReportableBug(
-                    "the chain's rows are torn".into(),
-                )),
-            }
-        };
-        let opened = opened.and_then(|db| caught(|| read(db)));
-        let (kept, (held, mut long), (incarnations, mut long_incarnations), db) = match opened {
+        let db = open_patiently(&at, retries);
+        let read = db.and_then(|db| catch_panic(|| OpenedStore::read(db)));
+        let opened = match read {
             Ok(opened) => opened,
-            Err(sled::Error::Io(why)) if why.raw_os_error().is_some() => return Err(troubled(why)),
-            // Not spoilt: who has it must not lose it.
-            Err(why) if in_use(&why) => return Err(StoreError::InUse(at)),
+            Err(sled::Error::Io(why)) if why.raw_os_error().is_some() => return Err(refused(why)),
+            // Whoever has it must not lose it.
+            Err(why) if is_in_use(&why) => return Err(StoreError::InUse(at)),
             Err(why) => {
                 tracing::error!("store: can't be opened ({why}); begun anew as an empty disk");
-                std::fs::remove_dir_all(&at).map_err(troubled)?;
-                std::fs::create_dir_all(&at).map_err(troubled)?;
-                (None, Default::default(), Default::default(), open_at(&at)?)
+                std::fs::remove_dir_all(&at).map_err(refused)?;
+                std::fs::create_dir_all(&at).map_err(refused)?;
+                OpenedStore::new(open_at(&at)?)
             }
         };
-        let (held, incarnations) = if kept.is_some() {
-            (held, incarnations)
-        } else {
-            (Vec::new(), Vec::new())
-        };
-        if kept.is_none() {
-            let mut batch = sled::Batch::default();
-            batch.insert(IDENTITY, &mint.to_le_bytes());
-            if let Some(founding) = founding {
-                batch.insert(FOUNDER, founding);
-            }
-            db.apply_batch(batch)?;
+        if opened.identity.is_none() {
+            opened.mint(new_identity, bootstrap)?;
         }
-        let founding = db.get(FOUNDER)?.map(|kept| kept.to_vec());
-        db.flush()?;
-        sync_all(&at).map_err(troubled)?;
-        if spoilt.exists() {
-            std::fs::remove_file(&spoilt).map_err(troubled)?;
+        let bootstrap = opened.db.get(BOOTSTRAP)?.map(|row| row.to_vec());
+        opened.db.flush()?;
+        sync_all(&at).map_err(refused)?;
+        if discarded.exists() {
+            std::fs::remove_file(&discarded).map_err(refused)?;
         }
-        File::open(folder)
-            .and_then(|f| f.sync_all())
-            .map_err(troubled)?;
-        let file = File::open(at.join("db")).map_err(troubled)?;
-        let (chain_tree, incarnations_tree) = (db.open_tree(CHAIN)?, db.open_tree(INCARNATIONS)?);
-        let sweep_tree = db.open_tree(SWEEP)?;
-        let (jobs, queue) = mpsc::channel::<Job>();
-        let mut owed = 0;
-        let work = move || {
-            while let Ok(first) = queue.recv() {
-                let mut batches = [sled::Batch::default(), sled::Batch::default()];
-                let mut tickets = [None, None];
-                for (part, ticket, records) in
-                    std::iter::once(first).chain(std::iter::from_fn(|| queue.try_recv().ok()))
-                {
-                    let [chain, incarnations] = &mut batches;
-                    let (batch, long, at) = match part {
-                        Part::Chain => (chain, &mut long, 0),
-                        Part::Incarnations => (incarnations, &mut long_incarnations, 1),
-                    };
-                    // A probe of the disk has ticket 0, and may come behind others.
-                    tickets[at] = tickets[at].max(Some(ticket));
-                    records
-                        .into_iter()
-                        .for_each(|record| long.write(record, batch));
-                }
-                let from = Instant::now();
-                let [of_chain, of_incarnations] = batches;
-                let applied = chain_tree
-                    .apply_batch(of_chain)
-                    .and_then(|()| incarnations_tree.apply_batch(of_incarnations));
-                let written = long.written() + long_incarnations.written();
-                owed = (owed + written / SWEEP_EACH).min(SWEEP_OWED);
-                let pages = owed.min(SWEEP_AT_ONCE);
-                owed -= pages;
-                let applied = applied.and_then(|()| sweep(&sweep_tree, pages));
-                let done = applied.and_then(|()| db.flush()).map_err(|e| e.to_string());
-                let done = done.and_then(|_| file.sync_data().map_err(|e| e.to_string()));
-                let [chain, incarnations] = tickets;
-                let word = match done {
-                    Ok(()) => Said::Synced {
-                        chain,
-                        incarnations,
-                        took: from.elapsed(),
-                    },
-                    Err(why) => Said::Failed(why),
-                };
-                let failed = matches!(word, Said::Failed(_));
-                if said.send(word).is_err() || failed {
-                    return;
-                }
-            }
+        sync_folder(folder).map_err(refused)?;
+        let pages = File::open(at.join(PAGES)).map_err(refused)?;
+        Self::start_writer(opened, new_identity, bootstrap, pages, events)
+    }
+
+    fn start_writer(
+        opened: OpenedStore,
+        new_identity: u64,
+        bootstrap: Option<Vec<u8>>,
+        pages: File,
+        events: UnboundedSender<StoreEvent>,
+    ) -> Result<Self, StoreError> {
+        let OpenedStore {
+            db,
+            identity,
+            chain_rows,
+            chain,
+            instance_rows,
+            instances,
+        } = opened;
+        let chain = TreeWriter {
+            tree: db.open_tree(CHAIN)?,
+            rows: chain,
         };
+        let instances = TreeWriter {
+            tree: db.open_tree(INSTANCES)?,
+            rows: instances,
+        };
+        let writer = Writer::new(db, pages, chain, instances)?;
+        let (requests, queue) = mpsc::channel();
         std::thread::Builder::new()
             .name("store".into())
-            .spawn(work)
+            .spawn(move || writer.run(&queue, &events))
             .map_err(StoreError::Thread)?;
         Ok(Self {
-            jobs,
-            identity: kept.unwrap_or(mint),
-            new: kept.is_none(),
-            founding,
-            held,
-            incarnations,
+            requests,
+            identity: identity.unwrap_or(new_identity),
+            is_new: identity.is_none(),
+            bootstrap,
+            chain_rows,
+            instance_rows,
         })
     }
 
-    pub fn write(&self, part: Part, ticket: u64, records: Vec<Record>) -> bool {
-        self.jobs.send((part, ticket, records)).is_ok()
+    /// Has records written as one batch, after all earlier writes, and synced. False: a write has failed before.
+    pub fn write(&self, tree: StoreTree, ticket: u64, records: Vec<Record>) -> bool {
+        let request = WriteRequest {
+            tree,
+            ticket,
+            records,
+        };
+        self.requests.send(request).is_ok()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn opened(folder: &Path, mint: u64) -> (Store, tokio::sync::mpsc::UnboundedReceiver<Said>) {
-        let (said, heard) = tokio::sync::mpsc::unbounded_channel();
-        (Store::open(folder, mint, None, said).unwrap(), heard)
-    }
-
-    #[test]
-    fn what_was_said_to_be_synced_is_there_again_under_the_same_identity() {
-        let folder = tempfile::tempdir().unwrap();
-        let (store, mut heard) = opened(folder.path(), 7);
-        assert!(store.new);
-        for n in 0..20u64 {
-            let put = Record::Put {
-                key: n.to_be_bytes().to_vec(),
-                value: vec![n as u8; 1000],
-            };
-            assert!(store.write(Part::Chain, n, vec![put]));
-        }
-        assert!(store.write(
-            Part::Chain,
-            20,
-            vec![Record::Delete {
-                key: 3u64.to_be_bytes().to_vec()
-            }]
-        ));
-        while let Some(Said::Synced { chain, .. }) = heard.blocking_recv() {
-            if chain == Some(20) {
-                break;
-            }
-        }
-        drop(store);
-        while heard.blocking_recv().is_some() {}
-        let (again, _heard) = opened(folder.path(), 8);
-        assert!(!again.new);
-        assert_eq!(again.identity, 7);
-        assert_eq!(again.held.len(), 19);
-    }
-
-    #[test]
-    fn nothing_goes_to_a_file_of_its_own_that_nobody_syncs() {
-        let folder = tempfile::tempdir().unwrap();
-        let (store, mut heard) = opened(folder.path(), 7);
-        // Configurations of many routes as they come, and the state with them in pieces, again and again.
-        for n in 0..60u64 {
-            // Nothing is there twice, so each is written whole.
-            let drawn = |at: u64, length: u64| -> Vec<u8> {
-                let words = (0..length / 8)
-                    .map(|word| (n << 40 | at << 32 | word).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-                words
-                    .flat_map(|word| {
-                        (word ^ word >> 29)
-                            .wrapping_mul(0xbf58_476d_1ce4_e5b9)
-                            .to_be_bytes()
-                    })
-                    .collect()
-            };
-            let mut records: Vec<Record> = (0..4u64)
-                .map(|at| Record::Put {
-                    key: (10 * n + at).to_be_bytes().to_vec(),
-                    value: drawn(at, 90 << 10),
-                })
-                .collect();
-            records.extend((0..20u8).map(|at| Record::Put {
-                key: vec![b's', at],
-                value: drawn(9 + u64::from(at), 32 << 10),
-            }));
-            if n % 8 == 7 {
-                let old = 10 * (n - 7)..10 * (n + 1);
-                records.extend(old.map(|at| Record::Delete {
-                    key: at.to_be_bytes().to_vec(),
-                }));
-            }
-            assert!(store.write(Part::Chain, n, records));
+/// What the system refuses now it may grant soon, and another process may be letting go of the store; only one that is
+/// corrupted itself is given up.
+fn open_patiently(at: &Path, retries: u32) -> Result<sled::Db, sled::Error> {
+    let mut opened = open_at(at);
+    for _ in 0..retries {
+        if !matches!(&opened, Err(why) if is_refused(why) || is_in_use(why)) {
+            break;
         }
-        while let Some(Said::Synced { chain, .. }) = heard.blocking_recv() {
-            if chain == Some(59) {
-                break;
-            }
-        }
-        drop(store);
-        while heard.blocking_recv().is_some() {}
-        let blobs =
-            std::fs::read_dir(folder.path().join("store/blobs")).map_or(0, |files| files.count());
-        assert_eq!(blobs, 0);
-        let (again, _heard) = opened(folder.path(), 8);
-        let (of, length) = (
-            again.held.len(),
-            again.held.iter().map(|(_, v)| v.len()).sum::<usize>(),
-        );
-        assert_eq!(
-            (again.identity, of, length),
-            (7, 20 + 16, 20 * (32 << 10) + 16 * (90 << 10))
-        );
-    }
-
-    #[test]
-    fn a_store_that_another_process_has_is_left_alone() {
-        let folder = tempfile::tempdir().unwrap();
-        let (store, mut heard) = opened(folder.path(), 7);
-        let (said, _) = tokio::sync::mpsc::unbounded_channel();
-        assert!(matches!(
-            Store::open_with(folder.path(), 8, None, said, 0),
-            Err(StoreError::InUse(_))
-        ));
-        assert!(matches!(
-            crate::look(folder.path()),
-            Err(crate::LookError::InUse(_))
-        ));
-        drop(store);
-        while heard.blocking_recv().is_some() {}
-        assert_eq!(opened(folder.path(), 9).0.identity, 7);
-    }
-
-    #[test]
-    fn a_store_that_cant_be_opened_is_an_empty_disk_with_a_new_identity() {
-        let folder = tempfile::tempdir().unwrap();
-        std::fs::create_dir_all(folder.path().join("store")).unwrap();
-        std::fs::write(folder.path().join("store/db"), vec![0xa5; 4 << 20]).unwrap();
-        std::fs::write(folder.path().join("store/conf"), b"nothing that sled wrote").unwrap();
-        let (store, _heard) = opened(folder.path(), 9);
-        assert!(store.new);
-        assert_eq!(store.identity, 9);
-        assert!(store.held.is_empty());
-    }
-    #[test]
-    fn a_store_that_was_given_up_is_an_empty_disk_with_a_new_identity_once() {
-        let folder = tempfile::tempdir().unwrap();
-        let (said, mut heard) = tokio::sync::mpsc::unbounded_channel();
-        let store = Store::open(folder.path(), 7, Some(&[1, 2]), said).unwrap();
-        assert_eq!(store.founding.as_deref(), Some(&[1, 2][..]));
-        Store::give_up(folder.path()).unwrap();
-        drop(store);
-        while heard.blocking_recv().is_some() {}
-        let (store, mut heard) = opened(folder.path(), 8);
-        assert_eq!(
-            (store.identity, store.new, &store.founding),
-            (8, true, &None)
-        );
-        drop(store);
-        while heard.blocking_recv().is_some() {}
-        let (store, _heard) = opened(folder.path(), 9);
-        assert_eq!((store.identity, store.new), (8, false));
+        std::thread::sleep(RETRY);
+        opened = open_at(at);
     }
+    opened
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/rookpulley-store/tests/earlier_build.rs
+++ b/crates/rookpulley-store/tests/earlier_build.rs
@@ -3,7 +3,7 @@
 //! `fixtures/store` is the folder of such a store, file by file: as `sled` left it, packed by zstd. The build of commit
 //! 3e09636 wrote it: two rows of the chain, one of which is long, and one note on an instance.
 
-use rookpulley_store::{Store, look};
+use rookpulley_store::{Store, inspect};
 use std::path::{Path, PathBuf};
 use tokio::sync::mpsc::unbounded_channel;
 
@@ -37,15 +37,15 @@
     unpack(&folder.path().join("store"));
     let (said, mut heard) = unbounded_channel();
     let store = Store::open(folder.path(), 7, None, said).unwrap();
-    assert_eq!((store.new, store.identity), (false, IDENTITY));
-    assert_eq!(store.founding.as_deref(), Some(&b"founding"[..]));
+    assert_eq!((store.is_new, store.identity), (false, IDENTITY));
+    assert_eq!(store.bootstrap.as_deref(), Some(&b"founding"[..]));
     let rows = vec![
         (b"x-long".to_vec(), long_value()),
         (b"x-short".to_vec(), b"short".to_vec()),
     ];
-    assert_eq!(store.held, rows);
+    assert_eq!(store.chain_rows, rows);
     assert_eq!(
-        store.incarnations,
+        store.instance_rows,
         vec![(b"i-1".to_vec(), b"note".to_vec())]
     );
     drop(store);
@@ -56,7 +56,10 @@
 fn a_store_of_an_earlier_build_is_inspected_without_a_process() {
     let folder = tempfile::tempdir().unwrap();
     unpack(&folder.path().join("store"));
-    let contents = look(folder.path()).unwrap();
+    let contents = inspect(folder.path()).unwrap();
     assert_eq!(contents.identity, Some(IDENTITY));
-    assert_eq!((contents.chain.len(), contents.incarnations.len()), (2, 1));
+    assert_eq!(
+        (contents.chain_rows.len(), contents.instance_rows.len()),
+        (2, 1)
+    );
 }
--- a/crates/rookpulley-store/tests/room.rs
+++ b/crates/rookpulley-store/tests/room.rs
@@ -7,7 +7,7 @@
 use load::Load;
 use rookpulley_chain::{Chain, Effect, Input, Member, Outcome, Record, RequestKind, StartState};
 use rookpulley_control::ReplicatedState;
-use rookpulley_store::{Part, Said, Store};
+use rookpulley_store::{Store, StoreEvent, StoreTree};
 use std::collections::VecDeque;
 use std::path::Path;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -16,7 +16,7 @@
     now: u64,
     chain: Chain<ReplicatedState>,
     store: Store,
-    heard: UnboundedReceiver<Said>,
+    heard: UnboundedReceiver<StoreEvent>,
 }
 
 impl Controller {
@@ -51,7 +51,7 @@
             for effect in self.chain.handle(self.now, input) {
                 match effect {
                     Effect::Write { ticket, records } => {
-                        assert!(self.store.write(Part::Chain, ticket, records));
+                        assert!(self.store.write(StoreTree::Chain, ticket, records));
                         self.synced(ticket);
                         inputs.push_back(Input::Synced { ticket });
                     }
@@ -64,7 +64,7 @@
     }
 
     fn synced(&mut self, ticket: u64) {
-        while !matches!(self.heard.blocking_recv(), Some(Said::Synced { chain, .. }) if chain >= Some(ticket))
+        while !matches!(self.heard.blocking_recv(), Some(StoreEvent::Synced { chain, .. }) if chain >= Some(ticket))
         {
         }
     }
@@ -147,7 +147,7 @@
         assert!(
             controller
                 .store
-                .write(Part::Chain, u64::MAX - 150 + n, vec![put])
+                .write(StoreTree::Chain, u64::MAX - 150 + n, vec![put])
         );
         controller.synced(u64::MAX - 150 + n);
         longest = longest.max(length(folder.path()));
--- a/crates/rookpulley-store/tests/torn.rs
+++ b/crates/rookpulley-store/tests/torn.rs
@@ -3,7 +3,7 @@
 use rookpulley_chain::{Chain, Effect, Input, Member, Outcome, Record, RequestKind, StartState};
 use rookpulley_control::ReplicatedState;
 use rookpulley_state::Update;
-use rookpulley_store::{Part, Said, Store, look, replace};
+use rookpulley_store::{Store, StoreEvent, StoreTree, inspect, replace};
 use std::collections::{BTreeMap, VecDeque};
 use std::path::Path;
 
@@ -120,10 +120,10 @@
         self.play(3_000);
         let chain = &self.all[0].0;
         assert!(chain.serving(self.now));
-        let digest = chain.state().ledger.digest();
+        let digest = chain.state().machine.digest();
         let shown = answered
             .checked_sub(1)
-            .map_or(ReplicatedState::default().ledger.digest(), |last| {
+            .map_or(ReplicatedState::default().machine.digest(), |last| {
                 copies[last].1
             });
         let next = copies.get(answered).map(|(_, digest)| *digest);
@@ -174,8 +174,8 @@
         controllers.configure(40 << 10);
     }
     assert_eq!(
-        controllers.all[2].0.state().ledger.digest(),
-        controllers.all[0].0.state().ledger.digest()
+        controllers.all[2].0.state().machine.digest(),
+        controllers.all[0].0.state().machine.digest()
     );
     [first, std::mem::take(&mut controllers.all[2].1)]
 }
@@ -254,12 +254,12 @@
     all
 }
 
-fn open(folder: &Path, mint: u64) -> (Store, tokio::sync::mpsc::UnboundedReceiver<Said>) {
+fn open(folder: &Path, mint: u64) -> (Store, tokio::sync::mpsc::UnboundedReceiver<StoreEvent>) {
     let (said, heard) = tokio::sync::mpsc::unbounded_channel();
     (Store::open(folder, mint, None, said).unwrap(), heard)
 }
 
-fn close((store, mut heard): (Store, tokio::sync::mpsc::UnboundedReceiver<Said>)) {
+fn close((store, mut heard): (Store, tokio::sync::mpsc::UnboundedReceiver<StoreEvent>)) {
     drop(store);
     while heard.blocking_recv().is_some() {}
 }
@@ -280,9 +280,9 @@
     let folder = tempfile::tempdir().unwrap();
     lay(folder.path(), image);
     let opened = open(folder.path(), mint);
-    assert_eq!(opened.0.new, opened.0.identity == mint);
-    let rows = (!opened.0.new).then(|| opened.0.held.iter().cloned().collect());
-    assert!(!opened.0.new || opened.0.held.is_empty());
+    assert_eq!(opened.0.is_new, opened.0.identity == mint);
+    let rows = (!opened.0.is_new).then(|| opened.0.chain_rows.iter().cloned().collect());
+    assert!(!opened.0.is_new || opened.0.chain_rows.is_empty());
     close(opened);
     rows
 }
@@ -301,8 +301,8 @@
         for (n, records) in (1..).zip(batches) {
             let mut rows = images.last().unwrap().1.clone();
             put(&mut rows, &records);
-            assert!(store.write(Part::Chain, n, records));
-            while !matches!(heard.blocking_recv(), Some(Said::Synced { chain, .. }) if chain == Some(n))
+            assert!(store.write(StoreTree::Chain, n, records));
+            while !matches!(heard.blocking_recv(), Some(StoreEvent::Synced { chain, .. }) if chain == Some(n))
             {
             }
             images.push((image(folder.path()), rows));
@@ -345,22 +345,22 @@
         for _ in 0..u.int_in_range(4..=9)? {
             match u.int_in_range(0..=3)? {
                 0 => controller.update(&Update::NextNumber { name: "n".into() }),
-                1 => controller.update(&Update::PutCell {
+                1 => controller.update(&Update::PutKey {
                     name: format!("g.{}", u.int_in_range(0..=3)?),
                     value: "v".repeat(u.int_in_range(1..=9_000)?) + &controller.token.to_string(),
-                    active: None,
+                    expected: None,
                 }),
                 _ => controller.configure(length),
             }
-            copies.push((controller.all[0].1.len(), controller.all[0].0.state().ledger.digest()));
+            copies.push((controller.all[0].1.len(), controller.all[0].0.state().machine.digest()));
         }
         let (_, batches) = controller.all.remove(0);
         let (folder, mut coins) = (tempfile::tempdir().unwrap(), Coins(u.arbitrary()?));
         let (store, mut heard) = open(folder.path(), 1);
         let mut before = image(folder.path());
         for (n, records) in (1..).zip(&batches) {
-            assert!(store.write(Part::Chain, n, records.clone()));
-            while !matches!(heard.blocking_recv(), Some(Said::Synced { chain, .. }) if chain == Some(n)) {}
+            assert!(store.write(StoreTree::Chain, n, records.clone()));
+            while !matches!(heard.blocking_recv(), Some(StoreEvent::Synced { chain, .. }) if chain == Some(n)) {}
             let after = image(folder.path());
             let last = n == batches.len() as u64;
             if last || u.ratio(1, 4)? {
@@ -388,7 +388,7 @@
     let mut rows = Rows::new();
     for (n, records) in (1..).zip(&written()[0]) {
         put(&mut rows, records);
-        assert!(store.write(Part::Chain, n, records.clone()));
+        assert!(store.write(StoreTree::Chain, n, records.clone()));
     }
     close((store, heard));
     let old = image(folder.path());
@@ -401,7 +401,7 @@
             value: value.clone(),
         })
         .collect();
-    let founds = |folder: &Path| replace(folder, &look(folder).unwrap(), 9, &records).unwrap();
+    let founds = |folder: &Path| replace(folder, &inspect(folder).unwrap(), 9, &records).unwrap();
     founds(folder.path());
     let new = image(folder.path());
     let of = |image: &Image, from: &str, to: &str| -> Image {
@@ -420,7 +420,7 @@
         let folder = tempfile::tempdir().unwrap();
         lay(folder.path(), &all);
         founds(folder.path());
-        assert_eq!(look(folder.path()).unwrap().identity, Some(9));
+        assert_eq!(inspect(folder.path()).unwrap().identity, Some(9));
     }
     // Whole, and not in its place yet.
     let mut all = of(&new, "store/", "store.next/");
