--- a/crates/rookpulley-balancer/src/lib.rs
+++ b/crates/rookpulley-balancer/src/lib.rs
@@ -1,17 +1,25 @@
-//! One request's incarnation: which task it goes to, whether it may go to a further one, what its client is told.
+//! Load balancing of a proxy: which instance a request goes to, whether it may be retried, what its client is answered.
 //!
-//! `budget` pays for further sends, `post` picks tasks, `spot` is what is known of one task, `round` keeps to what a
-//! request may suffer. `controllers` chooses the home, `fleet` is what of all proxies' means is this one's. Times are in ms from any fixed moment; nothing here waits, reads a clock or opens a socket.
+//! | file | what it owns |
+//! | --- | --- |
+//! | `endpoint_picker` | the tables as controllers publish them, and the choice of an instance from one |
+//! | `endpoint` | what this proxy has measured of one instance: latency, failures, load |
+//! | `request_attempts` | what one request may still do after an attempt, and how it ends |
+//! | `retry_budget` | what pays for the retries of a service |
+//! | `controller_selection` | the controllers that a proxy knows, and which of them is its primary |
+//! | `fleet_size` | how many proxies there are, and the share of one of them |
+//!
+//! Times are in milliseconds from any fixed moment. Nothing here waits, reads a clock or opens a socket.
 
-mod budget;
 mod controller_selection;
-mod fleet;
-mod post;
-mod round;
-mod spot;
+mod endpoint;
+mod endpoint_picker;
+mod fleet_size;
+mod request_attempts;
+mod retry_budget;
 
-pub use budget::Budget;
-pub use controller_selection::{ControllerSelection, Move};
-pub use fleet::Fleet;
-pub use post::{Pick, Post};
-pub use round::{Fate, Next, Round};
+pub use controller_selection::{ControllerSelection, PrimaryChange};
+pub use endpoint_picker::{EndpointPicker, Pick};
+pub use fleet_size::FleetSize;
+pub use request_attempts::{AttemptOutcome, NextAction, RequestAttempts};
+pub use retry_budget::RetryBudget;
--- a/crates/rookpulley-control/src/stateless.rs
+++ b/crates/rookpulley-control/src/stateless.rs
@@ -121,7 +121,7 @@
 
     fn discover(&mut self, now: f64, ip: Ipv4Addr) {
         let is_me = ip == *self.start.address.ip();
-        if !is_me && self.controllers.named(now, ip) {
+        if !is_me && self.controllers.discover(now, ip) {
             self.effects.push(StatelessEffect::Connect(ip));
         }
     }
@@ -154,13 +154,13 @@
 
     /// The connection to a controller is over.
     pub fn controller_disconnected(&mut self, ip: Ipv4Addr) {
-        self.controllers.lost(ip);
+        self.controllers.disconnected(ip);
         self.with_disk.remove(&ip);
     }
 
     /// Whether nobody has named a controller for long: it need not be connected to again.
     pub fn is_forgotten(&mut self, now: f64, ip: Ipv4Addr) -> bool {
-        self.controllers.forgotten(now, ip)
+        self.controllers.is_forgotten(now, ip)
     }
 
     /// A controller has sent a message.
@@ -185,7 +185,7 @@
                 ..
             } => {
                 self.has_view |= in_touch;
-                self.controllers.pulse(now, from, in_touch, 0, 0);
+                self.controllers.handle_status(now, from, in_touch, 0, 0);
                 self.discover_all(now, &controllers);
             }
             ControllerToProxy::Configuration { .. }
--- a/crates/rookpulley-devcluster/src/clients.rs
+++ b/crates/rookpulley-devcluster/src/clients.rs
@@ -130,7 +130,7 @@
                 Seen::CutOff(_) | Seen::Nothing => true,
             };
             let left = until.saturating_duration_since(Instant::now());
-            if !(seen.refused() || failed && route.kind.repeatable())
+            if !(seen.refused() || failed && route.kind.is_idempotent())
                 || left < Duration::from_millis(50)
             {
                 return;
--- a/crates/rookpulley-devcluster/src/judge.rs
+++ b/crates/rookpulley-devcluster/src/judge.rs
@@ -118,7 +118,7 @@
         for (id, incarnations) in runs {
             if tries
                 .get(id)
-                .is_some_and(|one| !one.route.kind.repeatable())
+                .is_some_and(|one| !one.route.kind.is_idempotent())
             {
                 check.look(incarnations.len() == 1, || {
                     format!("{id} ran at {}", incarnations.join(", "))
@@ -134,7 +134,11 @@
             .runs()
             .map(|(arrival, _)| arrival.id.as_str())
             .collect();
-        for one in self.tries.iter().filter(|one| !one.route.kind.repeatable()) {
+        for one in self
+            .tries
+            .iter()
+            .filter(|one| !one.route.kind.is_idempotent())
+        {
             check.look(
                 !(one.seen.refused() && ran.contains(one.id.as_str())),
                 || described(one),
--- a/crates/rookpulley-devcluster/src/operator.rs
+++ b/crates/rookpulley-devcluster/src/operator.rs
@@ -21,7 +21,7 @@
         }
     }
 
-    pub fn repeatable(self) -> bool {
+    pub fn is_idempotent(self) -> bool {
         self != Kind::Mutating
     }
 }
--- a/crates/rookpulley-devcluster/src/tests.rs
+++ b/crates/rookpulley-devcluster/src/tests.rs
@@ -31,7 +31,7 @@
     for number in 0..50u32 {
         let route = &ROUTES[number as usize % ROUTES.len()];
         let (id, target) = (format!("id-{number}"), format!("{}{number}", route.prefix));
-        let method = if route.kind.repeatable() {
+        let method = if route.kind.is_idempotent() {
             "GET"
         } else {
             "POST"
--- a/crates/rookpulley-proxy-core/src/lib.rs
+++ b/crates/rookpulley-proxy-core/src/lib.rs
@@ -1,13 +1,23 @@
-//! All that a proxy holds and decides. No sockets, files or clocks.
+//! All that a proxy knows and decides, without sockets, files or clocks.
 //!
-//! `satchel` is what a proxy holds: configuration, tables, budgets, and the controllers that tell them. `journey` is one
-//! request's way from its head to its answer, `answer` says what a task's answer is worth, `tally` counts for the home.
+//! | file | what it owns |
+//! | --- | --- |
+//! | `state` | configuration, tables, retry budgets, and the controllers that publish them |
+//! | `effect` | what is to be done about it |
+//! | `lifecycle` | one request from its head to its answer |
+//! | `attempt` | how one attempt ended, and whether it may be sent again at once |
+//! | `response` | what the head of an instance's answer is worth |
+//! | `load_counters` | what is counted for the next load report |
 
-mod answer;
-mod journey;
-mod satchel;
-mod tally;
+mod attempt;
+mod effect;
+mod lifecycle;
+mod load_counters;
+mod response;
+mod state;
 
-pub use answer::{Head, Worth, worth};
-pub use journey::{Back, Go, How, Journey, Leaving, Tell, Then, Way};
-pub use satchel::{Effect, Satchel};
+pub use attempt::{AttemptEnd, Resend, SendFailure};
+pub use effect::Effect;
+pub use lifecycle::{AfterAttempt, LocalResponse, NextStep, RequestLifecycle, RouteDecision};
+pub use response::{ResponseHead, Verdict, evaluate};
+pub use state::{ProxyStart, ProxyState};
--- a/crates/rookpulley-proxy/src/ear/tests.rs
+++ b/crates/rookpulley-proxy/src/client_connection/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::span::Chunks;
+use crate::body::read_up_to;
+use crate::body_length::BodyLength;
 use arbtest::arbitrary::{Result, Unstructured};
 use hyper::body::Body;
 use hyper::server::conn::http1;
@@ -7,6 +8,8 @@
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use rookpulley_samples::plays;
+use std::cell::RefCell;
+use std::task::Waker;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// A request as it is sent, and what a service is to see of it.
@@ -82,19 +85,19 @@
     Ok(Sent { bytes, seen })
 }
 
-async fn see(watch: &Watch, request: Request<hyper::body::Incoming>) -> Seen {
+async fn see(monitor: &ConnectionMonitor, request: Request<hyper::body::Incoming>) -> Seen {
     let mut body = request.into_parts();
     let length = body.1.size_hint().exact();
-    watch.begins(length.map_or(Span::Chunks(Chunks::Start), Span::Length));
-    let read = crate::bodies::read(&mut body.1, usize::MAX).await.unwrap();
+    monitor.request_began(length.map_or(BodyLength::CHUNKED, BodyLength::Bytes));
+    let read = read_up_to(&mut body.1, usize::MAX).await.unwrap();
     let seen = Seen {
         target: body.0.uri.to_string(),
-        fragment: watch.fragment.get(),
-        head_bytes: watch.head_bytes.get(),
+        fragment: monitor.has_fragment.get(),
+        head_bytes: monitor.head_bytes.get(),
         body: read.joined().to_vec(),
     };
-    assert!(!watch.unread() && !watch.idle());
-    watch.ends();
+    assert!(!monitor.is_in_body() && !monitor.is_idle());
+    monitor.request_ended();
     seen
 }
 
@@ -115,17 +118,20 @@
             .unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let (client, server) = tokio::io::duplex(200);
-            let (watch, seen) = (Rc::new(Watch::new()), Rc::new(RefCell::new(Vec::new())));
-            let (its, tell) = (watch.clone(), seen.clone());
+            let (monitor, seen) = (
+                Rc::new(ConnectionMonitor::new()),
+                Rc::new(RefCell::new(Vec::new())),
+            );
+            let (its, tell) = (monitor.clone(), seen.clone());
             let service = service_fn(move |request| {
-                let (watch, tell) = (its.clone(), tell.clone());
+                let (monitor, tell) = (its.clone(), tell.clone());
                 async move {
-                    let seen = see(&watch, request).await;
+                    let seen = see(&monitor, request).await;
                     tell.borrow_mut().push(seen);
                     Ok::<_, std::convert::Infallible>(Response::new(String::new()))
                 }
             });
-            let io = TokioIo::new(Ear::new(server, watch.clone()));
+            let io = TokioIo::new(ClientConnection::new(server, monitor.clone()));
             let served =
                 tokio::task::spawn_local(http1::Builder::new().serve_connection(io, service));
             let (mut reads, mut writes) = tokio::io::split(client);
@@ -162,23 +168,23 @@
         .unwrap();
     runtime.block_on(async {
         let (mut client, server) = tokio::io::duplex(1 << 20);
-        let watch = Rc::new(Watch::new());
-        let mut ear = Ear::new(server, watch.clone());
+        let monitor = Rc::new(ConnectionMonitor::new());
+        let mut connection = ClientConnection::new(server, monitor.clone());
         let head = b"GET / HTTP/1.1\r\n\r\n";
         client.write_all(head).await.unwrap();
         client.write_all(&[b'x'; 100_000]).await.unwrap();
         let mut got = Vec::new();
-        assert_eq!(ear.read_buf(&mut got).await.unwrap(), head.len());
-        watch.begins(Span::Length(0));
+        assert_eq!(connection.read_buf(&mut got).await.unwrap(), head.len());
+        monitor.request_began(BodyLength::Bytes(0));
         let mut more = [0; 100];
         let mut into = ReadBuf::new(&mut more);
         let mut context = Context::from_waker(Waker::noop());
         assert!(
-            Pin::new(&mut ear)
+            Pin::new(&mut connection)
                 .poll_read(&mut context, &mut into)
                 .is_pending()
         );
-        assert!(ear.held.len() <= HELD + (2 << 10));
+        assert!(connection.held.len() <= MAX_HELD_BYTES + READ_AHEAD_BYTES);
     });
 }
 
@@ -218,7 +224,7 @@
                 let tell = tell.clone();
                 async move {
                     let (head, mut body) = request.into_parts();
-                    let whole = crate::bodies::read(&mut body, usize::MAX).await.is_ok();
+                    let whole = read_up_to(&mut body, usize::MAX).await.is_ok();
                     match head.uri.path() {
                         "/" => tell.borrow_mut().0 = whole,
                         _ => tell.borrow_mut().1 = head.method == "GET",
@@ -236,13 +242,13 @@
             seen.take()
         });
         let all = format!("{body}{NEXT}");
-        let (mut span, mut taken) = (Span::Chunks(Chunks::Start), 0);
-        while !span.done() && taken < all.len() {
+        let (mut length, mut taken) = (BodyLength::CHUNKED, 0);
+        while !length.is_complete() && taken < all.len() {
             let here = u.int_in_range(1..=all.len() - taken).unwrap_or(1);
-            taken += span.take(&all.as_bytes()[taken..taken + here]);
+            taken += length.advance(&all.as_bytes()[taken..taken + here]);
         }
         // What the parser refuses for its trailers ends the connection.
-        assert!(span.done() || !whole, "{body:?}");
+        assert!(length.is_complete() || !whole, "{body:?}");
         let mut rest = &all[taken..];
         while let Some(after) = rest.strip_prefix("\r\n").or(rest.strip_prefix("\n")) {
             rest = after;
--- a/crates/rookpulley-proxy/src/lib.rs
+++ b/crates/rookpulley-proxy/src/lib.rs
@@ -1,30 +1,50 @@
-//! Carries requests from clients to tasks, by the tables and the configuration that controllers tell.
+//! Carries requests from clients to instances, by the tables and the configuration that controllers publish.
 //!
-//! `state` is what the parts share, `links` are the lines to controllers. A request passes `listener`, `check`, `carry`
-//! (its tries), `attempt` (one try) and `head` (what an answer is worth); `wires` keeps connections to tasks, `bodies`
-//! carries bytes both ways. `ear` stands between a client's connection and the parser, `sieve` between a task's and
-//! the parser, `span` tells both where a body ends. `ending` hears the platform, `readiness` tells it. What is decided, is decided in the satchel.
+//! What is decided is decided in `rookpulley-proxy-core`. A request passes these phases:
+//!
+//! | phase | file |
+//! | --- | --- |
+//! | its connection is taken, and closed where it is idle or slow | `listener`, `client_registry`, `connection_monitor` |
+//! | its bytes are cut from those of the next one | `client_connection`, `head_scanner`, `body_length` |
+//! | it is checked, routed and attempted as often as it may be | `forward`, `request_check`, `headers` |
+//! | one attempt at one instance | `attempt`, `tracked_attempt` |
+//! | a connection to the instance | `upstream_pool`, `response_filter` |
+//! | the response is judged | `response_check` |
+//! | bodies both ways | `body`, `request_body`, `response_body`, `memory` |
+//! | the proxy answers itself | `local_response` |
+//!
+//! `context` is what the parts share, `controller_connections` are the connections to controllers, `shutdown` hears the
+//! platform and `readiness` tells it.
 
-mod answers;
 mod attempt;
-mod bodies;
-mod carry;
-mod check;
-mod ear;
-mod ending;
-mod head;
-mod links;
+mod body;
+mod body_length;
+mod client_connection;
+mod client_registry;
+mod connection_monitor;
+mod context;
+mod controller_connections;
+mod forward;
+mod head_scanner;
+mod headers;
 mod listener;
+mod local_response;
+mod memory;
 mod readiness;
-mod sieve;
-mod span;
-mod state;
-mod wires;
+mod request_body;
+mod request_check;
+mod request_guard;
+mod response_body;
+mod response_check;
+mod response_filter;
+mod shutdown;
+mod tracked_attempt;
+mod upstream_pool;
 
-pub use ending::{Signal, Signals};
-pub use state::ProxyContext;
+pub use context::ProxyContext;
+pub use shutdown::{Signal, Signals};
 
-use rookpulley_proxy_core::Satchel;
+use rookpulley_proxy_core::ProxyState;
 use rookpulley_runtime::connection;
 use rookpulley_settings::Node;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -32,11 +52,16 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
+/// Connections that may wait to be accepted.
+const CLIENT_BACKLOG: u32 = 4_096;
+const READINESS_BACKLOG: u32 = 64;
+
+/// Why a proxy can't run.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
-pub enum CannotRun {
+pub enum StartError {
     #[error("proxy: the system refuses what every program needs: {0}")]
     #[diagnostic(help("look at the limits of the process: descriptors, memory"))]
-    System(std::io::Error),
+    System(#[source] std::io::Error),
     #[error("proxy: the settings give no {0}")]
     #[diagnostic(help("write \"edge\" under `serves` and both addresses under `listenAddresses`"))]
     NoAddress(&'static str),
@@ -48,36 +73,53 @@
     },
 }
 
-/// The addresses that a proxy serves, taken.
-pub struct Bound {
-    front: TcpListener,
+/// The addresses that a proxy serves.
+pub struct Listeners {
+    clients: TcpListener,
     readiness: TcpListener,
 }
 
-impl Bound {
-    pub fn new(node: &Node) -> Result<Bound, CannotRun> {
+/// Where a proxy listens.
+pub struct ListenAddresses {
+    /// For clients.
+    pub clients: SocketAddr,
+    /// For whoever asks whether clients should come.
+    pub readiness: SocketAddr,
+}
+
+impl Listeners {
+    /// Listens at the addresses of the settings.
+    pub fn bind(node: &Node) -> Result<Self, StartError> {
         let listen = |at: Option<SocketAddrV4>, name, backlog| {
-            let at = at.ok_or(CannotRun::NoAddress(name))?;
+            let at = at.ok_or(StartError::NoAddress(name))?;
             connection::listen(SocketAddr::V4(at), backlog)
-                .map_err(|why| CannotRun::Listen { at, why })
+                .map_err(|why| StartError::Listen { at, why })
         };
-        Ok(Bound {
-            front: listen(node.listen.front, "frontHttp", 4_096)?,
-            readiness: listen(node.listen.readiness, "readiness", 64)?,
+        Ok(Self {
+            clients: listen(node.listen.front, "frontHttp", CLIENT_BACKLOG)?,
+            readiness: listen(node.listen.readiness, "readiness", READINESS_BACKLOG)?,
         })
     }
 
-    /// Of clients, and of who asks whether they should come.
-    pub fn addresses(&self) -> std::io::Result<(SocketAddr, SocketAddr)> {
-        Ok((self.front.local_addr()?, self.readiness.local_addr()?))
+    /// Where it listens.
+    pub fn addresses(&self) -> std::io::Result<ListenAddresses> {
+        Ok(ListenAddresses {
+            clients: self.clients.local_addr()?,
+            readiness: self.readiness.local_addr()?,
+        })
     }
 }
 
-/// Runs until the platform ends it, inside a `LocalSet`. `path`: the settings file, read again when it changes.
-pub async fn run(proxy: Rc<ProxyContext>, bound: Bound, path: Option<PathBuf>, signals: Signals) {
+/// Runs until the platform ends it, inside a `LocalSet`. The settings file is read again when it changes.
+pub async fn run(
+    proxy: Rc<ProxyContext>,
+    listeners: Listeners,
+    settings_file: Option<PathBuf>,
+    signals: Signals,
+) {
     tracing::info!("proxy: {} begins", proxy.node.name);
-    tokio::task::spawn_local(readiness::serve(proxy.clone(), bound.readiness));
-    tokio::task::spawn_local(listener::serve(proxy.clone(), bound.front));
-    proxy.with(Satchel::tend);
-    ending::attend(proxy, path, signals).await;
+    tokio::task::spawn_local(readiness::serve(proxy.clone(), listeners.readiness));
+    tokio::task::spawn_local(listener::serve(proxy.clone(), listeners.clients));
+    proxy.step(ProxyState::tick);
+    shutdown::run_until_end(proxy, settings_file, signals).await;
 }
--- a/crates/rookpulley-proxy/src/listener.rs
+++ b/crates/rookpulley-proxy/src/listener.rs
@@ -1,127 +1,69 @@
-//! Takes clients' connections, serves them, ends those that are idle or slow beyond their bounds.
+//! Takes clients' connections, serves them, and closes those that are idle or slow beyond their limits.
 
-use crate::carry;
-use crate::ear::{Due, Ear, Watch};
-use crate::state::ProxyContext;
+use crate::client_connection::ClientConnection;
+use crate::client_registry::Admitted;
+use crate::connection_monitor::{CloseReason, ConnectionMonitor};
+use crate::context::ProxyContext;
+use crate::forward;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
 use rookpulley_routes::Limits;
 use rookpulley_runtime::connection;
-use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// What a client may leave unconfirmed: its link may be slow, so this is longer than among machines.
-const UNHEARD: Duration = Duration::from_secs(10);
+/// What a client may leave unacknowledged: its link may be slow, so this is longer than among machines.
+const UNACKNOWLEDGED: Duration = Duration::from_secs(10);
 /// How long a client may take to hear that it was too slow.
-const LAST_WORD: Duration = Duration::from_secs(2);
-/// Connections beyond the bound, for as long as those that make room take to end.
-const BEYOND: usize = 64;
-/// The parser takes a bit more than any head may have, so that the bound is kept in one place: by the check.
-const BEYOND_HEAD: usize = 8 << 10;
+const LAST_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// After an accept that failed for want of something, such as descriptors.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// The parser takes a bit more than any head may have, so that the limit is kept in one place: by the check.
+const PARSER_MARGIN: usize = 8 << 10;
 /// A longer head is refused though the operator should allow it.
-const LONGEST_HEAD: usize = 256 << 10;
-
-/// All connections of clients.
-pub struct Clients {
-    watches: RefCell<BTreeMap<u64, Rc<Watch>>>,
-    next: Cell<u64>,
-    most: usize,
-}
-
-impl Clients {
-    pub fn new(most: usize) -> Clients {
-        Clients {
-            watches: RefCell::default(),
-            next: Cell::new(0),
-            most,
-        }
-    }
-
-    /// Ends what is idle, takes too long over a head, or doesn't take its answer.
-    pub fn sweep(&self, limits: Limits, ending: bool) {
-        for watch in self.watches.borrow().values() {
-            if watch.due(limits, ending).is_some() {
-                watch.close.notify_one();
-            }
-        }
-    }
-
-    /// Nothing of any request is here.
-    pub fn calm(&self) -> bool {
-        self.watches.borrow().values().all(|watch| watch.idle())
-    }
-
-    /// Where there are too many, the one that has been idle longest makes room.
-    fn admit(&self) -> Option<(u64, Rc<Watch>)> {
-        if self.watches.borrow().len() >= self.most {
-            // It is gone a moment later; until then few more than the bound are here.
-            if !self.make_room() || self.watches.borrow().len() >= self.most + BEYOND {
-                return None;
-            }
-        }
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let watch = Rc::new(Watch::new());
-        self.watches.borrow_mut().insert(number, watch.clone());
-        Some((number, watch))
-    }
-
-    /// Ends one that is idle and isn't told so yet.
-    fn make_room(&self) -> bool {
-        let watches = self.watches.borrow();
-        let idle = watches
-            .values()
-            .filter(|watch| watch.idle() && !watch.leaves.get());
-        let oldest = idle.min_by_key(|watch| watch.stirred());
-        if let Some(watch) = oldest {
-            watch.leaves.set(true);
-            watch.close.notify_one();
-        }
-        oldest.is_some()
-    }
-}
+const MAX_HEAD_BYTES: usize = 256 << 10;
+const TOO_SLOW: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
+/// Takes connections until it is dropped.
 pub async fn serve(proxy: Rc<ProxyContext>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                if let Some((number, watch)) = proxy.clients.admit() {
-                    tokio::task::spawn_local(client(proxy.clone(), stream, number, watch));
+                if let Some(admitted) = proxy.clients.admit() {
+                    tokio::task::spawn_local(serve_client(proxy.clone(), stream, admitted));
                 }
             }
             Err(why) => {
                 tracing::warn!("listener: no connection can be taken: {why}");
                 proxy.clients.make_room();
-                tokio::time::sleep(Duration::from_millis(20)).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-async fn client(proxy: Rc<ProxyContext>, stream: TcpStream, number: u64, watch: Rc<Watch>) {
-    connection::configure(&stream, UNHEARD);
-    let bound = limits(&proxy)
-        .header_bytes
-        .clamp(Limits::default().header_bytes, LONGEST_HEAD)
-        + BEYOND_HEAD;
-    let io = TokioIo::new(Ear::new(stream, watch.clone()));
+async fn serve_client(proxy: Rc<ProxyContext>, stream: TcpStream, admitted: Admitted) {
+    let Admitted { number, monitor } = admitted;
+    connection::configure(&stream, UNACKNOWLEDGED);
+    let max_head = proxy.limits().header_bytes;
+    let max_head = max_head.clamp(Limits::default().header_bytes, MAX_HEAD_BYTES);
+    let io = TokioIo::new(ClientConnection::new(stream, monitor.clone()));
     let service = {
-        let (proxy, watch) = (proxy.clone(), watch.clone());
+        let (proxy, monitor) = (proxy.clone(), monitor.clone());
         service_fn(move |request| {
-            let (proxy, watch) = (proxy.clone(), watch.clone());
-            async move { Ok::<_, Infallible>(carry::serve(proxy, watch, request).await) }
+            let (proxy, monitor) = (proxy.clone(), monitor.clone());
+            async move { Ok::<_, Infallible>(forward::serve(proxy, monitor, request).await) }
         })
     };
     // The time for a head is kept by the sweep: the parser's own would also run while a connection is idle.
     let mut connection = http1::Builder::new()
         .header_read_timeout(None)
-        .max_buf_size(bound)
+        .max_buf_size(max_head + PARSER_MARGIN)
         .auto_date_header(false)
         .serve_connection(io, service);
     loop {
@@ -133,34 +75,41 @@
                 }
                 break;
             }
-            () = watch.close.notified() => {}
+            () = monitor.close.notified() => {}
         }
-        match watch.due(limits(&proxy), proxy.ending()) {
-            // Nothing of a request is here, or the client leaves us to sit.
-            Some(Due::Idle | Due::Stuck) => break,
-            Some(Due::SlowHead) if watch.held_up() => break,
-            Some(Due::SlowHead) => {
-                let ear = connection.into_parts().io.into_inner();
-                _ = tokio::time::timeout(LAST_WORD, too_slow(ear)).await;
+        match next_close(&proxy, &monitor) {
+            Close::No => {}
+            Close::AtOnce => break,
+            Close::AfterAnswer => {
+                let client = connection.into_parts().io.into_inner();
+                _ = tokio::time::timeout(LAST_ANSWER_TIMEOUT, answer_too_slow(client)).await;
                 break;
             }
-            None if watch.leaves.take() && watch.idle() => break,
-            None => {}
         }
     }
-    proxy.clients.watches.borrow_mut().remove(&number);
+    proxy.clients.remove(number);
 }
 
-async fn too_slow(mut ear: Ear) {
-    const ANSWER: &[u8] =
-        b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
-    if ear.write_all(ANSWER).await.is_ok() {
-        _ = ear.shutdown().await;
+/// How a connection is closed.
+enum Close {
+    No,
+    AtOnce,
+    AfterAnswer,
+}
+
+fn next_close(proxy: &ProxyContext, monitor: &ConnectionMonitor) -> Close {
+    match monitor.close_reason(proxy.limits(), proxy.is_ending()) {
+        // Nothing of a request is here, or the client doesn't take what is written.
+        Some(CloseReason::Idle | CloseReason::WriteStuck) => Close::AtOnce,
+        Some(CloseReason::SlowHead) if monitor.is_write_stuck() => Close::AtOnce,
+        Some(CloseReason::SlowHead) => Close::AfterAnswer,
+        None if monitor.is_evicted.take() && monitor.is_idle() => Close::AtOnce,
+        None => Close::No,
     }
 }
 
-fn limits(proxy: &ProxyContext) -> Limits {
-    proxy
-        .book()
-        .map_or_else(Limits::default, |book| book.limits)
+async fn answer_too_slow(mut client: ClientConnection) {
+    if client.write_all(TOO_SLOW).await.is_ok() {
+        _ = client.shutdown().await;
+    }
 }
--- a/crates/rookpulley-proxy/src/main.rs
+++ b/crates/rookpulley-proxy/src/main.rs
@@ -1,6 +1,6 @@
 //! The program that carries traffic.
 
-use rookpulley_proxy::{Bound, CannotRun, ProxyContext, Signals, run};
+use rookpulley_proxy::{Listeners, ProxyContext, Signals, StartError, run};
 use rookpulley_runtime::log;
 use rookpulley_settings::Node;
 use std::io::Write;
@@ -34,13 +34,13 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(CannotRun::System)?;
+    let runtime = runtime.map_err(StartError::System)?;
     let ended = tokio::task::LocalSet::new().block_on(&runtime, async {
         // Before anything else, lest a signal that comes early ends the program.
-        let signals = Signals::take().map_err(CannotRun::System)?;
-        let bound = Bound::new(&node)?;
-        run(ProxyContext::new(node), bound, Some(path), signals).await;
-        Ok::<_, CannotRun>(())
+        let signals = Signals::of_process().map_err(StartError::System)?;
+        let listeners = Listeners::bind(&node)?;
+        run(ProxyContext::new(node), listeners, Some(path), signals).await;
+        Ok::<_, StartError>(())
     });
     runtime.shutdown_background();
     Ok(ended?)
--- a/crates/rookpulley-proxy/src/sieve/tests.rs
+++ b/crates/rookpulley-proxy/src/response_filter/tests.rs
@@ -5,12 +5,12 @@
 use tokio::net::TcpListener;
 
 impl Peer for DuplexStream {
-    fn stirs(&self) -> bool {
+    fn has_stirred(&self) -> bool {
         false
     }
 }
 
-fn play<F: Future>(test: F) -> F::Output {
+fn run<F: Future>(test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -52,20 +52,22 @@
 fn each_gets_its_own_answer_and_none_of_those_that_come_again() {
     plays(200, 1 << 11, |u| {
         let (mut task, proxy) = tokio::io::duplex(1 << 16);
-        let awaited = Rc::new(Awaited::default());
-        let mut sieve = Sieve::new(proxy, awaited.clone());
+        let pending = Rc::new(PendingResponse::default());
+        let mut filter = ResponseFilter::new(proxy, pending.clone());
         let mut before: Vec<Vec<u8>> = Vec::new();
         let mut again = false;
         for number in 0..u.int_in_range(1..=6)? {
             let (own, head) = answer(u, number)?;
-            awaited.begin(&id(number), head, false);
+            pending.begin(&id(number), head, false);
             let mut wire = Vec::new();
             if u.ratio(1, 3)? {
                 wire.extend(b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n");
                 again = true;
             }
             if !before.is_empty() && u.ratio(1, 2)? {
-                wire.extend(u.choose(&before[before.len().saturating_sub(REMEMBERED)..])?);
+                wire.extend(
+                    u.choose(&before[before.len().saturating_sub(MAX_EARLIER_REQUESTS)..])?,
+                );
                 again = true;
             }
             wire.extend(&own);
@@ -76,7 +78,7 @@
             cuts.sort_unstable();
             let room = u.int_in_range(1..=300)?;
             let mut got = Vec::new();
-            play(async {
+            run(async {
                 let mut from = 0;
                 for cut in cuts {
                     task.write_all(&wire[from..cut]).await.unwrap();
@@ -85,7 +87,7 @@
                     let mut context = Context::from_waker(std::task::Waker::noop());
                     loop {
                         let mut into = ReadBuf::new(&mut piece);
-                        match Pin::new(&mut sieve).poll_read(&mut context, &mut into) {
+                        match Pin::new(&mut filter).poll_read(&mut context, &mut into) {
                             Poll::Pending => break,
                             Poll::Ready(read) => read.unwrap(),
                         }
@@ -95,7 +97,7 @@
                 }
             });
             assert_eq!(String::from_utf8_lossy(&got), String::from_utf8_lossy(&own));
-            assert_eq!(awaited.mixed(), again);
+            assert_eq!(pending.is_out_of_order(), again);
             before.push(own);
         }
         Ok(())
@@ -104,15 +106,15 @@
 
 #[test]
 fn what_the_task_has_ended_takes_nothing_and_what_it_has_not_is_counted() {
-    play(async {
+    run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         for (ends, says) in [(false, false), (true, false), (false, true)] {
             let stream = TcpStream::connect(listener.local_addr().unwrap())
                 .await
                 .unwrap();
             let (mut task, _) = listener.accept().await.unwrap();
-            let awaited = Rc::new(Awaited::default());
-            let mut sieve = Sieve::new(stream, awaited.clone());
+            let pending = Rc::new(PendingResponse::default());
+            let mut filter = ResponseFilter::new(stream, pending.clone());
             if says {
                 task.write_all(b"more").await.unwrap();
             }
@@ -120,12 +122,12 @@
                 task.shutdown().await.unwrap();
             }
             if ends || says {
-                sieve.stream.readable().await.unwrap();
+                filter.stream.readable().await.unwrap();
             }
-            awaited.begin(&id(1), false, true);
-            let wrote = sieve.write(b"request").await;
+            pending.begin(&id(1), false, true);
+            let wrote = filter.write(b"request").await;
             assert_eq!(
-                (wrote.is_err(), awaited.unsent()),
+                (wrote.is_err(), pending.is_unsent()),
                 (ends || says, ends || says)
             );
         }
@@ -134,22 +136,22 @@
 
 #[test]
 fn an_answer_that_came_before_the_task_stopped_listening_is_read() {
-    play(async {
+    run(async {
         let (mut task, proxy) = tokio::io::duplex(8);
-        let awaited = Rc::new(Awaited::default());
-        let mut sieve = Sieve::new(proxy, awaited.clone());
-        awaited.begin(&id(1), false, false);
-        sieve.write_all(b"part").await.unwrap();
+        let pending = Rc::new(PendingResponse::default());
+        let mut filter = ResponseFilter::new(proxy, pending.clone());
+        pending.begin(&id(1), false, false);
+        filter.write_all(b"part").await.unwrap();
         task.write_all(b"no more").await.unwrap();
         drop(task);
-        sieve.write_all(&[b'x'; 1_000]).await.unwrap();
+        filter.write_all(&[b'x'; 1_000]).await.unwrap();
         let mut got = Vec::new();
-        sieve.read_to_end(&mut got).await.unwrap();
+        filter.read_to_end(&mut got).await.unwrap();
         assert_eq!(got, b"no more");
         // Where nothing had left, a failure is one.
-        awaited.begin(&id(2), false, false);
+        pending.begin(&id(2), false, false);
         let (_, proxy) = tokio::io::duplex(8);
-        let mut sieve = Sieve::new(proxy, awaited.clone());
-        assert!(sieve.write_all(b"all").await.is_err() && awaited.unsent());
+        let mut filter = ResponseFilter::new(proxy, pending.clone());
+        assert!(filter.write_all(b"all").await.is_err() && pending.is_unsent());
     });
 }
--- a/crates/rookpulley-proxy/src/wires/tests.rs
+++ b/crates/rookpulley-proxy/src/upstream_pool/tests.rs
@@ -4,7 +4,15 @@
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-fn play<F: Future>(test: F) -> F::Output {
+fn demand(max_connections: usize, is_idempotent: bool, needs_new: bool) -> Demand {
+    Demand {
+        max_connections,
+        is_idempotent,
+        needs_new,
+    }
+}
+
+fn run<F: Future>(test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
@@ -32,31 +40,35 @@
 
 #[test]
 fn no_task_gets_more_connections_than_its_bound_though_others_could_spare_one() {
-    play(async {
+    run(async {
         let ((_one, one), (_two, two)) = (task("one").await, task("two").await);
-        let wires = Wires::new("z", 3);
-        let first = wires.take(&one, 2, false, false).await.unwrap();
-        let _second = wires.take(&one, 2, false, false).await.unwrap();
-        wires.take(&two, 2, false, false).await.unwrap().free(None);
+        let pools = UpstreamPools::new("z", 3);
+        let first = pools.connect(&one, demand(2, true, false)).await.unwrap();
+        let _second = pools.connect(&one, demand(2, true, false)).await.unwrap();
+        pools
+            .connect(&two, demand(2, true, false))
+            .await
+            .unwrap()
+            .release(None);
         assert_eq!(
-            wires.take(&one, 2, false, false).await.err(),
-            Some(NoWire::Full)
+            pools.connect(&one, demand(2, true, false)).await.err(),
+            Some(ConnectError::Limit)
         );
         // More proxies, a smaller bound: what is idle goes first.
-        first.free(None);
+        first.release(None);
         assert_eq!(
-            wires.take(&one, 1, false, true).await.err(),
-            Some(NoWire::Full)
+            pools.connect(&one, demand(1, true, true)).await.err(),
+            Some(ConnectError::Limit)
         );
         assert_eq!(
-            (wires.open.get(), wires.pools.borrow()["one"].open.get()),
+            (pools.open.get(), pools.pools.borrow()["one"].open.get()),
             (2, 1)
         );
         // One that is idle elsewhere makes room where the bound of all is reached.
-        let _third = wires.take(&one, 2, false, false).await.unwrap();
-        let _fourth = wires.take(&one, 3, false, false).await.unwrap();
+        let _third = pools.connect(&one, demand(2, true, false)).await.unwrap();
+        let _fourth = pools.connect(&one, demand(3, true, false)).await.unwrap();
         assert_eq!(
-            (wires.open.get(), wires.pools.borrow()["two"].open.get()),
+            (pools.open.get(), pools.pools.borrow()["two"].open.get()),
             (3, 0)
         );
     });
@@ -64,9 +76,9 @@
 
 #[test]
 fn what_may_run_once_leaves_only_where_the_task_keeps_the_connection() {
-    play(async {
+    run(async {
         let (listener, line) = task("one").await;
-        let wires = Wires::new("z", 3);
+        let pools = UpstreamPools::new("z", 3);
         tokio::task::spawn_local(async move {
             loop {
                 let (stream, _) = listener.accept().await.unwrap();
@@ -79,32 +91,38 @@
             }
         });
         for _ in 0..10 {
-            let Ok(mut wire) = wires.take(&line, 3, true, false).await else {
+            let Ok(mut connection) = pools.connect(&line, demand(3, false, false)).await else {
                 continue;
             };
-            wire.begin(&HeaderValue::from_static("q"), false, true);
-            let request = Request::new(Parcel::Whole(Bytes::new()));
-            assert!(wire.sender.try_send_request(request).await.is_err() && wire.unsent());
+            connection.begin(&HeaderValue::from_static("q"), false, false);
+            let request = Request::new(RequestBody::Complete(Bytes::new()));
+            assert!(
+                connection.sender.try_send_request(request).await.is_err()
+                    && connection.is_unsent()
+            );
         }
     });
 }
 
 #[test]
 fn what_may_run_once_goes_on_a_used_connection_only_where_the_task_is_known_to_keep_it() {
-    play(async {
+    run(async {
         let (listener, line) = task("one").await;
-        let wires = Wires::new("z", 3);
+        let pools = UpstreamPools::new("z", 3);
         let rested = async |told: Option<u64>, rest: u64| {
-            let mut wire = wires.take(&line, 3, false, true).await.unwrap();
-            wire.sender.ready().await.unwrap();
-            wire.free(told.map(Duration::from_millis));
-            let pool = wires.pools.borrow()["one"].clone();
-            pool.idle.borrow_mut().iter_mut().for_each(|wire| {
-                wire.freed -= Duration::from_millis(rest);
-                wire.until -= Duration::from_millis(rest);
+            let mut connection = pools.connect(&line, demand(3, true, true)).await.unwrap();
+            connection.sender.ready().await.unwrap();
+            connection.release(told.map(Duration::from_millis));
+            let pool = pools.pools.borrow()["one"].clone();
+            pool.idle.borrow_mut().iter_mut().for_each(|connection| {
+                connection.released -= Duration::from_millis(rest);
+                connection.expires -= Duration::from_millis(rest);
             });
-            let (once, many) = (pool.pop(true).is_some(), pool.pop(false).is_some());
-            (once, once || many)
+            let (not_idempotent, idempotent) = (
+                pool.take_idle(false).is_some(),
+                pool.take_idle(true).is_some(),
+            );
+            (not_idempotent, not_idempotent || idempotent)
         };
         assert_eq!(rested(None, 100).await, (true, true));
         assert_eq!(rested(None, 900).await, (false, true));
@@ -121,7 +139,7 @@
         for (name, value) in lines {
             headers.append(*name, HeaderValue::from_static(value));
         }
-        kept_for(&headers).map(|time| time.as_millis())
+        keep_alive(&headers).map(|time| time.as_millis())
     };
     assert_eq!(after(&[]), None);
     assert_eq!(
--- a/crates/rookpulley-proxy/tests/proxy/homes.rs
+++ b/crates/rookpulley-proxy/tests/proxy/homes.rs
@@ -2,7 +2,7 @@
 
 use crate::scene::{Scene, good, play, request, status};
 use rookpulley_protocol::{ControllerToProxy, ProxyHello, ProxyToController, TableEntry};
-use rookpulley_proxy::{Bound, ProxyContext, Signals, run};
+use rookpulley_proxy::{Listeners, ProxyContext, Signals, run};
 use rookpulley_runtime::connection::{self, Outbox};
 use rookpulley_settings::Node;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -120,9 +120,9 @@
         .unwrap();
         let any = Some(SocketAddrV4::new(node.ip, 0));
         (node.listen.front, node.listen.readiness) = (any, any);
-        let bound = Bound::new(&node).unwrap();
-        let (_tell, signals) = Signals::by_hand();
-        tokio::task::spawn_local(run(ProxyContext::new(node), bound, None, signals));
+        let listeners = Listeners::bind(&node).unwrap();
+        let (_tell, signals) = Signals::channel();
+        tokio::task::spawn_local(run(ProxyContext::new(node), listeners, None, signals));
 
         // One controller is a seed, the other is heard of from it.
         let mut first = Controller::new(first).await;
--- a/crates/rookpulley-proxy/tests/proxy/requests.rs
+++ b/crates/rookpulley-proxy/tests/proxy/requests.rs
@@ -363,7 +363,7 @@
         assert_eq!(status(&String::from_utf8_lossy(&chunk[..read])), 200);
         scene
             .tell
-            .send(rookpulley_proxy::Signal::End)
+            .send(rookpulley_proxy::Signal::Shutdown)
             .await
             .unwrap();
         while TcpStream::connect(scene.front).await.is_ok() {
@@ -392,7 +392,7 @@
         let asked = first.message().await.unwrap();
         scene
             .tell
-            .send(rookpulley_proxy::Signal::End)
+            .send(rookpulley_proxy::Signal::Shutdown)
             .await
             .unwrap();
         late.say(request("GET", "/r/x", "late", "")).await;
--- a/crates/rookpulley-proxy/tests/proxy/scene/mod.rs
+++ b/crates/rookpulley-proxy/tests/proxy/scene/mod.rs
@@ -1,7 +1,7 @@
 //! A proxy on loopback between a stand-in controller, stand-in tasks and a client that sends bytes.
 
 use rookpulley_protocol::{ControllerToProxy, LoadReport, ProxyToController, TableEntry, pack};
-use rookpulley_proxy::{Bound, ProxyContext, Signal, Signals, run};
+use rookpulley_proxy::{Listeners, ProxyContext, Signal, Signals, run};
 use rookpulley_runtime::connection;
 use rookpulley_settings::Node;
 use std::cell::RefCell;
@@ -96,10 +96,11 @@
         .unwrap();
         let any = Some(SocketAddrV4::new(node.ip, 0));
         (node.listen.front, node.listen.readiness) = (any, any);
-        let bound = Bound::new(&node).unwrap();
-        let (front, readiness) = bound.addresses().unwrap();
-        let (tell, signals) = Signals::by_hand();
-        tokio::task::spawn_local(run(ProxyContext::new(node), bound, None, signals));
+        let listeners = Listeners::bind(&node).unwrap();
+        let addresses = listeners.addresses().unwrap();
+        let (front, readiness) = (addresses.clients, addresses.readiness);
+        let (tell, signals) = Signals::channel();
+        tokio::task::spawn_local(run(ProxyContext::new(node), listeners, None, signals));
         let (stream, _) = listener.accept().await.unwrap();
         let (opened, mut open) = mpsc::unbounded_channel();
         let ((marks, took), (tell_report, reports)) =
--- a/crates/rookpulley-registry/examples/pick_cost.rs
+++ b/crates/rookpulley-registry/examples/pick_cost.rs
@@ -8,7 +8,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rookpulley_balancer::{Fate, Post, Round};
+use rookpulley_balancer::{AttemptOutcome, EndpointPicker, RequestAttempts};
 use rookpulley_protocol::TableEntry;
 use rookpulley_registry::{Heartbeat, PublisherOutput, Registry, Service, TablePublisher};
 use rookpulley_routes::RouteKind;
@@ -158,19 +158,19 @@
 }
 
 /// Picks one after the other, so many under way all the time.
-fn picks(post: &mut Post, now_ms: &mut f64) {
+fn picks(picker: &mut EndpointPicker, now_ms: &mut f64) {
     let mut flying = VecDeque::new();
     for _ in 0..PICKS {
         *now_ms += 2.0;
-        let round = Round::new(RouteKind::ReadOnly, 3, *now_ms + 1_000.0, 0.5);
-        flying.extend(post.pick("a", &round, RouteKind::ReadOnly, *now_ms));
+        let attempts = RequestAttempts::new(RouteKind::ReadOnly, 3, *now_ms + 1_000.0, 0.5);
+        flying.extend(picker.pick("a", &attempts, RouteKind::ReadOnly, *now_ms));
         if flying.len() > UNDER_WAY
             && let Some(pick) = flying.pop_front()
         {
-            post.settle("a", pick, Fate::Answered(200), 32.0, *now_ms);
+            picker.record("a", pick, AttemptOutcome::Answered(200), 32.0, *now_ms);
         }
     }
-    flying.into_iter().for_each(|pick| post.left(pick));
+    flying.into_iter().for_each(|pick| picker.cancel(pick));
 }
 
 /// The same by the least busy of two, of all tasks.
@@ -206,14 +206,14 @@
         let mut site = Site::new(tasks, proxies);
         let lines = site.tables.get("c0").cloned().unwrap_or_default();
         let held: usize = site.tables.values().map(Vec::len).sum();
-        let mut post = Post::new("z0", 1);
-        post.table("a", lines);
+        let mut picker = EndpointPicker::new("z0", 1);
+        picker.replace_table("a", lines);
         let (mut now_ms, mut chance) = (0.0, ChaCha8Rng::seed_from_u64(1));
         let mut waiting = vec![0; tasks];
         let (mut pick_us, mut pick_allocations, mut plain_us) =
             (Vec::new(), Vec::new(), Vec::new());
         for _ in 0..ROUNDS {
-            let (us, count) = measured(|| picks(&mut post, &mut now_ms));
+            let (us, count) = measured(|| picks(&mut picker, &mut now_ms));
             pick_us.push(us / PICKS as f64);
             pick_allocations.push(count / PICKS as f64);
             plain_us.push(measured(|| plain(&mut waiting, &mut chance)).0 / PICKS as f64);
--- a/crates/rookpulley-routes/src/route.rs
+++ b/crates/rookpulley-routes/src/route.rs
@@ -10,7 +10,8 @@
 }
 
 impl RouteKind {
-    pub fn repeatable(self) -> bool {
+    /// Whether a request may run twice at no harm.
+    pub fn is_idempotent(self) -> bool {
         self != Self::Mutating
     }
 }
--- a/crates/rookpulley-scale/src/hollow_proxy.rs
+++ b/crates/rookpulley-scale/src/hollow_proxy.rs
@@ -1,4 +1,4 @@
-//! Proxies that carry nothing: each keeps a line to every controller, chooses its primary, takes tables, drains and
+//! Proxies that carry nothing: each keeps a connection to every controller, chooses its primary, takes tables, drains and
 //! configurations and acknowledges and reports as a real one does. What it is sent is counted, and then dropped.
 
 use rookpulley_balancer::ControllerSelection;
@@ -14,11 +14,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
 
-const DIAL_WITHIN: Duration = Duration::from_secs(2);
-const PAUSE: Duration = Duration::from_millis(200);
-const TEND_EVERY: Duration = Duration::from_millis(250);
-/// A report goes to the primary once in so many rounds.
-const REPORT_ROUNDS: u64 = 4;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+const BACKOFF: Duration = Duration::from_millis(200);
+const TICK: Duration = Duration::from_millis(250);
+/// A report goes to the primary once in so many ticks.
+const REPORT_TICKS: u64 = 4;
 const READ_BYTES: usize = 16 << 10;
 
 /// What all hollow proxies count together.
@@ -44,7 +44,7 @@
     name: String,
     zone: String,
     controllers: RefCell<ControllerSelection>,
-    lines: RefCell<BTreeMap<Ipv4Addr, mpsc::UnboundedSender<Vec<u8>>>>,
+    connections: RefCell<BTreeMap<Ipv4Addr, mpsc::UnboundedSender<Vec<u8>>>>,
     version: Cell<u64>,
     tables: Cell<bool>,
     born: Instant,
@@ -63,7 +63,7 @@
         name: format!("hollow-{number}"),
         zone,
         controllers: RefCell::default(),
-        lines: RefCell::default(),
+        connections: RefCell::default(),
         version: Cell::new(0),
         tables: Cell::new(false),
         born: Instant::now(),
@@ -71,9 +71,9 @@
         port,
     });
     for ip in controllers {
-        hollow.named(*ip);
+        hollow.discover(*ip);
     }
-    tokio::task::spawn_local(hollow.tend());
+    tokio::task::spawn_local(hollow.run());
 }
 
 impl Hollow {
@@ -81,58 +81,62 @@
         self.born.elapsed().as_secs_f64() * 1e3
     }
 
-    fn named(self: &Rc<Self>, ip: Ipv4Addr) {
+    fn discover(self: &Rc<Self>, ip: Ipv4Addr) {
         let now = self.now_ms();
-        if self.controllers.borrow_mut().named(now, ip) {
-            tokio::task::spawn_local(self.clone().keep(ip));
+        if self.controllers.borrow_mut().discover(now, ip) {
+            tokio::task::spawn_local(self.clone().keep_connected(ip));
         }
     }
 
-    fn say(&self, to: Ipv4Addr, up: &ProxyToController) {
-        let bytes = frame(up);
+    fn send(&self, to: Ipv4Addr, message: &ProxyToController) {
+        let bytes = frame(message);
         add(&self.counts.bytes_out, bytes.len());
-        _ = self.lines.borrow().get(&to).map(|line| line.send(bytes));
+        _ = self
+            .connections
+            .borrow()
+            .get(&to)
+            .map(|connection| connection.send(bytes));
     }
 
     fn choose(&self) {
         let now = self.now_ms();
-        let Some(moved) = self.controllers.borrow_mut().choose(now) else {
+        let Some(moved) = self.controllers.borrow_mut().choose_primary(now) else {
             return;
         };
-        let (config, tables) = (self.version.get(), self.tables.get());
+        let (configuration, has_tables) = (self.version.get(), self.tables.get());
         if let Some(from) = moved.from {
-            self.say(
+            self.send(
                 from,
                 &ProxyToController::PrimaryChanged {
                     is_primary: false,
-                    configuration: config,
-                    has_tables: tables,
+                    configuration,
+                    has_tables,
                 },
             );
         }
-        self.say(
+        self.send(
             moved.to,
             &ProxyToController::PrimaryChanged {
                 is_primary: true,
-                configuration: config,
-                has_tables: tables,
+                configuration,
+                has_tables,
             },
         );
     }
 
-    async fn tend(self: Rc<Self>) {
-        for round in 0u64.. {
-            tokio::time::sleep(TEND_EVERY).await;
+    async fn run(self: Rc<Self>) {
+        for tick in 0u64.. {
+            tokio::time::sleep(TICK).await;
             self.choose();
-            let home = self.controllers.borrow().home();
-            if let Some(home) = home.filter(|_| round.is_multiple_of(REPORT_ROUNDS)) {
+            let primary = self.controllers.borrow().primary();
+            if let Some(primary) = primary.filter(|_| tick.is_multiple_of(REPORT_TICKS)) {
                 let service = ServiceLoad {
                     service: "svc0000".into(),
                     received: 1,
                     ..Default::default()
                 };
-                self.say(
-                    home,
+                self.send(
+                    primary,
                     &ProxyToController::Report(LoadReport {
                         span_ms: 1_000,
                         services: vec![service],
@@ -142,16 +146,16 @@
         }
     }
 
-    async fn keep(self: Rc<Self>, ip: Ipv4Addr) {
+    async fn keep_connected(self: Rc<Self>, ip: Ipv4Addr) {
         loop {
             if let Ok(stream) =
-                connection::connect(SocketAddr::from((ip, self.port)), DIAL_WITHIN).await
+                connection::connect(SocketAddr::from((ip, self.port)), CONNECT_TIMEOUT).await
             {
                 _ = self.converse(ip, stream).await;
             }
-            self.lines.borrow_mut().remove(&ip);
-            self.controllers.borrow_mut().lost(ip);
-            tokio::time::sleep(PAUSE).await;
+            self.connections.borrow_mut().remove(&ip);
+            self.controllers.borrow_mut().disconnected(ip);
+            tokio::time::sleep(BACKOFF).await;
         }
     }
 
@@ -161,16 +165,16 @@
         stream: tokio::net::TcpStream,
     ) -> std::io::Result<()> {
         let (queue, mut waiting) = mpsc::unbounded_channel::<Vec<u8>>();
-        self.lines.borrow_mut().insert(ip, queue);
+        self.connections.borrow_mut().insert(ip, queue);
         let hello = ProxyToController::Hello(ProxyHello {
             node: self.name.clone(),
             zone: self.zone.clone(),
-            is_primary: self.controllers.borrow().home() == Some(ip),
+            is_primary: self.controllers.borrow().primary() == Some(ip),
             configuration: self.version.get(),
             has_tables: self.tables.get(),
             gone: Vec::new(),
         });
-        self.say(ip, &hello);
+        self.send(ip, &hello);
         let now = self.now_ms();
         self.controllers.borrow_mut().connected(now, ip);
         let (mut reader, mut writer) = stream.into_split();
@@ -188,35 +192,36 @@
                     }
                     add(&self.counts.bytes_in, read);
                     frames.push(chunk.get(..read).unwrap_or_default());
-                    while let Ok(Some(down)) = frames.take::<ControllerToProxy>() {
-                        self.take(ip, down);
+                    while let Ok(Some(message)) = frames.take::<ControllerToProxy>() {
+                        self.take(ip, message);
                     }
                 }
             }
         }
     }
 
-    fn take(self: &Rc<Self>, from: Ipv4Addr, down: ControllerToProxy) {
+    fn take(self: &Rc<Self>, from: Ipv4Addr, message: ControllerToProxy) {
         add(&self.counts.messages_in, 1);
-        match down {
+        match message {
             ControllerToProxy::Status {
                 in_touch,
-                configuration: config,
+                configuration,
                 controllers,
                 ..
             } => {
-                let (now, have) = (self.now_ms(), self.version.get());
-                if self
-                    .controllers
-                    .borrow_mut()
-                    .pulse(now, from, in_touch, config, have)
-                {
-                    self.say(
-                        from,
-                        &ProxyToController::RequestConfiguration { held: have },
-                    );
+                let (now, held) = (self.now_ms(), self.version.get());
+                if self.controllers.borrow_mut().handle_status(
+                    now,
+                    from,
+                    in_touch,
+                    configuration,
+                    held,
+                ) {
+                    self.send(from, &ProxyToController::RequestConfiguration { held });
                 }
-                controllers.iter().for_each(|other| self.named(*other.ip()));
+                controllers
+                    .iter()
+                    .for_each(|other| self.discover(*other.ip()));
                 self.choose();
             }
             ControllerToProxy::Configuration { version, .. } if version > self.version.get() => {
@@ -229,12 +234,12 @@
                     .or_default()
                     .push(Instant::now());
             }
-            ControllerToProxy::Table { sequence: mark, .. } => {
+            ControllerToProxy::Table { sequence, .. } => {
                 add(&self.counts.tables, 1);
                 if !self.tables.replace(true) {
                     self.counts.ready.set(self.counts.ready.get() + 1);
                 }
-                self.say(from, &ProxyToController::TablesApplied { up_to: mark });
+                self.send(from, &ProxyToController::TablesApplied { up_to: sequence });
             }
             ControllerToProxy::Configuration { .. }
             | ControllerToProxy::InstancesGone { .. }
--- a/crates/rookpulley-simulator/src/clients.rs
+++ b/crates/rookpulley-simulator/src/clients.rs
@@ -150,7 +150,7 @@
             self.after(us, Some(address), What::Request(index));
             // A repeatable one that isn't read is given up after a while.
             self.after(left, None, What::ClientLate { try_: index });
-            if self.record.tries[index].kind.repeatable() {
+            if self.record.tries[index].kind.is_idempotent() {
                 self.after((left / 3).min(S), None, What::ClientLate { try_: index });
             }
         } else {
@@ -223,7 +223,7 @@
     fn ends(&mut self, index: usize, ended: Ended) {
         let now = self.now;
         let of = &mut self.record.tries[index];
-        let repeatable = of.kind.repeatable();
+        let repeatable = of.kind.is_idempotent();
         let retry_ms = match &ended {
             Ended::Told(told) => told.retry_after_ms.unwrap_or(0.0),
             _ => 0.0,
--- a/crates/rookpulley-simulator/src/judge/requests.rs
+++ b/crates/rookpulley-simulator/src/judge/requests.rs
@@ -40,7 +40,7 @@
     fn once(&self, try_: &Try) -> bool {
         let known = self.valid().filter(|put| put.sent <= try_.ended_us());
         let mut routes = known.filter_map(|put| put.config.route(&try_.host, &try_.path));
-        !try_.kind.repeatable() && routes.all(|route| !route.kind.repeatable())
+        !try_.kind.is_idempotent() && routes.all(|route| !route.kind.is_idempotent())
     }
 
     pub fn requests(&mut self) {
--- a/crates/rookpulley-simulator/src/proxies.rs
+++ b/crates/rookpulley-simulator/src/proxies.rs
@@ -1,4 +1,4 @@
-//! A proxy's process: the satchel and its journeys, with lines, clients and connections to tasks round them.
+//! A proxy's process: the state and its requests, with connections to controllers, clients and connections to tasks round them.
 
 use crate::clients::Told;
 use crate::net::{Host, unframed};
@@ -6,12 +6,13 @@
 use crate::world::{Core, Mutation, What, World};
 use crate::{MS, S, Us};
 use rand::RngExt;
-use rookpulley_balancer::{Fate, Pick};
+use rookpulley_balancer::{AttemptOutcome, Pick};
 use rookpulley_protocol::{
     ControllerToProxy, InstanceLoad, LoadReport, ProxyToController, TableEntry, frame,
 };
 use rookpulley_proxy_core::{
-    Back, Effect, Go, Head, How, Journey, Leaving, Satchel, Then, Way, worth,
+    AfterAttempt, AttemptEnd, Effect, NextStep, ProxyStart, ProxyState, RequestLifecycle, Resend,
+    ResponseHead, RouteDecision, SendFailure, evaluate,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::net::Ipv4Addr;
@@ -50,7 +51,7 @@
 
 /// A request at work.
 struct Work {
-    journey: Journey,
+    lifecycle: RequestLifecycle,
     once: bool,
     gone: bool,
     /// A later one makes what was begun for an earlier one void.
@@ -58,13 +59,13 @@
     pick: Option<Pick>,
     to: Option<Rc<TableEntry>>,
     began_ms: f64,
-    leaving: Leaving,
+    resend: Resend,
     left: bool,
     wire: Option<(u64, bool)>,
 }
 
 pub struct ProxyProcess {
-    satchel: Satchel,
+    state: ProxyState,
     dialers: BTreeMap<Ipv4Addr, Dialer>,
     pools: HashMap<String, Pool>,
     /// The incarnations that connections go to.
@@ -83,9 +84,9 @@
         if self.running(process) {
             return;
         }
-        let satchel = self.satchel(machine);
+        let state = self.new_state(machine);
         let proxy = ProxyProcess {
-            satchel,
+            state,
             dialers: BTreeMap::new(),
             pools: HashMap::new(),
             incarnations: HashMap::new(),
@@ -98,23 +99,24 @@
         self.begin(process, Core::Proxy(proxy));
         self.say(|| format!("proxy {machine}: begins"));
         self.after(TICK, self.address(process), What::Tick);
-        self.with_satchel(process, Satchel::tend);
+        self.with_state(process, ProxyState::tick);
     }
 
-    fn satchel(&mut self, machine: usize) -> Satchel {
+    fn new_state(&mut self, machine: usize) -> ProxyState {
         let seeds = self.seeds().iter().map(|seed| *seed.ip()).collect();
         let (mut ratio, mut slack) = (self.day.retry_ratio, self.day.retry_slack);
         if self.mutation == Some(Mutation::FreeTries) {
             (ratio, slack) = (50.0, 1e6);
         }
         let zone = format!("zone-{}", self.machines[machine].zone);
-        Satchel::new(
-            &format!("edge-{machine}"),
-            &zone,
+        ProxyState::new(ProxyStart {
+            name: &format!("edge-{machine}"),
+            zone: &zone,
             seeds,
-            (ratio, slack),
-            self.rng.random(),
-        )
+            retry_ratio: ratio,
+            retry_slack: slack,
+            seed: self.rng.random(),
+        })
     }
 
     fn proxy(&mut self, process: usize) -> Option<&mut ProxyProcess> {
@@ -124,18 +126,18 @@
         }
     }
 
-    fn with_satchel<T>(
+    fn with_state<T>(
         &mut self,
         process: usize,
-        input: impl FnOnce(&mut Satchel, f64) -> T,
+        input: impl FnOnce(&mut ProxyState, f64) -> T,
     ) -> Option<T> {
         let clock = self.clock(process);
         let proxy = self.proxy(process)?;
-        let came = input(&mut proxy.satchel, clock);
-        let effects = proxy.satchel.effects();
+        let came = input(&mut proxy.state, clock);
+        let effects = proxy.state.take_effects();
         effects
             .into_iter()
-            .for_each(|effect| self.satchel_wants(process, effect));
+            .for_each(|effect| self.carry_out(process, effect));
         Some(came)
     }
 
@@ -144,23 +146,23 @@
         &mut self,
         process: usize,
         request: usize,
-        input: impl FnOnce(&mut Work, &mut Satchel, f64) -> T,
+        input: impl FnOnce(&mut Work, &mut ProxyState, f64) -> T,
     ) -> Option<T> {
         let clock = self.clock(process);
         let proxy = self.proxy(process)?;
         let work = proxy.works.get_mut(&request)?;
-        let came = input(work, &mut proxy.satchel, clock);
-        let effects = proxy.satchel.effects();
+        let came = input(work, &mut proxy.state, clock);
+        let effects = proxy.state.take_effects();
         effects
             .into_iter()
-            .for_each(|effect| self.satchel_wants(process, effect));
+            .for_each(|effect| self.carry_out(process, effect));
         Some(came)
     }
 
-    fn satchel_wants(&mut self, process: usize, effect: Effect) {
+    fn carry_out(&mut self, process: usize, effect: Effect) {
         let me = self.address(process);
         match effect {
-            Effect::Dial(ip) => {
+            Effect::Connect(ip) => {
                 if let Some(proxy) = self.proxy(process) {
                     proxy.dialers.insert(
                         ip,
@@ -173,7 +175,10 @@
                 }
                 self.after(0, me, What::Dial(ip));
             }
-            Effect::Say(ip, mut up) => {
+            Effect::SendToController {
+                to: ip,
+                message: mut up,
+            } => {
                 if let ProxyToController::Report(report) = &mut up {
                     self.spoil_report(report);
                 }
@@ -183,7 +188,7 @@
                 line.into_iter()
                     .for_each(|line| self.send_line(line, 0, frame(&up)));
             }
-            Effect::Forget(incarnation) => {
+            Effect::CloseConnections(incarnation) => {
                 let pool = self
                     .proxy(process)
                     .and_then(|proxy| proxy.pools.remove(&incarnation));
@@ -191,7 +196,7 @@
                 idle.into_iter()
                     .for_each(|wire| self.end_wire(process, wire.number));
             }
-            Effect::Log(line) | Effect::Complain(line) => {
+            Effect::Log(line) | Effect::LogWarning(line) => {
                 let machine = self.processes[process].machine;
                 self.say(|| format!("proxy {machine}: {line}"));
             }
@@ -223,7 +228,7 @@
     pub fn proxy_ready(&self, machine: usize) -> bool {
         let process = &self.processes[self.process_of(machine, false)];
         !process.asleep
-            && matches!(&process.core, Some(Core::Proxy(proxy)) if proxy.satchel.ready())
+            && matches!(&process.core, Some(Core::Proxy(proxy)) if proxy.state.is_ready())
     }
 
     pub fn proxy_takes(&mut self, process: usize, what: What) {
@@ -274,12 +279,12 @@
             Some(_) => tick.is_multiple_of(2).then_some(tick / 2),
         };
         if let Some(tick) = due {
-            self.with_satchel(process, Satchel::tend);
+            self.with_state(process, ProxyState::tick);
             if tick.is_multiple_of(2) {
                 self.sweep_wires(process);
             }
             if tick.is_multiple_of(4) {
-                self.with_satchel(process, Satchel::report);
+                self.with_state(process, ProxyState::send_report);
             }
         }
         if let Some(since) = ends {
@@ -301,7 +306,7 @@
     /// It takes up its first configuration again.
     fn go_back(&mut self, process: usize) {
         let machine = self.processes[process].machine;
-        let fresh = self.satchel(machine);
+        let fresh = self.new_state(machine);
         let clock = self.clock(process);
         let Some(proxy) = self.proxy(process) else {
             return;
@@ -309,16 +314,18 @@
         let Some(first) = proxy.first.clone() else {
             return;
         };
-        let (post, ending) = (
-            std::mem::replace(&mut proxy.satchel, fresh),
-            proxy.satchel.ending,
+        let (before, is_ending) = (
+            std::mem::replace(&mut proxy.state, fresh),
+            proxy.state.is_ending,
         );
-        (proxy.satchel.post, proxy.satchel.ending) = (post.post, ending);
+        (proxy.state.endpoints, proxy.state.is_ending) = (before.endpoints, is_ending);
         proxy.gone_back = true;
         if let Some(down) = unframed::<ControllerToProxy>(&first) {
-            proxy.satchel.take(clock, Ipv4Addr::LOCALHOST, down);
+            proxy
+                .state
+                .handle_controller_message(clock, Ipv4Addr::LOCALHOST, down);
         }
-        _ = proxy.satchel.effects();
+        _ = proxy.state.take_effects();
     }
 
     pub fn term_proxy(&mut self, process: usize) {
@@ -330,7 +337,7 @@
             && proxy.ends.is_none()
         {
             proxy.ends = Some(now);
-            self.with_satchel(process, |satchel, _| satchel.ending = true);
+            self.with_state(process, |state, _| state.is_ending = true);
         }
     }
 
@@ -353,12 +360,12 @@
         {
             (dialer.line, dialer.begun) = (Some(line), now);
         }
-        self.with_satchel(process, |satchel, now| satchel.opened(now, ip));
+        self.with_state(process, |state, now| state.controller_connected(now, ip));
     }
 
     fn proxy_dials_again(&mut self, process: usize, ip: Ipv4Addr) {
         let me = self.address(process);
-        if self.with_satchel(process, |satchel, now| satchel.forgotten(now, ip)) == Some(true) {
+        if self.with_state(process, |state, now| state.is_forgotten(now, ip)) == Some(true) {
             self.proxy(process)
                 .into_iter()
                 .for_each(|proxy| _ = proxy.dialers.remove(&ip));
@@ -404,7 +411,7 @@
                 self.now > 5 * S
                     && self
                         .proxy(process)
-                        .is_some_and(|proxy| proxy.satchel.ready())
+                        .is_some_and(|proxy| proxy.state.is_ready())
             }
             (
                 ControllerToProxy::InstancesGone { .. } | ControllerToProxy::Table { .. },
@@ -413,10 +420,12 @@
                 self.now > 3 * S
                     && self
                         .proxy(process)
-                        .is_some_and(|proxy| proxy.satchel.ready())
+                        .is_some_and(|proxy| proxy.state.is_ready())
             }
             (ControllerToProxy::Configuration { .. }, Some(Mutation::ConfigurationsMissed)) => {
-                self.proxy(process).is_some_and(|c| c.satchel.version() > 0) && !self.chance(4)
+                self.proxy(process)
+                    .is_some_and(|c| c.state.configuration_version() > 0)
+                    && !self.chance(4)
             }
             (ControllerToProxy::Configuration { .. }, Some(Mutation::GoesBack)) => {
                 let proxy = self.proxy(process);
@@ -429,13 +438,15 @@
                 if let ControllerToProxy::Status { in_touch, .. } = &mut down {
                     *in_touch = true;
                 }
-                let home = self.proxy(process).and_then(|proxy| proxy.satchel.home());
+                let home = self.proxy(process).and_then(|proxy| proxy.state.primary());
                 home.is_some_and(|home| home != ip)
             }
             _ => false,
         };
         if !missed {
-            self.with_satchel(process, |satchel, now| satchel.take(now, ip, down));
+            self.with_state(process, |state, now| {
+                state.handle_controller_message(now, ip, down)
+            });
         }
     }
 
@@ -459,11 +470,11 @@
             && self
                 .proxy(process)
                 .is_some_and(|c| c.dialers.values().all(|dialer| dialer.line.is_none()));
-        self.with_satchel(process, |satchel, now| {
-            satchel.lost(ip);
-            satchel.choose_home(now);
+        self.with_state(process, |state, now| {
+            state.controller_disconnected(ip);
+            state.choose_primary(now);
             if alone {
-                satchel.take_proxies(now + 1e9, 1);
+                state.update_fleet(now + 1e9, 1);
             }
         });
         self.proxy_dials_again(process, ip);
@@ -476,25 +487,25 @@
         of.read_us = Some(self.now);
         let (host, path, deadline_ms) =
             (of.host.clone(), of.path.clone(), of.deadline as f64 / 1e3);
-        let arrived = self.with_satchel(process, |satchel, now| {
-            satchel
-                .arrives(now, &host, &path, Some(deadline_ms))
-                .map(|way| {
-                    let once = !way.kind.repeatable();
-                    (Journey::new(satchel, way, true), once)
+        let arrived = self.with_state(process, |state, now| {
+            state
+                .route(now, &host, &path, Some(deadline_ms))
+                .map(|route| {
+                    let once = !route.kind.is_idempotent();
+                    (RequestLifecycle::new(state, route, true), once)
                 })
         });
         match arrived {
-            Some(Ok((journey, once))) => {
+            Some(Ok((lifecycle, once))) => {
                 let work = Work {
-                    journey,
+                    lifecycle,
                     once,
                     gone: false,
                     attempt: 0,
                     pick: None,
                     to: None,
                     began_ms: 0.0,
-                    leaving: Leaving::default(),
+                    resend: Resend::default(),
                     left: false,
                     wire: None,
                 };
@@ -503,8 +514,8 @@
                 }
                 self.go(process, try_);
             }
-            Some(Err(tell)) => {
-                self.tell(process, try_, Told::own(tell.status, tell.retry_after_ms))
+            Some(Err(local)) => {
+                self.tell(process, try_, Told::own(local.status, local.retry_after_ms))
             }
             None => {}
         }
@@ -556,33 +567,37 @@
 
     fn go(&mut self, process: usize, request: usize) {
         let me = self.address(process);
-        let go = self.with_work(process, request, |work, satchel, now| {
+        let go = self.with_work(process, request, |work, state, now| {
             work.attempt += 1;
-            let go = work.journey.go(satchel, now, !work.gone);
+            let go = work.lifecycle.next_step(state, now, !work.gone);
             (go, work.attempt, now)
         });
         let Some((go, attempt, clock)) = go else {
             return;
         };
         match go {
-            Go::Tell(tell) => self.tell(
+            NextStep::Respond(local) => self.tell(
                 process,
                 request,
-                Told::own(tell.status, tell.retry_after_ms),
+                Told::own(local.status, local.retry_after_ms),
             ),
-            Go::Try { pick, to, turn_ms } => {
+            NextStep::Attempt {
+                pick,
+                to,
+                check_at_ms,
+            } => {
                 let uncounted = self.mutation == Some(Mutation::NothingCounted);
-                self.with_work(process, request, |work, satchel, now| {
+                self.with_work(process, request, |work, state, now| {
                     (work.pick, work.to, work.began_ms) = (Some(pick), Some(to), now);
                     if uncounted {
                         work.pick
                             .take()
                             .into_iter()
-                            .for_each(|pick| satchel.post.left(pick));
+                            .for_each(|pick| state.endpoints.cancel(pick));
                     }
-                    (work.leaving, work.left, work.wire) = (Leaving::default(), false, None);
+                    (work.resend, work.left, work.wire) = (Resend::default(), false, None);
                 });
-                let us = ((turn_ms - clock).max(0.0) * 1e3) as Us;
+                let us = ((check_at_ms - clock).max(0.0) * 1e3) as Us;
                 self.after(us, me, What::Turn { request, attempt });
                 self.take_wire(process, request, attempt);
             }
@@ -592,9 +607,14 @@
     /// An idle connection, or a new one, or none.
     fn take_wire(&mut self, process: usize, request: usize, attempt: u32) {
         let (me, now) = (self.address(process), self.now);
-        let taken = self.with_work(process, request, |work, satchel, _| {
-            let bound = satchel.connections(work.journey.way());
-            (work.to.clone(), bound, work.once, work.leaving.anew())
+        let taken = self.with_work(process, request, |work, state, _| {
+            let bound = state.connection_limit(work.lifecycle.route());
+            (
+                work.to.clone(),
+                bound,
+                work.once,
+                work.resend.needs_new_connection(),
+            )
         });
         let Some((Some(to), bound, once, anew)) = taken else {
             return;
@@ -612,7 +632,7 @@
         if pool.open >= bound {
             match pool.idle.pop() {
                 Some(wire) => self.end_wire(process, wire.number),
-                None => return self.ended(process, request, How::Full, None),
+                None => return self.ended(process, request, AttemptEnd::ConnectionLimit, None),
             }
         }
         let wire = self.number();
@@ -668,7 +688,12 @@
             return self.wire_at_hand(process, request, attempt, (wire, false));
         }
         self.end_wire(process, wire);
-        self.ended(process, request, How::Fate(Fate::Unsent), None);
+        self.ended(
+            process,
+            request,
+            AttemptEnd::Outcome(AttemptOutcome::Unsent),
+            None,
+        );
     }
 
     fn end_wire(&mut self, process: usize, wire: u64) {
@@ -697,18 +722,18 @@
     }
 
     fn wire_at_hand(&mut self, process: usize, request: usize, attempt: u32, wire: (u64, bool)) {
-        let may = self.with_work(process, request, |work, satchel, now| {
+        let may = self.with_work(process, request, |work, state, now| {
             let to = work.to.clone()?;
-            if !satchel.may_leave(&to.incarnation) {
+            if !state.may_send(&to.incarnation) {
                 return None;
             }
             (work.wire, work.left) = (Some(wire), true);
-            let left_ms = (work.journey.way().until_ms - now - 5.0).max(1.0);
+            let left_ms = (work.lifecycle.route().deadline_ms - now - 5.0).max(1.0);
             Some((to, left_ms))
         });
         let Some(Some((to, left_ms))) = may else {
             self.end_wire(process, wire.0);
-            return self.ended(process, request, How::Full, None);
+            return self.ended(process, request, AttemptEnd::ConnectionLimit, None);
         };
         let Some(me) = self.address(process) else {
             return;
@@ -752,21 +777,23 @@
             return;
         }
         let mutation = self.mutation;
-        let how = match &answer {
+        let end = match &answer {
             Answer::Reset { unread } => {
                 // Whether anything was written is told by the connection.
                 let back = self.with_work(process, request, |work, _, _| {
                     let used = work.wire.is_some_and(|(_, used)| used);
-                    let back = work.leaving.failed(*unread, used, true);
-                    work.left = back == Back::Broken;
+                    let back = work.resend.send_failed(*unread, used, true);
+                    work.left = back == SendFailure::Interrupted;
                     back
                 });
                 self.end_wire(process, wire);
                 self.with_work(process, request, |work, _, _| work.wire = None);
                 match back {
-                    Some(Back::Anew) => return self.take_wire(process, request, attempt),
-                    Some(Back::Unsent) => How::Fate(Fate::Unsent),
-                    _ => How::Fate(Fate::Broken),
+                    Some(SendFailure::SendAgain) => {
+                        return self.take_wire(process, request, attempt);
+                    }
+                    Some(SendFailure::Unsent) => AttemptEnd::Outcome(AttemptOutcome::Unsent),
+                    _ => AttemptEnd::Outcome(AttemptOutcome::Interrupted),
                 }
             }
             Answer::Head {
@@ -778,36 +805,41 @@
                 whole,
                 ..
             } => {
-                let head = Head {
+                let head = ResponseHead {
                     status: *status,
-                    own: *own || mutation == Some(Mutation::AnyAnswer),
+                    has_request_id: *own || mutation == Some(Mutation::AnyAnswer),
                     not_executed: *not_executed,
-                    stamped: *stamped,
-                    encoded: false,
-                    sized: *sized,
+                    is_signed: *stamped,
+                    is_encoded: false,
+                    has_length: *sized,
                 };
-                let how = How::of(worth(head));
-                let how = how.unwrap_or(if *whole {
-                    How::Fate(Fate::Answered(*status))
+                let end = AttemptEnd::of_verdict(evaluate(head));
+                let end = end.unwrap_or(if *whole {
+                    AttemptEnd::Outcome(AttemptOutcome::Answered(*status))
                 } else {
-                    How::Fate(Fate::Broken)
+                    AttemptEnd::Outcome(AttemptOutcome::Interrupted)
                 });
-                let in_order = matches!(how, How::Fate(Fate::Answered(_) | Fate::NotExecuted));
+                let in_order = matches!(
+                    end,
+                    AttemptEnd::Outcome(AttemptOutcome::Answered(_) | AttemptOutcome::NotExecuted)
+                );
                 self.with_work(process, request, |work, _, _| work.wire = None);
                 match in_order {
                     true => self.free_wire(process, wire),
                     false => self.end_wire(process, wire),
                 }
-                how
+                end
             }
         };
-        let how = match (how, mutation) {
-            (How::Fate(Fate::Broken), Some(Mutation::BrokenIsUnsent)) => How::Fate(Fate::Unsent),
-            (how, _) => how,
+        let end = match (end, mutation) {
+            (AttemptEnd::Outcome(AttemptOutcome::Interrupted), Some(Mutation::BrokenIsUnsent)) => {
+                AttemptEnd::Outcome(AttemptOutcome::Unsent)
+            }
+            (end, _) => end,
         };
-        let passed = match (how, answer) {
+        let passed = match (end, answer) {
             (
-                How::Fate(Fate::Answered(status)),
+                AttemptEnd::Outcome(AttemptOutcome::Answered(status)),
                 Answer::Head {
                     signature, body, ..
                 },
@@ -820,7 +852,7 @@
             }),
             _ => None,
         };
-        self.ended(process, request, how, passed);
+        self.ended(process, request, end, passed);
     }
 
     fn turn(&mut self, process: usize, request: usize, attempt: u32) {
@@ -828,10 +860,10 @@
         if self.current(process, request, attempt).is_none() {
             return;
         }
-        let turns = self.with_work(process, request, |work, satchel, now| {
+        let turns = self.with_work(process, request, |work, state, now| {
             (
-                work.journey.turns(satchel, now),
-                work.journey.way().until_ms - now,
+                work.lifecycle.is_to_be_broken_off(state, now),
+                work.lifecycle.route().deadline_ms - now,
             )
         });
         match turns {
@@ -849,11 +881,14 @@
         let Some(work) = self.current(process, request, attempt) else {
             return;
         };
-        let (how, wire) = (Journey::broken_off(work.left, false), work.wire.take());
+        let (end, wire) = (
+            AttemptEnd::of_broken_off(work.left, false),
+            work.wire.take(),
+        );
         if let Some((wire, _)) = wire {
             self.break_off(process, request, attempt, wire);
         }
-        self.ended(process, request, how, None);
+        self.ended(process, request, end, None);
     }
 
     /// The connection of a request ends while a task has it.
@@ -876,40 +911,40 @@
         }
     }
 
-    fn ended(&mut self, process: usize, request: usize, how: How, passed: Option<Told>) {
+    fn ended(&mut self, process: usize, request: usize, end: AttemptEnd, passed: Option<Told>) {
         let status = passed.as_ref().map(|told| told.status);
         let nothing_learnt = self.mutation == Some(Mutation::NothingLearnt);
-        let then = self.with_work(process, request, |work, satchel, now| {
-            let way: &Way = work.journey.way();
+        let then = self.with_work(process, request, |work, state, now| {
+            let route: &RouteDecision = work.lifecycle.route();
             let (service, incarnation) = (
-                way.service.clone(),
+                route.service.clone(),
                 work.to.as_ref().map(|to| to.incarnation.clone()),
             );
             let forget = match work.pick.take() {
                 Some(pick) if nothing_learnt => {
-                    satchel.post.left(pick);
+                    state.endpoints.cancel(pick);
                     false
                 }
-                Some(pick) => satchel.tried(&service, pick, how, work.began_ms, now),
+                Some(pick) => state.record_attempt(&service, pick, end, work.began_ms, now),
                 None => false,
             };
             // It belongs to no try any more.
             work.attempt += 1;
-            let then = work.journey.ended(satchel, now, how, status, true);
+            let then = work.lifecycle.attempt_ended(state, now, end, status, true);
             (then, incarnation.filter(|_| forget))
         });
         let Some((then, forget)) = then else { return };
         forget
             .into_iter()
-            .for_each(|incarnation| self.satchel_wants(process, Effect::Forget(incarnation)));
+            .for_each(|incarnation| self.carry_out(process, Effect::CloseConnections(incarnation)));
         match (then, passed) {
-            (Then::Again, _) => self.go(process, request),
-            (Then::Pass, Some(told)) => self.tell(process, request, told),
-            (Then::Pass, None) => self.tell(process, request, Told::own(502, None)),
-            (Then::Tell(tell), _) => self.tell(
+            (AfterAttempt::Retry, _) => self.go(process, request),
+            (AfterAttempt::Forward, Some(told)) => self.tell(process, request, told),
+            (AfterAttempt::Forward, None) => self.tell(process, request, Told::own(502, None)),
+            (AfterAttempt::Respond(local), _) => self.tell(
                 process,
                 request,
-                Told::own(tell.status, tell.retry_after_ms),
+                Told::own(local.status, local.retry_after_ms),
             ),
         }
     }
@@ -930,8 +965,9 @@
         if let Some((wire, _)) = wire {
             self.break_off(process, request, attempt, wire);
         }
-        self.with_satchel(process, |satchel, _| {
-            pick.into_iter().for_each(|pick| satchel.post.left(pick))
+        self.with_state(process, |state, _| {
+            pick.into_iter()
+                .for_each(|pick| state.endpoints.cancel(pick))
         });
         self.proxy(process)
             .into_iter()
