--- a/crates/rookpulley-api/src/bounds.rs
+++ b/crates/rookpulley-api/src/bounds.rs
@@ -34,44 +34,44 @@
     }
 }
 
-/// The room that is left for bodies on a whole server.
+/// The memory that is left for bodies on a whole server.
 #[derive(Clone, Debug)]
-pub struct Room(Rc<Cell<usize>>);
+pub struct BodyMemory(Rc<Cell<usize>>);
 
-impl Room {
-    pub fn new(bytes: usize) -> Room {
-        Room(Rc::new(Cell::new(bytes)))
+impl BodyMemory {
+    pub fn new(bytes: usize) -> BodyMemory {
+        BodyMemory(Rc::new(Cell::new(bytes)))
     }
 
-    pub fn share(&self) -> Share {
-        Share {
-            room: self.clone(),
+    pub fn memory(&self) -> MemoryShare {
+        MemoryShare {
+            memory: self.clone(),
             taken: 0,
         }
     }
 }
 
-/// What one body has taken of the room; it goes back when this is dropped.
+/// What one body has taken of the memory; it goes back when this is dropped.
 #[derive(Debug)]
-pub struct Share {
-    room: Room,
+pub struct MemoryShare {
+    memory: BodyMemory,
     taken: usize,
 }
 
-impl Share {
+impl MemoryShare {
     /// Takes for bytes that have come, not for those that are only announced: words alone fill no memory.
     pub fn take(&mut self, bytes: usize) -> bool {
-        let Some(left) = self.room.0.get().checked_sub(bytes) else {
+        let Some(left) = self.memory.0.get().checked_sub(bytes) else {
             return false;
         };
-        self.room.0.set(left);
+        self.memory.0.set(left);
         self.taken += bytes;
         true
     }
 }
 
-impl Drop for Share {
+impl Drop for MemoryShare {
     fn drop(&mut self) {
-        self.room.0.set(self.room.0.get() + self.taken);
+        self.memory.0.set(self.memory.0.get() + self.taken);
     }
 }
--- a/crates/rookpulley-api/src/chunks.rs
+++ b/crates/rookpulley-api/src/chunks.rs
@@ -2,7 +2,7 @@
 //!
 //! Stricter than the proxy's `span`, which must end a body where hyper does and so takes what hyper takes.
 
-use crate::head::LINES;
+use crate::head::MAX_HEADERS;
 use crate::refusal::Refusal;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,25 +18,25 @@
 
 /// A body on its way. What stands beside the data (extensions, trailers) is checked, bounded and left out.
 #[derive(Debug)]
-pub struct Chunks {
+pub struct ChunkDecoder {
     state: State,
-    most: usize,
+    max_bytes: usize,
     /// What extensions may still take.
-    beside: usize,
+    max_beside_bytes: usize,
     trailer: Vec<u8>,
-    trailer_most: usize,
+    max_trailer_bytes: usize,
 }
 
-impl Chunks {
-    /// For a body of `most` bytes, with as much as a head may take beside it.
-    pub fn new(most: usize, beside: usize) -> Chunks {
+impl ChunkDecoder {
+    /// For a body of `max_bytes` bytes, with as much as a head may take beside it.
+    pub fn new(max_bytes: usize, max_beside_bytes: usize) -> ChunkDecoder {
         let state = State::Size { digits: 0, size: 0 };
-        Chunks {
+        ChunkDecoder {
             state,
-            most,
-            beside,
+            max_bytes,
+            max_beside_bytes,
             trailer: Vec::new(),
-            trailer_most: beside,
+            max_trailer_bytes: max_beside_bytes,
         }
     }
 
@@ -73,7 +73,7 @@
                     .checked_mul(16)
                     .and_then(|size| size.checked_add(digit))
                     .ok_or(Refusal::LongBody)?;
-                if size > self.most.saturating_sub(held) {
+                if size > self.max_bytes.saturating_sub(held) {
                     return Err(Refusal::LongBody);
                 }
                 // Leading zeros could go on for ever.
@@ -89,7 +89,10 @@
             (State::Size { digits: 1.., size }, b';') => State::Extension { size },
             (State::Extension { size }, b'\r') => State::SizeEnd { size },
             (State::Extension { size }, b'\t' | b' '..=b'~') => {
-                self.beside = self.beside.checked_sub(1).ok_or(Refusal::LongHead)?;
+                self.max_beside_bytes = self
+                    .max_beside_bytes
+                    .checked_sub(1)
+                    .ok_or(Refusal::LongHead)?;
                 State::Extension { size }
             }
             (State::SizeEnd { size: 0 }, b'\n') => State::Trailer,
@@ -103,7 +106,7 @@
     }
 
     fn trailer(&mut self, byte: u8) -> Result<bool, Refusal> {
-        if self.trailer.len() >= self.trailer_most {
+        if self.trailer.len() >= self.max_trailer_bytes {
             return Err(Refusal::LongHead);
         }
         self.trailer.push(byte);
@@ -113,7 +116,7 @@
         if !self.trailer.ends_with(b"\r\n\r\n") {
             return Ok(false);
         }
-        let mut lines = [httparse::EMPTY_HEADER; LINES];
+        let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         match httparse::parse_headers(&self.trailer, &mut lines) {
             Ok(httparse::Status::Complete((length, _))) if length == self.trailer.len() => Ok(true),
             _ => Err(Refusal::Chunk),
--- a/crates/rookpulley-api/src/letter.rs
+++ b/crates/rookpulley-api/src/codec.rs
@@ -1,7 +1,7 @@
 //! The one place that speaks with `async-h1`: a message in memory goes in, the bytes of an answer come out.
 //!
 //! It is given a head that it can't misread and that starts no executor and no timer thread: target and headers stay
-//! with the guard, since `async-h1` rewrites `/a/../b` and ends the program on a header with other than ASCII letters.
+//! with the reader, since `async-h1` rewrites `/a/../b` and ends the program on a header with other than ASCII letters.
 
 use crate::call::Reply;
 use async_h1::server::{Encoder, decode};
@@ -16,7 +16,7 @@
 
 /// A message in memory, as a connection that is always ready.
 #[derive(Clone)]
-struct Letter(Arc<Parts>);
+struct MemoryStream(Arc<Parts>);
 
 struct Parts {
     head: Vec<u8>,
@@ -24,7 +24,7 @@
     read: AtomicUsize,
 }
 
-impl AsyncRead for Letter {
+impl AsyncRead for MemoryStream {
     fn poll_read(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -46,7 +46,7 @@
     }
 }
 
-impl AsyncWrite for Letter {
+impl AsyncWrite for MemoryStream {
     fn poll_write(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -69,12 +69,12 @@
     let length = body.len();
     let head = format!("{method} / HTTP/1.1\r\nhost: counter\r\ncontent-length: {length}\r\n\r\n")
         .into_bytes();
-    let letter = Letter(Arc::new(Parts {
+    let codec = MemoryStream(Arc::new(Parts {
         head,
         body,
         read: AtomicUsize::new(0),
     }));
-    let Some((mut request, _)) = decode(letter).await? else {
+    let Some((mut request, _)) = decode(codec).await? else {
         return Ok(None);
     };
     // A little more room than needed: with none to spare the reader would double it to find the end.
--- a/crates/rookpulley-api/src/head.rs
+++ b/crates/rookpulley-api/src/head.rs
@@ -4,13 +4,13 @@
 use std::str::FromStr;
 
 /// The most header lines of one message.
-pub const LINES: usize = 100;
+pub const MAX_HEADERS: usize = 100;
 
 /// How the body is told from what follows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Length {
     Bytes(usize),
-    Chunks,
+    Chunked,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -27,26 +27,26 @@
     pub waits: bool,
 }
 
-/// Reads a head at the start of `bytes`: it and its length, or nothing as long as it isn't whole. `most` bounds it.
+/// Reads a head at the start of `bytes`: it and its length, or nothing as long as it isn't whole. `max_bytes` bounds it.
 /// The outcome does not depend on how the bytes were cut on their way.
-pub fn read(bytes: &[u8], most: usize) -> Result<Option<(Head, usize)>, Refusal> {
-    let window = bytes.get(..most).unwrap_or(bytes);
-    let mut lines = [httparse::EMPTY_HEADER; LINES];
+pub fn read(bytes: &[u8], max_bytes: usize) -> Result<Option<(Head, usize)>, Refusal> {
+    let window = bytes.get(..max_bytes).unwrap_or(bytes);
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut lines);
     match request.parse(window) {
         Ok(httparse::Status::Complete(length)) => Ok(Some((checked(&request)?, length))),
-        Ok(httparse::Status::Partial) if window.len() == most => Err(Refusal::LongHead),
+        Ok(httparse::Status::Partial) if window.len() == max_bytes => Err(Refusal::LongHead),
         Ok(httparse::Status::Partial) => Ok(None),
         Err(httparse::Error::TooManyHeaders) => Err(Refusal::LongHead),
-        Err(httparse::Error::Version) => version(window, most),
+        Err(httparse::Error::Version) => version(window, max_bytes),
         Err(_) => Err(Refusal::Head),
     }
 }
 
 /// Another version of HTTP is told from something else only once the line is whole.
-fn version(window: &[u8], most: usize) -> Result<Option<(Head, usize)>, Refusal> {
+fn version(window: &[u8], max_bytes: usize) -> Result<Option<(Head, usize)>, Refusal> {
     let Some(end) = window.iter().position(|byte| *byte == b'\n') else {
-        return if window.len() == most {
+        return if window.len() == max_bytes {
             Err(Refusal::LongHead)
         } else {
             Ok(None)
@@ -156,7 +156,7 @@
                 .map(Length::Bytes)
                 .map_err(|_| Refusal::LongBody)
         }
-        ([], [coding]) if newer && coding.eq_ignore_ascii_case(b"chunked") => Ok(Length::Chunks),
+        ([], [coding]) if newer && coding.eq_ignore_ascii_case(b"chunked") => Ok(Length::Chunked),
         ([], codings) if newer => {
             let known = codings
                 .iter()
--- a/crates/rookpulley-api/src/lib.rs
+++ b/crates/rookpulley-api/src/lib.rs
@@ -1,16 +1,23 @@
-//! Calls of tasks, operators and applications: a tree of matchers, served by `async-h1` behind a guard.
+//! The HTTP server for calls of instances, operators and applications.
 //!
-//! `head` and `chunks` read bytes, `guard` takes one message at a time off a connection by their rules, `letter` is
-//! the one place that speaks with `async-h1`, `hall` holds the connections, `serve` runs them.
+//! | file | what it owns |
+//! | --- | --- |
+//! | `serve` | accepts connections, and answers their calls one after the other |
+//! | `connection_limiter` | how many connections there are, which are idle, and when they are to close |
+//! | `message_reader` | takes one message at a time off a connection, complete and within bounds |
+//! | `head`, `chunks` | the bytes of a head and of a chunked body |
+//! | `codec` | the one place that speaks with `async-h1` |
+//! | `matcher` | which call a method and a path name |
+//! | `call`, `refusal`, `bounds` | what handlers are given, why messages are refused, what a server grants |
 
 pub mod bounds;
 pub mod call;
 pub mod chunks;
-pub mod guard;
-mod hall;
+mod codec;
+mod connection_limiter;
 pub mod head;
-mod letter;
 pub mod matcher;
+pub mod message_reader;
 pub mod refusal;
 pub mod serve;
 
--- a/crates/rookpulley-api/src/guard.rs
+++ b/crates/rookpulley-api/src/message_reader.rs
@@ -1,7 +1,7 @@
-//! Takes one message at a time off a connection, whole and within bounds; what follows it stays for the next.
+//! Takes one message at a time off a connection, complete and within bounds; what follows it stays for the next.
 
-use crate::bounds::{Bounds, Room, Share};
-use crate::chunks::Chunks;
+use crate::bounds::{BodyMemory, Bounds, MemoryShare};
+use crate::chunks::ChunkDecoder;
 use crate::head::{self, Head, Length};
 use crate::refusal::Refusal;
 use std::io;
@@ -9,42 +9,42 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 /// What one read asks for while lines are read; most messages fit.
-const PIECE: usize = 4 << 10;
+const READ_BYTES: usize = 4 << 10;
 /// What one read of a body asks for at most, beyond doubling what is there.
-const SLICE: usize = 64 << 10;
+const MAX_READ_BYTES: usize = 64 << 10;
 /// How long a connection that ends is listened to, so that its last answer isn't lost with a reset.
 const LINGER: Duration = Duration::from_secs(1);
 
-/// A message that is whole. Its share of the room for bodies goes back when it is dropped.
+/// A message that is whole. Its share of the memory for bodies goes back when it is dropped.
 #[derive(Debug)]
 pub struct Message {
     pub head: Head,
     pub body: Vec<u8>,
-    pub share: Share,
+    pub memory: MemoryShare,
 }
 
 /// The reading and writing end of one connection.
 #[derive(Debug)]
-pub struct Guard<S> {
+pub struct MessageReader<S> {
     stream: S,
     held: Vec<u8>,
     bounds: Bounds,
-    room: Room,
+    memory: BodyMemory,
 }
 
-impl<S: AsyncRead + AsyncWrite + Unpin> Guard<S> {
-    pub fn new(stream: S, bounds: Bounds, room: Room) -> Guard<S> {
-        Guard {
+impl<S: AsyncRead + AsyncWrite + Unpin> MessageReader<S> {
+    pub fn new(stream: S, bounds: Bounds, memory: BodyMemory) -> MessageReader<S> {
+        MessageReader {
             stream,
             held: Vec::new(),
             bounds,
-            room,
+            memory,
         }
     }
 
     /// Waits until a message begins; false when none will. Empty lines between messages are dropped.
     /// Nothing is lost when this is given up.
-    pub async fn arrive(&mut self) -> bool {
+    pub async fn wait_for_message(&mut self) -> bool {
         loop {
             let empty = self
                 .held
@@ -56,10 +56,10 @@
             if !matches!(self.held.as_slice(), [] | b"\r") {
                 return true;
             }
-            if self.held.capacity() > 2 * PIECE {
+            if self.held.capacity() > 2 * READ_BYTES {
                 self.held = std::mem::take(&mut self.held).as_slice().to_vec();
             }
-            if !matches!(self.fill(PIECE).await, Ok(1..)) {
+            if !matches!(self.fill(READ_BYTES).await, Ok(1..)) {
                 return false;
             }
         }
@@ -70,11 +70,11 @@
         let head = within(self.bounds.head_time, self.head())
             .await
             .ok_or(Refusal::Slow)??;
-        let mut share = self.room.share();
-        let body = within(self.bounds.body_time, self.body(&head, &mut share))
+        let mut memory = self.memory.memory();
+        let body = within(self.bounds.body_time, self.body(&head, &mut memory))
             .await
             .ok_or(Refusal::Slow)??;
-        Ok(Message { head, body, share })
+        Ok(Message { head, body, memory })
     }
 
     async fn head(&mut self) -> Result<Head, Refusal> {
@@ -90,24 +90,24 @@
                 parse_at = (self.held.len() * 2).min(self.bounds.head_bytes);
             }
             seen = self.held.len();
-            if !matches!(self.fill(PIECE).await, Ok(1..)) {
+            if !matches!(self.fill(READ_BYTES).await, Ok(1..)) {
                 // What has not been parsed yet may tell more than that it is cut.
                 return head::read(&self.held, self.bounds.head_bytes).and(Err(Refusal::Cut));
             }
         }
     }
 
-    async fn body(&mut self, head: &Head, share: &mut Share) -> Result<Vec<u8>, Refusal> {
+    async fn body(&mut self, head: &Head, memory: &mut MemoryShare) -> Result<Vec<u8>, Refusal> {
         match head.length {
             Length::Bytes(0) => Ok(Vec::new()),
             Length::Bytes(length) if length > self.bounds.body_bytes => Err(Refusal::LongBody),
             Length::Bytes(length) => {
                 self.invite(head).await?;
-                self.plain(length, share).await
+                self.plain(length, memory).await
             }
-            Length::Chunks => {
+            Length::Chunked => {
                 self.invite(head).await?;
-                self.chunked(share).await
+                self.chunked(memory).await
             }
         }
     }
@@ -123,52 +123,56 @@
         Ok(())
     }
 
-    async fn plain(&mut self, length: usize, share: &mut Share) -> Result<Vec<u8>, Refusal> {
+    async fn plain(&mut self, length: usize, memory: &mut MemoryShare) -> Result<Vec<u8>, Refusal> {
         let mut body: Vec<u8> = self.held.drain(..length.min(self.held.len())).collect();
-        if !share.take(body.len()) {
+        if !memory.take(body.len()) {
             return Err(Refusal::NoRoom);
         }
         while body.len() < length {
             let left = length - body.len();
-            body.reserve(left.min(SLICE.max(body.len())));
+            body.reserve(left.min(MAX_READ_BYTES.max(body.len())));
             let got = (&mut self.stream)
                 .take(left as u64)
                 .read_buf(&mut body)
                 .await;
             let got = got.ok().filter(|got| *got > 0).ok_or(Refusal::Cut)?;
-            if !share.take(got) {
+            if !memory.take(got) {
                 return Err(Refusal::NoRoom);
             }
         }
         Ok(body)
     }
 
-    async fn chunked(&mut self, share: &mut Share) -> Result<Vec<u8>, Refusal> {
-        let mut chunks = Chunks::new(self.bounds.body_bytes, self.bounds.head_bytes);
+    async fn chunked(&mut self, memory: &mut MemoryShare) -> Result<Vec<u8>, Refusal> {
+        let mut chunks = ChunkDecoder::new(self.bounds.body_bytes, self.bounds.head_bytes);
         let mut body = Vec::new();
         loop {
             let before = body.len();
             let (used, whole) = chunks.read(&self.held, &mut body)?;
             self.held.drain(..used);
-            if !share.take(body.len() - before) {
+            if !memory.take(body.len() - before) {
                 return Err(Refusal::NoRoom);
             }
             if whole {
                 return Ok(body);
             }
-            if !matches!(self.fill(PIECE.max(body.len().min(SLICE))).await, Ok(1..)) {
+            if !matches!(
+                self.fill(READ_BYTES.max(body.len().min(MAX_READ_BYTES)))
+                    .await,
+                Ok(1..)
+            ) {
                 return Err(Refusal::Cut);
             }
         }
     }
 
-    async fn fill(&mut self, most: usize) -> io::Result<usize> {
-        self.held.reserve(most);
+    async fn fill(&mut self, max_bytes: usize) -> io::Result<usize> {
+        self.held.reserve(max_bytes);
         self.stream.read_buf(&mut self.held).await
     }
 
     /// More has come than the messages taken.
-    pub fn holds_more(&self) -> bool {
+    pub fn has_more(&self) -> bool {
         !self.held.is_empty()
     }
 
@@ -182,7 +186,10 @@
 
     /// Ends the connection so that the last answer arrives: what still comes is read and dropped for a moment.
     pub async fn end(mut self) {
-        let (mut left, mut sink) = (self.bounds.body_bytes.max(SLICE), vec![0; PIECE]);
+        let (mut left, mut sink) = (
+            self.bounds.body_bytes.max(MAX_READ_BYTES),
+            vec![0; READ_BYTES],
+        );
         within(LINGER, async {
             _ = self.stream.shutdown().await;
             while let Ok(got @ 1..) = self.stream.read(&mut sink).await
--- a/crates/rookpulley-api/src/serve.rs
+++ b/crates/rookpulley-api/src/serve.rs
@@ -2,9 +2,9 @@
 
 use crate::bounds::Bounds;
 use crate::call::{Call, Reply};
-use crate::guard::{Guard, within};
-use crate::hall::{Guest, Hall};
-use crate::letter;
+use crate::codec;
+use crate::connection_limiter::{ConnectionLimiter, ConnectionSlot};
+use crate::message_reader::{MessageReader, within};
 use crate::refusal::Refusal;
 use rookpulley_runtime::connection;
 use std::io::ErrorKind;
@@ -16,11 +16,11 @@
 use tokio::task::JoinSet;
 
 /// After an accept that failed for want of something, such as descriptors.
-const PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// At a stop, calls that are on their way to us are waited for so long on connections that wait.
-const GRACE: Duration = Duration::from_millis(50);
+const STOP_GRACE: Duration = Duration::from_millis(50);
 /// What a caller has not confirmed for so long ends the connection, however silent the network is.
-const UNHEARD: Duration = Duration::from_millis(5_000);
+const UNACKNOWLEDGED: Duration = Duration::from_millis(5_000);
 
 /// Serves until `stop` turns true and every call at work is answered. Dropping this ends all connections at once.
 /// It must run inside a `LocalSet`. A sender that is dropped without a word means that there is no stop.
@@ -33,21 +33,21 @@
     H: Fn(Call) -> F + 'static,
     F: Future<Output = Reply> + 'static,
 {
-    let hall = Rc::new(Hall::new(bounds));
-    let mut guests = JoinSet::new();
+    let limiter = Rc::new(ConnectionLimiter::new(bounds));
+    let mut connections = JoinSet::new();
     let mut stopped = std::pin::pin!(stopped(stop));
     loop {
         tokio::select! {
             biased;
             () = &mut stopped => break,
-            Some(ended) = guests.join_next(), if !guests.is_empty() => told(ended),
+            Some(ended) = connections.join_next(), if !connections.is_empty() => told(ended),
             accepted = listener.accept() => match accepted {
-                Ok((stream, _)) => admit(&mut guests, &hall, &handler, stream),
-                Err(error) if is_passing(error.kind()) => {}
+                Ok((stream, _)) => admit(&mut connections, &limiter, &handler, stream),
+                Err(error) if is_transient(error.kind()) => {}
                 Err(error) => {
-                    tracing::warn!("counter: no connection can be taken: {error}");
-                    hall.send_one_away();
-                    tokio::select! { biased; () = &mut stopped => break, () = tokio::time::sleep(PAUSE) => {} }
+                    tracing::warn!("api: no connection can be taken: {error}");
+                    limiter.evict_idle();
+                    tokio::select! { biased; () = &mut stopped => break, () = tokio::time::sleep(ACCEPT_BACKOFF) => {} }
                 }
             },
         }
@@ -57,11 +57,11 @@
         let Some(Ok((stream, _))) = futures_lite::future::poll_once(listener.accept()).await else {
             break;
         };
-        admit(&mut guests, &hall, &handler, stream);
+        admit(&mut connections, &limiter, &handler, stream);
     }
     drop(listener);
-    hall.stop();
-    while let Some(ended) = guests.join_next().await {
+    limiter.stop();
+    while let Some(ended) = connections.join_next().await {
         told(ended);
     }
 }
@@ -74,51 +74,55 @@
 
 fn told(ended: Result<(), tokio::task::JoinError>) {
     if let Err(error) = ended {
-        tracing::error!("counter: a connection ended in disorder: {error}");
+        tracing::error!("api: a connection ended in disorder: {error}");
     }
 }
 
-fn is_passing(kind: ErrorKind) -> bool {
+fn is_transient(kind: ErrorKind) -> bool {
     matches!(
         kind,
         ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset | ErrorKind::Interrupted
     )
 }
 
-fn admit<H, F>(guests: &mut JoinSet<()>, hall: &Rc<Hall>, handler: &Rc<H>, stream: TcpStream)
-where
+fn admit<H, F>(
+    connections: &mut JoinSet<()>,
+    limiter: &Rc<ConnectionLimiter>,
+    handler: &Rc<H>,
+    stream: TcpStream,
+) where
     H: Fn(Call) -> F + 'static,
     F: Future<Output = Reply> + 'static,
 {
-    let Some(guest) = hall.seat() else {
-        tracing::warn!("counter: all connections are at work, the newest is refused");
+    let Some(slot) = limiter.seat() else {
+        tracing::warn!("api: all connections are at work, the newest is refused");
         return;
     };
-    connection::configure(&stream, UNHEARD);
-    guests.spawn_local(attend(stream, guest, handler.clone()));
+    connection::configure(&stream, UNACKNOWLEDGED);
+    connections.spawn_local(attend(stream, slot, handler.clone()));
 }
 
 /// Answers the calls of one connection, one after the other.
-async fn attend<S, H, F>(stream: S, guest: Guest, handler: Rc<H>)
+async fn attend<S, H, F>(stream: S, slot: ConnectionSlot, handler: Rc<H>)
 where
     S: AsyncRead + AsyncWrite + Unpin,
     H: Fn(Call) -> F,
     F: Future<Output = Reply>,
 {
-    let hall = &guest.hall;
-    let mut guard = Guard::new(stream, hall.bounds, hall.room.clone());
+    let limiter = &slot.limiter;
+    let mut reader = MessageReader::new(stream, limiter.bounds, limiter.memory.clone());
     loop {
-        if !begins(&mut guard, &guest).await {
+        if !begins(&mut reader, &slot).await {
             return;
         }
-        let message = match guard.message().await {
+        let message = match reader.message().await {
             Ok(message) => message,
-            Err(refusal) => return refuse(guard, refusal).await,
+            Err(refusal) => return refuse(reader, refusal).await,
         };
-        let (head, share) = (message.head, message.share);
-        let Ok(Some((method, body))) = letter::open(&head.method, message.body).await else {
-            tracing::warn!("counter: a message that the guard let through can't be read");
-            return refuse(guard, Refusal::Head).await;
+        let (head, memory) = (message.head, message.memory);
+        let Ok(Some((method, body))) = codec::open(&head.method, message.body).await else {
+            tracing::warn!("api: a message that was accepted can't be read");
+            return refuse(reader, Refusal::Head).await;
         };
         let call = Call {
             method: head.method,
@@ -128,44 +132,49 @@
             headers: head.headers,
         };
         let reply = handler(call).await;
-        drop(share);
-        let close = !head.keep || reply.closes() || hall.is_stopping();
-        let Ok(bytes) = letter::seal(reply, method, close).await else {
+        drop(memory);
+        let close = !head.keep || reply.closes() || limiter.is_stopping();
+        let Ok(bytes) = codec::seal(reply, method, close).await else {
             return;
         };
-        if !guard.write(&bytes).await {
+        if !reader.write(&bytes).await {
             return;
         }
         if close {
             // A caller that asked for the end sends nothing more that could be met with a reset.
-            let sends_on = head.keep || guard.holds_more();
+            let sends_on = head.keep || reader.has_more();
             return if sends_on {
-                guard.end().await
+                reader.end().await
             };
         }
     }
 }
 
 /// Waits for the next message; false when there is none, or the connection is no longer wanted.
-async fn begins<S: AsyncRead + AsyncWrite + Unpin>(guard: &mut Guard<S>, guest: &Guest) -> bool {
-    guest.waits();
+async fn begins<S: AsyncRead + AsyncWrite + Unpin>(
+    reader: &mut MessageReader<S>,
+    slot: &ConnectionSlot,
+) -> bool {
+    slot.waits();
     let arrived = tokio::select! {
         biased;
-        arrived = guard.arrive() => Some(arrived),
-        () = guest.told_to_leave() => None,
-        () = async { tokio::time::sleep(guest.hall.bounds.idle_time).await } => Some(false),
+        arrived = reader.wait_for_message() => Some(arrived),
+        () = slot.close_requested() => None,
+        () = async { tokio::time::sleep(slot.limiter.bounds.idle_time).await } => Some(false),
     };
     let arrived = match arrived {
         Some(arrived) => arrived,
-        None if guest.hall.is_stopping() => within(GRACE, guard.arrive()).await.unwrap_or(false),
+        None if slot.limiter.is_stopping() => within(STOP_GRACE, reader.wait_for_message())
+            .await
+            .unwrap_or(false),
         None => false,
     };
-    guest.works();
+    slot.works();
     arrived
 }
 
-async fn refuse<S: AsyncRead + AsyncWrite + Unpin>(mut guard: Guard<S>, refusal: Refusal) {
-    tracing::debug!("counter: a message is refused: {refusal}");
+async fn refuse<S: AsyncRead + AsyncWrite + Unpin>(mut reader: MessageReader<S>, refusal: Refusal) {
+    tracing::debug!("api: a message is refused: {refusal}");
     let help = miette::Diagnostic::help(&refusal)
         .map(|help| help.to_string())
         .unwrap_or_default();
@@ -175,9 +184,9 @@
     } else {
         reply
     };
-    if let Ok(bytes) = letter::seal(reply, http_types::Method::Get, true).await
-        && guard.write(&bytes).await
+    if let Ok(bytes) = codec::seal(reply, http_types::Method::Get, true).await
+        && reader.write(&bytes).await
     {
-        guard.end().await;
+        reader.end().await;
     }
 }
--- a/crates/rookpulley-api/tests/guarded.rs
+++ b/crates/rookpulley-api/tests/message_reader.rs
@@ -1,8 +1,8 @@
-//! What the guard takes and what it turns away, on streams in memory.
+//! What the reader takes and what it turns away, on streams in memory.
 
 use arbtest::arbitrary::{Result, Unstructured};
-use rookpulley_api::bounds::{Bounds, Room};
-use rookpulley_api::guard::{Guard, Message};
+use rookpulley_api::bounds::{BodyMemory, Bounds};
+use rookpulley_api::message_reader::{Message, MessageReader};
 use rookpulley_api::refusal::Refusal;
 use rookpulley_samples::plays;
 use std::time::Duration;
@@ -39,7 +39,7 @@
 /// Sends bytes through a pipe that holds so many at once, and ends it.
 async fn through(bytes: &[u8], width: usize, bounds: Bounds) -> Taken {
     let (mut ours, theirs) = tokio::io::duplex(width);
-    let mut guard = Guard::new(theirs, bounds, Room::new(bounds.bodies_bytes));
+    let mut reader = MessageReader::new(theirs, bounds, BodyMemory::new(bounds.bodies_bytes));
     let send = async move {
         _ = ours.write_all(bytes).await;
         _ = ours.shutdown().await;
@@ -51,8 +51,8 @@
             messages: Vec::new(),
             refused: None,
         };
-        while guard.arrive().await {
-            match guard.message().await {
+        while reader.wait_for_message().await {
+            match reader.message().await {
                 Ok(message) => taken.messages.push(told(message)),
                 Err(refusal) => {
                     taken.refused = Some(refusal);
@@ -366,15 +366,15 @@
             ),
         ] {
             let (mut ours, theirs) = tokio::io::duplex(1 << 10);
-            let mut guard = Guard::new(theirs, bounds, Room::new(100));
+            let mut reader = MessageReader::new(theirs, bounds, BodyMemory::new(100));
             ours.write_all(sent.as_bytes()).await.unwrap();
-            assert!(guard.arrive().await);
+            assert!(reader.wait_for_message().await);
             let began = tokio::time::Instant::now();
-            assert_eq!(guard.message().await.unwrap_err(), Refusal::Slow);
+            assert_eq!(reader.message().await.unwrap_err(), Refusal::Slow);
             assert_eq!(began.elapsed().as_secs(), patience);
         }
         let (mut ours, theirs) = tokio::io::duplex(1 << 10);
-        let mut guard = Guard::new(theirs, bounds, Room::new(100));
+        let mut reader = MessageReader::new(theirs, bounds, BodyMemory::new(100));
         let call = async {
             ours.write_all(
                 b"PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n",
@@ -386,7 +386,7 @@
             assert_eq!(&word, b"HTTP/1.1 100 Continue\r\n\r\n");
             ours.write_all(b"abc").await.unwrap();
         };
-        let (message, ()) = tokio::join!(guard.message(), call);
+        let (message, ()) = tokio::join!(reader.message(), call);
         assert_eq!(message.unwrap().body, b"abc");
     });
 }
@@ -398,19 +398,19 @@
             body_time: Duration::from_secs(1),
             ..Bounds::default()
         };
-        let room = Room::new(10);
+        let memory = BodyMemory::new(10);
         for chunked in [false, true] {
             let mut first = None;
             for (expected, drops) in [(None, false), (Some(Refusal::NoRoom), true), (None, true)] {
                 let (mut ours, theirs) = tokio::io::duplex(1 << 10);
-                let mut guard = Guard::new(theirs, bounds, room.clone());
+                let mut reader = MessageReader::new(theirs, bounds, memory.clone());
                 let sent: &[u8] = if chunked {
                     b"PUT / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nabcdef\r\n0\r\n\r\n"
                 } else {
                     b"PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 6\r\n\r\nabcdef"
                 };
                 ours.write_all(sent).await.unwrap();
-                match guard.message().await {
+                match reader.message().await {
                     Ok(message) => {
                         assert_eq!(expected, None);
                         first = Some(message);
--- a/crates/rookpulley-api/tests/served.rs
+++ b/crates/rookpulley-api/tests/serve.rs
@@ -1,4 +1,4 @@
-//! The whole of it on loopback sockets: the guard, `async-h1`, the handler, and what comes back.
+//! The whole of it on loopback sockets: the reader, `async-h1`, the handler, and what comes back.
 
 use rookpulley_api::{Bounds, Call, Reply, serve};
 use std::cell::{Cell, RefCell};
--- a/crates/rookpulley-balancer/src/lib.rs
+++ b/crates/rookpulley-balancer/src/lib.rs
@@ -11,6 +11,8 @@
 //!
 //! Times are in milliseconds from any fixed moment. Nothing here waits, reads a clock or opens a socket.
 
+#![warn(missing_docs)]
+
 mod controller_selection;
 mod endpoint;
 mod endpoint_picker;
--- a/crates/rookpulley-chain/src/chain/client_requests.rs
+++ b/crates/rookpulley-chain/src/chain/client_requests.rs
@@ -4,8 +4,7 @@
 
 use super::Chain;
 use crate::effect::{Effect, Outcome};
-use crate::input::RequestKind;
-use crate::message::{ForwardedRequest, Message, RequestId};
+use crate::message::{ForwardedRequest, Message, RequestId, RequestKind};
 use crate::pending_requests::{HeadTime, PendingRequest};
 use crate::state::State;
 
--- a/crates/rookpulley-chain/src/chain/replication.rs
+++ b/crates/rookpulley-chain/src/chain/replication.rs
@@ -10,8 +10,7 @@
 use super::Chain;
 use crate::after_sync::AfterSync;
 use crate::effect::Effect;
-use crate::input::RequestKind;
-use crate::message::{Entry, ForwardedRequest, Message, ReadRequest, RequestId};
+use crate::message::{Entry, ForwardedRequest, Message, ReadRequest, RequestId, RequestKind};
 use crate::persisted::{self, Record};
 use crate::state::State;
 
--- a/crates/rookpulley-chain/src/input.rs
+++ b/crates/rookpulley-chain/src/input.rs
@@ -1,6 +1,6 @@
 //! What comes into a member of the chain.
 
-use crate::message::Message;
+use crate::message::{Message, RequestKind};
 use crate::persisted::PersistedState;
 use crate::view::Member;
 
@@ -18,15 +18,6 @@
     pub persisted: Option<PersistedState>,
 }
 
-/// What a client of the chain wants.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum RequestKind {
-    /// Changes the state, at most once.
-    Update,
-    /// Reads the state, and changes nothing.
-    Read,
-}
-
 /// One event for [`Chain::handle`](crate::Chain::handle).
 #[derive(Debug)]
 pub enum Input {
--- a/crates/rookpulley-chain/src/lib.rs
+++ b/crates/rookpulley-chain/src/lib.rs
@@ -23,6 +23,8 @@
 //! `docs/design/chain.md` argues why nothing acknowledged is lost; the model under `tests/model` searches the protocol
 //! exhaustively, and `tests/world` simulates whole chains with faults.
 
+#![warn(missing_docs)]
+
 mod after_sync;
 mod catch_up_state;
 mod chain;
@@ -47,11 +49,11 @@
 };
 pub use disk_health::{DiskCheck, DiskHealth};
 pub use effect::{Effect, Outcome};
-pub use input::{Input, RequestKind, StartState};
+pub use input::{Input, StartState};
 pub use integrity::{Inconsistency, find_inconsistencies};
 pub use message::{
     CatchUpData, ChunkPosition, Contact, Entry, ForwardedRequest, MemberStatus, Message,
-    ReadRequest, RequestId, StateDigest,
+    ReadRequest, RequestId, RequestKind, StateDigest,
 };
 pub use persisted::{PersistedState, Record};
 pub use state::State;
--- a/crates/rookpulley-chain/src/message.rs
+++ b/crates/rookpulley-chain/src/message.rs
@@ -3,7 +3,6 @@
 //! Messages are encoded by `postcard`, which writes fields by position: their order is part of the protocol, their
 //! names are not.
 
-use crate::input::RequestKind;
 use crate::view::{Ballot, Member, View};
 use serde::{Deserialize, Serialize, Serializer};
 
@@ -39,6 +38,15 @@
     pub attempt: u32,
 }
 
+/// What a client of the chain wants.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum RequestKind {
+    /// Changes the state, at most once.
+    Update,
+    /// Reads the state, and changes nothing.
+    Read,
+}
+
 /// A read on its way along the chain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadRequest {
--- a/crates/rookpulley-chain/src/pending_requests.rs
+++ b/crates/rookpulley-chain/src/pending_requests.rs
@@ -1,6 +1,6 @@
 //! Requests of clients that this controller was asked and that are not answered yet.
 
-use crate::input::RequestKind;
+use crate::message::RequestKind;
 use std::collections::BTreeMap;
 
 /// A request that waits for its answer.
--- a/crates/rookpulley-cli/src/gateway/check.rs
+++ b/crates/rookpulley-cli/src/gateway/check.rs
@@ -1,7 +1,7 @@
 //! What is wrong with a file: the place, what was found there, what to write instead.
 
 use rookpulley_diagnostics::{Fault, Faults, Manner, Place, counted};
-use rookpulley_routes::{BYTES_MOST, RouteTable};
+use rookpulley_routes::{MAX_BYTES, RouteTable};
 use rookpulley_settings::{Amount, Deploy, Node, Role, SettingsError};
 use serde_json::{Value, json};
 use std::fmt::Display;
@@ -194,7 +194,7 @@
 pub fn read(file: &Path) -> Result<RouteTable, Faults> {
     let mut bytes = Vec::new();
     let opened = File::open(file).map_err(|why| unreadable(&why))?;
-    let most = BYTES_MOST as u64 + 1;
+    let most = MAX_BYTES as u64 + 1;
     opened
         .take(most)
         .read_to_end(&mut bytes)
--- a/crates/rookpulley-control/src/controller.rs
+++ b/crates/rookpulley-control/src/controller.rs
@@ -18,7 +18,8 @@
 use crate::proxy_session::ProxySession;
 use crate::publish_pacer::PublishPacer;
 use crate::replicated_state::ReplicatedState;
-use crate::reply::{Reply, ReplyKind};
+use crate::reply::Reply;
+use crate::reply_kind::ReplyKind;
 use crate::start::{ControllerStart, Rows};
 use crate::watches::Watches;
 use drains::PendingDrain;
@@ -221,7 +222,7 @@
                 }
                 ChainEffect::Reply { token, outcome } => {
                     if let Some(kind) = self.requests.remove(&token) {
-                        self.reply(token, Reply::of_outcome(kind, outcome));
+                        self.reply(token, kind.reply(outcome));
                     }
                 }
                 ChainEffect::Log(line) => self.log(line),
--- a/crates/rookpulley-control/src/lib.rs
+++ b/crates/rookpulley-control/src/lib.rs
@@ -7,7 +7,7 @@
 //! | file | what it owns |
 //! | --- | --- |
 //! | `start`, `effect`, `peer_message`, `proxy_session` | the values that go in, come out, and stand for a connection |
-//! | `endpoint`, `reply` | what a call asks for, and what its caller is answered |
+//! | `endpoint`, `reply`, `reply_kind` | what a call asks for, and what its caller is answered |
 //! | `controller/peers` | the connections to other controllers |
 //! | `controller/proxies`, `controller/publication` | the connections of proxies; their tables, drains and configuration |
 //! | `controller/instances`, `controller/drains` | heartbeats; when a drain may be acknowledged |
@@ -15,6 +15,8 @@
 //! | `watches`, `publish_pacer`, `counters` | who waits for a put; how soon configurations go out; figures for operators |
 //! | `standby` | a controller whose store can't be used |
 
+#![warn(missing_docs)]
+
 mod bootstrap;
 mod controller;
 mod counters;
@@ -25,6 +27,7 @@
 mod publish_pacer;
 mod replicated_state;
 mod reply;
+mod reply_kind;
 mod standby;
 mod start;
 mod stateless;
--- a/crates/rookpulley-devcluster/src/depot.rs
+++ b/crates/rookpulley-devcluster/src/cluster.rs
@@ -1,13 +1,14 @@
 //! A whole gateway with its tasks: brought up, looked after, ended in order.
 
 use crate::caller::{Caller, once};
-use crate::faults::DepotError;
-use crate::ground::{Ground, MACHINES};
+use crate::environment::{Environment, MACHINES};
+use crate::faults::ClusterError;
+use crate::heartbeats::begin;
 use crate::operator::{FIRST, LETTERS, PARCELS, configuration};
 use crate::processes::{Processes, tails};
 use crate::record::Record;
 use crate::sheet::{Role, ZONES};
-use crate::task::{Stage, Task, begin};
+use crate::task::{Stage, Task};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,19 +23,19 @@
 /// Tasks of each service, with their slots.
 const SERVICES: [(&str, &[usize]); 2] = [(LETTERS, &[4, 4, 3, 2]), (PARCELS, &[4, 3])];
 
-pub struct Depot {
-    pub ground: Ground,
+pub struct Cluster {
+    pub environment: Environment,
     pub processes: Processes,
     pub tasks: Vec<Rc<Task>>,
     pub record: Rc<Record>,
 }
 
-impl Depot {
-    pub fn new(keep: bool, verbose: bool) -> Result<Self, DepotError> {
+impl Cluster {
+    pub fn new(keep: bool, verbose: bool) -> Result<Self, ClusterError> {
         let processes = Processes::find(verbose)?;
-        let ground = Ground::find(keep)?;
+        let environment = Environment::find(keep)?;
         Ok(Self {
-            ground,
+            environment,
             processes,
             tasks: Vec::new(),
             record: Rc::new(Record::begin()),
@@ -42,12 +43,12 @@
     }
 
     /// Returns once all proxies say that they are ready.
-    pub async fn come_up(&mut self) -> Result<(), DepotError> {
-        self.processes.start_all(&self.ground)?;
+    pub async fn start(&mut self) -> Result<(), ClusterError> {
+        self.processes.start_all(&self.environment)?;
         self.start_tasks().await?;
         self.configure(FIRST).await?;
         for machine in 0..MACHINES {
-            let to = self.ground.readiness(machine);
+            let to = self.environment.readiness(machine);
             let ready = || async move {
                 let answer = once(to, "GET", "/rookpulley/readiness", "", ANSWERS).await;
                 answer.is_some_and(|(status, _)| status == 200)
@@ -61,14 +62,14 @@
         Ok(())
     }
 
-    async fn start_tasks(&mut self) -> Result<(), DepotError> {
+    async fn start_tasks(&mut self) -> Result<(), ClusterError> {
         for (service, tasks) in SERVICES {
             for (at, slots) in tasks.iter().enumerate() {
                 let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
-                let listener = listener.map_err(DepotError::system("a task can't listen"))?;
+                let listener = listener.map_err(ClusterError::system("a task can't listen"))?;
                 let port = listener
                     .local_addr()
-                    .map_err(DepotError::system("a task can't listen"))?
+                    .map_err(ClusterError::system("a task can't listen"))?
                     .port();
                 let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
                 let incarnation = format!("i-{service}-{}-{port}", at + 1);
@@ -81,7 +82,7 @@
                     *slots,
                     self.record.clone(),
                 );
-                begin(&task, listener, self.ground.controls());
+                begin(&task, listener, self.environment.controls());
                 self.tasks.push(task);
             }
         }
@@ -89,9 +90,9 @@
     }
 
     /// The operator sends a version until it is acknowledged.
-    pub async fn configure(&mut self, version: u64) -> Result<(), DepotError> {
+    pub async fn configure(&mut self, version: u64) -> Result<(), ClusterError> {
         let caller = Caller::new(
-            self.ground.controls(),
+            self.environment.controls(),
             version as usize,
             self.record.clone(),
         );
@@ -112,12 +113,12 @@
     }
 
     /// Does something that ends by itself, but no longer than the processes run.
-    async fn while_all_run<T>(&mut self, work: impl Future<Output = T>) -> Result<T, DepotError> {
+    async fn while_all_run<T>(&mut self, work: impl Future<Output = T>) -> Result<T, ClusterError> {
         let mut work = std::pin::pin!(work);
         loop {
             tokio::select! {
                 done = work.as_mut() => return Ok(done),
-                () = sleep(LOOK) => self.processes.all_run(&self.ground)?,
+                () = sleep(LOOK) => self.processes.all_run(&self.environment)?,
             }
         }
     }
@@ -127,7 +128,7 @@
         &mut self,
         what: &str,
         holds: impl Fn() -> F,
-    ) -> Result<(), DepotError> {
+    ) -> Result<(), ClusterError> {
         let until = Instant::now() + WITHIN;
         while !self.while_all_run(holds()).await? {
             if Instant::now() > until {
@@ -138,11 +139,11 @@
         Ok(())
     }
 
-    fn late(&self, what: &str) -> DepotError {
-        DepotError::Late {
+    fn late(&self, what: &str) -> ClusterError {
+        ClusterError::Late {
             what: what.into(),
             seconds: WITHIN.as_secs(),
-            tails: tails(&self.ground),
+            tails: tails(&self.environment),
         }
     }
 
--- a/crates/rookpulley-devcluster/src/ground.rs
+++ b/crates/rookpulley-devcluster/src/environment.rs
@@ -1,12 +1,12 @@
-//! What a depot stands on: three addresses of this machine, ports that are free on all of them, a folder.
+//! What a cluster stands on: three addresses of this machine, ports that are free on all of them, a folder.
 
-use crate::faults::DepotError;
+use crate::faults::ClusterError;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 use std::path::Path;
 use tempfile::TempDir;
 
 pub const MACHINES: usize = 3;
-/// Ports of the inner range, and of all that a depot takes: the outer ones and the guard follow the inner ones.
+/// Ports of the inner range, and of all that a cluster takes: the outer ones and the guard follow the inner ones.
 const INNER: u16 = 16;
 const BLOCK: u16 = 32;
 const LOWEST: u16 = 10_240;
@@ -15,7 +15,7 @@
 /// The ports that all three machines use.
 pub struct Ports {
     first: u16,
-    /// Held as long as the depot stands: another depot that meets it looks further.
+    /// Held as long as the cluster stands: another cluster that meets it looks further.
     _guard: TcpListener,
 }
 
@@ -38,11 +38,11 @@
 
     /// Looks for a block of free ports, from where the system's own next port says. It lies below the ports that
     /// the system gives to outgoing connections, where it can: a killed controller's would be given away meanwhile.
-    fn find() -> Result<Self, DepotError> {
+    fn find() -> Result<Self, ClusterError> {
         let given =
             TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|listener| listener.local_addr());
         let given = given
-            .map_err(DepotError::system("no port is given"))?
+            .map_err(ClusterError::system("no port is given"))?
             .port();
         let own = own_ports()
             .filter(|lowest| *lowest >= LOWEST + 8 * BLOCK)
@@ -52,7 +52,7 @@
         order
             .into_iter()
             .find_map(Self::take)
-            .ok_or(DepotError::NoPorts)
+            .ok_or(ClusterError::NoPorts)
     }
 
     fn take(first: u16) -> Option<Self> {
@@ -79,19 +79,19 @@
     Ipv4Addr::new(127, 0, 0, machine as u8 + 1)
 }
 
-/// Removed with the depot, unless it is to stay.
-pub struct Ground {
+/// Removed with the cluster, unless it is to stay.
+pub struct Environment {
     pub ports: Ports,
     folder: TempDir,
 }
 
-impl Ground {
-    pub fn find(keep: bool) -> Result<Self, DepotError> {
+impl Environment {
+    pub fn find(keep: bool) -> Result<Self, ClusterError> {
         let ports = Ports::find()?;
         let folder = tempfile::Builder::new()
             .prefix("rookpulley-devcluster-")
             .tempdir();
-        let mut folder = folder.map_err(DepotError::system("no temporary folder can be made"))?;
+        let mut folder = folder.map_err(ClusterError::system("no temporary folder can be made"))?;
         folder.disable_cleanup(keep);
         Ok(Self { ports, folder })
     }
--- a/crates/rookpulley-devcluster/src/heartbeats.rs
+++ b/crates/rookpulley-devcluster/src/heartbeats.rs
@@ -3,10 +3,12 @@
 use crate::caller::{SILENCE, field, once};
 use crate::record::{Drain, digest};
 use crate::sheet::{DRAIN_MS, HEARTBEAT_MS};
-use crate::task::{Stage, Task};
+use crate::task::{self, Stage, Task};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 const ACKNOWLEDGEMENT_MOST: usize = 4 << 10;
@@ -145,3 +147,9 @@
     }
     task.stage.send_replace(Stage::Gone);
 }
+
+/// Runs a task: its server, and what it tells the controllers.
+pub fn begin(task: &Rc<Task>, listener: TcpListener, controllers: Vec<SocketAddrV4>) {
+    spawn_local(task::serve(task.clone(), listener));
+    spawn_local(live(task.clone(), controllers));
+}
--- a/crates/rookpulley-devcluster/src/main.rs
+++ b/crates/rookpulley-devcluster/src/main.rs
@@ -1,7 +1,7 @@
 //! A whole gateway on one machine against stand-in tasks: to be tried by hand, and to be tested from end to end.
 //!
-//! `ground`, `sheet` and `processes` start the controllers and proxies; `task` and `heartbeats` are the tasks, `operator` and
-//! `caller` the operator; `depot` holds all of it together. `trial` runs `clients` and `coordination` against it,
+//! `environment`, `sheet` and `processes` start the controllers and proxies; `task` and `heartbeats` are the tasks, `operator` and
+//! `caller` the operator; `cluster` holds all of it together. `trial` runs `clients` and `coordination` against it,
 //! `judge` and `order` decide what comes of that.
 
 /// Prints a line, also where nobody reads any more.
@@ -14,10 +14,10 @@
 
 mod caller;
 mod clients;
+mod cluster;
 mod coordination;
-mod depot;
+mod environment;
 mod faults;
-mod ground;
 mod heartbeats;
 mod judge;
 mod operator;
@@ -31,9 +31,9 @@
 mod trial;
 mod wire;
 
-use depot::Depot;
-use faults::DepotError;
-use ground::MACHINES;
+use cluster::Cluster;
+use environment::MACHINES;
+use faults::ClusterError;
 use std::process::ExitCode;
 use std::time::Duration;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -78,7 +78,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(DepotError::system("the runtime can't be made"))?;
+    let runtime = runtime.map_err(ClusterError::system("the runtime can't be made"))?;
     Ok(tokio::task::LocalSet::new().block_on(&runtime, run(flags))?)
 }
 
@@ -86,8 +86,8 @@
 struct Stop([Signal; 3]);
 
 impl Stop {
-    fn hear() -> Result<Self, DepotError> {
-        let hear = |kind| signal(kind).map_err(DepotError::system("signals can't be heard"));
+    fn hear() -> Result<Self, ClusterError> {
+        let hear = |kind| signal(kind).map_err(ClusterError::system("signals can't be heard"));
         Ok(Self([
             hear(SignalKind::interrupt())?,
             hear(SignalKind::terminate())?,
@@ -107,9 +107,9 @@
     Over,
 }
 
-async fn run(flags: RookpulleyDevcluster) -> Result<ExitCode, DepotError> {
+async fn run(flags: RookpulleyDevcluster) -> Result<ExitCode, ClusterError> {
     let mut stop = Stop::hear()?;
-    let mut depot = Depot::new(flags.keep, flags.verbose)?;
+    let mut cluster = Cluster::new(flags.keep, flags.verbose)?;
     let limit = flags.seconds.or(flags.trial.then_some(TRIAL_S));
     let over = async {
         match limit {
@@ -118,13 +118,13 @@
         }
     };
     let work = async {
-        depot.come_up().await?;
-        show(&depot);
+        cluster.start().await?;
+        show(&cluster);
         let machine = flags.kill.unwrap_or(1).clamp(1, MACHINES) - 1;
         if flags.trial {
-            trial::run(&mut depot, machine).await.map(End::Trial)
+            trial::run(&mut cluster, machine).await.map(End::Trial)
         } else {
-            stay(&mut depot).await
+            stay(&mut cluster).await
         }
     };
     let ended = tokio::select! {
@@ -132,22 +132,22 @@
         () = stop.comes() => Ok(End::Asked),
         () = over => Ok(End::Over),
     };
-    tell!("depot: ending; the tasks leave, then the processes end");
+    tell!("cluster: ending; the tasks leave, then the processes end");
     let faults = tokio::select! {
-        faults = depot.end() => faults,
+        faults = cluster.end() => faults,
         // Asked again: what still runs is killed as it is dropped.
-        () = stop.comes() => return Err(DepotError::Stopped),
+        () = stop.comes() => return Err(ClusterError::Stopped),
     };
-    faults.iter().for_each(|fault| tell!("depot: {fault}"));
+    faults.iter().for_each(|fault| tell!("cluster: {fault}"));
     if flags.keep {
         tell!(
-            "depot: settings, logs and data stay in {}",
-            depot.ground.folder().display()
+            "cluster: settings, logs and data stay in {}",
+            cluster.environment.folder().display()
         );
     }
     let fine = match ended? {
         End::Trial(trial) => {
-            report(&trial, &processes::warnings(depot.ground.folder()));
+            report(&trial, &processes::warnings(cluster.environment.folder()));
             trial.passed()
         }
         End::Asked | End::Over if flags.trial => {
@@ -164,39 +164,39 @@
 }
 
 /// Until something else ends it.
-async fn stay(depot: &mut Depot) -> Result<End, DepotError> {
+async fn stay(cluster: &mut Cluster) -> Result<End, ClusterError> {
     loop {
-        while let Some((name, status)) = depot.processes.ended() {
-            tell!("depot: {name} ended ({status}) and starts again");
-            depot.processes.start(&depot.ground, &name)?;
+        while let Some((name, status)) = cluster.processes.ended() {
+            tell!("cluster: {name} ended ({status}) and starts again");
+            cluster.processes.start(&cluster.environment, &name)?;
         }
         sleep(LOOK).await;
     }
 }
 
-fn show(depot: &Depot) {
-    let ground = &depot.ground;
+fn show(cluster: &Cluster) {
+    let environment = &cluster.environment;
     tell!(
-        "depot: up; settings, logs and data are in {}",
-        ground.folder().display()
+        "cluster: up; settings, logs and data are in {}",
+        environment.folder().display()
     );
     for machine in 0..MACHINES {
-        let (front, control) = (ground.front(machine), ground.control(machine));
+        let (front, control) = (environment.front(machine), environment.control(machine));
         tell!(
-            "depot: machine {}: requests at {front}, calls at {control}",
+            "cluster: machine {}: requests at {front}, calls at {control}",
             machine + 1
         );
     }
-    for task in &depot.tasks {
+    for task in &cluster.tasks {
         tell!(
-            "depot: task {} at {}, {} slots",
+            "cluster: task {} at {}, {} slots",
             task.incarnation,
             task.address,
             task.slots
         );
     }
     tell!("try it:");
-    let (front, control) = (ground.front(0), ground.control(0));
+    let (front, control) = (environment.front(0), environment.control(0));
     tell!(
         "    curl -i -H 'Host: letters.example' -H 'Request-Id: my-first' http://{front}/read/hello"
     );
--- a/crates/rookpulley-devcluster/src/operator.rs
+++ b/crates/rookpulley-devcluster/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator of a depot: the services, the routes, and the configuration that tells of them.
+//! The operator of a cluster: the services, the routes, and the configuration that tells of them.
 
 use crate::task::{HEALTH, MAX_CONNECTIONS};
 
--- a/crates/rookpulley-devcluster/src/processes.rs
+++ b/crates/rookpulley-devcluster/src/processes.rs
@@ -1,7 +1,7 @@
 //! The controllers and proxies as processes: started, looked after, killed, ended.
 
-use crate::faults::DepotError;
-use crate::ground::{Ground, MACHINES};
+use crate::environment::{Environment, MACHINES};
+use crate::faults::ClusterError;
 use crate::sheet::{GRACE_S, Role, sheet};
 use rustix::process::{Pid, Signal, kill_process};
 use std::fmt::Write;
@@ -39,19 +39,19 @@
 }
 
 /// The program that stands beside this one.
-fn sibling(name: &str) -> Result<PathBuf, DepotError> {
+fn sibling(name: &str) -> Result<PathBuf, ClusterError> {
     let own = std::env::current_exe()
-        .map_err(DepotError::system("this program's own place is unknown"))?;
+        .map_err(ClusterError::system("this program's own place is unknown"))?;
     let path = own.with_file_name(name);
     if path.is_file() {
         Ok(path)
     } else {
-        Err(DepotError::NotBuilt(path))
+        Err(ClusterError::NotBuilt(path))
     }
 }
 
 impl Processes {
-    pub fn find(verbose: bool) -> Result<Self, DepotError> {
+    pub fn find(verbose: bool) -> Result<Self, ClusterError> {
         let (controllers, proxies) = (
             sibling("rookpulley-controller")?,
             sibling("rookpulley-proxy")?,
@@ -73,32 +73,37 @@
         })
     }
 
-    pub fn start_all(&mut self, ground: &Ground) -> Result<(), DepotError> {
-        (0..self.all.len()).try_for_each(|place| self.start_at(ground, place, true))
+    pub fn start_all(&mut self, environment: &Environment) -> Result<(), ClusterError> {
+        (0..self.all.len()).try_for_each(|place| self.start_at(environment, place, true))
     }
 
     /// Starts one again, with its disk as it was left.
-    pub fn start(&mut self, ground: &Ground, name: &str) -> Result<(), DepotError> {
+    pub fn start(&mut self, environment: &Environment, name: &str) -> Result<(), ClusterError> {
         let place = self.all.iter().position(|process| process.name == name);
-        place.map_or(Ok(()), |place| self.start_at(ground, place, false))
+        place.map_or(Ok(()), |place| self.start_at(environment, place, false))
     }
 
-    fn start_at(&mut self, ground: &Ground, place: usize, first: bool) -> Result<(), DepotError> {
+    fn start_at(
+        &mut self,
+        environment: &Environment,
+        place: usize,
+        first: bool,
+    ) -> Result<(), ClusterError> {
         let Some(process) = self.all.get_mut(place) else {
             return Ok(());
         };
-        let node = sheet(ground, process.machine, process.role, first);
-        let file = ground.folder().join(format!("{}.toml", process.name));
+        let node = sheet(environment, process.machine, process.role, first);
+        let file = environment.folder().join(format!("{}.toml", process.name));
         std::fs::write(&file, node.to_string())
-            .map_err(DepotError::system("settings can't be written"))?;
+            .map_err(ClusterError::system("settings can't be written"))?;
         let log = File::options()
             .create(true)
             .append(true)
-            .open(log_of(ground, &process.name));
-        let log = log.map_err(DepotError::system("a log can't be written"))?;
+            .open(log_of(environment, &process.name));
+        let log = log.map_err(ClusterError::system("a log can't be written"))?;
         let again = log
             .try_clone()
-            .map_err(DepotError::system("a log can't be written"))?;
+            .map_err(ClusterError::system("a log can't be written"))?;
         let program = if process.role == Role::Controller {
             &self.controllers
         } else {
@@ -110,18 +115,18 @@
         }
         command
             .env(rookpulley_settings::BOOT, &file)
-            .current_dir(ground.folder());
+            .current_dir(environment.folder());
         command
             .stdin(Stdio::null())
             .stdout(log)
             .stderr(again)
             .kill_on_drop(true);
-        // A group of its own: Ctrl-C is for the depot, which ends its processes in order.
+        // A group of its own: Ctrl-C is for the cluster, which ends its processes in order.
         command.process_group(0);
         process.child = Some(
             command
                 .spawn()
-                .map_err(DepotError::system("a program can't be started"))?,
+                .map_err(ClusterError::system("a program can't be started"))?,
         );
         Ok(())
     }
@@ -136,12 +141,12 @@
     }
 
     /// The same as an error, with what it last said.
-    pub fn all_run(&mut self, ground: &Ground) -> Result<(), DepotError> {
+    pub fn all_run(&mut self, environment: &Environment) -> Result<(), ClusterError> {
         let Some((name, status)) = self.ended() else {
             return Ok(());
         };
-        let tails = tail(ground, &name);
-        Err(DepotError::Ended {
+        let tails = tail(environment, &name);
+        Err(ClusterError::Ended {
             name,
             how: status.to_string(),
             tails,
@@ -193,13 +198,13 @@
     }
 }
 
-fn log_of(ground: &Ground, name: &str) -> PathBuf {
-    ground.folder().join(format!("{name}.log"))
+fn log_of(environment: &Environment, name: &str) -> PathBuf {
+    environment.folder().join(format!("{name}.log"))
 }
 
 /// The last lines that a process has said.
-fn tail(ground: &Ground, name: &str) -> String {
-    let text = std::fs::read(log_of(ground, name)).unwrap_or_default();
+fn tail(environment: &Environment, name: &str) -> String {
+    let text = std::fs::read(log_of(environment, name)).unwrap_or_default();
     let text = String::from_utf8_lossy(&text);
     let lines: Vec<&str> = text.lines().collect();
     let mut shown = String::new();
@@ -213,9 +218,9 @@
 }
 
 /// The last lines of all, to be shown where something was late.
-pub fn tails(ground: &Ground) -> String {
+pub fn tails(environment: &Environment) -> String {
     places()
-        .map(|(role, machine)| tail(ground, &role.name(machine)))
+        .map(|(role, machine)| tail(environment, &role.name(machine)))
         .collect()
 }
 
--- a/crates/rookpulley-devcluster/src/record.rs
+++ b/crates/rookpulley-devcluster/src/record.rs
@@ -4,7 +4,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::{Duration, Instant};
 
-/// Since the depot began.
+/// Since the cluster began.
 pub type Moment = Duration;
 
 /// The same value in every run, so that two sides can compare what they saw.
--- a/crates/rookpulley-devcluster/src/sheet.rs
+++ b/crates/rookpulley-devcluster/src/sheet.rs
@@ -1,6 +1,6 @@
 //! The settings file of each process.
 
-use crate::ground::{Ground, MACHINES};
+use crate::environment::{Environment, MACHINES};
 use rookpulley_settings::{Bounds, Limits, Listen, Node, Tolerance};
 
 pub const ZONES: [&str; MACHINES] = ["north-quay", "east-quay", "south-quay"];
@@ -36,11 +36,14 @@
 }
 
 /// `first`: the whole gateway starts for the first time, with empty disks.
-pub fn sheet(ground: &Ground, machine: usize, role: Role, first: bool) -> Node {
+pub fn sheet(environment: &Environment, machine: usize, role: Role, first: bool) -> Node {
     let name = role.name(machine);
     let (serves, listen) = match role {
         Role::Proxy => {
-            let (front, readiness) = (Some(ground.front(machine)), Some(ground.readiness(machine)));
+            let (front, readiness) = (
+                Some(environment.front(machine)),
+                Some(environment.readiness(machine)),
+            );
             (
                 "edge",
                 Listen {
@@ -53,7 +56,7 @@
         Role::Controller => (
             "control_plane",
             Listen {
-                control: Some(ground.control(machine)),
+                control: Some(environment.control(machine)),
                 ..Listen::default()
             },
         ),
@@ -62,14 +65,14 @@
         role: role.word().into(),
         class: "edge".into(),
         serves: vec![serves.into()],
-        ip: ground.ip(machine),
+        ip: environment.ip(machine),
         zone: ZONES.get(machine).copied().unwrap_or_default().into(),
         region: REGION.into(),
-        inner_ports: ground.ports.inner(),
-        seeds: ground.controls(),
+        inner_ports: environment.ports.inner(),
+        seeds: environment.controls(),
         first_start: first,
         loss_counted: true,
-        data: (role == Role::Controller).then(|| ground.folder().join(format!("{name}.data"))),
+        data: (role == Role::Controller).then(|| environment.folder().join(format!("{name}.data"))),
         heartbeat_ms: HEARTBEAT_MS,
         zones: ZONES
             .iter()
--- a/crates/rookpulley-devcluster/src/task.rs
+++ b/crates/rookpulley-devcluster/src/task.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, watch};
-use tokio::task::{JoinSet, spawn_local};
+use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout_at};
 
 pub const HEALTH: &str = "/health";
@@ -280,9 +280,3 @@
     // A connection that breaks takes its request with it: that is what tasks do.
     _ = server.serve_connection(TokioIo::new(stream), service).await;
 }
-
-/// Runs a task: its server, and what it tells the controllers.
-pub fn begin(task: &Rc<Task>, listener: TcpListener, controllers: Vec<SocketAddrV4>) {
-    spawn_local(serve(task.clone(), listener));
-    spawn_local(crate::heartbeats::live(task.clone(), controllers));
-}
--- a/crates/rookpulley-devcluster/src/tests.rs
+++ b/crates/rookpulley-devcluster/src/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::{Seen, Try};
 use crate::coordination::{Hold, Number, Put, Read, Told};
-use crate::ground::Ground;
+use crate::environment::Environment;
 use crate::judge::{Check, Requests};
 use crate::operator::{FIRST, LETTERS, PARCELS, ROUTES, SECOND, configuration};
 use crate::order;
@@ -253,9 +253,9 @@
 
 #[test]
 fn settings_and_configurations_are_what_the_programs_read() {
-    let ground = Ground::find(false).unwrap();
+    let environment = Environment::find(false).unwrap();
     for (machine, role) in [(0, Role::Controller), (2, Role::Proxy)] {
-        let node = sheet(&ground, machine, role, true);
+        let node = sheet(&environment, machine, role, true);
         assert_eq!(Node::parse(&node.to_string()).unwrap(), node);
     }
     for (version, routes) in [(FIRST, 4), (SECOND, 5)] {
@@ -270,7 +270,10 @@
 
 #[test]
 fn two_grounds_share_no_port() {
-    let (one, other) = (Ground::find(false).unwrap(), Ground::find(false).unwrap());
+    let (one, other) = (
+        Environment::find(false).unwrap(),
+        Environment::find(false).unwrap(),
+    );
     let (first, second) = (one.ports.inner(), other.ports.inner());
     assert!(
         first.1 + 3 < second.0 || second.1 + 3 < first.0,
--- a/crates/rookpulley-devcluster/src/trial.rs
+++ b/crates/rookpulley-devcluster/src/trial.rs
@@ -2,10 +2,10 @@
 
 use crate::caller::once;
 use crate::clients::Clients;
+use crate::cluster::{Cluster, WITHIN};
 use crate::coordination::Applications;
-use crate::depot::{Depot, WITHIN};
-use crate::faults::DepotError;
-use crate::ground::MACHINES;
+use crate::environment::MACHINES;
+use crate::faults::ClusterError;
 use crate::judge::{Check, Requests};
 use crate::operator::{SECOND, configuration};
 use crate::order;
@@ -38,8 +38,11 @@
     }
 }
 
-fn say(depot: &Depot, what: &str) {
-    tell!("trial: {:5.2} s  {what}", depot.record.now().as_secs_f64());
+fn say(cluster: &Cluster, what: &str) {
+    tell!(
+        "trial: {:5.2} s  {what}",
+        cluster.record.now().as_secs_f64()
+    );
 }
 
 /// Ends what it runs also where the trial is broken off.
@@ -52,35 +55,35 @@
 }
 
 /// `machine`: whose controller is killed.
-pub async fn run(depot: &mut Depot, machine: usize) -> Result<Trial, DepotError> {
+pub async fn run(cluster: &mut Cluster, machine: usize) -> Result<Trial, ClusterError> {
     let proxies = (0..MACHINES)
-        .map(|machine| depot.ground.front(machine))
+        .map(|machine| cluster.environment.front(machine))
         .collect();
-    let clients = Clients::new(proxies, depot.record.clone());
+    let clients = Clients::new(proxies, cluster.record.clone());
     let applications = Rc::new(Applications::new(
-        depot.ground.controls(),
-        depot.record.clone(),
+        cluster.environment.controls(),
+        cluster.record.clone(),
     ));
     let (requests, calls) = (clients.clone(), applications.clone());
     let mut load = Beside(spawn_local(requests.run()));
     let mut control = Beside(spawn_local(async move { calls.run().await }));
-    let played = script(depot, machine, &clients, &applications).await;
-    write_down(depot, &clients);
+    let played = script(cluster, machine, &clients, &applications).await;
+    write_down(cluster, &clients);
     let second_holds = played?;
     clients.over.set(true);
     applications.over.set(true);
-    say(depot, "the last answers are waited for");
+    say(cluster, "the last answers are waited for");
     let both = async { _ = tokio::join!(&mut load.0, &mut control.0) };
     let mut checks = Vec::new();
     let mut through = Check::new("clients and applications come to their end");
     through.look(timeout(WITHIN, both).await.is_ok(), || {
         format!("not within {} s", WITHIN.as_secs())
     });
-    let read_back = read_back(depot).await;
+    let read_back = read_back(cluster).await;
 
-    let (tries, record) = (clients.tries.borrow(), depot.record.clone());
+    let (tries, record) = (clients.tries.borrow(), cluster.record.clone());
     let (arrivals, drains) = (record.arrivals.borrow(), record.drains.borrow());
-    let bounds = sheet(&depot.ground, 0, Role::Proxy, false).bounds;
+    let bounds = sheet(&cluster.environment, 0, Role::Proxy, false).bounds;
     let requests = Requests {
         tries: &tries,
         arrivals: &arrivals,
@@ -115,14 +118,14 @@
 
 /// Gives back when the second version must hold everywhere.
 async fn script(
-    depot: &mut Depot,
+    cluster: &mut Cluster,
     machine: usize,
     clients: &Rc<Clients>,
     applications: &Rc<Applications>,
-) -> Result<Moment, DepotError> {
+) -> Result<Moment, ClusterError> {
     let controller = Role::Controller.name(machine);
     say(
-        depot,
+        cluster,
         "requests go through all proxies, applications call all controllers",
     );
     let served = |proxy: Option<usize>| {
@@ -132,75 +135,75 @@
             .filter(|one| one.served() && proxy.is_none_or(|at| at == one.proxy))
             .count()
     };
-    depot
+    cluster
         .wait("that every proxy serves", async || {
             served(None) >= BEFORE && (0..MACHINES).all(|at| served(Some(at)) > 0)
         })
         .await?;
     let told = &applications.told;
     let hold_seen = async || !told.holds.borrow().is_empty() && !told.events.borrow().is_empty();
-    depot
+    cluster
         .wait("a lock held and a put seen by its watch", hold_seen)
         .await?;
 
-    let record = depot.record.clone();
+    let record = cluster.record.clone();
     let caught_up = Duration::from_secs_f64(CATCH_UP_S);
-    depot
+    cluster
         .wait("the time by which all have caught up", async || {
             record.now() > caught_up
         })
         .await?;
 
-    depot.processes.kill(&controller).await;
-    let killed = depot.record.now();
-    say(depot, &format!("{controller} is killed"));
+    cluster.processes.kill(&controller).await;
+    let killed = cluster.record.now();
+    say(cluster, &format!("{controller} is killed"));
     let numbered = async || {
         told.numbers
             .borrow()
             .iter()
             .any(|number| number.sent > killed)
     };
-    depot
+    cluster
         .wait("a number from the controllers that are left", numbered)
         .await?;
-    let waited = depot.record.now().saturating_sub(killed).as_millis();
+    let waited = cluster.record.now().saturating_sub(killed).as_millis();
     say(
-        depot,
+        cluster,
         &format!("the controllers that are left answer, {waited} ms later"),
     );
 
-    depot.configure(SECOND).await?;
-    let holds = depot.record.now() + Duration::from_millis(CONFIG_APPLY_MS);
+    cluster.configure(SECOND).await?;
+    let holds = cluster.record.now() + Duration::from_millis(CONFIG_APPLY_MS);
     say(
-        depot,
+        cluster,
         &format!("configuration {SECOND} is acknowledged by them"),
     );
-    depot.processes.start(&depot.ground, &controller)?;
-    say(depot, &format!("{controller} starts again"));
+    cluster.processes.start(&cluster.environment, &controller)?;
+    say(cluster, &format!("{controller} starts again"));
     let (control, newest) = (
-        depot.ground.control(machine),
+        cluster.environment.control(machine),
         (200, Bytes::from(configuration(SECOND))),
     );
     let knows = async || held_by(control).await.as_ref() == Some(&newest);
-    depot
+    cluster
         .wait(
             &format!("that {controller} is back and knows configuration {SECOND}"),
             knows,
         )
         .await?;
-    say(depot, &format!("{controller} is back and knows it"));
-    depot
+    say(cluster, &format!("{controller} is back and knows it"));
+    cluster
         .wait("the time by which the new route must hold", async || {
             record.now() > holds
         })
         .await?;
     clients.use_second();
 
-    let Some(task) = depot.tasks.first().cloned() else {
+    let Some(task) = cluster.tasks.first().cloned() else {
         return Ok(holds);
     };
     task.stage.send_replace(Stage::Draining);
-    say(depot, &format!("{} drains", task.incarnation));
+    say(cluster, &format!("{} drains", task.incarnation));
     let acknowledged = async || {
         record
             .drains
@@ -208,14 +211,14 @@
             .iter()
             .any(|drain| drain.incarnation == task.incarnation)
     };
-    depot
+    cluster
         .wait("an acknowledgement of the drain", acknowledged)
         .await?;
-    say(depot, "its drain is acknowledged");
-    depot
+    say(cluster, "its drain is acknowledged");
+    cluster
         .wait("the end of the task", async || task.stage() == Stage::Gone)
         .await?;
-    say(depot, "it has left");
+    say(cluster, "it has left");
 
     let new_route = Cell::new(0);
     let enough = async || {
@@ -228,14 +231,14 @@
         );
         clients.sent.get() >= REQUESTS_LEAST && new_route.get() >= NEW_ROUTE
     };
-    depot
+    cluster
         .wait("enough requests, some by the new route", enough)
         .await?;
     Ok(holds)
 }
 
 /// Leaves what clients and tasks saw beside the logs, for whoever keeps the folder.
-fn write_down(depot: &Depot, clients: &Clients) {
+fn write_down(cluster: &Cluster, clients: &Clients) {
     let lines = |items: Vec<String>| items.join("\n") + "\n";
     let tries = clients
         .tries
@@ -243,7 +246,7 @@
         .iter()
         .map(|one| format!("{one:?}"))
         .collect();
-    let arrivals = depot
+    let arrivals = cluster
         .record
         .arrivals
         .borrow()
@@ -254,7 +257,7 @@
         ("tries.txt", lines(tries)),
         ("arrivals.txt", lines(arrivals)),
     ] {
-        _ = std::fs::write(depot.ground.folder().join(name), text);
+        _ = std::fs::write(cluster.environment.folder().join(name), text);
     }
 }
 
@@ -264,10 +267,10 @@
 }
 
 /// Every controller must give back the newest configuration as it was sent.
-async fn read_back(depot: &Depot) -> Check {
+async fn read_back(cluster: &Cluster) -> Check {
     let mut check = Check::new("every controller reads the newest configuration back");
     let sent = (200, Bytes::from(configuration(SECOND)));
-    for (machine, controller) in depot.ground.controls().into_iter().enumerate() {
+    for (machine, controller) in cluster.environment.controls().into_iter().enumerate() {
         let held = held_by(controller).await;
         let status = held.as_ref().map(|(status, _)| *status);
         check.look(held.as_ref() == Some(&sent), || {
--- a/crates/rookpulley-devcluster/tests/trial.rs
+++ b/crates/rookpulley-devcluster/tests/trial.rs
@@ -10,7 +10,7 @@
 
 const DEPOT: &str = env!("CARGO_BIN_EXE_rookpulley-devcluster");
 
-/// Builds the programs of the other packages beside the depot, which `cargo test` doesn't. Where they are built
+/// Builds the programs of the other packages beside the cluster, which `cargo test` doesn't. Where they are built
 /// already this takes a moment.
 fn built() {
     static DONE: OnceLock<()> = OnceLock::new();
@@ -46,9 +46,9 @@
     });
 }
 
-/// The depot, with its folder in memory where this machine has a place for that: controllers sync what they are told, and
+/// The cluster, with its folder in memory where this machine has a place for that: controllers sync what they are told, and
 /// the verdict must not hang on how busy the disk is.
-fn depot() -> Command {
+fn cluster() -> Command {
     let mounts = std::fs::read_to_string("/proc/self/mounts").unwrap_or_default();
     let mut in_memory = mounts.lines().filter_map(|line| {
         let mut words = line.split(' ');
@@ -66,7 +66,7 @@
 #[test]
 fn a_trial_passes() {
     built();
-    let out = depot().args(["--trial", "--for", "40"]).output().unwrap();
+    let out = cluster().args(["--trial", "--for", "40"]).output().unwrap();
     let said = String::from_utf8_lossy(&out.stdout);
     let faults = String::from_utf8_lossy(&out.stderr);
     assert!(out.status.success(), "{said}\n{faults}");
@@ -79,19 +79,19 @@
 #[test]
 fn it_serves_until_it_is_told_to_end_and_leaves_nothing_behind() {
     built();
-    let mut depot = depot()
+    let mut cluster = cluster()
         .args(["--for", "40"])
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
-    let mut said = BufReader::new(depot.stdout.take().unwrap())
+    let mut said = BufReader::new(cluster.stdout.take().unwrap())
         .lines()
         .map(Result::unwrap);
     let mut line_with = |mark: &str| {
         let line = said.find(|line| line.contains(mark));
         line.unwrap_or_else(|| panic!("it said nothing of {mark:?}"))
     };
-    let folder = PathBuf::from(line_with("depot: up").rsplit(' ').next().unwrap());
+    let folder = PathBuf::from(line_with("cluster: up").rsplit(' ').next().unwrap());
     assert!(folder.join("office-1.toml").is_file() && folder.join("courier-3.toml").is_file());
     // The lines that it shows must do what they promise.
     let request = line_with("my-first");
@@ -117,8 +117,8 @@
         "{back}"
     );
 
-    kill_process(Pid::from_child(&depot), Signal::TERM).unwrap();
-    assert!(depot.wait().unwrap().success());
+    kill_process(Pid::from_child(&cluster), Signal::TERM).unwrap();
+    assert!(cluster.wait().unwrap().success());
     assert!(!folder.exists());
 }
 
--- a/crates/rookpulley-protocol/src/frame.rs
+++ b/crates/rookpulley-protocol/src/frame.rs
@@ -1,91 +1,74 @@
-//! A frame: four bytes of length, little end first, then a value by `postcard`.
+//! A frame: four bytes of length, little end first, then a value encoded by `postcard`.
 
 use serde::{Serialize, de::DeserializeOwned};
 
-/// No frame is longer; a snapshot of the ledger fits.
-pub const LONGEST: usize = 16 << 20;
+/// No frame is longer. A snapshot of the replicated state fits.
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
+const LENGTH_BYTES: usize = 4;
+/// So much that was taken is kept before what follows it is moved to the front.
+const MAX_TAKEN_BYTES: usize = 64 << 10;
 
+/// Why a frame can't be taken.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum FrameError {
-    #[error("a frame of {0} bytes is announced; {LONGEST} is the most")]
+    /// It announces more bytes than a frame may have.
+    #[error("a frame of {0} bytes is announced; {MAX_FRAME_BYTES} is the most")]
     TooLong(usize),
+    /// Its bytes are no value of the expected type.
     #[error("a frame can't be read as a message: {0}")]
-    Spoilt(#[from] postcard::Error),
+    Malformed(#[from] postcard::Error),
 }
 
+/// Encodes a value as a frame.
 pub fn frame<T: Serialize>(value: &T) -> Vec<u8> {
-    let mut bytes = vec![0; 4];
-    bytes = postcard::to_extend(value, bytes).unwrap_or_default();
-    let length = (bytes.len().saturating_sub(4)) as u32;
-    if let Some(head) = bytes.get_mut(..4) {
-        head.copy_from_slice(&length.to_le_bytes());
+    let head = vec![0; LENGTH_BYTES];
+    let mut bytes = postcard::to_extend(value, head).unwrap_or_default();
+    let length = bytes.len().saturating_sub(LENGTH_BYTES) as u32;
+    if let Some(head) = bytes.first_chunk_mut::<LENGTH_BYTES>() {
+        *head = length.to_le_bytes();
     }
     bytes
 }
 
-/// Bytes as they come, handed out frame by frame.
+/// Takes frames out of bytes, however those are cut on their way.
 #[derive(Default)]
 pub struct Frames {
     bytes: Vec<u8>,
-    read: usize,
+    /// How many of them were taken.
+    taken: usize,
 }
 
 impl Frames {
+    /// More bytes have come.
     pub fn push(&mut self, more: &[u8]) {
-        if self.read > 0 && self.read == self.bytes.len() {
-            (self.bytes, self.read) = (Vec::new(), 0);
-        } else if self.read > 64 << 10 {
-            self.bytes.drain(..self.read);
-            self.read = 0;
+        if self.taken > 0 && self.taken == self.bytes.len() {
+            self.bytes = Vec::new();
+            self.taken = 0;
+        } else if self.taken > MAX_TAKEN_BYTES {
+            self.bytes.drain(..self.taken);
+            self.taken = 0;
         }
         self.bytes.extend_from_slice(more);
     }
 
+    /// Takes the next value. None: more bytes are to come first.
     pub fn take<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
-        let rest = &self.bytes[self.read..];
-        let Some(head) = rest.first_chunk::<4>() else {
+        let rest = &self.bytes[self.taken..];
+        let Some((head, rest)) = rest.split_first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_le_bytes(*head) as usize;
-        if length > LONGEST {
+        if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong(length));
         }
-        let Some(body) = rest.get(4..4 + length) else {
+        let Some(body) = rest.get(..length) else {
             return Ok(None);
         };
         let value = postcard::from_bytes(body)?;
-        self.read += 4 + length;
+        self.taken += LENGTH_BYTES + length;
         Ok(Some(value))
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn frames_come_out_as_they_went_in_however_they_are_cut() {
-        rookpulley_samples::plays(200, 256, |u| {
-            let values: Vec<Vec<u8>> = u.arbitrary()?;
-            let wire: Vec<u8> = values.iter().flat_map(frame).collect();
-            let (mut frames, mut out, mut at) = (Frames::default(), Vec::new(), 0);
-            while at < wire.len() {
-                let cut = u.int_in_range(1..=wire.len() - at)?;
-                frames.push(&wire[at..at + cut]);
-                at += cut;
-                while let Some(value) = frames.take::<Vec<u8>>().unwrap() {
-                    out.push(value);
-                }
-            }
-            assert_eq!(out, values);
-            Ok(())
-        });
-    }
-
-    #[test]
-    fn a_frame_too_long_is_refused_before_it_is_held() {
-        let mut frames = Frames::default();
-        frames.push(&u32::MAX.to_le_bytes());
-        assert!(matches!(frames.take::<u8>(), Err(FrameError::TooLong(_))));
-    }
-}
+mod tests;
--- a/crates/rookpulley-protocol/src/lib.rs
+++ b/crates/rookpulley-protocol/src/lib.rs
@@ -1,7 +1,12 @@
-//! What the programs of the gateway say to each other: values and their bytes.
+//! What the programs of the gateway say to each other.
 //!
-//! `messages` holds the values between proxies and controllers, `frame` turns values into bytes and back,
-//! `pack` makes the operator's configuration short.
+//! | file | what it owns |
+//! | --- | --- |
+//! | `messages` | the messages between proxies and controllers |
+//! | `frame` | how a message is turned into bytes and back |
+//! | `pack` | how the operator's configuration is compressed |
+
+#![warn(missing_docs)]
 
 pub mod frame;
 pub mod messages;
--- a/crates/rookpulley-proxy-core/src/lib.rs
+++ b/crates/rookpulley-proxy-core/src/lib.rs
@@ -9,6 +9,8 @@
 //! | `response` | what the head of an instance's answer is worth |
 //! | `load_counters` | what is counted for the next load report |
 
+#![warn(missing_docs)]
+
 mod attempt;
 mod effect;
 mod lifecycle;
--- a/crates/rookpulley-proxy-core/src/state.rs
+++ b/crates/rookpulley-proxy-core/src/state.rs
@@ -9,7 +9,7 @@
 use rookpulley_balancer::{
     ControllerSelection, EndpointPicker, FleetSize, PrimaryChange, RetryBudget,
 };
-use rookpulley_protocol::frame::LONGEST;
+use rookpulley_protocol::frame::MAX_FRAME_BYTES;
 use rookpulley_protocol::{
     ControllerToProxy, IncarnationId, ProxyHello, ProxyToController, TableEntry, unpack,
 };
@@ -344,7 +344,7 @@
             return Some(held);
         }
         let base_body = if base == 0 { &[] } else { self.body.as_slice() };
-        let body = match unpack(&packed.packed, base_body, packed.length, LONGEST) {
+        let body = match unpack(&packed.packed, base_body, packed.length, MAX_FRAME_BYTES) {
             Ok(body) => body,
             Err(why) => {
                 self.log_warning(format!(
--- a/crates/rookpulley-registry/src/lib.rs
+++ b/crates/rookpulley-registry/src/lib.rs
@@ -14,6 +14,8 @@
 //!
 //! Nothing here survives the process. A controller writes instance updates to its disk and begins with them.
 
+#![warn(missing_docs)]
+
 mod configuration_history;
 mod decision_module;
 mod drain_tracker;
--- a/crates/rookpulley-routes/src/json.rs
+++ b/crates/rookpulley-routes/src/json.rs
@@ -6,17 +6,18 @@
 use tinyjson::{JsonParseError, JsonValue};
 
 /// A configuration of 3,000 routes takes about half a megabyte, one of 35,000 six.
-pub const BYTES_MOST: usize = 8 << 20;
-pub const DEPTH_MOST: usize = 64;
+pub const MAX_BYTES: usize = 8 << 20;
+/// Deeper values are refused.
+pub const MAX_DEPTH: usize = 64;
 /// In what is built at once: all but the rules, or one rule, or the whole where it must be told what is wrong with it.
-pub const VALUES_MOST: usize = 250_000;
+pub const MAX_VALUES: usize = 250_000;
 /// So many brackets stand open round a rule.
-const ROUND_RULE: usize = 4;
+const DEPTH_OF_RULE: usize = 4;
 
 const BOUNDS: Bounds = Bounds {
-    bytes: BYTES_MOST,
-    nesting: Nesting::Levels(DEPTH_MOST),
-    values: VALUES_MOST,
+    bytes: MAX_BYTES,
+    nesting: Nesting::Levels(MAX_DEPTH),
+    values: MAX_VALUES,
 };
 
 /// A rule alone; none where it is faulty.
@@ -24,7 +25,7 @@
     read(
         bytes,
         Bounds {
-            nesting: Nesting::Levels(DEPTH_MOST - ROUND_RULE),
+            nesting: Nesting::Levels(MAX_DEPTH - DEPTH_OF_RULE),
             ..BOUNDS
         },
     )
@@ -42,7 +43,7 @@
         (Unread::Long, _) => fault(
             "the body",
             format!("{} bytes long", bytes.len()),
-            format!("at most {BYTES_MOST} bytes"),
+            format!("at most {MAX_BYTES} bytes"),
         ),
         (Unread::NotUtf8(e), _) | (_, Err(e)) => fault(
             after(e.valid_up_to()),
@@ -52,12 +53,12 @@
         (Unread::Deep { at }, _) => fault(
             after(at),
             "nested too deep",
-            format!("at most {DEPTH_MOST} levels"),
+            format!("at most {MAX_DEPTH} levels"),
         ),
         (Unread::Many { at }, _) => fault(
             after(at),
             "one value too many",
-            format!("at most {VALUES_MOST} values"),
+            format!("at most {MAX_VALUES} values"),
         ),
         (Unread::NoJson(e), _) => no_json(&e),
     }
--- a/crates/rookpulley-routes/src/read.rs
+++ b/crates/rookpulley-routes/src/read.rs
@@ -1,7 +1,7 @@
 //! From the operator's bytes to the snapshot, or to all that is wrong with them.
 
 use crate::faults::CONFIGURATION;
-use crate::json::{BYTES_MOST, parse, parse_rule, unread};
+use crate::json::{MAX_BYTES, parse, parse_rule, unread};
 use crate::route::{Route, RouteKind};
 use crate::route_table::{Limits, RouteTable, Service};
 use crate::split::split;
@@ -29,7 +29,7 @@
     pub fn read_after(bytes: &[u8], earlier: Option<(&[u8], &RouteTable)>) -> Result<Self, Faults> {
         // What is faulty is read whole, to be told of with all that is wrong with it.
         match read_by_rule(bytes, earlier) {
-            Ok(book) => Ok(book),
+            Ok(table) => Ok(table),
             Err(found) => read_whole(bytes, found),
         }
     }
@@ -43,10 +43,10 @@
         Err(why) => return Err(unread(bytes, why)),
     };
     let faults = RefCell::new(Faults::none(&CONFIGURATION));
-    let book = book(Value::top(&json, &faults));
+    let table = table(Value::top(&json, &faults));
     let faults = faults.into_inner();
-    match book {
-        Some(book) if faults.is_empty() => Ok(book),
+    match table {
+        Some(table) if faults.is_empty() => Ok(table),
         _ => Err(faults),
     }
 }
@@ -58,15 +58,15 @@
     services: &[Service],
     earlier: Option<(&'a [u8], &'a RouteTable)>,
 ) -> KnownRules<'a> {
-    let Some((bytes, book)) = earlier else {
+    let Some((bytes, table)) = earlier else {
         return KnownRules::new();
     };
     // Routes name services by their places.
     let names = |services: &'a [Service]| services.iter().map(|service| service.name.as_str());
-    if !names(&book.services).eq(services.iter().map(|service| service.name.as_str())) {
+    if !names(&table.services).eq(services.iter().map(|service| service.name.as_str())) {
         return KnownRules::new();
     }
-    let known = book.rules.iter().filter_map(|(at, route)| {
+    let known = table.rules.iter().filter_map(|(at, route)| {
         let rule = bytes.get(at.clone())?;
         Some(((route.host.as_str(), rule), route))
     });
@@ -76,16 +76,16 @@
 /// What is wrong with it as far as that was found: nothing, where it must be read whole to tell.
 fn read_by_rule(bytes: &[u8], earlier: Option<(&[u8], &RouteTable)>) -> Result<RouteTable, Faults> {
     let faults = RefCell::new(Faults::none(&CONFIGURATION));
-    let short = Some(bytes).filter(|bytes| bytes.len() <= BYTES_MOST);
+    let short = Some(bytes).filter(|bytes| bytes.len() <= MAX_BYTES);
     let rest = short
         .and_then(split)
         .and_then(|split| Some((parse(&split.rest).ok()?, split.rules)));
-    let book = rest.and_then(|(json, rules)| {
+    let table = rest.and_then(|(json, rules)| {
         let text = RuleText { bytes, rules };
-        book_by_rule(Value::top(&json, &faults), &text, earlier)
+        table_by_rule(Value::top(&json, &faults), &text, earlier)
     });
     let faults = faults.into_inner();
-    book.filter(|_| faults.is_empty()).ok_or(faults)
+    table.filter(|_| faults.is_empty()).ok_or(faults)
 }
 
 struct RuleText<'a> {
@@ -102,7 +102,7 @@
     }
 }
 
-fn book_by_rule(
+fn table_by_rule(
     top: Value,
     rules: &RuleText,
     earlier: Option<(&[u8], &RouteTable)>,
@@ -114,7 +114,7 @@
         .field("configVersion")
         .whole_needed(1, "a whole number from 1 to 9007199254740991")?;
     let limits = limits(top.field("limits"));
-    let (services, places) = services(top.field("services"));
+    let (services, indices) = services(top.field("services"));
     let known = known_rules(&services, earlier);
     let (mut routes, mut read) = (Vec::new(), Vec::with_capacity(rules.rules.len()));
     for host in top.field("hostnames").items() {
@@ -124,12 +124,12 @@
         let name = name.to_ascii_lowercase();
         for rule in host.field("pathRules").items() {
             let Some((at, text)) = rules.of(&rule) else {
-                routes.push(Arc::new(route(rule, &name, &places)?));
+                routes.push(Arc::new(route(rule, &name, &indices)?));
                 continue;
             };
             let route = match known.get(&(name.as_str(), text)) {
                 Some(route) => Arc::clone(route),
-                None => Arc::new(route(rule.with(&parse_rule(text)?), &name, &places)?),
+                None => Arc::new(route(rule.with(&parse_rule(text)?), &name, &indices)?),
             };
             read.push((at, route.clone()));
             routes.push(route);
@@ -140,13 +140,13 @@
     if routes.windows(2).any(alike) {
         return None;
     }
-    let mut book = RouteTable::bound(version, limits, services, places, routes);
-    book.rules = read;
-    Some(book)
+    let mut table = RouteTable::new(version, limits, services, indices, routes);
+    table.rules = read;
+    Some(table)
 }
 
 /// Goes on after a fault, so that all are noted.
-fn book(top: Value) -> Option<RouteTable> {
+fn table(top: Value) -> Option<RouteTable> {
     if !top.is_object() {
         return None;
     }
@@ -154,7 +154,7 @@
         .field("configVersion")
         .whole_needed(1, "a whole number from 1 to 9007199254740991");
     let limits = limits(top.field("limits"));
-    let (services, places) = services(top.field("services"));
+    let (services, indices) = services(top.field("services"));
     let mut routes = Routes::default();
     for (at, host) in top
         .field("hostnames")
@@ -162,14 +162,12 @@
         .enumerate()
         .filter(|(_, host)| host.is_object())
     {
-        routes.add_host(at, host, &places);
+        routes.add_host(at, host, &indices);
     }
     let mut routes = routes.routes;
     routes.sort_by(|one, other| (&one.host, &one.prefix).cmp(&(&other.host, &other.prefix)));
     let routes = routes.into_iter().map(Arc::new).collect();
-    Some(RouteTable::bound(
-        version?, limits, services, places, routes,
-    ))
+    Some(RouteTable::new(version?, limits, services, indices, routes))
 }
 
 fn limits(limits: Value) -> Limits {
@@ -192,7 +190,7 @@
 }
 
 fn services(list: Value) -> (Vec<Service>, HashMap<String, usize>) {
-    let (mut services, mut places) = (Vec::new(), HashMap::new());
+    let (mut services, mut indices) = (Vec::new(), HashMap::new());
     for one in list.items().filter(|one| one.is_object()) {
         let name = one.field("name").text_needed("the service's name");
         let health = one.field("healthCheckPath");
@@ -208,7 +206,7 @@
             .whole(0, "a whole number from 0 on")
             .unwrap_or(0);
         let Some(name) = name else { continue };
-        match places.entry(name.to_string()) {
+        match indices.entry(name.to_string()) {
             Entry::Occupied(before) => one.field("name").note(
                 format!("{name:?}, as is services[{}].name", before.get()),
                 "each service once, under a name of its own",
@@ -221,7 +219,7 @@
             max_connections: u32::try_from(connections).unwrap_or(u32::MAX),
         });
     }
-    (services, places)
+    (services, indices)
 }
 
 #[derive(Default)]
@@ -232,14 +230,14 @@
 }
 
 impl Routes {
-    fn add_host(&mut self, at: usize, host: Value, places: &HashMap<String, usize>) {
+    fn add_host(&mut self, at: usize, host: Value, indices: &HashMap<String, usize>) {
         let name = host
             .field("hostname")
             .text_needed("the host that these rules are for");
         let name = name.unwrap_or_default().to_ascii_lowercase();
         for (rule_at, rule) in host.field("pathRules").items().enumerate() {
             if rule.is_object()
-                && let Some(route) = route(rule, &name, places)
+                && let Some(route) = route(rule, &name, indices)
             {
                 match self.seen.entry((name.clone(), route.prefix.clone())) {
                     Entry::Occupied(before) => {
@@ -260,7 +258,7 @@
     }
 }
 
-fn route(rule: Value, host: &str, places: &HashMap<String, usize>) -> Option<Route> {
+fn route(rule: Value, host: &str, indices: &HashMap<String, usize>) -> Option<Route> {
     let prefix = rule.field("pathPrefix");
     let prefix = prefix
         .text_needed("a path that begins and ends with \"/\"")
@@ -289,7 +287,7 @@
     let attempts = rule
         .field("maxAttempts")
         .whole_needed(1, "a whole number of tasks, at least 1");
-    let targets = targets(rule, places);
+    let targets = targets(rule, indices);
 
     let (prefix, timeout) = (prefix?, timeout?.min(DAY_MS));
     Some(Route {
@@ -322,7 +320,7 @@
 
 /// The services that a rule names, with their weights: one by `targetService`, or several by `trafficSplit`. The
 /// one that isn't meant may also stand there empty.
-fn targets(rule: Value, places: &HashMap<String, usize>) -> Option<Vec<(usize, f64)>> {
+fn targets(rule: Value, indices: &HashMap<String, usize>) -> Option<Vec<(usize, f64)>> {
     let (single, split) = (rule.field("targetService"), rule.field("trafficSplit"));
     let named = match single.text() {
         None if single.present() => return None,
@@ -334,7 +332,7 @@
         Vec::new()
     };
     if named.is_some() && shares.is_empty() {
-        return Some(vec![(service(single, places)?, 1.0)]);
+        return Some(vec![(service(single, indices)?, 1.0)]);
     }
     if named.is_some() {
         split.note("there beside targetService", "one of the two");
@@ -346,13 +344,13 @@
         );
         return None;
     }
-    weighed(split, &shares, places)
+    weighed(split, &shares, indices)
 }
 
 fn weighed(
     split: Value,
     shares: &[Value],
-    places: &HashMap<String, usize>,
+    indices: &HashMap<String, usize>,
 ) -> Option<Vec<(usize, f64)>> {
     let shares = shares
         .iter()
@@ -361,7 +359,7 @@
             let weight = share
                 .field("weight")
                 .number_needed(WEIGHT, |weight| weight >= 0.0);
-            let service = service(share.field("targetService"), places);
+            let service = service(share.field("targetService"), indices);
             Some((service?, weight?))
         });
     // All are looked at before the first that is faulty ends it.
@@ -379,9 +377,9 @@
     }
 }
 
-fn service(name: Value, places: &HashMap<String, usize>) -> Option<usize> {
+fn service(name: Value, indices: &HashMap<String, usize>) -> Option<usize> {
     let text = name.text_needed("the name of a service")?;
-    let place = places.get(text).copied();
+    let place = indices.get(text).copied();
     if place.is_none() {
         name.note(
             format!("{text:?}, which is no service"),
--- a/crates/rookpulley-routes/src/route_table.rs
+++ b/crates/rookpulley-routes/src/route_table.rs
@@ -1,4 +1,4 @@
-//! The snapshot: a configuration that holds, as the data path asks it.
+//! The operator's configuration in the form that requests are routed by.
 
 use crate::route::Route;
 use std::borrow::Cow;
@@ -6,36 +6,47 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// A configuration. It never changes: a newer one is a new value, swapped in whole.
+/// A configuration. It never changes: a newer one is a new value, and takes its place at once.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
+    /// Its version, as the operator gave it.
     pub version: u64,
+    /// What clients may send.
     pub limits: Limits,
+    /// The services, in the order of the configuration.
     pub services: Vec<Service>,
-    places: HashMap<String, usize>,
+    /// Their indices, by name.
+    indices: HashMap<String, usize>,
     /// Sorted by host, then by prefix.
     routes: Vec<Arc<Route>>,
     hosts: HashMap<String, Host>,
-    /// By service: the shortest aim of its routes.
+    /// By service: the least latency target of its routes.
     least_latency_targets_ms: Vec<Option<f64>>,
     /// Where rules stand in the bytes that it was read from, and the routes that came of them.
     pub(crate) rules: Vec<(Range<usize>, Arc<Route>)>,
 }
 
+/// A service that routes go to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
+    /// Its name.
     pub name: String,
+    /// The path of its health check.
     pub health_path: String,
-    /// The connections that one of its tasks accepts from all callers together. 0: not known.
+    /// The connections that one of its instances accepts from all callers together. 0: not known.
     pub max_connections: u32,
 }
 
 /// What a client may send, and how long it may take or stay idle.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
+    /// The longest head.
     pub header_bytes: usize,
+    /// The longest body.
     pub body_bytes: u64,
+    /// How long a head may take.
     pub header_ms: u64,
+    /// How long a connection may stay idle.
     pub idle_ms: u64,
 }
 
@@ -55,16 +66,16 @@
     /// Its routes among all.
     routes: Range<usize>,
     /// The length of its longest prefix: no longer beginning of a path is looked up.
-    longest: usize,
+    longest_prefix: usize,
 }
 
 impl RouteTable {
     /// `routes` are sorted by host and prefix, and no two are alike in both.
-    pub(crate) fn bound(
+    pub(crate) fn new(
         version: u64,
         limits: Limits,
         services: Vec<Service>,
-        places: HashMap<String, usize>,
+        indices: HashMap<String, usize>,
         routes: Vec<Arc<Route>>,
     ) -> Self {
         let (mut hosts, mut from) = (HashMap::new(), 0);
@@ -72,18 +83,12 @@
             let Some(first) = of_host.first() else {
                 continue;
             };
-            let longest = of_host
-                .iter()
-                .map(|route| route.prefix.len())
-                .max()
-                .unwrap_or(0);
-            hosts.insert(
-                first.host.clone(),
-                Host {
-                    routes: from..from + of_host.len(),
-                    longest,
-                },
-            );
+            let prefixes = of_host.iter().map(|route| route.prefix.len());
+            let host = Host {
+                routes: from..from + of_host.len(),
+                longest_prefix: prefixes.max().unwrap_or(0),
+            };
+            hosts.insert(first.host.clone(), host);
             from += of_host.len();
         }
         let mut least_latency_targets_ms = vec![None; services.len()];
@@ -101,7 +106,7 @@
             version,
             limits,
             services,
-            places,
+            indices,
             routes,
             hosts,
             least_latency_targets_ms,
@@ -109,7 +114,7 @@
         }
     }
 
-    /// The shortest aim of the routes that may go to this service; none: no route does.
+    /// The least latency target of the routes that may go to this service. None: no route does.
     pub fn least_latency_target_ms(&self, service: usize) -> Option<f64> {
         self.least_latency_targets_ms
             .get(service)
@@ -127,7 +132,7 @@
         let host = self.hosts.get(lower.as_ref())?;
         let routes = self.routes.get(host.routes.clone())?;
         let bytes = path.as_bytes();
-        let mut end = bytes.len().min(host.longest);
+        let mut end = bytes.len().min(host.longest_prefix);
         // From the last slash that can end a prefix back to the first: the longest prefix is found first.
         while let Some(slash) = bytes.get(..end)?.iter().rposition(|byte| *byte == b'/') {
             let beginning = bytes.get(..=slash)?;
@@ -145,12 +150,13 @@
         self.routes.iter().map(Arc::as_ref)
     }
 
-    pub fn service(&self, place: usize) -> Option<&Service> {
-        self.services.get(place)
+    /// The service with this index.
+    pub fn service(&self, index: usize) -> Option<&Service> {
+        self.services.get(index)
     }
 
-    /// Where a service stands in `services`.
+    /// The index of a service in `services`.
     pub fn service_index(&self, name: &str) -> Option<usize> {
-        self.places.get(name).copied()
+        self.indices.get(name).copied()
     }
 }
--- a/crates/rookpulley-simulator/src/proxies.rs
+++ b/crates/rookpulley-simulator/src/proxies.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::Told;
 use crate::net::{Host, unframed};
-use crate::tasks::{Answer, Errand};
+use crate::tasks::{Answer, UpstreamRequest};
 use crate::world::{Core, Mutation, What, World};
 use crate::{MS, S, Us};
 use rand::RngExt;
@@ -752,7 +752,7 @@
             return;
         };
         let from = self.host_of(process);
-        let errand = Errand {
+        let sent = UpstreamRequest {
             from: me,
             request,
             attempt,
@@ -762,7 +762,7 @@
             path,
             left_us: (left_ms * 1e3) as Us,
         };
-        self.post(from, Host::Task(place), None, What::Arrive(errand));
+        self.post(from, Host::Task(place), None, What::Arrive(sent));
     }
 
     fn answered(
--- a/crates/rookpulley-simulator/src/tasks.rs
+++ b/crates/rookpulley-simulator/src/tasks.rs
@@ -16,7 +16,7 @@
 
 /// A request on its way to a place.
 #[derive(Clone, Debug)]
-pub struct Errand {
+pub struct UpstreamRequest {
     pub from: (usize, u32),
     pub request: usize,
     pub attempt: u32,
@@ -55,7 +55,7 @@
 }
 
 struct Job {
-    errand: Errand,
+    sent: UpstreamRequest,
     until: Us,
     arrival: usize,
 }
@@ -373,7 +373,7 @@
         if crash != Some(true) {
             for job in jobs {
                 self.record.arrivals[job.arrival].broke_off = true;
-                self.answer(task, &job.errand, Answer::Reset { unread: false });
+                self.answer(task, &job.sent, Answer::Reset { unread: false });
             }
         } else {
             jobs.iter()
@@ -437,41 +437,40 @@
 
     // ---- requests ---------------------------------------------------------------------------
 
-    fn answer(&mut self, task: usize, errand: &Errand, answer: Answer) {
-        let to = self.host_of(errand.from.0);
-        let (request, attempt, wire) = (errand.request, errand.attempt, errand.wire);
+    fn answer(&mut self, task: usize, sent: &UpstreamRequest, answer: Answer) {
+        let to = self.host_of(sent.from.0);
+        let (request, attempt, wire) = (sent.request, sent.attempt, sent.wire);
         let what = What::Answer {
             request,
             attempt,
             wire,
             answer,
         };
-        self.post(Host::Task(task), to, Some(errand.from), what);
+        self.post(Host::Task(task), to, Some(sent.from), what);
     }
 
-    pub fn arrives_at_task(&mut self, errand: Errand) {
-        let (task, now) = (errand.place, self.now);
+    pub fn arrives_at_task(&mut self, sent: UpstreamRequest) {
+        let (task, now) = (sent.place, self.now);
         let incarnation = self.tasks[task].incarnation;
-        let end = self.record.wires.open.get_mut(&errand.wire);
+        let end = self.record.wires.open.get_mut(&sent.wire);
         let sound = end
             .as_ref()
             .is_some_and(|end| end.incarnation == incarnation && !end.bad);
-        end.into_iter()
-            .for_each(|end| end.owner = Some(errand.from));
+        end.into_iter().for_each(|end| end.owner = Some(sent.from));
         if self.tasks[task].state == State::ControllerToProxy || !sound {
             // Nobody is there, or it is another one that knows nothing of this connection.
-            return self.answer(task, &errand, Answer::Reset { unread: false });
+            return self.answer(task, &sent, Answer::Reset { unread: false });
         }
         let name = incarnation_name(task, incarnation);
-        let stranger = !errand.meant.is_empty() && errand.meant != name;
+        let stranger = !sent.meant.is_empty() && sent.meant != name;
         let arrival = Arrival {
-            request: errand.request,
+            request: sent.request,
             incarnation: name,
             service: self.tasks[task].service,
             at: now,
-            machine: self.processes[errand.from.0].machine,
+            machine: self.processes[sent.from.0].machine,
             task,
-            path: errand.path.clone(),
+            path: sent.path.clone(),
             stranger,
             ran: None,
             broke_off: false,
@@ -479,17 +478,17 @@
         self.record.arrivals.push(arrival);
         let arrival = self.record.arrivals.len() - 1;
         if stranger {
-            return self.turn_away(task, &errand, 421);
+            return self.turn_away(task, &sent, 421);
         }
         let sheds = self.tasks[task].bad == Some(BadTask::Sheds) && !self.chance(4);
         let of = &mut self.tasks[task];
         let job = Job {
-            until: now + errand.left_us,
-            errand,
+            until: now + sent.left_us,
+            sent,
             arrival,
         };
         if sheds || (of.running.len() >= of.slots && of.waiting.len() >= of.queue) {
-            return self.turn_away(task, &job.errand, 503);
+            return self.turn_away(task, &job.sent, 503);
         }
         if of.running.len() < of.slots {
             return self.begin_job(task, job);
@@ -497,7 +496,7 @@
         of.waiting.push_back(job);
     }
 
-    fn turn_away(&mut self, task: usize, errand: &Errand, status: u16) {
+    fn turn_away(&mut self, task: usize, sent: &UpstreamRequest, status: u16) {
         let answer = Answer::Head {
             status,
             own: true,
@@ -508,7 +507,7 @@
             signature: 0,
             body: 0,
         };
-        self.answer(task, errand, answer);
+        self.answer(task, sent, answer);
     }
 
     fn begin_job(&mut self, task: usize, job: Job) {
@@ -528,7 +527,7 @@
         if of.running.len() + 1 >= of.slots {
             us = us * 13 / 10;
         }
-        let (request, attempt) = (job.errand.request, job.errand.attempt);
+        let (request, attempt) = (job.sent.request, job.sent.attempt);
         self.record.arrivals[job.arrival].ran = Some(Run {
             begun: now,
             ended: None,
@@ -553,7 +552,7 @@
             && let Some(job) = self.tasks[task].waiting.pop_front()
         {
             if job.until <= self.now {
-                self.turn_away(task, &job.errand, 503);
+                self.turn_away(task, &job.sent, 503);
             } else {
                 self.begin_job(task, job);
             }
@@ -563,7 +562,7 @@
     pub fn task_done(&mut self, task: usize, request: usize, attempt: u32) {
         let now = self.now;
         let of = &mut self.tasks[task];
-        let fits = |job: &Job| (job.errand.request, job.errand.attempt) == (request, attempt);
+        let fits = |job: &Job| (job.sent.request, job.sent.attempt) == (request, attempt);
         let Some(at) = of.running.iter().position(fits) else {
             return;
         };
@@ -600,7 +599,7 @@
             Some(BadTask::Cuts) if !self.chance(3) => {
                 self.record.arrivals[job.arrival].broke_off = true;
                 if self.chance(2) {
-                    return self.answer(task, &job.errand, Answer::Reset { unread: false });
+                    return self.answer(task, &job.sent, Answer::Reset { unread: false });
                 }
                 whole = false;
             }
@@ -627,13 +626,13 @@
             signature,
             body,
         };
-        self.answer(task, &job.errand, answer);
+        self.answer(task, &job.sent, answer);
     }
 
     /// The connection of a request ended: what waits is dropped, what has begun goes on unseen.
     pub fn task_dropped(&mut self, task: usize, wire: u64, request: usize, attempt: u32) {
         let of = &mut self.tasks[task];
-        let fits = |job: &Job| (job.errand.request, job.errand.attempt) == (request, attempt);
+        let fits = |job: &Job| (job.sent.request, job.sent.attempt) == (request, attempt);
         of.waiting.retain(|job| !fits(job));
         of.running.retain(|job| !fits(job));
         self.close_wire(wire);
--- a/crates/rookpulley-simulator/src/world.rs
+++ b/crates/rookpulley-simulator/src/world.rs
@@ -200,7 +200,7 @@
         answer: crate::tasks::Answer,
     },
     // To those outside.
-    Arrive(crate::tasks::Errand),
+    Arrive(crate::tasks::UpstreamRequest),
     Dropped {
         task: usize,
         wire: u64,
@@ -624,7 +624,7 @@
 
     fn outside(&mut self, what: What) {
         match what {
-            What::Arrive(errand) => self.arrives_at_task(errand),
+            What::Arrive(sent) => self.arrives_at_task(sent),
             What::Dropped {
                 task,
                 wire,
--- a/crates/rookpulley-state/src/lib.rs
+++ b/crates/rookpulley-state/src/lib.rs
@@ -11,6 +11,8 @@
 //! Invariant: every controller applies the same updates with the same times and so holds the same state to the last
 //! byte. Nothing here looks at a clock or at the order of a hash map.
 
+#![warn(missing_docs)]
+
 mod counters;
 mod key_value;
 mod limits;
--- a/crates/rookpulley-store/src/inspect.rs
+++ b/crates/rookpulley-store/src/inspect.rs
@@ -3,7 +3,7 @@
 use crate::database::{
     CHAIN, FOLDER, INSTANCES, PAGES, catch_panic, identity, is_in_use, open_at, sync_all,
 };
-use crate::replace::finish_replacement;
+use crate::placement::finish_replacement;
 use crate::rows::{RowWriter, Rows};
 use std::fs::{File, TryLockError};
 use std::path::{Path, PathBuf};
--- a/crates/rookpulley-store/src/replace.rs
+++ b/crates/rookpulley-store/src/replace.rs
@@ -7,51 +7,18 @@
     CHAIN, FOLDER, IDENTITY, INSTANCES, PAGES, RETRY, open_at, sync_all, sync_folder,
 };
 use crate::inspect::{Contents, InspectError};
+use crate::placement::{NEXT, finish_replacement, replaced_store};
 use crate::rows::RowWriter;
 use rookpulley_chain::Record;
 use std::fs::{File, TryLockError, remove_dir_all, rename};
 use std::io::{Error, ErrorKind};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 
 /// A store that is half written.
 const MAKING: &str = "store.making";
-/// A store that is whole and not in its place yet.
-const NEXT: &str = "store.next";
-/// The store that another one took the place of.
-const REPLACED: &str = "store.before";
 /// How often the lock is asked for, each time after a tenth of `RETRY`.
 const LOCK_RETRIES: u32 = 100;
 
-/// Puts a store that was written whole into its place, where a crash has kept that from being done.
-pub(crate) fn finish_replacement(folder: &Path) -> Result<(), Error> {
-    let at = folder.join(FOLDER);
-    let next = folder.join(NEXT);
-    if !next.exists() {
-        return Ok(());
-    }
-    if at.exists() {
-        rename(&at, folder.join(REPLACED))?;
-    }
-    rename(&next, &at)?;
-    sync_folder(folder)
-}
-
-/// Takes a store out of its place. The first that is put aside is kept beside it, as the operator may still want it.
-pub(crate) fn put_aside(folder: &Path) -> Result<(), Error> {
-    let at = folder.join(FOLDER);
-    let replaced = folder.join(REPLACED);
-    if replaced.exists() {
-        remove_dir_all(at)
-    } else {
-        rename(at, replaced)
-    }
-}
-
-/// Where the store is kept that another one took the place of.
-pub fn replaced_store(folder: &Path) -> PathBuf {
-    folder.join(REPLACED)
-}
-
 /// Nobody else may open the store as long as the file is held. `sled` may let go of its lock a little after its owner is
 /// gone.
 fn lock(pages: &Path) -> Result<File, Error> {
--- a/crates/rookpulley-store/src/replace/tests.rs
+++ b/crates/rookpulley-store/src/replace/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::placement::REPLACED;
 use crate::{Store, StoreTree, inspect};
 
 fn put(key: &str) -> Record {
--- a/crates/rookpulley-store/src/store.rs
+++ b/crates/rookpulley-store/src/store.rs
@@ -4,7 +4,7 @@
     BOOTSTRAP, CHAIN, FOLDER, IDENTITY, INSTANCES, PAGES, RETRY, catch_panic, corrupted, identity,
     is_in_use, is_refused, open_at, sync_all, sync_folder,
 };
-use crate::replace::{finish_replacement, put_aside};
+use crate::placement::{finish_replacement, put_aside};
 use crate::rows::{RowWriter, Rows};
 use crate::writer::{StoreEvent, StoreTree, TreeWriter, WriteRequest, Writer};
 use rookpulley_chain::{PersistedState, Record};
--- a/crates/rookpulley-versions/tests/holding.rs
+++ b/crates/rookpulley-versions/tests/holding.rs
@@ -130,13 +130,13 @@
 
 // ---- The ledger ---------------------------------------------------------------------------
 
-struct Desk {
+struct Publisher {
     book: Book,
     now: f64,
     mark: u64,
 }
 
-impl Desk {
+impl Publisher {
     /// A book with versions 1 to `newest` of table 0, and dispatcher 3 joined.
     fn new(newest: u32, claims: Option<Claim>, speaks: bool) -> Self {
         let issuer = Issuer {
@@ -152,15 +152,15 @@
             },
             PATIENCE,
         );
-        let mut desk = Self {
+        let mut publisher = Self {
             book,
             now: 0.0,
             mark: 0,
         };
-        (1..=newest).for_each(|n| desk.issue(n));
+        (1..=newest).for_each(|n| publisher.issue(n));
         let claims = claims.map(|c| BTreeMap::from([(1, c)]));
-        desk.book.joins(
-            desk.now,
+        publisher.book.joins(
+            publisher.now,
             3,
             if speaks {
                 Some(claims.unwrap_or_default())
@@ -168,8 +168,8 @@
                 None
             },
         );
-        desk.book.binds(desk.now, 3, 1, 0);
-        desk
+        publisher.book.binds(publisher.now, 3, 1, 0);
+        publisher
     }
 
     fn issue(&mut self, n: u32) {
@@ -226,9 +226,9 @@
 
 #[test]
 fn a_claim_of_the_other_assigner_with_our_table_is_not_sent_it_again() {
-    let desk = Desk::new(3, Some(claim("n1", 77, 9, 3)), true);
-    assert_eq!(desk.judged(), Judged::InStep);
-    let update = desk.book.order(3, 0).unwrap().update;
+    let publisher = Publisher::new(3, Some(claim("n1", 77, 9, 3)), true);
+    assert_eq!(publisher.judged(), Judged::InStep);
+    let update = publisher.book.order(3, 0).unwrap().update;
     assert_eq!(
         update,
         Update::Same(table(3).digest()),
@@ -238,9 +238,9 @@
 
 #[test]
 fn a_claim_of_an_earlier_start_with_a_kept_table_gets_a_delta() {
-    let desk = Desk::new(3, Some(claim("n0", 0, 2, 2)), true);
-    assert_eq!(desk.judged(), Judged::Behind);
-    let Update::Delta(delta) = desk.book.order(3, 0).unwrap().update else {
+    let publisher = Publisher::new(3, Some(claim("n0", 0, 2, 2)), true);
+    assert_eq!(publisher.judged(), Judged::Behind);
+    let Update::Delta(delta) = publisher.book.order(3, 0).unwrap().update else {
         panic!("no delta")
     };
     assert_eq!(
@@ -256,37 +256,37 @@
         claim("n0", 1, 2, 51),
         claim("nobody", 8, 1, 52),
     ] {
-        let mut desk = Desk::new(3, Some(strange), true);
-        assert_eq!(desk.judged(), Judged::Diverged);
-        assert_eq!(desk.pass(0.0), 1, "it is owed the table");
+        let mut publisher = Publisher::new(3, Some(strange), true);
+        assert_eq!(publisher.judged(), Judged::Diverged);
+        assert_eq!(publisher.pass(0.0), 1, "it is owed the table");
         assert!(matches!(
-            desk.book.order(3, 0).unwrap().update,
+            publisher.book.order(3, 0).unwrap().update,
             Update::Whole(_)
         ));
-        let mark = desk.write();
-        desk.answer(mark, Some(3));
-        assert_eq!(desk.judged(), Judged::InStep);
+        let mark = publisher.write();
+        publisher.answer(mark, Some(3));
+        assert_eq!(publisher.judged(), Judged::InStep);
     }
 }
 
 #[test]
 fn a_wrong_claim_after_an_answer_is_a_loss_and_is_paced() {
-    let mut desk = Desk::new(1, None, true);
-    let mark = desk.write();
-    desk.answer(mark, Some(1));
-    desk.issue(2);
+    let mut publisher = Publisher::new(1, None, true);
+    let mark = publisher.write();
+    publisher.answer(mark, Some(1));
+    publisher.issue(2);
     let mut owed_at = Vec::new();
     for _ in 0..6 {
-        let mark = desk.write();
-        desk.answer(mark, Some(1));
+        let mark = publisher.write();
+        publisher.answer(mark, Some(1));
         assert_eq!(
-            desk.judged(),
+            publisher.judged(),
             Judged::Lost,
             "it answers and still holds the old one"
         );
-        let from = desk.now;
-        while desk.pass(100.0) == 0 {}
-        owed_at.push((desk.now - from).round());
+        let from = publisher.now;
+        while publisher.pass(100.0) == 0 {}
+        owed_at.push((publisher.now - from).round());
     }
     assert_eq!(
         owed_at,
@@ -297,115 +297,133 @@
 
 #[test]
 fn the_newest_lines_under_an_older_name_are_a_loss() {
-    let mut desk = Desk::new(1, None, true);
-    let mark = desk.write();
-    desk.answer(mark, Some(1));
-    let old = desk.book.history.newest(0).unwrap().version.clone();
-    desk.issue(2);
-    desk.write();
-    desk.issue(1);
-    let mark = desk.write();
+    let mut publisher = Publisher::new(1, None, true);
+    let mark = publisher.write();
+    publisher.answer(mark, Some(1));
+    let old = publisher.book.history.newest(0).unwrap().version.clone();
+    publisher.issue(2);
+    publisher.write();
+    publisher.issue(1);
+    let mark = publisher.write();
     // It got neither; the order for version 2 may still come and would be taken.
     let claim = Claim {
         version: Some(old),
         digest: table(1).digest(),
     };
-    desk.book
-        .answers(desk.now, 3, mark, &BTreeMap::from([(1, claim)]));
-    assert_eq!(desk.judged(), Judged::Lost);
+    publisher
+        .book
+        .answers(publisher.now, 3, mark, &BTreeMap::from([(1, claim)]));
+    assert_eq!(publisher.judged(), Judged::Lost);
 }
 
 #[test]
 fn an_answer_without_a_claim_is_a_loss() {
-    let mut desk = Desk::new(1, None, true);
-    let mark = desk.write();
-    desk.answer(mark, None);
-    assert_eq!(desk.judged(), Judged::Lost);
+    let mut publisher = Publisher::new(1, None, true);
+    let mark = publisher.write();
+    publisher.answer(mark, None);
+    assert_eq!(publisher.judged(), Judged::Lost);
 }
 
 #[test]
 fn an_answer_that_comes_twice_proves_nothing_of_what_came_between() {
-    let mut desk = Desk::new(1, None, true);
-    let first = desk.write();
-    desk.answer(first, Some(1));
-    desk.issue(2);
-    desk.write();
-    desk.issue(1);
-    desk.write();
+    let mut publisher = Publisher::new(1, None, true);
+    let first = publisher.write();
+    publisher.answer(first, Some(1));
+    publisher.issue(2);
+    publisher.write();
+    publisher.issue(1);
+    publisher.write();
     // The lines are those of the first version again; the old answer, doubled, seems to prove them held.
-    desk.answer(first, Some(1));
-    assert_eq!(desk.judged(), Judged::Behind);
+    publisher.answer(first, Some(1));
+    assert_eq!(publisher.judged(), Judged::Behind);
 }
 
 #[test]
 fn a_silent_dispatcher_is_never_taken_for_one_in_step() {
-    let mut desk = Desk::new(1, None, true);
-    let mark = desk.write();
-    desk.answer(mark, Some(1));
-    assert_eq!(desk.judged(), Judged::InStep);
+    let mut publisher = Publisher::new(1, None, true);
+    let mark = publisher.write();
+    publisher.answer(mark, Some(1));
+    assert_eq!(publisher.judged(), Judged::InStep);
     // A mark without a table, never answered.
-    desk.book.wrote(desk.now, 3, &[], Some(900));
-    assert_eq!((desk.pass(900.0), desk.judged()), (0, Judged::InStep));
-    assert_eq!((desk.pass(200.0), desk.judged()), (0, Judged::Unknown));
-    let mark = desk.write();
-    assert_eq!((desk.pass(1_100.0), desk.judged()), (1, Judged::Lost));
-    desk.answer(mark, Some(1));
-    assert_eq!(desk.judged(), Judged::InStep, "a late answer still tells");
+    publisher.book.wrote(publisher.now, 3, &[], Some(900));
+    assert_eq!(
+        (publisher.pass(900.0), publisher.judged()),
+        (0, Judged::InStep)
+    );
+    assert_eq!(
+        (publisher.pass(200.0), publisher.judged()),
+        (0, Judged::Unknown)
+    );
+    let mark = publisher.write();
+    assert_eq!(
+        (publisher.pass(1_100.0), publisher.judged()),
+        (1, Judged::Lost)
+    );
+    publisher.answer(mark, Some(1));
+    assert_eq!(
+        publisher.judged(),
+        Judged::InStep,
+        "a late answer still tells"
+    );
 }
 
 #[test]
 fn marks_alone_feed_the_ledger_of_one_that_claims_nothing() {
-    let mut desk = Desk::new(1, None, false);
-    assert_eq!(desk.judged(), Judged::Unknown);
-    let first = desk.write();
-    desk.issue(2);
-    let second = desk.write();
-    desk.answer(first, None);
-    assert_eq!(desk.judged(), Judged::Behind);
-    desk.answer(second, None);
-    assert_eq!(desk.judged(), Judged::InStep);
-    desk.issue(3);
-    desk.write();
-    assert_eq!(desk.judged(), Judged::Behind);
+    let mut publisher = Publisher::new(1, None, false);
+    assert_eq!(publisher.judged(), Judged::Unknown);
+    let first = publisher.write();
+    publisher.issue(2);
+    let second = publisher.write();
+    publisher.answer(first, None);
+    assert_eq!(publisher.judged(), Judged::Behind);
+    publisher.answer(second, None);
+    assert_eq!(publisher.judged(), Judged::InStep);
+    publisher.issue(3);
+    publisher.write();
+    assert_eq!(publisher.judged(), Judged::Behind);
     assert_eq!(
-        (desk.pass(5_000.0), desk.judged()),
+        (publisher.pass(5_000.0), publisher.judged()),
         (0, Judged::Lost),
         "known for lost, not written again"
     );
-    desk.book.leaves(desk.now, 3);
-    assert_eq!(desk.judged(), Judged::Unknown);
+    publisher.book.leaves(publisher.now, 3);
+    assert_eq!(publisher.judged(), Judged::Unknown);
 }
 
 #[test]
 fn with_256_unanswered_marks_the_oldest_are_given_up() {
-    let mut desk = Desk::new(1, None, false);
+    let mut publisher = Publisher::new(1, None, false);
     let marks: Vec<u64> = (2..=MARKS_MOST as u32 + 40)
         .map(|n| {
-            desk.issue(n);
-            desk.write()
+            publisher.issue(n);
+            publisher.write()
         })
         .collect();
-    let entry = desk.book.ledger.entry(3).unwrap();
+    let entry = publisher.book.ledger.entry(3).unwrap();
     assert_eq!(entry.marks_waiting(), MARKS_MOST);
-    desk.answer(marks[0], None);
-    assert_eq!(desk.judged(), Judged::Behind, "given up: proves nothing");
-    desk.answer(marks[marks.len() - 2], None);
-    assert_eq!(desk.judged(), Judged::Behind);
-    desk.answer(marks[marks.len() - 1], None);
-    assert_eq!(desk.judged(), Judged::InStep);
-    assert_eq!(desk.book.ledger.entry(3).unwrap().marks_waiting(), 0);
+    publisher.answer(marks[0], None);
+    assert_eq!(
+        publisher.judged(),
+        Judged::Behind,
+        "given up: proves nothing"
+    );
+    publisher.answer(marks[marks.len() - 2], None);
+    assert_eq!(publisher.judged(), Judged::Behind);
+    publisher.answer(marks[marks.len() - 1], None);
+    assert_eq!(publisher.judged(), Judged::InStep);
+    assert_eq!(publisher.book.ledger.entry(3).unwrap().marks_waiting(), 0);
 }
 
 #[test]
 fn what_a_joined_dispatcher_holds_is_pinned_until_it_leaves() {
-    let mut desk = Desk::new(1, None, true);
-    let mark = desk.write();
-    desk.answer(mark, Some(1));
-    (2..=600).for_each(|n| desk.issue(n));
-    assert!(desk.book.history.numbered(1).is_some());
-    desk.book.leaves(desk.now, 3);
-    desk.issue(601);
-    assert!(desk.book.history.numbered(1).is_none());
+    let mut publisher = Publisher::new(1, None, true);
+    let mark = publisher.write();
+    publisher.answer(mark, Some(1));
+    (2..=600).for_each(|n| publisher.issue(n));
+    assert!(publisher.book.history.numbered(1).is_some());
+    publisher.book.leaves(publisher.now, 3);
+    publisher.issue(601);
+    assert!(publisher.book.history.numbered(1).is_none());
 }
 
 #[test]
@@ -425,11 +443,15 @@
 
 #[test]
 fn the_way_back_names_a_table_or_a_moment_of_all() {
-    let mut desk = Desk::new(2, None, true);
-    desk.book.issue(0.0, 5, Arc::unwrap_or_clone(table(30)));
-    desk.issue(3);
-    desk.book.issue(0.0, 5, Arc::unwrap_or_clone(table(31)));
-    let back = |text: &str, table, all| desk.book.way_back(&text.parse().unwrap(), table, all);
+    let mut publisher = Publisher::new(2, None, true);
+    publisher
+        .book
+        .issue(0.0, 5, Arc::unwrap_or_clone(table(30)));
+    publisher.issue(3);
+    publisher
+        .book
+        .issue(0.0, 5, Arc::unwrap_or_clone(table(31)));
+    let back = |text: &str, table, all| publisher.book.way_back(&text.parse().unwrap(), table, all);
     let one = back("n0~0000000000000001~2", None, false).unwrap();
     assert_eq!(one, [(0, table(2))]);
     let all = back("n0~0000000000000001~3", None, true).unwrap();
