--- a/crates/rookpulley-assigner/examples/tick.rs
+++ b/crates/rookpulley-assigner/examples/tick.rs
@@ -2,11 +2,11 @@
 //! seconds of 400 dispatchers and 120 servers. `tools/tick-against COMMIT` runs it beside an earlier version,
 //! which is built with `--cfg earlier`.
 
-#[expect(dead_code, reason = "the desk's tests use more of it")]
-#[path = "../../../tests/desk/mod.rs"]
-mod desk;
+#[expect(dead_code, reason = "the harness's tests use more of it")]
+#[path = "../../../tests/harness/mod.rs"]
+mod harness;
 
-use desk::{kind, listed};
+use harness::{kind, listed};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rookpulley::facts::*;
@@ -106,7 +106,7 @@
 }
 
 fn start() -> Start {
-    let mut start = desk::start();
+    let mut start = harness::start();
     start.place.zones.push("c".into());
     start.place.proxies = u32::from(PROXIES);
     start.kinds.push(kind("book", 1.0, Repeat::Replayable));
--- /dev/null
+++ b/crates/rookpulley-simulator/src/proxies/requests.rs
@@ -0,0 +1,127 @@
+//! Requests of a simulated proxy: taken from clients, attempted, answered.
+
+use super::*;
+
+impl World {
+    pub(super) fn request(&mut self, process: usize, try_: usize) {
+        let of = &mut self.record.tries[try_];
+        of.read_us = Some(self.now);
+        let (host, path, deadline_ms) =
+            (of.host.clone(), of.path.clone(), of.deadline as f64 / 1e3);
+        let arrived = self.with_state(process, |state, now| {
+            state
+                .route(now, &host, &path, Some(deadline_ms))
+                .map(|route| {
+                    let once = !route.kind.is_idempotent();
+                    (RequestLifecycle::new(state, route, true), once)
+                })
+        });
+        match arrived {
+            Some(Ok((lifecycle, once))) => {
+                let work = Work {
+                    lifecycle,
+                    once,
+                    gone: false,
+                    attempt: 0,
+                    pick: None,
+                    to: None,
+                    began_ms: 0.0,
+                    resend: Resend::default(),
+                    left: false,
+                    wire: None,
+                };
+                if let Some(proxy) = self.proxy(process) {
+                    proxy.works.insert(try_, work);
+                }
+                self.go(process, try_);
+            }
+            Some(Err(local)) => {
+                self.tell(process, try_, Told::own(local.status, local.retry_after_ms))
+            }
+            None => {}
+        }
+    }
+
+    pub(super) fn on_later_route(&self, try_: usize) -> bool {
+        let of = &self.record.tries[try_];
+        let first = self
+            .record
+            .puts
+            .first()
+            .and_then(|put| put.config.route(&of.host, &of.path));
+        let now = self
+            .record
+            .puts
+            .last()
+            .and_then(|put| put.config.route(&of.host, &of.path));
+        now.is_some() && first.map(|route| route.name) != now.map(|route| route.name)
+    }
+
+    pub(super) fn tell(&mut self, process: usize, try_: usize, mut told: Told) {
+        if self.mutation == Some(Mutation::PromisesAll) && matches!(told.status, 502 | 504) {
+            told.status = 503;
+        }
+        if self.mutation == Some(Mutation::LaterRoutesFail)
+            && told.status == 200
+            && self.on_later_route(try_)
+        {
+            told.status = 502;
+        }
+        if self.mutation == Some(Mutation::NoTimeTold) {
+            told.retry_after_ms = None;
+        }
+        let mut late = 0;
+        if told.status == 503 && self.mutation == Some(Mutation::RefusedLate) {
+            let of = &self.record.tries[try_];
+            late = (of.sent_us + of.deadline).saturating_sub(self.now + 30 * MS);
+        }
+        self.proxy(process)
+            .into_iter()
+            .for_each(|proxy| _ = proxy.works.remove(&try_));
+        let from = self.host_of(process);
+        let what = What::ClientAnswer { try_, answer: told };
+        match late {
+            0 => self.post(from, Host::Outside(0), None, what),
+            late => self.after(late, None, what),
+        }
+    }
+
+    pub(super) fn go(&mut self, process: usize, request: usize) {
+        let me = self.address(process);
+        let go = self.with_work(process, request, |work, state, now| {
+            work.attempt += 1;
+            let go = work.lifecycle.next_step(state, now, !work.gone);
+            (go, work.attempt, now)
+        });
+        let Some((go, attempt, clock)) = go else {
+            return;
+        };
+        match go {
+            NextStep::Respond(local) => self.tell(
+                process,
+                request,
+                Told::own(local.status, local.retry_after_ms),
+            ),
+            NextStep::Attempt {
+                pick,
+                to,
+                check_at_ms,
+            } => {
+                let uncounted = self.mutation == Some(Mutation::NothingCounted);
+                self.with_work(process, request, |work, state, now| {
+                    (work.pick, work.to, work.began_ms) = (Some(pick), Some(to), now);
+                    if uncounted {
+                        work.pick
+                            .take()
+                            .into_iter()
+                            .for_each(|pick| state.endpoints.cancel(pick));
+                    }
+                    (work.resend, work.left, work.wire) = (Resend::default(), false, None);
+                });
+                let us = ((check_at_ms - clock).max(0.0) * 1e3) as Us;
+                self.after(us, me, What::Turn { request, attempt });
+                self.take_wire(process, request, attempt);
+            }
+        }
+    }
+}
--- a/examples/call_cost.rs
+++ b/examples/call_cost.rs
@@ -2,8 +2,8 @@
 //! five plays. All proxies are joined to this one controller. Simulated inputs, seed 7; no bench is needed.
 
 #[allow(dead_code)]
-#[path = "../tests/desk/mod.rs"]
-mod desk;
+#[path = "../tests/harness/mod.rs"]
+mod harness;
 
 use rookpulley::facts::*;
 use rookpulley::rules::Controller;
@@ -11,9 +11,9 @@
 
 /// Two kinds, three zones, and a channel that holds nothing up.
 fn start(proxies: u32) -> Start {
-    let mut start = desk::start();
+    let mut start = harness::start();
     start.kinds = ["view", "submit"]
-        .map(|name| desk::kind(name, 1.0, Repeat::Replayable))
+        .map(|name| harness::kind(name, 1.0, Repeat::Replayable))
         .to_vec();
     (start.place.proxies, start.place.controllers) = (proxies, 5);
     start.place.zones = ["a", "b", "c"].map(String::from).to_vec();
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,8 +1,8 @@
 //! Printed traces of decisions, compared with those kept in `snapshots/`.
 
-mod desk;
+mod harness;
 
-use desk::{Desk, kind, listed, server, start};
+use harness::{Harness, kind, listed, server, start};
 use insta::assert_snapshot;
 use rookpulley::facts::*;
 
@@ -11,185 +11,186 @@
 }
 
 /// Two proxies on four warm servers, past the first round, all answered.
-fn settled(start: Start) -> Desk {
-    let mut desk = Desk::new(start, four());
-    desk.join(0, 0);
-    desk.join(1, 0);
-    desk.pass(1_500.0, |d| d.answer());
-    desk
+fn settled(start: Start) -> Harness {
+    let mut harness = Harness::new(start, four());
+    harness.join(0, 0);
+    harness.join(1, 0);
+    harness.pass(1_500.0, |d| d.answer());
+    harness
 }
 
 #[test]
 fn publish() {
-    let mut desk = settled(start());
-    desk.note("nothing changes, nothing goes out");
-    desk.pass(3_000.0, |d| d.answer());
-    desk.note("a new server enters at a quarter and grows");
-    desk.change(5, Stage::Ready, 0.0);
-    desk.pass(31_000.0, |d| d.answer());
-    assert_snapshot!(desk.trace);
+    let mut harness = settled(start());
+    harness.note("nothing changes, nothing goes out");
+    harness.pass(3_000.0, |d| d.answer());
+    harness.note("a new server enters at a quarter and grows");
+    harness.change(5, Stage::Ready, 0.0);
+    harness.pass(31_000.0, |d| d.answer());
+    assert_snapshot!(harness.trace);
 }
 
 /// All four do well, and enough of it is heard to know.
-fn calm(desk: &mut Desk) {
-    desk.answer();
-    (1..=4).for_each(|n| desk.hear(n, 10.0, 0.0, 100.0));
+fn calm(harness: &mut Harness) {
+    harness.answer();
+    (1..=4).for_each(|n| harness.hear(n, 10.0, 0.0, 100.0));
 }
 
 /// 3 of 20 tries at each of the four are bad in each round.
-fn some_bad(desk: &mut Desk) {
-    desk.answer();
-    (1..=4).for_each(|n| desk.hear(n, 20.0, 3.0, 100.0));
+fn some_bad(harness: &mut Harness) {
+    harness.answer();
+    (1..=4).for_each(|n| harness.hear(n, 20.0, 3.0, 100.0));
 }
 
 #[test]
 fn taint_rollback_and_clearing() {
-    let mut desk = settled(start());
-    desk.pass(6_000.0, |d| d.answer());
-    desk.note(
+    let mut harness = settled(start());
+    harness.pass(6_000.0, |d| d.answer());
+    harness.note(
         "a new server: a new revision, then failures at the others: back to the one without it",
     );
-    desk.change(5, Stage::Ready, 0.0);
-    desk.pass(5_000.0, some_bad);
-    desk.note("s5 grows: new lines, a new revision");
-    desk.pass(1_500.0, calm);
-    desk.note("s5 restarts: the lines hash to the tainted revision again, which clears it");
-    let started = desk.now();
-    desk.change(5, Stage::Ready, started);
-    desk.pass(1_000.0, calm);
-    assert_snapshot!(desk.trace);
+    harness.change(5, Stage::Ready, 0.0);
+    harness.pass(5_000.0, some_bad);
+    harness.note("s5 grows: new lines, a new revision");
+    harness.pass(1_500.0, calm);
+    harness.note("s5 restarts: the lines hash to the tainted revision again, which clears it");
+    let started = harness.now();
+    harness.change(5, Stage::Ready, started);
+    harness.pass(1_000.0, calm);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn all_tainted_keeps_the_newest() {
-    let mut desk = settled(start());
-    desk.note("the only revision fails: tainted, and published still");
-    desk.pass(6_000.0, some_bad);
-    assert_snapshot!(desk.trace);
+    let mut harness = settled(start());
+    harness.note("the only revision fails: tainted, and published still");
+    harness.pass(6_000.0, some_bad);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn drain_and_return() {
-    let mut desk = settled(start());
-    desk.note("s2 drains: out at once, not at the next round");
-    desk.change(2, Stage::Draining, 0.0);
-    desk.pass(700.0, |_| ());
-    desk.note("gone, then restarted cold under the same id");
-    desk.change(2, Stage::Gone, 0.0);
-    desk.pass(9_000.0, calm);
-    let started = desk.now() - 500.0;
-    desk.change(2, Stage::Ready, started);
-    desk.pass(6_000.0, calm);
-    assert_snapshot!(desk.trace);
+    let mut harness = settled(start());
+    harness.note("s2 drains: out at once, not at the next round");
+    harness.change(2, Stage::Draining, 0.0);
+    harness.pass(700.0, |_| ());
+    harness.note("gone, then restarted cold under the same id");
+    harness.change(2, Stage::Gone, 0.0);
+    harness.pass(9_000.0, calm);
+    let started = harness.now() - 500.0;
+    harness.change(2, Stage::Ready, started);
+    harness.pass(6_000.0, calm);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn a_new_server_gets_what_the_settings_are_sure_it_can_do() {
     let mut soon_warm = start();
     (soon_warm.bounds.cold_share, soon_warm.bounds.cold_ms) = (0.85, 1_000.0);
-    let mut desk = settled(soon_warm);
-    desk.pass(9_000.0, calm);
-    desk.note("s5 starts; it is sure to do 0.85 of its work at once, and all of it after a second");
-    let started = desk.now();
-    desk.change(5, Stage::Ready, started);
-    desk.pass(2_000.0, calm);
-    assert_snapshot!(desk.trace);
+    let mut harness = settled(soon_warm);
+    harness.pass(9_000.0, calm);
+    harness
+        .note("s5 starts; it is sure to do 0.85 of its work at once, and all of it after a second");
+    let started = harness.now();
+    harness.change(5, Stage::Ready, started);
+    harness.pass(2_000.0, calm);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn what_was_met_before_a_start_is_not_held_against_a_server() {
-    let mut desk = settled(start());
-    let bad_at_s4 = |d: &mut Desk| {
+    let mut harness = settled(start());
+    let bad_at_s4 = |d: &mut Harness| {
         d.answer();
         (1..=3).for_each(|n| d.hear(n, 10.0, 0.0, 100.0));
         d.hear(4, 8.0, 8.0, 0.0);
     };
-    desk.pass(9_000.0, calm);
-    desk.pass(1_000.0, bad_at_s4);
-    let started = desk.now();
-    desk.change(4, Stage::Ready, started);
+    harness.pass(9_000.0, calm);
+    harness.pass(1_000.0, bad_at_s4);
+    let started = harness.now();
+    harness.change(4, Stage::Ready, started);
     // Reports that were on their way.
-    desk.pass(2_900.0, bad_at_s4);
-    desk.pass(3_000.0, calm);
-    assert!(!desk.trace.contains("Fails"), "{}", desk.trace);
+    harness.pass(2_900.0, bad_at_s4);
+    harness.pass(3_000.0, calm);
+    assert!(!harness.trace.contains("Fails"), "{}", harness.trace);
     // What is told later on counts.
-    desk.pass(4_000.0, bad_at_s4);
+    harness.pass(4_000.0, bad_at_s4);
     assert!(
-        desk.trace.contains("Ramping -> Struck on Fails"),
+        harness.trace.contains("Ramping -> Struck on Fails"),
         "{}",
-        desk.trace
+        harness.trace
     );
 }
 
 #[test]
 fn servers_long_gone_are_dropped_and_what_is_known_levels_off() {
-    let mut desk = settled(start());
-    desk.change(4, Stage::Gone, 0.0);
-    desk.pass(9_000.0, |d| d.answer());
-    assert_eq!(desk.known(), [1, 2, 3, 4], "a proxy may be late");
-    desk.pass(2_000.0, |d| d.answer());
-    assert_eq!(desk.known(), [1, 2, 3]);
-    desk.note("back under its id: it is used as a new one is");
-    desk.change(4, Stage::Ready, 0.0);
-    desk.pass(1_000.0, |d| d.answer());
-    assert_snapshot!(desk.trace);
+    let mut harness = settled(start());
+    harness.change(4, Stage::Gone, 0.0);
+    harness.pass(9_000.0, |d| d.answer());
+    assert_eq!(harness.known(), [1, 2, 3, 4], "a proxy may be late");
+    harness.pass(2_000.0, |d| d.answer());
+    assert_eq!(harness.known(), [1, 2, 3]);
+    harness.note("back under its id: it is used as a new one is");
+    harness.change(4, Stage::Ready, 0.0);
+    harness.pass(1_000.0, |d| d.answer());
+    assert_snapshot!(harness.trace);
     for n in 5..=200 {
-        desk.change(n, Stage::Ready, 0.0);
-        desk.change(n - 4, Stage::Gone, 0.0);
-        desk.pass(2_000.0, |d| d.answer());
-        assert!(desk.known().len() <= 4 + 7, "{:?}", desk.known());
+        harness.change(n, Stage::Ready, 0.0);
+        harness.change(n - 4, Stage::Gone, 0.0);
+        harness.pass(2_000.0, |d| d.answer());
+        assert!(harness.known().len() <= 4 + 7, "{:?}", harness.known());
     }
 }
 
 #[test]
 fn failing_server_is_struck_and_tried_again() {
-    let mut desk = settled(start());
-    desk.pass(3_000.0, |_| ());
-    desk.note("s3 gives no good answers; the others do");
-    (1..=4).for_each(|n| desk.hear(n, 10.0, if n == 3 { 10.0 } else { 0.0 }, 100.0));
-    desk.note("let in again at a quarter, it still fails: held twice as long");
-    desk.pass(20_000.0, |d| {
+    let mut harness = settled(start());
+    harness.pass(3_000.0, |_| ());
+    harness.note("s3 gives no good answers; the others do");
+    (1..=4).for_each(|n| harness.hear(n, 10.0, if n == 3 { 10.0 } else { 0.0 }, 100.0));
+    harness.note("let in again at a quarter, it still fails: held twice as long");
+    harness.pass(20_000.0, |d| {
         (1..=4).for_each(|n| d.hear(n, 5.0, if n == 3 { 5.0 } else { 0.0 }, 100.0))
     });
-    assert_snapshot!(desk.trace);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn nobody_is_left_bare() {
-    let mut desk = Desk::new(start(), vec![listed(1, 0), listed(2, 0)]);
-    desk.join(0, 0);
-    desk.pass(5_000.0, |_| ());
-    desk.note("all fail alike: none is struck");
-    desk.pass(2_000.0, |d| {
+    let mut harness = Harness::new(start(), vec![listed(1, 0), listed(2, 0)]);
+    harness.join(0, 0);
+    harness.pass(5_000.0, |_| ());
+    harness.note("all fail alike: none is struck");
+    harness.pass(2_000.0, |d| {
         (1..=2).for_each(|n| d.hear(n, 10.0, 10.0, 0.0))
     });
-    desk.note("one is struck; then the other goes: a struck line beats none");
-    desk.pass(2_000.0, |d| {
+    harness.note("one is struck; then the other goes: a struck line beats none");
+    harness.pass(2_000.0, |d| {
         (1..=2).for_each(|n| d.hear(n, 40.0, if n == 1 { 40.0 } else { 0.0 }, 100.0))
     });
-    desk.change(2, Stage::Gone, 0.0);
-    desk.pass(400.0, |_| ());
-    assert_snapshot!(desk.trace);
+    harness.change(2, Stage::Gone, 0.0);
+    harness.pass(400.0, |_| ());
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn dropped_server_stays_while_it_answers() {
     let mut soft = start();
     soft.bounds.only_draining_binds = true;
-    let mut desk = settled(soft);
-    desk.pass(3_000.0, calm);
-    desk.note("the list drops s2 and s3, where only draining binds; both do well");
-    desk.change(2, Stage::Gone, 0.0);
-    desk.change(3, Stage::Gone, 0.0);
-    desk.pass(2_000.0, calm);
-    desk.note("s3 answers no more; s4 drains; s5, never seen before, never answers");
-    desk.change(4, Stage::Draining, 0.0);
-    desk.change(5, Stage::Ready, 0.0);
-    desk.pass(5_000.0, |d| {
+    let mut harness = settled(soft);
+    harness.pass(3_000.0, calm);
+    harness.note("the list drops s2 and s3, where only draining binds; both do well");
+    harness.change(2, Stage::Gone, 0.0);
+    harness.change(3, Stage::Gone, 0.0);
+    harness.pass(2_000.0, calm);
+    harness.note("s3 answers no more; s4 drains; s5, never seen before, never answers");
+    harness.change(4, Stage::Draining, 0.0);
+    harness.change(5, Stage::Ready, 0.0);
+    harness.pass(5_000.0, |d| {
         d.answer();
         (1..=5).for_each(|n| d.hear(n, 10.0, if n == 3 || n == 5 { 10.0 } else { 0.0 }, 100.0));
     });
-    assert_snapshot!(desk.trace);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
@@ -197,52 +198,52 @@
     let mut far = start();
     far.means.cross_zone_price = 0.1;
     far.channel.backlog_lines = 50.0;
-    let mut desk = Desk::new(
+    let mut harness = Harness::new(
         far,
         vec![listed(1, 0), listed(2, 0), listed(3, 1), listed(4, 1)],
     );
-    desk.join(0, 1);
-    desk.join(1, 0);
-    desk.pass(1_500.0, |d| d.answer());
-    desk.note("p1's servers leave, and the queue has no room for all: p1 is written before p0");
-    desk.give(vec![Input::List {
+    harness.join(0, 1);
+    harness.join(1, 0);
+    harness.pass(1_500.0, |d| d.answer());
+    harness.note("p1's servers leave, and the queue has no room for all: p1 is written before p0");
+    harness.give(vec![Input::List {
         scope: ListScope::Full,
         version: 2,
         lines: (3..=5).map(|n| listed(n, 1)).collect(),
     }]);
-    desk.pass(2_000.0, |_| ());
-    assert_snapshot!(desk.trace);
+    harness.pass(2_000.0, |_| ());
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn strained_server_is_trimmed() {
-    let mut desk = settled(start());
-    desk.pass(2_000.0, |_| ());
-    desk.note("s4 takes nine times as long as the others");
-    desk.pass(5_000.0, |d| {
+    let mut harness = settled(start());
+    harness.pass(2_000.0, |_| ());
+    harness.note("s4 takes nine times as long as the others");
+    harness.pass(5_000.0, |d| {
         (1..=4).for_each(|n| d.hear(n, 10.0, 0.0, if n == 4 { 900.0 } else { 100.0 }))
     });
-    assert_snapshot!(desk.trace);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn cold_server_waits_where_too_little_is_heard() {
-    let mut desk = settled(start());
-    desk.pass(10_000.0, |d| d.hear(1, 2.0, 0.0, 100.0));
-    desk.note("s2 returns cold; six reqs in three seconds don't tell whether the fleet jams");
-    let started = desk.now();
-    desk.change(2, Stage::Ready, started);
-    desk.pass(3_000.0, |d| d.hear(1, 2.0, 0.0, 100.0));
-    desk.note("enough is heard, and all is calm");
-    desk.pass(6_000.0, calm);
-    assert_snapshot!(desk.trace);
+    let mut harness = settled(start());
+    harness.pass(10_000.0, |d| d.hear(1, 2.0, 0.0, 100.0));
+    harness.note("s2 returns cold; six reqs in three seconds don't tell whether the fleet jams");
+    let started = harness.now();
+    harness.change(2, Stage::Ready, started);
+    harness.pass(3_000.0, |d| d.hear(1, 2.0, 0.0, 100.0));
+    harness.note("enough is heard, and all is calm");
+    harness.pass(6_000.0, calm);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn nothing_roves_through_a_jammed_fleet() {
-    let mut desk = settled(start());
-    desk.pass(5_000.0, |_| ());
-    let full = |d: &mut Desk, s3_bad: f64, s4_ms: f64| {
+    let mut harness = settled(start());
+    harness.pass(5_000.0, |_| ());
+    let full = |d: &mut Harness, s3_bad: f64, s4_ms: f64| {
         (0..2).for_each(|p| d.usage(p, 0, 40.0));
         for (n, bad, ms) in [
             (1, 6.0, 800.0),
@@ -253,20 +254,21 @@
             d.hear(n, 20.0, bad, ms);
         }
     };
-    desk.note("all are full");
-    desk.pass(4_000.0, |d| full(d, 6.0, 800.0));
-    desk.note("s3 fails most and s4 takes twice as long, but both do work: neither is moved off");
-    desk.pass(6_000.0, |d| full(d, 16.0, 1_600.0));
-    assert_snapshot!(desk.trace);
+    harness.note("all are full");
+    harness.pass(4_000.0, |d| full(d, 6.0, 800.0));
+    harness
+        .note("s3 fails most and s4 takes twice as long, but both do work: neither is moved off");
+    harness.pass(6_000.0, |d| full(d, 16.0, 1_600.0));
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn crash_rebuild_and_rejoin() {
-    let mut desk = settled(start());
-    desk.note("the stream of p0 breaks and comes back: bound again at once, whole");
-    desk.give(vec![Input::Left { proxy: 0 }]);
-    desk.pass(400.0, |_| ());
-    desk.join(0, 0);
+    let mut harness = settled(start());
+    harness.note("the stream of p0 breaks and comes back: bound again at once, whole");
+    harness.give(vec![Input::Left { proxy: 0 }]);
+    harness.pass(400.0, |_| ());
+    harness.join(0, 0);
     let asked_at = 100_000.0;
     let lines = vec![
         listed(1, 0),
@@ -280,11 +282,11 @@
             ..listed(4, 0)
         },
     ];
-    let mut again = Desk::new(start(), lines);
+    let mut again = Harness::new(start(), lines);
     again.join(1, 0);
     again.pass(1_000.0, |_| ());
     assert_snapshot!(
-        desk.trace
+        harness.trace
             + "== started over from the list alone: s4 started 3 s ago, s3 drains\n"
             + &again.trace
     );
@@ -294,54 +296,55 @@
 fn backlog_limit() {
     let mut tight = start();
     tight.channel.backlog_lines = 40.0;
-    let mut desk = settled(tight);
-    desk.note(
+    let mut harness = settled(tight);
+    harness.note(
         "a bound table's deltas wait while p0's and p1's tables fill the channel; a drain does not",
     );
-    desk.change(5, Stage::Ready, 0.0);
-    desk.change(2, Stage::Draining, 0.0);
-    desk.note("answers show the channel empty: the rest follows");
-    desk.answer();
-    desk.pass(2_000.0, |d| d.answer());
-    assert_snapshot!(desk.trace);
+    harness.change(5, Stage::Ready, 0.0);
+    harness.change(2, Stage::Draining, 0.0);
+    harness.note("answers show the channel empty: the rest follows");
+    harness.answer();
+    harness.pass(2_000.0, |d| d.answer());
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn dear_bindings_wait_for_room() {
     let mut tight = start();
     (tight.channel.backlog_lines, tight.channel.bind_lines) = (38.0, 2.0);
-    let mut desk = Desk::new(tight, four());
-    desk.join(0, 0);
-    desk.join(1, 0);
-    desk.note("where each line of a first table may need another beside it, only one table fits");
-    desk.pass(1_000.0, |_| ());
-    desk.note("answered: the other follows");
-    desk.pass(1_500.0, |d| d.answer());
-    assert_snapshot!(desk.trace);
+    let mut harness = Harness::new(tight, four());
+    harness.join(0, 0);
+    harness.join(1, 0);
+    harness
+        .note("where each line of a first table may need another beside it, only one table fits");
+    harness.pass(1_000.0, |_| ());
+    harness.note("answered: the other follows");
+    harness.pass(1_500.0, |d| d.answer());
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn message_limit() {
     let mut few = start();
     few.channel.messages_most = 4;
-    let mut desk = settled(few);
-    desk.note("two of four messages in 10 s may be deltas");
+    let mut harness = settled(few);
+    harness.note("two of four messages in 10 s may be deltas");
     for n in 5..=6 {
-        desk.change(n, Stage::Ready, 0.0);
-        desk.pass(1_000.0, |d| d.answer());
+        harness.change(n, Stage::Ready, 0.0);
+        harness.pass(1_000.0, |d| d.answer());
     }
-    desk.note(
+    harness.note(
         "drains go out all the same; that s2 is back waits until the first messages are past",
     );
-    desk.change(2, Stage::Draining, 0.0);
-    desk.change(3, Stage::Draining, 0.0);
-    desk.change(2, Stage::Ready, 0.0);
-    desk.pass(10_000.0, |d| d.answer());
-    assert_snapshot!(desk.trace);
+    harness.change(2, Stage::Draining, 0.0);
+    harness.change(3, Stage::Draining, 0.0);
+    harness.change(2, Stage::Ready, 0.0);
+    harness.pass(10_000.0, |d| d.answer());
+    assert_snapshot!(harness.trace);
 }
 
 /// Proxies bring 100 reqs a second of two kinds; the fleet does 60 of them, slowly.
-fn jam(mut from: Start) -> Desk {
+fn jam(mut from: Start) -> Harness {
     from.kinds = vec![
         kind("view", 1.0, Repeat::Replayable),
         kind(
@@ -354,22 +357,22 @@
         ),
         kind("charge", 3.0, Repeat::NonReplayable),
     ];
-    let mut desk = settled(from);
-    let cold = desk.now() - 1_000.0;
-    desk.note("s5 returns cold, then the fleet jams");
-    desk.change(5, Stage::Ready, cold);
-    desk.pass(4_000.0, |d| {
+    let mut harness = settled(from);
+    let cold = harness.now() - 1_000.0;
+    harness.note("s5 returns cold, then the fleet jams");
+    harness.change(5, Stage::Ready, cold);
+    harness.pass(4_000.0, |d| {
         (0..2).for_each(|p| d.usage(p, 0, 30.0 + 10.0 * f64::from(p)));
         (0..2).for_each(|p| d.usage(p, 1, 10.0));
         d.usage(0, 2, 10.0);
         (1..=4).for_each(|n| d.hear(n, 25.0, 10.0, 1_500.0));
     });
-    desk.note("the jam passes");
-    desk.pass(10_000.0, |d| {
+    harness.note("the jam passes");
+    harness.pass(10_000.0, |d| {
         (0..2).for_each(|p| d.usage(p, 0, 10.0));
         (1..=4).for_each(|n| d.hear(n, 15.0, 0.0, 200.0));
     });
-    desk
+    harness
 }
 
 #[test]
@@ -390,13 +393,13 @@
     near.means.cross_zone_price = 0.1;
     near.means.peers = true;
     near.place.proxies = 4;
-    let mut desk = Desk::new(
+    let mut harness = Harness::new(
         near,
         vec![listed(1, 0), listed(2, 0), listed(3, 1), listed(4, 1)],
     );
-    desk.join(0, 0);
-    desk.join(1, 0);
-    desk.note("a peer names as much demand in the other zone; what is no note is passed over");
+    harness.join(0, 0);
+    harness.join(1, 0);
+    harness.note("a peer names as much demand in the other zone; what is no note is passed over");
     let line = |p: u16, per_s: f32| {
         [
             &p.to_le_bytes()[..],
@@ -412,12 +415,12 @@
         vec![1, 2, 3],
     ]
     .concat();
-    desk.give(vec![Input::Note { from: 1, bytes }]);
-    desk.pass(1_000.0, |d| d.answer());
-    desk.note("zone 0 loses one of two: what has no room at home crosses");
-    desk.change(2, Stage::Gone, 0.0);
-    desk.pass(400.0, |_| ());
-    assert_snapshot!(desk.trace);
+    harness.give(vec![Input::Note { from: 1, bytes }]);
+    harness.pass(1_000.0, |d| d.answer());
+    harness.note("zone 0 loses one of two: what has no room at home crosses");
+    harness.change(2, Stage::Gone, 0.0);
+    harness.pass(400.0, |_| ());
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
@@ -428,13 +431,13 @@
         ..kind("charge", 3.0, Repeat::NonReplayable)
     });
     bound.means.cross_zone_price = 0.1;
-    let mut desk = Desk::new(
+    let mut harness = Harness::new(
         bound,
         vec![listed(1, 0), listed(2, 0), listed(3, 1), listed(4, 1)],
     );
-    desk.join(0, 0);
-    desk.pass(1_000.0, |_| ());
-    assert_snapshot!(desk.trace);
+    harness.join(0, 0);
+    harness.pass(1_000.0, |_| ());
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
@@ -442,14 +445,14 @@
     let mut many = start();
     many.place.proxies = 100;
     many.means.conns_least = 100.0;
-    let mut desk = Desk::new(many, (1..=16).map(|n| listed(n, 0)).collect());
-    (0..3).for_each(|p| desk.join(p, 0));
-    desk.pass(1_000.0, |_| ());
-    desk.note("p0 brings four times what the others do, for 25 s");
-    desk.pass(25_000.0, |d| {
+    let mut harness = Harness::new(many, (1..=16).map(|n| listed(n, 0)).collect());
+    (0..3).for_each(|p| harness.join(p, 0));
+    harness.pass(1_000.0, |_| ());
+    harness.note("p0 brings four times what the others do, for 25 s");
+    harness.pass(25_000.0, |d| {
         (0..3).for_each(|p| d.usage(p, 0, if p == 0 { 40.0 } else { 10.0 }))
     });
-    assert_snapshot!(desk.trace);
+    assert_snapshot!(harness.trace);
 }
 
 /// What a trace says of one thing.
@@ -463,10 +466,10 @@
 
 #[test]
 fn no_chance_run_is_struck_in_a_large_jam() {
-    let mut desk = Desk::new(start(), (1..=200).map(|n| listed(n, 0)).collect());
-    desk.join(0, 0);
-    desk.note("two of three tries fail everywhere, all four at s9, all forty at s10");
-    desk.pass(12_000.0, |d| {
+    let mut harness = Harness::new(start(), (1..=200).map(|n| listed(n, 0)).collect());
+    harness.join(0, 0);
+    harness.note("two of three tries fail everywhere, all four at s9, all forty at s10");
+    harness.pass(12_000.0, |d| {
         let met = |n| {
             if n == 9 {
                 (1.4, 1.4)
@@ -478,7 +481,7 @@
         };
         (1..=200).for_each(|n| d.hear(n, met(n).0, met(n).1, 900.0));
     });
-    assert_snapshot!(only(&desk.trace, "Struck"));
+    assert_snapshot!(only(&harness.trace, "Struck"));
 }
 
 #[test]
@@ -486,20 +489,20 @@
     let mut many = start();
     (many.place.proxies, many.place.controllers) = (4, 1);
     many.load_fields = vec![LoadField::Held];
-    let mut desk = Desk::new(many, (1..=8).map(|n| listed(n, 0)).collect());
-    (0..4).for_each(|p| desk.join(p, 0));
-    desk.pass(7_000.0, |d| {
+    let mut harness = Harness::new(many, (1..=8).map(|n| listed(n, 0)).collect());
+    (0..4).for_each(|p| harness.join(p, 0));
+    harness.pass(7_000.0, |d| {
         (1..=8).for_each(|n| d.hear(n, 10.0, 0.0, 100.0))
     });
-    desk.note("half of the tries fail, though servers report nothing to do");
-    desk.pass(12_000.0, |d| {
+    harness.note("half of the tries fail, though servers report nothing to do");
+    harness.pass(12_000.0, |d| {
         (1..=8).for_each(|n| d.hear(n, 10.0, 5.0, 100.0))
     });
-    desk.note("no more");
-    desk.pass(30_000.0, |d| {
+    harness.note("no more");
+    harness.pass(30_000.0, |d| {
         (1..=8).for_each(|n| d.hear(n, 10.0, 0.0, 100.0))
     });
-    assert_snapshot!(only(&desk.trace, "t0:"));
+    assert_snapshot!(only(&harness.trace, "t0:"));
 }
 
 /// A release in a fleet whose connections are refused: arcs are narrow, and some begin where many servers have left and
@@ -515,24 +518,24 @@
         many.bounds.cold_ms,
         many.bounds.fall_multiple,
     ) = (0.5, 60_000.0, 6.0);
-    let mut desk = Desk::new(many, (1..=40).map(|k| listed(3 * k, 0)).collect());
-    (0..60).for_each(|p| desk.join(p, 0));
-    let hear = |d: &mut Desk, bad: f64| {
+    let mut harness = Harness::new(many, (1..=40).map(|k| listed(3 * k, 0)).collect());
+    (0..60).for_each(|p| harness.join(p, 0));
+    let hear = |d: &mut Harness, bad: f64| {
         (3..=120).for_each(|n| d.hear(n, 10.0, bad, 100.0));
         d.answer();
     };
-    desk.pass(7_000.0, |d| hear(d, 0.0));
-    desk.pass(9_000.0, |d| hear(d, 5.0));
-    let started = desk.now();
+    harness.pass(7_000.0, |d| hear(d, 0.0));
+    harness.pass(9_000.0, |d| hear(d, 5.0));
+    let started = harness.now();
     for last in [6, 14, 22, 30, 38] {
-        (last - 4..=last).for_each(|k| desk.change(3 * k, Stage::Draining, 0.0));
+        (last - 4..=last).for_each(|k| harness.change(3 * k, Stage::Draining, 0.0));
         [1, 2]
             .into_iter()
-            .for_each(|beside| desk.change(3 * last + beside, Stage::Ready, started));
+            .for_each(|beside| harness.change(3 * last + beside, Stage::Ready, started));
     }
-    desk.pass(6_000.0, |d| hear(d, 5.0));
+    harness.pass(6_000.0, |d| hear(d, 5.0));
     // 15 warm ones and 10 that may have half: so much of all is a cold one's share.
-    let (fair, sent) = (60.0 * 0.5 / 20.0, desk.sent());
+    let (fair, sent) = (60.0 * 0.5 / 20.0, harness.sent());
     let cold: Vec<f64> = sent
         .iter()
         .filter(|(n, _)| *n % 3 > 0)
@@ -545,35 +548,36 @@
 
 #[test]
 fn levels_go_with_the_joined_proxies() {
-    let mut desk = settled(start());
-    let full = |d: &mut Desk, proxies| {
+    let mut harness = settled(start());
+    let full = |d: &mut Harness, proxies| {
         (0..proxies).for_each(|p| d.usage(p, 0, 30.0));
         (1..=4).for_each(|n| d.hear(n, 10.0, 0.0, 700.0));
     };
-    desk.pass(8_000.0, |d| full(d, 2));
-    desk.note("a peer dies, and its two proxies come here");
-    (2..4).for_each(|p| desk.join(p, 0));
-    desk.pass(4_000.0, |d| full(d, 4));
-    assert_snapshot!(only(&desk.trace, "et"));
+    harness.pass(8_000.0, |d| full(d, 2));
+    harness.note("a peer dies, and its two proxies come here");
+    (2..4).for_each(|p| harness.join(p, 0));
+    harness.pass(4_000.0, |d| full(d, 4));
+    assert_snapshot!(only(&harness.trace, "et"));
 }
 
 #[test]
 fn a_slow_part_of_the_fleet_is_no_jam() {
-    let mut desk = settled(start());
-    desk.note("s4 takes thirty times as long, so that the mean is past half the response target");
-    desk.pass(10_000.0, |d| {
+    let mut harness = settled(start());
+    harness
+        .note("s4 takes thirty times as long, so that the mean is past half the response target");
+    harness.pass(10_000.0, |d| {
         (1..=4).for_each(|n| d.hear(n, 10.0, 0.0, if n == 4 { 3_000.0 } else { 100.0 }))
     });
-    assert_snapshot!(only(&desk.trace, "log"));
+    assert_snapshot!(only(&harness.trace, "log"));
 }
 
 #[test]
 fn a_few_full_servers_are_no_jam_and_many_are() {
     let mut queues = start();
     queues.load_fields = vec![LoadField::Queue];
-    let mut desk = Desk::new(queues, (1..=10).map(|n| listed(n, 0)).collect());
-    desk.join(0, 0);
-    let full = |d: &mut Desk, servers: u8| {
+    let mut harness = Harness::new(queues, (1..=10).map(|n| listed(n, 0)).collect());
+    harness.join(0, 0);
+    let full = |d: &mut Harness, servers: u8| {
         d.answer();
         d.usage(0, 0, 100.0);
         for n in 1..=10 {
@@ -590,13 +594,13 @@
             }]);
         }
     };
-    desk.pass(12_000.0, |d| full(d, 3));
-    assert!(!desk.trace.contains("Tight"), "{}", desk.trace);
-    desk.pass(4_000.0, |d| full(d, 6));
+    harness.pass(12_000.0, |d| full(d, 3));
+    assert!(!harness.trace.contains("Tight"), "{}", harness.trace);
+    harness.pass(4_000.0, |d| full(d, 6));
     assert!(
-        desk.trace.contains("levels Open -> Tight"),
+        harness.trace.contains("levels Open -> Tight"),
         "{}",
-        desk.trace
+        harness.trace
     );
 }
 
@@ -604,33 +608,33 @@
 fn nothing_more_goes_out_while_answers_are_overdue() {
     let mut slow = start();
     slow.channel.backlog_lines = 60.0;
-    let mut desk = settled(slow);
-    desk.note(
+    let mut harness = settled(slow);
+    harness.note(
         "no mark is answered any more: new servers wait as soon as half the queue may be full",
     );
     for n in 5..=12 {
-        desk.change(n, Stage::Ready, 0.0);
-        desk.pass(1_000.0, |_| ());
+        harness.change(n, Stage::Ready, 0.0);
+        harness.pass(1_000.0, |_| ());
     }
-    desk.note("all is answered");
-    desk.pass(1_000.0, |d| d.answer());
-    assert_snapshot!(only(&desk.trace, "t0:"));
+    harness.note("all is answered");
+    harness.pass(1_000.0, |d| d.answer());
+    assert_snapshot!(only(&harness.trace, "t0:"));
 }
 
 #[test]
 fn list_is_asked_again_with_growing_pauses() {
     let mut asked = start();
     asked.list.asked = true;
-    let mut desk = Desk::new(asked, four());
+    let mut harness = Harness::new(asked, four());
     for _ in 0..5 {
-        desk.give(vec![Input::List {
+        harness.give(vec![Input::List {
             scope: ListScope::Failed,
             version: 1,
             lines: vec![],
         }]);
-        desk.pass(12_000.0, |_| ());
+        harness.pass(12_000.0, |_| ());
     }
-    let asks = desk
+    let asks = harness
         .trace
         .lines()
         .filter(|l| l.contains("Watch"))
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,9 +2,9 @@
 //! Proxies are simulated: they hold what was written to them, once it has left the channel, and answer.
 
 #[allow(dead_code)]
-mod desk;
+mod harness;
 
-use desk::start;
+use harness::start;
 use rookpulley::facts::*;
 use rookpulley::rules::Controller;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -71,7 +71,7 @@
     fn new(proxies: u32, servers: u16) -> Self {
         let mut start = start();
         start.kinds = ["view", "submit"]
-            .map(|name| desk::kind(name, 1.0, Repeat::Replayable))
+            .map(|name| harness::kind(name, 1.0, Repeat::Replayable))
             .to_vec();
         (start.place.proxies, start.place.controllers) = (proxies, 5);
         start.place.zones = ["a", "b", "c"].map(String::from).to_vec();
--- a/tests/desk/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,11 +1,11 @@
-//! A desk that scripts one controller and prints what it orders, a line for each kind of order.
+//! A harness that scripts one controller and prints what it orders, a line for each kind of order.
 
 use rookpulley::facts::*;
 use rookpulley::rules::Controller;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-pub struct Desk {
+pub struct Harness {
     controller: Controller,
     now: f64,
     alarms: Vec<(f64, u64)>,
@@ -95,14 +95,14 @@
     }
 }
 
-impl Desk {
+impl Harness {
     /// A started controller with this list; the clock starts well after zero.
     pub fn new(start: Start, lines: Vec<Listed>) -> Self {
         let now = 100_000.0;
         let controller = Controller::new(now, start);
         let (marks, bound) = (BTreeMap::new(), BTreeMap::new());
         let (alarms, reached, trace) = (vec![], vec![], String::new());
-        let mut desk = Self {
+        let mut harness = Self {
             controller,
             now,
             alarms,
@@ -112,12 +112,12 @@
             lines: BTreeMap::new(),
             trace,
         };
-        desk.give(vec![Input::List {
+        harness.give(vec![Input::List {
             scope: ListScope::Cached,
             version: 1,
             lines,
         }]);
-        desk
+        harness
     }
 
     pub fn note(&mut self, what: &str) {
--- a/tests/way_back.rs
+++ b/tests/way_back.rs
@@ -1,9 +1,9 @@
 //! The way back, by printed traces and by a property over random days.
 
 #[expect(dead_code, reason = "other tests use more of it")]
-mod desk;
+mod harness;
 
-use desk::{Desk, kind, listed, server, start};
+use harness::{Harness, kind, listed, server, start};
 use insta::assert_snapshot;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -12,12 +12,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Two proxies on four warm servers, past the first round, all answered.
-fn settled() -> Desk {
-    let mut desk = Desk::new(start(), (1..=4).map(|n| listed(n, 0)).collect());
-    desk.join(0, 0);
-    desk.join(1, 0);
-    desk.pass(1_500.0, |d| d.answer());
-    desk
+fn settled() -> Harness {
+    let mut harness = Harness::new(start(), (1..=4).map(|n| listed(n, 0)).collect());
+    harness.join(0, 0);
+    harness.join(1, 0);
+    harness.pass(1_500.0, |d| d.answer());
+    harness
 }
 
 trait Operator {
@@ -26,7 +26,7 @@
     fn release(&mut self, table: TableId);
 }
 
-impl Operator for Desk {
+impl Operator for Harness {
     fn go_back(&mut self, table: TableId, lines: &[(u8, f64)]) {
         let lines = lines
             .iter()
@@ -40,123 +40,123 @@
     }
 }
 
-fn calm(desk: &mut Desk) {
-    desk.answer();
-    (1..=5).for_each(|n| desk.hear(n, 10.0, 0.0, 100.0));
+fn calm(harness: &mut Harness) {
+    harness.answer();
+    (1..=5).for_each(|n| harness.hear(n, 10.0, 0.0, 100.0));
 }
 
 const OLD: &[(u8, f64)] = &[(1, 2.0), (2, 2.0), (3, 1.0)];
 
 #[test]
 fn it_holds_through_newer_lists_until_released() {
-    let mut desk = settled();
-    desk.note("back to three servers; the other table stays");
-    desk.go_back(0, OLD);
-    desk.pass(1_500.0, calm);
-    desk.note("a new server comes: t1 takes it in, t0 does not");
-    desk.change(5, Stage::Ready, 0.0);
-    desk.pass(3_000.0, calm);
-    desk.note("another way back takes its place");
-    desk.go_back(0, &[(1, 1.0), (4, 1.0)]);
-    desk.pass(1_500.0, calm);
-    desk.note("released; and once more, which is refused");
-    desk.release(0);
-    desk.pass(1_500.0, calm);
-    desk.release(0);
-    assert_snapshot!(desk.trace);
+    let mut harness = settled();
+    harness.note("back to three servers; the other table stays");
+    harness.go_back(0, OLD);
+    harness.pass(1_500.0, calm);
+    harness.note("a new server comes: t1 takes it in, t0 does not");
+    harness.change(5, Stage::Ready, 0.0);
+    harness.pass(3_000.0, calm);
+    harness.note("another way back takes its place");
+    harness.go_back(0, &[(1, 1.0), (4, 1.0)]);
+    harness.pass(1_500.0, calm);
+    harness.note("released; and once more, which is refused");
+    harness.release(0);
+    harness.pass(1_500.0, calm);
+    harness.release(0);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn a_drain_between_a_rollback_and_its_answers_acts_at_once() {
-    let mut desk = settled();
-    desk.go_back(0, OLD);
-    desk.note("no answer yet; s2 drains, and comes back without a later start only as a ramp");
-    desk.change(2, Stage::Draining, 0.0);
-    desk.pass(700.0, |_| ());
-    desk.pass(2_000.0, calm);
-    desk.note("s2 starts anew: usable again, cold");
-    let started = desk.now();
-    desk.change(2, Stage::Ready, started);
-    desk.pass(3_000.0, calm);
-    assert_snapshot!(desk.trace);
+    let mut harness = settled();
+    harness.go_back(0, OLD);
+    harness.note("no answer yet; s2 drains, and comes back without a later start only as a ramp");
+    harness.change(2, Stage::Draining, 0.0);
+    harness.pass(700.0, |_| ());
+    harness.pass(2_000.0, calm);
+    harness.note("s2 starts anew: usable again, cold");
+    let started = harness.now();
+    harness.change(2, Stage::Ready, started);
+    harness.pass(3_000.0, calm);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn a_rollback_to_a_table_that_names_a_node_now_gone() {
-    let mut desk = settled();
-    desk.change(3, Stage::Gone, 0.0);
-    desk.pass(1_500.0, calm);
-    desk.note("s3 and s9 are gone: they are left out");
-    desk.go_back(0, &[(1, 2.0), (3, 2.0), (9, 2.0)]);
-    desk.pass(1_500.0, calm);
-    assert_snapshot!(desk.trace);
+    let mut harness = settled();
+    harness.change(3, Stage::Gone, 0.0);
+    harness.pass(1_500.0, calm);
+    harness.note("s3 and s9 are gone: they are left out");
+    harness.go_back(0, &[(1, 2.0), (3, 2.0), (9, 2.0)]);
+    harness.pass(1_500.0, calm);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn a_rollback_to_a_table_whose_nodes_have_all_drained_is_refused() {
-    let mut desk = settled();
-    desk.change(1, Stage::Draining, 0.0);
-    desk.change(2, Stage::Draining, 0.0);
-    desk.pass(1_500.0, calm);
-    desk.note("refused with the reason; the present table stays");
-    desk.go_back(0, &[(1, 2.0), (2, 2.0)]);
-    desk.go_back(77, &[(3, 2.0)]);
-    desk.pass(1_500.0, calm);
-    desk.note("held, and then its last server drains: it ends, and nobody is left bare");
-    desk.go_back(0, &[(3, 2.0)]);
-    desk.pass(1_500.0, calm);
-    desk.change(3, Stage::Draining, 0.0);
-    desk.pass(1_500.0, calm);
-    assert_snapshot!(desk.trace);
+    let mut harness = settled();
+    harness.change(1, Stage::Draining, 0.0);
+    harness.change(2, Stage::Draining, 0.0);
+    harness.pass(1_500.0, calm);
+    harness.note("refused with the reason; the present table stays");
+    harness.go_back(0, &[(1, 2.0), (2, 2.0)]);
+    harness.go_back(77, &[(3, 2.0)]);
+    harness.pass(1_500.0, calm);
+    harness.note("held, and then its last server drains: it ends, and nobody is left bare");
+    harness.go_back(0, &[(3, 2.0)]);
+    harness.pass(1_500.0, calm);
+    harness.change(3, Stage::Draining, 0.0);
+    harness.pass(1_500.0, calm);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn a_rollback_never_gives_a_cold_server_more_than_the_module_does() {
-    let mut desk = settled();
-    let started = desk.now();
-    desk.change(1, Stage::Ready, started);
-    desk.pass(1_500.0, calm);
-    desk.note("s1 is cold: it was one of two lines, and the module gives it none yet");
-    desk.go_back(0, &[(1, 2.0), (2, 2.0)]);
-    desk.pass(1_500.0, calm);
-    desk.note("cold alone is as good as bare");
-    desk.go_back(1, &[(1, 2.0)]);
-    assert_snapshot!(desk.trace);
+    let mut harness = settled();
+    let started = harness.now();
+    harness.change(1, Stage::Ready, started);
+    harness.pass(1_500.0, calm);
+    harness.note("s1 is cold: it was one of two lines, and the module gives it none yet");
+    harness.go_back(0, &[(1, 2.0), (2, 2.0)]);
+    harness.pass(1_500.0, calm);
+    harness.note("cold alone is as good as bare");
+    harness.go_back(1, &[(1, 2.0)]);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn a_rollback_ends_when_it_is_tainted() {
-    let mut desk = settled();
-    desk.pass(6_000.0, calm);
-    desk.note("failures at its servers after the push");
-    desk.go_back(0, OLD);
-    let some_bad = |desk: &mut Desk| {
-        desk.answer();
-        (1..=4).for_each(|n| desk.hear(n, 20.0, 3.0, 100.0));
+    let mut harness = settled();
+    harness.pass(6_000.0, calm);
+    harness.note("failures at its servers after the push");
+    harness.go_back(0, OLD);
+    let some_bad = |harness: &mut Harness| {
+        harness.answer();
+        (1..=4).for_each(|n| harness.hear(n, 20.0, 3.0, 100.0));
     };
-    desk.pass(6_000.0, some_bad);
-    assert_snapshot!(desk.trace);
+    harness.pass(6_000.0, some_bad);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn a_rollback_during_a_mass_rejoin_holds_for_whom_comes() {
-    let mut desk = settled();
-    desk.note("both leave, the operator goes back, both come again");
-    desk.give(vec![Input::Left { proxy: 0 }, Input::Left { proxy: 1 }]);
-    desk.go_back(0, OLD);
-    desk.join(0, 0);
-    desk.join(1, 0);
-    desk.pass(1_500.0, calm);
-    assert_snapshot!(desk.trace);
+    let mut harness = settled();
+    harness.note("both leave, the operator goes back, both come again");
+    harness.give(vec![Input::Left { proxy: 0 }, Input::Left { proxy: 1 }]);
+    harness.go_back(0, OLD);
+    harness.join(0, 0);
+    harness.join(1, 0);
+    harness.pass(1_500.0, calm);
+    assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn a_lost_table_is_written_whole_again() {
-    let mut desk = settled();
-    desk.note("t1 was lost on the way");
-    desk.give(vec![Input::Lost { table: 1 }]);
-    desk.pass(700.0, calm);
-    assert_snapshot!(desk.trace);
+    let mut harness = settled();
+    harness.note("t1 was lost on the way");
+    harness.give(vec![Input::Lost { table: 1 }]);
+    harness.pass(700.0, calm);
+    assert_snapshot!(harness.trace);
 }
 
 // ---- Random days --------------------------------------------------------------------------
