--- a/crates/rookpulley-lists/src/lib.rs
+++ b/crates/rookpulley-lists/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`candidate`]: what a source offers, and the checks that it must pass.
 //! - [`membership`]: each server's part in it, from a table of state, input, next state, effect.
 //! - [`merge`]: several sources at once, and the list that the module is told.
-//! - [`plan`]: what one list would change against another.
+//! - [`mod@plan`]: what one list would change against another.
 
 pub mod candidate;
 pub mod membership;
--- a/crates/rookpulley-operators/src/lib.rs
+++ b/crates/rookpulley-operators/src/lib.rs
@@ -1,6 +1,6 @@
 //! What operators tell an assigner beside its configuration, and where they reach it while it runs.
 //!
-//! - [`file`]: the operators' own file, a script in a small dialect of Starlark.
+//! - [`mod@file`]: the operators' own file, a script in a small dialect of Starlark.
 //! - [`asks`]: what can be asked at the operators' address, and the answers, as typed values.
 //! - [`address`]: the address itself: HTTP/1.1 with JSON, bounded in every direction.
 //!
--- a/crates/rookpulley-proxy-core/src/state.rs
+++ b/crates/rookpulley-proxy-core/src/state.rs
@@ -213,7 +213,7 @@
         let Some(PrimaryChange { from, to }) = self.controllers.choose_primary(now) else {
             return;
         };
-        self.log(format!("links: {to} is the primary"));
+        self.log(format!("controllers: {to} is the primary"));
         if let Some(from) = from {
             self.send_primary_changed(from, false);
         }
@@ -348,7 +348,7 @@
             Ok(body) => body,
             Err(why) => {
                 self.log_warning(format!(
-                    "links: configuration {version} from {controller} on {base} came to nothing: {why}"
+                    "controllers: configuration {version} from {controller} on {base} came to nothing: {why}"
                 ));
                 return (base != 0).then_some(0);
             }
@@ -358,7 +358,7 @@
         match RouteTable::read_after(&body, earlier) {
             Ok(routes) => self.apply_configuration(routes, body),
             Err(faults) => self.log_warning(format!(
-                "links: configuration {version} from {controller} can't be used: {faults}"
+                "controllers: configuration {version} from {controller} can't be used: {faults}"
             )),
         }
         None
