--- a/crates/rookpulley-api/src/bounds.rs
+++ b/crates/rookpulley-api/src/bounds.rs
@@ -43,7 +43,7 @@
         BodyMemory(Rc::new(Cell::new(bytes)))
     }
 
-    pub fn memory(&self) -> MemoryShare {
+    pub fn share(&self) -> MemoryShare {
         MemoryShare {
             memory: self.clone(),
             taken: 0,
@@ -59,7 +59,7 @@
 }
 
 impl MemoryShare {
-    /// Takes for bytes that have come, not for those that are only announced: words alone fill no memory.
+    /// Takes for bytes that have come, not for those that are only announced: announcements alone fill no memory.
     pub fn take(&mut self, bytes: usize) -> bool {
         let Some(left) = self.memory.0.get().checked_sub(bytes) else {
             return false;
--- a/crates/rookpulley-api/src/codec.rs
+++ b/crates/rookpulley-api/src/codec.rs
@@ -65,7 +65,10 @@
 }
 
 /// Hands a message to `async-h1`: its method, and its body as it was read.
-pub async fn open(method: &str, body: Vec<u8>) -> http_types::Result<Option<(Method, Vec<u8>)>> {
+pub async fn decode_request(
+    method: &str,
+    body: Vec<u8>,
+) -> http_types::Result<Option<(Method, Vec<u8>)>> {
     let length = body.len();
     let head = format!("{method} / HTTP/1.1\r\nhost: counter\r\ncontent-length: {length}\r\n\r\n")
         .into_bytes();
@@ -86,7 +89,7 @@
 }
 
 /// The bytes of an answer. `async-h1` gives every answer a length, which 204 may not have: that goes out as 200.
-pub async fn seal(reply: Reply, method: Method, close: bool) -> io::Result<Vec<u8>> {
+pub async fn encode_reply(reply: Reply, method: Method, close: bool) -> io::Result<Vec<u8>> {
     let status = match reply.status {
         204 => StatusCode::Ok,
         100..=199 => StatusCode::InternalServerError,
--- a/crates/rookpulley-api/src/connection_limiter.rs
+++ b/crates/rookpulley-api/src/connection_limiter.rs
@@ -1,4 +1,4 @@
-//! The connections of one server: how many there are, which of them wait, and the word that tells them to leave.
+//! The connections of one server: how many there are, which of them are idle, and the request that they close.
 
 use crate::bounds::{BodyMemory, Bounds};
 use std::cell::{Cell, RefCell};
@@ -9,9 +9,9 @@
 /// What one connection shares with the limiter.
 #[derive(Default)]
 struct SlotState {
-    /// When it began to wait, in the order in which connections do; none while a call is at work.
-    waits: Cell<Option<u64>>,
-    leave: Notify,
+    /// Since when it is idle, in the order in which connections became so. None while a call is at work.
+    idle_since: Cell<Option<u64>>,
+    close: Notify,
 }
 
 pub struct ConnectionLimiter {
@@ -33,7 +33,7 @@
         }
     }
 
-    fn turn(&self) -> u64 {
+    fn next_turn(&self) -> u64 {
         self.last_turn.set(self.last_turn.get() + 1);
         self.last_turn.get()
     }
@@ -48,7 +48,7 @@
         self.slots
             .borrow()
             .values()
-            .for_each(|seat| seat.leave.notify_one());
+            .for_each(|state| state.close.notify_one());
     }
 
     /// Closes the connection that has been idle longest; false if all are at work.
@@ -56,49 +56,49 @@
         let slots = self.slots.borrow();
         let longest = slots
             .values()
-            .filter(|seat| seat.waits.get().is_some())
-            .min_by_key(|seat| seat.waits.get());
-        if let Some(seat) = longest {
-            seat.waits.set(None);
-            seat.leave.notify_one();
+            .filter(|state| state.idle_since.get().is_some())
+            .min_by_key(|state| state.idle_since.get());
+        if let Some(state) = longest {
+            state.idle_since.set(None);
+            state.close.notify_one();
         }
         longest.is_some()
     }
 
-    /// A slot for a new connection, if need be that of the one that has waited longest.
-    pub fn seat(self: &Rc<ConnectionLimiter>) -> Option<ConnectionSlot> {
+    /// A slot for a new connection, if need be that of the one that has been idle longest.
+    pub fn admit(self: &Rc<ConnectionLimiter>) -> Option<ConnectionSlot> {
         if self.slots.borrow().len() >= self.bounds.connections && !self.evict_idle() {
             return None;
         }
-        let (number, seat) = (self.turn(), Rc::new(SlotState::default()));
-        self.slots.borrow_mut().insert(number, seat.clone());
+        let (number, state) = (self.next_turn(), Rc::new(SlotState::default()));
+        self.slots.borrow_mut().insert(number, state.clone());
         Some(ConnectionSlot {
             limiter: self.clone(),
             number,
-            seat,
+            state,
         })
     }
 }
 
-/// A connection's place; it is free again when this is dropped.
+/// A connection's slot. It is free again when this is dropped.
 pub struct ConnectionSlot {
     pub limiter: Rc<ConnectionLimiter>,
     number: u64,
-    seat: Rc<SlotState>,
+    state: Rc<SlotState>,
 }
 
 impl ConnectionSlot {
-    pub fn waits(&self) {
-        self.seat.waits.set(Some(self.limiter.turn()));
+    pub fn set_idle(&self) {
+        self.state.idle_since.set(Some(self.limiter.next_turn()));
     }
 
-    pub fn works(&self) {
-        self.seat.waits.set(None);
+    pub fn set_busy(&self) {
+        self.state.idle_since.set(None);
     }
 
     /// Ends when this connection is asked to close.
     pub async fn close_requested(&self) {
-        self.seat.leave.notified().await;
+        self.state.close.notified().await;
     }
 }
 
--- a/crates/rookpulley-api/src/head.rs
+++ b/crates/rookpulley-api/src/head.rs
@@ -22,9 +22,9 @@
     pub headers: Vec<(String, String)>,
     pub length: Length,
     /// The connection may carry another message after this one.
-    pub keep: bool,
-    /// The caller waits for a word before it sends the body.
-    pub waits: bool,
+    pub keep_alive: bool,
+    /// The caller waits for `100 Continue` before it sends the body.
+    pub expects_continue: bool,
 }
 
 /// Reads a head at the start of `bytes`: it and its length, or nothing as long as it isn't whole. `max_bytes` bounds it.
@@ -73,7 +73,7 @@
     }
     let (path, query) = target(method, request.path.unwrap_or_default())?;
     let (mut hosts, mut lengths, mut codings) = (Vec::new(), Vec::new(), Vec::new());
-    let (mut keep, mut waits) = (newer, false);
+    let (mut keep_alive, mut expects_continue) = (newer, false);
     let mut headers = Vec::with_capacity(request.headers.len());
     for line in request.headers.iter() {
         let name = line.name.to_ascii_lowercase();
@@ -82,9 +82,11 @@
             "content-length" => lengths.push(line.value),
             "transfer-encoding" => codings.push(line.value),
             "connection" => {
-                keep &= !words(line.value).any(|word| word.eq_ignore_ascii_case(b"close"))
+                keep_alive &= !words(line.value).any(|word| word.eq_ignore_ascii_case(b"close"))
+            }
+            "expect" if newer && line.value.eq_ignore_ascii_case(b"100-continue") => {
+                expects_continue = true
             }
-            "expect" if newer && line.value.eq_ignore_ascii_case(b"100-continue") => waits = true,
             "expect" if newer => return Err(Refusal::Expectation),
             _ => {}
         }
@@ -100,8 +102,8 @@
         query,
         headers,
         length,
-        keep,
-        waits,
+        keep_alive,
+        expects_continue,
     })
 }
 
--- a/crates/rookpulley-api/src/message_reader.rs
+++ b/crates/rookpulley-api/src/message_reader.rs
@@ -70,7 +70,7 @@
         let head = within(self.bounds.head_time, self.head())
             .await
             .ok_or(Refusal::Slow)??;
-        let mut memory = self.memory.memory();
+        let mut memory = self.memory.share();
         let body = within(self.bounds.body_time, self.body(&head, &mut memory))
             .await
             .ok_or(Refusal::Slow)??;
@@ -78,7 +78,7 @@
     }
 
     async fn head(&mut self) -> Result<Head, Refusal> {
-        // A head that comes in crumbs is parsed where it ends and after each doubling, so that crumbs cost little.
+        // A head that comes in small pieces is parsed where it ends and after each doubling, so that those cost little.
         let (mut seen, mut parse_at) = (0, 0);
         loop {
             let fresh = self.held.get(seen..).unwrap_or_default();
@@ -102,19 +102,19 @@
             Length::Bytes(0) => Ok(Vec::new()),
             Length::Bytes(length) if length > self.bounds.body_bytes => Err(Refusal::LongBody),
             Length::Bytes(length) => {
-                self.invite(head).await?;
+                self.send_continue(head).await?;
                 self.plain(length, memory).await
             }
             Length::Chunked => {
-                self.invite(head).await?;
+                self.send_continue(head).await?;
                 self.chunked(memory).await
             }
         }
     }
 
     /// Asks for a body that its caller holds back.
-    async fn invite(&mut self, head: &Head) -> Result<(), Refusal> {
-        if head.waits && self.held.is_empty() {
+    async fn send_continue(&mut self, head: &Head) -> Result<(), Refusal> {
+        if head.expects_continue && self.held.is_empty() {
             self.stream
                 .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
                 .await
--- a/crates/rookpulley-api/src/serve.rs
+++ b/crates/rookpulley-api/src/serve.rs
@@ -23,7 +23,7 @@
 const UNACKNOWLEDGED: Duration = Duration::from_millis(5_000);
 
 /// Serves until `stop` turns true and every call at work is answered. Dropping this ends all connections at once.
-/// It must run inside a `LocalSet`. A sender that is dropped without a word means that there is no stop.
+/// It must run inside a `LocalSet`. A sender that is dropped without a value means that there is no stop.
 pub async fn serve<H, F>(
     listener: TcpListener,
     bounds: Bounds,
@@ -52,7 +52,7 @@
             },
         }
     }
-    // Those who stand in the queue by now have been let in by the system, and are answered.
+    // Connections in the backlog have been accepted by the system by now, and are answered.
     for _ in 0..bounds.connections {
         let Some(Ok((stream, _))) = futures_lite::future::poll_once(listener.accept()).await else {
             break;
@@ -94,16 +94,16 @@
     H: Fn(Call) -> F + 'static,
     F: Future<Output = Reply> + 'static,
 {
-    let Some(slot) = limiter.seat() else {
+    let Some(slot) = limiter.admit() else {
         tracing::warn!("api: all connections are at work, the newest is refused");
         return;
     };
     connection::configure(&stream, UNACKNOWLEDGED);
-    connections.spawn_local(attend(stream, slot, handler.clone()));
+    connections.spawn_local(serve_connection(stream, slot, handler.clone()));
 }
 
 /// Answers the calls of one connection, one after the other.
-async fn attend<S, H, F>(stream: S, slot: ConnectionSlot, handler: Rc<H>)
+async fn serve_connection<S, H, F>(stream: S, slot: ConnectionSlot, handler: Rc<H>)
 where
     S: AsyncRead + AsyncWrite + Unpin,
     H: Fn(Call) -> F,
@@ -112,7 +112,7 @@
     let limiter = &slot.limiter;
     let mut reader = MessageReader::new(stream, limiter.bounds, limiter.memory.clone());
     loop {
-        if !begins(&mut reader, &slot).await {
+        if !next_message_begins(&mut reader, &slot).await {
             return;
         }
         let message = match reader.message().await {
@@ -120,7 +120,8 @@
             Err(refusal) => return refuse(reader, refusal).await,
         };
         let (head, memory) = (message.head, message.memory);
-        let Ok(Some((method, body))) = codec::open(&head.method, message.body).await else {
+        let Ok(Some((method, body))) = codec::decode_request(&head.method, message.body).await
+        else {
             tracing::warn!("api: a message that was accepted can't be read");
             return refuse(reader, Refusal::Head).await;
         };
@@ -133,8 +134,8 @@
         };
         let reply = handler(call).await;
         drop(memory);
-        let close = !head.keep || reply.closes() || limiter.is_stopping();
-        let Ok(bytes) = codec::seal(reply, method, close).await else {
+        let close = !head.keep_alive || reply.closes() || limiter.is_stopping();
+        let Ok(bytes) = codec::encode_reply(reply, method, close).await else {
             return;
         };
         if !reader.write(&bytes).await {
@@ -142,7 +143,7 @@
         }
         if close {
             // A caller that asked for the end sends nothing more that could be met with a reset.
-            let sends_on = head.keep || reader.has_more();
+            let sends_on = head.keep_alive || reader.has_more();
             return if sends_on {
                 reader.end().await
             };
@@ -151,11 +152,11 @@
 }
 
 /// Waits for the next message; false when there is none, or the connection is no longer wanted.
-async fn begins<S: AsyncRead + AsyncWrite + Unpin>(
+async fn next_message_begins<S: AsyncRead + AsyncWrite + Unpin>(
     reader: &mut MessageReader<S>,
     slot: &ConnectionSlot,
 ) -> bool {
-    slot.waits();
+    slot.set_idle();
     let arrived = tokio::select! {
         biased;
         arrived = reader.wait_for_message() => Some(arrived),
@@ -169,7 +170,7 @@
             .unwrap_or(false),
         None => false,
     };
-    slot.works();
+    slot.set_busy();
     arrived
 }
 
@@ -184,7 +185,7 @@
     } else {
         reply
     };
-    if let Ok(bytes) = codec::seal(reply, http_types::Method::Get, true).await
+    if let Ok(bytes) = codec::encode_reply(reply, http_types::Method::Get, true).await
         && reader.write(&bytes).await
     {
         reader.end().await;
