--- a/crates/rookpulley-controller/src/stateless/tests.rs
+++ b/crates/rookpulley-controller/src/stateless/tests.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_call_goes_on_to_a_controller_that_incarnations_near_before_far_and_else_it_is_refused() {
+fn a_call_goes_to_a_controller_in_its_own_zone_before_another_and_else_it_is_refused() {
     // A port that is free at all three.
     let ips = [1, 2, 3].map(|n| Ipv4Addr::new(127, 0, 3, n));
     let free = std::net::TcpListener::bind((ips[0], 0)).unwrap();
--- a/crates/rookpulley-proxy/tests/proxy/requests.rs
+++ b/crates/rookpulley-proxy/tests/proxy/requests.rs
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn who_is_told_nothing_refuses_and_isn_t_ready_and_a_incarnation_that_is_gone_gets_nothing() {
+fn who_is_told_nothing_refuses_and_isn_t_ready_and_an_incarnation_that_is_gone_gets_nothing() {
     play(async {
         let mut scene = Scene::new(|got| good(got, "")).await;
         let ready = async |at| {
