--- a/crates/rookpulley-assigner/examples/tick.rs
+++ b/crates/rookpulley-assigner/examples/tick.rs
@@ -49,20 +49,21 @@
 mod api {
     use super::*;
     use rookpulley_assigner::messages::Holds;
-    use rookpulley_versions::{Book, Bounds, Issuer, Patience};
+    use rookpulley_versions::{AckTimeouts, Issuer, RetentionLimits, VersionManager};
 
     pub fn new(kinds: Vec<String>, versions: bool) -> Orders {
         let issuer = Issuer {
             assigner: "n0".into(),
             start: 1,
         };
-        let bounds = Bounds {
-            each: 8,
+        let bounds = RetentionLimits {
+            per_table: 8,
             bytes: 16 << 20,
         };
         Orders::new(
             kinds,
-            versions.then(|| Book::new(issuer, 1, bounds, Patience::for_transit(400.0))),
+            versions
+                .then(|| VersionManager::new(issuer, 1, bounds, AckTimeouts::for_transit(400.0))),
         )
     }
 
@@ -81,7 +82,7 @@
         names: &Names,
     ) -> Vec<(ProxyId, usize)> {
         if let Some(book) = &mut orders.book {
-            assert!(book.due_by_now(now).is_empty() && book.take_uncounted().is_empty());
+            assert!(book.poll_due(now).is_empty() && book.take_uncounted().is_empty());
         }
         orders
             .carry_out(now, effects, names)
--- a/crates/rookpulley-assigner/src/driver.rs
+++ b/crates/rookpulley-assigner/src/driver.rs
@@ -16,7 +16,7 @@
 use rookpulley::rules::Controller;
 use rookpulley_files::watch::Found;
 use rookpulley_operators::Asked;
-use rookpulley_versions::{Book, Claim, Kinds};
+use rookpulley_versions::{Claim, Kinds, VersionManager};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -146,7 +146,7 @@
 /// What the operators' file switched on.
 #[derive(Default)]
 pub struct Switched {
-    pub book: Option<Book>,
+    pub book: Option<VersionManager>,
     pub servers: Option<Servers>,
 }
 
@@ -221,7 +221,11 @@
             .keys()
             .next()
             .map(|(us, _)| self.clock.at_ms(*us as f64 / 1e3));
-        let idle = self.orders.book.as_ref().map_or(3_600_000.0, Book::look_ms);
+        let idle = self
+            .orders
+            .book
+            .as_ref()
+            .map_or(3_600_000.0, VersionManager::check_interval_ms);
         let idle = Duration::from_secs_f64(idle / 1e3);
         let due = due
             .unwrap_or_else(|| Instant::now() + idle)
@@ -304,7 +308,7 @@
                         "version",
                         "proxy {proxy} refused an order, it holds {holds:?}"
                     );
-                    book.refuses(self.clock.now_ms(), proxy, kinds, holds);
+                    book.record_refusal(self.clock.now_ms(), proxy, kinds, holds);
                 }
                 _ => self.front.counters.one("late input of old streams"),
             },
@@ -371,7 +375,7 @@
             return;
         };
         let mut owed = book.take_uncounted();
-        for (proxy, table) in book.due_by_now(now) {
+        for (proxy, table) in book.poll_due(now) {
             say!(
                 self.front.log,
                 "version",
--- a/crates/rookpulley-assigner/src/operators.rs
+++ b/crates/rookpulley-assigner/src/operators.rs
@@ -12,8 +12,10 @@
     VersionList, VersionRow,
 };
 use rookpulley_operators::file::{Reach, Token};
-use rookpulley_versions::version::start_of;
-use rookpulley_versions::{Book, Bounds, Delta, History, Issuer, Judged, Patience, Version};
+use rookpulley_versions::version::start_id;
+use rookpulley_versions::{
+    AckTimeouts, Delta, History, Issuer, RetentionLimits, SyncState, Version, VersionManager,
+};
 use std::collections::BTreeSet;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -71,17 +73,17 @@
 
 /// The book of one start. The start's name must never come again, also where the seed of the configuration
 /// does: its part of chance is the process's own.
-pub fn book(name: &str, keep: Bounds, channel: &ChannelFacts) -> Book {
+pub fn book(name: &str, keep: RetentionLimits, channel: &ChannelFacts) -> VersionManager {
     let chance = RandomState::new().hash_one(std::process::id()) as u32;
-    let start = start_of(unix_ms(), chance);
-    Book::new(
+    let start = start_id(unix_ms(), chance);
+    VersionManager::new(
         Issuer {
             assigner: name.into(),
             start,
         },
         1,
         keep,
-        Patience::for_transit(channel.transit_most_ms),
+        AckTimeouts::for_transit(channel.transit_most_ms),
     )
 }
 
@@ -225,8 +227,8 @@
         digest: issued.table.digest().to_string(),
         lines: issued.table.len(),
         issued_ms: issued.at_ms.round(),
-        newest: issued.until.is_none(),
-        in_use: issued.pinned(),
+        newest: issued.superseded_by.is_none(),
+        in_use: issued.is_pinned(),
     });
     let issuer = history.issuer();
     let (assigner, start) = (
@@ -240,32 +242,37 @@
     })
 }
 
-fn judged(judged: Judged) -> &'static str {
+fn judged(judged: SyncState) -> &'static str {
     match judged {
-        Judged::Unknown => "unknown",
-        Judged::Behind => "behind",
-        Judged::InStep => "in step",
-        Judged::Lost => "lost",
-        Judged::Diverged => "diverged",
+        SyncState::Unknown => "unknown",
+        SyncState::Behind => "behind",
+        SyncState::InSync => "in step",
+        SyncState::Lost => "lost",
+        SyncState::Diverged => "diverged",
     }
 }
 
-fn holders(now: f64, book: &Book, orders: &Orders, held_back: &BTreeSet<TableId>) -> Answer {
+fn holders(
+    now: f64,
+    book: &VersionManager,
+    orders: &Orders,
+    held_back: &BTreeSet<TableId>,
+) -> Answer {
     let named = |n: Option<u64>| n.map(|n| book.history.version(n).to_string());
     let mut holders = Vec::new();
-    for (dispatcher, entry) in book.ledger.entries() {
+    for (dispatcher, entry) in book.deliveries.entries() {
         for (table, held) in entry.tables() {
             let kinds = places(book.kinds_of(dispatcher, table));
             holders.push(HolderRow {
                 dispatcher,
                 joined: entry.joined,
-                speaks: entry.speaks,
+                speaks: entry.reports_versions,
                 kinds: kinds
                     .filter_map(|k| orders.kinds().get(k).cloned())
                     .collect(),
                 table,
-                judged: judged(held.judged).into(),
-                told: named(held.told),
+                judged: judged(held.sync_state).into(),
+                told: named(held.sent),
                 confirmed: named(held.confirmed),
                 claimed: held
                     .claimed
@@ -273,7 +280,7 @@
                     .and_then(|c| c.version.as_ref())
                     .map(Version::to_string),
                 waits_ms: entry
-                    .waits_since_ms()
+                    .oldest_pending_since_ms()
                     .map(|since| (now - since).max(0.0).round()),
                 back: held_back.contains(&table),
             });
@@ -316,12 +323,17 @@
     })
 }
 
-fn go_back(book: &Book, to: &str, table: Option<TableId>, all: bool) -> Result<Answer, Vec<Input>> {
+fn go_back(
+    book: &VersionManager,
+    to: &str,
+    table: Option<TableId>,
+    all: bool,
+) -> Result<Answer, Vec<Input>> {
     let version: Version = match to.parse() {
         Ok(version) => version,
         Err(e) => return Ok(refused(400, format!("{e}"), "see versions")),
     };
-    let ways = match book.way_back(&version, table, all) {
+    let ways = match book.rollback_tables(&version, table, all) {
         Ok(ways) => ways,
         Err(e) => return Ok(refused(404, format!("{e}"), "see versions")),
     };
--- a/crates/rookpulley-assigner/src/orders.rs
+++ b/crates/rookpulley-assigner/src/orders.rs
@@ -6,7 +6,7 @@
 use crate::messages::{Holds, LINE_MOST, Part};
 use rookpulley::facts::*;
 use rookpulley_versions as versions;
-use rookpulley_versions::{Book, Name, Update};
+use rookpulley_versions::{Name, Update, VersionManager};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 type Kinds = u16;
@@ -73,7 +73,7 @@
     shut: BTreeSet<ServerId>,
     streams: BTreeMap<ProxyId, Stream>,
     /// The versions of all tables and who holds them, where the operators want them.
-    pub book: Option<Book>,
+    pub book: Option<VersionManager>,
     /// Names as the book has them.
     known: BTreeMap<ServerId, Name>,
 }
@@ -131,7 +131,7 @@
 }
 
 impl Orders {
-    pub fn new(kinds: Vec<String>, book: Option<Book>) -> Self {
+    pub fn new(kinds: Vec<String>, book: Option<VersionManager>) -> Self {
         let all = ((1_u32 << kinds.len().min(16)) - 1) as Kinds;
         let (tables, levels, streams) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let (shut, known) = (BTreeSet::new(), BTreeMap::new());
@@ -155,7 +155,7 @@
     pub fn join(&mut self, now: f64, proxy: ProxyId, fresh: bool, holds: Option<Holds>) {
         self.leave(now, proxy);
         if let Some(book) = &mut self.book {
-            book.joins(now, proxy, holds);
+            book.join(now, proxy, holds);
         }
         let (tables, levels, shut) = (BTreeSet::new(), BTreeMap::new(), BTreeMap::new());
         self.streams.insert(
@@ -173,7 +173,7 @@
 
     pub fn leave(&mut self, now: f64, proxy: ProxyId) {
         if let Some(book) = &mut self.book {
-            book.leaves(now, proxy);
+            book.leave(now, proxy);
         }
         for id in self
             .streams
@@ -195,7 +195,7 @@
         let at = stream.marks.iter().position(|m| *m == mark);
         let waited = at.is_some_and(|at| stream.marks.drain(..=at).len() > 0);
         if let Some(book) = self.book.as_mut().filter(|_| waited) {
-            book.answers(now, proxy, mark, holds);
+            book.acknowledge(now, proxy, mark, holds);
         }
         waited
     }
@@ -390,7 +390,7 @@
                 stream.marks.push_back(mark);
             }
             if let Some(book) = &mut self.book {
-                book.wrote(now, proxy, &told, mark);
+                book.record_sent(now, proxy, &told, mark);
             }
             let (bytes, lines) = self.write(draft, mark, names);
             written.push(Written {
@@ -446,19 +446,22 @@
                 lines.push((name, *weight));
             }
             // The module's lines are above 0 and a server has one name: there is no other case.
-            let Ok(issued) = versions::Table::of(lines) else {
+            let Ok(issued) = versions::Table::from_lines(lines) else {
                 continue;
             };
             book.issue(now, *id, issued);
         }
         for (proxy, kinds, id) in binds {
-            book.binds(now, *proxy, *kinds, *id);
+            book.bind(now, *proxy, *kinds, *id);
         }
     }
 
     /// A proxy that lost what was written may have lost word of who is shut out, too.
     fn distrust_shut(&mut self, proxy: ProxyId, id: TableId) {
-        let lost = self.book.as_ref().is_some_and(|book| book.lost(proxy, id));
+        let lost = self
+            .book
+            .as_ref()
+            .is_some_and(|book| book.is_lost(proxy, id));
         if let Some(stream) = self.streams.get_mut(&proxy).filter(|_| lost) {
             (stream.shut, stream.brought) = (BTreeMap::new(), true);
         }
@@ -481,7 +484,7 @@
                 continue;
             };
             let touched = |p: &Piece| p.kinds == kinds && (p.whole || !p.lines.is_empty());
-            if !book.speaks(proxy) {
+            if !book.reports_versions(proxy) {
                 told.extend(draft.pieces.iter().any(touched).then_some(*id));
                 continue;
             }
@@ -493,12 +496,12 @@
                 piece.level = later.level.or(piece.level);
                 whole | std::mem::take(&mut later.whole)
             });
-            let Some(order) = book.order_within(proxy, *id, counted) else {
+            let Some(order) = book.order_as_counted(proxy, *id, counted) else {
                 piece.lines.clear();
                 continue;
             };
             let (whole, lines) = match &order.update {
-                Update::Same(_) => (false, Vec::new()),
+                Update::Unchanged(_) => (false, Vec::new()),
                 Update::Delta(delta) => (false, delta.changes.clone()),
                 Update::Whole(table) => {
                     (true, table.lines().map(|(n, w)| (n.clone(), w)).collect())
@@ -511,7 +514,7 @@
                 .map(|(n, w)| (crate::messages::server_id(&n), w))
                 .collect();
             // A delta on what this stream was told goes on from a version that is known there.
-            piece.short = matches!(order.update, Update::Delta(_)) && book.told(proxy, *id);
+            piece.short = matches!(order.update, Update::Delta(_)) && book.was_sent(proxy, *id);
             piece.order = Some(order);
             told.push(*id);
         }
@@ -574,7 +577,7 @@
             let order = piece.order.as_ref();
             let from = order.and_then(|o| match &o.update {
                 Update::Delta(delta) => Some(delta.from.to_string()),
-                Update::Same(_) | Update::Whole(_) => None,
+                Update::Unchanged(_) | Update::Whole(_) => None,
             });
             let opening = Part {
                 kinds: kinds.clone(),
--- a/crates/rookpulley-cli/src/show.rs
+++ b/crates/rookpulley-cli/src/show.rs
@@ -170,7 +170,7 @@
         .and_then(|a| a.token_file.clone());
     let versions = operators.versions;
     if json {
-        let keep = versions.map(|v| json!({"keep": v.each, "bytes": v.bytes}));
+        let keep = versions.map(|v| json!({"keep": v.per_table, "bytes": v.bytes}));
         return json!({"address": address, "token_file": token, "versions": keep, "servers": operators.servers,
             "log": form})
         .to_string() + "\n";
@@ -178,7 +178,7 @@
     let off = || "off".to_string();
     let token = token.map_or(String::new(), |t| format!(", token in {}", t.display()));
     let versions =
-        versions.map(|v| format!("{} of each table, {} MB in all", v.each, v.bytes >> 20));
+        versions.map(|v| format!("{} of each table, {} MB in all", v.per_table, v.bytes >> 20));
     let rows = [
         [
             "address".to_string(),
--- a/crates/rookpulley-operators/src/file.rs
+++ b/crates/rookpulley-operators/src/file.rs
@@ -9,7 +9,7 @@
 
 pub use crate::script::BadFile;
 use crate::script::{self, Vocabulary, once, said};
-use rookpulley_versions::Bounds as Kept;
+use rookpulley_versions::RetentionLimits as Kept;
 use starlark::any::ProvidesStaticType;
 use starlark::environment::GlobalsBuilder;
 use starlark::eval::Evaluator;
@@ -98,16 +98,16 @@
     }
 
     fn versions(
-        #[starlark(require = named, default = Kept::USUAL.each as i32)] keep: i32,
-        #[starlark(require = named, default = (Kept::USUAL.bytes >> 20) as i32)] megabytes: i32,
+        #[starlark(require = named, default = Kept::DEFAULT.per_table as i32)] keep: i32,
+        #[starlark(require = named, default = (Kept::DEFAULT.bytes >> 20) as i32)] megabytes: i32,
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
-        let each = within("keep", keep, 2, 1_000)?;
+        let per_table = within("keep", keep, 2, 1_000)?;
         let bytes = within("megabytes", megabytes, 1, 4_096)? << 20;
         once(
             &mut said::<Said>(eval)?.0.borrow_mut().versions,
             "versions",
-            Kept { each, bytes },
+            Kept { per_table, bytes },
         )?;
         Ok(NoneType)
     }
--- a/crates/rookpulley-operators/tests/file.rs
+++ b/crates/rookpulley-operators/tests/file.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use rookpulley_operators::file::{LogForm, Operators, Reach, Token, load, read};
-use rookpulley_versions::Bounds;
+use rookpulley_versions::RetentionLimits;
 use std::path::Path;
 
 fn told(text: &str) -> Result<Operators, String> {
@@ -21,8 +21,8 @@
                 listen,
                 token_file: None
             }),
-            versions: Some(Bounds {
-                each: 4,
+            versions: Some(RetentionLimits {
+                per_table: 4,
                 bytes: 16 << 20
             }),
             servers: Some("/etc/servers.star".into()),
--- a/crates/rookpulley-standin/src/dispatcher.rs
+++ b/crates/rookpulley-standin/src/dispatcher.rs
@@ -4,7 +4,7 @@
 use crate::checker::Seen;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rookpulley_versions::{Delta, Holder, Kinds, Name, Order, Table, Update, Verdict, Version};
+use rookpulley_versions::{Delta, Holder, Kinds, Name, Order, Outcome, Table, Update, Version};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -195,7 +195,9 @@
         let (from, mut to) = socket.into_split();
         let joining = {
             let mut held = self.held.borrow_mut();
-            held.holders.values_mut().for_each(|h| h.follow(stream));
+            held.holders
+                .values_mut()
+                .for_each(|h| h.follow_stream(stream));
             let mut joining = json!({"msg": "attach", "proxy": self.id, "zone": self.zone, "weight": 9.5,
                 "fresh": held.fresh});
             if self.speaks {
@@ -289,7 +291,10 @@
             let rest = parts[at + 1..].iter().take_while(goes_on).flat_map(lines);
             let changes: Vec<_> = lines(part).into_iter().chain(rest).collect();
             let of = held.holders.get(&kinds).and_then(Holder::version).cloned();
-            let (version, to) = (Version::read(version, of.as_ref()), digest.parse());
+            let (version, to) = (
+                Version::parse_relative(version, of.as_ref()),
+                digest.parse(),
+            );
             let (Ok(version), Ok(to)) = (version, to) else {
                 // The order that would have named the issuer was lost.
                 all = false;
@@ -300,23 +305,23 @@
             let update = match part["from"].as_str().and_then(|f| f.parse().ok()) {
                 Some(from) => Some(Update::Delta(Delta { from, to, changes })),
                 None if part["whole"] == true => {
-                    let table = Table::of(changes).ok().filter(|t| t.digest() == to);
+                    let table = Table::from_lines(changes).ok().filter(|t| t.digest() == to);
                     table.map(|t| Update::Whole(Arc::new(t)))
                 }
-                None => Some(Update::Same(to)),
+                None => Some(Update::Unchanged(to)),
             };
             let holder = held.holders.entry(kinds).or_insert_with(|| {
                 let mut holder = Holder::default();
-                holder.follow(stream);
+                holder.follow_stream(stream);
                 holder
             });
-            let verdict = update.map_or(Verdict::Refused, |update| {
-                holder.hear(stream, &Order { version, update })
+            let verdict = update.map_or(Outcome::Refused, |update| {
+                holder.handle(stream, &Order { version, update })
             });
             match verdict {
-                Verdict::Applied | Verdict::Renamed => {}
-                Verdict::PassedOver => all = false,
-                Verdict::Refused => {
+                Outcome::Applied | Outcome::VersionUpdated => {}
+                Outcome::Ignored => all = false,
+                Outcome::Refused => {
                     all = false;
                     self.refused.set(self.refused.get() + 1);
                     let (version, digest) =
--- a/crates/rookpulley-versions/benches/versions.rs
+++ b/crates/rookpulley-versions/benches/versions.rs
@@ -13,7 +13,7 @@
             if n == changed { 0.25 } else { 1.5 },
         )
     };
-    Table::of((0..lines).map(line)).unwrap()
+    Table::from_lines((0..lines).map(line)).unwrap()
 }
 
 fn deltas(c: &mut Criterion) {
@@ -29,7 +29,7 @@
     });
     group.bench_function("make the whole table, checked", |bench| {
         bench.iter(|| {
-            Table::of(black_box(&lines).iter().cloned())
+            Table::from_lines(black_box(&lines).iter().cloned())
                 .unwrap()
                 .digest()
         });
@@ -48,28 +48,28 @@
 const DISPATCHERS: u16 = 1_600;
 const SERVERS: u32 = 120;
 
-fn book() -> Book {
+fn book() -> VersionManager {
     let issuer = Issuer {
         assigner: "n0".into(),
         start: 1,
     };
-    let patience = Patience::for_transit(400.0);
-    let mut book = Book::new(
+    let patience = AckTimeouts::for_transit(400.0);
+    let mut book = VersionManager::new(
         issuer,
         1,
-        Bounds {
-            each: 4,
+        RetentionLimits {
+            per_table: 4,
             bytes: 256 << 20,
         },
         patience,
     );
     let lines = table(SERVERS, 0);
     for who in 0..DISPATCHERS {
-        book.joins(0.0, who, None);
+        book.join(0.0, who, None);
         book.issue(0.0, who, lines.clone());
-        book.binds(0.0, who, 1, who);
-        book.wrote(0.0, who, &[who], Some(0));
-        book.answers(1.0, who, 0, &BTreeMap::new());
+        book.bind(0.0, who, 1, who);
+        book.record_sent(0.0, who, &[who], Some(0));
+        book.acknowledge(1.0, who, 0, &BTreeMap::new());
     }
     book
 }
@@ -86,17 +86,17 @@
             |book| {
                 for who in 0..DISPATCHERS {
                     book.issue(2.0, who, changed.clone());
-                    book.wrote(2.0, who, &[who], Some(1));
+                    book.record_sent(2.0, who, &[who], Some(1));
                 }
-                (0..DISPATCHERS).for_each(|who| book.answers(3.0, who, 1, &nothing));
-                assert!(book.due(4.0).is_empty() && book.all_in_step());
+                (0..DISPATCHERS).for_each(|who| book.acknowledge(3.0, who, 1, &nothing));
+                assert!(book.due_resends(4.0).is_empty() && book.all_in_sync());
             },
             BatchSize::LargeInput,
         );
     });
     group.bench_function("the look alone", |bench| {
         let mut book = book();
-        bench.iter(|| book.due(black_box(4.0)).len());
+        bench.iter(|| book.due_resends(black_box(4.0)).len());
     });
     group.bench_function("a plain map of last told", |bench| {
         let lines: BTreeMap<Name, f64> = changed.lines().map(|(n, w)| (n.clone(), w)).collect();
--- a/crates/rookpulley-versions/examples/day.rs
+++ b/crates/rookpulley-versions/examples/day.rs
@@ -21,7 +21,7 @@
     let mut message = json!({"msg": "assign", "version": order.version.to_string(),
         "to": order.update.digest().to_string(), "ticket": mark});
     match &order.update {
-        Update::Same(_) => {}
+        Update::Unchanged(_) => {}
         Update::Delta(delta) => {
             message["version"] = json!(order.version.short());
             message["from"] = json!(delta.from.to_string());
@@ -41,20 +41,20 @@
         assigner: "n0".into(),
         start: 1 << 60 | 1,
     };
-    let mut book = Book::new(
+    let mut book = VersionManager::new(
         issuer,
         1,
-        Bounds {
-            each: 8,
+        RetentionLimits {
+            per_table: 8,
             bytes: 64 << 20,
         },
-        Patience::for_transit(400.0),
+        AckTimeouts::for_transit(400.0),
     );
     let mut lines: BTreeMap<Name, f64> = (0..size)
         .map(|n| (Name::from(format!("s-{:08x}", n * 40_503)), 1.0))
         .collect();
     let names: Vec<Name> = lines.keys().cloned().collect();
-    book.joins(0.0, 0, Some(BTreeMap::new()));
+    book.join(0.0, 0, Some(BTreeMap::new()));
     let (mut deltas, mut whole, mut one, mut changes) = (0, 0, 0, 0_u64);
     // A change a minute: a server drains, starts anew, ramps by eighths, or is weighed anew.
     for minute in 0..1_440 {
@@ -67,13 +67,13 @@
                 _ => _ = lines.insert(name.clone(), f64::from(rng.random_range(1..=8_u8)) / 8.0),
             }
         }
-        let table = Table::of(lines.iter().map(|(n, w)| (n.clone(), *w))).unwrap();
+        let table = Table::from_lines(lines.iter().map(|(n, w)| (n.clone(), *w))).unwrap();
         if book.issue(now, 0, table).is_none() {
             continue;
         }
         changes += 1;
         if minute == 0 {
-            book.binds(now, 0, 1, 0);
+            book.bind(now, 0, 1, 0);
         }
         let order = book.order(0, 0).unwrap();
         let newest = book.history.newest(0).unwrap();
@@ -92,12 +92,12 @@
             deltas + written(&order, changes),
             whole + written(&all, changes),
         );
-        book.wrote(now, 0, &[0], Some(changes));
+        book.record_sent(now, 0, &[0], Some(changes));
         let claim = Claim {
             version: Some(order.version.clone()),
             digest: order.update.digest(),
         };
-        book.answers(now + 90.0, 0, changes, &BTreeMap::from([(1, claim)]));
+        book.acknowledge(now + 90.0, 0, changes, &BTreeMap::from([(1, claim)]));
     }
     let mean = whole / changes as usize;
     println!(
@@ -108,32 +108,33 @@
 }
 
 fn memory() {
-    let table =
-        Arc::new(Table::of((0..120).map(|n| (Name::from(format!("s-{n:08x}")), 1.0))).unwrap());
+    let table = Arc::new(
+        Table::from_lines((0..120).map(|n| (Name::from(format!("s-{n:08x}")), 1.0))).unwrap(),
+    );
     let issuer = Issuer {
         assigner: "n0".into(),
         start: 1,
     };
     for (marks, what) in [(0_u64, "settled"), (256, "256 unanswered marks")] {
-        let mut book = Book::new(
+        let mut book = VersionManager::new(
             issuer.clone(),
             1,
-            Bounds {
-                each: 2,
+            RetentionLimits {
+                per_table: 2,
                 bytes: 1 << 30,
             },
-            Patience::for_transit(400.0),
+            AckTimeouts::for_transit(400.0),
         );
         for id in 0..1_600 {
             book.issue(0.0, id, (*table).clone());
         }
         let region = Region::new(ALLOCATOR);
         for who in 0..1_600 {
-            book.joins(0.0, who, None);
-            book.binds(0.0, who, 1, who);
-            book.wrote(0.0, who, &[who], Some(0));
-            book.answers(1.0, who, 0, &BTreeMap::new());
-            (1..=marks).for_each(|m| book.wrote(2.0, who, &[who], Some(m)));
+            book.join(0.0, who, None);
+            book.bind(0.0, who, 1, who);
+            book.record_sent(0.0, who, &[who], Some(0));
+            book.acknowledge(1.0, who, 0, &BTreeMap::new());
+            (1..=marks).for_each(|m| book.record_sent(2.0, who, &[who], Some(m)));
         }
         let change = region.change();
         let held = change.bytes_allocated as i64 - change.bytes_deallocated as i64;
--- a/crates/rookpulley-versions/src/ledger.rs
+++ b/crates/rookpulley-versions/src/deliveries.rs
@@ -10,16 +10,16 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// So many marks wait for an answer at most; of a dispatcher that answers none the oldest are given up.
-pub const MARKS_MOST: usize = 256;
+pub const MAX_PENDING_MARKS: usize = 256;
 
 /// Whether a dispatcher holds the newest version of its table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Judged {
+pub enum SyncState {
     /// Nothing it said on this stream tells.
     Unknown,
     /// It holds an older one, or what it was told is still on its way.
     Behind,
-    InStep,
+    InSync,
     /// What it was told has not reached it.
     Lost,
     /// It holds what was never issued here.
@@ -27,96 +27,226 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Cue {
+pub enum SyncEvent {
     /// An order for this table was written to it.
-    Told,
-    ProvesNewest,
-    ProvesOlder,
+    Sent,
+    ConfirmedNewest,
+    ConfirmedOlder,
     /// It holds something older than what it has proved, or than the answered order says.
-    ProvesLoss,
+    LossDetected,
     /// It names what was never issued here.
-    Strange,
+    UnknownTable,
     /// A newer version was issued, and is not written yet.
-    Newer,
+    NewerIssued,
     /// It answers nothing for longer than an answer takes.
-    Silent,
+    AckTimeout,
     /// Its stream ended, or a new one began.
-    Breaks,
+    Disconnected,
 }
 
 /// What follows from a judgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// Nothing is owed; no answer is waited for on this account.
-    Rest,
+    Clear,
     /// An answer is waited for.
-    Await,
+    AwaitAck,
     /// It is owed the table.
-    Owe,
+    Resend,
 }
 
 /// State, input, next state, effect. What is not here changes nothing.
-pub const JUDGEMENT: &[(Judged, Cue, Judged, Act)] = &[
-    (Judged::Unknown, Cue::Told, Judged::Behind, Act::Await),
+pub const SYNC_TRANSITIONS: &[(SyncState, SyncEvent, SyncState, Action)] = &[
     (
-        Judged::Unknown,
-        Cue::ProvesNewest,
-        Judged::InStep,
-        Act::Rest,
+        SyncState::Unknown,
+        SyncEvent::Sent,
+        SyncState::Behind,
+        Action::AwaitAck,
     ),
     (
-        Judged::Unknown,
-        Cue::ProvesOlder,
-        Judged::Behind,
-        Act::Await,
+        SyncState::Unknown,
+        SyncEvent::ConfirmedNewest,
+        SyncState::InSync,
+        Action::Clear,
     ),
-    (Judged::Unknown, Cue::ProvesLoss, Judged::Lost, Act::Owe),
-    (Judged::Unknown, Cue::Strange, Judged::Diverged, Act::Owe),
-    (Judged::Behind, Cue::Told, Judged::Behind, Act::Await),
-    (Judged::Behind, Cue::ProvesNewest, Judged::InStep, Act::Rest),
-    (Judged::Behind, Cue::ProvesOlder, Judged::Behind, Act::Await),
-    (Judged::Behind, Cue::ProvesLoss, Judged::Lost, Act::Owe),
-    (Judged::Behind, Cue::Strange, Judged::Diverged, Act::Owe),
-    (Judged::Behind, Cue::Silent, Judged::Lost, Act::Owe),
-    (Judged::Behind, Cue::Breaks, Judged::Unknown, Act::Rest),
-    (Judged::InStep, Cue::Told, Judged::Behind, Act::Await),
-    (Judged::InStep, Cue::Newer, Judged::Behind, Act::Rest),
-    (Judged::InStep, Cue::ProvesLoss, Judged::Lost, Act::Owe),
-    (Judged::InStep, Cue::Strange, Judged::Diverged, Act::Owe),
-    (Judged::InStep, Cue::Silent, Judged::Unknown, Act::Rest),
-    (Judged::InStep, Cue::Breaks, Judged::Unknown, Act::Rest),
-    (Judged::Lost, Cue::Told, Judged::Behind, Act::Await),
-    (Judged::Lost, Cue::ProvesNewest, Judged::InStep, Act::Rest),
-    (Judged::Lost, Cue::ProvesOlder, Judged::Behind, Act::Await),
-    (Judged::Lost, Cue::ProvesLoss, Judged::Lost, Act::Owe),
-    (Judged::Lost, Cue::Strange, Judged::Diverged, Act::Owe),
-    (Judged::Lost, Cue::Breaks, Judged::Unknown, Act::Rest),
-    (Judged::Diverged, Cue::Told, Judged::Behind, Act::Await),
     (
-        Judged::Diverged,
-        Cue::ProvesNewest,
-        Judged::InStep,
-        Act::Rest,
+        SyncState::Unknown,
+        SyncEvent::ConfirmedOlder,
+        SyncState::Behind,
+        Action::AwaitAck,
     ),
     (
-        Judged::Diverged,
-        Cue::ProvesOlder,
-        Judged::Behind,
-        Act::Await,
+        SyncState::Unknown,
+        SyncEvent::LossDetected,
+        SyncState::Lost,
+        Action::Resend,
+    ),
+    (
+        SyncState::Unknown,
+        SyncEvent::UnknownTable,
+        SyncState::Diverged,
+        Action::Resend,
+    ),
+    (
+        SyncState::Behind,
+        SyncEvent::Sent,
+        SyncState::Behind,
+        Action::AwaitAck,
+    ),
+    (
+        SyncState::Behind,
+        SyncEvent::ConfirmedNewest,
+        SyncState::InSync,
+        Action::Clear,
+    ),
+    (
+        SyncState::Behind,
+        SyncEvent::ConfirmedOlder,
+        SyncState::Behind,
+        Action::AwaitAck,
+    ),
+    (
+        SyncState::Behind,
+        SyncEvent::LossDetected,
+        SyncState::Lost,
+        Action::Resend,
+    ),
+    (
+        SyncState::Behind,
+        SyncEvent::UnknownTable,
+        SyncState::Diverged,
+        Action::Resend,
+    ),
+    (
+        SyncState::Behind,
+        SyncEvent::AckTimeout,
+        SyncState::Lost,
+        Action::Resend,
+    ),
+    (
+        SyncState::Behind,
+        SyncEvent::Disconnected,
+        SyncState::Unknown,
+        Action::Clear,
+    ),
+    (
+        SyncState::InSync,
+        SyncEvent::Sent,
+        SyncState::Behind,
+        Action::AwaitAck,
+    ),
+    (
+        SyncState::InSync,
+        SyncEvent::NewerIssued,
+        SyncState::Behind,
+        Action::Clear,
+    ),
+    (
+        SyncState::InSync,
+        SyncEvent::LossDetected,
+        SyncState::Lost,
+        Action::Resend,
+    ),
+    (
+        SyncState::InSync,
+        SyncEvent::UnknownTable,
+        SyncState::Diverged,
+        Action::Resend,
+    ),
+    (
+        SyncState::InSync,
+        SyncEvent::AckTimeout,
+        SyncState::Unknown,
+        Action::Clear,
+    ),
+    (
+        SyncState::InSync,
+        SyncEvent::Disconnected,
+        SyncState::Unknown,
+        Action::Clear,
+    ),
+    (
+        SyncState::Lost,
+        SyncEvent::Sent,
+        SyncState::Behind,
+        Action::AwaitAck,
+    ),
+    (
+        SyncState::Lost,
+        SyncEvent::ConfirmedNewest,
+        SyncState::InSync,
+        Action::Clear,
+    ),
+    (
+        SyncState::Lost,
+        SyncEvent::ConfirmedOlder,
+        SyncState::Behind,
+        Action::AwaitAck,
+    ),
+    (
+        SyncState::Lost,
+        SyncEvent::LossDetected,
+        SyncState::Lost,
+        Action::Resend,
+    ),
+    (
+        SyncState::Lost,
+        SyncEvent::UnknownTable,
+        SyncState::Diverged,
+        Action::Resend,
+    ),
+    (
+        SyncState::Lost,
+        SyncEvent::Disconnected,
+        SyncState::Unknown,
+        Action::Clear,
+    ),
+    (
+        SyncState::Diverged,
+        SyncEvent::Sent,
+        SyncState::Behind,
+        Action::AwaitAck,
+    ),
+    (
+        SyncState::Diverged,
+        SyncEvent::ConfirmedNewest,
+        SyncState::InSync,
+        Action::Clear,
+    ),
+    (
+        SyncState::Diverged,
+        SyncEvent::ConfirmedOlder,
+        SyncState::Behind,
+        Action::AwaitAck,
+    ),
+    (
+        SyncState::Diverged,
+        SyncEvent::LossDetected,
+        SyncState::Lost,
+        Action::Resend,
+    ),
+    (
+        SyncState::Diverged,
+        SyncEvent::UnknownTable,
+        SyncState::Diverged,
+        Action::Resend,
+    ),
+    (
+        SyncState::Diverged,
+        SyncEvent::Disconnected,
+        SyncState::Unknown,
+        Action::Clear,
     ),
-    (Judged::Diverged, Cue::ProvesLoss, Judged::Lost, Act::Owe),
-    (Judged::Diverged, Cue::Strange, Judged::Diverged, Act::Owe),
-    (Judged::Diverged, Cue::Breaks, Judged::Unknown, Act::Rest),
 ];
 
 /// How long answers are waited for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Patience {
+pub struct AckTimeouts {
     /// An answer that takes longer shows a loss.
-    pub answer_ms: f64,
+    pub ack_ms: f64,
     /// What is owed again is owed after this, then after twice as long each time.
-    pub again_ms: f64,
-    pub again_most_ms: f64,
+    pub resend_ms: f64,
+    pub resend_max_ms: f64,
 }
 
 /// An answer is late after twice the longest way, and what a dispatcher's own work takes.
@@ -126,14 +256,14 @@
 /// In the time that an answer takes, those that are late are looked for so often.
 const LOOKS: f64 = 8.0;
 
-impl Patience {
+impl AckTimeouts {
     /// For a channel that takes so long at most.
     pub fn for_transit(most_ms: f64) -> Self {
-        let answer_ms = ANSWER_WAYS * most_ms + ANSWER_WORK_MS;
+        let ack_ms = ANSWER_WAYS * most_ms + ANSWER_WORK_MS;
         Self {
-            answer_ms,
-            again_ms: most_ms,
-            again_most_ms: AGAIN_MOST_MS,
+            ack_ms,
+            resend_ms: most_ms,
+            resend_max_ms: AGAIN_MOST_MS,
         }
     }
 }
@@ -147,10 +277,10 @@
 
 /// One dispatcher and one of its tables.
 #[derive(Clone, Debug)]
-pub struct Held {
-    pub judged: Judged,
+pub struct TableState {
+    pub sync_state: SyncState,
     /// The newest version written to it on this stream.
-    pub told: Option<u64>,
+    pub sent: Option<u64>,
     /// The newest that it has proved to hold on this stream.
     pub confirmed: Option<u64>,
     pub claimed: Option<Claim>,
@@ -171,29 +301,29 @@
 
 /// One dispatcher: its stream, the marks it was asked for, its tables.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
+pub struct DispatcherState {
     pub joined: bool,
     /// It says what it holds.
-    pub speaks: bool,
-    pub heard_ms: f64,
+    pub reports_versions: bool,
+    pub last_seen_ms: f64,
     place: u64,
     asked: VecDeque<Asked>,
     /// In the order of their ids; a dispatcher has a few.
-    tables: Vec<(TableId, Held)>,
+    tables: Vec<(TableId, TableState)>,
 }
 
-pub struct Ledger {
-    patience: Patience,
-    entries: BTreeMap<DispatcherId, Entry>,
+pub struct DeliveryTracker {
+    patience: AckTimeouts,
+    entries: BTreeMap<DispatcherId, DispatcherState>,
 }
 
-impl Held {
+impl TableState {
     fn new() -> Self {
-        let (told, confirmed, claimed) = (None, None, None);
+        let (sent, confirmed, claimed) = (None, None, None);
         let (on_way, owed, owed_at_ms, wait_ms) = (VecDeque::new(), false, 0.0, 0.0);
         Self {
-            judged: Judged::Unknown,
-            told,
+            sync_state: SyncState::Unknown,
+            sent,
             confirmed,
             claimed,
             on_way,
@@ -204,81 +334,81 @@
     }
 
     /// Takes one step of the table above.
-    fn step(&mut self, now: f64, cue: Cue, patience: &Patience) {
-        let Some(row) = JUDGEMENT
+    fn step(&mut self, now: f64, cue: SyncEvent, patience: &AckTimeouts) {
+        let Some(row) = SYNC_TRANSITIONS
             .iter()
-            .find(|row| row.0 == self.judged && row.1 == cue)
+            .find(|row| row.0 == self.sync_state && row.1 == cue)
         else {
             return;
         };
-        self.judged = row.2;
+        self.sync_state = row.2;
         match row.3 {
-            Act::Rest => (self.owed, self.wait_ms) = (false, 0.0),
-            Act::Await => self.owed = false,
-            Act::Owe if self.owed => {}
-            Act::Owe => {
+            Action::Clear => (self.owed, self.wait_ms) = (false, 0.0),
+            Action::AwaitAck => self.owed = false,
+            Action::Resend if self.owed => {}
+            Action::Resend => {
                 // The first time at once; a dispatcher that stays lost is not written to ever faster.
                 (self.owed, self.owed_at_ms) = (true, now + self.wait_ms);
                 self.wait_ms =
-                    (2.0 * self.wait_ms).clamp(patience.again_ms, patience.again_most_ms);
+                    (2.0 * self.wait_ms).clamp(patience.resend_ms, patience.resend_max_ms);
             }
         }
     }
 
-    fn pinned(&self) -> [Option<u64>; 2] {
-        [self.told, self.confirmed.filter(|c| Some(*c) != self.told)]
+    fn is_pinned(&self) -> [Option<u64>; 2] {
+        [self.sent, self.confirmed.filter(|c| Some(*c) != self.sent)]
     }
 }
 
-impl Entry {
+impl DispatcherState {
     /// By table: what is held of it.
-    pub fn tables(&self) -> impl Iterator<Item = (TableId, &Held)> {
+    pub fn tables(&self) -> impl Iterator<Item = (TableId, &TableState)> {
         self.tables.iter().map(|(id, held)| (*id, held))
     }
 
-    pub fn table(&self, id: TableId) -> Option<&Held> {
+    pub fn table(&self, id: TableId) -> Option<&TableState> {
         let at = self.tables.binary_search_by_key(&id, |(id, _)| *id).ok()?;
         Some(&self.tables[at].1)
     }
 
-    fn table_mut(&mut self, id: TableId) -> Option<&mut Held> {
+    fn table_mut(&mut self, id: TableId) -> Option<&mut TableState> {
         let at = self.tables.binary_search_by_key(&id, |(id, _)| *id).ok()?;
         Some(&mut self.tables[at].1)
     }
 
-    fn table_or_new(&mut self, id: TableId) -> &mut Held {
+    fn table_or_new(&mut self, id: TableId) -> &mut TableState {
         let at = self
             .tables
             .binary_search_by_key(&id, |(id, _)| *id)
             .unwrap_or_else(|at| {
                 self.tables.reserve_exact(1);
-                self.tables.insert(at, (id, Held::new()));
+                self.tables.insert(at, (id, TableState::new()));
                 at
             });
         &mut self.tables[at].1
     }
 
     /// Since when the oldest unanswered mark waits.
-    pub fn waits_since_ms(&self) -> Option<f64> {
+    pub fn oldest_pending_since_ms(&self) -> Option<f64> {
         self.asked.front().map(|a| a.at_ms)
     }
 
-    pub fn marks_waiting(&self) -> usize {
+    pub fn pending_mark_count(&self) -> usize {
         self.asked.len()
     }
 }
 
 /// Changes what is held of a table, and moves the pins in the history along.
-fn repin(held: &mut Held, history: &mut History, change: impl FnOnce(&mut Held)) {
-    let before = held.pinned();
+fn repin(held: &mut TableState, history: &mut History, change: impl FnOnce(&mut TableState)) {
+    let before = held.is_pinned();
     change(held);
-    let after = held.pinned();
+    let after = held.is_pinned();
     after.into_iter().flatten().for_each(|n| history.pin(n));
     before.into_iter().flatten().for_each(|n| history.unpin(n));
 }
 
-impl Ledger {
-    pub fn new(patience: Patience) -> Self {
+impl DeliveryTracker {
+    pub fn new(patience: AckTimeouts) -> Self {
         Self {
             patience,
             entries: BTreeMap::new(),
@@ -286,54 +416,54 @@
     }
 
     /// So often it is worth while to ask who is due.
-    pub fn look_ms(&self) -> f64 {
-        self.patience.answer_ms / LOOKS
+    pub fn check_interval_ms(&self) -> f64 {
+        self.patience.ack_ms / LOOKS
     }
 
-    pub fn entries(&self) -> impl Iterator<Item = (DispatcherId, &Entry)> {
+    pub fn entries(&self) -> impl Iterator<Item = (DispatcherId, &DispatcherState)> {
         self.entries.iter().map(|(id, entry)| (*id, entry))
     }
 
-    pub fn entry(&self, dispatcher: DispatcherId) -> Option<&Entry> {
+    pub fn entry(&self, dispatcher: DispatcherId) -> Option<&DispatcherState> {
         self.entries.get(&dispatcher)
     }
 
     /// A new stream: what was told on the one before proves nothing here.
-    pub fn joins(
+    pub fn join(
         &mut self,
         now: f64,
         dispatcher: DispatcherId,
-        speaks: bool,
+        reports_versions: bool,
         history: &mut History,
     ) {
-        self.breaks(now, dispatcher, history);
-        let fresh = Entry {
+        self.disconnect(now, dispatcher, history);
+        let fresh = DispatcherState {
             joined: true,
-            speaks,
-            heard_ms: now,
-            ..Entry::default()
+            reports_versions,
+            last_seen_ms: now,
+            ..DispatcherState::default()
         };
         self.entries.insert(dispatcher, fresh);
     }
 
     /// Its stream ended: nothing is pinned for it, and it is not forgotten before it comes again.
-    pub fn breaks(&mut self, now: f64, dispatcher: DispatcherId, history: &mut History) {
+    pub fn disconnect(&mut self, now: f64, dispatcher: DispatcherId, history: &mut History) {
         let Some(entry) = self.entries.get_mut(&dispatcher) else {
             return;
         };
-        (entry.joined, entry.heard_ms) = (false, now);
+        (entry.joined, entry.last_seen_ms) = (false, now);
         entry.asked.clear();
         for (_, held) in &mut entry.tables {
             repin(held, history, |held| {
-                (held.told, held.confirmed) = (None, None)
+                (held.sent, held.confirmed) = (None, None)
             });
             held.on_way.clear();
-            held.step(now, Cue::Breaks, &self.patience);
+            held.step(now, SyncEvent::Disconnected, &self.patience);
         }
     }
 
     /// One message was written to it: these versions, and a mark to be answered.
-    pub fn told(
+    pub fn record_sent(
         &mut self,
         now: f64,
         dispatcher: DispatcherId,
@@ -348,17 +478,17 @@
         for (id, number) in versions {
             let place = entry.place;
             let held = entry.table_or_new(*id);
-            repin(held, history, |held| held.told = Some(*number));
-            if matches!(held.judged, Judged::Lost | Judged::Diverged) {
+            repin(held, history, |held| held.sent = Some(*number));
+            if matches!(held.sync_state, SyncState::Lost | SyncState::Diverged) {
                 held.on_way.clear();
             }
             held.on_way.push_back((place, *number, now));
-            let over = held.on_way.len().saturating_sub(MARKS_MOST);
+            let over = held.on_way.len().saturating_sub(MAX_PENDING_MARKS);
             held.on_way.drain(..over);
-            held.step(now, Cue::Told, &self.patience);
+            held.step(now, SyncEvent::Sent, &self.patience);
         }
         if let Some(mark) = mark {
-            let over = (entry.asked.len() + 1).saturating_sub(MARKS_MOST);
+            let over = (entry.asked.len() + 1).saturating_sub(MAX_PENDING_MARKS);
             entry.asked.drain(..over);
             entry.asked.push_back(Asked {
                 mark,
@@ -369,25 +499,25 @@
     }
 
     /// Takes the answer to a mark; gives the place in the stream that it answers for.
-    fn take_answer(entry: &mut Entry, now: f64, mark: u64) -> Option<u64> {
-        entry.heard_ms = now;
+    fn take_answer(entry: &mut DispatcherState, now: f64, mark: u64) -> Option<u64> {
+        entry.last_seen_ms = now;
         let at = entry.asked.iter().position(|a| a.mark == mark)?;
         entry.asked.drain(..=at).next_back().map(|a| a.place)
     }
 
     /// A newer version of this table was issued, which this dispatcher has.
-    pub fn newer(&mut self, now: f64, dispatcher: DispatcherId, id: TableId) {
+    pub fn newer_issued(&mut self, now: f64, dispatcher: DispatcherId, id: TableId) {
         if let Some(held) = self
             .entries
             .get_mut(&dispatcher)
             .and_then(|e| e.table_mut(id))
         {
-            held.step(now, Cue::Newer, &self.patience);
+            held.step(now, SyncEvent::NewerIssued, &self.patience);
         }
     }
 
     /// An answer to a mark, from one that says nothing of versions: all written before it has been applied.
-    pub fn answers(
+    pub fn acknowledge(
         &mut self,
         now: f64,
         dispatcher: DispatcherId,
@@ -397,7 +527,7 @@
         let Some(entry) = self
             .entries
             .get_mut(&dispatcher)
-            .filter(|e| e.joined && !e.speaks)
+            .filter(|e| e.joined && !e.reports_versions)
         else {
             return;
         };
@@ -421,9 +551,9 @@
             held.step(
                 now,
                 if newest {
-                    Cue::ProvesNewest
+                    SyncEvent::ConfirmedNewest
                 } else {
-                    Cue::ProvesOlder
+                    SyncEvent::ConfirmedOlder
                 },
                 &self.patience,
             );
@@ -432,7 +562,7 @@
 
     /// The answer to a mark, from one that speaks of versions, with what it holds by table. An answer that
     /// comes twice, or to a mark never asked for, proves nothing.
-    pub fn answers_with(
+    pub fn acknowledge_with_claims(
         &mut self,
         now: f64,
         dispatcher: DispatcherId,
@@ -443,7 +573,7 @@
         let Some(entry) = self
             .entries
             .get_mut(&dispatcher)
-            .filter(|e| e.joined && e.speaks)
+            .filter(|e| e.joined && e.reports_versions)
         else {
             return;
         };
@@ -465,7 +595,7 @@
                 None if held.on_way.iter().any(|(at, ..)| *at <= place) => {
                     repin(held, history, |held| held.confirmed = None);
                     held.claimed = None;
-                    held.step(now, Cue::ProvesLoss, &self.patience);
+                    held.step(now, SyncEvent::LossDetected, &self.patience);
                 }
                 None => {}
             }
@@ -473,7 +603,7 @@
     }
 
     /// What a dispatcher that has just joined says it holds, before anything is written to it.
-    pub fn brings(
+    pub fn record_initial_claim(
         &mut self,
         now: f64,
         dispatcher: DispatcherId,
@@ -484,7 +614,7 @@
         let Some(entry) = self
             .entries
             .get_mut(&dispatcher)
-            .filter(|e| e.joined && e.speaks)
+            .filter(|e| e.joined && e.reports_versions)
         else {
             return;
         };
@@ -507,13 +637,13 @@
     fn weigh(
         now: f64,
         id: TableId,
-        held: &mut Held,
+        held: &mut TableState,
         claim: Claim,
         place: u64,
-        patience: &Patience,
+        patience: &AckTimeouts,
         history: &mut History,
     ) {
-        let digest = |n: u64| history.numbered(n).map(|(_, i)| i.table.digest());
+        let digest = |n: u64| history.get(n).map(|(_, i)| i.table.digest());
         let answered = held
             .on_way
             .iter()
@@ -530,21 +660,23 @@
             .newest(id)
             .filter(|i| i.table.digest() == claim.digest);
         let named =
-            newest.filter(|i| held.told.is_none() || claim.version.as_ref() == Some(&i.version));
+            newest.filter(|i| held.sent.is_none() || claim.version.as_ref() == Some(&i.version));
         let (cue, proved) = match (known, named) {
-            (None, _) => (Cue::Strange, None),
-            (_, Some(newest)) if !pending => (Cue::ProvesNewest, Some(newest.version.number)),
+            (None, _) => (SyncEvent::UnknownTable, None),
+            (_, Some(newest)) if !pending => {
+                (SyncEvent::ConfirmedNewest, Some(newest.version.number))
+            }
             // Nothing is on its way any more that would bring it to what it was told.
-            (known, _) if !pending && held.told.is_some() && known != held.told => {
-                (Cue::ProvesLoss, known)
+            (known, _) if !pending && held.sent.is_some() && known != held.sent => {
+                (SyncEvent::LossDetected, known)
             }
-            (known, _) if !pending && newest.is_some() && held.told.is_some() => {
-                (Cue::ProvesLoss, known)
+            (known, _) if !pending && newest.is_some() && held.sent.is_some() => {
+                (SyncEvent::LossDetected, known)
             }
             (Some(number), _) if same.is_none() && least.is_some_and(|l| number < l) => {
-                (Cue::ProvesLoss, Some(number))
+                (SyncEvent::LossDetected, Some(number))
             }
-            (known, _) => (Cue::ProvesOlder, known),
+            (known, _) => (SyncEvent::ConfirmedOlder, known),
         };
         repin(held, history, |held| held.confirmed = proved);
         held.on_way.retain(|(at, ..)| *at > place);
@@ -554,7 +686,7 @@
 
     /// It refused an order for this table and holds this instead (None: nothing). That is a loss whatever it
     /// holds: word of it may be older than what is on its way, so it never proves anybody in step.
-    pub fn refuses(
+    pub fn record_refusal(
         &mut self,
         now: f64,
         dispatcher: DispatcherId,
@@ -565,11 +697,11 @@
         let Some(entry) = self
             .entries
             .get_mut(&dispatcher)
-            .filter(|e| e.joined && e.speaks)
+            .filter(|e| e.joined && e.reports_versions)
         else {
             return;
         };
-        entry.heard_ms = now;
+        entry.last_seen_ms = now;
         let Some(held) = entry.table_mut(id) else {
             return;
         };
@@ -578,9 +710,9 @@
             .and_then(|c| history.with_digest(id, c.digest))
             .map(|i| i.version.number);
         let cue = if claim.is_some() && known.is_none() {
-            Cue::Strange
+            SyncEvent::UnknownTable
         } else {
-            Cue::ProvesLoss
+            SyncEvent::LossDetected
         };
         repin(held, history, |held| held.confirmed = known);
         held.claimed = claim;
@@ -588,20 +720,20 @@
     }
 
     /// Time passes: who has been silent for too long, and who is owed a table by now.
-    pub fn due(&mut self, now: f64) -> Vec<(DispatcherId, TableId)> {
+    pub fn due_resends(&mut self, now: f64) -> Vec<(DispatcherId, TableId)> {
         let mut due = Vec::new();
         for (id, entry) in self.entries.iter_mut().filter(|(_, e)| e.joined) {
             let waits = entry.asked.front().map(|a| a.at_ms);
             for (table, held) in &mut entry.tables {
                 // What is owed already is waited for by nobody; what was written anew has its own time.
                 let since = held.on_way.front().map(|(_, _, at_ms)| *at_ms).or(waits);
-                if !held.owed && since.is_some_and(|at_ms| now - at_ms > self.patience.answer_ms) {
-                    held.step(now, Cue::Silent, &self.patience);
+                if !held.owed && since.is_some_and(|at_ms| now - at_ms > self.patience.ack_ms) {
+                    held.step(now, SyncEvent::AckTimeout, &self.patience);
                 }
                 if held.owed && now >= held.owed_at_ms {
                     held.owed = false;
                     // On a stream that loses nothing, silence is no loss: there it is a judgement alone.
-                    due.extend(entry.speaks.then_some((*id, *table)));
+                    due.extend(entry.reports_versions.then_some((*id, *table)));
                 }
             }
         }
@@ -612,15 +744,15 @@
     /// something was lost nothing is sure, and the whole table goes out.
     pub fn base(&self, dispatcher: DispatcherId, id: TableId) -> Option<u64> {
         let held = self.entries.get(&dispatcher)?.table(id)?;
-        match held.judged {
-            Judged::Behind | Judged::InStep => held.told.or(held.confirmed),
-            Judged::Unknown | Judged::Lost | Judged::Diverged => None,
+        match held.sync_state {
+            SyncState::Behind | SyncState::InSync => held.sent.or(held.confirmed),
+            SyncState::Unknown | SyncState::Lost | SyncState::Diverged => None,
         }
     }
 
     /// Drops those that left before this time.
-    pub fn forget(&mut self, before_ms: f64) {
+    pub fn forget_departed(&mut self, before_ms: f64) {
         self.entries
-            .retain(|_, e| e.joined || e.heard_ms >= before_ms);
+            .retain(|_, e| e.joined || e.last_seen_ms >= before_ms);
     }
 }
--- a/crates/rookpulley-versions/src/delta.rs
+++ b/crates/rookpulley-versions/src/delta.rs
@@ -15,13 +15,13 @@
 
 /// Why a delta was not applied.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Refused {
+pub enum ApplyError {
     #[error("it starts from {wants}, the table held is {held}")]
-    OtherStart { wants: Digest, held: Digest },
+    BaseMismatch { wants: Digest, held: Digest },
     #[error("it ends at {got} and not at {wants} as it says")]
-    OtherEnd { wants: Digest, got: Digest },
+    ResultMismatch { wants: Digest, got: Digest },
     #[error("its lines make no table: {0}")]
-    Lines(#[from] crate::table::NoTable),
+    InvalidTable(#[from] crate::table::TableError),
 }
 
 /// The lines of two sorted lists by name, those of one name together.
@@ -52,9 +52,9 @@
     }
 
     /// The table it ends at, or why it can't be had from this one.
-    pub fn apply(&self, held: &Table) -> Result<Table, Refused> {
+    pub fn apply(&self, held: &Table) -> Result<Table, ApplyError> {
         if held.digest() != self.from {
-            return Err(Refused::OtherStart {
+            return Err(ApplyError::BaseMismatch {
                 wants: self.from,
                 held: held.digest(),
             });
@@ -62,14 +62,14 @@
         let mut changes = self.changes.clone();
         changes.sort_by(|x, y| x.0.as_bytes().cmp(y.0.as_bytes()));
         // Lines of weight 0 pass the check and are dropped below.
-        Table::of(changes.iter().cloned())?;
+        Table::from_lines(changes.iter().cloned())?;
         let lines =
             side_by_side(held.slice(), &changes).map(|both| both.reduce(|_, changed| changed));
         let lines = lines.filter(|(_, weight)| *weight > 0.0).cloned().collect();
-        let table = Table::sorted(lines);
+        let table = Table::from_sorted(lines);
         match table.digest() {
             got if got == self.to => Ok(table),
-            got => Err(Refused::OtherEnd {
+            got => Err(ApplyError::ResultMismatch {
                 wants: self.to,
                 got,
             }),
@@ -92,16 +92,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
     /// It holds that table already, whoever issued it.
-    Same(Digest),
+    Unchanged(Digest),
     Delta(Delta),
     Whole(Arc<Table>),
 }
 
 impl Update {
     /// The shortest way to a table from what is held, if that is known.
-    pub fn to(held: Option<&Table>, to: &Arc<Table>) -> Self {
+    pub fn shortest(held: Option<&Table>, to: &Arc<Table>) -> Self {
         match held {
-            Some(held) if held.digest() == to.digest() => Self::Same(to.digest()),
+            Some(held) if held.digest() == to.digest() => Self::Unchanged(to.digest()),
             Some(held) => {
                 let delta = Delta::between(held, to);
                 if delta.canonical_len() < to.canonical_len() {
@@ -116,7 +116,7 @@
 
     pub fn digest(&self) -> Digest {
         match self {
-            Self::Same(digest) => *digest,
+            Self::Unchanged(digest) => *digest,
             Self::Delta(delta) => delta.to,
             Self::Whole(table) => table.digest(),
         }
--- a/crates/rookpulley-versions/src/history.rs
+++ b/crates/rookpulley-versions/src/history.rs
@@ -9,29 +9,29 @@
 
 /// How many versions are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct RetentionLimits {
     /// Versions kept of each table.
-    pub each: usize,
+    pub per_table: usize,
     /// Bytes of all kept tables together.
     pub bytes: usize,
 }
 
-impl Bounds {
+impl RetentionLimits {
     /// What is kept where nothing else is said.
-    pub const USUAL: Self = Self {
-        each: 8,
+    pub const DEFAULT: Self = Self {
+        per_table: 8,
         bytes: 16 << 20,
     };
 }
 
 /// A table as issued.
 #[derive(Clone, Debug)]
-pub struct Issued {
+pub struct IssuedTable {
     pub version: Version,
     pub table: Arc<Table>,
     pub at_ms: f64,
     /// The number of the version that took its place.
-    pub until: Option<u64>,
+    pub superseded_by: Option<u64>,
     pins: u32,
 }
 
@@ -39,17 +39,17 @@
     issuer: Arc<Issuer>,
     /// The number that the next version gets.
     next: u64,
-    bounds: Bounds,
+    bounds: RetentionLimits,
     bytes: usize,
     /// Oldest first.
-    kept: BTreeMap<TableId, VecDeque<Issued>>,
+    kept: BTreeMap<TableId, VecDeque<IssuedTable>>,
     /// Which table a kept number is of.
     of: BTreeMap<u64, TableId>,
 }
 
 /// Why there is no such version here.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum NotKept {
+pub enum LookupError {
     #[error("{version} was issued by another assigner; ask {} for it", version.issuer.assigner)]
     OtherAssigner { version: Version },
     #[error(
@@ -70,7 +70,7 @@
 
 impl History {
     /// The first number is 1 unless numbers before it are taken.
-    pub fn new(issuer: Issuer, first: u64, bounds: Bounds) -> Self {
+    pub fn new(issuer: Issuer, first: u64, bounds: RetentionLimits) -> Self {
         let (kept, of) = (BTreeMap::new(), BTreeMap::new());
         Self {
             issuer: Arc::new(issuer),
@@ -104,20 +104,20 @@
         }
         let version = self.version(self.next);
         self.next += 1;
-        self.bytes += table.held_bytes();
+        self.bytes += table.memory_bytes();
         self.of.insert(version.number, id);
-        let issued = Issued {
+        let issued = IssuedTable {
             version: version.clone(),
             table: Arc::new(table),
             at_ms: now,
-            until: None,
+            superseded_by: None,
             pins: 0,
         };
         let kept = self.kept.entry(id).or_default();
         kept.iter_mut()
             .rev()
             .take(1)
-            .for_each(|before| before.until = Some(version.number));
+            .for_each(|before| before.superseded_by = Some(version.number));
         kept.push_back(issued);
         self.trim(id);
         Some(version)
@@ -128,11 +128,11 @@
         while self
             .kept
             .get(&id)
-            .is_some_and(|k| k.len() > self.bounds.each)
+            .is_some_and(|k| k.len() > self.bounds.per_table)
             && self.drop_oldest(id)
         {}
         while self.bytes > self.bounds.bytes {
-            let free = |k: &VecDeque<Issued>| {
+            let free = |k: &VecDeque<IssuedTable>| {
                 k.iter()
                     .rev()
                     .skip(1)
@@ -163,7 +163,7 @@
         let Some(gone) = kept.remove(at) else {
             return false;
         };
-        self.bytes -= gone.table.held_bytes();
+        self.bytes -= gone.table.memory_bytes();
         self.of.remove(&gone.version.number);
         true
     }
@@ -184,7 +184,7 @@
         }
     }
 
-    fn numbered_mut(&mut self, number: u64) -> Option<&mut Issued> {
+    fn numbered_mut(&mut self, number: u64) -> Option<&mut IssuedTable> {
         let id = self.of.get(&number)?;
         self.kept
             .get_mut(id)?
@@ -192,7 +192,7 @@
             .find(|i| i.version.number == number)
     }
 
-    pub fn numbered(&self, number: u64) -> Option<(TableId, &Issued)> {
+    pub fn get(&self, number: u64) -> Option<(TableId, &IssuedTable)> {
         let id = self.of.get(&number)?;
         Some((
             *id,
@@ -203,12 +203,12 @@
         ))
     }
 
-    pub fn newest(&self, id: TableId) -> Option<&Issued> {
+    pub fn newest(&self, id: TableId) -> Option<&IssuedTable> {
         self.kept.get(&id)?.back()
     }
 
     /// The newest kept version of a table with these lines.
-    pub fn with_digest(&self, id: TableId, digest: Digest) -> Option<&Issued> {
+    pub fn with_digest(&self, id: TableId, digest: Digest) -> Option<&IssuedTable> {
         self.kept
             .get(&id)?
             .iter()
@@ -217,35 +217,37 @@
     }
 
     /// The kept version that this names, or why there is none.
-    pub fn find(&self, version: &Version) -> Result<(TableId, &Issued), NotKept> {
+    pub fn find(&self, version: &Version) -> Result<(TableId, &IssuedTable), LookupError> {
         let (named, version) = (&version.issuer, version.clone());
         if named.assigner != self.issuer.assigner {
-            return Err(NotKept::OtherAssigner { version });
+            return Err(LookupError::OtherAssigner { version });
         }
         if named.start != self.issuer.start {
-            return Err(NotKept::OtherStart {
+            return Err(LookupError::OtherStart {
                 version,
                 start: self.issuer.start,
             });
         }
         if version.number >= self.next || version.number == 0 {
-            return Err(NotKept::NeverIssued {
+            return Err(LookupError::NeverIssued {
                 version,
                 newest: self.next - 1,
             });
         }
-        self.numbered(version.number)
-            .ok_or(NotKept::Dropped { version })
+        self.get(version.number)
+            .ok_or(LookupError::Dropped { version })
     }
 
     /// What a table was at the moment that a number names, if that version is still kept.
-    pub fn as_of(&self, id: TableId, number: u64) -> Option<&Issued> {
-        let then = |i: &&Issued| i.version.number <= number && i.until.is_none_or(|u| u > number);
+    pub fn as_of(&self, id: TableId, number: u64) -> Option<&IssuedTable> {
+        let then = |i: &&IssuedTable| {
+            i.version.number <= number && i.superseded_by.is_none_or(|u| u > number)
+        };
         self.kept.get(&id)?.iter().find(then)
     }
 
     /// All kept versions, by table, oldest first.
-    pub fn all(&self) -> impl Iterator<Item = (TableId, &Issued)> {
+    pub fn all(&self) -> impl Iterator<Item = (TableId, &IssuedTable)> {
         self.kept
             .iter()
             .flat_map(|(id, kept)| kept.iter().map(|i| (*id, i)))
@@ -260,8 +262,8 @@
     }
 }
 
-impl Issued {
-    pub fn pinned(&self) -> bool {
+impl IssuedTable {
+    pub fn is_pinned(&self) -> bool {
         self.pins > 0
     }
 }
--- a/crates/rookpulley-versions/src/holder.rs
+++ b/crates/rookpulley-versions/src/holder.rs
@@ -15,38 +15,38 @@
 
 /// What an order is, seen from what is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum OrderKind {
     /// It came on a stream that is no longer followed.
-    OldStream,
+    StaleStream,
     /// A newer order of this stream has been taken.
-    Overtaken,
+    Superseded,
     /// It ends at the table held.
     SameTable,
     Whole,
     /// A delta, or word that nothing changed, that starts from the table held.
-    Fits,
+    Applicable,
     /// One that starts from another.
-    FitsNot,
+    Inapplicable,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Outcome {
     Applied,
     /// The table is held already: only the version's name is taken.
-    Renamed,
-    PassedOver,
+    VersionUpdated,
+    Ignored,
     /// It is not applied, and the assigner is told what is held.
     Refused,
 }
 
 /// What is seen, and what becomes of it.
-const HOLDING: &[(Seen, Verdict)] = &[
-    (Seen::OldStream, Verdict::PassedOver),
-    (Seen::Overtaken, Verdict::PassedOver),
-    (Seen::SameTable, Verdict::Renamed),
-    (Seen::Whole, Verdict::Applied),
-    (Seen::Fits, Verdict::Applied),
-    (Seen::FitsNot, Verdict::Refused),
+const HOLDING: &[(OrderKind, Outcome)] = &[
+    (OrderKind::StaleStream, Outcome::Ignored),
+    (OrderKind::Superseded, Outcome::Ignored),
+    (OrderKind::SameTable, Outcome::VersionUpdated),
+    (OrderKind::Whole, Outcome::Applied),
+    (OrderKind::Applicable, Outcome::Applied),
+    (OrderKind::Inapplicable, Outcome::Refused),
 ];
 
 #[derive(Clone, Debug, Default)]
@@ -59,7 +59,7 @@
 
 impl Holder {
     /// A new stream is followed from now on; what is held stays.
-    pub fn follow(&mut self, stream: u64) {
+    pub fn follow_stream(&mut self, stream: u64) {
         (self.stream, self.newest) = (stream, None);
     }
 
@@ -76,33 +76,33 @@
     }
 
     /// Takes an order that came on this stream.
-    pub fn hear(&mut self, stream: u64, order: &Order) -> Verdict {
+    pub fn handle(&mut self, stream: u64, order: &Order) -> Outcome {
         let held = self.table().cloned();
         let mut next = None;
         let seen = match &order.update {
-            _ if stream != self.stream => Seen::OldStream,
-            _ if self.newest.is_some_and(|n| order.version.number < n) => Seen::Overtaken,
+            _ if stream != self.stream => OrderKind::StaleStream,
+            _ if self.newest.is_some_and(|n| order.version.number < n) => OrderKind::Superseded,
             update if held.as_ref().is_some_and(|t| t.digest() == update.digest()) => {
-                Seen::SameTable
+                OrderKind::SameTable
             }
-            Update::Same(_) => Seen::FitsNot,
+            Update::Unchanged(_) => OrderKind::Inapplicable,
             Update::Whole(table) => {
                 next = Some(table.clone());
-                Seen::Whole
+                OrderKind::Whole
             }
             Update::Delta(delta) => match held.as_ref().map(|t| delta.apply(t)) {
                 Some(Ok(table)) => {
                     next = Some(Arc::new(table));
-                    Seen::Fits
+                    OrderKind::Applicable
                 }
-                _ => Seen::FitsNot,
+                _ => OrderKind::Inapplicable,
             },
         };
         let verdict = HOLDING
             .iter()
             .find(|row| row.0 == seen)
-            .map_or(Verdict::Refused, |row| row.1);
-        if matches!(verdict, Verdict::Applied | Verdict::Renamed) {
+            .map_or(Outcome::Refused, |row| row.1);
+        if matches!(verdict, Outcome::Applied | Outcome::VersionUpdated) {
             self.newest = Some(order.version.number);
             self.held = next.or(held).map(|table| (order.version.clone(), table));
         }
--- a/crates/rookpulley-versions/src/lib.rs
+++ b/crates/rookpulley-versions/src/lib.rs
@@ -8,22 +8,22 @@
 //! - [`delta`]: what turns one table into another, refused by any other start.
 //! - [`history`]: the kept versions, bounded by number and bytes.
 //! - [`holder`]: the dispatcher's side: applies, passes over or refuses what it is sent.
-//! - [`ledger`]: what each dispatcher was told, has confirmed and claims, and the judgement on it.
-//! - [`book`]: history and ledger together, as an assigner uses them.
+//! - [`deliveries`]: what each dispatcher was told, has confirmed and claims, and the judgement on it.
+//! - [`manager`]: history and ledger together, as an assigner uses them.
 
-pub mod book;
+pub mod deliveries;
 pub mod delta;
 pub mod history;
 pub mod holder;
-pub mod ledger;
+pub mod manager;
 pub mod table;
 pub mod version;
 
-pub use book::Book;
+pub use deliveries::{AckTimeouts, Claim, DeliveryTracker, SyncState};
 pub use delta::{Delta, Update};
-pub use history::{Bounds, History, Issued};
-pub use holder::{Holder, Order, Verdict};
-pub use ledger::{Claim, Judged, Ledger, Patience};
+pub use history::{History, IssuedTable, RetentionLimits};
+pub use holder::{Holder, Order, Outcome};
+pub use manager::VersionManager;
 pub use table::{Digest, Name, Table};
 pub use version::{Issuer, Version};
 
--- a/crates/rookpulley-versions/src/book.rs
+++ b/crates/rookpulley-versions/src/manager.rs
@@ -3,10 +3,10 @@
 //! The module decides a table's lines; the book names them, finds the shortest way for each dispatcher and
 //! says whom the module must write anew.
 
+use crate::deliveries::{AckTimeouts, Claim, DeliveryTracker, SyncState};
 use crate::delta::Update;
-use crate::history::{Bounds, History, NotKept};
+use crate::history::{History, LookupError, RetentionLimits};
 use crate::holder::Order;
-use crate::ledger::{Claim, Judged, Ledger, Patience};
 use crate::table::Table;
 use crate::version::{Issuer, Version};
 use crate::{DispatcherId, Kinds, TableId};
@@ -16,9 +16,9 @@
 /// Those that left are shown for so long.
 const SHOWN_MS: f64 = 600_000.0;
 
-pub struct Book {
+pub struct VersionManager {
     pub history: History,
-    pub ledger: Ledger,
+    pub deliveries: DeliveryTracker,
     /// What a dispatcher said at its joining, by request kinds, until its tables are known.
     brought: BTreeMap<DispatcherId, BTreeMap<Kinds, Claim>>,
     /// Which table a dispatcher has for which request kinds.
@@ -31,12 +31,12 @@
     look_at_ms: f64,
 }
 
-impl Book {
-    pub fn new(issuer: Issuer, first: u64, bounds: Bounds, patience: Patience) -> Self {
+impl VersionManager {
+    pub fn new(issuer: Issuer, first: u64, bounds: RetentionLimits, patience: AckTimeouts) -> Self {
         let (brought, bound, users) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Self {
             history: History::new(issuer, first, bounds),
-            ledger: Ledger::new(patience),
+            deliveries: DeliveryTracker::new(patience),
             brought,
             bound,
             users,
@@ -46,15 +46,15 @@
     }
 
     /// Joins with what it says it holds; None: it says nothing of versions.
-    pub fn joins(
+    pub fn join(
         &mut self,
         now: f64,
         dispatcher: DispatcherId,
         claims: Option<BTreeMap<Kinds, Claim>>,
     ) {
-        self.ledger
-            .joins(now, dispatcher, claims.is_some(), &mut self.history);
-        self.ledger.forget(now - SHOWN_MS);
+        self.deliveries
+            .join(now, dispatcher, claims.is_some(), &mut self.history);
+        self.deliveries.forget_departed(now - SHOWN_MS);
         for (_, id) in self
             .bound
             .extract_if((dispatcher, 0)..=(dispatcher, Kinds::MAX), |_, _| true)
@@ -69,8 +69,9 @@
         }
     }
 
-    pub fn leaves(&mut self, now: f64, dispatcher: DispatcherId) {
-        self.ledger.breaks(now, dispatcher, &mut self.history);
+    pub fn leave(&mut self, now: f64, dispatcher: DispatcherId) {
+        self.deliveries
+            .disconnect(now, dispatcher, &mut self.history);
         self.brought.remove(&dispatcher);
     }
 
@@ -84,13 +85,13 @@
             .flatten()
             .filter(|_| issued.is_some())
         {
-            self.ledger.newer(now, *who, id);
+            self.deliveries.newer_issued(now, *who, id);
         }
         issued
     }
 
     /// Its table for these request kinds is this one: what it brought for them counts from now on.
-    pub fn binds(&mut self, now: f64, dispatcher: DispatcherId, kinds: Kinds, id: TableId) {
+    pub fn bind(&mut self, now: f64, dispatcher: DispatcherId, kinds: Kinds, id: TableId) {
         self.bound.insert((dispatcher, kinds), id);
         self.users.entry(id).or_default().insert(dispatcher);
         let brought = self
@@ -98,8 +99,8 @@
             .get_mut(&dispatcher)
             .and_then(|b| b.remove(&kinds));
         if let Some(claim) = brought {
-            self.ledger
-                .brings(now, dispatcher, id, claim, &mut self.history);
+            self.deliveries
+                .record_initial_claim(now, dispatcher, id, claim, &mut self.history);
         }
     }
 
@@ -115,36 +116,36 @@
     }
 
     /// Whether a version of this table was written on the dispatcher's stream.
-    pub fn told(&self, dispatcher: DispatcherId, table: TableId) -> bool {
-        self.ledger
+    pub fn was_sent(&self, dispatcher: DispatcherId, table: TableId) -> bool {
+        self.deliveries
             .entry(dispatcher)
             .and_then(|e| e.table(table))
-            .is_some_and(|held| held.told.is_some())
+            .is_some_and(|held| held.sent.is_some())
     }
 
-    pub fn speaks(&self, dispatcher: DispatcherId) -> bool {
-        self.ledger
+    pub fn reports_versions(&self, dispatcher: DispatcherId) -> bool {
+        self.deliveries
             .entry(dispatcher)
-            .is_some_and(|e| e.joined && e.speaks)
+            .is_some_and(|e| e.joined && e.reports_versions)
     }
 
     /// The shortest way for a dispatcher to its table's newest version.
     pub fn order(&self, dispatcher: DispatcherId, id: TableId) -> Option<Order> {
         let newest = self.history.newest(id)?;
         let base = self
-            .ledger
+            .deliveries
             .base(dispatcher, id)
-            .and_then(|n| self.history.numbered(n));
+            .and_then(|n| self.history.get(n));
         let base: Option<&Table> = base.filter(|(of, _)| *of == id).map(|(_, i)| &*i.table);
         Some(Order {
             version: newest.version.clone(),
-            update: Update::to(base, &newest.table),
+            update: Update::shortest(base, &newest.table),
         })
     }
 
     /// The same, for a message in which the module counted the table whole or by its changes. None: it would have
     /// to go out whole and was not counted so; the module is asked to write it anew.
-    pub fn order_within(
+    pub fn order_as_counted(
         &mut self,
         dispatcher: DispatcherId,
         id: TableId,
@@ -152,7 +153,7 @@
     ) -> Option<Order> {
         let order = self.order(dispatcher, id)?;
         let over = matches!(order.update, Update::Whole(_)) && !whole;
-        if over && self.ledger.base(dispatcher, id).is_none() {
+        if over && self.deliveries.base(dispatcher, id).is_none() {
             self.uncounted.insert(id);
             return None;
         }
@@ -160,13 +161,13 @@
     }
 
     /// What was written of a table did not reach its dispatcher, or it holds something else.
-    pub fn lost(&self, dispatcher: DispatcherId, id: TableId) -> bool {
-        let held = self.ledger.entry(dispatcher).and_then(|e| e.table(id));
-        held.is_some_and(|h| matches!(h.judged, Judged::Lost | Judged::Diverged))
+    pub fn is_lost(&self, dispatcher: DispatcherId, id: TableId) -> bool {
+        let held = self.deliveries.entry(dispatcher).and_then(|e| e.table(id));
+        held.is_some_and(|h| matches!(h.sync_state, SyncState::Lost | SyncState::Diverged))
     }
 
     /// One message was written: for these tables, with this mark.
-    pub fn wrote(
+    pub fn record_sent(
         &mut self,
         now: f64,
         dispatcher: DispatcherId,
@@ -175,33 +176,33 @@
     ) {
         let number = |id: &TableId| Some((*id, self.history.newest(*id)?.version.number));
         let versions: Vec<_> = tables.iter().filter_map(number).collect();
-        self.ledger
-            .told(now, dispatcher, &versions, mark, &mut self.history);
+        self.deliveries
+            .record_sent(now, dispatcher, &versions, mark, &mut self.history);
     }
 
     /// An answer to a mark, with what is held where that is said.
-    pub fn answers(
+    pub fn acknowledge(
         &mut self,
         now: f64,
         dispatcher: DispatcherId,
         mark: u64,
         claims: &BTreeMap<Kinds, Claim>,
     ) {
-        if !self.speaks(dispatcher) {
+        if !self.reports_versions(dispatcher) {
             return self
-                .ledger
-                .answers(now, dispatcher, mark, &mut self.history);
+                .deliveries
+                .acknowledge(now, dispatcher, mark, &mut self.history);
         }
         let by_table = |(kinds, claim): (&Kinds, &Claim)| {
             Some((self.table_for(dispatcher, *kinds)?, claim.clone()))
         };
         let claims = claims.iter().filter_map(by_table).collect();
-        self.ledger
-            .answers_with(now, dispatcher, mark, &claims, &mut self.history);
+        self.deliveries
+            .acknowledge_with_claims(now, dispatcher, mark, &claims, &mut self.history);
     }
 
     /// It refused an order and holds this.
-    pub fn refuses(
+    pub fn record_refusal(
         &mut self,
         now: f64,
         dispatcher: DispatcherId,
@@ -209,14 +210,14 @@
         claim: Option<Claim>,
     ) {
         if let Some(id) = self.table_for(dispatcher, kinds) {
-            self.ledger
-                .refuses(now, dispatcher, id, claim, &mut self.history);
+            self.deliveries
+                .record_refusal(now, dispatcher, id, claim, &mut self.history);
         }
     }
 
     /// So often it is worth while to ask who is due.
-    pub fn look_ms(&self) -> f64 {
-        self.ledger.look_ms()
+    pub fn check_interval_ms(&self) -> f64 {
+        self.deliveries.check_interval_ms()
     }
 
     /// Tables that were owed for want of room in a message, once.
@@ -225,30 +226,30 @@
     }
 
     /// As `due`, asked as often as one likes and worked out as often as it is worth while.
-    pub fn due_by_now(&mut self, now: f64) -> Vec<(DispatcherId, TableId)> {
+    pub fn poll_due(&mut self, now: f64) -> Vec<(DispatcherId, TableId)> {
         if now < self.look_at_ms {
             return Vec::new();
         }
-        self.look_at_ms = now + self.look_ms();
-        self.due(now)
+        self.look_at_ms = now + self.check_interval_ms();
+        self.due_resends(now)
     }
 
     /// Whom the module must write anew, by dispatcher and table.
-    pub fn due(&mut self, now: f64) -> Vec<(DispatcherId, TableId)> {
-        self.ledger.due(now)
+    pub fn due_resends(&mut self, now: f64) -> Vec<(DispatcherId, TableId)> {
+        self.deliveries.due_resends(now)
     }
 
     /// The lines to go back to, by table: those of one version, or of all tables at its moment.
-    pub fn way_back(
+    pub fn rollback_tables(
         &self,
         version: &Version,
         table: Option<TableId>,
         all: bool,
-    ) -> Result<Vec<(TableId, Arc<Table>)>, NotKept> {
+    ) -> Result<Vec<(TableId, Arc<Table>)>, LookupError> {
         let (of, issued) = self.history.find(version)?;
         if !all {
             return match table {
-                Some(wanted) if wanted != of => Err(NotKept::OtherTable {
+                Some(wanted) if wanted != of => Err(LookupError::OtherTable {
                     version: version.clone(),
                     of,
                     wanted,
@@ -261,10 +262,10 @@
     }
 
     /// Every joined dispatcher holds, and has proved, the newest version of each of its tables.
-    pub fn all_in_step(&self) -> bool {
-        let joined = self.ledger.entries().filter(|(_, e)| e.joined);
+    pub fn all_in_sync(&self) -> bool {
+        let joined = self.deliveries.entries().filter(|(_, e)| e.joined);
         joined
             .flat_map(|(_, e)| e.tables())
-            .all(|(_, held)| held.judged == Judged::InStep)
+            .all(|(_, held)| held.sync_state == SyncState::InSync)
     }
 }
--- a/crates/rookpulley-versions/src/table.rs
+++ b/crates/rookpulley-versions/src/table.rs
@@ -23,7 +23,7 @@
 
 const MAGIC: &[u8; 4] = b"RPT1";
 /// What a name's length in the canonical form can tell.
-pub const NAME_MOST: usize = u16::MAX as usize;
+pub const MAX_NAME_LEN: usize = u16::MAX as usize;
 
 /// What a table is known by, whoever issued it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -43,29 +43,29 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is no digest: 22 letters of base64url are wanted")]
-pub struct NoDigest(pub String);
+pub struct ParseDigestError(pub String);
 
 impl FromStr for Digest {
-    type Err = NoDigest;
+    type Err = ParseDigestError;
 
-    fn from_str(text: &str) -> Result<Self, NoDigest> {
+    fn from_str(text: &str) -> Result<Self, ParseDigestError> {
         let bytes = BASE64URL_NOPAD.decode(text.as_bytes()).ok();
         bytes
             .and_then(|b| b.try_into().ok())
             .map(Self)
-            .ok_or_else(|| NoDigest(text.into()))
+            .ok_or_else(|| ParseDigestError(text.into()))
     }
 }
 
 /// Why lines make no table.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum NoTable {
+pub enum TableError {
     #[error("{0:?} is named twice; write one line for it")]
-    Twice(Name),
+    DuplicateName(Name),
     #[error("{name:?} has the weight {weight}; write a figure above 0, or 0 to leave it out")]
-    Weight { name: Name, weight: f64 },
-    #[error("a name of {0} bytes; {NAME_MOST} are the most")]
-    LongName(usize),
+    InvalidWeight { name: Name, weight: f64 },
+    #[error("a name of {0} bytes; {MAX_NAME_LEN} are the most")]
+    NameTooLong(usize),
 }
 
 /// Servers and weights, by name; its digest is worked out once.
@@ -83,33 +83,33 @@
 
 impl Default for Table {
     fn default() -> Self {
-        Self::sorted(Vec::new())
+        Self::from_sorted(Vec::new())
     }
 }
 
 impl Table {
     /// Lines in any order; those of weight 0 are left out.
-    pub fn of(lines: impl IntoIterator<Item = (Name, f64)>) -> Result<Self, NoTable> {
+    pub fn from_lines(lines: impl IntoIterator<Item = (Name, f64)>) -> Result<Self, TableError> {
         let mut kept: Vec<(Name, f64)> = Vec::new();
         for (name, weight) in lines {
-            if name.len() > NAME_MOST {
-                return Err(NoTable::LongName(name.len()));
+            if name.len() > MAX_NAME_LEN {
+                return Err(TableError::NameTooLong(name.len()));
             }
             if !(weight >= 0.0 && weight.is_finite()) {
-                return Err(NoTable::Weight { name, weight });
+                return Err(TableError::InvalidWeight { name, weight });
             }
             kept.push((name, weight));
         }
         kept.sort_by(|a, b| a.0.as_bytes().cmp(b.0.as_bytes()));
         if let Some(pair) = kept.windows(2).find(|pair| pair[0].0 == pair[1].0) {
-            return Err(NoTable::Twice(pair[0].0.clone()));
+            return Err(TableError::DuplicateName(pair[0].0.clone()));
         }
         kept.retain(|(_, weight)| *weight > 0.0);
-        Ok(Self::sorted(kept))
+        Ok(Self::from_sorted(kept))
     }
 
     /// Lines that are sorted, sound and above 0 already.
-    pub(crate) fn sorted(lines: Vec<(Name, f64)>) -> Self {
+    pub(crate) fn from_sorted(lines: Vec<(Name, f64)>) -> Self {
         let digest = digest_of(&canonical(&lines));
         Self {
             lines: lines.into_boxed_slice(),
@@ -159,7 +159,7 @@
     }
 
     /// About what it takes in memory; names are shared.
-    pub fn held_bytes(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         size_of::<Self>() + size_of_val(&*self.lines)
     }
 }
--- a/crates/rookpulley-versions/src/version.rs
+++ b/crates/rookpulley-versions/src/version.rs
@@ -39,20 +39,20 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "{text:?} is no version: {why}; write it as `versions` shows it, such as n0~18f3a2c41b7e0042~17"
+    "{text:?} is no version: {reason}; write it as `versions` shows it, such as n0~18f3a2c41b7e0042~17"
 )]
-pub struct NoVersion {
+pub struct ParseVersionError {
     pub text: String,
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 impl FromStr for Version {
-    type Err = NoVersion;
+    type Err = ParseVersionError;
 
-    fn from_str(text: &str) -> Result<Self, NoVersion> {
-        let wrong = |why| NoVersion {
+    fn from_str(text: &str) -> Result<Self, ParseVersionError> {
+        let wrong = |reason| ParseVersionError {
             text: text.into(),
-            why,
+            reason,
         };
         let mut parts = text.rsplitn(3, '~');
         let (number, start, assigner) = (parts.next(), parts.next(), parts.next());
@@ -83,12 +83,12 @@
     }
 
     /// Reads a version, or a number alone where `of` tells the issuer.
-    pub fn read(text: &str, of: Option<&Version>) -> Result<Self, NoVersion> {
+    pub fn parse_relative(text: &str, of: Option<&Version>) -> Result<Self, ParseVersionError> {
         match (text.strip_prefix('~'), of) {
             (Some(number), Some(of)) => {
-                let wrong = |why| NoVersion {
+                let wrong = |reason| ParseVersionError {
                     text: text.into(),
-                    why,
+                    reason,
                 };
                 let number = number
                     .parse()
@@ -105,6 +105,6 @@
 
 /// The name of a start: the millisecond it began (44 bits) and 20 bits of chance, so that neither a clock
 /// set back nor two starts in one millisecond give the same.
-pub fn start_of(unix_ms: f64, chance: u32) -> u64 {
-    (unix_ms.max(0.0) as u64) << 20 | u64::from(chance & 0xf_ffff)
+pub fn start_id(unix_ms: f64, random: u32) -> u64 {
+    (unix_ms.max(0.0) as u64) << 20 | u64::from(random & 0xf_ffff)
 }
--- a/crates/rookpulley-versions/tests/links.rs
+++ b/crates/rookpulley-versions/tests/links.rs
@@ -6,10 +6,10 @@
 use rookpulley_versions::*;
 use std::collections::BTreeMap;
 
-const PATIENCE: Patience = Patience {
-    answer_ms: 400.0,
-    again_ms: 100.0,
-    again_most_ms: 1_600.0,
+const PATIENCE: AckTimeouts = AckTimeouts {
+    ack_ms: 400.0,
+    resend_ms: 100.0,
+    resend_max_ms: 1_600.0,
 };
 const KINDS: [Kinds; 2] = [0b01, 0b10];
 
@@ -44,7 +44,7 @@
 struct World {
     rng: ChaCha8Rng,
     now: f64,
-    books: Vec<Book>,
+    books: Vec<VersionManager>,
     dispatchers: Vec<Dispatcher>,
     streams: u64,
     mark: u64,
@@ -72,15 +72,15 @@
             assigner: format!("n{n}").into(),
             start: seed << 8 | n,
         };
-        let bounds = Bounds {
-            each: 6,
+        let bounds = RetentionLimits {
+            per_table: 6,
             bytes: 200_000,
         };
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0.0,
             books: (0..2)
-                .map(|n| Book::new(issuer(n), 1, bounds, PATIENCE))
+                .map(|n| VersionManager::new(issuer(n), 1, bounds, PATIENCE))
                 .collect(),
             dispatchers: (0..dispatchers).map(|_| Dispatcher::default()).collect(),
             streams: 0,
@@ -119,7 +119,7 @@
     fn lines(&mut self) -> Table {
         // Few tables, so that old ones come back and both assigners issue the same.
         let n = self.rng.random_range(0..6_u32);
-        Table::of((1..=8).map(|k| {
+        Table::from_lines((1..=8).map(|k| {
             (
                 Name::from(format!("s-{k}")),
                 f64::from(if k > 3 { 2 } else { (n + k) % 4 }),
@@ -146,7 +146,7 @@
             }
             self.books[at].issue(self.now, id, self.wanted[&(at, id)].clone());
             if self.books[at].table_for(who as u16, *kinds).is_none() {
-                self.books[at].binds(self.now, who as u16, *kinds, id);
+                self.books[at].bind(self.now, who as u16, *kinds, id);
             }
             orders.push((*kinds, self.books[at].order(who as u16, id).unwrap()));
         }
@@ -154,7 +154,7 @@
             match order.update {
                 Update::Whole(_) => self.whole += 1,
                 Update::Delta(_) => self.deltas += 1,
-                Update::Same(_) => self.same += 1,
+                Update::Unchanged(_) => self.same += 1,
             }
         }
         self.mark += 1;
@@ -165,7 +165,7 @@
                 .map(|k| Self::table_of(who, *k))
                 .collect::<Vec<_>>(),
         );
-        self.books[at].wrote(self.now, who as u16, &ids, Some(mark));
+        self.books[at].record_sent(self.now, who as u16, &ids, Some(mark));
         self.send(stream, || Message::Down {
             mark,
             orders: orders.clone(),
@@ -174,20 +174,24 @@
 
     fn join(&mut self, who: usize, at: usize) {
         if let Some((old, _)) = self.dispatchers[who].at.take() {
-            self.books[old].leaves(self.now, who as u16);
+            self.books[old].leave(self.now, who as u16);
         }
         self.streams += 1;
         let (stream, dispatcher) = (self.streams, &mut self.dispatchers[who]);
         dispatcher.at = Some((at, stream));
         for kinds in KINDS {
-            dispatcher.holders.entry(kinds).or_default().follow(stream);
+            dispatcher
+                .holders
+                .entry(kinds)
+                .or_default()
+                .follow_stream(stream);
         }
         let claims = dispatcher
             .holders
             .iter()
             .filter_map(|(k, h)| Some((*k, claim_of(h)?)))
             .collect();
-        self.books[at].joins(self.now, who as u16, Some(claims));
+        self.books[at].join(self.now, who as u16, Some(claims));
         self.write(at, who, &KINDS);
     }
 
@@ -206,10 +210,10 @@
                 let (mut applied, mut refused) = (true, Vec::new());
                 for (kinds, order) in orders {
                     let holder = self.dispatchers[who].holders.entry(kinds).or_default();
-                    match holder.hear(stream, &order) {
-                        Verdict::Refused => refused.push((kinds, claim_of(holder))),
-                        Verdict::PassedOver => applied = false,
-                        Verdict::Applied | Verdict::Renamed => {}
+                    match holder.handle(stream, &order) {
+                        Outcome::Refused => refused.push((kinds, claim_of(holder))),
+                        Outcome::Ignored => applied = false,
+                        Outcome::Applied | Outcome::VersionUpdated => {}
                     }
                 }
                 for (kinds, claim) in refused.clone() {
@@ -236,14 +240,14 @@
                 else {
                     return;
                 };
-                self.books[at].answers(self.now, who as u16, mark, &claims);
+                self.books[at].acknowledge(self.now, who as u16, mark, &claims);
             }
             Message::Refusal { kinds, claim } => {
                 let Some((who, (at, _))) = who.and_then(|w| Some((w, self.dispatchers[w].at?)))
                 else {
                     return;
                 };
-                self.books[at].refuses(self.now, who as u16, kinds, claim);
+                self.books[at].record_refusal(self.now, who as u16, kinds, claim);
             }
         }
     }
@@ -270,7 +274,7 @@
             self.write(at, who, &[kinds]);
         }
         for at in 0..2 {
-            for (who, id) in self.books[at].due(self.now) {
+            for (who, id) in self.books[at].due_resends(self.now) {
                 self.write(at, who.into(), &[KINDS[usize::from(id % 2)]]);
             }
         }
@@ -280,21 +284,19 @@
     /// Whoever is judged in step holds the newest table, byte for byte.
     fn check(&self) {
         for (at, book) in self.books.iter().enumerate() {
-            for (who, entry) in book.ledger.entries() {
+            for (who, entry) in book.deliveries.entries() {
                 for (id, held) in entry.tables() {
                     let dispatcher = &self.dispatchers[usize::from(who)];
                     let here = dispatcher.at.is_some_and(|(a, _)| a == at);
                     assert_eq!(entry.joined, here);
                     let holds = dispatcher.holders[&KINDS[usize::from(id % 2)]].table();
                     let newest = book.history.newest(id).map(|i| &i.table);
-                    if held.judged == Judged::InStep {
+                    if held.sync_state == SyncState::InSync {
                         assert_eq!(holds.map(|t| t.digest()), newest.map(|t| t.digest()));
                         assert!(here, "who left is not in step");
                     }
-                    let known = [held.confirmed, held.told].into_iter().flatten();
-                    known.for_each(|n| {
-                        assert!(book.history.numbered(n).is_some(), "{n} was dropped")
-                    });
+                    let known = [held.confirmed, held.sent].into_iter().flatten();
+                    known.for_each(|n| assert!(book.history.get(n).is_some(), "{n} was dropped"));
                 }
             }
             assert!(book.history.bytes() < 400_000);
@@ -324,7 +326,7 @@
                 );
             }
         }
-        assert!(self.books.iter().all(Book::all_in_step));
+        assert!(self.books.iter().all(VersionManager::all_in_sync));
     }
 }
 
@@ -380,7 +382,7 @@
         (whole, 400),
         "both assigners publish the same lines"
     );
-    assert!(world.books[1].all_in_step());
+    assert!(world.books[1].all_in_sync());
 }
 
 // ---- The ledger against a plain model -----------------------------------------------------
@@ -401,37 +403,37 @@
 }
 
 impl Model {
-    fn judged(&self) -> Judged {
+    fn sync_state(&self) -> SyncState {
         let told = self.written.iter().filter_map(|w| w.0).next_back();
         let proved = self
             .answered
             .and_then(|at| self.written[..=at].iter().filter_map(|w| w.0).next_back());
         match (told, proved) {
-            (None, _) => Judged::Unknown,
-            _ if !self.joined => Judged::Unknown,
-            _ if self.lost => Judged::Lost,
-            (_, Some(proved)) if proved == self.newest && self.quiet => Judged::Unknown,
-            (_, Some(proved)) if proved == self.newest => Judged::InStep,
-            _ => Judged::Behind,
+            (None, _) => SyncState::Unknown,
+            _ if !self.joined => SyncState::Unknown,
+            _ if self.lost => SyncState::Lost,
+            (_, Some(proved)) if proved == self.newest && self.quiet => SyncState::Unknown,
+            (_, Some(proved)) if proved == self.newest => SyncState::InSync,
+            _ => SyncState::Behind,
         }
     }
 
     fn silent(&mut self, now: f64) {
-        let judged = self.judged();
+        let sync_state = self.sync_state();
         let from = self.answered.map_or(0, |at| at + 1);
         let waits = self.written[from..].first();
         let table = self.written[from.max(self.since)..]
             .iter()
             .find(|w| w.0.is_some());
-        let waits = if judged == Judged::Behind {
+        let waits = if sync_state == SyncState::Behind {
             table
         } else {
             waits
         };
-        if waits.is_some_and(|w| now - w.2 > PATIENCE.answer_ms) {
-            match judged {
-                Judged::Behind => self.lost = true,
-                Judged::InStep => self.quiet = true,
+        if waits.is_some_and(|w| now - w.2 > PATIENCE.ack_ms) {
+            match sync_state {
+                SyncState::Behind => self.lost = true,
+                SyncState::InSync => self.quiet = true,
                 _ => {}
             }
         }
@@ -449,11 +451,11 @@
             assigner: "n0".into(),
             start: seed,
         };
-        let mut book = Book::new(
+        let mut book = VersionManager::new(
             issuer,
             1,
-            Bounds {
-                each: 4,
+            RetentionLimits {
+                per_table: 4,
                 bytes: 1 << 20,
             },
             PATIENCE,
@@ -469,7 +471,7 @@
             };
             match rng.random_range(0..10) {
                 0 => {
-                    book.joins(now, 1, None);
+                    book.join(now, 1, None);
                     model = Model {
                         joined: true,
                         newest: model.newest,
@@ -477,15 +479,15 @@
                     };
                 }
                 1 if rng.random_range(0..3) == 0 => {
-                    book.leaves(now, 1);
+                    book.leave(now, 1);
                     model.joined = false;
                 }
                 2..=5 => {
                     model.newest += 1;
                     let lines = [(Name::from("s"), model.newest as f64)];
-                    book.issue(now, 0, Table::of(lines).unwrap());
+                    book.issue(now, 0, Table::from_lines(lines).unwrap());
                     mark += 1;
-                    book.wrote(now, 1, &[0], Some(mark));
+                    book.record_sent(now, 1, &[0], Some(mark));
                     if model.joined {
                         model.since = if model.lost {
                             model.written.len()
@@ -498,7 +500,7 @@
                 }
                 6 => {
                     mark += 1;
-                    book.wrote(now, 1, &[], Some(mark));
+                    book.record_sent(now, 1, &[], Some(mark));
                     if model.joined {
                         model.written.push((None, mark, now));
                     }
@@ -508,19 +510,19 @@
                     let from = model.answered.map_or(0, |at| at + 1);
                     let at = rng.random_range(0..=model.written.len());
                     let said = model.written.get(at).map_or(mark + 50, |w| w.1);
-                    book.answers(now, 1, said, &BTreeMap::new());
+                    book.acknowledge(now, 1, said, &BTreeMap::new());
                     if model.joined && at >= from && at < model.written.len() {
                         model.answered = Some(at);
                         (model.lost, model.quiet) = (false, false);
                     }
                 }
             }
-            book.due(now);
+            book.due_resends(now);
             model.silent(now);
-            let held = book.ledger.entry(1).and_then(|e| e.tables().next());
-            let judged = held.map_or(Judged::Unknown, |(_, h)| h.judged);
-            seen.insert(judged);
-            assert_eq!(judged, model.judged(), "seed {seed}, step {step}");
+            let held = book.deliveries.entry(1).and_then(|e| e.tables().next());
+            let sync_state = held.map_or(SyncState::Unknown, |(_, h)| h.sync_state);
+            seen.insert(sync_state);
+            assert_eq!(sync_state, model.sync_state(), "seed {seed}, step {step}");
         }
     }
     assert!(steps >= 10_000);
--- a/crates/rookpulley-versions/tests/tables.rs
+++ b/crates/rookpulley-versions/tests/tables.rs
@@ -1,14 +1,14 @@
 //! Tables, digests, deltas and the kept versions.
 
 use proptest::prelude::*;
-use rookpulley_versions::history::NotKept;
-use rookpulley_versions::table::NoTable;
-use rookpulley_versions::version::start_of;
+use rookpulley_versions::history::LookupError;
+use rookpulley_versions::table::TableError;
+use rookpulley_versions::version::start_id;
 use rookpulley_versions::*;
 use std::sync::Arc;
 
 fn table(lines: &[(&str, f64)]) -> Table {
-    Table::of(lines.iter().map(|(n, w)| (Name::from(*n), *w))).unwrap()
+    Table::from_lines(lines.iter().map(|(n, w)| (Name::from(*n), *w))).unwrap()
 }
 
 fn issuer(assigner: &str, start: u64) -> Issuer {
@@ -18,8 +18,8 @@
     }
 }
 
-const ROOMY: Bounds = Bounds {
-    each: 8,
+const ROOMY: RetentionLimits = RetentionLimits {
+    per_table: 8,
     bytes: 1 << 20,
 };
 
@@ -83,10 +83,11 @@
 
 #[test]
 fn what_makes_no_table_is_refused_with_what_to_write() {
-    let of = |lines: &[(&str, f64)]| Table::of(lines.iter().map(|(n, w)| (Name::from(*n), *w)));
+    let of =
+        |lines: &[(&str, f64)]| Table::from_lines(lines.iter().map(|(n, w)| (Name::from(*n), *w)));
     assert_eq!(
         of(&[("a", 1.0), ("b", 1.0), ("a", 2.0)]),
-        Err(NoTable::Twice("a".into()))
+        Err(TableError::DuplicateName("a".into()))
     );
     for weight in [-1.0, f64::NAN, f64::INFINITY] {
         let said = of(&[("a", weight)]).unwrap_err().to_string();
@@ -94,13 +95,13 @@
     }
     assert!(matches!(
         of(&[(&"n".repeat(70_000), 1.0)]),
-        Err(NoTable::LongName(70_000))
+        Err(TableError::NameTooLong(70_000))
     ));
 }
 
 #[test]
 fn versions_are_written_and_read_back() {
-    let start = start_of(1_764_612_000_123.9, 0xfff_abcde);
+    let start = start_id(1_764_612_000_123.9, 0xfff_abcde);
     let version = Version {
         issuer: Arc::new(issuer("n~0", start)),
         number: 17,
@@ -127,29 +128,36 @@
 
 #[test]
 fn a_version_of_another_assigner_an_earlier_start_the_future_or_never_is_told_apart() {
-    let mut history = History::new(issuer("n0", 5), 1, Bounds { each: 2, ..ROOMY });
+    let mut history = History::new(
+        issuer("n0", 5),
+        1,
+        RetentionLimits {
+            per_table: 2,
+            ..ROOMY
+        },
+    );
     (1..=4).for_each(|n| _ = history.issue(n as f64, 0, table(&[("s", f64::from(n))])));
     let find = |text: &str| history.find(&text.parse().unwrap()).map(|_| ());
     assert_eq!(find("n0~0000000000000005~4"), Ok(()));
     assert!(matches!(
         find("n1~0000000000000005~4"),
-        Err(NotKept::OtherAssigner { .. })
+        Err(LookupError::OtherAssigner { .. })
     ));
     assert!(matches!(
         find("n0~0000000000000004~4"),
-        Err(NotKept::OtherStart { start: 5, .. })
+        Err(LookupError::OtherStart { start: 5, .. })
     ));
     assert!(matches!(
         find("n0~0000000000000005~9"),
-        Err(NotKept::NeverIssued { newest: 4, .. })
+        Err(LookupError::NeverIssued { newest: 4, .. })
     ));
     assert!(matches!(
         find("n0~0000000000000005~0"),
-        Err(NotKept::NeverIssued { .. })
+        Err(LookupError::NeverIssued { .. })
     ));
     assert!(matches!(
         find("n0~0000000000000005~1"),
-        Err(NotKept::Dropped { .. })
+        Err(LookupError::Dropped { .. })
     ));
 }
 
@@ -158,7 +166,7 @@
     let mut seen = std::collections::BTreeSet::new();
     // The clock is set back between two starts, and two begin in the same millisecond.
     for (at, chance) in [(5_000.0, 1), (4_000.0, 2), (5_000.0, 3), (5_000.9, 4)] {
-        let mut history = History::new(issuer("n0", start_of(at, chance)), 1, ROOMY);
+        let mut history = History::new(issuer("n0", start_id(at, chance)), 1, ROOMY);
         for n in 1..=50 {
             let issued = history
                 .issue(0.0, 0, table(&[("s", f64::from(n))]))
@@ -179,8 +187,8 @@
     let mut history = History::new(
         issuer("n0", 1),
         1,
-        Bounds {
-            each: 3,
+        RetentionLimits {
+            per_table: 3,
             bytes: 1 << 20,
         },
     );
@@ -201,7 +209,7 @@
     );
     history.unpin(first);
     issue(&mut history, 21);
-    assert!(history.numbered(first).is_none());
+    assert!(history.get(first).is_none());
     assert!(
         history.issue(0.0, 0, table(&[("s", 21.0)])).is_none(),
         "the same lines are no new version"
@@ -210,8 +218,8 @@
     let mut tight = History::new(
         issuer("n0", 1),
         1,
-        Bounds {
-            each: 100,
+        RetentionLimits {
+            per_table: 100,
             bytes: 1_000,
         },
     );
@@ -223,7 +231,7 @@
         _ = (n == 30).then(|| tight.pin(number));
     }
     assert!(
-        tight.bytes() <= 1_000 && tight.numbered(30).is_some(),
+        tight.bytes() <= 1_000 && tight.get(30).is_some(),
         "{}",
         tight.bytes()
     );
@@ -236,7 +244,7 @@
 
 fn made(lines: &[(u8, u8)]) -> Table {
     let by_name: std::collections::BTreeMap<u8, u8> = lines.iter().copied().collect();
-    Table::of(
+    Table::from_lines(
         by_name
             .iter()
             .map(|(n, w)| (Name::from(format!("s-{n}")), f64::from(*w))),
@@ -256,18 +264,18 @@
         prop_assert_eq!(delta.changes.len(), differ, "as many lines as differ");
         // To another start it is not applied, also where the result would look sound.
         if other != a {
-            let refused = matches!(delta.apply(&other), Err(delta::Refused::OtherStart { .. }));
+            let refused = matches!(delta.apply(&other), Err(delta::ApplyError::BaseMismatch { .. }));
             prop_assert!(refused);
         }
         // Taken apart: one change lost on the way is found out.
         if !delta.changes.is_empty() {
             let mut cut = delta.clone();
             cut.changes.pop();
-            let refused = matches!(cut.apply(&a), Err(delta::Refused::OtherEnd { .. }));
+            let refused = matches!(cut.apply(&a), Err(delta::ApplyError::ResultMismatch { .. }));
             prop_assert!(refused);
         }
-        let shortest = match Update::to(Some(&a), &Arc::new(b.clone())) {
-            Update::Same(_) => 0,
+        let shortest = match Update::shortest(Some(&a), &Arc::new(b.clone())) {
+            Update::Unchanged(_) => 0,
             Update::Delta(d) => d.canonical_len(),
             Update::Whole(t) => t.canonical_len(),
         };
