--- a/crates/rookpulley-assigner/examples/file_latency.rs
+++ b/crates/rookpulley-assigner/examples/file_latency.rs
@@ -3,7 +3,7 @@
 //! `cargo run --release -p rookpulley-assigner --example file_latency [ROUNDS]`
 
 use rookpulley_assigner::{Assigner, Signals, config};
-use rookpulley_files::written;
+use rookpulley_files::render;
 use rookpulley_lists::{Candidate, Entry};
 use rookpulley_operators::file;
 use rookpulley_standin::discovery::Agent;
@@ -24,7 +24,7 @@
         weight: 1.0 + (generation % 100) as f64 / 64.0,
         ..Entry::default()
     };
-    written(&Candidate {
+    render(&Candidate {
         generation,
         loss: Some(1.0),
         entries: (10..14).map(entry).collect(),
--- a/crates/rookpulley-assigner/src/servers.rs
+++ b/crates/rookpulley-assigner/src/servers.rs
@@ -5,7 +5,7 @@
 use crate::say;
 use rookpulley::facts::{ListScope, Listed, Stage, Start};
 use rookpulley_files::watch::{Found, follow};
-use rookpulley_lists::{Facts, Lists, Told};
+use rookpulley_lists::{Deployment, ServerLists, ServerUpdate};
 use rookpulley_operators::asks::{ServerList, ServerRow};
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -13,15 +13,15 @@
 
 pub struct Servers {
     file: PathBuf,
-    lists: Lists,
+    lists: ServerLists,
     not_taken: Option<String>,
     pass_at_ms: f64,
 }
 
 impl Servers {
     pub fn new(file: PathBuf, start: &Start, words: &Words) -> Self {
-        let lists = Lists::new(
-            Facts::of(start, &words.machines),
+        let lists = ServerLists::new(
+            Deployment::from_start(start, &words.machines),
             start.bounds.drain_grace_ms,
         );
         Self {
@@ -49,7 +49,7 @@
         let why = match found {
             Found::List(candidate) => {
                 let (generation, count) = (candidate.generation, candidate.entries.len());
-                match self.lists.take(now, candidate) {
+                match self.lists.accept(now, candidate) {
                     Ok((scope, told)) => {
                         self.not_taken = None;
                         front.counters.one("server files taken");
@@ -63,8 +63,8 @@
                     Err(refused) => format!("generation {generation} is refused: {refused}"),
                 }
             }
-            Found::Not(why) => why,
-            Found::Gone(why) => format!("there is no file to read: {why}"),
+            Found::Rejected(why) => why,
+            Found::Missing(why) => format!("there is no file to read: {why}"),
         };
         front.counters.one("server files not taken");
         say!(
@@ -90,7 +90,7 @@
             .iter()
             .zip(&seen.names)
             .map(|(l, n)| (n.as_str(), l.stage, l.started_ms));
-        match self.lists.seen_list(now, lines) {
+        match self.lists.apply_discovery_list(now, lines) {
             Some(told) => (ListScope::Changes, list(told, &front.words)),
             None => (scope, seen),
         }
@@ -101,13 +101,13 @@
         if now < self.pass_at_ms {
             return None;
         }
-        self.pass_at_ms = now + self.lists.look_ms();
-        let told = self.lists.pass(now);
+        self.pass_at_ms = now + self.lists.check_interval_ms();
+        let told = self.lists.expire_drains(now);
         (!told.is_empty()).then(|| (ListScope::Changes, list(told, &front.words)))
     }
 
     pub fn shown(&self, now: f64) -> ServerList {
-        let rows = self.lists.whole().into_iter().map(|t| ServerRow {
+        let rows = self.lists.snapshot().into_iter().map(|t| ServerRow {
             server: t.entry.name,
             address: t.entry.address,
             zone: t.entry.zone,
@@ -133,9 +133,9 @@
     }
 }
 
-fn list(told: Vec<Told>, words: &Words) -> List {
+fn list(told: Vec<ServerUpdate>, words: &Words) -> List {
     let mut list = List::default();
-    for Told { entry, stage } in told {
+    for ServerUpdate { entry, stage } in told {
         let place = |of: &[String], name: &str| {
             of.iter()
                 .position(|n| n == name)
--- a/crates/rookpulley-assigner/tests/servers.rs
+++ b/crates/rookpulley-assigner/tests/servers.rs
@@ -4,7 +4,7 @@
 use rand_chacha::ChaCha8Rng;
 use rookpulley_assigner::driver::Front;
 use rookpulley_assigner::{Assigner, Signals, config};
-use rookpulley_files::written;
+use rookpulley_files::render;
 use rookpulley_lists::{Candidate, Entry};
 use rookpulley_operators::file;
 use rookpulley_standin::Dispatcher;
@@ -130,7 +130,7 @@
     on_sockets(async |file| {
         let running = run(file, 2).await;
         running.until(&[1, 2, 3]).await;
-        std::fs::write(file, written(&list(1, 11..=14, 1.0))).unwrap();
+        std::fs::write(file, render(&list(1, 11..=14, 1.0))).unwrap();
         running.until(&[11, 12, 13, 14]).await;
         // What discovery lists is none of the file's; a drain that it sees of the file's own counts.
         running.agent.say(
@@ -141,9 +141,9 @@
         running.until(&[11, 13, 14]).await;
         // Every weight zero, a truncated file, an older one: the last good list stays.
         for (text, count) in [
-            (written(&list(2, 11..=14, 0.0)), 1),
-            (written(&list(3, 11..=14, 2.0))[..60].to_string(), 2),
-            (written(&list(0, 11..=16, 1.0)), 3),
+            (render(&list(2, 11..=14, 0.0)), 1),
+            (render(&list(3, 11..=14, 2.0))[..60].to_string(), 2),
+            (render(&list(0, 11..=16, 1.0)), 3),
         ] {
             let before = running.front.counters.get("server files not taken");
             std::fs::write(file, text).unwrap();
@@ -152,10 +152,10 @@
             running.until(&[11, 13, 14]).await;
         }
         // A line less is a drain; the same file as before does not bring it back.
-        std::fs::write(file, written(&list(4, [11, 12, 13].into_iter(), 1.0))).unwrap();
+        std::fs::write(file, render(&list(4, [11, 12, 13].into_iter(), 1.0))).unwrap();
         running.until(&[11, 13]).await;
         let before = running.front.counters.get("server files not taken");
-        std::fs::write(file, written(&list(5, 11..=14, 1.0))).unwrap();
+        std::fs::write(file, render(&list(5, 11..=14, 1.0))).unwrap();
         running.counted("server files not taken", before + 1).await;
         running.until(&[11, 13]).await;
         std::fs::remove_file(file).unwrap();
@@ -175,21 +175,21 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         // Each good list has a pair of servers of its own, one in each zone, so a mixture would show.
         let pair = |generation: u64| [100 + 2 * generation as usize, 101 + 2 * generation as usize];
-        std::fs::write(file, written(&list(1, pair(1).into_iter(), 1.0))).unwrap();
+        std::fs::write(file, render(&list(1, pair(1).into_iter(), 1.0))).unwrap();
         let running = run(file, 4).await;
         running.until(&pair(1)).await;
         let (mut generation, mut good) = (1, 1);
         for n in 0..5_000 {
             let next = list(generation + 1, pair(generation + 1).into_iter(), 1.0);
-            let text = written(&next);
+            let text = render(&next);
             let spoilt = match rng.random_range(0..6) {
                 0 | 1 => text[..rng.random_range(0..text.trim_end().len())].to_string(),
                 2 => text.replace(
                     "weight = 1.0",
                     ["weight = -1", "weight = 0", "weight = 1e300"][n % 3],
                 ),
-                3 => written(&list(generation + 1, pair(generation + 1).into_iter(), 0.0)),
-                4 => written(&list(generation - 1, pair(generation - 1).into_iter(), 1.0)),
+                3 => render(&list(generation + 1, pair(generation + 1).into_iter(), 0.0)),
+                4 => render(&list(generation - 1, pair(generation - 1).into_iter(), 1.0)),
                 _ => text.replacen("s-", "s", 1),
             };
             std::fs::write(file, spoilt).unwrap();
@@ -246,7 +246,7 @@
         format!("servers(file = {:?})", servers.to_str().unwrap()),
     )
     .unwrap();
-    std::fs::write(&servers, written(&list(1, 11..=14, 1.0))).unwrap();
+    std::fs::write(&servers, render(&list(1, 11..=14, 1.0))).unwrap();
     let mut child = Command::new(env!("CARGO_BIN_EXE_rookpulley-assigner"))
         .env("PROXY_CONFIG", &config)
         .arg("--operators")
@@ -274,7 +274,7 @@
         );
     };
     // Half a file, a signal, the other half, a signal.
-    let text = written(&list(2, 11..=15, 1.0));
+    let text = render(&list(2, 11..=15, 1.0));
     std::fs::write(&servers, &text[..text.len() / 2]).unwrap();
     hang_up();
     until("the last good list stays");
--- a/crates/rookpulley-cli/src/servers.rs
+++ b/crates/rookpulley-cli/src/servers.rs
@@ -3,9 +3,9 @@
 use crate::call::{CannotAsk, Place};
 use crate::show;
 use clap::Subcommand;
-use rookpulley_files::{bytes, read, sealed, written};
-use rookpulley_lists::candidate::{Refused, capacity, check_against, check_alone};
-use rookpulley_lists::{Candidate, Change, Entry, Facts, Planned, plan};
+use rookpulley_files::{read, read_bytes, render, with_seal};
+use rookpulley_lists::candidate::{Rejection, capacity, validate_change, validate_list};
+use rookpulley_lists::{Candidate, Change, Deployment, Entry, Planned, plan};
 use rookpulley_operators::BadFile;
 use rookpulley_operators::asks::{Refusal, ServerList};
 use serde_json::{Value, json};
@@ -50,26 +50,26 @@
 }
 
 fn load(file: &Path) -> Result<Candidate, String> {
-    let bytes = bytes(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    read(file, &bytes).map_err(|e| e.in_file(file))
+    let bytes = read_bytes(file).map_err(|e| format!("{}: {e}", file.display()))?;
+    read(file, &bytes).map_err(|e| e.with_file_name(file))
 }
 
 /// What the configuration says of the deployment.
-fn facts(config: &Path) -> Result<Facts, String> {
+fn facts(config: &Path) -> Result<Deployment, String> {
     let wrong = |what: String| format!("{}: {what}", config.display());
     let text = std::fs::read_to_string(config).map_err(|e| wrong(e.to_string()))?;
     let told: Value = serde_json::from_str(&text).map_err(|e| wrong(e.to_string()))?;
     let settings = &told["settings"];
     let start = rookpulley_start::read_value(0, settings).map_err(|e| wrong(e.to_string()))?;
     let front = rookpulley_start::front_facts(settings).map_err(|e| wrong(e.to_string()))?;
-    Ok(Facts::of(&start, &front.machines))
+    Ok(Deployment::from_start(&start, &front.machines))
 }
 
 fn verdict(
     json: bool,
     file: &Path,
     list: Result<&Candidate, &String>,
-    refused: &Refused,
+    refused: &Rejection,
 ) -> (String, bool) {
     let well = list.is_ok() && refused.is_empty();
     let reasons: Vec<Value> = match list {
@@ -120,12 +120,12 @@
 }
 
 fn check(json: bool, file: &Path, config: Option<&Path>, against: Option<&Path>) -> (String, bool) {
-    let mut refused = Refused::default();
+    let mut refused = Rejection::default();
     let checked = load(file).and_then(|list| {
-        let facts = config.map_or_else(|| Ok(Facts::as_named(&list)), facts)?;
-        check_alone(show::unix_ms(), &list, &facts, &mut refused);
+        let facts = config.map_or_else(|| Ok(Deployment::from_list(&list)), facts)?;
+        validate_list(show::unix_ms(), &list, &facts, &mut refused);
         if let Some(held) = against {
-            check_against(&list, &load(held)?, &mut refused);
+            validate_change(&list, &load(held)?, &mut refused);
         }
         Ok(list)
     });
@@ -135,7 +135,7 @@
 fn seal(file: &Path) -> Result<String, String> {
     let wrong = |e: std::io::Error| format!("{}: {e}", file.display());
     let text = std::fs::read_to_string(file).map_err(wrong)?;
-    let after = sealed(file, &text).map_err(|e| e.to_string())?;
+    let after = with_seal(file, &text).map_err(|e| e.to_string())?;
     if after == text {
         return Ok(format!("{}: sealed already\n", file.display()));
     }
@@ -185,8 +185,8 @@
         Change::DroppedServing => "dropped: drained first",
         Change::Dropped => "dropped",
         Change::Drained => "drained",
-        Change::Starts => "started anew",
-        Change::Weighed => "weighed anew",
+        Change::Restarted => "started anew",
+        Change::Reweighted => "weighed anew",
         Change::Moved => "moved",
     }
 }
@@ -303,7 +303,7 @@
         Servers::Write => {
             let (_, mut list) = held(&place()?)?;
             list.generation += 1;
-            (written(&list), true)
+            (render(&list), true)
         }
     })
 }
--- a/crates/rookpulley-files/examples/check.rs
+++ b/crates/rookpulley-files/examples/check.rs
@@ -1,9 +1,9 @@
 //! What reading and checking a file of 10,000 servers takes, beside plain evaluation and beside reading the bytes.
 //! `cargo run --release -p rookpulley-files --example check`
 
-use rookpulley_files::{read, written};
-use rookpulley_lists::candidate::{Refused, check_against, check_alone};
-use rookpulley_lists::{Candidate, Entry, Facts};
+use rookpulley_files::{read, render};
+use rookpulley_lists::candidate::{Rejection, validate_change, validate_list};
+use rookpulley_lists::{Candidate, Deployment, Entry};
 use std::path::Path;
 use std::time::Instant;
 
@@ -33,16 +33,16 @@
         entries: (0..10_000).map(entry).collect(),
     };
     let zones = ["a", "b", "c"].map(String::from).to_vec();
-    let facts = Facts {
+    let facts = Deployment {
         zones,
         machines: vec!["m".into()],
-        ..Facts::default()
+        ..Deployment::default()
     };
-    let (text, file) = (written(&list), Path::new("servers.star"));
-    let (before, _) = rookpulley_files::read::parts(&text);
+    let (text, file) = (render(&list), Path::new("servers.star"));
+    let (before, _) = rookpulley_files::read::split_closing(&text);
     let plain = best(|| {
         assert_eq!(
-            rookpulley_files::read::body(file, before)
+            rookpulley_files::read::parse_body(file, before)
                 .unwrap()
                 .entries
                 .len(),
@@ -51,9 +51,9 @@
     });
     let whole = best(|| assert_eq!(read(file, text.as_bytes()).unwrap().entries.len(), 10_000));
     let checked = best(|| {
-        let mut refused = Refused::default();
-        check_alone(1e12, &list, &facts, &mut refused);
-        check_against(&list, &list, &mut refused);
+        let mut refused = Rejection::default();
+        validate_list(1e12, &list, &facts, &mut refused);
+        validate_change(&list, &list, &mut refused);
         assert!(refused.is_empty());
     });
     println!(
--- a/crates/rookpulley-files/src/lib.rs
+++ b/crates/rookpulley-files/src/lib.rs
@@ -11,10 +11,10 @@
 //! an editor is writing over in place, in whatever order, does not fit its seal. So no file is taken for whole that
 //! was not, whoever writes it. What the servers are checked for is `rookpulley-lists`'.
 
-pub mod form;
 pub mod read;
+pub mod render;
 pub mod watch;
 
-pub use form::{sealed, written};
-pub use read::{NotTaken, read};
-pub use watch::bytes;
+pub use read::{ReadError, read};
+pub use render::{render, with_seal};
+pub use watch::read_bytes;
--- a/crates/rookpulley-files/src/read.rs
+++ b/crates/rookpulley-files/src/read.rs
@@ -14,30 +14,30 @@
 use std::path::Path;
 
 /// 10,000 servers take about a megabyte.
-pub const BYTES_MOST: usize = 8 << 20;
+pub const MAX_BYTES: usize = 8 << 20;
 const VOCABULARY: Vocabulary = Vocabulary {
     words,
     known: "generation(), loss(), server() and end()",
-    bytes: BYTES_MOST,
+    bytes: MAX_BYTES,
     calls: 200_000,
 };
 
 /// Why a file is not taken. Nothing of it is used then.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum NotTaken {
+pub enum ReadError {
     #[error("byte {0} is no UTF-8 text")]
-    NotText(usize),
+    NotUtf8(usize),
     /// It may be whole later: an editor is still at it, or it was cut off.
     #[error(
         "it does not end with its closing statement: it was cut off or is still being written; {0}"
     )]
-    NotWhole(String),
+    MissingClosing(String),
     #[error(
         "its seal is {said:?} and does not fit: it was changed since, or is being written over; {instead}"
     )]
-    Seal { said: String, instead: String },
+    SealMismatch { said: String, instead: String },
     #[error("it says {said} servers and names {found}; {instead}")]
-    Count {
+    CountMismatch {
         said: usize,
         found: usize,
         instead: String,
@@ -46,9 +46,9 @@
     Script(#[from] BadFile),
 }
 
-impl NotTaken {
+impl ReadError {
     /// With the file's name before it, as errors of the script have it already.
-    pub fn in_file(&self, file: &Path) -> String {
+    pub fn with_file_name(&self, file: &Path) -> String {
         match self {
             Self::Script(bad) => bad.to_string(),
             other => format!("{}: {other}", file.display()),
@@ -58,7 +58,7 @@
 
 /// What to write where a file is meant to be whole.
 fn instead(body: &str, servers: usize) -> String {
-    let closing = closing(body, servers);
+    let closing = closing_statement(body, servers);
     format!("where it is whole, write {closing} as the last line, or run `rookpulley servers seal`")
 }
 
@@ -67,12 +67,12 @@
     data_encoding::BASE64URL_NOPAD.encode(&blake3::hash(body.as_bytes()).as_bytes()[..6])
 }
 
-pub fn closing(body: &str, servers: usize) -> String {
+pub fn closing_statement(body: &str, servers: usize) -> String {
     format!("end(servers = {servers}, seal = {:?})", seal(body))
 }
 
 /// The text before the closing statement, and that statement, if the last line is a whole one.
-pub fn parts(text: &str) -> (&str, Option<&str>) {
+pub fn split_closing(text: &str) -> (&str, Option<&str>) {
     let end = text.trim_end();
     let from = end.rfind('\n').map_or(0, |at| at + 1);
     let last = &end[from..];
@@ -185,13 +185,13 @@
     }
 }
 
-fn run(file: &Path, text: &str) -> Result<Found, NotTaken> {
+fn run(file: &Path, text: &str) -> Result<Found, ReadError> {
     let said: Said = script::run(file, text, &VOCABULARY)?;
     Ok(said.0.into_inner())
 }
 
 /// The servers that a body names, without a closing statement.
-pub fn body(file: &Path, text: &str) -> Result<Candidate, NotTaken> {
+pub fn parse_body(file: &Path, text: &str) -> Result<Candidate, ReadError> {
     let found = run(file, text)?;
     let missing = || BadFile {
         file: file.into(),
@@ -206,9 +206,9 @@
 }
 
 /// A whole file, or why it is not taken.
-pub fn read(file: &Path, bytes: &[u8]) -> Result<Candidate, NotTaken> {
-    let text = std::str::from_utf8(bytes).map_err(|e| NotTaken::NotText(e.valid_up_to()))?;
-    let (before, last) = parts(text);
+pub fn read(file: &Path, bytes: &[u8]) -> Result<Candidate, ReadError> {
+    let text = std::str::from_utf8(bytes).map_err(|e| ReadError::NotUtf8(e.valid_up_to()))?;
+    let (before, last) = split_closing(text);
     let Some(last) = last else {
         // Told with the line to write where what is there can be read.
         let hint = run(file, before)
@@ -216,7 +216,7 @@
             .map(|f| instead(before, f.candidate.entries.len()));
         let hint =
             hint.unwrap_or_else(|| "nothing of it is used until it has its last line".into());
-        return Err(NotTaken::NotWhole(hint));
+        return Err(ReadError::MissingClosing(hint));
     };
     let closing = run(file, last)?.end.unwrap_or_default();
     if closing.1 != seal(before) {
@@ -224,15 +224,15 @@
         let hint = count
             .map(|n| instead(before, n))
             .unwrap_or_else(|e| e.to_string());
-        return Err(NotTaken::Seal {
+        return Err(ReadError::SealMismatch {
             said: closing.1,
             instead: hint,
         });
     }
-    let candidate = body(file, before)?;
+    let candidate = parse_body(file, before)?;
     match candidate.entries.len() {
         found if found == closing.0 => Ok(candidate),
-        found => Err(NotTaken::Count {
+        found => Err(ReadError::CountMismatch {
             said: closing.0,
             found,
             instead: instead(before, found),
--- a/crates/rookpulley-files/src/form.rs
+++ b/crates/rookpulley-files/src/render.rs
@@ -1,6 +1,6 @@
 //! Files written by the program: a complete one from a list, and a seal on one that was edited.
 
-use crate::read::{NotTaken, body, closing, parts};
+use crate::read::{ReadError, closing_statement, parse_body, split_closing};
 use rookpulley_lists::Candidate;
 use std::fmt::Write;
 use std::path::Path;
@@ -23,7 +23,7 @@
 }
 
 /// A complete file with this list.
-pub fn written(list: &Candidate) -> String {
+pub fn render(list: &Candidate) -> String {
     let mut text = String::from(
         "# Servers and their weights. `rookpulley servers seal FILE` after every change.\n",
     );
@@ -54,19 +54,19 @@
         }
         text += ")\n";
     }
-    let closing = closing(&text, list.entries.len());
+    let closing = closing_statement(&text, list.entries.len());
     text + &closing + "\n"
 }
 
 /// The same file with a closing statement that fits it.
-pub fn sealed(file: &Path, text: &str) -> Result<String, NotTaken> {
-    let (before, _) = parts(text);
+pub fn with_seal(file: &Path, text: &str) -> Result<String, ReadError> {
+    let (before, _) = split_closing(text);
     let before = if before.is_empty() || before.ends_with('\n') {
         before.to_string()
     } else {
         format!("{before}\n")
     };
-    let servers = body(file, &before)?.entries.len();
-    let closing = closing(&before, servers);
+    let servers = parse_body(file, &before)?.entries.len();
+    let closing = closing_statement(&before, servers);
     Ok(before + &closing + "\n")
 }
--- a/crates/rookpulley-files/src/watch.rs
+++ b/crates/rookpulley-files/src/watch.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 /// So often the file is looked at where nothing is told of it.
-pub const LOOK: Duration = Duration::from_secs(1);
+pub const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What was found at the file's place.
 #[derive(Debug)]
@@ -23,9 +23,9 @@
     /// A whole file.
     List(Candidate),
     /// One that is not taken; the last good one stays in force.
-    Not(String),
+    Rejected(String),
     /// There is none, or it can't be read.
-    Gone(String),
+    Missing(String),
 }
 
 /// What tells one state of a file from another without reading it.
@@ -41,11 +41,11 @@
 }
 
 /// A plain file's bytes, up to one more than are allowed.
-pub fn bytes(path: &Path) -> Result<Vec<u8>, String> {
+pub fn read_bytes(path: &Path) -> Result<Vec<u8>, String> {
     mark(path)?;
     let mut bytes = Vec::new();
     let file = File::open(path).map_err(|e| e.to_string())?;
-    file.take(read::BYTES_MOST as u64 + 1)
+    file.take(read::MAX_BYTES as u64 + 1)
         .read_to_end(&mut bytes)
         .map_err(|e| e.to_string())?;
     Ok(bytes)
@@ -61,13 +61,13 @@
         .ok()
         .and_then(|m| m.3)
         .and_then(|t| t.elapsed().ok());
-    let fresh = age.is_none_or(|age| age < 2 * LOOK);
+    let fresh = age.is_none_or(|age| age < 2 * POLL_INTERVAL);
     if !changed && !fresh {
         return None;
     }
     last.mark = Some(found);
-    let (hash, found) = match bytes(path) {
-        Err(why) => (None, Found::Gone(why)),
+    let (hash, found) = match read_bytes(path) {
+        Err(why) => (None, Found::Missing(why)),
         Ok(bytes) => {
             let hash = Some(blake3::hash(&bytes));
             if last.hash == Some(hash) {
@@ -75,7 +75,7 @@
             }
             let found = match read::read(path, &bytes) {
                 Ok(list) => Found::List(list),
-                Err(why) => Found::Not(why.to_string()),
+                Err(why) => Found::Rejected(why.to_string()),
             };
             (hash, found)
         }
@@ -154,7 +154,7 @@
         }
         tokio::select! {
             () = found.closed() => return,
-            _ = timeout(LOOK, stirred.notified()) => {}
+            _ = timeout(POLL_INTERVAL, stirred.notified()) => {}
         }
     }
 }
--- a/crates/rookpulley-files/tests/files.rs
+++ b/crates/rookpulley-files/tests/files.rs
@@ -3,14 +3,14 @@
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rookpulley_files::read::{NotTaken, seal};
-use rookpulley_files::{read, sealed, written};
+use rookpulley_files::read::{ReadError, seal};
+use rookpulley_files::{read, render, with_seal};
 use rookpulley_lists::{Candidate, Entry};
 use std::path::Path;
 
 const FILE: &str = "servers.star";
 
-fn taken(text: &str) -> Result<Candidate, NotTaken> {
+fn taken(text: &str) -> Result<Candidate, ReadError> {
     read(Path::new(FILE), text.as_bytes())
 }
 
@@ -47,7 +47,7 @@
 
 #[test]
 fn what_is_written_is_read_back_with_its_places() {
-    let text = written(&list(12, 9));
+    let text = render(&list(12, 9));
     let read = taken(&text).unwrap();
     assert_eq!(read.entries[0].place, Some((3, 1)));
     assert_eq!(placeless(read), list(12, 9));
@@ -55,17 +55,17 @@
         loss: Some(0.75),
         ..list(1, 2)
     };
-    assert_eq!(placeless(taken(&written(&aloud)).unwrap()), aloud);
+    assert_eq!(placeless(taken(&render(&aloud)).unwrap()), aloud);
 }
 
 #[test]
 fn a_good_file_cut_at_every_byte_offset_is_never_taken_for_a_whole_one() {
-    let text = written(&list(3, 6));
+    let text = render(&list(3, 6));
     let whole = text.trim_end().len();
     for at in 0..whole {
         let cut = read(Path::new(FILE), &text.as_bytes()[..at]);
         assert!(
-            matches!(cut, Err(NotTaken::NotWhole(_))),
+            matches!(cut, Err(ReadError::MissingClosing(_))),
             "cut at {at}: {cut:?}"
         );
     }
@@ -81,10 +81,10 @@
 #[test]
 fn an_editor_that_writes_over_a_file_byte_by_byte_in_any_order_is_never_believed_in_between() {
     // The same length, the same count, another weight in each line.
-    let old = written(&list(3, 6));
+    let old = render(&list(3, 6));
     let mut next = list(4, 6);
     next.entries.iter_mut().for_each(|e| e.weight += 1.0);
-    let new = written(&next);
+    let new = render(&next);
     assert_eq!(old.len(), new.len());
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     for round in 0..30 {
@@ -211,30 +211,30 @@
 
 #[test]
 fn ten_thousand_servers() {
-    let text = written(&list(1, 10_000));
+    let text = render(&list(1, 10_000));
     assert_eq!(taken(&text).unwrap().entries.len(), 10_000);
 }
 
 #[test]
 fn a_seal_is_put_on_what_was_edited_and_nothing_else_changes() {
-    let text = written(&list(3, 4)).replace("weight = 1.5", "weight = 2.25");
-    assert!(matches!(taken(&text), Err(NotTaken::Seal { .. })));
-    let sealed_text = sealed(Path::new(FILE), &text).unwrap();
+    let text = render(&list(3, 4)).replace("weight = 1.5", "weight = 2.25");
+    assert!(matches!(taken(&text), Err(ReadError::SealMismatch { .. })));
+    let sealed_text = with_seal(Path::new(FILE), &text).unwrap();
     assert_eq!(taken(&sealed_text).unwrap().entries[0].weight, 2.25);
     let body = |t: &str| t.rsplit_once("end(").unwrap().0.to_string();
     assert_eq!(body(&sealed_text), body(&text));
     assert_eq!(
-        sealed(Path::new(FILE), &sealed_text).unwrap(),
+        with_seal(Path::new(FILE), &sealed_text).unwrap(),
         sealed_text,
         "twice is once"
     );
     let unended = body(&text);
     assert_eq!(
-        sealed(Path::new(FILE), unended.trim_end()).unwrap(),
+        with_seal(Path::new(FILE), unended.trim_end()).unwrap(),
         sealed_text
     );
     assert!(
-        sealed(Path::new(FILE), "server(").is_err(),
+        with_seal(Path::new(FILE), "server(").is_err(),
         "what can't be read is not sealed"
     );
 }
@@ -249,12 +249,12 @@
     fn odd_texts_are_written_so_that_they_are_read_back(name in "\\PC{0,12}", zone in "[\"\\\\\n\r\ta-z]{0,8}") {
         let mut odd = list(1, 1);
         (odd.entries[0].name, odd.entries[0].zone) = (name, zone);
-        prop_assert_eq!(placeless(taken(&written(&odd)).unwrap()), odd);
+        prop_assert_eq!(placeless(taken(&render(&odd)).unwrap()), odd);
     }
 
     #[test]
     fn one_byte_changed_is_found_out(at in 0_usize..1_000, bit in 0_u8..8) {
-        let text = written(&list(3, 6));
+        let text = render(&list(3, 6));
         let whole = text.trim_end().len();
         let mut bytes = text.clone().into_bytes();
         bytes[at % whole] ^= 1 << bit;
--- a/crates/rookpulley-files/tests/watch.rs
+++ b/crates/rookpulley-files/tests/watch.rs
@@ -1,7 +1,7 @@
 //! The watch on a server file, against editors of all sorts.
 
+use rookpulley_files::render;
 use rookpulley_files::watch::{Found, follow};
-use rookpulley_files::written;
 use rookpulley_lists::{Candidate, Entry};
 use std::path::Path;
 use std::time::Duration;
@@ -19,7 +19,7 @@
         weight: 1.0,
         ..Entry::default()
     };
-    written(&Candidate {
+    render(&Candidate {
         generation,
         loss: None,
         entries: vec![entry],
@@ -49,7 +49,7 @@
     loop {
         match found.recv().await.unwrap() {
             Found::List(list) => return list.generation,
-            Found::Not(_) | Found::Gone(_) => *others += 1,
+            Found::Rejected(_) | Found::Missing(_) => *others += 1,
         }
     }
 }
@@ -59,7 +59,7 @@
     let half = text.len() / 2;
     std::fs::write(file, &text[..half]).unwrap();
     match found.recv().await.unwrap() {
-        Found::Not(why) => assert!(why.contains("still being written"), "{why}"),
+        Found::Rejected(why) => assert!(why.contains("still being written"), "{why}"),
         other => panic!("{other:?}"),
     }
     std::fs::write(file, text).unwrap();
@@ -69,7 +69,7 @@
 fn editors_that_write_in_steps_rename_link_and_replace_the_folder_are_followed() {
     watching(|file, mut found| async move {
         assert!(
-            matches!(found.recv().await, Some(Found::Gone(_))),
+            matches!(found.recv().await, Some(Found::Missing(_))),
             "there is none yet"
         );
         let mut others = 0;
@@ -114,7 +114,7 @@
         std::fs::write(&file, text(1)).unwrap();
         assert_eq!(next(&mut found, &mut others).await, 1);
         std::fs::remove_file(&file).unwrap();
-        assert!(matches!(found.recv().await, Some(Found::Gone(_))));
+        assert!(matches!(found.recv().await, Some(Found::Missing(_))));
         // A pipe has no end; it is not even opened.
         let made = std::process::Command::new("mkfifo")
             .arg(&file)
@@ -125,8 +125,7 @@
         std::fs::write(&file, b"\xff\xfe").unwrap();
         let mut not_text = false;
         while !not_text {
-            not_text =
-                matches!(found.recv().await.unwrap(), Found::Not(why) if why.contains("no UTF-8"));
+            not_text = matches!(found.recv().await.unwrap(), Found::Rejected(why) if why.contains("no UTF-8"));
         }
         std::fs::write(&file, text(2)).unwrap();
         assert_eq!(next(&mut found, &mut others).await, 2);
--- a/crates/rookpulley-lists/src/candidate.rs
+++ b/crates/rookpulley-lists/src/candidate.rs
@@ -5,9 +5,9 @@
 use std::fmt;
 
 /// A weight beyond this is a slip of the hand.
-pub const WEIGHT_MOST: f64 = 10_000.0;
+pub const MAX_WEIGHT: f64 = 10_000.0;
 /// A list may take away this part of the capacity at once unless it says more aloud.
-pub const LOSS_MOST: f64 = 0.5;
+pub const DEFAULT_MAX_LOSS: f64 = 0.5;
 /// A start so far in the future is a slip, too.
 const AHEAD_MS: f64 = 60_000.0;
 /// Reasons told of one candidate; the others are counted.
@@ -55,15 +55,15 @@
 
 /// What the deployment is like.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Facts {
+pub struct Deployment {
     pub zones: Vec<String>,
     pub machines: Vec<String>,
     pub kinds: Vec<Kind>,
 }
 
-impl Facts {
+impl Deployment {
     /// As a start tells them; kinds of machine are named by the front.
-    pub fn of(start: &Start, machines: &[String]) -> Self {
+    pub fn from_start(start: &Start, machines: &[String]) -> Self {
         let zones = start.place.zones.clone();
         let names = |places: &[u16], of: &[String]| {
             places
@@ -86,7 +86,7 @@
     }
 
     /// Where nothing is known of the deployment: any zone and machine that a list names is believed.
-    pub fn as_named(list: &Candidate) -> Self {
+    pub fn from_list(list: &Candidate) -> Self {
         let zones: BTreeSet<&String> = list.entries.iter().map(|e| &e.zone).collect();
         Self {
             zones: zones.into_iter().cloned().collect(),
@@ -99,68 +99,68 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Reason {
     #[error("it names no server; write one, or stop following this file")]
-    Empty,
+    EmptyList,
     #[error("generation {offered} is older than {held}, which is held; write generation({}) or more", held + 1)]
-    Older { offered: u64, held: u64 },
+    OlderGeneration { offered: u64, held: u64 },
     #[error("generation {held} was taken with other lines; write generation({})", held + 1)]
-    SameAgain { held: u64 },
+    GenerationReused { held: u64 },
     #[error("{name:?} stands twice, first at line {first}; write it once")]
-    Twice { name: String, first: usize },
+    DuplicateName { name: String, first: usize },
     #[error(
         "{name:?} has the address {address} of {other:?}; write one name for it, or its own address"
     )]
-    SharedAddress {
+    DuplicateAddress {
         name: String,
         address: String,
         other: String,
     },
     #[error("{name:?} is no name; write 1 to 200 printable characters without spaces")]
-    Name { name: String },
+    InvalidName { name: String },
     #[error("{name:?} has the address {address:?}; write one such as \"10.0.0.1:8000\"")]
-    Address { name: String, address: String },
+    InvalidAddress { name: String, address: String },
     #[error("{name:?} is of zone {zone:?}; write one of {known}")]
-    Zone {
+    UnknownZone {
         name: String,
         zone: String,
         known: String,
     },
     #[error("{name:?} is of the machine kind {machine:?}; write one of {known}")]
-    Machine {
+    UnknownMachine {
         name: String,
         machine: String,
         known: String,
     },
-    #[error("{name:?} has the weight {weight}; write a figure from 0 to {WEIGHT_MOST}")]
-    Weight { name: String, weight: f64 },
+    #[error("{name:?} has the weight {weight}; write a figure from 0 to {MAX_WEIGHT}")]
+    InvalidWeight { name: String, weight: f64 },
     #[error("{name:?} starts at {started_ms:.0}, which is to come; write when it last started")]
-    Start { name: String, started_ms: f64 },
+    FutureStart { name: String, started_ms: f64 },
     #[error(
         "{name:?} was drained; write started = {least_ms:.0} or later once it has started anew"
     )]
-    Drained { name: String, least_ms: f64 },
+    AlreadyDrained { name: String, least_ms: f64 },
     #[error("every weight is 0; write a weight above 0 for those that are to serve")]
-    AllZero,
+    ZeroWeight,
     #[error("every weight of zone {0:?} is 0; write a weight above 0 there, or drains = True")]
-    ZoneZero(String),
+    ZeroWeightZone(String),
     #[error("no server is left for {kind}{}; keep one that serves it", from.as_ref().map(|z| format!(" from zone {z:?}")).unwrap_or_default())]
-    Bare { kind: String, from: Option<String> },
+    Unserved { kind: String, from: Option<String> },
     #[error(
         "it takes away {part:.2} of the capacity at once, {most:.2} are allowed; write loss({part:.2}) if that is meant"
     )]
-    Loss { part: f64, most: f64 },
+    CapacityLoss { part: f64, most: f64 },
     #[error("loss({0}) is no part of the whole; write a figure from 0 to 1")]
-    LossFigure(f64),
+    InvalidLoss(f64),
 }
 
 /// All the reasons, each with its place where it has one.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Refused {
+pub struct Rejection {
     pub reasons: Vec<(Option<Place>, Reason)>,
     /// Further ones that are not listed.
     pub more: usize,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (n, (place, reason)) in self.reasons.iter().enumerate() {
             let comma = if n == 0 { "" } else { "; " };
@@ -177,7 +177,7 @@
     }
 }
 
-impl Refused {
+impl Rejection {
     pub fn add(&mut self, place: Option<Place>, reason: Reason) {
         if self.reasons.len() < REASONS_MOST {
             self.reasons.push((place, reason))
@@ -213,12 +213,12 @@
 }
 
 /// Checks a list by itself: names, addresses, zones, weights.
-pub fn check_alone(now: f64, offered: &Candidate, facts: &Facts, refused: &mut Refused) {
+pub fn validate_list(now: f64, offered: &Candidate, facts: &Deployment, refused: &mut Rejection) {
     if offered.entries.is_empty() {
-        refused.add(None, Reason::Empty);
+        refused.add(None, Reason::EmptyList);
     }
     if let Some(loss) = offered.loss.filter(|l| !(0.0..=1.0).contains(l)) {
-        refused.add(None, Reason::LossFigure(loss));
+        refused.add(None, Reason::InvalidLoss(loss));
     }
     let mut names: BTreeMap<&str, &Entry> = BTreeMap::new();
     let mut addresses: BTreeMap<&str, &str> = BTreeMap::new();
@@ -228,13 +228,13 @@
             || name.len() > 200
             || name.chars().any(|c| c.is_control() || c.is_whitespace())
         {
-            refused.add(place, Reason::Name { name: name.clone() });
+            refused.add(place, Reason::InvalidName { name: name.clone() });
         }
         if let Some(first) = names.insert(&entry.name, entry) {
             let first = first.place.map_or(0, |(line, _)| line);
             refused.add(
                 place,
-                Reason::Twice {
+                Reason::DuplicateName {
                     name: name.clone(),
                     first,
                 },
@@ -248,7 +248,7 @@
         {
             refused.add(
                 place,
-                Reason::Address {
+                Reason::InvalidAddress {
                     name: name.clone(),
                     address: address.clone(),
                 },
@@ -257,7 +257,7 @@
             let other = other.to_string();
             refused.add(
                 place,
-                Reason::SharedAddress {
+                Reason::DuplicateAddress {
                     name: name.clone(),
                     address,
                     other,
@@ -268,7 +268,7 @@
             let known = list(&facts.zones);
             refused.add(
                 place,
-                Reason::Zone {
+                Reason::UnknownZone {
                     name: name.clone(),
                     zone: entry.zone.clone(),
                     known,
@@ -279,17 +279,17 @@
             let known = list(&facts.machines);
             refused.add(
                 place,
-                Reason::Machine {
+                Reason::UnknownMachine {
                     name: name.clone(),
                     machine: entry.machine.clone(),
                     known,
                 },
             );
         }
-        if !(0.0..=WEIGHT_MOST).contains(&entry.weight) {
+        if !(0.0..=MAX_WEIGHT).contains(&entry.weight) {
             refused.add(
                 place,
-                Reason::Weight {
+                Reason::InvalidWeight {
                     name: name.clone(),
                     weight: entry.weight,
                 },
@@ -298,7 +298,7 @@
         if !(entry.started_ms >= 0.0 && entry.started_ms <= now + AHEAD_MS) {
             refused.add(
                 place,
-                Reason::Start {
+                Reason::FutureStart {
                     name,
                     started_ms: entry.started_ms,
                 },
@@ -309,10 +309,10 @@
 }
 
 /// Checks that somebody serves every request kind, from every zone.
-fn check_serves(entries: &[Entry], facts: &Facts, refused: &mut Refused) {
+fn check_serves(entries: &[Entry], facts: &Deployment, refused: &mut Rejection) {
     let serving: Vec<&Entry> = entries.iter().filter(|e| e.serves()).collect();
     if serving.is_empty() && !entries.is_empty() {
-        return refused.add(None, Reason::AllZero);
+        return refused.add(None, Reason::ZeroWeight);
     }
     let zones: BTreeSet<&String> = entries
         .iter()
@@ -321,7 +321,7 @@
         .collect();
     for zone in zones {
         if !serving.iter().any(|e| e.zone == *zone) {
-            refused.add(None, Reason::ZoneZero(zone.clone()));
+            refused.add(None, Reason::ZeroWeightZone(zone.clone()));
         }
     }
     for kind in &facts.kinds {
@@ -333,7 +333,7 @@
         if !kind.own_zone && bare(None) {
             refused.add(
                 None,
-                Reason::Bare {
+                Reason::Unserved {
                     kind: kind.name.clone(),
                     from: None,
                 },
@@ -346,7 +346,7 @@
         {
             refused.add(
                 None,
-                Reason::Bare {
+                Reason::Unserved {
                     kind: kind.name.clone(),
                     from: Some(zone.clone()),
                 },
@@ -361,11 +361,11 @@
 }
 
 /// Checks a list against the one held of the same source.
-pub fn check_against(offered: &Candidate, held: &Candidate, refused: &mut Refused) {
+pub fn validate_change(offered: &Candidate, held: &Candidate, refused: &mut Rejection) {
     if offered.generation < held.generation {
         refused.add(
             None,
-            Reason::Older {
+            Reason::OlderGeneration {
                 offered: offered.generation,
                 held: held.generation,
             },
@@ -373,7 +373,7 @@
     } else if offered.generation == held.generation && offered.entries != held.entries {
         refused.add(
             None,
-            Reason::SameAgain {
+            Reason::GenerationReused {
                 held: held.generation,
             },
         );
@@ -394,12 +394,12 @@
     let kept: f64 = held.entries.iter().filter(|e| e.serves()).map(left).sum();
     let (part, most) = (
         1.0 - kept / before.max(1e-9),
-        offered.loss.unwrap_or(LOSS_MOST),
+        offered.loss.unwrap_or(DEFAULT_MAX_LOSS),
     );
     if before > 0.0 && part > most + 1e-9 {
         refused.add(
             None,
-            Reason::Loss {
+            Reason::CapacityLoss {
                 part: (part * 100.0).ceil() / 100.0,
                 most,
             },
--- a/crates/rookpulley-lists/src/lib.rs
+++ b/crates/rookpulley-lists/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod merge;
 pub mod plan;
 
-pub use candidate::{Candidate, Entry, Facts, Kind, Place, Reason, Refused};
-pub use membership::{Cue, MEMBERSHIP, Member, State};
-pub use merge::{Lists, Told};
+pub use candidate::{Candidate, Deployment, Entry, Kind, Place, Reason, Rejection};
+pub use membership::{MEMBERSHIP, Member, MemberEvent, State};
+pub use merge::{ServerLists, ServerUpdate};
 pub use plan::{Change, Planned, plan};
--- a/crates/rookpulley-lists/src/membership.rs
+++ b/crates/rookpulley-lists/src/membership.rs
@@ -14,16 +14,16 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Cue {
+pub enum MemberEvent {
     /// A list names it as serving, with a start that is not later than its drain.
-    Named,
+    Listed,
     /// The same, with a later start.
-    Starts,
+    Restarted,
     /// A list names it as draining.
     Drains,
     /// The list that named it does not any more.
     Dropped,
-    GraceEnds,
+    GraceExpired,
 }
 
 /// What follows for the list that the module is told.
@@ -35,31 +35,91 @@
     /// Told as draining.
     Drain,
     /// Told as gone.
-    Leave,
+    Remove,
     /// It stays as it is, and the list that names it so is at odds with what is known.
-    Refuse,
+    Reject,
 }
 
 /// State, input, next state, effect. What is not here changes nothing.
-pub const MEMBERSHIP: &[(State, Cue, State, Effect)] = &[
-    (State::Unknown, Cue::Named, State::Serving, Effect::Serve),
-    (State::Unknown, Cue::Starts, State::Serving, Effect::Serve),
-    (State::Unknown, Cue::Drains, State::Draining, Effect::Drain),
-    (State::Serving, Cue::Named, State::Serving, Effect::Keep),
-    (State::Serving, Cue::Starts, State::Serving, Effect::Serve),
-    (State::Serving, Cue::Drains, State::Draining, Effect::Drain),
-    (State::Serving, Cue::Dropped, State::Draining, Effect::Drain),
-    (State::Draining, Cue::Named, State::Draining, Effect::Refuse),
-    (State::Draining, Cue::Starts, State::Serving, Effect::Serve),
+pub const MEMBERSHIP: &[(State, MemberEvent, State, Effect)] = &[
     (
+        State::Unknown,
+        MemberEvent::Listed,
+        State::Serving,
+        Effect::Serve,
+    ),
+    (
+        State::Unknown,
+        MemberEvent::Restarted,
+        State::Serving,
+        Effect::Serve,
+    ),
+    (
+        State::Unknown,
+        MemberEvent::Drains,
+        State::Draining,
+        Effect::Drain,
+    ),
+    (
+        State::Serving,
+        MemberEvent::Listed,
+        State::Serving,
+        Effect::Keep,
+    ),
+    (
+        State::Serving,
+        MemberEvent::Restarted,
+        State::Serving,
+        Effect::Serve,
+    ),
+    (
+        State::Serving,
+        MemberEvent::Drains,
+        State::Draining,
+        Effect::Drain,
+    ),
+    (
+        State::Serving,
+        MemberEvent::Dropped,
+        State::Draining,
+        Effect::Drain,
+    ),
+    (
+        State::Draining,
+        MemberEvent::Listed,
         State::Draining,
-        Cue::GraceEnds,
+        Effect::Reject,
+    ),
+    (
+        State::Draining,
+        MemberEvent::Restarted,
+        State::Serving,
+        Effect::Serve,
+    ),
+    (
+        State::Draining,
+        MemberEvent::GraceExpired,
+        State::Drained,
+        Effect::Remove,
+    ),
+    (
         State::Drained,
-        Effect::Leave,
+        MemberEvent::Listed,
+        State::Drained,
+        Effect::Reject,
+    ),
+    (
+        State::Drained,
+        MemberEvent::Restarted,
+        State::Serving,
+        Effect::Serve,
+    ),
+    (
+        State::Drained,
+        MemberEvent::Drains,
+        State::Drained,
+        Effect::Keep,
     ),
-    (State::Drained, Cue::Named, State::Drained, Effect::Refuse),
-    (State::Drained, Cue::Starts, State::Serving, Effect::Serve),
-    (State::Drained, Cue::Drains, State::Drained, Effect::Keep),
 ];
 
 /// One server, as far as it is remembered.
@@ -82,7 +142,7 @@
     }
 
     /// The cue that naming it as serving, with this start, is.
-    pub fn named(&self, started_ms: f64) -> Cue {
+    pub fn named(&self, started_ms: f64) -> MemberEvent {
         let drained = matches!(self.state, State::Draining | State::Drained);
         let later = started_ms
             > if drained {
@@ -90,11 +150,15 @@
             } else {
                 self.started_ms
             };
-        if later { Cue::Starts } else { Cue::Named }
+        if later {
+            MemberEvent::Restarted
+        } else {
+            MemberEvent::Listed
+        }
     }
 
     /// Takes one step of the table above.
-    pub fn step(&mut self, now: f64, cue: Cue, started_ms: f64) -> Effect {
+    pub fn step(&mut self, now: f64, cue: MemberEvent, started_ms: f64) -> Effect {
         let Some(row) = MEMBERSHIP
             .iter()
             .find(|row| row.0 == self.state && row.1 == cue)
@@ -105,7 +169,7 @@
             self.drained_ms = now;
         }
         self.state = row.2;
-        if row.3 != Effect::Refuse {
+        if row.3 != Effect::Reject {
             self.started_ms = self.started_ms.max(started_ms);
         }
         row.3
--- a/crates/rookpulley-lists/src/merge.rs
+++ b/crates/rookpulley-lists/src/merge.rs
@@ -4,8 +4,10 @@
 //! them: a drain or a start that it tells counts, whatever the file says. A drain from either counts at once. A
 //! source that falls silent or offers what is refused leaves its last good list in force.
 
-use crate::candidate::{Candidate, Entry, Facts, Reason, Refused, check_against, check_alone};
-use crate::membership::{Cue, Effect, Member, State};
+use crate::candidate::{
+    Candidate, Deployment, Entry, Reason, Rejection, validate_change, validate_list,
+};
+use crate::membership::{Effect, Member, MemberEvent, State};
 use rookpulley::facts::{ListScope, Stage};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,15 +19,15 @@
 
 /// A server as the module is to be told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct ServerUpdate {
     pub entry: Entry,
     pub stage: Stage,
 }
 
 /// The lists held, and what is remembered of every server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Lists {
-    facts: Facts,
+pub struct ServerLists {
+    facts: Deployment,
     /// A drain is kept so long before the server counts as gone.
     grace_ms: f64,
     held: Option<Candidate>,
@@ -44,8 +46,8 @@
         .is_some_and(|started| entry.started_ms <= *started)
 }
 
-impl Lists {
-    pub fn new(facts: Facts, grace_ms: f64) -> Self {
+impl ServerLists {
+    pub fn new(facts: Deployment, grace_ms: f64) -> Self {
         let (members, leaving, seen_draining) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Self {
             facts,
@@ -68,17 +70,17 @@
     }
 
     /// All the reasons against a candidate; none: it would be taken. Nothing changes.
-    pub fn judge(&self, now: f64, offered: &Candidate) -> Result<(), Refused> {
-        let mut refused = Refused::default();
+    pub fn validate(&self, now: f64, offered: &Candidate) -> Result<(), Rejection> {
+        let mut refused = Rejection::default();
         // Who is seen draining serves nobody, whatever the list says.
         let mut as_seen = offered.clone();
         as_seen
             .entries
             .iter_mut()
             .for_each(|e| e.drains |= seen(&self.seen_draining, e));
-        check_alone(now, &as_seen, &self.facts, &mut refused);
+        validate_list(now, &as_seen, &self.facts, &mut refused);
         if let Some(held) = &self.held {
-            check_against(offered, held, &mut refused);
+            validate_change(offered, held, &mut refused);
         }
         for entry in offered.entries.iter().filter(|e| !e.drains) {
             let Some(member) = self.members.get(&entry.name) else {
@@ -87,13 +89,13 @@
             let drained = matches!(member.state, State::Draining | State::Drained);
             // What discovery sees draining is drained without the list having to say so.
             if drained
-                && member.named(entry.started_ms) == Cue::Named
+                && member.named(entry.started_ms) == MemberEvent::Listed
                 && !seen(&self.seen_draining, entry)
             {
                 let least_ms = member.drained_ms.max(member.started_ms).floor() + 1.0;
                 refused.add(
                     entry.place,
-                    Reason::Drained {
+                    Reason::AlreadyDrained {
                         name: entry.name.clone(),
                         least_ms,
                     },
@@ -108,19 +110,19 @@
     }
 
     /// Takes a candidate entirely, or refuses it and changes nothing. Gives what the module is to be told.
-    pub fn offer(&mut self, now: f64, offered: Candidate) -> Result<Vec<Told>, Refused> {
-        self.judge(now, &offered)?;
+    pub fn apply(&mut self, now: f64, offered: Candidate) -> Result<Vec<ServerUpdate>, Rejection> {
+        self.validate(now, &offered)?;
         let named: BTreeSet<&str> = offered.entries.iter().map(|e| e.name.as_str()).collect();
         let before = self.held.take().map(|h| h.entries).unwrap_or_default();
         let mut changed = BTreeSet::new();
         for entry in before.iter().filter(|e| !named.contains(e.name.as_str())) {
-            self.step(now, entry, Cue::Dropped, &mut changed);
+            self.step(now, entry, MemberEvent::Dropped, &mut changed);
         }
         for entry in &offered.entries {
             let member = self.members.entry(entry.name.clone()).or_default();
             let seen = seen(&self.seen_draining, entry);
             let cue = if entry.drains || seen {
-                Cue::Drains
+                MemberEvent::Drains
             } else {
                 member.named(entry.started_ms)
             };
@@ -145,15 +147,15 @@
 
     /// Takes a candidate as `offer` does. The first one takes the place of whatever discovery told: it is told as
     /// a whole list.
-    pub fn take(
+    pub fn accept(
         &mut self,
         now: f64,
         offered: Candidate,
-    ) -> Result<(ListScope, Vec<Told>), Refused> {
+    ) -> Result<(ListScope, Vec<ServerUpdate>), Rejection> {
         let first = self.held.is_none();
-        let changes = self.offer(now, offered)?;
+        let changes = self.apply(now, offered)?;
         Ok(if first {
-            (ListScope::Full, self.whole())
+            (ListScope::Full, self.snapshot())
         } else {
             (ListScope::Changes, changes)
         })
@@ -161,26 +163,26 @@
 
     /// A list of discovery's, by name, stage and start. None: no file was taken yet, and the list itself counts.
     /// What discovery merely drops says nothing of a server that the file lists.
-    pub fn seen_list<'a>(
+    pub fn apply_discovery_list<'a>(
         &mut self,
         now: f64,
         list: impl Iterator<Item = (&'a str, Stage, f64)>,
-    ) -> Option<Vec<Told>> {
+    ) -> Option<Vec<ServerUpdate>> {
         let mut told = Vec::new();
         for (name, stage, started_ms) in list.filter(|(_, stage, _)| *stage != Stage::Gone) {
-            told.extend(self.seen_by_discovery(now, name, stage == Stage::Draining, started_ms));
+            told.extend(self.observe(now, name, stage == Stage::Draining, started_ms));
         }
         self.held.is_some().then_some(told)
     }
 
     /// What discovery sees of a server: counted where a drain or a start is news, for servers of the file.
-    pub fn seen_by_discovery(
+    pub fn observe(
         &mut self,
         now: f64,
         name: &str,
         drains: bool,
         started_ms: f64,
-    ) -> Vec<Told> {
+    ) -> Vec<ServerUpdate> {
         let mut changed = BTreeSet::new();
         let entry = self
             .held
@@ -201,7 +203,7 @@
             let member = self.members.entry(entry.name.clone()).or_default();
             entry.started_ms = entry.started_ms.max(started_ms);
             let cue = match drains {
-                true => Cue::Drains,
+                true => MemberEvent::Drains,
                 // A start that discovery saw makes it usable; its word that all is well does not.
                 false if !entry.drains => member.named(started_ms),
                 false => return Vec::new(),
@@ -212,12 +214,12 @@
     }
 
     /// So often it is worth while to ask whose grace is over.
-    pub fn look_ms(&self) -> f64 {
+    pub fn check_interval_ms(&self) -> f64 {
         self.grace_ms / LOOKS
     }
 
     /// Time passes: whose grace is over.
-    pub fn pass(&mut self, now: f64) -> Vec<Told> {
+    pub fn expire_drains(&mut self, now: f64) -> Vec<ServerUpdate> {
         let over = |m: &Member| m.state == State::Draining && now - m.drained_ms >= self.grace_ms;
         let over: Vec<String> = self
             .members
@@ -228,7 +230,7 @@
         let mut changed = BTreeSet::new();
         for name in over {
             if let Some(entry) = self.leaving.get(&name).cloned() {
-                self.step(now, &entry, Cue::GraceEnds, &mut changed);
+                self.step(now, &entry, MemberEvent::GraceExpired, &mut changed);
             }
         }
         let told = self.tell(&changed);
@@ -240,7 +242,7 @@
         told
     }
 
-    fn step(&mut self, now: f64, entry: &Entry, cue: Cue, changed: &mut BTreeSet<String>) {
+    fn step(&mut self, now: f64, entry: &Entry, cue: MemberEvent, changed: &mut BTreeSet<String>) {
         let member = self.members.entry(entry.name.clone()).or_default();
         let effect = member.step(now, cue, entry.started_ms);
         // While it drains it stands as it was last named.
@@ -249,7 +251,7 @@
             State::Serving => _ = self.leaving.remove(&entry.name),
             State::Unknown | State::Drained => {}
         }
-        if !matches!(effect, Effect::Keep | Effect::Refuse) {
+        if !matches!(effect, Effect::Keep | Effect::Reject) {
             changed.insert(entry.name.clone());
         }
     }
@@ -276,7 +278,7 @@
     }
 
     /// These servers as they stand now.
-    fn tell(&self, changed: &BTreeSet<String>) -> Vec<Told> {
+    fn tell(&self, changed: &BTreeSet<String>) -> Vec<ServerUpdate> {
         let named = self
             .held
             .iter()
@@ -289,7 +291,7 @@
                 .copied()
                 .or_else(|| self.leaving.get(name))?;
             let gone = || {
-                Some(Told {
+                Some(ServerUpdate {
                     entry: self.leaving.get(name)?.clone(),
                     stage: Stage::Gone,
                 })
@@ -300,7 +302,7 @@
     }
 
     /// A server as it stands; None: it is not told of any more.
-    fn told(&self, entry: &Entry) -> Option<Told> {
+    fn told(&self, entry: &Entry) -> Option<ServerUpdate> {
         let member = self.members.get(&entry.name)?;
         let stage = match member.state {
             State::Serving if entry.weight > 0.0 => Stage::Ready,
@@ -308,7 +310,7 @@
             State::Drained | State::Unknown => return None,
         };
         let started_ms = member.started_ms.max(entry.started_ms);
-        Some(Told {
+        Some(ServerUpdate {
             entry: Entry {
                 started_ms,
                 ..entry.clone()
@@ -318,7 +320,7 @@
     }
 
     /// Every server that the module is to know, with its stage and its start as it is known best.
-    pub fn whole(&self) -> Vec<Told> {
+    pub fn snapshot(&self) -> Vec<ServerUpdate> {
         let entries = self.held.iter().flat_map(|h| &h.entries);
         let mut all: BTreeMap<&str, &Entry> =
             self.leaving.iter().map(|(n, e)| (n.as_str(), e)).collect();
--- a/crates/rookpulley-lists/src/plan.rs
+++ b/crates/rookpulley-lists/src/plan.rs
@@ -11,8 +11,8 @@
     DroppedServing,
     Dropped,
     Drained,
-    Starts,
-    Weighed,
+    Restarted,
+    Reweighted,
     Moved,
 }
 
@@ -31,8 +31,8 @@
         (Some(a), None) if a.serves() => Change::DroppedServing,
         (Some(_), None) => Change::Dropped,
         (Some(a), Some(b)) if a.serves() && b.drains => Change::Drained,
-        (Some(a), Some(b)) if b.started_ms > a.started_ms => Change::Starts,
-        (Some(a), Some(b)) if a.weight != b.weight => Change::Weighed,
+        (Some(a), Some(b)) if b.started_ms > a.started_ms => Change::Restarted,
+        (Some(a), Some(b)) if a.weight != b.weight => Change::Reweighted,
         (Some(a), Some(b))
             if a.zone != b.zone || a.machine != b.machine || a.address != b.address =>
         {
--- a/crates/rookpulley-lists/tests/lists.rs
+++ b/crates/rookpulley-lists/tests/lists.rs
@@ -9,14 +9,14 @@
 const NOW: f64 = 1e12;
 const GRACE_MS: f64 = 2_000.0;
 
-fn facts() -> Facts {
+fn facts() -> Deployment {
     let kind = |name: &str, zones: &[&str], own_zone| Kind {
         name: name.into(),
         zones: zones.iter().map(|z| z.to_string()).collect(),
         machines: Vec::new(),
         own_zone,
     };
-    Facts {
+    Deployment {
         zones: vec!["a".into(), "b".into()],
         machines: vec!["m".into()],
         kinds: vec![kind("view", &[], false), kind("book", &["a"], false)],
@@ -46,9 +46,9 @@
     }
 }
 
-fn lists() -> Lists {
-    let mut lists = Lists::new(facts(), GRACE_MS);
-    lists.offer(NOW, four(1)).unwrap();
+fn lists() -> ServerLists {
+    let mut lists = ServerLists::new(facts(), GRACE_MS);
+    lists.apply(NOW, four(1)).unwrap();
     lists
 }
 
@@ -135,7 +135,7 @@
     for (candidate, wanted) in cases {
         let mut tried = lists.clone();
         let refused = tried
-            .offer(NOW + 1.0, candidate)
+            .apply(NOW + 1.0, candidate)
             .expect_err(wanted)
             .to_string();
         assert!(refused.contains(wanted), "{refused}");
@@ -144,8 +144,8 @@
     let mut own = facts();
     own.kinds[0].own_zone = true;
     let only_a = with(1, |c| _ = c.entries.drain(2..));
-    let refused = Lists::new(own, GRACE_MS)
-        .offer(NOW, only_a)
+    let refused = ServerLists::new(own, GRACE_MS)
+        .apply(NOW, only_a)
         .unwrap_err()
         .to_string();
     assert!(
@@ -161,7 +161,7 @@
         _ = c.entries.drain(1..);
         c.loss = Some(0.75);
     });
-    let told = lists.offer(NOW, candidate).unwrap();
+    let told = lists.apply(NOW, candidate).unwrap();
     assert!(
         told.iter().all(|t| t.stage == Stage::Draining) && told.len() == 3,
         "drained first, not gone"
@@ -172,27 +172,27 @@
 fn a_server_dropped_drained_and_put_back_within_the_grace_comes_back_only_by_a_start() {
     let mut lists = lists();
     let told = lists
-        .offer(NOW, with(2, |c| _ = c.entries.remove(1)))
+        .apply(NOW, with(2, |c| _ = c.entries.remove(1)))
         .unwrap();
     assert_eq!(
         (told.len(), told[0].entry.name.as_str(), told[0].stage),
         (1, "s-2", Stage::Draining)
     );
-    let refused = lists.offer(NOW + 500.0, four(3)).unwrap_err().to_string();
+    let refused = lists.apply(NOW + 500.0, four(3)).unwrap_err().to_string();
     assert!(
         refused.contains("3:1: \"s-2\" was drained; write started = 1000000000001 or later"),
         "{refused}"
     );
     // Gone after its grace, and the old file is no better then.
-    let told = lists.pass(NOW + GRACE_MS);
+    let told = lists.expire_drains(NOW + GRACE_MS);
     assert_eq!((told.len(), told[0].stage), (1, Stage::Gone));
-    assert!(lists.pass(NOW + 9e9).is_empty());
+    assert!(lists.expire_drains(NOW + 9e9).is_empty());
     assert!(
-        lists.offer(NOW + 9e9, four(3)).is_err(),
+        lists.apply(NOW + 9e9, four(3)).is_err(),
         "remembered for as long as it takes"
     );
     let started = with(3, |c| c.entries[1].started_ms = NOW + 600.0);
-    let told = lists.offer(NOW + 9e9, started).unwrap();
+    let told = lists.apply(NOW + 9e9, started).unwrap();
     assert_eq!(
         (
             told[0].entry.name.as_str(),
@@ -206,35 +206,31 @@
 #[test]
 fn file_and_discovery_that_disagree_on_a_draining_server() {
     let mut lists = lists();
-    let told = lists.seen_by_discovery(NOW, "s-2", true, 0.0);
+    let told = lists.observe(NOW, "s-2", true, 0.0);
     assert_eq!(
         (told[0].entry.name.as_str(), told[0].stage),
         ("s-2", Stage::Draining)
     );
     // The file still says that it serves: no fault of the file, and no word that counts.
     let told = lists
-        .offer(NOW + 100.0, with(2, |c| c.entries[0].weight = 2.0))
+        .apply(NOW + 100.0, with(2, |c| c.entries[0].weight = 2.0))
         .unwrap();
     assert!(told.iter().all(|t| t.entry.name == "s-1"), "{told:?}");
     assert!(
-        lists
-            .seen_by_discovery(NOW + 200.0, "s-2", false, 0.0)
-            .is_empty(),
+        lists.observe(NOW + 200.0, "s-2", false, 0.0).is_empty(),
         "its word that all is well"
     );
-    let told = lists.seen_by_discovery(NOW + 300.0, "s-2", false, NOW + 250.0);
+    let told = lists.observe(NOW + 300.0, "s-2", false, NOW + 250.0);
     assert_eq!(told[0].stage, Stage::Ready, "a start that discovery saw");
     assert!(
-        lists
-            .seen_by_discovery(NOW + 300.0, "s-77", true, 0.0)
-            .is_empty(),
+        lists.observe(NOW + 300.0, "s-77", true, 0.0).is_empty(),
         "not of the file: nobody's"
     );
     // Where all that serves a kind is seen draining, no list that relies on them is taken.
-    lists.seen_by_discovery(NOW + 400.0, "s-1", true, 0.0);
-    lists.seen_by_discovery(NOW + 400.0, "s-2", true, NOW + 260.0);
+    lists.observe(NOW + 400.0, "s-1", true, 0.0);
+    lists.observe(NOW + 400.0, "s-2", true, NOW + 260.0);
     let refused = lists
-        .offer(NOW + 500.0, with(3, |_| ()))
+        .apply(NOW + 500.0, with(3, |_| ()))
         .unwrap_err()
         .to_string();
     assert!(refused.contains("no server is left for book"), "{refused}");
@@ -243,7 +239,7 @@
 #[test]
 fn the_same_generation_again_is_no_news() {
     let mut lists = lists();
-    assert_eq!(lists.offer(NOW, four(1)), Ok(Vec::new()));
+    assert_eq!(lists.apply(NOW, four(1)), Ok(Vec::new()));
 }
 
 #[test]
@@ -252,13 +248,14 @@
     rows.sort();
     rows.dedup();
     assert_eq!(rows.len(), MEMBERSHIP.len());
-    let back =
-        |row: &&(State, Cue, State, Effect)| row.0 >= State::Draining && row.2 == State::Serving;
+    let back = |row: &&(State, MemberEvent, State, Effect)| {
+        row.0 >= State::Draining && row.2 == State::Serving
+    };
     assert!(
         MEMBERSHIP
             .iter()
             .filter(back)
-            .all(|row| row.1 == Cue::Starts),
+            .all(|row| row.1 == MemberEvent::Restarted),
         "only a start brings one back"
     );
 }
@@ -298,7 +295,7 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
     #[test]
     fn no_sequence_of_candidates_empties_a_kind_or_brings_a_drained_server_back(steps in prop::collection::vec(step(), 1..40)) {
-        let mut lists = Lists::new(facts(), GRACE_MS);
+        let mut lists = ServerLists::new(facts(), GRACE_MS);
         // What the module has been told; and of each server the latest start, and when it was told to drain.
         let mut told: BTreeMap<String, (Stage, Entry)> = BTreeMap::new();
         let mut drained: BTreeMap<String, f64> = BTreeMap::new();
@@ -317,7 +314,7 @@
                         ..entry(*n, if n % 2 == 0 { "a" } else { "b" }, f64::from(*weight) / 2.0)
                     });
                     let candidate = Candidate { generation, loss, entries: entries.collect() };
-                    match lists.offer(now, candidate.clone()) {
+                    match lists.apply(now, candidate.clone()) {
                         Ok(news) => (news, Some(candidate)),
                         Err(refused) => {
                             prop_assert!(!refused.is_empty());
@@ -328,9 +325,9 @@
                 }
                 Step::Seen { n, drains, started } => {
                     let started = f64::from(started).mul_add(500.0, NOW).min(now);
-                    (lists.seen_by_discovery(now, &format!("s-{n}"), drains, started), None)
+                    (lists.observe(now, &format!("s-{n}"), drains, started), None)
                 }
-                Step::Pass => (lists.pass(now), None),
+                Step::Pass => (lists.expire_drains(now), None),
             };
             for t in news {
                 let name = t.entry.name.clone();
@@ -356,7 +353,7 @@
                 prop_assert!(strange.is_none(), "{strange:?}");
             }
             // What was told piece by piece is what is told as a whole.
-            for t in lists.whole() {
+            for t in lists.snapshot() {
                 prop_assert_eq!(told.get(&t.entry.name).map(|(stage, e)| (*stage, e.weight)), Some((t.stage, t.entry.weight)));
             }
         }
