--- a/crates/rookpulley-versions/src/deliveries.rs
+++ b/crates/rookpulley-versions/src/deliveries.rs
@@ -1,7 +1,9 @@
-//! What each dispatcher was told, has confirmed and claims, and the judgement on each of its tables.
+//! Tracks, per dispatcher and table, which versions were sent, confirmed and claimed, and derives the
+//! synchronization state from them.
 //!
-//! A dispatcher that speaks of versions says with each answer what it holds. One that does not (the
-//! platform's) answers marks alone: an answer proves all that was written before it on that stream.
+//! A mark is a number sent with a message that the dispatcher returns as an acknowledgement. A dispatcher that
+//! reports versions also states with each acknowledgement which tables it holds. For one that does not, an
+//! acknowledgement confirms everything written earlier on the same stream.
 
 use crate::history::History;
 use crate::table::Digest;
@@ -9,53 +11,54 @@
 use crate::{DispatcherId, TableId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// So many marks wait for an answer at most; of a dispatcher that answers none the oldest are given up.
+/// The maximum number of unacknowledged marks per dispatcher; the oldest are dropped beyond it.
 pub const MAX_PENDING_MARKS: usize = 256;
 
-/// Whether a dispatcher holds the newest version of its table.
+/// Whether a dispatcher holds the newest version of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SyncState {
-    /// Nothing it said on this stream tells.
+    /// Nothing received on this stream shows what the dispatcher holds.
     Unknown,
-    /// It holds an older one, or what it was told is still on its way.
+    /// The dispatcher holds an older version, or the newest one is not acknowledged yet.
     Behind,
     InSync,
-    /// What it was told has not reached it.
+    /// A version sent to the dispatcher did not arrive.
     Lost,
-    /// It holds what was never issued here.
+    /// The dispatcher holds a table that is not in the history.
     Diverged,
 }
 
+/// An input of the synchronization state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SyncEvent {
-    /// An order for this table was written to it.
+    /// An order for the table was written to the stream.
     Sent,
     ConfirmedNewest,
     ConfirmedOlder,
-    /// It holds something older than what it has proved, or than the answered order says.
+    /// The dispatcher holds an older version than it confirmed, or than the acknowledged order carried.
     LossDetected,
-    /// It names what was never issued here.
+    /// The claimed digest is not in the history.
     UnknownTable,
-    /// A newer version was issued, and is not written yet.
+    /// A newer version was issued and is not written yet.
     NewerIssued,
-    /// It answers nothing for longer than an answer takes.
+    /// No acknowledgement arrived within `AckTimeouts::ack_ms`.
     AckTimeout,
-    /// Its stream ended, or a new one began.
+    /// The stream ended or was replaced.
     Disconnected,
 }
 
-/// What follows from a judgement.
+/// The effect of a state transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Nothing is owed; no answer is waited for on this account.
+    /// Cancels a pending resend and resets the backoff.
     Clear,
-    /// An answer is waited for.
+    /// Cancels a pending resend and waits for an acknowledgement.
     AwaitAck,
-    /// It is owed the table.
+    /// Schedules a resend of the table.
     Resend,
 }
 
-/// State, input, next state, effect. What is not here changes nothing.
+/// State, event, next state, effect. Combinations not listed leave the state unchanged.
 pub const SYNC_TRANSITIONS: &[(SyncState, SyncEvent, SyncState, Action)] = &[
     (
         SyncState::Unknown,
@@ -239,131 +242,134 @@
     ),
 ];
 
-/// How long answers are waited for.
+/// Timeouts for acknowledgements and resends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AckTimeouts {
-    /// An answer that takes longer shows a loss.
+    /// A message not acknowledged within this time is considered lost.
     pub ack_ms: f64,
-    /// What is owed again is owed after this, then after twice as long each time.
+    /// The first backoff between resends; it doubles each time.
     pub resend_ms: f64,
     pub resend_max_ms: f64,
 }
 
-/// An answer is late after twice the longest way, and what a dispatcher's own work takes.
-const ANSWER_WAYS: f64 = 2.0;
-const ANSWER_WORK_MS: f64 = 100.0;
-const AGAIN_MOST_MS: f64 = 30_000.0;
-/// In the time that an answer takes, those that are late are looked for so often.
-const LOOKS: f64 = 8.0;
+/// The acknowledgement timeout is a round trip of the maximum transit time plus processing time.
+const ACK_TRANSIT_FACTOR: f64 = 2.0;
+const ACK_PROCESSING_MS: f64 = 100.0;
+const RESEND_MAX_MS: f64 = 30_000.0;
+/// The number of timeout checks per acknowledgement timeout.
+const CHECKS_PER_ACK_TIMEOUT: f64 = 8.0;
 
 impl AckTimeouts {
-    /// For a channel that takes so long at most.
-    pub fn for_transit(most_ms: f64) -> Self {
-        let ack_ms = ANSWER_WAYS * most_ms + ANSWER_WORK_MS;
+    /// Derives the timeouts from the maximum one-way transit time of the channel.
+    pub fn for_transit(max_transit_ms: f64) -> Self {
+        let ack_ms = ACK_TRANSIT_FACTOR * max_transit_ms + ACK_PROCESSING_MS;
         Self {
             ack_ms,
-            resend_ms: most_ms,
-            resend_max_ms: AGAIN_MOST_MS,
+            resend_ms: max_transit_ms,
+            resend_max_ms: RESEND_MAX_MS,
         }
     }
 }
 
-/// What a dispatcher says it holds. The digest decides; the version is for the operators' eyes.
+/// The table that a dispatcher reports to hold. The digest identifies the table; the version is shown to
+/// operators and must match only where orders may be in flight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Claim {
     pub version: Option<Version>,
     pub digest: Digest,
 }
 
-/// One dispatcher and one of its tables.
+/// The delivery state of one table of one dispatcher.
 #[derive(Clone, Debug)]
 pub struct TableState {
     pub sync_state: SyncState,
-    /// The newest version written to it on this stream.
+    /// The newest version written on this stream.
     pub sent: Option<u64>,
-    /// The newest that it has proved to hold on this stream.
+    /// The version that the dispatcher has confirmed to hold on this stream.
     pub confirmed: Option<u64>,
     pub claimed: Option<Claim>,
-    /// Versions written since: the place of their messages in the stream, the number, and when.
-    on_way: VecDeque<(u64, u64, f64)>,
-    owed: bool,
-    owed_at_ms: f64,
-    wait_ms: f64,
+    /// Unacknowledged versions: position of the message in the stream, number, and time of writing.
+    in_flight: VecDeque<(u64, u64, f64)>,
+    resend_pending: bool,
+    resend_at_ms: f64,
+    backoff_ms: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct PendingMark {
     mark: u64,
-    /// The place of its message in the stream.
-    place: u64,
+    /// The position of its message in the stream.
+    position: u64,
     at_ms: f64,
 }
 
-/// One dispatcher: its stream, the marks it was asked for, its tables.
+/// The state of one dispatcher: its stream, its unacknowledged marks and its tables.
 #[derive(Clone, Debug, Default)]
 pub struct DispatcherState {
     pub joined: bool,
-    /// It says what it holds.
+    /// Whether it reports the versions it holds.
     pub reports_versions: bool,
     pub last_seen_ms: f64,
-    place: u64,
-    asked: VecDeque<Asked>,
-    /// In the order of their ids; a dispatcher has a few.
+    position: u64,
+    pending_marks: VecDeque<PendingMark>,
+    /// Sorted by id; a dispatcher has only a few.
     tables: Vec<(TableId, TableState)>,
 }
 
+/// The delivery state of all dispatchers.
 pub struct DeliveryTracker {
-    patience: AckTimeouts,
+    timeouts: AckTimeouts,
     entries: BTreeMap<DispatcherId, DispatcherState>,
 }
 
 impl TableState {
     fn new() -> Self {
         let (sent, confirmed, claimed) = (None, None, None);
-        let (on_way, owed, owed_at_ms, wait_ms) = (VecDeque::new(), false, 0.0, 0.0);
+        let (in_flight, resend_pending, resend_at_ms, backoff_ms) =
+            (VecDeque::new(), false, 0.0, 0.0);
         Self {
             sync_state: SyncState::Unknown,
             sent,
             confirmed,
             claimed,
-            on_way,
-            owed,
-            owed_at_ms,
-            wait_ms,
+            in_flight,
+            resend_pending,
+            resend_at_ms,
+            backoff_ms,
         }
     }
 
-    /// Takes one step of the table above.
-    fn step(&mut self, now: f64, cue: SyncEvent, patience: &AckTimeouts) {
+    /// Applies an event according to `SYNC_TRANSITIONS`.
+    fn step(&mut self, now: f64, event: SyncEvent, timeouts: &AckTimeouts) {
         let Some(row) = SYNC_TRANSITIONS
             .iter()
-            .find(|row| row.0 == self.sync_state && row.1 == cue)
+            .find(|row| row.0 == self.sync_state && row.1 == event)
         else {
             return;
         };
         self.sync_state = row.2;
         match row.3 {
-            Action::Clear => (self.owed, self.wait_ms) = (false, 0.0),
-            Action::AwaitAck => self.owed = false,
-            Action::Resend if self.owed => {}
+            Action::Clear => (self.resend_pending, self.backoff_ms) = (false, 0.0),
+            Action::AwaitAck => self.resend_pending = false,
+            Action::Resend if self.resend_pending => {}
             Action::Resend => {
-                // The first time at once; a dispatcher that stays lost is not written to ever faster.
-                (self.owed, self.owed_at_ms) = (true, now + self.wait_ms);
-                self.wait_ms =
-                    (2.0 * self.wait_ms).clamp(patience.resend_ms, patience.resend_max_ms);
+                // The first resend is immediate, later ones use exponential backoff.
+                (self.resend_pending, self.resend_at_ms) = (true, now + self.backoff_ms);
+                self.backoff_ms =
+                    (2.0 * self.backoff_ms).clamp(timeouts.resend_ms, timeouts.resend_max_ms);
             }
         }
     }
 
-    fn is_pinned(&self) -> [Option<u64>; 2] {
+    fn pinned_versions(&self) -> [Option<u64>; 2] {
         [self.sent, self.confirmed.filter(|c| Some(*c) != self.sent)]
     }
 }
 
 impl DispatcherState {
-    /// By table: what is held of it.
+    /// The delivery state by table.
     pub fn tables(&self) -> impl Iterator<Item = (TableId, &TableState)> {
-        self.tables.iter().map(|(id, held)| (*id, held))
+        self.tables.iter().map(|(id, state)| (*id, state))
     }
 
     pub fn table(&self, id: TableId) -> Option<&TableState> {
@@ -388,36 +394,40 @@
         &mut self.tables[at].1
     }
 
-    /// Since when the oldest unanswered mark waits.
+    /// When the oldest unacknowledged mark was sent.
     pub fn oldest_pending_since_ms(&self) -> Option<f64> {
-        self.asked.front().map(|a| a.at_ms)
+        self.pending_marks.front().map(|a| a.at_ms)
     }
 
     pub fn pending_mark_count(&self) -> usize {
-        self.asked.len()
+        self.pending_marks.len()
     }
 }
 
-/// Changes what is held of a table, and moves the pins in the history along.
-fn repin(held: &mut TableState, history: &mut History, change: impl FnOnce(&mut TableState)) {
-    let before = held.is_pinned();
-    change(held);
-    let after = held.is_pinned();
+/// Applies a change to the state of a table and updates the pins in the history accordingly.
+fn update_pins(
+    state: &mut TableState,
+    history: &mut History,
+    change: impl FnOnce(&mut TableState),
+) {
+    let before = state.pinned_versions();
+    change(state);
+    let after = state.pinned_versions();
     after.into_iter().flatten().for_each(|n| history.pin(n));
     before.into_iter().flatten().for_each(|n| history.unpin(n));
 }
 
 impl DeliveryTracker {
-    pub fn new(patience: AckTimeouts) -> Self {
+    pub fn new(timeouts: AckTimeouts) -> Self {
         Self {
-            patience,
+            timeouts,
             entries: BTreeMap::new(),
         }
     }
 
-    /// So often it is worth while to ask who is due.
+    /// The interval at which `due_resends` should be called.
     pub fn check_interval_ms(&self) -> f64 {
-        self.patience.ack_ms / LOOKS
+        self.timeouts.ack_ms / CHECKS_PER_ACK_TIMEOUT
     }
 
     pub fn entries(&self) -> impl Iterator<Item = (DispatcherId, &DispatcherState)> {
@@ -428,7 +438,7 @@
         self.entries.get(&dispatcher)
     }
 
-    /// A new stream: what was told on the one before proves nothing here.
+    /// Registers a new stream. The state of an earlier stream of the dispatcher is discarded.
     pub fn join(
         &mut self,
         now: f64,
@@ -437,32 +447,32 @@
         history: &mut History,
     ) {
         self.disconnect(now, dispatcher, history);
-        let fresh = DispatcherState {
+        let dispatcher_state = DispatcherState {
             joined: true,
             reports_versions,
             last_seen_ms: now,
             ..DispatcherState::default()
         };
-        self.entries.insert(dispatcher, fresh);
+        self.entries.insert(dispatcher, dispatcher_state);
     }
 
-    /// Its stream ended: nothing is pinned for it, and it is not forgotten before it comes again.
+    /// Marks the stream of a dispatcher as ended and releases its pins. The entry itself stays.
     pub fn disconnect(&mut self, now: f64, dispatcher: DispatcherId, history: &mut History) {
         let Some(entry) = self.entries.get_mut(&dispatcher) else {
             return;
         };
         (entry.joined, entry.last_seen_ms) = (false, now);
-        entry.asked.clear();
-        for (_, held) in &mut entry.tables {
-            repin(held, history, |held| {
-                (held.sent, held.confirmed) = (None, None)
+        entry.pending_marks.clear();
+        for (_, state) in &mut entry.tables {
+            update_pins(state, history, |state| {
+                (state.sent, state.confirmed) = (None, None)
             });
-            held.on_way.clear();
-            held.step(now, SyncEvent::Disconnected, &self.patience);
+            state.in_flight.clear();
+            state.step(now, SyncEvent::Disconnected, &self.timeouts);
         }
     }
 
-    /// One message was written to it: these versions, and a mark to be answered.
+    /// Records that a message with these versions and an optional mark was written.
     pub fn record_sent(
         &mut self,
         now: f64,
@@ -474,49 +484,53 @@
         let Some(entry) = self.entries.get_mut(&dispatcher).filter(|e| e.joined) else {
             return;
         };
-        entry.place += 1;
+        entry.position += 1;
         for (id, number) in versions {
-            let place = entry.place;
-            let held = entry.table_or_new(*id);
-            repin(held, history, |held| held.sent = Some(*number));
-            if matches!(held.sync_state, SyncState::Lost | SyncState::Diverged) {
-                held.on_way.clear();
+            let position = entry.position;
+            let state = entry.table_or_new(*id);
+            update_pins(state, history, |state| state.sent = Some(*number));
+            if matches!(state.sync_state, SyncState::Lost | SyncState::Diverged) {
+                state.in_flight.clear();
             }
-            held.on_way.push_back((place, *number, now));
-            let over = held.on_way.len().saturating_sub(MAX_PENDING_MARKS);
-            held.on_way.drain(..over);
-            held.step(now, SyncEvent::Sent, &self.patience);
+            state.in_flight.push_back((position, *number, now));
+            let over = state.in_flight.len().saturating_sub(MAX_PENDING_MARKS);
+            state.in_flight.drain(..over);
+            state.step(now, SyncEvent::Sent, &self.timeouts);
         }
         if let Some(mark) = mark {
-            let over = (entry.asked.len() + 1).saturating_sub(MAX_PENDING_MARKS);
-            entry.asked.drain(..over);
-            entry.asked.push_back(Asked {
+            let over = (entry.pending_marks.len() + 1).saturating_sub(MAX_PENDING_MARKS);
+            entry.pending_marks.drain(..over);
+            entry.pending_marks.push_back(PendingMark {
                 mark,
-                place: entry.place,
+                position: entry.position,
                 at_ms: now,
             });
         }
     }
 
-    /// Takes the answer to a mark; gives the place in the stream that it answers for.
-    fn take_answer(entry: &mut DispatcherState, now: f64, mark: u64) -> Option<u64> {
+    /// Removes an acknowledged mark and all older ones; returns the acknowledged position in the stream.
+    fn acknowledge_mark(entry: &mut DispatcherState, now: f64, mark: u64) -> Option<u64> {
         entry.last_seen_ms = now;
-        let at = entry.asked.iter().position(|a| a.mark == mark)?;
-        entry.asked.drain(..=at).next_back().map(|a| a.place)
+        let at = entry.pending_marks.iter().position(|a| a.mark == mark)?;
+        entry
+            .pending_marks
+            .drain(..=at)
+            .next_back()
+            .map(|a| a.position)
     }
 
-    /// A newer version of this table was issued, which this dispatcher has.
+    /// Records that a newer version of a table of this dispatcher was issued.
     pub fn newer_issued(&mut self, now: f64, dispatcher: DispatcherId, id: TableId) {
-        if let Some(held) = self
+        if let Some(state) = self
             .entries
             .get_mut(&dispatcher)
             .and_then(|e| e.table_mut(id))
         {
-            held.step(now, SyncEvent::NewerIssued, &self.patience);
+            state.step(now, SyncEvent::NewerIssued, &self.timeouts);
         }
     }
 
-    /// An answer to a mark, from one that says nothing of versions: all written before it has been applied.
+    /// Handles an acknowledgement without version reports: everything written up to the mark is confirmed.
     pub fn acknowledge(
         &mut self,
         now: f64,
@@ -531,37 +545,37 @@
         else {
             return;
         };
-        let Some(place) = Self::take_answer(entry, now, mark) else {
+        let Some(position) = Self::acknowledge_mark(entry, now, mark) else {
             return;
         };
-        for (id, held) in &mut entry.tables {
-            let done = held.on_way.partition_point(|(at, ..)| *at <= place);
-            let number = held
-                .on_way
-                .drain(..done)
+        for (id, state) in &mut entry.tables {
+            let applied_count = state.in_flight.partition_point(|(at, ..)| *at <= position);
+            let number = state
+                .in_flight
+                .drain(..applied_count)
                 .next_back()
                 .map(|(_, number, _)| number);
-            let Some(number) = number.or(held.confirmed) else {
+            let Some(number) = number.or(state.confirmed) else {
                 continue;
             };
-            repin(held, history, |held| held.confirmed = Some(number));
+            update_pins(state, history, |state| state.confirmed = Some(number));
             let newest = history
                 .newest(*id)
                 .is_some_and(|i| i.version.number == number);
-            held.step(
+            state.step(
                 now,
                 if newest {
                     SyncEvent::ConfirmedNewest
                 } else {
                     SyncEvent::ConfirmedOlder
                 },
-                &self.patience,
+                &self.timeouts,
             );
         }
     }
 
-    /// The answer to a mark, from one that speaks of versions, with what it holds by table. An answer that
-    /// comes twice, or to a mark never asked for, proves nothing.
+    /// Handles an acknowledgement with version reports, by table. Duplicate acknowledgements and unknown marks
+    /// have no effect.
     pub fn acknowledge_with_claims(
         &mut self,
         now: f64,
@@ -577,32 +591,32 @@
         else {
             return;
         };
-        let Some(place) = Self::take_answer(entry, now, mark) else {
+        let Some(position) = Self::acknowledge_mark(entry, now, mark) else {
             return;
         };
-        for (id, held) in &mut entry.tables {
+        for (id, state) in &mut entry.tables {
             match claims.get(id) {
-                Some(claim) => Self::weigh(
+                Some(claim) => Self::evaluate_claim(
                     now,
                     *id,
-                    held,
+                    state,
                     claim.clone(),
-                    place,
-                    &self.patience,
+                    position,
+                    &self.timeouts,
                     history,
                 ),
-                // It was told of this table and holds none.
-                None if held.on_way.iter().any(|(at, ..)| *at <= place) => {
-                    repin(held, history, |held| held.confirmed = None);
-                    held.claimed = None;
-                    held.step(now, SyncEvent::LossDetected, &self.patience);
+                // A version was sent, but the dispatcher does not hold the table.
+                None if state.in_flight.iter().any(|(at, ..)| *at <= position) => {
+                    update_pins(state, history, |state| state.confirmed = None);
+                    state.claimed = None;
+                    state.step(now, SyncEvent::LossDetected, &self.timeouts);
                 }
                 None => {}
             }
         }
     }
 
-    /// What a dispatcher that has just joined says it holds, before anything is written to it.
+    /// Records what a newly joined dispatcher reports to hold, before anything is written to it.
     pub fn record_initial_claim(
         &mut self,
         now: f64,
@@ -618,74 +632,75 @@
         else {
             return;
         };
-        let place = entry.place;
-        Self::weigh(
+        let position = entry.position;
+        Self::evaluate_claim(
             now,
             id,
             entry.table_or_new(id),
             claim,
-            place,
-            &self.patience,
+            position,
+            &self.timeouts,
             history,
         );
     }
 
-    /// Weighs a claim made once all up to this place in the stream had come or was lost. The version that it
-    /// names is not believed alone: the digest is looked up, and must be that of what was written up to there.
-    /// Nor is the digest alone, once something was written: one that holds the newest lines under an older
-    /// name takes them for old, and an order that was overtaken on the way would still move it.
-    fn weigh(
+    /// Evaluates a claim made after all messages up to `position` arrived or were lost. The claimed digest must
+    /// match a version in the history. Once something was written on the stream, the claimed version must match
+    /// as well: a holder of the newest content under an older version would still accept a delayed older order.
+    fn evaluate_claim(
         now: f64,
         id: TableId,
-        held: &mut TableState,
+        state: &mut TableState,
         claim: Claim,
-        place: u64,
-        patience: &AckTimeouts,
+        position: u64,
+        timeouts: &AckTimeouts,
         history: &mut History,
     ) {
         let digest = |n: u64| history.get(n).map(|(_, i)| i.table.digest());
-        let answered = held
-            .on_way
+        let answered = state
+            .in_flight
             .iter()
             .rev()
-            .find(|(at, ..)| *at <= place)
+            .find(|(at, ..)| *at <= position)
             .map(|(_, n, _)| *n);
-        let pending = held.on_way.iter().any(|(at, ..)| *at > place);
-        let least = answered.or(held.confirmed);
-        let same = least.filter(|n| digest(*n) == Some(claim.digest));
-        let known = same.or(history
+        let pending = state.in_flight.iter().any(|(at, ..)| *at > position);
+        let expected = answered.or(state.confirmed);
+        let matches_expected = expected.filter(|n| digest(*n) == Some(claim.digest));
+        let known = matches_expected.or(history
             .with_digest(id, claim.digest)
             .map(|i| i.version.number));
         let newest = history
             .newest(id)
             .filter(|i| i.table.digest() == claim.digest);
-        let named =
-            newest.filter(|i| held.sent.is_none() || claim.version.as_ref() == Some(&i.version));
-        let (cue, proved) = match (known, named) {
+        let confirmed_newest =
+            newest.filter(|i| state.sent.is_none() || claim.version.as_ref() == Some(&i.version));
+        let (event, confirmed) = match (known, confirmed_newest) {
             (None, _) => (SyncEvent::UnknownTable, None),
             (_, Some(newest)) if !pending => {
                 (SyncEvent::ConfirmedNewest, Some(newest.version.number))
             }
-            // Nothing is on its way any more that would bring it to what it was told.
-            (known, _) if !pending && held.sent.is_some() && known != held.sent => {
+            // Nothing is in flight that could bring the dispatcher to the version sent.
+            (known, _) if !pending && state.sent.is_some() && known != state.sent => {
                 (SyncEvent::LossDetected, known)
             }
-            (known, _) if !pending && newest.is_some() && held.sent.is_some() => {
+            (known, _) if !pending && newest.is_some() && state.sent.is_some() => {
                 (SyncEvent::LossDetected, known)
             }
-            (Some(number), _) if same.is_none() && least.is_some_and(|l| number < l) => {
+            (Some(number), _)
+                if matches_expected.is_none() && expected.is_some_and(|l| number < l) =>
+            {
                 (SyncEvent::LossDetected, Some(number))
             }
             (known, _) => (SyncEvent::ConfirmedOlder, known),
         };
-        repin(held, history, |held| held.confirmed = proved);
-        held.on_way.retain(|(at, ..)| *at > place);
-        held.claimed = Some(claim);
-        held.step(now, cue, patience);
+        update_pins(state, history, |state| state.confirmed = confirmed);
+        state.in_flight.retain(|(at, ..)| *at > position);
+        state.claimed = Some(claim);
+        state.step(now, event, timeouts);
     }
 
-    /// It refused an order for this table and holds this instead (None: nothing). That is a loss whatever it
-    /// holds: word of it may be older than what is on its way, so it never proves anybody in step.
+    /// Handles a refused order; `claim` is the table held, if any. A refusal always counts as a loss, never as
+    /// being in sync, because it may predate messages in flight.
     pub fn record_refusal(
         &mut self,
         now: f64,
@@ -702,37 +717,43 @@
             return;
         };
         entry.last_seen_ms = now;
-        let Some(held) = entry.table_mut(id) else {
+        let Some(state) = entry.table_mut(id) else {
             return;
         };
         let known = claim
             .as_ref()
             .and_then(|c| history.with_digest(id, c.digest))
             .map(|i| i.version.number);
-        let cue = if claim.is_some() && known.is_none() {
+        let event = if claim.is_some() && known.is_none() {
             SyncEvent::UnknownTable
         } else {
             SyncEvent::LossDetected
         };
-        repin(held, history, |held| held.confirmed = known);
-        held.claimed = claim;
-        held.step(now, cue, &self.patience);
+        update_pins(state, history, |state| state.confirmed = known);
+        state.claimed = claim;
+        state.step(now, event, &self.timeouts);
     }
 
-    /// Time passes: who has been silent for too long, and who is owed a table by now.
+    /// Applies acknowledgement timeouts and returns the tables to resend now.
     pub fn due_resends(&mut self, now: f64) -> Vec<(DispatcherId, TableId)> {
         let mut due = Vec::new();
         for (id, entry) in self.entries.iter_mut().filter(|(_, e)| e.joined) {
-            let waits = entry.asked.front().map(|a| a.at_ms);
-            for (table, held) in &mut entry.tables {
-                // What is owed already is waited for by nobody; what was written anew has its own time.
-                let since = held.on_way.front().map(|(_, _, at_ms)| *at_ms).or(waits);
-                if !held.owed && since.is_some_and(|at_ms| now - at_ms > self.patience.ack_ms) {
-                    held.step(now, SyncEvent::AckTimeout, &self.patience);
+            let oldest_pending_ms = entry.pending_marks.front().map(|a| a.at_ms);
+            for (table, state) in &mut entry.tables {
+                // Waits from the oldest version in flight, or else from the oldest pending mark.
+                let since = state
+                    .in_flight
+                    .front()
+                    .map(|(_, _, at_ms)| *at_ms)
+                    .or(oldest_pending_ms);
+                if !state.resend_pending
+                    && since.is_some_and(|at_ms| now - at_ms > self.timeouts.ack_ms)
+                {
+                    state.step(now, SyncEvent::AckTimeout, &self.timeouts);
                 }
-                if held.owed && now >= held.owed_at_ms {
-                    held.owed = false;
-                    // On a stream that loses nothing, silence is no loss: there it is a judgement alone.
+                if state.resend_pending && now >= state.resend_at_ms {
+                    state.resend_pending = false;
+                    // Without version reports the stream is reliable; the state changes, but nothing is resent.
                     due.extend(entry.reports_versions.then_some((*id, *table)));
                 }
             }
@@ -740,17 +761,17 @@
         due
     }
 
-    /// What a table's next order may start from: what was told last, or else what was brought along. Where
-    /// something was lost nothing is sure, and the whole table goes out.
-    pub fn base(&self, dispatcher: DispatcherId, id: TableId) -> Option<u64> {
-        let held = self.entries.get(&dispatcher)?.table(id)?;
-        match held.sync_state {
-            SyncState::Behind | SyncState::InSync => held.sent.or(held.confirmed),
+    /// The version that the next order for a table may be a delta on: the last one sent, or else the confirmed
+    /// one. After a loss there is none, and the whole table must be sent.
+    pub fn delta_base(&self, dispatcher: DispatcherId, id: TableId) -> Option<u64> {
+        let state = self.entries.get(&dispatcher)?.table(id)?;
+        match state.sync_state {
+            SyncState::Behind | SyncState::InSync => state.sent.or(state.confirmed),
             SyncState::Unknown | SyncState::Lost | SyncState::Diverged => None,
         }
     }
 
-    /// Drops those that left before this time.
+    /// Removes dispatchers that left before this time.
     pub fn forget_departed(&mut self, before_ms: f64) {
         self.entries
             .retain(|_, e| e.joined || e.last_seen_ms >= before_ms);
--- a/crates/rookpulley-versions/src/delta.rs
+++ b/crates/rookpulley-versions/src/delta.rs
@@ -1,11 +1,11 @@
-//! What turns one table into another. A delta names the digest that it starts from and the one it ends at:
-//! applied to anything else it is refused, and what it is applied to stays whole in either case.
+//! Differences between tables. A delta carries the digests of its base and of its result; applying it to any
+//! other table fails and leaves that table unchanged.
 
 use crate::table::{Digest, Name, Table, line_len};
 use itertools::{EitherOrBoth, Itertools};
 use std::sync::Arc;
 
-/// The changed lines between two tables, by name; weight 0 takes a line out.
+/// The changed lines between two tables, sorted by name; weight 0 removes a line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Delta {
     pub from: Digest,
@@ -13,19 +13,19 @@
     pub changes: Vec<(Name, f64)>,
 }
 
-/// Why a delta was not applied.
+/// Why a delta could not be applied.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ApplyError {
-    #[error("it starts from {wants}, the table held is {held}")]
-    BaseMismatch { wants: Digest, held: Digest },
-    #[error("it ends at {got} and not at {wants} as it says")]
-    ResultMismatch { wants: Digest, got: Digest },
-    #[error("its lines make no table: {0}")]
+    #[error("the delta is based on {expected}, but the held table is {held}")]
+    BaseMismatch { expected: Digest, held: Digest },
+    #[error("the delta results in {actual} instead of {expected}")]
+    ResultMismatch { expected: Digest, actual: Digest },
+    #[error("the changes are invalid: {0}")]
     InvalidTable(#[from] crate::table::TableError),
 }
 
-/// The lines of two sorted lists by name, those of one name together.
-fn side_by_side<'a>(
+/// Merges two lists sorted by name and pairs the lines of equal names.
+fn merge_by_name<'a>(
     a: &'a [(Name, f64)],
     b: &'a [(Name, f64)],
 ) -> impl Iterator<Item = EitherOrBoth<&'a (Name, f64)>> {
@@ -34,14 +34,14 @@
 }
 
 impl Delta {
-    /// The fewest lines that turn one table into the other.
+    /// The minimal delta from one table to another.
     pub fn between(from: &Table, to: &Table) -> Self {
-        let change = |both: EitherOrBoth<&(Name, f64)>| match both {
+        let change = |pair: EitherOrBoth<&(Name, f64)>| match pair {
             EitherOrBoth::Left((name, _)) => Some((name.clone(), 0.0)),
             EitherOrBoth::Both(a, b) if a == b => None,
             EitherOrBoth::Both(_, line) | EitherOrBoth::Right(line) => Some(line.clone()),
         };
-        let changes = side_by_side(from.slice(), to.slice())
+        let changes = merge_by_name(from.as_slice(), to.as_slice())
             .filter_map(change)
             .collect();
         Self {
@@ -51,32 +51,32 @@
         }
     }
 
-    /// The table it ends at, or why it can't be had from this one.
+    /// Applies the delta to `held` and verifies the digests of the base and of the result.
     pub fn apply(&self, held: &Table) -> Result<Table, ApplyError> {
         if held.digest() != self.from {
             return Err(ApplyError::BaseMismatch {
-                wants: self.from,
+                expected: self.from,
                 held: held.digest(),
             });
         }
         let mut changes = self.changes.clone();
         changes.sort_by(|x, y| x.0.as_bytes().cmp(y.0.as_bytes()));
-        // Lines of weight 0 pass the check and are dropped below.
+        // Validates names and weights; weight 0 marks a removal and is valid here.
         Table::from_lines(changes.iter().cloned())?;
         let lines =
-            side_by_side(held.slice(), &changes).map(|both| both.reduce(|_, changed| changed));
+            merge_by_name(held.as_slice(), &changes).map(|pair| pair.reduce(|_, changed| changed));
         let lines = lines.filter(|(_, weight)| *weight > 0.0).cloned().collect();
         let table = Table::from_sorted(lines);
         match table.digest() {
-            got if got == self.to => Ok(table),
-            got => Err(ApplyError::ResultMismatch {
-                wants: self.to,
-                got,
+            actual if actual == self.to => Ok(table),
+            actual => Err(ApplyError::ResultMismatch {
+                expected: self.to,
+                actual,
             }),
         }
     }
 
-    /// Its length in the form that whole tables are measured in: both digests, the count, the lines.
+    /// The encoded length, comparable to that of a table: both digests, the count and the lines.
     pub fn canonical_len(&self) -> usize {
         16 + 16
             + 4
@@ -88,17 +88,17 @@
     }
 }
 
-/// How someone is brought to a table.
+/// A way to bring a holder to a table.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// It holds that table already, whoever issued it.
+    /// The holder already has a table with this digest, possibly from another issuer.
     Unchanged(Digest),
     Delta(Delta),
     Whole(Arc<Table>),
 }
 
 impl Update {
-    /// The shortest way to a table from what is held, if that is known.
+    /// The shortest update to `to`, given the held table if it is known.
     pub fn shortest(held: Option<&Table>, to: &Arc<Table>) -> Self {
         match held {
             Some(held) if held.digest() == to.digest() => Self::Unchanged(to.digest()),
--- a/crates/rookpulley-versions/src/history.rs
+++ b/crates/rookpulley-versions/src/history.rs
@@ -1,5 +1,5 @@
-//! The kept versions of every table, bounded by number and bytes. What a joined dispatcher is known to hold
-//! (pinned), and the newest of each table, is never dropped.
+//! The retained versions of every table, limited by count and memory. The newest version of each table and
+//! versions pinned for connected dispatchers are never evicted.
 
 use crate::TableId;
 use crate::table::{Digest, Table};
@@ -7,53 +7,54 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// How many versions are kept.
+/// Limits on the retained versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionLimits {
-    /// Versions kept of each table.
+    /// The maximum number of versions per table.
     pub per_table: usize,
-    /// Bytes of all kept tables together.
+    /// The maximum memory of all retained tables, in bytes.
     pub bytes: usize,
 }
 
 impl RetentionLimits {
-    /// What is kept where nothing else is said.
+    /// The limits used when none are configured.
     pub const DEFAULT: Self = Self {
         per_table: 8,
         bytes: 16 << 20,
     };
 }
 
-/// A table as issued.
+/// An issued version and its table.
 #[derive(Clone, Debug)]
 pub struct IssuedTable {
     pub version: Version,
     pub table: Arc<Table>,
     pub at_ms: f64,
-    /// The number of the version that took its place.
+    /// The number of the next version of the same table.
     pub superseded_by: Option<u64>,
-    pins: u32,
+    pin_count: u32,
 }
 
+/// The versions issued by one assigner start.
 pub struct History {
     issuer: Arc<Issuer>,
-    /// The number that the next version gets.
-    next: u64,
-    bounds: RetentionLimits,
+    /// The number of the next version to issue.
+    next_number: u64,
+    limits: RetentionLimits,
     bytes: usize,
-    /// Oldest first.
-    kept: BTreeMap<TableId, VecDeque<IssuedTable>>,
-    /// Which table a kept number is of.
-    of: BTreeMap<u64, TableId>,
+    /// By table, oldest first.
+    versions: BTreeMap<TableId, VecDeque<IssuedTable>>,
+    /// The table of each retained version number.
+    table_by_number: BTreeMap<u64, TableId>,
 }
 
-/// Why there is no such version here.
+/// Why a version cannot be found.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum LookupError {
     #[error("{version} was issued by another assigner; ask {} for it", version.issuer.assigner)]
     OtherAssigner { version: Version },
     #[error(
-        "{version} is of an earlier start of this assigner, which kept nothing; this one began at {start:016x}"
+        "{version} is of an earlier start of this assigner; versions are not kept across starts, and the current start is {start:016x}"
     )]
     OtherStart { version: Version, start: u64 },
     #[error("{version} was never issued; the newest number is {newest}")]
@@ -69,16 +70,16 @@
 }
 
 impl History {
-    /// The first number is 1 unless numbers before it are taken.
-    pub fn new(issuer: Issuer, first: u64, bounds: RetentionLimits) -> Self {
-        let (kept, of) = (BTreeMap::new(), BTreeMap::new());
+    /// `first` is the first number to issue, at least 1.
+    pub fn new(issuer: Issuer, first: u64, limits: RetentionLimits) -> Self {
+        let (versions, table_by_number) = (BTreeMap::new(), BTreeMap::new());
         Self {
             issuer: Arc::new(issuer),
-            next: first.max(1),
-            bounds,
+            next_number: first.max(1),
+            limits,
             bytes: 0,
-            kept,
-            of,
+            versions,
+            table_by_number,
         }
     }
 
@@ -86,7 +87,7 @@
         &self.issuer
     }
 
-    /// A number of this start, as a version.
+    /// The version identifier for a number of this start.
     pub fn version(&self, number: u64) -> Version {
         Version {
             issuer: self.issuer.clone(),
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Issues a table's lines as a new version, unless they are those of its newest one.
+    /// Issues a new version of a table. Returns `None` if the newest version has the same content.
     pub fn issue(&mut self, now: f64, id: TableId, table: Table) -> Option<Version> {
         if self
             .newest(id)
@@ -102,48 +103,49 @@
         {
             return None;
         }
-        let version = self.version(self.next);
-        self.next += 1;
+        let version = self.version(self.next_number);
+        self.next_number += 1;
         self.bytes += table.memory_bytes();
-        self.of.insert(version.number, id);
+        self.table_by_number.insert(version.number, id);
         let issued = IssuedTable {
             version: version.clone(),
             table: Arc::new(table),
             at_ms: now,
             superseded_by: None,
-            pins: 0,
+            pin_count: 0,
         };
-        let kept = self.kept.entry(id).or_default();
-        kept.iter_mut()
+        let versions = self.versions.entry(id).or_default();
+        versions
+            .iter_mut()
             .rev()
             .take(1)
-            .for_each(|before| before.superseded_by = Some(version.number));
-        kept.push_back(issued);
-        self.trim(id);
+            .for_each(|previous| previous.superseded_by = Some(version.number));
+        versions.push_back(issued);
+        self.enforce_limits(id);
         Some(version)
     }
 
-    /// Drops what is over the bounds: of this table by number, of all tables by bytes, oldest first.
-    fn trim(&mut self, id: TableId) {
+    /// Evicts the oldest versions: of this table beyond the count limit, of all tables beyond the memory limit.
+    fn enforce_limits(&mut self, id: TableId) {
         while self
-            .kept
+            .versions
             .get(&id)
-            .is_some_and(|k| k.len() > self.bounds.per_table)
+            .is_some_and(|k| k.len() > self.limits.per_table)
             && self.drop_oldest(id)
         {}
-        while self.bytes > self.bounds.bytes {
-            let free = |k: &VecDeque<IssuedTable>| {
+        while self.bytes > self.limits.bytes {
+            let oldest_unpinned = |k: &VecDeque<IssuedTable>| {
                 k.iter()
                     .rev()
                     .skip(1)
                     .rev()
-                    .find(|i| i.pins == 0)
+                    .find(|i| i.pin_count == 0)
                     .map(|i| i.version.number)
             };
             let oldest = self
-                .kept
+                .versions
                 .iter()
-                .filter_map(|(id, k)| Some((free(k)?, *id)))
+                .filter_map(|(id, k)| Some((oldest_unpinned(k)?, *id)))
                 .min();
             if !oldest.is_some_and(|(_, id)| self.drop_oldest(id)) {
                 break;
@@ -151,52 +153,57 @@
         }
     }
 
-    /// Drops the oldest version of a table that is neither pinned nor its newest.
+    /// Evicts the oldest version of a table that is neither pinned nor the newest.
     fn drop_oldest(&mut self, id: TableId) -> bool {
-        let Some(kept) = self.kept.get_mut(&id) else {
+        let Some(versions) = self.versions.get_mut(&id) else {
             return false;
         };
-        let last = kept.len().saturating_sub(1);
-        let Some(at) = kept.iter().take(last).position(|i| i.pins == 0) else {
+        let newest_index = versions.len().saturating_sub(1);
+        let Some(at) = versions
+            .iter()
+            .take(newest_index)
+            .position(|i| i.pin_count == 0)
+        else {
             return false;
         };
-        let Some(gone) = kept.remove(at) else {
+        let Some(removed) = versions.remove(at) else {
             return false;
         };
-        self.bytes -= gone.table.memory_bytes();
-        self.of.remove(&gone.version.number);
+        self.bytes -= removed.table.memory_bytes();
+        self.table_by_number.remove(&removed.version.number);
         true
     }
 
+    /// Protects a version from eviction until a matching `unpin`.
     pub fn pin(&mut self, number: u64) {
-        if let Some(issued) = self.numbered_mut(number) {
-            issued.pins += 1;
+        if let Some(issued) = self.get_mut(number) {
+            issued.pin_count += 1;
         }
     }
 
     pub fn unpin(&mut self, number: u64) {
-        let Some(issued) = self.numbered_mut(number) else {
+        let Some(issued) = self.get_mut(number) else {
             return;
         };
-        issued.pins = issued.pins.saturating_sub(1);
-        if let Some(id) = self.of.get(&number).copied() {
-            self.trim(id);
+        issued.pin_count = issued.pin_count.saturating_sub(1);
+        if let Some(id) = self.table_by_number.get(&number).copied() {
+            self.enforce_limits(id);
         }
     }
 
-    fn numbered_mut(&mut self, number: u64) -> Option<&mut IssuedTable> {
-        let id = self.of.get(&number)?;
-        self.kept
+    fn get_mut(&mut self, number: u64) -> Option<&mut IssuedTable> {
+        let id = self.table_by_number.get(&number)?;
+        self.versions
             .get_mut(id)?
             .iter_mut()
             .find(|i| i.version.number == number)
     }
 
     pub fn get(&self, number: u64) -> Option<(TableId, &IssuedTable)> {
-        let id = self.of.get(&number)?;
+        let id = self.table_by_number.get(&number)?;
         Some((
             *id,
-            self.kept
+            self.versions
                 .get(id)?
                 .iter()
                 .find(|i| i.version.number == number)?,
@@ -204,19 +211,19 @@
     }
 
     pub fn newest(&self, id: TableId) -> Option<&IssuedTable> {
-        self.kept.get(&id)?.back()
+        self.versions.get(&id)?.back()
     }
 
-    /// The newest kept version of a table with these lines.
+    /// The newest retained version of a table with this digest.
     pub fn with_digest(&self, id: TableId, digest: Digest) -> Option<&IssuedTable> {
-        self.kept
+        self.versions
             .get(&id)?
             .iter()
             .rev()
             .find(|i| i.table.digest() == digest)
     }
 
-    /// The kept version that this names, or why there is none.
+    /// Looks up a version identifier, or explains why it cannot be found.
     pub fn find(&self, version: &Version) -> Result<(TableId, &IssuedTable), LookupError> {
         let (named, version) = (&version.issuer, version.clone());
         if named.assigner != self.issuer.assigner {
@@ -228,33 +235,33 @@
                 start: self.issuer.start,
             });
         }
-        if version.number >= self.next || version.number == 0 {
+        if version.number >= self.next_number || version.number == 0 {
             return Err(LookupError::NeverIssued {
                 version,
-                newest: self.next - 1,
+                newest: self.next_number - 1,
             });
         }
         self.get(version.number)
             .ok_or(LookupError::Dropped { version })
     }
 
-    /// What a table was at the moment that a number names, if that version is still kept.
+    /// The version of a table that was the newest when `number` was issued, if it is still retained.
     pub fn as_of(&self, id: TableId, number: u64) -> Option<&IssuedTable> {
-        let then = |i: &&IssuedTable| {
+        let current_at = |i: &&IssuedTable| {
             i.version.number <= number && i.superseded_by.is_none_or(|u| u > number)
         };
-        self.kept.get(&id)?.iter().find(then)
+        self.versions.get(&id)?.iter().find(current_at)
     }
 
-    /// All kept versions, by table, oldest first.
+    /// All retained versions by table, oldest first.
     pub fn all(&self) -> impl Iterator<Item = (TableId, &IssuedTable)> {
-        self.kept
+        self.versions
             .iter()
-            .flat_map(|(id, kept)| kept.iter().map(|i| (*id, i)))
+            .flat_map(|(id, versions)| versions.iter().map(|i| (*id, i)))
     }
 
     pub fn tables(&self) -> impl Iterator<Item = TableId> {
-        self.kept.keys().copied()
+        self.versions.keys().copied()
     }
 
     pub fn bytes(&self) -> usize {
@@ -264,6 +271,6 @@
 
 impl IssuedTable {
     pub fn is_pinned(&self) -> bool {
-        self.pins > 0
+        self.pin_count > 0
     }
 }
--- a/crates/rookpulley-versions/src/holder.rs
+++ b/crates/rookpulley-versions/src/holder.rs
@@ -1,46 +1,47 @@
-//! The dispatcher's side of versions: one table, and what becomes of each order for it. Whatever comes, the
-//! table held is one that an assigner issued whole.
+//! The dispatcher side of versioning: one table and the handling of the orders for it. The held table is
+//! always one that an assigner issued; no order is applied in part.
 
 use crate::delta::Update;
 use crate::table::{Digest, Table};
 use crate::version::Version;
 use std::sync::Arc;
 
-/// An order on a stream: brings the holder to this version.
+/// An update received on a stream that brings the holder to `version`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
     pub version: Version,
     pub update: Update,
 }
 
-/// What an order is, seen from what is held.
+/// The kind of an order relative to the held table and the current stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// It came on a stream that is no longer followed.
+    /// Received on a stream other than the current one.
     StaleStream,
-    /// A newer order of this stream has been taken.
+    /// Older than an order already accepted on this stream.
     Superseded,
-    /// It ends at the table held.
+    /// The result equals the held table.
     SameTable,
     Whole,
-    /// A delta, or word that nothing changed, that starts from the table held.
+    /// A delta based on the held table.
     Applicable,
-    /// One that starts from another.
+    /// A delta on another base table, or `Unchanged` for a table that is not held.
     Inapplicable,
 }
 
+/// The result of handling an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Applied,
-    /// The table is held already: only the version's name is taken.
+    /// The table is held already; only its version identifier is updated.
     VersionUpdated,
     Ignored,
-    /// It is not applied, and the assigner is told what is held.
+    /// Not applied; the caller reports the held table to the assigner.
     Refused,
 }
 
-/// What is seen, and what becomes of it.
-const HOLDING: &[(OrderKind, Outcome)] = &[
+/// The outcome for each kind of order.
+const OUTCOMES: &[(OrderKind, Outcome)] = &[
     (OrderKind::StaleStream, Outcome::Ignored),
     (OrderKind::Superseded, Outcome::Ignored),
     (OrderKind::SameTable, Outcome::VersionUpdated),
@@ -49,18 +50,19 @@
     (OrderKind::Inapplicable, Outcome::Refused),
 ];
 
+/// One table held by a dispatcher.
 #[derive(Clone, Debug, Default)]
 pub struct Holder {
     stream: u64,
-    /// The newest version named on this stream.
-    newest: Option<u64>,
+    /// The number of the newest version accepted on this stream.
+    newest_number: Option<u64>,
     held: Option<(Version, Arc<Table>)>,
 }
 
 impl Holder {
-    /// A new stream is followed from now on; what is held stays.
+    /// Switches to a new stream and keeps the held table.
     pub fn follow_stream(&mut self, stream: u64) {
-        (self.stream, self.newest) = (stream, None);
+        (self.stream, self.newest_number) = (stream, None);
     }
 
     pub fn version(&self) -> Option<&Version> {
@@ -75,37 +77,41 @@
         self.table().map(|t| t.digest())
     }
 
-    /// Takes an order that came on this stream.
+    /// Handles an order received on `stream`.
     pub fn handle(&mut self, stream: u64, order: &Order) -> Outcome {
         let held = self.table().cloned();
-        let mut next = None;
-        let seen = match &order.update {
+        let mut new_table = None;
+        let kind = match &order.update {
             _ if stream != self.stream => OrderKind::StaleStream,
-            _ if self.newest.is_some_and(|n| order.version.number < n) => OrderKind::Superseded,
+            _ if self.newest_number.is_some_and(|n| order.version.number < n) => {
+                OrderKind::Superseded
+            }
             update if held.as_ref().is_some_and(|t| t.digest() == update.digest()) => {
                 OrderKind::SameTable
             }
             Update::Unchanged(_) => OrderKind::Inapplicable,
             Update::Whole(table) => {
-                next = Some(table.clone());
+                new_table = Some(table.clone());
                 OrderKind::Whole
             }
             Update::Delta(delta) => match held.as_ref().map(|t| delta.apply(t)) {
                 Some(Ok(table)) => {
-                    next = Some(Arc::new(table));
+                    new_table = Some(Arc::new(table));
                     OrderKind::Applicable
                 }
                 _ => OrderKind::Inapplicable,
             },
         };
-        let verdict = HOLDING
+        let outcome = OUTCOMES
             .iter()
-            .find(|row| row.0 == seen)
+            .find(|row| row.0 == kind)
             .map_or(Outcome::Refused, |row| row.1);
-        if matches!(verdict, Outcome::Applied | Outcome::VersionUpdated) {
-            self.newest = Some(order.version.number);
-            self.held = next.or(held).map(|table| (order.version.clone(), table));
+        if matches!(outcome, Outcome::Applied | Outcome::VersionUpdated) {
+            self.newest_number = Some(order.version.number);
+            self.held = new_table
+                .or(held)
+                .map(|table| (order.version.clone(), table));
         }
-        verdict
+        outcome
     }
 }
--- a/crates/rookpulley-versions/src/lib.rs
+++ b/crates/rookpulley-versions/src/lib.rs
@@ -1,15 +1,16 @@
-//! Which version of a table is which, what lies between two of them, and who holds what.
+//! Versioning of routing tables: version identifiers, deltas between versions, and the versions that
+//! dispatchers hold.
 //!
-//! Nothing here opens, sleeps or asks the time: the clock and the start's name come in as arguments, and what
-//! follows comes out as values. This package never decides which lines a table has; that is the module's.
+//! The package performs no I/O and reads no clock: the time and the start identifier are arguments. The
+//! decision module determines the content of the tables.
 //!
-//! - [`table`]: a table, its canonical form and its digest.
-//! - [`version`]: a table as issued: by whom, in which start, under which number.
-//! - [`delta`]: what turns one table into another, refused by any other start.
-//! - [`history`]: the kept versions, bounded by number and bytes.
-//! - [`holder`]: the dispatcher's side: applies, passes over or refuses what it is sent.
-//! - [`deliveries`]: what each dispatcher was told, has confirmed and claims, and the judgement on it.
-//! - [`manager`]: history and ledger together, as an assigner uses them.
+//! - [`table`]: a table, its canonical encoding and its digest.
+//! - [`version`]: the identifier of an issued table: assigner, start and number.
+//! - [`delta`]: the difference between two tables, applicable only to its base table.
+//! - [`history`]: the retained versions, limited by count and memory.
+//! - [`holder`]: the dispatcher side, which applies, ignores or refuses orders.
+//! - [`deliveries`]: the versions sent to, confirmed by and claimed by each dispatcher.
+//! - [`manager`]: history and delivery tracking combined, as the assigner uses them.
 
 pub mod deliveries;
 pub mod delta;
@@ -27,9 +28,9 @@
 pub use table::{Digest, Name, Table};
 pub use version::{Issuer, Version};
 
-/// The place of a table, as the module numbers it within one start.
+/// The index of a table, assigned by the decision module and unique within one start.
 pub type TableId = u16;
-/// A dispatcher, as the settings number it.
+/// The number of a dispatcher in the settings.
 pub type DispatcherId = u16;
-/// The request kinds that a table is for, a bit each by their place.
+/// A bit mask of the request kinds that a table serves, indexed by their position in the settings.
 pub type Kinds = u16;
--- a/crates/rookpulley-versions/src/manager.rs
+++ b/crates/rookpulley-versions/src/manager.rs
@@ -1,7 +1,7 @@
-//! History and ledger together: what an assigner asks of them, in the order in which it happens.
+//! Combines the version history with delivery tracking.
 //!
-//! The module decides a table's lines; the book names them, finds the shortest way for each dispatcher and
-//! says whom the module must write anew.
+//! The decision module determines the lines of a table. The manager assigns version identifiers, selects the
+//! shortest update for each dispatcher, and reports which tables must be sent again.
 
 use crate::deliveries::{AckTimeouts, Claim, DeliveryTracker, SyncState};
 use crate::delta::Update;
@@ -13,39 +13,42 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Those that left are shown for so long.
-const SHOWN_MS: f64 = 600_000.0;
+/// How long dispatchers that left stay listed.
+const DEPARTED_RETENTION_MS: f64 = 600_000.0;
 
+/// The versions of all tables of one assigner start and their delivery to dispatchers.
 pub struct VersionManager {
     pub history: History,
     pub deliveries: DeliveryTracker,
-    /// What a dispatcher said at its joining, by request kinds, until its tables are known.
-    brought: BTreeMap<DispatcherId, BTreeMap<Kinds, Claim>>,
-    /// Which table a dispatcher has for which request kinds.
-    bound: BTreeMap<(DispatcherId, Kinds), TableId>,
-    /// The same the other way round.
-    users: BTreeMap<TableId, BTreeSet<DispatcherId>>,
-    /// Tables that must go out whole and that the module has not counted so: they are not written but owed.
+    /// Claims made on joining, by request kinds, until the tables for these kinds are bound.
+    initial_claims: BTreeMap<DispatcherId, BTreeMap<Kinds, Claim>>,
+    /// The table of each dispatcher and set of request kinds.
+    bindings: BTreeMap<(DispatcherId, Kinds), TableId>,
+    /// The dispatchers of each table.
+    table_users: BTreeMap<TableId, BTreeSet<DispatcherId>>,
+    /// Tables that must be sent whole although the decision module counted only changes. They are not written;
+    /// the module is asked to send them again.
     uncounted: BTreeSet<TableId>,
-    /// When the ledger is next asked who is due.
-    look_at_ms: f64,
+    /// When `poll_due` next checks for resends.
+    next_check_ms: f64,
 }
 
 impl VersionManager {
-    pub fn new(issuer: Issuer, first: u64, bounds: RetentionLimits, patience: AckTimeouts) -> Self {
-        let (brought, bound, users) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+    pub fn new(issuer: Issuer, first: u64, limits: RetentionLimits, timeouts: AckTimeouts) -> Self {
+        let (initial_claims, bindings, table_users) =
+            (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Self {
-            history: History::new(issuer, first, bounds),
-            deliveries: DeliveryTracker::new(patience),
-            brought,
-            bound,
-            users,
+            history: History::new(issuer, first, limits),
+            deliveries: DeliveryTracker::new(timeouts),
+            initial_claims,
+            bindings,
+            table_users,
             uncounted: BTreeSet::new(),
-            look_at_ms: 0.0,
+            next_check_ms: 0.0,
         }
     }
 
-    /// Joins with what it says it holds; None: it says nothing of versions.
+    /// Registers a joined dispatcher with the tables it claims to hold; `None` if it does not report versions.
     pub fn join(
         &mut self,
         now: f64,
@@ -54,73 +57,76 @@
     ) {
         self.deliveries
             .join(now, dispatcher, claims.is_some(), &mut self.history);
-        self.deliveries.forget_departed(now - SHOWN_MS);
+        self.deliveries.forget_departed(now - DEPARTED_RETENTION_MS);
         for (_, id) in self
-            .bound
+            .bindings
             .extract_if((dispatcher, 0)..=(dispatcher, Kinds::MAX), |_, _| true)
         {
-            self.users
+            self.table_users
                 .entry(id)
-                .and_modify(|users| _ = users.remove(&dispatcher));
+                .and_modify(|table_users| _ = table_users.remove(&dispatcher));
         }
-        self.brought.remove(&dispatcher);
+        self.initial_claims.remove(&dispatcher);
         if let Some(claims) = claims.filter(|c| !c.is_empty()) {
-            self.brought.insert(dispatcher, claims);
+            self.initial_claims.insert(dispatcher, claims);
         }
     }
 
     pub fn leave(&mut self, now: f64, dispatcher: DispatcherId) {
         self.deliveries
             .disconnect(now, dispatcher, &mut self.history);
-        self.brought.remove(&dispatcher);
+        self.initial_claims.remove(&dispatcher);
     }
 
-    /// A table's lines as they stand now; a new version where they differ from its newest.
+    /// Issues a new version if the table differs from its newest one.
     pub fn issue(&mut self, now: f64, id: TableId, table: Table) -> Option<Version> {
         let issued = self.history.issue(now, id, table);
-        for who in self
-            .users
+        for dispatcher in self
+            .table_users
             .get(&id)
             .into_iter()
             .flatten()
             .filter(|_| issued.is_some())
         {
-            self.deliveries.newer_issued(now, *who, id);
+            self.deliveries.newer_issued(now, *dispatcher, id);
         }
         issued
     }
 
-    /// Its table for these request kinds is this one: what it brought for them counts from now on.
+    /// Binds a dispatcher to a table for these request kinds and evaluates its initial claim for them.
     pub fn bind(&mut self, now: f64, dispatcher: DispatcherId, kinds: Kinds, id: TableId) {
-        self.bound.insert((dispatcher, kinds), id);
-        self.users.entry(id).or_default().insert(dispatcher);
-        let brought = self
-            .brought
+        self.bindings.insert((dispatcher, kinds), id);
+        self.table_users.entry(id).or_default().insert(dispatcher);
+        let initial_claims = self
+            .initial_claims
             .get_mut(&dispatcher)
             .and_then(|b| b.remove(&kinds));
-        if let Some(claim) = brought {
+        if let Some(claim) = initial_claims {
             self.deliveries
                 .record_initial_claim(now, dispatcher, id, claim, &mut self.history);
         }
     }
 
     pub fn table_for(&self, dispatcher: DispatcherId, kinds: Kinds) -> Option<TableId> {
-        self.bound.get(&(dispatcher, kinds)).copied()
+        self.bindings.get(&(dispatcher, kinds)).copied()
     }
 
-    /// The request kinds that a dispatcher has this table for.
+    /// The request kinds for which a dispatcher uses this table.
     pub fn kinds_of(&self, dispatcher: DispatcherId, table: TableId) -> Kinds {
-        let own = self.bound.range((dispatcher, 0)..=(dispatcher, Kinds::MAX));
-        own.filter(|(_, id)| **id == table)
+        let bindings = self
+            .bindings
+            .range((dispatcher, 0)..=(dispatcher, Kinds::MAX));
+        bindings
+            .filter(|(_, id)| **id == table)
             .fold(0, |all, ((_, kinds), _)| all | kinds)
     }
 
-    /// Whether a version of this table was written on the dispatcher's stream.
+    /// Whether a version of this table was written on the current stream of the dispatcher.
     pub fn was_sent(&self, dispatcher: DispatcherId, table: TableId) -> bool {
         self.deliveries
             .entry(dispatcher)
             .and_then(|e| e.table(table))
-            .is_some_and(|held| held.sent.is_some())
+            .is_some_and(|state| state.sent.is_some())
     }
 
     pub fn reports_versions(&self, dispatcher: DispatcherId) -> bool {
@@ -129,12 +135,12 @@
             .is_some_and(|e| e.joined && e.reports_versions)
     }
 
-    /// The shortest way for a dispatcher to its table's newest version.
+    /// The shortest order that brings a dispatcher to the newest version of a table.
     pub fn order(&self, dispatcher: DispatcherId, id: TableId) -> Option<Order> {
         let newest = self.history.newest(id)?;
         let base = self
             .deliveries
-            .base(dispatcher, id)
+            .delta_base(dispatcher, id)
             .and_then(|n| self.history.get(n));
         let base: Option<&Table> = base.filter(|(of, _)| *of == id).map(|(_, i)| &*i.table);
         Some(Order {
@@ -143,8 +149,8 @@
         })
     }
 
-    /// The same, for a message in which the module counted the table whole or by its changes. None: it would have
-    /// to go out whole and was not counted so; the module is asked to write it anew.
+    /// Like `order`, but returns `None` and asks for a resend if the whole table must be sent on no known base
+    /// while the module counted only its changes (`whole` is false).
     pub fn order_as_counted(
         &mut self,
         dispatcher: DispatcherId,
@@ -152,21 +158,21 @@
         whole: bool,
     ) -> Option<Order> {
         let order = self.order(dispatcher, id)?;
-        let over = matches!(order.update, Update::Whole(_)) && !whole;
-        if over && self.deliveries.base(dispatcher, id).is_none() {
+        let exceeds_count = matches!(order.update, Update::Whole(_)) && !whole;
+        if exceeds_count && self.deliveries.delta_base(dispatcher, id).is_none() {
             self.uncounted.insert(id);
             return None;
         }
         Some(order)
     }
 
-    /// What was written of a table did not reach its dispatcher, or it holds something else.
+    /// Whether a table was lost on the way or the dispatcher holds an unknown one.
     pub fn is_lost(&self, dispatcher: DispatcherId, id: TableId) -> bool {
-        let held = self.deliveries.entry(dispatcher).and_then(|e| e.table(id));
-        held.is_some_and(|h| matches!(h.sync_state, SyncState::Lost | SyncState::Diverged))
+        let state = self.deliveries.entry(dispatcher).and_then(|e| e.table(id));
+        state.is_some_and(|h| matches!(h.sync_state, SyncState::Lost | SyncState::Diverged))
     }
 
-    /// One message was written: for these tables, with this mark.
+    /// Records that a message with the newest versions of these tables and an optional mark was written.
     pub fn record_sent(
         &mut self,
         now: f64,
@@ -180,7 +186,7 @@
             .record_sent(now, dispatcher, &versions, mark, &mut self.history);
     }
 
-    /// An answer to a mark, with what is held where that is said.
+    /// Handles an acknowledgement with the claims it carries, if any.
     pub fn acknowledge(
         &mut self,
         now: f64,
@@ -201,7 +207,7 @@
             .acknowledge_with_claims(now, dispatcher, mark, &claims, &mut self.history);
     }
 
-    /// It refused an order and holds this.
+    /// Handles a refused order; `claim` is the table that the dispatcher holds.
     pub fn record_refusal(
         &mut self,
         now: f64,
@@ -215,31 +221,32 @@
         }
     }
 
-    /// So often it is worth while to ask who is due.
+    /// The interval at which `poll_due` checks for resends.
     pub fn check_interval_ms(&self) -> f64 {
         self.deliveries.check_interval_ms()
     }
 
-    /// Tables that were owed for want of room in a message, once.
+    /// Takes the tables that were not written because only their changes were counted.
     pub fn take_uncounted(&mut self) -> BTreeSet<TableId> {
         std::mem::take(&mut self.uncounted)
     }
 
-    /// As `due`, asked as often as one likes and worked out as often as it is worth while.
+    /// Like `due_resends`, but limited to one check per `check_interval_ms`.
     pub fn poll_due(&mut self, now: f64) -> Vec<(DispatcherId, TableId)> {
-        if now < self.look_at_ms {
+        if now < self.next_check_ms {
             return Vec::new();
         }
-        self.look_at_ms = now + self.check_interval_ms();
+        self.next_check_ms = now + self.check_interval_ms();
         self.due_resends(now)
     }
 
-    /// Whom the module must write anew, by dispatcher and table.
+    /// The dispatchers and tables that must be sent again now.
     pub fn due_resends(&mut self, now: f64) -> Vec<(DispatcherId, TableId)> {
         self.deliveries.due_resends(now)
     }
 
-    /// The lines to go back to, by table: those of one version, or of all tables at its moment.
+    /// The tables to roll back to: that of one version, or with `all` those of all tables at the time of the
+    /// version.
     pub fn rollback_tables(
         &self,
         version: &Version,
@@ -257,15 +264,15 @@
                 _ => Ok(vec![(of, issued.table.clone())]),
             };
         }
-        let then = |id| Some((id, self.history.as_of(id, version.number)?.table.clone()));
-        Ok(self.history.tables().filter_map(then).collect())
+        let table_at = |id| Some((id, self.history.as_of(id, version.number)?.table.clone()));
+        Ok(self.history.tables().filter_map(table_at).collect())
     }
 
-    /// Every joined dispatcher holds, and has proved, the newest version of each of its tables.
+    /// Whether every joined dispatcher has confirmed the newest version of each of its tables.
     pub fn all_in_sync(&self) -> bool {
         let joined = self.deliveries.entries().filter(|(_, e)| e.joined);
         joined
             .flat_map(|(_, e)| e.tables())
-            .all(|(_, held)| held.sync_state == SyncState::InSync)
+            .all(|(_, state)| state.sync_state == SyncState::InSync)
     }
 }
--- a/crates/rookpulley-versions/src/table.rs
+++ b/crates/rookpulley-versions/src/table.rs
@@ -1,31 +1,32 @@
-//! A table: servers and their weights. Two tables are the same where their canonical forms are.
+//! A table of servers and their weights. Two tables are equal if their canonical encodings are equal.
 //!
-//! The canonical form, byte by byte (`docs/formats/table-digest.md` has it with an example):
+//! The canonical encoding (`docs/formats/table-digest.md` shows an example):
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
-//! | 4 | the letters `RPT1` |
-//! | 4 | the count of lines, big-endian |
-//! | then for each line, by the bytes of the names | |
+//! | 4 | the ASCII letters `RPT1` |
+//! | 4 | the number of lines, big-endian |
+//! | for each line, sorted by the bytes of the name: | |
 //! | 2 | the length of the name in bytes, big-endian |
-//! | so many | the name in UTF-8 |
+//! | length | the name in UTF-8 |
 //! | 8 | the weight, IEEE 754 binary64, big-endian |
 //!
-//! The digest is the first 16 bytes of BLAKE3 over it. A weight is above 0 and finite, so that none has two
-//! spellings in bits; a line of weight 0 is no line.
+//! The digest is the first 16 bytes of the BLAKE3 hash of the encoding. Weights are positive and finite, so
+//! each has exactly one bit representation; lines with weight 0 are omitted.
 
 use data_encoding::BASE64URL_NOPAD;
 use std::fmt;
 use std::str::FromStr;
 use std::sync::Arc;
 
+/// The name of a server.
 pub type Name = Arc<str>;
 
 const MAGIC: &[u8; 4] = b"RPT1";
-/// What a name's length in the canonical form can tell.
+/// The canonical encoding stores the length of a name in 16 bits.
 pub const MAX_NAME_LEN: usize = u16::MAX as usize;
 
-/// What a table is known by, whoever issued it.
+/// Identifies the content of a table independently of its issuer.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub [u8; 16]);
 
@@ -42,7 +43,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is no digest: 22 letters of base64url are wanted")]
+#[error("{0:?} is not a digest: expected 22 characters of base64url")]
 pub struct ParseDigestError(pub String);
 
 impl FromStr for Digest {
@@ -57,18 +58,18 @@
     }
 }
 
-/// Why lines make no table.
+/// Why a set of lines is not a valid table.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum TableError {
-    #[error("{0:?} is named twice; write one line for it")]
+    #[error("{0:?} is listed twice; write one line for it")]
     DuplicateName(Name),
-    #[error("{name:?} has the weight {weight}; write a figure above 0, or 0 to leave it out")]
+    #[error("{name:?} has the weight {weight}; write a number above 0, or 0 to omit the server")]
     InvalidWeight { name: Name, weight: f64 },
-    #[error("a name of {0} bytes; {MAX_NAME_LEN} are the most")]
+    #[error("a name has {0} bytes; the maximum is {MAX_NAME_LEN}")]
     NameTooLong(usize),
 }
 
-/// Servers and weights, by name; its digest is worked out once.
+/// Servers and weights, sorted by name. The digest is computed once, on construction.
 #[derive(Clone, PartialEq)]
 pub struct Table {
     lines: Box<[(Name, f64)]>,
@@ -88,9 +89,9 @@
 }
 
 impl Table {
-    /// Lines in any order; those of weight 0 are left out.
+    /// Builds a table from lines in any order and omits those with weight 0.
     pub fn from_lines(lines: impl IntoIterator<Item = (Name, f64)>) -> Result<Self, TableError> {
-        let mut kept: Vec<(Name, f64)> = Vec::new();
+        let mut sorted: Vec<(Name, f64)> = Vec::new();
         for (name, weight) in lines {
             if name.len() > MAX_NAME_LEN {
                 return Err(TableError::NameTooLong(name.len()));
@@ -98,17 +99,17 @@
             if !(weight >= 0.0 && weight.is_finite()) {
                 return Err(TableError::InvalidWeight { name, weight });
             }
-            kept.push((name, weight));
+            sorted.push((name, weight));
         }
-        kept.sort_by(|a, b| a.0.as_bytes().cmp(b.0.as_bytes()));
-        if let Some(pair) = kept.windows(2).find(|pair| pair[0].0 == pair[1].0) {
+        sorted.sort_by(|a, b| a.0.as_bytes().cmp(b.0.as_bytes()));
+        if let Some(pair) = sorted.windows(2).find(|pair| pair[0].0 == pair[1].0) {
             return Err(TableError::DuplicateName(pair[0].0.clone()));
         }
-        kept.retain(|(_, weight)| *weight > 0.0);
-        Ok(Self::from_sorted(kept))
+        sorted.retain(|(_, weight)| *weight > 0.0);
+        Ok(Self::from_sorted(sorted))
     }
 
-    /// Lines that are sorted, sound and above 0 already.
+    /// Builds a table from lines that are already sorted, unique and of positive weight.
     pub(crate) fn from_sorted(lines: Vec<(Name, f64)>) -> Self {
         let digest = digest_of(&canonical(&lines));
         Self {
@@ -125,7 +126,7 @@
         self.lines.iter().map(|(name, weight)| (name, *weight))
     }
 
-    pub(crate) fn slice(&self) -> &[(Name, f64)] {
+    pub(crate) fn as_slice(&self) -> &[(Name, f64)] {
         &self.lines
     }
 
@@ -149,7 +150,7 @@
         canonical(&self.lines)
     }
 
-    /// The length of the canonical form, without writing it.
+    /// The length of the canonical encoding, computed without encoding.
     pub fn canonical_len(&self) -> usize {
         8 + self
             .lines
@@ -158,13 +159,13 @@
             .sum::<usize>()
     }
 
-    /// About what it takes in memory; names are shared.
+    /// The approximate memory use, without the shared names.
     pub fn memory_bytes(&self) -> usize {
         size_of::<Self>() + size_of_val(&*self.lines)
     }
 }
 
-/// What a line takes in the canonical form.
+/// The length of a line in the canonical encoding.
 pub(crate) fn line_len(name: &str) -> usize {
     2 + name.len() + 8
 }
--- a/crates/rookpulley-versions/tests/tables.rs
+++ b/crates/rookpulley-versions/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Tables, digests, deltas and the kept versions.
+//! Tables, digests, deltas and the version history.
 
 use proptest::prelude::*;
 use rookpulley_versions::history::LookupError;
@@ -18,7 +18,7 @@
     }
 }
 
-const ROOMY: RetentionLimits = RetentionLimits {
+const LIMITS: RetentionLimits = RetentionLimits {
     per_table: 8,
     bytes: 1 << 20,
 };
@@ -44,10 +44,10 @@
 }
 
 #[test]
-fn digests_are_equal_with_other_spellings_of_a_weight() {
+fn digest_does_not_depend_on_the_notation_of_a_weight() {
     let read = |text: &str| text.parse::<f64>().unwrap();
-    let spelt = ["1", "1.0", "1e0", "0.1e1", "1.00000000000000000000001"];
-    let digests: Vec<Digest> = spelt
+    let spellings = ["1", "1.0", "1e0", "0.1e1", "1.00000000000000000000001"];
+    let digests: Vec<Digest> = spellings
         .iter()
         .map(|t| table(&[("s-1", read(t))]).digest())
         .collect();
@@ -58,31 +58,31 @@
     assert_eq!(
         table(&[("s-1", 1.0), ("s-2", 0.0)]).digest(),
         digests[0],
-        "a line of weight 0 is none"
+        "lines with weight 0 are omitted"
     );
     assert_eq!(table(&[("s-1", 1.0), ("s-2", -0.0)]).digest(), digests[0]);
 }
 
 #[test]
-fn digests_differ_with_equal_text() {
-    // Written one after the other, names and weights of these read the same.
-    let glued = [
+fn digests_of_tables_with_equal_concatenated_text_differ() {
+    // Names and weights concatenated without lengths give the same text.
+    let ambiguous = [
         table(&[("a", 1.0), ("b1", 1.0)]),
         table(&[("a1", 1.0), ("b", 1.0)]),
         table(&[("ab", 1.0)]),
         table(&[("a", 1.0), ("b", 1.0)]),
         table(&[("a", 1.0), ("b", 1.0 + f64::EPSILON)]),
     ];
-    for (i, a) in glued.iter().enumerate() {
+    for (i, a) in ambiguous.iter().enumerate() {
         assert!(
-            glued[i + 1..].iter().all(|b| a.digest() != b.digest()),
+            ambiguous[i + 1..].iter().all(|b| a.digest() != b.digest()),
             "{a:?}"
         );
     }
 }
 
 #[test]
-fn what_makes_no_table_is_refused_with_what_to_write() {
+fn invalid_lines_are_rejected_with_a_remedy() {
     let of =
         |lines: &[(&str, f64)]| Table::from_lines(lines.iter().map(|(n, w)| (Name::from(*n), *w)));
     assert_eq!(
@@ -90,8 +90,8 @@
         Err(TableError::DuplicateName("a".into()))
     );
     for weight in [-1.0, f64::NAN, f64::INFINITY] {
-        let said = of(&[("a", weight)]).unwrap_err().to_string();
-        assert!(said.contains("write a figure above 0"), "{said}");
+        let message = of(&[("a", weight)]).unwrap_err().to_string();
+        assert!(message.contains("write a number above 0"), "{message}");
     }
     assert!(matches!(
         of(&[(&"n".repeat(70_000), 1.0)]),
@@ -100,19 +100,15 @@
 }
 
 #[test]
-fn versions_are_written_and_read_back() {
+fn versions_round_trip_through_text() {
     let start = start_id(1_764_612_000_123.9, 0xfff_abcde);
     let version = Version {
         issuer: Arc::new(issuer("n~0", start)),
         number: 17,
     };
     assert_eq!(version.to_string().parse(), Ok(version.clone()));
-    assert_eq!(
-        version.issuer.start & 0xf_ffff,
-        0xabcde,
-        "20 bits of chance"
-    );
-    for bad in [
+    assert_eq!(version.issuer.start & 0xf_ffff, 0xabcde, "20 random bits");
+    for invalid in [
         "",
         "n0",
         "n0~17",
@@ -121,19 +117,19 @@
         "n0~18f3a2c41b7e0042~+1",
         "n0~+8f3a2c41b7e0042~1",
     ] {
-        let said = bad.parse::<Version>().unwrap_err().to_string();
-        assert!(said.contains("write it as"), "{said}");
+        let message = invalid.parse::<Version>().unwrap_err().to_string();
+        assert!(message.contains("write it as"), "{message}");
     }
 }
 
 #[test]
-fn a_version_of_another_assigner_an_earlier_start_the_future_or_never_is_told_apart() {
+fn lookup_errors_distinguish_the_cause() {
     let mut history = History::new(
         issuer("n0", 5),
         1,
         RetentionLimits {
             per_table: 2,
-            ..ROOMY
+            ..LIMITS
         },
     );
     (1..=4).for_each(|n| _ = history.issue(n as f64, 0, table(&[("s", f64::from(n))])));
@@ -162,11 +158,11 @@
 }
 
 #[test]
-fn a_restart_that_remembers_nothing_uses_no_number_again() {
+fn restart_does_not_reuse_version_identifiers() {
     let mut seen = std::collections::BTreeSet::new();
-    // The clock is set back between two starts, and two begin in the same millisecond.
+    // The clock is set back between two starts, and two starts share a millisecond.
     for (at, chance) in [(5_000.0, 1), (4_000.0, 2), (5_000.0, 3), (5_000.9, 4)] {
-        let mut history = History::new(issuer("n0", start_id(at, chance)), 1, ROOMY);
+        let mut history = History::new(issuer("n0", start_id(at, chance)), 1, LIMITS);
         for n in 1..=50 {
             let issued = history
                 .issue(0.0, 0, table(&[("s", f64::from(n))]))
@@ -174,8 +170,8 @@
             assert!(seen.insert(issued.to_string()), "{issued} twice");
         }
     }
-    // Where a block was reserved, numbers go on from there.
-    let mut history = History::new(issuer("n0", 9), 1_000, ROOMY);
+    // Numbering starts at `first`.
+    let mut history = History::new(issuer("n0", 9), 1_000, LIMITS);
     assert_eq!(
         history.issue(0.0, 0, table(&[("s", 1.0)])).unwrap().number,
         1_000
@@ -183,7 +179,7 @@
 }
 
 #[test]
-fn kept_versions_are_bounded_and_what_is_held_stays() {
+fn history_evicts_all_but_pinned_and_newest_versions() {
     let mut history = History::new(
         issuer("n0", 1),
         1,
@@ -202,20 +198,20 @@
     history.pin(first);
     (2..=20).for_each(|n| _ = issue(&mut history, n));
     let kept: Vec<u64> = history.all().map(|(_, i)| i.version.number).collect();
-    assert_eq!(kept, [1, 19, 20], "the pinned one, and the newest");
+    assert_eq!(kept, [1, 19, 20], "the pinned and the newest versions");
     assert!(
         history.as_of(0, 1).is_some() && history.as_of(0, 7).is_none(),
-        "dropped is not guessed"
+        "evicted versions are not approximated"
     );
     history.unpin(first);
     issue(&mut history, 21);
     assert!(history.get(first).is_none());
     assert!(
         history.issue(0.0, 0, table(&[("s", 21.0)])).is_none(),
-        "the same lines are no new version"
+        "equal content is not issued again"
     );
-    // By bytes, over all tables: the newest of each and the pinned stay, whatever they take.
-    let mut tight = History::new(
+    // The memory limit applies to all tables; pinned and newest versions are kept regardless.
+    let mut limited = History::new(
         issuer("n0", 1),
         1,
         RetentionLimits {
@@ -224,25 +220,25 @@
         },
     );
     for n in 1..=200_u32 {
-        let number = tight
+        let number = limited
             .issue(0.0, (n % 4) as TableId, table(&[("s", f64::from(n))]))
             .unwrap()
             .number;
-        _ = (n == 30).then(|| tight.pin(number));
+        _ = (n == 30).then(|| limited.pin(number));
     }
     assert!(
-        tight.bytes() <= 1_000 && tight.get(30).is_some(),
+        limited.bytes() <= 1_000 && limited.get(30).is_some(),
         "{}",
-        tight.bytes()
+        limited.bytes()
     );
-    assert!((0..4).all(|id| tight.newest(id).is_some()));
+    assert!((0..4).all(|id| limited.newest(id).is_some()));
 }
 
 fn lines() -> impl Strategy<Value = Vec<(u8, u8)>> {
     prop::collection::vec((0_u8..40, 0_u8..6), 0..40)
 }
 
-fn made(lines: &[(u8, u8)]) -> Table {
+fn table_from(lines: &[(u8, u8)]) -> Table {
     let by_name: std::collections::BTreeMap<u8, u8> = lines.iter().copied().collect();
     Table::from_lines(
         by_name
@@ -254,20 +250,20 @@
 
 proptest! {
     #[test]
-    fn a_delta_is_minimal_and_ends_where_it_says(a in lines(), b in lines(), other in lines()) {
-        let (a, b, other) = (made(&a), made(&b), made(&other));
+    fn delta_is_minimal_and_verified(a in lines(), b in lines(), other in lines()) {
+        let (a, b, other) = (table_from(&a), table_from(&b), table_from(&other));
         let delta = Delta::between(&a, &b);
         prop_assert_eq!(delta.apply(&a).unwrap(), b.clone());
         let names = a.lines().chain(b.lines()).map(|(n, _)| n.clone());
         let names: std::collections::BTreeSet<Name> = names.collect();
         let differ = names.iter().filter(|n| a.weight(n) != b.weight(n)).count();
-        prop_assert_eq!(delta.changes.len(), differ, "as many lines as differ");
-        // To another start it is not applied, also where the result would look sound.
+        prop_assert_eq!(delta.changes.len(), differ, "one change per differing line");
+        // A delta applies to its base table only.
         if other != a {
             let refused = matches!(delta.apply(&other), Err(delta::ApplyError::BaseMismatch { .. }));
             prop_assert!(refused);
         }
-        // Taken apart: one change lost on the way is found out.
+        // A missing change is detected by the digest of the result.
         if !delta.changes.is_empty() {
             let mut cut = delta.clone();
             cut.changes.pop();
@@ -284,7 +280,7 @@
 
     #[test]
     fn equal_digests_mean_equal_lines(a in lines(), b in lines()) {
-        let (a, b) = (made(&a), made(&b));
+        let (a, b) = (table_from(&a), table_from(&b));
         prop_assert_eq!(a.digest() == b.digest(), a.canonical() == b.canonical());
         prop_assert_eq!(a == b, a.digest() == b.digest());
     }
