--- a/crates/rookpulley-versions/benches/versions.rs
+++ b/crates/rookpulley-versions/benches/versions.rs
@@ -64,12 +64,12 @@
         timeouts,
     );
     let lines = table(SERVERS, 0);
-    for dispatcher in 0..DISPATCHERS {
-        manager.join(0.0, dispatcher, None);
-        manager.issue(0.0, dispatcher, lines.clone());
-        manager.bind(0.0, dispatcher, 1, dispatcher);
-        manager.record_sent(0.0, dispatcher, &[dispatcher], Some(0));
-        manager.acknowledge(1.0, dispatcher, 0, &BTreeMap::new());
+    for id in 0..DISPATCHERS {
+        manager.join(0.0, id, None);
+        manager.issue(0.0, id, lines.clone());
+        manager.bind(0.0, id, 1, id);
+        manager.record_sent(0.0, id, &[id], Some(0));
+        manager.acknowledge(1.0, id, 0, &BTreeMap::new());
     }
     manager
 }
@@ -84,12 +84,11 @@
         bench.iter_batched_ref(
             manager,
             |manager| {
-                for dispatcher in 0..DISPATCHERS {
-                    manager.issue(2.0, dispatcher, changed.clone());
-                    manager.record_sent(2.0, dispatcher, &[dispatcher], Some(1));
+                for id in 0..DISPATCHERS {
+                    manager.issue(2.0, id, changed.clone());
+                    manager.record_sent(2.0, id, &[id], Some(1));
                 }
-                (0..DISPATCHERS)
-                    .for_each(|dispatcher| manager.acknowledge(3.0, dispatcher, 1, &nothing));
+                (0..DISPATCHERS).for_each(|id| manager.acknowledge(3.0, id, 1, &nothing));
                 assert!(manager.due_resends(4.0).is_empty() && manager.all_in_sync());
             },
             BatchSize::LargeInput,
@@ -103,14 +102,12 @@
         let lines: BTreeMap<Name, f64> = changed.lines().map(|(n, w)| (n.clone(), w)).collect();
         let sent = || {
             (0..DISPATCHERS)
-                .map(|dispatcher| (dispatcher, lines.clone()))
+                .map(|id| (id, lines.clone()))
                 .collect::<BTreeMap<_, _>>()
         };
         bench.iter_batched_ref(
             sent,
-            |sent| {
-                (0..DISPATCHERS).for_each(|dispatcher| _ = sent.insert(dispatcher, lines.clone()))
-            },
+            |sent| (0..DISPATCHERS).for_each(|id| _ = sent.insert(id, lines.clone())),
             BatchSize::LargeInput,
         );
     });
--- a/crates/rookpulley-versions/src/deliveries.rs
+++ b/crates/rookpulley-versions/src/deliveries.rs
@@ -676,9 +676,7 @@
             newest.filter(|i| state.sent.is_none() || claim.version.as_ref() == Some(&i.version));
         let (event, confirmed) = match (known, confirmed_newest) {
             (None, _) => (SyncEvent::UnknownTable, None),
-            (_, Some(newest)) if !pending => {
-                (SyncEvent::ConfirmedNewest, Some(newest.version.number))
-            }
+            (_, Some(i)) if !pending => (SyncEvent::ConfirmedNewest, Some(i.version.number)),
             // Nothing is in flight that could bring the dispatcher to the version sent.
             (known, _) if !pending && state.sent.is_some() && known != state.sent => {
                 (SyncEvent::LossDetected, known)
--- a/crates/rookpulley-versions/src/holder.rs
+++ b/crates/rookpulley-versions/src/holder.rs
@@ -55,14 +55,14 @@
 pub struct Holder {
     stream: u64,
     /// The number of the newest version accepted on this stream.
-    newest_number: Option<u64>,
+    newest: Option<u64>,
     held: Option<(Version, Arc<Table>)>,
 }
 
 impl Holder {
     /// Switches to a new stream and keeps the held table.
     pub fn follow_stream(&mut self, stream: u64) {
-        (self.stream, self.newest_number) = (stream, None);
+        (self.stream, self.newest) = (stream, None);
     }
 
     pub fn version(&self) -> Option<&Version> {
@@ -83,9 +83,7 @@
         let mut new_table = None;
         let kind = match &order.update {
             _ if stream != self.stream => OrderKind::StaleStream,
-            _ if self.newest_number.is_some_and(|n| order.version.number < n) => {
-                OrderKind::Superseded
-            }
+            _ if self.newest.is_some_and(|n| order.version.number < n) => OrderKind::Superseded,
             update if held.as_ref().is_some_and(|t| t.digest() == update.digest()) => {
                 OrderKind::SameTable
             }
@@ -107,7 +105,7 @@
             .find(|row| row.0 == kind)
             .map_or(Outcome::Refused, |row| row.1);
         if matches!(outcome, Outcome::Applied | Outcome::VersionUpdated) {
-            self.newest_number = Some(order.version.number);
+            self.newest = Some(order.version.number);
             self.held = new_table
                 .or(held)
                 .map(|table| (order.version.clone(), table));
