--- a/crates/rookpulley-lists/src/candidate.rs
+++ b/crates/rookpulley-lists/src/candidate.rs
@@ -1,22 +1,22 @@
-//! What a source offers, and the checks that it must pass. A candidate that fails one changes nothing at all.
+//! Server lists as offered by a source, and their validation.
 
 use rookpulley::facts::Start;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A weight beyond this is a slip of the hand.
+/// The maximum weight; larger values are taken for typing errors.
 pub const MAX_WEIGHT: f64 = 10_000.0;
-/// A list may take away this part of the capacity at once unless it says more aloud.
+/// The maximum share of the capacity that a list may remove at once, unless it declares a larger `loss`.
 pub const DEFAULT_MAX_LOSS: f64 = 0.5;
-/// A start so far in the future is a slip, too.
-const AHEAD_MS: f64 = 60_000.0;
-/// Reasons told of one candidate; the others are counted.
-const REASONS_MOST: usize = 50;
+/// How far in the future a start may lie, to tolerate clock differences.
+const MAX_START_AHEAD_MS: f64 = 60_000.0;
+/// The maximum number of reasons listed per candidate; further ones are only counted.
+const MAX_REASONS: usize = 50;
 
-/// Where something stands in a file: line and column, from 1.
+/// A position in a file: line and column, starting at 1.
 pub type Place = (usize, usize);
 
-/// One server as a source names it.
+/// A server as listed by a source.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Entry {
     pub name: String,
@@ -25,35 +25,35 @@
     pub machine: String,
     pub bay: u16,
     pub weight: f64,
-    /// It wants nothing new, and finishes what it has.
+    /// The server accepts no new requests and finishes those in flight.
     pub drains: bool,
-    /// When it last started, in Unix milliseconds; 0: long ago.
+    /// The last start in Unix milliseconds; 0 if not given.
     pub started_ms: f64,
     pub place: Option<Place>,
 }
 
-/// A whole list as a source offers it.
+/// A complete list as offered by a source.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Candidate {
-    /// Rises with every list of its source.
+    /// Increases with every list of the source.
     pub generation: u64,
-    /// The part of the capacity that it may take away, where it says so aloud.
+    /// The declared maximum share of the capacity that the list may remove.
     pub loss: Option<f64>,
     pub entries: Vec<Entry>,
 }
 
-/// A request kind, as far as lists are concerned.
+/// A request kind and the servers that may receive it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Kind {
     pub name: String,
-    /// The only zones, or kinds of machine, that may be sent it; empty: any.
+    /// The allowed zones and kinds of machine; empty for any.
     pub zones: Vec<String>,
     pub machines: Vec<String>,
-    /// Only servers of the proxy's own zone may be sent it.
+    /// Whether only servers in the zone of the proxy may receive it.
     pub own_zone: bool,
 }
 
-/// What the deployment is like.
+/// The zones, kinds of machine and request kinds of the deployment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Deployment {
     pub zones: Vec<String>,
@@ -62,7 +62,7 @@
 }
 
 impl Deployment {
-    /// As a start tells them; kinds of machine are named by the front.
+    /// Derives the deployment from the start settings; `machines` names the kinds of machine.
     pub fn from_start(start: &Start, machines: &[String]) -> Self {
         let zones = start.place.zones.clone();
         let names = |places: &[u16], of: &[String]| {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Where nothing is known of the deployment: any zone and machine that a list names is believed.
+    /// For an unknown deployment: accepts any zone and kind of machine that the list names.
     pub fn from_list(list: &Candidate) -> Self {
         let zones: BTreeSet<&String> = list.entries.iter().map(|e| &e.zone).collect();
         Self {
@@ -95,28 +95,28 @@
     }
 }
 
-/// Why a list is refused; each says what to write instead.
+/// Why a list is rejected. Each message states the remedy.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Reason {
-    #[error("it names no server; write one, or stop following this file")]
+    #[error("the list is empty; add a server, or stop following this file")]
     EmptyList,
-    #[error("generation {offered} is older than {held}, which is held; write generation({}) or more", held + 1)]
+    #[error("generation {offered} is older than the current {held}; write generation({}) or more", held + 1)]
     OlderGeneration { offered: u64, held: u64 },
-    #[error("generation {held} was taken with other lines; write generation({})", held + 1)]
+    #[error("generation {held} was accepted with different content; write generation({})", held + 1)]
     GenerationReused { held: u64 },
-    #[error("{name:?} stands twice, first at line {first}; write it once")]
+    #[error("{name:?} is listed twice, first at line {first}; write it once")]
     DuplicateName { name: String, first: usize },
     #[error(
-        "{name:?} has the address {address} of {other:?}; write one name for it, or its own address"
+        "{name:?} has the same address {address} as {other:?}; list the server once, or correct the address"
     )]
     DuplicateAddress {
         name: String,
         address: String,
         other: String,
     },
-    #[error("{name:?} is no name; write 1 to 200 printable characters without spaces")]
+    #[error("{name:?} is not a valid name; write 1 to 200 printable characters without spaces")]
     InvalidName { name: String },
-    #[error("{name:?} has the address {address:?}; write one such as \"10.0.0.1:8000\"")]
+    #[error("{name:?} has the invalid address {address:?}; write one such as \"10.0.0.1:8000\"")]
     InvalidAddress { name: String, address: String },
     #[error("{name:?} is of zone {zone:?}; write one of {known}")]
     UnknownZone {
@@ -130,33 +130,33 @@
         machine: String,
         known: String,
     },
-    #[error("{name:?} has the weight {weight}; write a figure from 0 to {MAX_WEIGHT}")]
+    #[error("{name:?} has the weight {weight}; write a number from 0 to {MAX_WEIGHT}")]
     InvalidWeight { name: String, weight: f64 },
-    #[error("{name:?} starts at {started_ms:.0}, which is to come; write when it last started")]
-    FutureStart { name: String, started_ms: f64 },
     #[error(
-        "{name:?} was drained; write started = {least_ms:.0} or later once it has started anew"
+        "{name:?} has the start {started_ms:.0}, which is in the future; write the time of its last start"
     )]
+    FutureStart { name: String, started_ms: f64 },
+    #[error("{name:?} was drained; write started = {least_ms:.0} or later once it has restarted")]
     AlreadyDrained { name: String, least_ms: f64 },
-    #[error("every weight is 0; write a weight above 0 for those that are to serve")]
+    #[error("every weight is 0; write a weight above 0 for the servers that should serve")]
     ZeroWeight,
     #[error("every weight of zone {0:?} is 0; write a weight above 0 there, or drains = True")]
     ZeroWeightZone(String),
-    #[error("no server is left for {kind}{}; keep one that serves it", from.as_ref().map(|z| format!(" from zone {z:?}")).unwrap_or_default())]
+    #[error("no server is left for {kind}{}; keep at least one that serves it", from.as_ref().map(|z| format!(" from zone {z:?}")).unwrap_or_default())]
     Unserved { kind: String, from: Option<String> },
     #[error(
-        "it takes away {part:.2} of the capacity at once, {most:.2} are allowed; write loss({part:.2}) if that is meant"
+        "the list removes {loss:.2} of the capacity at once, but {max_loss:.2} is allowed; write loss({loss:.2}) if this is intended"
     )]
-    CapacityLoss { part: f64, most: f64 },
-    #[error("loss({0}) is no part of the whole; write a figure from 0 to 1")]
+    CapacityLoss { loss: f64, max_loss: f64 },
+    #[error("loss({0}) is out of range; write a number from 0 to 1")]
     InvalidLoss(f64),
 }
 
-/// All the reasons, each with its place where it has one.
+/// All reasons for a rejection, each with its position in the file if known.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rejection {
     pub reasons: Vec<(Option<Place>, Reason)>,
-    /// Further ones that are not listed.
+    /// The number of further reasons that are not listed.
     pub more: usize,
 }
 
@@ -179,7 +179,7 @@
 
 impl Rejection {
     pub fn add(&mut self, place: Option<Place>, reason: Reason) {
-        if self.reasons.len() < REASONS_MOST {
+        if self.reasons.len() < MAX_REASONS {
             self.reasons.push((place, reason))
         } else {
             self.more += 1
@@ -198,13 +198,14 @@
 }
 
 impl Kind {
-    pub fn open(&self, entry: &Entry) -> bool {
-        let among = |of: &[String], one: &String| of.is_empty() || of.contains(one);
-        among(&self.zones, &entry.zone) && among(&self.machines, &entry.machine)
+    /// Whether the server may receive this request kind.
+    pub fn allows(&self, entry: &Entry) -> bool {
+        let allowed = |of: &[String], one: &String| of.is_empty() || of.contains(one);
+        allowed(&self.zones, &entry.zone) && allowed(&self.machines, &entry.machine)
     }
 }
 
-fn list(names: &[String]) -> String {
+fn quoted_list(names: &[String]) -> String {
     names
         .iter()
         .map(|n| format!("{n:?}"))
@@ -212,13 +213,18 @@
         .join(", ")
 }
 
-/// Checks a list by itself: names, addresses, zones, weights.
-pub fn validate_list(now: f64, offered: &Candidate, facts: &Deployment, refused: &mut Rejection) {
+/// Validates a list on its own: names, addresses, zones, weights, starts and coverage.
+pub fn validate_list(
+    now: f64,
+    offered: &Candidate,
+    deployment: &Deployment,
+    rejection: &mut Rejection,
+) {
     if offered.entries.is_empty() {
-        refused.add(None, Reason::EmptyList);
+        rejection.add(None, Reason::EmptyList);
     }
     if let Some(loss) = offered.loss.filter(|l| !(0.0..=1.0).contains(l)) {
-        refused.add(None, Reason::InvalidLoss(loss));
+        rejection.add(None, Reason::InvalidLoss(loss));
     }
     let mut names: BTreeMap<&str, &Entry> = BTreeMap::new();
     let mut addresses: BTreeMap<&str, &str> = BTreeMap::new();
@@ -228,11 +234,11 @@
             || name.len() > 200
             || name.chars().any(|c| c.is_control() || c.is_whitespace())
         {
-            refused.add(place, Reason::InvalidName { name: name.clone() });
+            rejection.add(place, Reason::InvalidName { name: name.clone() });
         }
         if let Some(first) = names.insert(&entry.name, entry) {
             let first = first.place.map_or(0, |(line, _)| line);
-            refused.add(
+            rejection.add(
                 place,
                 Reason::DuplicateName {
                     name: name.clone(),
@@ -246,7 +252,7 @@
             .rsplit_once(':')
             .is_none_or(|(host, port)| host.is_empty() || port.parse::<u16>().is_err())
         {
-            refused.add(
+            rejection.add(
                 place,
                 Reason::InvalidAddress {
                     name: name.clone(),
@@ -255,7 +261,7 @@
             );
         } else if let Some(other) = addresses.insert(&entry.address, &entry.name) {
             let other = other.to_string();
-            refused.add(
+            rejection.add(
                 place,
                 Reason::DuplicateAddress {
                     name: name.clone(),
@@ -264,9 +270,9 @@
                 },
             );
         }
-        if !facts.zones.contains(&entry.zone) {
-            let known = list(&facts.zones);
-            refused.add(
+        if !deployment.zones.contains(&entry.zone) {
+            let known = quoted_list(&deployment.zones);
+            rejection.add(
                 place,
                 Reason::UnknownZone {
                     name: name.clone(),
@@ -275,9 +281,9 @@
                 },
             );
         }
-        if !facts.machines.is_empty() && !facts.machines.contains(&entry.machine) {
-            let known = list(&facts.machines);
-            refused.add(
+        if !deployment.machines.is_empty() && !deployment.machines.contains(&entry.machine) {
+            let known = quoted_list(&deployment.machines);
+            rejection.add(
                 place,
                 Reason::UnknownMachine {
                     name: name.clone(),
@@ -287,7 +293,7 @@
             );
         }
         if !(0.0..=MAX_WEIGHT).contains(&entry.weight) {
-            refused.add(
+            rejection.add(
                 place,
                 Reason::InvalidWeight {
                     name: name.clone(),
@@ -295,8 +301,8 @@
                 },
             );
         }
-        if !(entry.started_ms >= 0.0 && entry.started_ms <= now + AHEAD_MS) {
-            refused.add(
+        if !(entry.started_ms >= 0.0 && entry.started_ms <= now + MAX_START_AHEAD_MS) {
+            rejection.add(
                 place,
                 Reason::FutureStart {
                     name,
@@ -305,14 +311,14 @@
             );
         }
     }
-    check_serves(&offered.entries, facts, refused);
+    validate_coverage(&offered.entries, deployment, rejection);
 }
 
-/// Checks that somebody serves every request kind, from every zone.
-fn check_serves(entries: &[Entry], facts: &Deployment, refused: &mut Rejection) {
+/// Checks that every request kind has a serving server, in every zone for kinds limited to their own zone.
+fn validate_coverage(entries: &[Entry], deployment: &Deployment, rejection: &mut Rejection) {
     let serving: Vec<&Entry> = entries.iter().filter(|e| e.serves()).collect();
     if serving.is_empty() && !entries.is_empty() {
-        return refused.add(None, Reason::ZeroWeight);
+        return rejection.add(None, Reason::ZeroWeight);
     }
     let zones: BTreeSet<&String> = entries
         .iter()
@@ -321,17 +327,17 @@
         .collect();
     for zone in zones {
         if !serving.iter().any(|e| e.zone == *zone) {
-            refused.add(None, Reason::ZeroWeightZone(zone.clone()));
+            rejection.add(None, Reason::ZeroWeightZone(zone.clone()));
         }
     }
-    for kind in &facts.kinds {
-        let bare = |from: Option<&String>| {
+    for kind in &deployment.kinds {
+        let unserved = |from: Option<&String>| {
             !serving
                 .iter()
-                .any(|e| kind.open(e) && from.is_none_or(|zone| e.zone == *zone))
+                .any(|e| kind.allows(e) && from.is_none_or(|zone| e.zone == *zone))
         };
-        if !kind.own_zone && bare(None) {
-            refused.add(
+        if !kind.own_zone && unserved(None) {
+            rejection.add(
                 None,
                 Reason::Unserved {
                     kind: kind.name.clone(),
@@ -339,12 +345,12 @@
                 },
             );
         }
-        for zone in facts
+        for zone in deployment
             .zones
             .iter()
-            .filter(|zone| kind.own_zone && bare(Some(*zone)))
+            .filter(|zone| kind.own_zone && unserved(Some(*zone)))
         {
-            refused.add(
+            rejection.add(
                 None,
                 Reason::Unserved {
                     kind: kind.name.clone(),
@@ -355,15 +361,15 @@
     }
 }
 
-/// The weight that serves.
+/// The total weight of the serving entries.
 pub fn capacity<'a>(entries: impl Iterator<Item = &'a Entry>) -> f64 {
     entries.filter(|e| e.serves()).map(|e| e.weight).sum()
 }
 
-/// Checks a list against the one held of the same source.
-pub fn validate_change(offered: &Candidate, held: &Candidate, refused: &mut Rejection) {
+/// Validates a list against the current one of the same source: generation and lost capacity.
+pub fn validate_change(offered: &Candidate, held: &Candidate, rejection: &mut Rejection) {
     if offered.generation < held.generation {
-        refused.add(
+        rejection.add(
             None,
             Reason::OlderGeneration {
                 offered: offered.generation,
@@ -371,37 +377,42 @@
             },
         );
     } else if offered.generation == held.generation && offered.entries != held.entries {
-        refused.add(
+        rejection.add(
             None,
             Reason::GenerationReused {
                 held: held.generation,
             },
         );
     }
-    // What each server loses; gains elsewhere make up for nothing, since they start cold.
-    let stays: BTreeMap<&str, &Entry> = offered
+    // Added capacity does not offset losses, because new servers start cold.
+    let offered_by_name: BTreeMap<&str, &Entry> = offered
         .entries
         .iter()
         .map(|e| (e.name.as_str(), e))
         .collect();
-    let left = |e: &Entry| {
-        stays
+    let remaining_weight = |e: &Entry| {
+        offered_by_name
             .get(e.name.as_str())
             .filter(|n| n.serves())
             .map_or(0.0, |n| n.weight.min(e.weight))
     };
     let before = capacity(held.entries.iter());
-    let kept: f64 = held.entries.iter().filter(|e| e.serves()).map(left).sum();
-    let (part, most) = (
+    let kept: f64 = held
+        .entries
+        .iter()
+        .filter(|e| e.serves())
+        .map(remaining_weight)
+        .sum();
+    let (loss, max_loss) = (
         1.0 - kept / before.max(1e-9),
         offered.loss.unwrap_or(DEFAULT_MAX_LOSS),
     );
-    if before > 0.0 && part > most + 1e-9 {
-        refused.add(
+    if before > 0.0 && loss > max_loss + 1e-9 {
+        rejection.add(
             None,
             Reason::CapacityLoss {
-                part: (part * 100.0).ceil() / 100.0,
-                most,
+                loss: (loss * 100.0).ceil() / 100.0,
+                max_loss,
             },
         );
     }
--- a/crates/rookpulley-lists/src/lib.rs
+++ b/crates/rookpulley-lists/src/lib.rs
@@ -1,12 +1,12 @@
-//! A server list from any source becomes one checked generation, or is refused with all its reasons; and drains
-//! are remembered, so that nothing old brings a drained server back.
+//! Validates server lists and merges them with service discovery. A list is accepted as a whole or rejected with
+//! all reasons. Drains are remembered, so that an outdated list cannot return a drained server to service.
 //!
-//! Free of I/O: the clock, what a source offers and what the deployment is like come in as arguments.
+//! The package performs no I/O: the time, the lists and the deployment are arguments.
 //!
-//! - [`candidate`]: what a source offers, and the checks that it must pass.
-//! - [`membership`]: each server's part in it, from a table of state, input, next state, effect.
-//! - [`merge`]: several sources at once, and the list that the module is told.
-//! - [`mod@plan`]: what one list would change against another.
+//! - [`candidate`]: lists as offered by a source, and their validation.
+//! - [`membership`]: the state machine of a server.
+//! - [`merge`]: merges the server file with discovery into updates for the decision module.
+//! - [`mod@plan`]: the differences between two lists.
 
 pub mod candidate;
 pub mod membership;
--- a/crates/rookpulley-lists/src/membership.rs
+++ b/crates/rookpulley-lists/src/membership.rs
@@ -1,46 +1,47 @@
-//! Each server's part in the list. A server that drains, or that a list drops, stays drained: only a later start
-//! makes it usable again, whatever list names it.
+//! The state machine of a listed server. A server that drains, or that is dropped from the list, returns to
+//! service only after a later start.
 
-/// What a server is to us.
+/// The state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// Never named.
+    /// Not listed yet.
     Unknown,
     Serving,
-    /// Told to drain, by a list or by being dropped; it finishes what it has.
+    /// Drained by a list or by removal from it; requests in flight finish.
     Draining,
-    /// Its grace is over, and no list names it as serving since.
+    /// The drain grace period has expired, and the server has not started since.
     Drained,
 }
 
+/// An input of the server state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberEvent {
-    /// A list names it as serving, with a start that is not later than its drain.
+    /// Listed as serving, without a new start.
     Listed,
-    /// The same, with a later start.
+    /// Listed as serving, with a start later than the last known start and drain.
     Restarted,
-    /// A list names it as draining.
+    /// Listed as draining.
     Drains,
-    /// The list that named it does not any more.
+    /// No longer listed.
     Dropped,
     GraceExpired,
 }
 
-/// What follows for the list that the module is told.
+/// The effect of a transition on the list reported to the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Keep,
-    /// Told as ready.
+    /// Reports the server as ready.
     Serve,
-    /// Told as draining.
+    /// Reports the server as draining.
     Drain,
-    /// Told as gone.
+    /// Reports the server as gone.
     Remove,
-    /// It stays as it is, and the list that names it so is at odds with what is known.
+    /// The state stays; the list contradicts a known drain.
     Reject,
 }
 
-/// State, input, next state, effect. What is not here changes nothing.
+/// State, event, next state, effect. Combinations not listed leave the state unchanged.
 pub const MEMBERSHIP: &[(State, MemberEvent, State, Effect)] = &[
     (
         State::Unknown,
@@ -122,13 +123,13 @@
     ),
 ];
 
-/// One server, as far as it is remembered.
+/// The remembered state of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     pub state: State,
-    /// When it last started, as far as any list says.
+    /// The latest known start.
     pub started_ms: f64,
-    /// Since when it drains; the start that makes it usable again is later.
+    /// When the drain began. Only a later start returns the server to service.
     pub drained_ms: f64,
 }
 
@@ -141,38 +142,38 @@
         }
     }
 
-    /// The cue that naming it as serving, with this start, is.
-    pub fn named(&self, started_ms: f64) -> MemberEvent {
+    /// The event caused by listing the server as serving with this start.
+    pub fn listing_event(&self, started_ms: f64) -> MemberEvent {
         let drained = matches!(self.state, State::Draining | State::Drained);
-        let later = started_ms
+        let restarted = started_ms
             > if drained {
                 self.drained_ms.max(self.started_ms)
             } else {
                 self.started_ms
             };
-        if later {
+        if restarted {
             MemberEvent::Restarted
         } else {
             MemberEvent::Listed
         }
     }
 
-    /// Takes one step of the table above.
-    pub fn step(&mut self, now: f64, cue: MemberEvent, started_ms: f64) -> Effect {
-        let Some(row) = MEMBERSHIP
+    /// Applies an event according to `MEMBERSHIP`.
+    pub fn step(&mut self, now: f64, event: MemberEvent, started_ms: f64) -> Effect {
+        let Some(transition) = MEMBERSHIP
             .iter()
-            .find(|row| row.0 == self.state && row.1 == cue)
+            .find(|transition| transition.0 == self.state && transition.1 == event)
         else {
             return Effect::Keep;
         };
-        if row.2 == State::Draining && self.state != State::Draining {
+        if transition.2 == State::Draining && self.state != State::Draining {
             self.drained_ms = now;
         }
-        self.state = row.2;
-        if row.3 != Effect::Reject {
+        self.state = transition.2;
+        if transition.3 != Effect::Reject {
             self.started_ms = self.started_ms.max(started_ms);
         }
-        row.3
+        transition.3
     }
 }
 
--- a/crates/rookpulley-lists/src/merge.rs
+++ b/crates/rookpulley-lists/src/merge.rs
@@ -1,8 +1,8 @@
-//! Several sources at once, and the list that the module is told.
+//! Merges the server file with service discovery into updates for the decision module.
 //!
-//! The file is trusted for which servers there are and for their weights, discovery for nothing but what it sees of
-//! them: a drain or a start that it tells counts, whatever the file says. A drain from either counts at once. A
-//! source that falls silent or offers what is refused leaves its last good list in force.
+//! The file determines which servers exist and their weights. Discovery contributes only observed drains and
+//! starts, which take precedence over the file. A drain from either source takes effect at once. If a source
+//! fails or offers an invalid list, its last accepted list stays in force.
 
 use crate::candidate::{
     Candidate, Deployment, Entry, Reason, Rejection, validate_change, validate_list,
@@ -11,52 +11,53 @@
 use rookpulley::facts::{ListScope, Stage};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Remembered names, those listed included; of more the oldest drains of unlisted ones are given up.
-const REMEMBERED_MOST: usize = 50_000;
+/// The maximum number of remembered servers. Beyond it, unlisted servers with the oldest drains are forgotten.
+const MAX_REMEMBERED_SERVERS: usize = 50_000;
 
-/// A server is told as gone within this part of the grace after it.
-const LOOKS: f64 = 8.0;
+/// The number of checks for expired drains per grace period.
+const CHECKS_PER_GRACE: f64 = 8.0;
 
-/// A server as the module is to be told.
+/// The state of a server to report to the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerUpdate {
     pub entry: Entry,
     pub stage: Stage,
 }
 
-/// The lists held, and what is remembered of every server.
+/// The accepted list and the remembered state of every server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerLists {
-    facts: Deployment,
-    /// A drain is kept so long before the server counts as gone.
+    deployment: Deployment,
+    /// How long a server drains before it is reported as gone.
     grace_ms: f64,
     held: Option<Candidate>,
     accepted_ms: f64,
     members: BTreeMap<String, Member>,
-    /// Servers as they were last named, for as long as they drain.
-    leaving: BTreeMap<String, Entry>,
-    /// Drains that discovery tells of, by name, with the start that it knows.
-    seen_draining: BTreeMap<String, f64>,
+    /// The last listed entries of draining servers.
+    draining: BTreeMap<String, Entry>,
+    /// Drains observed by discovery: server name and its start at that time.
+    discovered_drains: BTreeMap<String, f64>,
 }
 
-/// Whether discovery sees a server draining that has not started since.
-fn seen(seen_draining: &BTreeMap<String, f64>, entry: &Entry) -> bool {
-    seen_draining
+/// Whether discovery reported the server as draining and the entry has no later start.
+fn is_discovered_draining(discovered_drains: &BTreeMap<String, f64>, entry: &Entry) -> bool {
+    discovered_drains
         .get(&entry.name)
         .is_some_and(|started| entry.started_ms <= *started)
 }
 
 impl ServerLists {
-    pub fn new(facts: Deployment, grace_ms: f64) -> Self {
-        let (members, leaving, seen_draining) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+    pub fn new(deployment: Deployment, grace_ms: f64) -> Self {
+        let (members, draining, discovered_drains) =
+            (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Self {
-            facts,
+            deployment,
             grace_ms,
             held: None,
             accepted_ms: 0.0,
             members,
-            leaving,
-            seen_draining,
+            draining,
+            discovered_drains,
         }
     }
 
@@ -64,36 +65,36 @@
         self.held.as_ref()
     }
 
-    /// When the list held was accepted.
+    /// When the current list was accepted.
     pub fn accepted_ms(&self) -> f64 {
         self.accepted_ms
     }
 
-    /// All the reasons against a candidate; none: it would be taken. Nothing changes.
+    /// Validates a candidate without applying it and collects all reasons against it.
     pub fn validate(&self, now: f64, offered: &Candidate) -> Result<(), Rejection> {
-        let mut refused = Rejection::default();
-        // Who is seen draining serves nobody, whatever the list says.
-        let mut as_seen = offered.clone();
-        as_seen
+        let mut rejection = Rejection::default();
+        // Servers that discovery reports as draining provide no capacity.
+        let mut effective = offered.clone();
+        effective
             .entries
             .iter_mut()
-            .for_each(|e| e.drains |= seen(&self.seen_draining, e));
-        validate_list(now, &as_seen, &self.facts, &mut refused);
+            .for_each(|e| e.drains |= is_discovered_draining(&self.discovered_drains, e));
+        validate_list(now, &effective, &self.deployment, &mut rejection);
         if let Some(held) = &self.held {
-            validate_change(offered, held, &mut refused);
+            validate_change(offered, held, &mut rejection);
         }
         for entry in offered.entries.iter().filter(|e| !e.drains) {
             let Some(member) = self.members.get(&entry.name) else {
                 continue;
             };
             let drained = matches!(member.state, State::Draining | State::Drained);
-            // What discovery sees draining is drained without the list having to say so.
+            // The list need not mark drains that discovery reports.
             if drained
-                && member.named(entry.started_ms) == MemberEvent::Listed
-                && !seen(&self.seen_draining, entry)
+                && member.listing_event(entry.started_ms) == MemberEvent::Listed
+                && !is_discovered_draining(&self.discovered_drains, entry)
             {
                 let least_ms = member.drained_ms.max(member.started_ms).floor() + 1.0;
-                refused.add(
+                rejection.add(
                     entry.place,
                     Reason::AlreadyDrained {
                         name: entry.name.clone(),
@@ -102,35 +103,37 @@
                 );
             }
         }
-        if refused.is_empty() {
+        if rejection.is_empty() {
             Ok(())
         } else {
-            Err(refused)
+            Err(rejection)
         }
     }
 
-    /// Takes a candidate entirely, or refuses it and changes nothing. Gives what the module is to be told.
+    /// Applies a candidate as a whole, or rejects it without changes. Returns the updates for the module.
     pub fn apply(&mut self, now: f64, offered: Candidate) -> Result<Vec<ServerUpdate>, Rejection> {
         self.validate(now, &offered)?;
-        let named: BTreeSet<&str> = offered.entries.iter().map(|e| e.name.as_str()).collect();
+        let listed: BTreeSet<&str> = offered.entries.iter().map(|e| e.name.as_str()).collect();
         let before = self.held.take().map(|h| h.entries).unwrap_or_default();
         let mut changed = BTreeSet::new();
-        for entry in before.iter().filter(|e| !named.contains(e.name.as_str())) {
+        for entry in before.iter().filter(|e| !listed.contains(e.name.as_str())) {
             self.step(now, entry, MemberEvent::Dropped, &mut changed);
         }
         for entry in &offered.entries {
             let member = self.members.entry(entry.name.clone()).or_default();
-            let seen = seen(&self.seen_draining, entry);
-            let cue = if entry.drains || seen {
+            let is_discovered_draining = is_discovered_draining(&self.discovered_drains, entry);
+            let event = if entry.drains || is_discovered_draining {
                 MemberEvent::Drains
             } else {
-                member.named(entry.started_ms)
+                member.listing_event(entry.started_ms)
             };
-            self.step(now, entry, cue, &mut changed);
+            self.step(now, entry, event, &mut changed);
         }
-        let was: BTreeMap<&str, &Entry> = before.iter().map(|e| (e.name.as_str(), e)).collect();
+        let previous: BTreeMap<&str, &Entry> =
+            before.iter().map(|e| (e.name.as_str(), e)).collect();
         let differs = |e: &&Entry| {
-            was.get(e.name.as_str())
+            previous
+                .get(e.name.as_str())
                 .is_none_or(|w| w.weight != e.weight || w.zone != e.zone)
         };
         changed.extend(
@@ -141,12 +144,12 @@
                 .map(|e| e.name.clone()),
         );
         (self.held, self.accepted_ms) = (Some(offered), now);
-        self.remember();
-        Ok(self.tell(&changed))
+        self.prune_members();
+        Ok(self.updates_for(&changed))
     }
 
-    /// Takes a candidate as `offer` does. The first one takes the place of whatever discovery told: it is told as
-    /// a whole list.
+    /// Like `apply`, but the first accepted candidate replaces the list of discovery and is returned as a full
+    /// list.
     pub fn accept(
         &mut self,
         now: f64,
@@ -161,21 +164,22 @@
         })
     }
 
-    /// A list of discovery's, by name, stage and start. None: no file was taken yet, and the list itself counts.
-    /// What discovery merely drops says nothing of a server that the file lists.
+    /// Applies a list of discovery: name, stage and start of each server. Returns `None` while no file has been
+    /// accepted; the list of discovery is then used itself. Servers missing from it keep their state.
     pub fn apply_discovery_list<'a>(
         &mut self,
         now: f64,
         list: impl Iterator<Item = (&'a str, Stage, f64)>,
     ) -> Option<Vec<ServerUpdate>> {
-        let mut told = Vec::new();
+        let mut updates = Vec::new();
         for (name, stage, started_ms) in list.filter(|(_, stage, _)| *stage != Stage::Gone) {
-            told.extend(self.observe(now, name, stage == Stage::Draining, started_ms));
+            updates.extend(self.observe(now, name, stage == Stage::Draining, started_ms));
         }
-        self.held.is_some().then_some(told)
+        self.held.is_some().then_some(updates)
     }
 
-    /// What discovery sees of a server: counted where a drain or a start is news, for servers of the file.
+    /// Applies the state of one server observed by discovery. Only new drains and starts of listed servers have an
+    /// effect.
     pub fn observe(
         &mut self,
         now: f64,
@@ -191,64 +195,71 @@
             .find(|e| e.name == name)
             .cloned();
         if drains {
-            self.seen_draining.insert(name.to_string(), started_ms);
+            self.discovered_drains.insert(name.to_string(), started_ms);
         } else if self
-            .seen_draining
+            .discovered_drains
             .get(name)
             .is_some_and(|known| started_ms > *known)
         {
-            self.seen_draining.remove(name);
+            self.discovered_drains.remove(name);
         }
         if let Some(mut entry) = entry {
             let member = self.members.entry(entry.name.clone()).or_default();
             entry.started_ms = entry.started_ms.max(started_ms);
-            let cue = match drains {
+            let event = match drains {
                 true => MemberEvent::Drains,
-                // A start that discovery saw makes it usable; its word that all is well does not.
-                false if !entry.drains => member.named(started_ms),
+                // Only a later start returns the server to service, not the state alone.
+                false if !entry.drains => member.listing_event(started_ms),
                 false => return Vec::new(),
             };
-            self.step(now, &entry, cue, &mut changed);
+            self.step(now, &entry, event, &mut changed);
         }
-        self.tell(&changed)
+        self.updates_for(&changed)
     }
 
-    /// So often it is worth while to ask whose grace is over.
+    /// The interval at which `expire_drains` should be called.
     pub fn check_interval_ms(&self) -> f64 {
-        self.grace_ms / LOOKS
+        self.grace_ms / CHECKS_PER_GRACE
     }
 
-    /// Time passes: whose grace is over.
+    /// Reports servers as gone whose drain grace period has expired.
     pub fn expire_drains(&mut self, now: f64) -> Vec<ServerUpdate> {
-        let over = |m: &Member| m.state == State::Draining && now - m.drained_ms >= self.grace_ms;
-        let over: Vec<String> = self
+        let expired =
+            |m: &Member| m.state == State::Draining && now - m.drained_ms >= self.grace_ms;
+        let expired: Vec<String> = self
             .members
             .iter()
-            .filter(|(_, m)| over(m))
+            .filter(|(_, m)| expired(m))
             .map(|(n, _)| n.clone())
             .collect();
         let mut changed = BTreeSet::new();
-        for name in over {
-            if let Some(entry) = self.leaving.get(&name).cloned() {
+        for name in expired {
+            if let Some(entry) = self.draining.get(&name).cloned() {
                 self.step(now, &entry, MemberEvent::GraceExpired, &mut changed);
             }
         }
-        let told = self.tell(&changed);
-        self.leaving.retain(|name, _| {
+        let updates = self.updates_for(&changed);
+        self.draining.retain(|name, _| {
             self.members
                 .get(name)
                 .is_some_and(|m| m.state == State::Draining)
         });
-        told
+        updates
     }
 
-    fn step(&mut self, now: f64, entry: &Entry, cue: MemberEvent, changed: &mut BTreeSet<String>) {
+    fn step(
+        &mut self,
+        now: f64,
+        entry: &Entry,
+        event: MemberEvent,
+        changed: &mut BTreeSet<String>,
+    ) {
         let member = self.members.entry(entry.name.clone()).or_default();
-        let effect = member.step(now, cue, entry.started_ms);
-        // While it drains it stands as it was last named.
+        let effect = member.step(now, event, entry.started_ms);
+        // Keeps the last listed entry while the server drains.
         match member.state {
-            State::Draining => _ = self.leaving.insert(entry.name.clone(), entry.clone()),
-            State::Serving => _ = self.leaving.remove(&entry.name),
+            State::Draining => _ = self.draining.insert(entry.name.clone(), entry.clone()),
+            State::Serving => _ = self.draining.remove(&entry.name),
             State::Unknown | State::Drained => {}
         }
         if !matches!(effect, Effect::Keep | Effect::Reject) {
@@ -256,10 +267,10 @@
         }
     }
 
-    /// Drains of servers that nothing names are remembered up to a bound.
-    fn remember(&mut self) {
-        let over = self.members.len().saturating_sub(REMEMBERED_MOST);
-        let named: BTreeSet<&String> = self
+    /// Forgets the oldest drains of unlisted servers beyond `MAX_REMEMBERED_SERVERS`.
+    fn prune_members(&mut self) {
+        let excess = self.members.len().saturating_sub(MAX_REMEMBERED_SERVERS);
+        let listed: BTreeSet<&String> = self
             .held
             .iter()
             .flat_map(|h| &h.entries)
@@ -268,41 +279,41 @@
         let mut old: Vec<(f64, String)> = self
             .members
             .iter()
-            .filter(|(n, _)| !named.contains(n))
+            .filter(|(n, _)| !listed.contains(n))
             .map(|(n, m)| (m.drained_ms, n.clone()))
             .collect();
         old.sort_by(|a, b| a.0.total_cmp(&b.0));
         old.into_iter()
-            .take(over)
+            .take(excess)
             .for_each(|(_, name)| _ = self.members.remove(&name));
     }
 
-    /// These servers as they stand now.
-    fn tell(&self, changed: &BTreeSet<String>) -> Vec<ServerUpdate> {
-        let named = self
+    /// The current state of these servers.
+    fn updates_for(&self, changed: &BTreeSet<String>) -> Vec<ServerUpdate> {
+        let listed = self
             .held
             .iter()
             .flat_map(|h| &h.entries)
             .filter(|e| changed.contains(&e.name));
-        let named: BTreeMap<&str, &Entry> = named.map(|e| (e.name.as_str(), e)).collect();
-        let told = changed.iter().filter_map(|name| {
-            let entry = named
+        let listed: BTreeMap<&str, &Entry> = listed.map(|e| (e.name.as_str(), e)).collect();
+        let updates = changed.iter().filter_map(|name| {
+            let entry = listed
                 .get(name.as_str())
                 .copied()
-                .or_else(|| self.leaving.get(name))?;
+                .or_else(|| self.draining.get(name))?;
             let gone = || {
                 Some(ServerUpdate {
-                    entry: self.leaving.get(name)?.clone(),
+                    entry: self.draining.get(name)?.clone(),
                     stage: Stage::Gone,
                 })
             };
-            self.told(entry).or_else(gone)
+            self.update_for(entry).or_else(gone)
         });
-        told.collect()
+        updates.collect()
     }
 
-    /// A server as it stands; None: it is not told of any more.
-    fn told(&self, entry: &Entry) -> Option<ServerUpdate> {
+    /// The current state of a server; `None` if it is no longer reported.
+    fn update_for(&self, entry: &Entry) -> Option<ServerUpdate> {
         let member = self.members.get(&entry.name)?;
         let stage = match member.state {
             State::Serving if entry.weight > 0.0 => Stage::Ready,
@@ -319,14 +330,14 @@
         })
     }
 
-    /// Every server that the module is to know, with its stage and its start as it is known best.
+    /// All servers to report to the module, each with its stage and latest known start.
     pub fn snapshot(&self) -> Vec<ServerUpdate> {
         let entries = self.held.iter().flat_map(|h| &h.entries);
         let mut all: BTreeMap<&str, &Entry> =
-            self.leaving.iter().map(|(n, e)| (n.as_str(), e)).collect();
+            self.draining.iter().map(|(n, e)| (n.as_str(), e)).collect();
         all.extend(entries.map(|e| (e.name.as_str(), e)));
         all.into_values()
-            .filter_map(|entry| self.told(entry))
+            .filter_map(|entry| self.update_for(entry))
             .collect()
     }
 }
--- a/crates/rookpulley-lists/src/plan.rs
+++ b/crates/rookpulley-lists/src/plan.rs
@@ -1,22 +1,24 @@
-//! What one list would change against another.
+//! The differences between two server lists.
 
 use crate::candidate::{Candidate, Entry, capacity};
 use std::collections::BTreeMap;
 
-/// What becomes of a server.
+/// The change of a server between two lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     Added,
-    /// It served: it is drained before it goes.
+    /// Removed while serving; it is drained first.
     DroppedServing,
+    /// Removed while not serving.
     Dropped,
     Drained,
     Restarted,
     Reweighted,
+    /// Zone, machine or address changed.
     Moved,
 }
 
-/// A server that changes: its weights, and its shares of the capacity, before and after.
+/// A changed server with its weight and its share of the capacity, before and after.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
     pub name: String,
@@ -42,7 +44,7 @@
     })
 }
 
-/// The servers that change, those of the list before first.
+/// Lists the changed servers: first those of `before`, then the added ones.
 pub fn plan(before: &Candidate, after: &Candidate) -> Vec<Planned> {
     let by_name = |list: &Candidate| -> BTreeMap<String, Entry> {
         list.entries
@@ -50,22 +52,26 @@
             .map(|e| (e.name.clone(), e.clone()))
             .collect()
     };
-    let (was, is) = (by_name(before), by_name(after));
-    let all = [
+    let (old, new) = (by_name(before), by_name(after));
+    let capacities = [
         capacity(before.entries.iter()),
         capacity(after.entries.iter()),
     ];
-    let share = |entry: Option<&Entry>, all: f64| {
+    let share = |entry: Option<&Entry>, capacity: f64| {
         let serving = entry.filter(|e| e.serves()).map_or(0.0, |e| e.weight);
-        if all > 0.0 { serving / all } else { 0.0 }
+        if capacity > 0.0 {
+            serving / capacity
+        } else {
+            0.0
+        }
     };
-    let names = was
+    let names = old
         .keys()
-        .chain(is.keys().filter(|n| !was.contains_key(*n)));
+        .chain(new.keys().filter(|n| !old.contains_key(*n)));
     let planned = names.filter_map(|name| {
-        let (a, b) = (was.get(name), is.get(name));
+        let (a, b) = (old.get(name), new.get(name));
         let weights = [a.map(|e| e.weight), b.map(|e| e.weight)];
-        let shares = [share(a, all[0]), share(b, all[1])];
+        let shares = [share(a, capacities[0]), share(b, capacities[1])];
         Some(Planned {
             name: name.clone(),
             change: change(a, b)?,
--- a/crates/rookpulley-lists/tests/lists.rs
+++ b/crates/rookpulley-lists/tests/lists.rs
@@ -1,4 +1,4 @@
-//! Lists by their hard cases, and by properties over random sequences of candidates.
+//! Edge cases of list validation and merging, and properties over random sequences of lists.
 
 use proptest::prelude::*;
 use rookpulley::facts::Stage;
@@ -9,7 +9,7 @@
 const NOW: f64 = 1e12;
 const GRACE_MS: f64 = 2_000.0;
 
-fn facts() -> Deployment {
+fn deployment() -> Deployment {
     let kind = |name: &str, zones: &[&str], own_zone| Kind {
         name: name.into(),
         zones: zones.iter().map(|z| z.to_string()).collect(),
@@ -35,7 +35,7 @@
     }
 }
 
-fn four(generation: u64) -> Candidate {
+fn four_servers(generation: u64) -> Candidate {
     let entries = (1..=4)
         .map(|n| entry(n, if n < 3 { "a" } else { "b" }, 1.0))
         .collect();
@@ -46,217 +46,240 @@
     }
 }
 
-fn lists() -> ServerLists {
-    let mut lists = ServerLists::new(facts(), GRACE_MS);
-    lists.apply(NOW, four(1)).unwrap();
-    lists
+fn accepted_list() -> ServerLists {
+    let mut accepted_list = ServerLists::new(deployment(), GRACE_MS);
+    accepted_list.apply(NOW, four_servers(1)).unwrap();
+    accepted_list
 }
 
-fn with(generation: u64, change: impl Fn(&mut Candidate)) -> Candidate {
-    let mut candidate = four(generation);
+fn changed_list(generation: u64, change: impl Fn(&mut Candidate)) -> Candidate {
+    let mut candidate = four_servers(generation);
     change(&mut candidate);
     candidate
 }
 
 #[test]
-fn every_bad_list_is_refused_with_place_and_remedy_and_changes_nothing() {
+fn invalid_lists_are_rejected_with_position_and_remedy_and_change_nothing() {
     let cases: Vec<(Candidate, &str)> = vec![
-        (with(2, |c| c.entries.clear()), "it names no server"),
+        (changed_list(2, |c| c.entries.clear()), "the list is empty"),
         (
-            with(2, |c| c.entries.iter_mut().for_each(|e| e.weight = 0.0)),
+            changed_list(2, |c| c.entries.iter_mut().for_each(|e| e.weight = 0.0)),
             "every weight is 0",
         ),
         (
-            with(2, |c| {
+            changed_list(2, |c| {
                 c.entries[2..].iter_mut().for_each(|e| e.weight = 0.0)
             }),
             "every weight of zone \"b\" is 0",
         ),
         (
-            with(2, |c| c.entries[1].weight = -1.0),
-            "3:1: \"s-2\" has the weight -1; write a figure from 0",
+            changed_list(2, |c| c.entries[1].weight = -1.0),
+            "3:1: \"s-2\" has the weight -1; write a number from 0",
         ),
         (
-            with(2, |c| c.entries[1].weight = f64::NAN),
+            changed_list(2, |c| c.entries[1].weight = f64::NAN),
             "has the weight NaN",
         ),
         (
-            with(2, |c| c.entries[1].weight = f64::INFINITY),
+            changed_list(2, |c| c.entries[1].weight = f64::INFINITY),
             "has the weight inf",
         ),
         (
-            with(2, |c| c.entries[1].weight = 1e9),
+            changed_list(2, |c| c.entries[1].weight = 1e9),
             "has the weight 1000000000",
         ),
         (
-            with(2, |c| c.entries[1].name = "s-1".into()),
-            "3:1: \"s-1\" stands twice, first at line 2",
+            changed_list(2, |c| c.entries[1].name = "s-1".into()),
+            "3:1: \"s-1\" is listed twice, first at line 2",
         ),
         (
-            with(2, |c| c.entries[1].address = "10.0.0.1:80".into()),
-            "has the address 10.0.0.1:80 of \"s-1\"",
+            changed_list(2, |c| c.entries[1].address = "10.0.0.1:80".into()),
+            "has the same address 10.0.0.1:80 as \"s-1\"",
         ),
         (
-            with(2, |c| c.entries[1].address = "nowhere".into()),
-            "write one such as",
+            changed_list(2, |c| c.entries[1].address = "nowhere".into()),
+            "has the invalid address \"nowhere\"; write one such as",
         ),
         (
-            with(2, |c| c.entries[1].zone = "z".into()),
+            changed_list(2, |c| c.entries[1].zone = "z".into()),
             "write one of \"a\", \"b\"",
         ),
         (
-            with(2, |c| c.entries[1].machine = "x".into()),
+            changed_list(2, |c| c.entries[1].machine = "x".into()),
             "write one of \"m\"",
         ),
-        (with(2, |c| c.entries[1].name = "s 2".into()), "is no name"),
         (
-            with(2, |c| c.entries[1].started_ms = NOW * 2.0),
-            "which is to come",
+            changed_list(2, |c| c.entries[1].name = "s 2".into()),
+            "is not a valid name",
         ),
         (
-            with(2, |c| _ = c.entries.drain(..2)),
+            changed_list(2, |c| c.entries[1].started_ms = NOW * 2.0),
+            "which is in the future",
+        ),
+        (
+            changed_list(2, |c| _ = c.entries.drain(..2)),
             "no server is left for book",
         ),
         (
-            with(2, |c| _ = c.entries.drain(1..)),
-            "takes away 0.75 of the capacity at once, 0.50 are allowed; write loss(0.75)",
+            changed_list(2, |c| _ = c.entries.drain(1..)),
+            "removes 0.75 of the capacity at once, but 0.50 is allowed; write loss(0.75)",
+        ),
+        (
+            changed_list(2, |c| c.loss = Some(7.0)),
+            "loss(7) is out of range",
         ),
-        (with(2, |c| c.loss = Some(7.0)), "loss(7) is no part"),
         (
-            with(0, |_| ()),
-            "generation 0 is older than 1, which is held; write generation(2)",
+            changed_list(0, |_| ()),
+            "generation 0 is older than the current 1; write generation(2)",
         ),
         (
-            with(1, |c| c.entries[0].weight = 2.0),
-            "generation 1 was taken with other lines; write generation(2)",
+            changed_list(1, |c| c.entries[0].weight = 2.0),
+            "generation 1 was accepted with different content; write generation(2)",
         ),
     ];
-    let lists = lists();
-    for (candidate, wanted) in cases {
-        let mut tried = lists.clone();
-        let refused = tried
+    let accepted_list = accepted_list();
+    for (candidate, expected) in cases {
+        let mut copy = accepted_list.clone();
+        let rejection = copy
             .apply(NOW + 1.0, candidate)
-            .expect_err(wanted)
+            .expect_err(expected)
             .to_string();
-        assert!(refused.contains(wanted), "{refused}");
-        assert_eq!(tried, lists, "{wanted}: something changed");
+        assert!(rejection.contains(expected), "{rejection}");
+        assert_eq!(copy, accepted_list, "{expected}: something changed");
     }
-    let mut own = facts();
-    own.kinds[0].own_zone = true;
-    let only_a = with(1, |c| _ = c.entries.drain(2..));
-    let refused = ServerLists::new(own, GRACE_MS)
+    let mut own_zone_only = deployment();
+    own_zone_only.kinds[0].own_zone = true;
+    let only_a = changed_list(1, |c| _ = c.entries.drain(2..));
+    let rejection = ServerLists::new(own_zone_only, GRACE_MS)
         .apply(NOW, only_a)
         .unwrap_err()
         .to_string();
     assert!(
-        refused.contains("no server is left for view from zone \"b\""),
-        "{refused}"
+        rejection.contains("no server is left for view from zone \"b\""),
+        "{rejection}"
     );
 }
 
 #[test]
-fn a_great_loss_is_taken_where_it_is_said_aloud() {
-    let mut lists = lists();
-    let candidate = with(2, |c| {
+fn declared_capacity_loss_is_accepted() {
+    let mut accepted_list = accepted_list();
+    let candidate = changed_list(2, |c| {
         _ = c.entries.drain(1..);
         c.loss = Some(0.75);
     });
-    let told = lists.apply(NOW, candidate).unwrap();
+    let updates = accepted_list.apply(NOW, candidate).unwrap();
     assert!(
-        told.iter().all(|t| t.stage == Stage::Draining) && told.len() == 3,
-        "drained first, not gone"
+        updates.iter().all(|t| t.stage == Stage::Draining) && updates.len() == 3,
+        "drained before it is gone"
     );
 }
 
 #[test]
-fn a_server_dropped_drained_and_put_back_within_the_grace_comes_back_only_by_a_start() {
-    let mut lists = lists();
-    let told = lists
-        .apply(NOW, with(2, |c| _ = c.entries.remove(1)))
+fn dropped_server_returns_only_after_a_later_start() {
+    let mut accepted_list = accepted_list();
+    let updates = accepted_list
+        .apply(NOW, changed_list(2, |c| _ = c.entries.remove(1)))
         .unwrap();
     assert_eq!(
-        (told.len(), told[0].entry.name.as_str(), told[0].stage),
+        (
+            updates.len(),
+            updates[0].entry.name.as_str(),
+            updates[0].stage
+        ),
         (1, "s-2", Stage::Draining)
     );
-    let refused = lists.apply(NOW + 500.0, four(3)).unwrap_err().to_string();
+    let rejection = accepted_list
+        .apply(NOW + 500.0, four_servers(3))
+        .unwrap_err()
+        .to_string();
     assert!(
-        refused.contains("3:1: \"s-2\" was drained; write started = 1000000000001 or later"),
-        "{refused}"
+        rejection.contains("3:1: \"s-2\" was drained; write started = 1000000000001 or later"),
+        "{rejection}"
     );
-    // Gone after its grace, and the old file is no better then.
-    let told = lists.expire_drains(NOW + GRACE_MS);
-    assert_eq!((told.len(), told[0].stage), (1, Stage::Gone));
-    assert!(lists.expire_drains(NOW + 9e9).is_empty());
+    // After the grace period it is gone, and the old list is still rejected.
+    let updates = accepted_list.expire_drains(NOW + GRACE_MS);
+    assert_eq!((updates.len(), updates[0].stage), (1, Stage::Gone));
+    assert!(accepted_list.expire_drains(NOW + 9e9).is_empty());
     assert!(
-        lists.apply(NOW + 9e9, four(3)).is_err(),
-        "remembered for as long as it takes"
+        accepted_list.apply(NOW + 9e9, four_servers(3)).is_err(),
+        "the drain is remembered"
     );
-    let started = with(3, |c| c.entries[1].started_ms = NOW + 600.0);
-    let told = lists.apply(NOW + 9e9, started).unwrap();
+    let started = changed_list(3, |c| c.entries[1].started_ms = NOW + 600.0);
+    let updates = accepted_list.apply(NOW + 9e9, started).unwrap();
     assert_eq!(
         (
-            told[0].entry.name.as_str(),
-            told[0].stage,
-            told[0].entry.started_ms
+            updates[0].entry.name.as_str(),
+            updates[0].stage,
+            updates[0].entry.started_ms
         ),
         ("s-2", Stage::Ready, NOW + 600.0)
     );
 }
 
 #[test]
-fn file_and_discovery_that_disagree_on_a_draining_server() {
-    let mut lists = lists();
-    let told = lists.observe(NOW, "s-2", true, 0.0);
+fn drains_and_starts_from_discovery_override_the_file() {
+    let mut accepted_list = accepted_list();
+    let updates = accepted_list.observe(NOW, "s-2", true, 0.0);
     assert_eq!(
-        (told[0].entry.name.as_str(), told[0].stage),
+        (updates[0].entry.name.as_str(), updates[0].stage),
         ("s-2", Stage::Draining)
     );
-    // The file still says that it serves: no fault of the file, and no word that counts.
-    let told = lists
-        .apply(NOW + 100.0, with(2, |c| c.entries[0].weight = 2.0))
+    // A file that still lists the server as serving is accepted, but does not end the drain.
+    let updates = accepted_list
+        .apply(NOW + 100.0, changed_list(2, |c| c.entries[0].weight = 2.0))
         .unwrap();
-    assert!(told.iter().all(|t| t.entry.name == "s-1"), "{told:?}");
+    assert!(updates.iter().all(|t| t.entry.name == "s-1"), "{updates:?}");
     assert!(
-        lists.observe(NOW + 200.0, "s-2", false, 0.0).is_empty(),
-        "its word that all is well"
+        accepted_list
+            .observe(NOW + 200.0, "s-2", false, 0.0)
+            .is_empty(),
+        "no later start"
+    );
+    let updates = accepted_list.observe(NOW + 300.0, "s-2", false, NOW + 250.0);
+    assert_eq!(
+        updates[0].stage,
+        Stage::Ready,
+        "a start reported by discovery"
     );
-    let told = lists.observe(NOW + 300.0, "s-2", false, NOW + 250.0);
-    assert_eq!(told[0].stage, Stage::Ready, "a start that discovery saw");
     assert!(
-        lists.observe(NOW + 300.0, "s-77", true, 0.0).is_empty(),
-        "not of the file: nobody's"
+        accepted_list
+            .observe(NOW + 300.0, "s-77", true, 0.0)
+            .is_empty(),
+        "not listed in the file"
     );
-    // Where all that serves a kind is seen draining, no list that relies on them is taken.
-    lists.observe(NOW + 400.0, "s-1", true, 0.0);
-    lists.observe(NOW + 400.0, "s-2", true, NOW + 260.0);
-    let refused = lists
-        .apply(NOW + 500.0, with(3, |_| ()))
+    // If discovery reports all servers of a kind as draining, a list that relies on them is rejected.
+    accepted_list.observe(NOW + 400.0, "s-1", true, 0.0);
+    accepted_list.observe(NOW + 400.0, "s-2", true, NOW + 260.0);
+    let rejection = accepted_list
+        .apply(NOW + 500.0, changed_list(3, |_| ()))
         .unwrap_err()
         .to_string();
-    assert!(refused.contains("no server is left for book"), "{refused}");
+    assert!(
+        rejection.contains("no server is left for book"),
+        "{rejection}"
+    );
 }
 
 #[test]
-fn the_same_generation_again_is_no_news() {
-    let mut lists = lists();
-    assert_eq!(lists.apply(NOW, four(1)), Ok(Vec::new()));
+fn repeated_generation_causes_no_updates() {
+    let mut accepted_list = accepted_list();
+    assert_eq!(accepted_list.apply(NOW, four_servers(1)), Ok(Vec::new()));
 }
 
 #[test]
-fn the_table_of_membership_has_one_row_for_a_state_and_a_cue() {
+fn membership_transitions_are_unique_and_only_a_restart_ends_a_drain() {
     let mut rows: Vec<_> = MEMBERSHIP.iter().map(|row| (row.0, row.1)).collect();
     rows.sort();
     rows.dedup();
     assert_eq!(rows.len(), MEMBERSHIP.len());
-    let back = |row: &&(State, MemberEvent, State, Effect)| {
-        row.0 >= State::Draining && row.2 == State::Serving
-    };
+    let back =
+        |r: &&(State, MemberEvent, State, Effect)| r.0 >= State::Draining && r.2 == State::Serving;
     assert!(
         MEMBERSHIP
             .iter()
             .filter(back)
             .all(|row| row.1 == MemberEvent::Restarted),
-        "only a start brings one back"
+        "only a restart ends a drain"
     );
 }
 
@@ -294,18 +317,18 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
     #[test]
-    fn no_sequence_of_candidates_empties_a_kind_or_brings_a_drained_server_back(steps in prop::collection::vec(step(), 1..40)) {
-        let mut lists = ServerLists::new(facts(), GRACE_MS);
-        // What the module has been told; and of each server the latest start, and when it was told to drain.
-        let mut told: BTreeMap<String, (Stage, Entry)> = BTreeMap::new();
+    fn no_sequence_of_lists_leaves_a_kind_unserved_or_returns_a_drained_server(steps in prop::collection::vec(step(), 1..40)) {
+        let mut accepted_list = ServerLists::new(deployment(), GRACE_MS);
+        // The last update of each server, and when its drain was reported.
+        let mut updates: BTreeMap<String, (Stage, Entry)> = BTreeMap::new();
         let mut drained: BTreeMap<String, f64> = BTreeMap::new();
-        // A weight of 0 is told like a drain and is none; one that follows it shows once the server is gone.
-        let mut idle: BTreeMap<String, f64> = BTreeMap::new();
+        // Weight 0 is reported as draining but is not a drain; a drain that follows shows once the server is gone.
+        let mut zero_weight: BTreeMap<String, f64> = BTreeMap::new();
         let (mut now, mut generation) = (NOW, 0);
         for step in steps {
             now += 700.0;
-            let before = lists.clone();
-            let (news, accepted) = match step {
+            let before = accepted_list.clone();
+            let (changes, accepted) = match step {
                 Step::Offer { generation: more, loss, lines } => {
                     generation += more / 4;
                     let entries = lines.iter().map(|(n, kind, weight, started)| Entry {
@@ -314,47 +337,47 @@
                         ..entry(*n, if n % 2 == 0 { "a" } else { "b" }, f64::from(*weight) / 2.0)
                     });
                     let candidate = Candidate { generation, loss, entries: entries.collect() };
-                    match lists.apply(now, candidate.clone()) {
-                        Ok(news) => (news, Some(candidate)),
-                        Err(refused) => {
-                            prop_assert!(!refused.is_empty());
-                            prop_assert_eq!(&lists, &before, "a refused candidate changes nothing at all");
+                    match accepted_list.apply(now, candidate.clone()) {
+                        Ok(changes) => (changes, Some(candidate)),
+                        Err(rejection) => {
+                            prop_assert!(!rejection.is_empty());
+                            prop_assert_eq!(&accepted_list, &before, "a rejected candidate changes nothing");
                             (Vec::new(), None)
                         }
                     }
                 }
                 Step::Seen { n, drains, started } => {
                     let started = f64::from(started).mul_add(500.0, NOW).min(now);
-                    (lists.observe(now, &format!("s-{n}"), drains, started), None)
+                    (accepted_list.observe(now, &format!("s-{n}"), drains, started), None)
                 }
-                Step::Pass => (lists.expire_drains(now), None),
+                Step::Pass => (accepted_list.expire_drains(now), None),
             };
-            for t in news {
+            for t in changes {
                 let name = t.entry.name.clone();
                 if t.stage == Stage::Ready {
                     let since = drained.remove(&name);
-                    idle.remove(&name);
-                    prop_assert!(since.is_none_or(|at| t.entry.started_ms > at), "{name} came back without a start");
+                    zero_weight.remove(&name);
+                    prop_assert!(since.is_none_or(|at| t.entry.started_ms > at), "{name} returned without a restart");
                 } else if t.entry.weight > 0.0 || t.stage == Stage::Gone {
-                    drained.entry(name.clone()).or_insert(idle.get(&name).copied().unwrap_or(now));
+                    drained.entry(name.clone()).or_insert(zero_weight.get(&name).copied().unwrap_or(now));
                 } else {
-                    idle.entry(name.clone()).or_insert(now);
+                    zero_weight.entry(name.clone()).or_insert(now);
                 }
-                told.insert(name, (t.stage, t.entry));
+                updates.insert(name, (t.stage, t.entry));
             }
             if let Some(candidate) = accepted {
-                for kind in facts().kinds {
-                    let serves = told.values().any(|(stage, e)| *stage == Stage::Ready && kind.open(e));
-                    prop_assert!(serves, "{} is bare after {candidate:?}", kind.name);
+                for kind in deployment().kinds {
+                    let serves = updates.values().any(|(stage, e)| *stage == Stage::Ready && kind.allows(e));
+                    prop_assert!(serves, "{} is not served after {candidate:?}", kind.name);
                 }
-                // Exactly this generation: all that it says serve, and nobody else.
+                // Only servers of the accepted list are ready.
                 let named: Vec<&String> = candidate.entries.iter().map(|e| &e.name).collect();
-                let strange = told.iter().find(|(n, (stage, _))| *stage == Stage::Ready && !named.contains(n));
-                prop_assert!(strange.is_none(), "{strange:?}");
+                let unlisted = updates.iter().find(|(n, (stage, _))| *stage == Stage::Ready && !named.contains(n));
+                prop_assert!(unlisted.is_none(), "{unlisted:?}");
             }
-            // What was told piece by piece is what is told as a whole.
-            for t in lists.snapshot() {
-                prop_assert_eq!(told.get(&t.entry.name).map(|(stage, e)| (*stage, e.weight)), Some((t.stage, t.entry.weight)));
+            // The incremental updates agree with the snapshot.
+            for t in accepted_list.snapshot() {
+                prop_assert_eq!(updates.get(&t.entry.name).map(|(stage, e)| (*stage, e.weight)), Some((t.stage, t.entry.weight)));
             }
         }
     }
