--- a/crates/rookpulley-files/examples/check.rs
+++ b/crates/rookpulley-files/examples/check.rs
@@ -1,5 +1,5 @@
-//! What reading and checking a file of 10,000 servers takes, beside plain evaluation and beside reading the bytes.
-//! `cargo run --release -p rookpulley-files --example check`
+//! Measures reading and validating a file of 10,000 servers compared with plain evaluation of the script.
+//! Run with `cargo run --release -p rookpulley-files --example check`.
 
 use rookpulley_files::{read, render};
 use rookpulley_lists::candidate::{Rejection, validate_change, validate_list};
@@ -7,10 +7,10 @@
 use std::path::Path;
 use std::time::Instant;
 
-fn best(mut what: impl FnMut()) -> f64 {
+fn median_ms(mut operation: impl FnMut()) -> f64 {
     let time = |_| {
         let from = Instant::now();
-        what();
+        operation();
         from.elapsed().as_secs_f64() * 1e3
     };
     let mut times: Vec<f64> = (0..15).map(time).collect();
@@ -33,33 +33,34 @@
         entries: (0..10_000).map(entry).collect(),
     };
     let zones = ["a", "b", "c"].map(String::from).to_vec();
-    let facts = Deployment {
+    let deployment = Deployment {
         zones,
         machines: vec!["m".into()],
         ..Deployment::default()
     };
     let (text, file) = (render(&list), Path::new("servers.star"));
-    let (before, _) = rookpulley_files::read::split_closing(&text);
-    let plain = best(|| {
+    let (body, _) = rookpulley_files::read::split_closing(&text);
+    let evaluate_ms = median_ms(|| {
         assert_eq!(
-            rookpulley_files::read::parse_body(file, before)
+            rookpulley_files::read::parse_body(file, body)
                 .unwrap()
                 .entries
                 .len(),
             10_000
         )
     });
-    let whole = best(|| assert_eq!(read(file, text.as_bytes()).unwrap().entries.len(), 10_000));
-    let checked = best(|| {
-        let mut refused = Rejection::default();
-        validate_list(1e12, &list, &facts, &mut refused);
-        validate_change(&list, &list, &mut refused);
-        assert!(refused.is_empty());
+    let read_ms =
+        median_ms(|| assert_eq!(read(file, text.as_bytes()).unwrap().entries.len(), 10_000));
+    let validate_ms = median_ms(|| {
+        let mut rejection = Rejection::default();
+        validate_list(1e12, &list, &deployment, &mut rejection);
+        validate_change(&list, &list, &mut rejection);
+        assert!(rejection.is_empty());
     });
     println!(
-        "10,000 servers, {} bytes, medians of 15: plain evaluation {plain:.1} ms; read with its seal {whole:.1} ms, \
-         checks of the list {checked:.1} ms; both {:.3} of plain evaluation",
+        "10,000 servers, {} bytes, medians of 15: plain evaluation {evaluate_ms:.1} ms; reading and verifying the seal \
+         {read_ms:.1} ms, validating the list {validate_ms:.1} ms; both {:.3} of plain evaluation",
         text.len(),
-        (whole + checked) / plain
+        (read_ms + validate_ms) / evaluate_ms
     );
 }
--- a/crates/rookpulley-files/src/lib.rs
+++ b/crates/rookpulley-files/src/lib.rs
@@ -1,4 +1,4 @@
-//! Server files edited by hand: a script that names servers and ends with a closing statement over all before it.
+//! Hand-edited server files: scripts that list servers and end with a closing statement.
 //!
 //! ```python
 //! generation(12)
@@ -7,9 +7,9 @@
 //! end(servers = 2, seal = "Qk3xY_9a")
 //! ```
 //!
-//! The closing statement is the last line. A file that was cut off anywhere lacks it or its last bracket; one that
-//! an editor is writing over in place, in whatever order, does not fit its seal. So no file is taken for whole that
-//! was not, whoever writes it. What the servers are checked for is `rookpulley-lists`'.
+//! The closing statement contains the number of servers and a checksum, the seal, of all text before it. A
+//! truncated file lacks the statement, and a file that an editor is overwriting in place does not match the seal, so
+//! incomplete files are never accepted. `rookpulley-lists` validates the listed servers.
 
 pub mod read;
 pub mod render;
--- a/crates/rookpulley-files/src/read.rs
+++ b/crates/rookpulley-files/src/read.rs
@@ -1,5 +1,8 @@
-//! A file's bytes become a candidate, or the reason why not.
-#![expect(clippy::too_many_arguments, reason = "a word of the file has as many")]
+//! Parses and verifies server files.
+#![expect(
+    clippy::too_many_arguments,
+    reason = "the parameters of a script function"
+)]
 
 use rookpulley_lists::{Candidate, Entry};
 use rookpulley_operators::script::{self, BadFile, Vocabulary, once, place_of, said};
@@ -13,7 +16,7 @@
 use std::cell::RefCell;
 use std::path::Path;
 
-/// 10,000 servers take about a megabyte.
+/// The maximum file size; 10,000 servers take about 1 MB.
 pub const MAX_BYTES: usize = 8 << 20;
 const VOCABULARY: Vocabulary = Vocabulary {
     words,
@@ -22,32 +25,30 @@
     calls: 200_000,
 };
 
-/// Why a file is not taken. Nothing of it is used then.
+/// Why a file was rejected. No part of a rejected file is used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ReadError {
-    #[error("byte {0} is no UTF-8 text")]
+    #[error("byte {0} is not valid UTF-8")]
     NotUtf8(usize),
-    /// It may be whole later: an editor is still at it, or it was cut off.
-    #[error(
-        "it does not end with its closing statement: it was cut off or is still being written; {0}"
-    )]
+    /// The closing statement is missing: the file is incomplete or still being written.
+    #[error("the closing statement is missing: the file is incomplete or still being written; {0}")]
     MissingClosing(String),
     #[error(
-        "its seal is {said:?} and does not fit: it was changed since, or is being written over; {instead}"
+        "its seal {said:?} does not fit the content: the file was changed after sealing or is being overwritten; {remedy}"
     )]
-    SealMismatch { said: String, instead: String },
-    #[error("it says {said} servers and names {found}; {instead}")]
+    SealMismatch { said: String, remedy: String },
+    #[error("it says {said} servers but lists {found}; {remedy}")]
     CountMismatch {
         said: usize,
         found: usize,
-        instead: String,
+        remedy: String,
     },
     #[error("{0}")]
     Script(#[from] BadFile),
 }
 
 impl ReadError {
-    /// With the file's name before it, as errors of the script have it already.
+    /// The message with the file name in front; script errors already contain it.
     pub fn with_file_name(&self, file: &Path) -> String {
         match self {
             Self::Script(bad) => bad.to_string(),
@@ -56,22 +57,26 @@
     }
 }
 
-/// What to write where a file is meant to be whole.
-fn instead(body: &str, servers: usize) -> String {
+/// Suggests the closing statement for a file that is complete.
+fn remedy(body: &str, servers: usize) -> String {
     let closing = closing_statement(body, servers);
-    format!("where it is whole, write {closing} as the last line, or run `rookpulley servers seal`")
+    format!(
+        "if the file is complete, write {closing} as the last line, or run `rookpulley servers seal`"
+    )
 }
 
-/// The seal over all before the closing statement: 48 bits of BLAKE3, for slips and not against malice.
+/// The seal of the text before the closing statement: 48 bits of its BLAKE3 hash. It detects accidental changes and
+/// gives no protection against deliberate ones.
 pub fn seal(body: &str) -> String {
     data_encoding::BASE64URL_NOPAD.encode(&blake3::hash(body.as_bytes()).as_bytes()[..6])
 }
 
+/// The closing statement for a body and its number of servers.
 pub fn closing_statement(body: &str, servers: usize) -> String {
     format!("end(servers = {servers}, seal = {:?})", seal(body))
 }
 
-/// The text before the closing statement, and that statement, if the last line is a whole one.
+/// Splits a file into the text before the closing statement and the statement, if the last line is a complete one.
 pub fn split_closing(text: &str) -> (&str, Option<&str>) {
     let end = text.trim_end();
     let from = end.rfind('\n').map_or(0, |at| at + 1);
@@ -84,20 +89,20 @@
 }
 
 #[derive(Default, ProvidesStaticType)]
-struct Said(RefCell<Found>);
+struct Collector(RefCell<ParsedFile>);
 
 #[derive(Default)]
-struct Found {
+struct ParsedFile {
     candidate: Candidate,
     generation: Option<u64>,
     end: Option<(usize, String)>,
 }
 
-/// When a server last started: Unix milliseconds, or a time such as 2026-12-01T10:00:00Z.
+/// Parses the start of a server: Unix milliseconds, or a time such as 2026-12-01T10:00:00Z.
 fn started(value: Value) -> anyhow::Result<f64> {
     let wrong = || {
         anyhow::anyhow!(
-            "started = {value} is no time; write \"2026-12-01T10:00:00Z\", or Unix milliseconds"
+            "started = {value} is not a time; write \"2026-12-01T10:00:00Z\", or Unix milliseconds"
         )
     };
     if let Some(text) = value.unpack_str() {
@@ -120,11 +125,11 @@
     ) -> anyhow::Result<NoneType> {
         let number: u64 = number.to_string().parse().map_err(|_| {
             anyhow::anyhow!(
-                "generation({number}) is no whole number from 0 on; write one more than before"
+                "generation({number}) is not a non-negative whole number; write the previous one plus 1"
             )
         })?;
         once(
-            &mut said::<Said>(eval)?.0.borrow_mut().generation,
+            &mut said::<Collector>(eval)?.0.borrow_mut().generation,
             "generation",
             number,
         )?;
@@ -135,7 +140,7 @@
         #[starlark(require = pos)] part: UnpackFloat,
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
-        said::<Said>(eval)?.0.borrow_mut().candidate.loss = Some(part.0);
+        said::<Collector>(eval)?.0.borrow_mut().candidate.loss = Some(part.0);
         Ok(NoneType)
     }
 
@@ -152,7 +157,7 @@
     ) -> anyhow::Result<NoneType> {
         let started_ms = started.map(self::started).transpose()?.unwrap_or(0.0);
         let bay = u16::try_from(bay)
-            .map_err(|_| anyhow::anyhow!("bay = {bay}; write a figure from 0 to 65535"))?;
+            .map_err(|_| anyhow::anyhow!("bay = {bay}; write a number from 0 to 65535"))?;
         let place = eval.call_stack_top_location().as_ref().map(place_of);
         let entry = Entry {
             name: name.into(),
@@ -165,7 +170,7 @@
             started_ms,
             place,
         };
-        said::<Said>(eval)?
+        said::<Collector>(eval)?
             .0
             .borrow_mut()
             .candidate
@@ -180,23 +185,28 @@
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
         let closing = (usize::try_from(servers).unwrap_or(usize::MAX), seal.into());
-        once(&mut said::<Said>(eval)?.0.borrow_mut().end, "end", closing)?;
+        once(
+            &mut said::<Collector>(eval)?.0.borrow_mut().end,
+            "end",
+            closing,
+        )?;
         Ok(NoneType)
     }
 }
 
-fn run(file: &Path, text: &str) -> Result<Found, ReadError> {
-    let said: Said = script::run(file, text, &VOCABULARY)?;
+fn evaluate(file: &Path, text: &str) -> Result<ParsedFile, ReadError> {
+    let said: Collector = script::run(file, text, &VOCABULARY)?;
     Ok(said.0.into_inner())
 }
 
-/// The servers that a body names, without a closing statement.
+/// Parses the body of a file, without the closing statement.
 pub fn parse_body(file: &Path, text: &str) -> Result<Candidate, ReadError> {
-    let found = run(file, text)?;
+    let found = evaluate(file, text)?;
     let missing = || BadFile {
         file: file.into(),
         at: Some((1, 1)),
-        what: "generation() is missing; write generation(1), and one more with every change".into(),
+        what: "generation() is missing; write generation(1), and increase it with every change"
+            .into(),
     };
     let generation = found.generation.ok_or_else(missing)?;
     Ok(Candidate {
@@ -205,28 +215,27 @@
     })
 }
 
-/// A whole file, or why it is not taken.
+/// Parses a complete file and verifies its closing statement.
 pub fn read(file: &Path, bytes: &[u8]) -> Result<Candidate, ReadError> {
     let text = std::str::from_utf8(bytes).map_err(|e| ReadError::NotUtf8(e.valid_up_to()))?;
     let (before, last) = split_closing(text);
     let Some(last) = last else {
-        // Told with the line to write where what is there can be read.
-        let hint = run(file, before)
+        // If the body can be evaluated, the message suggests the closing statement.
+        let hint = evaluate(file, before)
             .ok()
-            .map(|f| instead(before, f.candidate.entries.len()));
-        let hint =
-            hint.unwrap_or_else(|| "nothing of it is used until it has its last line".into());
+            .map(|f| remedy(before, f.candidate.entries.len()));
+        let hint = hint.unwrap_or_else(|| "the file is not used until it is complete".into());
         return Err(ReadError::MissingClosing(hint));
     };
-    let closing = run(file, last)?.end.unwrap_or_default();
+    let closing = evaluate(file, last)?.end.unwrap_or_default();
     if closing.1 != seal(before) {
-        let count = run(file, before).map(|f| f.candidate.entries.len());
+        let count = evaluate(file, before).map(|f| f.candidate.entries.len());
         let hint = count
-            .map(|n| instead(before, n))
+            .map(|n| remedy(before, n))
             .unwrap_or_else(|e| e.to_string());
         return Err(ReadError::SealMismatch {
             said: closing.1,
-            instead: hint,
+            remedy: hint,
         });
     }
     let candidate = parse_body(file, before)?;
@@ -235,7 +244,7 @@
         found => Err(ReadError::CountMismatch {
             said: closing.0,
             found,
-            instead: instead(before, found),
+            remedy: remedy(before, found),
         }),
     }
 }
--- a/crates/rookpulley-files/src/render.rs
+++ b/crates/rookpulley-files/src/render.rs
@@ -1,12 +1,12 @@
-//! Files written by the program: a complete one from a list, and a seal on one that was edited.
+//! Renders server files from lists and seals edited files.
 
 use crate::read::{ReadError, closing_statement, parse_body, split_closing};
 use rookpulley_lists::Candidate;
 use std::fmt::Write;
 use std::path::Path;
 
-/// A text as the script writes it. Names and addresses hold neither quotes nor control characters where they pass
-/// the checks; those that don't are still written so that they are read back as they are.
+/// Quotes a string for the script. Quotes, backslashes and control characters are escaped, so that invalid names
+/// also round-trip.
 fn quoted(text: &str) -> String {
     let mut out = String::from("\"");
     for c in text.chars() {
@@ -22,7 +22,7 @@
     out + "\""
 }
 
-/// A complete file with this list.
+/// Renders a list as a complete, sealed file.
 pub fn render(list: &Candidate) -> String {
     let mut text = String::from(
         "# Servers and their weights. `rookpulley servers seal FILE` after every change.\n",
@@ -58,15 +58,15 @@
     text + &closing + "\n"
 }
 
-/// The same file with a closing statement that fits it.
+/// Replaces or adds the closing statement so that it matches the content of the file.
 pub fn with_seal(file: &Path, text: &str) -> Result<String, ReadError> {
-    let (before, _) = split_closing(text);
-    let before = if before.is_empty() || before.ends_with('\n') {
-        before.to_string()
+    let (body, _) = split_closing(text);
+    let body = if body.is_empty() || body.ends_with('\n') {
+        body.to_string()
     } else {
-        format!("{before}\n")
+        format!("{body}\n")
     };
-    let servers = parse_body(file, &before)?.entries.len();
-    let closing = closing_statement(&before, servers);
-    Ok(before + &closing + "\n")
+    let servers = parse_body(file, &body)?.entries.len();
+    let closing = closing_statement(&body, servers);
+    Ok(body + &closing + "\n")
 }
--- a/crates/rookpulley-files/src/watch.rs
+++ b/crates/rookpulley-files/src/watch.rs
@@ -1,6 +1,5 @@
-//! Follows a server file: by notification where the system gives it, and by looking in any case, so that links,
-//! folders that are replaced and file systems that tell nothing are followed, too. Reading and checking the script
-//! happen on threads of their own; nobody waits for them.
+//! Watches a server file with file system notifications and by polling. Polling covers symbolic links, replaced
+//! directories and file systems without notifications. The file is read and evaluated on blocking threads.
 
 use crate::read;
 use notify::{RecursiveMode, Watcher};
@@ -14,35 +13,40 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::timeout;
 
-/// So often the file is looked at where nothing is told of it.
+/// The polling interval without notifications.
 pub const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What was found at the file's place.
+/// The state of the file found at the watched path.
 #[derive(Debug)]
 pub enum Found {
-    /// A whole file.
+    /// A valid file.
     List(Candidate),
-    /// One that is not taken; the last good one stays in force.
+    /// An invalid file; the last valid one stays in force.
     Rejected(String),
-    /// There is none, or it can't be read.
+    /// The file is missing or unreadable.
     Missing(String),
 }
 
-/// What tells one state of a file from another without reading it.
-type Mark = (u64, u64, u64, Option<SystemTime>);
+/// Device, inode, length and modification time; detects changes without reading the file.
+type FileStamp = (u64, u64, u64, Option<SystemTime>);
 
-fn mark(path: &Path) -> Result<Mark, String> {
-    let told = std::fs::metadata(path).map_err(|e| e.to_string())?;
-    // A pipe or a device may never end, and opening one may wait.
-    if !told.is_file() {
-        return Err("it is no plain file".into());
+fn file_stamp(path: &Path) -> Result<FileStamp, String> {
+    let metadata = std::fs::metadata(path).map_err(|e| e.to_string())?;
+    // Opening or reading a pipe or device may block forever.
+    if !metadata.is_file() {
+        return Err("it is not a regular file".into());
     }
-    Ok((told.dev(), told.ino(), told.len(), told.modified().ok()))
+    Ok((
+        metadata.dev(),
+        metadata.ino(),
+        metadata.len(),
+        metadata.modified().ok(),
+    ))
 }
 
-/// A plain file's bytes, up to one more than are allowed.
+/// Reads a regular file, up to one byte more than `MAX_BYTES` so that larger files are detected.
 pub fn read_bytes(path: &Path) -> Result<Vec<u8>, String> {
-    mark(path)?;
+    file_stamp(path)?;
     let mut bytes = Vec::new();
     let file = File::open(path).map_err(|e| e.to_string())?;
     file.take(read::MAX_BYTES as u64 + 1)
@@ -51,11 +55,12 @@
     Ok(bytes)
 }
 
-/// Looks once; None where it is as it was.
-fn look(path: &Path, last: &mut Last) -> Option<Found> {
-    let found = mark(path);
-    let changed = last.mark.as_ref() != Some(&found);
-    // A file written twice within the clock's grain looks the same: what is fresh is read again.
+/// Checks the file once; returns `None` if it has not changed.
+fn poll_file(path: &Path, last: &mut LastRead) -> Option<Found> {
+    let found = file_stamp(path);
+    let changed = last.stamp.as_ref() != Some(&found);
+    // Two writes within the resolution of the modification time have equal stamps, so recently modified files are
+    // always read.
     let age = found
         .as_ref()
         .ok()
@@ -65,7 +70,7 @@
     if !changed && !fresh {
         return None;
     }
-    last.mark = Some(found);
+    last.stamp = Some(found);
     let (hash, found) = match read_bytes(path) {
         Err(why) => (None, Found::Missing(why)),
         Ok(bytes) => {
@@ -80,20 +85,20 @@
             (hash, found)
         }
     };
-    let news = last.hash != Some(hash);
+    let is_new = last.hash != Some(hash);
     last.hash = Some(hash);
-    news.then_some(found)
+    is_new.then_some(found)
 }
 
 #[derive(Default)]
-struct Last {
-    mark: Option<Result<Mark, String>>,
-    /// Of the bytes last read; None within: there was no file.
+struct LastRead {
+    stamp: Option<Result<FileStamp, String>>,
+    /// The hash of the last content; the inner value is `None` if the file was missing.
     hash: Option<Option<blake3::Hash>>,
 }
 
-/// Tells of the file's folder; none where the system gives no notifications.
-struct Ear {
+/// A notification watcher on the directory of the file, with the identity of the directory.
+struct FolderWatcher {
     _watcher: notify::RecommendedWatcher,
     folder: (u64, u64),
 }
@@ -104,57 +109,59 @@
         .unwrap_or(Path::new("."))
 }
 
-/// What tells one folder from another at the same place.
-fn id(folder: &Path) -> Option<(u64, u64)> {
+/// Device and inode of a directory; detects that it was replaced.
+fn folder_id(folder: &Path) -> Option<(u64, u64)> {
     std::fs::metadata(folder)
         .ok()
-        .map(|told| (told.dev(), told.ino()))
+        .map(|metadata| (metadata.dev(), metadata.ino()))
 }
 
-fn listen(path: &Path, stirred: &Arc<Notify>) -> Option<Ear> {
+fn watch_folder(path: &Path, changes: &Arc<Notify>) -> Option<FolderWatcher> {
     let folder = folder_of(path);
-    let here = id(folder)?;
-    let stir = stirred.clone();
+    let current_id = folder_id(folder)?;
+    let notify = changes.clone();
     let watcher = notify::recommended_watcher(move |event: notify::Result<notify::Event>| {
-        // Reading the file is an event as well.
+        // Ignores access events, which reading the file causes.
         if !event.is_ok_and(|e| e.kind.is_access()) {
-            stir.notify_one();
+            notify.notify_one();
         }
     });
     let mut watcher = watcher.ok()?;
     watcher.watch(folder, RecursiveMode::NonRecursive).ok()?;
-    Some(Ear {
+    Some(FolderWatcher {
         _watcher: watcher,
-        folder: here,
+        folder: current_id,
     })
 }
 
-/// Follows the file for as long as somebody listens.
+/// Watches the file until the receiver is closed.
 pub async fn follow(path: PathBuf, found: mpsc::Sender<Found>) {
-    let stirred = Arc::new(Notify::new());
-    let (mut last, mut ear) = (Last::default(), None);
+    let changes = Arc::new(Notify::new());
+    let (mut last, mut folder_watcher) = (LastRead::default(), None);
     loop {
-        let (place, stir) = (path.clone(), stirred.clone());
-        let looked = tokio::task::spawn_blocking(move || {
-            // A folder that was replaced tells nothing of the new one.
-            if ear.as_ref().map(|e: &Ear| e.folder) != id(folder_of(&place)) {
-                ear = listen(&place, &stir);
+        let (place, notify) = (path.clone(), changes.clone());
+        let polled = tokio::task::spawn_blocking(move || {
+            // A watcher on a replaced directory receives no events for the new one.
+            if folder_watcher.as_ref().map(|e: &FolderWatcher| e.folder)
+                != folder_id(folder_of(&place))
+            {
+                folder_watcher = watch_folder(&place, &notify);
             }
-            let news = look(&place, &mut last);
-            (last, ear, news)
+            let new_state = poll_file(&place, &mut last);
+            (last, folder_watcher, new_state)
         });
-        let Ok((was, heard, news)) = looked.await else {
+        let Ok((polled_last, polled_watcher, new_state)) = polled.await else {
             return;
         };
-        (last, ear) = (was, heard);
-        if let Some(news) = news
-            && found.send(news).await.is_err()
+        (last, folder_watcher) = (polled_last, polled_watcher);
+        if let Some(new_state) = new_state
+            && found.send(new_state).await.is_err()
         {
             return;
         }
         tokio::select! {
             () = found.closed() => return,
-            _ = timeout(POLL_INTERVAL, stirred.notified()) => {}
+            _ = timeout(POLL_INTERVAL, changes.notified()) => {}
         }
     }
 }
--- a/crates/rookpulley-files/tests/files.rs
+++ b/crates/rookpulley-files/tests/files.rs
@@ -1,4 +1,4 @@
-//! Server files: whole or not at all.
+//! Reading, rendering and sealing server files.
 
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -10,7 +10,7 @@
 
 const FILE: &str = "servers.star";
 
-fn taken(text: &str) -> Result<Candidate, ReadError> {
+fn read_text(text: &str) -> Result<Candidate, ReadError> {
     read(Path::new(FILE), text.as_bytes())
 }
 
@@ -40,51 +40,54 @@
     }
 }
 
-fn placeless(mut candidate: Candidate) -> Candidate {
+fn without_places(mut candidate: Candidate) -> Candidate {
     candidate.entries.iter_mut().for_each(|e| e.place = None);
     candidate
 }
 
 #[test]
-fn what_is_written_is_read_back_with_its_places() {
+fn rendered_files_round_trip_with_positions() {
     let text = render(&list(12, 9));
-    let read = taken(&text).unwrap();
+    let read = read_text(&text).unwrap();
     assert_eq!(read.entries[0].place, Some((3, 1)));
-    assert_eq!(placeless(read), list(12, 9));
-    let aloud = Candidate {
+    assert_eq!(without_places(read), list(12, 9));
+    let declared_loss = Candidate {
         loss: Some(0.75),
         ..list(1, 2)
     };
-    assert_eq!(placeless(taken(&render(&aloud)).unwrap()), aloud);
+    assert_eq!(
+        without_places(read_text(&render(&declared_loss)).unwrap()),
+        declared_loss
+    );
 }
 
 #[test]
-fn a_good_file_cut_at_every_byte_offset_is_never_taken_for_a_whole_one() {
+fn truncated_files_are_rejected_at_every_offset() {
     let text = render(&list(3, 6));
-    let whole = text.trim_end().len();
-    for at in 0..whole {
+    let complete_len = text.trim_end().len();
+    for at in 0..complete_len {
         let cut = read(Path::new(FILE), &text.as_bytes()[..at]);
         assert!(
             matches!(cut, Err(ReadError::MissingClosing(_))),
             "cut at {at}: {cut:?}"
         );
     }
-    for at in whole..=text.len() {
+    for at in complete_len..=text.len() {
         assert_eq!(
-            placeless(taken(&text[..at]).unwrap()),
+            without_places(read_text(&text[..at]).unwrap()),
             list(3, 6),
-            "only the line's end is missing"
+            "only the final newline is missing"
         );
     }
 }
 
 #[test]
-fn an_editor_that_writes_over_a_file_byte_by_byte_in_any_order_is_never_believed_in_between() {
-    // The same length, the same count, another weight in each line.
+fn partially_overwritten_files_are_rejected() {
+    // Both files have the same length and number of servers; the weights differ.
     let old = render(&list(3, 6));
-    let mut next = list(4, 6);
-    next.entries.iter_mut().for_each(|e| e.weight += 1.0);
-    let new = render(&next);
+    let mut updated = list(4, 6);
+    updated.entries.iter_mut().for_each(|e| e.weight += 1.0);
+    let new = render(&updated);
     assert_eq!(old.len(), new.len());
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     for round in 0..30 {
@@ -99,23 +102,23 @@
         let mut bytes = old.clone().into_bytes();
         for (done, at) in places.iter().enumerate() {
             bytes[*at] = new.as_bytes()[*at];
-            let got = read(Path::new(FILE), &bytes);
+            let result = read(Path::new(FILE), &bytes);
             assert_eq!(
-                got.is_ok(),
+                result.is_ok(),
                 done + 1 == places.len(),
-                "after {done} of {}: {got:?}",
+                "after {done} of {}: {result:?}",
                 places.len()
             );
         }
         assert_eq!(
-            placeless(taken(&String::from_utf8(bytes).unwrap()).unwrap()),
-            next
+            without_places(read_text(&String::from_utf8(bytes).unwrap()).unwrap()),
+            updated
         );
     }
 }
 
 #[test]
-fn broken_files_are_refused_with_place_and_remedy() {
+fn invalid_files_are_rejected_with_position_and_remedy() {
     let sealed_body = |body: &str, servers: usize| {
         format!("{body}end(servers = {servers}, seal = {:?})\n", seal(body))
     };
@@ -127,11 +130,11 @@
         ),
         (
             sealed_body(&format!("generation(1)\n{one}"), 2),
-            "says 2 servers and names 1; where it is whole, write end(servers = 1",
+            "says 2 servers but lists 1; if the file is complete, write end(servers = 1",
         ),
         (
             format!("generation(1)\n{one}end(servers = 1, seal = \"AAAAAAAA\")"),
-            "its seal is \"AAAAAAAA\" and does not fit",
+            "its seal \"AAAAAAAA\" does not fit",
         ),
         (
             format!("generation(1)\n{one}"),
@@ -139,7 +142,7 @@
         ),
         (
             sealed_body("generation(-1)\n", 0),
-            "servers.star:1:1: generation(-1) is no whole number",
+            "servers.star:1:1: generation(-1) is not a non-negative whole number",
         ),
         (
             sealed_body("generation(1)\ngeneration(2)\n", 0),
@@ -168,7 +171,7 @@
                 ),
                 1,
             ),
-            "is no time; write \"2026-12-01T10:00:00Z\"",
+            "is not a time; write \"2026-12-01T10:00:00Z\"",
         ),
         (
             sealed_body("generation(1)\nfor a in []:\n  pass\n", 0),
@@ -179,20 +182,20 @@
             "",
         ),
     ];
-    for (text, wanted) in cases {
-        let said = taken(&text)
+    for (text, expected) in cases {
+        let message = read_text(&text)
             .map(|c| format!("taken: {c:?}"))
             .unwrap_or_else(|e| e.to_string());
-        assert!(said.contains(wanted), "{text}\n{said}");
+        assert!(message.contains(expected), "{text}\n{message}");
     }
-    let said = read(Path::new(FILE), b"generation(1)\n# \xff\n")
+    let message = read(Path::new(FILE), b"generation(1)\n# \xff\n")
         .unwrap_err()
         .to_string();
-    assert_eq!(said, "byte 16 is no UTF-8 text");
+    assert_eq!(message, "byte 16 is not valid UTF-8");
 }
 
 #[test]
-fn a_script_that_never_ends_or_grows_for_ever_is_refused() {
+fn scripts_beyond_the_limits_are_rejected() {
     for body in [
         "x = \"y\" * 1000000000000\n".to_string(),
         "def f():\n  return f()\nf()\n".to_string(),
@@ -204,60 +207,63 @@
         format!("x = {}1\n", "not ".repeat(50_000)),
     ] {
         let text = format!("{body}end(servers = 0, seal = {:?})\n", seal(&body));
-        assert!(taken(&text).is_err(), "{}", &body[..20.min(body.len())]);
+        assert!(read_text(&text).is_err(), "{}", &body[..20.min(body.len())]);
     }
-    assert!(taken(&" ".repeat(9 << 20)).is_err());
+    assert!(read_text(&" ".repeat(9 << 20)).is_err());
 }
 
 #[test]
-fn ten_thousand_servers() {
+fn ten_thousand_servers_are_accepted() {
     let text = render(&list(1, 10_000));
-    assert_eq!(taken(&text).unwrap().entries.len(), 10_000);
+    assert_eq!(read_text(&text).unwrap().entries.len(), 10_000);
 }
 
 #[test]
-fn a_seal_is_put_on_what_was_edited_and_nothing_else_changes() {
+fn sealing_changes_only_the_closing_statement() {
     let text = render(&list(3, 4)).replace("weight = 1.5", "weight = 2.25");
-    assert!(matches!(taken(&text), Err(ReadError::SealMismatch { .. })));
+    assert!(matches!(
+        read_text(&text),
+        Err(ReadError::SealMismatch { .. })
+    ));
     let sealed_text = with_seal(Path::new(FILE), &text).unwrap();
-    assert_eq!(taken(&sealed_text).unwrap().entries[0].weight, 2.25);
+    assert_eq!(read_text(&sealed_text).unwrap().entries[0].weight, 2.25);
     let body = |t: &str| t.rsplit_once("end(").unwrap().0.to_string();
     assert_eq!(body(&sealed_text), body(&text));
     assert_eq!(
         with_seal(Path::new(FILE), &sealed_text).unwrap(),
         sealed_text,
-        "twice is once"
+        "sealing is idempotent"
     );
-    let unended = body(&text);
+    let unsealed = body(&text);
     assert_eq!(
-        with_seal(Path::new(FILE), unended.trim_end()).unwrap(),
+        with_seal(Path::new(FILE), unsealed.trim_end()).unwrap(),
         sealed_text
     );
     assert!(
         with_seal(Path::new(FILE), "server(").is_err(),
-        "what can't be read is not sealed"
+        "invalid files are not sealed"
     );
 }
 
 proptest! {
     #[test]
-    fn whatever_bytes_come_there_is_a_verdict(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         _ = read(Path::new(FILE), &bytes);
     }
 
     #[test]
-    fn odd_texts_are_written_so_that_they_are_read_back(name in "\\PC{0,12}", zone in "[\"\\\\\n\r\ta-z]{0,8}") {
-        let mut odd = list(1, 1);
-        (odd.entries[0].name, odd.entries[0].zone) = (name, zone);
-        prop_assert_eq!(placeless(taken(&render(&odd)).unwrap()), odd);
+    fn unusual_strings_round_trip(name in "\\PC{0,12}", zone in "[\"\\\\\n\r\ta-z]{0,8}") {
+        let mut unusual = list(1, 1);
+        (unusual.entries[0].name, unusual.entries[0].zone) = (name, zone);
+        prop_assert_eq!(without_places(read_text(&render(&unusual)).unwrap()), unusual);
     }
 
     #[test]
-    fn one_byte_changed_is_found_out(at in 0_usize..1_000, bit in 0_u8..8) {
+    fn single_bit_changes_are_detected(at in 0_usize..1_000, bit in 0_u8..8) {
         let text = render(&list(3, 6));
-        let whole = text.trim_end().len();
+        let complete_len = text.trim_end().len();
         let mut bytes = text.clone().into_bytes();
-        bytes[at % whole] ^= 1 << bit;
+        bytes[at % complete_len] ^= 1 << bit;
         prop_assert!(read(Path::new(FILE), &bytes).is_err());
     }
 }
--- a/crates/rookpulley-files/tests/watch.rs
+++ b/crates/rookpulley-files/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on a server file, against editors of all sorts.
+//! Watching a server file while it is edited, renamed, linked and replaced.
 
 use rookpulley_files::render;
 use rookpulley_files::watch::{Found, follow};
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-const LONG: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn text(generation: u64) -> String {
     let entry = Entry {
@@ -26,7 +26,7 @@
     })
 }
 
-fn watching<F: Future<Output = ()>>(
+fn with_watched_file<F: Future<Output = ()>>(
     test: impl FnOnce(std::path::PathBuf, mpsc::Receiver<Found>) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -39,23 +39,25 @@
         let file = folder.path().join("etc/servers.star");
         let (sender, found) = mpsc::channel(1);
         let following = tokio::spawn(follow(file.clone(), sender));
-        timeout(LONG, test(file, found)).await.expect("it hangs");
+        timeout(TEST_TIMEOUT, test(file, found))
+            .await
+            .expect("the test timed out");
         following.abort();
     });
 }
 
-/// The next whole file; what is not taken on the way is counted.
-async fn next(found: &mut mpsc::Receiver<Found>, others: &mut usize) -> u64 {
+/// Waits for the next valid file and counts the other states before it.
+async fn next_generation(found: &mut mpsc::Receiver<Found>, rejected: &mut usize) -> u64 {
     loop {
         match found.recv().await.unwrap() {
             Found::List(list) => return list.generation,
-            Found::Rejected(_) | Found::Missing(_) => *others += 1,
+            Found::Rejected(_) | Found::Missing(_) => *rejected += 1,
         }
     }
 }
 
-/// Writes in several steps, and waits for word of the unfinished file in between.
-async fn in_steps(file: &Path, text: &str, found: &mut mpsc::Receiver<Found>) {
+/// Writes a file in two steps and expects the incomplete file to be rejected in between.
+async fn write_in_two_steps(file: &Path, text: &str, found: &mut mpsc::Receiver<Found>) {
     let half = text.len() / 2;
     std::fs::write(file, &text[..half]).unwrap();
     match found.recv().await.unwrap() {
@@ -66,22 +68,22 @@
 }
 
 #[test]
-fn editors_that_write_in_steps_rename_link_and_replace_the_folder_are_followed() {
-    watching(|file, mut found| async move {
+fn partial_writes_renames_links_and_replaced_directories_are_followed() {
+    with_watched_file(|file, mut found| async move {
         assert!(
             matches!(found.recv().await, Some(Found::Missing(_))),
-            "there is none yet"
+            "the file does not exist yet"
         );
-        let mut others = 0;
+        let mut rejected = 0;
         std::fs::write(&file, text(1)).unwrap();
-        assert_eq!(next(&mut found, &mut others).await, 1);
-        in_steps(&file, &text(2), &mut found).await;
-        assert_eq!(next(&mut found, &mut others).await, 2);
-        let beside = file.with_extension("new");
-        std::fs::write(&beside, text(3)).unwrap();
-        std::fs::rename(&beside, &file).unwrap();
-        assert_eq!(next(&mut found, &mut others).await, 3);
-        // A link to a file elsewhere, which then changes; no notification comes from there.
+        assert_eq!(next_generation(&mut found, &mut rejected).await, 1);
+        write_in_two_steps(&file, &text(2), &mut found).await;
+        assert_eq!(next_generation(&mut found, &mut rejected).await, 2);
+        let sibling = file.with_extension("new");
+        std::fs::write(&sibling, text(3)).unwrap();
+        std::fs::rename(&sibling, &file).unwrap();
+        assert_eq!(next_generation(&mut found, &mut rejected).await, 3);
+        // A symbolic link to a file in another directory, which sends no notifications.
         let elsewhere = file
             .parent()
             .unwrap()
@@ -91,31 +93,31 @@
         std::fs::write(&elsewhere, text(4)).unwrap();
         std::fs::remove_file(&file).unwrap();
         std::os::unix::fs::symlink(&elsewhere, &file).unwrap();
-        assert_eq!(next(&mut found, &mut others).await, 4);
+        assert_eq!(next_generation(&mut found, &mut rejected).await, 4);
         std::fs::write(&elsewhere, text(5)).unwrap();
-        assert_eq!(next(&mut found, &mut others).await, 5);
-        // The folder is replaced by another.
+        assert_eq!(next_generation(&mut found, &mut rejected).await, 5);
+        // The directory is replaced.
         let folder = file.parent().unwrap().to_path_buf();
         let staged = folder.with_extension("staged");
         std::fs::create_dir(&staged).unwrap();
         std::fs::write(staged.join("servers.star"), text(6)).unwrap();
         std::fs::rename(&folder, folder.with_extension("old")).unwrap();
         std::fs::rename(&staged, &folder).unwrap();
-        assert_eq!(next(&mut found, &mut others).await, 6);
+        assert_eq!(next_generation(&mut found, &mut rejected).await, 6);
         std::fs::write(&file, text(7)).unwrap();
-        assert_eq!(next(&mut found, &mut others).await, 7);
+        assert_eq!(next_generation(&mut found, &mut rejected).await, 7);
     });
 }
 
 #[test]
-fn what_can_not_be_read_is_told_once_and_waited_out() {
-    watching(|file, mut found| async move {
-        let mut others = 0;
+fn unreadable_files_are_reported_once_until_they_recover() {
+    with_watched_file(|file, mut found| async move {
+        let mut rejected = 0;
         std::fs::write(&file, text(1)).unwrap();
-        assert_eq!(next(&mut found, &mut others).await, 1);
+        assert_eq!(next_generation(&mut found, &mut rejected).await, 1);
         std::fs::remove_file(&file).unwrap();
         assert!(matches!(found.recv().await, Some(Found::Missing(_))));
-        // A pipe has no end; it is not even opened.
+        // A named pipe must not be opened.
         let made = std::process::Command::new("mkfifo")
             .arg(&file)
             .status()
@@ -125,20 +127,20 @@
         std::fs::write(&file, b"\xff\xfe").unwrap();
         let mut not_text = false;
         while !not_text {
-            not_text = matches!(found.recv().await.unwrap(), Found::Rejected(why) if why.contains("no UTF-8"));
+            not_text = matches!(found.recv().await.unwrap(), Found::Rejected(why) if why.contains("not valid UTF-8"));
         }
         std::fs::write(&file, text(2)).unwrap();
-        assert_eq!(next(&mut found, &mut others).await, 2);
+        assert_eq!(next_generation(&mut found, &mut rejected).await, 2);
     });
 }
 
 #[test]
-fn the_same_bytes_again_are_no_news() {
-    watching(|file, mut found| async move {
-        let mut others = 0;
+fn rewriting_the_same_content_is_not_reported() {
+    with_watched_file(|file, mut found| async move {
+        let mut rejected = 0;
         std::fs::write(&file, text(1)).unwrap();
-        assert_eq!(next(&mut found, &mut others).await, 1);
-        let before = others;
+        assert_eq!(next_generation(&mut found, &mut rejected).await, 1);
+        let before = rejected;
         for _ in 0..20 {
             std::fs::write(file.with_extension("new"), text(1)).unwrap();
             std::fs::rename(file.with_extension("new"), &file).unwrap();
@@ -146,34 +148,38 @@
         }
         std::fs::write(file.with_extension("new"), text(2)).unwrap();
         std::fs::rename(file.with_extension("new"), &file).unwrap();
-        assert_eq!((next(&mut found, &mut others).await, others), (2, before));
+        assert_eq!(
+            (next_generation(&mut found, &mut rejected).await, rejected),
+            (2, before)
+        );
     });
 }
 
 #[test]
-fn two_files_swapped_by_rename_in_a_loop_are_each_seen_whole_or_not_at_all() {
-    watching(|file, mut found| async move {
-        let (mut others, beside, spare) = (0, file.with_extension("b"), file.with_extension("c"));
+fn files_swapped_by_rename_are_never_seen_in_part() {
+    with_watched_file(|file, mut found| async move {
+        let (mut rejected, sibling, spare) =
+            (0, file.with_extension("b"), file.with_extension("c"));
         std::fs::write(&file, text(1)).unwrap();
-        std::fs::write(&beside, text(2)).unwrap();
-        let (swapping, stop) = (
+        std::fs::write(&sibling, text(2)).unwrap();
+        let (watched, stop) = (
             file.clone(),
             std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false)),
         );
         let stopped = stop.clone();
-        let loops = std::thread::spawn(move || {
+        let swapper = std::thread::spawn(move || {
             while !stopped.load(std::sync::atomic::Ordering::Relaxed) {
-                std::fs::rename(&swapping, &spare).unwrap();
-                std::fs::rename(&beside, &swapping).unwrap();
-                std::fs::rename(&spare, &beside).unwrap();
+                std::fs::rename(&watched, &spare).unwrap();
+                std::fs::rename(&sibling, &watched).unwrap();
+                std::fs::rename(&spare, &sibling).unwrap();
             }
         });
         let mut seen = std::collections::BTreeSet::new();
         while seen.len() < 2 {
-            seen.insert(next(&mut found, &mut others).await);
+            seen.insert(next_generation(&mut found, &mut rejected).await);
         }
         assert_eq!(seen.into_iter().collect::<Vec<_>>(), [1, 2]);
         stop.store(true, std::sync::atomic::Ordering::Relaxed);
-        loops.join().unwrap();
+        swapper.join().unwrap();
     });
 }
