--- a/crates/rookpulley-versions/src/manager.rs
+++ b/crates/rookpulley-versions/src/manager.rs
@@ -64,7 +64,7 @@
         {
             self.table_users
                 .entry(id)
-                .and_modify(|table_users| _ = table_users.remove(&dispatcher));
+                .and_modify(|users| _ = users.remove(&dispatcher));
         }
         self.initial_claims.remove(&dispatcher);
         if let Some(claims) = claims.filter(|c| !c.is_empty()) {
@@ -97,11 +97,11 @@
     pub fn bind(&mut self, now: f64, dispatcher: DispatcherId, kinds: Kinds, id: TableId) {
         self.bindings.insert((dispatcher, kinds), id);
         self.table_users.entry(id).or_default().insert(dispatcher);
-        let initial_claims = self
+        let initial_claim = self
             .initial_claims
             .get_mut(&dispatcher)
             .and_then(|b| b.remove(&kinds));
-        if let Some(claim) = initial_claims {
+        if let Some(claim) = initial_claim {
             self.deliveries
                 .record_initial_claim(now, dispatcher, id, claim, &mut self.history);
         }
