--- a/crates/rookpulley-balancer/src/controller_selection.rs
+++ b/crates/rookpulley-balancer/src/controller_selection.rs
@@ -1,31 +1,31 @@
-//! The controllers that a proxy knows, and which of them is its primary.
+//! Known controllers of a proxy, and the choice of its primary.
 //!
-//! All proxies choose by the same rank, so the decision module that publishes their tables knows the whole of the demand
-//! and hears of each instance from all of them.
+//! All proxies rank controllers identically and so choose the same primary, whose decision module then sees the load
+//! reports of the whole fleet.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::Ipv4Addr;
 
-/// For so long a primary may be out of touch before another one is chosen.
-const PRIMARY_PATIENCE_MS: f64 = 600.0;
-/// A controller that nobody names for so long is no longer connected to.
-const FORGOTTEN_MS: f64 = 60_000.0;
+/// How long the primary may be out of touch before another one is chosen.
+const PRIMARY_FAILOVER_MS: f64 = 600.0;
+/// How long a controller is kept after it was last announced.
+const CONTROLLER_EXPIRY_MS: f64 = 60_000.0;
 const MAX_CONTROLLERS: usize = 64;
-/// A newer configuration comes from the primary unasked. Where it doesn't for so long, the primary is asked for it, and
-/// after the longer time whoever has it. Each copy fills a slow link: one is asked for at a time.
-const PRIMARY_LATE_MS: f64 = 400.0;
-const LATE_MS: f64 = 700.0;
+/// The primary pushes newer configurations. After the first delay without one it is requested from the primary, and
+/// after the second from any controller. Requests are rate-limited because a configuration can saturate a slow link.
+const PRIMARY_REQUEST_DELAY_MS: f64 = 400.0;
+const REQUEST_DELAY_MS: f64 = 700.0;
 const REQUEST_INTERVAL_MS: f64 = 500.0;
 
-/// One controller as this proxy sees it.
+/// State of one controller as seen by this proxy.
 struct KnownController {
     is_connected: bool,
     is_in_touch: bool,
-    /// When it was last in touch, or the connection was made.
+    /// When it last reported being in touch, or when the connection was opened.
     in_touch_ms: f64,
-    /// When it was last named by a seed or a controller.
-    named_ms: f64,
+    /// When it was last announced, by the seed list or by a controller.
+    announced_ms: f64,
 }
 
 impl KnownController {
@@ -33,31 +33,31 @@
         self.is_connected && self.is_in_touch
     }
 
-    /// Whether it may remain the primary.
+    /// Whether it may stay primary: connected, and in touch within the failover timeout.
     fn may_remain_primary(&self, now_ms: f64) -> bool {
-        let is_patient = now_ms - self.in_touch_ms < PRIMARY_PATIENCE_MS;
-        self.is_connected && (self.is_in_touch || is_patient)
+        let is_within_timeout = now_ms - self.in_touch_ms < PRIMARY_FAILOVER_MS;
+        self.is_connected && (self.is_in_touch || is_within_timeout)
     }
 }
 
-/// Another primary than before.
+/// A change of the primary.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrimaryChange {
-    /// The one before.
+    /// Previous primary.
     pub from: Option<Ipv4Addr>,
-    /// The one from now on.
+    /// New primary.
     pub to: Ipv4Addr,
 }
 
-/// A newer configuration than the held one is known of.
+/// A configuration newer than the held one has been announced.
 #[derive(Clone, Copy)]
 struct NewerConfiguration {
-    /// The version that is held.
+    /// Version held by this proxy.
     held: u64,
     since_ms: f64,
 }
 
-/// The controllers that a proxy knows.
+/// Tracks the known controllers and chooses the primary.
 #[derive(Default)]
 pub struct ControllerSelection {
     controllers: BTreeMap<Ipv4Addr, KnownController>,
@@ -67,15 +67,15 @@
 }
 
 impl ControllerSelection {
-    /// The controller that publishes this proxy's tables.
+    /// The controller that publishes this proxy's endpoint tables.
     pub fn primary(&self) -> Option<Ipv4Addr> {
         self.primary
     }
 
-    /// Somebody names a controller. True: it wasn't known and is to be connected to.
+    /// Records an announced controller. Returns true if it is new and should be connected to.
     pub fn discover(&mut self, now_ms: f64, controller: Ipv4Addr) -> bool {
         if let Some(known) = self.controllers.get_mut(&controller) {
-            known.named_ms = now_ms;
+            known.announced_ms = now_ms;
             return false;
         }
         if self.controllers.len() >= MAX_CONTROLLERS {
@@ -85,23 +85,25 @@
             is_connected: false,
             is_in_touch: false,
             in_touch_ms: 0.0,
-            named_ms: now_ms,
+            announced_ms: now_ms,
         };
         self.controllers.insert(controller, known);
         true
     }
 
-    /// Whether nobody has named a controller for long. It is forgotten then, and need not be connected to again.
+    /// Removes a controller that has not been announced recently. Returns true if it is unknown now, so no reconnection
+    /// is needed.
     pub fn is_forgotten(&mut self, now_ms: f64, controller: Ipv4Addr) -> bool {
         let known = self.controllers.get(&controller);
-        let is_old = known.is_none_or(|known| now_ms - known.named_ms > FORGOTTEN_MS);
-        if is_old {
+        let is_expired =
+            known.is_none_or(|known| now_ms - known.announced_ms > CONTROLLER_EXPIRY_MS);
+        if is_expired {
             self.controllers.remove(&controller);
         }
-        is_old
+        is_expired
     }
 
-    /// The connection to a controller is open.
+    /// Records that the connection to a controller is open.
     pub fn connected(&mut self, now_ms: f64, controller: Ipv4Addr) {
         if let Some(known) = self.controllers.get_mut(&controller) {
             known.is_connected = true;
@@ -109,7 +111,7 @@
         }
     }
 
-    /// The connection to a controller is over.
+    /// Records that the connection to a controller is closed.
     pub fn disconnected(&mut self, controller: Ipv4Addr) {
         if let Some(known) = self.controllers.get_mut(&controller) {
             known.is_connected = false;
@@ -117,7 +119,7 @@
         }
     }
 
-    /// The controllers that have said within this time that they are in touch.
+    /// Controllers that reported being in touch within the last `within_ms`.
     pub fn in_touch(&self, now_ms: f64, within_ms: f64) -> impl Iterator<Item = Ipv4Addr> {
         let is_fresh = move |known: &KnownController| now_ms - known.in_touch_ms <= within_ms;
         self.controllers
@@ -126,7 +128,7 @@
             .map(|(ip, _)| *ip)
     }
 
-    /// A controller has sent its status. True: its configuration, which is newer than the held one, is to be requested.
+    /// Processes a controller's status. Returns true if its newer configuration should be requested.
     pub fn handle_status(
         &mut self,
         now_ms: f64,
@@ -151,18 +153,18 @@
             since_ms: now_ms,
         });
         self.newer = Some(newer);
-        let is_late = now_ms - newer.since_ms >= self.late_ms(controller);
-        let is_first = self
+        let is_due = now_ms - newer.since_ms >= self.request_delay_ms(controller);
+        let is_allowed = self
             .requested_ms
             .is_none_or(|requested_ms| now_ms - requested_ms >= REQUEST_INTERVAL_MS);
-        if is_late && is_first {
+        if is_due && is_allowed {
             self.requested_ms = Some(now_ms);
         }
-        is_late && is_first
+        is_due && is_allowed
     }
 
-    /// For how long a newer configuration is waited for before this controller is asked for it.
-    fn late_ms(&self, controller: Ipv4Addr) -> f64 {
+    /// How long to wait for a newer configuration before requesting it from this controller.
+    fn request_delay_ms(&self, controller: Ipv4Addr) -> f64 {
         let Some(primary) = self.primary else {
             return 0.0;
         };
@@ -170,13 +172,13 @@
         if !known.is_some_and(KnownController::is_usable) {
             0.0
         } else if primary == controller {
-            PRIMARY_LATE_MS
+            PRIMARY_REQUEST_DELAY_MS
         } else {
-            LATE_MS
+            REQUEST_DELAY_MS
         }
     }
 
-    /// Chooses another primary where the present one may not remain it.
+    /// Chooses a new primary if the current one may not stay.
     pub fn choose_primary(&mut self, now_ms: f64) -> Option<PrimaryChange> {
         let from = self.primary;
         let known = from.and_then(|primary| self.controllers.get(&primary));
@@ -194,7 +196,7 @@
     }
 }
 
-/// The same for all proxies.
+/// Deterministic rank, identical on all proxies.
 fn rank(controller: Ipv4Addr) -> u64 {
     let mut hasher = DefaultHasher::new();
     controller.hash(&mut hasher);
--- a/crates/rookpulley-balancer/src/endpoint_picker.rs
+++ b/crates/rookpulley-balancer/src/endpoint_picker.rs
@@ -1,4 +1,4 @@
-//! The tables as the primary publishes them, and the choice of an instance from one.
+//! Endpoint tables as published by the primary, and endpoint selection.
 
 use crate::endpoint::Endpoint;
 use crate::{AttemptOutcome, RequestAttempts};
@@ -9,52 +9,52 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Up to this length all entries of a table are compared; of a longer one a sample.
-const MAX_COMPARED: usize = 64;
-const SAMPLE: usize = 8;
-/// An incarnation that is gone is remembered for so long: longer than any table that could still name it.
-const GONE_MS: f64 = 600_000.0;
+/// Up to this length all entries of a table are compared; from a longer table a random sample.
+const MAX_FULL_SCAN: usize = 64;
+const SAMPLE_SIZE: usize = 8;
+/// How long a gone incarnation is remembered: longer than any table that could still contain it is in use.
+const GONE_RETENTION_MS: f64 = 600_000.0;
 const MAX_GONE: usize = 10_000;
-/// What an instance of another zone costs more, since its bytes do. Little: a table names others only as far as its own
-/// zone has no room, and what is to go there must go there.
+/// Cost multipliers of instances in another zone, for cross-zone traffic. They are small because a table contains such
+/// instances only when the local zone lacks capacity.
 const OTHER_ZONE_FACTOR: f64 = 1.1;
 const OTHER_ZONE_DOWNLOAD_FACTOR: f64 = 1.5;
-/// By how much the cost is varied at random, so that equal instances share the requests.
+/// Random variation of the cost, which spreads requests over equal instances.
 const JITTER: f64 = 0.1;
-/// What an answer is thought to take before any came.
+/// Assumed latency of a service before the first response.
 const DEFAULT_LATENCY_MS: f64 = 20.0;
-/// How much one answer moves the typical latency of a service.
-const TYPICAL_SHARE: f64 = 0.05;
+/// Smoothing factor of the average latency of a service.
+const LATENCY_SMOOTHING: f64 = 0.05;
 
-/// An instance chosen for one attempt. It is given back, once, to the method that says how the attempt ended.
+/// An instance picked for one attempt. It must be passed to exactly one of the methods that end the attempt.
 #[derive(Debug)]
 #[must_use]
 pub struct Pick {
     index: usize,
-    /// Its entry in the table.
+    /// Table entry of the instance.
     pub entry: Rc<TableEntry>,
-    /// How long an answer usually takes there.
+    /// Expected latency.
     pub expected_ms: f64,
 }
 
 #[derive(Default)]
 struct Table {
-    /// Indices of endpoints.
+    /// Indices into `EndpointPicker::endpoints`.
     endpoints: Vec<usize>,
-    /// How long answers of the service usually take.
-    typical_ms: Option<f64>,
+    /// Average latency of the service. None before the first response.
+    service_latency_ms: Option<f64>,
 }
 
-/// What the endpoints of a table are compared by.
+/// Inputs for comparing the endpoints of a table.
 struct Criteria<'a> {
     zone: &'a str,
     attempts: &'a RequestAttempts,
     other_zone_factor: f64,
-    typical_ms: f64,
+    service_latency_ms: f64,
     now_ms: f64,
 }
 
-/// An endpoint that a request may go to.
+/// An endpoint that is eligible for a request.
 #[derive(Clone, Copy)]
 struct Candidate {
     is_ejected: bool,
@@ -63,7 +63,7 @@
 }
 
 impl Criteria<'_> {
-    /// None: the request can't go there. `random` is from 0 to 1.
+    /// Returns None if the endpoint is not eligible. `random`, from 0 to 1, scales the jitter.
     fn evaluate(
         &self,
         endpoints: &[Option<Endpoint>],
@@ -75,9 +75,13 @@
         if endpoint.is_gone || self.attempts.tried().contains(&entry.incarnation) {
             return None;
         }
-        let is_near = entry.zone == self.zone;
-        let zone_factor = if is_near { 1.0 } else { self.other_zone_factor };
-        let cost = endpoint.cost(self.now_ms, self.typical_ms);
+        let is_local = entry.zone == self.zone;
+        let zone_factor = if is_local {
+            1.0
+        } else {
+            self.other_zone_factor
+        };
+        let cost = endpoint.cost(self.now_ms, self.service_latency_ms);
         Some(Candidate {
             is_ejected: endpoint.is_ejected(self.now_ms, self.attempts.is_idempotent()),
             cost: cost * zone_factor * (1.0 + JITTER * random),
@@ -87,29 +91,29 @@
 }
 
 impl Candidate {
-    /// An ejected endpoint is taken only where there is no other.
+    /// Prefers endpoints that are not ejected, then lower cost.
     fn is_better_than(&self, other: &Self) -> bool {
         (self.is_ejected, self.cost) < (other.is_ejected, other.cost)
     }
 }
 
-/// All tables of a proxy, and what it knows of the instances in them.
+/// Holds the endpoint tables of a proxy and picks endpoints from them.
 pub struct EndpointPicker {
     zone: String,
     tables: HashMap<String, Table>,
     endpoints: Vec<Option<Endpoint>>,
-    /// Indices of `endpoints` without one.
+    /// Unused indices of `endpoints`.
     free: Vec<usize>,
     by_incarnation: HashMap<IncarnationId, usize>,
-    /// When each incarnation was said to be gone.
+    /// When each incarnation was reported as draining or gone.
     gone: HashMap<IncarnationId, f64>,
-    /// The same incarnations, the oldest first.
+    /// Keys of `gone`, oldest first.
     gone_order: VecDeque<IncarnationId>,
     random: ChaCha8Rng,
 }
 
 impl EndpointPicker {
-    /// Without any table. `zone` is that of this proxy.
+    /// Creates a picker without tables. `zone` is the zone of this proxy.
     pub fn new(zone: &str, seed: u64) -> Self {
         Self {
             zone: zone.to_owned(),
@@ -128,7 +132,7 @@
         self.random.random()
     }
 
-    /// Replaces the table of a service. Returns the incarnations that are in no table any more.
+    /// Replaces the table of a service. Returns the incarnations that are no longer in any table.
     pub fn replace_table(&mut self, service: &str, entries: Vec<TableEntry>) -> Vec<IncarnationId> {
         let before = self.tables.get_mut(service);
         let before = before.map(|table| std::mem::take(&mut table.endpoints));
@@ -138,17 +142,17 @@
             let index = self.insert(entry);
             if !endpoints.contains(&index) {
                 endpoints.push(index);
-                self.count_table(index, 1);
+                self.adjust_table_count(index, 1);
             }
         }
         for index in &before {
-            self.count_table(*index, -1);
+            self.adjust_table_count(*index, -1);
         }
         let table = self.tables.entry(service.to_owned()).or_default();
         table.endpoints = endpoints;
         let removed: Vec<usize> = before
             .into_iter()
-            .filter(|index| !self.is_in_a_table(*index))
+            .filter(|index| !self.is_in_any_table(*index))
             .collect();
         let incarnations = removed
             .iter()
@@ -160,7 +164,7 @@
         incarnations
     }
 
-    /// These incarnations get nothing new from now on, whatever tables say. Returns those not known before.
+    /// Excludes these incarnations from selection, even if a table contains them. Returns those not marked before.
     pub fn mark_gone(
         &mut self,
         incarnations: Vec<IncarnationId>,
@@ -179,14 +183,14 @@
             self.gone_order.push_back(incarnation.clone());
             new.push(incarnation);
         }
-        self.forget_oldest_gone(now_ms);
+        self.expire_gone(now_ms);
         new
     }
 
-    fn forget_oldest_gone(&mut self, now_ms: f64) {
+    fn expire_gone(&mut self, now_ms: f64) {
         while let Some(oldest) = self.gone_order.front() {
-            let since_ms = self.gone.get(oldest).copied().unwrap_or(f64::MIN);
-            if self.gone_order.len() <= MAX_GONE && now_ms - since_ms < GONE_MS {
+            let gone_ms = self.gone.get(oldest).copied().unwrap_or(f64::MIN);
+            if self.gone_order.len() <= MAX_GONE && now_ms - gone_ms < GONE_RETENTION_MS {
                 break;
             }
             if let Some(oldest) = self.gone_order.pop_front() {
@@ -195,17 +199,17 @@
         }
     }
 
-    /// Whether this incarnation is known to be draining or gone.
+    /// Whether this incarnation was reported as draining or gone.
     pub fn is_gone(&self, incarnation: &IncarnationId) -> bool {
         self.gone.contains_key(incarnation)
     }
 
-    /// All incarnations that are known to be draining or gone.
+    /// All incarnations that were reported as draining or gone, oldest first.
     pub fn all_gone(&self) -> Vec<IncarnationId> {
         self.gone_order.iter().cloned().collect()
     }
 
-    /// Whether any table has an endpoint that may be used.
+    /// Whether any table contains a usable endpoint.
     pub fn has_endpoints(&self) -> bool {
         let mut indices = self.tables.values().flat_map(|table| &table.endpoints);
         indices.any(|index| {
@@ -214,7 +218,7 @@
         })
     }
 
-    /// Picks an instance of this service that the request hasn't tried. Its attempt begins.
+    /// Picks an untried instance of the service and counts an attempt on it as in flight.
     pub fn pick(
         &mut self,
         service: &str,
@@ -223,7 +227,7 @@
         now_ms: f64,
     ) -> Option<Pick> {
         let table = self.tables.get(service)?;
-        let typical_ms = table.typical_ms.unwrap_or(DEFAULT_LATENCY_MS);
+        let service_latency_ms = table.service_latency_ms.unwrap_or(DEFAULT_LATENCY_MS);
         let criteria = Criteria {
             zone: &self.zone,
             attempts,
@@ -231,16 +235,16 @@
                 RouteKind::Download => OTHER_ZONE_DOWNLOAD_FACTOR,
                 _ => OTHER_ZONE_FACTOR,
             },
-            typical_ms,
+            service_latency_ms,
             now_ms,
         };
         let (endpoints, random) = (&self.endpoints, &mut self.random);
-        let best = best_of(&table.endpoints, random, |index, random| {
+        let best = best_candidate(&table.endpoints, random, |index, random| {
             criteria.evaluate(endpoints, index, random)
         });
         let index = best?.index;
         let endpoint = self.endpoints.get_mut(index)?.as_mut()?;
-        let expected_ms = endpoint.expected_ms(now_ms, typical_ms);
+        let expected_ms = endpoint.expected_ms(now_ms, service_latency_ms);
         endpoint.in_flight += 1;
         Some(Pick {
             index,
@@ -249,7 +253,7 @@
         })
     }
 
-    /// Whether `pick` would find an instance.
+    /// Whether `pick` would return an instance.
     pub fn has_untried(&self, service: &str, attempts: &RequestAttempts) -> bool {
         let Some(table) = self.tables.get(service) else {
             return false;
@@ -262,7 +266,7 @@
         })
     }
 
-    /// The attempt has ended after `took_ms`.
+    /// Ends an attempt that took `took_ms` and records its outcome.
     pub fn record(
         &mut self,
         service: &str,
@@ -275,22 +279,23 @@
         if let AttemptOutcome::Answered(..500) = outcome
             && let Some(table) = self.tables.get_mut(service)
         {
-            let typical_ms = table.typical_ms.unwrap_or(took_ms);
-            table.typical_ms = Some(typical_ms + TYPICAL_SHARE * (took_ms - typical_ms));
+            let service_latency_ms = table.service_latency_ms.unwrap_or(took_ms);
+            table.service_latency_ms =
+                Some(service_latency_ms + LATENCY_SMOOTHING * (took_ms - service_latency_ms));
         }
     }
 
-    /// This proxy has as many connections there as it may: nothing was sent.
+    /// Ends an attempt that hit this proxy's connection limit.
     pub fn record_connection_limit(&mut self, pick: Pick, now_ms: f64) {
         self.end_attempt(pick, |endpoint| endpoint.record_connection_limit(now_ms));
     }
 
-    /// Another instance has answered at the address.
+    /// Ends an attempt that was answered by a different instance.
     pub fn record_wrong_instance(&mut self, pick: Pick, now_ms: f64) {
         self.end_attempt(pick, |endpoint| endpoint.record_wrong_instance(now_ms));
     }
 
-    /// The client left before the attempt ended: it says nothing about the instance.
+    /// Ends an attempt without recording an outcome, because the client aborted.
     pub fn cancel(&mut self, pick: Pick) {
         self.end_attempt(pick, Endpoint::release);
     }
@@ -306,19 +311,19 @@
         self.endpoints.get(index)?.as_ref()
     }
 
-    fn is_in_a_table(&self, index: usize) -> bool {
+    fn is_in_any_table(&self, index: usize) -> bool {
         self.endpoint(index)
             .is_some_and(|endpoint| endpoint.tables > 0)
     }
 
-    /// One more table has it, or one less.
-    fn count_table(&mut self, index: usize, change: i32) {
+    /// Adjusts the number of tables that contain the endpoint.
+    fn adjust_table_count(&mut self, index: usize, change: i32) {
         if let Some(Some(endpoint)) = self.endpoints.get_mut(index) {
             endpoint.tables = endpoint.tables.saturating_add_signed(change);
         }
     }
 
-    /// The index of the endpoint with this entry, which is new or replaces the one before.
+    /// Inserts an entry or updates the existing one. Returns the index of its endpoint.
     fn insert(&mut self, entry: TableEntry) -> usize {
         if let Some(&index) = self.by_incarnation.get(&entry.incarnation)
             && let Some(Some(endpoint)) = self.endpoints.get_mut(index)
@@ -340,7 +345,7 @@
         index
     }
 
-    /// Forgets an endpoint that is in no table once its last attempt has ended.
+    /// Removes an endpoint that is in no table and has no attempts in flight.
     fn remove_unused(&mut self, index: usize) {
         let is_unused = |endpoint: &Endpoint| endpoint.tables == 0 && endpoint.in_flight == 0;
         if let Some(slot) = self.endpoints.get_mut(index)
@@ -353,14 +358,18 @@
     }
 }
 
-/// The best of all endpoints of a table, or of a sample where there are many.
-fn best_of(
+/// Returns the best eligible endpoint of a table, or of a random sample if the table is long.
+fn best_candidate(
     endpoints: &[usize],
     random: &mut ChaCha8Rng,
     evaluate: impl Fn(usize, f64) -> Option<Candidate>,
 ) -> Option<Candidate> {
-    let is_sampled = endpoints.len() > MAX_COMPARED;
-    let compared = if is_sampled { SAMPLE } else { endpoints.len() };
+    let is_sampled = endpoints.len() > MAX_FULL_SCAN;
+    let compared = if is_sampled {
+        SAMPLE_SIZE
+    } else {
+        endpoints.len()
+    };
     let mut best: Option<Candidate> = None;
     for position in 0..compared {
         let position = if is_sampled {
@@ -376,7 +385,7 @@
             best = Some(candidate);
         }
     }
-    // The sample may have missed the few that are left.
+    // The sample may have missed the few eligible endpoints.
     if best.is_none() && is_sampled {
         best = endpoints.iter().find_map(|index| evaluate(*index, 0.0));
     }
--- a/crates/rookpulley-balancer/src/fleet_size.rs
+++ b/crates/rookpulley-balancer/src/fleet_size.rs
@@ -1,13 +1,13 @@
-//! How many proxies there are, and the share of one of them.
+//! Number of proxies in the fleet, and the connection limit derived from it.
 
-/// For so long a number is believed against smaller ones: a partition must not make shares larger.
-const BELIEVED_MS: f64 = 60_000.0;
-/// Connections to an instance that doesn't say how many it takes.
+/// How long a smaller count is ignored, so that a partition does not increase the shares.
+const DECREASE_DELAY_MS: f64 = 60_000.0;
+/// Connection limit for an instance that does not specify a maximum.
 const DEFAULT_CONNECTIONS: usize = 16;
-/// The fewest connections that one proxy may have to an instance.
+/// Lower bound of the connection limit of one proxy.
 const MIN_CONNECTIONS: usize = 4;
 
-/// The number of proxies, as far as it is known.
+/// Number of proxies in the fleet, as reported by controllers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetSize {
     proxies: u32,
@@ -15,22 +15,23 @@
 }
 
 impl FleetSize {
-    /// The number of proxies. 0: not known yet.
+    /// Number of proxies. 0 until it is known.
     pub fn proxies(&self) -> u32 {
         self.proxies
     }
 
-    /// A controller says how many there are. True: the number has changed.
+    /// Processes a count reported by a controller. Returns true if the number has changed.
     pub fn update(&mut self, now_ms: f64, proxies: u32) -> bool {
         let before = self.proxies;
-        if proxies >= before || now_ms - self.updated_ms > BELIEVED_MS {
+        if proxies >= before || now_ms - self.updated_ms > DECREASE_DELAY_MS {
             self.proxies = proxies;
             self.updated_ms = now_ms;
         }
         self.proxies != before
     }
 
-    /// How many connections this proxy may have to one instance, which accepts so many from all. 0: it doesn't say.
+    /// Connection limit of this proxy to one instance. `max_connections` is the instance's limit for all proxies, or 0 if
+    /// it specifies none.
     pub fn connection_limit(&self, max_connections: u32) -> usize {
         if max_connections == 0 {
             return DEFAULT_CONNECTIONS;
--- a/crates/rookpulley-balancer/src/lib.rs
+++ b/crates/rookpulley-balancer/src/lib.rs
@@ -1,15 +1,15 @@
-//! Load balancing of a proxy: which instance a request goes to, whether it may be retried, what its client is answered.
+//! Load balancing of the proxy: endpoint selection, retry policy and the final response to the client.
 //!
-//! | file | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `endpoint_picker` | the tables as controllers publish them, and the choice of an instance from one |
-//! | `endpoint` | what this proxy has measured of one instance: latency, failures, load |
-//! | `request_attempts` | what one request may still do after an attempt, and how it ends |
-//! | `retry_budget` | what pays for the retries of a service |
-//! | `controller_selection` | the controllers that a proxy knows, and which of them is its primary |
-//! | `fleet_size` | how many proxies there are, and the share of one of them |
+//! | `endpoint_picker` | endpoint tables published by controllers, and endpoint selection |
+//! | `endpoint` | per-endpoint latency, failures and load as seen by this proxy |
+//! | `request_attempts` | retry decisions and the outcome of one request |
+//! | `retry_budget` | token bucket that limits the retries of a service |
+//! | `controller_selection` | known controllers, and the choice of the primary |
+//! | `fleet_size` | number of proxies, and the connection share of one proxy |
 //!
-//! Times are in milliseconds from any fixed moment. Nothing here waits, reads a clock or opens a socket.
+//! Times are in milliseconds since an arbitrary epoch. The crate does no I/O and reads no clock.
 
 #![warn(missing_docs)]
 
--- a/crates/rookpulley-balancer/src/request_attempts.rs
+++ b/crates/rookpulley-balancer/src/request_attempts.rs
@@ -1,59 +1,60 @@
-//! What may still be done for one request, and what its client is answered in the end.
+//! Retry policy of one request, and its final response.
 //!
-//! Invariant: a 503 promises that the request hasn't run and never will (RULES, promises), so it is given only where no
-//! attempt may have run. A request that isn't idempotent is sent again only under the same condition.
+//! Invariant: a 503 guarantees that the request was not and will not be executed, so it is returned only if no attempt
+//! may have been executed. A non-idempotent request is retried only under the same condition.
 
 use crate::RetryBudget;
 use rookpulley_protocol::IncarnationId;
 use rookpulley_routes::RouteKind;
 
-/// How many attempts may end without a byte of the request having been sent.
+/// Maximum number of attempts that end before any byte of the request is sent.
 const MAX_UNSENT_ATTEMPTS: u32 = 4;
-/// With less time left than this a retry can't succeed.
+/// Minimum time before the deadline for a retry to be attempted.
 const MIN_RETRY_MS: f64 = 8.0;
-/// When the client of a rejected request is told to come again, and by how much that is spread.
+/// Base of the retry-after delay of a rejected request, and the jitter that is added to it.
 const RETRY_AFTER_MS: f64 = 80.0;
 const RETRY_AFTER_SPREAD_MS: f64 = 60.0;
-/// An attempt is slow beyond this part of the latency target, or so many times the expected latency.
-const SLOW_TARGET_PART: f64 = 0.8;
-const SLOW_EXPECTED_TIMES: f64 = 4.0;
+/// An attempt is slow after this fraction of the latency target or this multiple of the expected latency, whichever is
+/// longer.
+const SLOW_TARGET_FRACTION: f64 = 0.8;
+const SLOW_EXPECTED_FACTOR: f64 = 4.0;
 
-/// How one attempt ended.
+/// Outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptOutcome {
-    /// No byte of it was sent: the instance couldn't be reached, or had no room for a connection.
+    /// No byte was sent: the instance was unreachable, or its connection limit was reached.
     Unsent,
-    /// The instance says that it didn't run it.
+    /// The instance reported that it did not execute the request.
     NotExecuted,
-    /// A complete answer of the instance, with this status.
+    /// A complete response with this status.
     Answered(u16),
-    /// It was sent and ended without a complete answer: it may have run.
+    /// The request was sent but the response is incomplete: it may have been executed.
     Interrupted,
-    /// What came back can't be the answer to it: it may have run.
+    /// The response does not belong to this request: it may have been executed.
     InvalidResponse,
-    /// It was sent and no answer came in time: it may have run.
+    /// The request was sent and no response arrived in time: it may have been executed.
     TimedOut,
 }
 
-/// What is to be done next.
+/// Next action after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NextAction {
-    /// An attempt at another instance, none of those tried before.
+    /// Retry on an instance that has not been tried.
     Retry,
-    /// The instance's answer goes to the client.
+    /// Forward the instance's response to the client.
     Forward,
-    /// 503: the promise that the request hasn't run and won't.
+    /// Return 503: the request was not and will not be executed.
     Reject {
-        /// When the client is to come again.
+        /// Retry-after delay.
         retry_after_ms: f64,
     },
-    /// 502.
+    /// Return 502.
     BadGateway,
-    /// 504.
+    /// Return 504.
     GatewayTimeout,
 }
 
-/// The attempts of one request.
+/// Tracks the attempts of one request.
 #[derive(Clone, Debug)]
 pub struct RequestAttempts {
     kind: RouteKind,
@@ -62,14 +63,14 @@
     retry_after_ms: f64,
     tried: Vec<IncarnationId>,
     sends: u32,
-    unsent: u32,
-    may_have_run: bool,
-    /// A token was withdrawn for a retry that hasn't been sent yet.
-    is_paid: bool,
+    unsent_attempts: u32,
+    may_have_executed: bool,
+    /// A token was withdrawn for a retry that has not been sent yet.
+    has_retry_token: bool,
 }
 
 impl RequestAttempts {
-    /// A request that came, to be done by `deadline_ms`. `random` (from 0 to 1) spreads the returns of rejected clients.
+    /// Starts tracking a request with the given deadline. `random`, from 0 to 1, sets the jitter of the retry-after delay.
     pub fn new(kind: RouteKind, max_sends: u32, deadline_ms: f64, random: f64) -> Self {
         Self {
             kind,
@@ -78,33 +79,33 @@
             retry_after_ms: RETRY_AFTER_MS + RETRY_AFTER_SPREAD_MS * random,
             tried: Vec::new(),
             sends: 0,
-            unsent: 0,
-            may_have_run: false,
-            is_paid: false,
+            unsent_attempts: 0,
+            may_have_executed: false,
+            has_retry_token: false,
         }
     }
 
-    /// The incarnations that a retry must not go to.
+    /// Incarnations already tried, which retries must avoid.
     pub fn tried(&self) -> &[IncarnationId] {
         &self.tried
     }
 
-    /// Whether the request may run twice at no harm.
+    /// Whether the request can safely be executed more than once.
     pub fn is_idempotent(&self) -> bool {
         !matches!(self.kind, RouteKind::Mutating)
     }
 
-    /// The body can't be had a second time: nothing follows the first send.
+    /// Limits the request to one send, for a body that cannot be replayed.
     pub fn disable_retries(&mut self) {
         self.max_sends = self.max_sends.min(1);
     }
 
-    /// An attempt at this incarnation begins.
+    /// Records the start of an attempt on this incarnation.
     pub fn begin(&mut self, incarnation: &IncarnationId) {
         self.tried.push(incarnation.clone());
     }
 
-    /// When to turn from an instance that is slow beyond what is expected of it, if ever.
+    /// When to abandon a slow attempt in favor of a retry. None if a retry is not allowed or would miss the deadline.
     pub fn abandon_at_ms(
         &self,
         now_ms: f64,
@@ -112,13 +113,14 @@
         expected_ms: f64,
     ) -> Option<f64> {
         let may_retry = self.is_idempotent() && self.sends + 1 < self.max_sends;
-        let slow_ms = (SLOW_TARGET_PART * latency_target_ms).max(SLOW_EXPECTED_TIMES * expected_ms);
+        let slow_ms =
+            (SLOW_TARGET_FRACTION * latency_target_ms).max(SLOW_EXPECTED_FACTOR * expected_ms);
         let abandon_at_ms = now_ms + slow_ms;
         let ends_in_time = abandon_at_ms + expected_ms.max(MIN_RETRY_MS) < self.deadline_ms;
         (may_retry && ends_in_time).then_some(abandon_at_ms)
     }
 
-    /// An attempt has ended. `has_untried`: there is an instance that wasn't tried.
+    /// Records the outcome of an attempt. `has_untried` tells whether an untried instance is available.
     pub fn record(
         &mut self,
         outcome: AttemptOutcome,
@@ -127,17 +129,17 @@
         budget: &mut RetryBudget,
     ) -> NextAction {
         if outcome == AttemptOutcome::Unsent {
-            self.unsent += 1;
+            self.unsent_attempts += 1;
         } else {
             self.sends += 1;
-            self.is_paid = false;
+            self.has_retry_token = false;
         }
-        // Whatever isn't known not to have run may have run, for good.
+        // Never reset: one possibly executed attempt rules out a 503.
         if !matches!(
             outcome,
             AttemptOutcome::Unsent | AttemptOutcome::NotExecuted
         ) {
-            self.may_have_run = true;
+            self.may_have_executed = true;
         }
         let is_failure = match outcome {
             AttemptOutcome::Answered(status) => status >= 500,
@@ -153,35 +155,36 @@
         }
     }
 
-    /// There is no instance to try, or none any more.
+    /// Ends the request because no endpoint is available.
     pub fn no_endpoint(&mut self, now_ms: f64, budget: &mut RetryBudget) -> NextAction {
         self.refund(budget);
         self.give_up(now_ms)
     }
 
-    /// Another send of what isn't idempotent needs to know that nothing ran; any second send needs to be paid for.
+    /// Checks idempotency, attempt limits and the deadline, and withdraws a retry token if the request was sent before.
     fn may_retry(&mut self, now_ms: f64, budget: &mut RetryBudget) -> bool {
-        let is_harmless = self.is_idempotent() || !self.may_have_run;
-        let is_bounded = self.sends < self.max_sends && self.unsent < MAX_UNSENT_ATTEMPTS;
-        if !is_harmless || !is_bounded || self.deadline_ms - now_ms < MIN_RETRY_MS {
+        let is_safe = self.is_idempotent() || !self.may_have_executed;
+        let is_within_limits =
+            self.sends < self.max_sends && self.unsent_attempts < MAX_UNSENT_ATTEMPTS;
+        if !is_safe || !is_within_limits || self.deadline_ms - now_ms < MIN_RETRY_MS {
             return false;
         }
-        if self.sends > 0 && !self.is_paid {
-            self.is_paid = budget.withdraw(now_ms);
-            return self.is_paid;
+        if self.sends > 0 && !self.has_retry_token {
+            self.has_retry_token = budget.withdraw(now_ms);
+            return self.has_retry_token;
         }
         true
     }
 
     fn refund(&mut self, budget: &mut RetryBudget) {
-        if std::mem::take(&mut self.is_paid) {
+        if std::mem::take(&mut self.has_retry_token) {
             budget.refund();
         }
     }
 
-    /// A promise is made only where no instance can have begun.
+    /// Rejects with 503 only if no attempt may have been executed.
     fn give_up(&self, now_ms: f64) -> NextAction {
-        if !self.may_have_run {
+        if !self.may_have_executed {
             return NextAction::Reject {
                 retry_after_ms: self.retry_after_ms,
             };
--- a/crates/rookpulley-balancer/src/retry_budget.rs
+++ b/crates/rookpulley-balancer/src/retry_budget.rs
@@ -1,66 +1,65 @@
-//! What pays for the retries of requests to one service.
+//! Token bucket that limits the retries of one service.
 
-/// How fast tokens above the share are lost: by a factor of e in so many milliseconds.
-const LEAK_MS: f64 = 2_000.0;
-/// How many tokens may be saved where the share is less than one. With one at most, the leak left less than one to any
-/// attempt that took time: nothing was ever paid.
-const MAX_SAVED_TOKENS: f64 = 2.0;
-/// What part of the allowed ratio is used. The rest is for retries that arrive in a later window than they were paid in.
-const USED_RATIO: f64 = 0.8;
-/// What part of the allowed slack is used. The rest is for proxies that aren't counted yet.
-const USED_SLACK: f64 = 0.7;
+/// Time constant of the exponential decay of tokens above the share.
+const DECAY_MS: f64 = 2_000.0;
+/// Bucket capacity when the share is less than one token. It is above one so that a whole token is left after the decay
+/// during an attempt.
+const SMALL_SHARE_CAPACITY: f64 = 2.0;
+/// Used fraction of the allowed ratio. The rest covers retries that arrive in a later window than their withdrawal.
+const RATIO_FRACTION: f64 = 0.8;
+/// Used fraction of the allowed slack. The rest covers proxies that are not counted yet.
+const SLACK_FRACTION: f64 = 0.7;
 
-/// A token bucket: the first attempt of each request puts in a part of a token, a retry takes a whole one.
+/// A token bucket: each request deposits a fraction of a token, each retry withdraws a whole one.
 ///
-/// The users allow a service, over all proxies and in any window, `ratio` retries a request and `slack` more (RULES,
-/// retries). A bucket starts empty, so a restart adds nothing. What one bucket pays in a window is at most what it held
-/// at its start plus what came in during it: the first is bounded by a share of 0.7 of the slack, the second is 0.8 of
-/// `ratio` for each request, and both add up over all proxies to less than what is allowed.
+/// In any window, all proxies together may send `ratio` retries per request plus `slack`. A bucket starts empty, so a
+/// restart adds no retries. Withdrawals in a window are bounded by the balance at its start plus the deposits during it.
+/// The balance is limited to this proxy's share of the slack; summed over all proxies both terms stay within the limit.
 ///
-/// Where a share is less than one token, up to two can still be saved, so that one is left when an attempt has ended;
-/// but what is above the share leaks away within seconds: it is then backed by requests of the same window.
+/// If the share is less than one token, the bucket can hold more than its share, but the excess decays within seconds,
+/// so that it is always backed by recent requests.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     tokens: f64,
     deposit: f64,
     slack: f64,
-    /// This proxy's part of the slack. Nothing is paid before the number of proxies is known.
+    /// This proxy's part of the slack. None until the number of proxies is known; no retry is allowed before.
     share: Option<f64>,
-    leaked_ms: f64,
+    decayed_ms: f64,
 }
 
 impl RetryBudget {
-    /// An empty bucket. `ratio` and `slack` are what the users allow to all proxies together.
+    /// Creates an empty bucket. `ratio` and `slack` are the limits for all proxies together.
     pub fn new(ratio: f64, slack: f64) -> Self {
         Self {
             tokens: 0.0,
-            deposit: USED_RATIO * finite_or_zero(ratio),
-            slack: USED_SLACK * finite_or_zero(slack),
+            deposit: RATIO_FRACTION * finite_or_zero(ratio),
+            slack: SLACK_FRACTION * finite_or_zero(slack),
             share: None,
-            leaked_ms: 0.0,
+            decayed_ms: 0.0,
         }
     }
 
-    /// So many proxies share the slack.
+    /// Sets the number of proxies that share the slack.
     pub fn set_proxies(&mut self, proxies: u32) {
         self.share = Some(self.slack / f64::from(proxies.max(1)));
-        self.limit();
+        self.cap_tokens();
     }
 
-    /// A request has come.
+    /// Deposits the tokens for one request.
     pub fn record_request(&mut self, now_ms: f64) {
-        self.leak(now_ms);
+        self.decay(now_ms);
         self.tokens += self.deposit;
-        self.limit();
+        self.cap_tokens();
     }
 
-    /// Whether a retry could be paid.
+    /// Whether a token for a retry is available.
     pub fn can_pay(&mut self, now_ms: f64) -> bool {
-        self.leak(now_ms);
+        self.decay(now_ms);
         self.share.is_some() && self.tokens >= 1.0
     }
 
-    /// Pays for a retry. False: it can't, and there must be none.
+    /// Withdraws a token for a retry. Returns false if none is available and the retry must not be sent.
     pub fn withdraw(&mut self, now_ms: f64) -> bool {
         let can_pay = self.can_pay(now_ms);
         if can_pay {
@@ -69,23 +68,23 @@
         can_pay
     }
 
-    /// A retry that was paid for wasn't sent.
+    /// Returns the token of a retry that was not sent.
     pub fn refund(&mut self) {
         self.tokens += 1.0;
-        self.limit();
+        self.cap_tokens();
     }
 
-    fn limit(&mut self) {
+    fn cap_tokens(&mut self) {
         let share = self.share.filter(|share| *share >= 1.0);
-        self.tokens = self.tokens.min(share.unwrap_or(MAX_SAVED_TOKENS));
+        self.tokens = self.tokens.min(share.unwrap_or(SMALL_SHARE_CAPACITY));
     }
 
-    fn leak(&mut self, now_ms: f64) {
-        let passed_ms = (now_ms - self.leaked_ms).max(0.0);
-        self.leaked_ms = self.leaked_ms.max(now_ms);
-        let above = self.tokens - self.share.unwrap_or(0.0);
-        if above > 0.0 && self.share.is_none_or(|share| share < 1.0) {
-            self.tokens -= above * (1.0 - (-passed_ms / LEAK_MS).exp());
+    fn decay(&mut self, now_ms: f64) {
+        let elapsed_ms = (now_ms - self.decayed_ms).max(0.0);
+        self.decayed_ms = self.decayed_ms.max(now_ms);
+        let excess = self.tokens - self.share.unwrap_or(0.0);
+        if excess > 0.0 && self.share.is_none_or(|share| share < 1.0) {
+            self.tokens -= excess * (1.0 - (-elapsed_ms / DECAY_MS).exp());
         }
     }
 }
--- a/crates/rookpulley-balancer/tests/endpoint_picker.rs
+++ b/crates/rookpulley-balancer/tests/endpoint_picker.rs
@@ -1,4 +1,4 @@
-//! Which task a request goes to.
+//! Endpoint selection.
 
 use rookpulley_balancer::{AttemptOutcome, EndpointPicker, Pick, RequestAttempts};
 use rookpulley_protocol::TableEntry;
@@ -6,7 +6,7 @@
 use rookpulley_samples::plays;
 use std::collections::BTreeSet;
 
-fn line(incarnation: &str, zone: &str) -> TableEntry {
+fn entry(incarnation: &str, zone: &str) -> TableEntry {
     TableEntry {
         incarnation: incarnation.to_owned(),
         address: "10.0.0.1:80".parse().unwrap(),
@@ -21,43 +21,44 @@
 }
 
 #[test]
-fn what_is_gone_or_tried_or_in_no_table_is_never_picked_and_all_else_is_found() {
+fn picks_only_listed_untried_instances_that_are_not_gone() {
     plays(60, 1 << 14, |u| {
         let mut picker = EndpointPicker::new("a", 1);
         let mut now_ms = 0.0;
-        let (mut gone, mut listed) = (BTreeSet::new(), [BTreeSet::new(), BTreeSet::new()]);
+        let (mut gone, mut listed_incarnations) =
+            (BTreeSet::new(), [BTreeSet::new(), BTreeSet::new()]);
         let mut in_flight: Vec<(usize, Pick)> = Vec::new();
-        let most = *u.choose(&[6, 150])?;
+        let pool_size = *u.choose(&[6, 150])?;
         for _ in 0..60 {
             now_ms += f64::from(u.int_in_range(0..=500u32)?);
             let table = u.choose_index(2)?;
             let service = ["s0", "s1"][table];
-            // Some stand in both tables, which the module wouldn't order: nothing may get lost or mixed up by it.
+            // Some incarnations are in both tables, which the decision module never publishes.
             let incarnation = |number: u32| match number % 3 {
                 0 => format!("both-{number}"),
                 _ => format!("{service}-{number}"),
             };
             match u.int_in_range(0..=5)? {
                 0 => {
-                    let incarnations: BTreeSet<String> = (0..most)
+                    let incarnations: BTreeSet<String> = (0..pool_size)
                         .filter(|_| u.ratio(1, 2).unwrap_or(true))
                         .map(incarnation)
                         .collect();
-                    let left = picker.replace_table(
+                    let removed = picker.replace_table(
                         service,
                         incarnations
                             .iter()
-                            .map(|incarnation| line(incarnation, "a"))
+                            .map(|incarnation| entry(incarnation, "a"))
                             .collect(),
                     );
-                    let want = listed[table]
-                        .difference(&incarnations)
-                        .filter(|incarnation| !listed[1 - table].contains(*incarnation));
-                    assert_eq!(left.iter().collect::<BTreeSet<_>>(), want.collect());
-                    listed[table] = incarnations;
+                    let expected = listed_incarnations[table].difference(&incarnations).filter(
+                        |incarnation| !listed_incarnations[1 - table].contains(*incarnation),
+                    );
+                    assert_eq!(removed.iter().collect::<BTreeSet<_>>(), expected.collect());
+                    listed_incarnations[table] = incarnations;
                 }
                 1 => {
-                    let incarnation = incarnation(u.int_in_range(0..=most - 1)?);
+                    let incarnation = incarnation(u.int_in_range(0..=pool_size - 1)?);
                     assert_eq!(
                         picker
                             .mark_gone(vec![incarnation.clone()], now_ms)
@@ -87,18 +88,18 @@
                     let mut attempts =
                         attempts(*u.choose(&[RouteKind::ReadOnly, RouteKind::Mutating])?);
                     for _ in 0..4 {
-                        let open = listed[table].iter().any(|incarnation| {
+                        let has_eligible = listed_incarnations[table].iter().any(|incarnation| {
                             !gone.contains(incarnation) && !attempts.tried().contains(incarnation)
                         });
-                        assert_eq!(picker.has_untried(service, &attempts), open);
+                        assert_eq!(picker.has_untried(service, &attempts), has_eligible);
                         let Some(pick) =
                             picker.pick(service, &attempts, RouteKind::ReadOnly, now_ms)
                         else {
-                            assert!(!open);
+                            assert!(!has_eligible);
                             break;
                         };
                         assert!(
-                            listed[table].contains(&pick.entry.incarnation)
+                            listed_incarnations[table].contains(&pick.entry.incarnation)
                                 && !gone.contains(&pick.entry.incarnation)
                         );
                         assert!(!attempts.tried().contains(&pick.entry.incarnation));
@@ -107,7 +108,7 @@
                     }
                 }
             }
-            let any = listed
+            let any = listed_incarnations
                 .iter()
                 .flatten()
                 .any(|incarnation| !gone.contains(incarnation));
@@ -117,35 +118,35 @@
     });
 }
 
-/// Sends so many requests one after the other; each task answers by its rule. Returns how many each incarnation got.
-fn play(
+/// Sends `count` sequential requests and returns the number that each incarnation received.
+fn send_requests(
     picker: &mut EndpointPicker,
     count: usize,
     kind: RouteKind,
-    answer: impl Fn(&str, f64) -> (AttemptOutcome, f64),
+    respond: impl Fn(&str, f64) -> (AttemptOutcome, f64),
 ) -> Vec<usize> {
-    let mut got = vec![0; 4];
-    for turn in 0..count {
-        let now_ms = 25.0 * turn as f64;
+    let mut received = vec![0; 4];
+    for request in 0..count {
+        let now_ms = 25.0 * request as f64;
         let pick = picker.pick("s", &attempts(kind), kind, now_ms).unwrap();
         let incarnation = pick.entry.incarnation.clone();
-        got[incarnation[1..].parse::<usize>().unwrap()] += 1;
-        let (outcome, took_ms) = answer(&incarnation, now_ms);
+        received[incarnation[1..].parse::<usize>().unwrap()] += 1;
+        let (outcome, took_ms) = respond(&incarnation, now_ms);
         picker.record("s", pick, outcome, took_ms, now_ms + 1.0);
     }
-    got
+    received
 }
 
 #[test]
-fn a_task_that_fails_is_left_alone_for_longer_and_longer_and_comes_back_once_it_works() {
+fn failing_instance_is_ejected_with_backoff_and_readmitted_after_recovery() {
     let mut picker = EndpointPicker::new("a", 1);
     picker.replace_table(
         "s",
         (0..4)
-            .map(|number| line(&format!("t{number}"), "a"))
+            .map(|number| entry(&format!("t{number}"), "a"))
             .collect(),
     );
-    let got = play(
+    let received = send_requests(
         &mut picker,
         2_000,
         RouteKind::ReadOnly,
@@ -157,31 +158,31 @@
             }
         },
     );
-    assert!((150..=400).contains(&got[0]), "{got:?}");
-    let got = play(&mut picker, 400, RouteKind::ReadOnly, |incarnation, _| {
+    assert!((150..=400).contains(&received[0]), "{received:?}");
+    let received = send_requests(&mut picker, 400, RouteKind::ReadOnly, |incarnation, _| {
         if incarnation == "t0" {
             (AttemptOutcome::Unsent, 1.0)
         } else {
             (AttemptOutcome::Answered(200), 10.0)
         }
     });
-    assert!(got[0] <= 6, "{got:?}");
+    assert!(received[0] <= 6, "{received:?}");
 }
 
 #[test]
-fn the_own_zone_is_taken_until_it_is_busy() {
+fn local_zone_is_preferred_until_it_is_loaded() {
     let mut picker = EndpointPicker::new("a", 1);
     picker.replace_table(
         "s",
         (0..4)
-            .map(|number| line(&format!("t{number}"), if number < 2 { "a" } else { "b" }))
+            .map(|number| entry(&format!("t{number}"), if number < 2 { "a" } else { "b" }))
             .collect(),
     );
-    let got = play(&mut picker, 200, RouteKind::Download, |_, _| {
+    let received = send_requests(&mut picker, 200, RouteKind::Download, |_, _| {
         (AttemptOutcome::Answered(200), 10.0)
     });
-    assert_eq!(got[0] + got[1], 200, "{got:?}");
-    // With all that was sent still under way, the other zone gets its part.
+    assert_eq!(received[0] + received[1], 200, "{received:?}");
+    // With 16 attempts in flight, the other zone receives a part of them.
     let picks: Vec<Pick> = (0..16)
         .filter_map(|_| {
             picker.pick(
@@ -192,23 +193,23 @@
             )
         })
         .collect();
-    let far = picks.iter().filter(|pick| pick.entry.zone == "b").count();
-    assert!((4..=8).contains(&far), "{far}");
+    let remote = picks.iter().filter(|pick| pick.entry.zone == "b").count();
+    assert!((4..=8).contains(&remote), "{remote}");
 }
 
 #[test]
-fn faster_tasks_get_more() {
+fn faster_instances_receive_more_requests() {
     let mut picker = EndpointPicker::new("a", 1);
     picker.replace_table(
         "s",
         (0..2)
-            .map(|number| line(&format!("t{number}"), "a"))
+            .map(|number| entry(&format!("t{number}"), "a"))
             .collect(),
     );
     let mut in_flight: Vec<(f64, Pick)> = Vec::new();
-    let mut got = [0, 0];
-    for turn in 0..2_000 {
-        let now_ms = 5.0 * f64::from(turn);
+    let mut received = [0, 0];
+    for request in 0..2_000 {
+        let now_ms = 5.0 * f64::from(request);
         while let Some(at) = in_flight.iter().position(|(end_ms, _)| *end_ms <= now_ms) {
             let (end_ms, pick) = in_flight.swap_remove(at);
             let took_ms = if pick.entry.incarnation == "t0" {
@@ -226,27 +227,30 @@
                 now_ms,
             )
             .unwrap();
-        let fast = pick.entry.incarnation == "t0";
-        got[usize::from(!fast)] += 1;
-        in_flight.push((now_ms + if fast { 20.0 } else { 60.0 }, pick));
+        let is_fast = pick.entry.incarnation == "t0";
+        received[usize::from(!is_fast)] += 1;
+        in_flight.push((now_ms + if is_fast { 20.0 } else { 60.0 }, pick));
     }
-    assert!(got[0] > 2 * got[1] && got[1] > 50, "{got:?}");
+    assert!(
+        received[0] > 2 * received[1] && received[1] > 50,
+        "{received:?}"
+    );
 }
 
-/// Each line that is looked at draws one number, so what was drawn tells the steps of a pick.
+/// Each evaluated entry draws a random number, so the number of draws bounds the entries that a pick evaluates.
 #[test]
-fn a_pick_looks_at_the_lines_of_its_table_alone_and_at_a_few_of_a_long_one() {
-    for (lines, most) in [(3, 3), (24, 24), (32, 32), (64, 64), (110, 40), (2_000, 40)] {
+fn pick_evaluates_only_its_own_table_and_samples_a_long_one() {
+    for (entries, pool_size) in [(3, 3), (24, 24), (32, 32), (64, 64), (110, 40), (2_000, 40)] {
         let (mut picker, seed) = (EndpointPicker::new("a", 9), 9);
-        // Whatever else is known changes nothing.
+        // Tables of other services must not add to the work.
         for other in 0..40 {
-            let of = |number: usize| line(&format!("o{other}-{number}"), "b");
+            let of = |number: usize| entry(&format!("o{other}-{number}"), "b");
             picker.replace_table(&format!("other{other}"), (0..50).map(of).collect());
         }
         picker.replace_table(
             "s",
-            (0..lines)
-                .map(|number| line(&format!("t{number}"), "a"))
+            (0..entries)
+                .map(|number| entry(&format!("t{number}"), "a"))
                 .collect(),
         );
         let pick = picker
@@ -259,11 +263,11 @@
             .unwrap();
         picker.cancel(pick);
         let next = picker.random();
-        let mut drawn = EndpointPicker::new("a", seed);
-        let steps = (0..=2 * most).position(|_| drawn.random() == next);
+        let mut reference = EndpointPicker::new("a", seed);
+        let draws = (0..=2 * pool_size).position(|_| reference.random() == next);
         assert!(
-            steps.is_some_and(|steps| steps <= most && steps >= most.min(8)),
-            "{lines}: {steps:?}"
+            draws.is_some_and(|draws| draws <= pool_size && draws >= pool_size.min(8)),
+            "{entries}: {draws:?}"
         );
     }
 }
--- a/crates/rookpulley-balancer/tests/fleet_size.rs
+++ b/crates/rookpulley-balancer/tests/fleet_size.rs
@@ -1,9 +1,9 @@
-//! How many proxies there are, as far as it is known.
+//! Fleet size updates and connection limits.
 
 use rookpulley_balancer::FleetSize;
 
 #[test]
-fn fewer_proxies_are_believed_only_after_a_while() {
+fn smaller_fleet_size_is_accepted_only_after_a_delay() {
     let mut fleet = FleetSize::default();
     assert_eq!(fleet.connection_limit(130), 130);
     assert!(fleet.update(0.0, 12));
--- a/crates/rookpulley-balancer/tests/request_attempts.rs
+++ b/crates/rookpulley-balancer/tests/request_attempts.rs
@@ -1,4 +1,4 @@
-//! What requests may suffer, whatever happens to their tries.
+//! Retry policy and retry budgets under arbitrary attempt outcomes.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_balancer::{AttemptOutcome, NextAction, RequestAttempts, RetryBudget};
@@ -26,61 +26,61 @@
     ])?)
 }
 
-/// What became of a request: when each send left, and how it ended.
-struct Course {
+/// Recorded trace of a request: send times and final action.
+struct RequestTrace {
     sends_ms: Vec<f64>,
-    unsent: u32,
-    may_have_run: bool,
-    end: NextAction,
+    unsent_attempts: u32,
+    may_have_executed: bool,
+    final_action: NextAction,
 }
 
 fn run(
     u: &mut Unstructured,
     kind: RouteKind,
     max_sends: u32,
-    from_ms: f64,
+    start_ms: f64,
     budget: &mut RetryBudget,
-) -> Result<Course> {
-    let until_ms = from_ms + f64::from(u.int_in_range(0..=2_000u32)?);
-    let mut attempts = RequestAttempts::new(kind, max_sends, until_ms, 0.5);
-    budget.record_request(from_ms);
-    let mut course = Course {
+) -> Result<RequestTrace> {
+    let deadline_ms = start_ms + f64::from(u.int_in_range(0..=2_000u32)?);
+    let mut attempts = RequestAttempts::new(kind, max_sends, deadline_ms, 0.5);
+    budget.record_request(start_ms);
+    let mut trace = RequestTrace {
         sends_ms: Vec::new(),
-        unsent: 0,
-        may_have_run: false,
-        end: NextAction::Retry,
+        unsent_attempts: 0,
+        may_have_executed: false,
+        final_action: NextAction::Retry,
     };
-    let mut now_ms = from_ms;
+    let mut now_ms = start_ms;
     loop {
         attempts.begin(&format!("i-{}", attempts.tried().len()));
         let outcome = outcome(u)?;
         if outcome == AttemptOutcome::Unsent {
-            course.unsent += 1;
+            trace.unsent_attempts += 1;
         } else {
-            let repeatable = kind != RouteKind::Mutating;
+            let is_idempotent = kind != RouteKind::Mutating;
             assert!(
-                repeatable || !course.may_have_run,
-                "sent again after a try that may have run"
+                is_idempotent || !trace.may_have_executed,
+                "non-idempotent request resent after an attempt that may have been executed"
             );
-            course.sends_ms.push(now_ms);
-            course.may_have_run |= outcome != AttemptOutcome::NotExecuted;
+            trace.sends_ms.push(now_ms);
+            trace.may_have_executed |= outcome != AttemptOutcome::NotExecuted;
         }
         now_ms += f64::from(u.int_in_range(0..=300u32)?);
-        let another = u.ratio(9, 10)?;
-        course.end = attempts.record(outcome, now_ms, another, budget);
-        match course.end {
-            NextAction::Retry => assert!(another && now_ms < until_ms),
+        let has_untried = u.ratio(9, 10)?;
+        trace.final_action = attempts.record(outcome, now_ms, has_untried, budget);
+        match trace.final_action {
+            NextAction::Retry => assert!(has_untried && now_ms < deadline_ms),
             NextAction::Forward => assert!(matches!(outcome, AttemptOutcome::Answered(_))),
             _ => assert!(!matches!(outcome, AttemptOutcome::Answered(_))),
         }
-        if course.end != NextAction::Retry {
-            return Ok(course);
+        if trace.final_action != NextAction::Retry {
+            return Ok(trace);
         }
     }
 }
 
 #[test]
-fn no_promise_follows_a_try_that_may_have_run_and_no_other_bound_is_passed() {
+fn rejects_only_unexecuted_requests_and_respects_attempt_limits() {
     plays(60, 1 << 14, |u| {
         let mut budget = RetryBudget::new(10.0, 1_000.0);
         budget.set_proxies(1);
@@ -88,24 +88,24 @@
         for _ in 0..20 {
             let max_sends = u.int_in_range(1..=5)?;
             let kind = kind(u)?;
-            let course = run(u, kind, max_sends, 0.0, &mut budget)?;
-            let promised = matches!(course.end, NextAction::Reject { .. });
+            let trace = run(u, kind, max_sends, 0.0, &mut budget)?;
+            let is_rejected = matches!(trace.final_action, NextAction::Reject { .. });
             assert!(
-                !(promised && course.may_have_run),
-                "a promise that may be broken"
+                !(is_rejected && trace.may_have_executed),
+                "503 for a request that may have been executed"
             );
             assert!(
-                promised || course.may_have_run,
-                "no promise though nothing can have run"
+                is_rejected || trace.may_have_executed,
+                "no 503 although no attempt can have been executed"
             );
-            assert!(course.sends_ms.len() as u32 <= max_sends && course.unsent <= 4);
+            assert!(trace.sends_ms.len() as u32 <= max_sends && trace.unsent_attempts <= 4);
         }
         Ok(())
     });
 }
 
 #[test]
-fn further_sends_of_all_proxies_stay_within_what_a_service_is_allowed_in_every_window() {
+fn retries_of_all_proxies_stay_within_the_budget_in_every_window() {
     const WINDOW_MS: f64 = 10_000.0;
     plays(60, 1 << 14, |u| {
         let (ratio, slack) = (
@@ -113,26 +113,26 @@
             f64::from(u.int_in_range(8..=80u32)?),
         );
         let proxies = *u.choose(&[1, 2, 8, 60])?;
-        let fresh = || {
+        let new_budget = || {
             let mut budget = RetryBudget::new(ratio, slack);
             budget.set_proxies(proxies);
             budget
         };
-        let mut budgets: Vec<RetryBudget> = (0..proxies).map(|_| fresh()).collect();
-        let (mut now_ms, mut requests, mut further) = (0.0, Vec::new(), Vec::new());
+        let mut budgets: Vec<RetryBudget> = (0..proxies).map(|_| new_budget()).collect();
+        let (mut now_ms, mut requests, mut retries) = (0.0, Vec::new(), Vec::new());
         for _ in 0..u.int_in_range(50..=400u32)? {
             now_ms += f64::from(*u.choose(&[0, 1, 10, 100, 1_000, 4_000])?);
             let at = u.choose_index(budgets.len())?;
             if u.ratio(1, 50)? {
-                budgets[at] = fresh();
+                budgets[at] = new_budget();
             }
             let kind = kind(u)?;
-            // All that its tries take is put at one moment: what counts is when they were paid.
+            // All sends of a request are counted at its arrival; the budget limits withdrawals.
             requests.push(now_ms);
-            let course = run(u, kind, 5, now_ms, &mut budgets[at])?;
-            further.extend(std::iter::repeat_n(
+            let trace = run(u, kind, 5, now_ms, &mut budgets[at])?;
+            retries.extend(std::iter::repeat_n(
                 now_ms,
-                course.sends_ms.len().saturating_sub(1),
+                trace.sends_ms.len().saturating_sub(1),
             ));
         }
         let count = |times: &[f64], from: f64| {
@@ -141,49 +141,52 @@
                 .filter(|&&time| time >= from && time < from + WINDOW_MS)
                 .count() as f64
         };
-        for &from in &further {
+        for &from in &retries {
             let before = [from, from - WINDOW_MS / 2.0, from - WINDOW_MS];
             let counted = before
                 .iter()
                 .map(|&start| count(&requests, start))
                 .fold(0.0, f64::max);
-            assert!(count(&further, from) <= ratio * counted + slack);
+            assert!(count(&retries, from) <= ratio * counted + slack);
         }
         Ok(())
     });
 }
 
 #[test]
-fn nothing_is_paid_before_the_proxies_are_counted_or_from_what_leaked_away() {
+fn budget_needs_the_fleet_size_and_decays() {
     let mut budget = RetryBudget::new(1.0, 4.0);
     (0..100).for_each(|_| budget.record_request(0.0));
     assert!(!budget.can_pay(0.0));
     budget.set_proxies(40);
     (0..100).for_each(|_| budget.record_request(0.0));
-    // A share is a fraction of a token: one can be had at once, not later.
+    // The share is a fraction of a token: a whole one is available at once but decays.
     assert!(budget.can_pay(0.0));
     assert!(!budget.can_pay(2_000.0));
     (0..100).for_each(|_| budget.record_request(2_000.0));
     assert!(budget.withdraw(2_000.0) && budget.withdraw(2_000.0) && !budget.withdraw(2_000.0));
 }
 
-/// As it is on a large site: a token is a second's requests or so, and a try takes a while to fail.
+/// In a large fleet the share is below one token and attempts take time to fail; retries must still be possible.
 #[test]
-fn a_share_of_less_than_one_pays_for_further_sends_of_tries_that_took_time() {
+fn share_below_one_token_allows_retries_after_slow_attempts() {
     let (ratio, slack, proxies, per_s) = (0.2, 64.0, 91, 20.0);
     for took_ms in [5.0, 50.0, 250.0] {
         let mut budget = RetryBudget::new(ratio, slack);
         budget.set_proxies(proxies);
-        let (mut paid, mut now_ms) = (0, 0.0);
+        let (mut withdrawn, mut now_ms) = (0, 0.0);
         for _ in 0..400 {
             now_ms += 1_000.0 / per_s;
             budget.record_request(now_ms);
             // Every fifth request fails.
-            paid += u32::from(
+            withdrawn += u32::from(
                 (now_ms as u64 / 50).is_multiple_of(5) && budget.withdraw(now_ms + took_ms),
             );
         }
-        // Each takes one of the 1/0.16 requests that pay for it.
-        assert!((40..=64).contains(&paid), "{paid} after {took_ms} ms");
+        // Each request deposits 0.16 tokens (0.8 * 0.2).
+        assert!(
+            (40..=64).contains(&withdrawn),
+            "{withdrawn} after {took_ms} ms"
+        );
     }
 }
