--- a/crates/rookpulley-state/src/counters.rs
+++ b/crates/rookpulley-state/src/counters.rs
@@ -1,13 +1,13 @@
-//! Counters that only rise, one for each name.
+//! Monotonic named counters.
 
 use crate::limits::{ENTRY_OVERHEAD_BYTES, Limits};
 use crate::requests::Answer;
 use std::collections::BTreeMap;
 
-/// All counters. A name stays for good: forgetting it would hand out its numbers again.
+/// All counters. A counter is never removed, since recreating it would issue its numbers again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Counters {
-    last: BTreeMap<String, u64>,
+    values: BTreeMap<String, u64>,
     bytes: usize,
 }
 
@@ -16,10 +16,9 @@
 }
 
 impl Counters {
-    /// The next number of a name. A request that comes twice gets two numbers: gaps do no harm, and a number given twice
-    /// would.
-    pub fn next(&mut self, name: &str, room: usize, limits: &Limits) -> Answer {
-        if let Some(last) = self.last.get_mut(name) {
+    /// Returns the next number of a counter. A repeated request gets a new number: gaps are harmless, duplicates are not.
+    pub fn next(&mut self, name: &str, available_bytes: usize, limits: &Limits) -> Answer {
+        if let Some(last) = self.values.get_mut(name) {
             return match last.checked_add(1) {
                 Some(next) => {
                     *last = next;
@@ -29,30 +28,30 @@
             };
         }
         let size = size_of(name);
-        if self.last.len() >= limits.names || size > room {
+        if self.values.len() >= limits.names || size > available_bytes {
             return Answer::CapacityExceeded;
         }
         self.bytes += size;
-        self.last.insert(name.to_owned(), 1);
+        self.values.insert(name.to_owned(), 1);
         Answer::Number(1)
     }
 
     pub fn len(&self) -> usize {
-        self.last.len()
+        self.values.len()
     }
 
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// For a snapshot.
-    pub fn last(&self) -> &BTreeMap<String, u64> {
-        &self.last
+    /// Last number of each counter, for a snapshot.
+    pub fn values(&self) -> &BTreeMap<String, u64> {
+        &self.values
     }
 
-    /// Of a snapshot.
-    pub fn from_last(last: BTreeMap<String, u64>) -> Self {
-        let bytes = last.keys().map(|name| size_of(name)).sum();
-        Self { last, bytes }
+    /// Restores the counters from a snapshot.
+    pub fn from_values(values: BTreeMap<String, u64>) -> Self {
+        let bytes = values.keys().map(|name| size_of(name)).sum();
+        Self { values, bytes }
     }
 }
--- a/crates/rookpulley-state/src/key_value.rs
+++ b/crates/rookpulley-state/src/key_value.rs
@@ -1,60 +1,60 @@
-//! Keys with values, and what was put lately: for watches, and to know a put that comes again.
+//! Key-value store with a history of recent puts, which serves watches and detects repeated puts.
 //!
-//! Keys stand in groups, by what their names begin with. Invariant: each revision of a group is one put, so what is kept
-//! of its past is an unbroken run up to the present revision.
+//! Keys are grouped by name prefix. Invariant: each put increments the revision of its group by one, so the retained
+//! events of a group have consecutive revisions that end at the current one.
 
 use crate::limits::{ENTRY_OVERHEAD_BYTES, Limits};
 use crate::requests::Answer;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// An answer to a watch grows to about this, however many events are asked for.
+/// Size limit of the events returned by one watch. A single larger event is still returned.
 const MAX_WATCH_BYTES: usize = 1 << 20;
 
-/// One put, as a watch shows it.
+/// A put as reported by a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
     /// The key.
     pub name: String,
     /// The value that was put.
     pub value: String,
-    /// The revision that it got.
+    /// The revision assigned to the put.
     pub revision: u64,
 }
 
-/// What a watch gets.
+/// Result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchResult {
-    /// At once: all puts above `after` up to this revision, at least one.
+    /// Puts above `after`, at least one.
     Events {
-        /// In their order.
+        /// Events in revision order.
         events: Vec<Event>,
-        /// That of the last one.
+        /// Revision of the last event.
         revision: u64,
     },
-    /// At once and without events: `after` was 0, which asks for the present revision only.
+    /// The current revision without events, returned if `after` is 0.
     Present {
-        /// The present one.
+        /// Current revision of the group.
         revision: u64,
     },
-    /// There is nothing yet.
+    /// There are no puts above `after` yet.
     Nothing {
-        /// The watch's own `after`: a controller that lags behind takes nobody back.
+        /// Equal to `after`, so that a lagging controller never moves a watcher backwards.
         revision: u64,
     },
-    /// Some of the puts above `after` are no longer kept (410).
+    /// Some of the puts above `after` are no longer retained (410).
     TooOld,
 }
 
-/// A put that is asked for.
+/// A requested put.
 pub(crate) struct Put<'a> {
     pub name: &'a str,
     pub value: &'a str,
-    /// The revision that the key must have, 0 for none. None: whatever it has.
+    /// Required current revision of the key, or 0 if the key must not exist. None for an unconditional put.
     pub expected: Option<u64>,
 }
 
-/// A key's group: what it begins with, up to and including the first dot. Without a dot a key is its own group.
+/// Returns the group of a key: its name up to and including the first dot, or the whole name if it has no dot.
 pub fn group_of(name: &str) -> &str {
     name.split_inclusive('.').next().unwrap_or(name)
 }
@@ -67,48 +67,48 @@
 struct KeyValue {
     value: String,
     revision: u64,
-    /// The revisions that this key got among the events kept, rising.
+    /// Revisions of this key's retained events, in ascending order.
     #[serde(skip)]
     recent: VecDeque<u64>,
 }
 
-/// An event that is kept. Its revision follows from its position.
+/// A retained event. Its revision follows from its position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct PastEvent {
+struct RetainedEvent {
     name: String,
     value: String,
     at_ms: u64,
 }
 
-impl PastEvent {
+impl RetainedEvent {
     fn size(&self) -> usize {
         size_of(&self.name, &self.value)
     }
 }
 
-/// The keys whose names begin alike.
+/// The keys of one group and their retained events.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Group {
-    /// The present one. It outlives all events, and a group never goes.
+    /// Current revision. It is kept after all events have expired; groups are never removed.
     revision: u64,
-    events: VecDeque<PastEvent>,
+    events: VecDeque<RetainedEvent>,
     keys: BTreeMap<String, KeyValue>,
 }
 
 impl Group {
-    /// The revision of the oldest event kept; one above the present where none is.
+    /// Revision of the oldest retained event, or one above the current revision if none is retained.
     fn first_revision(&self) -> u64 {
         (self.revision + 1).saturating_sub(self.events.len() as u64)
     }
 
-    fn event(&self, revision: u64) -> Option<&PastEvent> {
+    fn event(&self, revision: u64) -> Option<&RetainedEvent> {
         let position = revision.checked_sub(self.first_revision())?;
         self.events.get(usize::try_from(position).ok()?)
     }
 
-    /// The revision that this very put got when it came before. Values are unique, so the same value is the same put,
-    /// and it stays one when another put has replaced it since.
-    fn repeat(&self, key: &KeyValue, value: &str) -> Option<u64> {
+    /// Returns the revision of an earlier identical put. Callers use unique values, so an equal value identifies a
+    /// repeated put, even if the key has been overwritten since.
+    fn find_repeat(&self, key: &KeyValue, value: &str) -> Option<u64> {
         if key.value == value {
             return Some(key.revision);
         }
@@ -119,8 +119,8 @@
         key.recent.iter().rev().find(is_same).copied()
     }
 
-    /// Forgets the oldest event and returns its size.
-    fn forget_oldest(&mut self) -> usize {
+    /// Removes the oldest event and returns its size.
+    fn remove_oldest_event(&mut self) -> usize {
         let Some(oldest) = self.events.pop_front() else {
             return 0;
         };
@@ -130,14 +130,14 @@
         oldest.size()
     }
 
-    /// Whether the oldest event is older than this.
-    fn has_older_than(&self, kept_ms: u64, now_ms: u64) -> bool {
+    /// Whether the oldest event is older than `retention_ms`.
+    fn has_event_older_than(&self, retention_ms: u64, now_ms: u64) -> bool {
         let oldest = self.events.front();
-        oldest.is_some_and(|event| event.at_ms.saturating_add(kept_ms) < now_ms)
+        oldest.is_some_and(|event| event.at_ms.saturating_add(retention_ms) < now_ms)
     }
 
-    /// After reading a snapshot: fills in what isn't written. False: the rest contradicts itself.
-    fn complete(&mut self, name: &str) -> bool {
+    /// Rebuilds the fields that a snapshot omits. Returns false if the group is inconsistent.
+    fn rebuild(&mut self, name: &str) -> bool {
         if self.events.len() as u64 > self.revision || self.revision == u64::MAX {
             return false;
         }
@@ -149,19 +149,19 @@
             key.recent.push_back(revision);
         }
         self.keys.iter().all(|(key_name, key)| {
-            // The present value is among the events, or it was put before the first of them.
-            let is_explained = match key.recent.back() {
+            // The current value belongs to the key's last retained event, or predates all retained events.
+            let is_consistent = match key.recent.back() {
                 Some(last) => {
                     let event = self.event(*last);
                     *last == key.revision && event.is_some_and(|e| e.value == key.value)
                 }
                 None => (1..first).contains(&key.revision),
             };
-            is_explained && group_of(key_name) == name
+            is_consistent && group_of(key_name) == name
         })
     }
 
-    /// What the group is counted with: its keys and its name.
+    /// Accounted size of the group: its keys and its name.
     fn state_size(&self, name: &str) -> usize {
         let keys = self.keys.iter();
         let keys: usize = keys.map(|(name, key)| size_of(name, &key.value)).sum();
@@ -169,7 +169,7 @@
     }
 }
 
-/// All keys.
+/// All groups of keys, with their accounted sizes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct KeyValueStore {
     groups: BTreeMap<String, Group>,
@@ -180,7 +180,13 @@
 }
 
 impl KeyValueStore {
-    pub fn put(&mut self, now_ms: u64, put: Put, room: usize, limits: &Limits) -> Answer {
+    pub fn put(
+        &mut self,
+        now_ms: u64,
+        put: Put,
+        available_bytes: usize,
+        limits: &Limits,
+    ) -> Answer {
         let Put {
             name,
             value,
@@ -189,25 +195,25 @@
         let group_name = group_of(name);
         let group = self.groups.get(group_name);
         let key = group.and_then(|group| group.keys.get(name));
-        // The repeat comes before the condition: a put that went through must not be told that it conflicts with itself
-        // or with what came after it.
+        // Repeats are detected before the condition is checked: an applied put must not conflict with itself or with a
+        // later put.
         if let (Some(group), Some(key)) = (group, key)
-            && let Some(revision) = group.repeat(key, value)
+            && let Some(revision) = group.find_repeat(key, value)
         {
             return Answer::Revision(revision);
         }
-        // Told once that it conflicts, a put never goes through: revisions rise, so a key never gets back to one.
-        let present = key.map_or(0, |key| key.revision);
-        if expected.is_some_and(|expected| expected != present) {
-            return Answer::Conflict { revision: present };
+        // A put rejected here cannot succeed later, since revisions only increase.
+        let current = key.map_or(0, |key| key.revision);
+        if expected.is_some_and(|expected| expected != current) {
+            return Answer::Conflict { revision: current };
         }
         let size_before = key.map_or(0, |key| size_of(name, &key.value));
         let size = size_of(name, value);
         let group_size = group.map_or_else(|| size_of(group_name, ""), |_| 0);
         let is_full = key.is_none() && self.keys >= limits.names;
-        let is_spent = group.is_some_and(|group| group.revision >= u64::MAX - 1);
-        let needed = (size + group_size).saturating_sub(size_before);
-        if is_full || is_spent || needed > room {
+        let is_exhausted = group.is_some_and(|group| group.revision >= u64::MAX - 1);
+        let needed_bytes = (size + group_size).saturating_sub(size_before);
+        if is_full || is_exhausted || needed_bytes > available_bytes {
             return Answer::CapacityExceeded;
         }
         if !self.make_room_for_event(now_ms, group_name, size, limits) {
@@ -223,7 +229,7 @@
         key.value = value.to_owned();
         key.revision = group.revision;
         key.recent.push_back(group.revision);
-        group.events.push_back(PastEvent {
+        group.events.push_back(RetainedEvent {
             name: name.to_owned(),
             value: value.to_owned(),
             at_ms: now_ms,
@@ -231,8 +237,8 @@
         Answer::Revision(group.revision)
     }
 
-    /// Makes room for one more event of this size. False: what is there is too young to be dropped, and the put has to
-    /// wait.
+    /// Removes expired events to make room for one of this size. Returns false if the remaining events are too recent to
+    /// be removed.
     fn make_room_for_event(
         &mut self,
         now_ms: u64,
@@ -242,28 +248,28 @@
     ) -> bool {
         if let Some(group) = self.groups.get_mut(group) {
             let is_full = |group: &Group| group.events.len() >= limits.group_events;
-            while group.has_older_than(limits.keep_ms, now_ms)
-                || is_full(group) && group.has_older_than(limits.promised_ms, now_ms)
+            while group.has_event_older_than(limits.keep_ms, now_ms)
+                || is_full(group) && group.has_event_older_than(limits.promised_ms, now_ms)
             {
                 self.events -= 1;
-                self.history_bytes -= group.forget_oldest();
+                self.history_bytes -= group.remove_oldest_event();
             }
             if is_full(group) {
                 return false;
             }
         }
         if self.history_bytes + size > limits.history_bytes {
-            self.forget(now_ms, limits.promised_ms);
+            self.remove_expired(now_ms, limits.promised_ms);
         }
         self.history_bytes + size <= limits.history_bytes
     }
 
-    /// Drops the events that are older than this.
-    pub fn forget(&mut self, now_ms: u64, kept_ms: u64) {
+    /// Removes the events that are older than `retention_ms`.
+    pub fn remove_expired(&mut self, now_ms: u64, retention_ms: u64) {
         for group in self.groups.values_mut() {
-            while group.has_older_than(kept_ms, now_ms) {
+            while group.has_event_older_than(retention_ms, now_ms) {
                 self.events -= 1;
-                self.history_bytes -= group.forget_oldest();
+                self.history_bytes -= group.remove_oldest_event();
             }
         }
     }
@@ -279,17 +285,17 @@
         }
     }
 
-    /// The present revision of a group.
+    /// Current revision of a group, or 0 if it does not exist.
     pub fn revision(&self, group: &str) -> u64 {
         self.groups.get(group).map_or(0, |group| group.revision)
     }
 
     pub fn watch(&self, group: &str, after: u64, max_events: usize) -> WatchResult {
-        let present = self.revision(group);
+        let current = self.revision(group);
         if after == 0 {
-            return WatchResult::Present { revision: present };
+            return WatchResult::Present { revision: current };
         }
-        let Some(group) = self.groups.get(group).filter(|_| after < present) else {
+        let Some(group) = self.groups.get(group).filter(|_| after < current) else {
             return WatchResult::Nothing { revision: after };
         };
         let Some(skipped) = (after + 1).checked_sub(group.first_revision()) else {
@@ -298,15 +304,15 @@
         let skipped = usize::try_from(skipped).unwrap_or(usize::MAX);
         let mut events = Vec::new();
         let mut bytes = 0;
-        let wanted = group.events.iter().skip(skipped);
-        for (revision, past) in (after + 1..).zip(wanted).take(max_events.max(1)) {
-            bytes += past.size();
+        let remaining = group.events.iter().skip(skipped);
+        for (revision, event) in (after + 1..).zip(remaining).take(max_events.max(1)) {
+            bytes += event.size();
             if bytes > MAX_WATCH_BYTES && !events.is_empty() {
                 break;
             }
             events.push(Event {
-                name: past.name.clone(),
-                value: past.value.clone(),
+                name: event.name.clone(),
+                value: event.value.clone(),
                 revision,
             });
         }
@@ -334,18 +340,18 @@
         self.history_bytes
     }
 
-    /// For a snapshot.
+    /// All groups, for a snapshot.
     pub fn groups(&self) -> &BTreeMap<String, Group> {
         &self.groups
     }
 
-    /// Of a snapshot. None: a group contradicts itself.
+    /// Restores the store from a snapshot. Returns None if a group is inconsistent.
     pub fn from_groups(mut groups: BTreeMap<String, Group>) -> Option<Self> {
-        if !groups.iter_mut().all(|(name, group)| group.complete(name)) {
+        if !groups.iter_mut().all(|(name, group)| group.rebuild(name)) {
             return None;
         }
         let events = groups.values().flat_map(|group| &group.events);
-        let history_bytes = events.map(PastEvent::size).sum();
+        let history_bytes = events.map(RetainedEvent::size).sum();
         let sizes = groups.iter();
         let state_bytes = sizes.map(|(name, group)| group.state_size(name)).sum();
         Some(Self {
--- a/crates/rookpulley-state/src/lib.rs
+++ b/crates/rookpulley-state/src/lib.rs
@@ -1,15 +1,15 @@
-//! What the chain replicates: the operator's configuration, locks, counters, and keys with their watches.
+//! The replicated state machine: the operator's configuration, locks, counters, and keys with watches.
 //!
-//! | file | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `requests` | the updates, queries and answers, and their bytes |
-//! | `state_machine` | all parts under one replicated time and one set of limits |
-//! | `locks`, `counters`, `key_value` | one part each |
-//! | `limits` | how much each part may hold |
-//! | `snapshot` | the whole as bytes, and back |
+//! | `requests` | updates, queries and answers, and their encoding |
+//! | `state_machine` | applies updates and queries, driven by the replicated time |
+//! | `locks`, `counters`, `key_value` | the individual stores |
+//! | `limits` | capacity limits |
+//! | `snapshot` | serialization of the whole state |
 //!
-//! Invariant: every controller applies the same updates with the same times and so holds the same state to the last
-//! byte. Nothing here looks at a clock or at the order of a hash map.
+//! Invariant: all controllers apply the same updates with the same timestamps and hold byte-identical state. The crate
+//! therefore reads no clock and depends on no hash map iteration order.
 
 #![warn(missing_docs)]
 
--- a/crates/rookpulley-state/src/limits.rs
+++ b/crates/rookpulley-state/src/limits.rs
@@ -1,27 +1,27 @@
-//! How much the state may hold, so that a snapshot always fits one frame between two controllers.
+//! Capacity limits of the state. They keep a snapshot within one frame between controllers.
 
-/// The same on all controllers: one that had other limits would answer differently.
+/// Limits of the state. They must be identical on all controllers, since they affect the answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// How many locks, how many counters, and how many keys.
+    /// Maximum number of locks, of counters and of keys, each.
     pub names: usize,
-    /// The length of a name or a holder.
+    /// Maximum length of a name or holder.
     pub name_bytes: usize,
-    /// The length of a value.
+    /// Maximum length of a value.
     pub value_bytes: usize,
-    /// The length of the configuration.
+    /// Maximum length of the configuration.
     pub configuration_bytes: usize,
-    /// Locks, counters and keys together.
+    /// Maximum accounted size of locks, counters and keys together.
     pub state_bytes: usize,
-    /// The events that are kept for watches and repeats, in all groups together.
+    /// Maximum accounted size of the retained events of all groups.
     pub history_bytes: usize,
-    /// How many of them in one group.
+    /// Maximum number of retained events in one group.
     pub group_events: usize,
-    /// Events, and locks whose lease has ended, are kept for so long.
+    /// How long events and expired leases are retained.
     pub keep_ms: u64,
-    /// Rather than drop an event younger than this, puts are refused.
+    /// Minimum retention of events. Puts are rejected rather than removing a younger event.
     pub promised_ms: u64,
-    /// Nobody else gets a lock before its lease has been over for so long: clocks don't run quite alike.
+    /// Delay after a lease expires before another holder can acquire the lock, to tolerate clock drift.
     pub lease_grace_ms: u64,
 }
 
@@ -42,26 +42,26 @@
     }
 }
 
-/// What an entry is counted with beyond its strings. Its numbers and lengths in a snapshot take less.
+/// Accounted size of an entry beyond its strings: an upper bound of its numbers and lengths in a snapshot.
 pub(crate) const ENTRY_OVERHEAD_BYTES: usize = 40;
 
-/// What the state holds at the moment.
+/// Current usage of the state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// How many locks have an entry.
+    /// Number of lock entries.
     pub locks: usize,
-    /// How many counters there are.
+    /// Number of counters.
     pub counters: usize,
-    /// How many keys there are.
+    /// Number of keys.
     pub keys: usize,
-    /// How many groups of keys there are.
+    /// Number of key groups.
     pub groups: usize,
-    /// How many events are kept.
+    /// Number of retained events.
     pub events: usize,
-    /// Locks, counters and keys together.
+    /// Accounted size of locks, counters and keys together.
     pub state_bytes: usize,
-    /// The events that are kept.
+    /// Accounted size of the retained events.
     pub history_bytes: usize,
-    /// The configuration.
+    /// Length of the configuration.
     pub configuration_bytes: usize,
 }
--- a/crates/rookpulley-state/src/locks.rs
+++ b/crates/rookpulley-state/src/locks.rs
@@ -1,32 +1,32 @@
-//! Locks: who holds which, under what fencing token, until when by the replicated time.
+//! Locks with leases and fencing tokens, based on the replicated time.
 //!
-//! Requests come twice, late and out of order, from holders that use one name for all their leases. What keeps them
-//! apart is the fencing token: each lease that begins gets one above all tokens ever given, for whatever lock, so that a
-//! renewal or a release of an earlier lease fits no later one. The exception is a release that was sent before its
-//! holder took the lock *again* while it still had it, as both stand under one token. It can't come so late: a caller
-//! waits a second for an answer before it goes on, and the chain lets no request take effect that is 750 ms old.
+//! Requests may be duplicated, delayed or reordered, and a holder uses the same name for all its leases. Each new lease
+//! gets a fencing token above all earlier ones of any lock, so a delayed renewal or release never matches a later lease.
+//!
+//! Re-acquiring a lock during a lease keeps its token, so a release sent earlier would match. Timing rules that out: a
+//! caller waits 1 s for an answer before it continues, and the chain drops requests older than 750 ms.
 
 use crate::limits::{ENTRY_OVERHEAD_BYTES, Limits};
 use crate::requests::Answer;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Who holds a lock.
+/// Lease of a lock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Lease {
     pub holder: String,
-    /// The fencing token.
+    /// Fencing token.
     pub fence: u64,
-    /// From here on another may have the lock: the lease and the grace time after it.
+    /// When another holder can acquire the lock: the end of the lease plus the grace time.
     pub until_ms: u64,
 }
 
 /// All locks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Locks {
-    /// A lock that nobody holds needs no entry. One whose lease has ended stays a while, for its holder's late renewal.
+    /// Leases by lock name. An expired lease is kept for a while to allow a late renewal.
     leases: BTreeMap<String, Lease>,
-    /// The last fencing token given. It outlives all entries.
+    /// Last issued fencing token. It is kept when leases are removed.
     last_fence: u64,
     bytes: usize,
 }
@@ -35,7 +35,8 @@
     name.len() + holder.len() + ENTRY_OVERHEAD_BYTES
 }
 
-/// A caller counts its lease from when it sent its request, which is before the request was stamped.
+/// End of a lease including the grace time. The caller counts from when it sent the request, which is earlier than
+/// `now_ms`, so its own lease ends first.
 fn end_of_lease(now_ms: u64, lease_ms: u64, limits: &Limits) -> u64 {
     now_ms
         .saturating_add(lease_ms)
@@ -49,13 +50,13 @@
         name: &str,
         holder: &str,
         lease_ms: u64,
-        room: usize,
+        available_bytes: usize,
         limits: &Limits,
     ) -> Answer {
         let until_ms = end_of_lease(now_ms, lease_ms, limits);
         let size_before = match self.leases.get_mut(name) {
             Some(lease) if now_ms < lease.until_ms && lease.holder == holder => {
-                // Maybe a repeat that overtook a later request: a longer lease stays as long as it was.
+                // The request may be a delayed duplicate: never shorten the lease.
                 lease.until_ms = lease.until_ms.max(until_ms);
                 return Answer::Acquired(lease.fence);
             }
@@ -65,12 +66,12 @@
         };
         let is_new = size_before == 0;
         if is_new && self.leases.len() >= limits.names {
-            self.forget(now_ms, 0);
+            self.remove_expired(now_ms, 0);
         }
         let is_full = is_new && self.leases.len() >= limits.names;
         let size = size_of(name, holder);
-        let is_spent = self.last_fence == u64::MAX;
-        if is_full || is_spent || size.saturating_sub(size_before) > room {
+        let is_exhausted = self.last_fence == u64::MAX;
+        if is_full || is_exhausted || size.saturating_sub(size_before) > available_bytes {
             return Answer::CapacityExceeded;
         }
         self.last_fence += 1;
@@ -84,7 +85,7 @@
         Answer::Acquired(self.last_fence)
     }
 
-    /// Also brings back a lease that has ended, as long as nobody else has begun one since: the lock is not lost.
+    /// Extends a lease. An expired lease can be renewed as long as nobody else has acquired the lock.
     pub fn renew(
         &mut self,
         now_ms: u64,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The entry goes, so that a renewal sent before the release and come after it finds nothing to bring back.
+    /// Removes the lease, so that a delayed renewal cannot restore it.
     pub fn release(&mut self, name: &str, holder: &str, fence: u64) -> Answer {
         let is_held = |lease: &Lease| lease.holder == holder && lease.fence == fence;
         if self.leases.get(name).is_some_and(is_held) {
@@ -114,15 +115,15 @@
         Answer::Released
     }
 
-    /// Drops the leases that ended `kept_ms` ago or longer.
-    pub fn forget(&mut self, now_ms: u64, kept_ms: u64) {
+    /// Removes the leases that expired at least `retention_ms` ago.
+    pub fn remove_expired(&mut self, now_ms: u64, retention_ms: u64) {
         let bytes = &mut self.bytes;
         self.leases.retain(|name, lease| {
-            let stays = now_ms < lease.until_ms.saturating_add(kept_ms);
-            if !stays {
+            let is_retained = now_ms < lease.until_ms.saturating_add(retention_ms);
+            if !is_retained {
                 *bytes -= size_of(name, &lease.holder);
             }
-            stays
+            is_retained
         });
     }
 
@@ -134,20 +135,20 @@
         self.bytes
     }
 
-    /// For a snapshot.
+    /// All leases, for a snapshot.
     pub fn leases(&self) -> &BTreeMap<String, Lease> {
         &self.leases
     }
 
-    /// For a snapshot.
+    /// Last issued fencing token, for a snapshot.
     pub fn last_fence(&self) -> u64 {
         self.last_fence
     }
 
-    /// Of a snapshot. None: a lease stands under a fencing token that was never given.
+    /// Restores the locks from a snapshot. Returns None if a lease has a fencing token that was never issued.
     pub fn from_leases(leases: BTreeMap<String, Lease>, last_fence: u64) -> Option<Self> {
-        let given = 1..=last_fence;
-        if !leases.values().all(|lease| given.contains(&lease.fence)) {
+        let issued = 1..=last_fence;
+        if !leases.values().all(|lease| issued.contains(&lease.fence)) {
             return None;
         }
         let sizes = leases.iter();
--- a/crates/rookpulley-state/src/requests.rs
+++ b/crates/rookpulley-state/src/requests.rs
@@ -1,147 +1,145 @@
-//! What the state may be asked, what it answers, and the bytes of both.
+//! Updates, queries and answers of the state machine, and their encoding.
 //!
-//! They are encoded by `postcard`, which writes fields by position: their order is part of the format, their names are
-//! not.
+//! They are impl_encoding with `postcard`, which identifies fields and variants by position: their order is part of the
+//! format, their names are not.
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// A request that changes something. It goes through the whole chain and is stamped with the replicated time.
+/// A write request. It is replicated through the whole chain and stamped with the replicated time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
-    /// Put a configuration in place of an older one.
+    /// Replace the configuration if the new version is higher.
     PutConfiguration {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
-        /// The bytes as the operator sent them. The caller has checked that they are a valid configuration.
+        /// The bytes as sent by the operator, already validated by the caller.
         body: Vec<u8>,
     },
-    /// Take a lock, or take it again.
+    /// Acquire a lock, or extend a lease that the holder already has.
     AcquireLock {
-        /// The lock.
+        /// Name of the lock.
         name: String,
-        /// Who wants it.
+        /// Requesting holder.
         holder: String,
-        /// For how long, in milliseconds.
+        /// Lease duration, in milliseconds.
         lease_ms: u64,
     },
-    /// Keep a lock for longer.
+    /// Extend a lease.
     RenewLock {
-        /// The lock.
+        /// Name of the lock.
         name: String,
-        /// Who holds it.
+        /// Current holder.
         holder: String,
-        /// Under which fencing token.
+        /// Fencing token of the lease.
         fence: u64,
-        /// For how long from now on, in milliseconds.
+        /// Lease duration from now, in milliseconds.
         lease_ms: u64,
     },
-    /// Give a lock back.
+    /// Release a lock.
     ReleaseLock {
-        /// The lock.
+        /// Name of the lock.
         name: String,
-        /// Who holds it.
+        /// Current holder.
         holder: String,
-        /// Under which fencing token.
+        /// Fencing token of the lease.
         fence: u64,
     },
     /// Get the next number of a counter.
     NextNumber {
-        /// The counter.
+        /// Name of the counter.
         name: String,
     },
-    /// Put a value under a key.
+    /// Set the value of a key.
     PutKey {
-        /// The key.
+        /// Name of the key.
         name: String,
-        /// The value.
+        /// New value.
         value: String,
-        /// The revision that the key must have, 0 for none. None: whatever it has.
+        /// Required current revision of the key, or 0 if the key must not exist. None for an unconditional put.
         expected: Option<u64>,
     },
 }
 
-/// A request that changes nothing.
+/// A read request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Query {
     /// The newest configuration.
     Configuration,
-    /// The value under a key.
+    /// The value of a key.
     Key {
-        /// The key.
+        /// Name of the key.
         name: String,
     },
-    /// The present revision of a group.
+    /// The current revision of a group.
     Revision {
-        /// The group's name, with its dot.
+        /// Name of the group, including its trailing dot.
         group: String,
     },
 }
 
-/// What the state answers. In parentheses the status of the answer to the caller, where it is no success.
+/// Answer of the state machine. The HTTP status of an unsuccessful answer is given in parentheses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// The configuration was taken, or isn't newer than the one held.
+    /// The configuration was stored, or is not newer than the current one.
     Configured {
-        /// The version that holds now.
+        /// Current version after the update.
         version: u64,
     },
-    /// The lock is held under this fencing token.
+    /// The lock was acquired with this fencing token.
     Acquired(u64),
-    /// The lock is held for longer.
+    /// The lease was extended.
     Renewed,
-    /// Another has the lock, or the caller has lost it (409).
+    /// The lock is held by another holder, or the caller's lease is gone (409).
     LockHeld,
-    /// The caller doesn't hold the lock any more, whether it did or not.
+    /// The caller does not hold the lock (any more).
     Released,
-    /// The counter's next number.
+    /// Next number of the counter.
     Number(u64),
-    /// The revision that a put got, or the present one of a group.
+    /// Revision assigned to a put, or current revision of a group.
     Revision(u64),
-    /// The key has another revision than the one expected (412).
+    /// The key does not have the expected revision (412).
     Conflict {
-        /// The one that it has.
+        /// Current revision of the key.
         revision: u64,
     },
-    /// The value under a key.
+    /// Value of a key.
     Value {
-        /// The value.
+        /// Current value.
         value: String,
-        /// Its revision.
+        /// Current revision.
         revision: u64,
     },
-    /// There is no such key, or no configuration yet (404).
+    /// The key does not exist, or there is no configuration yet (404).
     NotFound,
-    /// The newest configuration.
+    /// The current configuration.
     Configuration {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
-        /// The bytes as the operator sent them.
+        /// The bytes as sent by the operator.
         body: Vec<u8>,
     },
-    /// A limit is reached; nothing was done (503).
+    /// A capacity limit is reached; nothing was changed (503).
     CapacityExceeded,
-    /// A name, a holder, a value or a body is too long (413).
+    /// A name, holder, value or body exceeds its length limit (413).
     TooLong,
-    /// The bytes are no request. Only where the state machine reads them itself.
+    /// The request could not be decoded. Returned only by `apply_bytes` and `read_bytes`.
     Malformed,
 }
 
-/// Why bytes are no request and no answer.
+/// Error decoding a request or an answer.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum DecodeError {
-    /// They can't be decoded.
-    #[error("the bytes can't be read as a call or an answer: {0}")]
-    #[diagnostic(help(
-        "send what `encode` of the same build gives; all controllers must run one build"
-    ))]
+    /// The bytes are not a valid encoding.
+    #[error("cannot decode the request or answer: {0}")]
+    #[diagnostic(help("run the same build on all controllers"))]
     Corrupted(#[from] postcard::Error),
-    /// So many bytes follow.
-    #[error("{0} bytes follow the call")]
-    #[diagnostic(help("send one call in one piece, with nothing behind it"))]
+    /// The number of bytes after the value.
+    #[error("{0} trailing bytes after the request or answer")]
+    #[diagnostic(help("send exactly one encoded value"))]
     Trailing(usize),
 }
 
-/// Writing into memory fails for no value of ours; if it did, the empty bytes could not be read and would do nothing.
+/// Encoding these types into memory cannot fail. The fallback is an empty encoding, which every decoder rejects.
 fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_stdvec(value).unwrap_or_default()
 }
@@ -153,17 +151,17 @@
     }
 }
 
-/// Gives a type its bytes, in both directions.
-macro_rules! encoded {
+/// Implements `encode` and `decode` for a type.
+macro_rules! impl_encoding {
     ($type:ty) => {
         impl $type {
-            /// Its bytes.
+            /// Encodes the value.
             #[must_use]
             pub fn encode(&self) -> Vec<u8> {
                 encode(self)
             }
 
-            /// Reads what `encode` wrote.
+            /// Decodes a value written by `encode`.
             pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
                 decode(bytes)
             }
@@ -171,6 +169,6 @@
     };
 }
 
-encoded!(Update);
-encoded!(Query);
-encoded!(Answer);
+impl_encoding!(Update);
+impl_encoding!(Query);
+impl_encoding!(Answer);
--- a/crates/rookpulley-state/src/snapshot.rs
+++ b/crates/rookpulley-state/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The whole state as bytes: written to disk from time to time, and sent to a replica that lacks much.
+//! Snapshots of the whole state, which are stored on disk and sent to replicas that are far behind.
 
 use crate::counters::Counters;
 use crate::key_value::{Group, KeyValueStore};
@@ -9,37 +9,35 @@
 use std::collections::BTreeMap;
 use twox_hash::XxHash64;
 
-/// Rises when the bytes change their meaning.
+/// Format version, incremented when the encoding changes.
 const FORMAT: u8 = 1;
 
-/// Why bytes are no snapshot.
+/// Error restoring a snapshot.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum SnapshotError {
-    /// They can't be decoded.
-    #[error("the bytes can't be read as a snapshot: {0}")]
+    /// The bytes are not a valid encoding.
+    #[error("cannot decode the snapshot: {0}")]
     #[diagnostic(help(
-        "give the bytes of `snapshot` whole and unchanged; fetch them again from another controller"
+        "the snapshot is incomplete or corrupted; fetch it again from another controller"
     ))]
     Corrupted(#[from] postcard::Error),
-    /// They are of another format.
-    #[error("the snapshot has format {0}; this build reads {FORMAT}")]
-    #[diagnostic(help("run the same build on all controllers, and let it write a new snapshot"))]
+    /// The snapshot has a different format version.
+    #[error("unsupported snapshot format {0}; this build supports format {FORMAT}")]
+    #[diagnostic(help("run the same build on all controllers, and write a new snapshot"))]
     Format(u8),
-    /// So many bytes follow.
-    #[error("{0} bytes follow the snapshot")]
-    #[diagnostic(help("give the bytes of `snapshot` and nothing behind them"))]
+    /// The number of bytes after the snapshot.
+    #[error("{0} trailing bytes after the snapshot")]
+    #[diagnostic(help("pass exactly the bytes returned by `snapshot`"))]
     Trailing(usize),
-    /// A part of it contradicts itself; which.
-    #[error("the {0} of the snapshot don't fit together")]
-    #[diagnostic(help(
-        "give a snapshot that a controller wrote; fetch it again from another controller"
-    ))]
+    /// The named part of the snapshot is inconsistent.
+    #[error("the {0} in the snapshot are inconsistent")]
+    #[diagnostic(help("the snapshot is corrupted; fetch it again from another controller"))]
     Inconsistent(&'static str),
 }
 
-/// The parts in the order in which they are written.
+/// Contents of a snapshot, in encoding order.
 #[derive(Serialize, Deserialize)]
-struct Parts<'a> {
+struct SnapshotContents<'a> {
     at_ms: u64,
     swept_ms: u64,
     configuration: Option<Cow<'a, Configuration>>,
@@ -50,27 +48,27 @@
 }
 
 impl StateMachine {
-    /// All but the limits: also the history for watches and repeats, and the last fencing token.
+    /// Encodes the whole state except the limits, including the retained events and the last fencing token.
     #[must_use]
     pub fn snapshot(&self) -> Vec<u8> {
-        let parts = Parts {
+        let contents = SnapshotContents {
             at_ms: self.at_ms,
             swept_ms: self.swept_ms,
             configuration: self.configuration.as_ref().map(Cow::Borrowed),
             last_fence: self.locks.last_fence(),
             leases: Cow::Borrowed(self.locks.leases()),
-            counters: Cow::Borrowed(self.counters.last()),
+            counters: Cow::Borrowed(self.counters.values()),
             groups: Cow::Borrowed(self.keys.groups()),
         };
         let usage = self.usage();
         let capacity = usage.state_bytes + usage.history_bytes + usage.configuration_bytes;
-        // Writing into memory can't fail; empty bytes would be refused by `restore`.
+        // Encoding into memory cannot fail; `restore` rejects the empty fallback.
         let mut bytes = Vec::with_capacity(capacity);
         bytes.push(FORMAT);
-        postcard::to_extend(&parts, bytes).unwrap_or_default()
+        postcard::to_extend(&contents, bytes).unwrap_or_default()
     }
 
-    /// Takes the place of what was here. On an error nothing changes.
+    /// Replaces the state with a snapshot. On an error the state is unchanged.
     pub fn restore(&mut self, bytes: &[u8]) -> Result<(), SnapshotError> {
         let Some((format, rest)) = bytes.split_first() else {
             return Err(postcard::Error::DeserializeUnexpectedEnd.into());
@@ -78,27 +76,27 @@
         if *format != FORMAT {
             return Err(SnapshotError::Format(*format));
         }
-        let (parts, rest) = postcard::take_from_bytes::<Parts>(rest)?;
+        let (contents, rest) = postcard::take_from_bytes::<SnapshotContents>(rest)?;
         if !rest.is_empty() {
             return Err(SnapshotError::Trailing(rest.len()));
         }
-        let locks = Locks::from_leases(parts.leases.into_owned(), parts.last_fence)
+        let locks = Locks::from_leases(contents.leases.into_owned(), contents.last_fence)
             .ok_or(SnapshotError::Inconsistent("locks"))?;
-        let keys = KeyValueStore::from_groups(parts.groups.into_owned())
-            .ok_or(SnapshotError::Inconsistent("cells"))?;
+        let keys = KeyValueStore::from_groups(contents.groups.into_owned())
+            .ok_or(SnapshotError::Inconsistent("keys"))?;
         *self = Self {
             limits: self.limits,
-            at_ms: parts.at_ms,
-            swept_ms: parts.swept_ms,
-            configuration: parts.configuration.map(Cow::into_owned),
+            at_ms: contents.at_ms,
+            swept_ms: contents.swept_ms,
+            configuration: contents.configuration.map(Cow::into_owned),
             locks,
-            counters: Counters::from_last(parts.counters.into_owned()),
+            counters: Counters::from_values(contents.counters.into_owned()),
             keys,
         };
         Ok(())
     }
 
-    /// Equal for equal states, on all controllers: XXH64 of the snapshot, with seed 0.
+    /// XXH64 of the snapshot with seed 0, which is equal for equal states on all controllers.
     #[must_use]
     pub fn digest(&self) -> u64 {
         XxHash64::oneshot(0, &self.snapshot())
--- a/crates/rookpulley-state/src/state_machine.rs
+++ b/crates/rookpulley-state/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! All parts of the state under one time: the replicated time, which the chain's head stamps on each update.
+//! The state machine: applies updates at the replicated time, with which the head of the chain stamps each update.
 
 use crate::counters::Counters;
 use crate::key_value::{KeyValueStore, Put, WatchResult};
@@ -7,15 +7,15 @@
 use crate::requests::{Answer, Query, Update};
 use serde::{Deserialize, Serialize, Serializer};
 
-/// What has ended is looked for so often.
+/// Interval between sweeps of expired leases and events.
 const SWEEP_INTERVAL_MS: u64 = 10_000;
 
-/// Writes bytes in one piece rather than one by one. The result is the same, and a configuration may have megabytes.
+/// Serializes bytes as one slice instead of element by element, which is faster and has the same encoding.
 fn serialize_bytes<S: Serializer>(bytes: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_bytes(bytes)
 }
 
-/// A configuration as the operator sent it.
+/// A configuration as sent by the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Configuration {
     pub version: u64,
@@ -23,14 +23,14 @@
     pub body: Vec<u8>,
 }
 
-/// The state that the chain replicates. Equal updates with equal times make equal states.
+/// The replicated state. Applying the same updates with the same times yields the same state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StateMachine {
     pub(crate) limits: Limits,
-    /// The highest time so far. It never goes back, whatever an update is stamped with.
+    /// Highest replicated time so far. It never decreases, even if an update has an earlier timestamp.
     pub(crate) at_ms: u64,
     pub(crate) swept_ms: u64,
-    /// The one with the highest version that came.
+    /// The configuration with the highest version received.
     pub(crate) configuration: Option<Configuration>,
     pub(crate) locks: Locks,
     pub(crate) counters: Counters,
@@ -38,7 +38,7 @@
 }
 
 impl StateMachine {
-    /// An empty state with other limits than the usual ones.
+    /// Creates an empty state with the given limits.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
@@ -55,7 +55,7 @@
         if self.is_too_long(update) {
             return Answer::TooLong;
         }
-        let room = limits.state_bytes.saturating_sub(self.state_bytes());
+        let available_bytes = limits.state_bytes.saturating_sub(self.state_bytes());
         match update {
             Update::PutConfiguration { version, body } => self.put_configuration(*version, body),
             Update::AcquireLock {
@@ -64,7 +64,7 @@
                 lease_ms,
             } => self
                 .locks
-                .acquire(now, name, holder, *lease_ms, room, &limits),
+                .acquire(now, name, holder, *lease_ms, available_bytes, &limits),
             Update::RenewLock {
                 name,
                 holder,
@@ -78,7 +78,7 @@
                 holder,
                 fence,
             } => self.locks.release(name, holder, *fence),
-            Update::NextNumber { name } => self.counters.next(name, room, &limits),
+            Update::NextNumber { name } => self.counters.next(name, available_bytes, &limits),
             Update::PutKey {
                 name,
                 value,
@@ -89,12 +89,12 @@
                     value,
                     expected: *expected,
                 };
-                self.keys.put(now, put, room, &limits)
+                self.keys.put(now, put, available_bytes, &limits)
             }
         }
     }
 
-    /// Answers a query from what is applied here.
+    /// Answers a query from the local state.
     pub fn read(&self, query: &Query) -> Answer {
         match query {
             Query::Configuration => match &self.configuration {
@@ -109,13 +109,13 @@
         }
     }
 
-    /// The puts of a group above a revision, at most so many at once. It shows what is applied here. That may lag behind
-    /// other controllers, but what is shown is never taken back.
+    /// Returns at most `max_events` puts of a group above the revision `after`. The local state may lag behind other
+    /// controllers, but applied puts are never rolled back.
     pub fn watch(&self, group: &str, after: u64, max_events: usize) -> WatchResult {
         self.keys.watch(group, after, max_events)
     }
 
-    /// `apply` on bytes, as the chain carries them.
+    /// Applies an encoded update and returns the encoded answer.
     pub fn apply_bytes(&mut self, at_ms: u64, update: &[u8]) -> Vec<u8> {
         let answer = match Update::decode(update) {
             Ok(update) => self.apply(at_ms, &update),
@@ -124,14 +124,14 @@
         answer.encode()
     }
 
-    /// `read` on bytes, as the chain carries them.
+    /// Answers an encoded query with an encoded answer.
     pub fn read_bytes(&self, query: &[u8]) -> Vec<u8> {
         let query = Query::decode(query);
         let answer = query.map_or(Answer::Malformed, |query| self.read(&query));
         answer.encode()
     }
 
-    /// A version not above the one held is an older change that came late, or a repeat: acknowledged, and nothing more.
+    /// Stores a configuration. One that is not newer is a late or repeated update: acknowledged without effect.
     fn put_configuration(&mut self, version: u64, body: &[u8]) -> Answer {
         let held = self.version();
         if self.configuration.is_some() && version <= held {
@@ -155,13 +155,13 @@
         }
     }
 
-    /// Drops what ended long ago. It goes by the times of updates alone, so that all controllers drop the same at the
-    /// same update.
+    /// Removes expired leases and events. It depends only on the replicated time, so all controllers remove the same
+    /// entries at the same update.
     fn sweep(&mut self, now_ms: u64) {
         if now_ms.saturating_sub(self.swept_ms) >= SWEEP_INTERVAL_MS {
             self.swept_ms = now_ms;
-            self.locks.forget(now_ms, self.limits.keep_ms);
-            self.keys.forget(now_ms, self.limits.keep_ms);
+            self.locks.remove_expired(now_ms, self.limits.keep_ms);
+            self.keys.remove_expired(now_ms, self.limits.keep_ms);
         }
     }
 
@@ -169,28 +169,28 @@
         self.locks.bytes() + self.counters.bytes() + self.keys.state_bytes()
     }
 
-    /// The highest time applied, in milliseconds: the next head goes on from here.
+    /// Highest replicated time applied, in milliseconds. A new head of the chain continues from it.
     pub fn at_ms(&self) -> u64 {
         self.at_ms
     }
 
-    /// The version of the configuration held. 0: there is none yet.
+    /// Version of the current configuration, or 0 if there is none.
     pub fn version(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |held| held.version)
     }
 
-    /// The configuration held: its version and its bytes.
+    /// Version and bytes of the current configuration.
     pub fn configuration(&self) -> Option<(u64, &[u8])> {
         let held = self.configuration.as_ref()?;
         Some((held.version, &held.body))
     }
 
-    /// The present revision of a group. 0: nothing was put yet.
+    /// Current revision of a group, or 0 if nothing was put yet.
     pub fn revision(&self, group: &str) -> u64 {
         self.keys.revision(group)
     }
 
-    /// How much it holds at the moment.
+    /// Current usage of the state.
     pub fn usage(&self) -> Usage {
         Usage {
             locks: self.locks.len(),
--- a/crates/rookpulley-state/tests/state_machine/limits.rs
+++ b/crates/rookpulley-state/tests/state_machine/limits.rs
@@ -1,16 +1,16 @@
-//! Whatever is asked, a ledger stays small enough for one frame, and says so before it breaks a promise.
+//! Limits: a snapshot fits into one frame, and requests beyond a limit are rejected.
 
-use super::{configure, give_back, number, put, renew, take};
+use super::{acquire, configure, next_number, put, release, renew};
 use rookpulley_state::{Answer, Limits, StateMachine, Usage, WatchResult};
 
 #[test]
-fn ten_thousand_updates_of_a_day_leave_only_what_stands_and_two_minutes_of_history() {
+fn expired_leases_and_events_are_removed() {
     let mut state = StateMachine::default();
     for n in 0..10_000u64 {
         let at = n * 100;
         match n % 5 {
             0 => {
-                _ = take(
+                _ = acquire(
                     &mut state,
                     at,
                     &format!("l{}", n % 400),
@@ -18,7 +18,7 @@
                     500,
                 )
             }
-            1 => _ = number(&mut state, at, &format!("n{}", n % 40)),
+            1 => _ = next_number(&mut state, at, &format!("n{}", n % 40)),
             2 => _ = configure(&mut state, at, n, &vec![b'x'; 20_000]),
             _ => {
                 _ = put(
@@ -32,7 +32,7 @@
         }
     }
     let usage = state.usage();
-    // 4 puts a second in all, kept for 120 s and the 10 s of a sweep; locks that nobody asks for any more are gone.
+    // 4 puts/s, retained for 120 s plus the sweep interval of 10 s. Expired locks are removed.
     assert!(usage.events <= 4 * 131, "{usage:?}");
     assert!(
         usage.locks <= 80 && usage.counters <= 40 && usage.keys <= 30,
@@ -46,33 +46,41 @@
 }
 
 #[test]
-fn a_full_ledger_refuses_what_is_new_goes_on_with_what_it_has_and_fits_one_frame() {
+fn full_state_rejects_new_entries_but_keeps_serving_existing_ones() {
     let mut state = StateMachine::default();
     let body = vec![b'c'; Limits::default().configuration_bytes];
     configure(&mut state, 0, 1, &body);
     let long = "n".repeat(240);
     assert!(matches!(
-        take(&mut state, 0, "l", "a", 600_000),
+        acquire(&mut state, 0, "l", "a", 600_000),
         Answer::Acquired(_)
     ));
-    let taken = (0..)
-        .take_while(|n| number(&mut state, 1, &format!("{n}{long}")) != Answer::CapacityExceeded)
+    let created = (0..)
+        .take_while(|n| {
+            next_number(&mut state, 1, &format!("{n}{long}")) != Answer::CapacityExceeded
+        })
         .count();
-    assert!(taken > 10_000);
-    assert_eq!(take(&mut state, 2, &long, "a", 1), Answer::CapacityExceeded);
+    assert!(created > 10_000);
+    assert_eq!(
+        acquire(&mut state, 2, &long, "a", 1),
+        Answer::CapacityExceeded
+    );
     assert_eq!(
         put(&mut state, 2, "g.k", &long, None),
         Answer::CapacityExceeded
     );
     assert_eq!(
-        number(&mut state, 3, &format!("0{long}")),
+        next_number(&mut state, 3, &format!("0{long}")),
         Answer::Number(2)
     );
     assert_eq!(renew(&mut state, 3, "l", "a", 1, 600_000), Answer::Renewed);
-    assert_eq!(give_back(&mut state, 4, "l", "a", 1), Answer::Released);
+    assert_eq!(release(&mut state, 4, "l", "a", 1), Answer::Released);
     assert!(state.snapshot().len() < 16 << 20);
     let full = state.usage();
-    assert_eq!(number(&mut state, 5, &"n".repeat(257)), Answer::TooLong);
+    assert_eq!(
+        next_number(&mut state, 5, &"n".repeat(257)),
+        Answer::TooLong
+    );
     assert_eq!(
         configure(&mut state, 5, 2, &[body, vec![0]].concat()),
         Answer::TooLong
@@ -81,21 +89,21 @@
 }
 
 #[test]
-fn more_locks_and_cells_than_there_may_be_are_refused_until_some_are_over() {
+fn locks_and_keys_are_limited_and_expired_locks_make_room() {
     let mut state = StateMachine::new(Limits {
         names: 3,
         ..Limits::default()
     });
     for n in 0..3 {
-        take(&mut state, 0, &format!("l{n}"), "a", 1_000);
+        acquire(&mut state, 0, &format!("l{n}"), "a", 1_000);
         put(&mut state, 0, &format!("g{n}.k"), &format!("{n}"), None);
     }
     assert_eq!(
-        take(&mut state, 1_049, "l3", "a", 1_000),
+        acquire(&mut state, 1_049, "l3", "a", 1_000),
         Answer::CapacityExceeded
     );
     assert_eq!(
-        take(&mut state, 1_050, "l3", "a", 1_000),
+        acquire(&mut state, 1_050, "l3", "a", 1_000),
         Answer::Acquired(4)
     );
     assert_eq!(
@@ -109,7 +117,7 @@
 }
 
 #[test]
-fn history_that_is_promised_stays_and_the_put_that_has_no_room_is_refused() {
+fn puts_are_rejected_rather_than_removing_recent_events() {
     let mut state = StateMachine::default();
     let value = |n: u64| format!("{n:0>60000}");
     let (mut n, mut answer) = (0, Answer::Revision(1));
@@ -123,13 +131,13 @@
     };
     assert!(
         revision < n - 1 && events.len() as u64 == revision - 1,
-        "an answer has its bound too"
+        "the size of a watch result must be limited"
     );
     assert_eq!(
         put(&mut state, 60_001, "g.k", &value(n), None),
         Answer::CapacityExceeded
     );
-    // One at a time, the oldest are over now.
+    // The oldest event is now past its minimum retention.
     assert_eq!(
         put(&mut state, 60_003, "g.k", &value(n), None),
         Answer::Revision(n)
--- a/crates/rookpulley-state/tests/state_machine/main.rs
+++ b/crates/rookpulley-state/tests/state_machine/main.rs
@@ -1,20 +1,26 @@
-//! What the ledger promises, checked from outside: by callers, by a model that never forgets, and one by one.
+//! Tests of the state machine: simulated lock clients, a reference model, limits and regressions.
 
-mod callers;
 mod limits;
+mod lock_clients;
 mod model;
-mod named;
+mod regressions;
 
 use rookpulley_samples::plays;
 use rookpulley_state::{Answer, StateMachine, Update};
 
-fn take(state: &mut StateMachine, at_ms: u64, name: &str, holder: &str, hold_ms: u64) -> Answer {
+fn acquire(
+    state: &mut StateMachine,
+    at_ms: u64,
+    name: &str,
+    holder: &str,
+    duration_ms: u64,
+) -> Answer {
     state.apply(
         at_ms,
         &Update::AcquireLock {
             name: name.into(),
             holder: holder.into(),
-            lease_ms: hold_ms,
+            lease_ms: duration_ms,
         },
     )
 }
@@ -25,7 +31,7 @@
     name: &str,
     holder: &str,
     fence: u64,
-    hold_ms: u64,
+    duration_ms: u64,
 ) -> Answer {
     state.apply(
         at_ms,
@@ -33,12 +39,12 @@
             name: name.into(),
             holder: holder.into(),
             fence,
-            lease_ms: hold_ms,
+            lease_ms: duration_ms,
         },
     )
 }
 
-fn give_back(state: &mut StateMachine, at_ms: u64, name: &str, holder: &str, fence: u64) -> Answer {
+fn release(state: &mut StateMachine, at_ms: u64, name: &str, holder: &str, fence: u64) -> Answer {
     state.apply(
         at_ms,
         &Update::ReleaseLock {
@@ -49,7 +55,7 @@
     )
 }
 
-fn number(state: &mut StateMachine, at_ms: u64, name: &str) -> Answer {
+fn next_number(state: &mut StateMachine, at_ms: u64, name: &str) -> Answer {
     state.apply(at_ms, &Update::NextNumber { name: name.into() })
 }
 
@@ -58,14 +64,14 @@
     at_ms: u64,
     name: &str,
     value: &str,
-    active: Option<u64>,
+    expected_revision: Option<u64>,
 ) -> Answer {
     state.apply(
         at_ms,
         &Update::PutKey {
             name: name.into(),
             value: value.into(),
-            expected: active,
+            expected: expected_revision,
         },
     )
 }
@@ -80,16 +86,16 @@
     )
 }
 
-/// The same ledger after a move to another controller.
-fn moved(state: &StateMachine) -> StateMachine {
-    let mut other = state.clone();
-    other.apply(
+/// Restores a snapshot of the state into another state machine and checks that both are equal.
+fn restored_copy(state: &StateMachine) -> StateMachine {
+    let mut copy = state.clone();
+    copy.apply(
         u64::MAX,
         &Update::NextNumber {
-            name: "of another past".into(),
+            name: "overwritten by the snapshot".into(),
         },
     );
-    other.restore(&state.snapshot()).expect("its own snapshot");
-    assert!(other == *state && other.digest() == state.digest());
-    other
+    copy.restore(&state.snapshot()).expect("a valid snapshot");
+    assert!(copy == *state && copy.digest() == state.digest());
+    copy
 }
--- a/crates/rookpulley-state/tests/state_machine/model.rs
+++ b/crates/rookpulley-state/tests/state_machine/model.rs
@@ -1,12 +1,12 @@
-//! Cells, watches, numbers and configurations against a model that keeps the whole past and searches it.
+//! Compares keys, watches, counters and configurations with a reference model that retains the full history.
 
-use super::{moved, plays};
+use super::{plays, restored_copy};
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_state::{Answer, Limits, Query, StateMachine, Update, WatchResult};
 use std::collections::BTreeMap;
 
-/// Small, so that runs reach every bound.
-fn bounds() -> Limits {
+/// Small limits, so that the test reaches all of them.
+fn small_limits() -> Limits {
     Limits {
         group_events: 8,
         keep_ms: 3_000,
@@ -35,8 +35,8 @@
         self.groups.get(group).map_or(&[], |puts| puts)
     }
 
-    /// The key's present value with its revision.
-    fn present(&self, name: &str) -> Option<(&Put, u64)> {
+    /// Current value of a key, with its revision.
+    fn current(&self, name: &str) -> Option<(&Put, u64)> {
         (1..)
             .zip(self.puts(group_of(name)))
             .map(|(r, p)| (p, r))
@@ -44,48 +44,65 @@
             .last()
     }
 
-    fn young(&self, put: &Put) -> bool {
-        put.at_ms + bounds().promised_ms >= self.now_ms
+    fn is_recent(&self, put: &Put) -> bool {
+        put.at_ms + small_limits().promised_ms >= self.now_ms
     }
 
-    fn judge_put(&mut self, name: &str, value: &str, active: Option<u64>, answer: &Answer) {
-        let (group, present) = (group_of(name), self.present(name).map_or(0, |(_, r)| r));
-        let same = (1..)
+    fn check_put(
+        &mut self,
+        name: &str,
+        value: &str,
+        expected_revision: Option<u64>,
+        answer: &Answer,
+    ) {
+        let (group, current) = (group_of(name), self.current(name).map_or(0, |(_, r)| r));
+        let previous = (1..)
             .zip(self.puts(group))
             .filter(|(_, put)| put.name == name && put.value == value)
             .last();
-        if let Some((first, put)) = same
-            && (first == present || self.young(put))
+        if let Some((previous_revision, put)) = previous
+            && (previous_revision == current || self.is_recent(put))
         {
             return assert_eq!(
                 *answer,
-                Answer::Revision(first),
-                "a repeat gets the revision it has"
+                Answer::Revision(previous_revision),
+                "a repeated put must return its original revision"
             );
         }
         match answer {
             Answer::Conflict { revision } => {
-                assert_eq!(*revision, present);
-                assert!(active.is_some_and(|active| active != present));
+                assert_eq!(*revision, current);
+                assert!(
+                    expected_revision.is_some_and(|expected_revision| expected_revision != current)
+                );
             }
             Answer::CapacityExceeded => {
-                let young = self.groups.values().flatten().filter(|put| self.young(put));
-                let many = self
+                let recent_puts = self
+                    .groups
+                    .values()
+                    .flatten()
+                    .filter(|put| self.is_recent(put));
+                let group_events = self
                     .puts(group)
                     .iter()
-                    .filter(|put| self.young(put))
+                    .filter(|put| self.is_recent(put))
                     .count();
-                let bytes: usize = young.map(|put| put.name.len() + put.value.len() + 40).sum();
-                assert!(many >= bounds().group_events || bytes + 100 > bounds().history_bytes);
+                let bytes: usize = recent_puts
+                    .map(|put| put.name.len() + put.value.len() + 40)
+                    .sum();
+                assert!(
+                    group_events >= small_limits().group_events
+                        || bytes + 100 > small_limits().history_bytes
+                );
             }
             Answer::Revision(revision) => {
-                // An old repeat whose memory is gone may still be known.
-                if same.is_some_and(|(first, _)| first == *revision) {
+                // An older repeat may still be recognized.
+                if previous.is_some_and(|(previous_revision, _)| previous_revision == *revision) {
                     return;
                 }
                 assert!(
-                    active.is_none_or(|active| active == present),
-                    "a put over a later revision"
+                    expected_revision.is_none_or(|expected_revision| expected_revision == current),
+                    "a conditional put replaced a different revision"
                 );
                 assert_eq!(*revision, self.puts(group).len() as u64 + 1);
                 let put = Put {
@@ -95,21 +112,21 @@
                 };
                 self.groups.entry(group.into()).or_default().push(put);
             }
-            other => panic!("{other:?} is no answer to a put"),
+            other => panic!("unexpected answer {other:?} to a put"),
         }
     }
 
-    fn judge(&mut self, update: &Update, answer: &Answer) {
+    fn check_update(&mut self, update: &Update, answer: &Answer) {
         match update {
             Update::PutKey {
                 name,
                 value,
-                expected: active,
-            } => self.judge_put(name, value, *active, answer),
+                expected: expected_revision,
+            } => self.check_put(name, value, *expected_revision, answer),
             Update::NextNumber { name } => {
                 let last = self.numbers.entry(name.clone()).or_default();
                 let Answer::Number(next) = answer else {
-                    panic!("{answer:?} is no number")
+                    panic!("unexpected answer {answer:?} to a counter update")
                 };
                 assert!(next > last);
                 *last = *next;
@@ -129,24 +146,24 @@
         }
     }
 
-    fn judge_watch(&self, group: &str, after: u64, most: usize, watched: &WatchResult) {
+    fn check_watch(&self, group: &str, after: u64, max_events: usize, watched: &WatchResult) {
         let puts = self.puts(group);
-        let present = puts.len() as u64;
+        let current = puts.len() as u64;
         match watched {
-            WatchResult::Present { revision } => assert_eq!((after, *revision), (0, present)),
+            WatchResult::Present { revision } => assert_eq!((after, *revision), (0, current)),
             WatchResult::Nothing { revision } => {
                 assert_eq!(*revision, after);
-                assert!(after >= present && after > 0);
+                assert!(after >= current && after > 0);
             }
             WatchResult::TooOld => {
                 assert!(
-                    !self.young(&puts[after as usize]),
-                    "history that was promised is gone"
+                    !self.is_recent(&puts[after as usize]),
+                    "an event was removed before its minimum retention"
                 )
             }
             WatchResult::Events { events, revision } => {
-                assert!(!events.is_empty() && events.len() <= most && *revision <= present);
-                assert!(events.len() == most || *revision == present);
+                assert!(!events.is_empty() && events.len() <= max_events && *revision <= current);
+                assert!(events.len() == max_events || *revision == current);
                 assert_eq!(*revision, after + events.len() as u64);
                 for (event, (number, put)) in
                     events.iter().zip((1..).zip(puts).skip(after as usize))
@@ -160,16 +177,16 @@
         }
     }
 
-    fn judge_reads(&self, state: &StateMachine) {
+    fn check_reads(&self, state: &StateMachine) {
         for (name, group) in NAMES {
-            let seen = match state.read(&Query::Key { name: name.into() }) {
+            let value = match state.read(&Query::Key { name: name.into() }) {
                 Answer::Value { value, revision } => Some((value, revision)),
                 Answer::NotFound => None,
-                other => panic!("{other:?} is no cell"),
+                other => panic!("unexpected answer {other:?} to a key query"),
             };
             assert_eq!(
-                seen,
-                self.present(name)
+                value,
+                self.current(name)
                     .map(|(put, revision)| (put.value.clone(), revision))
             );
             let revision = Answer::Revision(self.puts(group).len() as u64);
@@ -204,7 +221,11 @@
         .map_or("", |(_, group)| group)
 }
 
-fn draw(u: &mut Unstructured<'_>, fresh: &mut u64, model: &Model) -> Result<Update> {
+fn arbitrary_update(
+    u: &mut Unstructured<'_>,
+    last_value: &mut u64,
+    model: &Model,
+) -> Result<Update> {
     let name = u.choose(&NAMES)?.0.to_owned();
     Ok(match u.int_in_range(0..=11)? {
         0 => Update::NextNumber { name },
@@ -223,58 +244,63 @@
             lease_ms: u.int_in_range(0..=900)?,
         },
         _ => {
-            *fresh += 1;
-            let active = match u.int_in_range(0..=3)? {
+            *last_value += 1;
+            let expected_revision = match u.int_in_range(0..=3)? {
                 0 => Some(u.int_in_range(0..=30)?),
                 1 => None,
-                _ => Some(model.present(&name).map_or(0, |(_, revision)| revision)),
+                _ => Some(model.current(&name).map_or(0, |(_, revision)| revision)),
             };
             Update::PutKey {
                 name,
-                value: format!("v{fresh}"),
-                expected: active,
+                value: format!("v{last_value}"),
+                expected: expected_revision,
             }
         }
     })
 }
 
-fn play(u: &mut Unstructured<'_>) -> Result<()> {
-    // The other one never moves: where a move changed anything, the two would part.
-    let mut state = StateMachine::new(bounds());
-    let mut stays = state.clone();
-    let (mut model, mut sent, mut fresh) = (Model::default(), Vec::<Update>::new(), 0);
+fn compare_with_model(u: &mut Unstructured<'_>) -> Result<()> {
+    // A second state machine that is never restored detects changes caused by a restore.
+    let mut state = StateMachine::new(small_limits());
+    let mut never_restored = state.clone();
+    let (mut model, mut sent, mut last_value) = (Model::default(), Vec::<Update>::new(), 0);
     while !u.is_empty() {
         model.now_ms += u.int_in_range(0..=100)?;
         if u.ratio(1, 50)? {
             model.now_ms += 4_000;
         }
-        let again = !sent.is_empty() && u.ratio(1, 3)?;
-        let update = match again {
+        let is_repeat = !sent.is_empty() && u.ratio(1, 3)?;
+        let update = match is_repeat {
             true => sent[sent.len() - 1 - u.int_in_range(0..=(sent.len() - 1).min(15))?].clone(),
-            false => draw(u, &mut fresh, &model)?,
+            false => arbitrary_update(u, &mut last_value, &model)?,
         };
         let answer = state.apply(model.now_ms, &update);
-        assert_eq!(stays.apply(model.now_ms, &update), answer);
-        model.judge(&update, &answer);
+        assert_eq!(never_restored.apply(model.now_ms, &update), answer);
+        model.check_update(&update, &answer);
         sent.push(update);
 
         let (_, group) = *u.choose(&NAMES)?;
-        let (after, most) = (
+        let (after, max_events) = (
             u.int_in_range(0..=model.puts(group).len() as u64 + 2)?,
             u.int_in_range(1..=15)?,
         );
-        model.judge_watch(group, after, most, &state.watch(group, after, most));
+        model.check_watch(
+            group,
+            after,
+            max_events,
+            &state.watch(group, after, max_events),
+        );
         if u.ratio(1, 8)? {
-            model.judge_reads(&state);
-            state = moved(&state);
-            assert!(state == stays);
+            model.check_reads(&state);
+            state = restored_copy(&state);
+            assert!(state == never_restored);
         }
     }
-    model.judge_reads(&state);
+    model.check_reads(&state);
     Ok(())
 }
 
 #[test]
-fn puts_watches_and_reads_are_what_a_model_that_forgets_nothing_says_through_all_moves() {
-    plays(60, 10_000, play);
+fn state_matches_the_model_across_restores() {
+    plays(60, 10_000, compare_with_model);
 }
