--- a/crates/rookpulley-protocol/src/frame.rs
+++ b/crates/rookpulley-protocol/src/frame.rs
@@ -1,21 +1,21 @@
-//! A frame: four bytes of length, little end first, then a value encoded by `postcard`.
+//! Length-prefixed framing: a 4-byte little-endian length, followed by a value encoded with `postcard`.
 
 use serde::{Serialize, de::DeserializeOwned};
 
-/// No frame is longer. A snapshot of the replicated state fits.
+/// Maximum length of a frame body. It is large enough for a snapshot of the replicated state.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
 const LENGTH_BYTES: usize = 4;
-/// So much that was taken is kept before what follows it is moved to the front.
-const MAX_TAKEN_BYTES: usize = 64 << 10;
+/// Number of consumed bytes beyond which the remaining bytes are moved to the front of the buffer.
+const COMPACTION_THRESHOLD_BYTES: usize = 64 << 10;
 
-/// Why a frame can't be taken.
+/// Error decoding a frame.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum FrameError {
-    /// It announces more bytes than a frame may have.
-    #[error("a frame of {0} bytes is announced; {MAX_FRAME_BYTES} is the most")]
+    /// The length prefix exceeds the maximum.
+    #[error("frame length {0} exceeds the maximum of {MAX_FRAME_BYTES} bytes")]
     TooLong(usize),
-    /// Its bytes are no value of the expected type.
-    #[error("a frame can't be read as a message: {0}")]
+    /// The body is not a valid encoding of the expected type.
+    #[error("cannot decode the frame body: {0}")]
     Malformed(#[from] postcard::Error),
 }
 
@@ -30,30 +30,30 @@
     bytes
 }
 
-/// Takes frames out of bytes, however those are cut on their way.
+/// Reassembles frames from a byte stream that arrives in arbitrary pieces.
 #[derive(Default)]
 pub struct Frames {
     bytes: Vec<u8>,
-    /// How many of them were taken.
-    taken: usize,
+    /// Number of bytes already consumed.
+    consumed: usize,
 }
 
 impl Frames {
-    /// More bytes have come.
+    /// Appends received bytes.
     pub fn push(&mut self, more: &[u8]) {
-        if self.taken > 0 && self.taken == self.bytes.len() {
+        if self.consumed > 0 && self.consumed == self.bytes.len() {
             self.bytes = Vec::new();
-            self.taken = 0;
-        } else if self.taken > MAX_TAKEN_BYTES {
-            self.bytes.drain(..self.taken);
-            self.taken = 0;
+            self.consumed = 0;
+        } else if self.consumed > COMPACTION_THRESHOLD_BYTES {
+            self.bytes.drain(..self.consumed);
+            self.consumed = 0;
         }
         self.bytes.extend_from_slice(more);
     }
 
-    /// Takes the next value. None: more bytes are to come first.
+    /// Decodes the next value. Returns None if its frame is incomplete.
     pub fn take<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
-        let rest = &self.bytes[self.taken..];
+        let rest = &self.bytes[self.consumed..];
         let Some((head, rest)) = rest.split_first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
@@ -65,7 +65,7 @@
             return Ok(None);
         };
         let value = postcard::from_bytes(body)?;
-        self.taken += LENGTH_BYTES + length;
+        self.consumed += LENGTH_BYTES + length;
         Ok(Some(value))
     }
 }
--- a/crates/rookpulley-protocol/src/lib.rs
+++ b/crates/rookpulley-protocol/src/lib.rs
@@ -1,10 +1,10 @@
-//! What the programs of the gateway say to each other.
+//! Wire protocol between the proxies and controllers of the gateway.
 //!
-//! | file | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `messages` | the messages between proxies and controllers |
-//! | `frame` | how a message is turned into bytes and back |
-//! | `pack` | how the operator's configuration is compressed |
+//! | `messages` | message types |
+//! | `frame` | length-prefixed framing |
+//! | `pack` | compression of the operator's configuration |
 
 #![warn(missing_docs)]
 
--- a/crates/rookpulley-protocol/src/messages.rs
+++ b/crates/rookpulley-protocol/src/messages.rs
@@ -1,170 +1,170 @@
-//! The messages between proxies and controllers.
+//! Messages between proxies and controllers.
 //!
-//! They are encoded by `postcard`, which writes fields by position: their order is part of the protocol, their names
-//! are not.
+//! They are encoded with `postcard`, which identifies fields and variants by position: their order is part of the
+//! protocol, their names are not.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// The id of one incarnation of an instance: what stands in the path of its heartbeats.
+/// Id of one incarnation of an instance, as used in the path of its heartbeats.
 pub type IncarnationId = String;
 
-/// What a proxy, or a controller without a disk, tells a controller.
+/// Messages from a proxy, or from a stateless controller, to a controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ProxyToController {
     /// The first message on a connection.
     Hello(ProxyHello),
-    /// The receiver is its primary from now on, or no longer.
+    /// The receiver has become, or is no longer, the sender's primary.
     PrimaryChanged {
-        /// Whether it is.
+        /// Whether the receiver is the primary.
         is_primary: bool,
-        /// The version of the configuration that it has. 0: none.
+        /// Version of the configuration held by the sender, or 0 if it has none.
         configuration: u64,
-        /// It has tables already.
+        /// Whether the sender already has endpoint tables.
         has_tables: bool,
     },
-    /// It has heard of a newer configuration than it has.
+    /// Requests a newer configuration.
     RequestConfiguration {
-        /// The version that it has. 0: none, or none that a difference can stand on.
+        /// Version held by the sender, or 0 if it has none that can serve as a compression base.
         held: u64,
     },
-    /// About once a second, to its primary.
+    /// Load report, sent to the primary about once a second.
     Report(LoadReport),
-    /// It uses the tables up to this one.
+    /// Acknowledges the tables up to a sequence number.
     TablesApplied {
-        /// The `sequence` of the last one.
+        /// The `sequence` of the last applied table.
         up_to: u64,
     },
-    /// The first message of a controller without a disk, which only redirects calls. It is sent again when the
-    /// controllers with a disk that it knows of have changed.
+    /// First message of a stateless controller, which has no disk and only redirects calls. It is sent again when the
+    /// set of connected controllers with a disk changes.
     StatelessHello {
-        /// Where it listens for other controllers.
+        /// Address on which the sender accepts connections of other controllers.
         address: SocketAddrV4,
-        /// The controllers with a disk that it is connected to.
+        /// Controllers with a disk that the sender is connected to.
         controllers: Vec<SocketAddrV4>,
     },
-    /// From the first seed, which has no disk: the controller with this identity is to make the first view.
+    /// Sent by the first seed if it is stateless: the controller with this disk identity creates the first view.
     AppointFounder {
-        /// The identity of its disk.
+        /// Identity of the controller's disk.
         id: u64,
     },
 }
 
-/// The first message of a proxy.
+/// First message of a proxy on a connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProxyHello {
-    /// The machine's name.
+    /// Name of the proxy's machine.
     pub node: String,
-    /// The machine's zone.
+    /// Zone of the proxy's machine.
     pub zone: String,
-    /// The receiver is asked to publish this proxy's tables.
+    /// Whether the receiver is this proxy's primary and publishes its endpoint tables.
     pub is_primary: bool,
-    /// The version of the configuration that it has. 0: none.
+    /// Version of the configuration held by the proxy, or 0 if it has none.
     pub configuration: u64,
-    /// It has tables already.
+    /// Whether the proxy already has endpoint tables.
     pub has_tables: bool,
-    /// Incarnations that it knows to be draining or gone.
+    /// Incarnations known to the proxy to be draining or gone.
     pub gone: Vec<IncarnationId>,
 }
 
-/// What a proxy has met since its last report.
+/// Load observed by a proxy since its last report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The time that it covers, in milliseconds.
+    /// Length of the reported period, in milliseconds.
     pub span_ms: u32,
-    /// By service.
+    /// Load per service.
     pub services: Vec<ServiceLoad>,
 }
 
-/// The requests for one service.
+/// Load of one service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// How many came.
+    /// Number of requests received.
     pub received: u32,
-    /// How many of them failed.
+    /// Number of requests that failed.
     pub failed: u32,
-    /// By instance.
+    /// Load per instance.
     pub instances: Vec<InstanceLoad>,
 }
 
-/// The attempts that went to one instance.
+/// Attempts sent to one instance.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct InstanceLoad {
-    /// Which incarnation of it.
+    /// Incarnation of the instance.
     pub incarnation: IncarnationId,
-    /// How many there were.
+    /// Number of attempts.
     pub attempts: u32,
-    /// How many of them failed.
+    /// Number of failed attempts.
     pub failed: u32,
-    /// How long the others took on average, in milliseconds.
+    /// Mean latency of successful attempts, in milliseconds.
     pub mean_ms: f32,
 }
 
-/// What a controller tells a proxy, or a controller without a disk.
+/// Messages from a controller to a proxy or to a stateless controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControllerToProxy {
-    /// A few times a second.
+    /// Periodic status, sent a few times a second.
     Status {
-        /// The sender is in two-way contact with a majority of an active view.
+        /// Whether the sender is in two-way contact with a majority of an active view.
         in_touch: bool,
-        /// The version of the newest configuration that can be had from it. 0: none.
+        /// Newest configuration version available from the sender, or 0 if it has none.
         configuration: u64,
-        /// How many proxies there are in the whole system. 0: not known.
+        /// Number of proxies in the fleet, or 0 if unknown.
         proxies: u32,
-        /// The controllers that it is connected to, and itself.
+        /// The sender, and the controllers that it is connected to.
         controllers: Vec<SocketAddrV4>,
     },
-    /// The operator's bytes as they were sent, compressed against those of another version.
+    /// A configuration as sent by the operator, compressed against another version.
     Configuration {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
-        /// The version that it is compressed against. 0: none.
+        /// Version that it is compressed against, or 0 if none.
         base: u64,
-        /// How many bytes come of it.
+        /// Uncompressed length, in bytes.
         length: u32,
-        /// What `pack` returned.
+        /// Result of `pack`.
         packed: Vec<u8>,
     },
-    /// A whole table, in place of the one before.
+    /// A complete endpoint table, which replaces the previous one of the service.
     Table {
-        /// The service's name.
+        /// Name of the service.
         service: String,
-        /// The hash of its entries.
+        /// Hash of the entries.
         revision: u64,
-        /// Rises with each table of this sender. It is to be answered by `TablesApplied`.
+        /// Increases with each table of this sender, and is acknowledged by `TablesApplied`.
         sequence: u64,
-        /// The instances that requests may go to.
+        /// Instances that requests may be sent to.
         entries: Vec<TableEntry>,
     },
-    /// These incarnations are draining or gone: nothing new goes there from now on, whatever tables say.
+    /// These incarnations are draining or gone and receive no new requests, even if a table contains them.
     InstancesGone {
-        /// Which.
+        /// The affected incarnations.
         incarnations: Vec<IncarnationId>,
     },
-    /// The first message to a controller without a disk.
+    /// First message to a stateless controller.
     ControllerInfo {
-        /// The sender's zone.
+        /// Zone of the sender.
         zone: String,
-        /// The identity of the sender's disk, if it may make the first view.
+        /// Identity of the sender's disk, if it may create the first view.
         founder: Option<u64>,
-        /// The sender knows of a view.
+        /// Whether the sender knows of a view.
         knows_view: bool,
     },
 }
 
-/// An instance in a table.
+/// An entry of an endpoint table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TableEntry {
-    /// Which incarnation of it.
+    /// Incarnation of the instance.
     pub incarnation: IncarnationId,
-    /// Where it serves.
+    /// Address on which the instance accepts requests.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// Zone of the instance.
     pub zone: String,
-    /// Its share of the requests, relative to the other entries.
+    /// Share of the requests, relative to the other entries.
     pub weight: f32,
-    /// How many requests it works on at once.
+    /// Number of requests that the instance processes concurrently.
     pub slots: u16,
 }
--- a/crates/rookpulley-protocol/src/pack.rs
+++ b/crates/rookpulley-protocol/src/pack.rs
@@ -1,44 +1,44 @@
-//! Compresses the operator's configuration for proxies, against one that the proxy holds where it holds one.
+//! Compression of the operator's configuration for proxies, with the version that the proxy holds as the dictionary.
 //!
-//! Links may be slow and configurations long, and a new one differs little from the one before.
+//! Configurations can be large and links slow, and successive versions differ little.
 
 use zstd::bulk::{Compressor, Decompressor};
 use zstd::zstd_safe::CParameter;
 
-/// Compression level of zstd. Higher ones cost a controller more time than the bytes they save are worth.
+/// Compression level of zstd. Higher levels save little and cost the controller much more time.
 const LEVEL: i32 = 3;
-/// The window of that level.
+/// Window size of this level.
 const LEVEL_WINDOW: usize = 1 << 21;
-/// Enough hash entries for a base of several megabytes: with fewer, what stands early in it is not found again.
+/// Large enough to index a base of several megabytes, so that matches early in the base are found.
 const HASH_LOG: u32 = 22;
-/// The windows that both sides can do.
+/// Range of window sizes that both sides support.
 const MIN_WINDOW_LOG: u32 = 10;
 const MAX_WINDOW_LOG: u32 = 26;
 
-/// Why a configuration can't be packed or unpacked.
+/// Error packing or unpacking a configuration.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum PackError {
-    /// More bytes are announced than may be.
-    #[error("{0} bytes are announced; {1} is the most")]
-    #[diagnostic(help("raise the bound on both sides"))]
+    /// The announced length exceeds the maximum.
+    #[error("announced length {0} exceeds the maximum of {1} bytes")]
+    #[diagnostic(help("raise the limit on both sides"))]
     TooLong(usize, usize),
-    /// It is broken, or was packed against another base.
-    #[error("it can't be unpacked: {0}")]
-    #[diagnostic(help("ask for it whole"))]
+    /// The data is corrupted, or was packed against a different base.
+    #[error("cannot compress or decompress the configuration: {0}")]
+    #[diagnostic(help("request the configuration without a base"))]
     Malformed(#[from] std::io::Error),
-    /// It has another length than announced.
-    #[error("{0} bytes came of it instead of {1}")]
-    #[diagnostic(help("ask for it whole"))]
+    /// The decompressed length differs from the announced length.
+    #[error("decompressed length is {0} bytes instead of {1}")]
+    #[diagnostic(help("request the configuration without a base"))]
     WrongLength(usize, usize),
 }
 
-/// Compresses `body` against `base`, which the receiver holds already. Empty: it holds none.
+/// Compresses `body` against `base`, which the receiver already holds. `base` is empty if the receiver holds none.
 pub fn pack(body: &[u8], base: &[u8]) -> Result<Vec<u8>, PackError> {
     let mut compressor = Compressor::with_dictionary(LEVEL, base)?;
-    // On another base something else would come of it.
+    // Detects decompression against a different base.
     compressor.set_parameter(CParameter::ChecksumFlag(true))?;
     if base.len() + body.len() > LEVEL_WINDOW {
-        // What lies further back than the window is not found again.
+        // Matches are found only within the window, so it must cover the base and the body.
         let window_log = window_log(base.len() + body.len());
         compressor.set_parameter(CParameter::WindowLog(window_log))?;
         compressor.set_parameter(CParameter::HashLog(window_log.min(HASH_LOG)))?;
@@ -47,7 +47,7 @@
     Ok(compressor.compress(body)?)
 }
 
-/// The smallest power of two that holds so many bytes.
+/// Binary logarithm of the smallest supported window that holds `bytes`.
 fn window_log(bytes: usize) -> u32 {
     bytes
         .next_power_of_two()
@@ -55,7 +55,7 @@
         .clamp(MIN_WINDOW_LOG, MAX_WINDOW_LOG)
 }
 
-/// Decompresses what was packed against the same base, and is so long.
+/// Decompresses a configuration that was packed against `base` and is `length` bytes long.
 pub fn unpack(
     packed: &[u8],
     base: &[u8],
--- a/crates/rookpulley-protocol/src/pack/tests.rs
+++ b/crates/rookpulley-protocol/src/pack/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_differs_is_short_and_makes_the_whole_again() {
+fn difference_to_the_base_is_small_and_round_trips() {
     let (base, body) = (configuration(2_000, 0), configuration(2_050, 1_234));
     let packed = pack(&body, &base).unwrap();
     assert!(
@@ -31,18 +31,21 @@
         body.len()
     );
     assert_eq!(unpack(&packed, &base, body.len(), 16 << 20).unwrap(), body);
-    let whole = pack(&body, &[]).unwrap();
+    let without_base = pack(&body, &[]).unwrap();
     assert!(
-        whole.len() * 4 < body.len(),
+        without_base.len() * 4 < body.len(),
         "{} of {} bytes",
-        whole.len(),
+        without_base.len(),
         body.len()
     );
-    assert_eq!(unpack(&whole, &[], body.len(), 16 << 20).unwrap(), body);
+    assert_eq!(
+        unpack(&without_base, &[], body.len(), 16 << 20).unwrap(),
+        body
+    );
 }
 
 #[test]
-fn what_differs_of_a_long_one_is_short() {
+fn difference_to_a_large_base_is_small() {
     let (base, body) = (configuration(35_000, 0), configuration(35_000, 17_000));
     let packed = pack(&body, &base).unwrap();
     assert!(
@@ -55,7 +58,7 @@
 }
 
 #[test]
-fn what_is_cut_changed_or_too_long_is_refused() {
+fn truncated_mismatched_or_oversized_data_is_rejected() {
     let (base, body) = (configuration(40, 0), configuration(41, 7));
     let packed = pack(&body, &base).unwrap();
     assert!(matches!(
@@ -65,10 +68,10 @@
     assert!(unpack(&packed, &base, body.len() + 1, 16 << 20).is_err());
     assert!(unpack(&packed, &base, body.len() - 1, 16 << 20).is_err());
     assert!(unpack(&packed, &configuration(40, 1), body.len(), 16 << 20).is_err());
-    for cut in 0..packed.len() {
+    for length in 0..packed.len() {
         assert!(
-            unpack(&packed[..cut], &base, body.len(), 16 << 20).is_err(),
-            "cut at {cut}"
+            unpack(&packed[..length], &base, body.len(), 16 << 20).is_err(),
+            "truncated to {length} bytes"
         );
     }
 }
