--- a/crates/rookpulley-proxy-core/src/attempt.rs
+++ b/crates/rookpulley-proxy-core/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: how it ended, and whether it may be sent again at once.
+//! How one attempt ended, and whether it can be resent immediately.
 
 use crate::Verdict;
 use rookpulley_balancer::AttemptOutcome;
@@ -6,18 +6,18 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptEnd {
-    /// As the instance let it end.
+    /// The attempt ended with an outcome attributed to the instance.
     Outcome(AttemptOutcome),
-    /// There was no room for another connection: nothing was sent.
+    /// The connection limit was reached and nothing was sent.
     ConnectionLimit,
-    /// Another instance answered, and said that it didn't run the request.
+    /// A different instance answered and reported that it did not execute the request.
     WrongInstance,
-    /// The client failed amid its body, and gets this status: it says nothing about the instance.
+    /// The client failed while sending its body and gets this status. It is not attributed to the instance.
     ClientFailed(u16),
 }
 
 impl AttemptEnd {
-    /// By the head of an answer. None: its body is to be read.
+    /// Returns how an attempt ends after a response head, or None if its body has to be read.
     pub fn of_verdict(verdict: Verdict) -> Option<Self> {
         match verdict {
             Verdict::Valid => None,
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Of an attempt that was broken off. `is_sent`: bytes of the request may have been sent; `waits_for_client`: its
-    /// client is the one who was waited for.
+    /// Returns how an aborted attempt ends. `is_sent` tells whether bytes of the request may have been sent, and
+    /// `waits_for_client` whether the attempt was waiting for the client's body.
     pub fn of_broken_off(is_sent: bool, waits_for_client: bool) -> Self {
         match (is_sent, waits_for_client) {
             (true, true) => Self::ClientFailed(504),
@@ -39,38 +39,38 @@
     }
 }
 
-/// Whether an attempt may be sent again at once: connections that were idle may have been closed by the instance.
+/// Decides whether a request can be resent immediately, since the instance may have closed an idle connection.
 #[derive(Default)]
 pub struct Resend {
     has_failed: bool,
 }
 
-/// What follows where a connection failed before an answer.
+/// Reaction to a connection that failed before a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SendFailure {
-    /// Send again, on a new connection.
+    /// Resend on a new connection.
     SendAgain,
     /// Nothing was sent.
     Unsent,
-    /// It was sent: the instance may have run it.
+    /// The request was sent, and the instance may have executed it.
     Interrupted,
 }
 
 impl Resend {
-    /// Only a connection that is new will do.
+    /// Whether the request must be sent on a new connection.
     pub fn needs_new_connection(&self) -> bool {
         self.has_failed
     }
 
-    /// `is_unsent`: nothing of the request was written; `was_idle`: the connection had been used before;
-    /// `has_body`: the body is at hand.
+    /// Processes a connection failure. `is_unsent` tells whether nothing of the request was written, `was_idle` whether
+    /// the connection had been used before, and `has_body` whether the body is available.
     pub fn send_failed(&mut self, is_unsent: bool, was_idle: bool, has_body: bool) -> SendFailure {
         if !is_unsent {
             return SendFailure::Interrupted;
         }
-        let may_send_again = has_body && was_idle && !self.has_failed;
+        let may_resend = has_body && was_idle && !self.has_failed;
         self.has_failed = true;
-        if may_send_again {
+        if may_resend {
             SendFailure::SendAgain
         } else {
             SendFailure::Unsent
--- a/crates/rookpulley-proxy-core/src/effect.rs
+++ b/crates/rookpulley-proxy-core/src/effect.rs
@@ -1,24 +1,24 @@
-//! What a proxy wants done.
+//! Effects requested by the proxy state.
 
 use rookpulley_protocol::{IncarnationId, ProxyToController};
 use std::net::Ipv4Addr;
 
-/// One thing to do, in the order in which they were returned.
+/// An effect to perform. Effects must be performed in the order in which they are returned.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// Keep a connection to this controller until it is forgotten.
+    /// Keep a connection to this controller until `ProxyState::is_forgotten` returns true.
     Connect(Ipv4Addr),
-    /// Send a message to a controller, on its connection.
+    /// Send a message to a controller on its connection.
     SendToController {
-        /// Its address.
+        /// Address of the controller.
         to: Ipv4Addr,
         /// The message.
         message: ProxyToController,
     },
-    /// Use no connection to this incarnation again.
+    /// Stop reusing connections to this incarnation.
     CloseConnections(IncarnationId),
-    /// A line for the log.
+    /// Log a message.
     Log(String),
-    /// A line for the log: something is wrong.
+    /// Log a warning.
     LogWarning(String),
 }
--- a/crates/rookpulley-proxy-core/src/lib.rs
+++ b/crates/rookpulley-proxy-core/src/lib.rs
@@ -1,13 +1,13 @@
-//! All that a proxy knows and decides, without sockets, files or clocks.
+//! State and decisions of a proxy, without sockets, files or clocks.
 //!
-//! | file | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `state` | configuration, tables, retry budgets, and the controllers that publish them |
-//! | `effect` | what is to be done about it |
-//! | `lifecycle` | one request from its head to its answer |
-//! | `attempt` | how one attempt ended, and whether it may be sent again at once |
-//! | `response` | what the head of an instance's answer is worth |
-//! | `load_counters` | what is counted for the next load report |
+//! | `state` | configuration, endpoint tables, retry budgets, and messages from controllers |
+//! | `effect` | effects that the caller has to perform |
+//! | `lifecycle` | routing, attempts and response of one request |
+//! | `attempt` | how an attempt ended, and whether it can be resent immediately |
+//! | `response` | validation of response heads |
+//! | `load_counters` | counters for the load report |
 
 #![warn(missing_docs)]
 
--- a/crates/rookpulley-proxy-core/src/load_counters.rs
+++ b/crates/rookpulley-proxy-core/src/load_counters.rs
@@ -1,4 +1,4 @@
-//! What is counted for the next load report to the primary.
+//! Counters for the load report to the primary.
 
 use rookpulley_balancer::AttemptOutcome;
 use rookpulley_protocol::{IncarnationId, InstanceLoad, LoadReport, ServiceLoad};
@@ -9,7 +9,7 @@
     attempts: u32,
     failed: u32,
     succeeded: u32,
-    /// How long those that succeeded took together.
+    /// Total latency of the successful attempts.
     succeeded_ms: f64,
 }
 
@@ -20,7 +20,7 @@
     instances: HashMap<IncarnationId, InstanceCounters>,
 }
 
-/// Counts since the last report.
+/// Counters since the last report.
 #[derive(Default)]
 pub(crate) struct LoadCounters {
     since_ms: f64,
@@ -28,17 +28,17 @@
 }
 
 impl LoadCounters {
-    /// A request for the service has come.
+    /// Counts a received request.
     pub fn count_request(&mut self, service: &str) {
         self.service(service).received += 1;
     }
 
-    /// A request for the service has failed for good.
+    /// Counts a request that failed after all attempts.
     pub fn count_failure(&mut self, service: &str) {
         self.service(service).failed += 1;
     }
 
-    /// An attempt at an instance has ended.
+    /// Counts an attempt at an instance.
     pub fn count_attempt(
         &mut self,
         service: &str,
@@ -54,13 +54,13 @@
                 instance.succeeded += 1;
                 instance.succeeded_ms += took_ms;
             }
-            // An instance that has no room is not a bad one.
+            // A rejection for lack of capacity is not a failure of the instance.
             AttemptOutcome::NotExecuted => {}
             _ => instance.failed += 1,
         }
     }
 
-    /// The report, and the counts begin anew.
+    /// Returns the report and resets the counters.
     pub fn take_report(&mut self, now_ms: f64) -> LoadReport {
         let span_ms = (now_ms - self.since_ms).clamp(0.0, 1e9) as u32;
         self.since_ms = now_ms;
--- a/crates/rookpulley-proxy-core/src/response.rs
+++ b/crates/rookpulley-proxy-core/src/response.rs
@@ -1,44 +1,44 @@
-//! What the head of an instance's answer is worth.
+//! Validation of the response head of an instance.
 
-/// What matters of a head.
+/// Relevant properties of a response head.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResponseHead {
-    /// The status.
+    /// HTTP status.
     pub status: u16,
-    /// It bears the id of the request that it answers, once.
+    /// The response carries the request's id exactly once.
     pub has_request_id: bool,
-    /// It has the header by which an instance says that it didn't run the request.
+    /// The response has the header that reports that the request was not executed.
     pub not_executed: bool,
-    /// It has a signature.
+    /// The response has a signature.
     pub is_signed: bool,
-    /// Its body is encoded.
+    /// The body is encoded.
     pub is_encoded: bool,
-    /// It doesn't say in two ways where its body ends.
+    /// The body length is specified unambiguously.
     pub has_clear_end: bool,
 }
 
-/// What is to become of an answer.
+/// Result of validating a response head.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It may go to the client once its body is complete.
+    /// The response can be forwarded once its body is complete.
     Valid,
-    /// The instance says that it didn't run the request.
+    /// The instance reported that it did not execute the request.
     NotExecuted,
-    /// The same, since it is another instance than the one meant.
+    /// A different instance answered and did not execute the request.
     WrongInstance,
-    /// A promise that the request wasn't run, which the instance didn't confirm by the header.
+    /// The status implies that the request was not executed, but the header that confirms it is missing.
     UnconfirmedRejection,
-    /// It isn't the answer to this request.
+    /// The response is invalid or does not belong to this request.
     Invalid,
 }
 
 const MISDIRECTED_REQUEST: u16 = 421;
-/// Statuses that promise that the request wasn't run.
+/// Statuses that imply that the request was not executed.
 const REJECTIONS: [u16; 3] = [408, 429, 503];
 
-/// Judges an answer by its head.
+/// Validates a response head.
 ///
-/// An answer is passed on only under this request's id: a late one may stand in the place of the next.
+/// The request id must match, since a late response could otherwise be taken for the response to the next request.
 pub fn evaluate(head: ResponseHead) -> Verdict {
     if !head.has_request_id || head.status < 200 {
         return Verdict::Invalid;
--- a/crates/rookpulley-proxy-core/src/state.rs
+++ b/crates/rookpulley-proxy-core/src/state.rs
@@ -1,8 +1,9 @@
-//! What a proxy knows: configuration, tables, instances that are gone, retry budgets, and the controllers.
+//! State of a proxy: configuration, endpoint tables, gone instances, retry budgets and controllers.
 //!
-//! Invariants: within one start the version of the configuration only rises; tables are taken from the primary alone,
-//! since another controller may still think that it is the primary; an incarnation that is gone gets nothing new,
-//! whatever tables say.
+//! Invariants:
+//! - The configuration version never decreases while the process runs.
+//! - Tables are accepted only from the primary, since a former primary may still publish some.
+//! - An incarnation that is gone receives no new requests, even if a table contains it.
 
 use crate::effect::Effect;
 use crate::load_counters::LoadCounters;
@@ -18,26 +19,26 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 
-/// What retries a service may get from all proxies together.
+/// Retries allowed per service, for all proxies together.
 #[derive(Clone, Copy)]
 struct RetryAllowance {
     ratio: f64,
     slack: f64,
 }
 
-/// What a proxy starts with.
+/// Initial parameters of a proxy.
 pub struct ProxyStart<'a> {
-    /// The machine's name.
+    /// Name of the machine.
     pub name: &'a str,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: &'a str,
-    /// Controllers, as the settings name them.
+    /// Controllers listed in the settings.
     pub seeds: Vec<Ipv4Addr>,
-    /// Retries that a service may get for each request, over all proxies.
+    /// Allowed retries per request of a service, over all proxies.
     pub retry_ratio: f64,
-    /// Retries that it may get beside those.
+    /// Allowed retries of a service in addition to `retry_ratio`, over all proxies.
     pub retry_slack: f64,
-    /// Of all random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
@@ -48,20 +49,20 @@
     allowance: RetryAllowance,
     seeds: Vec<Ipv4Addr>,
     routes: Option<Rc<RouteTable>>,
-    /// The bytes that the routes were read from. Newer ones come as the difference.
+    /// Source bytes of `routes`, which are the base for unpacking the next configuration.
     body: Vec<u8>,
-    /// The tables, and what is known of the instances in them.
+    /// Endpoint tables and endpoint selection.
     pub endpoints: EndpointPicker,
     budgets: HashMap<String, RetryBudget>,
     fleet: FleetSize,
     pub(crate) load: LoadCounters,
     controllers: ControllerSelection,
-    /// The process is shutting down.
+    /// Whether the process is shutting down.
     pub is_ending: bool,
     effects: Vec<Effect>,
 }
 
-/// A configuration as a controller sent it.
+/// A configuration as received from a controller.
 struct PackedConfiguration {
     version: u64,
     base: u64,
@@ -70,7 +71,7 @@
 }
 
 impl ProxyState {
-    /// Without configuration and tables.
+    /// Creates a state without configuration and tables.
     pub fn new(start: ProxyStart) -> Self {
         Self {
             name: start.name.into(),
@@ -92,32 +93,32 @@
         }
     }
 
-    /// What is to be done about all inputs since the last time.
+    /// Takes the effects that have accumulated since the last call.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// The configuration in force.
+    /// The current configuration.
     pub fn route_table(&self) -> Option<Rc<RouteTable>> {
         self.routes.clone()
     }
 
-    /// Its version. 0: there is none.
+    /// Version of the current configuration, or 0 if there is none.
     pub fn configuration_version(&self) -> u64 {
         self.routes.as_ref().map_or(0, |routes| routes.version)
     }
 
-    /// Whether clients should come here.
+    /// Whether the proxy is ready to serve clients.
     pub fn is_ready(&self) -> bool {
         !self.is_ending && self.routes.is_some() && self.endpoints.has_endpoints()
     }
 
-    /// How many proxies there are, as far as it is known.
+    /// Number of proxies in the fleet, as reported by controllers.
     pub fn fleet(&self) -> FleetSize {
         self.fleet
     }
 
-    /// A controller says how many proxies there are.
+    /// Processes a fleet size reported by a controller.
     pub fn update_fleet(&mut self, now: f64, proxies: u32) {
         if !self.fleet.update(now, proxies) {
             return;
@@ -128,14 +129,14 @@
         }
     }
 
-    /// The retry budget of a service.
+    /// Calls a function with the retry budget of a service, which is created on first use.
     pub fn with_retry_budget<T>(
         &mut self,
         service: &str,
-        with: impl FnOnce(&mut RetryBudget) -> T,
+        operation: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         if let Some(budget) = self.budgets.get_mut(service) {
-            return with(budget);
+            return operation(budget);
         }
         let RetryAllowance { ratio, slack } = self.allowance;
         let budget = self.budgets.entry(service.to_owned());
@@ -143,7 +144,7 @@
         if self.fleet.proxies() > 0 {
             budget.set_proxies(self.fleet.proxies());
         }
-        with(budget)
+        operation(budget)
     }
 
     fn log(&mut self, line: String) {
@@ -167,7 +168,7 @@
         self.controllers.primary()
     }
 
-    /// The connection to a controller is open.
+    /// Processes a new connection to a controller: sends the hello message.
     pub fn controller_connected(&mut self, now: f64, controller: Ipv4Addr) {
         let hello = ProxyHello {
             node: self.name.clone(),
@@ -181,17 +182,17 @@
         self.controllers.connected(now, controller);
     }
 
-    /// The connection to a controller is over.
+    /// Processes the loss of the connection to a controller.
     pub fn controller_disconnected(&mut self, controller: Ipv4Addr) {
         self.controllers.disconnected(controller);
     }
 
-    /// Whether nobody has named a controller for long: it need not be connected to again.
+    /// Whether a controller has not been announced recently, so that no reconnection is needed.
     pub fn is_forgotten(&mut self, now: f64, controller: Ipv4Addr) -> bool {
         self.controllers.is_forgotten(now, controller)
     }
 
-    /// Lets time pass: connects to seeds, and chooses another primary where this one may not remain it.
+    /// Periodic work: connects to the seeds, and chooses a new primary if the current one may not stay.
     pub fn tick(&mut self, now: f64) {
         for seed in self.seeds.clone() {
             self.discover(now, seed);
@@ -199,7 +200,7 @@
         self.choose_primary(now);
     }
 
-    /// Sends a load report to the primary, about once a second.
+    /// Sends a load report to the primary. It is called about once a second.
     pub fn send_report(&mut self, now: f64) {
         let Some(primary) = self.primary() else {
             return;
@@ -208,12 +209,12 @@
         self.send(primary, ProxyToController::Report(report));
     }
 
-    /// Chooses another primary where this one may not remain it.
+    /// Chooses a new primary if the current one may not stay, and notifies both controllers.
     pub fn choose_primary(&mut self, now: f64) {
         let Some(PrimaryChange { from, to }) = self.controllers.choose_primary(now) else {
             return;
         };
-        self.log(format!("controllers: {to} is the primary"));
+        self.log(format!("controllers: {to} is the new primary"));
         if let Some(from) = from {
             self.send_primary_changed(from, false);
         }
@@ -240,9 +241,9 @@
     }
 }
 
-/// What controllers say.
+/// Messages from controllers.
 impl ProxyState {
-    /// A controller has sent a message.
+    /// Processes a message from a controller.
     pub fn handle_controller_message(
         &mut self,
         now: f64,
@@ -274,7 +275,7 @@
                     length: length as usize,
                     packed,
                 };
-                if let Some(held) = self.take_configuration(controller, packed) {
+                if let Some(held) = self.receive_configuration(controller, packed) {
                     self.send(controller, ProxyToController::RequestConfiguration { held });
                 }
             }
@@ -284,7 +285,7 @@
                 entries,
                 ..
             } if self.primary() == Some(controller) => {
-                self.take_table(&service, entries);
+                self.apply_table(&service, entries);
                 let applied = ProxyToController::TablesApplied { up_to: sequence };
                 self.send(controller, applied);
             }
@@ -304,10 +305,10 @@
         configuration: u64,
     ) {
         let held = self.configuration_version();
-        let is_wanted =
+        let is_needed =
             self.controllers
                 .handle_status(now, controller, in_touch, configuration, held);
-        if is_wanted {
+        if is_needed {
             self.send(controller, ProxyToController::RequestConfiguration { held });
         }
     }
@@ -319,7 +320,7 @@
         self.choose_primary(now);
     }
 
-    fn take_table(&mut self, service: &str, entries: Vec<TableEntry>) {
+    fn apply_table(&mut self, service: &str, entries: Vec<TableEntry>) {
         let removed = self.endpoints.replace_table(service, entries);
         self.close_connections(removed);
     }
@@ -329,8 +330,9 @@
         self.effects.extend(effects);
     }
 
-    /// The version to be requested instead, where this one can't be used: something newer than that.
-    fn take_configuration(
+    /// Unpacks and applies a configuration. If it cannot be unpacked, returns the held version to send in a new request,
+    /// or 0 to request it without a base.
+    fn receive_configuration(
         &mut self,
         controller: Ipv4Addr,
         packed: PackedConfiguration,
@@ -346,9 +348,9 @@
         let base_body = if base == 0 { &[] } else { self.body.as_slice() };
         let body = match unpack(&packed.packed, base_body, packed.length, MAX_FRAME_BYTES) {
             Ok(body) => body,
-            Err(why) => {
+            Err(error) => {
                 self.log_warning(format!(
-                    "controllers: configuration {version} from {controller} on {base} came to nothing: {why}"
+                    "controllers: cannot unpack configuration {version} from {controller} with base {base}: {error}"
                 ));
                 return (base != 0).then_some(0);
             }
@@ -358,21 +360,20 @@
         match RouteTable::read_after(&body, earlier) {
             Ok(routes) => self.apply_configuration(routes, body),
             Err(faults) => self.log_warning(format!(
-                "controllers: configuration {version} from {controller} can't be used: {faults}"
+                "controllers: configuration {version} from {controller} is invalid: {faults}"
             )),
         }
         None
     }
 
-    /// Puts a configuration in force, with the bytes that it was read from. An older one that comes late changes
-    /// nothing.
+    /// Applies a configuration that was read from `body`. One that is not newer is ignored.
     pub fn apply_configuration(&mut self, routes: RouteTable, body: Vec<u8>) {
         if routes.version <= self.configuration_version() {
             return;
         }
         self.body = body;
         let version = routes.version;
-        self.log(format!("proxy: configuration {version} is in force"));
+        self.log(format!("proxy: applied configuration {version}"));
         self.routes = Some(Rc::new(routes));
     }
 }
