--- a/crates/rookpulley-control/src/controller.rs
+++ b/crates/rookpulley-control/src/controller.rs
@@ -29,7 +29,7 @@
     Chain, DiskHealth, Effect as ChainEffect, Input, Member, PersistedState, RequestKind,
     StartState,
 };
-use rookpulley_protocol::frame;
+use rookpulley_protocol::encode_frame;
 use rookpulley_registry::{
     ConfigurationHistory, DrainTracker, InstanceUpdate, ProxyRoster, Registry, TablePublisher,
 };
@@ -393,7 +393,7 @@
     fn announce_status(&mut self, now: f64) {
         let status = self.status_message(now);
         self.send_to_all_proxies(&status);
-        let frame = frame(&status);
+        let frame = encode_frame(&status);
         let connections: Vec<u64> = self.stateless.keys().copied().collect();
         for connection in connections {
             let frame = frame.clone();
--- a/crates/rookpulley-control/src/controller/peers.rs
+++ b/crates/rookpulley-control/src/controller/peers.rs
@@ -4,7 +4,7 @@
 use crate::effect::Effect;
 use crate::peer_message::PeerMessage;
 use rookpulley_chain::{Input, Member};
-use rookpulley_protocol::frame;
+use rookpulley_protocol::encode_frame;
 use rookpulley_registry::InstanceUpdate;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -75,7 +75,7 @@
             updates: self.registry.all_updates(now),
         };
         for message in [self.hello(), updates] {
-            let frame = frame(&message);
+            let frame = encode_frame(&message);
             self.effects.push(Effect::SendToPeer { to: ip, frame });
         }
         if let Some(peer) = self.peers.get_mut(&ip) {
@@ -166,7 +166,7 @@
         let mut peers = self.peers.iter();
         let peer = peers.find(|(_, peer)| peer.id == Some(id) && peer.is_connected);
         if let Some((&to, _)) = peer {
-            let frame = frame(message);
+            let frame = encode_frame(message);
             self.effects.push(Effect::SendToPeer { to, frame });
         }
     }
@@ -175,7 +175,7 @@
         if matches!(message, PeerMessage::InstanceUpdates { .. }) {
             self.counters.updates_sent += 1;
         }
-        let bytes = frame(message);
+        let bytes = encode_frame(message);
         let peers: Vec<Ipv4Addr> = self.connected_peers().collect();
         for to in peers {
             let frame = bytes.clone();
--- a/crates/rookpulley-control/src/controller/proxies.rs
+++ b/crates/rookpulley-control/src/controller/proxies.rs
@@ -3,7 +3,9 @@
 use super::Controller;
 use crate::effect::Effect;
 use crate::proxy_session::ProxySession;
-use rookpulley_protocol::{ControllerToProxy, IncarnationId, ProxyHello, ProxyToController, frame};
+use rookpulley_protocol::{
+    ControllerToProxy, IncarnationId, ProxyHello, ProxyToController, encode_frame,
+};
 use rookpulley_registry::{InstanceUpdate, PublisherOutput};
 
 /// Proxies don't say how many requests they get.
@@ -38,7 +40,7 @@
             incarnations: self.registry.gone_incarnations(),
         };
         for message in [self.status_message(now), known_gone] {
-            let frame = frame(&message);
+            let frame = encode_frame(&message);
             self.effects.push(Effect::SendToProxy { connection, frame });
         }
         if is_primary {
@@ -128,7 +130,7 @@
     }
 
     pub(super) fn send_to_all_proxies(&mut self, message: &ControllerToProxy) {
-        let bytes = frame(message);
+        let bytes = encode_frame(message);
         for proxy in self.proxies.values() {
             let connection = proxy.connection;
             let frame = bytes.clone();
@@ -166,7 +168,7 @@
                         continue;
                     };
                     let connection = proxy.connection;
-                    let frame = frame(&ControllerToProxy::Table {
+                    let frame = encode_frame(&ControllerToProxy::Table {
                         service,
                         revision,
                         sequence,
--- a/crates/rookpulley-control/src/controller/publication.rs
+++ b/crates/rookpulley-control/src/controller/publication.rs
@@ -2,7 +2,7 @@
 
 use super::Controller;
 use crate::effect::Effect;
-use rookpulley_protocol::{ControllerToProxy, frame};
+use rookpulley_protocol::{ControllerToProxy, encode_frame};
 use rookpulley_registry::Service;
 use rookpulley_routes::RouteTable;
 
@@ -31,7 +31,7 @@
         self.pacer.published(now, body.len());
         self.set_services(&body);
         self.history.publish();
-        let status = frame(&self.status_message(now));
+        let status = encode_frame(&self.status_message(now));
         for proxy in self.proxies.values_mut() {
             if proxy.is_primary {
                 proxy.send_newer(&mut self.history, &mut self.effects);
--- a/crates/rookpulley-control/src/controller/stateless.rs
+++ b/crates/rookpulley-control/src/controller/stateless.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use crate::effect::Effect;
 use rookpulley_chain::Input;
-use rookpulley_protocol::{ControllerToProxy, ProxyToController, frame};
+use rookpulley_protocol::{ControllerToProxy, ProxyToController, encode_frame};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 const MAX_STATELESS: usize = 1_024;
@@ -35,7 +35,7 @@
             knows_view,
         };
         for message in [info, self.status_message(now)] {
-            let frame = frame(&message);
+            let frame = encode_frame(&message);
             self.effects.push(Effect::SendToProxy { connection, frame });
         }
         self.log(format!(
--- a/crates/rookpulley-control/src/stateless.rs
+++ b/crates/rookpulley-control/src/stateless.rs
@@ -5,7 +5,7 @@
 
 use rookpulley_balancer::ControllerSelection;
 use rookpulley_chain::Member;
-use rookpulley_protocol::{ControllerToProxy, ProxyToController, frame};
+use rookpulley_protocol::{ControllerToProxy, ProxyToController, encode_frame};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -227,7 +227,7 @@
             }
         }
         if self.clients.insert(connection) {
-            let frame = frame(&self.status_message());
+            let frame = encode_frame(&self.status_message());
             let effect = StatelessEffect::SendToClient { connection, frame };
             self.effects.push(effect);
         }
@@ -279,7 +279,7 @@
         if self.clients.is_empty() {
             return;
         }
-        let status = frame(&self.status_message());
+        let status = encode_frame(&self.status_message());
         for connection in &self.clients {
             self.effects.push(StatelessEffect::SendToClient {
                 connection: *connection,
--- a/crates/rookpulley-control/tests/compatibility/frames.rs
+++ b/crates/rookpulley-control/tests/compatibility/frames.rs
@@ -470,7 +470,7 @@
     }
     encoded.add_bytes(
         "frame",
-        rookpulley_protocol::frame(&ProxyToController::TablesApplied { up_to: 88 }),
+        rookpulley_protocol::encode_frame(&ProxyToController::TablesApplied { up_to: 88 }),
     );
     encoded.matches("proxies-and-controllers.txt");
 }
--- a/crates/rookpulley-control/tests/configuration.rs
+++ b/crates/rookpulley-control/tests/configuration.rs
@@ -2,7 +2,7 @@
 
 use rookpulley_chain::{Member, Record, View};
 use rookpulley_control::{Bootstrap, Controller, ControllerStart, Effect, Endpoint, Rows, parse};
-use rookpulley_protocol::{ControllerToProxy, Frames, ProxyHello};
+use rookpulley_protocol::{ControllerToProxy, FrameDecoder, ProxyHello};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -83,9 +83,9 @@
     }
 
     fn record_frame(&mut self, frame: &[u8]) {
-        let mut frames = Frames::default();
+        let mut frames = FrameDecoder::default();
         frames.push(frame);
-        match frames.take::<ControllerToProxy>().unwrap() {
+        match frames.decode_next::<ControllerToProxy>().unwrap() {
             Some(ControllerToProxy::Configuration { version, .. }) => self.sent.push(version),
             Some(ControllerToProxy::Status { configuration, .. }) => {
                 self.announced.push(configuration)
--- a/crates/rookpulley-control/tests/founding.rs
+++ b/crates/rookpulley-control/tests/founding.rs
@@ -8,7 +8,7 @@
     Bootstrap, Controller, ControllerStart, Effect, PeerMessage, StatelessController,
     StatelessEffect, StatelessStart,
 };
-use rookpulley_protocol::{ControllerToProxy, Frames, ProxyToController, frame};
+use rookpulley_protocol::{ControllerToProxy, FrameDecoder, ProxyToController, encode_frame};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -104,9 +104,9 @@
 }
 
 fn decode<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> T {
-    let mut frames = Frames::default();
+    let mut frames = FrameDecoder::default();
     frames.push(bytes);
-    frames.take().unwrap().unwrap()
+    frames.decode_next().unwrap().unwrap()
 }
 
 impl Network {
@@ -328,7 +328,7 @@
                                 self.send_frame(
                                     self.outgoing_connection(at, to),
                                     1,
-                                    frame(&message),
+                                    encode_frame(&message),
                                 );
                             }
                         }
--- a/crates/rookpulley-protocol/src/frame.rs
+++ b/crates/rookpulley-protocol/src/frame.rs
@@ -20,7 +20,7 @@
 }
 
 /// Encodes a value as a frame.
-pub fn frame<T: Serialize>(value: &T) -> Vec<u8> {
+pub fn encode_frame<T: Serialize>(value: &T) -> Vec<u8> {
     let head = vec![0; LENGTH_BYTES];
     let mut bytes = postcard::to_extend(value, head).unwrap_or_default();
     let length = bytes.len().saturating_sub(LENGTH_BYTES) as u32;
@@ -32,13 +32,13 @@
 
 /// Reassembles frames from a byte stream that arrives in arbitrary pieces.
 #[derive(Default)]
-pub struct Frames {
+pub struct FrameDecoder {
     bytes: Vec<u8>,
     /// Number of bytes already consumed.
     consumed: usize,
 }
 
-impl Frames {
+impl FrameDecoder {
     /// Appends received bytes.
     pub fn push(&mut self, more: &[u8]) {
         if self.consumed > 0 && self.consumed == self.bytes.len() {
@@ -52,7 +52,7 @@
     }
 
     /// Decodes the next value. Returns None if its frame is incomplete.
-    pub fn take<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
+    pub fn decode_next<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
         let rest = &self.bytes[self.consumed..];
         let Some((head, rest)) = rest.split_first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
--- a/crates/rookpulley-protocol/src/lib.rs
+++ b/crates/rookpulley-protocol/src/lib.rs
@@ -12,6 +12,6 @@
 pub mod messages;
 pub mod pack;
 
-pub use frame::{FrameError, Frames, frame};
+pub use frame::{FrameDecoder, FrameError, encode_frame};
 pub use messages::*;
 pub use pack::{PackError, pack, unpack};
--- a/crates/rookpulley-registry/src/configuration_history.rs
+++ b/crates/rookpulley-registry/src/configuration_history.rs
@@ -1,6 +1,6 @@
 //! The configuration on its way to proxies: each gets what differs from the version that it has.
 
-use rookpulley_protocol::{ControllerToProxy, frame, pack};
+use rookpulley_protocol::{ControllerToProxy, encode_frame, pack};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How many versions are remembered for others to differ from, and how many of their bytes. While changes storm,
@@ -96,7 +96,7 @@
             length: u32::try_from(body.len()).ok()?,
             packed: pack(body, base_body).ok()?,
         };
-        let frame = frame(&message);
+        let frame = encode_frame(&message);
         self.frames.insert(base, frame.clone());
         Some(frame)
     }
--- a/crates/rookpulley-registry/src/configuration_history/tests.rs
+++ b/crates/rookpulley-registry/src/configuration_history/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use rookpulley_protocol::{Frames, unpack};
+use rookpulley_protocol::{FrameDecoder, unpack};
 
 fn body(version: u64) -> Vec<u8> {
     (0..4_000u64)
@@ -9,9 +9,9 @@
 }
 
 fn read(frame: &[u8], held: &BTreeMap<u64, Vec<u8>>) -> (u64, u64, Vec<u8>) {
-    let mut frames = Frames::default();
+    let mut frames = FrameDecoder::default();
     frames.push(frame);
-    match frames.take().unwrap().unwrap() {
+    match frames.decode_next().unwrap().unwrap() {
         ControllerToProxy::Configuration {
             version,
             base,
@@ -79,9 +79,9 @@
         let Some(frame) = history.frame_for(version - 1) else {
             panic!("version {version} goes nowhere")
         };
-        let mut frames = Frames::default();
+        let mut frames = FrameDecoder::default();
         frames.push(&frame);
-        let Ok(Some(ControllerToProxy::Configuration { base, .. })) = frames.take() else {
+        let Ok(Some(ControllerToProxy::Configuration { base, .. })) = frames.decode_next() else {
             panic!("no configuration")
         };
         assert_eq!(base, version - 1);
--- a/crates/rookpulley-runtime/src/connection.rs
+++ b/crates/rookpulley-runtime/src/connection.rs
@@ -1,6 +1,6 @@
 //! A connection between two of our programs: bounded in what waits, ended when the other side falls silent.
 
-use rookpulley_protocol::{Frames, frame};
+use rookpulley_protocol::{FrameDecoder, encode_frame};
 use serde::{Serialize, de::DeserializeOwned};
 use std::fmt;
 use std::net::SocketAddr;
@@ -90,7 +90,7 @@
 impl Outbox {
     /// False: the connection has ended, or must. Its owner drops the outbox then.
     pub fn send<T: Serialize>(&self, message: &T) -> bool {
-        self.send_framed(frame(message))
+        self.send_framed(encode_frame(message))
     }
 
     /// The same for bytes framed once for many connections.
@@ -164,7 +164,7 @@
     silence_timeout: Option<Duration>,
     mut take: impl FnMut(T),
 ) -> ConnectionEnd {
-    let mut frames = Frames::default();
+    let mut frames = FrameDecoder::default();
     let mut chunk = vec![0; READ_BYTES];
     loop {
         let reading = reader.read(&mut chunk);
@@ -181,7 +181,7 @@
         };
         frames.push(&chunk[..length]);
         loop {
-            match frames.take::<T>() {
+            match frames.decode_next::<T>() {
                 Ok(Some(message)) => take(message),
                 Ok(None) => break,
                 Err(_) => return ConnectionEnd::Malformed,
--- a/crates/rookpulley-simulator/src/net.rs
+++ b/crates/rookpulley-simulator/src/net.rs
@@ -3,7 +3,7 @@
 use crate::world::{What, World};
 use crate::{MS, Us};
 use rand::RngExt;
-use rookpulley_protocol::Frames;
+use rookpulley_protocol::FrameDecoder;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -31,9 +31,9 @@
 
 /// The one message in a frame.
 pub fn unframed<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    let mut frames = Frames::default();
+    let mut frames = FrameDecoder::default();
     frames.push(bytes);
-    frames.take().ok().flatten()
+    frames.decode_next().ok().flatten()
 }
 
 impl Net {
--- a/crates/rookpulley-simulator/src/proxies.rs
+++ b/crates/rookpulley-simulator/src/proxies.rs
@@ -13,7 +13,7 @@
 use rand::RngExt;
 use rookpulley_balancer::{AttemptOutcome, Pick};
 use rookpulley_protocol::{
-    ControllerToProxy, InstanceLoad, LoadReport, ProxyToController, TableEntry, frame,
+    ControllerToProxy, InstanceLoad, LoadReport, ProxyToController, TableEntry, encode_frame,
 };
 use rookpulley_proxy_core::{
     AfterAttempt, AttemptEnd, Effect, NextStep, ProxyStart, ProxyState, RequestLifecycle, Resend,
@@ -191,7 +191,7 @@
                     .proxy(process)
                     .and_then(|proxy| proxy.dialers.get(&ip)?.line);
                 line.into_iter()
-                    .for_each(|line| self.send_line(line, 0, frame(&up)));
+                    .for_each(|line| self.send_line(line, 0, encode_frame(&up)));
             }
             Effect::CloseConnections(incarnation) => {
                 let pool = self
--- a/crates/rookpulley-simulator/src/stateless_controllers.rs
+++ b/crates/rookpulley-simulator/src/stateless_controllers.rs
@@ -6,7 +6,7 @@
 use rookpulley_control::{
     Content, PeerMessage, Reply, StatelessController, StatelessEffect, StatelessStart,
 };
-use rookpulley_protocol::{ControllerToProxy, ProxyToController, frame};
+use rookpulley_protocol::{ControllerToProxy, ProxyToController, encode_frame};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -95,7 +95,7 @@
                     .stateless(process)
                     .and_then(|stateless| stateless.dialers.get(&to)?.line);
                 line.into_iter()
-                    .for_each(|line| self.send_line(line, 0, frame(&message)));
+                    .for_each(|line| self.send_line(line, 0, encode_frame(&message)));
             }
             StatelessEffect::SendToClient { connection, frame } => {
                 self.send_line(connection, 1, frame)
--- a/crates/rookpulley-store/examples/call_cost.rs
+++ b/crates/rookpulley-store/examples/call_cost.rs
@@ -8,7 +8,7 @@
 use load::Load;
 use rookpulley_chain::{Chain, Effect, Input, Member, Message, Outcome, RequestKind, StartState};
 use rookpulley_control::ReplicatedState;
-use rookpulley_protocol::{Frames, frame};
+use rookpulley_protocol::{FrameDecoder, encode_frame};
 use rookpulley_state::{Answer, Query};
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -77,11 +77,11 @@
                     Effect::Send { to, message } => {
                         let said = &mut self.said
                             [usize::from(!matches!(message, Message::Heartbeat { .. }))];
-                        let mut frames = Frames::default();
-                        let bytes = frame(&message);
+                        let mut frames = FrameDecoder::default();
+                        let bytes = encode_frame(&message);
                         *said = (said.0 + 1, said.1 + bytes.len() as u64);
                         frames.push(&bytes);
-                        let message: Message = frames.take().unwrap().unwrap();
+                        let message: Message = frames.decode_next().unwrap().unwrap();
                         inputs.push_back((
                             to as usize - 1,
                             Input::Received {
--- a/crates/rookpulley-store/examples/fill_time.rs
+++ b/crates/rookpulley-store/examples/fill_time.rs
@@ -7,7 +7,7 @@
 use load::configuration;
 use rookpulley_chain::{Chain, Effect, Input, Member, Message, Outcome, RequestKind, StartState};
 use rookpulley_control::ReplicatedState;
-use rookpulley_protocol::{Frames, frame};
+use rookpulley_protocol::{FrameDecoder, encode_frame};
 use rookpulley_state::Update;
 use rookpulley_store::{Store, StoreEvent, StoreTree};
 use std::collections::{BTreeMap, VecDeque};
@@ -42,13 +42,13 @@
 
 /// Whoever speaks says its identity first.
 fn reads(mut stream: TcpStream, events: Sender<Event>) {
-    let (mut id, mut frames, mut buffer) = ([0; 8], Frames::default(), vec![0; 64 << 10]);
+    let (mut id, mut frames, mut buffer) = ([0; 8], FrameDecoder::default(), vec![0; 64 << 10]);
     if stream.read_exact(&mut id).is_err() {
         return;
     }
     while let Ok(read @ 1..) = stream.read(&mut buffer) {
         frames.push(&buffer[..read]);
-        while let Some(message) = frames.take::<Message>().unwrap() {
+        while let Some(message) = frames.decode_next::<Message>().unwrap() {
             if events
                 .send(Event::Heard(u64::from_le_bytes(id), message))
                 .is_err()
@@ -158,7 +158,7 @@
                     lines
                         .get_mut(&to)
                         .into_iter()
-                        .for_each(|l| l.write_all(&frame(&message)).unwrap());
+                        .for_each(|l| l.write_all(&encode_frame(&message)).unwrap());
                 }
                 Effect::Write { ticket, records } => {
                     assert!(store.write(StoreTree::Chain, ticket, records))
