--- a/crates/rookpulley-control/src/watches.rs
+++ b/crates/rookpulley-control/src/watches.rs
@@ -65,14 +65,14 @@
     /// None: it waits on.
     fn reply(&self, now: f64, is_serving: bool, state: &StateMachine) -> Option<Reply> {
         match state.watch(&self.group, self.after, MAX_EVENTS) {
-            WatchResult::Present { revision } => Some(Reply::events(Vec::new(), revision)),
+            WatchResult::CurrentRevision { revision } => Some(Reply::events(Vec::new(), revision)),
             WatchResult::TooOld => Some(Reply::too_old()),
             WatchResult::Events { events, revision } => Some(Reply::events(events, revision)),
-            WatchResult::Nothing { .. } if !is_serving => Some(Reply::not_in_touch()),
-            WatchResult::Nothing { revision } if now >= self.until_ms => {
+            WatchResult::NoEvents { .. } if !is_serving => Some(Reply::not_in_touch()),
+            WatchResult::NoEvents { revision } if now >= self.until_ms => {
                 Some(Reply::events(Vec::new(), revision.max(self.after)))
             }
-            WatchResult::Nothing { .. } => None,
+            WatchResult::NoEvents { .. } => None,
         }
     }
 }
--- a/crates/rookpulley-state/src/key_value.rs
+++ b/crates/rookpulley-state/src/key_value.rs
@@ -33,12 +33,12 @@
         revision: u64,
     },
     /// The current revision without events, returned if `after` is 0.
-    Present {
+    CurrentRevision {
         /// Current revision of the group.
         revision: u64,
     },
     /// There are no puts above `after` yet.
-    Nothing {
+    NoEvents {
         /// Equal to `after`, so that a lagging controller never moves a watcher backwards.
         revision: u64,
     },
@@ -248,8 +248,8 @@
     ) -> bool {
         if let Some(group) = self.groups.get_mut(group) {
             let is_full = |group: &Group| group.events.len() >= limits.group_events;
-            while group.has_event_older_than(limits.keep_ms, now_ms)
-                || is_full(group) && group.has_event_older_than(limits.promised_ms, now_ms)
+            while group.has_event_older_than(limits.retention_ms, now_ms)
+                || is_full(group) && group.has_event_older_than(limits.min_retention_ms, now_ms)
             {
                 self.events -= 1;
                 self.history_bytes -= group.remove_oldest_event();
@@ -259,7 +259,7 @@
             }
         }
         if self.history_bytes + size > limits.history_bytes {
-            self.remove_expired(now_ms, limits.promised_ms);
+            self.remove_expired(now_ms, limits.min_retention_ms);
         }
         self.history_bytes + size <= limits.history_bytes
     }
@@ -293,10 +293,10 @@
     pub fn watch(&self, group: &str, after: u64, max_events: usize) -> WatchResult {
         let current = self.revision(group);
         if after == 0 {
-            return WatchResult::Present { revision: current };
+            return WatchResult::CurrentRevision { revision: current };
         }
         let Some(group) = self.groups.get(group).filter(|_| after < current) else {
-            return WatchResult::Nothing { revision: after };
+            return WatchResult::NoEvents { revision: after };
         };
         let Some(skipped) = (after + 1).checked_sub(group.first_revision()) else {
             return WatchResult::TooOld;
--- a/crates/rookpulley-state/src/limits.rs
+++ b/crates/rookpulley-state/src/limits.rs
@@ -18,9 +18,9 @@
     /// Maximum number of retained events in one group.
     pub group_events: usize,
     /// How long events and expired leases are retained.
-    pub keep_ms: u64,
+    pub retention_ms: u64,
     /// Minimum retention of events. Puts are rejected rather than removing a younger event.
-    pub promised_ms: u64,
+    pub min_retention_ms: u64,
     /// Delay after a lease expires before another holder can acquire the lock, to tolerate clock drift.
     pub lease_grace_ms: u64,
 }
@@ -35,8 +35,8 @@
             state_bytes: 4 << 20,
             history_bytes: 3 << 20,
             group_events: 20_000,
-            keep_ms: 120_000,
-            promised_ms: 60_000,
+            retention_ms: 120_000,
+            min_retention_ms: 60_000,
             lease_grace_ms: 50,
         }
     }
--- a/crates/rookpulley-state/src/state_machine.rs
+++ b/crates/rookpulley-state/src/state_machine.rs
@@ -160,8 +160,8 @@
     fn sweep(&mut self, now_ms: u64) {
         if now_ms.saturating_sub(self.swept_ms) >= SWEEP_INTERVAL_MS {
             self.swept_ms = now_ms;
-            self.locks.remove_expired(now_ms, self.limits.keep_ms);
-            self.keys.remove_expired(now_ms, self.limits.keep_ms);
+            self.locks.remove_expired(now_ms, self.limits.retention_ms);
+            self.keys.remove_expired(now_ms, self.limits.retention_ms);
         }
     }
 
--- a/crates/rookpulley-state/tests/state_machine/model.rs
+++ b/crates/rookpulley-state/tests/state_machine/model.rs
@@ -9,8 +9,8 @@
 fn small_limits() -> Limits {
     Limits {
         group_events: 8,
-        keep_ms: 3_000,
-        promised_ms: 1_500,
+        retention_ms: 3_000,
+        min_retention_ms: 1_500,
         history_bytes: 1_400,
         ..Limits::default()
     }
@@ -45,7 +45,7 @@
     }
 
     fn is_recent(&self, put: &Put) -> bool {
-        put.at_ms + small_limits().promised_ms >= self.now_ms
+        put.at_ms + small_limits().min_retention_ms >= self.now_ms
     }
 
     fn check_put(
@@ -150,8 +150,10 @@
         let puts = self.puts(group);
         let current = puts.len() as u64;
         match watched {
-            WatchResult::Present { revision } => assert_eq!((after, *revision), (0, current)),
-            WatchResult::Nothing { revision } => {
+            WatchResult::CurrentRevision { revision } => {
+                assert_eq!((after, *revision), (0, current))
+            }
+            WatchResult::NoEvents { revision } => {
                 assert_eq!(*revision, after);
                 assert!(after >= current && after > 0);
             }
--- a/crates/rookpulley-state/tests/state_machine/regressions.rs
+++ b/crates/rookpulley-state/tests/state_machine/regressions.rs
@@ -134,7 +134,7 @@
     assert_eq!(state.watch("g.", 2, 10), WatchResult::TooOld);
     assert_eq!(
         state.watch("g.", 9, 10),
-        WatchResult::Nothing { revision: 9 }
+        WatchResult::NoEvents { revision: 9 }
     );
 }
 
