--- a/crates/rookpulley-balancer/src/controller_selection.rs
+++ b/crates/rookpulley-balancer/src/controller_selection.rs
@@ -93,7 +93,7 @@
 
     /// Removes a controller that has not been announced recently. Returns true if it is unknown now, so no reconnection
     /// is needed.
-    pub fn is_forgotten(&mut self, now_ms: f64, controller: Ipv4Addr) -> bool {
+    pub fn remove_if_expired(&mut self, now_ms: f64, controller: Ipv4Addr) -> bool {
         let known = self.controllers.get(&controller);
         let is_expired =
             known.is_none_or(|known| now_ms - known.announced_ms > CONTROLLER_EXPIRY_MS);
--- a/crates/rookpulley-balancer/src/retry_budget.rs
+++ b/crates/rookpulley-balancer/src/retry_budget.rs
@@ -54,18 +54,18 @@
     }
 
     /// Whether a token for a retry is available.
-    pub fn can_pay(&mut self, now_ms: f64) -> bool {
+    pub fn has_token(&mut self, now_ms: f64) -> bool {
         self.decay(now_ms);
         self.share.is_some() && self.tokens >= 1.0
     }
 
     /// Withdraws a token for a retry. Returns false if none is available and the retry must not be sent.
     pub fn withdraw(&mut self, now_ms: f64) -> bool {
-        let can_pay = self.can_pay(now_ms);
-        if can_pay {
+        let has_token = self.has_token(now_ms);
+        if has_token {
             self.tokens -= 1.0;
         }
-        can_pay
+        has_token
     }
 
     /// Returns the token of a retry that was not sent.
--- a/crates/rookpulley-balancer/tests/request_attempts.rs
+++ b/crates/rookpulley-balancer/tests/request_attempts.rs
@@ -157,12 +157,12 @@
 fn budget_needs_the_fleet_size_and_decays() {
     let mut budget = RetryBudget::new(1.0, 4.0);
     (0..100).for_each(|_| budget.record_request(0.0));
-    assert!(!budget.can_pay(0.0));
+    assert!(!budget.has_token(0.0));
     budget.set_proxies(40);
     (0..100).for_each(|_| budget.record_request(0.0));
     // The share is a fraction of a token: a whole one is available at once but decays.
-    assert!(budget.can_pay(0.0));
-    assert!(!budget.can_pay(2_000.0));
+    assert!(budget.has_token(0.0));
+    assert!(!budget.has_token(2_000.0));
     (0..100).for_each(|_| budget.record_request(2_000.0));
     assert!(budget.withdraw(2_000.0) && budget.withdraw(2_000.0) && !budget.withdraw(2_000.0));
 }
--- a/crates/rookpulley-control/src/stateless.rs
+++ b/crates/rookpulley-control/src/stateless.rs
@@ -160,7 +160,7 @@
 
     /// Whether nobody has named a controller for long: it need not be connected to again.
     pub fn is_forgotten(&mut self, now: f64, ip: Ipv4Addr) -> bool {
-        self.controllers.is_forgotten(now, ip)
+        self.controllers.remove_if_expired(now, ip)
     }
 
     /// A controller has sent a message.
--- a/crates/rookpulley-proxy-core/src/effect.rs
+++ b/crates/rookpulley-proxy-core/src/effect.rs
@@ -6,7 +6,7 @@
 /// An effect to perform. Effects must be performed in the order in which they are returned.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// Keep a connection to this controller until `ProxyState::is_forgotten` returns true.
+    /// Keep a connection to this controller until `ProxyState::remove_if_expired` returns true.
     Connect(Ipv4Addr),
     /// Send a message to a controller on its connection.
     SendToController {
--- a/crates/rookpulley-proxy-core/src/lifecycle.rs
+++ b/crates/rookpulley-proxy-core/src/lifecycle.rs
@@ -232,7 +232,7 @@
         self.runs_until_deadline
             || (!state.is_ending
                 && state.endpoints.has_untried(service, &self.attempts)
-                && state.with_retry_budget(service, |budget| budget.can_pay(now)))
+                && state.with_retry_budget(service, |budget| budget.has_token(now)))
     }
 
     /// Processes the end of an attempt. `status` is the status of a response that can be forwarded, and `has_body` tells
--- a/crates/rookpulley-proxy-core/src/state.rs
+++ b/crates/rookpulley-proxy-core/src/state.rs
@@ -187,9 +187,10 @@
         self.controllers.disconnected(controller);
     }
 
-    /// Whether a controller has not been announced recently, so that no reconnection is needed.
-    pub fn is_forgotten(&mut self, now: f64, controller: Ipv4Addr) -> bool {
-        self.controllers.is_forgotten(now, controller)
+    /// Removes a controller that has not been announced recently. Returns true if it is unknown now, so no reconnection
+    /// is needed.
+    pub fn remove_if_expired(&mut self, now: f64, controller: Ipv4Addr) -> bool {
+        self.controllers.remove_if_expired(now, controller)
     }
 
     /// Periodic work: connects to the seeds, and chooses a new primary if the current one may not stay.
--- a/crates/rookpulley-proxy/src/controller_connections.rs
+++ b/crates/rookpulley-proxy/src/controller_connections.rs
@@ -72,7 +72,7 @@
             }
         }
         tokio::time::sleep(backoff.pause()).await;
-        if proxy.step(|state, now| state.is_forgotten(now, controller)) {
+        if proxy.step(|state, now| state.remove_if_expired(now, controller)) {
             return;
         }
     }
--- a/crates/rookpulley-simulator/src/proxies/controllers.rs
+++ b/crates/rookpulley-simulator/src/proxies/controllers.rs
@@ -25,7 +25,7 @@
 
     pub(super) fn proxy_dials_again(&mut self, process: usize, ip: Ipv4Addr) {
         let me = self.address(process);
-        if self.with_state(process, |state, now| state.is_forgotten(now, ip)) == Some(true) {
+        if self.with_state(process, |state, now| state.remove_if_expired(now, ip)) == Some(true) {
             self.proxy(process)
                 .into_iter()
                 .for_each(|proxy| _ = proxy.dialers.remove(&ip));
