--- a/crates/rookpulley-proxy-core/src/attempt.rs
+++ b/crates/rookpulley-proxy-core/src/attempt.rs
@@ -18,7 +18,7 @@
 
 impl AttemptEnd {
     /// Returns how an attempt ends after a response head, or None if its body has to be read.
-    pub fn of_verdict(verdict: Verdict) -> Option<Self> {
+    pub fn from_verdict(verdict: Verdict) -> Option<Self> {
         match verdict {
             Verdict::Valid => None,
             Verdict::NotExecuted => Some(Self::Outcome(AttemptOutcome::NotExecuted)),
@@ -30,7 +30,7 @@
 
     /// Returns how an aborted attempt ends. `is_sent` tells whether bytes of the request may have been sent, and
     /// `waits_for_client` whether the attempt was waiting for the client's body.
-    pub fn of_broken_off(is_sent: bool, waits_for_client: bool) -> Self {
+    pub fn from_abort(is_sent: bool, waits_for_client: bool) -> Self {
         match (is_sent, waits_for_client) {
             (true, true) => Self::ClientFailed(504),
             (true, false) => Self::Outcome(AttemptOutcome::TimedOut),
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SendFailure {
     /// Resend on a new connection.
-    SendAgain,
+    Resend,
     /// Nothing was sent.
     Unsent,
     /// The request was sent, and the instance may have executed it.
@@ -71,7 +71,7 @@
         let may_resend = has_body && was_idle && !self.has_failed;
         self.has_failed = true;
         if may_resend {
-            SendFailure::SendAgain
+            SendFailure::Resend
         } else {
             SendFailure::Unsent
         }
--- a/crates/rookpulley-proxy-core/src/lifecycle.rs
+++ b/crates/rookpulley-proxy-core/src/lifecycle.rs
@@ -37,7 +37,7 @@
 }
 
 impl LocalResponse {
-    fn of_status(status: u16) -> Self {
+    fn with_status(status: u16) -> Self {
         Self {
             status,
             retry_after_ms: None,
@@ -90,23 +90,23 @@
 }
 
 impl ProxyState {
-    /// Routes a request by its head. `client_wait_ms` is the timeout announced by the client, if any.
+    /// Routes a request by its head. `client_timeout_ms` is the timeout announced by the client, if any.
     pub fn route(
         &mut self,
         now: f64,
         host: &str,
         path: &str,
-        client_wait_ms: Option<f64>,
+        client_timeout_ms: Option<f64>,
     ) -> Result<RouteDecision, LocalResponse> {
         let no_configuration = LocalResponse::rejected(NO_CONFIGURATION_RETRY_MS);
         let table = self.route_table().ok_or(no_configuration)?;
         let route = table
             .route(host, path)
-            .ok_or(LocalResponse::of_status(404))?;
+            .ok_or(LocalResponse::with_status(404))?;
         let random = self.endpoints.random();
         let service = route.draw(random).and_then(|index| table.service(index));
         let service = service.ok_or(no_configuration)?;
-        let wait_ms = client_wait_ms.unwrap_or(route.timeout_ms);
+        let wait_ms = client_timeout_ms.unwrap_or(route.timeout_ms);
         self.load.count_request(&service.name);
         self.with_retry_budget(&service.name, |budget| budget.record_request(now));
         Ok(RouteDecision {
@@ -168,21 +168,21 @@
         self.load.count_failure(service);
         match action {
             NextAction::Reject { retry_after_ms } => LocalResponse::rejected(retry_after_ms),
-            NextAction::GatewayTimeout => LocalResponse::of_status(504),
+            NextAction::GatewayTimeout => LocalResponse::with_status(504),
             NextAction::Retry | NextAction::Forward | NextAction::BadGateway => {
-                LocalResponse::of_status(502)
+                LocalResponse::with_status(502)
             }
         }
     }
 }
 
 impl RequestLifecycle {
-    /// Starts processing a routed request. `is_repeatable` tells whether its body can be replayed.
-    pub fn new(state: &mut ProxyState, route: RouteDecision, is_repeatable: bool) -> Self {
+    /// Starts processing a routed request. `can_replay_body` tells whether its body can be replayed.
+    pub fn new(state: &mut ProxyState, route: RouteDecision, can_replay_body: bool) -> Self {
         let random = state.endpoints.random();
         let mut attempts =
             RequestAttempts::new(route.kind, route.max_attempts, route.deadline_ms, random);
-        if !is_repeatable {
+        if !can_replay_body {
             attempts.disable_retries();
         }
         Self {
@@ -227,10 +227,10 @@
 
     /// Whether to abort the current attempt at its check time: because the deadline has passed, or in favor of a retry
     /// on another instance.
-    pub fn is_to_be_broken_off(&self, state: &mut ProxyState, now: f64) -> bool {
+    pub fn should_abort(&self, state: &mut ProxyState, now: f64) -> bool {
         let service = &self.route.service;
         self.runs_until_deadline
-            || (!state.is_ending
+            || (!state.is_shutting_down
                 && state.endpoints.has_untried(service, &self.attempts)
                 && state.with_retry_budget(service, |budget| budget.has_token(now)))
     }
@@ -250,7 +250,7 @@
             AttemptEnd::ConnectionLimit => AttemptOutcome::Unsent,
             AttemptEnd::WrongInstance => AttemptOutcome::NotExecuted,
             AttemptEnd::ClientFailed(status) => {
-                return AfterAttempt::Respond(LocalResponse::of_status(status));
+                return AfterAttempt::Respond(LocalResponse::with_status(status));
             }
         };
         let service = &self.route.service;
--- a/crates/rookpulley-proxy-core/src/response.rs
+++ b/crates/rookpulley-proxy-core/src/response.rs
@@ -14,7 +14,7 @@
     /// The body is encoded.
     pub is_encoded: bool,
     /// The body length is specified unambiguously.
-    pub has_clear_end: bool,
+    pub has_unambiguous_length: bool,
 }
 
 /// Result of validating a response head.
@@ -58,7 +58,7 @@
         return Verdict::UnconfirmedRejection;
     }
     let is_signed_if_needed = head.is_signed || !is_success;
-    if is_signed_if_needed && !head.is_encoded && head.has_clear_end {
+    if is_signed_if_needed && !head.is_encoded && head.has_unambiguous_length {
         Verdict::Valid
     } else {
         Verdict::Invalid
--- a/crates/rookpulley-proxy-core/src/state.rs
+++ b/crates/rookpulley-proxy-core/src/state.rs
@@ -58,7 +58,7 @@
     pub(crate) load: LoadCounters,
     controllers: ControllerSelection,
     /// Whether the process is shutting down.
-    pub is_ending: bool,
+    pub is_shutting_down: bool,
     effects: Vec<Effect>,
 }
 
@@ -88,7 +88,7 @@
             fleet: FleetSize::default(),
             load: LoadCounters::default(),
             controllers: ControllerSelection::default(),
-            is_ending: false,
+            is_shutting_down: false,
             effects: Vec::new(),
         }
     }
@@ -110,7 +110,7 @@
 
     /// Whether the proxy is ready to serve clients.
     pub fn is_ready(&self) -> bool {
-        !self.is_ending && self.routes.is_some() && self.endpoints.has_endpoints()
+        !self.is_shutting_down && self.routes.is_some() && self.endpoints.has_endpoints()
     }
 
     /// Number of proxies in the fleet, as reported by controllers.
--- a/crates/rookpulley-proxy/src/attempt.rs
+++ b/crates/rookpulley-proxy/src/attempt.rs
@@ -179,7 +179,7 @@
         let (mut head, body) = response.into_parts();
         let keep_alive = upstream_pool::keep_alive(&head.headers);
         let verdict = response_check::check(&head, &self.id);
-        if let Some(end) = AttemptEnd::of_verdict(verdict) {
+        if let Some(end) = AttemptEnd::from_verdict(verdict) {
             if end == AttemptEnd::Outcome(AttemptOutcome::NotExecuted) {
                 drain(connection, body, keep_alive);
             }
@@ -276,7 +276,7 @@
     let after = resend.send_failed(is_unsent, was_idle, body.is_some());
     is_sent.set(after == SendFailure::Interrupted);
     match (after, body) {
-        (SendFailure::SendAgain, Some(body)) => AfterFailure::SendAgain(body),
+        (SendFailure::Resend, Some(body)) => AfterFailure::SendAgain(body),
         (SendFailure::Interrupted, _) => {
             let upload = sending.upload.map(|upload| upload.get());
             AfterFailure::End(match upload {
--- a/crates/rookpulley-proxy/src/context.rs
+++ b/crates/rookpulley-proxy/src/context.rs
@@ -126,6 +126,6 @@
     }
 
     pub(crate) fn is_ending(&self) -> bool {
-        self.inspect(|state| state.is_ending)
+        self.inspect(|state| state.is_shutting_down)
     }
 }
--- a/crates/rookpulley-proxy/src/forward.rs
+++ b/crates/rookpulley-proxy/src/forward.rs
@@ -210,7 +210,7 @@
     if let Ok(ended) = timeout_at(proxy.instant(check_at_ms), attempt.as_mut()).await {
         return ended;
     }
-    let is_broken_off = proxy.step(|state, now| lifecycle.is_to_be_broken_off(state, now));
+    let is_broken_off = proxy.step(|state, now| lifecycle.should_abort(state, now));
     if !is_broken_off {
         let deadline = proxy.instant(request.route.deadline_ms);
         if let Ok(ended) = timeout_at(deadline, attempt).await {
@@ -218,7 +218,7 @@
         }
     }
     let waits_for_client = upload.is_some_and(|upload| upload.get() == UploadState::WaitsForClient);
-    EndedAttempt::new(AttemptEnd::of_broken_off(is_sent.get(), waits_for_client))
+    EndedAttempt::new(AttemptEnd::from_abort(is_sent.get(), waits_for_client))
 }
 
 /// Has an attempt counted: at once, or when the last byte of a response that is passed on as it comes has come.
--- a/crates/rookpulley-proxy/src/response_check.rs
+++ b/crates/rookpulley-proxy/src/response_check.rs
@@ -14,7 +14,7 @@
         not_executed: headers.contains_key(&NOT_EXECUTED),
         is_signed: headers.contains_key(&SIGNATURE),
         is_encoded: headers.contains_key(CONTENT_ENCODING),
-        has_clear_end: has_clear_end(headers),
+        has_unambiguous_length: has_clear_end(headers),
     })
 }
 
--- a/crates/rookpulley-proxy/src/shutdown.rs
+++ b/crates/rookpulley-proxy/src/shutdown.rs
@@ -114,7 +114,7 @@
 /// Not ready from now on, but at work for what still comes, until nothing does.
 async fn end_in_order(proxy: &Rc<ProxyContext>) {
     tracing::info!("ending: no longer ready");
-    proxy.step(|state, _| state.is_ending = true);
+    proxy.step(|state, _| state.is_shutting_down = true);
     let began = Instant::now();
     let grace_s = proxy.node.bounds.grace_period_s.clamp(0.0, MAX_GRACE_S);
     let grace = Duration::from_secs_f64(grace_s);
--- a/crates/rookpulley-simulator/src/proxies.rs
+++ b/crates/rookpulley-simulator/src/proxies.rs
@@ -321,9 +321,9 @@
         };
         let (before, is_ending) = (
             std::mem::replace(&mut proxy.state, fresh),
-            proxy.state.is_ending,
+            proxy.state.is_shutting_down,
         );
-        (proxy.state.endpoints, proxy.state.is_ending) = (before.endpoints, is_ending);
+        (proxy.state.endpoints, proxy.state.is_shutting_down) = (before.endpoints, is_ending);
         proxy.gone_back = true;
         if let Some(down) = unframed::<ControllerToProxy>(&first) {
             proxy
@@ -342,7 +342,7 @@
             && proxy.ends.is_none()
         {
             proxy.ends = Some(now);
-            self.with_state(process, |state, _| state.is_ending = true);
+            self.with_state(process, |state, _| state.is_shutting_down = true);
         }
     }
 
--- a/crates/rookpulley-simulator/src/proxies/attempts.rs
+++ b/crates/rookpulley-simulator/src/proxies/attempts.rs
@@ -27,7 +27,7 @@
                 self.end_wire(process, wire);
                 self.with_work(process, request, |work, _, _| work.wire = None);
                 match back {
-                    Some(SendFailure::SendAgain) => {
+                    Some(SendFailure::Resend) => {
                         return self.take_wire(process, request, attempt);
                     }
                     Some(SendFailure::Unsent) => AttemptEnd::Outcome(AttemptOutcome::Unsent),
@@ -49,9 +49,9 @@
                     not_executed: *not_executed,
                     is_signed: *stamped,
                     is_encoded: false,
-                    has_clear_end: *sized,
+                    has_unambiguous_length: *sized,
                 };
-                let end = AttemptEnd::of_verdict(evaluate(head));
+                let end = AttemptEnd::from_verdict(evaluate(head));
                 let end = end.unwrap_or(if *whole {
                     AttemptEnd::Outcome(AttemptOutcome::Answered(*status))
                 } else {
@@ -100,7 +100,7 @@
         }
         let turns = self.with_work(process, request, |work, state, now| {
             (
-                work.lifecycle.is_to_be_broken_off(state, now),
+                work.lifecycle.should_abort(state, now),
                 work.lifecycle.route().deadline_ms - now,
             )
         });
@@ -119,10 +119,7 @@
         let Some(work) = self.current(process, request, attempt) else {
             return;
         };
-        let (end, wire) = (
-            AttemptEnd::of_broken_off(work.left, false),
-            work.wire.take(),
-        );
+        let (end, wire) = (AttemptEnd::from_abort(work.left, false), work.wire.take());
         if let Some((wire, _)) = wire {
             self.break_off(process, request, attempt, wire);
         }
