--- a/crates/rookpulley-protocol/src/pack.rs
+++ b/crates/rookpulley-protocol/src/pack.rs
@@ -5,7 +5,7 @@
 use zstd::bulk::{Compressor, Decompressor};
 use zstd::zstd_safe::CParameter;
 
-/// Compression level of zstd. Higher levels save little and cost the controller much more time.
+/// Compression level of zstd. Higher levels cost the controller more time than the saved bytes are worth.
 const LEVEL: i32 = 3;
 /// Window size of this level.
 const LEVEL_WINDOW: usize = 1 << 21;
