--- a/crates/rookpulley-simulator/src/proxies.rs
+++ b/crates/rookpulley-simulator/src/proxies.rs
@@ -13,7 +13,7 @@
 use rand::RngExt;
 use rookpulley_balancer::{AttemptOutcome, Pick};
 use rookpulley_protocol::{
-    ControllerToProxy, InstanceLoad, LoadReport, ProxyToController, TableEntry, frame,
+    ControllerToProxy, InstanceLoad, LoadReport, ProxyToController, TableEntry, encode_frame,
 };
 use rookpulley_proxy_core::{
     AfterAttempt, AttemptEnd, Effect, NextStep, ProxyStart, ProxyState, RequestLifecycle, Resend,
@@ -191,7 +191,7 @@
                     .proxy(process)
                     .and_then(|proxy| proxy.dialers.get(&ip)?.line);
                 line.into_iter()
-                    .for_each(|line| self.send_line(line, 0, frame(&up)));
+                    .for_each(|line| self.send_line(line, 0, encode_frame(&up)));
             }
             Effect::CloseConnections(incarnation) => {
                 let pool = self
@@ -321,9 +321,9 @@
         };
         let (before, is_ending) = (
             std::mem::replace(&mut proxy.state, fresh),
-            proxy.state.is_ending,
+            proxy.state.is_shutting_down,
         );
-        (proxy.state.endpoints, proxy.state.is_ending) = (before.endpoints, is_ending);
+        (proxy.state.endpoints, proxy.state.is_shutting_down) = (before.endpoints, is_ending);
         proxy.gone_back = true;
         if let Some(down) = unframed::<ControllerToProxy>(&first) {
             proxy
@@ -342,7 +342,7 @@
             && proxy.ends.is_none()
         {
             proxy.ends = Some(now);
-            self.with_state(process, |state, _| state.is_ending = true);
+            self.with_state(process, |state, _| state.is_shutting_down = true);
         }
     }
 
