--- a/crates/rookpulley-assigner/examples/tick.rs
+++ b/crates/rookpulley-assigner/examples/tick.rs
@@ -9,7 +9,7 @@
 use harness::{kind, listed};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use rookpulley_assigner::messages::server_id;
 use rookpulley_assigner::orders::{Names, Orders};
--- a/crates/rookpulley-assigner/src/config.rs
+++ b/crates/rookpulley-assigner/src/config.rs
@@ -1,7 +1,7 @@
 //! What an assigner is told at its start, from the file that `PROXY_CONFIG` names.
 
 use crate::messages::{Bad, List, Words};
-use rookpulley::facts::Start;
+use rookpulley::interface::Start;
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
--- a/crates/rookpulley-assigner/src/driver.rs
+++ b/crates/rookpulley-assigner/src/driver.rs
@@ -12,7 +12,7 @@
 use crate::say;
 use crate::servers::Servers;
 use crate::streams::{ConnId, Conns};
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use rookpulley_files::watch::Found;
 use rookpulley_operators::Asked;
--- a/crates/rookpulley-assigner/src/ending.rs
+++ b/crates/rookpulley-assigner/src/ending.rs
@@ -1,6 +1,6 @@
 //! Every way in which a connection can end, and what each means to the module.
 
-use rookpulley::facts::{Input, ProxyId};
+use rookpulley::interface::{Input, ProxyId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
--- a/crates/rookpulley-assigner/src/lib.rs
+++ b/crates/rookpulley-assigner/src/lib.rs
@@ -22,7 +22,7 @@
 use operators::Asking;
 use peers::Peers;
 use reload::Held;
-use rookpulley::facts::Start;
+use rookpulley::interface::Start;
 use rookpulley_operators::{BadFile, Operators};
 use roster::{Pauses, Roster};
 use servers::Servers;
--- a/crates/rookpulley-assigner/src/messages.rs
+++ b/crates/rookpulley-assigner/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages, decoded once into small typed values and encoded once. Only here stand the wire's words.
 
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley_versions::{Claim, Kinds};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/crates/rookpulley-assigner/src/operators.rs
+++ b/crates/rookpulley-assigner/src/operators.rs
@@ -5,7 +5,7 @@
 use crate::messages::server_id;
 use crate::orders::{Orders, places};
 use crate::servers::Servers;
-use rookpulley::facts::{Back, ChannelFacts, Input, TableId};
+use rookpulley::interface::{Back, ChannelFacts, Input, TableId};
 use rookpulley_operators::address;
 use rookpulley_operators::asks::{
     Answer, Ask, Asked, BackList, BackRow, DiffList, DiffRow, HolderList, HolderRow, Refusal,
--- a/crates/rookpulley-assigner/src/orders.rs
+++ b/crates/rookpulley-assigner/src/orders.rs
@@ -4,7 +4,7 @@
 //! been told of them, so that a message says what the order means and no more.
 
 use crate::messages::{Holds, LINE_MOST, Part};
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley_versions as versions;
 use rookpulley_versions::{Book, Name, Update};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/rookpulley-assigner/src/roster.rs
+++ b/crates/rookpulley-assigner/src/roster.rs
@@ -9,7 +9,7 @@
 use hyper_util::rt::TokioIo;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rookpulley::facts::ListScope;
+use rookpulley::interface::ListScope;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/rookpulley-assigner/src/servers.rs
+++ b/crates/rookpulley-assigner/src/servers.rs
@@ -3,7 +3,7 @@
 use crate::driver::{Event, Front};
 use crate::messages::{ELSEWHERE, List, Words, server_id};
 use crate::say;
-use rookpulley::facts::{ListScope, Listed, Stage, Start};
+use rookpulley::interface::{ListScope, Listed, Stage, Start};
 use rookpulley_files::watch::{Found, follow};
 use rookpulley_lists::{Facts, Lists, Told};
 use rookpulley_operators::asks::{ServerList, ServerRow};
--- a/crates/rookpulley-assigner/src/streams.rs
+++ b/crates/rookpulley-assigner/src/streams.rs
@@ -5,7 +5,7 @@
 use crate::messages::{Bad, LINE_MOST, Message, beat_answer};
 use crate::outbox::Outbox;
 use crate::say;
-use rookpulley::facts::{Input, ProxyId, ZoneId};
+use rookpulley::interface::{Input, ProxyId, ZoneId};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
--- a/crates/rookpulley-assigner/tests/orders.rs
+++ b/crates/rookpulley-assigner/tests/orders.rs
@@ -2,7 +2,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley_assigner::messages::{LINE_MOST, server_id};
 use rookpulley_assigner::orders::{Names, Orders, Written};
 use serde_json::Value;
--- a/crates/rookpulley-assigner/tests/sockets.rs
+++ b/crates/rookpulley-assigner/tests/sockets.rs
@@ -1,7 +1,7 @@
 //! The assigner on loopback sockets, against stand-ins of its own. Tests wait for what happens, not for
 //! a clock; where a stand-in has a pace of its own, a slower one changes nothing.
 
-use rookpulley::facts::Input;
+use rookpulley::interface::Input;
 use rookpulley_assigner::counters::Counters;
 use rookpulley_assigner::driver::{Event, Front};
 use rookpulley_assigner::ending::{ALL, Ending};
--- a/crates/rookpulley-lists/src/candidate.rs
+++ b/crates/rookpulley-lists/src/candidate.rs
@@ -1,6 +1,6 @@
 //! What a source offers, and the checks that it must pass. A candidate that fails one changes nothing at all.
 
-use rookpulley::facts::Start;
+use rookpulley::interface::Start;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
--- a/crates/rookpulley-lists/src/merge.rs
+++ b/crates/rookpulley-lists/src/merge.rs
@@ -6,7 +6,7 @@
 
 use crate::candidate::{Candidate, Entry, Facts, Reason, Refused, check_against, check_alone};
 use crate::membership::{Cue, Effect, Member, State};
-use rookpulley::facts::{ListScope, Stage};
+use rookpulley::interface::{ListScope, Stage};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Remembered names, those listed included; of more the oldest drains of unlisted ones are given up.
--- a/crates/rookpulley-lists/tests/lists.rs
+++ b/crates/rookpulley-lists/tests/lists.rs
@@ -1,7 +1,7 @@
 //! Lists by their hard cases, and by properties over random sequences of candidates.
 
 use proptest::prelude::*;
-use rookpulley::facts::Stage;
+use rookpulley::interface::Stage;
 use rookpulley_lists::membership::Effect;
 use rookpulley_lists::*;
 use std::collections::BTreeMap;
--- a/crates/rookpulley-registry/src/decision_module.rs
+++ b/crates/rookpulley-registry/src/decision_module.rs
@@ -4,7 +4,7 @@
 //! with, calls it, and carries its orders out on tables in memory.
 
 use crate::server_list::{EPOCH_MS, WARM_UP_MS};
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use rookpulley::state::{Lines, name_of};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/rookpulley-registry/src/hosted_service.rs
+++ b/crates/rookpulley-registry/src/hosted_service.rs
@@ -7,7 +7,7 @@
 use crate::published_table::{NextTable, PublishedTable};
 use crate::server_list::ServerList;
 use crate::service::Service;
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley_protocol::{ServiceLoad, TableEntry};
 use std::collections::BTreeMap;
 
--- a/crates/rookpulley-registry/src/published_table.rs
+++ b/crates/rookpulley-registry/src/published_table.rs
@@ -2,7 +2,7 @@
 
 use crate::decision_module::{DecisionModule, revision_of};
 use crate::server_list::{EntryStatus, ServerList, server_id};
-use rookpulley::facts::ProxyId;
+use rookpulley::interface::ProxyId;
 use rookpulley_protocol::TableEntry;
 
 /// A proxy gets another table so often, unless an instance has gone.
--- a/crates/rookpulley-registry/src/server_list.rs
+++ b/crates/rookpulley-registry/src/server_list.rs
@@ -4,7 +4,7 @@
 //! started; what it is told is remembered, so that only changes go to it.
 
 use crate::registry::{Instance, InstanceStatus};
-use rookpulley::facts::{Listed, ServerId, Stage, ZoneId};
+use rookpulley::interface::{Listed, ServerId, Stage, ZoneId};
 use rookpulley_protocol::{IncarnationId, TableEntry};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
--- a/crates/rookpulley-registry/src/table_publisher.rs
+++ b/crates/rookpulley-registry/src/table_publisher.rs
@@ -4,7 +4,7 @@
 use crate::published_table::table_revision;
 use crate::registry::{Instance, Registry};
 use crate::service::Service;
-use rookpulley::facts::{ProxyId, ZoneId};
+use rookpulley::interface::{ProxyId, ZoneId};
 use rookpulley_protocol::{LoadReport, TableEntry};
 use std::collections::BTreeMap;
 
--- a/crates/rookpulley-start/src/lib.rs
+++ b/crates/rookpulley-start/src/lib.rs
@@ -1,6 +1,6 @@
 //! The settings text of a start, read into the records of the interface. Unknown keys are ignored.
 
-use rookpulley::facts::{
+use rookpulley::interface::{
     ChannelFacts, DEAR_STEPS, Group, Levels, ListFacts, LoadField, Means, Place, ProxyHabits,
     Repeat, ReqKind, Retry, RuleBounds, Start,
 };
--- a/crates/rookpulley-wirehost/src/main.rs
+++ b/crates/rookpulley-wirehost/src/main.rs
@@ -3,7 +3,7 @@
 
 mod wire;
 
-use rookpulley::facts::Input;
+use rookpulley::interface::Input;
 use rookpulley::rules::Controller;
 use std::collections::BTreeMap;
 use std::io::{BufReader, BufWriter, Read, Write};
--- a/crates/rookpulley-wirehost/src/wire.rs
+++ b/crates/rookpulley-wirehost/src/wire.rs
@@ -1,6 +1,6 @@
 //! Frames: little-endian, fixed records, one shared tail.
 
-use rookpulley::facts::{Effect, Input, ListScope, Listed, ProbeAnswer, ServerId, Stage};
+use rookpulley::interface::{Effect, Input, ListScope, Listed, ProbeAnswer, ServerId, Stage};
 
 pub const BATCH_HEAD: usize = 20;
 const EVENT: usize = 48;
--- a/examples/call_cost.rs
+++ b/examples/call_cost.rs
@@ -5,7 +5,7 @@
 #[path = "../tests/harness/mod.rs"]
 mod harness;
 
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use std::time::Instant;
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -14,7 +14,7 @@
 mod revisions;
 
 pub use crate::state::Controller;
-use crate::{facts::*, ring::Buckets, state::*};
+use crate::{interface::*, ring::Buckets, state::*};
 use rand::RngExt;
 
 const ROUND_MS: f64 = 1_000.0;
--- a/src/rules/arcs.rs
+++ b/src/rules/arcs.rs
@@ -1,6 +1,6 @@
 //! All arcs are cut from the list, the health and the demand: which servers a proxy is sent to, and how many.
 
-use crate::{facts::*, rules::parts, shares::*, state::*};
+use crate::{interface::*, rules::parts, shares::*, state::*};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A mean proxy's arc reaches over as many servers as spread it so that laying it loads none by over this
--- a/src/rules/demand.rs
+++ b/src/rules/demand.rs
@@ -1,6 +1,6 @@
 //! Who brings how much.
 
-use crate::{facts::*, rules::ROUND_MS, rules::arcs::STEPS, rules::arcs::in_steps, state::*};
+use crate::{interface::*, rules::ROUND_MS, rules::arcs::STEPS, rules::arcs::in_steps, state::*};
 
 const OFF_SHARE: f64 = 0.5;
 const OFF_FOR_MS: f64 = 10_000.0;
--- a/src/rules/gate.rs
+++ b/src/rules/gate.rs
@@ -1,6 +1,8 @@
 //! Every order passes here: bare proxies, drains and first tables, withdrawals, levels, then changes.
 
-use crate::{facts::*, rules::arcs::LINES_LEAST, rules::queue::room, rules::revisions, state::*};
+use crate::{
+    interface::*, rules::arcs::LINES_LEAST, rules::queue::room, rules::revisions, state::*,
+};
 use std::collections::BTreeSet;
 
 /// How much of the limits deltas may use up, and tables for proxies that have none.
--- a/src/rules/health.rs
+++ b/src/rules/health.rs
@@ -1,6 +1,6 @@
 //! What the list says of the servers, and which of them are sound.
 
-use crate::{facts::*, rules::parts, state::*};
+use crate::{interface::*, rules::parts, state::*};
 use std::collections::BTreeSet;
 
 const HEALTH: &[(Phase, Cue, Phase, Turn)] = &[
--- a/src/rules/levels.rs
+++ b/src/rules/levels.rs
@@ -1,7 +1,8 @@
 //! Whether the fleet jams, and what is let in then: the kinds of the most value first.
 
 use crate::{
-    facts::*, rules::demand::LEVEL_SPAN_MS, rules::health::DEAD_SHARE, shares::level_for, state::*,
+    interface::*, rules::demand::LEVEL_SPAN_MS, rules::health::DEAD_SHARE, shares::level_for,
+    state::*,
 };
 
 const LEVELS: &[(Mode, Flow, Mode, Valve)] = &[
--- a/src/rules/parts.rs
+++ b/src/rules/parts.rs
@@ -1,6 +1,6 @@
 //! The part of its listed weight that a server may have now.
 
-use crate::{facts::*, rules::arcs::STEPS, shares::spared, state::*};
+use crate::{interface::*, rules::arcs::STEPS, shares::spared, state::*};
 
 pub(super) const RAMP_MS: f64 = 30_000.0;
 pub(super) const ENTRY_PART: f64 = 0.25;
--- a/src/rules/queue.rs
+++ b/src/rules/queue.rs
@@ -1,6 +1,6 @@
 //! The channel as it is taken to run: answers show what has left; till then slow, more so while one is late.
 
-use crate::{facts::ChannelFacts, rules::ROUND_MS, state::Channel};
+use crate::{interface::ChannelFacts, rules::ROUND_MS, state::Channel};
 
 const SLOW_PART: f64 = 0.25;
 const OVERDUE_PART: f64 = 0.05;
--- a/src/rules/revisions.rs
+++ b/src/rules/revisions.rs
@@ -1,6 +1,6 @@
 //! The revisions of tables. A taint rolls back: the newest sound revision is the one published.
 
-use crate::{facts::*, rules::parts::ENTRY_PART, state::*};
+use crate::{interface::*, rules::parts::ENTRY_PART, state::*};
 
 const DEPTH: usize = 10;
 pub(super) const TAINT_SPAN_MS: f64 = 3_000.0;
--- a/src/shares.rs
+++ b/src/shares.rs
@@ -1,6 +1,6 @@
 //! How a whole is shared out, as plain sums: arcs of a ring, flows between zones, loads evened, levels that shave.
 
-use crate::{facts::*, rules::levels::EVERYTHING, state::*};
+use crate::{interface::*, rules::levels::EVERYTHING, state::*};
 
 /// Where a new arc starts: at the server that the arcs laid so far load least.
 pub fn least_loaded(ring: &[&Listed], loads: &Lines) -> ServerId {
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! What a controller keeps: plain state. The decisions on it are in `rules.rs` and `rules/`.
 
-use crate::facts::*;
+use crate::interface::*;
 use crate::ring::Buckets;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -4,7 +4,7 @@
 
 use harness::{Harness, kind, listed, server, start};
 use insta::assert_snapshot;
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 
 fn four() -> Vec<Listed> {
     (1..=4).map(|n| listed(n, 0)).collect()
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,7 +5,7 @@
 mod harness;
 
 use harness::start;
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,6 +1,6 @@
 //! A harness that scripts one controller and prints what it orders, a line for each kind of order.
 
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/tests/way_back.rs
+++ b/tests/way_back.rs
@@ -7,7 +7,7 @@
 use insta::assert_snapshot;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use std::collections::{BTreeMap, BTreeSet};
 
