--- a/crates/rookpulley-assigner/src/operators.rs
+++ b/crates/rookpulley-assigner/src/operators.rs
@@ -5,7 +5,7 @@
 use crate::messages::server_id;
 use crate::orders::{Orders, places};
 use crate::servers::Servers;
-use rookpulley::interface::{Back, ChannelFacts, Input, TableId};
+use rookpulley::interface::{Back, ChannelLimits, Input, TableId};
 use rookpulley_operators::address;
 use rookpulley_operators::asks::{
     Answer, Ask, Asked, BackList, BackRow, DiffList, DiffRow, HolderList, HolderRow, Refusal,
@@ -71,7 +71,7 @@
 
 /// The book of one start. The start's name must never come again, also where the seed of the configuration
 /// does: its part of chance is the process's own.
-pub fn book(name: &str, keep: Bounds, channel: &ChannelFacts) -> Book {
+pub fn book(name: &str, keep: Bounds, channel: &ChannelLimits) -> Book {
     let chance = RandomState::new().hash_one(std::process::id()) as u32;
     let start = start_of(unix_ms(), chance);
     Book::new(
--- a/crates/rookpulley-registry/src/decision_module.rs
+++ b/crates/rookpulley-registry/src/decision_module.rs
@@ -89,14 +89,14 @@
 }
 
 /// All requests for a service are of one kind to the module.
-fn request_kind(latency_target_ms: f64) -> ReqKind {
-    ReqKind {
+fn request_kind(latency_target_ms: f64) -> RequestKind {
+    RequestKind {
         name: "any".into(),
         response_target_ms: latency_target_ms,
         client_timeout_ms: CLIENT_TIMEOUT_TARGETS * latency_target_ms,
         value: 1.0,
         late_value_share: 0.1,
-        repeat: Repeat::Replayable,
+        repeat: RepeatSafety::Replayable,
         writes: false,
         zones: Vec::new(),
         machines: Vec::new(),
@@ -109,13 +109,13 @@
     let proxies = parameters.proxies;
     Start {
         seed: parameters.seed,
-        place: Place {
+        place: Topology {
             controllers: 1,
             proxies,
-            ..Place::default()
+            ..Topology::default()
         },
         kinds: vec![request_kind(parameters.latency_target_ms)],
-        bounds: RuleBounds {
+        bounds: SafetyBounds {
             bare_ms: 3_000.0,
             drain_grace_ms: 2_500.0,
             cold_share: 0.5,
@@ -124,7 +124,7 @@
             fall_ms: 2_000.0,
             only_draining_binds: false,
         },
-        channel: ChannelFacts {
+        channel: ChannelLimits {
             lines_per_s: LINES_PER_S,
             head_lines: 1.0,
             bind_lines: 1.0,
@@ -134,12 +134,12 @@
             transit_ms: 50.0,
             transit_most_ms: 300.0,
         },
-        habits: ProxyHabits {
-            levels: Levels::Ignored,
-            ..ProxyHabits::default()
+        habits: ProxyBehavior {
+            levels: AdmissionMode::Unsupported,
+            ..ProxyBehavior::default()
         },
-        list: ListFacts::default(),
-        means: Means {
+        list: ListSettings::default(),
+        means: Capabilities {
             report_period_ms: 1_000.0,
             conns_least: if connections > 0.0 {
                 connections
@@ -151,7 +151,7 @@
             // An instance that enters makes a revision a second until it is warm, so no single one of a release is ever
             // judged.
             verdicts_shared: true,
-            ..Means::default()
+            ..Capabilities::default()
         },
         load_fields: Vec::new(),
     }
--- a/crates/rookpulley-start/src/lib.rs
+++ b/crates/rookpulley-start/src/lib.rs
@@ -1,8 +1,8 @@
 //! The settings text of a start, read into the records of the interface. Unknown keys are ignored.
 
 use rookpulley::interface::{
-    ChannelFacts, DEAR_STEPS, Group, Levels, ListFacts, LoadField, Means, Place, ProxyHabits,
-    Repeat, ReqKind, Retry, RuleBounds, Start,
+    AdmissionMode, COARSE_FLOW_STEPS, Capabilities, ChannelLimits, Group, ListSettings, LoadField,
+    ProxyBehavior, RepeatSafety, RequestKind, Retry, SafetyBounds, Start, Topology,
 };
 use serde_json::Value;
 
@@ -82,14 +82,14 @@
     }
 }
 
-fn read_kind(value: &Value, place: usize, family: &Part) -> Result<ReqKind, Unreadable> {
+fn read_kind(value: &Value, place: usize, family: &Part) -> Result<RequestKind, Unreadable> {
     let part = Part {
         path: "categories[]",
         value,
     };
     let repeat = match part.text("effect")? {
-        "pure" => Repeat::Replayable,
-        "side_effect" => Repeat::NonReplayable,
+        "pure" => RepeatSafety::Replayable,
+        "side_effect" => RepeatSafety::NonReplayable,
         "token" => {
             let group = match part.text("group")? {
                 "all" => Group::All,
@@ -97,14 +97,14 @@
                 "cell" => Group::Bay,
                 _ => return Err(part.wrong("group", "all, zone or cell")),
             };
-            Repeat::Uniqued {
+            RepeatSafety::Uniqued {
                 group,
                 window_ms: part.ms("window_us")?,
             }
         }
         _ => return Err(part.wrong("effect", "pure, token or side_effect")),
     };
-    Ok(ReqKind {
+    Ok(RequestKind {
         name: part.text("name")?.to_string(),
         response_target_ms: part.ms("aim_us")?,
         client_timeout_ms: part.ms("hard_limit_us")?,
@@ -171,9 +171,9 @@
         ["family_info", "rules", "limits", "charges", "load_info"].map(|path| Part::of(root, path));
     let kinds = top.list("categories")?.iter().enumerate();
     let levels = match family.text("admission").unwrap_or("none") {
-        "share" => Levels::Share,
-        "rate" => Levels::Rate,
-        _ => Levels::Ignored,
+        "share" => AdmissionMode::Share,
+        "rate" => AdmissionMode::Rate,
+        _ => AdmissionMode::Unsupported,
     };
     let usual_retry = match family.num_or("usual_how", 0.0) as u8 {
         0 => Retry::Never,
@@ -183,7 +183,7 @@
     };
     Ok(Start {
         seed,
-        place: Place {
+        place: Topology {
             index: top.num("self_index")? as u16,
             controllers: top.num("balancers")? as u16,
             zone: top.num("locality")? as u16,
@@ -199,7 +199,7 @@
         kinds: kinds
             .map(|(place, value)| read_kind(value, place, &family))
             .collect::<Result<_, _>>()?,
-        bounds: RuleBounds {
+        bounds: SafetyBounds {
             bare_ms: family.ms("empty_for_us")?,
             drain_grace_ms: rules.ms("drain_grace_us")?,
             cold_share: rules.num("cold_share")?,
@@ -208,7 +208,7 @@
             fall_ms: rules.ms("tip_after_us")?,
             only_draining_binds: rules.flag("soft_removal"),
         },
-        channel: ChannelFacts {
+        channel: ChannelLimits {
             lines_per_s: family.num("lines_per_s")?,
             head_lines: family.num("envelope")?,
             bind_lines: 1.0,
@@ -218,23 +218,23 @@
             transit_ms: family.ms("transit_us")?,
             transit_most_ms: family.ms("push_delay_max_us")?,
         },
-        habits: ProxyHabits {
+        habits: ProxyBehavior {
             levels,
             usual_retry,
             try_targets: family.num_or("per_try", 1.0),
             standing_lines: family.num_or("initial_set", 0.0) as u32,
             write_in_flight_ms: family.num_or("in_flight_max_us", 0.0) / 1000.0,
         },
-        list: ListFacts {
+        list: ListSettings {
             asked: top.text("registry_mode")? == "on_request",
             ask_within_ms: rules.num_or("ask_within_us", 0.0) / 1000.0,
             live_weights: top.text("weight_kind").unwrap_or_default() == "live",
         },
-        means: Means {
+        means: Capabilities {
             peers: limits.flag("peers"),
             probes: limits.flag("probing"),
             cross_zone_price: charges.num_or("cross_zone", 0.0),
-            flow_steps: DEAR_STEPS,
+            flow_steps: COARSE_FLOW_STEPS,
             report_period_ms: family.num_or("period_us", 1e6) / 1000.0,
             report_lines_per_s: family.num_or("reports_per_s", 0.0),
             conns_least: family.num_or("min_conn_cap", f64::INFINITY),
--- a/examples/call_cost.rs
+++ b/examples/call_cost.rs
@@ -13,11 +13,11 @@
 fn start(proxies: u32) -> Start {
     let mut start = harness::start();
     start.kinds = ["view", "submit"]
-        .map(|name| harness::kind(name, 1.0, Repeat::Replayable))
+        .map(|name| harness::kind(name, 1.0, RepeatSafety::Replayable))
         .to_vec();
     (start.place.proxies, start.place.controllers) = (proxies, 5);
     start.place.zones = ["a", "b", "c"].map(String::from).to_vec();
-    start.habits = ProxyHabits::default();
+    start.habits = ProxyBehavior::default();
     (start.means.cross_zone_price, start.means.conns_least) = (0.08, 150.0);
     (
         start.channel.lines_per_s,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -47,20 +47,20 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Repeat {
+pub enum RepeatSafety {
     Replayable,
     Uniqued { group: Group, window_ms: f64 },
     NonReplayable,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReqKind {
+pub struct RequestKind {
     pub name: String,
     pub response_target_ms: f64,
     pub client_timeout_ms: f64,
     pub value: f64,
     pub late_value_share: f64,
-    pub repeat: Repeat,
+    pub repeat: RepeatSafety,
     pub writes: bool,
     /// The only zones whose servers may be sent it; empty: any.
     pub zones: Vec<ZoneId>,
@@ -72,7 +72,7 @@
 
 /// Where this controller stands among its peers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Place {
+pub struct Topology {
     pub index: u16,
     pub controllers: u16,
     pub zone: ZoneId,
@@ -84,7 +84,7 @@
 
 /// The figures of the five rules.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RuleBounds {
+pub struct SafetyBounds {
     pub bare_ms: f64,
     pub drain_grace_ms: f64,
     pub cold_share: f64,
@@ -97,7 +97,7 @@
 
 /// The channel from a controller to its proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ChannelFacts {
+pub struct ChannelLimits {
     pub lines_per_s: f64,
     pub head_lines: f64,
     /// What a line of a whole table counts for at the binding, with all that has to go with it.
@@ -111,17 +111,17 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Levels {
+pub enum AdmissionMode {
     #[default]
-    Ignored,
+    Unsupported,
     Share,
     Rate,
 }
 
 /// How proxies admit and repeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ProxyHabits {
-    pub levels: Levels,
+pub struct ProxyBehavior {
+    pub levels: AdmissionMode,
     pub usual_retry: Retry,
     /// A try that may be followed waits this many response targets.
     pub try_targets: f64,
@@ -131,22 +131,22 @@
 
 /// How the server list is followed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ListFacts {
+pub struct ListSettings {
     pub asked: bool,
     pub ask_within_ms: f64,
     /// The listed weights change with the load.
     pub live_weights: bool,
 }
 
-pub const DEAR_STEPS: f64 = 8.0;
+pub const COARSE_FLOW_STEPS: f64 = 8.0;
 
 /// What may be used beside orders, and its prices.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Means {
+pub struct Capabilities {
     pub peers: bool,
     pub probes: bool,
     pub cross_zone_price: f64,
-    /// What goes to which zone is settled in so many steps: `DEAR_STEPS` where tables are dear to write anew.
+    /// What goes to which zone is settled in so many steps: `COARSE_FLOW_STEPS` where tables are dear to write anew.
     pub flow_steps: f64,
     pub report_period_ms: f64,
     pub report_lines_per_s: f64,
@@ -175,13 +175,13 @@
 #[derive(Clone, Debug)]
 pub struct Start {
     pub seed: u64,
-    pub place: Place,
-    pub kinds: Vec<ReqKind>,
-    pub bounds: RuleBounds,
-    pub channel: ChannelFacts,
-    pub habits: ProxyHabits,
-    pub list: ListFacts,
-    pub means: Means,
+    pub place: Topology,
+    pub kinds: Vec<RequestKind>,
+    pub bounds: SafetyBounds,
+    pub channel: ChannelLimits,
+    pub habits: ProxyBehavior,
+    pub list: ListSettings,
+    pub means: Capabilities,
     pub load_fields: Vec<LoadField>,
 }
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -26,10 +26,10 @@
 const BEAT: u64 = 3;
 const ASK_MOST_MS: f64 = 8_000.0;
 
-fn group_kinds(kinds: &[ReqKind]) -> Vec<KindGroup> {
+fn group_kinds(kinds: &[RequestKind]) -> Vec<KindGroup> {
     let mut groups: Vec<KindGroup> = Vec::new();
     for (id, kind) in kinds.iter().enumerate() {
-        let place = |k: &ReqKind| (k.zones.clone(), k.machines.clone(), k.own_zone);
+        let place = |k: &RequestKind| (k.zones.clone(), k.machines.clone(), k.own_zone);
         match groups.iter_mut().find(|g| place(&g.like) == place(kind)) {
             Some(group) => group.kinds.push(id),
             None => groups.push(KindGroup {
--- a/src/rules/arcs.rs
+++ b/src/rules/arcs.rs
@@ -20,7 +20,7 @@
 }
 
 /// How many servers a mean proxy's arc reaches over, in coarse steps so that it holds still.
-fn lines_for(ring: f64, own: f64, by_conns: f64, pace: &ChannelFacts) -> f64 {
+fn lines_for(ring: f64, own: f64, by_conns: f64, pace: &ChannelLimits) -> f64 {
     let by_queue = WRITE_PART * pace.backlog_lines / own - pace.head_lines;
     let most = (ring / own / LAID_PART)
         .min(by_conns)
--- a/src/rules/demand.rs
+++ b/src/rules/demand.rs
@@ -85,7 +85,7 @@
     }
 
     /// The mean response target of the reqs that come.
-    pub(super) fn usual_target_ms(&mut self, now: f64, kinds: &[ReqKind]) -> f64 {
+    pub(super) fn usual_target_ms(&mut self, now: f64, kinds: &[RequestKind]) -> f64 {
         let came = self.came.over(now, LEVEL_SPAN_MS);
         let total: f64 = came.iter().sum::<f64>() + 1e-3 * kinds.len() as f64;
         kinds
--- a/src/rules/health.rs
+++ b/src/rules/health.rs
@@ -165,7 +165,7 @@
         now: f64,
         aim_ms: f64,
         jam: bool,
-        by: &RuleBounds,
+        by: &SafetyBounds,
         log: &mut Log,
     ) -> bool {
         let ids: Vec<ServerId> = self.servers.keys().copied().collect();
--- a/src/rules/levels.rs
+++ b/src/rules/levels.rs
@@ -150,7 +150,7 @@
         // A lesser part of the fleet that is slow, or full, is no jam: that part is trimmed instead.
         let most = 2.0 * quantile(held.clone(), CALM_FLEET).unwrap_or(0.0);
         let held: f64 = held.iter().map(|h| h.min(most)).sum();
-        let calm = if self.valves.levels == Levels::Ignored {
+        let calm = if self.valves.levels == AdmissionMode::Unsupported {
             CALM_FLEET_UNEASED
         } else {
             CALM_FLEET
@@ -200,7 +200,7 @@
         } else {
             Retry::Never
         };
-        if self.valves.mode == Mode::Open || self.valves.levels == Levels::Ignored {
+        if self.valves.mode == Mode::Open || self.valves.levels == AdmissionMode::Unsupported {
             return vec![(mask_of(0..self.kinds.len()), EVERYTHING, retry)];
         }
         let mut order: Vec<KindId> = (0..self.kinds.len()).collect();
@@ -215,7 +215,7 @@
             left -= allowed;
             let level = match self.valves.levels {
                 _ if allowed >= came => EVERYTHING,
-                Levels::Share => allowed / came,
+                AdmissionMode::Share => allowed / came,
                 _ => level_for(rates, allowed),
             };
             admits.push((1 << kind, level, retry));
--- a/src/rules/parts.rs
+++ b/src/rules/parts.rs
@@ -19,12 +19,12 @@
 }
 
 /// What it is sure to do of its full work.
-fn sure_of(now: f64, server: &Server, bounds: &RuleBounds) -> f64 {
+fn sure_of(now: f64, server: &Server, bounds: &SafetyBounds) -> f64 {
     let age = now - server.listed.started_ms;
     bounds.cold_share + (1.0 - bounds.cold_share) * (age / bounds.cold_ms).clamp(0.0, 1.0)
 }
 
-pub(super) fn is_cold(now: f64, server: &Server, bounds: &RuleBounds) -> bool {
+pub(super) fn is_cold(now: f64, server: &Server, bounds: &SafetyBounds) -> bool {
     server.phase == Phase::Ramping && sure_of(now, server, bounds) < 1.0
 }
 
@@ -35,7 +35,7 @@
     now: f64,
     fleet: &Fleet,
     per_weight: f64,
-    by: &RuleBounds,
+    by: &SafetyBounds,
     cut: &mut [(f64, Lines)],
 ) {
     let cold = |s: &&Server| is_cold(now, s, by);
@@ -50,7 +50,7 @@
     }
 }
 
-pub(super) fn part_of(now: f64, server: &Server, sure_multiple: f64, bounds: &RuleBounds) -> f64 {
+pub(super) fn part_of(now: f64, server: &Server, sure_multiple: f64, bounds: &SafetyBounds) -> f64 {
     let Phase::Ramping = server.phase else {
         return if server.phase == Phase::Warm {
             1.0
--- a/src/rules/queue.rs
+++ b/src/rules/queue.rs
@@ -1,6 +1,6 @@
 //! The channel as it is taken to run: answers show what has left; till then slow, more so while one is late.
 
-use crate::{interface::ChannelFacts, rules::ROUND_MS, state::Channel};
+use crate::{interface::ChannelLimits, rules::ROUND_MS, state::Channel};
 
 const SLOW_PART: f64 = 0.25;
 const OVERDUE_PART: f64 = 0.05;
@@ -17,7 +17,7 @@
 
 /// How much may wait for what is not urgent. The queue is emptied in order: more than keeps it busy to the
 /// next round, and till answers tell, only holds up drains. Tables of a mass join did.
-pub(super) fn room(pace: &ChannelFacts) -> f64 {
+pub(super) fn room(pace: &ChannelLimits) -> f64 {
     let busy_ms = ROUND_MS + 2.0 * pace.transit_most_ms;
     pace.backlog_lines.min(pace.lines_per_s * busy_ms / 1e3)
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -270,7 +270,7 @@
 /// the reports for some seconds, and denies reqs that could be done.
 #[derive(Default)]
 pub struct Valves {
-    pub levels: Levels,
+    pub levels: AdmissionMode,
     pub mode: Mode,
     pub allowed_per_s: f64,
     /// The most that was done a second while nothing jammed.
@@ -325,7 +325,7 @@
 /// Request kinds that may go to the same servers share tables.
 pub struct KindGroup {
     pub kinds: Vec<KindId>,
-    pub like: ReqKind,
+    pub like: RequestKind,
 }
 
 /// The servers of the list, and what our proxies met at them.
@@ -360,7 +360,7 @@
 
 impl KindGroup {
     pub fn open(&self, listed: &Listed) -> bool {
-        let ReqKind {
+        let RequestKind {
             zones, machines, ..
         } = &self.like;
         (zones.is_empty() || zones.contains(&listed.zone))
@@ -407,10 +407,10 @@
 /// One controller: what it was handed at start, and what it has come to know.
 pub struct Controller {
     pub(crate) rng: ChaCha8Rng,
-    pub(crate) kinds: Vec<ReqKind>,
-    pub(crate) bounds: RuleBounds,
-    pub(crate) pace: ChannelFacts,
-    pub(crate) means: Means,
+    pub(crate) kinds: Vec<RequestKind>,
+    pub(crate) bounds: SafetyBounds,
+    pub(crate) pace: ChannelLimits,
+    pub(crate) means: Capabilities,
     /// Where a load report tells the reqs held, or only those queued.
     pub(crate) held_at: Option<usize>,
     pub(crate) queue_only: bool,
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -346,16 +346,16 @@
 /// Proxies bring 100 reqs a second of two kinds; the fleet does 60 of them, slowly.
 fn jam(mut from: Start) -> Harness {
     from.kinds = vec![
-        kind("view", 1.0, Repeat::Replayable),
+        kind("view", 1.0, RepeatSafety::Replayable),
         kind(
             "hold",
             5.0,
-            Repeat::Uniqued {
+            RepeatSafety::Uniqued {
                 group: Group::Zone,
                 window_ms: 5_000.0,
             },
         ),
-        kind("charge", 3.0, Repeat::NonReplayable),
+        kind("charge", 3.0, RepeatSafety::NonReplayable),
     ];
     let mut harness = settled(from);
     let cold = harness.now() - 1_000.0;
@@ -383,7 +383,7 @@
 #[test]
 fn a_jam_where_no_level_can_be_set() {
     let mut ignored = start();
-    ignored.habits.levels = Levels::Ignored;
+    ignored.habits.levels = AdmissionMode::Unsupported;
     assert_snapshot!(jam(ignored).trace);
 }
 
@@ -426,9 +426,9 @@
 #[test]
 fn kinds_keep_to_their_zones() {
     let mut bound = start();
-    bound.kinds.push(ReqKind {
+    bound.kinds.push(RequestKind {
         zones: vec![1],
-        ..kind("charge", 3.0, Repeat::NonReplayable)
+        ..kind("charge", 3.0, RepeatSafety::NonReplayable)
     });
     bound.means.cross_zone_price = 0.1;
     let mut harness = Harness::new(
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -47,7 +47,7 @@
 
 struct Rig {
     controller: Controller,
-    pace: ChannelFacts,
+    pace: ChannelLimits,
     grace_ms: f64,
     kinds: usize,
     now: f64,
@@ -71,14 +71,14 @@
     fn new(proxies: u32, servers: u16) -> Self {
         let mut start = start();
         start.kinds = ["view", "submit"]
-            .map(|name| harness::kind(name, 1.0, Repeat::Replayable))
+            .map(|name| harness::kind(name, 1.0, RepeatSafety::Replayable))
             .to_vec();
         (start.place.proxies, start.place.controllers) = (proxies, 5);
         start.place.zones = ["a", "b", "c"].map(String::from).to_vec();
         start.bounds.drain_grace_ms = 10_400.0;
-        start.habits.levels = Levels::Ignored;
+        start.habits.levels = AdmissionMode::Unsupported;
         (start.means.cross_zone_price, start.means.conns_least) = (0.08, 170.0);
-        start.channel = ChannelFacts {
+        start.channel = ChannelLimits {
             lines_per_s: 5_200.0,
             head_lines: 6.0,
             bind_lines: 2.0,
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -34,8 +34,8 @@
     }
 }
 
-pub fn kind(name: &str, value: f64, repeat: Repeat) -> ReqKind {
-    ReqKind {
+pub fn kind(name: &str, value: f64, repeat: RepeatSafety) -> RequestKind {
+    RequestKind {
         name: name.into(),
         response_target_ms: 1_000.0,
         client_timeout_ms: 3_000.0,
@@ -53,14 +53,14 @@
 pub fn start() -> Start {
     Start {
         seed: 7,
-        place: Place {
+        place: Topology {
             controllers: 2,
             zones: vec!["a".into(), "b".into()],
             proxies: 2,
-            ..Place::default()
+            ..Topology::default()
         },
-        kinds: vec![kind("view", 1.0, Repeat::Replayable)],
-        bounds: RuleBounds {
+        kinds: vec![kind("view", 1.0, RepeatSafety::Replayable)],
+        bounds: SafetyBounds {
             bare_ms: 3_000.0,
             drain_grace_ms: 2_000.0,
             cold_share: 0.25,
@@ -69,7 +69,7 @@
             fall_ms: 2_000.0,
             only_draining_binds: false,
         },
-        channel: ChannelFacts {
+        channel: ChannelLimits {
             lines_per_s: 1_000.0,
             head_lines: 6.0,
             bind_lines: 1.0,
@@ -79,17 +79,17 @@
             transit_ms: 100.0,
             transit_most_ms: 300.0,
         },
-        habits: ProxyHabits {
-            levels: Levels::Rate,
+        habits: ProxyBehavior {
+            levels: AdmissionMode::Rate,
             usual_retry: Retry::IfUnrun,
-            ..ProxyHabits::default()
+            ..ProxyBehavior::default()
         },
-        list: ListFacts::default(),
-        means: Means {
+        list: ListSettings::default(),
+        means: Capabilities {
             report_period_ms: 1_000.0,
             conns_least: f64::INFINITY,
-            flow_steps: DEAR_STEPS,
-            ..Means::default()
+            flow_steps: COARSE_FLOW_STEPS,
+            ..Capabilities::default()
         },
         load_fields: vec![],
     }
--- a/tests/way_back.rs
+++ b/tests/way_back.rs
@@ -180,8 +180,8 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut told = start();
         told.kinds = vec![
-            kind("view", 1.0, Repeat::Replayable),
-            kind("book", 2.0, Repeat::NonReplayable),
+            kind("view", 1.0, RepeatSafety::Replayable),
+            kind("book", 2.0, RepeatSafety::NonReplayable),
         ];
         let mut now = 1e5;
         let mut controller = Controller::new(now, told);
