--- a/crates/rookpulley-assigner/examples/tick.rs
+++ b/crates/rookpulley-assigner/examples/tick.rs
@@ -107,15 +107,15 @@
 
 fn start() -> Start {
     let mut start = harness::start();
-    start.place.zones.push("c".into());
-    start.place.proxies = u32::from(PROXIES);
+    start.topology.zones.push("c".into());
+    start.topology.proxies = u32::from(PROXIES);
     start
         .kinds
         .push(kind("book", 1.0, RepeatSafety::Replayable));
     start.channel.lines_per_s = 50_000.0;
     start.channel.bind_lines = 2.0;
     start.channel.backlog_lines = 100_000.0;
-    start.habits = ProxyBehavior::default();
+    start.proxy_behavior = ProxyBehavior::default();
     start
 }
 
--- a/crates/rookpulley-assigner/src/config.rs
+++ b/crates/rookpulley-assigner/src/config.rs
@@ -90,15 +90,15 @@
     start.channel.bind_lines = 2.0;
     let facts = rookpulley_start::front_facts(&file.settings)?;
     let words = Words {
-        zones: start.place.zones.clone(),
+        zones: start.topology.zones.clone(),
         machines: facts.machines,
         kinds: start.kinds.iter().map(|k| k.name.clone()).collect(),
         load: start.load_fields.clone(),
-        proxies: start.place.proxies,
+        proxies: start.topology.proxies,
         versions: false,
     };
     let known = words.decode_list(&file.known.to_string())?;
-    let peers = match start.means.peers {
+    let peers = match start.capabilities.peers {
         false => None,
         true => Some(PeerPlaces {
             listen: file.peer_listen.ok_or(Unusable::Peers("peer_listen"))?,
--- a/crates/rookpulley-assigner/src/lib.rs
+++ b/crates/rookpulley-assigner/src/lib.rs
@@ -141,7 +141,7 @@
             notes = Some(Rc::new(Peers {
                 socket,
                 places,
-                own: start.place.index,
+                own: start.topology.index,
             }));
         }
         let (sender, events) = mpsc::channel(EVENTS);
@@ -201,7 +201,7 @@
             mut print,
             reload,
         } = signals;
-        let ask = start.list.asked;
+        let ask = start.list.on_request;
         let roster = Roster::new(self.discovery, known.version, ask, front.clone());
         if !ask {
             tokio::task::spawn_local(roster.clone().follow(Pauses::new(start.seed)));
--- a/crates/rookpulley-assigner/src/operators.rs
+++ b/crates/rookpulley-assigner/src/operators.rs
@@ -81,7 +81,7 @@
         },
         1,
         keep,
-        Patience::for_transit(channel.transit_most_ms),
+        Patience::for_transit(channel.max_transit_ms),
     )
 }
 
--- a/crates/rookpulley-lists/src/candidate.rs
+++ b/crates/rookpulley-lists/src/candidate.rs
@@ -64,7 +64,7 @@
 impl Facts {
     /// As a start tells them; kinds of machine are named by the front.
     pub fn of(start: &Start, machines: &[String]) -> Self {
-        let zones = start.place.zones.clone();
+        let zones = start.topology.zones.clone();
         let names = |places: &[u16], of: &[String]| {
             places
                 .iter()
--- a/crates/rookpulley-registry/src/decision_module.rs
+++ b/crates/rookpulley-registry/src/decision_module.rs
@@ -109,39 +109,39 @@
     let proxies = parameters.proxies;
     Start {
         seed: parameters.seed,
-        place: Topology {
+        topology: Topology {
             controllers: 1,
             proxies,
             ..Topology::default()
         },
         kinds: vec![request_kind(parameters.latency_target_ms)],
         bounds: SafetyBounds {
-            bare_ms: 3_000.0,
+            max_unbound_ms: 3_000.0,
             drain_grace_ms: 2_500.0,
             cold_share: 0.5,
-            cold_ms: WARM_UP_MS,
+            warm_up_ms: WARM_UP_MS,
             fall_multiple: 2.0,
-            fall_ms: 2_000.0,
-            only_draining_binds: false,
+            overload_ms: 2_000.0,
+            soft_removal: false,
         },
         channel: ChannelLimits {
             lines_per_s: LINES_PER_S,
-            head_lines: 1.0,
+            header_lines: 1.0,
             bind_lines: 1.0,
             backlog_lines: BACKLOG_SHARE * (MAX_ENTRIES + 1.0) * f64::from(proxies),
             messages_most: 0,
-            messages_over_ms: 10_000.0,
+            message_window_ms: 10_000.0,
             transit_ms: 50.0,
-            transit_most_ms: 300.0,
+            max_transit_ms: 300.0,
         },
-        habits: ProxyBehavior {
+        proxy_behavior: ProxyBehavior {
             levels: AdmissionMode::Unsupported,
             ..ProxyBehavior::default()
         },
         list: ListSettings::default(),
-        means: Capabilities {
+        capabilities: Capabilities {
             report_period_ms: 1_000.0,
-            conns_least: if connections > 0.0 {
+            min_connections: if connections > 0.0 {
                 connections
             } else {
                 f64::INFINITY
@@ -150,7 +150,7 @@
             flow_steps: FLOW_STEPS,
             // An instance that enters makes a revision a second until it is warm, so no single one of a release is ever
             // judged.
-            verdicts_shared: true,
+            shared_verdicts: true,
             ..Capabilities::default()
         },
         load_fields: Vec::new(),
--- a/crates/rookpulley-start/src/lib.rs
+++ b/crates/rookpulley-start/src/lib.rs
@@ -175,7 +175,7 @@
         "rate" => AdmissionMode::Rate,
         _ => AdmissionMode::Unsupported,
     };
-    let usual_retry = match family.num_or("usual_how", 0.0) as u8 {
+    let default_retry = match family.num_or("usual_how", 0.0) as u8 {
         0 => Retry::Never,
         1 => Retry::IfUnrun,
         2 => Retry::OnceAfterAny,
@@ -183,7 +183,7 @@
     };
     Ok(Start {
         seed,
-        place: Topology {
+        topology: Topology {
             index: top.num("self_index")? as u16,
             controllers: top.num("balancers")? as u16,
             zone: top.num("locality")? as u16,
@@ -200,47 +200,47 @@
             .map(|(place, value)| read_kind(value, place, &family))
             .collect::<Result<_, _>>()?,
         bounds: SafetyBounds {
-            bare_ms: family.ms("empty_for_us")?,
+            max_unbound_ms: family.ms("empty_for_us")?,
             drain_grace_ms: rules.ms("drain_grace_us")?,
             cold_share: rules.num("cold_share")?,
-            cold_ms: rules.ms("ramp_time_us")?,
+            warm_up_ms: rules.ms("ramp_time_us")?,
             fall_multiple: rules.num("fall_multiple")?,
-            fall_ms: rules.ms("tip_after_us")?,
-            only_draining_binds: rules.flag("soft_removal"),
+            overload_ms: rules.ms("tip_after_us")?,
+            soft_removal: rules.flag("soft_removal"),
         },
         channel: ChannelLimits {
             lines_per_s: family.num("lines_per_s")?,
-            head_lines: family.num("envelope")?,
+            header_lines: family.num("envelope")?,
             bind_lines: 1.0,
             backlog_lines: family.num("backlog")?,
             messages_most: family.num_or("messages_most", 0.0) as u32,
-            messages_over_ms: family.num_or("counted_over_us", 0.0) / 1000.0,
+            message_window_ms: family.num_or("counted_over_us", 0.0) / 1000.0,
             transit_ms: family.ms("transit_us")?,
-            transit_most_ms: family.ms("push_delay_max_us")?,
+            max_transit_ms: family.ms("push_delay_max_us")?,
         },
-        habits: ProxyBehavior {
+        proxy_behavior: ProxyBehavior {
             levels,
-            usual_retry,
-            try_targets: family.num_or("per_try", 1.0),
+            default_retry,
+            try_timeout_targets: family.num_or("per_try", 1.0),
             standing_lines: family.num_or("initial_set", 0.0) as u32,
             write_in_flight_ms: family.num_or("in_flight_max_us", 0.0) / 1000.0,
         },
         list: ListSettings {
-            asked: top.text("registry_mode")? == "on_request",
+            on_request: top.text("registry_mode")? == "on_request",
             ask_within_ms: rules.num_or("ask_within_us", 0.0) / 1000.0,
             live_weights: top.text("weight_kind").unwrap_or_default() == "live",
         },
-        means: Capabilities {
+        capabilities: Capabilities {
             peers: limits.flag("peers"),
             probes: limits.flag("probing"),
             cross_zone_price: charges.num_or("cross_zone", 0.0),
             flow_steps: COARSE_FLOW_STEPS,
             report_period_ms: family.num_or("period_us", 1e6) / 1000.0,
             report_lines_per_s: family.num_or("reports_per_s", 0.0),
-            conns_least: family.num_or("min_conn_cap", f64::INFINITY),
+            min_connections: family.num_or("min_conn_cap", f64::INFINITY),
             slices: family.num_or("shards", 0.0) as u32,
             single_owner: family.flag("one_owner"),
-            verdicts_shared: false,
+            shared_verdicts: false,
         },
         load_fields: load.value["fields"]
             .as_array()
--- a/examples/call_cost.rs
+++ b/examples/call_cost.rs
@@ -15,10 +15,13 @@
     start.kinds = ["view", "submit"]
         .map(|name| harness::kind(name, 1.0, RepeatSafety::Replayable))
         .to_vec();
-    (start.place.proxies, start.place.controllers) = (proxies, 5);
-    start.place.zones = ["a", "b", "c"].map(String::from).to_vec();
-    start.habits = ProxyBehavior::default();
-    (start.means.cross_zone_price, start.means.conns_least) = (0.08, 150.0);
+    (start.topology.proxies, start.topology.controllers) = (proxies, 5);
+    start.topology.zones = ["a", "b", "c"].map(String::from).to_vec();
+    start.proxy_behavior = ProxyBehavior::default();
+    (
+        start.capabilities.cross_zone_price,
+        start.capabilities.min_connections,
+    ) = (0.08, 150.0);
     (
         start.channel.lines_per_s,
         start.channel.backlog_lines,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -85,29 +85,29 @@
 /// The figures of the five rules.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SafetyBounds {
-    pub bare_ms: f64,
+    pub max_unbound_ms: f64,
     pub drain_grace_ms: f64,
     pub cold_share: f64,
-    pub cold_ms: f64,
+    pub warm_up_ms: f64,
     pub fall_multiple: f64,
-    pub fall_ms: f64,
+    pub overload_ms: f64,
     /// Only a server listed as draining binds; one merely dropped may stay.
-    pub only_draining_binds: bool,
+    pub soft_removal: bool,
 }
 
 /// The channel from a controller to its proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ChannelLimits {
     pub lines_per_s: f64,
-    pub head_lines: f64,
+    pub header_lines: f64,
     /// What a line of a whole table counts for at the binding, with all that has to go with it.
     pub bind_lines: f64,
     pub backlog_lines: f64,
     /// 0: no such limit.
     pub messages_most: u32,
-    pub messages_over_ms: f64,
+    pub message_window_ms: f64,
     pub transit_ms: f64,
-    pub transit_most_ms: f64,
+    pub max_transit_ms: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -122,9 +122,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProxyBehavior {
     pub levels: AdmissionMode,
-    pub usual_retry: Retry,
+    pub default_retry: Retry,
     /// A try that may be followed waits this many response targets.
-    pub try_targets: f64,
+    pub try_timeout_targets: f64,
     pub standing_lines: u32,
     pub write_in_flight_ms: f64,
 }
@@ -132,7 +132,7 @@
 /// How the server list is followed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ListSettings {
-    pub asked: bool,
+    pub on_request: bool,
     pub ask_within_ms: f64,
     /// The listed weights change with the load.
     pub live_weights: bool,
@@ -151,12 +151,12 @@
     pub report_period_ms: f64,
     pub report_lines_per_s: f64,
     /// The fewest connections that a server accepts; infinite where that is not told.
-    pub conns_least: f64,
+    pub min_connections: f64,
     /// 0: no slices; otherwise every slice is a table of its own.
     pub slices: u32,
     pub single_owner: bool,
     /// Revisions that followed each other faster than any could be judged are judged together.
-    pub verdicts_shared: bool,
+    pub shared_verdicts: bool,
 }
 
 /// What the figures of a load report mean, in their order.
@@ -175,13 +175,13 @@
 #[derive(Clone, Debug)]
 pub struct Start {
     pub seed: u64,
-    pub place: Topology,
+    pub topology: Topology,
     pub kinds: Vec<RequestKind>,
     pub bounds: SafetyBounds,
     pub channel: ChannelLimits,
-    pub habits: ProxyBehavior,
+    pub proxy_behavior: ProxyBehavior,
     pub list: ListSettings,
-    pub means: Capabilities,
+    pub capabilities: Capabilities,
     pub load_fields: Vec<LoadField>,
 }
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -98,7 +98,7 @@
                 };
                 self.log.extend(table.judge(
                     now,
-                    self.means.report_period_ms,
+                    self.capabilities.report_period_ms,
                     p.zone,
                     &mut self.fleet,
                 ));
@@ -121,7 +121,7 @@
                 .servers
                 .values_mut()
                 .for_each(|s| s.part = parts::part_of(now, s, sure, &self.bounds));
-            if self.means.slices == 0 {
+            if self.capabilities.slices == 0 {
                 self.cut_tables(now);
             }
             self.end_ways_back(&mut out);
@@ -147,7 +147,7 @@
             }
             Input::List { scope, lines, .. } => {
                 self.ask_again_ms = ROUND_MS;
-                let soft = self.bounds.only_draining_binds;
+                let soft = self.bounds.soft_removal;
                 self.fleet.take(now, *scope, lines, soft, &mut self.log);
                 self.hasty = true;
             }
--- a/src/rules/arcs.rs
+++ b/src/rules/arcs.rs
@@ -21,7 +21,7 @@
 
 /// How many servers a mean proxy's arc reaches over, in coarse steps so that it holds still.
 fn lines_for(ring: f64, own: f64, by_conns: f64, pace: &ChannelLimits) -> f64 {
-    let by_queue = WRITE_PART * pace.backlog_lines / own - pace.head_lines;
+    let by_queue = WRITE_PART * pace.backlog_lines / own - pace.header_lines;
     let most = (ring / own / LAID_PART)
         .min(by_conns)
         .min(by_queue)
@@ -31,14 +31,14 @@
 
 impl Controller {
     pub(super) fn cut_tables(&mut self, now: f64) {
-        let near = self.means.cross_zone_price > NEAR_PRICE;
+        let near = self.capabilities.cross_zone_price > NEAR_PRICE;
         let zone_of = |zone: ZoneId| if near { zone } else { 0 };
         // A jam costs more than crossing zones does: then they are loaded evenly.
         let jam = self.valves.mode == Mode::Tight;
         let slack = if jam {
             0.0
         } else {
-            SLACK_PER_PRICE * self.means.cross_zone_price
+            SLACK_PER_PRICE * self.capabilities.cross_zone_price
         };
         let demand = self.demand.zones_held(zone_of);
         let sized: f64 = self.demand.proxies.values().map(|p| p.sized_per_s).sum();
@@ -51,7 +51,7 @@
             .collect();
         let zones: BTreeSet<ZoneId> = ready.iter().map(|s| zone_of(s.listed.zone)).collect();
         let (servers, own) = (ready.len() as f64, self.proxies / self.controllers);
-        let by_conns = CONNS_PART * self.means.conns_least * servers / self.proxies;
+        let by_conns = CONNS_PART * self.capabilities.min_connections * servers / self.proxies;
         let mean_lines = lines_for(
             servers / zones.len().max(1) as f64,
             own,
@@ -106,7 +106,7 @@
                         &demand,
                         &room,
                         slack,
-                        self.means.flow_steps,
+                        self.capabilities.flow_steps,
                     ),
                 };
                 let wanted = (mean_lines * p.sized_per_s / mean_per_s).max(least_lines);
--- a/src/rules/gate.rs
+++ b/src/rules/gate.rs
@@ -54,13 +54,13 @@
 
     pub(super) fn gate(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.channel
-            .pass_time(now, self.pace.lines_per_s, self.pace.transit_most_ms);
+            .pass_time(now, self.pace.lines_per_s, self.pace.max_transit_ms);
         let joined = self.demand.joined();
         if joined.is_empty() {
             self.channel.left = self.channel.written;
         }
         // What can wait, waits while a proxy has had most of the messages it may be written.
-        let over_ms = self.pace.messages_over_ms + 500.0;
+        let over_ms = self.pace.message_window_ms + 500.0;
         let written = |p: &mut Proxy| {
             if p.joined {
                 p.written.over(now, over_ms)[0]
@@ -85,7 +85,7 @@
         self.withdraw(now, free, true, &mut reached, out);
         // Levels go to everybody: where the queue has no room for that or for all that is urgent, they wait.
         let admits = self.admits(now);
-        let head = self.pace.head_lines + 1.0;
+        let head = self.pace.header_lines + 1.0;
         let size = (head + admits.len() as f64) * joined.len() as f64;
         let waiting = self.channel.waiting() + reached.lines;
         let fits = !self.hasty && waiting + size <= self.pace.backlog_lines * DELTAS_PART;
@@ -134,12 +134,15 @@
     ) {
         let mut due = self.fleet.withdrawals.clone();
         due.retain(|_, shut| *shut || free);
-        let (head, level) = (self.pace.head_lines + 1.0, self.valves.ordered.len() as f64);
+        let (head, level) = (
+            self.pace.header_lines + 1.0,
+            self.valves.ordered.len() as f64,
+        );
         let (room, limit) = (
             room(&self.pace) * BARE_PART,
             self.pace.backlog_lines * WITHDRAWN_PART,
         );
-        let in_time_ms = GRACE_PART * (self.bounds.drain_grace_ms - self.pace.transit_most_ms);
+        let in_time_ms = GRACE_PART * (self.bounds.drain_grace_ms - self.pace.max_transit_ms);
         let bound = self.groups.len() as f64 * (LINES_LEAST * self.pace.bind_lines + level + 1.0);
         let holders = self.holders(&self.demand.joined(), due.keys());
         let all = holders.values().map(Vec::len).sum::<usize>() as f64 * (head + 1.0);
@@ -195,7 +198,7 @@
         };
         let (zone, written) = (
             p.zone,
-            p.written.over(now, self.pace.messages_over_ms + 500.0)[0],
+            p.written.over(now, self.pace.message_window_ms + 500.0)[0],
         );
         let most = f64::from(self.pace.messages_most);
         if most > 0.0 && written + 1.0 > most * part && !reached.by_proxy.contains_key(&id) {
@@ -226,7 +229,7 @@
             lines.len() as f64 * self.pace.bind_lines + self.valves.ordered.len() as f64 + 1.0;
         let size = if bare { whole } else { deltas.len() as f64 };
         let (head, waiting) = (
-            self.pace.head_lines + 1.0,
+            self.pace.header_lines + 1.0,
             self.channel.waiting() + reached.lines,
         );
         if waiting + reached.cost(id, head, size) > room(&self.pace) * part {
@@ -263,7 +266,7 @@
         if table.published != published {
             let before = std::mem::replace(&mut table.published, published);
             // What was never found sound can't vouch for what follows it.
-            if self.means.verdicts_shared && table.trial.is_some() {
+            if self.capabilities.shared_verdicts && table.trial.is_some() {
                 table.unproven.push(before);
             } else {
                 table.unproven.clear();
--- a/src/rules/parts.rs
+++ b/src/rules/parts.rs
@@ -21,7 +21,7 @@
 /// What it is sure to do of its full work.
 fn sure_of(now: f64, server: &Server, bounds: &SafetyBounds) -> f64 {
     let age = now - server.listed.started_ms;
-    bounds.cold_share + (1.0 - bounds.cold_share) * (age / bounds.cold_ms).clamp(0.0, 1.0)
+    bounds.cold_share + (1.0 - bounds.cold_share) * (age / bounds.warm_up_ms).clamp(0.0, 1.0)
 }
 
 pub(super) fn is_cold(now: f64, server: &Server, bounds: &SafetyBounds) -> bool {
--- a/src/state.rs
+++ b/src/state.rs
@@ -410,7 +410,7 @@
     pub(crate) kinds: Vec<RequestKind>,
     pub(crate) bounds: SafetyBounds,
     pub(crate) pace: ChannelLimits,
-    pub(crate) means: Capabilities,
+    pub(crate) capabilities: Capabilities,
     /// Where a load report tells the reqs held, or only those queued.
     pub(crate) held_at: Option<usize>,
     pub(crate) queue_only: bool,
@@ -446,13 +446,13 @@
             kinds,
             bounds: start.bounds,
             pace: start.channel,
-            means: start.means,
+            capabilities: start.capabilities,
             held_at: position(LoadField::Held).or(position(LoadField::Queue)),
             queue_only: position(LoadField::Held).is_none(),
-            list_asked: start.list.asked,
+            list_asked: start.list.on_request,
             ask_again_ms: 0.0,
-            proxies: f64::from(start.place.proxies.max(1)),
-            controllers: f64::from(start.place.controllers.max(1)),
+            proxies: f64::from(start.topology.proxies.max(1)),
+            controllers: f64::from(start.topology.controllers.max(1)),
             fleet: Fleet::default(),
             demand: Demand {
                 proxies: BTreeMap::new(),
@@ -465,7 +465,7 @@
                 ..Channel::default()
             },
             valves: Valves {
-                levels: start.habits.levels,
+                levels: start.proxy_behavior.levels,
                 ..Valves::default()
             },
             started: false,
@@ -488,7 +488,7 @@
             .demand
             .proxies
             .iter()
-            .filter(|(_, p)| p.joined && self.means.peers);
+            .filter(|(_, p)| p.joined && self.capabilities.peers);
         let mut own: Vec<NoteLine> = joined.map(|(id, p)| (*id, p.zone, p.met_per_s)).collect();
         let count = ((own.len() as f64 * part).ceil() as usize)
             .max(NOTE_LINES)
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -86,7 +86,7 @@
 #[test]
 fn a_new_server_gets_what_the_settings_are_sure_it_can_do() {
     let mut soon_warm = start();
-    (soon_warm.bounds.cold_share, soon_warm.bounds.cold_ms) = (0.85, 1_000.0);
+    (soon_warm.bounds.cold_share, soon_warm.bounds.warm_up_ms) = (0.85, 1_000.0);
     let mut harness = settled(soon_warm);
     harness.pass(9_000.0, calm);
     harness
@@ -176,7 +176,7 @@
 #[test]
 fn dropped_server_stays_while_it_answers() {
     let mut soft = start();
-    soft.bounds.only_draining_binds = true;
+    soft.bounds.soft_removal = true;
     let mut harness = settled(soft);
     harness.pass(3_000.0, calm);
     harness.note("the list drops s2 and s3, where only draining binds; both do well");
@@ -196,7 +196,7 @@
 #[test]
 fn tables_whose_servers_all_left_go_first() {
     let mut far = start();
-    far.means.cross_zone_price = 0.1;
+    far.capabilities.cross_zone_price = 0.1;
     far.channel.backlog_lines = 50.0;
     let mut harness = Harness::new(
         far,
@@ -383,16 +383,16 @@
 #[test]
 fn a_jam_where_no_level_can_be_set() {
     let mut ignored = start();
-    ignored.habits.levels = AdmissionMode::Unsupported;
+    ignored.proxy_behavior.levels = AdmissionMode::Unsupported;
     assert_snapshot!(jam(ignored).trace);
 }
 
 #[test]
 fn zones_spill_by_peers_notes() {
     let mut near = start();
-    near.means.cross_zone_price = 0.1;
-    near.means.peers = true;
-    near.place.proxies = 4;
+    near.capabilities.cross_zone_price = 0.1;
+    near.capabilities.peers = true;
+    near.topology.proxies = 4;
     let mut harness = Harness::new(
         near,
         vec![listed(1, 0), listed(2, 0), listed(3, 1), listed(4, 1)],
@@ -430,7 +430,7 @@
         zones: vec![1],
         ..kind("charge", 3.0, RepeatSafety::NonReplayable)
     });
-    bound.means.cross_zone_price = 0.1;
+    bound.capabilities.cross_zone_price = 0.1;
     let mut harness = Harness::new(
         bound,
         vec![listed(1, 0), listed(2, 0), listed(3, 1), listed(4, 1)],
@@ -443,8 +443,8 @@
 #[test]
 fn arc_follows_usage_that_stays_off() {
     let mut many = start();
-    many.place.proxies = 100;
-    many.means.conns_least = 100.0;
+    many.topology.proxies = 100;
+    many.capabilities.min_connections = 100.0;
     let mut harness = Harness::new(many, (1..=16).map(|n| listed(n, 0)).collect());
     (0..3).for_each(|p| harness.join(p, 0));
     harness.pass(1_000.0, |_| ());
@@ -487,7 +487,7 @@
 #[test]
 fn arcs_narrow_where_connections_are_refused() {
     let mut many = start();
-    (many.place.proxies, many.place.controllers) = (4, 1);
+    (many.topology.proxies, many.topology.controllers) = (4, 1);
     many.load_fields = vec![LoadField::Held];
     let mut harness = Harness::new(many, (1..=8).map(|n| listed(n, 0)).collect());
     (0..4).for_each(|p| harness.join(p, 0));
@@ -510,12 +510,12 @@
 #[test]
 fn no_cold_server_gets_more_than_its_share_of_what_all_bring() {
     let mut many = start();
-    (many.place.proxies, many.place.controllers) = (60, 1);
+    (many.topology.proxies, many.topology.controllers) = (60, 1);
     many.load_fields = vec![LoadField::Held];
     (many.channel.backlog_lines, many.channel.lines_per_s) = (1e6, 1e6);
     (
         many.bounds.cold_share,
-        many.bounds.cold_ms,
+        many.bounds.warm_up_ms,
         many.bounds.fall_multiple,
     ) = (0.5, 60_000.0, 6.0);
     let mut harness = Harness::new(many, (1..=40).map(|k| listed(3 * k, 0)).collect());
@@ -624,7 +624,7 @@
 #[test]
 fn list_is_asked_again_with_growing_pauses() {
     let mut asked = start();
-    asked.list.asked = true;
+    asked.list.on_request = true;
     let mut harness = Harness::new(asked, four());
     for _ in 0..5 {
         harness.give(vec![Input::List {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -73,20 +73,23 @@
         start.kinds = ["view", "submit"]
             .map(|name| harness::kind(name, 1.0, RepeatSafety::Replayable))
             .to_vec();
-        (start.place.proxies, start.place.controllers) = (proxies, 5);
-        start.place.zones = ["a", "b", "c"].map(String::from).to_vec();
+        (start.topology.proxies, start.topology.controllers) = (proxies, 5);
+        start.topology.zones = ["a", "b", "c"].map(String::from).to_vec();
         start.bounds.drain_grace_ms = 10_400.0;
-        start.habits.levels = AdmissionMode::Unsupported;
-        (start.means.cross_zone_price, start.means.conns_least) = (0.08, 170.0);
+        start.proxy_behavior.levels = AdmissionMode::Unsupported;
+        (
+            start.capabilities.cross_zone_price,
+            start.capabilities.min_connections,
+        ) = (0.08, 170.0);
         start.channel = ChannelLimits {
             lines_per_s: 5_200.0,
-            head_lines: 6.0,
+            header_lines: 6.0,
             bind_lines: 2.0,
             backlog_lines: 59_300.0,
             messages_most: 0,
-            messages_over_ms: 10_000.0,
+            message_window_ms: 10_000.0,
             transit_ms: 100.0,
-            transit_most_ms: TRANSIT_MS,
+            max_transit_ms: TRANSIT_MS,
         };
         let (pace, grace_ms, kinds) = (
             start.channel,
@@ -222,7 +225,7 @@
         }
         for (proxy, draft) in drafts {
             let message = Message {
-                lines: draft.lines + 1.0 + self.pace.head_lines,
+                lines: draft.lines + 1.0 + self.pace.header_lines,
                 mark,
                 ..draft
             };
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -53,7 +53,7 @@
 pub fn start() -> Start {
     Start {
         seed: 7,
-        place: Topology {
+        topology: Topology {
             controllers: 2,
             zones: vec!["a".into(), "b".into()],
             proxies: 2,
@@ -61,33 +61,33 @@
         },
         kinds: vec![kind("view", 1.0, RepeatSafety::Replayable)],
         bounds: SafetyBounds {
-            bare_ms: 3_000.0,
+            max_unbound_ms: 3_000.0,
             drain_grace_ms: 2_000.0,
             cold_share: 0.25,
-            cold_ms: 15_000.0,
+            warm_up_ms: 15_000.0,
             fall_multiple: 3.0,
-            fall_ms: 2_000.0,
-            only_draining_binds: false,
+            overload_ms: 2_000.0,
+            soft_removal: false,
         },
         channel: ChannelLimits {
             lines_per_s: 1_000.0,
-            head_lines: 6.0,
+            header_lines: 6.0,
             bind_lines: 1.0,
             backlog_lines: 1_500.0,
             messages_most: 0,
-            messages_over_ms: 10_000.0,
+            message_window_ms: 10_000.0,
             transit_ms: 100.0,
-            transit_most_ms: 300.0,
+            max_transit_ms: 300.0,
         },
-        habits: ProxyBehavior {
+        proxy_behavior: ProxyBehavior {
             levels: AdmissionMode::Rate,
-            usual_retry: Retry::IfUnrun,
+            default_retry: Retry::IfUnrun,
             ..ProxyBehavior::default()
         },
         list: ListSettings::default(),
-        means: Capabilities {
+        capabilities: Capabilities {
             report_period_ms: 1_000.0,
-            conns_least: f64::INFINITY,
+            min_connections: f64::INFINITY,
             flow_steps: COARSE_FLOW_STEPS,
             ..Capabilities::default()
         },
