--- a/crates/rookpulley-assigner/examples/tick.rs
+++ b/crates/rookpulley-assigner/examples/tick.rs
@@ -94,9 +94,9 @@
 const PROXIES: ProxyId = 400;
 const SERVERS: usize = 120;
 
-fn server(n: usize, stage: Stage, started_ms: f64) -> Listed {
+fn server(n: usize, stage: Stage, started_ms: f64) -> ServerEntry {
     let zone = (n % 3) as ZoneId;
-    Listed {
+    ServerEntry {
         server: server_id(&format!("s-{n}")),
         stage,
         weight: 1.0,
--- a/crates/rookpulley-assigner/src/driver.rs
+++ b/crates/rookpulley-assigner/src/driver.rs
@@ -470,7 +470,7 @@
                 // On sockets there is no way to probe.
                 Effect::Probe { server } => {
                     self.front.counters.one("probes not possible");
-                    let (answer, took_ms, load) = (ProbeAnswer::Void, 0.0, Vec::new());
+                    let (answer, took_ms, load) = (ProbeOutcome::Void, 0.0, Vec::new());
                     self.inputs.push(Input::Probed {
                         server,
                         answer,
--- a/crates/rookpulley-assigner/src/messages.rs
+++ b/crates/rookpulley-assigner/src/messages.rs
@@ -200,12 +200,12 @@
 
 fn load_field(name: &str) -> LoadField {
     match name {
-        "inflight" | "concurrent" => LoadField::Held,
+        "inflight" | "concurrent" => LoadField::InFlight,
         "queue" | "depth" => LoadField::Queue,
         "util" | "load_share" => LoadField::Busy,
         "latency_ms" | "mean_ms" => LoadField::ServiceMs,
-        "qps" | "tps" => LoadField::DonePerS,
-        "eps" | "err_ps" => LoadField::ErroredPerS,
+        "qps" | "tps" => LoadField::CompletedPerS,
+        "eps" | "err_ps" => LoadField::FailedPerS,
         _ => LoadField::Other,
     }
 }
@@ -434,7 +434,7 @@
 pub struct List {
     pub version: u64,
     pub whole: bool,
-    pub lines: Vec<Listed>,
+    pub lines: Vec<ServerEntry>,
     /// In the order of the lines.
     pub names: Vec<String>,
 }
@@ -453,7 +453,7 @@
             if !(weight >= 0.0 && started_ms >= 0.0) {
                 return Err(Bad::Unreadable("a figure below 0".into()));
             }
-            list.lines.push(Listed {
+            list.lines.push(ServerEntry {
                 server: server_id(&server.name),
                 zone: place(&self.zones, &server.zone).unwrap_or(ELSEWHERE),
                 machine: place(&self.machines, &server.machine).unwrap_or(ELSEWHERE),
--- a/crates/rookpulley-assigner/src/servers.rs
+++ b/crates/rookpulley-assigner/src/servers.rs
@@ -3,7 +3,7 @@
 use crate::driver::{Event, Front};
 use crate::messages::{ELSEWHERE, List, Words, server_id};
 use crate::say;
-use rookpulley::interface::{ListScope, Listed, Stage, Start};
+use rookpulley::interface::{ListScope, ServerEntry, Stage, Start};
 use rookpulley_files::watch::{Found, follow};
 use rookpulley_lists::{Facts, Lists, Told};
 use rookpulley_operators::asks::{ServerList, ServerRow};
@@ -141,7 +141,7 @@
                 .position(|n| n == name)
                 .map_or(ELSEWHERE, |p| p as u16)
         };
-        list.lines.push(Listed {
+        list.lines.push(ServerEntry {
             server: server_id(&entry.name),
             zone: place(&words.zones, &entry.zone),
             machine: place(&words.machines, &entry.machine),
--- a/crates/rookpulley-assigner/tests/orders.rs
+++ b/crates/rookpulley-assigner/tests/orders.rs
@@ -74,7 +74,7 @@
     };
     orders.join(0.0, 0, true, None);
     orders.join(0.0, 1, false, None);
-    let all = admit(None, 0, 1.0, Retry::IfUnrun);
+    let all = admit(None, 0, 1.0, Retry::IfNotExecuted);
     step(
         &mut orders,
         "a level for all reaches the joined",
@@ -410,7 +410,7 @@
                 None,
                 kinds,
                 f64::from(rng.random_range(0..3_u8)),
-                Retry::IfUnrun,
+                Retry::IfNotExecuted,
             ),
             18 => admit(
                 Some(table),
--- a/crates/rookpulley-registry/src/hosted_service.rs
+++ b/crates/rookpulley-registry/src/hosted_service.rs
@@ -298,7 +298,7 @@
         excess >= MORE_INSTANCES * MORE_INSTANCES_FOR_MS
     }
 
-    fn take_entering(&mut self, now: f64, is_settling: bool) -> Vec<Listed> {
+    fn take_entering(&mut self, now: f64, is_settling: bool) -> Vec<ServerEntry> {
         let interval_ms = if is_settling {
             SETTLING_ENTER_INTERVAL_MS
         } else {
--- a/crates/rookpulley-registry/src/server_list.rs
+++ b/crates/rookpulley-registry/src/server_list.rs
@@ -4,7 +4,7 @@
 //! started; what it is told is remembered, so that only changes go to it.
 
 use crate::registry::{Instance, InstanceStatus};
-use rookpulley::interface::{Listed, ServerId, Stage, ZoneId};
+use rookpulley::interface::{ServerEntry, ServerId, Stage, ZoneId};
 use rookpulley_protocol::{IncarnationId, TableEntry};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -52,8 +52,8 @@
 }
 
 impl AnnouncedServer {
-    fn listed(&self, server: ServerId) -> Listed {
-        Listed {
+    fn listed(&self, server: ServerId) -> ServerEntry {
+        ServerEntry {
             server,
             zone: self.zone,
             machine: 0,
@@ -129,7 +129,7 @@
     }
 
     /// The first list of a module. What is warm counts as started long ago.
-    pub fn first_list(&mut self, now: f64) -> Vec<Listed> {
+    pub fn first_list(&mut self, now: f64) -> Vec<ServerEntry> {
         self.reset();
         let entered = self.take_entering(now);
         let warm =
@@ -137,7 +137,7 @@
         for server in self.announced.values_mut().filter(warm) {
             server.started_ms = STARTED_LONG_AGO_MS;
         }
-        let listed = |line: &Listed| {
+        let listed = |line: &ServerEntry| {
             let announced = self.announced.get(&line.server)?;
             Some(announced.listed(line.server))
         };
@@ -145,7 +145,7 @@
     }
 
     /// Lines for the servers that must leave at once.
-    pub fn take_leaving(&mut self) -> Vec<Listed> {
+    pub fn take_leaving(&mut self) -> Vec<ServerEntry> {
         let mut lines = Vec::new();
         for (server, announced) in &mut self.announced {
             let observed = self.observed.get(server).map(|o| &o.instance);
@@ -185,7 +185,7 @@
     }
 
     /// Lines for the servers that are new, come back or have another weight.
-    pub fn take_entering(&mut self, now: f64) -> Vec<Listed> {
+    pub fn take_entering(&mut self, now: f64) -> Vec<ServerEntry> {
         self.update_mean_slots();
         let mut entering = Vec::new();
         for (server, observed) in self.live() {
--- a/crates/rookpulley-start/src/lib.rs
+++ b/crates/rookpulley-start/src/lib.rs
@@ -120,12 +120,12 @@
 
 fn read_load_field(name: &Value) -> LoadField {
     match name.as_str().unwrap_or_default() {
-        "concurrent" => LoadField::Held,
+        "concurrent" => LoadField::InFlight,
         "depth" => LoadField::Queue,
         "load_share" => LoadField::Busy,
         "mean_ms" => LoadField::ServiceMs,
-        "tps" => LoadField::DonePerS,
-        "err_ps" => LoadField::ErroredPerS,
+        "tps" => LoadField::CompletedPerS,
+        "err_ps" => LoadField::FailedPerS,
         _ => LoadField::Other,
     }
 }
@@ -177,7 +177,7 @@
     };
     let default_retry = match family.num_or("usual_how", 0.0) as u8 {
         0 => Retry::Never,
-        1 => Retry::IfUnrun,
+        1 => Retry::IfNotExecuted,
         2 => Retry::OnceAfterAny,
         _ => Retry::TwiceAfterAny,
     };
--- a/crates/rookpulley-wirehost/src/wire.rs
+++ b/crates/rookpulley-wirehost/src/wire.rs
@@ -1,6 +1,6 @@
 //! Frames: little-endian, fixed records, one shared tail.
 
-use rookpulley::interface::{Effect, Input, ListScope, Listed, ProbeAnswer, ServerId, Stage};
+use rookpulley::interface::{Effect, Input, ListScope, ProbeOutcome, ServerEntry, ServerId, Stage};
 
 pub const BATCH_HEAD: usize = 20;
 const EVENT: usize = 48;
@@ -162,7 +162,7 @@
                     2 => Stage::Draining,
                     other => return Err(self.no_meaning("stage_state", other)),
                 };
-                Ok(Listed {
+                Ok(ServerEntry {
                     server: bytes_at(e, 0),
                     zone: u16_at(e, 6),
                     machine: u16_at(e, 8),
@@ -187,13 +187,13 @@
             18 => Input::Alarm { name: u64_at(b, 5) },
             19 => Input::Probed {
                 answer: match b[5] {
-                    0 => ProbeAnswer::Done,
-                    5 => ProbeAnswer::Errored,
-                    11 => ProbeAnswer::Denied,
-                    110 => ProbeAnswer::TimedOut,
-                    111 => ProbeAnswer::Unreachable,
-                    104 => ProbeAnswer::Broken,
-                    114 | 125 => ProbeAnswer::Void,
+                    0 => ProbeOutcome::Done,
+                    5 => ProbeOutcome::Errored,
+                    11 => ProbeOutcome::Denied,
+                    110 => ProbeOutcome::TimedOut,
+                    111 => ProbeOutcome::Unreachable,
+                    104 => ProbeOutcome::Broken,
+                    114 | 125 => ProbeOutcome::Void,
                     other => return Err(self.no_meaning("rc", other)),
                 },
                 server: bytes_at(b, 6),
--- a/examples/call_cost.rs
+++ b/examples/call_cost.rs
@@ -30,10 +30,10 @@
     start
 }
 
-fn listed(n: u16, stage: Stage) -> Listed {
+fn listed(n: u16, stage: Stage) -> ServerEntry {
     let [low, high] = n.to_le_bytes();
     let (server, zone) = ([10, 0, high, low, 80, 0], n % 3);
-    Listed {
+    ServerEntry {
         server,
         zone,
         machine: 0,
@@ -44,7 +44,7 @@
     }
 }
 
-fn change(lines: Vec<Listed>) -> Vec<Input> {
+fn change(lines: Vec<ServerEntry>) -> Vec<Input> {
     vec![Input::List {
         scope: ListScope::Changes,
         version: 2,
@@ -86,7 +86,7 @@
     let idle = call(1_000.0, vec![], round);
     let one = call(
         300.0,
-        change(vec![Listed {
+        change(vec![ServerEntry {
             weight: 1.0,
             ..listed(3, Stage::Ready)
         }]),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -19,7 +19,7 @@
 
 /// One line of the server list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ServerEntry {
     pub server: ServerId,
     pub zone: ZoneId,
     pub machine: u16,
@@ -162,12 +162,12 @@
 /// What the figures of a load report mean, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
-    Held,
+    InFlight,
     Queue,
     Busy,
     ServiceMs,
-    DonePerS,
-    ErroredPerS,
+    CompletedPerS,
+    FailedPerS,
     Other,
 }
 
@@ -186,7 +186,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProbeAnswer {
+pub enum ProbeOutcome {
     Done,
     Errored,
     Denied,
@@ -203,7 +203,7 @@
     List {
         scope: ListScope,
         version: u64,
-        lines: Vec<Listed>,
+        lines: Vec<ServerEntry>,
     },
     Alarm {
         name: u64,
@@ -262,7 +262,7 @@
     },
     Probed {
         server: ServerId,
-        answer: ProbeAnswer,
+        answer: ProbeOutcome,
         took_ms: f64,
         load: Vec<f64>,
     },
@@ -298,7 +298,7 @@
     #[default]
     Never,
     /// Once, elsewhere, on proof that the first try never ran.
-    IfUnrun,
+    IfNotExecuted,
     OnceAfterAny,
     TwiceAfterAny,
 }
--- a/src/rules/arcs.rs
+++ b/src/rules/arcs.rs
@@ -71,7 +71,8 @@
             .max(1e-9);
         let mut taken = Shares::new();
         for (g, group) in self.groups.iter().enumerate() {
-            let (mut rings, mut room) = (BTreeMap::<ZoneId, Vec<&Listed>>::new(), Shares::new());
+            let (mut rings, mut room) =
+                (BTreeMap::<ZoneId, Vec<&ServerEntry>>::new(), Shares::new());
             for s in ready
                 .iter()
                 .filter(|s| s.part > 0.0 && group.open(&s.listed))
--- a/src/rules/health.rs
+++ b/src/rules/health.rs
@@ -46,13 +46,13 @@
         &mut self,
         now: f64,
         scope: ListScope,
-        lines: &[Listed],
+        lines: &[ServerEntry],
         soft: bool,
         log: &mut Log,
     ) {
         let named: BTreeSet<ServerId> = lines.iter().map(|l| l.server).collect();
         let whole = matches!(scope, ListScope::Full | ListScope::Cached);
-        let gone = |s: &Server| Listed {
+        let gone = |s: &Server| ServerEntry {
             stage: Stage::Gone,
             ..s.listed.clone()
         };
@@ -60,7 +60,7 @@
             .servers
             .iter()
             .filter(|(id, _)| whole && !named.contains(*id));
-        let missing: Vec<Listed> = missing.map(|(_, s)| gone(s)).collect();
+        let missing: Vec<ServerEntry> = missing.map(|(_, s)| gone(s)).collect();
         for line in lines.iter().chain(&missing) {
             let (id, ready, dated) = (
                 line.server,
@@ -77,7 +77,7 @@
                 known.listed = if ready {
                     line.clone()
                 } else {
-                    Listed {
+                    ServerEntry {
                         stage: line.stage,
                         ..gone(known)
                     }
--- a/src/rules/levels.rs
+++ b/src/rules/levels.rs
@@ -196,7 +196,7 @@
     pub(super) fn admits(&mut self, now: f64) -> Vec<(u16, f64, Retry)> {
         // On proof that the first try never ran: one cut off goes on running. In a jam the next is as full.
         let retry = if self.valves.mode == Mode::Open {
-            Retry::IfUnrun
+            Retry::IfNotExecuted
         } else {
             Retry::Never
         };
--- a/src/rules/revisions.rs
+++ b/src/rules/revisions.rs
@@ -200,7 +200,7 @@
             &self.groups[g],
             self.zone_of(proxy),
         );
-        let near = |l: &Listed| group.open(l) && (!group.like.own_zone || l.zone == zone);
+        let near = |l: &ServerEntry| group.open(l) && (!group.like.own_zone || l.zone == zone);
         let server = |id| {
             self.fleet
                 .servers
@@ -257,7 +257,7 @@
         }
         if lines.is_empty() {
             // Nobody is left bare: any ready server that the kinds are open to beats none.
-            let near = |l: &Listed| !group.like.own_zone || l.zone == zone;
+            let near = |l: &ServerEntry| !group.like.own_zone || l.zone == zone;
             let ready = self
                 .fleet
                 .servers
--- a/src/shares.rs
+++ b/src/shares.rs
@@ -3,15 +3,15 @@
 use crate::{interface::*, rules::levels::EVERYTHING, state::*};
 
 /// Where a new arc starts: at the server that the arcs laid so far load least.
-pub fn least_loaded(ring: &[&Listed], loads: &Lines) -> ServerId {
-    let load = |l: &Listed| loads.get(&l.server).copied().unwrap_or(0.0);
+pub fn least_loaded(ring: &[&ServerEntry], loads: &Lines) -> ServerId {
+    let load = |l: &ServerEntry| loads.get(&l.server).copied().unwrap_or(0.0);
     ring.iter()
         .min_by(|a, b| load(a).total_cmp(&load(b)))
         .map_or_else(ServerId::default, |l| l.server)
 }
 
 /// One arc: so many mean servers of a ring, from a place on it onwards, at their listed weights.
-pub fn cut_arc(ring: &[&Listed], from: ServerId, lines: f64) -> Lines {
+pub fn cut_arc(ring: &[&ServerEntry], from: ServerId, lines: f64) -> Lines {
     let wanted = lines * ring.iter().map(|l| l.weight).sum::<f64>() / ring.len() as f64;
     let first = ring.partition_point(|l| l.server < from);
     let (mut reached, mut arc) = (0.0, Lines::new());
--- a/src/state.rs
+++ b/src/state.rs
@@ -54,7 +54,7 @@
 }
 
 pub struct Server {
-    pub listed: Listed,
+    pub listed: ServerEntry,
     pub phase: Phase,
     pub since_ms: f64,
     pub ramp_from_ms: f64,
@@ -359,7 +359,7 @@
 }
 
 impl KindGroup {
-    pub fn open(&self, listed: &Listed) -> bool {
+    pub fn open(&self, listed: &ServerEntry) -> bool {
         let RequestKind {
             zones, machines, ..
         } = &self.like;
@@ -447,8 +447,8 @@
             bounds: start.bounds,
             pace: start.channel,
             capabilities: start.capabilities,
-            held_at: position(LoadField::Held).or(position(LoadField::Queue)),
-            queue_only: position(LoadField::Held).is_none(),
+            held_at: position(LoadField::InFlight).or(position(LoadField::Queue)),
+            queue_only: position(LoadField::InFlight).is_none(),
             list_asked: start.list.on_request,
             ask_again_ms: 0.0,
             proxies: f64::from(start.topology.proxies.max(1)),
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -6,7 +6,7 @@
 use insta::assert_snapshot;
 use rookpulley::interface::*;
 
-fn four() -> Vec<Listed> {
+fn four() -> Vec<ServerEntry> {
     (1..=4).map(|n| listed(n, 0)).collect()
 }
 
@@ -273,11 +273,11 @@
     let lines = vec![
         listed(1, 0),
         listed(2, 0),
-        Listed {
+        ServerEntry {
             stage: Stage::Draining,
             ..listed(3, 0)
         },
-        Listed {
+        ServerEntry {
             started_ms: asked_at - 3_000.0,
             ..listed(4, 0)
         },
@@ -488,7 +488,7 @@
 fn arcs_narrow_where_connections_are_refused() {
     let mut many = start();
     (many.topology.proxies, many.topology.controllers) = (4, 1);
-    many.load_fields = vec![LoadField::Held];
+    many.load_fields = vec![LoadField::InFlight];
     let mut harness = Harness::new(many, (1..=8).map(|n| listed(n, 0)).collect());
     (0..4).for_each(|p| harness.join(p, 0));
     harness.pass(7_000.0, |d| {
@@ -511,7 +511,7 @@
 fn no_cold_server_gets_more_than_its_share_of_what_all_bring() {
     let mut many = start();
     (many.topology.proxies, many.topology.controllers) = (60, 1);
-    many.load_fields = vec![LoadField::Held];
+    many.load_fields = vec![LoadField::InFlight];
     (many.channel.backlog_lines, many.channel.lines_per_s) = (1e6, 1e6);
     (
         many.bounds.cold_share,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -16,9 +16,9 @@
     [10, 0, high, low, 80, 0]
 }
 
-fn listed(n: u16, stage: Stage, started_ms: f64) -> Listed {
+fn listed(n: u16, stage: Stage, started_ms: f64) -> ServerEntry {
     let (zone, weight) = (n % 3, 2.0);
-    Listed {
+    ServerEntry {
         server: server(n),
         zone,
         machine: 0,
@@ -146,7 +146,7 @@
         self.give(inputs);
     }
 
-    fn list(&mut self, lines: Vec<Listed>) {
+    fn list(&mut self, lines: Vec<ServerEntry>) {
         for line in lines.iter().filter(|l| l.stage != Stage::Ready) {
             self.told.entry(line.server).or_insert(self.now);
         }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -21,9 +21,9 @@
     [10, 0, 0, n, 80, 0]
 }
 
-pub fn listed(n: u8, zone: ZoneId) -> Listed {
+pub fn listed(n: u8, zone: ZoneId) -> ServerEntry {
     let (stage, weight, started_ms) = (Stage::Ready, 2.0, 0.0);
-    Listed {
+    ServerEntry {
         server: server(n),
         zone,
         machine: 0,
@@ -81,7 +81,7 @@
         },
         proxy_behavior: ProxyBehavior {
             levels: AdmissionMode::Rate,
-            default_retry: Retry::IfUnrun,
+            default_retry: Retry::IfNotExecuted,
             ..ProxyBehavior::default()
         },
         list: ListSettings::default(),
@@ -97,7 +97,7 @@
 
 impl Harness {
     /// A started controller with this list; the clock starts well after zero.
-    pub fn new(start: Start, lines: Vec<Listed>) -> Self {
+    pub fn new(start: Start, lines: Vec<ServerEntry>) -> Self {
         let now = 100_000.0;
         let controller = Controller::new(now, start);
         let (marks, bound) = (BTreeMap::new(), BTreeMap::new());
@@ -218,7 +218,7 @@
 
     /// A list change for one server.
     pub fn change(&mut self, n: u8, stage: Stage, started_ms: f64) {
-        let line = Listed {
+        let line = ServerEntry {
             stage,
             started_ms,
             ..listed(n, 0)
--- a/tests/way_back.rs
+++ b/tests/way_back.rs
@@ -269,7 +269,7 @@
             let n = rng.random_range(1..=8_u8);
             match rng.random_range(0..12) {
                 0 | 1 if seen.drained.len() < 6 => {
-                    let line = Listed {
+                    let line = ServerEntry {
                         stage: Stage::Draining,
                         ..listed(n, 0)
                     };
@@ -280,7 +280,7 @@
                     });
                 }
                 2 => {
-                    let line = Listed {
+                    let line = ServerEntry {
                         started_ms: now,
                         ..listed(n, 0)
                     };
