--- a/crates/rookpulley-assigner/examples/tick.rs
+++ b/crates/rookpulley-assigner/examples/tick.rs
@@ -141,7 +141,7 @@
         if tick < u32::from(PROXIES) {
             let proxy = tick as ProxyId;
             api::join(&mut orders, now, proxy);
-            inputs.push(Input::Joined {
+            inputs.push(Input::ProxyJoined {
                 proxy,
                 zone: proxy % 3,
                 usual_per_s: 10.0,
@@ -151,7 +151,7 @@
         for _ in 0..3 {
             let server = server_id(&format!("s-{}", rng.random_range(0..SERVERS)));
             let (zone, load) = (rng.random_range(0..3), Vec::new());
-            inputs.push(Input::Heard {
+            inputs.push(Input::ServerReport {
                 zone,
                 server,
                 tries: 9.0,
@@ -161,7 +161,7 @@
                 load,
             });
             let (proxy, kind) = (rng.random_range(0..PROXIES), rng.random_range(0..2));
-            inputs.push(Input::Usage {
+            inputs.push(Input::ProxyUsage {
                 proxy,
                 kind,
                 came: 10.0,
@@ -184,14 +184,14 @@
             });
         }
         alarms.retain(|(due, name)| {
-            _ = (*due <= now).then(|| inputs.push(Input::Alarm { name: *name }));
+            _ = (*due <= now).then(|| inputs.push(Input::TimerFired { name: *name }));
             *due > now
         });
         let due: Vec<_> = answers.extract_if(.., |(due, ..)| *due <= now).collect();
         let from = Instant::now();
         for (_, proxy, mark) in due {
             api::answered(&mut orders, now, proxy, mark);
-            inputs.push(Input::Applied {
+            inputs.push(Input::Acknowledged {
                 proxy,
                 mark,
                 took_ms: 90.0,
--- a/crates/rookpulley-assigner/src/driver.rs
+++ b/crates/rookpulley-assigner/src/driver.rs
@@ -262,7 +262,7 @@
                 self.front
                     .counters
                     .most("most proxies joined", self.streams.len() as u64);
-                self.inputs.push(Input::Joined {
+                self.inputs.push(Input::ProxyJoined {
                     proxy,
                     zone,
                     usual_per_s,
@@ -276,7 +276,7 @@
                 holds,
             } => match self.streams.get(&proxy) {
                 Some(stream) if stream.conn == conn => match input {
-                    Input::Applied { mark, .. }
+                    Input::Acknowledged { mark, .. }
                         if !self
                             .orders
                             .answered(self.clock.now_ms(), proxy, mark, &holds) =>
@@ -325,7 +325,7 @@
                 }
             }
             Event::Report(input) => match &input {
-                Input::Heard { server, .. } if !self.names.contains_key(server) => {
+                Input::ServerReport { server, .. } if !self.names.contains_key(server) => {
                     self.front.counters.one("bad input: unknown server");
                     say!(
                         self.front.log,
@@ -361,7 +361,7 @@
                     lines,
                 });
             }
-            Event::Note { from, bytes } => self.inputs.push(Input::Note { from, bytes }),
+            Event::Note { from, bytes } => self.inputs.push(Input::PeerMessage { from, bytes }),
         }
     }
 
@@ -381,7 +381,7 @@
         }
         self.front.counters.add("tables owed", owed.len() as u64);
         self.inputs
-            .extend(owed.into_iter().map(|table| Input::Lost { table }));
+            .extend(owed.into_iter().map(|table| Input::TableLost { table }));
     }
 
     /// A list for the module; names are learnt from it.
@@ -415,7 +415,7 @@
         let now = self.clock.now_ms();
         let due = (now * 1e3) as u64;
         while let Some(alarm) = self.alarms.first_entry().filter(|a| a.key().0 <= due) {
-            self.inputs.push(Input::Alarm {
+            self.inputs.push(Input::TimerFired {
                 name: alarm.remove(),
             });
         }
@@ -471,7 +471,7 @@
                 Effect::Probe { server } => {
                     self.front.counters.one("probes not possible");
                     let (answer, took_ms, load) = (ProbeOutcome::Void, 0.0, Vec::new());
-                    self.inputs.push(Input::Probed {
+                    self.inputs.push(Input::ProbeCompleted {
                         server,
                         answer,
                         took_ms,
--- a/crates/rookpulley-assigner/src/ending.rs
+++ b/crates/rookpulley-assigner/src/ending.rs
@@ -44,9 +44,9 @@
     pub fn input(self, proxy: ProxyId) -> Option<Input> {
         match self {
             Self::Closed | Self::Reset | Self::Unreadable | Self::TooLong => {
-                Some(Input::Left { proxy })
+                Some(Input::ProxyLeft { proxy })
             }
-            Self::Replaced | Self::Unread => Some(Input::Left { proxy }),
+            Self::Replaced | Self::Unread => Some(Input::ProxyLeft { proxy }),
             // Those have not joined.
             Self::OutOfTurn | Self::NotJoined | Self::Crowded => None,
             // Nothing is ordered any more.
--- a/crates/rookpulley-assigner/src/messages.rs
+++ b/crates/rookpulley-assigner/src/messages.rs
@@ -76,7 +76,7 @@
             Self::Collector { .. } => "collectors",
             Self::Joining { .. } => "joinings",
             Self::OfProxy {
-                input: Input::Applied { .. },
+                input: Input::Acknowledged { .. },
                 ..
             } => "marks answered",
             Self::OfProxy { .. } => "usage",
@@ -312,7 +312,7 @@
                 let holds = self.holds(&told)?.unwrap_or_default();
                 Message::OfProxy {
                     proxy,
-                    input: Input::Applied {
+                    input: Input::Acknowledged {
                         proxy,
                         mark,
                         took_ms,
@@ -324,7 +324,7 @@
                 let (proxy, kind) = (self.proxy(&told)?, told.place("class", &self.kinds)?.into());
                 // Those that could not be served may have come in a span before.
                 let [came, bad, span_ms] = told.figures(["tries", "failed", "span_ms"])?;
-                let input = Input::Usage {
+                let input = Input::ProxyUsage {
                     proxy,
                     kind,
                     came,
@@ -354,7 +354,7 @@
                 let zone = told.place("zone", &self.zones)?;
                 let server = server_id(&told.get::<Cow<str>>("server")?);
                 let load = self.load(&told)?;
-                Message::Heard(Input::Heard {
+                Message::Heard(Input::ServerReport {
                     zone,
                     server,
                     tries,
--- a/crates/rookpulley-assigner/src/operators.rs
+++ b/crates/rookpulley-assigner/src/operators.rs
@@ -159,14 +159,16 @@
             (Ask::Holders, Some(book), _) => Ok(holders(now, book, orders, &self.held)),
             (Ask::Diff { from, to }, Some(book), _) => Ok(diff(&book.history, &from, &to)),
             (Ask::Rollback { to, table, all }, Some(book), _) => go_back(book, &to, table, all),
-            (Ask::Release { table: Some(table) }, ..) => Err(vec![Input::Release { table }]),
+            (Ask::Release { table: Some(table) }, ..) => {
+                Err(vec![Input::ReleaseRollback { table }])
+            }
             (Ask::Release { .. }, ..) if self.held.is_empty() => {
                 Ok(refused(409, "no table is held back", "see holders"))
             }
             (Ask::Release { .. }, ..) => Err(self
                 .held
                 .iter()
-                .map(|table| Input::Release { table: *table })
+                .map(|table| Input::ReleaseRollback { table: *table })
                 .collect()),
         };
         match said {
@@ -177,10 +179,14 @@
             }
             Err(inputs) => {
                 let table = |i: &Input| match i {
-                    Input::GoBack { table, .. } | Input::Release { table } => Some(*table),
+                    Input::Rollback { table, .. } | Input::ReleaseRollback { table } => {
+                        Some(*table)
+                    }
                     _ => None,
                 };
-                let releases = inputs.iter().any(|i| matches!(i, Input::Release { .. }));
+                let releases = inputs
+                    .iter()
+                    .any(|i| matches!(i, Input::ReleaseRollback { .. }));
                 let tables = inputs.iter().filter_map(table).collect();
                 self.waiting.push(Waiting {
                     tables,
@@ -330,7 +336,7 @@
     };
     Err(ways
         .iter()
-        .map(|(id, table)| Input::GoBack {
+        .map(|(id, table)| Input::Rollback {
             table: *id,
             lines: lines(table),
         })
--- a/crates/rookpulley-assigner/src/streams.rs
+++ b/crates/rookpulley-assigner/src/streams.rs
@@ -334,7 +334,7 @@
                 | (
                     Role::Collector(_),
                     Message::OfProxy {
-                        input: input @ Input::Usage { .. },
+                        input: input @ Input::ProxyUsage { .. },
                         ..
                     },
                 ) => {
--- a/crates/rookpulley-assigner/tests/sockets.rs
+++ b/crates/rookpulley-assigner/tests/sockets.rs
@@ -138,7 +138,7 @@
         let mut new = Wire::join(running.place, 2, false).await;
         new.table().await;
         // Input of the old one that was read before its end and comes after the joining of the new.
-        let input = Input::Applied {
+        let input = Input::Acknowledged {
             proxy: 2,
             mark: 0,
             took_ms: 1.0,
--- a/crates/rookpulley-registry/src/decision_module.rs
+++ b/crates/rookpulley-registry/src/decision_module.rs
@@ -181,7 +181,7 @@
     pub fn take_alarms(&mut self, now: f64, inputs: &mut Vec<Input>) -> bool {
         let due = self.alarms.extract_if(.., |alarm| alarm.at_ms <= now);
         let before = inputs.len();
-        inputs.extend(due.map(|alarm| Input::Alarm { name: alarm.name }));
+        inputs.extend(due.map(|alarm| Input::TimerFired { name: alarm.name }));
         inputs.len() > before
     }
 
--- a/crates/rookpulley-registry/src/hosted_service.rs
+++ b/crates/rookpulley-registry/src/hosted_service.rs
@@ -47,7 +47,7 @@
 
 impl ServedProxy {
     fn joined(&self) -> Input {
-        Input::Joined {
+        Input::ProxyJoined {
             proxy: self.proxy,
             zone: self.zone,
             usual_per_s: self.requests_per_s,
@@ -97,7 +97,7 @@
 impl Reports {
     fn into_inputs(self) -> impl Iterator<Item = Input> {
         let heard = self.servers.into_iter();
-        let heard = heard.map(|((server, zone), load)| Input::Heard {
+        let heard = heard.map(|((server, zone), load)| Input::ServerReport {
             zone,
             server,
             tries: load.attempts,
@@ -107,7 +107,7 @@
             load: Vec::new(),
         });
         let usage = self.proxies.into_iter();
-        let usage = usage.map(|(proxy, load)| Input::Usage {
+        let usage = usage.map(|(proxy, load)| Input::ProxyUsage {
             proxy,
             kind: 0,
             came: load.received,
@@ -192,7 +192,7 @@
         self.reports.proxies.remove(&proxy);
         if let Some(module) = &mut self.module {
             module.unbind(proxy);
-            self.inputs.push(Input::Left { proxy });
+            self.inputs.push(Input::ProxyLeft { proxy });
         }
     }
 
@@ -382,7 +382,7 @@
             return;
         };
         // Reports go before the alarm by which the module judges them.
-        let is_other = |input: &mut Input| !matches!(input, Input::Alarm { .. });
+        let is_other = |input: &mut Input| !matches!(input, Input::TimerFired { .. });
         let mut inputs: Vec<Input> = self.inputs.extract_if(.., is_other).collect();
         inputs.extend(std::mem::take(&mut self.reports).into_inputs());
         inputs.append(&mut self.inputs);
@@ -474,7 +474,7 @@
 /// What the module is told once a proxy uses its tables.
 fn applied(proxy: ProxyId, marks: Vec<u64>) -> impl Iterator<Item = Input> {
     let marks = marks.into_iter();
-    marks.map(move |mark| Input::Applied {
+    marks.map(move |mark| Input::Acknowledged {
         proxy,
         mark,
         took_ms: 0.0,
--- a/crates/rookpulley-wirehost/src/wire.rs
+++ b/crates/rookpulley-wirehost/src/wire.rs
@@ -184,8 +184,8 @@
         Ok(match b[0] {
             16 => self.start()?,
             17 => self.list()?,
-            18 => Input::Alarm { name: u64_at(b, 5) },
-            19 => Input::Probed {
+            18 => Input::TimerFired { name: u64_at(b, 5) },
+            19 => Input::ProbeCompleted {
                 answer: match b[5] {
                     0 => ProbeOutcome::Done,
                     5 => ProbeOutcome::Errored,
@@ -200,26 +200,26 @@
                 took_ms: span(b, 12),
                 load: load_at(b, 16),
             },
-            20 => Input::Note {
+            20 => Input::PeerMessage {
                 from: u16_at(b, 5),
                 bytes: self.tail_part("blob", 7, 1)?.to_vec(),
             },
             21 => Input::Stop,
-            22 => Input::Joined {
+            22 => Input::ProxyJoined {
                 proxy: u16_at(b, 5),
                 zone: u16_at(b, 7),
                 usual_per_s: f32_at(b, 9),
                 fresh: b[13] != 0,
             },
-            23 => Input::Left {
+            23 => Input::ProxyLeft {
                 proxy: u16_at(b, 5),
             },
-            24 => Input::Applied {
+            24 => Input::Acknowledged {
                 proxy: u16_at(b, 5),
                 mark: u64_at(b, 7),
                 took_ms: span(b, 15),
             },
-            25 => Input::Heard {
+            25 => Input::ServerReport {
                 zone: u16_at(b, 5),
                 server: bytes_at(b, 7),
                 tries: f64::from(u32_at(b, 13)),
@@ -228,7 +228,7 @@
                 span_ms: span(b, 25),
                 load: load_at(b, 29),
             },
-            26 => Input::Usage {
+            26 => Input::ProxyUsage {
                 proxy: u16_at(b, 5),
                 came: f64::from(u32_at(b, 7)),
                 span_ms: span(b, 11),
@@ -242,11 +242,11 @@
                 bad: f64::from(u32_at(b, 12)),
                 span_ms: span(b, 16),
             },
-            28 => Input::SliceGiven {
+            28 => Input::SliceAssigned {
                 ours: b[5] != 0,
                 slice: u16_at(b, 6),
             },
-            29 => Input::SliceLine {
+            29 => Input::SliceWeight {
                 server: bytes_at(b, 5),
                 slice: u16_at(b, 11),
                 weight: f32_at(b, 13),
--- a/examples/call_cost.rs
+++ b/examples/call_cost.rs
@@ -59,7 +59,7 @@
     let lines = (0..servers).map(|n| listed(n, Stage::Ready)).collect();
     let mut call = |after_ms: f64, mut inputs: Vec<Input>, name: u64| {
         now += after_ms;
-        inputs.push(Input::Alarm { name });
+        inputs.push(Input::TimerFired { name });
         let from = Instant::now();
         std::hint::black_box(controller.handle(now, &inputs));
         from.elapsed().as_secs_f64() * 1e6
@@ -75,7 +75,7 @@
         beat,
     );
     (0..3).for_each(|_| _ = call(1_000.0, vec![], round));
-    let join = |proxy| Input::Joined {
+    let join = |proxy| Input::ProxyJoined {
         proxy,
         zone: proxy % 3,
         usual_per_s: 0.5,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -205,29 +205,29 @@
         version: u64,
         lines: Vec<ServerEntry>,
     },
-    Alarm {
+    TimerFired {
         name: u64,
     },
-    Note {
+    PeerMessage {
         from: u16,
         bytes: Vec<u8>,
     },
-    Joined {
+    ProxyJoined {
         proxy: ProxyId,
         zone: ZoneId,
         usual_per_s: f64,
         fresh: bool,
     },
-    Left {
+    ProxyLeft {
         proxy: ProxyId,
     },
-    Applied {
+    Acknowledged {
         proxy: ProxyId,
         mark: u64,
         took_ms: f64,
     },
     /// What the joined proxies of a zone met at a server.
-    Heard {
+    ServerReport {
         zone: ZoneId,
         server: ServerId,
         tries: f64,
@@ -237,7 +237,7 @@
         load: Vec<f64>,
     },
     /// What came to a proxy.
-    Usage {
+    ProxyUsage {
         proxy: ProxyId,
         kind: KindId,
         came: f64,
@@ -251,32 +251,32 @@
         bad: f64,
         span_ms: f64,
     },
-    SliceGiven {
+    SliceAssigned {
         slice: TableId,
         ours: bool,
     },
-    SliceLine {
+    SliceWeight {
         slice: TableId,
         server: ServerId,
         weight: f64,
     },
-    Probed {
+    ProbeCompleted {
         server: ServerId,
         answer: ProbeOutcome,
         took_ms: f64,
         load: Vec<f64>,
     },
     /// An operator wants these earlier lines for a table, until released.
-    GoBack {
+    Rollback {
         table: TableId,
         lines: Vec<(ServerId, f64)>,
     },
-    Release {
+    ReleaseRollback {
         table: TableId,
     },
     /// What was written of a table has not reached its proxy, or it holds something else: it is written whole
     /// again, within the limits of the channel, as to one that has just joined.
-    Lost {
+    TableLost {
         table: TableId,
     },
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -72,14 +72,18 @@
         let asks = |i: &Input| {
             matches!(
                 i,
-                Input::GoBack { .. } | Input::Release { .. } | Input::Lost { .. }
+                Input::Rollback { .. } | Input::ReleaseRollback { .. } | Input::TableLost { .. }
             )
         };
         self.hasty |= inputs.iter().any(asks);
         let round = inputs
             .iter()
-            .any(|i| matches!(i, Input::Alarm { name: ROUND }));
-        if round || inputs.iter().any(|i| matches!(i, Input::Heard { .. })) {
+            .any(|i| matches!(i, Input::TimerFired { name: ROUND }));
+        if round
+            || inputs
+                .iter()
+                .any(|i| matches!(i, Input::ServerReport { .. }))
+        {
             let target_ms = self.demand.usual_target_ms(now, &self.kinds);
             let jam = self.valves.mode == Mode::Tight;
             self.hasty |= self
@@ -151,9 +155,9 @@
                 self.fleet.take(now, *scope, lines, soft, &mut self.log);
                 self.hasty = true;
             }
-            Input::Alarm { name: ASK_AGAIN } => out.push(Effect::Watch { on: true }),
-            Input::Note { bytes, .. } => self.demand.take_note(now, bytes),
-            Input::Joined {
+            Input::TimerFired { name: ASK_AGAIN } => out.push(Effect::Watch { on: true }),
+            Input::PeerMessage { bytes, .. } => self.demand.take_note(now, bytes),
+            Input::ProxyJoined {
                 proxy,
                 zone,
                 usual_per_s,
@@ -165,14 +169,14 @@
                 self.tables_of(*proxy).for_each(|table| table.bound = false);
                 self.hasty = true;
             }
-            Input::Left { proxy } => {
+            Input::ProxyLeft { proxy } => {
                 if let Some(p) = self.demand.proxies.get_mut(proxy) {
                     (p.joined, p.seen_ms) = (false, now);
                 }
                 self.tables_of(*proxy)
                     .for_each(|table| (table.bound, table.trial) = (false, None));
             }
-            Input::Applied { proxy, mark, .. } => {
+            Input::Acknowledged { proxy, mark, .. } => {
                 self.channel.answered(now, *proxy, *mark);
                 let trials = self
                     .tables_of(*proxy)
@@ -182,9 +186,9 @@
                 }
             }
             // Reports come late: this one tells of before the start. Harm: a restart that fails shows later.
-            Input::Heard { server, .. }
+            Input::ServerReport { server, .. }
                 if now < self.fleet.started_ms(server) + health::SPAN_MS => {}
-            Input::Heard {
+            Input::ServerReport {
                 zone,
                 server,
                 tries,
@@ -204,7 +208,7 @@
                     [*tries, *bad, mean_ms * (tries - bad)],
                 );
             }
-            Input::Usage {
+            Input::ProxyUsage {
                 proxy, kind, came, ..
             } if *kind < KINDS => {
                 let what = std::array::from_fn(|k| if k == *kind { *came } else { 0.0 });
@@ -215,14 +219,14 @@
                     .get_mut(proxy)
                     .map(|p| p.came.add(now, what));
             }
-            Input::GoBack { table, lines } => {
+            Input::Rollback { table, lines } => {
                 let what = self.go_back(*table, lines.iter().copied().collect());
                 out.push(Effect::Back {
                     table: *table,
                     what,
                 });
             }
-            Input::Release { table } => {
+            Input::ReleaseRollback { table } => {
                 let ended = self
                     .tables
                     .values_mut()
@@ -237,7 +241,7 @@
                     what,
                 });
             }
-            Input::Lost { table } => {
+            Input::TableLost { table } => {
                 self.tables
                     .values_mut()
                     .filter(|t| t.id == *table)
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -266,7 +266,7 @@
 fn crash_rebuild_and_rejoin() {
     let mut harness = settled(start());
     harness.note("the stream of p0 breaks and comes back: bound again at once, whole");
-    harness.give(vec![Input::Left { proxy: 0 }]);
+    harness.give(vec![Input::ProxyLeft { proxy: 0 }]);
     harness.pass(400.0, |_| ());
     harness.join(0, 0);
     let asked_at = 100_000.0;
@@ -415,7 +415,7 @@
         vec![1, 2, 3],
     ]
     .concat();
-    harness.give(vec![Input::Note { from: 1, bytes }]);
+    harness.give(vec![Input::PeerMessage { from: 1, bytes }]);
     harness.pass(1_000.0, |d| d.answer());
     harness.note("zone 0 loses one of two: what has no room at home crosses");
     harness.change(2, Stage::Gone, 0.0);
@@ -583,7 +583,7 @@
         for n in 1..=10 {
             let (zone, server, load) = (0, server(n), vec![if n <= servers { 60.0 } else { 1.0 }]);
             let (tries, bad, mean_ms, span_ms) = (10.0, 0.0, 100.0, 1_000.0);
-            d.give(vec![Input::Heard {
+            d.give(vec![Input::ServerReport {
                 zone,
                 server,
                 tries,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -129,7 +129,7 @@
     }
 
     fn join(&mut self, proxies: impl Iterator<Item = ProxyId>, fresh: bool) {
-        let of = |proxy| Input::Joined {
+        let of = |proxy| Input::ProxyJoined {
             proxy,
             zone: proxy % 3,
             usual_per_s: 0.5,
@@ -137,7 +137,7 @@
         };
         let inputs: Vec<Input> = proxies.map(of).collect();
         for input in &inputs {
-            if let Input::Joined { proxy, .. } = input {
+            if let Input::ProxyJoined { proxy, .. } = input {
                 self.proxies.insert(*proxy, Held::default());
                 self.joined_ms.insert(*proxy, self.now);
                 self.first_table_ms.remove(proxy);
@@ -262,7 +262,7 @@
                 self.on_the_way.pop_front_if(|(at, ..)| *at <= self.now)
             {
                 self.apply(proxy, &message);
-                inputs.push(Input::Applied {
+                inputs.push(Input::Acknowledged {
                     proxy,
                     mark: message.mark,
                     took_ms: 100.0,
@@ -270,7 +270,7 @@
             }
             self.alarms.retain(|(at, name)| {
                 let due = *at <= self.now;
-                inputs.extend(due.then_some(Input::Alarm { name: *name }));
+                inputs.extend(due.then_some(Input::TimerFired { name: *name }));
                 !due
             });
             if !inputs.is_empty() {
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -201,14 +201,14 @@
             }
             let (due, name) = self.alarms.remove(at);
             self.now = due;
-            self.give(vec![Input::Alarm { name }]);
+            self.give(vec![Input::TimerFired { name }]);
             each(self);
         }
         self.now = end;
     }
 
     pub fn join(&mut self, proxy: ProxyId, zone: ZoneId) {
-        self.give(vec![Input::Joined {
+        self.give(vec![Input::ProxyJoined {
             proxy,
             zone,
             usual_per_s: 10.0,
@@ -233,7 +233,7 @@
     /// All proxies answer the marks that reached them.
     pub fn answer(&mut self) {
         for (proxy, mark) in std::mem::take(&mut self.marks) {
-            self.give(vec![Input::Applied {
+            self.give(vec![Input::Acknowledged {
                 proxy,
                 mark,
                 took_ms: 150.0,
@@ -243,7 +243,7 @@
 
     pub fn hear(&mut self, n: u8, tries: f64, bad: f64, mean_ms: f64) {
         let (zone, server, span_ms, load) = (0, server(n), 1_000.0, vec![0.0]);
-        self.give(vec![Input::Heard {
+        self.give(vec![Input::ServerReport {
             zone,
             server,
             tries,
@@ -255,7 +255,7 @@
     }
 
     pub fn usage(&mut self, proxy: ProxyId, kind: KindId, came: f64) {
-        self.give(vec![Input::Usage {
+        self.give(vec![Input::ProxyUsage {
             proxy,
             kind,
             came,
--- a/tests/way_back.rs
+++ b/tests/way_back.rs
@@ -32,11 +32,11 @@
             .iter()
             .map(|(n, weight)| (server(*n), *weight))
             .collect();
-        self.give(vec![Input::GoBack { table, lines }]);
+        self.give(vec![Input::Rollback { table, lines }]);
     }
 
     fn release(&mut self, table: TableId) {
-        self.give(vec![Input::Release { table }]);
+        self.give(vec![Input::ReleaseRollback { table }]);
     }
 }
 
@@ -142,7 +142,10 @@
 fn a_rollback_during_a_mass_rejoin_holds_for_whom_comes() {
     let mut harness = settled();
     harness.note("both leave, the operator goes back, both come again");
-    harness.give(vec![Input::Left { proxy: 0 }, Input::Left { proxy: 1 }]);
+    harness.give(vec![
+        Input::ProxyLeft { proxy: 0 },
+        Input::ProxyLeft { proxy: 1 },
+    ]);
     harness.go_back(0, OLD);
     harness.join(0, 0);
     harness.join(1, 0);
@@ -154,7 +157,7 @@
 fn a_lost_table_is_written_whole_again() {
     let mut harness = settled();
     harness.note("t1 was lost on the way");
-    harness.give(vec![Input::Lost { table: 1 }]);
+    harness.give(vec![Input::TableLost { table: 1 }]);
     harness.pass(700.0, calm);
     assert_snapshot!(harness.trace);
 }
@@ -193,7 +196,7 @@
             version: 1,
             lines,
         }];
-        inputs.extend((0..3).map(|proxy| Input::Joined {
+        inputs.extend((0..3).map(|proxy| Input::ProxyJoined {
             proxy,
             zone: 0,
             usual_per_s: 9.0,
@@ -256,11 +259,11 @@
             inputs.clear();
             alarms.retain(|(due, name)| {
                 let later = *due > now;
-                _ = (!later).then(|| inputs.push(Input::Alarm { name: *name }));
+                _ = (!later).then(|| inputs.push(Input::TimerFired { name: *name }));
                 later
             });
             inputs.extend(mark.take().into_iter().flat_map(|mark| {
-                (0..3).map(move |proxy| Input::Applied {
+                (0..3).map(move |proxy| Input::Acknowledged {
                     proxy,
                     mark,
                     took_ms: 90.0,
@@ -299,12 +302,12 @@
                         .unwrap_or_default()
                         .into_iter()
                         .collect();
-                    inputs.push(Input::GoBack { table, lines });
+                    inputs.push(Input::Rollback { table, lines });
                 }
-                6 => inputs.push(Input::Release {
+                6 => inputs.push(Input::ReleaseRollback {
                     table: rng.random_range(0..3),
                 }),
-                7 => inputs.push(Input::Lost {
+                7 => inputs.push(Input::TableLost {
                     table: rng.random_range(0..3),
                 }),
                 _ => {
@@ -315,7 +318,7 @@
                     };
                     let (tries, mean_ms, span_ms, load) = (20.0, 90.0, 1_000.0, Vec::new());
                     let server = server(n);
-                    inputs.push(Input::Heard {
+                    inputs.push(Input::ServerReport {
                         zone: 0,
                         server,
                         tries,
