--- a/crates/rookpulley-assigner/examples/tick.rs
+++ b/crates/rookpulley-assigner/examples/tick.rs
@@ -203,7 +203,7 @@
         calls += 1;
         inputs.clear();
         let mark = effects.iter().find_map(|e| {
-            if let Effect::Mark { mark, .. } = e {
+            if let Effect::RequestAck { mark, .. } = e {
                 Some(*mark)
             } else {
                 None
@@ -214,7 +214,7 @@
             answers.extend(mark.map(|mark| (now + 90.0, proxy, mark)));
         }
         for effect in effects {
-            if let Effect::Alarm { in_ms, name } = effect {
+            if let Effect::SetTimer { in_ms, name } = effect {
                 alarms.push((now + in_ms, name));
             }
         }
--- a/crates/rookpulley-assigner/src/driver.rs
+++ b/crates/rookpulley-assigner/src/driver.rs
@@ -399,7 +399,7 @@
             }
             debug_assert_eq!(line.server, server_id(&name));
             self.shown
-                .entry(rookpulley::state::show(line.server))
+                .entry(rookpulley::state::format_server(line.server))
                 .or_insert(line.server);
             self.names.entry(line.server).or_insert(name);
         }
@@ -441,7 +441,7 @@
         }
         for effect in effects {
             match effect {
-                Effect::Alarm { in_ms, name } => {
+                Effect::SetTimer { in_ms, name } => {
                     self.alarms_set += 1;
                     self.alarms
                         .insert((due + (in_ms * 1e3) as u64, self.alarms_set), name);
@@ -449,26 +449,28 @@
                 Effect::Log(text) => {
                     say!(self.front.log, "module", "{}", self.named(&text));
                 }
-                Effect::Note { to, bytes } => {
+                Effect::PeerMessage { to, bytes } => {
                     if let Some(peers) = &self.peers {
                         peers.send(to, &bytes, &self.front);
                     }
                 }
                 // Lifted for good: no list, table or proxy of ours names it any more.
-                Effect::Withdraw { server, out: false } if !self.controller.knows(&server) => {
+                Effect::WithdrawServer { server, out: false }
+                    if !self.controller.knows(&server) =>
+                {
                     self.names.remove(&server);
-                    self.shown.remove(&rookpulley::state::show(server));
+                    self.shown.remove(&rookpulley::state::format_server(server));
                     self.orders.forget(&server);
                     self.front.counters.one("servers forgotten");
                 }
-                Effect::Back { table, what } => {
+                Effect::RollbackStatus { table, what } => {
                     say!(self.front.log, "way back", "table {table}: {what:?}");
                     self.ways_back.hear(table, &what);
                 }
-                Effect::Watch { on } => self.roster.set_watch(on),
-                Effect::Fetch => self.roster.fetch(),
+                Effect::WatchList { on } => self.roster.set_watch(on),
+                Effect::FetchList => self.roster.fetch(),
                 // On sockets there is no way to probe.
-                Effect::Probe { server } => {
+                Effect::ProbeServer { server } => {
                     self.front.counters.one("probes not possible");
                     let (answer, took_ms, load) = (ProbeOutcome::Void, 0.0, Vec::new());
                     self.inputs.push(Input::ProbeCompleted {
--- a/crates/rookpulley-assigner/src/operators.rs
+++ b/crates/rookpulley-assigner/src/operators.rs
@@ -5,7 +5,7 @@
 use crate::messages::server_id;
 use crate::orders::{Orders, places};
 use crate::servers::Servers;
-use rookpulley::interface::{Back, ChannelLimits, Input, TableId};
+use rookpulley::interface::{ChannelLimits, Input, RollbackStatus, TableId};
 use rookpulley_operators::address;
 use rookpulley_operators::asks::{
     Answer, Ask, Asked, BackList, BackRow, DiffList, DiffRow, HolderList, HolderRow, Refusal,
@@ -106,7 +106,7 @@
     }
 }
 
-fn row(table: TableId, what: &Back) -> BackRow {
+fn row(table: TableId, what: &RollbackStatus) -> BackRow {
     let blank = BackRow {
         table,
         what: String::new(),
@@ -115,18 +115,18 @@
         of: None,
     };
     match what {
-        Back::Held { lines, of } => BackRow {
+        RollbackStatus::Held { lines, of } => BackRow {
             what: "held".into(),
             usable: Some(*lines),
             of: Some(*of),
             ..blank
         },
-        Back::Refused(why) => BackRow {
+        RollbackStatus::Refused(why) => BackRow {
             what: "refused".into(),
             why: Some(why.to_string()),
             ..blank
         },
-        Back::Ended(why) => BackRow {
+        RollbackStatus::Ended(why) => BackRow {
             what: "ended".into(),
             why: Some(why.to_string()),
             ..blank
@@ -200,13 +200,13 @@
     }
 
     /// What the module made of a way back; whoever waits for no further table is answered.
-    pub fn hear(&mut self, table: TableId, what: &Back) {
+    pub fn hear(&mut self, table: TableId, what: &RollbackStatus) {
         match what {
-            Back::Held { .. } => _ = self.held.insert(table),
-            Back::Ended(_) => _ = self.held.remove(&table),
-            Back::Refused(_) => {}
+            RollbackStatus::Held { .. } => _ = self.held.insert(table),
+            RollbackStatus::Ended(_) => _ = self.held.remove(&table),
+            RollbackStatus::Refused(_) => {}
         }
-        let ended = matches!(what, Back::Ended(_));
+        let ended = matches!(what, RollbackStatus::Ended(_));
         let waits = |w: &&mut Waiting| w.tables.contains(&table) && (w.releases || !ended);
         let Some(waiting) = self.waiting.iter_mut().find(waits) else {
             return;
--- a/crates/rookpulley-assigner/src/orders.rs
+++ b/crates/rookpulley-assigner/src/orders.rs
@@ -280,7 +280,7 @@
         let (mut mark, mut changed, mut binds) = (None, BTreeSet::new(), Vec::new());
         for effect in effects {
             match *effect {
-                Effect::Line {
+                Effect::SetWeight {
                     table,
                     server,
                     weight,
@@ -299,7 +299,7 @@
                         }
                     }
                 }
-                Effect::Wipe { table } => {
+                Effect::ClearTable { table } => {
                     changed.insert(table);
                     let table = self.tables.entry(table).or_default();
                     (table.lines, table.levels) = (BTreeMap::new(), BTreeMap::new());
@@ -307,7 +307,7 @@
                         self.start_anew(proxy, kinds, Vec::new(), drafts.entry(proxy).or_default());
                     }
                 }
-                Effect::Bind {
+                Effect::BindTable {
                     proxy,
                     table,
                     kinds,
@@ -325,7 +325,7 @@
                         self.start_anew(proxy, kinds, lines, drafts.entry(proxy).or_default());
                     }
                 }
-                Effect::Withdraw { server, out } => {
+                Effect::WithdrawServer { server, out } => {
                     if out {
                         self.shut.insert(server)
                     } else {
@@ -343,7 +343,7 @@
                             .and_modify(|s| _ = s.shut.insert(server, out));
                     }
                 }
-                Effect::Admit {
+                Effect::SetAdmission {
                     table,
                     kinds,
                     level,
@@ -370,7 +370,7 @@
                         self.tell_levels(proxy, kinds & used, true, draft);
                     }
                 }
-                Effect::Mark { mark: number, all } => {
+                Effect::RequestAck { mark: number, all } => {
                     mark = Some(number);
                     let others = self.streams.keys().filter(|_| all);
                     others.for_each(|proxy| _ = drafts.entry(*proxy).or_default());
--- a/crates/rookpulley-assigner/tests/orders.rs
+++ b/crates/rookpulley-assigner/tests/orders.rs
@@ -27,7 +27,7 @@
 }
 
 fn line(table: TableId, n: usize, weight: f64) -> Effect {
-    Effect::Line {
+    Effect::SetWeight {
         table,
         server: server_id(&name(n)),
         weight,
@@ -35,14 +35,14 @@
 }
 
 fn withdraw(n: usize, out: bool) -> Effect {
-    Effect::Withdraw {
+    Effect::WithdrawServer {
         server: server_id(&name(n)),
         out,
     }
 }
 
 fn bind(proxy: ProxyId, table: TableId, kinds: u16) -> Effect {
-    Effect::Bind {
+    Effect::BindTable {
         proxy,
         table,
         kinds,
@@ -50,7 +50,7 @@
 }
 
 fn admit(table: Option<TableId>, kinds: u16, level: f64, retry: Retry) -> Effect {
-    Effect::Admit {
+    Effect::SetAdmission {
         table,
         kinds,
         level,
@@ -59,7 +59,7 @@
 }
 
 fn mark(mark: u64, all: bool) -> Effect {
-    Effect::Mark { mark, all }
+    Effect::RequestAck { mark, all }
 }
 
 #[test]
@@ -143,7 +143,11 @@
         mark(11, true),
     ];
     step(&mut orders, "p1 left: nothing goes there", gone);
-    let wipe = vec![Effect::Wipe { table: 0 }, line(0, 5, 1.0), mark(12, false)];
+    let wipe = vec![
+        Effect::ClearTable { table: 0 },
+        line(0, 5, 1.0),
+        mark(12, false),
+    ];
     step(&mut orders, "a table wiped and written again", wipe);
     insta::assert_snapshot!(trace);
 }
@@ -158,7 +162,7 @@
     orders.join(0.0, 0, true, None);
     let mut effects: Vec<Effect> = names
         .keys()
-        .map(|server| Effect::Line {
+        .map(|server| Effect::SetWeight {
             table: 0,
             server: *server,
             weight: 1.0,
@@ -305,7 +309,7 @@
             let mut reached: BTreeMap<ProxyId, usize> = BTreeMap::new();
             let mut tables = 0;
             match *effect {
-                Effect::Line {
+                Effect::SetWeight {
                     table,
                     server,
                     weight,
@@ -323,7 +327,7 @@
                             .map(|(p, _)| (*p, 1)),
                     );
                 }
-                Effect::Wipe { table } => {
+                Effect::ClearTable { table } => {
                     self.tables.insert(table, BTreeMap::new());
                     self.own.retain(|(of, _), _| *of != table);
                     reached.extend(
@@ -333,7 +337,7 @@
                             .map(|(p, _)| (*p, 1)),
                     );
                 }
-                Effect::Bind {
+                Effect::BindTable {
                     proxy,
                     table,
                     kinds: mask,
@@ -346,7 +350,7 @@
                         bound.extend(kinds(mask).map(|kind| (kind, table)));
                     }
                 }
-                Effect::Withdraw { server, out } => {
+                Effect::WithdrawServer { server, out } => {
                     if out {
                         self.out.insert(server)
                     } else {
@@ -363,7 +367,7 @@
                             .map(|(p, _)| (*p, 1)),
                     );
                 }
-                Effect::Admit {
+                Effect::SetAdmission {
                     table,
                     kinds: mask,
                     level,
@@ -381,7 +385,7 @@
                         .filter(|(_, b)| table.is_none_or(|t| uses(b, &t)));
                     reached.extend(concerned.map(|(p, _)| (*p, 0)));
                 }
-                Effect::Mark { all, .. } => {
+                Effect::RequestAck { all, .. } => {
                     let others = self.joined.keys().filter(|_| all).copied();
                     let marked: BTreeSet<ProxyId> = cost.keys().copied().chain(others).collect();
                     reached.extend(marked.into_iter().map(|p| (p, 1)));
@@ -418,7 +422,7 @@
                 f64::from(rng.random_range(0..3_u8)),
                 Retry::Never,
             ),
-            _ => Effect::Wipe { table },
+            _ => Effect::ClearTable { table },
         });
     }
     effects.push(mark(number, rng.random_bool(0.1)));
--- a/crates/rookpulley-registry/src/decision_module.rs
+++ b/crates/rookpulley-registry/src/decision_module.rs
@@ -6,7 +6,7 @@
 use crate::server_list::{EPOCH_MS, WARM_UP_MS};
 use rookpulley::interface::*;
 use rookpulley::rules::Controller;
-use rookpulley::state::{Lines, name_of};
+use rookpulley::state::{ServerWeights, revision_hash};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The module waits so long after its start before it acts in haste; ours starts with all it needs.
@@ -48,7 +48,7 @@
 /// The table that the module has ordered for a proxy.
 #[derive(Default)]
 pub struct OrderedTable {
-    pub weights: Lines,
+    pub weights: ServerWeights,
     /// The revisions that were ordered, the newest last.
     pub revisions: Vec<u64>,
 }
@@ -85,7 +85,7 @@
 /// A table's revision: the hash of its entries as proxies get them.
 pub fn revision_of(weights: impl Iterator<Item = (ServerId, f32)>) -> u64 {
     let weights = weights.map(|(server, weight)| (server, f64::from(weight)));
-    name_of(&weights.collect())
+    revision_hash(&weights.collect())
 }
 
 /// All requests for a service are of one kind to the module.
@@ -193,7 +193,7 @@
         let mut changed = BTreeSet::new();
         for effect in self.controller.handle(now + EPOCH_MS, inputs) {
             match effect {
-                Effect::Line {
+                Effect::SetWeight {
                     table,
                     server,
                     weight,
@@ -202,12 +202,12 @@
                     output.touched.extend(proxies.get(&table));
                     self.set_weight(table, server, weight);
                 }
-                Effect::Bind { proxy, table, .. } => {
+                Effect::BindTable { proxy, table, .. } => {
                     changed.insert(table);
                     self.bound.insert(proxy, table);
                     output.touched.insert(proxy);
                 }
-                Effect::Withdraw { server, out } => {
+                Effect::WithdrawServer { server, out } => {
                     if out {
                         self.withdrawn.insert(server);
                     } else {
@@ -215,8 +215,8 @@
                     }
                     output.touched.extend(self.proxies_with(server));
                 }
-                Effect::Mark { mark, .. } => output.mark = Some(mark),
-                Effect::Alarm { in_ms, name } => {
+                Effect::RequestAck { mark, .. } => output.mark = Some(mark),
+                Effect::SetTimer { in_ms, name } => {
                     let at_ms = now + in_ms + std::mem::take(&mut self.stagger_ms);
                     self.alarms.push(Alarm { at_ms, name });
                 }
--- a/crates/rookpulley-wirehost/src/wire.rs
+++ b/crates/rookpulley-wirehost/src/wire.rs
@@ -297,20 +297,20 @@
         let addressed = |server: &ServerId, rest: &[u8]| [&server[..], rest].concat();
         let (code, fields) = match effect {
             Effect::Log(text) => (80, self.text(text.as_bytes())),
-            Effect::Wipe { table } => (81, table.to_le_bytes().to_vec()),
-            Effect::Mark { mark, all } => {
+            Effect::ClearTable { table } => (81, table.to_le_bytes().to_vec()),
+            Effect::RequestAck { mark, all } => {
                 (82, [&mark.to_le_bytes()[..], &[u8::from(*all)]].concat())
             }
-            Effect::Note { to, bytes } => {
+            Effect::PeerMessage { to, bytes } => {
                 let blob = self.text(bytes);
                 (
                     83,
                     [&to.unwrap_or(EVERYONE).to_le_bytes()[..], &blob].concat(),
                 )
             }
-            Effect::Probe { server } => (84, server.to_vec()),
-            Effect::Watch { on } => (85, vec![u8::from(*on)]),
-            Effect::Bind {
+            Effect::ProbeServer { server } => (84, server.to_vec()),
+            Effect::WatchList { on } => (85, vec![u8::from(*on)]),
+            Effect::BindTable {
                 proxy,
                 table,
                 kinds,
@@ -323,8 +323,8 @@
                 ]
                 .concat(),
             ),
-            Effect::Withdraw { server, out } => (88, addressed(server, &[u8::from(*out)])),
-            Effect::Admit {
+            Effect::WithdrawServer { server, out } => (88, addressed(server, &[u8::from(*out)])),
+            Effect::SetAdmission {
                 table,
                 kinds,
                 level,
@@ -337,11 +337,11 @@
                     [&weight(*level)[..], &table, &retry, &kinds.to_le_bytes()].concat(),
                 )
             }
-            Effect::Alarm { in_ms, name } => {
+            Effect::SetTimer { in_ms, name } => {
                 let delay = (in_ms * 1000.0).clamp(0.0, f64::from(u32::MAX)) as u32;
                 (90, [&delay.to_le_bytes()[..], &name.to_le_bytes()].concat())
             }
-            Effect::Line {
+            Effect::SetWeight {
                 table,
                 server,
                 weight: w,
@@ -349,9 +349,9 @@
                 91,
                 [&table.to_le_bytes()[..], &addressed(server, &weight(*w))].concat(),
             ),
-            Effect::Fetch => (92, Vec::new()),
+            Effect::FetchList => (92, Vec::new()),
             // No operator speaks on this wire.
-            Effect::Back { .. } => return,
+            Effect::RollbackStatus { .. } => return,
         };
         let end = self.records.len() + ACTION;
         self.records.push(code);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -283,7 +283,7 @@
 
 /// What became of a way back.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Back {
+pub enum RollbackStatus {
     /// So many of its lines can be used now.
     Held { lines: usize, of: usize },
     /// Nothing has changed.
@@ -305,55 +305,55 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    Line {
+    SetWeight {
         table: TableId,
         server: ServerId,
         weight: f64,
     },
-    Wipe {
+    ClearTable {
         table: TableId,
     },
     /// Puts a proxy on a table for some request kinds (bits by their place).
-    Bind {
+    BindTable {
         proxy: ProxyId,
         table: TableId,
         kinds: u16,
     },
-    Withdraw {
+    WithdrawServer {
         server: ServerId,
         out: bool,
     },
     /// `table` None: all joined proxies.
-    Admit {
+    SetAdmission {
         table: Option<TableId>,
         kinds: u16,
         level: f64,
         retry: Retry,
     },
     /// Asks for an answer; `all`: also from proxies that this reply does not reach.
-    Mark {
+    RequestAck {
         mark: u64,
         all: bool,
     },
-    Watch {
+    WatchList {
         on: bool,
     },
-    Fetch,
-    Probe {
+    FetchList,
+    ProbeServer {
         server: ServerId,
     },
     /// `to` None: every peer.
-    Note {
+    PeerMessage {
         to: Option<u16>,
         bytes: Vec<u8>,
     },
-    Alarm {
+    SetTimer {
         in_ms: f64,
         name: u64,
     },
-    Back {
+    RollbackStatus {
         table: TableId,
-        what: Back,
+        what: RollbackStatus,
     },
     Log(String),
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -60,11 +60,11 @@
     pub fn handle(&mut self, now: f64, inputs: &[Input]) -> Vec<Effect> {
         let mut out = Vec::new();
         if !std::mem::replace(&mut self.started, true) {
-            out.push(Effect::Alarm {
+            out.push(Effect::SetTimer {
                 in_ms: ROUND_MS,
                 name: ROUND,
             });
-            out.extend(self.list_asked.then_some(Effect::Watch { on: true }));
+            out.extend(self.list_asked.then_some(Effect::WatchList { on: true }));
         }
         inputs
             .iter()
@@ -91,7 +91,7 @@
                 .judge(now, target_ms, jam, &self.bounds, &mut self.log);
         }
         if round {
-            out.push(Effect::Alarm {
+            out.push(Effect::SetTimer {
                 in_ms: ROUND_MS,
                 name: ROUND,
             });
@@ -113,7 +113,7 @@
             out.extend(self.notes(ROUND_MS / NAMED_EVERY_MS));
         }
         if self.hasty && now < self.beat_ms && !std::mem::replace(&mut self.beat_set, true) {
-            out.push(Effect::Alarm {
+            out.push(Effect::SetTimer {
                 in_ms: self.beat_ms - now,
                 name: BEAT,
             });
@@ -144,7 +144,7 @@
                 // The list's service is shared: ask again later each time, and not in step.
                 let in_ms = self.ask_again_ms * self.rng.random_range(0.5..1.5);
                 self.ask_again_ms = (2.0 * self.ask_again_ms).min(ASK_MOST_MS);
-                out.push(Effect::Alarm {
+                out.push(Effect::SetTimer {
                     in_ms,
                     name: ASK_AGAIN,
                 });
@@ -155,7 +155,7 @@
                 self.fleet.take(now, *scope, lines, soft, &mut self.log);
                 self.hasty = true;
             }
-            Input::TimerFired { name: ASK_AGAIN } => out.push(Effect::Watch { on: true }),
+            Input::TimerFired { name: ASK_AGAIN } => out.push(Effect::WatchList { on: true }),
             Input::PeerMessage { bytes, .. } => self.demand.take_note(now, bytes),
             Input::ProxyJoined {
                 proxy,
@@ -221,7 +221,7 @@
             }
             Input::Rollback { table, lines } => {
                 let what = self.go_back(*table, lines.iter().copied().collect());
-                out.push(Effect::Back {
+                out.push(Effect::RollbackStatus {
                     table: *table,
                     what,
                 });
@@ -232,11 +232,11 @@
                     .values_mut()
                     .any(|t| t.id == *table && t.release());
                 let what = if ended {
-                    Back::Ended("released")
+                    RollbackStatus::Ended("released")
                 } else {
-                    Back::Refused("it is not held")
+                    RollbackStatus::Refused("it is not held")
                 };
-                out.push(Effect::Back {
+                out.push(Effect::RollbackStatus {
                     table: *table,
                     what,
                 });
--- a/src/rules/arcs.rs
+++ b/src/rules/arcs.rs
@@ -63,7 +63,7 @@
         let reach = if cold { 1.0 } else { self.valves.reach };
         let mean_lines = (mean_lines * reach).max(LINES_LEAST / 2.0);
         let least_lines = LINES_LEAST.min(mean_lines);
-        let parts: &Lines = &ready.iter().map(|s| (s.listed.server, s.part)).collect();
+        let parts: &ServerWeights = &ready.iter().map(|s| (s.listed.server, s.part)).collect();
         let all: f64 = ready
             .iter()
             .map(|s| s.part * s.listed.weight)
@@ -98,7 +98,7 @@
                 .collect();
             laid.sort_by(|a, b| b.1.sized_per_s.total_cmp(&a.1.sized_per_s));
             laid.sort_by_key(|(_, p)| p.places.is_empty());
-            let (mut loads, mut ids, mut cut) = (Lines::new(), Vec::new(), Vec::new());
+            let (mut loads, mut ids, mut cut) = (ServerWeights::new(), Vec::new(), Vec::new());
             for (id, p) in laid {
                 let flows = match group.like.own_zone {
                     true => Shares::from([(p.zone, 1.0)]),
@@ -111,7 +111,7 @@
                     ),
                 };
                 let wanted = (mean_lines * p.sized_per_s / mean_per_s).max(least_lines);
-                let mut arcs: Vec<(Lines, f64)> = Vec::new();
+                let mut arcs: Vec<(ServerWeights, f64)> = Vec::new();
                 for (zone, part) in &flows {
                     let Some(ring) = rings.get(zone) else {
                         continue;
--- a/src/rules/gate.rs
+++ b/src/rules/gate.rs
@@ -94,7 +94,7 @@
             && self.valves.ordered_ms < self.valves.stepped_ms
             && admits != self.valves.ordered
         {
-            let order = |&(kinds, level, retry): &_| Effect::Admit {
+            let order = |&(kinds, level, retry): &_| Effect::SetAdmission {
                 table: None,
                 kinds,
                 level,
@@ -110,7 +110,7 @@
             .range(changes..)
             .for_each(|need| self.push(now, *need, &mut reached, out));
         if reached.lines > 0.0 {
-            out.push(Effect::Mark {
+            out.push(Effect::RequestAck {
                 mark: self.channel.next_mark,
                 all: false,
             });
@@ -175,7 +175,7 @@
                 self.fleet
                     .withdrawals
                     .remove(&server)
-                    .map(|out| Effect::Withdraw { server, out }),
+                    .map(|out| Effect::WithdrawServer { server, out }),
             );
         }
     }
@@ -244,7 +244,7 @@
         let Some(table) = self.tables.get_mut(&(id, g)) else {
             return;
         };
-        let order = |(server, weight)| Effect::Line {
+        let order = |(server, weight)| Effect::SetWeight {
             table: table.id,
             server,
             weight,
@@ -252,7 +252,7 @@
         out.extend(deltas.into_iter().map(order));
         if bare {
             let kinds = mask_of(self.groups[g].kinds.iter().copied());
-            out.push(Effect::Bind {
+            out.push(Effect::BindTable {
                 proxy: id,
                 table: table.id,
                 kinds,
--- a/src/rules/health.rs
+++ b/src/rules/health.rs
@@ -153,7 +153,7 @@
         if turn != Turn::Settle {
             log.push(format!(
                 "server {} {from:?} -> {next:?} on {cue:?}: {met}",
-                show(id)
+                format_server(id)
             ));
         }
         true
--- a/src/rules/parts.rs
+++ b/src/rules/parts.rs
@@ -36,11 +36,11 @@
     fleet: &Fleet,
     per_weight: f64,
     by: &SafetyBounds,
-    cut: &mut [(f64, Lines)],
+    cut: &mut [(f64, ServerWeights)],
 ) {
     let cold = |s: &&Server| is_cold(now, s, by);
     let fair = |s: &Server| (s.listed.server, s.part * s.listed.weight * per_weight);
-    let fair: Lines = fleet.servers.values().filter(cold).map(fair).collect();
+    let fair: ServerWeights = fleet.servers.values().filter(cold).map(fair).collect();
     let less = spared(cut, &fair);
     // In steps, lest a change at one line changes them all.
     for (id, w) in cut.iter_mut().flat_map(|(_, lines)| lines) {
--- a/src/rules/revisions.rs
+++ b/src/rules/revisions.rs
@@ -72,7 +72,7 @@
 ];
 
 impl Table {
-    fn file(&mut self, name: u64, verdict: Verdict, lines: Lines) {
+    fn file(&mut self, name: u64, verdict: Verdict, lines: ServerWeights) {
         let at = self.revisions.iter().position(|r| r.name == name);
         let from = at.map_or(Standing::Unknown, |k| self.revisions[k].standing);
         let row = REVISIONS
@@ -101,8 +101,8 @@
             .for_each(drop);
     }
 
-    pub(super) fn propose(&mut self, lines: Lines) {
-        let name = name_of(&lines);
+    pub(super) fn propose(&mut self, lines: ServerWeights) {
+        let name = revision_hash(&lines);
         if name != self.cut && !lines.is_empty() {
             self.cut = name;
             self.file(name, Verdict::Proposed, lines);
@@ -127,7 +127,7 @@
         names
             .into_iter()
             .flatten()
-            .for_each(|name| self.file(name, Verdict::Released, Lines::new()));
+            .for_each(|name| self.file(name, Verdict::Released, ServerWeights::new()));
         std::mem::take(&mut self.back)
     }
 
@@ -151,7 +151,7 @@
         }
         let (id, was) = (self.id, self.published);
         for name in unproven.into_iter().chain([was]) {
-            self.file(name, Verdict::Failed, Lines::new());
+            self.file(name, Verdict::Failed, ServerWeights::new());
         }
         let next = self.recalled().or_else(|| self.newest())?;
         let (sound, to) = (next.standing == Standing::Sound, next.name);
@@ -168,33 +168,33 @@
 
 impl Controller {
     /// Holds earlier lines for a table, if any of them can be used now.
-    pub(super) fn go_back(&mut self, id: TableId, lines: Lines) -> Back {
+    pub(super) fn go_back(&mut self, id: TableId, lines: ServerWeights) -> RollbackStatus {
         let found = self.tables.iter().find(|(_, t)| t.id == id);
         let Some((at, table)) = found else {
-            return Back::Refused("there is no such table");
+            return RollbackStatus::Refused("there is no such table");
         };
         let (at, of, usable) = (*at, lines.len(), self.usable(&lines, *at, table).len());
         if usable == 0 {
-            return Back::Refused(
+            return RollbackStatus::Refused(
                 "it would leave request kinds bare: no warm server of it is left",
             );
         }
         if let Some(table) = self.tables.get_mut(&at) {
             table.release();
-            table.file(name_of(&lines), Verdict::Recalled, lines);
+            table.file(revision_hash(&lines), Verdict::Recalled, lines);
             table.back = true;
         }
-        Back::Held { lines: usable, of }
+        RollbackStatus::Held { lines: usable, of }
     }
 
     /// What can be used now of earlier lines: no server that is drained, gone, struck or closed to the kinds,
     /// and of one that still ramps no more than its part of the module's own lines. Harm: none warm, no way.
     pub(super) fn usable(
         &self,
-        lines: &Lines,
+        lines: &ServerWeights,
         (proxy, g): (ProxyId, usize),
         table: &Table,
-    ) -> Lines {
+    ) -> ServerWeights {
         let (own, group, zone) = (
             self.own_lines(table, proxy, g),
             &self.groups[g],
@@ -211,7 +211,7 @@
             .iter()
             .filter_map(|(id, weight)| Some((*id, *weight, server(id)?)));
         let (cold, warm): (Vec<_>, Vec<_>) = known.partition(|(_, _, s)| s.phase == Phase::Ramping);
-        let mut usable: Lines = warm
+        let mut usable: ServerWeights = warm
             .iter()
             .map(|(id, w, s)| (*id, w.min(s.listed.weight)))
             .collect();
@@ -240,17 +240,17 @@
             .collect();
         for (at, id, why) in ended {
             self.tables.get_mut(&at).map(Table::release);
-            out.push(Effect::Back {
+            out.push(Effect::RollbackStatus {
                 table: id,
-                what: Back::Ended(why),
+                what: RollbackStatus::Ended(why),
             });
         }
     }
 
     /// The published revision's lines, less what is shut or struck, none above what a server may have now.
-    pub(super) fn own_lines(&self, table: &Table, proxy: ProxyId, g: usize) -> Lines {
+    pub(super) fn own_lines(&self, table: &Table, proxy: ProxyId, g: usize) -> ServerWeights {
         let (group, zone) = (&self.groups[g], self.zone_of(proxy));
-        let mut lines = Lines::new();
+        let mut lines = ServerWeights::new();
         for (id, w) in table.newest().into_iter().flat_map(|r| &r.lines) {
             let used = self.fleet.servers.get(id).filter(|s| s.part > 0.0);
             lines.extend(used.map(|s| (*id, w.min(s.listed.weight * s.part))));
--- a/src/shares.rs
+++ b/src/shares.rs
@@ -3,7 +3,7 @@
 use crate::{interface::*, rules::levels::EVERYTHING, state::*};
 
 /// Where a new arc starts: at the server that the arcs laid so far load least.
-pub fn least_loaded(ring: &[&ServerEntry], loads: &Lines) -> ServerId {
+pub fn least_loaded(ring: &[&ServerEntry], loads: &ServerWeights) -> ServerId {
     let load = |l: &ServerEntry| loads.get(&l.server).copied().unwrap_or(0.0);
     ring.iter()
         .min_by(|a, b| load(a).total_cmp(&load(b)))
@@ -11,10 +11,10 @@
 }
 
 /// One arc: so many mean servers of a ring, from a place on it onwards, at their listed weights.
-pub fn cut_arc(ring: &[&ServerEntry], from: ServerId, lines: f64) -> Lines {
+pub fn cut_arc(ring: &[&ServerEntry], from: ServerId, lines: f64) -> ServerWeights {
     let wanted = lines * ring.iter().map(|l| l.weight).sum::<f64>() / ring.len() as f64;
     let first = ring.partition_point(|l| l.server < from);
-    let (mut reached, mut arc) = (0.0, Lines::new());
+    let (mut reached, mut arc) = (0.0, ServerWeights::new());
     for listed in ring[first..].iter().chain(&ring[..first]) {
         if reached + listed.weight / 2.0 > wanted && reached > 0.0 {
             break;
@@ -54,10 +54,10 @@
 
 /// By how much the lines of these servers are to be less, so that none of them gets more than its fair share of what
 /// the tables bring. A table splits what it brings by its lines' weights.
-pub fn spared(tables: &[(f64, Lines)], fair: &Lines) -> Lines {
-    let mut less: Lines = fair.keys().map(|id| (*id, 1.0)).collect();
+pub fn spared(tables: &[(f64, ServerWeights)], fair: &ServerWeights) -> ServerWeights {
+    let mut less: ServerWeights = fair.keys().map(|id| (*id, 1.0)).collect();
     for _ in 0..if fair.is_empty() { 0 } else { PASSES } {
-        let mut loads = Lines::new();
+        let mut loads = ServerWeights::new();
         for (per_s, lines) in tables {
             let now_at = |(id, w): (&ServerId, &f64)| w * less.get(id).unwrap_or(&1.0);
             let sum: f64 = lines.iter().map(now_at).sum();
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-pub type Lines = BTreeMap<ServerId, f64>;
+pub type ServerWeights = BTreeMap<ServerId, f64>;
 
 /// The lines that a reply writes, by proxy and in all.
 #[derive(Default)]
@@ -172,7 +172,7 @@
 
 pub struct Revision {
     pub name: u64,
-    pub lines: Lines,
+    pub lines: ServerWeights,
     pub standing: Standing,
 }
 
@@ -212,13 +212,13 @@
     /// Published before it, and replaced before their own trials were over: they share its verdict.
     pub unproven: Vec<u64>,
     /// What the table holds by the orders that went out.
-    pub held: Lines,
+    pub held: ServerWeights,
     pub bound: bool,
     /// An operator went back; said until it has ended.
     pub back: bool,
 }
 
-pub fn name_of(lines: &Lines) -> u64 {
+pub fn revision_hash(lines: &ServerWeights) -> u64 {
     let bytes = lines
         .iter()
         .flat_map(|(id, w)| id.iter().copied().chain(w.to_bits().to_le_bytes()));
@@ -286,7 +286,7 @@
     pub ordered_ms: f64,
 }
 
-pub fn show([a, b, c, d, lo, hi]: ServerId) -> String {
+pub fn format_server([a, b, c, d, lo, hi]: ServerId) -> String {
     format!("{a}.{b}.{c}.{d}:{}", u16::from_le_bytes([lo, hi]))
 }
 
@@ -334,7 +334,7 @@
     pub servers: BTreeMap<ServerId, Server>,
     pub heard: BTreeMap<(ServerId, ZoneId), Buckets<3>>,
     /// Reqs in the hands or the queue of a server, as it last said.
-    pub held: Lines,
+    pub held: ServerWeights,
     /// Withdrawals to order (true) or to lift.
     pub withdrawals: BTreeMap<ServerId, bool>,
 }
@@ -498,7 +498,7 @@
         self.noted += count;
         own[..count]
             .chunks(NOTE_LINES)
-            .map(|c| Effect::Note {
+            .map(|c| Effect::PeerMessage {
                 to: None,
                 bytes: write_note(c),
             })
@@ -548,7 +548,7 @@
 
 impl Fleet {
     /// What a zone's proxies met at those of these servers that are in use.
-    pub fn met_on(&mut self, now: f64, zone: ZoneId, lines: &Lines, span_ms: f64) -> Met {
+    pub fn met_on(&mut self, now: f64, zone: ZoneId, lines: &ServerWeights, span_ms: f64) -> Met {
         let used = lines
             .keys()
             .filter(|id| self.servers.get(*id).is_some_and(|s| s.part > 0.0));
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -637,7 +637,7 @@
     let asks = harness
         .trace
         .lines()
-        .filter(|l| l.contains("Watch"))
+        .filter(|l| l.contains("WatchList"))
         .collect::<Vec<_>>()
         .join("\n");
     assert_snapshot!(asks);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -172,8 +172,8 @@
                 draft.lines += lines;
             };
             match &effect {
-                Effect::Alarm { in_ms, name } => self.alarms.push((self.now + in_ms, *name)),
-                Effect::Line {
+                Effect::SetTimer { in_ms, name } => self.alarms.push((self.now + in_ms, *name)),
+                Effect::SetWeight {
                     table,
                     server,
                     weight,
@@ -185,20 +185,20 @@
                     }
                     _ = self.users.get(table).map(|proxy| to(*proxy, 1.0));
                 }
-                Effect::Bind {
+                Effect::BindTable {
                     proxy,
                     table,
                     kinds,
                 } => {
                     self.users.insert(*table, *proxy);
                     let lines = &self.tables[table];
-                    let whole = Effect::Bind {
+                    let whole = Effect::BindTable {
                         proxy: *proxy,
                         table: *table,
                         kinds: *kinds,
                     };
                     let draft = drafts.entry(*proxy).or_default();
-                    let brings = lines.iter().map(|(server, weight)| Effect::Line {
+                    let brings = lines.iter().map(|(server, weight)| Effect::SetWeight {
                         table: *table,
                         server: *server,
                         weight: *weight,
@@ -207,7 +207,7 @@
                     draft.orders.push(whole);
                     draft.orders.extend(brings);
                 }
-                Effect::Withdraw { server, .. } => {
+                Effect::WithdrawServer { server, .. } => {
                     let bound: BTreeSet<&ProxyId> = self.users.values().collect();
                     let naming = self
                         .tables
@@ -218,8 +218,10 @@
                     let unknown = self.proxies.keys().filter(|p| !bound.contains(p));
                     unknown.chain(known).for_each(|proxy| to(*proxy, 1.0));
                 }
-                Effect::Admit { .. } => self.proxies.keys().for_each(|proxy| to(*proxy, 1.0)),
-                Effect::Mark { mark: number, .. } => mark = *number,
+                Effect::SetAdmission { .. } => {
+                    self.proxies.keys().for_each(|proxy| to(*proxy, 1.0))
+                }
+                Effect::RequestAck { mark: number, .. } => mark = *number,
                 _ => {}
             }
         }
@@ -288,14 +290,14 @@
         };
         for order in &message.orders {
             match order {
-                Effect::Bind { table, kinds, .. } => {
+                Effect::BindTable { table, kinds, .. } => {
                     self.first_table_ms.entry(proxy).or_insert(self.now);
                     held.tables.insert(*table, BTreeSet::new());
                     (0..self.kinds)
                         .filter(|k| kinds >> k & 1 == 1)
                         .for_each(|k| _ = held.bound.insert(k, *table));
                 }
-                Effect::Line {
+                Effect::SetWeight {
                     table,
                     server,
                     weight,
@@ -303,8 +305,8 @@
                     true => _ = held.tables.entry(*table).or_default().insert(*server),
                     false => _ = held.tables.entry(*table).or_default().remove(server),
                 },
-                Effect::Withdraw { server, out: true } => _ = held.shut.insert(*server),
-                Effect::Withdraw { server, out: false } => _ = held.shut.remove(server),
+                Effect::WithdrawServer { server, out: true } => _ = held.shut.insert(*server),
+                Effect::WithdrawServer { server, out: false } => _ = held.shut.remove(server),
                 _ => {}
             }
         }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -131,8 +131,8 @@
         self.reached.clear();
         for effect in effects {
             match effect {
-                Effect::Alarm { in_ms, name } => self.alarms.push((self.now + in_ms, name)),
-                Effect::Line {
+                Effect::SetTimer { in_ms, name } => self.alarms.push((self.now + in_ms, name)),
+                Effect::SetWeight {
                     table,
                     server,
                     weight,
@@ -147,7 +147,7 @@
                         .or_default()
                         .insert(server[3], weight);
                 }
-                Effect::Bind {
+                Effect::BindTable {
                     proxy,
                     table,
                     kinds,
@@ -156,14 +156,14 @@
                     self.reached.push(proxy);
                     said.push(format!("bind p{proxy} to t{table} for kinds {kinds:b}"));
                 }
-                Effect::Withdraw { server, out } => {
+                Effect::WithdrawServer { server, out } => {
                     said.push(format!(
                         "{} s{}",
                         if out { "withdraw" } else { "let back" },
                         server[3]
                     ));
                 }
-                Effect::Admit {
+                Effect::SetAdmission {
                     kinds,
                     level,
                     retry,
@@ -173,7 +173,7 @@
                         "kinds {kinds:b}: let in {level:.1}, retry {retry:?}"
                     ));
                 }
-                Effect::Mark { mark, .. } => {
+                Effect::RequestAck { mark, .. } => {
                     self.reached
                         .iter()
                         .for_each(|p| _ = self.marks.insert(*p, mark));
--- a/tests/way_back.rs
+++ b/tests/way_back.rs
@@ -216,8 +216,8 @@
             }
             for effect in controller.handle(now, &inputs) {
                 match effect {
-                    Effect::Alarm { in_ms, name } => alarms.push((now + in_ms, name)),
-                    Effect::Line {
+                    Effect::SetTimer { in_ms, name } => alarms.push((now + in_ms, name)),
+                    Effect::SetWeight {
                         table,
                         server,
                         weight,
@@ -233,15 +233,17 @@
                             lines.remove(&server);
                         }
                     }
-                    Effect::Bind { proxy, table, .. } => _ = seen.bound.insert(table, proxy),
-                    Effect::Mark { mark: m, .. } => mark = Some(m),
-                    Effect::Back { table, what } => match what {
-                        Back::Held { lines, of } => {
+                    Effect::BindTable { proxy, table, .. } => _ = seen.bound.insert(table, proxy),
+                    Effect::RequestAck { mark: m, .. } => mark = Some(m),
+                    Effect::RollbackStatus { table, what } => match what {
+                        RollbackStatus::Held { lines, of } => {
                             assert!(lines > 0 && lines <= of, "{who}");
                             (held, _) = (held + 1, seen.held.insert(table));
                         }
-                        Back::Refused(_) => refused += 1,
-                        Back::Ended(_) => (ended, _) = (ended + 1, seen.held.remove(&table)),
+                        RollbackStatus::Refused(_) => refused += 1,
+                        RollbackStatus::Ended(_) => {
+                            (ended, _) = (ended + 1, seen.held.remove(&table))
+                        }
                     },
                     _ => {}
                 }
