--- a/src/ring.rs
+++ b/src/ring.rs
@@ -2,13 +2,13 @@
 
 /// Sums of `N` measures per bucket of time; what is older than the ring is forgotten.
 #[derive(Clone, Debug)]
-pub struct Buckets<const N: usize> {
+pub struct TimeBuckets<const N: usize> {
     width_ms: f64,
     newest: i64,
     sums: Vec<[f64; N]>,
 }
 
-impl<const N: usize> Buckets<N> {
+impl<const N: usize> TimeBuckets<N> {
     pub fn new(width_ms: f64, count: usize) -> Self {
         let (newest, sums) = (i64::MIN, vec![[0.0; N]; count.max(1)]);
         Self {
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -14,17 +14,17 @@
 mod revisions;
 
 pub use crate::state::Controller;
-use crate::{interface::*, ring::Buckets, state::*};
+use crate::{interface::*, ring::TimeBuckets, state::*};
 use rand::RngExt;
 
 const ROUND_MS: f64 = 1_000.0;
-const NAMED_EVERY_MS: f64 = 3_000.0;
-const ROUND: u64 = 1;
-const ASK_AGAIN: u64 = 2;
+const ANNOUNCE_INTERVAL_MS: f64 = 3_000.0;
+const ROUND_TIMER: u64 = 1;
+const LIST_RETRY_TIMER: u64 = 2;
 /// What can't wait for the round goes out this often at most, so that it goes in few messages.
-const BEAT_MS: f64 = 200.0;
-const BEAT: u64 = 3;
-const ASK_MOST_MS: f64 = 8_000.0;
+const FLUSH_INTERVAL_MS: f64 = 200.0;
+const FLUSH_TIMER: u64 = 3;
+const MAX_LIST_RETRY_MS: f64 = 8_000.0;
 
 fn group_kinds(kinds: &[RequestKind]) -> Vec<KindGroup> {
     let mut groups: Vec<KindGroup> = Vec::new();
@@ -47,12 +47,15 @@
 impl Controller {
     pub fn new(now: f64, start: Start) -> Self {
         let groups = group_kinds(&start.kinds[..start.kinds.len().min(KINDS)]);
-        let mut new = Self::blank(now, start, groups);
-        (new.ask_again_ms, new.valves.allowed_per_s, new.valves.reach) =
-            (ROUND_MS, levels::EVERYTHING, 1.0);
+        let mut new = Self::with_initial_state(now, start, groups);
+        (
+            new.list_retry_ms,
+            new.admission.allowed_per_s,
+            new.admission.arc_scale,
+        ) = (ROUND_MS, levels::UNLIMITED, 1.0);
         // Rates are known once reports cover the span; till the first round proxies join and notes travel.
-        (new.valves.stepped_ms, new.beat_ms) =
-            (now + 2.0 * levels::JAM_SPAN_MS, now + 2.0 * ROUND_MS);
+        (new.admission.stepped_ms, new.next_flush_ms) =
+            (now + 2.0 * levels::OVERLOAD_SPAN_MS, now + 2.0 * ROUND_MS);
         new
     }
 
@@ -62,100 +65,107 @@
         if !std::mem::replace(&mut self.started, true) {
             out.push(Effect::SetTimer {
                 in_ms: ROUND_MS,
-                name: ROUND,
+                name: ROUND_TIMER,
             });
             out.extend(self.list_asked.then_some(Effect::WatchList { on: true }));
         }
         inputs
             .iter()
-            .for_each(|input| self.take(now, input, &mut out));
+            .for_each(|input| self.apply_input(now, input, &mut out));
         let asks = |i: &Input| {
             matches!(
                 i,
                 Input::Rollback { .. } | Input::ReleaseRollback { .. } | Input::TableLost { .. }
             )
         };
-        self.hasty |= inputs.iter().any(asks);
+        self.urgent |= inputs.iter().any(asks);
         let round = inputs
             .iter()
-            .any(|i| matches!(i, Input::TimerFired { name: ROUND }));
+            .any(|i| matches!(i, Input::TimerFired { name: ROUND_TIMER }));
         if round
             || inputs
                 .iter()
                 .any(|i| matches!(i, Input::ServerReport { .. }))
         {
             let target_ms = self.demand.usual_target_ms(now, &self.kinds);
-            let jam = self.valves.mode == Mode::Tight;
-            self.hasty |= self
+            let jam = self.admission.mode == Mode::Throttled;
+            self.urgent |= self
                 .fleet
-                .judge(now, target_ms, jam, &self.bounds, &mut self.log);
+                .evaluate(now, target_ms, jam, &self.bounds, &mut self.log);
         }
         if round {
             out.push(Effect::SetTimer {
                 in_ms: ROUND_MS,
-                name: ROUND,
+                name: ROUND_TIMER,
             });
             self.demand.resize(now, &mut self.log);
             for ((proxy, _), table) in &mut self.tables {
                 let Some(p) = self.demand.proxies.get(proxy) else {
                     continue;
                 };
-                self.log.extend(table.judge(
+                self.log.extend(table.evaluate(
                     now,
                     self.capabilities.report_period_ms,
                     p.zone,
                     &mut self.fleet,
                 ));
             }
-            self.step_valves(now);
-            self.forget(now);
+            self.step_admission(now);
+            self.remove_departed_servers(now);
             // Notes name each of our proxies well before it is forgotten, not only the heaviest.
-            out.extend(self.notes(ROUND_MS / NAMED_EVERY_MS));
+            out.extend(self.demand_notes(ROUND_MS / ANNOUNCE_INTERVAL_MS));
         }
-        if self.hasty && now < self.beat_ms && !std::mem::replace(&mut self.beat_set, true) {
+        if self.urgent
+            && now < self.next_flush_ms
+            && !std::mem::replace(&mut self.flush_scheduled, true)
+        {
             out.push(Effect::SetTimer {
-                in_ms: self.beat_ms - now,
-                name: BEAT,
+                in_ms: self.next_flush_ms - now,
+                name: FLUSH_TIMER,
             });
         }
-        if round || (self.hasty && now >= self.beat_ms) {
-            (self.hasty, self.beat_set, self.beat_ms) = (false, false, now + BEAT_MS);
-            let sure = parts::sure_for(now, &self.valves);
+        if round || (self.urgent && now >= self.next_flush_ms) {
+            (self.urgent, self.flush_scheduled, self.next_flush_ms) =
+                (false, false, now + FLUSH_INTERVAL_MS);
+            let sure = parts::required_multiple(now, &self.admission);
             self.fleet
                 .servers
                 .values_mut()
-                .for_each(|s| s.part = parts::part_of(now, s, sure, &self.bounds));
+                .for_each(|s| s.part = parts::ramped_share(now, s, sure, &self.bounds));
             if self.capabilities.slices == 0 {
-                self.cut_tables(now);
+                self.compute_tables(now);
             }
-            self.end_ways_back(&mut out);
-            self.gate(now, &mut out);
+            self.end_rollbacks(&mut out);
+            self.dispatch(now, &mut out);
         }
         out.extend(self.log.drain(..).map(Effect::Log));
         out
     }
 
-    fn take(&mut self, now: f64, input: &Input, out: &mut Vec<Effect>) {
+    fn apply_input(&mut self, now: f64, input: &Input, out: &mut Vec<Effect>) {
         match input {
             Input::List {
                 scope: ListScope::Failed,
                 ..
             } => {
                 // The list's service is shared: ask again later each time, and not in step.
-                let in_ms = self.ask_again_ms * self.rng.random_range(0.5..1.5);
-                self.ask_again_ms = (2.0 * self.ask_again_ms).min(ASK_MOST_MS);
+                let in_ms = self.list_retry_ms * self.rng.random_range(0.5..1.5);
+                self.list_retry_ms = (2.0 * self.list_retry_ms).min(MAX_LIST_RETRY_MS);
                 out.push(Effect::SetTimer {
                     in_ms,
-                    name: ASK_AGAIN,
+                    name: LIST_RETRY_TIMER,
                 });
             }
             Input::List { scope, lines, .. } => {
-                self.ask_again_ms = ROUND_MS;
+                self.list_retry_ms = ROUND_MS;
                 let soft = self.bounds.soft_removal;
-                self.fleet.take(now, *scope, lines, soft, &mut self.log);
-                self.hasty = true;
+                self.fleet
+                    .apply_list(now, *scope, lines, soft, &mut self.log);
+                self.urgent = true;
             }
-            Input::TimerFired { name: ASK_AGAIN } => out.push(Effect::WatchList { on: true }),
+            Input::TimerFired {
+                name: LIST_RETRY_TIMER,
+            } => out.push(Effect::WatchList { on: true }),
             Input::PeerMessage { bytes, .. } => self.demand.take_note(now, bytes),
             Input::ProxyJoined {
                 proxy,
@@ -163,11 +173,11 @@
                 usual_per_s,
                 fresh,
             } => {
-                let entry = self.demand.named(now, *proxy, *zone, *usual_per_s);
+                let entry = self.demand.observe_proxy(now, *proxy, *zone, *usual_per_s);
                 (entry.joined, entry.joined_ms, entry.fresh) = (true, now, *fresh);
-                entry.written = Buckets::new(250.0, 48);
+                entry.written = TimeBuckets::new(250.0, 48);
                 self.tables_of(*proxy).for_each(|table| table.bound = false);
-                self.hasty = true;
+                self.urgent = true;
             }
             Input::ProxyLeft { proxy } => {
                 if let Some(p) = self.demand.proxies.get_mut(proxy) {
@@ -220,7 +230,7 @@
                     .map(|p| p.came.add(now, what));
             }
             Input::Rollback { table, lines } => {
-                let what = self.go_back(*table, lines.iter().copied().collect());
+                let what = self.start_rollback(*table, lines.iter().copied().collect());
                 out.push(Effect::RollbackStatus {
                     table: *table,
                     what,
@@ -252,7 +262,7 @@
     }
 
     /// Drops servers long gone once no joined proxy can hold them; lifts withdrawals, should one return.
-    fn forget(&mut self, now: f64) {
+    fn remove_departed_servers(&mut self, now: f64) {
         let gone = |s: &Server| s.phase == Phase::Leaving && s.listed.stage == Stage::Gone;
         let old = self
             .fleet
--- a/src/rules/arcs.rs
+++ b/src/rules/arcs.rs
@@ -6,12 +6,12 @@
 /// A mean proxy's arc reaches over as many servers as spread it so that laying it loads none by over this
 /// part of its share; but all proxies together leave servers most of the connections they accept, and one
 /// controller's proxies can be written anew in a part of its queue.
-const LAID_PART: f64 = 0.05;
-const CONNS_PART: f64 = 0.3;
-const WRITE_PART: f64 = 0.2;
-pub(super) const LINES_LEAST: f64 = 4.0;
+const MAX_ARC_LOAD_SHARE: f64 = 0.05;
+const CONNECTION_SHARE: f64 = 0.3;
+const REWRITE_QUEUE_SHARE: f64 = 0.2;
+pub(super) const MIN_ARC_LINES: f64 = 4.0;
 /// Zones are kept apart where crossing them costs more than this; how unevenly goes by that price.
-const NEAR_PRICE: f64 = 0.02;
+const ZONE_LOCAL_PRICE: f64 = 0.02;
 const SLACK_PER_PRICE: f64 = 1.0;
 pub(super) const STEPS: f64 = 8.0;
 
@@ -20,27 +20,27 @@
 }
 
 /// How many servers a mean proxy's arc reaches over, in coarse steps so that it holds still.
-fn lines_for(ring: f64, own: f64, by_conns: f64, pace: &ChannelLimits) -> f64 {
-    let by_queue = WRITE_PART * pace.backlog_lines / own - pace.header_lines;
-    let most = (ring / own / LAID_PART)
+fn arc_size(ring: f64, own: f64, by_conns: f64, pace: &ChannelLimits) -> f64 {
+    let by_queue = REWRITE_QUEUE_SHARE * pace.backlog_lines / own - pace.header_lines;
+    let most = (ring / own / MAX_ARC_LOAD_SHARE)
         .min(by_conns)
         .min(by_queue)
-        .max(LINES_LEAST);
+        .max(MIN_ARC_LINES);
     ((most.log2() * 2.0).round() / 2.0).exp2()
 }
 
 impl Controller {
-    pub(super) fn cut_tables(&mut self, now: f64) {
-        let near = self.capabilities.cross_zone_price > NEAR_PRICE;
+    pub(super) fn compute_tables(&mut self, now: f64) {
+        let near = self.capabilities.cross_zone_price > ZONE_LOCAL_PRICE;
         let zone_of = |zone: ZoneId| if near { zone } else { 0 };
         // A jam costs more than crossing zones does: then they are loaded evenly.
-        let jam = self.valves.mode == Mode::Tight;
+        let jam = self.admission.mode == Mode::Throttled;
         let slack = if jam {
             0.0
         } else {
             SLACK_PER_PRICE * self.capabilities.cross_zone_price
         };
-        let demand = self.demand.zones_held(zone_of);
+        let demand = self.demand.stable_zone_shares(zone_of);
         let sized: f64 = self.demand.proxies.values().map(|p| p.sized_per_s).sum();
         let mean_per_s = sized / self.demand.proxies.len().max(1) as f64;
         let ready: Vec<&Server> = self
@@ -51,8 +51,9 @@
             .collect();
         let zones: BTreeSet<ZoneId> = ready.iter().map(|s| zone_of(s.listed.zone)).collect();
         let (servers, own) = (ready.len() as f64, self.proxies / self.controllers);
-        let by_conns = CONNS_PART * self.capabilities.min_connections * servers / self.proxies;
-        let mean_lines = lines_for(
+        let by_conns =
+            CONNECTION_SHARE * self.capabilities.min_connections * servers / self.proxies;
+        let mean_lines = arc_size(
             servers / zones.len().max(1) as f64,
             own,
             by_conns,
@@ -60,9 +61,9 @@
         );
         // Narrow arcs that hold only cold servers push them over.
         let cold = ready.iter().any(|s| parts::is_cold(now, s, &self.bounds));
-        let reach = if cold { 1.0 } else { self.valves.reach };
-        let mean_lines = (mean_lines * reach).max(LINES_LEAST / 2.0);
-        let least_lines = LINES_LEAST.min(mean_lines);
+        let reach = if cold { 1.0 } else { self.admission.arc_scale };
+        let mean_lines = (mean_lines * reach).max(MIN_ARC_LINES / 2.0);
+        let least_lines = MIN_ARC_LINES.min(mean_lines);
         let parts: &ServerWeights = &ready.iter().map(|s| (s.listed.server, s.part)).collect();
         let all: f64 = ready
             .iter()
@@ -120,7 +121,7 @@
                         .places
                         .entry(*zone)
                         .or_insert_with(|| least_loaded(ring, &loads));
-                    let arc = cut_arc(ring, from, (wanted * part).max(least_lines / 2.0));
+                    let arc = build_arc(ring, from, (wanted * part).max(least_lines / 2.0));
                     let density = part / arc.values().sum::<f64>();
                     arc.keys()
                         .for_each(|s| *loads.entry(*s).or_insert(0.0) += p.sized_per_s * density);
@@ -136,7 +137,7 @@
                 ids.push(*id);
                 cut.push((p.sized_per_s * share, lines.collect()));
             }
-            parts::spare_cold(
+            parts::limit_cold_servers(
                 now,
                 &self.fleet,
                 mean_per_s * self.proxies / all,
--- a/src/rules/demand.rs
+++ b/src/rules/demand.rs
@@ -2,9 +2,9 @@
 
 use crate::{interface::*, rules::ROUND_MS, rules::arcs::STEPS, rules::arcs::in_steps, state::*};
 
-const OFF_SHARE: f64 = 0.5;
-const OFF_FOR_MS: f64 = 10_000.0;
-const ZONE_OFF: f64 = 0.2;
+const RESIZE_DEVIATION: f64 = 0.5;
+const RESIZE_AFTER_MS: f64 = 10_000.0;
+const ZONE_DEVIATION: f64 = 0.2;
 const USAGE_SPAN_MS: f64 = 8_000.0;
 pub(super) const LEVEL_SPAN_MS: f64 = 4_000.0;
 /// A proxy that nobody has named for this long brings nothing any more; a server that is gone does nothing.
@@ -18,53 +18,54 @@
         let known = |p: &Proxy| p.joined && now - p.joined_ms >= USAGE_SPAN_MS + 2.0 * ROUND_MS;
         let (mut sized, mut met) = (0.0, 0.0);
         for p in self.proxies.values_mut().filter(|p| known(p)) {
-            p.met_per_s = p.came.over(now, USAGE_SPAN_MS).iter().sum::<f64>() / USAGE_SPAN_MS * 1e3;
-            (sized, met) = (sized + p.sized_per_s, met + p.met_per_s);
+            p.observed_per_s =
+                p.came.over(now, USAGE_SPAN_MS).iter().sum::<f64>() / USAGE_SPAN_MS * 1e3;
+            (sized, met) = (sized + p.sized_per_s, met + p.observed_per_s);
         }
         for (id, p) in self
             .proxies
             .iter_mut()
             .filter(|(_, p)| known(p) && met > 0.0)
         {
-            let fair = p.met_per_s * sized / met;
-            if (fair - p.sized_per_s).abs() <= OFF_SHARE * p.sized_per_s {
-                p.off_since_ms = None;
-            } else if now - *p.off_since_ms.get_or_insert(now) >= OFF_FOR_MS {
+            let fair = p.observed_per_s * sized / met;
+            if (fair - p.sized_per_s).abs() <= RESIZE_DEVIATION * p.sized_per_s {
+                p.deviating_since_ms = None;
+            } else if now - *p.deviating_since_ms.get_or_insert(now) >= RESIZE_AFTER_MS {
                 log.push(format!(
                     "proxy {id} arc resized: {:.2} -> {fair:.2} reqs/s",
                     p.sized_per_s
                 ));
-                (p.sized_per_s, p.off_since_ms) = (fair.max(0.01), None);
+                (p.sized_per_s, p.deviating_since_ms) = (fair.max(0.01), None);
                 p.places.clear();
             }
         }
     }
 
     /// The part of the fleet's reqs that comes to our proxies, each unknown one taken as a mean one.
-    pub(super) fn part_of_all(&self, proxies: f64) -> f64 {
-        let known: f64 = self.proxies.values().map(|p| p.met_per_s).sum();
+    pub(super) fn share_of_demand(&self, proxies: f64) -> f64 {
+        let known: f64 = self.proxies.values().map(|p| p.observed_per_s).sum();
         let own: f64 = self
             .proxies
             .values()
             .filter(|p| p.joined)
-            .map(|p| p.met_per_s)
+            .map(|p| p.observed_per_s)
             .sum();
         (own / known.max(1e-9) * (self.proxies.len().max(1) as f64 / proxies).min(1.0)).max(1e-3)
     }
 
     /// The zones' shares of the demand, held until one is well off.
-    pub(super) fn zones_held(&mut self, zone_of: impl Fn(ZoneId) -> ZoneId) -> Shares {
-        let all: f64 = self.proxies.values().map(|p| p.met_per_s).sum();
+    pub(super) fn stable_zone_shares(&mut self, zone_of: impl Fn(ZoneId) -> ZoneId) -> Shares {
+        let all: f64 = self.proxies.values().map(|p| p.observed_per_s).sum();
         // Where nobody brings anything, what was known before holds.
         if all <= 0.0 {
             return self.zones.clone();
         }
         let mut met = Shares::new();
         for p in self.proxies.values() {
-            *met.entry(zone_of(p.zone)).or_insert(0.0) += p.met_per_s / all;
+            *met.entry(zone_of(p.zone)).or_insert(0.0) += p.observed_per_s / all;
         }
         let held = |z: &ZoneId| self.zones.get(z).copied().unwrap_or(0.0);
-        let off = |(z, m): (&ZoneId, &f64)| (m - held(z)).abs() > ZONE_OFF * held(z);
+        let off = |(z, m): (&ZoneId, &f64)| (m - held(z)).abs() > ZONE_DEVIATION * held(z);
         if met.iter().any(off) || self.zones.len() != met.len() {
             self.zones = met;
         }
--- a/src/rules/gate.rs
+++ b/src/rules/gate.rs
@@ -1,21 +1,21 @@
 //! Every order passes here: bare proxies, drains and first tables, withdrawals, levels, then changes.
 
 use crate::{
-    interface::*, rules::arcs::LINES_LEAST, rules::queue::room, rules::revisions, state::*,
+    interface::*, rules::arcs::MIN_ARC_LINES, rules::queue::room, rules::revisions, state::*,
 };
 use std::collections::BTreeSet;
 
 /// How much of the limits deltas may use up, and tables for proxies that have none.
-const DELTAS_PART: f64 = 0.5;
-const BARE_PART: f64 = 0.8;
+const DELTA_SHARE: f64 = 0.5;
+const FIRST_TABLE_SHARE: f64 = 0.8;
 /// Withdrawals may use up this much of the queue; the rest is for lines that let a server back uncounted.
-const WITHDRAWN_PART: f64 = 0.9;
+const WITHDRAWAL_SHARE: f64 = 0.9;
 /// So much of the grace may pass before a withdrawal is through.
-const GRACE_PART: f64 = 0.8;
+const GRACE_SHARE: f64 = 0.8;
 
 impl Controller {
     /// What each table of a joined proxy needs: the most urgent first, of drains those of the oldest word.
-    fn needs(&self) -> BTreeSet<Wanted> {
+    fn needs(&self) -> BTreeSet<PendingUpdate> {
         let left = |s: &ServerId| {
             self.fleet
                 .servers
@@ -32,14 +32,14 @@
             .map(|(s, _)| since(s))
             .min();
         let need = |p: &Proxy, table: &Table| match (table.bound, drains) {
-            (false, _) if p.fresh => (Need::Bare, 0),
+            (false, _) if p.fresh => (Need::NoTable, 0),
             (false, Some(since)) => (Need::Drain, since),
             (false, None) => (Need::Bind, 0),
             // One whose servers have all left is as good as bare: a lost zone left proxies so.
-            _ if table.held.keys().all(left) => (Need::Bare, 0),
+            _ if table.held.keys().all(left) => (Need::NoTable, 0),
             _ => match table.held.keys().filter(|s| left(s)).map(since).min() {
                 Some(since) => (Need::Drain, since),
-                None => (Need::Change, 0),
+                None => (Need::Delta, 0),
             },
         };
         let joined = |id| self.demand.proxies.get(id).filter(|p: &&Proxy| p.joined);
@@ -52,9 +52,9 @@
             .collect()
     }
 
-    pub(super) fn gate(&mut self, now: f64, out: &mut Vec<Effect>) {
+    pub(super) fn dispatch(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.channel
-            .pass_time(now, self.pace.lines_per_s, self.pace.max_transit_ms);
+            .advance(now, self.pace.lines_per_s, self.pace.max_transit_ms);
         let joined = self.demand.joined();
         if joined.is_empty() {
             self.channel.left = self.channel.written;
@@ -75,24 +75,24 @@
             .map(written)
             .fold(0.0, f64::max);
         let limit = f64::from(self.pace.messages_most);
-        let free = limit <= 0.0 || most_written + 1.0 <= limit * BARE_PART;
+        let free = limit <= 0.0 || most_written + 1.0 <= limit * FIRST_TABLE_SHARE;
         let (mut reached, needs, changes) =
-            (Reached::default(), self.needs(), (Need::Change, 0, 0, 0));
+            (ReplyCost::default(), self.needs(), (Need::Delta, 0, 0, 0));
         self.withdraw(now, free, false, &mut reached, out);
         needs
             .range(..changes)
-            .for_each(|need| self.push(now, *need, &mut reached, out));
+            .for_each(|need| self.update_table(now, *need, &mut reached, out));
         self.withdraw(now, free, true, &mut reached, out);
         // Levels go to everybody: where the queue has no room for that or for all that is urgent, they wait.
-        let admits = self.admits(now);
+        let admission_levels = self.admission_levels(now);
         let head = self.pace.header_lines + 1.0;
-        let size = (head + admits.len() as f64) * joined.len() as f64;
+        let size = (head + admission_levels.len() as f64) * joined.len() as f64;
         let waiting = self.channel.waiting() + reached.lines;
-        let fits = !self.hasty && waiting + size <= self.pace.backlog_lines * DELTAS_PART;
+        let fits = !self.urgent && waiting + size <= self.pace.backlog_lines * DELTA_SHARE;
         if free
             && fits
-            && self.valves.ordered_ms < self.valves.stepped_ms
-            && admits != self.valves.ordered
+            && self.admission.ordered_ms < self.admission.stepped_ms
+            && admission_levels != self.admission.ordered
         {
             let order = |&(kinds, level, retry): &_| Effect::SetAdmission {
                 table: None,
@@ -100,15 +100,15 @@
                 level,
                 retry,
             };
-            drop(out.splice(0..0, admits.iter().map(order)));
+            drop(out.splice(0..0, admission_levels.iter().map(order)));
             joined
                 .iter()
-                .for_each(|id| reached.add(*id, head, admits.len() as f64));
-            (self.valves.ordered, self.valves.ordered_ms) = (admits, now);
+                .for_each(|id| reached.add(*id, head, admission_levels.len() as f64));
+            (self.admission.ordered, self.admission.ordered_ms) = (admission_levels, now);
         }
         needs
             .range(changes..)
-            .for_each(|need| self.push(now, *need, &mut reached, out));
+            .for_each(|need| self.update_table(now, *need, &mut reached, out));
         if reached.lines > 0.0 {
             out.push(Effect::RequestAck {
                 mark: self.channel.next_mark,
@@ -129,21 +129,21 @@
         now: f64,
         free: bool,
         last: bool,
-        reached: &mut Reached,
+        reached: &mut ReplyCost,
         out: &mut Vec<Effect>,
     ) {
         let mut due = self.fleet.withdrawals.clone();
         due.retain(|_, shut| *shut || free);
         let (head, level) = (
             self.pace.header_lines + 1.0,
-            self.valves.ordered.len() as f64,
+            self.admission.ordered.len() as f64,
         );
         let (room, limit) = (
-            room(&self.pace) * BARE_PART,
-            self.pace.backlog_lines * WITHDRAWN_PART,
+            room(&self.pace) * FIRST_TABLE_SHARE,
+            self.pace.backlog_lines * WITHDRAWAL_SHARE,
         );
-        let in_time_ms = GRACE_PART * (self.bounds.drain_grace_ms - self.pace.max_transit_ms);
-        let bound = self.groups.len() as f64 * (LINES_LEAST * self.pace.bind_lines + level + 1.0);
+        let in_time_ms = GRACE_SHARE * (self.bounds.drain_grace_ms - self.pace.max_transit_ms);
+        let bound = self.groups.len() as f64 * (MIN_ARC_LINES * self.pace.bind_lines + level + 1.0);
         let holders = self.holders(&self.demand.joined(), due.keys());
         let all = holders.values().map(Vec::len).sum::<usize>() as f64 * (head + 1.0);
         let go = last || self.channel.waiting() + all <= room;
@@ -165,7 +165,7 @@
                 limit
             };
             if waiting > 0.0 && size > 0.0 && waiting + size > most {
-                self.hasty = true;
+                self.urgent = true;
                 continue;
             }
             holders
@@ -181,17 +181,17 @@
     }
 
     /// Brings a proxy's table up to what is published: whole where bare of ours, else by deltas.
-    fn push(
+    fn update_table(
         &mut self,
         now: f64,
-        (need, _, id, g): Wanted,
-        reached: &mut Reached,
+        (need, _, id, g): PendingUpdate,
+        reached: &mut ReplyCost,
         out: &mut Vec<Effect>,
     ) {
-        let part = if need == Need::Change {
-            DELTAS_PART
+        let part = if need == Need::Delta {
+            DELTA_SHARE
         } else {
-            BARE_PART
+            FIRST_TABLE_SHARE
         };
         let Some(p) = self.demand.proxies.get_mut(&id) else {
             return;
@@ -207,9 +207,9 @@
         let Some(table) = self.tables.get(&(id, g)) else {
             return;
         };
-        let lines = match table.recalled() {
-            Some(back) => self.usable(&back.lines, (id, g), table),
-            None => self.own_lines(table, id, g),
+        let lines = match table.pinned() {
+            Some(back) => self.usable_weights(&back.lines, (id, g), table),
+            None => self.published_weights(table, id, g),
         };
         let changed = lines
             .iter()
@@ -226,20 +226,20 @@
             return;
         }
         let whole =
-            lines.len() as f64 * self.pace.bind_lines + self.valves.ordered.len() as f64 + 1.0;
+            lines.len() as f64 * self.pace.bind_lines + self.admission.ordered.len() as f64 + 1.0;
         let size = if bare { whole } else { deltas.len() as f64 };
         let (head, waiting) = (
             self.pace.header_lines + 1.0,
             self.channel.waiting() + reached.lines,
         );
         if waiting + reached.cost(id, head, size) > room(&self.pace) * part {
-            self.hasty |= need != Need::Change;
+            self.urgent |= need != Need::Delta;
             return;
         }
         reached.add(id, head, size);
         let prior_bad = self
             .fleet
-            .met_on(now, zone, &table.held, revisions::TAINT_SPAN_MS)
+            .stats_on(now, zone, &table.held, revisions::TAINT_SPAN_MS)
             .bad_share();
         let Some(table) = self.tables.get_mut(&(id, g)) else {
             return;
@@ -260,18 +260,18 @@
         }
         (table.bound, table.held) = (true, lines);
         let published = table
-            .recalled()
+            .pinned()
             .or_else(|| table.newest())
             .map_or(0, |r| r.name);
         if table.published != published {
             let before = std::mem::replace(&mut table.published, published);
             // What was never found sound can't vouch for what follows it.
             if self.capabilities.shared_verdicts && table.trial.is_some() {
-                table.unproven.push(before);
+                table.unevaluated.push(before);
             } else {
-                table.unproven.clear();
+                table.unevaluated.clear();
                 let mark = self.channel.next_mark;
-                table.trial = Some(Trial {
+                table.trial = Some(RevisionTrial {
                     mark,
                     from_ms: now,
                     answered: false,
--- a/src/rules/health.rs
+++ b/src/rules/health.rs
@@ -3,46 +3,116 @@
 use crate::{interface::*, rules::parts, state::*};
 use std::collections::BTreeSet;
 
-const HEALTH: &[(Phase, Cue, Phase, Turn)] = &[
-    (Phase::Warm, Cue::Starts, Phase::Ramping, Turn::Enter),
-    (Phase::Ramping, Cue::Starts, Phase::Ramping, Turn::Enter),
-    (Phase::Struck, Cue::Starts, Phase::Ramping, Turn::Enter),
-    (Phase::Leaving, Cue::Starts, Phase::Ramping, Turn::Enter),
-    (Phase::Leaving, Cue::Returns, Phase::Ramping, Turn::Reenter),
-    (Phase::Warm, Cue::Departs, Phase::Leaving, Turn::Shut),
-    (Phase::Ramping, Cue::Departs, Phase::Leaving, Turn::Shut),
-    (Phase::Struck, Cue::Departs, Phase::Leaving, Turn::Shut),
-    (Phase::Warm, Cue::Fails, Phase::Struck, Turn::Hold),
-    (Phase::Ramping, Cue::Fails, Phase::Struck, Turn::Hold),
-    (Phase::Warm, Cue::Strains, Phase::Ramping, Turn::Trim),
-    (Phase::Ramping, Cue::Strains, Phase::Ramping, Turn::Trim),
-    (Phase::Struck, Cue::HoldEnds, Phase::Ramping, Turn::Reenter),
-    (Phase::Ramping, Cue::RampEnds, Phase::Warm, Turn::Settle),
+const HEALTH: &[(Phase, HealthEvent, Phase, HealthAction)] = &[
+    (
+        Phase::Warm,
+        HealthEvent::Started,
+        Phase::Ramping,
+        HealthAction::StartRamp,
+    ),
+    (
+        Phase::Ramping,
+        HealthEvent::Started,
+        Phase::Ramping,
+        HealthAction::StartRamp,
+    ),
+    (
+        Phase::Ejected,
+        HealthEvent::Started,
+        Phase::Ramping,
+        HealthAction::StartRamp,
+    ),
+    (
+        Phase::Leaving,
+        HealthEvent::Started,
+        Phase::Ramping,
+        HealthAction::StartRamp,
+    ),
+    (
+        Phase::Leaving,
+        HealthEvent::Returned,
+        Phase::Ramping,
+        HealthAction::RestartRamp,
+    ),
+    (
+        Phase::Warm,
+        HealthEvent::Departed,
+        Phase::Leaving,
+        HealthAction::Withdraw,
+    ),
+    (
+        Phase::Ramping,
+        HealthEvent::Departed,
+        Phase::Leaving,
+        HealthAction::Withdraw,
+    ),
+    (
+        Phase::Ejected,
+        HealthEvent::Departed,
+        Phase::Leaving,
+        HealthAction::Withdraw,
+    ),
+    (
+        Phase::Warm,
+        HealthEvent::Failing,
+        Phase::Ejected,
+        HealthAction::Eject,
+    ),
+    (
+        Phase::Ramping,
+        HealthEvent::Failing,
+        Phase::Ejected,
+        HealthAction::Eject,
+    ),
+    (
+        Phase::Warm,
+        HealthEvent::Slow,
+        Phase::Ramping,
+        HealthAction::ReduceWeight,
+    ),
+    (
+        Phase::Ramping,
+        HealthEvent::Slow,
+        Phase::Ramping,
+        HealthAction::ReduceWeight,
+    ),
+    (
+        Phase::Ejected,
+        HealthEvent::EjectionEnded,
+        Phase::Ramping,
+        HealthAction::RestartRamp,
+    ),
+    (
+        Phase::Ramping,
+        HealthEvent::RampEnded,
+        Phase::Warm,
+        HealthAction::FinishRamp,
+    ),
 ];
 
 pub(super) const SPAN_MS: f64 = 3_000.0;
-const HOLD_MS: f64 = 5_000.0;
-const HOLD_MOST_MS: f64 = 20_000.0;
+const EJECTION_MS: f64 = 5_000.0;
+const MAX_EJECTION_MS: f64 = 20_000.0;
 /// A server fails when over this share of its tries is bad, and so much more than the fleet's usual that
 /// chance would hardly show it at any one of so many. Fixed counts struck sound servers in a jam.
 const FAIL_SHARE: f64 = 0.5;
-const FAIL_TRIES: f64 = 4.0;
+const FAIL_MIN_TRIES: f64 = 4.0;
 const FAIL_FACTOR: f64 = 1.5;
 const FAIL_USUAL: f64 = 0.02;
 /// What answers next to nothing is a server's trouble and no jam.
-pub(super) const DEAD_SHARE: f64 = 0.9;
+pub(super) const UNRESPONSIVE_SHARE: f64 = 0.9;
 /// It strains when good answers take so many times the fleet's median, and this of the target.
-const STRAIN_RATIO: f64 = 1.6;
+const SLOW_RATIO: f64 = 1.6;
 /// In a jam it takes more, lest trims rove through a full fleet.
-const STRAIN_IN_JAM: f64 = 3.0;
-const STRAIN_PART: f64 = 0.5;
-const STRAIN_TRIES: f64 = 8.0;
-const TRIM_TO: f64 = 0.75;
+const SLOW_RATIO_THROTTLED: f64 = 3.0;
+const SLOW_TARGET_SHARE: f64 = 0.5;
+const SLOW_MIN_TRIES: f64 = 8.0;
+const REDUCE_FACTOR: f64 = 0.75;
 
 impl Fleet {
     /// Where a list that merely drops a server doesn't bind (`soft`), such a one stays while it gives good
     /// answers. Guards against wrong lists. Harm: one gone for good is sent to until it is heard to fail.
-    pub(super) fn take(
+    pub(super) fn apply_list(
         &mut self,
         now: f64,
         scope: ListScope,
@@ -67,12 +137,12 @@
                 line.stage == Stage::Ready,
                 line.started_ms > 0.0,
             );
-            let fails = self.met_at(now, id, SPAN_MS).bad_share() > FAIL_SHARE;
+            let fails = self.stats_at(now, id, SPAN_MS).bad_share() > FAIL_SHARE;
             if let Some(known) = self.servers.get_mut(&id) {
                 let cue = match (ready, line.started_ms > known.listed.started_ms) {
-                    (false, _) => Cue::Departs,
-                    (true, true) => Cue::Starts,
-                    (true, false) => Cue::Returns,
+                    (false, _) => HealthEvent::Departed,
+                    (true, true) => HealthEvent::Started,
+                    (true, false) => HealthEvent::Returned,
                 };
                 known.listed = if ready {
                     line.clone()
@@ -82,8 +152,8 @@
                         ..gone(known)
                     }
                 };
-                if !(soft && line.stage == Stage::Gone && known.phase != Phase::Struck && !fails) {
-                    self.turn(now, id, cue, log);
+                if !(soft && line.stage == Stage::Gone && known.phase != Phase::Ejected && !fails) {
+                    self.transition(now, id, cue, log);
                 }
                 continue;
             }
@@ -98,7 +168,7 @@
             } else {
                 now
             };
-            let (listed, hold_ms, part) = (line.clone(), HOLD_MS, parts::ENTRY_PART);
+            let (listed, ejection_ms, part) = (line.clone(), EJECTION_MS, parts::ENTRY_PART);
             self.servers.insert(
                 id,
                 Server {
@@ -106,7 +176,7 @@
                     phase,
                     since_ms: now,
                     ramp_from_ms,
-                    hold_ms,
+                    ejection_ms,
                     part,
                 },
             );
@@ -115,8 +185,8 @@
     }
 
     /// Takes one step of the health table; false where it has none.
-    fn turn(&mut self, now: f64, id: ServerId, cue: Cue, log: &mut Log) -> bool {
-        let met = self.met_at(now, id, SPAN_MS);
+    fn transition(&mut self, now: f64, id: ServerId, cue: HealthEvent, log: &mut Log) -> bool {
+        let met = self.stats_at(now, id, SPAN_MS);
         let Some(server) = self.servers.get_mut(&id) else {
             return false;
         };
@@ -126,31 +196,31 @@
             return false;
         };
         match turn {
-            Turn::Enter => {
+            HealthAction::StartRamp => {
                 server.ramp_from_ms = server.listed.started_ms - parts::RAMP_MS;
                 self.heard.retain(|(at, _), _| *at != id);
             }
-            Turn::Reenter => server.ramp_from_ms = now,
-            Turn::Trim => {
-                let grown = (server.part * TRIM_TO - parts::ENTRY_PART).max(0.0)
+            HealthAction::RestartRamp => server.ramp_from_ms = now,
+            HealthAction::ReduceWeight => {
+                let grown = (server.part * REDUCE_FACTOR - parts::ENTRY_PART).max(0.0)
                     / (1.0 - parts::ENTRY_PART);
                 server.ramp_from_ms = now - parts::RAMP_MS * grown;
             }
-            Turn::Hold => {
-                let again = from == Phase::Ramping && now - server.since_ms < server.hold_ms;
-                server.hold_ms = if again {
-                    (2.0 * server.hold_ms).min(HOLD_MOST_MS)
+            HealthAction::Eject => {
+                let again = from == Phase::Ramping && now - server.since_ms < server.ejection_ms;
+                server.ejection_ms = if again {
+                    (2.0 * server.ejection_ms).min(MAX_EJECTION_MS)
                 } else {
-                    HOLD_MS
+                    EJECTION_MS
                 };
             }
-            Turn::Shut | Turn::Settle => {}
+            HealthAction::Withdraw | HealthAction::FinishRamp => {}
         }
         (server.phase, server.since_ms) = (next, now);
         if (from == Phase::Leaving) != (next == Phase::Leaving) {
             self.withdrawals.insert(id, next == Phase::Leaving);
         }
-        if turn != Turn::Settle {
+        if turn != HealthAction::FinishRamp {
             log.push(format!(
                 "server {} {from:?} -> {next:?} on {cue:?}: {met}",
                 format_server(id)
@@ -160,7 +230,7 @@
     }
 
     /// Judges every server by what was heard; true when one changed.
-    pub(super) fn judge(
+    pub(super) fn evaluate(
         &mut self,
         now: f64,
         aim_ms: f64,
@@ -169,17 +239,17 @@
         log: &mut Log,
     ) -> bool {
         let ids: Vec<ServerId> = self.servers.keys().copied().collect();
-        let met: Vec<Met> = ids
+        let met: Vec<AttemptStats> = ids
             .iter()
-            .map(|id| self.met_at(now, *id, SPAN_MS))
+            .map(|id| self.stats_at(now, *id, SPAN_MS))
             .collect();
         let means = met
             .iter()
             .filter(|m| m.good() >= 3.0)
-            .map(Met::mean_ms)
+            .map(AttemptStats::mean_ms)
             .collect();
         let median = quantile(means, 0.5).unwrap_or(f64::INFINITY);
-        let all = met.iter().fold(Met::default(), |all, m| {
+        let all = met.iter().fold(AttemptStats::default(), |all, m| {
             all.with([m.tries, m.bad, m.time_ms])
         });
         let (usual, sure) = (
@@ -187,42 +257,48 @@
             1.0 + (ids.len() as f64).ln(),
         );
         let fail_share = if jam {
-            DEAD_SHARE
+            UNRESPONSIVE_SHARE
         } else {
             FAIL_SHARE.max(FAIL_FACTOR * usual)
         };
-        let failing = |m: &Met| m.bad_share() > fail_share && m.against(usual) > sure;
-        let ratio = if jam { STRAIN_IN_JAM } else { STRAIN_RATIO };
-        let strain_ms = (ratio * median).max(STRAIN_PART * aim_ms);
+        let failing = |m: &AttemptStats| m.bad_share() > fail_share && m.against(usual) > sure;
+        let ratio = if jam {
+            SLOW_RATIO_THROTTLED
+        } else {
+            SLOW_RATIO
+        };
+        let strain_ms = (ratio * median).max(SLOW_TARGET_SHARE * aim_ms);
         let mut changed = false;
         for (id, met) in ids.into_iter().zip(met) {
             // Of several controllers each hears little of a server: then over a longer time.
-            let long = if met.good() < STRAIN_TRIES {
+            let long = if met.good() < SLOW_MIN_TRIES {
                 2.0 * SPAN_MS
             } else {
                 SPAN_MS
             };
-            let good = self.met_at(now, id, long);
+            let good = self.stats_at(now, id, long);
             let server = &self.servers[&id];
             let age = now - server.since_ms;
-            let slow = good.good() >= STRAIN_TRIES && good.mean_ms() > strain_ms;
+            let slow = good.good() >= SLOW_MIN_TRIES && good.mean_ms() > strain_ms;
             let used = server.part > 0.0 && age >= SPAN_MS;
             let cue = match server.phase {
-                Phase::Struck if age >= server.hold_ms => Cue::HoldEnds,
-                Phase::Ramping if parts::part_of(now, server, 0.0, by) >= 1.0 => Cue::RampEnds,
+                Phase::Ejected if age >= server.ejection_ms => HealthEvent::EjectionEnded,
+                Phase::Ramping if parts::ramped_share(now, server, 0.0, by) >= 1.0 => {
+                    HealthEvent::RampEnded
+                }
                 // Against what is crashed, hung, cut off or fakes errors. Harm: where all fail, none is.
-                _ if used && met.tries >= FAIL_TRIES && failing(&met) => {
+                _ if used && met.tries >= FAIL_MIN_TRIES && failing(&met) => {
                     if server.listed.stage == Stage::Gone {
-                        Cue::Departs
+                        HealthEvent::Departed
                     } else {
-                        Cue::Fails
+                        HealthEvent::Failing
                     }
                 }
                 // Against slow machines, neighbours, standing queues. Harm: dear reqs cost a sound one.
-                _ if used && age >= long && slow => Cue::Strains,
+                _ if used && age >= long && slow => HealthEvent::Slow,
                 _ => continue,
             };
-            changed |= self.turn(now, id, cue, log);
+            changed |= self.transition(now, id, cue, log);
         }
         changed
     }
--- a/src/rules/levels.rs
+++ b/src/rules/levels.rs
@@ -1,132 +1,177 @@
 //! Whether the fleet jams, and what is let in then: the kinds of the most value first.
 
 use crate::{
-    interface::*, rules::demand::LEVEL_SPAN_MS, rules::health::DEAD_SHARE, shares::level_for,
-    state::*,
+    interface::*, rules::demand::LEVEL_SPAN_MS, rules::health::UNRESPONSIVE_SHARE,
+    shares::level_for, state::*,
 };
 
-const LEVELS: &[(Mode, Flow, Mode, Valve)] = &[
-    (Mode::Open, Flow::Jams, Mode::Tight, Valve::Cut),
-    (Mode::Open, Flow::Refuses, Mode::Open, Valve::Narrow),
-    (Mode::Open, Flow::Slack, Mode::Open, Valve::Widen),
-    (Mode::Tight, Flow::Jams, Mode::Tight, Valve::Lower),
-    (Mode::Tight, Flow::Refuses, Mode::Tight, Valve::Narrow),
-    (Mode::Tight, Flow::Flows, Mode::Tight, Valve::Raise),
-    (Mode::Tight, Flow::Slack, Mode::Open, Valve::Release),
+const LEVELS: &[(Mode, LoadSignal, Mode, AdmissionAction)] = &[
+    (
+        Mode::Open,
+        LoadSignal::Overloaded,
+        Mode::Throttled,
+        AdmissionAction::Cut,
+    ),
+    (
+        Mode::Open,
+        LoadSignal::Refusing,
+        Mode::Open,
+        AdmissionAction::Narrow,
+    ),
+    (
+        Mode::Open,
+        LoadSignal::Slack,
+        Mode::Open,
+        AdmissionAction::Widen,
+    ),
+    (
+        Mode::Throttled,
+        LoadSignal::Overloaded,
+        Mode::Throttled,
+        AdmissionAction::Lower,
+    ),
+    (
+        Mode::Throttled,
+        LoadSignal::Refusing,
+        Mode::Throttled,
+        AdmissionAction::Narrow,
+    ),
+    (
+        Mode::Throttled,
+        LoadSignal::Steady,
+        Mode::Throttled,
+        AdmissionAction::Raise,
+    ),
+    (
+        Mode::Throttled,
+        LoadSignal::Slack,
+        Mode::Open,
+        AdmissionAction::Release,
+    ),
 ];
 
 const STEP_MS: f64 = 2000.0;
-pub(super) const JAM_SPAN_MS: f64 = 3_000.0;
-const JAM_TRIES: f64 = 20.0;
+pub(super) const OVERLOAD_SPAN_MS: f64 = 3_000.0;
+const OVERLOAD_MIN_TRIES: f64 = 20.0;
 /// The fleet jams when so many tries are bad, or good ones take so much of the response target.
-const JAM_BAD: f64 = 0.2;
-const JAM_PART: f64 = 0.5;
+const OVERLOAD_BAD_SHARE: f64 = 0.2;
+const OVERLOAD_TARGET_SHARE: f64 = 0.5;
 /// It does not jam where so much of the fleet answers sooner; less where no level can ease it.
-const CALM_FLEET: f64 = 0.67;
-const CALM_FLEET_UNEASED: f64 = 0.5;
+const FAST_QUANTILE: f64 = 0.67;
+const FAST_QUANTILE_UNSUPPORTED: f64 = 0.5;
 const OPEN_PART: f64 = 0.65;
 const QUEUE_BASE: f64 = 0.45;
 const CUT_TO: f64 = 0.9;
 /// A first cut is no deeper than this part of what was once done well.
-const CUT_LEAST: f64 = 0.6;
+const MIN_CUT_SHARE: f64 = 0.6;
 /// More than impatient clients alone give up.
-const REFUSED_BAD: f64 = 0.33;
+const REFUSED_BAD_SHARE: f64 = 0.33;
 /// Where connections are refused arcs are narrowed to no less than this, and widened so slowly.
-const REACH_LEAST: f64 = 0.125;
+const MIN_ARC_SCALE: f64 = 0.125;
 const WIDEN_MS: f64 = 12_000.0;
-const RAISE_BY: f64 = 1.05;
-const EASY_BY: f64 = 1.3;
-const SLACK_OVER: f64 = 1.2;
+const MIN_RAISE: f64 = 1.05;
+const MAX_RAISE: f64 = 1.3;
+const SLACK_RATIO: f64 = 1.2;
 /// Of each kind so much is let in whatever its value.
-const LEAST_PART: f64 = 0.05;
-pub(crate) const EVERYTHING: f64 = 1e6;
+const MIN_ADMITTED_SHARE: f64 = 0.05;
+pub(crate) const UNLIMITED: f64 = 1e6;
 
-impl Valves {
+impl AdmissionControl {
     fn step(
         &mut self,
         now: f64,
-        met: Met,
+        met: AttemptStats,
         held: Option<f64>,
         target_ms: f64,
         came: f64,
     ) -> Option<String> {
         // Too few reqs tell nothing: then calm is not known either.
-        if self.mode == Mode::Open && met.tries < JAM_TRIES {
+        if self.mode == Mode::Open && met.tries < OVERLOAD_MIN_TRIES {
             self.stepped_ms = self.stepped_ms.max(now + STEP_MS);
         }
-        let pause_ms = if self.mode == Mode::Open && self.reach == 1.0 {
+        let pause_ms = if self.mode == Mode::Open && self.arc_scale == 1.0 {
             0.0
         } else {
             STEP_MS
         };
-        if now < self.stepped_ms + pause_ms || met.tries < JAM_TRIES {
+        if now < self.stepped_ms + pause_ms || met.tries < OVERLOAD_MIN_TRIES {
             return None;
         }
-        let done_per_s = met.good() / JAM_SPAN_MS * 1e3;
+        let done_per_s = met.good() / OVERLOAD_SPAN_MS * 1e3;
         // Once levels are set, what was let in before them still comes in late; reports tell sooner.
         let (late_ms, bad_now) = match (self.mode, held) {
-            (Mode::Tight, Some(held_ms)) => (held_ms, 0.0),
+            (Mode::Throttled, Some(held_ms)) => (held_ms, 0.0),
             // Bad tries at servers that report little to do are no jam.
-            (_, Some(held_ms)) if held_ms < JAM_PART * target_ms => (met.mean_ms(), 0.0),
+            (_, Some(held_ms)) if held_ms < OVERLOAD_TARGET_SHARE * target_ms => {
+                (met.mean_ms(), 0.0)
+            }
             (_, held) => (
                 met.mean_ms().max(OPEN_PART * held.unwrap_or(0.0)),
                 met.bad_share(),
             ),
         };
-        let flow = match bad_now > JAM_BAD || late_ms > JAM_PART * target_ms {
-            true => Flow::Jams,
-            false if held.is_some() && met.bad_share() > REFUSED_BAD => Flow::Refuses,
-            false if self.allowed_per_s > SLACK_OVER * came => Flow::Slack,
-            false => Flow::Flows,
+        let flow = match bad_now > OVERLOAD_BAD_SHARE || late_ms > OVERLOAD_TARGET_SHARE * target_ms
+        {
+            true => LoadSignal::Overloaded,
+            false if held.is_some() && met.bad_share() > REFUSED_BAD_SHARE => LoadSignal::Refusing,
+            false if self.allowed_per_s > SLACK_RATIO * came => LoadSignal::Slack,
+            false => LoadSignal::Steady,
         };
-        if flow != Flow::Jams {
-            self.able_per_s = self.able_per_s.max(done_per_s);
+        if flow != LoadSignal::Overloaded {
+            self.sustainable_per_s = self.sustainable_per_s.max(done_per_s);
         }
         let row = LEVELS
             .iter()
             .find(|row| row.0 == self.mode && row.1 == flow)?;
-        let raise = (JAM_PART * target_ms / late_ms.max(1.0)).clamp(RAISE_BY, EASY_BY);
+        let raise =
+            (OVERLOAD_TARGET_SHARE * target_ms / late_ms.max(1.0)).clamp(MIN_RAISE, MAX_RAISE);
         self.allowed_per_s = match row.3 {
-            Valve::Cut => (CUT_TO * done_per_s.min(came)).max(CUT_LEAST * self.able_per_s),
-            Valve::Lower => CUT_TO * (self.allowed_per_s + done_per_s) / 2.0,
+            AdmissionAction::Cut => {
+                (CUT_TO * done_per_s.min(came)).max(MIN_CUT_SHARE * self.sustainable_per_s)
+            }
+            AdmissionAction::Lower => CUT_TO * (self.allowed_per_s + done_per_s) / 2.0,
             // What is allowed runs away from what is done where it binds nothing.
-            Valve::Raise => {
-                let raised = raise * self.allowed_per_s.min(SLACK_OVER * done_per_s);
+            AdmissionAction::Raise => {
+                let raised = raise * self.allowed_per_s.min(SLACK_RATIO * done_per_s);
                 self.allowed_per_s
                     .max(raised)
-                    .max((self.allowed_per_s + self.able_per_s) / 2.0)
+                    .max((self.allowed_per_s + self.sustainable_per_s) / 2.0)
             }
-            Valve::Narrow if came > self.allowed_per_s => raise * self.allowed_per_s,
-            Valve::Narrow | Valve::Widen => self.allowed_per_s,
-            Valve::Release => EVERYTHING,
+            AdmissionAction::Narrow if came > self.allowed_per_s => raise * self.allowed_per_s,
+            AdmissionAction::Narrow | AdmissionAction::Widen => self.allowed_per_s,
+            AdmissionAction::Release => UNLIMITED,
         };
         // Against idle servers that refuse connections. Harm: after a loss arcs are less even for a while.
-        let reach_was = self.reach;
-        self.reach = match row.3 {
-            Valve::Narrow => (self.reach / 2.0).max(REACH_LEAST),
-            Valve::Widen if now >= self.stepped_ms + WIDEN_MS => (self.reach * 2.0).min(1.0),
-            Valve::Widen => return None,
-            _ => self.reach,
+        let reach_was = self.arc_scale;
+        self.arc_scale = match row.3 {
+            AdmissionAction::Narrow => (self.arc_scale / 2.0).max(MIN_ARC_SCALE),
+            AdmissionAction::Widen if now >= self.stepped_ms + WIDEN_MS => {
+                (self.arc_scale * 2.0).min(1.0)
+            }
+            AdmissionAction::Widen => return None,
+            _ => self.arc_scale,
         };
-        let (was, to, lets, arcs) = (self.mode, row.2, self.allowed_per_s, self.reach);
+        let (was, to, lets, arcs) = (self.mode, row.2, self.allowed_per_s, self.arc_scale);
         (self.mode, self.stepped_ms) = (row.2, now);
-        let why = format!("{met}, came {came:.0}, lets in {lets:.0} reqs/s, arcs at {arcs:.3}");
-        (to != was || arcs != reach_was).then(|| format!("levels {was:?} -> {to:?}: {why}"))
+        let why = format!(
+            "{met}, offered {came:.0} reqs/s, admitting {lets:.0} reqs/s, arc scale {arcs:.3}"
+        );
+        (to != was || arcs != reach_was).then(|| format!("admission {was:?} -> {to:?}: {why}"))
     }
 }
 
 impl Controller {
-    pub(super) fn step_valves(&mut self, now: f64) {
+    pub(super) fn step_admission(&mut self, now: f64) {
         let used = self
             .fleet
             .servers
             .iter()
             .filter(|(_, s)| s.part > 0.0)
             .map(|(id, _)| *id);
-        let (mut met, mut held, mut means) = (Met::default(), Vec::new(), Vec::new());
+        let (mut met, mut held, mut means) = (AttemptStats::default(), Vec::new(), Vec::new());
         for id in used.collect::<Vec<_>>() {
-            let at = self.fleet.met_at(now, id, JAM_SPAN_MS);
-            if at.bad_share() <= DEAD_SHARE {
+            let at = self.fleet.stats_at(now, id, OVERLOAD_SPAN_MS);
+            if at.bad_share() <= UNRESPONSIVE_SHARE {
                 met = met.with([at.tries, at.bad, at.time_ms]);
                 means.extend((at.good() >= 3.0).then(|| at.mean_ms()));
                 held.push(
@@ -148,12 +193,12 @@
             / LEVEL_SPAN_MS
             * 1e3;
         // A lesser part of the fleet that is slow, or full, is no jam: that part is trimmed instead.
-        let most = 2.0 * quantile(held.clone(), CALM_FLEET).unwrap_or(0.0);
+        let most = 2.0 * quantile(held.clone(), FAST_QUANTILE).unwrap_or(0.0);
         let held: f64 = held.iter().map(|h| h.min(most)).sum();
-        let calm = if self.valves.levels == AdmissionMode::Unsupported {
-            CALM_FLEET_UNEASED
+        let calm = if self.admission.levels == AdmissionMode::Unsupported {
+            FAST_QUANTILE_UNSUPPORTED
         } else {
-            CALM_FLEET
+            FAST_QUANTILE
         };
         met.time_ms = quantile(means, calm).unwrap_or(met.mean_ms()) * met.good();
         // What may be let in goes with the proxies joined; what can be done well goes with the servers, too.
@@ -172,54 +217,57 @@
             .sum();
         if sized > 0.0 && live > 0.0 {
             let (sized_was, live_was) = self
-                .valves
-                .stood
+                .admission
+                .scaled_for
                 .replace((sized, live))
                 .unwrap_or((sized, live));
-            self.valves.allowed_per_s *= sized / sized_was;
-            self.valves.able_per_s *= sized / sized_was * live / live_was;
+            self.admission.allowed_per_s *= sized / sized_was;
+            self.admission.sustainable_per_s *= sized / sized_was * live / live_was;
         }
         let target_ms = self.demand.usual_target_ms(now, &self.kinds);
         // Load reports show the load of all proxies, before the reqs that wait are answered.
-        let all_per_ms = met.good() / JAM_SPAN_MS / self.demand.part_of_all(self.proxies);
+        let all_per_ms = met.good() / OVERLOAD_SPAN_MS / self.demand.share_of_demand(self.proxies);
         let base_ms = if self.queue_only {
             QUEUE_BASE * target_ms
         } else {
             0.0
         };
         let held_ms = self.held_at.map(|_| base_ms + held / all_per_ms.max(1e-6));
-        self.log
-            .extend(self.valves.step(now, met, held_ms, target_ms, came_per_s));
+        self.log.extend(
+            self.admission
+                .step(now, met, held_ms, target_ms, came_per_s),
+        );
     }
 
     /// The levels and retry modes for all proxies.
-    pub(super) fn admits(&mut self, now: f64) -> Vec<(u16, f64, Retry)> {
+    pub(super) fn admission_levels(&mut self, now: f64) -> Vec<(u16, f64, Retry)> {
         // On proof that the first try never ran: one cut off goes on running. In a jam the next is as full.
-        let retry = if self.valves.mode == Mode::Open {
+        let retry = if self.admission.mode == Mode::Open {
             Retry::IfNotExecuted
         } else {
             Retry::Never
         };
-        if self.valves.mode == Mode::Open || self.valves.levels == AdmissionMode::Unsupported {
-            return vec![(mask_of(0..self.kinds.len()), EVERYTHING, retry)];
+        if self.admission.mode == Mode::Open || self.admission.levels == AdmissionMode::Unsupported
+        {
+            return vec![(mask_of(0..self.kinds.len()), UNLIMITED, retry)];
         }
         let mut order: Vec<KindId> = (0..self.kinds.len()).collect();
         order.sort_by(|a, b| self.kinds[*b].value.total_cmp(&self.kinds[*a].value));
-        let (mut left, mut admits) = (self.valves.allowed_per_s, Vec::new());
+        let (mut left, mut admission_levels) = (self.admission.allowed_per_s, Vec::new());
         for kind in order {
             let joined = self.demand.proxies.values_mut().filter(|p| p.joined);
             let rate = |p: &mut Proxy| p.came.over(now, LEVEL_SPAN_MS)[kind] / LEVEL_SPAN_MS * 1e3;
             let rates: Vec<f64> = joined.map(rate).collect();
             let came: f64 = rates.iter().sum();
-            let allowed = left.clamp(LEAST_PART * came, came);
+            let allowed = left.clamp(MIN_ADMITTED_SHARE * came, came);
             left -= allowed;
-            let level = match self.valves.levels {
-                _ if allowed >= came => EVERYTHING,
+            let level = match self.admission.levels {
+                _ if allowed >= came => UNLIMITED,
                 AdmissionMode::Share => allowed / came,
                 _ => level_for(rates, allowed),
             };
-            admits.push((1 << kind, level, retry));
+            admission_levels.push((1 << kind, level, retry));
         }
-        admits
+        admission_levels
     }
 }
--- a/src/rules/parts.rs
+++ b/src/rules/parts.rs
@@ -1,37 +1,37 @@
 //! The part of its listed weight that a server may have now.
 
-use crate::{interface::*, rules::arcs::STEPS, shares::spared, state::*};
+use crate::{interface::*, rules::arcs::STEPS, shares::cold_server_factors, state::*};
 
 pub(super) const RAMP_MS: f64 = 30_000.0;
 pub(super) const ENTRY_PART: f64 = 0.25;
 /// In a jam a cold server waits until it is sure to stand this many times its full work.
-const SURE_IN_JAM: f64 = 2.0;
+const MULTIPLE_THROTTLED: f64 = 2.0;
 /// The same while nobody knows yet.
-const SURE_UNKNOWN: f64 = 3.0;
+const MULTIPLE_UNKNOWN: f64 = 3.0;
 
 /// One just started, or that hears little, knows of no jam: such ones pushed cold servers over.
-pub(super) fn sure_for(now: f64, valves: &Valves) -> f64 {
-    match valves.mode {
-        Mode::Open if now >= valves.stepped_ms => 0.0,
-        Mode::Tight => SURE_IN_JAM,
-        Mode::Open => SURE_UNKNOWN,
+pub(super) fn required_multiple(now: f64, admission: &AdmissionControl) -> f64 {
+    match admission.mode {
+        Mode::Open if now >= admission.stepped_ms => 0.0,
+        Mode::Throttled => MULTIPLE_THROTTLED,
+        Mode::Open => MULTIPLE_UNKNOWN,
     }
 }
 
 /// What it is sure to do of its full work.
-fn sure_of(now: f64, server: &Server, bounds: &SafetyBounds) -> f64 {
+fn assured_share(now: f64, server: &Server, bounds: &SafetyBounds) -> f64 {
     let age = now - server.listed.started_ms;
     bounds.cold_share + (1.0 - bounds.cold_share) * (age / bounds.warm_up_ms).clamp(0.0, 1.0)
 }
 
 pub(super) fn is_cold(now: f64, server: &Server, bounds: &SafetyBounds) -> bool {
-    server.phase == Phase::Ramping && sure_of(now, server, bounds) < 1.0
+    server.phase == Phase::Ramping && assured_share(now, server, bounds) < 1.0
 }
 
 /// Arcs pass over what is out of use and crowd the servers behind it: in a zone full of new, failing ones a
 /// cold one got five times its share. From our tables none gets more than its share of all reqs; where a
 /// table has only cold ones, they share. Harm: the warm ones of these tables have more to do.
-pub(super) fn spare_cold(
+pub(super) fn limit_cold_servers(
     now: f64,
     fleet: &Fleet,
     per_weight: f64,
@@ -41,7 +41,7 @@
     let cold = |s: &&Server| is_cold(now, s, by);
     let fair = |s: &Server| (s.listed.server, s.part * s.listed.weight * per_weight);
     let fair: ServerWeights = fleet.servers.values().filter(cold).map(fair).collect();
-    let less = spared(cut, &fair);
+    let less = cold_server_factors(cut, &fair);
     // In steps, lest a change at one line changes them all.
     for (id, w) in cut.iter_mut().flat_map(|(_, lines)| lines) {
         *w *= less
@@ -50,7 +50,12 @@
     }
 }
 
-pub(super) fn part_of(now: f64, server: &Server, sure_multiple: f64, bounds: &SafetyBounds) -> f64 {
+pub(super) fn ramped_share(
+    now: f64,
+    server: &Server,
+    sure_multiple: f64,
+    bounds: &SafetyBounds,
+) -> f64 {
     let Phase::Ramping = server.phase else {
         return if server.phase == Phase::Warm {
             1.0
@@ -59,7 +64,7 @@
         };
     };
     // In a jam proxies crowd whichever server does not fail them. Harm: a cold zone is used later.
-    let sure = sure_of(now, server, bounds);
+    let sure = assured_share(now, server, bounds);
     if sure < 1.0 && sure * bounds.fall_multiple < sure_multiple {
         return 0.0;
     }
--- a/src/rules/queue.rs
+++ b/src/rules/queue.rs
@@ -2,14 +2,19 @@
 
 use crate::{interface::ChannelLimits, rules::ROUND_MS, state::Channel};
 
-const SLOW_PART: f64 = 0.25;
-const OVERDUE_PART: f64 = 0.05;
-const OVERDUE: f64 = 2.0;
+const UNCONFIRMED_RATE_SHARE: f64 = 0.25;
+const OVERDUE_RATE_SHARE: f64 = 0.05;
+const OVERDUE_TRANSITS: f64 = 2.0;
 
 impl Channel {
-    pub(super) fn pass_time(&mut self, now: f64, lines_per_s: f64, max_transit_ms: f64) {
-        let overdue = self.waiting() > 0.0 && now - self.moved_ms > OVERDUE * max_transit_ms;
-        let part = if overdue { OVERDUE_PART } else { SLOW_PART };
+    pub(super) fn advance(&mut self, now: f64, lines_per_s: f64, max_transit_ms: f64) {
+        let overdue =
+            self.waiting() > 0.0 && now - self.moved_ms > OVERDUE_TRANSITS * max_transit_ms;
+        let part = if overdue {
+            OVERDUE_RATE_SHARE
+        } else {
+            UNCONFIRMED_RATE_SHARE
+        };
         let sent = (now - self.as_of_ms) / 1e3 * lines_per_s * part;
         (self.left, self.as_of_ms) = ((self.left + sent).min(self.written), now);
     }
--- a/src/rules/revisions.rs
+++ b/src/rules/revisions.rs
@@ -2,110 +2,110 @@
 
 use crate::{interface::*, rules::parts::ENTRY_PART, state::*};
 
-const DEPTH: usize = 10;
+const MAX_REVISIONS: usize = 10;
 pub(super) const TAINT_SPAN_MS: f64 = 3_000.0;
 const TAINT_FACTOR: f64 = 2.0;
 const TAINT_SHARE: f64 = 0.05;
 const TAINT_TRIES: f64 = 20.0;
 
-const REVISIONS: &[(Standing, Verdict, Standing, Filing)] = &[
+const REVISIONS: &[(RevisionStatus, RevisionEvent, RevisionStatus, HistoryAction)] = &[
     (
-        Standing::Unknown,
-        Verdict::Proposed,
-        Standing::Sound,
-        Filing::Append,
+        RevisionStatus::Unknown,
+        RevisionEvent::Proposed,
+        RevisionStatus::Sound,
+        HistoryAction::Append,
     ),
     (
-        Standing::Sound,
-        Verdict::Proposed,
-        Standing::Sound,
-        Filing::MoveNewest,
+        RevisionStatus::Sound,
+        RevisionEvent::Proposed,
+        RevisionStatus::Sound,
+        HistoryAction::MoveToNewest,
     ),
     (
-        Standing::Tainted,
-        Verdict::Proposed,
-        Standing::Sound,
-        Filing::MoveNewest,
+        RevisionStatus::Tainted,
+        RevisionEvent::Proposed,
+        RevisionStatus::Sound,
+        HistoryAction::MoveToNewest,
     ),
     (
-        Standing::Sound,
-        Verdict::Failed,
-        Standing::Tainted,
-        Filing::Keep,
+        RevisionStatus::Sound,
+        RevisionEvent::Failed,
+        RevisionStatus::Tainted,
+        HistoryAction::Keep,
     ),
     (
-        Standing::Unknown,
-        Verdict::Recalled,
-        Standing::Held,
-        Filing::Append,
+        RevisionStatus::Unknown,
+        RevisionEvent::Pinned,
+        RevisionStatus::Pinned,
+        HistoryAction::Append,
     ),
     (
-        Standing::Sound,
-        Verdict::Recalled,
-        Standing::Held,
-        Filing::MoveNewest,
+        RevisionStatus::Sound,
+        RevisionEvent::Pinned,
+        RevisionStatus::Pinned,
+        HistoryAction::MoveToNewest,
     ),
     (
-        Standing::Tainted,
-        Verdict::Recalled,
-        Standing::Held,
-        Filing::MoveNewest,
+        RevisionStatus::Tainted,
+        RevisionEvent::Pinned,
+        RevisionStatus::Pinned,
+        HistoryAction::MoveToNewest,
     ),
     (
-        Standing::Held,
-        Verdict::Failed,
-        Standing::Tainted,
-        Filing::Keep,
+        RevisionStatus::Pinned,
+        RevisionEvent::Failed,
+        RevisionStatus::Tainted,
+        HistoryAction::Keep,
     ),
     (
-        Standing::Held,
-        Verdict::Released,
-        Standing::Sound,
-        Filing::Keep,
+        RevisionStatus::Pinned,
+        RevisionEvent::Released,
+        RevisionStatus::Sound,
+        HistoryAction::Keep,
     ),
     (
-        Standing::Sound,
-        Verdict::Released,
-        Standing::Sound,
-        Filing::MoveNewest,
+        RevisionStatus::Sound,
+        RevisionEvent::Released,
+        RevisionStatus::Sound,
+        HistoryAction::MoveToNewest,
     ),
 ];
 
 impl Table {
-    fn file(&mut self, name: u64, verdict: Verdict, lines: ServerWeights) {
+    fn record(&mut self, name: u64, verdict: RevisionEvent, lines: ServerWeights) {
         let at = self.revisions.iter().position(|r| r.name == name);
-        let from = at.map_or(Standing::Unknown, |k| self.revisions[k].standing);
+        let from = at.map_or(RevisionStatus::Unknown, |k| self.revisions[k].standing);
         let row = REVISIONS
             .iter()
             .find(|row| row.0 == from && row.1 == verdict);
         match row.map(|&(_, _, standing, filing)| (filing, standing, at)) {
-            Some((Filing::MoveNewest, standing, Some(k))) => {
+            Some((HistoryAction::MoveToNewest, standing, Some(k))) => {
                 let revision = self.revisions.remove(k);
                 self.revisions.push(Revision {
                     standing,
                     ..revision
                 });
             }
-            Some((Filing::Keep, standing, Some(k))) => self.revisions[k].standing = standing,
-            Some((Filing::Append, standing, _)) => self.revisions.push(Revision {
+            Some((HistoryAction::Keep, standing, Some(k))) => self.revisions[k].standing = standing,
+            Some((HistoryAction::Append, standing, _)) => self.revisions.push(Revision {
                 name,
                 lines,
                 standing,
             }),
             _ => {}
         }
-        let over = self.revisions.len().saturating_sub(DEPTH);
+        let over = self.revisions.len().saturating_sub(MAX_REVISIONS);
         self.revisions
-            .extract_if(.., |r| r.standing != Standing::Held)
+            .extract_if(.., |r| r.standing != RevisionStatus::Pinned)
             .take(over)
             .for_each(drop);
     }
 
     pub(super) fn propose(&mut self, lines: ServerWeights) {
         let name = revision_hash(&lines);
-        if name != self.cut && !lines.is_empty() {
-            self.cut = name;
-            self.file(name, Verdict::Proposed, lines);
+        if name != self.last_proposed && !lines.is_empty() {
+            self.last_proposed = name;
+            self.record(name, RevisionEvent::Proposed, lines);
         }
     }
 
@@ -114,26 +114,26 @@
         let sound = self
             .revisions
             .iter()
-            .rfind(|r| r.standing == Standing::Sound);
+            .rfind(|r| r.standing == RevisionStatus::Sound);
         sound.or(self
             .revisions
             .iter()
-            .rfind(|r| r.standing != Standing::Held))
+            .rfind(|r| r.standing != RevisionStatus::Pinned))
     }
 
     /// Ends a way back, if there is one; the lines last cut are the newest again unless they are tainted.
     pub(super) fn release(&mut self) -> bool {
-        let names = self.recalled().map(|r| [r.name, self.cut]);
+        let names = self.pinned().map(|r| [r.name, self.last_proposed]);
         names
             .into_iter()
             .flatten()
-            .for_each(|name| self.file(name, Verdict::Released, ServerWeights::new()));
-        std::mem::take(&mut self.back)
+            .for_each(|name| self.record(name, RevisionEvent::Released, ServerWeights::new()));
+        std::mem::take(&mut self.rolled_back)
     }
 
     /// Taints the published revision when tries fail at its servers after the push. Failures at servers that
     /// are struck don't count: one bad server would taint every revision that names it.
-    pub(super) fn judge(
+    pub(super) fn evaluate(
         &mut self,
         now: f64,
         gap_ms: f64,
@@ -143,18 +143,18 @@
         let trial = self
             .trial
             .take_if(|t| now >= t.from_ms + gap_ms + TAINT_SPAN_MS)?;
-        let unproven = std::mem::take(&mut self.unproven);
-        let met = fleet.met_on(now, zone, &self.held, TAINT_SPAN_MS);
+        let unevaluated = std::mem::take(&mut self.unevaluated);
+        let met = fleet.stats_on(now, zone, &self.held, TAINT_SPAN_MS);
         let (bad, prior) = (met.bad_share(), trial.prior_bad);
         if met.tries < TAINT_TRIES || bad <= TAINT_SHARE || bad <= TAINT_FACTOR * prior {
             return None;
         }
         let (id, was) = (self.id, self.published);
-        for name in unproven.into_iter().chain([was]) {
-            self.file(name, Verdict::Failed, ServerWeights::new());
+        for name in unevaluated.into_iter().chain([was]) {
+            self.record(name, RevisionEvent::Failed, ServerWeights::new());
         }
-        let next = self.recalled().or_else(|| self.newest())?;
-        let (sound, to) = (next.standing == Standing::Sound, next.name);
+        let next = self.pinned().or_else(|| self.newest())?;
+        let (sound, to) = (next.standing == RevisionStatus::Sound, next.name);
         let what = if sound {
             "rolled back to"
         } else {
@@ -168,35 +168,42 @@
 
 impl Controller {
     /// Holds earlier lines for a table, if any of them can be used now.
-    pub(super) fn go_back(&mut self, id: TableId, lines: ServerWeights) -> RollbackStatus {
+    pub(super) fn start_rollback(&mut self, id: TableId, lines: ServerWeights) -> RollbackStatus {
         let found = self.tables.iter().find(|(_, t)| t.id == id);
         let Some((at, table)) = found else {
             return RollbackStatus::Refused("there is no such table");
         };
-        let (at, of, usable) = (*at, lines.len(), self.usable(&lines, *at, table).len());
-        if usable == 0 {
+        let (at, of, usable_weights) = (
+            *at,
+            lines.len(),
+            self.usable_weights(&lines, *at, table).len(),
+        );
+        if usable_weights == 0 {
             return RollbackStatus::Refused(
                 "it would leave request kinds bare: no warm server of it is left",
             );
         }
         if let Some(table) = self.tables.get_mut(&at) {
             table.release();
-            table.file(revision_hash(&lines), Verdict::Recalled, lines);
-            table.back = true;
+            table.record(revision_hash(&lines), RevisionEvent::Pinned, lines);
+            table.rolled_back = true;
+        }
+        RollbackStatus::Held {
+            lines: usable_weights,
+            of,
         }
-        RollbackStatus::Held { lines: usable, of }
     }
 
     /// What can be used now of earlier lines: no server that is drained, gone, struck or closed to the kinds,
     /// and of one that still ramps no more than its part of the module's own lines. Harm: none warm, no way.
-    pub(super) fn usable(
+    pub(super) fn usable_weights(
         &self,
         lines: &ServerWeights,
         (proxy, g): (ProxyId, usize),
         table: &Table,
     ) -> ServerWeights {
         let (own, group, zone) = (
-            self.own_lines(table, proxy, g),
+            self.published_weights(table, proxy, g),
             &self.groups[g],
             self.zone_of(proxy),
         );
@@ -211,30 +218,30 @@
             .iter()
             .filter_map(|(id, weight)| Some((*id, *weight, server(id)?)));
         let (cold, warm): (Vec<_>, Vec<_>) = known.partition(|(_, _, s)| s.phase == Phase::Ramping);
-        let mut usable: ServerWeights = warm
+        let mut usable_weights: ServerWeights = warm
             .iter()
             .map(|(id, w, s)| (*id, w.min(s.listed.weight)))
             .collect();
-        let part = usable.values().sum::<f64>() / own.values().sum::<f64>().max(1e-9);
+        let part = usable_weights.values().sum::<f64>() / own.values().sum::<f64>().max(1e-9);
         let most = |id, w: f64, s: &Server| (w * s.part).min(own.get(&id).unwrap_or(&0.0) * part);
-        usable.extend(
+        usable_weights.extend(
             cold.into_iter()
                 .map(|(id, w, s)| (id, most(id, w, s)))
                 .filter(|(_, w)| *w > 0.0),
         );
-        usable
+        usable_weights
     }
 
     /// Ends each way back that was tainted, or of which no line can be used any more.
-    pub(super) fn end_ways_back(&mut self, out: &mut Vec<Effect>) {
-        let why = |at, table: &Table| match table.recalled() {
+    pub(super) fn end_rollbacks(&mut self, out: &mut Vec<Effect>) {
+        let why = |at, table: &Table| match table.pinned() {
             None => Some("it was tainted"),
-            Some(r) if self.usable(&r.lines, at, table).is_empty() => {
+            Some(r) if self.usable_weights(&r.lines, at, table).is_empty() => {
                 Some("no warm server of it is left")
             }
             _ => None,
         };
-        let held = self.tables.iter().filter(|(_, t)| t.back);
+        let held = self.tables.iter().filter(|(_, t)| t.rolled_back);
         let ended: Vec<_> = held
             .filter_map(|(at, t)| Some((*at, t.id, why(*at, t)?)))
             .collect();
@@ -248,7 +255,12 @@
     }
 
     /// The published revision's lines, less what is shut or struck, none above what a server may have now.
-    pub(super) fn own_lines(&self, table: &Table, proxy: ProxyId, g: usize) -> ServerWeights {
+    pub(super) fn published_weights(
+        &self,
+        table: &Table,
+        proxy: ProxyId,
+        g: usize,
+    ) -> ServerWeights {
         let (group, zone) = (&self.groups[g], self.zone_of(proxy));
         let mut lines = ServerWeights::new();
         for (id, w) in table.newest().into_iter().flat_map(|r| &r.lines) {
--- a/src/shares.rs
+++ b/src/shares.rs
@@ -1,6 +1,6 @@
 //! How a whole is shared out, as plain sums: arcs of a ring, flows between zones, loads evened, levels that shave.
 
-use crate::{interface::*, rules::levels::EVERYTHING, state::*};
+use crate::{interface::*, rules::levels::UNLIMITED, state::*};
 
 /// Where a new arc starts: at the server that the arcs laid so far load least.
 pub fn least_loaded(ring: &[&ServerEntry], loads: &ServerWeights) -> ServerId {
@@ -11,7 +11,7 @@
 }
 
 /// One arc: so many mean servers of a ring, from a place on it onwards, at their listed weights.
-pub fn cut_arc(ring: &[&ServerEntry], from: ServerId, lines: f64) -> ServerWeights {
+pub fn build_arc(ring: &[&ServerEntry], from: ServerId, lines: f64) -> ServerWeights {
     let wanted = lines * ring.iter().map(|l| l.weight).sum::<f64>() / ring.len() as f64;
     let first = ring.partition_point(|l| l.server < from);
     let (mut reached, mut arc) = (0.0, ServerWeights::new());
@@ -54,7 +54,7 @@
 
 /// By how much the lines of these servers are to be less, so that none of them gets more than its fair share of what
 /// the tables bring. A table splits what it brings by its lines' weights.
-pub fn spared(tables: &[(f64, ServerWeights)], fair: &ServerWeights) -> ServerWeights {
+pub fn cold_server_factors(tables: &[(f64, ServerWeights)], fair: &ServerWeights) -> ServerWeights {
     let mut less: ServerWeights = fair.keys().map(|id| (*id, 1.0)).collect();
     for _ in 0..if fair.is_empty() { 0 } else { PASSES } {
         let mut loads = ServerWeights::new();
@@ -82,5 +82,5 @@
         }
         (left, others) = (left - rate, others - 1.0);
     }
-    EVERYTHING
+    UNLIMITED
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! What a controller keeps: plain state. The decisions on it are in `rules.rs` and `rules/`.
 
 use crate::interface::*;
-use crate::ring::Buckets;
+use crate::ring::TimeBuckets;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -10,12 +10,12 @@
 
 /// The lines that a reply writes, by proxy and in all.
 #[derive(Default)]
-pub struct Reached {
+pub struct ReplyCost {
     pub by_proxy: BTreeMap<ProxyId, f64>,
     pub lines: f64,
 }
 
-impl Reached {
+impl ReplyCost {
     /// What writing so many lines to a proxy costs: its message's head too, where it has none yet.
     pub fn cost(&self, id: ProxyId, head: f64, lines: f64) -> f64 {
         if self.by_proxy.contains_key(&id) {
@@ -38,19 +38,19 @@
 pub enum Phase {
     Warm,
     Ramping,
-    Struck,
+    Ejected,
     Leaving,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Cue {
-    Starts,
-    Departs,
-    Returns,
-    Fails,
-    Strains,
-    HoldEnds,
-    RampEnds,
+pub enum HealthEvent {
+    Started,
+    Departed,
+    Returned,
+    Failing,
+    Slow,
+    EjectionEnded,
+    RampEnded,
 }
 
 pub struct Server {
@@ -58,20 +58,20 @@
     pub phase: Phase,
     pub since_ms: f64,
     pub ramp_from_ms: f64,
-    pub hold_ms: f64,
+    pub ejection_ms: f64,
     /// The part of its listed weight that it may have now.
     pub part: f64,
 }
 
 /// Tries, bad ones, and the time of the good ones.
 #[derive(Clone, Copy, Default)]
-pub struct Met {
+pub struct AttemptStats {
     pub tries: f64,
     pub bad: f64,
     pub time_ms: f64,
 }
 
-impl Met {
+impl AttemptStats {
     pub fn with(self, [tries, bad, time_ms]: [f64; 3]) -> Self {
         Self {
             tries: self.tries + tries,
@@ -102,7 +102,7 @@
     }
 }
 
-impl std::fmt::Display for Met {
+impl std::fmt::Display for AttemptStats {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
@@ -126,13 +126,13 @@
     /// The reqs a second that its arc is sized for.
     pub sized_per_s: f64,
     /// What came to it lately, as far as it is known.
-    pub met_per_s: f64,
-    pub came: Buckets<KINDS>,
-    pub off_since_ms: Option<f64>,
+    pub observed_per_s: f64,
+    pub came: TimeBuckets<KINDS>,
+    pub deviating_since_ms: Option<f64>,
     /// Where its arcs start, by zone.
     pub places: BTreeMap<ZoneId, ServerId>,
     /// Messages written to it.
-    pub written: Buckets<1>,
+    pub written: TimeBuckets<1>,
 }
 
 impl Proxy {
@@ -144,56 +144,56 @@
             seen_ms: now,
             fresh: false,
             sized_per_s: per_s,
-            met_per_s: per_s,
-            came: Buckets::new(1_000.0, 12),
-            off_since_ms: None,
+            observed_per_s: per_s,
+            came: TimeBuckets::new(1_000.0, 12),
+            deviating_since_ms: None,
             places: BTreeMap::new(),
-            written: Buckets::new(250.0, 48),
+            written: TimeBuckets::new(250.0, 48),
         }
     }
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Standing {
+pub enum RevisionStatus {
     Unknown,
     Sound,
     Tainted,
     /// An operator went back to it.
-    Held,
+    Pinned,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Verdict {
+pub enum RevisionEvent {
     Proposed,
     Failed,
-    Recalled,
+    Pinned,
     Released,
 }
 
 pub struct Revision {
     pub name: u64,
     pub lines: ServerWeights,
-    pub standing: Standing,
+    pub standing: RevisionStatus,
 }
 
 /// What a table of a joined proxy needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Need {
     /// A first table, where none was ever ordered or all its servers have left.
-    Bare,
+    NoTable,
     /// To lose a server that has left.
     Drain,
     /// Our table in the place of another controller's.
     Bind,
     /// Whatever has changed.
-    Change,
+    Delta,
 }
 
 /// What a table needs, since when (ms), and whose it is.
-pub type Wanted = (Need, u64, ProxyId, usize);
+pub type PendingUpdate = (Need, u64, ProxyId, usize);
 
 /// A published revision on trial: pushed with this mark, first answered then.
-pub struct Trial {
+pub struct RevisionTrial {
     pub mark: u64,
     pub from_ms: f64,
     pub answered: bool,
@@ -206,16 +206,16 @@
     pub id: TableId,
     pub revisions: Vec<Revision>,
     /// The name of the lines last cut; the same lines cut again change nothing.
-    pub cut: u64,
+    pub last_proposed: u64,
     pub published: u64,
-    pub trial: Option<Trial>,
+    pub trial: Option<RevisionTrial>,
     /// Published before it, and replaced before their own trials were over: they share its verdict.
-    pub unproven: Vec<u64>,
+    pub unevaluated: Vec<u64>,
     /// What the table holds by the orders that went out.
     pub held: ServerWeights,
     pub bound: bool,
     /// An operator went back; said until it has ended.
-    pub back: bool,
+    pub rolled_back: bool,
 }
 
 pub fn revision_hash(lines: &ServerWeights) -> u64 {
@@ -227,13 +227,15 @@
 
 impl Table {
     /// The revision that an operator went back to.
-    pub fn recalled(&self) -> Option<&Revision> {
-        self.revisions.iter().find(|r| r.standing == Standing::Held)
+    pub fn pinned(&self) -> Option<&Revision> {
+        self.revisions
+            .iter()
+            .find(|r| r.standing == RevisionStatus::Pinned)
     }
 }
 
 /// One reply in the channel: what had been written up to and with each proxy's message, in their order.
-pub struct Sent {
+pub struct SentReply {
     pub before: f64,
     pub through: Vec<(ProxyId, f64)>,
 }
@@ -247,7 +249,7 @@
     pub as_of_ms: f64,
     /// When an answer last showed that something had left, or the first was written that waits.
     pub moved_ms: f64,
-    pub marks: BTreeMap<u64, Sent>,
+    pub marks: BTreeMap<u64, SentReply>,
     pub next_mark: u64,
 }
 
@@ -255,30 +257,30 @@
 pub enum Mode {
     #[default]
     Open,
-    Tight,
+    Throttled,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Flow {
-    Jams,
-    Refuses,
-    Flows,
+pub enum LoadSignal {
+    Overloaded,
+    Refusing,
+    Steady,
     Slack,
 }
 
 /// How much is let in, against overload of whatever cause. Harm: a jam that has passed is still in
 /// the reports for some seconds, and denies reqs that could be done.
 #[derive(Default)]
-pub struct Valves {
+pub struct AdmissionControl {
     pub levels: AdmissionMode,
     pub mode: Mode,
     pub allowed_per_s: f64,
     /// The most that was done a second while nothing jammed.
-    pub able_per_s: f64,
+    pub sustainable_per_s: f64,
     /// What the joined proxies bring and the servers' weight in use, as those two were set.
-    pub stood: Option<(f64, f64)>,
+    pub scaled_for: Option<(f64, f64)>,
     /// The part of their usual reach that arcs have.
-    pub reach: f64,
+    pub arc_scale: f64,
     pub stepped_ms: f64,
     /// Kinds, level and retry mode as last ordered for all proxies.
     pub ordered: Vec<(u16, f64, Retry)>,
@@ -291,29 +293,29 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Turn {
+pub enum HealthAction {
     /// Enter at a quarter weight, counted from the start that the list names.
-    Enter,
+    StartRamp,
     /// Enter at a quarter weight from now on.
-    Reenter,
+    RestartRamp,
     /// Lose a quarter of its part, and grow on from there.
-    Trim,
+    ReduceWeight,
     /// Nothing more goes there, whatever tables say.
-    Shut,
+    Withdraw,
     /// Out of the tables for a while; longer when struck again at once.
-    Hold,
-    Settle,
+    Eject,
+    FinishRamp,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Filing {
+pub enum HistoryAction {
     Append,
-    MoveNewest,
+    MoveToNewest,
     Keep,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Valve {
+pub enum AdmissionAction {
     Cut,
     Lower,
     Raise,
@@ -332,7 +334,7 @@
 #[derive(Default)]
 pub struct Fleet {
     pub servers: BTreeMap<ServerId, Server>,
-    pub heard: BTreeMap<(ServerId, ZoneId), Buckets<3>>,
+    pub heard: BTreeMap<(ServerId, ZoneId), TimeBuckets<3>>,
     /// Reqs in the hands or the queue of a server, as it last said.
     pub held: ServerWeights,
     /// Withdrawals to order (true) or to lift.
@@ -342,7 +344,7 @@
 /// Who brings how much, as far as our proxies' usage and peers' notes tell.
 pub struct Demand {
     pub proxies: BTreeMap<ProxyId, Proxy>,
-    pub came: Buckets<KINDS>,
+    pub came: TimeBuckets<KINDS>,
     /// The zones' shares that tables stand on.
     pub zones: Shares,
 }
@@ -415,7 +417,7 @@
     pub(crate) held_at: Option<usize>,
     pub(crate) queue_only: bool,
     pub(crate) list_asked: bool,
-    pub(crate) ask_again_ms: f64,
+    pub(crate) list_retry_ms: f64,
     pub(crate) proxies: f64,
     pub(crate) controllers: f64,
     pub(crate) groups: Vec<KindGroup>,
@@ -423,22 +425,22 @@
     pub(crate) demand: Demand,
     pub(crate) tables: BTreeMap<(ProxyId, usize), Table>,
     pub(crate) channel: Channel,
-    pub(crate) valves: Valves,
+    pub(crate) admission: AdmissionControl,
     pub(crate) started: bool,
-    pub(crate) hasty: bool,
-    pub(crate) beat_ms: f64,
-    pub(crate) beat_set: bool,
+    pub(crate) urgent: bool,
+    pub(crate) next_flush_ms: f64,
+    pub(crate) flush_scheduled: bool,
     /// The place of the proxy that the next note names first.
-    pub(crate) noted: usize,
+    pub(crate) next_note_index: usize,
     pub(crate) log: Log,
 }
 
 impl Controller {
     /// What a start brings, with nothing known and nothing allowed yet.
-    pub(crate) fn blank(now: f64, start: Start, groups: Vec<KindGroup>) -> Self {
+    pub(crate) fn with_initial_state(now: f64, start: Start, groups: Vec<KindGroup>) -> Self {
         let mut kinds = start.kinds;
         kinds.truncate(KINDS);
-        let came = Buckets::new(1_000.0, 24);
+        let came = TimeBuckets::new(1_000.0, 24);
         let position = |field| start.load_fields.iter().position(|f| *f == field);
         Self {
             rng: ChaCha8Rng::seed_from_u64(start.seed),
@@ -450,7 +452,7 @@
             held_at: position(LoadField::InFlight).or(position(LoadField::Queue)),
             queue_only: position(LoadField::InFlight).is_none(),
             list_asked: start.list.on_request,
-            ask_again_ms: 0.0,
+            list_retry_ms: 0.0,
             proxies: f64::from(start.topology.proxies.max(1)),
             controllers: f64::from(start.topology.controllers.max(1)),
             fleet: Fleet::default(),
@@ -464,15 +466,15 @@
                 as_of_ms: now,
                 ..Channel::default()
             },
-            valves: Valves {
+            admission: AdmissionControl {
                 levels: start.proxy_behavior.levels,
-                ..Valves::default()
+                ..AdmissionControl::default()
             },
             started: false,
-            hasty: false,
-            beat_ms: now,
-            beat_set: false,
-            noted: 0,
+            urgent: false,
+            next_flush_ms: now,
+            flush_scheduled: false,
+            next_note_index: 0,
             log: Log::new(),
         }
     }
@@ -483,19 +485,21 @@
     }
 
     /// Names this part of the joined proxies to the peers at least, those next whose turn it is.
-    pub(crate) fn notes(&mut self, part: f64) -> Vec<Effect> {
+    pub(crate) fn demand_notes(&mut self, part: f64) -> Vec<Effect> {
         let joined = self
             .demand
             .proxies
             .iter()
             .filter(|(_, p)| p.joined && self.capabilities.peers);
-        let mut own: Vec<NoteLine> = joined.map(|(id, p)| (*id, p.zone, p.met_per_s)).collect();
+        let mut own: Vec<NoteLine> = joined
+            .map(|(id, p)| (*id, p.zone, p.observed_per_s))
+            .collect();
         let count = ((own.len() as f64 * part).ceil() as usize)
             .max(NOTE_LINES)
             .min(own.len());
-        let first = self.noted % own.len().max(1);
+        let first = self.next_note_index % own.len().max(1);
         own.rotate_left(first);
-        self.noted += count;
+        self.next_note_index += count;
         own[..count]
             .chunks(NOTE_LINES)
             .map(|c| Effect::PeerMessage {
@@ -548,11 +552,17 @@
 
 impl Fleet {
     /// What a zone's proxies met at those of these servers that are in use.
-    pub fn met_on(&mut self, now: f64, zone: ZoneId, lines: &ServerWeights, span_ms: f64) -> Met {
+    pub fn stats_on(
+        &mut self,
+        now: f64,
+        zone: ZoneId,
+        lines: &ServerWeights,
+        span_ms: f64,
+    ) -> AttemptStats {
         let used = lines
             .keys()
             .filter(|id| self.servers.get(*id).is_some_and(|s| s.part > 0.0));
-        used.fold(Met::default(), |met, id| {
+        used.fold(AttemptStats::default(), |met, id| {
             self.heard
                 .get_mut(&(*id, zone))
                 .map_or(met, |h| met.with(h.over(now, span_ms)))
@@ -567,14 +577,16 @@
     pub fn hear(&mut self, now: f64, at: (ServerId, ZoneId), what: [f64; 3]) {
         self.heard
             .entry(at)
-            .or_insert_with(|| Buckets::new(500.0, 24))
+            .or_insert_with(|| TimeBuckets::new(500.0, 24))
             .add(now, what);
     }
 
     /// What proxies of all zones met at a server lately.
-    pub fn met_at(&mut self, now: f64, id: ServerId, span_ms: f64) -> Met {
+    pub fn stats_at(&mut self, now: f64, id: ServerId, span_ms: f64) -> AttemptStats {
         let heard = self.heard.range_mut((id, 0)..=(id, ZoneId::MAX));
-        heard.fold(Met::default(), |met, (_, h)| met.with(h.over(now, span_ms)))
+        heard.fold(AttemptStats::default(), |met, (_, h)| {
+            met.with(h.over(now, span_ms))
+        })
     }
 }
 
@@ -598,7 +610,7 @@
     }
 
     /// One reply is written, a message to each proxy in their order.
-    pub fn mark(&mut self, now: f64, reached: &Reached) {
+    pub fn mark(&mut self, now: f64, reached: &ReplyCost) {
         if self.waiting() <= 0.0 {
             self.moved_ms = now;
         }
@@ -608,7 +620,8 @@
             (*id, all)
         };
         let through = reached.by_proxy.iter().map(add).collect();
-        self.marks.insert(self.next_mark, Sent { before, through });
+        self.marks
+            .insert(self.next_mark, SentReply { before, through });
         self.next_mark = (self.next_mark + 1) % 65_536;
         self.written = all;
     }
@@ -627,12 +640,18 @@
     pub fn take_note(&mut self, now: f64, bytes: &[u8]) {
         for (id, zone, per_s) in read_note(bytes) {
             if !self.proxies.get(&id).is_some_and(|p| p.joined) {
-                self.named(now, id, zone, per_s).met_per_s = per_s;
+                self.observe_proxy(now, id, zone, per_s).observed_per_s = per_s;
             }
         }
     }
 
-    pub fn named(&mut self, now: f64, proxy: ProxyId, zone: ZoneId, per_s: f64) -> &mut Proxy {
+    pub fn observe_proxy(
+        &mut self,
+        now: f64,
+        proxy: ProxyId,
+        zone: ZoneId,
+        per_s: f64,
+    ) -> &mut Proxy {
         let per_s = per_s.max(0.01);
         let entry = self
             .proxies
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -112,11 +112,11 @@
     // Reports that were on their way.
     harness.pass(2_900.0, bad_at_s4);
     harness.pass(3_000.0, calm);
-    assert!(!harness.trace.contains("Fails"), "{}", harness.trace);
+    assert!(!harness.trace.contains("Failing"), "{}", harness.trace);
     // What is told later on counts.
     harness.pass(4_000.0, bad_at_s4);
     assert!(
-        harness.trace.contains("Ramping -> Struck on Fails"),
+        harness.trace.contains("Ramping -> Ejected on Failing"),
         "{}",
         harness.trace
     );
@@ -481,7 +481,7 @@
         };
         (1..=200).for_each(|n| d.hear(n, met(n).0, met(n).1, 900.0));
     });
-    assert_snapshot!(only(&harness.trace, "Struck"));
+    assert_snapshot!(only(&harness.trace, "Ejected"));
 }
 
 #[test]
@@ -557,7 +557,7 @@
     harness.note("a peer dies, and its two proxies come here");
     (2..4).for_each(|p| harness.join(p, 0));
     harness.pass(4_000.0, |d| full(d, 4));
-    assert_snapshot!(only(&harness.trace, "et"));
+    assert_snapshot!(only(&harness.trace, "admi"));
 }
 
 #[test]
@@ -595,10 +595,10 @@
         }
     };
     harness.pass(12_000.0, |d| full(d, 3));
-    assert!(!harness.trace.contains("Tight"), "{}", harness.trace);
+    assert!(!harness.trace.contains("Throttled"), "{}", harness.trace);
     harness.pass(4_000.0, |d| full(d, 6));
     assert!(
-        harness.trace.contains("levels Open -> Tight"),
+        harness.trace.contains("admission Open -> Throttled"),
         "{}",
         harness.trace
     );
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -170,7 +170,7 @@
                     ..
                 } => {
                     said.push(format!(
-                        "kinds {kinds:b}: let in {level:.1}, retry {retry:?}"
+                        "kinds {kinds:b}: admit {level:.1}, retry {retry:?}"
                     ));
                 }
                 Effect::RequestAck { mark, .. } => {
