--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,13 +1,13 @@
-//! What a controller is told and what it orders. Plain types: nothing is decided here.
+//! Inputs, effects and settings of the controller. Plain data types without logic.
 //!
-//! Times are milliseconds with fractions; ids are as the front gives them and mean nothing.
+//! Times are milliseconds. Identifiers are opaque values assigned by the caller.
 
-/// A server: its address and port, kept exactly as told.
+/// A server's IPv4 address and port, in the caller's byte representation.
 pub type ServerId = [u8; 6];
 pub type ProxyId = u16;
 pub type TableId = u16;
 pub type ZoneId = u16;
-/// The place of a request kind in the list handed at start.
+/// Index into [`Start::kinds`].
 pub type KindId = usize;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -17,7 +17,7 @@
     Draining,
 }
 
-/// One line of the server list.
+/// One entry of the server list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
     pub server: ServerId,
@@ -26,7 +26,7 @@
     pub bay: u16,
     pub stage: Stage,
     pub weight: f64,
-    /// When it last started; 0: long ago.
+    /// Last start time; 0 if unknown or long ago.
     pub started_ms: f64,
 }
 
@@ -38,7 +38,7 @@
     Failed,
 }
 
-/// The servers that drop a repeat of a uniqued req.
+/// Scope within which servers deduplicate a repeated request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -62,15 +62,15 @@
     pub late_value_share: f64,
     pub repeat: RepeatSafety,
     pub writes: bool,
-    /// The only zones whose servers may be sent it; empty: any.
+    /// Zones whose servers may receive this kind; empty means any.
     pub zones: Vec<ZoneId>,
-    /// The only kinds of machine that may be sent it; empty: any.
+    /// Machine kinds that may receive this kind; empty means any.
     pub machines: Vec<u16>,
-    /// Only servers of the proxy's own zone may be sent it.
+    /// Restricts this kind to servers in the proxy's own zone.
     pub own_zone: bool,
 }
 
-/// Where this controller stands among its peers.
+/// This controller's position among its peers, and the size of the fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Topology {
     pub index: u16,
@@ -78,11 +78,11 @@
     pub zone: ZoneId,
     pub zones: Vec<String>,
     pub proxies: u32,
-    /// Proxies join a controller of their own zone where there is one.
+    /// Proxies prefer a controller in their own zone.
     pub joined_by_zone: bool,
 }
 
-/// The figures of the five rules.
+/// Safety requirements on published tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SafetyBounds {
     pub max_unbound_ms: f64,
@@ -91,19 +91,19 @@
     pub warm_up_ms: f64,
     pub fall_multiple: f64,
     pub overload_ms: f64,
-    /// Only a server listed as draining binds; one merely dropped may stay.
+    /// A server missing from the list is kept while it answers; only draining status removes it.
     pub soft_removal: bool,
 }
 
-/// The channel from a controller to its proxies.
+/// Capacity and latency of the channel from the controller to its proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ChannelLimits {
     pub lines_per_s: f64,
     pub header_lines: f64,
-    /// What a line of a whole table counts for at the binding, with all that has to go with it.
+    /// Lines charged per table entry when a whole table is sent.
     pub bind_lines: f64,
     pub backlog_lines: f64,
-    /// 0: no such limit.
+    /// Messages allowed per proxy and window; 0 means unlimited.
     pub messages_most: u32,
     pub message_window_ms: f64,
     pub transit_ms: f64,
@@ -118,48 +118,48 @@
     Rate,
 }
 
-/// How proxies admit and repeat.
+/// Admission control and retries as implemented by the proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProxyBehavior {
     pub levels: AdmissionMode,
     pub default_retry: Retry,
-    /// A try that may be followed waits this many response targets.
+    /// Per-try timeout, as a multiple of the response target.
     pub try_timeout_targets: f64,
     pub standing_lines: u32,
     pub write_in_flight_ms: f64,
 }
 
-/// How the server list is followed.
+/// How the server list is obtained.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ListSettings {
     pub on_request: bool,
     pub ask_within_ms: f64,
-    /// The listed weights change with the load.
+    /// Listed weights change with load.
     pub live_weights: bool,
 }
 
 pub const COARSE_FLOW_STEPS: f64 = 8.0;
 
-/// What may be used beside orders, and its prices.
+/// Optional features and costs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Capabilities {
     pub peers: bool,
     pub probes: bool,
     pub cross_zone_price: f64,
-    /// What goes to which zone is settled in so many steps: `COARSE_FLOW_STEPS` where tables are dear to write anew.
+    /// Resolution of cross-zone traffic shares; `COARSE_FLOW_STEPS` where rewriting tables is expensive.
     pub flow_steps: f64,
     pub report_period_ms: f64,
     pub report_lines_per_s: f64,
-    /// The fewest connections that a server accepts; infinite where that is not told.
+    /// Minimum number of connections a server accepts; infinite if unknown.
     pub min_connections: f64,
-    /// 0: no slices; otherwise every slice is a table of its own.
+    /// Number of slices, each with its own table; 0 if unused.
     pub slices: u32,
     pub single_owner: bool,
-    /// Revisions that followed each other faster than any could be judged are judged together.
+    /// Revisions replaced before their evaluation ended share the verdict of their successor.
     pub shared_verdicts: bool,
 }
 
-/// What the figures of a load report mean, in their order.
+/// Meaning of a field in a load report, by position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
     InFlight,
@@ -171,7 +171,7 @@
     Other,
 }
 
-/// Everything handed to a controller at its start, in small records by subject.
+/// Settings a controller is created with.
 #[derive(Clone, Debug)]
 pub struct Start {
     pub seed: u64,
@@ -226,7 +226,7 @@
         mark: u64,
         took_ms: f64,
     },
-    /// What the joined proxies of a zone met at a server.
+    /// Results of the requests that a zone's joined proxies sent to a server.
     ServerReport {
         zone: ZoneId,
         server: ServerId,
@@ -236,7 +236,7 @@
         span_ms: f64,
         load: Vec<f64>,
     },
-    /// What came to a proxy.
+    /// Requests received by a proxy.
     ProxyUsage {
         proxy: ProxyId,
         kind: KindId,
@@ -266,7 +266,7 @@
         took_ms: f64,
         load: Vec<f64>,
     },
-    /// An operator wants these earlier lines for a table, until released.
+    /// Pins a table to earlier entries until [`Input::ReleaseRollback`].
     Rollback {
         table: TableId,
         lines: Vec<(ServerId, f64)>,
@@ -274,30 +274,30 @@
     ReleaseRollback {
         table: TableId,
     },
-    /// What was written of a table has not reached its proxy, or it holds something else: it is written whole
-    /// again, within the limits of the channel, as to one that has just joined.
+    /// A table update was not applied, or the proxy holds different content: the whole table is sent again, within the
+    /// channel's limits.
     TableLost {
         table: TableId,
     },
 }
 
-/// What became of a way back.
+/// Result of an operator's rollback.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RollbackStatus {
-    /// So many of its lines can be used now.
+    /// The rollback is in effect; `lines` of `of` entries are currently usable.
     Held { lines: usize, of: usize },
-    /// Nothing has changed.
+    /// The table is unchanged.
     Refused(&'static str),
-    /// The module's own lines are published again.
+    /// The table follows the controller's own revisions again.
     Ended(&'static str),
 }
 
-/// When proxies try again.
+/// When proxies retry a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Retry {
     #[default]
     Never,
-    /// Once, elsewhere, on proof that the first try never ran.
+    /// Once, on another server, if the first try provably did not execute.
     IfNotExecuted,
     OnceAfterAny,
     TwiceAfterAny,
@@ -313,7 +313,7 @@
     ClearTable {
         table: TableId,
     },
-    /// Puts a proxy on a table for some request kinds (bits by their place).
+    /// Assigns a table to a proxy for the request kinds in the bit mask.
     BindTable {
         proxy: ProxyId,
         table: TableId,
@@ -323,14 +323,14 @@
         server: ServerId,
         out: bool,
     },
-    /// `table` None: all joined proxies.
+    /// Sets admission levels; without a `table`, for all joined proxies.
     SetAdmission {
         table: Option<TableId>,
         kinds: u16,
         level: f64,
         retry: Retry,
     },
-    /// Asks for an answer; `all`: also from proxies that this reply does not reach.
+    /// Requests an acknowledgement; with `all`, also from proxies that receive nothing else in this reply.
     RequestAck {
         mark: u64,
         all: bool,
@@ -342,7 +342,7 @@
     ProbeServer {
         server: ServerId,
     },
-    /// `to` None: every peer.
+    /// Sends a message to one peer, or to every peer if `to` is `None`.
     PeerMessage {
         to: Option<u16>,
         bytes: Vec<u8>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,7 @@
-//! rookpulley: the configuration controller of a proxy fleet.
-//!
-//! [`rules::Controller`] decides; everything else here is the plain interface it is reached by:
-//! [`facts`] holds what a controller is told and what it orders, [`ring`] the fixed time buckets
-//! that measurements are kept in, [`state`] what a controller keeps between inputs, and `shares` how sums are shared out. The core knows nothing of the front that carries its orders.
+//! Decision core of the configuration controller for a proxy fleet.  [`rules::Controller`] takes inputs and returns
+//! effects; it does no I/O. [`interface`] defines the inputs, effects and settings, [`state`] the controller's state,
+//! [`ring`] the time-bucketed counters for measurements, and `shares` the arithmetic of distributing load. Transport
+//! and serialization belong to the callers.
 
 pub mod interface;
 pub mod ring;
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -1,6 +1,6 @@
-//! Fixed buckets of time, used again in a ring.
+//! Counters over a sliding time window.
 
-/// Sums of `N` measures per bucket of time; what is older than the ring is forgotten.
+/// Sums of `N` measures per fixed-width time bucket, kept in a ring buffer; older buckets are overwritten.
 #[derive(Clone, Debug)]
 pub struct TimeBuckets<const N: usize> {
     width_ms: f64,
@@ -38,12 +38,12 @@
         }
     }
 
-    /// The sums over the last `span_ms`, the running bucket included.
+    /// Sums over the last `span_ms`, including the current bucket.
     pub fn over(&mut self, now_ms: f64, span_ms: f64) -> [f64; N] {
         self.between(now_ms, span_ms, 0.0)
     }
 
-    /// The sums of what came between `from_ms` and `to_ms` ago.
+    /// Sums over the window that starts `from_ms` ago and ends `to_ms` ago.
     pub fn between(&mut self, now_ms: f64, from_ms: f64, to_ms: f64) -> [f64; N] {
         self.turn_to(now_ms);
         let count = self.sums.len() as i64;
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,8 +1,7 @@
-//! The decisions of rookpulley: here what comes in and what a round does, the rest by concern in `rules/`.
-//!
-//! A front hands `Controller::new` what a start brings, then calls `Controller::handle` with the clock and
-//! what came in; the answer is the list of orders, to be carried out in that order at that time. A killed
-//! controller starts over from its list alone. Tables: state, input, next state, effect; no row, no change.
+//! Decision logic: input handling and the periodic round; the submodules hold the individual concerns.  The caller
+//! creates a [`Controller`] from its settings and calls `Controller::handle` with the time and the inputs. The returned
+//! effects must be carried out in order. A restarted controller rebuilds its state from the server list. State tables
+//! have the columns state, event, next state and action; an event without a row has no effect.
 
 mod arcs;
 mod demand;
@@ -21,7 +20,7 @@
 const ANNOUNCE_INTERVAL_MS: f64 = 3_000.0;
 const ROUND_TIMER: u64 = 1;
 const LIST_RETRY_TIMER: u64 = 2;
-/// What can't wait for the round goes out this often at most, so that it goes in few messages.
+/// Minimum interval between urgent dispatches, so that they are batched into few messages.
 const FLUSH_INTERVAL_MS: f64 = 200.0;
 const FLUSH_TIMER: u64 = 3;
 const MAX_LIST_RETRY_MS: f64 = 8_000.0;
@@ -38,7 +37,7 @@
             }),
         }
     }
-    // The most bound kinds take their room first.
+    // Groups restricted to certain servers are allocated first.
     groups
         .sort_by_key(|g| g.like.zones.is_empty() && g.like.machines.is_empty() && !g.like.own_zone);
     groups
@@ -53,13 +52,14 @@
             new.admission.allowed_per_s,
             new.admission.arc_scale,
         ) = (ROUND_MS, levels::UNLIMITED, 1.0);
-        // Rates are known once reports cover the span; till the first round proxies join and notes travel.
+        // Reports must cover the measurement span first; until the first rounds, proxies join and peers announce
+        // demand.
         (new.admission.stepped_ms, new.next_flush_ms) =
             (now + 2.0 * levels::OVERLOAD_SPAN_MS, now + 2.0 * ROUND_MS);
         new
     }
 
-    /// Takes in what came and answers with orders.
+    /// Processes inputs and returns the resulting effects.
     pub fn handle(&mut self, now: f64, inputs: &[Input]) -> Vec<Effect> {
         let mut out = Vec::new();
         if !std::mem::replace(&mut self.started, true) {
@@ -112,7 +112,7 @@
             }
             self.step_admission(now);
             self.remove_departed_servers(now);
-            // Notes name each of our proxies well before it is forgotten, not only the heaviest.
+            // Every proxy is announced to the peers well before it would be forgotten.
             out.extend(self.demand_notes(ROUND_MS / ANNOUNCE_INTERVAL_MS));
         }
         if self.urgent
@@ -148,7 +148,7 @@
                 scope: ListScope::Failed,
                 ..
             } => {
-                // The list's service is shared: ask again later each time, and not in step.
+                // The list service is shared: retry with exponential backoff and jitter.
                 let in_ms = self.list_retry_ms * self.rng.random_range(0.5..1.5);
                 self.list_retry_ms = (2.0 * self.list_retry_ms).min(MAX_LIST_RETRY_MS);
                 out.push(Effect::SetTimer {
@@ -195,7 +195,7 @@
                     (trial.answered, trial.from_ms) = (true, now);
                 }
             }
-            // Reports come late: this one tells of before the start. Harm: a restart that fails shows later.
+            // Late reports may cover the time before a restart, so results right after it are ignored.
             Input::ServerReport { server, .. }
                 if now < self.fleet.started_ms(server) + health::SPAN_MS => {}
             Input::ServerReport {
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Drops servers long gone once no joined proxy can hold them; lifts withdrawals, should one return.
+    /// Removes servers that left long ago once no joined proxy can hold them, and lifts their withdrawals.
     fn remove_departed_servers(&mut self, now: f64) {
         let gone = |s: &Server| s.phase == Phase::Leaving && s.listed.stage == Stage::Gone;
         let old = self
--- a/src/rules/arcs.rs
+++ b/src/rules/arcs.rs
@@ -1,16 +1,16 @@
-//! All arcs are cut from the list, the health and the demand: which servers a proxy is sent to, and how many.
+//! Computes each proxy's table from the server list, server health and demand.
 
 use crate::{interface::*, rules::parts, shares::*, state::*};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A mean proxy's arc reaches over as many servers as spread it so that laying it loads none by over this
-/// part of its share; but all proxies together leave servers most of the connections they accept, and one
-/// controller's proxies can be written anew in a part of its queue.
+/// Bounds on the length of an average proxy's arc: adding it loads no server by more than this fraction of its share,
+/// all proxies together use at most this fraction of the servers' connections, and rewriting all tables of one
+/// controller takes at most this fraction of its queue.
 const MAX_ARC_LOAD_SHARE: f64 = 0.05;
 const CONNECTION_SHARE: f64 = 0.3;
 const REWRITE_QUEUE_SHARE: f64 = 0.2;
 pub(super) const MIN_ARC_LINES: f64 = 4.0;
-/// Zones are kept apart where crossing them costs more than this; how unevenly goes by that price.
+/// Above this cross-zone price, traffic stays in its zone as far as capacity allows.
 const ZONE_LOCAL_PRICE: f64 = 0.02;
 const SLACK_PER_PRICE: f64 = 1.0;
 pub(super) const STEPS: f64 = 8.0;
@@ -19,7 +19,7 @@
     (x * STEPS).round() / STEPS
 }
 
-/// How many servers a mean proxy's arc reaches over, in coarse steps so that it holds still.
+/// Length of an average proxy's arc, rounded to powers of the square root of two so that it changes rarely.
 fn arc_size(ring: f64, own: f64, by_conns: f64, pace: &ChannelLimits) -> f64 {
     let by_queue = REWRITE_QUEUE_SHARE * pace.backlog_lines / own - pace.header_lines;
     let most = (ring / own / MAX_ARC_LOAD_SHARE)
@@ -33,7 +33,7 @@
     pub(super) fn compute_tables(&mut self, now: f64) {
         let near = self.capabilities.cross_zone_price > ZONE_LOCAL_PRICE;
         let zone_of = |zone: ZoneId| if near { zone } else { 0 };
-        // A jam costs more than crossing zones does: then they are loaded evenly.
+        // During overload, balance load evenly across zones whatever crossing them costs.
         let jam = self.admission.mode == Mode::Throttled;
         let slack = if jam {
             0.0
@@ -59,7 +59,7 @@
             by_conns,
             &self.pace,
         );
-        // Narrow arcs that hold only cold servers push them over.
+        // Narrow arcs that contain only cold servers would overload them.
         let cold = ready.iter().any(|s| parts::is_cold(now, s, &self.bounds));
         let reach = if cold { 1.0 } else { self.admission.arc_scale };
         let mean_lines = (mean_lines * reach).max(MIN_ARC_LINES / 2.0);
@@ -82,7 +82,7 @@
                 rings.entry(zone).or_default().push(&s.listed);
                 *room.entry(zone).or_insert(0.0) += s.part * s.listed.weight / all;
             }
-            // What more bound kinds bring to a zone leaves less room there for the others.
+            // Capacity taken by more restricted groups is not available to the others.
             room.iter_mut()
                 .for_each(|(z, r)| *r = (*r - taken.get(z).unwrap_or(&0.0)).max(0.0));
             let open: f64 = room.values().sum::<f64>().max(1e-9);
@@ -90,7 +90,7 @@
             let share = self.demand.share_of(now, &group.kinds, self.kinds.len());
             room.iter()
                 .for_each(|(z, r)| *taken.entry(*z).or_insert(0.0) += share * r);
-            // Arcs that have a place keep it; the others are laid where the ring is loaded least.
+            // Existing arcs keep their start; new ones start where the ring is loaded least.
             let mut laid: Vec<_> = self
                 .demand
                 .proxies
@@ -127,7 +127,7 @@
                         .for_each(|s| *loads.entry(*s).or_insert(0.0) += p.sized_per_s * density);
                     arcs.push((arc, density));
                 }
-                // In steps, lest a change at one line changes them all; never above a listed weight.
+                // Rounded so that one entry's change does not rewrite all entries; never above the listed weight.
                 let most = arcs.iter().map(|(_, density)| *density).fold(0.0, f64::max);
                 let lines = arcs.into_iter().flat_map(|(arc, density)| {
                     let scale = in_steps(density / most).max(1.0 / STEPS);
--- a/src/rules/demand.rs
+++ b/src/rules/demand.rs
@@ -1,4 +1,4 @@
-//! Who brings how much.
+//! Estimates of the demand of each proxy, zone and request kind.
 
 use crate::{interface::*, rules::ROUND_MS, rules::arcs::STEPS, rules::arcs::in_steps, state::*};
 
@@ -7,11 +7,11 @@
 const ZONE_DEVIATION: f64 = 0.2;
 const USAGE_SPAN_MS: f64 = 8_000.0;
 pub(super) const LEVEL_SPAN_MS: f64 = 4_000.0;
-/// A proxy that nobody has named for this long brings nothing any more; a server that is gone does nothing.
+/// Time after which a proxy without reports, or a removed server, is forgotten.
 pub(super) const FORGET_MS: f64 = 10_000.0;
 
 impl Demand {
-    /// Resizes the arcs of proxies whose share stayed far off for long; drops the forgotten.
+    /// Resizes the arcs of proxies whose demand has deviated for a sustained time; removes expired proxies.
     pub(super) fn resize(&mut self, now: f64, log: &mut Log) {
         self.proxies
             .retain(|_, p| p.joined || now - p.seen_ms < FORGET_MS);
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The part of the fleet's reqs that comes to our proxies, each unknown one taken as a mean one.
+    /// Fraction of the fleet's requests that this controller's proxies receive; unknown proxies count as average.
     pub(super) fn share_of_demand(&self, proxies: f64) -> f64 {
         let known: f64 = self.proxies.values().map(|p| p.observed_per_s).sum();
         let own: f64 = self
@@ -53,10 +53,10 @@
         (own / known.max(1e-9) * (self.proxies.len().max(1) as f64 / proxies).min(1.0)).max(1e-3)
     }
 
-    /// The zones' shares of the demand, held until one is well off.
+    /// The zones' shares of the demand, updated only when one deviates noticeably.
     pub(super) fn stable_zone_shares(&mut self, zone_of: impl Fn(ZoneId) -> ZoneId) -> Shares {
         let all: f64 = self.proxies.values().map(|p| p.observed_per_s).sum();
-        // Where nobody brings anything, what was known before holds.
+        // Without traffic, keep the previous shares.
         if all <= 0.0 {
             return self.zones.clone();
         }
@@ -72,7 +72,7 @@
         self.zones.clone()
     }
 
-    /// The share of the reqs that are of these kinds, in steps so that it holds still.
+    /// Share of the requests that are of these kinds, rounded so that it changes rarely.
     pub(super) fn share_of(&mut self, now: f64, some: &[KindId], kinds: usize) -> f64 {
         let came = self.came.over(now, 20_000.0);
         let total: f64 = came.iter().sum();
@@ -85,7 +85,7 @@
         in_steps(share).max(1.0 / STEPS)
     }
 
-    /// The mean response target of the reqs that come.
+    /// Average response target, weighted by request rate.
     pub(super) fn usual_target_ms(&mut self, now: f64, kinds: &[RequestKind]) -> f64 {
         let came = self.came.over(now, LEVEL_SPAN_MS);
         let total: f64 = came.iter().sum::<f64>() + 1e-3 * kinds.len() as f64;
--- a/src/rules/gate.rs
+++ b/src/rules/gate.rs
@@ -1,20 +1,21 @@
-//! Every order passes here: bare proxies, drains and first tables, withdrawals, levels, then changes.
+//! Dispatches updates in order of urgency within the channel's limits: missing tables, drains, first tables,
+//! withdrawals, admission levels, then other changes.
 
 use crate::{
     interface::*, rules::arcs::MIN_ARC_LINES, rules::queue::room, rules::revisions, state::*,
 };
 use std::collections::BTreeSet;
 
-/// How much of the limits deltas may use up, and tables for proxies that have none.
+/// Shares of the limits available to deltas, and to tables for proxies that have none.
 const DELTA_SHARE: f64 = 0.5;
 const FIRST_TABLE_SHARE: f64 = 0.8;
-/// Withdrawals may use up this much of the queue; the rest is for lines that let a server back uncounted.
+/// Share of the queue available to withdrawals; the rest is for the entries that restore a server.
 const WITHDRAWAL_SHARE: f64 = 0.9;
-/// So much of the grace may pass before a withdrawal is through.
+/// Share of the drain grace period within which withdrawals are to be delivered.
 const GRACE_SHARE: f64 = 0.8;
 
 impl Controller {
-    /// What each table of a joined proxy needs: the most urgent first, of drains those of the oldest word.
+    /// Pending updates of the joined proxies' tables, most urgent first; drains by age.
     fn needs(&self) -> BTreeSet<PendingUpdate> {
         let left = |s: &ServerId| {
             self.fleet
@@ -23,7 +24,7 @@
                 .is_none_or(|s| s.phase == Phase::Leaving)
         };
         let since = |s: &ServerId| self.fleet.servers.get(s).map_or(0, |s| s.since_ms as u64);
-        // Whoever holds tables of others may hold whatever drains: bound to ours, it does not.
+        // A proxy with another controller's tables may use any draining server until our table is bound.
         let drains = self
             .fleet
             .withdrawals
@@ -35,7 +36,7 @@
             (false, _) if p.fresh => (Need::NoTable, 0),
             (false, Some(since)) => (Need::Drain, since),
             (false, None) => (Need::Bind, 0),
-            // One whose servers have all left is as good as bare: a lost zone left proxies so.
+            // A table whose servers have all left is as urgent as a missing one.
             _ if table.held.keys().all(left) => (Need::NoTable, 0),
             _ => match table.held.keys().filter(|s| left(s)).map(since).min() {
                 Some(since) => (Need::Drain, since),
@@ -59,7 +60,7 @@
         if joined.is_empty() {
             self.channel.left = self.channel.written;
         }
-        // What can wait, waits while a proxy has had most of the messages it may be written.
+        // Defer non-urgent updates while any proxy is close to its message limit.
         let over_ms = self.pace.message_window_ms + 500.0;
         let written = |p: &mut Proxy| {
             if p.joined {
@@ -83,7 +84,7 @@
             .range(..changes)
             .for_each(|need| self.update_table(now, *need, &mut reached, out));
         self.withdraw(now, free, true, &mut reached, out);
-        // Levels go to everybody: where the queue has no room for that or for all that is urgent, they wait.
+        // Levels go to all proxies; they wait until urgent updates are sent and the queue has room.
         let admission_levels = self.admission_levels(now);
         let head = self.pace.header_lines + 1.0;
         let size = (head + admission_levels.len() as f64) * joined.len() as f64;
@@ -123,7 +124,8 @@
         }
     }
 
-    /// Withdrawals go to whoever still holds the server; more than may wait only after tables without it.
+    /// Sends withdrawals to the proxies that hold the server. If they exceed the queue, table updates that remove the
+    /// server go first.
     fn withdraw(
         &mut self,
         now: f64,
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Brings a proxy's table up to what is published: whole where bare of ours, else by deltas.
+    /// Brings a proxy's table up to date: the whole table if it is not bound, deltas otherwise.
     fn update_table(
         &mut self,
         now: f64,
@@ -265,7 +267,7 @@
             .map_or(0, |r| r.name);
         if table.published != published {
             let before = std::mem::replace(&mut table.published, published);
-            // What was never found sound can't vouch for what follows it.
+            // A revision that was not evaluated can't serve as the baseline of the next one.
             if self.capabilities.shared_verdicts && table.trial.is_some() {
                 table.unevaluated.push(before);
             } else {
--- a/src/rules/health.rs
+++ b/src/rules/health.rs
@@ -1,4 +1,4 @@
-//! What the list says of the servers, and which of them are sound.
+//! Server health: state transitions driven by the server list and by request results.
 
 use crate::{interface::*, rules::parts, state::*};
 use std::collections::BTreeSet;
@@ -93,25 +93,25 @@
 pub(super) const SPAN_MS: f64 = 3_000.0;
 const EJECTION_MS: f64 = 5_000.0;
 const MAX_EJECTION_MS: f64 = 20_000.0;
-/// A server fails when over this share of its tries is bad, and so much more than the fleet's usual that
-/// chance would hardly show it at any one of so many. Fixed counts struck sound servers in a jam.
+/// A server is failing when the share of failed tries exceeds this and the excess over the fleet's average is
+/// statistically significant for the number of servers.
 const FAIL_SHARE: f64 = 0.5;
 const FAIL_MIN_TRIES: f64 = 4.0;
 const FAIL_FACTOR: f64 = 1.5;
 const FAIL_USUAL: f64 = 0.02;
-/// What answers next to nothing is a server's trouble and no jam.
+/// A server above this share of failed tries is unresponsive and does not count as overloaded.
 pub(super) const UNRESPONSIVE_SHARE: f64 = 0.9;
-/// It strains when good answers take so many times the fleet's median, and this of the target.
+/// A server is slow when successful tries take this multiple of the fleet's median and this fraction of the target.
 const SLOW_RATIO: f64 = 1.6;
-/// In a jam it takes more, lest trims rove through a full fleet.
+/// Higher ratio while throttled, so that a full fleet does not shift load from server to server.
 const SLOW_RATIO_THROTTLED: f64 = 3.0;
 const SLOW_TARGET_SHARE: f64 = 0.5;
 const SLOW_MIN_TRIES: f64 = 8.0;
 const REDUCE_FACTOR: f64 = 0.75;
 
 impl Fleet {
-    /// Where a list that merely drops a server doesn't bind (`soft`), such a one stays while it gives good
-    /// answers. Guards against wrong lists. Harm: one gone for good is sent to until it is heard to fail.
+    /// Applies a server list. With `soft`, a server missing from the list is kept while it answers successfully, which
+    /// guards against wrong lists.
     pub(super) fn apply_list(
         &mut self,
         now: f64,
@@ -157,7 +157,7 @@
                 }
                 continue;
             }
-            // At our own start a server without a date has served for long; later on it is new.
+            // In the initial list a server without a start time is taken as warm; in later lists it is new.
             let phase = match scope {
                 _ if !ready => Phase::Leaving,
                 ListScope::Cached if !dated => Phase::Warm,
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Takes one step of the health table; false where it has none.
+    /// Applies the state table; returns false if it has no row for this event.
     fn transition(&mut self, now: f64, id: ServerId, cue: HealthEvent, log: &mut Log) -> bool {
         let met = self.stats_at(now, id, SPAN_MS);
         let Some(server) = self.servers.get_mut(&id) else {
@@ -229,7 +229,7 @@
         true
     }
 
-    /// Judges every server by what was heard; true when one changed.
+    /// Evaluates every server by its recent results; returns true if any changed state.
     pub(super) fn evaluate(
         &mut self,
         now: f64,
@@ -261,7 +261,7 @@
         } else {
             FAIL_SHARE.max(FAIL_FACTOR * usual)
         };
-        let failing = |m: &AttemptStats| m.bad_share() > fail_share && m.against(usual) > sure;
+        let failing = |m: &AttemptStats| m.bad_share() > fail_share && m.significance(usual) > sure;
         let ratio = if jam {
             SLOW_RATIO_THROTTLED
         } else {
@@ -270,7 +270,7 @@
         let strain_ms = (ratio * median).max(SLOW_TARGET_SHARE * aim_ms);
         let mut changed = false;
         for (id, met) in ids.into_iter().zip(met) {
-            // Of several controllers each hears little of a server: then over a longer time.
+            // With few samples per controller, use a longer window.
             let long = if met.good() < SLOW_MIN_TRIES {
                 2.0 * SPAN_MS
             } else {
@@ -286,7 +286,7 @@
                 Phase::Ramping if parts::ramped_share(now, server, 0.0, by) >= 1.0 => {
                     HealthEvent::RampEnded
                 }
-                // Against what is crashed, hung, cut off or fakes errors. Harm: where all fail, none is.
+                // Crashed, hung, unreachable or erroring servers. If all servers fail alike, none is ejected.
                 _ if used && met.tries >= FAIL_MIN_TRIES && failing(&met) => {
                     if server.listed.stage == Stage::Gone {
                         HealthEvent::Departed
@@ -294,7 +294,7 @@
                         HealthEvent::Failing
                     }
                 }
-                // Against slow machines, neighbours, standing queues. Harm: dear reqs cost a sound one.
+                // Slow machines, noisy neighbours or standing queues. Expensive requests can cause false positives.
                 _ if used && age >= long && slow => HealthEvent::Slow,
                 _ => continue,
             };
--- a/src/rules/levels.rs
+++ b/src/rules/levels.rs
@@ -1,4 +1,4 @@
-//! Whether the fleet jams, and what is let in then: the kinds of the most value first.
+//! Admission control: detects overload and limits admitted requests, the most valuable kinds first.
 
 use crate::{
     interface::*, rules::demand::LEVEL_SPAN_MS, rules::health::UNRESPONSIVE_SHARE,
@@ -53,26 +53,26 @@
 const STEP_MS: f64 = 2000.0;
 pub(super) const OVERLOAD_SPAN_MS: f64 = 3_000.0;
 const OVERLOAD_MIN_TRIES: f64 = 20.0;
-/// The fleet jams when so many tries are bad, or good ones take so much of the response target.
+/// The fleet is overloaded above this share of failed tries, or when latency exceeds this fraction of the target.
 const OVERLOAD_BAD_SHARE: f64 = 0.2;
 const OVERLOAD_TARGET_SHARE: f64 = 0.5;
-/// It does not jam where so much of the fleet answers sooner; less where no level can ease it.
+/// Latency quantile that is compared with the target; the lower one applies where admission can't be limited.
 const FAST_QUANTILE: f64 = 0.67;
 const FAST_QUANTILE_UNSUPPORTED: f64 = 0.5;
 const OPEN_PART: f64 = 0.65;
 const QUEUE_BASE: f64 = 0.45;
 const CUT_TO: f64 = 0.9;
-/// A first cut is no deeper than this part of what was once done well.
+/// The first limit is at least this fraction of the highest rate served without overload.
 const MIN_CUT_SHARE: f64 = 0.6;
-/// More than impatient clients alone give up.
+/// Failures above this share can't be explained by client timeouts alone.
 const REFUSED_BAD_SHARE: f64 = 0.33;
-/// Where connections are refused arcs are narrowed to no less than this, and widened so slowly.
+/// Smallest scale of arcs where connections are refused, and the interval for widening them again.
 const MIN_ARC_SCALE: f64 = 0.125;
 const WIDEN_MS: f64 = 12_000.0;
 const MIN_RAISE: f64 = 1.05;
 const MAX_RAISE: f64 = 1.3;
 const SLACK_RATIO: f64 = 1.2;
-/// Of each kind so much is let in whatever its value.
+/// Minimum share of each kind that is admitted.
 const MIN_ADMITTED_SHARE: f64 = 0.05;
 pub(crate) const UNLIMITED: f64 = 1e6;
 
@@ -85,7 +85,7 @@
         target_ms: f64,
         came: f64,
     ) -> Option<String> {
-        // Too few reqs tell nothing: then calm is not known either.
+        // With too few samples neither overload nor its absence is known.
         if self.mode == Mode::Open && met.tries < OVERLOAD_MIN_TRIES {
             self.stepped_ms = self.stepped_ms.max(now + STEP_MS);
         }
@@ -98,10 +98,10 @@
             return None;
         }
         let done_per_s = met.good() / OVERLOAD_SPAN_MS * 1e3;
-        // Once levels are set, what was let in before them still comes in late; reports tell sooner.
+        // Requests admitted before throttling still finish late, so queue reports are preferred when available.
         let (late_ms, bad_now) = match (self.mode, held) {
             (Mode::Throttled, Some(held_ms)) => (held_ms, 0.0),
-            // Bad tries at servers that report little to do are no jam.
+            // Failures at servers that report short queues are not overload.
             (_, Some(held_ms)) if held_ms < OVERLOAD_TARGET_SHARE * target_ms => {
                 (met.mean_ms(), 0.0)
             }
@@ -130,7 +130,7 @@
                 (CUT_TO * done_per_s.min(came)).max(MIN_CUT_SHARE * self.sustainable_per_s)
             }
             AdmissionAction::Lower => CUT_TO * (self.allowed_per_s + done_per_s) / 2.0,
-            // What is allowed runs away from what is done where it binds nothing.
+            // Bounded by the served rate, so that the limit does not grow while it has no effect.
             AdmissionAction::Raise => {
                 let raised = raise * self.allowed_per_s.min(SLACK_RATIO * done_per_s);
                 self.allowed_per_s
@@ -141,7 +141,7 @@
             AdmissionAction::Narrow | AdmissionAction::Widen => self.allowed_per_s,
             AdmissionAction::Release => UNLIMITED,
         };
-        // Against idle servers that refuse connections. Harm: after a loss arcs are less even for a while.
+        // Narrower arcs open fewer connections where idle servers refuse them, at the cost of less even load.
         let reach_was = self.arc_scale;
         self.arc_scale = match row.3 {
             AdmissionAction::Narrow => (self.arc_scale / 2.0).max(MIN_ARC_SCALE),
@@ -192,7 +192,7 @@
             .sum::<f64>()
             / LEVEL_SPAN_MS
             * 1e3;
-        // A lesser part of the fleet that is slow, or full, is no jam: that part is trimmed instead.
+        // A minority of slow or full servers is not overload; their weights are reduced instead.
         let most = 2.0 * quantile(held.clone(), FAST_QUANTILE).unwrap_or(0.0);
         let held: f64 = held.iter().map(|h| h.min(most)).sum();
         let calm = if self.admission.levels == AdmissionMode::Unsupported {
@@ -201,7 +201,7 @@
             FAST_QUANTILE
         };
         met.time_ms = quantile(means, calm).unwrap_or(met.mean_ms()) * met.good();
-        // What may be let in goes with the proxies joined; what can be done well goes with the servers, too.
+        // The limit scales with the joined proxies' demand; the sustainable rate also with the servers' capacity.
         let sized: f64 = self
             .demand
             .proxies
@@ -225,7 +225,7 @@
             self.admission.sustainable_per_s *= sized / sized_was * live / live_was;
         }
         let target_ms = self.demand.usual_target_ms(now, &self.kinds);
-        // Load reports show the load of all proxies, before the reqs that wait are answered.
+        // Load reports cover all proxies and show queued requests before they complete.
         let all_per_ms = met.good() / OVERLOAD_SPAN_MS / self.demand.share_of_demand(self.proxies);
         let base_ms = if self.queue_only {
             QUEUE_BASE * target_ms
@@ -239,9 +239,10 @@
         );
     }
 
-    /// The levels and retry modes for all proxies.
+    /// Returns the admission levels and retry policies for all proxies.
     pub(super) fn admission_levels(&mut self, now: f64) -> Vec<(u16, f64, Retry)> {
-        // On proof that the first try never ran: one cut off goes on running. In a jam the next is as full.
+        // A timed-out try may still be running, so only tries that provably did not execute are retried, and none
+        // during overload.
         let retry = if self.admission.mode == Mode::Open {
             Retry::IfNotExecuted
         } else {
--- a/src/rules/parts.rs
+++ b/src/rules/parts.rs
@@ -1,15 +1,16 @@
-//! The part of its listed weight that a server may have now.
+//! Slow start: the fraction of its listed weight that a server currently receives.
 
 use crate::{interface::*, rules::arcs::STEPS, shares::cold_server_factors, state::*};
 
 pub(super) const RAMP_MS: f64 = 30_000.0;
 pub(super) const ENTRY_PART: f64 = 0.25;
-/// In a jam a cold server waits until it is sure to stand this many times its full work.
+/// While throttled, a cold server receives no traffic until it can handle this multiple of its share.
 const MULTIPLE_THROTTLED: f64 = 2.0;
-/// The same while nobody knows yet.
+/// Required multiple while the load is not yet known.
 const MULTIPLE_UNKNOWN: f64 = 3.0;
 
-/// One just started, or that hears little, knows of no jam: such ones pushed cold servers over.
+/// Capacity multiple that a cold server needs. A controller that has too few reports assumes that the fleet may be
+/// overloaded.
 pub(super) fn required_multiple(now: f64, admission: &AdmissionControl) -> f64 {
     match admission.mode {
         Mode::Open if now >= admission.stepped_ms => 0.0,
@@ -18,7 +19,7 @@
     }
 }
 
-/// What it is sure to do of its full work.
+/// Fraction of its full capacity that a warming server is assured to have.
 fn assured_share(now: f64, server: &Server, bounds: &SafetyBounds) -> f64 {
     let age = now - server.listed.started_ms;
     bounds.cold_share + (1.0 - bounds.cold_share) * (age / bounds.warm_up_ms).clamp(0.0, 1.0)
@@ -28,9 +29,8 @@
     server.phase == Phase::Ramping && assured_share(now, server, bounds) < 1.0
 }
 
-/// Arcs pass over what is out of use and crowd the servers behind it: in a zone full of new, failing ones a
-/// cold one got five times its share. From our tables none gets more than its share of all reqs; where a
-/// table has only cold ones, they share. Harm: the warm ones of these tables have more to do.
+/// Limits cold servers to their fair share of all requests. Arcs skip unavailable servers, which would overload a cold
+/// server that follows them on the ring. The warm servers of the same tables take the difference.
 pub(super) fn limit_cold_servers(
     now: f64,
     fleet: &Fleet,
@@ -42,7 +42,7 @@
     let fair = |s: &Server| (s.listed.server, s.part * s.listed.weight * per_weight);
     let fair: ServerWeights = fleet.servers.values().filter(cold).map(fair).collect();
     let less = cold_server_factors(cut, &fair);
-    // In steps, lest a change at one line changes them all.
+    // Rounded so that one entry's change does not rewrite all entries.
     for (id, w) in cut.iter_mut().flat_map(|(_, lines)| lines) {
         *w *= less
             .get(id)
@@ -63,7 +63,7 @@
             0.0
         };
     };
-    // In a jam proxies crowd whichever server does not fail them. Harm: a cold zone is used later.
+    // While throttled, proxies concentrate on servers that do not fail, which would overload a cold one.
     let sure = assured_share(now, server, bounds);
     if sure < 1.0 && sure * bounds.fall_multiple < sure_multiple {
         return 0.0;
--- a/src/rules/queue.rs
+++ b/src/rules/queue.rs
@@ -1,4 +1,5 @@
-//! The channel as it is taken to run: answers show what has left; till then slow, more so while one is late.
+//! Estimate of the channel's backlog: acknowledgements confirm what was delivered; unconfirmed lines drain at a reduced
+//! rate, further reduced while an acknowledgement is overdue.
 
 use crate::{interface::ChannelLimits, rules::ROUND_MS, state::Channel};
 
@@ -20,8 +21,8 @@
     }
 }
 
-/// How much may wait for what is not urgent. The queue is emptied in order: more than keeps it busy to the
-/// next round, and till answers tell, only holds up drains. Tables of a mass join did.
+/// Backlog allowed for non-urgent updates: enough to keep the channel busy until the next round. The queue is FIFO, so
+/// a longer backlog would delay drains.
 pub(super) fn room(pace: &ChannelLimits) -> f64 {
     let busy_ms = ROUND_MS + 2.0 * pace.max_transit_ms;
     pace.backlog_lines.min(pace.lines_per_s * busy_ms / 1e3)
--- a/src/rules/revisions.rs
+++ b/src/rules/revisions.rs
@@ -1,4 +1,4 @@
-//! The revisions of tables. A taint rolls back: the newest sound revision is the one published.
+//! Revision history of each table. When a revision is tainted, the newest sound one is published again.
 
 use crate::{interface::*, rules::parts::ENTRY_PART, state::*};
 
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The newest untainted revision, or the newest where all are tainted; an operator's way back aside.
+    /// The newest sound revision, or the newest unpinned one if all are tainted.
     pub(super) fn newest(&self) -> Option<&Revision> {
         let sound = self
             .revisions
@@ -121,7 +121,8 @@
             .rfind(|r| r.standing != RevisionStatus::Pinned))
     }
 
-    /// Ends a way back, if there is one; the lines last cut are the newest again unless they are tainted.
+    /// Ends a rollback. The last proposed revision becomes the newest again unless it is tainted. Returns whether a
+    /// rollback was in effect.
     pub(super) fn release(&mut self) -> bool {
         let names = self.pinned().map(|r| [r.name, self.last_proposed]);
         names
@@ -131,8 +132,8 @@
         std::mem::take(&mut self.rolled_back)
     }
 
-    /// Taints the published revision when tries fail at its servers after the push. Failures at servers that
-    /// are struck don't count: one bad server would taint every revision that names it.
+    /// Taints the published revision if requests to its servers fail after it was pushed. Ejected servers don't count:
+    /// one bad server would taint every revision that contains it.
     pub(super) fn evaluate(
         &mut self,
         now: f64,
@@ -167,7 +168,7 @@
 }
 
 impl Controller {
-    /// Holds earlier lines for a table, if any of them can be used now.
+    /// Pins a table to earlier entries if any of them is usable.
     pub(super) fn start_rollback(&mut self, id: TableId, lines: ServerWeights) -> RollbackStatus {
         let found = self.tables.iter().find(|(_, t)| t.id == id);
         let Some((at, table)) = found else {
@@ -194,8 +195,8 @@
         }
     }
 
-    /// What can be used now of earlier lines: no server that is drained, gone, struck or closed to the kinds,
-    /// and of one that still ramps no more than its part of the module's own lines. Harm: none warm, no way.
+    /// The usable part of earlier entries: without drained, removed, ejected or ineligible servers; ramping servers get
+    /// no more weight than in the published revision.
     pub(super) fn usable_weights(
         &self,
         lines: &ServerWeights,
@@ -232,7 +233,7 @@
         usable_weights
     }
 
-    /// Ends each way back that was tainted, or of which no line can be used any more.
+    /// Ends each rollback that was tainted or has no usable entry left.
     pub(super) fn end_rollbacks(&mut self, out: &mut Vec<Effect>) {
         let why = |at, table: &Table| match table.pinned() {
             None => Some("it was tainted"),
@@ -254,7 +255,7 @@
         }
     }
 
-    /// The published revision's lines, less what is shut or struck, none above what a server may have now.
+    /// The newest revision's entries without unavailable servers, limited to each server's current weight.
     pub(super) fn published_weights(
         &self,
         table: &Table,
@@ -268,7 +269,7 @@
             lines.extend(used.map(|s| (*id, w.min(s.listed.weight * s.part))));
         }
         if lines.is_empty() {
-            // Nobody is left bare: any ready server that the kinds are open to beats none.
+            // Fall back to any eligible server rather than an empty table.
             let near = |l: &ServerEntry| !group.like.own_zone || l.zone == zone;
             let ready = self
                 .fleet
--- a/src/shares.rs
+++ b/src/shares.rs
@@ -1,8 +1,9 @@
-//! How a whole is shared out, as plain sums: arcs of a ring, flows between zones, loads evened, levels that shave.
+//! Arithmetic for distributing load: arcs of the server ring, flows between zones, cold-server limits, admission
+//! levels.
 
 use crate::{interface::*, rules::levels::UNLIMITED, state::*};
 
-/// Where a new arc starts: at the server that the arcs laid so far load least.
+/// Returns the start of a new arc: the server with the least load from the arcs placed so far.
 pub fn least_loaded(ring: &[&ServerEntry], loads: &ServerWeights) -> ServerId {
     let load = |l: &ServerEntry| loads.get(&l.server).copied().unwrap_or(0.0);
     ring.iter()
@@ -10,7 +11,7 @@
         .map_or_else(ServerId::default, |l| l.server)
 }
 
-/// One arc: so many mean servers of a ring, from a place on it onwards, at their listed weights.
+/// Builds an arc of about `lines` average servers, starting at `from`, with their listed weights.
 pub fn build_arc(ring: &[&ServerEntry], from: ServerId, lines: f64) -> ServerWeights {
     let wanted = lines * ring.iter().map(|l| l.weight).sum::<f64>() / ring.len() as f64;
     let first = ring.partition_point(|l| l.server < from);
@@ -25,8 +26,8 @@
     arc
 }
 
-/// Says which part of a zone's demand goes where, in so many steps: home first, the rest by room. All are shares of the
-/// whole.
+/// Splits a zone's demand between zones: its own zone first, the remainder by spare capacity. All values are fractions
+/// of the total, rounded to `1 / steps`.
 pub fn flows_of(zone: ZoneId, demand: &Shares, room: &Shares, slack: f64, steps: f64) -> Shares {
     let in_steps = |x: f64| (x * steps).round() / steps;
     let room_of = |z: &ZoneId| room.get(z).copied().unwrap_or(0.0) * (1.0 + slack);
@@ -49,11 +50,11 @@
     flows
 }
 
-/// Sparing one server loads its neighbours, so it is done over again.
+/// Reducing one server's weight raises its neighbours' load, so the computation is iterated.
 const PASSES: usize = 3;
 
-/// By how much the lines of these servers are to be less, so that none of them gets more than its fair share of what
-/// the tables bring. A table splits what it brings by its lines' weights.
+/// Returns the factors that limit each server in `fair` to its fair share of the tables' load. A table splits its load
+/// in proportion to the weights of its entries.
 pub fn cold_server_factors(tables: &[(f64, ServerWeights)], fair: &ServerWeights) -> ServerWeights {
     let mut less: ServerWeights = fair.keys().map(|id| (*id, 1.0)).collect();
     for _ in 0..if fair.is_empty() { 0 } else { PASSES } {
@@ -72,7 +73,8 @@
     less
 }
 
-/// The level at each proxy by which so much of their reqs is let in: it shaves the heaviest.
+/// Returns the per-proxy rate limit at which `allowed` requests are admitted in total; only the busiest proxies are
+/// cut.
 pub fn level_for(mut rates: Vec<f64>, allowed: f64) -> f64 {
     rates.sort_by(f64::total_cmp);
     let (mut left, mut others) = (allowed, rates.len() as f64);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a controller keeps: plain state. The decisions on it are in `rules.rs` and `rules/`.
+//! State of the controller; the logic that changes it is in `rules.rs` and `rules/`.
 
 use crate::interface::*;
 use crate::ring::TimeBuckets;
@@ -8,7 +8,7 @@
 
 pub type ServerWeights = BTreeMap<ServerId, f64>;
 
-/// The lines that a reply writes, by proxy and in all.
+/// Lines written by a reply, per proxy and in total.
 #[derive(Default)]
 pub struct ReplyCost {
     pub by_proxy: BTreeMap<ProxyId, f64>,
@@ -16,7 +16,7 @@
 }
 
 impl ReplyCost {
-    /// What writing so many lines to a proxy costs: its message's head too, where it has none yet.
+    /// Cost of writing `lines` to a proxy, including the message header for its first ones.
     pub fn cost(&self, id: ProxyId, head: f64, lines: f64) -> f64 {
         if self.by_proxy.contains_key(&id) {
             lines
@@ -59,11 +59,11 @@
     pub since_ms: f64,
     pub ramp_from_ms: f64,
     pub ejection_ms: f64,
-    /// The part of its listed weight that it may have now.
+    /// Fraction of its listed weight that the server currently receives.
     pub part: f64,
 }
 
-/// Tries, bad ones, and the time of the good ones.
+/// Number of tries and failures, and the total latency of the successful ones.
 #[derive(Clone, Copy, Default)]
 pub struct AttemptStats {
     pub tries: f64,
@@ -88,9 +88,9 @@
         self.bad / self.tries.max(1.0)
     }
 
-    /// How much these tries speak against the usual share of bad ones (Chernoff's bound: the
-    /// chance of so many or more is under e to the minus this).
-    pub fn against(&self, usual: f64) -> f64 {
+    /// Significance of a failure share above `usual`: the negative logarithm of Chernoff's bound on the probability of
+    /// so many failures by chance.
+    pub fn significance(&self, usual: f64) -> f64 {
         let bad = self.bad_share().min(1.0 - 1e-9);
         self.tries
             * (bad * (bad / usual).max(1e-9).ln()
@@ -114,24 +114,24 @@
     }
 }
 
-/// The request kinds that are told apart; a mask of kinds has no more bits.
+/// Maximum number of request kinds, the width of a kind mask.
 pub const KINDS: usize = 16;
 pub struct Proxy {
     pub zone: ZoneId,
     pub joined: bool,
     pub joined_ms: f64,
     pub seen_ms: f64,
-    /// It holds no table that was ordered.
+    /// It has no table from any controller.
     pub fresh: bool,
-    /// The reqs a second that its arc is sized for.
+    /// Request rate that its arc is sized for.
     pub sized_per_s: f64,
-    /// What came to it lately, as far as it is known.
+    /// Last known request rate.
     pub observed_per_s: f64,
     pub came: TimeBuckets<KINDS>,
     pub deviating_since_ms: Option<f64>,
-    /// Where its arcs start, by zone.
+    /// Start of its arc in each zone.
     pub places: BTreeMap<ZoneId, ServerId>,
-    /// Messages written to it.
+    /// Messages sent to it.
     pub written: TimeBuckets<1>,
 }
 
@@ -158,7 +158,7 @@
     Unknown,
     Sound,
     Tainted,
-    /// An operator went back to it.
+    /// Pinned by an operator's rollback.
     Pinned,
 }
 
@@ -176,23 +176,23 @@
     pub standing: RevisionStatus,
 }
 
-/// What a table of a joined proxy needs.
+/// Kinds of pending table updates, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Need {
-    /// A first table, where none was ever ordered or all its servers have left.
+    /// The proxy has no table, or all servers of its table have left.
     NoTable,
-    /// To lose a server that has left.
+    /// A server that has left must be removed.
     Drain,
-    /// Our table in the place of another controller's.
+    /// Another controller's table must be replaced.
     Bind,
-    /// Whatever has changed.
+    /// Any other change.
     Delta,
 }
 
-/// What a table needs, since when (ms), and whose it is.
+/// A pending update: its kind, the time it became due (ms), proxy and group index.
 pub type PendingUpdate = (Need, u64, ProxyId, usize);
 
-/// A published revision on trial: pushed with this mark, first answered then.
+/// Evaluation of a published revision, which starts when the push is acknowledged.
 pub struct RevisionTrial {
     pub mark: u64,
     pub from_ms: f64,
@@ -200,21 +200,21 @@
     pub prior_bad: f64,
 }
 
-/// A table of one proxy for one group of request kinds, and the revisions it has had.
+/// Table of one proxy and request-kind group, with its revision history.
 #[derive(Default)]
 pub struct Table {
     pub id: TableId,
     pub revisions: Vec<Revision>,
-    /// The name of the lines last cut; the same lines cut again change nothing.
+    /// Hash of the last computed entries; unchanged entries create no revision.
     pub last_proposed: u64,
     pub published: u64,
     pub trial: Option<RevisionTrial>,
-    /// Published before it, and replaced before their own trials were over: they share its verdict.
+    /// Revisions replaced before their evaluation ended; they share the verdict of the current one.
     pub unevaluated: Vec<u64>,
-    /// What the table holds by the orders that went out.
+    /// Entries as of the last effects returned.
     pub held: ServerWeights,
     pub bound: bool,
-    /// An operator went back; said until it has ended.
+    /// An operator's rollback is in effect or its end not yet reported.
     pub rolled_back: bool,
 }
 
@@ -226,7 +226,7 @@
 }
 
 impl Table {
-    /// The revision that an operator went back to.
+    /// The revision pinned by an operator.
     pub fn pinned(&self) -> Option<&Revision> {
         self.revisions
             .iter()
@@ -234,20 +234,19 @@
     }
 }
 
-/// One reply in the channel: what had been written up to and with each proxy's message, in their order.
+/// A reply in transit: the cumulative lines before it, and after each proxy's message.
 pub struct SentReply {
     pub before: f64,
     pub through: Vec<(ProxyId, f64)>,
 }
 
-/// What may still wait in the channel. It is emptied in order, so an answer to a mark shows that
-/// all written up to that proxy's message has left; without answers it is taken to run slow.
+/// Estimate of the channel's backlog. It is FIFO, so an acknowledgement confirms all lines up to that proxy's message.
 #[derive(Default)]
 pub struct Channel {
     pub written: f64,
     pub left: f64,
     pub as_of_ms: f64,
-    /// When an answer last showed that something had left, or the first was written that waits.
+    /// Last time that an acknowledgement confirmed progress or an empty backlog began to fill.
     pub moved_ms: f64,
     pub marks: BTreeMap<u64, SentReply>,
     pub next_mark: u64,
@@ -268,23 +267,22 @@
     Slack,
 }
 
-/// How much is let in, against overload of whatever cause. Harm: a jam that has passed is still in
-/// the reports for some seconds, and denies reqs that could be done.
+/// State of admission control. Reports lag by some seconds, so limits stay briefly after an overload has ended.
 #[derive(Default)]
 pub struct AdmissionControl {
     pub levels: AdmissionMode,
     pub mode: Mode,
     pub allowed_per_s: f64,
-    /// The most that was done a second while nothing jammed.
+    /// Highest rate served without overload.
     pub sustainable_per_s: f64,
-    /// What the joined proxies bring and the servers' weight in use, as those two were set.
+    /// Demand and server weight that the limits were last scaled for.
     pub scaled_for: Option<(f64, f64)>,
-    /// The part of their usual reach that arcs have.
+    /// Scale of arc lengths, at most 1.
     pub arc_scale: f64,
     pub stepped_ms: f64,
-    /// Kinds, level and retry mode as last ordered for all proxies.
+    /// Kinds, level and retry policy last sent to all proxies.
     pub ordered: Vec<(u16, f64, Retry)>,
-    /// The step that they belong to.
+    /// When they were sent.
     pub ordered_ms: f64,
 }
 
@@ -294,15 +292,15 @@
 
 #[derive(Clone, Copy, PartialEq)]
 pub enum HealthAction {
-    /// Enter at a quarter weight, counted from the start that the list names.
+    /// Ramp from the entry weight, counted from the listed start time.
     StartRamp,
-    /// Enter at a quarter weight from now on.
+    /// Ramp from the entry weight, counted from now.
     RestartRamp,
-    /// Lose a quarter of its part, and grow on from there.
+    /// Reduce the weight by a quarter and ramp from there.
     ReduceWeight,
-    /// Nothing more goes there, whatever tables say.
+    /// Withdraw the server from all proxies.
     Withdraw,
-    /// Out of the tables for a while; longer when struck again at once.
+    /// Remove it from the tables for a time that doubles on repeated failure.
     Eject,
     FinishRamp,
 }
@@ -324,38 +322,38 @@
     Widen,
 }
 
-/// Request kinds that may go to the same servers share tables.
+/// Request kinds with the same eligible servers; they share tables.
 pub struct KindGroup {
     pub kinds: Vec<KindId>,
     pub like: RequestKind,
 }
 
-/// The servers of the list, and what our proxies met at them.
+/// Listed servers and the results of requests to them.
 #[derive(Default)]
 pub struct Fleet {
     pub servers: BTreeMap<ServerId, Server>,
     pub heard: BTreeMap<(ServerId, ZoneId), TimeBuckets<3>>,
-    /// Reqs in the hands or the queue of a server, as it last said.
+    /// Requests in flight or queued per server, as last reported.
     pub held: ServerWeights,
-    /// Withdrawals to order (true) or to lift.
+    /// Pending withdrawals (true) and restorations (false).
     pub withdrawals: BTreeMap<ServerId, bool>,
 }
 
-/// Who brings how much, as far as our proxies' usage and peers' notes tell.
+/// Demand per proxy, from usage reports and peers' announcements.
 pub struct Demand {
     pub proxies: BTreeMap<ProxyId, Proxy>,
     pub came: TimeBuckets<KINDS>,
-    /// The zones' shares that tables stand on.
+    /// Zone shares that the current tables are based on.
     pub zones: Shares,
 }
 
-/// What this part of them is under.
+/// Returns the given quantile, or `None` if there are no values.
 pub fn quantile(mut of: Vec<f64>, part: f64) -> Option<f64> {
     of.sort_by(f64::total_cmp);
     of.get((of.len() as f64 * part) as usize).copied()
 }
 
-/// Request kinds as bits by their place.
+/// Bit mask of request kinds.
 pub fn mask_of(kinds: impl Iterator<Item = KindId>) -> u16 {
     kinds.fold(0, |mask, k| mask | 1 << k)
 }
@@ -370,10 +368,10 @@
     }
 }
 
-/// A line of a note to peers: a proxy, its zone, and the reqs a second that come to it.
+/// Announcement of a proxy to peers: its ID, zone and request rate.
 pub type NoteLine = (ProxyId, ZoneId, f64);
 
-/// As many lines as one note may hold.
+/// Maximum number of announcements per message.
 pub const NOTE_LINES: usize = 32;
 
 pub fn write_note(lines: &[NoteLine]) -> Vec<u8> {
@@ -388,7 +386,7 @@
     lines.iter().take(NOTE_LINES).flat_map(write).collect()
 }
 
-/// Reads a peer's note; what is no line of one is passed over.
+/// Decodes a peer's message, skipping invalid entries.
 pub fn read_note(bytes: &[u8]) -> impl Iterator<Item = NoteLine> {
     bytes.chunks_exact(8).filter_map(|line| {
         let &[a, b, c, d, e, f, g, h] = line else {
@@ -406,14 +404,14 @@
 
 pub type Log = Vec<String>;
 
-/// One controller: what it was handed at start, and what it has come to know.
+/// State of one controller, from its settings and inputs.
 pub struct Controller {
     pub(crate) rng: ChaCha8Rng,
     pub(crate) kinds: Vec<RequestKind>,
     pub(crate) bounds: SafetyBounds,
     pub(crate) pace: ChannelLimits,
     pub(crate) capabilities: Capabilities,
-    /// Where a load report tells the reqs held, or only those queued.
+    /// Index of the in-flight field in load reports, or of the queue length.
     pub(crate) held_at: Option<usize>,
     pub(crate) queue_only: bool,
     pub(crate) list_asked: bool,
@@ -430,13 +428,13 @@
     pub(crate) urgent: bool,
     pub(crate) next_flush_ms: f64,
     pub(crate) flush_scheduled: bool,
-    /// The place of the proxy that the next note names first.
+    /// Index of the proxy to announce next.
     pub(crate) next_note_index: usize,
     pub(crate) log: Log,
 }
 
 impl Controller {
-    /// What a start brings, with nothing known and nothing allowed yet.
+    /// The initial state for these settings.
     pub(crate) fn with_initial_state(now: f64, start: Start, groups: Vec<KindGroup>) -> Self {
         let mut kinds = start.kinds;
         kinds.truncate(KINDS);
@@ -479,12 +477,12 @@
         }
     }
 
-    /// The zone that a proxy last joined from.
+    /// The zone that the proxy last joined from, or 0.
     pub(crate) fn zone_of(&self, proxy: ProxyId) -> ZoneId {
         self.demand.proxies.get(&proxy).map_or(0, |p| p.zone)
     }
 
-    /// Names this part of the joined proxies to the peers at least, those next whose turn it is.
+    /// Announces at least this fraction of the joined proxies to the peers, in rotation.
     pub(crate) fn demand_notes(&mut self, part: f64) -> Vec<Effect> {
         let joined = self
             .demand
@@ -509,13 +507,13 @@
             .collect()
     }
 
-    /// Whether an order can still name this server.
+    /// Returns whether effects can still refer to this server.
     pub fn knows(&self, server: &ServerId) -> bool {
         self.fleet.servers.contains_key(server)
     }
 
-    /// Who of these proxies holds which of these servers; what one holds that has none of our tables is not
-    /// known, so it counts for each.
+    /// Returns the proxies that hold each server. A proxy without one of our tables may hold any server and counts for
+    /// each.
     pub(crate) fn holders<'a>(
         &self,
         proxies: &[ProxyId],
@@ -551,7 +549,7 @@
 }
 
 impl Fleet {
-    /// What a zone's proxies met at those of these servers that are in use.
+    /// Results of a zone's proxies at those of these servers that are in use.
     pub fn stats_on(
         &mut self,
         now: f64,
@@ -569,7 +567,7 @@
         })
     }
 
-    /// When a server last started, as the list says; 0: long ago, or not listed.
+    /// Listed start time of a server; 0 if unknown or long ago.
     pub fn started_ms(&self, id: &ServerId) -> f64 {
         self.servers.get(id).map_or(0.0, |s| s.listed.started_ms)
     }
@@ -581,7 +579,7 @@
             .add(now, what);
     }
 
-    /// What proxies of all zones met at a server lately.
+    /// Recent results of all zones' proxies at a server.
     pub fn stats_at(&mut self, now: f64, id: ServerId, span_ms: f64) -> AttemptStats {
         let heard = self.heard.range_mut((id, 0)..=(id, ZoneId::MAX));
         heard.fold(AttemptStats::default(), |met, (_, h)| {
@@ -604,12 +602,12 @@
         }
     }
 
-    /// Lines that may still wait.
+    /// Lines not yet confirmed as sent.
     pub fn waiting(&self) -> f64 {
         self.written - self.left
     }
 
-    /// One reply is written, a message to each proxy in their order.
+    /// Records a reply with one message per proxy, in ID order.
     pub fn mark(&mut self, now: f64, reached: &ReplyCost) {
         if self.waiting() <= 0.0 {
             self.moved_ms = now;
@@ -636,7 +634,7 @@
             .collect()
     }
 
-    /// What a peer says of proxies that are not joined here.
+    /// Applies a peer's announcements for proxies that are not joined here.
     pub fn take_note(&mut self, now: f64, bytes: &[u8]) {
         for (id, zone, per_s) in read_note(bytes) {
             if !self.proxies.get(&id).is_some_and(|p| p.joined) {
