--- a/examples/call_cost.rs
+++ b/examples/call_cost.rs
@@ -1,5 +1,5 @@
-//! What one call of the module costs by the size of the fleet, in microseconds of processor time: the median of
-//! five plays. All proxies are joined to this one controller. Simulated inputs, seed 7; no bench is needed.
+//! Measures the duration of single controller calls by fleet size, in microseconds: the median of five runs with
+//! simulated inputs. All proxies are joined to one controller.
 
 #[allow(dead_code)]
 #[path = "../tests/harness/mod.rs"]
@@ -9,7 +9,7 @@
 use rookpulley::rules::Controller;
 use std::time::Instant;
 
-/// Two kinds, three zones, and a channel that holds nothing up.
+/// Settings with two request kinds, three zones and a channel without effective limits.
 fn start(proxies: u32) -> Start {
     let mut start = harness::start();
     start.kinds = ["view", "submit"]
@@ -52,7 +52,7 @@
     }]
 }
 
-/// Mass join, idle round, one server changed, one drain, six in ten servers replaced, each with its calls.
+/// Returns the cost of a mass join, an idle round, one changed server, one drain, and replacing 60 % of the servers.
 fn play(proxies: u16, servers: u16) -> [f64; 5] {
     let mut now = 100_000.0;
     let mut controller = Controller::new(now, start(u32::from(proxies)));
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Printed traces of decisions, compared with those kept in `snapshots/`.
+//! Snapshot tests of the controller's decisions.
 
 mod harness;
 
@@ -10,7 +10,7 @@
     (1..=4).map(|n| listed(n, 0)).collect()
 }
 
-/// Two proxies on four warm servers, past the first round, all answered.
+/// Two proxies on four warm servers, after the first round, with all updates acknowledged.
 fn settled(start: Start) -> Harness {
     let mut harness = Harness::new(start, four());
     harness.join(0, 0);
@@ -30,13 +30,13 @@
     assert_snapshot!(harness.trace);
 }
 
-/// All four do well, and enough of it is heard to know.
+/// All four servers succeed, with enough samples to evaluate them.
 fn calm(harness: &mut Harness) {
     harness.answer();
     (1..=4).for_each(|n| harness.hear(n, 10.0, 0.0, 100.0));
 }
 
-/// 3 of 20 tries at each of the four are bad in each round.
+/// 3 of 20 tries at each of the four servers fail in each round.
 fn some_bad(harness: &mut Harness) {
     harness.answer();
     (1..=4).for_each(|n| harness.hear(n, 20.0, 3.0, 100.0));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_new_server_gets_what_the_settings_are_sure_it_can_do() {
+fn new_server_gets_its_assured_capacity() {
     let mut soon_warm = start();
     (soon_warm.bounds.cold_share, soon_warm.bounds.warm_up_ms) = (0.85, 1_000.0);
     let mut harness = settled(soon_warm);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn what_was_met_before_a_start_is_not_held_against_a_server() {
+fn failures_before_a_restart_are_ignored() {
     let mut harness = settled(start());
     let bad_at_s4 = |d: &mut Harness| {
         d.answer();
@@ -109,11 +109,11 @@
     harness.pass(1_000.0, bad_at_s4);
     let started = harness.now();
     harness.change(4, Stage::Ready, started);
-    // Reports that were on their way.
+    // Reports that were in transit during the restart.
     harness.pass(2_900.0, bad_at_s4);
     harness.pass(3_000.0, calm);
     assert!(!harness.trace.contains("Failing"), "{}", harness.trace);
-    // What is told later on counts.
+    // Later reports count.
     harness.pass(4_000.0, bad_at_s4);
     assert!(
         harness.trace.contains("Ramping -> Ejected on Failing"),
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn servers_long_gone_are_dropped_and_what_is_known_levels_off() {
+fn departed_servers_are_removed_and_state_stays_bounded() {
     let mut harness = settled(start());
     harness.change(4, Stage::Gone, 0.0);
     harness.pass(9_000.0, |d| d.answer());
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn failing_server_is_struck_and_tried_again() {
+fn failing_server_is_ejected_and_retried() {
     let mut harness = settled(start());
     harness.pass(3_000.0, |_| ());
     harness.note("s3 gives no good answers; the others do");
@@ -156,15 +156,15 @@
 }
 
 #[test]
-fn nobody_is_left_bare() {
+fn no_table_is_left_empty() {
     let mut harness = Harness::new(start(), vec![listed(1, 0), listed(2, 0)]);
     harness.join(0, 0);
     harness.pass(5_000.0, |_| ());
-    harness.note("all fail alike: none is struck");
+    harness.note("all fail alike: none is ejected");
     harness.pass(2_000.0, |d| {
         (1..=2).for_each(|n| d.hear(n, 10.0, 10.0, 0.0))
     });
-    harness.note("one is struck; then the other goes: a struck line beats none");
+    harness.note("one is ejected, then the other leaves: the ejected one is used rather than none");
     harness.pass(2_000.0, |d| {
         (1..=2).for_each(|n| d.hear(n, 40.0, if n == 1 { 40.0 } else { 0.0 }, 100.0))
     });
@@ -183,7 +183,7 @@
     harness.change(2, Stage::Gone, 0.0);
     harness.change(3, Stage::Gone, 0.0);
     harness.pass(2_000.0, calm);
-    harness.note("s3 answers no more; s4 drains; s5, never seen before, never answers");
+    harness.note("s3 stops answering; s4 drains; s5 is new and never answers");
     harness.change(4, Stage::Draining, 0.0);
     harness.change(5, Stage::Ready, 0.0);
     harness.pass(5_000.0, |d| {
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn strained_server_is_trimmed() {
+fn slow_server_gets_less_weight() {
     let mut harness = settled(start());
     harness.pass(2_000.0, |_| ());
     harness.note("s4 takes nine times as long as the others");
@@ -227,20 +227,20 @@
 }
 
 #[test]
-fn cold_server_waits_where_too_little_is_heard() {
+fn cold_server_waits_while_reports_are_too_few() {
     let mut harness = settled(start());
     harness.pass(10_000.0, |d| d.hear(1, 2.0, 0.0, 100.0));
-    harness.note("s2 returns cold; six reqs in three seconds don't tell whether the fleet jams");
+    harness.note("s2 returns cold; six requests in three seconds are too few to detect overload");
     let started = harness.now();
     harness.change(2, Stage::Ready, started);
     harness.pass(3_000.0, |d| d.hear(1, 2.0, 0.0, 100.0));
-    harness.note("enough is heard, and all is calm");
+    harness.note("enough samples arrive, and the fleet is healthy");
     harness.pass(6_000.0, calm);
     assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn nothing_roves_through_a_jammed_fleet() {
+fn load_is_not_shifted_between_servers_of_a_full_fleet() {
     let mut harness = settled(start());
     harness.pass(5_000.0, |_| ());
     let full = |d: &mut Harness, s3_bad: f64, s4_ms: f64| {
@@ -309,14 +309,13 @@
 }
 
 #[test]
-fn dear_bindings_wait_for_room() {
+fn first_tables_wait_for_queue_space() {
     let mut tight = start();
     (tight.channel.backlog_lines, tight.channel.bind_lines) = (38.0, 2.0);
     let mut harness = Harness::new(tight, four());
     harness.join(0, 0);
     harness.join(1, 0);
-    harness
-        .note("where each line of a first table may need another beside it, only one table fits");
+    harness.note("with two lines charged per entry of a first table, only one table fits");
     harness.pass(1_000.0, |_| ());
     harness.note("answered: the other follows");
     harness.pass(1_500.0, |d| d.answer());
@@ -343,8 +342,8 @@
     assert_snapshot!(harness.trace);
 }
 
-/// Proxies bring 100 reqs a second of two kinds; the fleet does 60 of them, slowly.
-fn jam(mut from: Start) -> Harness {
+/// Overload: proxies receive 100 requests a second of three kinds and 60 of them succeed, slowly.
+fn overload(mut from: Start) -> Harness {
     from.kinds = vec![
         kind("view", 1.0, RepeatSafety::Replayable),
         kind(
@@ -359,7 +358,7 @@
     ];
     let mut harness = settled(from);
     let cold = harness.now() - 1_000.0;
-    harness.note("s5 returns cold, then the fleet jams");
+    harness.note("s5 returns cold, then the fleet is overloaded");
     harness.change(5, Stage::Ready, cold);
     harness.pass(4_000.0, |d| {
         (0..2).for_each(|p| d.usage(p, 0, 30.0 + 10.0 * f64::from(p)));
@@ -367,7 +366,7 @@
         d.usage(0, 2, 10.0);
         (1..=4).for_each(|n| d.hear(n, 25.0, 10.0, 1_500.0));
     });
-    harness.note("the jam passes");
+    harness.note("the overload ends");
     harness.pass(10_000.0, |d| {
         (0..2).for_each(|p| d.usage(p, 0, 10.0));
         (1..=4).for_each(|n| d.hear(n, 15.0, 0.0, 200.0));
@@ -376,19 +375,19 @@
 }
 
 #[test]
-fn levels_favour_value_and_no_kind_is_repeated_unproven() {
-    assert_snapshot!(jam(start()).trace);
+fn admission_favours_value_and_overload_stops_retries() {
+    assert_snapshot!(overload(start()).trace);
 }
 
 #[test]
-fn a_jam_where_no_level_can_be_set() {
+fn overload_without_admission_control() {
     let mut ignored = start();
     ignored.proxy_behavior.levels = AdmissionMode::Unsupported;
-    assert_snapshot!(jam(ignored).trace);
+    assert_snapshot!(overload(ignored).trace);
 }
 
 #[test]
-fn zones_spill_by_peers_notes() {
+fn zones_spill_over_by_peer_announcements() {
     let mut near = start();
     near.capabilities.cross_zone_price = 0.1;
     near.capabilities.peers = true;
@@ -399,7 +398,7 @@
     );
     harness.join(0, 0);
     harness.join(1, 0);
-    harness.note("a peer names as much demand in the other zone; what is no note is passed over");
+    harness.note("a peer names as much demand in the other zone; invalid entries are skipped");
     let line = |p: u16, per_s: f32| {
         [
             &p.to_le_bytes()[..],
@@ -424,7 +423,7 @@
 }
 
 #[test]
-fn kinds_keep_to_their_zones() {
+fn kinds_stay_in_their_zones() {
     let mut bound = start();
     bound.kinds.push(RequestKind {
         zones: vec![1],
@@ -441,7 +440,7 @@
 }
 
 #[test]
-fn arc_follows_usage_that_stays_off() {
+fn arc_is_resized_after_a_sustained_change_of_demand() {
     let mut many = start();
     many.topology.proxies = 100;
     many.capabilities.min_connections = 100.0;
@@ -455,7 +454,7 @@
     assert_snapshot!(harness.trace);
 }
 
-/// What a trace says of one thing.
+/// The trace lines that contain `what`, with the section headings.
 fn only(trace: &str, what: &str) -> String {
     trace
         .lines()
@@ -465,7 +464,7 @@
 }
 
 #[test]
-fn no_chance_run_is_struck_in_a_large_jam() {
+fn chance_failures_during_overload_eject_no_server() {
     let mut harness = Harness::new(start(), (1..=200).map(|n| listed(n, 0)).collect());
     harness.join(0, 0);
     harness.note("two of three tries fail everywhere, all four at s9, all forty at s10");
@@ -505,10 +504,10 @@
     assert_snapshot!(only(&harness.trace, "t0:"));
 }
 
-/// A release in a fleet whose connections are refused: arcs are narrow, and some begin where many servers have left and
-/// the next ones are new.
+/// Guards against overloading cold servers during a release, when arcs are narrow and some start at a run of removed
+/// servers that new ones follow.
 #[test]
-fn no_cold_server_gets_more_than_its_share_of_what_all_bring() {
+fn cold_servers_are_limited_to_their_fair_share() {
     let mut many = start();
     (many.topology.proxies, many.topology.controllers) = (60, 1);
     many.load_fields = vec![LoadField::InFlight];
@@ -534,7 +533,7 @@
             .for_each(|beside| harness.change(3 * last + beside, Stage::Ready, started));
     }
     harness.pass(6_000.0, |d| hear(d, 5.0));
-    // 15 warm ones and 10 that may have half: so much of all is a cold one's share.
+    // 15 warm servers and 10 cold ones at half capacity.
     let (fair, sent) = (60.0 * 0.5 / 20.0, harness.sent());
     let cold: Vec<f64> = sent
         .iter()
@@ -547,7 +546,7 @@
 }
 
 #[test]
-fn levels_go_with_the_joined_proxies() {
+fn admission_limit_scales_with_the_joined_proxies() {
     let mut harness = settled(start());
     let full = |d: &mut Harness, proxies| {
         (0..proxies).for_each(|p| d.usage(p, 0, 30.0));
@@ -561,7 +560,7 @@
 }
 
 #[test]
-fn a_slow_part_of_the_fleet_is_no_jam() {
+fn a_slow_minority_of_servers_is_not_overload() {
     let mut harness = settled(start());
     harness
         .note("s4 takes thirty times as long, so that the mean is past half the response target");
@@ -572,7 +571,7 @@
 }
 
 #[test]
-fn a_few_full_servers_are_no_jam_and_many_are() {
+fn full_servers_are_overload_only_when_they_are_many() {
     let mut queues = start();
     queues.load_fields = vec![LoadField::Queue];
     let mut harness = Harness::new(queues, (1..=10).map(|n| listed(n, 0)).collect());
@@ -605,13 +604,11 @@
 }
 
 #[test]
-fn nothing_more_goes_out_while_answers_are_overdue() {
+fn updates_wait_while_acknowledgements_are_overdue() {
     let mut slow = start();
     slow.channel.backlog_lines = 60.0;
     let mut harness = settled(slow);
-    harness.note(
-        "no mark is answered any more: new servers wait as soon as half the queue may be full",
-    );
+    harness.note("acknowledgements stop: new servers wait as soon as half the queue may be full");
     for n in 5..=12 {
         harness.change(n, Stage::Ready, 0.0);
         harness.pass(1_000.0, |_| ());
@@ -622,7 +619,7 @@
 }
 
 #[test]
-fn list_is_asked_again_with_growing_pauses() {
+fn list_requests_back_off_exponentially() {
     let mut asked = start();
     asked.list.on_request = true;
     let mut harness = Harness::new(asked, four());
@@ -644,8 +641,8 @@
 }
 
 #[test]
-fn same_events_same_orders() {
-    let run = || jam(start()).trace;
+fn equal_inputs_give_equal_effects() {
+    let run = || overload(start()).trace;
     assert_eq!(run(), run());
     assert_eq!(server(3)[3], 3);
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! The rules at size: one controller, thousands of proxies, and the channel between them as the settings tell it.
-//! Proxies are simulated: they hold what was written to them, once it has left the channel, and answer.
+//! Scale tests: one controller with thousands of simulated proxies behind a channel of limited rate. Proxies apply and
+//! acknowledge what the channel delivers.
 
 #[allow(dead_code)]
 mod harness;
@@ -29,10 +29,10 @@
     }
 }
 
-/// What one proxy holds, and what it was told to shut out.
+/// Tables and withdrawals that a proxy has applied.
 #[derive(Default)]
 struct Held {
-    /// By request kind the table it is bound to; a kind without one is served by tables of nobody we know.
+    /// Bound table per request kind; a kind without one is served by another controller's table.
     bound: BTreeMap<KindId, TableId>,
     tables: BTreeMap<TableId, BTreeSet<ServerId>>,
     shut: BTreeSet<ServerId>,
@@ -58,7 +58,7 @@
     channel: VecDeque<(ProxyId, Message)>,
     sent_part: f64,
     on_the_way: VecDeque<(f64, ProxyId, Message)>,
-    /// When the controller was told that a server drains.
+    /// When the controller learned that a server drains.
     told: BTreeMap<ServerId, f64>,
     joined_ms: BTreeMap<ProxyId, f64>,
     first_table_ms: BTreeMap<ProxyId, f64>,
@@ -312,7 +312,7 @@
         }
     }
 
-    /// No joined proxy may send to a server past the grace after the controller was told that it drains.
+    /// Asserts that no joined proxy sends to a draining server after the grace period.
     fn check_drains(&mut self) {
         let late = |at: &f64, joined: f64| self.now - at.max(joined) > self.grace_ms;
         for (proxy, held) in &self.proxies {
@@ -342,7 +342,7 @@
     }
 }
 
-/// 480 proxies of our own on 200 servers, bound and at rest.
+/// 480 joined proxies on 200 servers, all bound, with no pending updates.
 fn at_rest() -> Rig {
     let mut rig = Rig::new(2_400, 200);
     rig.join(0..480, true);
@@ -356,7 +356,7 @@
     let mut rig = at_rest();
     rig.drain(1..=30);
     rig.pass(300.0);
-    // All proxies of four lost assigners come at once; they hold tables that nobody here knows.
+    // All proxies of four failed controllers join at once, with tables unknown to this one.
     rig.join(480..2_300, false);
     for step in 1_u16..=3 {
         rig.pass(1_300.0);
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn whoever_holds_no_table_is_served_before_those_who_hold_one() {
+fn proxies_without_a_table_are_served_first() {
     let mut rig = at_rest();
     let joined = rig.now;
     rig.join(480..2_200, false);
@@ -409,7 +409,7 @@
 fn a_release_told_late_and_all_at_once_keeps_queue_and_grace() {
     let mut rig = at_rest();
     rig.join(480..1_400, false);
-    // Discovery was silent; then one change has the whole release.
+    // After an outage of discovery, one list change contains the whole release.
     let now = rig.now;
     let new = (201..=290).map(|n| listed(n, Stage::Ready, now - 5_000.0));
     rig.list(
@@ -423,7 +423,7 @@
 }
 
 #[test]
-fn one_server_costs_what_the_proxies_that_name_it_cost() {
+fn removing_a_server_costs_only_the_proxies_that_use_it() {
     for (proxies, servers) in [(150, 30), (500, 120), (2_400, 200)] {
         let mut rig = Rig::new(proxies, servers);
         rig.join(0..proxies as ProxyId / 5, true);
@@ -441,7 +441,7 @@
             "{} messages, {holders} held it",
             rig.messages
         );
-        // A head, a mark, the line that goes and those that come in its place.
+        // The header, the acknowledgement request, the removed entry and its replacements.
         assert!(
             rig.lines <= 11.0 * holders as f64,
             "{} lines to {holders} proxies",
@@ -449,7 +449,7 @@
         );
         rig.pass(1_000.0);
         assert_eq!(names(&rig), 0);
-        // At rest nothing is written.
+        // Without changes nothing is written.
         (rig.messages, rig.lines) = (0, 0.0);
         rig.pass(3_000.0);
         assert!(rig.messages == 0, "{} messages at rest", rig.messages);
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A harness that scripts one controller and prints what it orders, a line for each kind of order.
+//! Test harness that runs one controller on scripted inputs and records its effects as text.
 
 use rookpulley::interface::*;
 use rookpulley::rules::Controller;
@@ -12,7 +12,7 @@
     marks: BTreeMap<ProxyId, u64>,
     reached: Vec<ProxyId>,
     bound: BTreeMap<TableId, ProxyId>,
-    /// What the tables hold by the orders.
+    /// Table contents according to the effects.
     lines: BTreeMap<TableId, BTreeMap<u8, f64>>,
     pub trace: String,
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// One kind, two proxies, one ring; the tests change what they are about.
+/// Default settings: one request kind, two proxies, and no zone-local traffic.
 pub fn start() -> Start {
     Start {
         seed: 7,
@@ -96,7 +96,7 @@
 }
 
 impl Harness {
-    /// A started controller with this list; the clock starts well after zero.
+    /// A started controller with this server list. The clock starts well after 0, which means an unknown start time.
     pub fn new(start: Start, lines: Vec<ServerEntry>) -> Self {
         let now = 100_000.0;
         let controller = Controller::new(now, start);
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Lets this much time pass, with the alarms that come due, and after each round `each`.
+    /// Advances the clock, fires the timers that are due, and calls `each` after each of them.
     pub fn pass(&mut self, ms: f64, mut each: impl FnMut(&mut Self)) {
         let end = self.now + ms;
         while let Some(at) =
@@ -216,7 +216,7 @@
         }]);
     }
 
-    /// A list change for one server.
+    /// Applies a list change for one server.
     pub fn change(&mut self, n: u8, stage: Stage, started_ms: f64) {
         let line = ServerEntry {
             stage,
@@ -230,7 +230,7 @@
         }]);
     }
 
-    /// All proxies answer the marks that reached them.
+    /// Acknowledges all outstanding requests.
     pub fn answer(&mut self) {
         for (proxy, mark) in std::mem::take(&mut self.marks) {
             self.give(vec![Input::Acknowledged {
@@ -264,7 +264,7 @@
         }]);
     }
 
-    /// What each server is sent where each proxy brings 1 and splits it by the weights of its table.
+    /// Load per server if each table brings a load of 1, split by its weights.
     pub fn sent(&self) -> BTreeMap<u8, f64> {
         let mut sent = BTreeMap::new();
         for lines in self.bound.keys().filter_map(|table| self.lines.get(table)) {
--- a/tests/way_back.rs
+++ b/tests/rollback.rs
@@ -1,4 +1,4 @@
-//! The way back, by printed traces and by a property over random days.
+//! Operator rollbacks: snapshot tests and a randomized property test.
 
 #[expect(dead_code, reason = "other tests use more of it")]
 mod harness;
@@ -11,7 +11,7 @@
 use rookpulley::rules::Controller;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Two proxies on four warm servers, past the first round, all answered.
+/// Two proxies on four warm servers, after the first round, with all updates acknowledged.
 fn settled() -> Harness {
     let mut harness = Harness::new(start(), (1..=4).map(|n| listed(n, 0)).collect());
     harness.join(0, 0);
@@ -21,13 +21,13 @@
 }
 
 trait Operator {
-    /// An operator goes back to these lines of a table.
-    fn go_back(&mut self, table: TableId, lines: &[(u8, f64)]);
+    /// Pins a table to these entries.
+    fn rollback(&mut self, table: TableId, lines: &[(u8, f64)]);
     fn release(&mut self, table: TableId);
 }
 
 impl Operator for Harness {
-    fn go_back(&mut self, table: TableId, lines: &[(u8, f64)]) {
+    fn rollback(&mut self, table: TableId, lines: &[(u8, f64)]) {
         let lines = lines
             .iter()
             .map(|(n, weight)| (server(*n), *weight))
@@ -48,16 +48,16 @@
 const OLD: &[(u8, f64)] = &[(1, 2.0), (2, 2.0), (3, 1.0)];
 
 #[test]
-fn it_holds_through_newer_lists_until_released() {
+fn rollback_persists_across_lists_until_released() {
     let mut harness = settled();
     harness.note("back to three servers; the other table stays");
-    harness.go_back(0, OLD);
+    harness.rollback(0, OLD);
     harness.pass(1_500.0, calm);
     harness.note("a new server comes: t1 takes it in, t0 does not");
     harness.change(5, Stage::Ready, 0.0);
     harness.pass(3_000.0, calm);
-    harness.note("another way back takes its place");
-    harness.go_back(0, &[(1, 1.0), (4, 1.0)]);
+    harness.note("another rollback replaces it");
+    harness.rollback(0, &[(1, 1.0), (4, 1.0)]);
     harness.pass(1_500.0, calm);
     harness.note("released; and once more, which is refused");
     harness.release(0);
@@ -67,9 +67,9 @@
 }
 
 #[test]
-fn a_drain_between_a_rollback_and_its_answers_acts_at_once() {
+fn drain_before_a_rollback_is_acknowledged_acts_at_once() {
     let mut harness = settled();
-    harness.go_back(0, OLD);
+    harness.rollback(0, OLD);
     harness.note("no answer yet; s2 drains, and comes back without a later start only as a ramp");
     harness.change(2, Stage::Draining, 0.0);
     harness.pass(700.0, |_| ());
@@ -82,28 +82,28 @@
 }
 
 #[test]
-fn a_rollback_to_a_table_that_names_a_node_now_gone() {
+fn rollback_skips_removed_servers() {
     let mut harness = settled();
     harness.change(3, Stage::Gone, 0.0);
     harness.pass(1_500.0, calm);
     harness.note("s3 and s9 are gone: they are left out");
-    harness.go_back(0, &[(1, 2.0), (3, 2.0), (9, 2.0)]);
+    harness.rollback(0, &[(1, 2.0), (3, 2.0), (9, 2.0)]);
     harness.pass(1_500.0, calm);
     assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn a_rollback_to_a_table_whose_nodes_have_all_drained_is_refused() {
+fn rollback_without_usable_servers_is_refused() {
     let mut harness = settled();
     harness.change(1, Stage::Draining, 0.0);
     harness.change(2, Stage::Draining, 0.0);
     harness.pass(1_500.0, calm);
     harness.note("refused with the reason; the present table stays");
-    harness.go_back(0, &[(1, 2.0), (2, 2.0)]);
-    harness.go_back(77, &[(3, 2.0)]);
+    harness.rollback(0, &[(1, 2.0), (2, 2.0)]);
+    harness.rollback(77, &[(3, 2.0)]);
     harness.pass(1_500.0, calm);
-    harness.note("held, and then its last server drains: it ends, and nobody is left bare");
-    harness.go_back(0, &[(3, 2.0)]);
+    harness.note("in effect, then its last server drains: it ends, and no table is left empty");
+    harness.rollback(0, &[(3, 2.0)]);
     harness.pass(1_500.0, calm);
     harness.change(3, Stage::Draining, 0.0);
     harness.pass(1_500.0, calm);
@@ -111,25 +111,25 @@
 }
 
 #[test]
-fn a_rollback_never_gives_a_cold_server_more_than_the_module_does() {
+fn rollback_gives_cold_servers_no_extra_weight() {
     let mut harness = settled();
     let started = harness.now();
     harness.change(1, Stage::Ready, started);
     harness.pass(1_500.0, calm);
-    harness.note("s1 is cold: it was one of two lines, and the module gives it none yet");
-    harness.go_back(0, &[(1, 2.0), (2, 2.0)]);
+    harness.note("s1 is cold: it was one of two entries, and has no weight yet");
+    harness.rollback(0, &[(1, 2.0), (2, 2.0)]);
     harness.pass(1_500.0, calm);
-    harness.note("cold alone is as good as bare");
-    harness.go_back(1, &[(1, 2.0)]);
+    harness.note("a rollback to cold servers only is refused");
+    harness.rollback(1, &[(1, 2.0)]);
     assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn a_rollback_ends_when_it_is_tainted() {
+fn rollback_ends_when_it_is_tainted() {
     let mut harness = settled();
     harness.pass(6_000.0, calm);
     harness.note("failures at its servers after the push");
-    harness.go_back(0, OLD);
+    harness.rollback(0, OLD);
     let some_bad = |harness: &mut Harness| {
         harness.answer();
         (1..=4).for_each(|n| harness.hear(n, 20.0, 3.0, 100.0));
@@ -139,14 +139,14 @@
 }
 
 #[test]
-fn a_rollback_during_a_mass_rejoin_holds_for_whom_comes() {
+fn rollback_applies_to_proxies_that_rejoin() {
     let mut harness = settled();
-    harness.note("both leave, the operator goes back, both come again");
+    harness.note("both leave, the operator rolls back, both rejoin");
     harness.give(vec![
         Input::ProxyLeft { proxy: 0 },
         Input::ProxyLeft { proxy: 1 },
     ]);
-    harness.go_back(0, OLD);
+    harness.rollback(0, OLD);
     harness.join(0, 0);
     harness.join(1, 0);
     harness.pass(1_500.0, calm);
@@ -154,17 +154,15 @@
 }
 
 #[test]
-fn a_lost_table_is_written_whole_again() {
+fn lost_table_is_sent_again() {
     let mut harness = settled();
-    harness.note("t1 was lost on the way");
+    harness.note("t1 was lost in transit");
     harness.give(vec![Input::TableLost { table: 1 }]);
     harness.pass(700.0, calm);
     assert_snapshot!(harness.trace);
 }
 
-// ---- Random days --------------------------------------------------------------------------
-
-/// What the orders have said so far, and what the list says.
+/// State reconstructed from the effects and the server lists.
 #[derive(Default)]
 struct Seen {
     tables: BTreeMap<TableId, BTreeMap<ServerId, f64>>,
@@ -173,11 +171,10 @@
     held: BTreeSet<TableId>,
 }
 
-/// Random lists, joinings, failures and ways back: no order ever names a server that is drained, no table
-/// that was bound is left without a line while a ready server is listed, and a cold server has no greater
-/// part of a table held than of one that is not.
+/// Guards against weights for drained servers, and against empty bound tables while a ready server is listed, under
+/// random lists, failures and rollbacks.
 #[test]
-fn no_way_back_names_a_drained_server_or_leaves_a_table_bare() {
+fn random_rollbacks_use_no_drained_server_and_leave_no_table_empty() {
     let (mut held, mut refused, mut ended) = (0, 0, 0);
     for seed in 0..60_u64 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
