--- a/examples/call_cost.rs
+++ b/examples/call_cost.rs
@@ -64,7 +64,7 @@
         std::hint::black_box(controller.handle(now, &inputs));
         from.elapsed().as_secs_f64() * 1e6
     };
-    let (round, beat) = (1, 3);
+    let (round, flush) = (1, 3);
     call(
         0.0,
         vec![Input::List {
@@ -72,7 +72,7 @@
             version: 1,
             lines,
         }],
-        beat,
+        flush,
     );
     (0..3).for_each(|_| _ = call(1_000.0, vec![], round));
     let join = |proxy| Input::ProxyJoined {
@@ -81,7 +81,7 @@
         usual_per_s: 0.5,
         fresh: false,
     };
-    let joined = call(300.0, (0..proxies).map(join).collect(), beat);
+    let joined = call(300.0, (0..proxies).map(join).collect(), flush);
     (0..9).for_each(|_| _ = call(1_000.0, vec![], round));
     let idle = call(1_000.0, vec![], round);
     let one = call(
@@ -90,9 +90,9 @@
             weight: 1.0,
             ..listed(3, Stage::Ready)
         }]),
-        beat,
+        flush,
     );
-    let drain = call(300.0, change(vec![listed(7, Stage::Draining)]), beat);
+    let drain = call(300.0, change(vec![listed(7, Stage::Draining)]), flush);
     let most = servers * 6 / 10;
     let all = (0..most).map(|n| listed(n, Stage::Draining));
     let all = call(
@@ -101,7 +101,7 @@
             all.chain((0..most).map(|n| listed(servers + n, Stage::Ready)))
                 .collect(),
         ),
-        beat,
+        flush,
     );
     [joined, idle, one, drain, all]
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -88,10 +88,10 @@
                 .any(|i| matches!(i, Input::ServerReport { .. }))
         {
             let target_ms = self.demand.usual_target_ms(now, &self.kinds);
-            let jam = self.admission.mode == Mode::Throttled;
-            self.urgent |= self
-                .fleet
-                .evaluate(now, target_ms, jam, &self.bounds, &mut self.log);
+            let overloaded = self.admission.mode == Mode::Throttled;
+            self.urgent |=
+                self.fleet
+                    .evaluate(now, target_ms, overloaded, &self.bounds, &mut self.log);
         }
         if round {
             out.push(Effect::SetTimer {
--- a/src/rules/arcs.rs
+++ b/src/rules/arcs.rs
@@ -34,8 +34,8 @@
         let near = self.capabilities.cross_zone_price > ZONE_LOCAL_PRICE;
         let zone_of = |zone: ZoneId| if near { zone } else { 0 };
         // During overload, balance load evenly across zones whatever crossing them costs.
-        let jam = self.admission.mode == Mode::Throttled;
-        let slack = if jam {
+        let overloaded = self.admission.mode == Mode::Throttled;
+        let slack = if overloaded {
             0.0
         } else {
             SLACK_PER_PRICE * self.capabilities.cross_zone_price
--- a/src/rules/gate.rs
+++ b/src/rules/gate.rs
@@ -223,13 +223,13 @@
             .filter(|s| !lines.contains_key(*s))
             .map(|s| (*s, 0.0));
         let deltas: Vec<(ServerId, f64)> = changed.chain(dropped).collect();
-        let bare = !table.bound;
-        if lines.is_empty() || (deltas.is_empty() && !bare) {
+        let unbound = !table.bound;
+        if lines.is_empty() || (deltas.is_empty() && !unbound) {
             return;
         }
         let whole =
             lines.len() as f64 * self.pace.bind_lines + self.admission.ordered.len() as f64 + 1.0;
-        let size = if bare { whole } else { deltas.len() as f64 };
+        let size = if unbound { whole } else { deltas.len() as f64 };
         let (head, waiting) = (
             self.pace.header_lines + 1.0,
             self.channel.waiting() + reached.lines,
@@ -252,7 +252,7 @@
             weight,
         };
         out.extend(deltas.into_iter().map(order));
-        if bare {
+        if unbound {
             let kinds = mask_of(self.groups[g].kinds.iter().copied());
             out.push(Effect::BindTable {
                 proxy: id,
--- a/src/rules/health.rs
+++ b/src/rules/health.rs
@@ -234,7 +234,7 @@
         &mut self,
         now: f64,
         aim_ms: f64,
-        jam: bool,
+        overloaded: bool,
         by: &SafetyBounds,
         log: &mut Log,
     ) -> bool {
@@ -256,13 +256,13 @@
             all.bad_share().clamp(FAIL_USUAL, 0.99),
             1.0 + (ids.len() as f64).ln(),
         );
-        let fail_share = if jam {
+        let fail_share = if overloaded {
             UNRESPONSIVE_SHARE
         } else {
             FAIL_SHARE.max(FAIL_FACTOR * usual)
         };
         let failing = |m: &AttemptStats| m.bad_share() > fail_share && m.significance(usual) > sure;
-        let ratio = if jam {
+        let ratio = if overloaded {
             SLOW_RATIO_THROTTLED
         } else {
             SLOW_RATIO
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -45,7 +45,7 @@
     mark: u64,
 }
 
-struct Rig {
+struct Simulation {
     controller: Controller,
     pace: ChannelLimits,
     grace_ms: f64,
@@ -57,17 +57,17 @@
     proxies: BTreeMap<ProxyId, Held>,
     channel: VecDeque<(ProxyId, Message)>,
     sent_part: f64,
-    on_the_way: VecDeque<(f64, ProxyId, Message)>,
+    in_transit: VecDeque<(f64, ProxyId, Message)>,
     /// When the controller learned that a server drains.
-    told: BTreeMap<ServerId, f64>,
+    drain_told_ms: BTreeMap<ServerId, f64>,
     joined_ms: BTreeMap<ProxyId, f64>,
     first_table_ms: BTreeMap<ProxyId, f64>,
     messages: usize,
     lines: f64,
-    most_waiting: f64,
+    max_backlog: f64,
 }
 
-impl Rig {
+impl Simulation {
     fn new(proxies: u32, servers: u16) -> Self {
         let mut start = start();
         start.kinds = ["view", "submit"]
@@ -97,7 +97,7 @@
             start.kinds.len(),
         );
         let now = 100_000.0;
-        let mut rig = Self {
+        let mut sim = Self {
             controller: Controller::new(now, start),
             pace,
             grace_ms,
@@ -109,23 +109,23 @@
             proxies: BTreeMap::new(),
             channel: VecDeque::new(),
             sent_part: 0.0,
-            on_the_way: VecDeque::new(),
-            told: BTreeMap::new(),
+            in_transit: VecDeque::new(),
+            drain_told_ms: BTreeMap::new(),
             joined_ms: BTreeMap::new(),
             first_table_ms: BTreeMap::new(),
             messages: 0,
             lines: 0.0,
-            most_waiting: 0.0,
+            max_backlog: 0.0,
         };
         let lines = (1..=servers)
             .map(|n| listed(n, Stage::Ready, 0.0))
             .collect();
-        rig.give(vec![Input::List {
+        sim.handle(vec![Input::List {
             scope: ListScope::Cached,
             version: 1,
             lines,
         }]);
-        rig
+        sim
     }
 
     fn join(&mut self, proxies: impl Iterator<Item = ProxyId>, fresh: bool) {
@@ -143,14 +143,14 @@
                 self.first_table_ms.remove(proxy);
             }
         }
-        self.give(inputs);
+        self.handle(inputs);
     }
 
     fn list(&mut self, lines: Vec<ServerEntry>) {
         for line in lines.iter().filter(|l| l.stage != Stage::Ready) {
-            self.told.entry(line.server).or_insert(self.now);
+            self.drain_told_ms.entry(line.server).or_insert(self.now);
         }
-        self.give(vec![Input::List {
+        self.handle(vec![Input::List {
             scope: ListScope::Changes,
             version: 2,
             lines,
@@ -161,7 +161,7 @@
         self.list(servers.map(|n| listed(n, Stage::Draining, 0.0)).collect());
     }
 
-    fn give(&mut self, inputs: Vec<Input>) {
+    fn handle(&mut self, inputs: Vec<Input>) {
         let effects = self.controller.handle(self.now, &inputs);
         let mut drafts: BTreeMap<ProxyId, Message> = BTreeMap::new();
         let mut mark = 0;
@@ -235,7 +235,7 @@
             self.channel.push_back((proxy, message));
         }
         let waiting = self.channel.iter().map(|(_, m)| m.lines).sum::<f64>() - self.sent_part;
-        self.most_waiting = self.most_waiting.max(waiting);
+        self.max_backlog = self.max_backlog.max(waiting);
         assert!(
             waiting <= self.pace.backlog_lines,
             "{waiting} lines wait at {}",
@@ -243,7 +243,7 @@
         );
     }
 
-    fn pass(&mut self, ms: f64) {
+    fn advance(&mut self, ms: f64) {
         let end = self.now + ms;
         while self.now < end {
             self.now += 20.0;
@@ -253,7 +253,7 @@
                 .pop_front_if(|(_, m)| m.lines <= self.sent_part)
             {
                 self.sent_part -= message.lines;
-                self.on_the_way
+                self.in_transit
                     .push_back((self.now + TRANSIT_MS, proxy, message));
             }
             if self.channel.is_empty() {
@@ -261,7 +261,7 @@
             }
             let mut inputs = Vec::new();
             while let Some((_, proxy, message)) =
-                self.on_the_way.pop_front_if(|(at, ..)| *at <= self.now)
+                self.in_transit.pop_front_if(|(at, ..)| *at <= self.now)
             {
                 self.apply(proxy, &message);
                 inputs.push(Input::Acknowledged {
@@ -276,7 +276,7 @@
                 !due
             });
             if !inputs.is_empty() {
-                self.give(inputs);
+                self.handle(inputs);
             }
             if self.now % 100.0 == 0.0 {
                 self.check_drains();
@@ -317,7 +317,7 @@
         let late = |at: &f64, joined: f64| self.now - at.max(joined) > self.grace_ms;
         for (proxy, held) in &self.proxies {
             let joined = self.joined_ms[proxy];
-            for (server, _) in self.told.iter().filter(|(_, at)| late(at, joined)) {
+            for (server, _) in self.drain_told_ms.iter().filter(|(_, at)| late(at, joined)) {
                 let bound_to = |k| {
                     held.bound
                         .get(&k)
@@ -343,115 +343,115 @@
 }
 
 /// 480 joined proxies on 200 servers, all bound, with no pending updates.
-fn at_rest() -> Rig {
-    let mut rig = Rig::new(2_400, 200);
-    rig.join(0..480, true);
-    rig.pass(9_000.0);
-    assert_eq!(rig.bound(), 480);
-    rig
+fn bound_fleet() -> Simulation {
+    let mut sim = Simulation::new(2_400, 200);
+    sim.join(0..480, true);
+    sim.advance(9_000.0);
+    assert_eq!(sim.bound(), 480);
+    sim
 }
 
 #[test]
 fn a_mass_join_in_the_middle_of_a_drain_keeps_queue_and_grace() {
-    let mut rig = at_rest();
-    rig.drain(1..=30);
-    rig.pass(300.0);
+    let mut sim = bound_fleet();
+    sim.drain(1..=30);
+    sim.advance(300.0);
     // All proxies of four failed controllers join at once, with tables unknown to this one.
-    rig.join(480..2_300, false);
+    sim.join(480..2_300, false);
     for step in 1_u16..=3 {
-        rig.pass(1_300.0);
-        rig.drain(step * 30 + 1..=step * 30 + 30);
+        sim.advance(1_300.0);
+        sim.drain(step * 30 + 1..=step * 30 + 30);
     }
-    rig.pass(20_000.0);
-    assert_eq!(rig.bound(), 2_300, "all are bound in the end");
+    sim.advance(20_000.0);
+    assert_eq!(sim.bound(), 2_300, "all are bound in the end");
     assert!(
-        rig.most_waiting < 3.0 * 5_200.0,
+        sim.max_backlog < 3.0 * 5_200.0,
         "{} lines waited",
-        rig.most_waiting
+        sim.max_backlog
     );
 }
 
 #[test]
 fn proxies_without_a_table_are_served_first() {
-    let mut rig = at_rest();
-    let joined = rig.now;
-    rig.join(480..2_200, false);
-    rig.join(2_200..2_300, true);
-    rig.pass(2_500.0);
+    let mut sim = bound_fleet();
+    let joined = sim.now;
+    sim.join(480..2_200, false);
+    sim.join(2_200..2_300, true);
+    sim.advance(2_500.0);
     let late: Vec<ProxyId> = (2_200..2_300)
-        .filter(|p| !rig.first_table_ms.contains_key(p))
+        .filter(|p| !sim.first_table_ms.contains_key(p))
         .collect();
     assert!(
         late.is_empty(),
         "{late:?} wait still, {} ms after they joined",
-        rig.now - joined
+        sim.now - joined
     );
-    assert!(rig.bound() < 2_000, "the others are still being bound");
-    rig.pass(15_000.0);
-    assert_eq!(rig.bound(), 2_300);
+    assert!(sim.bound() < 2_000, "the others are still being bound");
+    sim.advance(15_000.0);
+    assert_eq!(sim.bound(), 2_300);
 }
 
 #[test]
 fn six_in_ten_servers_replaced_within_seven_seconds_keeps_queue_and_grace() {
-    let mut rig = at_rest();
+    let mut sim = bound_fleet();
     for step in 0_u16..6 {
-        let (now, first) = (rig.now, step * 20 + 1);
+        let (now, first) = (sim.now, step * 20 + 1);
         let new = (first + 200..first + 220).map(|n| listed(n, Stage::Ready, now));
-        rig.list(new.collect());
-        rig.pass(600.0);
-        rig.drain(first..first + 20);
-        rig.pass(600.0);
+        sim.list(new.collect());
+        sim.advance(600.0);
+        sim.drain(first..first + 20);
+        sim.advance(600.0);
     }
-    rig.pass(15_000.0);
+    sim.advance(15_000.0);
 }
 
 #[test]
 fn a_release_told_late_and_all_at_once_keeps_queue_and_grace() {
-    let mut rig = at_rest();
-    rig.join(480..1_400, false);
+    let mut sim = bound_fleet();
+    sim.join(480..1_400, false);
     // After an outage of discovery, one list change contains the whole release.
-    let now = rig.now;
+    let now = sim.now;
     let new = (201..=290).map(|n| listed(n, Stage::Ready, now - 5_000.0));
-    rig.list(
+    sim.list(
         (1..=90)
             .map(|n| listed(n, Stage::Draining, 0.0))
             .chain(new)
             .collect(),
     );
-    rig.pass(20_000.0);
-    assert_eq!(rig.bound(), 1_400);
+    sim.advance(20_000.0);
+    assert_eq!(sim.bound(), 1_400);
 }
 
 #[test]
 fn removing_a_server_costs_only_the_proxies_that_use_it() {
     for (proxies, servers) in [(150, 30), (500, 120), (2_400, 200)] {
-        let mut rig = Rig::new(proxies, servers);
-        rig.join(0..proxies as ProxyId / 5, true);
-        rig.pass(9_000.0);
-        let names = |rig: &Rig| {
+        let mut sim = Simulation::new(proxies, servers);
+        sim.join(0..proxies as ProxyId / 5, true);
+        sim.advance(9_000.0);
+        let holder_count = |sim: &Simulation| {
             let holds = |h: &Held| h.tables.values().any(|t| t.contains(&server(7)));
-            rig.proxies.values().filter(|h| holds(h)).count()
+            sim.proxies.values().filter(|h| holds(h)).count()
         };
-        let holders = names(&rig);
-        (rig.messages, rig.lines) = (0, 0.0);
-        rig.drain(7..=7);
-        rig.pass(700.0);
+        let holders = holder_count(&sim);
+        (sim.messages, sim.lines) = (0, 0.0);
+        sim.drain(7..=7);
+        sim.advance(700.0);
         assert!(
-            holders > 0 && rig.messages <= holders,
+            holders > 0 && sim.messages <= holders,
             "{} messages, {holders} held it",
-            rig.messages
+            sim.messages
         );
         // The header, the acknowledgement request, the removed entry and its replacements.
         assert!(
-            rig.lines <= 11.0 * holders as f64,
+            sim.lines <= 11.0 * holders as f64,
             "{} lines to {holders} proxies",
-            rig.lines
+            sim.lines
         );
-        rig.pass(1_000.0);
-        assert_eq!(names(&rig), 0);
+        sim.advance(1_000.0);
+        assert_eq!(holder_count(&sim), 0);
         // Without changes nothing is written.
-        (rig.messages, rig.lines) = (0, 0.0);
-        rig.pass(3_000.0);
-        assert!(rig.messages == 0, "{} messages at rest", rig.messages);
+        (sim.messages, sim.lines) = (0, 0.0);
+        sim.advance(3_000.0);
+        assert!(sim.messages == 0, "{} messages at rest", sim.messages);
     }
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -112,7 +112,7 @@
             lines: BTreeMap::new(),
             trace,
         };
-        harness.give(vec![Input::List {
+        harness.handle(vec![Input::List {
             scope: ListScope::Cached,
             version: 1,
             lines,
@@ -120,11 +120,11 @@
         harness
     }
 
-    pub fn note(&mut self, what: &str) {
+    pub fn heading(&mut self, what: &str) {
         writeln!(self.trace, "-- {what}").unwrap();
     }
 
-    pub fn give(&mut self, inputs: Vec<Input>) {
+    pub fn handle(&mut self, inputs: Vec<Input>) {
         let effects = self.controller.handle(self.now, &inputs);
         let mut lines: BTreeMap<TableId, Vec<String>> = BTreeMap::new();
         let mut said = Vec::new();
@@ -191,7 +191,7 @@
     }
 
     /// Advances the clock, fires the timers that are due, and calls `each` after each of them.
-    pub fn pass(&mut self, ms: f64, mut each: impl FnMut(&mut Self)) {
+    pub fn advance(&mut self, ms: f64, mut each: impl FnMut(&mut Self)) {
         let end = self.now + ms;
         while let Some(at) =
             (0..self.alarms.len()).min_by(|a, b| self.alarms[*a].0.total_cmp(&self.alarms[*b].0))
@@ -201,14 +201,14 @@
             }
             let (due, name) = self.alarms.remove(at);
             self.now = due;
-            self.give(vec![Input::TimerFired { name }]);
+            self.handle(vec![Input::TimerFired { name }]);
             each(self);
         }
         self.now = end;
     }
 
     pub fn join(&mut self, proxy: ProxyId, zone: ZoneId) {
-        self.give(vec![Input::ProxyJoined {
+        self.handle(vec![Input::ProxyJoined {
             proxy,
             zone,
             usual_per_s: 10.0,
@@ -223,7 +223,7 @@
             started_ms,
             ..listed(n, 0)
         };
-        self.give(vec![Input::List {
+        self.handle(vec![Input::List {
             scope: ListScope::Changes,
             version: 2,
             lines: vec![line],
@@ -233,7 +233,7 @@
     /// Acknowledges all outstanding requests.
     pub fn answer(&mut self) {
         for (proxy, mark) in std::mem::take(&mut self.marks) {
-            self.give(vec![Input::Acknowledged {
+            self.handle(vec![Input::Acknowledged {
                 proxy,
                 mark,
                 took_ms: 150.0,
@@ -241,9 +241,9 @@
         }
     }
 
-    pub fn hear(&mut self, n: u8, tries: f64, bad: f64, mean_ms: f64) {
+    pub fn report(&mut self, n: u8, tries: f64, bad: f64, mean_ms: f64) {
         let (zone, server, span_ms, load) = (0, server(n), 1_000.0, vec![0.0]);
-        self.give(vec![Input::ServerReport {
+        self.handle(vec![Input::ServerReport {
             zone,
             server,
             tries,
@@ -255,7 +255,7 @@
     }
 
     pub fn usage(&mut self, proxy: ProxyId, kind: KindId, came: f64) {
-        self.give(vec![Input::ProxyUsage {
+        self.handle(vec![Input::ProxyUsage {
             proxy,
             kind,
             came,
--- a/tests/rollback.rs
+++ b/tests/rollback.rs
@@ -16,7 +16,7 @@
     let mut harness = Harness::new(start(), (1..=4).map(|n| listed(n, 0)).collect());
     harness.join(0, 0);
     harness.join(1, 0);
-    harness.pass(1_500.0, |d| d.answer());
+    harness.advance(1_500.0, |d| d.answer());
     harness
 }
 
@@ -32,17 +32,17 @@
             .iter()
             .map(|(n, weight)| (server(*n), *weight))
             .collect();
-        self.give(vec![Input::Rollback { table, lines }]);
+        self.handle(vec![Input::Rollback { table, lines }]);
     }
 
     fn release(&mut self, table: TableId) {
-        self.give(vec![Input::ReleaseRollback { table }]);
+        self.handle(vec![Input::ReleaseRollback { table }]);
     }
 }
 
 fn calm(harness: &mut Harness) {
     harness.answer();
-    (1..=5).for_each(|n| harness.hear(n, 10.0, 0.0, 100.0));
+    (1..=5).for_each(|n| harness.report(n, 10.0, 0.0, 100.0));
 }
 
 const OLD: &[(u8, f64)] = &[(1, 2.0), (2, 2.0), (3, 1.0)];
@@ -50,18 +50,18 @@
 #[test]
 fn rollback_persists_across_lists_until_released() {
     let mut harness = settled();
-    harness.note("back to three servers; the other table stays");
+    harness.heading("back to three servers; the other table stays");
     harness.rollback(0, OLD);
-    harness.pass(1_500.0, calm);
-    harness.note("a new server comes: t1 takes it in, t0 does not");
+    harness.advance(1_500.0, calm);
+    harness.heading("a new server comes: t1 takes it in, t0 does not");
     harness.change(5, Stage::Ready, 0.0);
-    harness.pass(3_000.0, calm);
-    harness.note("another rollback replaces it");
+    harness.advance(3_000.0, calm);
+    harness.heading("another rollback replaces it");
     harness.rollback(0, &[(1, 1.0), (4, 1.0)]);
-    harness.pass(1_500.0, calm);
-    harness.note("released; and once more, which is refused");
+    harness.advance(1_500.0, calm);
+    harness.heading("released; and once more, which is refused");
     harness.release(0);
-    harness.pass(1_500.0, calm);
+    harness.advance(1_500.0, calm);
     harness.release(0);
     assert_snapshot!(harness.trace);
 }
@@ -70,14 +70,15 @@
 fn drain_before_a_rollback_is_acknowledged_acts_at_once() {
     let mut harness = settled();
     harness.rollback(0, OLD);
-    harness.note("no answer yet; s2 drains, and comes back without a later start only as a ramp");
+    harness
+        .heading("no answer yet; s2 drains, and comes back without a later start only as a ramp");
     harness.change(2, Stage::Draining, 0.0);
-    harness.pass(700.0, |_| ());
-    harness.pass(2_000.0, calm);
-    harness.note("s2 starts anew: usable again, cold");
+    harness.advance(700.0, |_| ());
+    harness.advance(2_000.0, calm);
+    harness.heading("s2 starts anew: usable again, cold");
     let started = harness.now();
     harness.change(2, Stage::Ready, started);
-    harness.pass(3_000.0, calm);
+    harness.advance(3_000.0, calm);
     assert_snapshot!(harness.trace);
 }
 
@@ -85,10 +86,10 @@
 fn rollback_skips_removed_servers() {
     let mut harness = settled();
     harness.change(3, Stage::Gone, 0.0);
-    harness.pass(1_500.0, calm);
-    harness.note("s3 and s9 are gone: they are left out");
+    harness.advance(1_500.0, calm);
+    harness.heading("s3 and s9 are gone: they are left out");
     harness.rollback(0, &[(1, 2.0), (3, 2.0), (9, 2.0)]);
-    harness.pass(1_500.0, calm);
+    harness.advance(1_500.0, calm);
     assert_snapshot!(harness.trace);
 }
 
@@ -97,16 +98,16 @@
     let mut harness = settled();
     harness.change(1, Stage::Draining, 0.0);
     harness.change(2, Stage::Draining, 0.0);
-    harness.pass(1_500.0, calm);
-    harness.note("refused with the reason; the present table stays");
+    harness.advance(1_500.0, calm);
+    harness.heading("refused with the reason; the present table stays");
     harness.rollback(0, &[(1, 2.0), (2, 2.0)]);
     harness.rollback(77, &[(3, 2.0)]);
-    harness.pass(1_500.0, calm);
-    harness.note("in effect, then its last server drains: it ends, and no table is left empty");
+    harness.advance(1_500.0, calm);
+    harness.heading("in effect, then its last server drains: it ends, and no table is left empty");
     harness.rollback(0, &[(3, 2.0)]);
-    harness.pass(1_500.0, calm);
+    harness.advance(1_500.0, calm);
     harness.change(3, Stage::Draining, 0.0);
-    harness.pass(1_500.0, calm);
+    harness.advance(1_500.0, calm);
     assert_snapshot!(harness.trace);
 }
 
@@ -115,11 +116,11 @@
     let mut harness = settled();
     let started = harness.now();
     harness.change(1, Stage::Ready, started);
-    harness.pass(1_500.0, calm);
-    harness.note("s1 is cold: it was one of two entries, and has no weight yet");
+    harness.advance(1_500.0, calm);
+    harness.heading("s1 is cold: it was one of two entries, and has no weight yet");
     harness.rollback(0, &[(1, 2.0), (2, 2.0)]);
-    harness.pass(1_500.0, calm);
-    harness.note("a rollback to cold servers only is refused");
+    harness.advance(1_500.0, calm);
+    harness.heading("a rollback to cold servers only is refused");
     harness.rollback(1, &[(1, 2.0)]);
     assert_snapshot!(harness.trace);
 }
@@ -127,38 +128,38 @@
 #[test]
 fn rollback_ends_when_it_is_tainted() {
     let mut harness = settled();
-    harness.pass(6_000.0, calm);
-    harness.note("failures at its servers after the push");
+    harness.advance(6_000.0, calm);
+    harness.heading("failures at its servers after the push");
     harness.rollback(0, OLD);
     let some_bad = |harness: &mut Harness| {
         harness.answer();
-        (1..=4).for_each(|n| harness.hear(n, 20.0, 3.0, 100.0));
+        (1..=4).for_each(|n| harness.report(n, 20.0, 3.0, 100.0));
     };
-    harness.pass(6_000.0, some_bad);
+    harness.advance(6_000.0, some_bad);
     assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn rollback_applies_to_proxies_that_rejoin() {
     let mut harness = settled();
-    harness.note("both leave, the operator rolls back, both rejoin");
-    harness.give(vec![
+    harness.heading("both leave, the operator rolls back, both rejoin");
+    harness.handle(vec![
         Input::ProxyLeft { proxy: 0 },
         Input::ProxyLeft { proxy: 1 },
     ]);
     harness.rollback(0, OLD);
     harness.join(0, 0);
     harness.join(1, 0);
-    harness.pass(1_500.0, calm);
+    harness.advance(1_500.0, calm);
     assert_snapshot!(harness.trace);
 }
 
 #[test]
 fn lost_table_is_sent_again() {
     let mut harness = settled();
-    harness.note("t1 was lost in transit");
-    harness.give(vec![Input::TableLost { table: 1 }]);
-    harness.pass(700.0, calm);
+    harness.heading("t1 was lost in transit");
+    harness.handle(vec![Input::TableLost { table: 1 }]);
+    harness.advance(700.0, calm);
     assert_snapshot!(harness.trace);
 }
 
