--- a/crates/rookpulley-assigner/examples/tick.rs
+++ b/crates/rookpulley-assigner/examples/tick.rs
@@ -9,7 +9,7 @@
 use harness::{kind, listed};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use rookpulley_assigner::messages::server_id;
 use rookpulley_assigner::orders::{Names, Orders};
@@ -95,9 +95,9 @@
 const PROXIES: ProxyId = 400;
 const SERVERS: usize = 120;
 
-fn server(n: usize, stage: Stage, started_ms: f64) -> Listed {
+fn server(n: usize, stage: Stage, started_ms: f64) -> ServerEntry {
     let zone = (n % 3) as ZoneId;
-    Listed {
+    ServerEntry {
         server: server_id(&format!("s-{n}")),
         stage,
         weight: 1.0,
@@ -108,13 +108,15 @@
 
 fn start() -> Start {
     let mut start = harness::start();
-    start.place.zones.push("c".into());
-    start.place.proxies = u32::from(PROXIES);
-    start.kinds.push(kind("book", 1.0, Repeat::Replayable));
+    start.topology.zones.push("c".into());
+    start.topology.proxies = u32::from(PROXIES);
+    start
+        .kinds
+        .push(kind("book", 1.0, RepeatSafety::Replayable));
     start.channel.lines_per_s = 50_000.0;
     start.channel.bind_lines = 2.0;
     start.channel.backlog_lines = 100_000.0;
-    start.habits = ProxyHabits::default();
+    start.proxy_behavior = ProxyBehavior::default();
     start
 }
 
@@ -140,7 +142,7 @@
         if tick < u32::from(PROXIES) {
             let proxy = tick as ProxyId;
             api::join(&mut orders, now, proxy);
-            inputs.push(Input::Joined {
+            inputs.push(Input::ProxyJoined {
                 proxy,
                 zone: proxy % 3,
                 usual_per_s: 10.0,
@@ -150,7 +152,7 @@
         for _ in 0..3 {
             let server = server_id(&format!("s-{}", rng.random_range(0..SERVERS)));
             let (zone, load) = (rng.random_range(0..3), Vec::new());
-            inputs.push(Input::Heard {
+            inputs.push(Input::ServerReport {
                 zone,
                 server,
                 tries: 9.0,
@@ -160,7 +162,7 @@
                 load,
             });
             let (proxy, kind) = (rng.random_range(0..PROXIES), rng.random_range(0..2));
-            inputs.push(Input::Usage {
+            inputs.push(Input::ProxyUsage {
                 proxy,
                 kind,
                 came: 10.0,
@@ -183,14 +185,14 @@
             });
         }
         alarms.retain(|(due, name)| {
-            _ = (*due <= now).then(|| inputs.push(Input::Alarm { name: *name }));
+            _ = (*due <= now).then(|| inputs.push(Input::TimerFired { name: *name }));
             *due > now
         });
         let due: Vec<_> = answers.extract_if(.., |(due, ..)| *due <= now).collect();
         let from = Instant::now();
         for (_, proxy, mark) in due {
             api::answered(&mut orders, now, proxy, mark);
-            inputs.push(Input::Applied {
+            inputs.push(Input::Acknowledged {
                 proxy,
                 mark,
                 took_ms: 90.0,
@@ -202,7 +204,7 @@
         calls += 1;
         inputs.clear();
         let mark = effects.iter().find_map(|e| {
-            if let Effect::Mark { mark, .. } = e {
+            if let Effect::RequestAck { mark, .. } = e {
                 Some(*mark)
             } else {
                 None
@@ -213,7 +215,7 @@
             answers.extend(mark.map(|mark| (now + 90.0, proxy, mark)));
         }
         for effect in effects {
-            if let Effect::Alarm { in_ms, name } = effect {
+            if let Effect::SetTimer { in_ms, name } = effect {
                 alarms.push((now + in_ms, name));
             }
         }
--- a/crates/rookpulley-assigner/src/ending.rs
+++ b/crates/rookpulley-assigner/src/ending.rs
@@ -1,6 +1,6 @@
 //! Every way in which a connection can end, and what each means to the module.
 
-use rookpulley::facts::{Input, ProxyId};
+use rookpulley::interface::{Input, ProxyId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
@@ -44,9 +44,9 @@
     pub fn input(self, proxy: ProxyId) -> Option<Input> {
         match self {
             Self::Closed | Self::Reset | Self::Unreadable | Self::TooLong => {
-                Some(Input::Left { proxy })
+                Some(Input::ProxyLeft { proxy })
             }
-            Self::Replaced | Self::Unread => Some(Input::Left { proxy }),
+            Self::Replaced | Self::Unread => Some(Input::ProxyLeft { proxy }),
             // Those have not joined.
             Self::OutOfTurn | Self::NotJoined | Self::Crowded => None,
             // Nothing is ordered any more.
--- a/crates/rookpulley-assigner/src/operators.rs
+++ b/crates/rookpulley-assigner/src/operators.rs
@@ -5,7 +5,7 @@
 use crate::messages::server_id;
 use crate::orders::{Orders, places};
 use crate::servers::Servers;
-use rookpulley::facts::{Back, ChannelFacts, Input, TableId};
+use rookpulley::interface::{ChannelLimits, Input, RollbackStatus, TableId};
 use rookpulley_operators::address;
 use rookpulley_operators::asks::{
     Answer, Ask, Asked, BackList, BackRow, DiffList, DiffRow, HolderList, HolderRow, Refusal,
@@ -73,7 +73,7 @@
 
 /// The book of one start. The start's name must never come again, also where the seed of the configuration
 /// does: its part of chance is the process's own.
-pub fn book(name: &str, keep: RetentionLimits, channel: &ChannelFacts) -> VersionManager {
+pub fn book(name: &str, keep: RetentionLimits, channel: &ChannelLimits) -> VersionManager {
     let chance = RandomState::new().hash_one(std::process::id()) as u32;
     let start = start_id(unix_ms(), chance);
     VersionManager::new(
@@ -83,7 +83,7 @@
         },
         1,
         keep,
-        AckTimeouts::for_transit(channel.transit_most_ms),
+        AckTimeouts::for_transit(channel.max_transit_ms),
     )
 }
 
@@ -108,7 +108,7 @@
     }
 }
 
-fn row(table: TableId, what: &Back) -> BackRow {
+fn row(table: TableId, what: &RollbackStatus) -> BackRow {
     let blank = BackRow {
         table,
         what: String::new(),
@@ -117,18 +117,18 @@
         of: None,
     };
     match what {
-        Back::Held { lines, of } => BackRow {
+        RollbackStatus::Held { lines, of } => BackRow {
             what: "held".into(),
             usable: Some(*lines),
             of: Some(*of),
             ..blank
         },
-        Back::Refused(why) => BackRow {
+        RollbackStatus::Refused(why) => BackRow {
             what: "refused".into(),
             why: Some(why.to_string()),
             ..blank
         },
-        Back::Ended(why) => BackRow {
+        RollbackStatus::Ended(why) => BackRow {
             what: "ended".into(),
             why: Some(why.to_string()),
             ..blank
@@ -161,14 +161,16 @@
             (Ask::Holders, Some(book), _) => Ok(holders(now, book, orders, &self.held)),
             (Ask::Diff { from, to }, Some(book), _) => Ok(diff(&book.history, &from, &to)),
             (Ask::Rollback { to, table, all }, Some(book), _) => go_back(book, &to, table, all),
-            (Ask::Release { table: Some(table) }, ..) => Err(vec![Input::Release { table }]),
+            (Ask::Release { table: Some(table) }, ..) => {
+                Err(vec![Input::ReleaseRollback { table }])
+            }
             (Ask::Release { .. }, ..) if self.held.is_empty() => {
                 Ok(refused(409, "no table is held back", "see holders"))
             }
             (Ask::Release { .. }, ..) => Err(self
                 .held
                 .iter()
-                .map(|table| Input::Release { table: *table })
+                .map(|table| Input::ReleaseRollback { table: *table })
                 .collect()),
         };
         match said {
@@ -179,10 +181,14 @@
             }
             Err(inputs) => {
                 let table = |i: &Input| match i {
-                    Input::GoBack { table, .. } | Input::Release { table } => Some(*table),
+                    Input::Rollback { table, .. } | Input::ReleaseRollback { table } => {
+                        Some(*table)
+                    }
                     _ => None,
                 };
-                let releases = inputs.iter().any(|i| matches!(i, Input::Release { .. }));
+                let releases = inputs
+                    .iter()
+                    .any(|i| matches!(i, Input::ReleaseRollback { .. }));
                 let tables = inputs.iter().filter_map(table).collect();
                 self.waiting.push(Waiting {
                     tables,
@@ -196,13 +202,13 @@
     }
 
     /// What the module made of a way back; whoever waits for no further table is answered.
-    pub fn hear(&mut self, table: TableId, what: &Back) {
+    pub fn hear(&mut self, table: TableId, what: &RollbackStatus) {
         match what {
-            Back::Held { .. } => _ = self.held.insert(table),
-            Back::Ended(_) => _ = self.held.remove(&table),
-            Back::Refused(_) => {}
+            RollbackStatus::Held { .. } => _ = self.held.insert(table),
+            RollbackStatus::Ended(_) => _ = self.held.remove(&table),
+            RollbackStatus::Refused(_) => {}
         }
-        let ended = matches!(what, Back::Ended(_));
+        let ended = matches!(what, RollbackStatus::Ended(_));
         let waits = |w: &&mut Waiting| w.tables.contains(&table) && (w.releases || !ended);
         let Some(waiting) = self.waiting.iter_mut().find(waits) else {
             return;
@@ -342,7 +348,7 @@
     };
     Err(ways
         .iter()
-        .map(|(id, table)| Input::GoBack {
+        .map(|(id, table)| Input::Rollback {
             table: *id,
             lines: lines(table),
         })
--- a/crates/rookpulley-lists/src/candidate.rs
+++ b/crates/rookpulley-lists/src/candidate.rs
@@ -1,6 +1,6 @@
 //! Server lists as offered by a source, and their validation.
 
-use rookpulley::facts::Start;
+use rookpulley::interface::Start;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -64,7 +64,7 @@
 impl Deployment {
     /// Derives the deployment from the start settings; `machines` names the kinds of machine.
     pub fn from_start(start: &Start, machines: &[String]) -> Self {
-        let zones = start.place.zones.clone();
+        let zones = start.topology.zones.clone();
         let names = |places: &[u16], of: &[String]| {
             places
                 .iter()
--- a/crates/rookpulley-lists/src/merge.rs
+++ b/crates/rookpulley-lists/src/merge.rs
@@ -8,7 +8,7 @@
     Candidate, Deployment, Entry, Reason, Rejection, validate_change, validate_list,
 };
 use crate::membership::{Effect, Member, MemberEvent, State};
-use rookpulley::facts::{ListScope, Stage};
+use rookpulley::interface::{ListScope, Stage};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The maximum number of remembered servers. Beyond it, unlisted servers with the oldest drains are forgotten.
--- a/crates/rookpulley-lists/tests/lists.rs
+++ b/crates/rookpulley-lists/tests/lists.rs
@@ -1,7 +1,7 @@
 //! Edge cases of list validation and merging, and properties over random sequences of lists.
 
 use proptest::prelude::*;
-use rookpulley::facts::Stage;
+use rookpulley::interface::Stage;
 use rookpulley_lists::membership::Effect;
 use rookpulley_lists::*;
 use std::collections::BTreeMap;
--- a/crates/rookpulley-registry/src/decision_module.rs
+++ b/crates/rookpulley-registry/src/decision_module.rs
@@ -4,9 +4,9 @@
 //! with, calls it, and carries its orders out on tables in memory.
 
 use crate::server_list::{EPOCH_MS, WARM_UP_MS};
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley::rules::Controller;
-use rookpulley::state::{Lines, name_of};
+use rookpulley::state::{ServerWeights, revision_hash};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The module waits so long after its start before it acts in haste; ours starts with all it needs.
@@ -48,7 +48,7 @@
 /// The table that the module has ordered for a proxy.
 #[derive(Default)]
 pub struct OrderedTable {
-    pub weights: Lines,
+    pub weights: ServerWeights,
     /// The revisions that were ordered, the newest last.
     pub revisions: Vec<u64>,
 }
@@ -85,18 +85,18 @@
 /// A table's revision: the hash of its entries as proxies get them.
 pub fn revision_of(weights: impl Iterator<Item = (ServerId, f32)>) -> u64 {
     let weights = weights.map(|(server, weight)| (server, f64::from(weight)));
-    name_of(&weights.collect())
+    revision_hash(&weights.collect())
 }
 
 /// All requests for a service are of one kind to the module.
-fn request_kind(latency_target_ms: f64) -> ReqKind {
-    ReqKind {
+fn request_kind(latency_target_ms: f64) -> RequestKind {
+    RequestKind {
         name: "any".into(),
         response_target_ms: latency_target_ms,
         client_timeout_ms: CLIENT_TIMEOUT_TARGETS * latency_target_ms,
         value: 1.0,
         late_value_share: 0.1,
-        repeat: Repeat::Replayable,
+        repeat: RepeatSafety::Replayable,
         writes: false,
         zones: Vec::new(),
         machines: Vec::new(),
@@ -109,39 +109,39 @@
     let proxies = parameters.proxies;
     Start {
         seed: parameters.seed,
-        place: Place {
+        topology: Topology {
             controllers: 1,
             proxies,
-            ..Place::default()
+            ..Topology::default()
         },
         kinds: vec![request_kind(parameters.latency_target_ms)],
-        bounds: RuleBounds {
-            bare_ms: 3_000.0,
+        bounds: SafetyBounds {
+            max_unbound_ms: 3_000.0,
             drain_grace_ms: 2_500.0,
             cold_share: 0.5,
-            cold_ms: WARM_UP_MS,
+            warm_up_ms: WARM_UP_MS,
             fall_multiple: 2.0,
-            fall_ms: 2_000.0,
-            only_draining_binds: false,
+            overload_ms: 2_000.0,
+            soft_removal: false,
         },
-        channel: ChannelFacts {
+        channel: ChannelLimits {
             lines_per_s: LINES_PER_S,
-            head_lines: 1.0,
+            header_lines: 1.0,
             bind_lines: 1.0,
             backlog_lines: BACKLOG_SHARE * (MAX_ENTRIES + 1.0) * f64::from(proxies),
             messages_most: 0,
-            messages_over_ms: 10_000.0,
+            message_window_ms: 10_000.0,
             transit_ms: 50.0,
-            transit_most_ms: 300.0,
+            max_transit_ms: 300.0,
         },
-        habits: ProxyHabits {
-            levels: Levels::Ignored,
-            ..ProxyHabits::default()
+        proxy_behavior: ProxyBehavior {
+            levels: AdmissionMode::Unsupported,
+            ..ProxyBehavior::default()
         },
-        list: ListFacts::default(),
-        means: Means {
+        list: ListSettings::default(),
+        capabilities: Capabilities {
             report_period_ms: 1_000.0,
-            conns_least: if connections > 0.0 {
+            min_connections: if connections > 0.0 {
                 connections
             } else {
                 f64::INFINITY
@@ -150,8 +150,8 @@
             flow_steps: FLOW_STEPS,
             // An instance that enters makes a revision a second until it is warm, so no single one of a release is ever
             // judged.
-            verdicts_shared: true,
-            ..Means::default()
+            shared_verdicts: true,
+            ..Capabilities::default()
         },
         load_fields: Vec::new(),
     }
@@ -181,7 +181,7 @@
     pub fn take_alarms(&mut self, now: f64, inputs: &mut Vec<Input>) -> bool {
         let due = self.alarms.extract_if(.., |alarm| alarm.at_ms <= now);
         let before = inputs.len();
-        inputs.extend(due.map(|alarm| Input::Alarm { name: alarm.name }));
+        inputs.extend(due.map(|alarm| Input::TimerFired { name: alarm.name }));
         inputs.len() > before
     }
 
@@ -193,7 +193,7 @@
         let mut changed = BTreeSet::new();
         for effect in self.controller.handle(now + EPOCH_MS, inputs) {
             match effect {
-                Effect::Line {
+                Effect::SetWeight {
                     table,
                     server,
                     weight,
@@ -202,12 +202,12 @@
                     output.touched.extend(proxies.get(&table));
                     self.set_weight(table, server, weight);
                 }
-                Effect::Bind { proxy, table, .. } => {
+                Effect::BindTable { proxy, table, .. } => {
                     changed.insert(table);
                     self.bound.insert(proxy, table);
                     output.touched.insert(proxy);
                 }
-                Effect::Withdraw { server, out } => {
+                Effect::WithdrawServer { server, out } => {
                     if out {
                         self.withdrawn.insert(server);
                     } else {
@@ -215,8 +215,8 @@
                     }
                     output.touched.extend(self.proxies_with(server));
                 }
-                Effect::Mark { mark, .. } => output.mark = Some(mark),
-                Effect::Alarm { in_ms, name } => {
+                Effect::RequestAck { mark, .. } => output.mark = Some(mark),
+                Effect::SetTimer { in_ms, name } => {
                     let at_ms = now + in_ms + std::mem::take(&mut self.stagger_ms);
                     self.alarms.push(Alarm { at_ms, name });
                 }
--- a/crates/rookpulley-start/src/lib.rs
+++ b/crates/rookpulley-start/src/lib.rs
@@ -1,8 +1,8 @@
 //! The settings text of a start, read into the records of the interface. Unknown keys are ignored.
 
-use rookpulley::facts::{
-    ChannelFacts, DEAR_STEPS, Group, Levels, ListFacts, LoadField, Means, Place, ProxyHabits,
-    Repeat, ReqKind, Retry, RuleBounds, Start,
+use rookpulley::interface::{
+    AdmissionMode, COARSE_FLOW_STEPS, Capabilities, ChannelLimits, Group, ListSettings, LoadField,
+    ProxyBehavior, RepeatSafety, RequestKind, Retry, SafetyBounds, Start, Topology,
 };
 use serde_json::Value;
 
@@ -82,14 +82,14 @@
     }
 }
 
-fn read_kind(value: &Value, place: usize, family: &Part) -> Result<ReqKind, Unreadable> {
+fn read_kind(value: &Value, place: usize, family: &Part) -> Result<RequestKind, Unreadable> {
     let part = Part {
         path: "categories[]",
         value,
     };
     let repeat = match part.text("effect")? {
-        "pure" => Repeat::Replayable,
-        "side_effect" => Repeat::NonReplayable,
+        "pure" => RepeatSafety::Replayable,
+        "side_effect" => RepeatSafety::NonReplayable,
         "token" => {
             let group = match part.text("group")? {
                 "all" => Group::All,
@@ -97,14 +97,14 @@
                 "cell" => Group::Bay,
                 _ => return Err(part.wrong("group", "all, zone or cell")),
             };
-            Repeat::Uniqued {
+            RepeatSafety::Uniqued {
                 group,
                 window_ms: part.ms("window_us")?,
             }
         }
         _ => return Err(part.wrong("effect", "pure, token or side_effect")),
     };
-    Ok(ReqKind {
+    Ok(RequestKind {
         name: part.text("name")?.to_string(),
         response_target_ms: part.ms("aim_us")?,
         client_timeout_ms: part.ms("hard_limit_us")?,
@@ -120,12 +120,12 @@
 
 fn read_load_field(name: &Value) -> LoadField {
     match name.as_str().unwrap_or_default() {
-        "concurrent" => LoadField::Held,
+        "concurrent" => LoadField::InFlight,
         "depth" => LoadField::Queue,
         "load_share" => LoadField::Busy,
         "mean_ms" => LoadField::ServiceMs,
-        "tps" => LoadField::DonePerS,
-        "err_ps" => LoadField::ErroredPerS,
+        "tps" => LoadField::CompletedPerS,
+        "err_ps" => LoadField::FailedPerS,
         _ => LoadField::Other,
     }
 }
@@ -171,19 +171,19 @@
         ["family_info", "rules", "limits", "charges", "load_info"].map(|path| Part::of(root, path));
     let kinds = top.list("categories")?.iter().enumerate();
     let levels = match family.text("admission").unwrap_or("none") {
-        "share" => Levels::Share,
-        "rate" => Levels::Rate,
-        _ => Levels::Ignored,
+        "share" => AdmissionMode::Share,
+        "rate" => AdmissionMode::Rate,
+        _ => AdmissionMode::Unsupported,
     };
-    let usual_retry = match family.num_or("usual_how", 0.0) as u8 {
+    let default_retry = match family.num_or("usual_how", 0.0) as u8 {
         0 => Retry::Never,
-        1 => Retry::IfUnrun,
+        1 => Retry::IfNotExecuted,
         2 => Retry::OnceAfterAny,
         _ => Retry::TwiceAfterAny,
     };
     Ok(Start {
         seed,
-        place: Place {
+        topology: Topology {
             index: top.num("self_index")? as u16,
             controllers: top.num("balancers")? as u16,
             zone: top.num("locality")? as u16,
@@ -199,48 +199,48 @@
         kinds: kinds
             .map(|(place, value)| read_kind(value, place, &family))
             .collect::<Result<_, _>>()?,
-        bounds: RuleBounds {
-            bare_ms: family.ms("empty_for_us")?,
+        bounds: SafetyBounds {
+            max_unbound_ms: family.ms("empty_for_us")?,
             drain_grace_ms: rules.ms("drain_grace_us")?,
             cold_share: rules.num("cold_share")?,
-            cold_ms: rules.ms("ramp_time_us")?,
+            warm_up_ms: rules.ms("ramp_time_us")?,
             fall_multiple: rules.num("fall_multiple")?,
-            fall_ms: rules.ms("tip_after_us")?,
-            only_draining_binds: rules.flag("soft_removal"),
+            overload_ms: rules.ms("tip_after_us")?,
+            soft_removal: rules.flag("soft_removal"),
         },
-        channel: ChannelFacts {
+        channel: ChannelLimits {
             lines_per_s: family.num("lines_per_s")?,
-            head_lines: family.num("envelope")?,
+            header_lines: family.num("envelope")?,
             bind_lines: 1.0,
             backlog_lines: family.num("backlog")?,
             messages_most: family.num_or("messages_most", 0.0) as u32,
-            messages_over_ms: family.num_or("counted_over_us", 0.0) / 1000.0,
+            message_window_ms: family.num_or("counted_over_us", 0.0) / 1000.0,
             transit_ms: family.ms("transit_us")?,
-            transit_most_ms: family.ms("push_delay_max_us")?,
+            max_transit_ms: family.ms("push_delay_max_us")?,
         },
-        habits: ProxyHabits {
+        proxy_behavior: ProxyBehavior {
             levels,
-            usual_retry,
-            try_targets: family.num_or("per_try", 1.0),
+            default_retry,
+            try_timeout_targets: family.num_or("per_try", 1.0),
             standing_lines: family.num_or("initial_set", 0.0) as u32,
             write_in_flight_ms: family.num_or("in_flight_max_us", 0.0) / 1000.0,
         },
-        list: ListFacts {
-            asked: top.text("registry_mode")? == "on_request",
+        list: ListSettings {
+            on_request: top.text("registry_mode")? == "on_request",
             ask_within_ms: rules.num_or("ask_within_us", 0.0) / 1000.0,
             live_weights: top.text("weight_kind").unwrap_or_default() == "live",
         },
-        means: Means {
+        capabilities: Capabilities {
             peers: limits.flag("peers"),
             probes: limits.flag("probing"),
             cross_zone_price: charges.num_or("cross_zone", 0.0),
-            flow_steps: DEAR_STEPS,
+            flow_steps: COARSE_FLOW_STEPS,
             report_period_ms: family.num_or("period_us", 1e6) / 1000.0,
             report_lines_per_s: family.num_or("reports_per_s", 0.0),
-            conns_least: family.num_or("min_conn_cap", f64::INFINITY),
+            min_connections: family.num_or("min_conn_cap", f64::INFINITY),
             slices: family.num_or("shards", 0.0) as u32,
             single_owner: family.flag("one_owner"),
-            verdicts_shared: false,
+            shared_verdicts: false,
         },
         load_fields: load.value["fields"]
             .as_array()
--- a/examples/call_cost.rs
+++ b/examples/call_cost.rs
@@ -1,24 +1,27 @@
-//! What one call of the module costs by the size of the fleet, in microseconds of processor time: the median of
-//! five plays. All proxies are joined to this one controller. Simulated inputs, seed 7; no bench is needed.
+//! Measures the duration of single controller calls by fleet size, in microseconds: the median of five runs with
+//! simulated inputs. All proxies are joined to one controller.
 
 #[allow(dead_code)]
 #[path = "../tests/harness/mod.rs"]
 mod harness;
 
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use std::time::Instant;
 
-/// Two kinds, three zones, and a channel that holds nothing up.
+/// Settings with two request kinds, three zones and a channel without effective limits.
 fn start(proxies: u32) -> Start {
     let mut start = harness::start();
     start.kinds = ["view", "submit"]
-        .map(|name| harness::kind(name, 1.0, Repeat::Replayable))
+        .map(|name| harness::kind(name, 1.0, RepeatSafety::Replayable))
         .to_vec();
-    (start.place.proxies, start.place.controllers) = (proxies, 5);
-    start.place.zones = ["a", "b", "c"].map(String::from).to_vec();
-    start.habits = ProxyHabits::default();
-    (start.means.cross_zone_price, start.means.conns_least) = (0.08, 150.0);
+    (start.topology.proxies, start.topology.controllers) = (proxies, 5);
+    start.topology.zones = ["a", "b", "c"].map(String::from).to_vec();
+    start.proxy_behavior = ProxyBehavior::default();
+    (
+        start.capabilities.cross_zone_price,
+        start.capabilities.min_connections,
+    ) = (0.08, 150.0);
     (
         start.channel.lines_per_s,
         start.channel.backlog_lines,
@@ -27,10 +30,10 @@
     start
 }
 
-fn listed(n: u16, stage: Stage) -> Listed {
+fn listed(n: u16, stage: Stage) -> ServerEntry {
     let [low, high] = n.to_le_bytes();
     let (server, zone) = ([10, 0, high, low, 80, 0], n % 3);
-    Listed {
+    ServerEntry {
         server,
         zone,
         machine: 0,
@@ -41,7 +44,7 @@
     }
 }
 
-fn change(lines: Vec<Listed>) -> Vec<Input> {
+fn change(lines: Vec<ServerEntry>) -> Vec<Input> {
     vec![Input::List {
         scope: ListScope::Changes,
         version: 2,
@@ -49,19 +52,19 @@
     }]
 }
 
-/// Mass join, idle round, one server changed, one drain, six in ten servers replaced, each with its calls.
+/// Returns the cost of a mass join, an idle round, one changed server, one drain, and replacing 60 % of the servers.
 fn play(proxies: u16, servers: u16) -> [f64; 5] {
     let mut now = 100_000.0;
     let mut controller = Controller::new(now, start(u32::from(proxies)));
     let lines = (0..servers).map(|n| listed(n, Stage::Ready)).collect();
     let mut call = |after_ms: f64, mut inputs: Vec<Input>, name: u64| {
         now += after_ms;
-        inputs.push(Input::Alarm { name });
+        inputs.push(Input::TimerFired { name });
         let from = Instant::now();
         std::hint::black_box(controller.handle(now, &inputs));
         from.elapsed().as_secs_f64() * 1e6
     };
-    let (round, beat) = (1, 3);
+    let (round, flush) = (1, 3);
     call(
         0.0,
         vec![Input::List {
@@ -69,27 +72,27 @@
             version: 1,
             lines,
         }],
-        beat,
+        flush,
     );
     (0..3).for_each(|_| _ = call(1_000.0, vec![], round));
-    let join = |proxy| Input::Joined {
+    let join = |proxy| Input::ProxyJoined {
         proxy,
         zone: proxy % 3,
         usual_per_s: 0.5,
         fresh: false,
     };
-    let joined = call(300.0, (0..proxies).map(join).collect(), beat);
+    let joined = call(300.0, (0..proxies).map(join).collect(), flush);
     (0..9).for_each(|_| _ = call(1_000.0, vec![], round));
     let idle = call(1_000.0, vec![], round);
     let one = call(
         300.0,
-        change(vec![Listed {
+        change(vec![ServerEntry {
             weight: 1.0,
             ..listed(3, Stage::Ready)
         }]),
-        beat,
+        flush,
     );
-    let drain = call(300.0, change(vec![listed(7, Stage::Draining)]), beat);
+    let drain = call(300.0, change(vec![listed(7, Stage::Draining)]), flush);
     let most = servers * 6 / 10;
     let all = (0..most).map(|n| listed(n, Stage::Draining));
     let all = call(
@@ -98,7 +101,7 @@
             all.chain((0..most).map(|n| listed(servers + n, Stage::Ready)))
                 .collect(),
         ),
-        beat,
+        flush,
     );
     [joined, idle, one, drain, all]
 }
--- a/src/facts.rs
+++ b/src/interface.rs
@@ -1,13 +1,13 @@
-//! What a controller is told and what it orders. Plain types: nothing is decided here.
+//! Inputs, effects and settings of the controller. Plain data types without logic.
 //!
-//! Times are milliseconds with fractions; ids are as the front gives them and mean nothing.
+//! Times are milliseconds. Identifiers are opaque values assigned by the caller.
 
-/// A server: its address and port, kept exactly as told.
+/// A server's IPv4 address and port, in the caller's byte representation.
 pub type ServerId = [u8; 6];
 pub type ProxyId = u16;
 pub type TableId = u16;
 pub type ZoneId = u16;
-/// The place of a request kind in the list handed at start.
+/// Index into [`Start::kinds`].
 pub type KindId = usize;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -17,16 +17,16 @@
     Draining,
 }
 
-/// One line of the server list.
+/// One entry of the server list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ServerEntry {
     pub server: ServerId,
     pub zone: ZoneId,
     pub machine: u16,
     pub bay: u16,
     pub stage: Stage,
     pub weight: f64,
-    /// When it last started; 0: long ago.
+    /// Last start time; 0 if unknown or long ago.
     pub started_ms: f64,
 }
 
@@ -38,7 +38,7 @@
     Failed,
 }
 
-/// The servers that drop a repeat of a uniqued req.
+/// Scope within which servers deduplicate a repeated request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -47,146 +47,146 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Repeat {
+pub enum RepeatSafety {
     Replayable,
     Uniqued { group: Group, window_ms: f64 },
     NonReplayable,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReqKind {
+pub struct RequestKind {
     pub name: String,
     pub response_target_ms: f64,
     pub client_timeout_ms: f64,
     pub value: f64,
     pub late_value_share: f64,
-    pub repeat: Repeat,
+    pub repeat: RepeatSafety,
     pub writes: bool,
-    /// The only zones whose servers may be sent it; empty: any.
+    /// Zones whose servers may receive this kind; empty means any.
     pub zones: Vec<ZoneId>,
-    /// The only kinds of machine that may be sent it; empty: any.
+    /// Machine kinds that may receive this kind; empty means any.
     pub machines: Vec<u16>,
-    /// Only servers of the proxy's own zone may be sent it.
+    /// Restricts this kind to servers in the proxy's own zone.
     pub own_zone: bool,
 }
 
-/// Where this controller stands among its peers.
+/// This controller's position among its peers, and the size of the fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Place {
+pub struct Topology {
     pub index: u16,
     pub controllers: u16,
     pub zone: ZoneId,
     pub zones: Vec<String>,
     pub proxies: u32,
-    /// Proxies join a controller of their own zone where there is one.
+    /// Proxies prefer a controller in their own zone.
     pub joined_by_zone: bool,
 }
 
-/// The figures of the five rules.
+/// Safety requirements on published tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RuleBounds {
-    pub bare_ms: f64,
+pub struct SafetyBounds {
+    pub max_unbound_ms: f64,
     pub drain_grace_ms: f64,
     pub cold_share: f64,
-    pub cold_ms: f64,
+    pub warm_up_ms: f64,
     pub fall_multiple: f64,
-    pub fall_ms: f64,
-    /// Only a server listed as draining binds; one merely dropped may stay.
-    pub only_draining_binds: bool,
+    pub overload_ms: f64,
+    /// A server missing from the list is kept while it answers; only draining status removes it.
+    pub soft_removal: bool,
 }
 
-/// The channel from a controller to its proxies.
+/// Capacity and latency of the channel from the controller to its proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ChannelFacts {
+pub struct ChannelLimits {
     pub lines_per_s: f64,
-    pub head_lines: f64,
-    /// What a line of a whole table counts for at the binding, with all that has to go with it.
+    pub header_lines: f64,
+    /// Lines charged per table entry when a whole table is sent.
     pub bind_lines: f64,
     pub backlog_lines: f64,
-    /// 0: no such limit.
+    /// Messages allowed per proxy and window; 0 means unlimited.
     pub messages_most: u32,
-    pub messages_over_ms: f64,
+    pub message_window_ms: f64,
     pub transit_ms: f64,
-    pub transit_most_ms: f64,
+    pub max_transit_ms: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Levels {
+pub enum AdmissionMode {
     #[default]
-    Ignored,
+    Unsupported,
     Share,
     Rate,
 }
 
-/// How proxies admit and repeat.
+/// Admission control and retries as implemented by the proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ProxyHabits {
-    pub levels: Levels,
-    pub usual_retry: Retry,
-    /// A try that may be followed waits this many response targets.
-    pub try_targets: f64,
+pub struct ProxyBehavior {
+    pub levels: AdmissionMode,
+    pub default_retry: Retry,
+    /// Per-try timeout, as a multiple of the response target.
+    pub try_timeout_targets: f64,
     pub standing_lines: u32,
     pub write_in_flight_ms: f64,
 }
 
-/// How the server list is followed.
+/// How the server list is obtained.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ListFacts {
-    pub asked: bool,
+pub struct ListSettings {
+    pub on_request: bool,
     pub ask_within_ms: f64,
-    /// The listed weights change with the load.
+    /// Listed weights change with load.
     pub live_weights: bool,
 }
 
-pub const DEAR_STEPS: f64 = 8.0;
+pub const COARSE_FLOW_STEPS: f64 = 8.0;
 
-/// What may be used beside orders, and its prices.
+/// Optional features and costs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Means {
+pub struct Capabilities {
     pub peers: bool,
     pub probes: bool,
     pub cross_zone_price: f64,
-    /// What goes to which zone is settled in so many steps: `DEAR_STEPS` where tables are dear to write anew.
+    /// Resolution of cross-zone traffic shares; `COARSE_FLOW_STEPS` where rewriting tables is expensive.
     pub flow_steps: f64,
     pub report_period_ms: f64,
     pub report_lines_per_s: f64,
-    /// The fewest connections that a server accepts; infinite where that is not told.
-    pub conns_least: f64,
-    /// 0: no slices; otherwise every slice is a table of its own.
+    /// Minimum number of connections a server accepts; infinite if unknown.
+    pub min_connections: f64,
+    /// Number of slices, each with its own table; 0 if unused.
     pub slices: u32,
     pub single_owner: bool,
-    /// Revisions that followed each other faster than any could be judged are judged together.
-    pub verdicts_shared: bool,
+    /// Revisions replaced before their evaluation ended share the verdict of their successor.
+    pub shared_verdicts: bool,
 }
 
-/// What the figures of a load report mean, in their order.
+/// Meaning of a field in a load report, by position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
-    Held,
+    InFlight,
     Queue,
     Busy,
     ServiceMs,
-    DonePerS,
-    ErroredPerS,
+    CompletedPerS,
+    FailedPerS,
     Other,
 }
 
-/// Everything handed to a controller at its start, in small records by subject.
+/// Settings a controller is created with.
 #[derive(Clone, Debug)]
 pub struct Start {
     pub seed: u64,
-    pub place: Place,
-    pub kinds: Vec<ReqKind>,
-    pub bounds: RuleBounds,
-    pub channel: ChannelFacts,
-    pub habits: ProxyHabits,
-    pub list: ListFacts,
-    pub means: Means,
+    pub topology: Topology,
+    pub kinds: Vec<RequestKind>,
+    pub bounds: SafetyBounds,
+    pub channel: ChannelLimits,
+    pub proxy_behavior: ProxyBehavior,
+    pub list: ListSettings,
+    pub capabilities: Capabilities,
     pub load_fields: Vec<LoadField>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProbeAnswer {
+pub enum ProbeOutcome {
     Done,
     Errored,
     Denied,
@@ -203,31 +203,31 @@
     List {
         scope: ListScope,
         version: u64,
-        lines: Vec<Listed>,
+        lines: Vec<ServerEntry>,
     },
-    Alarm {
+    TimerFired {
         name: u64,
     },
-    Note {
+    PeerMessage {
         from: u16,
         bytes: Vec<u8>,
     },
-    Joined {
+    ProxyJoined {
         proxy: ProxyId,
         zone: ZoneId,
         usual_per_s: f64,
         fresh: bool,
     },
-    Left {
+    ProxyLeft {
         proxy: ProxyId,
     },
-    Applied {
+    Acknowledged {
         proxy: ProxyId,
         mark: u64,
         took_ms: f64,
     },
-    /// What the joined proxies of a zone met at a server.
-    Heard {
+    /// Results of the requests that a zone's joined proxies sent to a server.
+    ServerReport {
         zone: ZoneId,
         server: ServerId,
         tries: f64,
@@ -236,8 +236,8 @@
         span_ms: f64,
         load: Vec<f64>,
     },
-    /// What came to a proxy.
-    Usage {
+    /// Requests received by a proxy.
+    ProxyUsage {
         proxy: ProxyId,
         kind: KindId,
         came: f64,
@@ -251,109 +251,109 @@
         bad: f64,
         span_ms: f64,
     },
-    SliceGiven {
+    SliceAssigned {
         slice: TableId,
         ours: bool,
     },
-    SliceLine {
+    SliceWeight {
         slice: TableId,
         server: ServerId,
         weight: f64,
     },
-    Probed {
+    ProbeCompleted {
         server: ServerId,
-        answer: ProbeAnswer,
+        answer: ProbeOutcome,
         took_ms: f64,
         load: Vec<f64>,
     },
-    /// An operator wants these earlier lines for a table, until released.
-    GoBack {
+    /// Pins a table to earlier entries until [`Input::ReleaseRollback`].
+    Rollback {
         table: TableId,
         lines: Vec<(ServerId, f64)>,
     },
-    Release {
+    ReleaseRollback {
         table: TableId,
     },
-    /// What was written of a table has not reached its proxy, or it holds something else: it is written whole
-    /// again, within the limits of the channel, as to one that has just joined.
-    Lost {
+    /// A table update was not applied, or the proxy holds different content: the whole table is sent again, within the
+    /// channel's limits.
+    TableLost {
         table: TableId,
     },
 }
 
-/// What became of a way back.
+/// Result of an operator's rollback.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Back {
-    /// So many of its lines can be used now.
+pub enum RollbackStatus {
+    /// The rollback is in effect; `lines` of `of` entries are currently usable.
     Held { lines: usize, of: usize },
-    /// Nothing has changed.
+    /// The table is unchanged.
     Refused(&'static str),
-    /// The module's own lines are published again.
+    /// The table follows the controller's own revisions again.
     Ended(&'static str),
 }
 
-/// When proxies try again.
+/// When proxies retry a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Retry {
     #[default]
     Never,
-    /// Once, elsewhere, on proof that the first try never ran.
-    IfUnrun,
+    /// Once, on another server, if the first try provably did not execute.
+    IfNotExecuted,
     OnceAfterAny,
     TwiceAfterAny,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    Line {
+    SetWeight {
         table: TableId,
         server: ServerId,
         weight: f64,
     },
-    Wipe {
+    ClearTable {
         table: TableId,
     },
-    /// Puts a proxy on a table for some request kinds (bits by their place).
-    Bind {
+    /// Assigns a table to a proxy for the request kinds in the bit mask.
+    BindTable {
         proxy: ProxyId,
         table: TableId,
         kinds: u16,
     },
-    Withdraw {
+    WithdrawServer {
         server: ServerId,
         out: bool,
     },
-    /// `table` None: all joined proxies.
-    Admit {
+    /// Sets admission levels; without a `table`, for all joined proxies.
+    SetAdmission {
         table: Option<TableId>,
         kinds: u16,
         level: f64,
         retry: Retry,
     },
-    /// Asks for an answer; `all`: also from proxies that this reply does not reach.
-    Mark {
+    /// Requests an acknowledgement; with `all`, also from proxies that receive nothing else in this reply.
+    RequestAck {
         mark: u64,
         all: bool,
     },
-    Watch {
+    WatchList {
         on: bool,
     },
-    Fetch,
-    Probe {
+    FetchList,
+    ProbeServer {
         server: ServerId,
     },
-    /// `to` None: every peer.
-    Note {
+    /// Sends a message to one peer, or to every peer if `to` is `None`.
+    PeerMessage {
         to: Option<u16>,
         bytes: Vec<u8>,
     },
-    Alarm {
+    SetTimer {
         in_ms: f64,
         name: u64,
     },
-    Back {
+    RollbackStatus {
         table: TableId,
-        what: Back,
+        what: RollbackStatus,
     },
     Log(String),
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,22 +1,22 @@
-//! What a controller keeps: plain state. The decisions on it are in `rules.rs` and `rules/`.
+//! State of the controller; the logic that changes it is in `rules.rs` and `rules/`.
 
-use crate::facts::*;
-use crate::ring::Buckets;
+use crate::interface::*;
+use crate::ring::TimeBuckets;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-pub type Lines = BTreeMap<ServerId, f64>;
+pub type ServerWeights = BTreeMap<ServerId, f64>;
 
-/// The lines that a reply writes, by proxy and in all.
+/// Lines written by a reply, per proxy and in total.
 #[derive(Default)]
-pub struct Reached {
+pub struct ReplyCost {
     pub by_proxy: BTreeMap<ProxyId, f64>,
     pub lines: f64,
 }
 
-impl Reached {
-    /// What writing so many lines to a proxy costs: its message's head too, where it has none yet.
+impl ReplyCost {
+    /// Cost of writing `lines` to a proxy, including the message header for its first ones.
     pub fn cost(&self, id: ProxyId, head: f64, lines: f64) -> f64 {
         if self.by_proxy.contains_key(&id) {
             lines
@@ -38,40 +38,40 @@
 pub enum Phase {
     Warm,
     Ramping,
-    Struck,
+    Ejected,
     Leaving,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Cue {
-    Starts,
-    Departs,
-    Returns,
-    Fails,
-    Strains,
-    HoldEnds,
-    RampEnds,
+pub enum HealthEvent {
+    Started,
+    Departed,
+    Returned,
+    Failing,
+    Slow,
+    EjectionEnded,
+    RampEnded,
 }
 
 pub struct Server {
-    pub listed: Listed,
+    pub listed: ServerEntry,
     pub phase: Phase,
     pub since_ms: f64,
     pub ramp_from_ms: f64,
-    pub hold_ms: f64,
-    /// The part of its listed weight that it may have now.
+    pub ejection_ms: f64,
+    /// Fraction of its listed weight that the server currently receives.
     pub part: f64,
 }
 
-/// Tries, bad ones, and the time of the good ones.
+/// Number of tries and failures, and the total latency of the successful ones.
 #[derive(Clone, Copy, Default)]
-pub struct Met {
+pub struct AttemptStats {
     pub tries: f64,
     pub bad: f64,
     pub time_ms: f64,
 }
 
-impl Met {
+impl AttemptStats {
     pub fn with(self, [tries, bad, time_ms]: [f64; 3]) -> Self {
         Self {
             tries: self.tries + tries,
@@ -88,9 +88,9 @@
         self.bad / self.tries.max(1.0)
     }
 
-    /// How much these tries speak against the usual share of bad ones (Chernoff's bound: the
-    /// chance of so many or more is under e to the minus this).
-    pub fn against(&self, usual: f64) -> f64 {
+    /// Significance of a failure share above `usual`: the negative logarithm of Chernoff's bound on the probability of
+    /// so many failures by chance.
+    pub fn significance(&self, usual: f64) -> f64 {
         let bad = self.bad_share().min(1.0 - 1e-9);
         self.tries
             * (bad * (bad / usual).max(1e-9).ln()
@@ -102,7 +102,7 @@
     }
 }
 
-impl std::fmt::Display for Met {
+impl std::fmt::Display for AttemptStats {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
@@ -114,25 +114,25 @@
     }
 }
 
-/// The request kinds that are told apart; a mask of kinds has no more bits.
+/// Maximum number of request kinds, the width of a kind mask.
 pub const KINDS: usize = 16;
 pub struct Proxy {
     pub zone: ZoneId,
     pub joined: bool,
     pub joined_ms: f64,
     pub seen_ms: f64,
-    /// It holds no table that was ordered.
+    /// It has no table from any controller.
     pub fresh: bool,
-    /// The reqs a second that its arc is sized for.
+    /// Request rate that its arc is sized for.
     pub sized_per_s: f64,
-    /// What came to it lately, as far as it is known.
-    pub met_per_s: f64,
-    pub came: Buckets<KINDS>,
-    pub off_since_ms: Option<f64>,
-    /// Where its arcs start, by zone.
+    /// Last known request rate.
+    pub observed_per_s: f64,
+    pub came: TimeBuckets<KINDS>,
+    pub deviating_since_ms: Option<f64>,
+    /// Start of its arc in each zone.
     pub places: BTreeMap<ZoneId, ServerId>,
-    /// Messages written to it.
-    pub written: Buckets<1>,
+    /// Messages sent to it.
+    pub written: TimeBuckets<1>,
 }
 
 impl Proxy {
@@ -144,81 +144,81 @@
             seen_ms: now,
             fresh: false,
             sized_per_s: per_s,
-            met_per_s: per_s,
-            came: Buckets::new(1_000.0, 12),
-            off_since_ms: None,
+            observed_per_s: per_s,
+            came: TimeBuckets::new(1_000.0, 12),
+            deviating_since_ms: None,
             places: BTreeMap::new(),
-            written: Buckets::new(250.0, 48),
+            written: TimeBuckets::new(250.0, 48),
         }
     }
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Standing {
+pub enum RevisionStatus {
     Unknown,
     Sound,
     Tainted,
-    /// An operator went back to it.
-    Held,
+    /// Pinned by an operator's rollback.
+    Pinned,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Verdict {
+pub enum RevisionEvent {
     Proposed,
     Failed,
-    Recalled,
+    Pinned,
     Released,
 }
 
 pub struct Revision {
     pub name: u64,
-    pub lines: Lines,
-    pub standing: Standing,
+    pub lines: ServerWeights,
+    pub standing: RevisionStatus,
 }
 
-/// What a table of a joined proxy needs.
+/// Kinds of pending table updates, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Need {
-    /// A first table, where none was ever ordered or all its servers have left.
-    Bare,
-    /// To lose a server that has left.
+    /// The proxy has no table, or all servers of its table have left.
+    NoTable,
+    /// A server that has left must be removed.
     Drain,
-    /// Our table in the place of another controller's.
+    /// Another controller's table must be replaced.
     Bind,
-    /// Whatever has changed.
-    Change,
+    /// Any other change.
+    Delta,
 }
 
-/// What a table needs, since when (ms), and whose it is.
-pub type Wanted = (Need, u64, ProxyId, usize);
+/// A pending update: its kind, the time it became due (ms), proxy and group index.
+pub type PendingUpdate = (Need, u64, ProxyId, usize);
 
-/// A published revision on trial: pushed with this mark, first answered then.
-pub struct Trial {
+/// Evaluation of a published revision, which starts when the push is acknowledged.
+pub struct RevisionTrial {
     pub mark: u64,
     pub from_ms: f64,
     pub answered: bool,
     pub prior_bad: f64,
 }
 
-/// A table of one proxy for one group of request kinds, and the revisions it has had.
+/// Table of one proxy and request-kind group, with its revision history.
 #[derive(Default)]
 pub struct Table {
     pub id: TableId,
     pub revisions: Vec<Revision>,
-    /// The name of the lines last cut; the same lines cut again change nothing.
-    pub cut: u64,
+    /// Hash of the last computed entries; unchanged entries create no revision.
+    pub last_proposed: u64,
     pub published: u64,
-    pub trial: Option<Trial>,
-    /// Published before it, and replaced before their own trials were over: they share its verdict.
-    pub unproven: Vec<u64>,
-    /// What the table holds by the orders that went out.
-    pub held: Lines,
+    pub trial: Option<RevisionTrial>,
+    /// Revisions replaced before their evaluation ended; they share the verdict of the current one.
+    pub unevaluated: Vec<u64>,
+    /// Entries as of the last effects returned.
+    pub held: ServerWeights,
     pub bound: bool,
-    /// An operator went back; said until it has ended.
-    pub back: bool,
+    /// An operator's rollback is in effect or its end not yet reported.
+    pub rolled_back: bool,
 }
 
-pub fn name_of(lines: &Lines) -> u64 {
+pub fn revision_hash(lines: &ServerWeights) -> u64 {
     let bytes = lines
         .iter()
         .flat_map(|(id, w)| id.iter().copied().chain(w.to_bits().to_le_bytes()));
@@ -226,28 +226,29 @@
 }
 
 impl Table {
-    /// The revision that an operator went back to.
-    pub fn recalled(&self) -> Option<&Revision> {
-        self.revisions.iter().find(|r| r.standing == Standing::Held)
+    /// The revision pinned by an operator.
+    pub fn pinned(&self) -> Option<&Revision> {
+        self.revisions
+            .iter()
+            .find(|r| r.standing == RevisionStatus::Pinned)
     }
 }
 
-/// One reply in the channel: what had been written up to and with each proxy's message, in their order.
-pub struct Sent {
+/// A reply in transit: the cumulative lines before it, and after each proxy's message.
+pub struct SentReply {
     pub before: f64,
     pub through: Vec<(ProxyId, f64)>,
 }
 
-/// What may still wait in the channel. It is emptied in order, so an answer to a mark shows that
-/// all written up to that proxy's message has left; without answers it is taken to run slow.
+/// Estimate of the channel's backlog. It is FIFO, so an acknowledgement confirms all lines up to that proxy's message.
 #[derive(Default)]
 pub struct Channel {
     pub written: f64,
     pub left: f64,
     pub as_of_ms: f64,
-    /// When an answer last showed that something had left, or the first was written that waits.
+    /// Last time that an acknowledgement confirmed progress or an empty backlog began to fill.
     pub moved_ms: f64,
-    pub marks: BTreeMap<u64, Sent>,
+    pub marks: BTreeMap<u64, SentReply>,
     pub next_mark: u64,
 }
 
@@ -255,65 +256,64 @@
 pub enum Mode {
     #[default]
     Open,
-    Tight,
+    Throttled,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Flow {
-    Jams,
-    Refuses,
-    Flows,
+pub enum LoadSignal {
+    Overloaded,
+    Refusing,
+    Steady,
     Slack,
 }
 
-/// How much is let in, against overload of whatever cause. Harm: a jam that has passed is still in
-/// the reports for some seconds, and denies reqs that could be done.
+/// State of admission control. Reports lag by some seconds, so limits stay briefly after an overload has ended.
 #[derive(Default)]
-pub struct Valves {
-    pub levels: Levels,
+pub struct AdmissionControl {
+    pub levels: AdmissionMode,
     pub mode: Mode,
     pub allowed_per_s: f64,
-    /// The most that was done a second while nothing jammed.
-    pub able_per_s: f64,
-    /// What the joined proxies bring and the servers' weight in use, as those two were set.
-    pub stood: Option<(f64, f64)>,
-    /// The part of their usual reach that arcs have.
-    pub reach: f64,
+    /// Highest rate served without overload.
+    pub sustainable_per_s: f64,
+    /// Demand and server weight that the limits were last scaled for.
+    pub scaled_for: Option<(f64, f64)>,
+    /// Scale of arc lengths, at most 1.
+    pub arc_scale: f64,
     pub stepped_ms: f64,
-    /// Kinds, level and retry mode as last ordered for all proxies.
+    /// Kinds, level and retry policy last sent to all proxies.
     pub ordered: Vec<(u16, f64, Retry)>,
-    /// The step that they belong to.
+    /// When they were sent.
     pub ordered_ms: f64,
 }
 
-pub fn show([a, b, c, d, lo, hi]: ServerId) -> String {
+pub fn format_server([a, b, c, d, lo, hi]: ServerId) -> String {
     format!("{a}.{b}.{c}.{d}:{}", u16::from_le_bytes([lo, hi]))
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Turn {
-    /// Enter at a quarter weight, counted from the start that the list names.
-    Enter,
-    /// Enter at a quarter weight from now on.
-    Reenter,
-    /// Lose a quarter of its part, and grow on from there.
-    Trim,
-    /// Nothing more goes there, whatever tables say.
-    Shut,
-    /// Out of the tables for a while; longer when struck again at once.
-    Hold,
-    Settle,
+pub enum HealthAction {
+    /// Ramp from the entry weight, counted from the listed start time.
+    StartRamp,
+    /// Ramp from the entry weight, counted from now.
+    RestartRamp,
+    /// Reduce the weight by a quarter and ramp from there.
+    ReduceWeight,
+    /// Withdraw the server from all proxies.
+    Withdraw,
+    /// Remove it from the tables for a time that doubles on repeated failure.
+    Eject,
+    FinishRamp,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Filing {
+pub enum HistoryAction {
     Append,
-    MoveNewest,
+    MoveToNewest,
     Keep,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Valve {
+pub enum AdmissionAction {
     Cut,
     Lower,
     Raise,
@@ -322,45 +322,45 @@
     Widen,
 }
 
-/// Request kinds that may go to the same servers share tables.
+/// Request kinds with the same eligible servers; they share tables.
 pub struct KindGroup {
     pub kinds: Vec<KindId>,
-    pub like: ReqKind,
+    pub like: RequestKind,
 }
 
-/// The servers of the list, and what our proxies met at them.
+/// Listed servers and the results of requests to them.
 #[derive(Default)]
 pub struct Fleet {
     pub servers: BTreeMap<ServerId, Server>,
-    pub heard: BTreeMap<(ServerId, ZoneId), Buckets<3>>,
-    /// Reqs in the hands or the queue of a server, as it last said.
-    pub held: Lines,
-    /// Withdrawals to order (true) or to lift.
+    pub heard: BTreeMap<(ServerId, ZoneId), TimeBuckets<3>>,
+    /// Requests in flight or queued per server, as last reported.
+    pub held: ServerWeights,
+    /// Pending withdrawals (true) and restorations (false).
     pub withdrawals: BTreeMap<ServerId, bool>,
 }
 
-/// Who brings how much, as far as our proxies' usage and peers' notes tell.
+/// Demand per proxy, from usage reports and peers' announcements.
 pub struct Demand {
     pub proxies: BTreeMap<ProxyId, Proxy>,
-    pub came: Buckets<KINDS>,
-    /// The zones' shares that tables stand on.
+    pub came: TimeBuckets<KINDS>,
+    /// Zone shares that the current tables are based on.
     pub zones: Shares,
 }
 
-/// What this part of them is under.
+/// Returns the given quantile, or `None` if there are no values.
 pub fn quantile(mut of: Vec<f64>, part: f64) -> Option<f64> {
     of.sort_by(f64::total_cmp);
     of.get((of.len() as f64 * part) as usize).copied()
 }
 
-/// Request kinds as bits by their place.
+/// Bit mask of request kinds.
 pub fn mask_of(kinds: impl Iterator<Item = KindId>) -> u16 {
     kinds.fold(0, |mask, k| mask | 1 << k)
 }
 
 impl KindGroup {
-    pub fn open(&self, listed: &Listed) -> bool {
-        let ReqKind {
+    pub fn open(&self, listed: &ServerEntry) -> bool {
+        let RequestKind {
             zones, machines, ..
         } = &self.like;
         (zones.is_empty() || zones.contains(&listed.zone))
@@ -368,10 +368,10 @@
     }
 }
 
-/// A line of a note to peers: a proxy, its zone, and the reqs a second that come to it.
+/// Announcement of a proxy to peers: its ID, zone and request rate.
 pub type NoteLine = (ProxyId, ZoneId, f64);
 
-/// As many lines as one note may hold.
+/// Maximum number of announcements per message.
 pub const NOTE_LINES: usize = 32;
 
 pub fn write_note(lines: &[NoteLine]) -> Vec<u8> {
@@ -386,7 +386,7 @@
     lines.iter().take(NOTE_LINES).flat_map(write).collect()
 }
 
-/// Reads a peer's note; what is no line of one is passed over.
+/// Decodes a peer's message, skipping invalid entries.
 pub fn read_note(bytes: &[u8]) -> impl Iterator<Item = NoteLine> {
     bytes.chunks_exact(8).filter_map(|line| {
         let &[a, b, c, d, e, f, g, h] = line else {
@@ -404,18 +404,18 @@
 
 pub type Log = Vec<String>;
 
-/// One controller: what it was handed at start, and what it has come to know.
+/// State of one controller, from its settings and inputs.
 pub struct Controller {
     pub(crate) rng: ChaCha8Rng,
-    pub(crate) kinds: Vec<ReqKind>,
-    pub(crate) bounds: RuleBounds,
-    pub(crate) pace: ChannelFacts,
-    pub(crate) means: Means,
-    /// Where a load report tells the reqs held, or only those queued.
+    pub(crate) kinds: Vec<RequestKind>,
+    pub(crate) bounds: SafetyBounds,
+    pub(crate) pace: ChannelLimits,
+    pub(crate) capabilities: Capabilities,
+    /// Index of the in-flight field in load reports, or of the queue length.
     pub(crate) held_at: Option<usize>,
     pub(crate) queue_only: bool,
     pub(crate) list_asked: bool,
-    pub(crate) ask_again_ms: f64,
+    pub(crate) list_retry_ms: f64,
     pub(crate) proxies: f64,
     pub(crate) controllers: f64,
     pub(crate) groups: Vec<KindGroup>,
@@ -423,22 +423,22 @@
     pub(crate) demand: Demand,
     pub(crate) tables: BTreeMap<(ProxyId, usize), Table>,
     pub(crate) channel: Channel,
-    pub(crate) valves: Valves,
+    pub(crate) admission: AdmissionControl,
     pub(crate) started: bool,
-    pub(crate) hasty: bool,
-    pub(crate) beat_ms: f64,
-    pub(crate) beat_set: bool,
-    /// The place of the proxy that the next note names first.
-    pub(crate) noted: usize,
+    pub(crate) urgent: bool,
+    pub(crate) next_flush_ms: f64,
+    pub(crate) flush_scheduled: bool,
+    /// Index of the proxy to announce next.
+    pub(crate) next_note_index: usize,
     pub(crate) log: Log,
 }
 
 impl Controller {
-    /// What a start brings, with nothing known and nothing allowed yet.
-    pub(crate) fn blank(now: f64, start: Start, groups: Vec<KindGroup>) -> Self {
+    /// The initial state for these settings.
+    pub(crate) fn with_initial_state(now: f64, start: Start, groups: Vec<KindGroup>) -> Self {
         let mut kinds = start.kinds;
         kinds.truncate(KINDS);
-        let came = Buckets::new(1_000.0, 24);
+        let came = TimeBuckets::new(1_000.0, 24);
         let position = |field| start.load_fields.iter().position(|f| *f == field);
         Self {
             rng: ChaCha8Rng::seed_from_u64(start.seed),
@@ -446,13 +446,13 @@
             kinds,
             bounds: start.bounds,
             pace: start.channel,
-            means: start.means,
-            held_at: position(LoadField::Held).or(position(LoadField::Queue)),
-            queue_only: position(LoadField::Held).is_none(),
-            list_asked: start.list.asked,
-            ask_again_ms: 0.0,
-            proxies: f64::from(start.place.proxies.max(1)),
-            controllers: f64::from(start.place.controllers.max(1)),
+            capabilities: start.capabilities,
+            held_at: position(LoadField::InFlight).or(position(LoadField::Queue)),
+            queue_only: position(LoadField::InFlight).is_none(),
+            list_asked: start.list.on_request,
+            list_retry_ms: 0.0,
+            proxies: f64::from(start.topology.proxies.max(1)),
+            controllers: f64::from(start.topology.controllers.max(1)),
             fleet: Fleet::default(),
             demand: Demand {
                 proxies: BTreeMap::new(),
@@ -464,54 +464,56 @@
                 as_of_ms: now,
                 ..Channel::default()
             },
-            valves: Valves {
-                levels: start.habits.levels,
-                ..Valves::default()
+            admission: AdmissionControl {
+                levels: start.proxy_behavior.levels,
+                ..AdmissionControl::default()
             },
             started: false,
-            hasty: false,
-            beat_ms: now,
-            beat_set: false,
-            noted: 0,
+            urgent: false,
+            next_flush_ms: now,
+            flush_scheduled: false,
+            next_note_index: 0,
             log: Log::new(),
         }
     }
 
-    /// The zone that a proxy last joined from.
+    /// The zone that the proxy last joined from, or 0.
     pub(crate) fn zone_of(&self, proxy: ProxyId) -> ZoneId {
         self.demand.proxies.get(&proxy).map_or(0, |p| p.zone)
     }
 
-    /// Names this part of the joined proxies to the peers at least, those next whose turn it is.
-    pub(crate) fn notes(&mut self, part: f64) -> Vec<Effect> {
+    /// Announces at least this fraction of the joined proxies to the peers, in rotation.
+    pub(crate) fn demand_notes(&mut self, part: f64) -> Vec<Effect> {
         let joined = self
             .demand
             .proxies
             .iter()
-            .filter(|(_, p)| p.joined && self.means.peers);
-        let mut own: Vec<NoteLine> = joined.map(|(id, p)| (*id, p.zone, p.met_per_s)).collect();
+            .filter(|(_, p)| p.joined && self.capabilities.peers);
+        let mut own: Vec<NoteLine> = joined
+            .map(|(id, p)| (*id, p.zone, p.observed_per_s))
+            .collect();
         let count = ((own.len() as f64 * part).ceil() as usize)
             .max(NOTE_LINES)
             .min(own.len());
-        let first = self.noted % own.len().max(1);
+        let first = self.next_note_index % own.len().max(1);
         own.rotate_left(first);
-        self.noted += count;
+        self.next_note_index += count;
         own[..count]
             .chunks(NOTE_LINES)
-            .map(|c| Effect::Note {
+            .map(|c| Effect::PeerMessage {
                 to: None,
                 bytes: write_note(c),
             })
             .collect()
     }
 
-    /// Whether an order can still name this server.
+    /// Returns whether effects can still refer to this server.
     pub fn knows(&self, server: &ServerId) -> bool {
         self.fleet.servers.contains_key(server)
     }
 
-    /// Who of these proxies holds which of these servers; what one holds that has none of our tables is not
-    /// known, so it counts for each.
+    /// Returns the proxies that hold each server. A proxy without one of our tables may hold any server and counts for
+    /// each.
     pub(crate) fn holders<'a>(
         &self,
         proxies: &[ProxyId],
@@ -547,19 +549,25 @@
 }
 
 impl Fleet {
-    /// What a zone's proxies met at those of these servers that are in use.
-    pub fn met_on(&mut self, now: f64, zone: ZoneId, lines: &Lines, span_ms: f64) -> Met {
+    /// Results of a zone's proxies at those of these servers that are in use.
+    pub fn stats_on(
+        &mut self,
+        now: f64,
+        zone: ZoneId,
+        lines: &ServerWeights,
+        span_ms: f64,
+    ) -> AttemptStats {
         let used = lines
             .keys()
             .filter(|id| self.servers.get(*id).is_some_and(|s| s.part > 0.0));
-        used.fold(Met::default(), |met, id| {
+        used.fold(AttemptStats::default(), |met, id| {
             self.heard
                 .get_mut(&(*id, zone))
                 .map_or(met, |h| met.with(h.over(now, span_ms)))
         })
     }
 
-    /// When a server last started, as the list says; 0: long ago, or not listed.
+    /// Listed start time of a server; 0 if unknown or long ago.
     pub fn started_ms(&self, id: &ServerId) -> f64 {
         self.servers.get(id).map_or(0.0, |s| s.listed.started_ms)
     }
@@ -567,14 +575,16 @@
     pub fn hear(&mut self, now: f64, at: (ServerId, ZoneId), what: [f64; 3]) {
         self.heard
             .entry(at)
-            .or_insert_with(|| Buckets::new(500.0, 24))
+            .or_insert_with(|| TimeBuckets::new(500.0, 24))
             .add(now, what);
     }
 
-    /// What proxies of all zones met at a server lately.
-    pub fn met_at(&mut self, now: f64, id: ServerId, span_ms: f64) -> Met {
+    /// Recent results of all zones' proxies at a server.
+    pub fn stats_at(&mut self, now: f64, id: ServerId, span_ms: f64) -> AttemptStats {
         let heard = self.heard.range_mut((id, 0)..=(id, ZoneId::MAX));
-        heard.fold(Met::default(), |met, (_, h)| met.with(h.over(now, span_ms)))
+        heard.fold(AttemptStats::default(), |met, (_, h)| {
+            met.with(h.over(now, span_ms))
+        })
     }
 }
 
@@ -592,13 +602,13 @@
         }
     }
 
-    /// Lines that may still wait.
+    /// Lines not yet confirmed as sent.
     pub fn waiting(&self) -> f64 {
         self.written - self.left
     }
 
-    /// One reply is written, a message to each proxy in their order.
-    pub fn mark(&mut self, now: f64, reached: &Reached) {
+    /// Records a reply with one message per proxy, in ID order.
+    pub fn mark(&mut self, now: f64, reached: &ReplyCost) {
         if self.waiting() <= 0.0 {
             self.moved_ms = now;
         }
@@ -608,7 +618,8 @@
             (*id, all)
         };
         let through = reached.by_proxy.iter().map(add).collect();
-        self.marks.insert(self.next_mark, Sent { before, through });
+        self.marks
+            .insert(self.next_mark, SentReply { before, through });
         self.next_mark = (self.next_mark + 1) % 65_536;
         self.written = all;
     }
@@ -623,16 +634,22 @@
             .collect()
     }
 
-    /// What a peer says of proxies that are not joined here.
+    /// Applies a peer's announcements for proxies that are not joined here.
     pub fn take_note(&mut self, now: f64, bytes: &[u8]) {
         for (id, zone, per_s) in read_note(bytes) {
             if !self.proxies.get(&id).is_some_and(|p| p.joined) {
-                self.named(now, id, zone, per_s).met_per_s = per_s;
+                self.observe_proxy(now, id, zone, per_s).observed_per_s = per_s;
             }
         }
     }
 
-    pub fn named(&mut self, now: f64, proxy: ProxyId, zone: ZoneId, per_s: f64) -> &mut Proxy {
+    pub fn observe_proxy(
+        &mut self,
+        now: f64,
+        proxy: ProxyId,
+        zone: ZoneId,
+        per_s: f64,
+    ) -> &mut Proxy {
         let per_s = per_s.max(0.01);
         let entry = self
             .proxies
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,11 +1,11 @@
-//! The rules at size: one controller, thousands of proxies, and the channel between them as the settings tell it.
-//! Proxies are simulated: they hold what was written to them, once it has left the channel, and answer.
+//! Scale tests: one controller with thousands of simulated proxies behind a channel of limited rate. Proxies apply and
+//! acknowledge what the channel delivers.
 
 #[allow(dead_code)]
 mod harness;
 
 use harness::start;
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,9 +16,9 @@
     [10, 0, high, low, 80, 0]
 }
 
-fn listed(n: u16, stage: Stage, started_ms: f64) -> Listed {
+fn listed(n: u16, stage: Stage, started_ms: f64) -> ServerEntry {
     let (zone, weight) = (n % 3, 2.0);
-    Listed {
+    ServerEntry {
         server: server(n),
         zone,
         machine: 0,
@@ -29,10 +29,10 @@
     }
 }
 
-/// What one proxy holds, and what it was told to shut out.
+/// Tables and withdrawals that a proxy has applied.
 #[derive(Default)]
 struct Held {
-    /// By request kind the table it is bound to; a kind without one is served by tables of nobody we know.
+    /// Bound table per request kind; a kind without one is served by another controller's table.
     bound: BTreeMap<KindId, TableId>,
     tables: BTreeMap<TableId, BTreeSet<ServerId>>,
     shut: BTreeSet<ServerId>,
@@ -45,9 +45,9 @@
     mark: u64,
 }
 
-struct Rig {
+struct Simulation {
     controller: Controller,
-    pace: ChannelFacts,
+    pace: ChannelLimits,
     grace_ms: f64,
     kinds: usize,
     now: f64,
@@ -57,36 +57,39 @@
     proxies: BTreeMap<ProxyId, Held>,
     channel: VecDeque<(ProxyId, Message)>,
     sent_part: f64,
-    on_the_way: VecDeque<(f64, ProxyId, Message)>,
-    /// When the controller was told that a server drains.
-    told: BTreeMap<ServerId, f64>,
+    in_transit: VecDeque<(f64, ProxyId, Message)>,
+    /// When the controller learned that a server drains.
+    drain_told_ms: BTreeMap<ServerId, f64>,
     joined_ms: BTreeMap<ProxyId, f64>,
     first_table_ms: BTreeMap<ProxyId, f64>,
     messages: usize,
     lines: f64,
-    most_waiting: f64,
+    max_backlog: f64,
 }
 
-impl Rig {
+impl Simulation {
     fn new(proxies: u32, servers: u16) -> Self {
         let mut start = start();
         start.kinds = ["view", "submit"]
-            .map(|name| harness::kind(name, 1.0, Repeat::Replayable))
+            .map(|name| harness::kind(name, 1.0, RepeatSafety::Replayable))
             .to_vec();
-        (start.place.proxies, start.place.controllers) = (proxies, 5);
-        start.place.zones = ["a", "b", "c"].map(String::from).to_vec();
+        (start.topology.proxies, start.topology.controllers) = (proxies, 5);
+        start.topology.zones = ["a", "b", "c"].map(String::from).to_vec();
         start.bounds.drain_grace_ms = 10_400.0;
-        start.habits.levels = Levels::Ignored;
-        (start.means.cross_zone_price, start.means.conns_least) = (0.08, 170.0);
-        start.channel = ChannelFacts {
+        start.proxy_behavior.levels = AdmissionMode::Unsupported;
+        (
+            start.capabilities.cross_zone_price,
+            start.capabilities.min_connections,
+        ) = (0.08, 170.0);
+        start.channel = ChannelLimits {
             lines_per_s: 5_200.0,
-            head_lines: 6.0,
+            header_lines: 6.0,
             bind_lines: 2.0,
             backlog_lines: 59_300.0,
             messages_most: 0,
-            messages_over_ms: 10_000.0,
+            message_window_ms: 10_000.0,
             transit_ms: 100.0,
-            transit_most_ms: TRANSIT_MS,
+            max_transit_ms: TRANSIT_MS,
         };
         let (pace, grace_ms, kinds) = (
             start.channel,
@@ -94,7 +97,7 @@
             start.kinds.len(),
         );
         let now = 100_000.0;
-        let mut rig = Self {
+        let mut sim = Self {
             controller: Controller::new(now, start),
             pace,
             grace_ms,
@@ -106,27 +109,27 @@
             proxies: BTreeMap::new(),
             channel: VecDeque::new(),
             sent_part: 0.0,
-            on_the_way: VecDeque::new(),
-            told: BTreeMap::new(),
+            in_transit: VecDeque::new(),
+            drain_told_ms: BTreeMap::new(),
             joined_ms: BTreeMap::new(),
             first_table_ms: BTreeMap::new(),
             messages: 0,
             lines: 0.0,
-            most_waiting: 0.0,
+            max_backlog: 0.0,
         };
         let lines = (1..=servers)
             .map(|n| listed(n, Stage::Ready, 0.0))
             .collect();
-        rig.give(vec![Input::List {
+        sim.handle(vec![Input::List {
             scope: ListScope::Cached,
             version: 1,
             lines,
         }]);
-        rig
+        sim
     }
 
     fn join(&mut self, proxies: impl Iterator<Item = ProxyId>, fresh: bool) {
-        let of = |proxy| Input::Joined {
+        let of = |proxy| Input::ProxyJoined {
             proxy,
             zone: proxy % 3,
             usual_per_s: 0.5,
@@ -134,20 +137,20 @@
         };
         let inputs: Vec<Input> = proxies.map(of).collect();
         for input in &inputs {
-            if let Input::Joined { proxy, .. } = input {
+            if let Input::ProxyJoined { proxy, .. } = input {
                 self.proxies.insert(*proxy, Held::default());
                 self.joined_ms.insert(*proxy, self.now);
                 self.first_table_ms.remove(proxy);
             }
         }
-        self.give(inputs);
+        self.handle(inputs);
     }
 
-    fn list(&mut self, lines: Vec<Listed>) {
+    fn list(&mut self, lines: Vec<ServerEntry>) {
         for line in lines.iter().filter(|l| l.stage != Stage::Ready) {
-            self.told.entry(line.server).or_insert(self.now);
+            self.drain_told_ms.entry(line.server).or_insert(self.now);
         }
-        self.give(vec![Input::List {
+        self.handle(vec![Input::List {
             scope: ListScope::Changes,
             version: 2,
             lines,
@@ -158,7 +161,7 @@
         self.list(servers.map(|n| listed(n, Stage::Draining, 0.0)).collect());
     }
 
-    fn give(&mut self, inputs: Vec<Input>) {
+    fn handle(&mut self, inputs: Vec<Input>) {
         let effects = self.controller.handle(self.now, &inputs);
         let mut drafts: BTreeMap<ProxyId, Message> = BTreeMap::new();
         let mut mark = 0;
@@ -169,8 +172,8 @@
                 draft.lines += lines;
             };
             match &effect {
-                Effect::Alarm { in_ms, name } => self.alarms.push((self.now + in_ms, *name)),
-                Effect::Line {
+                Effect::SetTimer { in_ms, name } => self.alarms.push((self.now + in_ms, *name)),
+                Effect::SetWeight {
                     table,
                     server,
                     weight,
@@ -182,20 +185,20 @@
                     }
                     _ = self.users.get(table).map(|proxy| to(*proxy, 1.0));
                 }
-                Effect::Bind {
+                Effect::BindTable {
                     proxy,
                     table,
                     kinds,
                 } => {
                     self.users.insert(*table, *proxy);
                     let lines = &self.tables[table];
-                    let whole = Effect::Bind {
+                    let whole = Effect::BindTable {
                         proxy: *proxy,
                         table: *table,
                         kinds: *kinds,
                     };
                     let draft = drafts.entry(*proxy).or_default();
-                    let brings = lines.iter().map(|(server, weight)| Effect::Line {
+                    let brings = lines.iter().map(|(server, weight)| Effect::SetWeight {
                         table: *table,
                         server: *server,
                         weight: *weight,
@@ -204,7 +207,7 @@
                     draft.orders.push(whole);
                     draft.orders.extend(brings);
                 }
-                Effect::Withdraw { server, .. } => {
+                Effect::WithdrawServer { server, .. } => {
                     let bound: BTreeSet<&ProxyId> = self.users.values().collect();
                     let naming = self
                         .tables
@@ -215,14 +218,16 @@
                     let unknown = self.proxies.keys().filter(|p| !bound.contains(p));
                     unknown.chain(known).for_each(|proxy| to(*proxy, 1.0));
                 }
-                Effect::Admit { .. } => self.proxies.keys().for_each(|proxy| to(*proxy, 1.0)),
-                Effect::Mark { mark: number, .. } => mark = *number,
+                Effect::SetAdmission { .. } => {
+                    self.proxies.keys().for_each(|proxy| to(*proxy, 1.0))
+                }
+                Effect::RequestAck { mark: number, .. } => mark = *number,
                 _ => {}
             }
         }
         for (proxy, draft) in drafts {
             let message = Message {
-                lines: draft.lines + 1.0 + self.pace.head_lines,
+                lines: draft.lines + 1.0 + self.pace.header_lines,
                 mark,
                 ..draft
             };
@@ -230,7 +235,7 @@
             self.channel.push_back((proxy, message));
         }
         let waiting = self.channel.iter().map(|(_, m)| m.lines).sum::<f64>() - self.sent_part;
-        self.most_waiting = self.most_waiting.max(waiting);
+        self.max_backlog = self.max_backlog.max(waiting);
         assert!(
             waiting <= self.pace.backlog_lines,
             "{waiting} lines wait at {}",
@@ -238,7 +243,7 @@
         );
     }
 
-    fn pass(&mut self, ms: f64) {
+    fn advance(&mut self, ms: f64) {
         let end = self.now + ms;
         while self.now < end {
             self.now += 20.0;
@@ -248,7 +253,7 @@
                 .pop_front_if(|(_, m)| m.lines <= self.sent_part)
             {
                 self.sent_part -= message.lines;
-                self.on_the_way
+                self.in_transit
                     .push_back((self.now + TRANSIT_MS, proxy, message));
             }
             if self.channel.is_empty() {
@@ -256,10 +261,10 @@
             }
             let mut inputs = Vec::new();
             while let Some((_, proxy, message)) =
-                self.on_the_way.pop_front_if(|(at, ..)| *at <= self.now)
+                self.in_transit.pop_front_if(|(at, ..)| *at <= self.now)
             {
                 self.apply(proxy, &message);
-                inputs.push(Input::Applied {
+                inputs.push(Input::Acknowledged {
                     proxy,
                     mark: message.mark,
                     took_ms: 100.0,
@@ -267,11 +272,11 @@
             }
             self.alarms.retain(|(at, name)| {
                 let due = *at <= self.now;
-                inputs.extend(due.then_some(Input::Alarm { name: *name }));
+                inputs.extend(due.then_some(Input::TimerFired { name: *name }));
                 !due
             });
             if !inputs.is_empty() {
-                self.give(inputs);
+                self.handle(inputs);
             }
             if self.now % 100.0 == 0.0 {
                 self.check_drains();
@@ -285,14 +290,14 @@
         };
         for order in &message.orders {
             match order {
-                Effect::Bind { table, kinds, .. } => {
+                Effect::BindTable { table, kinds, .. } => {
                     self.first_table_ms.entry(proxy).or_insert(self.now);
                     held.tables.insert(*table, BTreeSet::new());
                     (0..self.kinds)
                         .filter(|k| kinds >> k & 1 == 1)
                         .for_each(|k| _ = held.bound.insert(k, *table));
                 }
-                Effect::Line {
+                Effect::SetWeight {
                     table,
                     server,
                     weight,
@@ -300,19 +305,19 @@
                     true => _ = held.tables.entry(*table).or_default().insert(*server),
                     false => _ = held.tables.entry(*table).or_default().remove(server),
                 },
-                Effect::Withdraw { server, out: true } => _ = held.shut.insert(*server),
-                Effect::Withdraw { server, out: false } => _ = held.shut.remove(server),
+                Effect::WithdrawServer { server, out: true } => _ = held.shut.insert(*server),
+                Effect::WithdrawServer { server, out: false } => _ = held.shut.remove(server),
                 _ => {}
             }
         }
     }
 
-    /// No joined proxy may send to a server past the grace after the controller was told that it drains.
+    /// Asserts that no joined proxy sends to a draining server after the grace period.
     fn check_drains(&mut self) {
         let late = |at: &f64, joined: f64| self.now - at.max(joined) > self.grace_ms;
         for (proxy, held) in &self.proxies {
             let joined = self.joined_ms[proxy];
-            for (server, _) in self.told.iter().filter(|(_, at)| late(at, joined)) {
+            for (server, _) in self.drain_told_ms.iter().filter(|(_, at)| late(at, joined)) {
                 let bound_to = |k| {
                     held.bound
                         .get(&k)
@@ -337,116 +342,116 @@
     }
 }
 
-/// 480 proxies of our own on 200 servers, bound and at rest.
-fn at_rest() -> Rig {
-    let mut rig = Rig::new(2_400, 200);
-    rig.join(0..480, true);
-    rig.pass(9_000.0);
-    assert_eq!(rig.bound(), 480);
-    rig
+/// 480 joined proxies on 200 servers, all bound, with no pending updates.
+fn bound_fleet() -> Simulation {
+    let mut sim = Simulation::new(2_400, 200);
+    sim.join(0..480, true);
+    sim.advance(9_000.0);
+    assert_eq!(sim.bound(), 480);
+    sim
 }
 
 #[test]
 fn a_mass_join_in_the_middle_of_a_drain_keeps_queue_and_grace() {
-    let mut rig = at_rest();
-    rig.drain(1..=30);
-    rig.pass(300.0);
-    // All proxies of four lost assigners come at once; they hold tables that nobody here knows.
-    rig.join(480..2_300, false);
+    let mut sim = bound_fleet();
+    sim.drain(1..=30);
+    sim.advance(300.0);
+    // All proxies of four failed controllers join at once, with tables unknown to this one.
+    sim.join(480..2_300, false);
     for step in 1_u16..=3 {
-        rig.pass(1_300.0);
-        rig.drain(step * 30 + 1..=step * 30 + 30);
+        sim.advance(1_300.0);
+        sim.drain(step * 30 + 1..=step * 30 + 30);
     }
-    rig.pass(20_000.0);
-    assert_eq!(rig.bound(), 2_300, "all are bound in the end");
+    sim.advance(20_000.0);
+    assert_eq!(sim.bound(), 2_300, "all are bound in the end");
     assert!(
-        rig.most_waiting < 3.0 * 5_200.0,
+        sim.max_backlog < 3.0 * 5_200.0,
         "{} lines waited",
-        rig.most_waiting
+        sim.max_backlog
     );
 }
 
 #[test]
-fn whoever_holds_no_table_is_served_before_those_who_hold_one() {
-    let mut rig = at_rest();
-    let joined = rig.now;
-    rig.join(480..2_200, false);
-    rig.join(2_200..2_300, true);
-    rig.pass(2_500.0);
+fn proxies_without_a_table_are_served_first() {
+    let mut sim = bound_fleet();
+    let joined = sim.now;
+    sim.join(480..2_200, false);
+    sim.join(2_200..2_300, true);
+    sim.advance(2_500.0);
     let late: Vec<ProxyId> = (2_200..2_300)
-        .filter(|p| !rig.first_table_ms.contains_key(p))
+        .filter(|p| !sim.first_table_ms.contains_key(p))
         .collect();
     assert!(
         late.is_empty(),
         "{late:?} wait still, {} ms after they joined",
-        rig.now - joined
+        sim.now - joined
     );
-    assert!(rig.bound() < 2_000, "the others are still being bound");
-    rig.pass(15_000.0);
-    assert_eq!(rig.bound(), 2_300);
+    assert!(sim.bound() < 2_000, "the others are still being bound");
+    sim.advance(15_000.0);
+    assert_eq!(sim.bound(), 2_300);
 }
 
 #[test]
 fn six_in_ten_servers_replaced_within_seven_seconds_keeps_queue_and_grace() {
-    let mut rig = at_rest();
+    let mut sim = bound_fleet();
     for step in 0_u16..6 {
-        let (now, first) = (rig.now, step * 20 + 1);
+        let (now, first) = (sim.now, step * 20 + 1);
         let new = (first + 200..first + 220).map(|n| listed(n, Stage::Ready, now));
-        rig.list(new.collect());
-        rig.pass(600.0);
-        rig.drain(first..first + 20);
-        rig.pass(600.0);
+        sim.list(new.collect());
+        sim.advance(600.0);
+        sim.drain(first..first + 20);
+        sim.advance(600.0);
     }
-    rig.pass(15_000.0);
+    sim.advance(15_000.0);
 }
 
 #[test]
 fn a_release_told_late_and_all_at_once_keeps_queue_and_grace() {
-    let mut rig = at_rest();
-    rig.join(480..1_400, false);
-    // Discovery was silent; then one change has the whole release.
-    let now = rig.now;
+    let mut sim = bound_fleet();
+    sim.join(480..1_400, false);
+    // After an outage of discovery, one list change contains the whole release.
+    let now = sim.now;
     let new = (201..=290).map(|n| listed(n, Stage::Ready, now - 5_000.0));
-    rig.list(
+    sim.list(
         (1..=90)
             .map(|n| listed(n, Stage::Draining, 0.0))
             .chain(new)
             .collect(),
     );
-    rig.pass(20_000.0);
-    assert_eq!(rig.bound(), 1_400);
+    sim.advance(20_000.0);
+    assert_eq!(sim.bound(), 1_400);
 }
 
 #[test]
-fn one_server_costs_what_the_proxies_that_name_it_cost() {
+fn removing_a_server_costs_only_the_proxies_that_use_it() {
     for (proxies, servers) in [(150, 30), (500, 120), (2_400, 200)] {
-        let mut rig = Rig::new(proxies, servers);
-        rig.join(0..proxies as ProxyId / 5, true);
-        rig.pass(9_000.0);
-        let names = |rig: &Rig| {
+        let mut sim = Simulation::new(proxies, servers);
+        sim.join(0..proxies as ProxyId / 5, true);
+        sim.advance(9_000.0);
+        let holder_count = |sim: &Simulation| {
             let holds = |h: &Held| h.tables.values().any(|t| t.contains(&server(7)));
-            rig.proxies.values().filter(|h| holds(h)).count()
+            sim.proxies.values().filter(|h| holds(h)).count()
         };
-        let holders = names(&rig);
-        (rig.messages, rig.lines) = (0, 0.0);
-        rig.drain(7..=7);
-        rig.pass(700.0);
+        let holders = holder_count(&sim);
+        (sim.messages, sim.lines) = (0, 0.0);
+        sim.drain(7..=7);
+        sim.advance(700.0);
         assert!(
-            holders > 0 && rig.messages <= holders,
+            holders > 0 && sim.messages <= holders,
             "{} messages, {holders} held it",
-            rig.messages
+            sim.messages
         );
-        // A head, a mark, the line that goes and those that come in its place.
+        // The header, the acknowledgement request, the removed entry and its replacements.
         assert!(
-            rig.lines <= 11.0 * holders as f64,
+            sim.lines <= 11.0 * holders as f64,
             "{} lines to {holders} proxies",
-            rig.lines
+            sim.lines
         );
-        rig.pass(1_000.0);
-        assert_eq!(names(&rig), 0);
-        // At rest nothing is written.
-        (rig.messages, rig.lines) = (0, 0.0);
-        rig.pass(3_000.0);
-        assert!(rig.messages == 0, "{} messages at rest", rig.messages);
+        sim.advance(1_000.0);
+        assert_eq!(holder_count(&sim), 0);
+        // Without changes nothing is written.
+        (sim.messages, sim.lines) = (0, 0.0);
+        sim.advance(3_000.0);
+        assert!(sim.messages == 0, "{} messages at rest", sim.messages);
     }
 }
--- a/tests/way_back.rs
+++ b/tests/rollback.rs
@@ -1,4 +1,4 @@
-//! The way back, by printed traces and by a property over random days.
+//! Operator rollbacks: snapshot tests and a randomized property test.
 
 #[expect(dead_code, reason = "other tests use more of it")]
 mod harness;
@@ -7,161 +7,163 @@
 use insta::assert_snapshot;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Two proxies on four warm servers, past the first round, all answered.
+/// Two proxies on four warm servers, after the first round, with all updates acknowledged.
 fn settled() -> Harness {
     let mut harness = Harness::new(start(), (1..=4).map(|n| listed(n, 0)).collect());
     harness.join(0, 0);
     harness.join(1, 0);
-    harness.pass(1_500.0, |d| d.answer());
+    harness.advance(1_500.0, |d| d.answer());
     harness
 }
 
 trait Operator {
-    /// An operator goes back to these lines of a table.
-    fn go_back(&mut self, table: TableId, lines: &[(u8, f64)]);
+    /// Pins a table to these entries.
+    fn rollback(&mut self, table: TableId, lines: &[(u8, f64)]);
     fn release(&mut self, table: TableId);
 }
 
 impl Operator for Harness {
-    fn go_back(&mut self, table: TableId, lines: &[(u8, f64)]) {
+    fn rollback(&mut self, table: TableId, lines: &[(u8, f64)]) {
         let lines = lines
             .iter()
             .map(|(n, weight)| (server(*n), *weight))
             .collect();
-        self.give(vec![Input::GoBack { table, lines }]);
+        self.handle(vec![Input::Rollback { table, lines }]);
     }
 
     fn release(&mut self, table: TableId) {
-        self.give(vec![Input::Release { table }]);
+        self.handle(vec![Input::ReleaseRollback { table }]);
     }
 }
 
 fn calm(harness: &mut Harness) {
     harness.answer();
-    (1..=5).for_each(|n| harness.hear(n, 10.0, 0.0, 100.0));
+    (1..=5).for_each(|n| harness.report(n, 10.0, 0.0, 100.0));
 }
 
 const OLD: &[(u8, f64)] = &[(1, 2.0), (2, 2.0), (3, 1.0)];
 
 #[test]
-fn it_holds_through_newer_lists_until_released() {
+fn rollback_persists_across_lists_until_released() {
     let mut harness = settled();
-    harness.note("back to three servers; the other table stays");
-    harness.go_back(0, OLD);
-    harness.pass(1_500.0, calm);
-    harness.note("a new server comes: t1 takes it in, t0 does not");
+    harness.heading("back to three servers; the other table stays");
+    harness.rollback(0, OLD);
+    harness.advance(1_500.0, calm);
+    harness.heading("a new server comes: t1 takes it in, t0 does not");
     harness.change(5, Stage::Ready, 0.0);
-    harness.pass(3_000.0, calm);
-    harness.note("another way back takes its place");
-    harness.go_back(0, &[(1, 1.0), (4, 1.0)]);
-    harness.pass(1_500.0, calm);
-    harness.note("released; and once more, which is refused");
+    harness.advance(3_000.0, calm);
+    harness.heading("another rollback replaces it");
+    harness.rollback(0, &[(1, 1.0), (4, 1.0)]);
+    harness.advance(1_500.0, calm);
+    harness.heading("released; and once more, which is refused");
     harness.release(0);
-    harness.pass(1_500.0, calm);
+    harness.advance(1_500.0, calm);
     harness.release(0);
     assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn a_drain_between_a_rollback_and_its_answers_acts_at_once() {
+fn drain_before_a_rollback_is_acknowledged_acts_at_once() {
     let mut harness = settled();
-    harness.go_back(0, OLD);
-    harness.note("no answer yet; s2 drains, and comes back without a later start only as a ramp");
+    harness.rollback(0, OLD);
+    harness
+        .heading("no answer yet; s2 drains, and comes back without a later start only as a ramp");
     harness.change(2, Stage::Draining, 0.0);
-    harness.pass(700.0, |_| ());
-    harness.pass(2_000.0, calm);
-    harness.note("s2 starts anew: usable again, cold");
+    harness.advance(700.0, |_| ());
+    harness.advance(2_000.0, calm);
+    harness.heading("s2 starts anew: usable again, cold");
     let started = harness.now();
     harness.change(2, Stage::Ready, started);
-    harness.pass(3_000.0, calm);
+    harness.advance(3_000.0, calm);
     assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn a_rollback_to_a_table_that_names_a_node_now_gone() {
+fn rollback_skips_removed_servers() {
     let mut harness = settled();
     harness.change(3, Stage::Gone, 0.0);
-    harness.pass(1_500.0, calm);
-    harness.note("s3 and s9 are gone: they are left out");
-    harness.go_back(0, &[(1, 2.0), (3, 2.0), (9, 2.0)]);
-    harness.pass(1_500.0, calm);
+    harness.advance(1_500.0, calm);
+    harness.heading("s3 and s9 are gone: they are left out");
+    harness.rollback(0, &[(1, 2.0), (3, 2.0), (9, 2.0)]);
+    harness.advance(1_500.0, calm);
     assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn a_rollback_to_a_table_whose_nodes_have_all_drained_is_refused() {
+fn rollback_without_usable_servers_is_refused() {
     let mut harness = settled();
     harness.change(1, Stage::Draining, 0.0);
     harness.change(2, Stage::Draining, 0.0);
-    harness.pass(1_500.0, calm);
-    harness.note("refused with the reason; the present table stays");
-    harness.go_back(0, &[(1, 2.0), (2, 2.0)]);
-    harness.go_back(77, &[(3, 2.0)]);
-    harness.pass(1_500.0, calm);
-    harness.note("held, and then its last server drains: it ends, and nobody is left bare");
-    harness.go_back(0, &[(3, 2.0)]);
-    harness.pass(1_500.0, calm);
+    harness.advance(1_500.0, calm);
+    harness.heading("refused with the reason; the present table stays");
+    harness.rollback(0, &[(1, 2.0), (2, 2.0)]);
+    harness.rollback(77, &[(3, 2.0)]);
+    harness.advance(1_500.0, calm);
+    harness.heading("in effect, then its last server drains: it ends, and no table is left empty");
+    harness.rollback(0, &[(3, 2.0)]);
+    harness.advance(1_500.0, calm);
     harness.change(3, Stage::Draining, 0.0);
-    harness.pass(1_500.0, calm);
+    harness.advance(1_500.0, calm);
     assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn a_rollback_never_gives_a_cold_server_more_than_the_module_does() {
+fn rollback_gives_cold_servers_no_extra_weight() {
     let mut harness = settled();
     let started = harness.now();
     harness.change(1, Stage::Ready, started);
-    harness.pass(1_500.0, calm);
-    harness.note("s1 is cold: it was one of two lines, and the module gives it none yet");
-    harness.go_back(0, &[(1, 2.0), (2, 2.0)]);
-    harness.pass(1_500.0, calm);
-    harness.note("cold alone is as good as bare");
-    harness.go_back(1, &[(1, 2.0)]);
+    harness.advance(1_500.0, calm);
+    harness.heading("s1 is cold: it was one of two entries, and has no weight yet");
+    harness.rollback(0, &[(1, 2.0), (2, 2.0)]);
+    harness.advance(1_500.0, calm);
+    harness.heading("a rollback to cold servers only is refused");
+    harness.rollback(1, &[(1, 2.0)]);
     assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn a_rollback_ends_when_it_is_tainted() {
+fn rollback_ends_when_it_is_tainted() {
     let mut harness = settled();
-    harness.pass(6_000.0, calm);
-    harness.note("failures at its servers after the push");
-    harness.go_back(0, OLD);
+    harness.advance(6_000.0, calm);
+    harness.heading("failures at its servers after the push");
+    harness.rollback(0, OLD);
     let some_bad = |harness: &mut Harness| {
         harness.answer();
-        (1..=4).for_each(|n| harness.hear(n, 20.0, 3.0, 100.0));
+        (1..=4).for_each(|n| harness.report(n, 20.0, 3.0, 100.0));
     };
-    harness.pass(6_000.0, some_bad);
+    harness.advance(6_000.0, some_bad);
     assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn a_rollback_during_a_mass_rejoin_holds_for_whom_comes() {
+fn rollback_applies_to_proxies_that_rejoin() {
     let mut harness = settled();
-    harness.note("both leave, the operator goes back, both come again");
-    harness.give(vec![Input::Left { proxy: 0 }, Input::Left { proxy: 1 }]);
-    harness.go_back(0, OLD);
+    harness.heading("both leave, the operator rolls back, both rejoin");
+    harness.handle(vec![
+        Input::ProxyLeft { proxy: 0 },
+        Input::ProxyLeft { proxy: 1 },
+    ]);
+    harness.rollback(0, OLD);
     harness.join(0, 0);
     harness.join(1, 0);
-    harness.pass(1_500.0, calm);
+    harness.advance(1_500.0, calm);
     assert_snapshot!(harness.trace);
 }
 
 #[test]
-fn a_lost_table_is_written_whole_again() {
+fn lost_table_is_sent_again() {
     let mut harness = settled();
-    harness.note("t1 was lost on the way");
-    harness.give(vec![Input::Lost { table: 1 }]);
-    harness.pass(700.0, calm);
+    harness.heading("t1 was lost in transit");
+    harness.handle(vec![Input::TableLost { table: 1 }]);
+    harness.advance(700.0, calm);
     assert_snapshot!(harness.trace);
 }
 
-// ---- Random days --------------------------------------------------------------------------
-
-/// What the orders have said so far, and what the list says.
+/// State reconstructed from the effects and the server lists.
 #[derive(Default)]
 struct Seen {
     tables: BTreeMap<TableId, BTreeMap<ServerId, f64>>,
@@ -170,18 +172,17 @@
     held: BTreeSet<TableId>,
 }
 
-/// Random lists, joinings, failures and ways back: no order ever names a server that is drained, no table
-/// that was bound is left without a line while a ready server is listed, and a cold server has no greater
-/// part of a table held than of one that is not.
+/// Guards against weights for drained servers, and against empty bound tables while a ready server is listed, under
+/// random lists, failures and rollbacks.
 #[test]
-fn no_way_back_names_a_drained_server_or_leaves_a_table_bare() {
+fn random_rollbacks_use_no_drained_server_and_leave_no_table_empty() {
     let (mut held, mut refused, mut ended) = (0, 0, 0);
     for seed in 0..60_u64 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut told = start();
         told.kinds = vec![
-            kind("view", 1.0, Repeat::Replayable),
-            kind("book", 2.0, Repeat::NonReplayable),
+            kind("view", 1.0, RepeatSafety::Replayable),
+            kind("book", 2.0, RepeatSafety::NonReplayable),
         ];
         let mut now = 1e5;
         let mut controller = Controller::new(now, told);
@@ -193,7 +194,7 @@
             version: 1,
             lines,
         }];
-        inputs.extend((0..3).map(|proxy| Input::Joined {
+        inputs.extend((0..3).map(|proxy| Input::ProxyJoined {
             proxy,
             zone: 0,
             usual_per_s: 9.0,
@@ -213,8 +214,8 @@
             }
             for effect in controller.handle(now, &inputs) {
                 match effect {
-                    Effect::Alarm { in_ms, name } => alarms.push((now + in_ms, name)),
-                    Effect::Line {
+                    Effect::SetTimer { in_ms, name } => alarms.push((now + in_ms, name)),
+                    Effect::SetWeight {
                         table,
                         server,
                         weight,
@@ -230,15 +231,17 @@
                             lines.remove(&server);
                         }
                     }
-                    Effect::Bind { proxy, table, .. } => _ = seen.bound.insert(table, proxy),
-                    Effect::Mark { mark: m, .. } => mark = Some(m),
-                    Effect::Back { table, what } => match what {
-                        Back::Held { lines, of } => {
+                    Effect::BindTable { proxy, table, .. } => _ = seen.bound.insert(table, proxy),
+                    Effect::RequestAck { mark: m, .. } => mark = Some(m),
+                    Effect::RollbackStatus { table, what } => match what {
+                        RollbackStatus::Held { lines, of } => {
                             assert!(lines > 0 && lines <= of, "{who}");
                             (held, _) = (held + 1, seen.held.insert(table));
                         }
-                        Back::Refused(_) => refused += 1,
-                        Back::Ended(_) => (ended, _) = (ended + 1, seen.held.remove(&table)),
+                        RollbackStatus::Refused(_) => refused += 1,
+                        RollbackStatus::Ended(_) => {
+                            (ended, _) = (ended + 1, seen.held.remove(&table))
+                        }
                     },
                     _ => {}
                 }
@@ -256,11 +259,11 @@
             inputs.clear();
             alarms.retain(|(due, name)| {
                 let later = *due > now;
-                _ = (!later).then(|| inputs.push(Input::Alarm { name: *name }));
+                _ = (!later).then(|| inputs.push(Input::TimerFired { name: *name }));
                 later
             });
             inputs.extend(mark.take().into_iter().flat_map(|mark| {
-                (0..3).map(move |proxy| Input::Applied {
+                (0..3).map(move |proxy| Input::Acknowledged {
                     proxy,
                     mark,
                     took_ms: 90.0,
@@ -269,7 +272,7 @@
             let n = rng.random_range(1..=8_u8);
             match rng.random_range(0..12) {
                 0 | 1 if seen.drained.len() < 6 => {
-                    let line = Listed {
+                    let line = ServerEntry {
                         stage: Stage::Draining,
                         ..listed(n, 0)
                     };
@@ -280,7 +283,7 @@
                     });
                 }
                 2 => {
-                    let line = Listed {
+                    let line = ServerEntry {
                         started_ms: now,
                         ..listed(n, 0)
                     };
@@ -299,12 +302,12 @@
                         .unwrap_or_default()
                         .into_iter()
                         .collect();
-                    inputs.push(Input::GoBack { table, lines });
+                    inputs.push(Input::Rollback { table, lines });
                 }
-                6 => inputs.push(Input::Release {
+                6 => inputs.push(Input::ReleaseRollback {
                     table: rng.random_range(0..3),
                 }),
-                7 => inputs.push(Input::Lost {
+                7 => inputs.push(Input::TableLost {
                     table: rng.random_range(0..3),
                 }),
                 _ => {
@@ -315,7 +318,7 @@
                     };
                     let (tries, mean_ms, span_ms, load) = (20.0, 90.0, 1_000.0, Vec::new());
                     let server = server(n);
-                    inputs.push(Input::Heard {
+                    inputs.push(Input::ServerReport {
                         zone: 0,
                         server,
                         tries,
