--- a/crates/rookpulley-registry/src/drain_tracker.rs
+++ b/crates/rookpulley-registry/src/drain_tracker.rs
@@ -1,30 +1,30 @@
-//! Drains that wait to be acknowledged, and which other controllers have them on their disks.
+//! Tracks how many other controllers have persisted a drain before it is acknowledged.
 
 use rookpulley_protocol::IncarnationId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A confirmed drain is remembered for so long.
-const REMEMBER_MS: f64 = 60_000.0;
+/// How long a confirmed drain is remembered.
+const RETENTION_MS: f64 = 60_000.0;
 
 struct DrainQuery {
     confirmed_by: BTreeSet<u64>,
-    wanted: usize,
+    required: usize,
 }
 
 /// Counts confirmations of drains.
 ///
-/// Invariant: a drain is confirmed only once as many other controllers have it on their disks as may be lost. Then all
-/// proxies in touch get to know of it, whatever becomes of this controller, and it may be acknowledged.
+/// Invariant: a drain is confirmed only after `tolerated_losses` other controllers, or all if there are fewer, have
+/// persisted it. It then reaches all connected proxies even if this controller fails.
 pub struct DrainTracker {
     tolerated_losses: usize,
-    /// By the number of the question.
+    /// Pending queries by id.
     queries: BTreeMap<u64, DrainQuery>,
-    /// When each was confirmed.
+    /// When each drain was confirmed.
     confirmed_ms: BTreeMap<IncarnationId, f64>,
 }
 
 impl DrainTracker {
-    /// `tolerated_losses`: how many controllers may be lost at once. At least one is reckoned with.
+    /// `tolerated_losses`: how many controllers may fail at once; values below 1 count as 1.
     pub fn new(tolerated_losses: usize) -> Self {
         Self {
             tolerated_losses: tolerated_losses.max(1),
@@ -33,41 +33,41 @@
         }
     }
 
-    /// Whether enough others know of the drain: then they need not be asked again.
+    /// Whether the drain is confirmed, so that no further query is needed.
     pub fn is_confirmed(&self, incarnation: &str) -> bool {
         self.confirmed_ms.contains_key(incarnation)
     }
 
-    /// Enough others know of the drain.
+    /// Marks a drain as confirmed.
     pub fn confirm(&mut self, now: f64, incarnation: IncarnationId) {
-        self.confirmed_ms.retain(|_, at| now - *at < REMEMBER_MS);
+        self.confirmed_ms.retain(|_, at| now - *at < RETENTION_MS);
         self.confirmed_ms.insert(incarnation, now);
     }
 
-    /// The `others` are asked under this number. False: there is nobody to wait for.
+    /// Starts a query to `others` controllers. Returns false if no confirmation is required.
     pub fn begin(&mut self, query: u64, others: usize) -> bool {
-        let wanted = others.min(self.tolerated_losses);
-        if wanted == 0 {
+        let required = others.min(self.tolerated_losses);
+        if required == 0 {
             return false;
         }
         let confirmed_by = BTreeSet::new();
         let pending = DrainQuery {
             confirmed_by,
-            wanted,
+            required,
         };
         self.queries.insert(query, pending);
         true
     }
 
-    /// Another controller has it on its disk. True: enough have.
+    /// Records that a controller has persisted the drain. Returns true once enough controllers have.
     pub fn confirmed_by(&mut self, query: u64, controller: u64) -> bool {
         self.queries.get_mut(&query).is_some_and(|pending| {
             pending.confirmed_by.insert(controller);
-            pending.confirmed_by.len() >= pending.wanted
+            pending.confirmed_by.len() >= pending.required
         })
     }
 
-    /// The question is over, whatever came of it.
+    /// Removes a query, whatever its result.
     pub fn finish(&mut self, query: u64) {
         self.queries.remove(&query);
     }
--- a/crates/rookpulley-registry/src/drain_tracker/tests.rs
+++ b/crates/rookpulley-registry/src/drain_tracker/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn as_many_others_must_confirm_as_may_be_lost_and_each_counts_once() {
+fn drain_needs_one_confirmation_per_tolerated_loss_from_distinct_controllers() {
     let mut drains = DrainTracker::new(2);
     assert!(!drains.begin(1, 0));
     assert!(drains.begin(2, 4));
--- a/crates/rookpulley-registry/src/heartbeat.rs
+++ b/crates/rookpulley-registry/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! An instance's heartbeat, read from the body of its call. The page PROTOCOL names its fields.
+//! Parses and validates heartbeat request bodies. PROTOCOL documents the fields.
 
 use rookpulley_diagnostics::{Bounds, Nesting, Unread, read};
 use rookpulley_protocol::IncarnationId;
@@ -7,91 +7,89 @@
 use std::net::SocketAddrV4;
 use tinyjson::JsonValue;
 
-/// A heartbeat has a few hundred bytes.
 const MAX_BYTES: usize = 16 << 10;
-/// A heartbeat needs three brackets.
 const BOUNDS: Bounds = Bounds {
     bytes: MAX_BYTES,
     nesting: Nesting::Brackets(64),
     values: usize::MAX,
 };
 const MAX_NAME_BYTES: usize = 128;
-/// What an instance says of its warm-up beyond this isn't believed.
+/// Longer warm-up times are clamped to this.
 const MAX_WARM_UP_MS: f64 = 600_000.0;
-/// Whole numbers up to this are exact in JSON.
+/// All integers up to this are exact as JSON numbers.
 const MAX_SEQUENCE: f64 = 9e15;
 
-/// What an instance says of itself.
+/// State that an instance reports about itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The id in the path of the call.
+    /// Incarnation id, from the request path.
     pub incarnation: IncarnationId,
-    /// The service that it belongs to (`targetService`).
+    /// Service that the instance belongs to (`targetService`).
     pub service: String,
-    /// Where it serves.
+    /// Address that it serves requests on.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// Zone that it runs in.
     pub zone: String,
-    /// The version of its software (`configVersion`). Empty: not given.
+    /// Software version (`configVersion`); empty if not given.
     pub software_version: String,
-    /// How many requests it works on at once (`capacitySlots`).
+    /// Number of requests that it processes concurrently (`capacitySlots`).
     pub slots: u16,
-    /// It is about to leave, and wants no new requests.
+    /// Whether it is shutting down and must get no new requests.
     pub draining: bool,
-    /// How much longer it stays slow after its start, in milliseconds (`coldRemainingMs`).
+    /// Remaining warm-up time, in milliseconds (`coldRemainingMs`).
     pub warm_up_ms: f64,
-    /// Rises with each call of this incarnation (`callSequence`).
+    /// Increases with each call of this incarnation (`callSequence`).
     pub sequence: u64,
 }
 
-/// Why a heartbeat is refused. The text is the answer to the instance.
+/// Why a heartbeat is rejected. The message is returned to the instance.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum HeartbeatError {
-    /// The path holds no id.
-    #[error("the path of the beat holds no id of a task's life")]
+    /// The path contains no valid incarnation id.
+    #[error("the request path contains no valid incarnation id")]
     #[diagnostic(help(
-        "write /rookpulley/instances/ID with 1 to {MAX_NAME_BYTES} visible ASCII characters"
+        "use /rookpulley/instances/ID with an ID of 1 to {MAX_NAME_BYTES} printable ASCII characters"
     ))]
     IncarnationId,
-    /// The body is too long; its bytes.
-    #[error("the body of the beat has {0} bytes")]
-    #[diagnostic(help("write one JSON object of at most {MAX_BYTES} bytes"))]
+    /// The body exceeds the size limit; holds its length in bytes.
+    #[error("the heartbeat body has {0} bytes")]
+    #[diagnostic(help("send one JSON object of at most {MAX_BYTES} bytes"))]
     TooLong(usize),
-    /// The body is no JSON object; why.
-    #[error("the body of the beat can't be read: {0}")]
+    /// The body is not a JSON object; holds the reason.
+    #[error("invalid heartbeat body: {0}")]
     #[diagnostic(help(
-        "write one JSON object, in UTF-8, with the parts nodeInfo and currentStatus"
+        "send one JSON object in UTF-8 with the objects nodeInfo and currentStatus"
     ))]
     Json(String),
-    /// A field is missing or has a value that it can't have.
-    #[error("in the beat, `{field}` is {found}")]
-    #[diagnostic(help("write {expected} as `{field}`"))]
+    /// A field is missing or invalid.
+    #[error("invalid heartbeat: `{field}` is {found}")]
+    #[diagnostic(help("set `{field}` to {expected}"))]
     Field {
-        /// Its name.
+        /// Name of the field.
         field: &'static str,
-        /// What is there.
+        /// Description of the rejected value.
         found: &'static str,
-        /// What should be there.
+        /// Description of a valid value.
         expected: &'static str,
     },
 }
 
 type Object = HashMap<String, JsonValue>;
 
-/// One part of a heartbeat. Where the part is missing its fields are looked for at the top.
-struct Part<'a> {
+/// A nested object of a heartbeat. Fields missing from it are looked up in the top-level object.
+struct Section<'a> {
     top: &'a Object,
     inner: Option<&'a Object>,
 }
 
-impl<'a> Part<'a> {
+impl<'a> Section<'a> {
     fn new(top: &'a Object, name: &str) -> Self {
         let inner = top.get(name).and_then(|value| value.get::<Object>());
         Self { top, inner }
     }
 
     fn find(&self, field: &'static str) -> Option<&'a JsonValue> {
-        let inner = self.inner.and_then(|part| part.get(field));
+        let inner = self.inner.and_then(|section| section.get(field));
         inner.or_else(|| self.top.get(field))
     }
 
@@ -99,9 +97,9 @@
         let found = match self.find(field) {
             None => "missing",
             Some(JsonValue::Null) => "null",
-            Some(JsonValue::String(_)) => "a text that won't do",
-            Some(JsonValue::Number(_)) => "a number that won't do",
-            Some(_) => "of another type",
+            Some(JsonValue::String(_)) => "an invalid string",
+            Some(JsonValue::Number(_)) => "an invalid number",
+            Some(_) => "of the wrong type",
         };
         HeartbeatError::Field {
             field,
@@ -110,19 +108,19 @@
         }
     }
 
-    fn text(&self, field: &'static str) -> Result<String, HeartbeatError> {
+    fn string(&self, field: &'static str) -> Result<String, HeartbeatError> {
         let text = self.find(field).and_then(|value| value.get::<String>());
         text.filter(|text| (1..=MAX_NAME_BYTES).contains(&text.len()))
             .cloned()
-            .ok_or_else(|| self.error(field, "a text of at most 128 bytes"))
+            .ok_or_else(|| self.error(field, "a string of 1 to 128 bytes"))
     }
 
-    /// Empty where the field is missing or empty.
-    fn optional_text(&self, field: &'static str) -> Result<String, HeartbeatError> {
+    /// Returns an empty string if the field is missing or empty.
+    fn optional_string(&self, field: &'static str) -> Result<String, HeartbeatError> {
         match self.find(field) {
             None => Ok(String::new()),
             Some(JsonValue::String(text)) if text.is_empty() => Ok(String::new()),
-            Some(_) => self.text(field),
+            Some(_) => self.string(field),
         }
     }
 
@@ -132,31 +130,26 @@
             .copied()
     }
 
-    fn whole_number(
-        &self,
-        field: &'static str,
-        least: f64,
-        most: f64,
-    ) -> Result<f64, HeartbeatError> {
+    fn integer(&self, field: &'static str, min: f64, max: f64) -> Result<f64, HeartbeatError> {
         self.number(field)
-            .filter(|n| n.fract() == 0.0 && (least..=most).contains(n))
-            .ok_or_else(|| self.error(field, "a whole number in its range"))
+            .filter(|n| n.fract() == 0.0 && (min..=max).contains(n))
+            .ok_or_else(|| self.error(field, "an integer in the valid range"))
     }
 
     fn address(&self, field: &'static str) -> Result<SocketAddrV4, HeartbeatError> {
-        let address = self.text(field)?.parse().ok();
+        let address = self.string(field)?.parse().ok();
         address
             .filter(|address: &SocketAddrV4| address.port() != 0)
             .ok_or(HeartbeatError::Field {
                 field,
-                found: "no address",
+                found: "not a valid address",
                 expected: "an IPv4 address and a port",
             })
     }
 
     fn is_draining(&self) -> Result<bool, HeartbeatError> {
         const FIELD: &str = "lifecycleState";
-        match self.text(FIELD)?.as_str() {
+        match self.string(FIELD)?.as_str() {
             "available" => Ok(false),
             "draining" => Ok(true),
             _ => Err(self.error(FIELD, "`available` or `draining`")),
@@ -164,42 +157,42 @@
     }
 }
 
-/// Whether this can be the id of an incarnation. It goes into a header.
+/// Whether `id` is a valid incarnation id. Restricted to printable ASCII because it is sent as a header value.
 pub(crate) fn is_incarnation_id(id: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&id.len()) && id.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
 impl Heartbeat {
-    /// Reads the body of a heartbeat: a JSON object with its fields in the parts `nodeInfo` and `currentStatus`, or all
-    /// at the top.
+    /// Parses a heartbeat body: a JSON object with its fields either in the nested objects `nodeInfo` and
+    /// `currentStatus` or at the top level.
     pub fn read(incarnation: &str, body: &[u8]) -> Result<Self, HeartbeatError> {
         if !is_incarnation_id(incarnation) {
             return Err(HeartbeatError::IncarnationId);
         }
-        let value = read(body, BOUNDS).map_err(|why| match why {
+        let value = read(body, BOUNDS).map_err(|error| match error {
             Unread::Long => HeartbeatError::TooLong(body.len()),
             Unread::Deep { .. } => HeartbeatError::Json("too many brackets".into()),
-            why => HeartbeatError::Json(why.to_string()),
+            error => HeartbeatError::Json(error.to_string()),
         })?;
         let top = value
             .get::<Object>()
-            .ok_or_else(|| HeartbeatError::Json("it is no JSON object".into()))?;
-        let node = Part::new(top, "nodeInfo");
-        let status = Part::new(top, "currentStatus");
+            .ok_or_else(|| HeartbeatError::Json("not a JSON object".into()))?;
+        let node = Section::new(top, "nodeInfo");
+        let status = Section::new(top, "currentStatus");
         let address = status.address("address")?;
         let draining = status.is_draining()?;
         let warm_up_ms = status.number("coldRemainingMs").filter(|ms| ms.is_finite());
         Ok(Self {
             incarnation: incarnation.into(),
-            service: node.text("targetService")?,
+            service: node.string("targetService")?,
             address,
-            zone: node.text("zone")?,
-            software_version: node.optional_text("configVersion")?,
-            // Within the bounds that are asked for, so nothing is lost.
-            slots: node.whole_number("capacitySlots", 1.0, f64::from(u16::MAX))? as u16,
+            zone: node.string("zone")?,
+            software_version: node.optional_string("configVersion")?,
+            // The range check makes the cast lossless.
+            slots: node.integer("capacitySlots", 1.0, f64::from(u16::MAX))? as u16,
             draining,
             warm_up_ms: warm_up_ms.unwrap_or(0.0).clamp(0.0, MAX_WARM_UP_MS),
-            sequence: status.whole_number("callSequence", 0.0, MAX_SEQUENCE)? as u64,
+            sequence: status.integer("callSequence", 0.0, MAX_SEQUENCE)? as u64,
         })
     }
 }
--- a/crates/rookpulley-registry/src/heartbeat/tests.rs
+++ b/crates/rookpulley-registry/src/heartbeat/tests.rs
@@ -7,7 +7,7 @@
     "capacitySlots":4,"lifecycleState":"draining","callSequence":4,"coldRemainingMs":0}"#;
 
 #[test]
-fn a_heartbeat_reads_alike_in_parts_and_flat() {
+fn nested_and_flat_bodies_parse_to_the_same_heartbeat() {
     let heartbeat = Heartbeat::read("i-1", NESTED.as_bytes()).unwrap();
     assert_eq!(heartbeat, Heartbeat::read("i-1", FLAT.as_bytes()).unwrap());
     assert_eq!(
@@ -17,17 +17,17 @@
 }
 
 #[test]
-fn a_spoilt_heartbeat_is_refused_with_words_and_never_ends_the_program() {
-    let spoilt = [
+fn invalid_heartbeat_is_rejected_with_help_and_never_panics() {
+    let invalid = [
         ("\"a\"", "7"),
         ("4", "0"),
         ("draining", "gone"),
         (":8080", ""),
         ("\"z\"", "[[]]"),
     ];
-    for (was, is) in spoilt {
-        let fault = Heartbeat::read("i-1", NESTED.replacen(was, is, 1).as_bytes()).unwrap_err();
-        assert!(miette::Diagnostic::help(&fault).is_some(), "{fault}");
+    for (from, to) in invalid {
+        let error = Heartbeat::read("i-1", NESTED.replacen(from, to, 1).as_bytes()).unwrap_err();
+        assert!(miette::Diagnostic::help(&error).is_some(), "{error}");
     }
     assert!(Heartbeat::read("i-1", &[b'['; 10_000]).is_err());
     assert!(Heartbeat::read("i 1", NESTED.as_bytes()).is_err());
--- a/crates/rookpulley-registry/src/instance_update.rs
+++ b/crates/rookpulley-registry/src/instance_update.rs
@@ -1,35 +1,35 @@
-//! What controllers tell each other of instances, and write to their disks.
+//! Instance updates that controllers replicate to each other and persist.
 
 use crate::heartbeat::Heartbeat;
 use rookpulley_protocol::IncarnationId;
 use serde::{Deserialize, Serialize};
 
-/// News of instances. It carries ages instead of times, since controllers share no clock.
+/// A change of instances. Carries ages instead of timestamps because controller clocks are not synchronised.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum InstanceUpdate {
     /// A heartbeat that changed something.
     Heartbeat {
-        /// As it came.
+        /// The heartbeat as received.
         heartbeat: Heartbeat,
-        /// How long ago, in milliseconds.
+        /// Time since it was received, in milliseconds.
         age_ms: f64,
     },
     /// An incarnation has ended.
     Gone {
-        /// Which.
+        /// The id of the incarnation.
         incarnation: IncarnationId,
-        /// How long ago, in milliseconds.
+        /// Time since it ended, in milliseconds.
         age_ms: f64,
     },
-    /// Later heartbeats that changed nothing, many at once.
+    /// A batch of later heartbeats that changed nothing.
     Refreshed {
-        /// Of which incarnations.
+        /// One entry for each incarnation.
         incarnations: Vec<Refresh>,
     },
 }
 
 impl InstanceUpdate {
-    /// What was stored, as if it were heard now: how long ago it was isn't known after a start.
+    /// The update with its age set to 0, for replay after a restart, when its actual age is unknown.
     pub fn as_of_now(self) -> Self {
         match self {
             Self::Heartbeat { heartbeat, .. } => Self::Heartbeat {
@@ -48,31 +48,32 @@
 /// A heartbeat that changed nothing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Refresh {
-    /// Whose it was.
+    /// Incarnation that sent it.
     pub incarnation: IncarnationId,
-    /// Its number.
+    /// Sequence number of the heartbeat.
     pub sequence: u64,
-    /// How long ago it came, in milliseconds.
+    /// Time since it was received, in milliseconds.
     pub age_ms: f64,
 }
 
-/// How soon the other controllers must know what came in.
+/// How an accepted update is propagated to the other controllers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Propagation {
-    /// At once.
+    /// Send immediately.
     Immediate(InstanceUpdate),
-    /// With the next batch, or not at all.
+    /// Include in the next batch of refreshes, if any.
     Batched,
-    /// Not at all: it came too late and changed nothing.
+    /// Do not propagate: the update was outdated and changed nothing.
     Stale,
 }
 
-/// What came of a heartbeat or an update.
+/// Result of applying a heartbeat or an update.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpdateOutcome {
-    /// How soon the other controllers must know.
+    /// How to propagate it to the other controllers.
     pub propagation: Propagation,
-    /// This incarnation gets nothing new from now on. All proxies must know before it is acknowledged.
+    /// An incarnation that must get no new requests from now on. All proxies must learn of it before the
+    /// acknowledgement.
     pub newly_draining: Option<IncarnationId>,
 }
 
--- a/crates/rookpulley-registry/src/proxy_roster.rs
+++ b/crates/rookpulley-registry/src/proxy_roster.rs
@@ -1,36 +1,36 @@
-//! The proxies of the whole system, as this controller sees them connect and disconnect.
+//! Counts the proxies of the cluster.
 
 use std::collections::BTreeMap;
 
-/// A proxy that has disconnected still counts for so long, so that a retry budget is never dealt out twice.
-const STILL_COUNTED_MS: f64 = 12_000.0;
+/// How long a disconnected proxy is still counted, so that its share of the retry budget is not assigned twice.
+const DISCONNECT_GRACE_MS: f64 = 12_000.0;
 
-/// Which proxies there are.
+/// Connected and recently disconnected proxies.
 #[derive(Default)]
 pub struct ProxyRoster {
-    /// By name, when each disconnected. None: it is connected.
+    /// Disconnect time by proxy name; `None` while connected.
     disconnected_ms: BTreeMap<String, Option<f64>>,
 }
 
 impl ProxyRoster {
-    /// A proxy has connected.
+    /// Records that a proxy connected.
     pub fn connected(&mut self, proxy: &str) {
         self.disconnected_ms.insert(proxy.into(), None);
     }
 
-    /// A proxy has disconnected, at the time `now` in milliseconds.
+    /// Records that a proxy disconnected at `now`, in milliseconds.
     pub fn disconnected(&mut self, now: f64, proxy: &str) {
         self.disconnected_ms.insert(proxy.into(), Some(now));
     }
 
-    /// Forgets those that disconnected long ago.
+    /// Removes proxies whose grace period has expired.
     pub fn expire(&mut self, now: f64) {
-        let still_counts = |at: f64| now - at < STILL_COUNTED_MS;
+        let is_within_grace = |at: f64| now - at < DISCONNECT_GRACE_MS;
         self.disconnected_ms
-            .retain(|_, at| at.is_none_or(still_counts));
+            .retain(|_, at| at.is_none_or(is_within_grace));
     }
 
-    /// How many proxies count.
+    /// Number of connected and recently disconnected proxies.
     pub fn count(&self) -> u32 {
         u32::try_from(self.disconnected_ms.len()).unwrap_or(u32::MAX)
     }
--- a/crates/rookpulley-registry/src/proxy_roster/tests.rs
+++ b/crates/rookpulley-registry/src/proxy_roster/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_disconnected_proxy_counts_for_a_while_and_one_that_came_back_for_good() {
+fn disconnected_proxy_is_counted_until_its_grace_period_expires() {
     let mut roster = ProxyRoster::default();
     ["a", "b"]
         .into_iter()
--- a/crates/rookpulley-registry/src/registry.rs
+++ b/crates/rookpulley-registry/src/registry.rs
@@ -1,8 +1,8 @@
-//! Which incarnations of instances there are, and which of them may get requests.
+//! Known incarnations of instances and their status.
 //!
-//! Invariant: what is stored of an incarnation doesn't depend on the order in which its heartbeats and updates came. It
-//! is the heartbeat with the highest number, and draining or ended once and for all. So controllers that have heard the
-//! same agree.
+//! Invariant: the state of an incarnation doesn't depend on the order in which its heartbeats and updates arrive. It is
+//! the heartbeat with the highest sequence number; draining and ended are permanent. Controllers that have received the
+//! same updates therefore converge.
 
 use crate::heartbeat::{Heartbeat, is_incarnation_id};
 use crate::instance_update::{InstanceUpdate, Propagation, Refresh, UpdateOutcome};
@@ -10,45 +10,47 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// An incarnation that was not heard for so many heartbeats and this slack is silent.
+/// An incarnation is silent after this many missed heartbeats plus the slack.
 const SILENT_HEARTBEATS: f64 = 3.0;
 const SILENT_SLACK_MS: f64 = 500.0;
-/// After a start, or a stall of this process, so many heartbeats pass before silence means anything.
+/// Heartbeat intervals after a start or a stall of this process during which no incarnation is declared silent.
 const SETTLING_HEARTBEATS: f64 = 2.0;
-/// A controller that is out of touch takes heartbeats for so long; then instances had better call another one.
-const OUT_OF_TOUCH_MS: f64 = 1_500.0;
-/// Ticks that are so far apart show that this process did not run, and instances need not have been silent.
+/// How long a controller without contact to a majority still accepts heartbeats. After that, instances should call
+/// another controller.
+const ISOLATION_GRACE_MS: f64 = 1_500.0;
+/// A longer gap between ticks means that this process was stalled, so missing heartbeats prove nothing.
 const STALL_MS: f64 = 1_000.0;
-/// An incarnation is remembered for so long after it was last heard, or ended, and for `REMEMBER_DRAINS` drains at least.
-const REMEMBER_MS: f64 = 60_000.0;
-const REMEMBER_DRAINS: f64 = 4.0;
+/// How long an incarnation is kept after its last heartbeat or its end, and at least `RETENTION_DRAINS` times the drain
+/// period.
+const RETENTION_MS: f64 = 60_000.0;
+const RETENTION_DRAINS: f64 = 4.0;
 const MAX_INCARNATIONS: usize = 20_000;
 
-/// What an incarnation may be used for.
+/// Status of an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceStatus {
-    /// It may get requests.
+    /// May get requests.
     Live,
-    /// It was not heard for a while.
+    /// Has missed several heartbeats.
     Silent,
-    /// It has said that it leaves.
+    /// Has announced that it is shutting down.
     Draining,
-    /// An incarnation that was heard later has its address.
+    /// A more recent incarnation uses the same address.
     Displaced,
-    /// It has said that it has left.
+    /// Has deregistered.
     Ended,
-    /// It was never heard, or not for very long.
+    /// Never seen, or no longer remembered.
     Unknown,
 }
 
 /// An incarnation that has not ended.
 #[derive(Clone, Copy)]
 pub struct Instance<'a> {
-    /// Its heartbeat with the highest number.
+    /// The heartbeat with the highest sequence number.
     pub heartbeat: &'a Heartbeat,
-    /// What it may be used for.
+    /// Current status.
     pub status: InstanceStatus,
-    /// When it was last heard, in milliseconds of this process's clock.
+    /// When the last heartbeat was received by any controller, in milliseconds of the local clock.
     pub heard_ms: f64,
 }
 
@@ -56,33 +58,33 @@
     heartbeat: Heartbeat,
     heard_ms: f64,
     silent: bool,
-    /// It has sent a heartbeat here that other controllers don't know of yet.
+    /// A heartbeat received here has not been sent to the other controllers yet.
     needs_refresh: bool,
 }
 
-/// All incarnations that a controller knows of.
+/// All incarnations known to a controller.
 pub struct Registry {
     heartbeat_ms: f64,
-    remember_ms: f64,
-    /// Until then not all instances need to have been heard.
+    retention_ms: f64,
+    /// Until this time, live instances may not have sent a heartbeat yet.
     settled_ms: f64,
     ticked_ms: f64,
-    /// When this controller was last in touch.
+    /// When this controller last had contact with a majority, or was settling.
     in_touch_ms: f64,
     incarnations: BTreeMap<IncarnationId, InstanceRecord>,
-    /// When each ended.
+    /// End time of ended incarnations.
     ended_ms: BTreeMap<IncarnationId, f64>,
     by_address: BTreeMap<SocketAddrV4, BTreeSet<IncarnationId>>,
     version: u64,
 }
 
 impl Registry {
-    /// An empty registry at the time `start_ms`. `heartbeat_ms`: how often instances send heartbeats; `drain_ms`: how long
-    /// an instance serves on after its drain was acknowledged.
+    /// Creates an empty registry at `start_ms`. `heartbeat_ms` is the heartbeat interval; `drain_ms` is how long an
+    /// instance keeps serving after its drain was acknowledged.
     pub fn new(start_ms: f64, heartbeat_ms: f64, drain_ms: f64) -> Self {
         Self {
             heartbeat_ms,
-            remember_ms: REMEMBER_MS.max(REMEMBER_DRAINS * drain_ms),
+            retention_ms: RETENTION_MS.max(RETENTION_DRAINS * drain_ms),
             settled_ms: start_ms + SETTLING_HEARTBEATS * heartbeat_ms,
             ticked_ms: start_ms,
             in_touch_ms: start_ms,
@@ -93,43 +95,43 @@
         }
     }
 
-    /// Whether not all live instances need to have been heard yet.
+    /// Whether live instances may not have sent a heartbeat yet.
     pub fn is_settling(&self, now: f64) -> bool {
         now < self.settled_ms
     }
 
-    /// Whether this controller is in touch with most of the others now.
+    /// Updates whether this controller has contact with a majority of the controllers.
     pub fn set_in_touch(&mut self, now: f64, in_touch: bool) {
         if in_touch || self.is_settling(now) {
             self.in_touch_ms = now;
         }
     }
 
-    /// Whether a heartbeat may be acknowledged here.
+    /// Whether this controller may acknowledge heartbeats.
     pub fn accepts_heartbeats(&self, now: f64) -> bool {
-        now - self.in_touch_ms <= OUT_OF_TOUCH_MS
+        now - self.in_touch_ms <= ISOLATION_GRACE_MS
     }
 
-    /// Another number each time that the status or the facts of any incarnation change.
+    /// Increases whenever the status or the attributes of an incarnation change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes an instance's own heartbeat.
+    /// Applies a heartbeat received from an instance.
     pub fn heartbeat(&mut self, now: f64, heartbeat: Heartbeat) -> UpdateOutcome {
-        self.take_heartbeat(now, now, heartbeat, true)
+        self.apply_heartbeat(now, now, heartbeat, true)
     }
 
-    /// Takes an instance's own message that it has left.
+    /// Applies a deregistration received from an instance.
     pub fn leave(&mut self, now: f64, incarnation: &str) -> UpdateOutcome {
         self.end(now, now, incarnation)
     }
 
-    /// Takes what another controller has sent.
+    /// Applies an update received from another controller.
     pub fn apply_update(&mut self, now: f64, update: &InstanceUpdate) -> UpdateOutcome {
         match update {
             InstanceUpdate::Heartbeat { heartbeat, age_ms } => {
-                self.take_heartbeat(now, now - age_ms, heartbeat.clone(), false)
+                self.apply_heartbeat(now, now - age_ms, heartbeat.clone(), false)
             }
             InstanceUpdate::Gone {
                 incarnation,
@@ -147,7 +149,7 @@
         }
     }
 
-    /// A later heartbeat that changed nothing. False: a later one is known, or the incarnation isn't.
+    /// Applies a later heartbeat without changes. Returns false if it is outdated or the incarnation is unknown.
     fn refresh(&mut self, now: f64, refresh: &Refresh) -> bool {
         let is_later = |record: &&InstanceRecord| record.heartbeat.sequence < refresh.sequence;
         let record = self.incarnations.get(&refresh.incarnation);
@@ -155,18 +157,17 @@
             return false;
         };
         let heard_ms = now - refresh.age_ms;
-        // It has warmed up meanwhile.
         let warmed_up_ms = heard_ms - record.heard_ms;
         let heartbeat = Heartbeat {
             sequence: refresh.sequence,
             warm_up_ms: (record.heartbeat.warm_up_ms - warmed_up_ms).max(0.0),
             ..record.heartbeat.clone()
         };
-        self.take_heartbeat(now, heard_ms, heartbeat, false);
+        self.apply_heartbeat(now, heard_ms, heartbeat, false);
         true
     }
 
-    /// Takes incarnations that a proxy knows to be gone, from this or other controllers. Returns those that are news here.
+    /// Applies incarnations that a proxy reports as gone. Returns those that were not yet draining or ended here.
     pub fn apply_gone(&mut self, now: f64, incarnations: &[IncarnationId]) -> Vec<IncarnationId> {
         incarnations
             .iter()
@@ -174,7 +175,7 @@
             .collect()
     }
 
-    /// All that a controller has to know that has just come in touch.
+    /// The complete state as updates, for a controller that has just connected.
     pub fn all_updates(&self, now: f64) -> Vec<InstanceUpdate> {
         let heartbeats = self.incarnations.values();
         let heartbeats = heartbeats.map(|record| InstanceUpdate::Heartbeat {
@@ -189,7 +190,7 @@
         heartbeats.chain(gone).collect()
     }
 
-    /// The incarnations that have sent heartbeats here since the last call and that others don't know of yet.
+    /// Drains the pending refreshes: incarnations whose unchanged heartbeats were received here since the last call.
     pub fn take_refreshes(&mut self, now: f64) -> Option<InstanceUpdate> {
         let mut incarnations = Vec::new();
         for (incarnation, record) in &mut self.incarnations {
@@ -204,7 +205,7 @@
         (!incarnations.is_empty()).then_some(InstanceUpdate::Refreshed { incarnations })
     }
 
-    /// The incarnations that are draining or have ended: nothing new may go there.
+    /// The incarnations that are draining or have ended and must get no new requests.
     pub fn gone_incarnations(&self) -> Vec<IncarnationId> {
         let draining = self.incarnations.iter();
         let draining = draining.filter(|(_, record)| record.heartbeat.draining);
@@ -212,36 +213,38 @@
         draining.chain(self.ended_ms.keys()).cloned().collect()
     }
 
-    /// Lets time pass. Returns the incarnations that have fallen silent.
+    /// Updates time-dependent state. Returns the incarnations that have become silent.
     pub fn tick(&mut self, now: f64) -> Vec<IncarnationId> {
         if now - self.ticked_ms > STALL_MS {
             let settled_ms = now + SETTLING_HEARTBEATS * self.heartbeat_ms;
             self.settled_ms = self.settled_ms.max(settled_ms);
         }
         self.ticked_ms = now;
-        self.forget_old(now);
+        self.remove_expired(now);
         if self.is_settling(now) {
             return Vec::new();
         }
-        let silent_since = now - self.silent_ms();
-        let mut fallen_silent = Vec::new();
+        let silent_since = now - self.silence_timeout_ms();
+        let mut newly_silent = Vec::new();
         for (incarnation, record) in &mut self.incarnations {
             if !record.silent && record.heard_ms < silent_since {
                 record.silent = true;
-                fallen_silent.push(incarnation.clone());
+                newly_silent.push(incarnation.clone());
             }
         }
-        self.version += u64::from(!fallen_silent.is_empty());
-        fallen_silent
+        self.version += u64::from(!newly_silent.is_empty());
+        newly_silent
     }
 
-    fn forget_old(&mut self, now: f64) {
-        let remember_ms = self.remember_ms;
-        self.ended_ms.retain(|_, at| now - *at < remember_ms);
-        let old = self.incarnations.iter();
-        let old = old.filter(|(_, record)| now - record.heard_ms >= remember_ms);
-        let old: Vec<IncarnationId> = old.map(|(incarnation, _)| incarnation.clone()).collect();
-        for incarnation in old {
+    fn remove_expired(&mut self, now: f64) {
+        let retention_ms = self.retention_ms;
+        self.ended_ms.retain(|_, at| now - *at < retention_ms);
+        let expired = self.incarnations.iter();
+        let expired = expired.filter(|(_, record)| now - record.heard_ms >= retention_ms);
+        let expired: Vec<IncarnationId> = expired
+            .map(|(incarnation, _)| incarnation.clone())
+            .collect();
+        for incarnation in expired {
             self.remove(&incarnation);
         }
     }
@@ -268,7 +271,7 @@
             .map(|(_, record)| &record.heartbeat)
     }
 
-    /// What an incarnation may be used for.
+    /// The status of an incarnation.
     pub fn status(&self, incarnation: &str) -> InstanceStatus {
         match self.incarnations.get(incarnation) {
             Some(record) => self.status_of(incarnation, record),
@@ -289,8 +292,8 @@
         }
     }
 
-    /// Of two incarnations at one address only the later one can be there. An earlier one that still sends heartbeats
-    /// gets the address back, so a message that was long on its way shuts nobody out for good.
+    /// Whether another incarnation at the same address was heard more recently. Not permanent: an incarnation that
+    /// keeps sending heartbeats regains its address after a delayed heartbeat of its predecessor.
     fn is_displaced(&self, incarnation: &str, record: &InstanceRecord) -> bool {
         let at_address = self.by_address.get(&record.heartbeat.address);
         let mut others = at_address.into_iter().flatten();
@@ -304,53 +307,53 @@
         })
     }
 
-    fn silent_ms(&self) -> f64 {
+    fn silence_timeout_ms(&self) -> f64 {
         SILENT_HEARTBEATS * self.heartbeat_ms + SILENT_SLACK_MS
     }
 
-    /// `own`: it came from the instance itself, and not from another controller.
-    fn take_heartbeat(
+    /// `is_direct`: received from the instance itself, not from another controller.
+    fn apply_heartbeat(
         &mut self,
         now: f64,
         heard_ms: f64,
         heartbeat: Heartbeat,
-        own: bool,
+        is_direct: bool,
     ) -> UpdateOutcome {
         if self.ended_ms.contains_key(&heartbeat.incarnation) {
             return UpdateOutcome::STALE;
         }
-        let silent = !self.is_settling(now) && now - heard_ms > self.silent_ms();
+        let silent = !self.is_settling(now) && now - heard_ms > self.silence_timeout_ms();
         let incarnation = heartbeat.incarnation.clone();
         let Some(record) = self.incarnations.get_mut(&incarnation) else {
             return self.add(now, heard_ms, heartbeat, silent);
         };
         let is_newer = heartbeat.sequence > record.heartbeat.sequence;
-        let starts_to_drain = heartbeat.draining && !record.heartbeat.draining;
-        if !is_newer && !starts_to_drain {
+        let starts_draining = heartbeat.draining && !record.heartbeat.draining;
+        if !is_newer && !starts_draining {
             return UpdateOutcome::STALE;
         }
         let draining = record.heartbeat.draining || heartbeat.draining;
-        let address_before = record.heartbeat.address;
-        let comes_back = is_newer && record.silent && !silent;
-        let facts_change = is_newer && !same_facts(&record.heartbeat, &heartbeat);
-        let is_news = comes_back || starts_to_drain || facts_change;
+        let previous_address = record.heartbeat.address;
+        let recovers = is_newer && record.silent && !silent;
+        let attributes_change = is_newer && !same_attributes(&record.heartbeat, &heartbeat);
+        let is_change = recovers || starts_draining || attributes_change;
         if is_newer {
             record.heartbeat = heartbeat;
             record.heard_ms = heard_ms;
             record.silent = silent;
-            record.needs_refresh |= own && !is_news;
+            record.needs_refresh |= is_direct && !is_change;
         }
         record.heartbeat.draining = draining;
         let address = record.heartbeat.address;
-        if address != address_before {
-            self.vacate(address_before, &incarnation);
-            self.occupy(address, &incarnation);
+        if address != previous_address {
+            self.release_address(previous_address, &incarnation);
+            self.claim_address(address, &incarnation);
         }
         let at_address = self.by_address.get(&address).map_or(0, BTreeSet::len);
         let is_contested = at_address > 1;
-        self.version += u64::from(is_news || is_contested);
-        if is_news {
-            self.announce(now, &incarnation, starts_to_drain)
+        self.version += u64::from(is_change || is_contested);
+        if is_change {
+            self.immediate_update(now, &incarnation, starts_draining)
         } else {
             UpdateOutcome::BATCHED
         }
@@ -363,12 +366,12 @@
         heartbeat: Heartbeat,
         silent: bool,
     ) -> UpdateOutcome {
-        if now - heard_ms >= self.remember_ms || !self.make_room() {
+        if now - heard_ms >= self.retention_ms || !self.ensure_capacity() {
             return UpdateOutcome::STALE;
         }
         self.version += 1;
         let incarnation = heartbeat.incarnation.clone();
-        self.occupy(heartbeat.address, &incarnation);
+        self.claim_address(heartbeat.address, &incarnation);
         let record = InstanceRecord {
             heartbeat,
             heard_ms,
@@ -376,11 +379,11 @@
             needs_refresh: false,
         };
         self.incarnations.insert(incarnation.clone(), record);
-        self.announce(now, &incarnation, true)
+        self.immediate_update(now, &incarnation, true)
     }
 
-    /// What the others must know of an incarnation at once. `is_new`: it, or its draining, was not known before.
-    fn announce(&self, now: f64, incarnation: &str, is_new: bool) -> UpdateOutcome {
+    /// The outcome that propagates an incarnation immediately. `is_new`: the incarnation or its draining was unknown.
+    fn immediate_update(&self, now: f64, incarnation: &str, is_new: bool) -> UpdateOutcome {
         let Some(record) = self.incarnations.get(incarnation) else {
             return UpdateOutcome::STALE;
         };
@@ -395,11 +398,12 @@
         }
     }
 
-    /// An incarnation that was never heard of may end, too: its heartbeats may still be on their way.
+    /// Marks an incarnation as ended. Unknown incarnations are recorded too, as their heartbeats may arrive later.
     fn end(&mut self, now: f64, at_ms: f64, incarnation: &str) -> UpdateOutcome {
         let is_known = self.incarnations.contains_key(incarnation);
-        let is_old = now - at_ms >= self.remember_ms && !is_known;
-        if self.ended_ms.contains_key(incarnation) || is_old || !is_incarnation_id(incarnation) {
+        let is_expired = now - at_ms >= self.retention_ms && !is_known;
+        if self.ended_ms.contains_key(incarnation) || is_expired || !is_incarnation_id(incarnation)
+        {
             return UpdateOutcome::STALE;
         }
         let was_draining = self.status(incarnation) == InstanceStatus::Draining;
@@ -424,16 +428,16 @@
     fn remove(&mut self, incarnation: &str) {
         if let Some(record) = self.incarnations.remove(incarnation) {
             self.version += 1;
-            self.vacate(record.heartbeat.address, incarnation);
+            self.release_address(record.heartbeat.address, incarnation);
         }
     }
 
-    fn occupy(&mut self, address: SocketAddrV4, incarnation: &str) {
+    fn claim_address(&mut self, address: SocketAddrV4, incarnation: &str) {
         let at_address = self.by_address.entry(address).or_default();
         at_address.insert(incarnation.into());
     }
 
-    fn vacate(&mut self, address: SocketAddrV4, incarnation: &str) {
+    fn release_address(&mut self, address: SocketAddrV4, incarnation: &str) {
         if let Some(at_address) = self.by_address.get_mut(&address) {
             at_address.remove(incarnation);
             if at_address.is_empty() {
@@ -442,8 +446,8 @@
         }
     }
 
-    /// Where there are too many incarnations, the one that has been silent longest makes room. False: none is silent.
-    fn make_room(&mut self) -> bool {
+    /// At the limit, evicts the incarnation that has been silent longest. Returns false if none is silent.
+    fn ensure_capacity(&mut self) -> bool {
         if self.incarnations.len() < MAX_INCARNATIONS {
             return true;
         }
@@ -458,8 +462,8 @@
     }
 }
 
-/// Whether nothing but the number and the warm-up of an instance has changed.
-fn same_facts(before: &Heartbeat, after: &Heartbeat) -> bool {
+/// Whether the heartbeats agree in the attributes that tables depend on.
+fn same_attributes(before: &Heartbeat, after: &Heartbeat) -> bool {
     before.service == after.service
         && before.address == after.address
         && before.zone == after.zone
--- a/crates/rookpulley-registry/tests/registry.rs
+++ b/crates/rookpulley-registry/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Several registries, each told a part, in orders of chance.
+//! Property tests: several registries receive the same updates in random order.
 
 use rookpulley_registry::{
     Heartbeat, InstanceStatus, InstanceUpdate, Propagation, Registry, UpdateOutcome,
@@ -11,7 +11,7 @@
 const INCARNATIONS: usize = 8;
 
 fn heartbeat(incarnation: usize, sequence: u64, draining: bool) -> Heartbeat {
-    // Two incarnations share each address, and some of these pairs are of different services.
+    // Every two incarnations share an address, some of them across services.
     let address = format!("10.0.0.{}:80", incarnation / 2 + 1)
         .parse()
         .unwrap();
@@ -33,7 +33,7 @@
     }
 }
 
-fn listed(registry: &Registry) -> BTreeSet<String> {
+fn live_incarnations(registry: &Registry) -> BTreeSet<String> {
     let both = registry
         .live_instances("a")
         .chain(registry.live_instances("b"));
@@ -41,54 +41,54 @@
         .collect()
 }
 
-fn aged(news: &InstanceUpdate, by_ms: f64) -> InstanceUpdate {
-    let mut news = news.clone();
-    match &mut news {
+fn with_added_age(update: &InstanceUpdate, by_ms: f64) -> InstanceUpdate {
+    let mut update = update.clone();
+    match &mut update {
         InstanceUpdate::Heartbeat { age_ms, .. } | InstanceUpdate::Gone { age_ms, .. } => {
             *age_ms += by_ms
         }
         InstanceUpdate::Refreshed { incarnations } => incarnations
             .iter_mut()
-            .for_each(|still| still.age_ms += by_ms),
+            .for_each(|refresh| refresh.age_ms += by_ms),
     }
-    news
+    update
 }
 
-enum Way {
+enum Message {
     Heartbeat(Heartbeat),
     Leave(String),
     InstanceUpdate(InstanceUpdate, f64),
 }
 
-struct World {
+struct Cluster {
     now: f64,
     controllers: Vec<Registry>,
-    on_the_way: Vec<(usize, Way)>,
-    /// By controller, the incarnations that it has been told drain or are gone.
+    in_transit: Vec<(usize, Message)>,
+    /// Incarnations that each controller knows to be draining or gone.
     gone: Vec<BTreeSet<String>>,
 }
 
-impl World {
+impl Cluster {
     fn deliver(&mut self, at: usize) {
-        let (to, way) = self.on_the_way.swap_remove(at);
+        let (to, message) = self.in_transit.swap_remove(at);
         let (now, controller) = (self.now, &mut self.controllers[to]);
         let (
             incarnation,
             UpdateOutcome {
-                propagation: word,
+                propagation,
                 newly_draining,
             },
-        ) = match way {
-            Way::Heartbeat(heartbeat) => {
+        ) = match message {
+            Message::Heartbeat(heartbeat) => {
                 let gone = heartbeat.draining.then(|| heartbeat.incarnation.clone());
                 (gone, controller.heartbeat(now, heartbeat))
             }
-            Way::Leave(incarnation) => {
+            Message::Leave(incarnation) => {
                 let outcome = controller.leave(now, &incarnation);
                 (Some(incarnation), outcome)
             }
-            Way::InstanceUpdate(news, sent_ms) => {
-                let gone = match &news {
+            Message::InstanceUpdate(update, sent_ms) => {
+                let gone = match &update {
                     InstanceUpdate::Heartbeat { heartbeat, .. } => {
                         heartbeat.draining.then(|| heartbeat.incarnation.clone())
                     }
@@ -97,7 +97,7 @@
                 };
                 (
                     gone,
-                    controller.apply_update(now, &aged(&news, now - sent_ms)),
+                    controller.apply_update(now, &with_added_age(&update, now - sent_ms)),
                 )
             }
         };
@@ -105,124 +105,133 @@
             newly_draining.is_some(),
             incarnation.is_some_and(|incarnation| self.gone[to].insert(incarnation))
         );
-        if let Propagation::Immediate(news) = word {
-            self.spread(to, &news);
+        if let Propagation::Immediate(update) = propagation {
+            self.broadcast(to, &update);
         }
     }
 
-    fn spread(&mut self, from: usize, news: &InstanceUpdate) {
+    fn broadcast(&mut self, from: usize, update: &InstanceUpdate) {
         let others = (0..CONTROLLERS).filter(|to| *to != from);
-        self.on_the_way
-            .extend(others.map(|to| (to, Way::InstanceUpdate(news.clone(), self.now))));
+        self.in_transit
+            .extend(others.map(|to| (to, Message::InstanceUpdate(update.clone(), self.now))));
     }
 
     fn check(&self) {
         for (controller, gone) in self.controllers.iter().zip(&self.gone) {
-            let listed = listed(controller);
+            let live = live_incarnations(controller);
             assert!(
-                listed.is_disjoint(gone),
-                "a gone life is listed: {listed:?}, {gone:?}"
+                live.is_disjoint(gone),
+                "a gone incarnation is live: {live:?}, {gone:?}"
             );
-            let kept: BTreeSet<String> = controller.gone_incarnations().into_iter().collect();
-            assert_eq!(kept, *gone);
-            let places = controller
+            let reported: BTreeSet<String> = controller.gone_incarnations().into_iter().collect();
+            assert_eq!(reported, *gone);
+            let addresses = controller
                 .live_instances("a")
                 .chain(controller.live_instances("b"))
                 .map(|heartbeat| heartbeat.address);
             assert_eq!(
-                places.collect::<BTreeSet<_>>().len(),
-                listed.len(),
-                "one address, two incarnations"
+                addresses.collect::<BTreeSet<_>>().len(),
+                live.len(),
+                "two live incarnations share an address"
             );
         }
     }
 }
 
-/// Longer and longer runs.
-fn longer(n: u32) -> u32 {
+/// Input length in bytes by run number.
+fn input_length(n: u32) -> u32 {
     64 + n % 100 * 24
 }
 
 #[test]
-fn controllers_that_heard_the_same_in_any_order_agree_and_list_no_gone_incarnation() {
-    plays_of(300, longer, |u| {
+fn controllers_converge_for_any_message_order_and_never_list_a_gone_incarnation() {
+    plays_of(300, input_length, |u| {
         let controllers = (0..CONTROLLERS)
             .map(|_| Registry::new(0.0, HEARTBEAT_MS, 2_500.0))
             .collect();
         let gone = vec![BTreeSet::new(); CONTROLLERS];
-        let mut world = World {
+        let mut cluster = Cluster {
             now: 0.0,
             controllers,
-            on_the_way: Vec::new(),
+            in_transit: Vec::new(),
             gone,
         };
         let (mut sequence, mut draining) = ([0; INCARNATIONS], [false; INCARNATIONS]);
         for _ in 0..u.int_in_range(10..=120)? {
-            world.now += f64::from(u.int_in_range(1..=400)?);
+            cluster.now += f64::from(u.int_in_range(1..=400)?);
             let incarnation = u.choose_index(INCARNATIONS)?;
             let to = u.choose_index(CONTROLLERS)?;
             match u.int_in_range(0..=9)? {
                 0 => draining[incarnation] = true,
-                1 if sequence[incarnation] > 0 => world
-                    .on_the_way
-                    .push((to, Way::Leave(format!("i-{incarnation}")))),
+                1 if sequence[incarnation] > 0 => cluster
+                    .in_transit
+                    .push((to, Message::Leave(format!("i-{incarnation}")))),
                 2 => {
-                    let news = world.controllers[to].take_refreshes(world.now);
-                    news.iter().for_each(|news| world.spread(to, news));
+                    let update = cluster.controllers[to].take_refreshes(cluster.now);
+                    update
+                        .iter()
+                        .for_each(|update| cluster.broadcast(to, update));
                 }
                 3..=5 => {
                     sequence[incarnation] += 1;
-                    world.on_the_way.push((
+                    cluster.in_transit.push((
                         to,
-                        Way::Heartbeat(heartbeat(
+                        Message::Heartbeat(heartbeat(
                             incarnation,
                             sequence[incarnation],
                             draining[incarnation],
                         )),
                     ));
                 }
-                _ if !world.on_the_way.is_empty() => {
-                    let at = u.choose_index(world.on_the_way.len())?;
-                    world.deliver(at);
+                _ if !cluster.in_transit.is_empty() => {
+                    let at = u.choose_index(cluster.in_transit.len())?;
+                    cluster.deliver(at);
                 }
                 _ => {}
             }
-            let now = world.now;
-            world
+            let now = cluster.now;
+            cluster
                 .controllers
                 .iter_mut()
                 .for_each(|controller| _ = controller.tick(now));
-            world.check();
+            cluster.check();
         }
-        while !world.on_the_way.is_empty() {
-            let at = u.choose_index(world.on_the_way.len()).unwrap_or(0);
-            world.deliver(at);
+        while !cluster.in_transit.is_empty() {
+            let at = u.choose_index(cluster.in_transit.len()).unwrap_or(0);
+            cluster.deliver(at);
         }
         for from in 0..CONTROLLERS {
-            let now = world.now;
-            let news = world.controllers[from].take_refreshes(now);
-            let all = world.controllers[from].all_updates(now);
-            news.iter()
+            let now = cluster.now;
+            let update = cluster.controllers[from].take_refreshes(now);
+            let all = cluster.controllers[from].all_updates(now);
+            update
+                .iter()
                 .chain(&all)
-                .for_each(|news| world.spread(from, news));
-            while !world.on_the_way.is_empty() {
-                world.deliver(0);
+                .for_each(|update| cluster.broadcast(from, update));
+            while !cluster.in_transit.is_empty() {
+                cluster.deliver(0);
             }
         }
-        let now = world.now;
-        world
+        let now = cluster.now;
+        cluster
             .controllers
             .iter_mut()
             .for_each(|controller| _ = controller.tick(now));
-        world.check();
-        assert_eq!(listed(&world.controllers[0]), listed(&world.controllers[1]));
-        assert_eq!(listed(&world.controllers[0]), listed(&world.controllers[2]));
+        cluster.check();
+        assert_eq!(
+            live_incarnations(&cluster.controllers[0]),
+            live_incarnations(&cluster.controllers[1])
+        );
+        assert_eq!(
+            live_incarnations(&cluster.controllers[0]),
+            live_incarnations(&cluster.controllers[2])
+        );
         Ok(())
     });
 }
 
 #[test]
-fn a_silent_incarnation_leaves_and_comes_back_and_nobody_is_silent_to_one_that_settles_or_slept() {
+fn silent_incarnation_recovers_and_none_is_declared_silent_after_a_start_or_a_stall() {
     let mut controller = Registry::new(0.0, HEARTBEAT_MS, 2_500.0);
     let old = InstanceUpdate::Heartbeat {
         heartbeat: heartbeat(1, 1, false),
@@ -232,15 +241,15 @@
         controller.apply_update(0.0, &old).propagation,
         Propagation::Immediate(_)
     ));
-    let pass = |controller: &mut Registry, from: u32, to: u32| {
+    let tick_range = |controller: &mut Registry, from: u32, to: u32| {
         (from..to)
             .step_by(100)
             .flat_map(|at| controller.tick(f64::from(at)))
             .collect::<Vec<_>>()
     };
-    assert_eq!(pass(&mut controller, 100, 3_000), [""; 0]);
-    assert!(controller.is_settling(2_999.0) && listed(&controller).len() == 1);
-    assert_eq!(pass(&mut controller, 3_000, 3_200), ["i-1"]);
+    assert_eq!(tick_range(&mut controller, 100, 3_000), [""; 0]);
+    assert!(controller.is_settling(2_999.0) && live_incarnations(&controller).len() == 1);
+    assert_eq!(tick_range(&mut controller, 3_000, 3_200), ["i-1"]);
     assert_eq!(controller.status("i-1"), InstanceStatus::Silent);
     assert!(matches!(
         controller
@@ -248,17 +257,17 @@
             .propagation,
         Propagation::Immediate(_)
     ));
-    assert_eq!(listed(&controller).len(), 1);
-    assert_eq!(pass(&mut controller, 3_300, 8_200), [""; 0]);
-    // It sleeps, and the heartbeats of that time wait for it.
+    assert_eq!(live_incarnations(&controller).len(), 1);
+    assert_eq!(tick_range(&mut controller, 3_300, 8_200), [""; 0]);
+    // The controller stalls; heartbeats of that period are still pending.
     assert_eq!(controller.tick(12_000.0), [""; 0]);
     assert!(controller.is_settling(12_000.0));
-    assert_eq!(pass(&mut controller, 12_100, 15_000), [""; 0]);
-    assert_eq!(pass(&mut controller, 15_000, 15_200), ["i-1"]);
+    assert_eq!(tick_range(&mut controller, 12_100, 15_000), [""; 0]);
+    assert_eq!(tick_range(&mut controller, 15_000, 15_200), ["i-1"]);
 }
 
 #[test]
-fn what_a_proxy_knows_to_be_gone_is_never_listed_by_a_controller_that_starts_anew() {
+fn incarnation_reported_gone_by_a_proxy_is_never_listed_after_a_restart() {
     let mut controller = Registry::new(0.0, HEARTBEAT_MS, 2_500.0);
     let gone = ["i-1".to_string(), "i-2".to_string()];
     assert_eq!(controller.apply_gone(0.0, &gone), gone);
@@ -269,11 +278,11 @@
             .propagation,
         Propagation::Stale
     );
-    assert!(listed(&controller).is_empty());
+    assert!(live_incarnations(&controller).is_empty());
 }
 
 #[test]
-fn a_controller_out_of_touch_takes_heartbeats_only_for_a_while_after_it_has_settled() {
+fn isolated_controller_rejects_heartbeats_after_settling_and_the_grace_period() {
     let mut registry = Registry::new(0.0, 1_000.0, 2_500.0);
     registry.set_in_touch(1_900.0, false);
     assert!(registry.accepts_heartbeats(3_400.0));
