--- a/crates/rookpulley-registry/src/configuration_history.rs
+++ b/crates/rookpulley-registry/src/configuration_history.rs
@@ -1,15 +1,15 @@
-//! The configuration on its way to proxies: each gets what differs from the version that it has.
+//! Recent configuration versions, sent to proxies as deltas against the version that each proxy holds.
 
 use rookpulley_protocol::{ControllerToProxy, frame, pack};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How many versions are remembered for others to differ from, and how many of their bytes. While changes storm,
-/// controllers publish different ones: what a proxy has from one is to be known to another.
+/// Limits on the versions retained as delta bases. Controllers may publish different versions during frequent changes,
+/// so a proxy may hold a version that this controller skipped.
 const MAX_VERSIONS: usize = 24;
 const MAX_BYTES: usize = 4 << 20;
-/// So many are remembered however long they are: the one that is published, and the one to be published next.
+/// Retained regardless of size: the published version and the next one.
 const MIN_VERSIONS: usize = 2;
-/// What a difference stands on where the proxy has no version that is remembered.
+/// Base version of a frame that holds the complete configuration.
 const NO_BASE: u64 = 0;
 
 struct Configuration {
@@ -17,43 +17,43 @@
     body: Vec<u8>,
 }
 
-/// The versions that are remembered, and the one that proxies are told of.
+/// Retained configuration versions and the published one.
 #[derive(Default)]
 pub struct ConfigurationHistory {
-    /// The newest last.
+    /// In ascending order.
     versions: VecDeque<Configuration>,
-    /// 0: none.
+    /// 0 if none.
     published: u64,
-    /// The published version as a frame, by the version that it is compressed against.
+    /// Encoded frames of the published version, by base version.
     frames: BTreeMap<u64, Vec<u8>>,
 }
 
 impl ConfigurationHistory {
-    /// The version that proxies are told of. 0: none.
+    /// The published version; 0 if none.
     pub fn published(&self) -> u64 {
         self.published
     }
 
-    /// Its bytes, as the operator sent them.
+    /// The body of the published version, as the operator sent it.
     pub fn published_body(&self) -> Option<&[u8]> {
         self.body(self.published)
     }
 
     fn body(&self, version: u64) -> Option<&[u8]> {
         let mut versions = self.versions.iter();
-        let found = versions.find(|known| known.version == version);
-        found.map(|known| known.body.as_slice())
+        let found = versions.find(|retained| retained.version == version);
+        found.map(|retained| retained.body.as_slice())
     }
 
-    /// Remembers a version, if it is newer than all others. Proxies aren't told of it yet.
+    /// Adds a version without publishing it. Ignored unless it is newer than all others.
     pub fn add(&mut self, version: u64, body: &[u8]) {
         if self.newest().is_some_and(|newest| version <= newest) {
             return;
         }
         let body = body.to_vec();
         self.versions.push_back(Configuration { version, body });
-        while self.is_too_much() {
-            // Neither the one that is published nor the newest.
+        while self.exceeds_limits() {
+            // Evicts the oldest unpublished version; the newest is never evicted.
             let oldest = self.versions.front();
             let is_published = oldest.is_some_and(|oldest| oldest.version == self.published);
             self.versions.remove(usize::from(is_published));
@@ -64,19 +64,23 @@
         self.versions.back().map(|newest| newest.version)
     }
 
-    fn is_too_much(&self) -> bool {
-        let bytes: usize = self.versions.iter().map(|known| known.body.len()).sum();
+    fn exceeds_limits(&self) -> bool {
+        let bytes: usize = self
+            .versions
+            .iter()
+            .map(|retained| retained.body.len())
+            .sum();
         let count = self.versions.len();
         count > MIN_VERSIONS && (count > MAX_VERSIONS || bytes > MAX_BYTES)
     }
 
-    /// From now on proxies are told of the newest version.
+    /// Publishes the newest version.
     pub fn publish(&mut self) {
         self.published = self.newest().unwrap_or(0);
         self.frames.clear();
     }
 
-    /// The frame for a proxy that has the version `held`. None: it has the published one, or there is none.
+    /// The frame for a proxy that holds version `held`. `None` if the proxy is up to date or nothing is published.
     pub fn frame_for(&mut self, held: u64) -> Option<Vec<u8>> {
         if self.published <= held {
             return None;
--- a/crates/rookpulley-registry/src/configuration_history/tests.rs
+++ b/crates/rookpulley-registry/src/configuration_history/tests.rs
@@ -8,7 +8,7 @@
         .collect()
 }
 
-fn read(frame: &[u8], held: &BTreeMap<u64, Vec<u8>>) -> (u64, u64, Vec<u8>) {
+fn decode(frame: &[u8], held: &BTreeMap<u64, Vec<u8>>) -> (u64, u64, Vec<u8>) {
     let mut frames = Frames::default();
     frames.push(frame);
     match frames.take().unwrap().unwrap() {
@@ -18,11 +18,11 @@
             length,
             packed,
         } => {
-            let on = held.get(&base).cloned().unwrap_or_default();
+            let base_body = held.get(&base).cloned().unwrap_or_default();
             (
                 version,
                 base,
-                unpack(&packed, &on, length as usize, 1 << 20).unwrap(),
+                unpack(&packed, &base_body, length as usize, 1 << 20).unwrap(),
             )
         }
         other => panic!("{other:?}"),
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn each_proxy_gets_the_newest_on_what_it_holds_or_whole() {
+fn frame_is_a_delta_against_a_retained_version_or_complete() {
     let (mut history, mut all) = (ConfigurationHistory::default(), BTreeMap::new());
     assert!(history.frame_for(0).is_none());
     for version in 1..40u64 {
@@ -39,11 +39,11 @@
         history.add(version - 1, &body(3));
         assert_eq!(history.published(), version - 1);
         history.publish();
-        for have in 0..version {
-            let remembered = have + MAX_VERSIONS as u64 > version;
-            let wanted = (version, if remembered { have } else { 0 }, body(version));
+        for held in 0..version {
+            let retained = held + MAX_VERSIONS as u64 > version;
+            let expected = (version, if retained { held } else { 0 }, body(version));
             for _ in 0..2 {
-                assert_eq!(read(&history.frame_for(have).unwrap(), &all), wanted);
+                assert_eq!(decode(&history.frame_for(held).unwrap(), &all), expected);
             }
         }
         assert!(history.frame_for(version).is_none() && history.frame_for(99).is_none());
@@ -51,24 +51,27 @@
 }
 
 #[test]
-fn what_was_not_told_is_something_to_differ_from_and_what_is_told_stays() {
+fn unpublished_version_is_a_valid_base_and_published_version_is_not_evicted() {
     let mut history = ConfigurationHistory::default();
     history.add(1, &body(1));
     history.publish();
     (2..100u64).for_each(|version| history.add(version, &body(version)));
     let mut all = BTreeMap::new();
-    assert_eq!(read(&history.frame_for(0).unwrap(), &all), (1, 0, body(1)));
+    assert_eq!(
+        decode(&history.frame_for(0).unwrap(), &all),
+        (1, 0, body(1))
+    );
     history.publish();
     all.insert(90, body(90));
     assert_eq!(
-        read(&history.frame_for(90).unwrap(), &all),
+        decode(&history.frame_for(90).unwrap(), &all),
         (99, 90, body(99))
     );
     assert_eq!(history.published_body(), Some(body(99).as_slice()));
 }
 
 #[test]
-fn however_long_they_are_the_newest_is_told_on_the_one_before() {
+fn oversized_versions_are_published_as_a_delta_against_the_previous_one() {
     let long = |version: u64| [version.to_le_bytes().to_vec(), vec![7; MAX_BYTES - 8]].concat();
     let mut history = ConfigurationHistory::default();
     for version in 1..6 {
@@ -77,7 +80,7 @@
         history.publish();
         assert_eq!(history.published_body(), Some(long(version).as_slice()));
         let Some(frame) = history.frame_for(version - 1) else {
-            panic!("version {version} goes nowhere")
+            panic!("no frame for version {version}")
         };
         let mut frames = Frames::default();
         frames.push(&frame);
--- a/crates/rookpulley-registry/src/lib.rs
+++ b/crates/rookpulley-registry/src/lib.rs
@@ -1,18 +1,18 @@
-//! The instances of all services, and the tables that controllers publish to proxies. No sockets, files or clocks.
+//! Instance registry and table publisher. Performs no I/O; callers pass the current time in milliseconds.
 //!
-//! | file | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `heartbeat` | a heartbeat, read from the body of its call |
-//! | `instance_update` | what controllers tell each other of instances |
-//! | `registry` | which incarnations there are, and which of them may get requests |
-//! | `drain_tracker` | which drains enough other controllers have on their disks |
-//! | `configuration_history` | the configuration on its way to proxies |
-//! | `proxy_roster` | how many proxies there are |
-//! | `table_publisher` | the proxies that this controller is primary for, and one `hosted_service` each service |
-//! | `hosted_service` | one service: its decision module, what the module is told, and what proxies were sent |
-//! | `decision_module`, `server_list`, `published_table` | the design's module, its input, its output |
+//! | `heartbeat` | parses and validates heartbeat request bodies |
+//! | `instance_update` | instance updates that controllers replicate to each other |
+//! | `registry` | known incarnations and their status |
+//! | `drain_tracker` | replication acknowledgements of drains |
+//! | `configuration_history` | recent configuration versions and their delta frames |
+//! | `proxy_roster` | number of proxies in the cluster |
+//! | `table_publisher` | proxies whose primary is this controller, and a `hosted_service` for each service |
+//! | `hosted_service` | decision module, inputs and published tables of one service |
+//! | `decision_module`, `server_list`, `published_table` | wrapper of the decision module, its input and its output |
 //!
-//! Nothing here survives the process. A controller writes instance updates to its disk and begins with them.
+//! All state is in memory. Controllers persist instance updates and replay them at startup.
 
 #![warn(missing_docs)]
 
--- a/crates/rookpulley-registry/src/service.rs
+++ b/crates/rookpulley-registry/src/service.rs
@@ -1,12 +1,12 @@
-//! What tables need to know of a service.
+//! Service settings that affect tables.
 
-/// A service as the configuration has it.
+/// Settings of a service, from the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// How many connections one of its instances accepts from all proxies together. 0: not known.
+    /// Connections that each instance accepts from all proxies together; 0 if unknown.
     pub max_connections: u32,
-    /// The shortest latency target of its routes, in milliseconds. 0: not known.
+    /// Smallest latency target of its routes, in milliseconds; 0 if unknown.
     pub latency_target_ms: f64,
 }
