--- a/crates/rookpulley-registry/examples/pick_cost.rs
+++ b/crates/rookpulley-registry/examples/pick_cost.rs
@@ -1,10 +1,10 @@
-//! What a pick and a revision cost by the size of the fleet: microseconds and allocations, medians of rounds.
+//! Measures endpoint picks and table revisions by cluster size: median microseconds and allocations.
 //!
 //!     cargo run --release -p rookpulley-registry --example pick_cost
 //!
-//! A pick is measured with its end, on the tables that a desk cuts for one proxy; beside it, in the same rounds, the
-//! least busy of two tasks drawn from the whole fleet. A revision is what one task more and one less cost the desk,
-//! until all tables that change are cut.
+//! A pick includes recording its outcome, on the table published to one proxy. The baseline is a power-of-two-choices
+//! pick over all instances. A revise is the publisher's work after one instance is added and one drained, until all
+//! changed tables are published.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -19,37 +19,37 @@
 use std::time::Instant;
 
 #[global_allocator]
-static COUNTED: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
+static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const ROUNDS: usize = 31;
-/// Few enough for a round to pass between two turns of a busy processor.
+/// Small enough for a round to fit into a scheduler time slice.
 const PICKS: usize = 400;
-const UNDER_WAY: usize = 16;
+const MAX_IN_FLIGHT: usize = 16;
 
-fn median(mut of: Vec<f64>) -> f64 {
-    of.sort_by(f64::total_cmp);
-    of.get(of.len() / 2).copied().unwrap_or(0.0)
+fn median(mut values: Vec<f64>) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// Microseconds and allocations.
-fn measured(what: impl FnOnce()) -> (f64, f64) {
-    let (begun, region) = (Instant::now(), Region::new(COUNTED));
-    what();
-    let us = begun.elapsed().as_nanos() as f64 / 1e3;
+/// Runs an operation. Returns its duration in microseconds and its allocations.
+fn measure(operation: impl FnOnce()) -> (f64, f64) {
+    let (start, region) = (Instant::now(), Region::new(ALLOCATOR));
+    operation();
+    let us = start.elapsed().as_nanos() as f64 / 1e3;
     (us, region.change().allocations as f64)
 }
 
-struct Site {
+struct Cluster {
     now: f64,
     registry: Registry,
     publisher: TablePublisher,
-    tasks: VecDeque<Heartbeat>,
-    born: usize,
+    instances: VecDeque<Heartbeat>,
+    started: usize,
     tables: BTreeMap<String, Vec<TableEntry>>,
 }
 
-impl Site {
-    fn new(tasks: usize, proxies: usize) -> Site {
+impl Cluster {
+    fn new(instance_count: usize, proxies: usize) -> Cluster {
         let mut publisher = TablePublisher::new(7);
         publisher.set_services(&[Service {
             name: "a".into(),
@@ -57,41 +57,42 @@
             latency_target_ms: 250.0,
         }]);
         let registry = Registry::new(0.0, 1_500.0, 2_500.0);
-        let (tasks_there, tables) = (VecDeque::new(), BTreeMap::new());
-        let mut site = Site {
+        let (instances, tables) = (VecDeque::new(), BTreeMap::new());
+        let mut cluster = Cluster {
             now: 0.0,
             registry,
             publisher,
-            tasks: tasks_there,
-            born: 0,
+            instances,
+            started: 0,
             tables,
         };
-        (0..tasks).for_each(|_| site.start());
-        site.publisher.set_proxy_count(proxies as u32);
+        (0..instance_count).for_each(|_| cluster.start());
+        cluster.publisher.set_proxy_count(proxies as u32);
         for proxy in 0..proxies {
             let zone = format!("z{}", proxy % 3);
-            site.publisher
+            cluster
+                .publisher
                 .proxy_connected(0.0, &format!("c{proxy}"), &zone, 10.0, false);
         }
-        site.passes(12_000.0);
-        site
+        cluster.advance(12_000.0);
+        cluster
     }
 
     fn start(&mut self) {
-        let place = self.born;
-        self.born += 1;
+        let index = self.started;
+        self.started += 1;
         let heartbeat = Heartbeat {
-            incarnation: format!("i-{place}"),
+            incarnation: format!("i-{index}"),
             service: "a".into(),
             address: format!(
                 "10.{}.{}.{}:80",
-                place / 40_000,
-                place / 200 % 200,
-                place % 200 + 1
+                index / 40_000,
+                index / 200 % 200,
+                index % 200 + 1
             )
             .parse()
             .unwrap(),
-            zone: format!("z{}", place % 3),
+            zone: format!("z{}", index % 3),
             software_version: "v1".into(),
             slots: 4,
             draining: false,
@@ -99,136 +100,138 @@
             sequence: 1,
         };
         self.registry.heartbeat(self.now, heartbeat.clone());
-        self.tasks.push_back(heartbeat);
+        self.instances.push_back(heartbeat);
     }
 
-    /// All that is due at this moment; gives how many tables were cut.
-    fn due(&mut self) -> usize {
+    /// Runs the work due now. Returns the number of tables published.
+    fn run_due(&mut self) -> usize {
         self.registry.tick(self.now);
         self.publisher.sync(self.now, &self.registry);
-        let mut cut = 0;
-        for out in self.publisher.tick(self.now) {
+        let mut published = 0;
+        for output in self.publisher.tick(self.now) {
             if let PublisherOutput::Table {
                 proxy,
-                sequence: mark,
-                entries: lines,
+                sequence,
+                entries,
                 ..
-            } = out
+            } = output
             {
-                self.publisher.tables_applied(&proxy, mark);
-                self.tables.insert(proxy, lines);
-                cut += 1;
+                self.publisher.tables_applied(&proxy, sequence);
+                self.tables.insert(proxy, entries);
+                published += 1;
             }
         }
-        cut
+        published
     }
 
-    fn passes(&mut self, ms: f64) {
+    fn advance(&mut self, ms: f64) {
         let until = self.now + ms;
         while self.now < until {
             self.now += 100.0;
             if (self.now as u64).is_multiple_of(1_000) {
-                for heartbeat in &mut self.tasks {
+                for heartbeat in &mut self.instances {
                     heartbeat.sequence += 1;
                     self.registry.heartbeat(self.now, heartbeat.clone());
                 }
             }
-            self.due();
+            self.run_due();
         }
     }
 
-    /// One task more and one less, until their tables are cut: what was cut, and what the dearest moment and all cost.
-    fn revision(&mut self) -> (usize, f64, f64, f64) {
-        self.passes(5_000.0);
+    /// Adds one instance and drains one. Returns the tables published, the total and the longest tick in microseconds,
+    /// and the allocations.
+    fn revise(&mut self) -> (usize, f64, f64, f64) {
+        self.advance(5_000.0);
         self.start();
-        if let Some(mut oldest) = self.tasks.pop_front() {
+        if let Some(mut oldest) = self.instances.pop_front() {
             (oldest.draining, oldest.sequence) = (true, oldest.sequence + 1);
             self.registry.heartbeat(self.now, oldest);
         }
-        let (mut cut, mut all_us, mut dearest_us, mut allocations) = (0, 0.0, 0.0, 0.0);
+        let (mut published, mut all_us, mut max_us, mut allocations) = (0, 0.0, 0.0, 0.0);
         for _ in 0..12 {
             self.now += 100.0;
-            let (us, count) = measured(|| cut += self.due());
+            let (us, count) = measure(|| published += self.run_due());
             all_us += us;
-            dearest_us = f64::max(dearest_us, us);
+            max_us = f64::max(max_us, us);
             allocations += count;
         }
-        (cut, all_us, dearest_us, allocations)
+        (published, all_us, max_us, allocations)
     }
 }
 
-/// Picks one after the other, so many under way all the time.
+/// Picks endpoints with up to `MAX_IN_FLIGHT` requests in flight.
 fn picks(picker: &mut EndpointPicker, now_ms: &mut f64) {
-    let mut flying = VecDeque::new();
+    let mut in_flight = VecDeque::new();
     for _ in 0..PICKS {
         *now_ms += 2.0;
         let attempts = RequestAttempts::new(RouteKind::ReadOnly, 3, *now_ms + 1_000.0, 0.5);
-        flying.extend(picker.pick("a", &attempts, RouteKind::ReadOnly, *now_ms));
-        if flying.len() > UNDER_WAY
-            && let Some(pick) = flying.pop_front()
+        in_flight.extend(picker.pick("a", &attempts, RouteKind::ReadOnly, *now_ms));
+        if in_flight.len() > MAX_IN_FLIGHT
+            && let Some(pick) = in_flight.pop_front()
         {
             picker.record("a", pick, AttemptOutcome::Answered(200), 32.0, *now_ms);
         }
     }
-    flying.into_iter().for_each(|pick| picker.cancel(pick));
+    in_flight.into_iter().for_each(|pick| picker.cancel(pick));
 }
 
-/// The same by the least busy of two, of all tasks.
-fn plain(waiting: &mut [u32], chance: &mut ChaCha8Rng) {
-    let mut flying = VecDeque::new();
+/// Baseline: the less loaded of two random instances.
+fn power_of_two_picks(pending: &mut [u32], rng: &mut ChaCha8Rng) {
+    let mut in_flight = VecDeque::new();
     for _ in 0..PICKS {
-        let two = [
-            chance.random_range(0..waiting.len()),
-            chance.random_range(0..waiting.len()),
+        let candidates = [
+            rng.random_range(0..pending.len()),
+            rng.random_range(0..pending.len()),
         ];
-        let [one, other] = two;
-        let at = if waiting[other] < waiting[one] {
-            other
+        let [first, second] = candidates;
+        let at = if pending[second] < pending[first] {
+            second
         } else {
-            one
+            first
         };
-        waiting[at] += 1;
-        flying.push_back(black_box(at));
-        if flying.len() > UNDER_WAY
-            && let Some(at) = flying.pop_front()
+        pending[at] += 1;
+        in_flight.push_back(black_box(at));
+        if in_flight.len() > MAX_IN_FLIGHT
+            && let Some(at) = in_flight.pop_front()
         {
-            waiting[at] -= 1;
+            pending[at] -= 1;
         }
     }
-    flying.into_iter().for_each(|at| waiting[at] -= 1);
+    in_flight.into_iter().for_each(|at| pending[at] -= 1);
 }
 
 fn main() {
     println!(
-        "tasks proxies | lines | pick us, allocations | least of two us | revision us, at most at once, tables, allocations"
+        "instances proxies | entries | pick us, allocations | two choices us | revision us, longest tick us, tables, allocations"
     );
-    for (tasks, proxies) in [(33, 12), (33, 91), (450, 12), (450, 91)] {
-        let mut site = Site::new(tasks, proxies);
-        let lines = site.tables.get("c0").cloned().unwrap_or_default();
-        let held: usize = site.tables.values().map(Vec::len).sum();
+    for (instances, proxies) in [(33, 12), (33, 91), (450, 12), (450, 91)] {
+        let mut cluster = Cluster::new(instances, proxies);
+        let entries = cluster.tables.get("c0").cloned().unwrap_or_default();
+        let total_entries: usize = cluster.tables.values().map(Vec::len).sum();
         let mut picker = EndpointPicker::new("z0", 1);
-        picker.replace_table("a", lines);
-        let (mut now_ms, mut chance) = (0.0, ChaCha8Rng::seed_from_u64(1));
-        let mut waiting = vec![0; tasks];
-        let (mut pick_us, mut pick_allocations, mut plain_us) =
+        picker.replace_table("a", entries);
+        let (mut now_ms, mut rng) = (0.0, ChaCha8Rng::seed_from_u64(1));
+        let mut pending = vec![0; instances];
+        let (mut pick_us, mut pick_allocations, mut baseline_us) =
             (Vec::new(), Vec::new(), Vec::new());
         for _ in 0..ROUNDS {
-            let (us, count) = measured(|| picks(&mut picker, &mut now_ms));
+            let (us, count) = measure(|| picks(&mut picker, &mut now_ms));
             pick_us.push(us / PICKS as f64);
             pick_allocations.push(count / PICKS as f64);
-            plain_us.push(measured(|| plain(&mut waiting, &mut chance)).0 / PICKS as f64);
+            baseline_us
+                .push(measure(|| power_of_two_picks(&mut pending, &mut rng)).0 / PICKS as f64);
         }
-        let revisions: Vec<_> = (0..ROUNDS).map(|_| site.revision()).collect();
+        let revisions: Vec<_> = (0..ROUNDS).map(|_| cluster.revise()).collect();
         println!(
-            "{tasks:>5} {proxies:>8} | {:>5.1} | {:.3}, {:.2} | {:.3} | {:.0}, {:.0}, {:.0}, {:.0}",
-            held as f64 / proxies as f64,
+            "{instances:>5} {proxies:>8} | {:>5.1} | {:.3}, {:.2} | {:.3} | {:.0}, {:.0}, {:.0}, {:.0}",
+            total_entries as f64 / proxies as f64,
             median(pick_us),
             median(pick_allocations),
-            median(plain_us),
-            median(revisions.iter().map(|of| of.1).collect()),
-            median(revisions.iter().map(|of| of.2).collect()),
-            median(revisions.iter().map(|of| of.0 as f64).collect()),
-            median(revisions.iter().map(|of| of.3).collect()),
+            median(baseline_us),
+            median(revisions.iter().map(|r| r.1).collect()),
+            median(revisions.iter().map(|r| r.2).collect()),
+            median(revisions.iter().map(|r| r.0 as f64).collect()),
+            median(revisions.iter().map(|r| r.3).collect()),
         );
     }
 }
--- a/crates/rookpulley-registry/src/decision_module.rs
+++ b/crates/rookpulley-registry/src/decision_module.rs
@@ -1,7 +1,7 @@
-//! The design's decision module for one service: its clock and alarms, and the tables that it orders.
+//! Runs the decision module of one service.
 //!
-//! The module (package `rookpulley`) decides which servers each proxy's table has. This file gives it what it starts
-//! with, calls it, and carries its orders out on tables in memory.
+//! The decision module (crate `rookpulley`) decides which servers each proxy's table contains. The wrapper configures
+//! and calls it, keeps its alarms, and applies its effects to in-memory tables.
 
 use crate::server_list::{EPOCH_MS, WARM_UP_MS};
 use rookpulley::facts::*;
@@ -9,56 +9,57 @@
 use rookpulley::state::{Lines, name_of};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The module waits so long after its start before it acts in haste; ours starts with all it needs.
-const HASTE_AFTER_MS: f64 = 2_000.0;
-/// Modules of different services act at different times, so many milliseconds apart.
+/// The module delays urgent actions for this long after its start. The wrapper passes a start time in the past to skip
+/// the delay, since the first call already provides the complete server list.
+const STARTUP_DELAY_MS: f64 = 2_000.0;
+/// Offset between the first alarms of different services, so that they don't run in the same tick.
 const STAGGER_MS: f64 = 100.0;
 const STAGGER_STEPS: usize = 10;
-/// Tables aren't paced by their length: a whole one has a few KB, once a second.
+/// High enough not to limit the rate of table entries: tables are a few KB and sent at most once a second.
 const LINES_PER_S: f64 = 1e6;
-/// The table of an average proxy has so many entries at most. With more, a proxy that is one of many sends each instance
-/// so little that it knows nothing of it, and opens a connection for nearly every request. The module has a bound for it
-/// by what may wait for all proxies: a fifth of it, less one entry each.
+/// Maximum table size of an average proxy. With larger tables, each proxy sends too few requests to each instance to
+/// reuse connections and to measure latency. The module has no such setting; it derives the limit from the backlog,
+/// `backlog_lines / BACKLOG_SHARE` for all proxies, less one entry for each table.
 const MAX_ENTRIES: f64 = 32.0;
 const BACKLOG_SHARE: f64 = 5.0;
-/// What a request that goes to another zone costs: a part of its value. The module keeps arcs in their proxies' zone as
-/// far as that has capacity.
+/// Cost of sending a request to another zone, as a fraction of its value. The module prefers servers in the proxy's
+/// zone while that zone has capacity.
 const CROSS_ZONE_PRICE: f64 = 0.03;
-/// Traffic between zones is planned in so many steps. With eighths, as where tables are dear, a zone with a tenth more
-/// traffic than it has capacity for would keep all of it.
+/// Granularity of the traffic split between zones. With the module's default of 8 steps, a zone that exceeds its
+/// capacity by 10% would keep all of its traffic.
 const FLOW_STEPS: f64 = 32.0;
-/// How many revisions of a table are counted: as many as the module itself keeps.
+/// Number of revisions kept for each table, the same as in the module.
 const MAX_REVISIONS: usize = 10;
-/// Before a client gives up, by its latency target.
+/// Client timeout as a multiple of the latency target.
 const CLIENT_TIMEOUT_TARGETS: f64 = 4.0;
 
-/// What a module starts with.
+/// Parameters of a decision module.
 pub struct ModuleParameters {
-    /// Of its pseudo-random numbers.
+    /// Seed of the pseudo-random generator.
     pub seed: u64,
-    /// How many proxies there are in the whole system.
+    /// Number of proxies in the cluster.
     pub proxies: u32,
-    /// How many connections an instance accepts. 0: not known.
+    /// Connections that an instance accepts; 0 if unknown.
     pub max_connections: u32,
     pub latency_target_ms: f64,
-    /// Which of the services it is, from 0.
-    pub number: usize,
+    /// Index of the service, used to stagger alarms.
+    pub service_index: usize,
 }
 
-/// The table that the module has ordered for a proxy.
+/// The table that the module assigned to a proxy.
 #[derive(Default)]
-pub struct OrderedTable {
+pub struct AssignedTable {
     pub weights: Lines,
-    /// The revisions that were ordered, the newest last.
+    /// Recent revisions, newest last.
     pub revisions: Vec<u64>,
 }
 
-/// What came of one call of the module.
+/// Result of one call of the module.
 #[derive(Default)]
 pub struct ModuleOutput {
     /// Proxies whose tables may have changed.
     pub touched: BTreeSet<ProxyId>,
-    /// What the module wants to hear of once the touched tables are in use.
+    /// Mark to report back to the module once the proxies use the touched tables.
     pub mark: Option<u64>,
     pub log: Vec<String>,
 }
@@ -69,26 +70,26 @@
     name: u64,
 }
 
-/// The module of one service, and the tables by its orders.
+/// The decision module of one service and the tables that result from its effects.
 pub struct DecisionModule {
     controller: Controller,
     alarms: Vec<Alarm>,
-    /// Added to the first alarm.
+    /// Added to the first alarm, then reset.
     stagger_ms: f64,
-    tables: BTreeMap<TableId, OrderedTable>,
+    tables: BTreeMap<TableId, AssignedTable>,
     bound: BTreeMap<ProxyId, TableId>,
     withdrawn: BTreeSet<ServerId>,
-    /// How many proxies it was made for.
+    /// Number of proxies that it was configured for.
     pub proxies: u32,
 }
 
-/// A table's revision: the hash of its entries as proxies get them.
+/// Revision of a table: the hash of its entries, with weights in the precision sent to proxies.
 pub fn revision_of(weights: impl Iterator<Item = (ServerId, f32)>) -> u64 {
     let weights = weights.map(|(server, weight)| (server, f64::from(weight)));
     name_of(&weights.collect())
 }
 
-/// All requests for a service are of one kind to the module.
+/// The single request kind that stands for all requests of a service.
 fn request_kind(latency_target_ms: f64) -> ReqKind {
     ReqKind {
         name: "any".into(),
@@ -148,8 +149,7 @@
             },
             cross_zone_price: CROSS_ZONE_PRICE,
             flow_steps: FLOW_STEPS,
-            // An instance that enters makes a revision a second until it is warm, so no single one of a release is ever
-            // judged.
+            // Ramping up a new instance creates a revision every second, too short a time to judge any of them alone.
             verdicts_shared: true,
             ..Means::default()
         },
@@ -158,13 +158,13 @@
 }
 
 impl DecisionModule {
-    /// A module that starts at the time `now`.
+    /// Creates a module that starts at `now`.
     pub fn new(now: f64, parameters: &ModuleParameters) -> Self {
-        let start_ms = now + EPOCH_MS - HASTE_AFTER_MS;
+        let start_ms = now + EPOCH_MS - STARTUP_DELAY_MS;
         Self {
             controller: Controller::new(start_ms, start_facts(parameters)),
             alarms: Vec::new(),
-            stagger_ms: (parameters.number % STAGGER_STEPS) as f64 * STAGGER_MS,
+            stagger_ms: (parameters.service_index % STAGGER_STEPS) as f64 * STAGGER_MS,
             tables: BTreeMap::new(),
             bound: BTreeMap::new(),
             withdrawn: BTreeSet::new(),
@@ -177,7 +177,7 @@
         self.controller.knows(server)
     }
 
-    /// Moves the alarms that are due to the inputs. True: there were any.
+    /// Moves due alarms to `inputs`. Returns whether there were any.
     pub fn take_alarms(&mut self, now: f64, inputs: &mut Vec<Input>) -> bool {
         let due = self.alarms.extract_if(.., |alarm| alarm.at_ms <= now);
         let before = inputs.len();
@@ -185,7 +185,7 @@
         inputs.len() > before
     }
 
-    /// Calls the module and carries out what it orders.
+    /// Calls the module and applies its effects.
     pub fn call(&mut self, now: f64, inputs: &[Input]) -> ModuleOutput {
         let mut output = ModuleOutput::default();
         let bound = self.bound.iter();
@@ -221,19 +221,19 @@
                     self.alarms.push(Alarm { at_ms, name });
                 }
                 Effect::Log(text) => output.log.push(text),
-                // Levels, peers, probes and questions for the list are not for proxies.
+                // Admission levels, peer messages, probes and list queries are not used.
                 _ => {}
             }
         }
         for table in changed {
-            if let Some(ordered) = self.tables.get_mut(&table) {
-                ordered.note_revision();
+            if let Some(assigned) = self.tables.get_mut(&table) {
+                assigned.record_revision();
             }
         }
         output
     }
 
-    /// A weight of 0 takes the server out of the table.
+    /// Sets the weight of a server; a weight of 0 removes it from the table.
     fn set_weight(&mut self, table: TableId, server: ServerId, weight: f64) {
         let weights = &mut self.tables.entry(table).or_default().weights;
         if weight > 0.0 {
@@ -243,46 +243,46 @@
         }
     }
 
-    /// The proxies whose tables have a server.
+    /// The proxies whose tables contain a server.
     fn proxies_with(&self, server: ServerId) -> impl Iterator<Item = ProxyId> {
         let has_server = move |table: &TableId| {
-            let ordered = self.tables.get(table);
-            ordered.is_some_and(|ordered| ordered.weights.contains_key(&server))
+            let assigned = self.tables.get(table);
+            assigned.is_some_and(|assigned| assigned.weights.contains_key(&server))
         };
         let bound = self.bound.iter();
-        let with = bound.filter(move |(_, table)| has_server(table));
-        with.map(|(proxy, _)| *proxy)
+        let containing = bound.filter(move |(_, table)| has_server(table));
+        containing.map(|(proxy, _)| *proxy)
     }
 
-    /// The proxy has no table of ours any more.
+    /// Removes the table assignment of a proxy.
     pub fn unbind(&mut self, proxy: ProxyId) {
         self.bound.remove(&proxy);
     }
 
-    /// The table that was last ordered for a proxy.
-    pub fn ordered(&self, proxy: ProxyId) -> Option<&OrderedTable> {
+    /// The table currently assigned to a proxy.
+    pub fn assigned(&self, proxy: ProxyId) -> Option<&AssignedTable> {
         let table = self.bound.get(&proxy)?;
         self.tables.get(table)
     }
 
-    /// The servers that a proxy's table is to have with their weights, but for those that are withdrawn.
+    /// Servers and weights of a proxy's table, without withdrawn servers.
     pub fn weights(&self, proxy: ProxyId) -> impl Iterator<Item = (&ServerId, f64)> {
-        let ordered = self.ordered(proxy).into_iter();
-        let weights = ordered.flat_map(|ordered| &ordered.weights);
+        let assigned = self.assigned(proxy).into_iter();
+        let weights = assigned.flat_map(|assigned| &assigned.weights);
         weights
             .filter(|(server, _)| !self.withdrawn.contains(*server))
             .map(|(server, weight)| (server, *weight))
     }
 }
 
-impl OrderedTable {
-    /// The table was ordered anew. A revision that was there before becomes the newest.
-    fn note_revision(&mut self) {
+impl AssignedTable {
+    /// Records the current revision. A revision already recorded becomes the newest.
+    fn record_revision(&mut self) {
         let weights = self.weights.iter();
         let revision = revision_of(weights.map(|(server, weight)| (*server, *weight as f32)));
-        self.revisions.retain(|known| *known != revision);
+        self.revisions.retain(|recorded| *recorded != revision);
         self.revisions.push(revision);
-        let superfluous = self.revisions.len().saturating_sub(MAX_REVISIONS);
-        self.revisions.drain(..superfluous);
+        let excess = self.revisions.len().saturating_sub(MAX_REVISIONS);
+        self.revisions.drain(..excess);
     }
 }
--- a/crates/rookpulley-registry/src/hosted_service.rs
+++ b/crates/rookpulley-registry/src/hosted_service.rs
@@ -1,7 +1,7 @@
-//! One service: its decision module, what the module is told, and what proxies were sent.
+//! One service: its decision module, the module's inputs and the published tables.
 //!
-//! The module is made with the first proxy, and made anew where what it was made for has changed: another order of
-//! magnitude of proxies, many more instances, or another limit of connections.
+//! The module is created when the first proxy connects. It is recreated when the number of proxies or instances has
+//! changed considerably, or the connection limit has changed.
 
 use crate::decision_module::{DecisionModule, ModuleParameters};
 use crate::published_table::{NextTable, PublishedTable};
@@ -11,37 +11,38 @@
 use rookpulley_protocol::{ServiceLoad, TableEntry};
 use std::collections::BTreeMap;
 
-/// The number of proxies that tables are sized for is held until there are so many times more, or less, for so long:
-/// another one lays every arc anew. Too few put too much on an instance's connections, so they bind sooner.
-const MORE_PROXIES: f64 = 1.5;
-const MORE_PROXIES_FOR_MS: f64 = 2_000.0;
-const FEWER_PROXIES: f64 = 2.5;
-const FEWER_PROXIES_FOR_MS: f64 = 10_000.0;
-/// Arcs keep the positions where they were laid, so instances that came since are in few of them. All are laid anew once
-/// there are more instances by so large a part for a second, or by a smaller part for as much longer; not for less than
-/// the least.
-const MORE_INSTANCES: f64 = 0.3;
-const MORE_INSTANCES_LEAST: f64 = 0.03;
-const MORE_INSTANCES_FOR_MS: f64 = 1e3;
-/// Where the configuration gives no latency target, and the bounds of what the module is given.
+/// Hysteresis of the proxy count that tables are sized for, since every change rebuilds all tables: the ratio between
+/// the counts and how long it must persist. Growth takes effect sooner because oversized tables exhaust the connections
+/// of instances.
+const PROXY_GROWTH_RATIO: f64 = 1.5;
+const PROXY_GROWTH_DELAY_MS: f64 = 2_000.0;
+const PROXY_SHRINK_RATIO: f64 = 2.5;
+const PROXY_SHRINK_DELAY_MS: f64 = 10_000.0;
+/// Instances added after the module was created appear in few tables, because assignments keep their positions. All
+/// tables are rebuilt after growth by this fraction for `INSTANCE_GROWTH_DELAY_MS`, or by a smaller fraction for a
+/// proportionally longer time, but never for growth of `MIN_INSTANCE_GROWTH` or less.
+const INSTANCE_GROWTH: f64 = 0.3;
+const MIN_INSTANCE_GROWTH: f64 = 0.03;
+const INSTANCE_GROWTH_DELAY_MS: f64 = 1e3;
+/// Default and limits of the latency target passed to the module.
 const DEFAULT_LATENCY_TARGET_MS: f64 = 500.0;
 const MIN_LATENCY_TARGET_MS: f64 = 20.0;
 const MAX_LATENCY_TARGET_MS: f64 = 60_000.0;
-/// The module is told of new instances so often.
-const ENTER_INTERVAL_MS: f64 = 1_000.0;
-const SETTLING_ENTER_INTERVAL_MS: f64 = 300.0;
-/// So many tables of one proxy wait for its answer; the oldest are given up.
-const MAX_UNANSWERED: usize = 64;
-/// The time that a report is of, for the module.
+/// Minimum interval between announcements of new instances to the module.
+const ENTRY_INTERVAL_MS: f64 = 1_000.0;
+const SETTLING_ENTRY_INTERVAL_MS: f64 = 300.0;
+/// Maximum number of unacknowledged tables tracked for each proxy; older ones are dropped.
+const MAX_UNACKNOWLEDGED: usize = 64;
+/// Time span that each report passed to the module covers.
 const REPORT_SPAN_MS: f64 = 1_000.0;
 
-/// A proxy that has this controller as its primary.
+/// A proxy whose primary is this controller.
 #[derive(Clone, Copy)]
 pub struct ServedProxy {
     pub proxy: ProxyId,
     pub zone: ZoneId,
     pub requests_per_s: f64,
-    /// It came with tables of its own: while instances are still being heard of, those count for more than ours.
+    /// The proxy holds tables from before it connected, which are more complete than ours while the registry settles.
     pub has_tables: bool,
 }
 
@@ -63,16 +64,16 @@
     pub sequence: u64,
 }
 
-/// A table that was sent and isn't answered yet.
-struct Unanswered {
+/// A table that was sent but not acknowledged yet.
+struct UnacknowledgedTable {
     sequence: u64,
-    /// Of the module that had ordered it.
-    generation: u64,
-    /// The module's marks that the answer answers.
+    /// Generation of the module that the marks belong to.
+    module_generation: u64,
+    /// Marks reported to the module on acknowledgement.
     marks: Vec<u64>,
 }
 
-/// The attempts that went to one server.
+/// Attempts sent to one server from one zone.
 #[derive(Default)]
 struct ServerLoad {
     attempts: f64,
@@ -80,14 +81,14 @@
     time_ms: f64,
 }
 
-/// The requests that came to one proxy.
+/// Requests received by one proxy.
 #[derive(Default)]
 struct ProxyLoad {
     received: f64,
     failed: f64,
 }
 
-/// What proxies have reported since the module was last called.
+/// Load reported by proxies since the last call of the module.
 #[derive(Default)]
 struct Reports {
     servers: BTreeMap<(ServerId, ZoneId), ServerLoad>,
@@ -96,8 +97,8 @@
 
 impl Reports {
     fn into_inputs(self) -> impl Iterator<Item = Input> {
-        let heard = self.servers.into_iter();
-        let heard = heard.map(|((server, zone), load)| Input::Heard {
+        let server_inputs = self.servers.into_iter();
+        let server_inputs = server_inputs.map(|((server, zone), load)| Input::Heard {
             zone,
             server,
             tries: load.attempts,
@@ -114,59 +115,60 @@
             bad: load.failed,
             span_ms: REPORT_SPAN_MS,
         });
-        heard.chain(usage)
+        server_inputs.chain(usage)
     }
 }
 
-/// One service, as its controller hosts it.
+/// A service with its decision module.
 pub struct HostedService {
     service: Service,
-    /// Which of the services it is, from 0.
-    number: usize,
+    /// Index of the service.
+    index: usize,
     seed: u64,
     pub servers: ServerList,
     module: Option<DecisionModule>,
-    /// Another one for each module: marks of an earlier one mean nothing.
-    generation: u64,
+    /// Incremented for each new module; marks of earlier modules are invalid.
+    module_generation: u64,
     inputs: Vec<Input>,
-    /// The module is to be called at the next tick, whether an alarm is due or not.
+    /// Calls the module at the next tick even if no alarm is due.
     is_urgent: bool,
     reports: Reports,
     published: BTreeMap<ProxyId, PublishedTable>,
-    unanswered: BTreeMap<ProxyId, Vec<Unanswered>>,
-    entered_ms: f64,
-    /// Since when there are many more, or fewer, proxies than the module was made for.
-    proxies_off_since_ms: Option<f64>,
-    /// How many instances there were when the module was made, and since when there are more.
+    unacknowledged: BTreeMap<ProxyId, Vec<UnacknowledgedTable>>,
+    last_entry_ms: f64,
+    /// When the proxy count first differed too much from the one that the module was created for.
+    proxy_count_off_since_ms: Option<f64>,
+    /// Number of live instances when the module was created.
     instances: usize,
-    more_instances_since_ms: Option<f64>,
+    /// When the number of live instances first exceeded it considerably.
+    instance_growth_since_ms: Option<f64>,
     pub log: Vec<String>,
 }
 
 impl HostedService {
-    /// A service without a module yet.
-    pub fn new(seed: u64, number: usize, service: Service) -> Self {
+    /// Creates a service without a module.
+    pub fn new(seed: u64, index: usize, service: Service) -> Self {
         Self {
             service,
-            number,
+            index,
             seed,
             servers: ServerList::default(),
             module: None,
-            generation: 0,
+            module_generation: 0,
             inputs: Vec::new(),
             is_urgent: false,
             reports: Reports::default(),
             published: BTreeMap::new(),
-            unanswered: BTreeMap::new(),
-            entered_ms: f64::NEG_INFINITY,
-            proxies_off_since_ms: None,
+            unacknowledged: BTreeMap::new(),
+            last_entry_ms: f64::NEG_INFINITY,
+            proxy_count_off_since_ms: None,
             instances: 0,
-            more_instances_since_ms: None,
+            instance_growth_since_ms: None,
             log: Vec::new(),
         }
     }
 
-    /// Takes other facts of the service. The module starts over where tables depend on them.
+    /// Replaces the settings of the service. Discards the module if the connection limit has changed.
     pub fn set_service(&mut self, service: &Service) {
         if service.max_connections != self.service.max_connections {
             self.module = None;
@@ -174,9 +176,9 @@
         self.service = service.clone();
     }
 
-    /// This controller is a proxy's primary from now on.
+    /// Starts publishing tables to a proxy.
     pub fn proxy_connected(&mut self, proxy: ServedProxy) {
-        self.unanswered.remove(&proxy.proxy);
+        self.unacknowledged.remove(&proxy.proxy);
         self.published.insert(proxy.proxy, PublishedTable::new());
         if let Some(module) = &mut self.module {
             module.unbind(proxy.proxy);
@@ -185,9 +187,9 @@
         }
     }
 
-    /// It is no longer.
+    /// Stops publishing tables to a proxy.
     pub fn proxy_disconnected(&mut self, proxy: ProxyId) {
-        self.unanswered.remove(&proxy);
+        self.unacknowledged.remove(&proxy);
         self.published.remove(&proxy);
         self.reports.proxies.remove(&proxy);
         if let Some(module) = &mut self.module {
@@ -196,11 +198,11 @@
         }
     }
 
-    /// A proxy has reported.
+    /// Adds a load report of a proxy.
     pub fn report(&mut self, proxy: ServedProxy, load: &ServiceLoad) {
-        let of_proxy = self.reports.proxies.entry(proxy.proxy).or_default();
-        of_proxy.received += f64::from(load.received);
-        of_proxy.failed += f64::from(load.failed);
+        let proxy_load = self.reports.proxies.entry(proxy.proxy).or_default();
+        proxy_load.received += f64::from(load.received);
+        proxy_load.failed += f64::from(load.failed);
         for instance in &load.instances {
             let Some(server) = self.servers.server_of(&instance.incarnation) else {
                 continue;
@@ -214,28 +216,27 @@
                 0.0
             };
             let key = (server, proxy.zone);
-            let of_server = self.reports.servers.entry(key).or_default();
-            of_server.attempts += attempts;
-            of_server.failed += failed;
-            of_server.time_ms += f64::from(mean_ms) * (attempts - failed);
+            let server_load = self.reports.servers.entry(key).or_default();
+            server_load.attempts += attempts;
+            server_load.failed += failed;
+            server_load.time_ms += f64::from(mean_ms) * (attempts - failed);
         }
     }
 
-    /// A proxy uses its tables up to this one.
+    /// Handles the acknowledgement of all tables up to sequence number `up_to`.
     pub fn tables_applied(&mut self, proxy: ProxyId, up_to: u64) {
-        let Some(unanswered) = self.unanswered.get_mut(&proxy) else {
+        let Some(unacknowledged) = self.unacknowledged.get_mut(&proxy) else {
             return;
         };
-        let answered = unanswered.extract_if(.., |table| table.sequence <= up_to);
-        for table in answered {
-            if table.generation == self.generation {
-                self.inputs.extend(applied(proxy, table.marks));
+        let acknowledged = unacknowledged.extract_if(.., |table| table.sequence <= up_to);
+        for table in acknowledged {
+            if table.module_generation == self.module_generation {
+                self.inputs.extend(applied_inputs(proxy, table.marks));
             }
         }
     }
 
-    /// Brings the module's list of servers up to date. Makes the module where there is none, or none for so many proxies
-    /// and instances.
+    /// Updates the module's server list, and creates or recreates the module if necessary.
     pub fn sync(
         &mut self,
         now: f64,
@@ -251,11 +252,11 @@
         if proxies.is_empty() && self.module.is_none() {
             return;
         }
-        // Both are looked at: each notes since when it is so.
-        let proxies_are_off = self.proxies_are_off(now, f64::from(proxy_count.max(1)));
-        let has_more_instances = self.has_more_instances(now);
-        if self.module.is_none() || proxies_are_off || has_more_instances {
-            self.make_module(now, proxy_count, proxies);
+        // Both are evaluated because each records when its condition began.
+        let is_proxy_count_off = self.is_proxy_count_off(now, f64::from(proxy_count.max(1)));
+        let has_instance_growth = self.has_instance_growth(now);
+        if self.module.is_none() || is_proxy_count_off || has_instance_growth {
+            self.create_module(now, proxy_count, proxies);
             return;
         }
         let mut lines = self.servers.take_leaving();
@@ -270,54 +271,54 @@
         }
     }
 
-    /// Whether the module was made for another number of proxies, and that has long been so.
-    fn proxies_are_off(&mut self, now: f64, wanted: f64) -> bool {
-        let made_for = self.module.as_ref().map_or(0.0, |m| f64::from(m.proxies));
-        let for_ms = if wanted > made_for * MORE_PROXIES {
-            MORE_PROXIES_FOR_MS
-        } else if wanted * FEWER_PROXIES < made_for {
-            FEWER_PROXIES_FOR_MS
+    /// Whether the proxy count has differed too much from the configured one for long enough.
+    fn is_proxy_count_off(&mut self, now: f64, proxy_count: f64) -> bool {
+        let configured = self.module.as_ref().map_or(0.0, |m| f64::from(m.proxies));
+        let delay_ms = if proxy_count > configured * PROXY_GROWTH_RATIO {
+            PROXY_GROWTH_DELAY_MS
+        } else if proxy_count * PROXY_SHRINK_RATIO < configured {
+            PROXY_SHRINK_DELAY_MS
         } else {
-            self.proxies_off_since_ms = None;
+            self.proxy_count_off_since_ms = None;
             return false;
         };
-        let since_ms = *self.proxies_off_since_ms.get_or_insert(now);
-        now - since_ms >= for_ms
+        let since_ms = *self.proxy_count_off_since_ms.get_or_insert(now);
+        now - since_ms >= delay_ms
     }
 
-    /// Whether there are more instances than the module was made for, and that has long been so.
-    fn has_more_instances(&mut self, now: f64) -> bool {
+    /// Whether the number of live instances has been larger than at creation for long enough.
+    fn has_instance_growth(&mut self, now: f64) -> bool {
         let live = self.servers.live_count() as f64;
-        let more = live / self.instances.max(1) as f64 - 1.0;
-        if more <= MORE_INSTANCES_LEAST {
-            self.more_instances_since_ms = None;
+        let growth = live / self.instances.max(1) as f64 - 1.0;
+        if growth <= MIN_INSTANCE_GROWTH {
+            self.instance_growth_since_ms = None;
             return false;
         }
-        let since_ms = *self.more_instances_since_ms.get_or_insert(now);
-        let excess = more.min(MORE_INSTANCES) * (now - since_ms);
-        excess >= MORE_INSTANCES * MORE_INSTANCES_FOR_MS
+        let since_ms = *self.instance_growth_since_ms.get_or_insert(now);
+        let weighted_ms = growth.min(INSTANCE_GROWTH) * (now - since_ms);
+        weighted_ms >= INSTANCE_GROWTH * INSTANCE_GROWTH_DELAY_MS
     }
 
     fn take_entering(&mut self, now: f64, is_settling: bool) -> Vec<Listed> {
         let interval_ms = if is_settling {
-            SETTLING_ENTER_INTERVAL_MS
+            SETTLING_ENTRY_INTERVAL_MS
         } else {
-            ENTER_INTERVAL_MS
+            ENTRY_INTERVAL_MS
         };
-        let is_bare = |table: &PublishedTable| table.entries.as_ref().is_none_or(Vec::is_empty);
-        let some_are_bare = self.published.values().any(is_bare);
-        if !some_are_bare && now - self.entered_ms < interval_ms {
+        let is_empty = |table: &PublishedTable| table.entries.as_ref().is_none_or(Vec::is_empty);
+        let any_is_empty = self.published.values().any(is_empty);
+        if !any_is_empty && now - self.last_entry_ms < interval_ms {
             return Vec::new();
         }
         let lines = self.servers.take_entering(now);
         if !lines.is_empty() {
-            self.entered_ms = now;
+            self.last_entry_ms = now;
             self.is_urgent = true;
         }
         lines
     }
 
-    fn make_module(&mut self, now: f64, proxy_count: u32, proxies: &[ServedProxy]) {
+    fn create_module(&mut self, now: f64, proxy_count: u32, proxies: &[ServedProxy]) {
         let target_ms = self.service.latency_target_ms;
         let target_ms = if target_ms > 0.0 {
             target_ms
@@ -329,18 +330,18 @@
             proxies: proxy_count.max(1),
             max_connections: self.service.max_connections,
             latency_target_ms: target_ms.clamp(MIN_LATENCY_TARGET_MS, MAX_LATENCY_TARGET_MS),
-            number: self.number,
+            service_index: self.index,
         };
         self.instances = self.servers.live_count();
-        self.more_instances_since_ms = None;
-        self.proxies_off_since_ms = None;
+        self.instance_growth_since_ms = None;
+        self.proxy_count_off_since_ms = None;
         self.log.push(format!(
-            "arcs are cut for {proxy_count} proxies and {} tasks",
+            "rebuilding tables for {proxy_count} proxies and {} instances",
             self.instances
         ));
         self.module = Some(DecisionModule::new(now, &parameters));
-        self.generation += 1;
-        self.entered_ms = now;
+        self.module_generation += 1;
+        self.last_entry_ms = now;
         self.is_urgent = true;
         self.reports = Reports::default();
         let published = self.published.values_mut();
@@ -354,8 +355,8 @@
         self.inputs.extend(proxies.iter().map(ServedProxy::joined));
     }
 
-    /// Calls the module when something is due. Returns the tables that are to be sent now; `last_sequence` is counted on
-    /// for each of them.
+    /// Calls the module if an alarm is due or a change is urgent. Returns the tables to send now; each gets the next
+    /// sequence number after `last_sequence`.
     pub fn tick(
         &mut self,
         now: f64,
@@ -372,7 +373,7 @@
         }
         let mut updates = Vec::new();
         for proxy in proxies {
-            updates.extend(self.next_update(now, proxy, is_settling, last_sequence));
+            updates.extend(self.next_table_update(now, proxy, is_settling, last_sequence));
         }
         updates
     }
@@ -381,9 +382,9 @@
         let Some(module) = &mut self.module else {
             return;
         };
-        // Reports go before the alarm by which the module judges them.
-        let is_other = |input: &mut Input| !matches!(input, Input::Alarm { .. });
-        let mut inputs: Vec<Input> = self.inputs.extract_if(.., is_other).collect();
+        // The module evaluates reports when an alarm fires, so they must precede the alarms.
+        let is_no_alarm = |input: &mut Input| !matches!(input, Input::Alarm { .. });
+        let mut inputs: Vec<Input> = self.inputs.extract_if(.., is_no_alarm).collect();
         inputs.extend(std::mem::take(&mut self.reports).into_inputs());
         inputs.append(&mut self.inputs);
         let output = module.call(now, &inputs);
@@ -397,8 +398,8 @@
         self.servers.forget(|server| module.knows(server));
     }
 
-    /// The table that a proxy is to be sent now, if any.
-    fn next_update(
+    /// The table to send to a proxy now, if any.
+    fn next_table_update(
         &mut self,
         now: f64,
         proxy: &ServedProxy,
@@ -415,17 +416,17 @@
         match table.next(now, &self.servers, module, proxy, is_settling) {
             NextTable::Wait => None,
             NextTable::Unchanged => {
-                // The proxy has what was ordered already.
+                // The proxy already holds this table.
                 table.is_stale = false;
                 let marks = std::mem::take(&mut table.marks);
-                self.inputs.extend(applied(proxy, marks));
+                self.inputs.extend(applied_inputs(proxy, marks));
                 None
             }
             NextTable::Send(entries) => {
                 *last_sequence += 1;
                 let sequence = *last_sequence;
-                let marks = table.sent(now, sequence, entries.clone());
-                self.wait_for_answer(proxy, sequence, marks);
+                let marks = table.record_sent(now, sequence, entries.clone());
+                self.track_unacknowledged(proxy, sequence, marks);
                 Some(TableUpdate {
                     proxy,
                     entries,
@@ -435,44 +436,44 @@
         }
     }
 
-    fn wait_for_answer(&mut self, proxy: ProxyId, sequence: u64, marks: Vec<u64>) {
-        let unanswered = self.unanswered.entry(proxy).or_default();
-        let superfluous = (unanswered.len() + 1).saturating_sub(MAX_UNANSWERED);
-        unanswered.drain(..superfluous);
-        unanswered.push(Unanswered {
+    fn track_unacknowledged(&mut self, proxy: ProxyId, sequence: u64, marks: Vec<u64>) {
+        let unacknowledged = self.unacknowledged.entry(proxy).or_default();
+        let excess = (unacknowledged.len() + 1).saturating_sub(MAX_UNACKNOWLEDGED);
+        unacknowledged.drain(..excess);
+        unacknowledged.push(UnacknowledgedTable {
             sequence,
-            generation: self.generation,
+            module_generation: self.module_generation,
             marks,
         });
     }
 
-    /// What operators are shown of a proxy's table.
+    /// Summary of a proxy's table, for operators.
     pub fn table_summary(&self, proxy: ProxyId) -> Option<TableSummary> {
-        let ordered = self.module.as_ref()?.ordered(proxy)?;
+        let assigned = self.module.as_ref()?.assigned(proxy)?;
         let published = self.published.get(&proxy)?;
         Some(TableSummary {
-            revision: ordered.revisions.last().copied().unwrap_or(0),
-            revisions: ordered.revisions.len(),
+            revision: assigned.revisions.last().copied().unwrap_or(0),
+            revisions: assigned.revisions.len(),
             entries: published.entries.as_ref().map_or(0, Vec::len),
             sequence: published.sequence,
         })
     }
 }
 
-/// A proxy's table in numbers.
+/// Summary of a proxy's table.
 pub struct TableSummary {
-    /// The revision that was last ordered.
+    /// Current revision.
     pub revision: u64,
-    /// How many revisions are remembered.
+    /// Number of recorded revisions.
     pub revisions: usize,
-    /// How many entries were last sent.
+    /// Number of entries last sent.
     pub entries: usize,
-    /// The `sequence` that they were sent with.
+    /// Sequence number that they were sent with.
     pub sequence: u64,
 }
 
-/// What the module is told once a proxy uses its tables.
-fn applied(proxy: ProxyId, marks: Vec<u64>) -> impl Iterator<Item = Input> {
+/// Inputs that report marks of applied tables to the module.
+fn applied_inputs(proxy: ProxyId, marks: Vec<u64>) -> impl Iterator<Item = Input> {
     let marks = marks.into_iter();
     marks.map(move |mark| Input::Applied {
         proxy,
--- a/crates/rookpulley-registry/src/published_table.rs
+++ b/crates/rookpulley-registry/src/published_table.rs
@@ -1,48 +1,48 @@
-//! What a proxy was sent of one service's tables, and when it may be sent another.
+//! The table of one service last sent to a proxy, and the pacing of updates.
 
 use crate::decision_module::{DecisionModule, revision_of};
 use crate::server_list::{EntryStatus, ServerList, server_id};
 use rookpulley::facts::ProxyId;
 use rookpulley_protocol::TableEntry;
 
-/// A proxy gets another table so often, unless an instance has gone.
+/// Minimum interval between updates, except for updates that remove gone instances.
 const INTERVAL_MS: f64 = 1_000.0;
-/// More often while instances are still being heard for the first time.
+/// Minimum interval while the registry is settling.
 const SETTLING_INTERVAL_MS: f64 = 300.0;
 
-/// The table of one proxy.
+/// The table last sent to a proxy.
 #[derive(Default)]
 pub struct PublishedTable {
-    /// What was sent last. None: nothing yet since the proxy connected.
+    /// Entries last sent; `None` if nothing was sent since the proxy connected.
     pub entries: Option<Vec<TableEntry>>,
-    /// The `sequence` that it was sent with.
+    /// Sequence number of the last update.
     pub sequence: u64,
     sent_ms: f64,
-    /// What is to be sent may differ from what was.
+    /// Whether the current table may differ from the one sent.
     pub is_stale: bool,
-    /// The module's marks that wait for the proxy's next answer.
+    /// Marks of the module to be reported when the proxy acknowledges the next update.
     pub marks: Vec<u64>,
 }
 
-/// What is to be done about a proxy's table.
+/// Next action for a proxy's table.
 #[derive(PartialEq)]
 pub enum NextTable {
-    /// It is as it should be.
+    /// The proxy is up to date.
     Unchanged,
-    /// It is to be sent later.
+    /// An update is pending but must not be sent yet.
     Wait,
-    /// It is to be sent now.
+    /// Send these entries now.
     Send(Vec<TableEntry>),
 }
 
-/// The revision that a proxy is told of: the hash of the entries.
+/// Revision of a table, computed from the entries sent to the proxy.
 pub fn table_revision(entries: &[TableEntry]) -> u64 {
     let weights = entries.iter();
     revision_of(weights.map(|entry| (server_id(entry.address), entry.weight)))
 }
 
 impl PublishedTable {
-    /// The table of a proxy that has just connected.
+    /// Creates the state of a newly connected proxy.
     pub fn new() -> Self {
         Self {
             is_stale: true,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// What is to be done about it. `is_settling`: not all live instances were heard yet.
+    /// Determines the next action. `is_settling`: live instances may still be missing from the registry.
     pub fn next(
         &self,
         now: f64,
@@ -62,22 +62,22 @@
         if !self.is_stale {
             return NextTable::Unchanged;
         }
-        let ordered: Vec<TableEntry> = module
+        let current: Vec<TableEntry> = module
             .weights(proxy)
             .filter_map(|(server, weight)| servers.entry(server, weight))
             .collect();
         let Some(sent) = &self.entries else {
-            // Whatever it may have from before is better than nothing.
-            return if ordered.is_empty() {
+            // An empty table would replace one that the proxy may hold from before.
+            return if current.is_empty() {
                 NextTable::Unchanged
             } else {
-                NextTable::Send(ordered)
+                NextTable::Send(current)
             };
         };
-        if ordered.is_empty() {
+        if current.is_empty() {
             return without_gone(sent, servers, is_settling);
         }
-        if ordered == *sent {
+        if current == *sent {
             return NextTable::Unchanged;
         }
         let is_gone = |entry: &TableEntry| servers.entry_status(entry) == EntryStatus::Gone;
@@ -88,14 +88,14 @@
             INTERVAL_MS
         };
         if is_urgent || now - self.sent_ms >= interval_ms {
-            NextTable::Send(ordered)
+            NextTable::Send(current)
         } else {
             NextTable::Wait
         }
     }
 
-    /// Notes what is sent now. Returns the module's marks that an answer to it answers.
-    pub fn sent(&mut self, now: f64, sequence: u64, entries: Vec<TableEntry>) -> Vec<u64> {
+    /// Records an update. Returns the marks to report to the module once the proxy acknowledges it.
+    pub fn record_sent(&mut self, now: f64, sequence: u64, entries: Vec<TableEntry>) -> Vec<u64> {
         self.entries = Some(entries);
         self.sent_ms = now;
         self.sequence = sequence;
@@ -104,15 +104,14 @@
     }
 }
 
-/// Where no instance may get requests, those that were not heard lately are better than none; those that have gone
-/// aren't.
+/// Used when no instance is live: keeps silent instances and removes those that are gone.
 fn without_gone(sent: &[TableEntry], servers: &ServerList, is_settling: bool) -> NextTable {
     let mut entries = sent.to_vec();
     entries.retain(|entry| servers.entry_status(entry) != EntryStatus::Gone);
     if entries.len() == sent.len() {
         NextTable::Unchanged
     } else if entries.is_empty() && is_settling {
-        // Others may be alive that were not heard yet.
+        // Live instances may not have been heard yet.
         NextTable::Wait
     } else {
         NextTable::Send(entries)
--- a/crates/rookpulley-registry/src/server_list.rs
+++ b/crates/rookpulley-registry/src/server_list.rs
@@ -1,7 +1,7 @@
-//! The instances of one service as lines of the decision module's list of servers.
+//! Translates the instances of one service into the server list of the decision module.
 //!
-//! The module knows servers by their addresses. It is told which of them are ready, draining or gone, and when each
-//! started; what it is told is remembered, so that only changes go to it.
+//! The module identifies servers by address. The list records what the module last received, so that only changes are
+//! passed on.
 
 use crate::registry::{Instance, InstanceStatus};
 use rookpulley::facts::{Listed, ServerId, Stage, ZoneId};
@@ -9,23 +9,25 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// How long before the end of its warm-up an instance counts as started, by the module's bounds.
+/// Warm-up time configured in the module. An instance is listed as started this long before its warm-up ends.
 pub const WARM_UP_MS: f64 = 3_000.0;
-/// The module reads a start at 0 or before as one of long ago, and our clock may begin there: its clock begins here.
+/// Offset of the module's clock. The module treats start times of 0 or less as long ago, and the local clock may start
+/// at 0.
 pub const EPOCH_MS: f64 = 1_000_000.0;
-/// A start of long ago, for the module.
+/// Start time that the module treats as long ago.
 const STARTED_LONG_AGO_MS: f64 = 0.0;
-/// The mean that weights stand on is held until it is off by so much: another one changes every line.
-const MEAN_SLOTS_OFF: f64 = 2.0;
+/// Weights are relative to a mean slot count that is updated only when it is off by this factor, since every update
+/// changes all weights.
+const MEAN_SLOTS_TOLERANCE: f64 = 2.0;
 
-/// The module's name of a server: its address.
+/// The module's id of a server: its encoded address.
 pub fn server_id(address: SocketAddrV4) -> ServerId {
     let [a, b, c, d] = address.ip().octets();
     let [low, high] = address.port().to_le_bytes();
     [a, b, c, d, low, high]
 }
 
-/// An instance as the registry has it now.
+/// Attributes of an instance in the registry that affect tables.
 #[derive(Clone, PartialEq)]
 struct ObservedInstance {
     incarnation: IncarnationId,
@@ -36,13 +38,13 @@
     status: InstanceStatus,
 }
 
-/// The same, with when its warm-up ends.
+/// An observed instance and the end of its warm-up.
 struct Observed {
     instance: ObservedInstance,
-    warm_ms: f64,
+    warm_at_ms: f64,
 }
 
-/// What the module was told of a server.
+/// The last state of a server that was passed to the module.
 struct AnnouncedServer {
     incarnation: IncarnationId,
     stage: Stage,
@@ -65,29 +67,29 @@
     }
 }
 
-/// Whether an entry of a proxy's table may stay.
+/// Whether an entry may remain in a proxy's table.
 #[derive(Clone, Copy, PartialEq)]
 pub enum EntryStatus {
-    /// The instance may get requests.
+    /// The instance is live.
     Listed,
-    /// It may be alive: better than none.
+    /// The instance is silent; kept only if no live instance is available.
     Unconfirmed,
-    /// It must not get requests.
+    /// The instance must not get requests.
     Gone,
 }
 
-/// The servers of one service.
+/// The instances of one service, and the servers announced to the module.
 #[derive(Default)]
 pub struct ServerList {
     observed: BTreeMap<ServerId, Observed>,
     announced: BTreeMap<ServerId, AnnouncedServer>,
-    /// Where the incarnations are that the module was told of.
+    /// Server of each announced incarnation.
     servers: BTreeMap<IncarnationId, ServerId>,
     mean_slots: f64,
 }
 
 impl ServerList {
-    /// Takes what the registry has of this service now. True: what may be in tables has changed.
+    /// Replaces the observed instances. Returns whether any attribute that affects tables has changed.
     pub fn observe<'a>(&mut self, instances: impl Iterator<Item = (Instance<'a>, ZoneId)>) -> bool {
         let mut observed = BTreeMap::<ServerId, Observed>::new();
         for (instance, zone_id) in instances {
@@ -97,11 +99,11 @@
                 heard_ms,
             } = instance;
             let server = server_id(heartbeat.address);
-            // One that is draining may still be known at an address that another one has by now.
-            let is_free = observed
+            // A draining incarnation may still be registered at an address that a newer one has taken over.
+            let is_available = observed
                 .get(&server)
                 .is_none_or(|other| other.instance.status == InstanceStatus::Draining);
-            if status == InstanceStatus::Displaced || !is_free {
+            if status == InstanceStatus::Displaced || !is_available {
                 continue;
             }
             let instance = ObservedInstance {
@@ -112,23 +114,29 @@
                 slots: heartbeat.slots,
                 status,
             };
-            let warm_ms = heard_ms + heartbeat.warm_up_ms;
-            observed.insert(server, Observed { instance, warm_ms });
+            let warm_at_ms = heard_ms + heartbeat.warm_up_ms;
+            observed.insert(
+                server,
+                Observed {
+                    instance,
+                    warm_at_ms,
+                },
+            );
         }
-        let before = self.observed.values().map(|o| &o.instance);
-        let has_changed = !before.eq(observed.values().map(|o| &o.instance));
+        let previous = self.observed.values().map(|o| &o.instance);
+        let has_changed = !previous.eq(observed.values().map(|o| &o.instance));
         self.observed = observed;
         has_changed
     }
 
-    /// Forgets what an earlier module was told.
+    /// Discards the state announced to a previous module.
     fn reset(&mut self) {
         self.announced.clear();
         self.servers.clear();
         self.mean_slots = 0.0;
     }
 
-    /// The first list of a module. What is warm counts as started long ago.
+    /// The complete list for a new module. Warm instances are listed as started long ago.
     pub fn first_list(&mut self, now: f64) -> Vec<Listed> {
         self.reset();
         let entered = self.take_entering(now);
@@ -144,7 +152,7 @@
         entered.iter().filter_map(listed).collect()
     }
 
-    /// Lines for the servers that must leave at once.
+    /// Takes the updates for servers that are draining or gone, which are passed on immediately.
     pub fn take_leaving(&mut self) -> Vec<Listed> {
         let mut lines = Vec::new();
         for (server, announced) in &mut self.announced {
@@ -168,23 +176,23 @@
         self.observed.iter().filter(move |(_, o)| is_live(o))
     }
 
-    /// How many instances may get requests.
+    /// Number of instances that may get requests.
     pub fn live_count(&self) -> usize {
         self.live().count()
     }
 
-    /// Weights stand on the mean of all live instances' slots.
+    /// Updates the mean slot count of live instances when it is outside the tolerance.
     fn update_mean_slots(&mut self) {
         let slots: f64 = self.live().map(|(_, o)| f64::from(o.instance.slots)).sum();
         let mean = slots / (self.live_count() as f64).max(1.0);
-        let is_above = mean > MEAN_SLOTS_OFF * self.mean_slots;
-        let is_below = mean * MEAN_SLOTS_OFF < self.mean_slots;
+        let is_above = mean > MEAN_SLOTS_TOLERANCE * self.mean_slots;
+        let is_below = mean * MEAN_SLOTS_TOLERANCE < self.mean_slots;
         if mean > 0.0 && (is_above || is_below) {
             self.mean_slots = mean;
         }
     }
 
-    /// Lines for the servers that are new, come back or have another weight.
+    /// Takes the updates for servers that are new, have recovered or have a different weight.
     pub fn take_entering(&mut self, now: f64) -> Vec<Listed> {
         self.update_mean_slots();
         let mut entering = Vec::new();
@@ -196,11 +204,11 @@
             if same.is_some_and(|same| same.stage == Stage::Ready && same.weight == weight) {
                 continue;
             }
-            // Warm ones count as started at the latest when their warm-up may just be over.
-            let started_ms = observed.warm_ms.max(now) - WARM_UP_MS + EPOCH_MS;
+            // A warm instance is listed with the latest start time whose warm-up is over now.
+            let started_ms = observed.warm_at_ms.max(now) - WARM_UP_MS + EPOCH_MS;
             let started_ms = match (same, before) {
                 (Some(same), _) => same.started_ms,
-                // Another incarnation at this address is a later start.
+                // A new incarnation at this address must have a later start time.
                 (None, Some(before)) => started_ms.max(before.started_ms + 1.0),
                 (None, None) => started_ms,
             };
@@ -230,7 +238,7 @@
         }
     }
 
-    /// Drops what has ended and what the module no longer knows.
+    /// Drops gone servers that the module no longer knows.
     pub fn forget(&mut self, knows: impl Fn(&ServerId) -> bool) {
         self.announced
             .retain(|server, announced| announced.stage != Stage::Gone || knows(server));
@@ -241,12 +249,12 @@
         });
     }
 
-    /// The server of an incarnation that the module was told of.
+    /// The server of an announced incarnation.
     pub fn server_of(&self, incarnation: &str) -> Option<ServerId> {
         self.servers.get(incarnation).copied()
     }
 
-    /// An entry for a table. None: the server may be in no table.
+    /// A table entry for a server. `None` if it must not be in any table.
     pub fn entry(&self, server: &ServerId, weight: f64) -> Option<TableEntry> {
         let announced = self.announced.get(server)?;
         let instance = &self.observed.get(server)?.instance;
@@ -263,7 +271,7 @@
         })
     }
 
-    /// What has become of an entry that a proxy has.
+    /// Status of an entry that a proxy holds.
     pub fn entry_status(&self, entry: &TableEntry) -> EntryStatus {
         let observed = self.observed.get(&server_id(entry.address));
         let instance = observed.map(|o| &o.instance);
--- a/crates/rookpulley-registry/src/table_publisher.rs
+++ b/crates/rookpulley-registry/src/table_publisher.rs
@@ -1,4 +1,4 @@
-//! The proxies that this controller is primary for, and a hosted service for each service of the configuration.
+//! Publishes the tables of all services to the proxies whose primary is this controller.
 
 use crate::hosted_service::{HostedService, ServedProxy};
 use crate::published_table::table_revision;
@@ -8,63 +8,63 @@
 use rookpulley_protocol::{LoadReport, TableEntry};
 use std::collections::BTreeMap;
 
-/// So many proxies are remembered with their ids. Beyond that, the id of one that disconnected long ago is passed on.
+/// Maximum number of proxies with an id. Beyond this, the id of the proxy that disconnected first is reused.
 const MAX_PROXIES: usize = 4_096;
-/// Zones beyond this many count as one.
+/// Zones beyond this number share one id.
 const MAX_ZONES: usize = 1_024;
-/// What a proxy counts with that doesn't say how many requests it gets.
+/// Request rate assumed for proxies that report none.
 const DEFAULT_REQUESTS_PER_S: f64 = 1.0;
 
-/// What is to be done.
+/// Actions for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PublisherOutput {
-    /// Send a proxy a whole table in place of the one before. It answers with the sequence.
+    /// Send a complete table that replaces the previous one. The proxy acknowledges it by sequence number.
     Table {
-        /// Its name.
+        /// Name of the proxy.
         proxy: String,
-        /// The service's name.
+        /// Name of the service.
         service: String,
-        /// The hash of the entries.
+        /// Hash of the entries.
         revision: u64,
-        /// Rises with each table of this publisher.
+        /// Increases with each table of this publisher.
         sequence: u64,
-        /// The instances that requests may go to.
+        /// Instances that may get requests.
         entries: Vec<TableEntry>,
     },
-    /// A line for the log.
+    /// Write a log line.
     Log {
-        /// The service that it is about.
+        /// Name of the service.
         service: String,
-        /// What it says.
+        /// The message.
         text: String,
     },
 }
 
-/// A proxy's table, for operators.
+/// Status of a proxy's table, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableStatus {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// The proxy's name.
+    /// Name of the proxy.
     pub proxy: String,
-    /// The revision that was last ordered.
+    /// Current revision.
     pub revision: u64,
-    /// How many revisions are remembered.
+    /// Number of recorded revisions.
     pub revisions: usize,
-    /// How many entries were last sent.
+    /// Number of entries last sent.
     pub entries: usize,
-    /// The `sequence` that they were sent with.
+    /// Sequence number that they were sent with.
     pub sequence: u64,
 }
 
 struct KnownProxy {
     served: ServedProxy,
     is_connected: bool,
-    /// When it last connected or disconnected.
+    /// Time of the last connect or disconnect.
     changed_ms: f64,
 }
 
-/// The ids of zones, in the order in which they were first heard of.
+/// Zone ids, assigned in the order of first use.
 #[derive(Default)]
 struct Zones(BTreeMap<String, ZoneId>);
 
@@ -74,7 +74,7 @@
             return *id;
         }
         let count = self.0.len();
-        // At most `MAX_ZONES`, which fits.
+        // At most `MAX_ZONES`, so the cast is lossless.
         let id = count.min(MAX_ZONES) as ZoneId;
         if count < MAX_ZONES {
             self.0.insert(name.into(), id);
@@ -83,24 +83,24 @@
     }
 }
 
-/// Publishes tables to the proxies that have this controller as their primary.
+/// Publishes tables to the proxies whose primary is this controller.
 pub struct TablePublisher {
     seed: u64,
-    /// How many proxies there are in the whole system, as far as is known.
+    /// Known number of proxies in the cluster.
     proxy_count: u32,
     services: BTreeMap<String, HostedService>,
     proxies: BTreeMap<String, KnownProxy>,
     zones: Zones,
     last_sequence: u64,
-    /// How many services were ever hosted.
-    hosted: usize,
-    /// The registry's version that the lists stand on.
+    /// Number of services added so far.
+    services_added: usize,
+    /// Registry version of the last sync.
     registry_version: Option<u64>,
     is_settling: bool,
 }
 
 impl TablePublisher {
-    /// A publisher without services and proxies.
+    /// Creates a publisher without services and proxies.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -109,27 +109,27 @@
             proxies: BTreeMap::new(),
             zones: Zones::default(),
             last_sequence: 0,
-            hosted: 0,
+            services_added: 0,
             registry_version: None,
             is_settling: true,
         }
     }
 
-    /// Takes the services of a configuration. One that it doesn't name is hosted no longer.
+    /// Replaces the services; those not listed are removed.
     pub fn set_services(&mut self, services: &[Service]) {
-        let is_named = |name: &str| services.iter().any(|service| service.name == name);
-        self.services.retain(|name, _| is_named(name));
+        let is_listed = |name: &str| services.iter().any(|service| service.name == name);
+        self.services.retain(|name, _| is_listed(name));
         for service in services {
             match self.services.get_mut(&service.name) {
                 Some(hosted) => hosted.set_service(service),
-                None => self.host(service),
+                None => self.add_service(service),
             }
         }
     }
 
-    fn host(&mut self, service: &Service) {
-        let mut hosted = HostedService::new(self.seed, self.hosted, service.clone());
-        self.hosted += 1;
+    fn add_service(&mut self, service: &Service) {
+        let mut hosted = HostedService::new(self.seed, self.services_added, service.clone());
+        self.services_added += 1;
         for proxy in self.served_proxies() {
             hosted.proxy_connected(proxy);
         }
@@ -137,12 +137,12 @@
         self.registry_version = None;
     }
 
-    /// How many proxies there are in the whole system: tables are sized by that.
+    /// Sets the number of proxies in the cluster, which determines the table sizes.
     pub fn set_proxy_count(&mut self, count: u32) {
         self.proxy_count = count;
     }
 
-    /// This controller is a proxy's primary from now on. `has_tables`: the proxy has tables from before.
+    /// Starts publishing tables to a proxy. `has_tables`: the proxy already holds tables.
     pub fn proxy_connected(
         &mut self,
         now: f64,
@@ -152,8 +152,8 @@
         has_tables: bool,
     ) {
         self.proxy_disconnected(now, name);
-        let is_sound = requests_per_s.is_finite() && requests_per_s > 0.0;
-        let requests_per_s = if is_sound {
+        let is_valid = requests_per_s.is_finite() && requests_per_s > 0.0;
+        let requests_per_s = if is_valid {
             requests_per_s
         } else {
             DEFAULT_REQUESTS_PER_S
@@ -178,7 +178,7 @@
         }
     }
 
-    /// It is no longer.
+    /// Stops publishing tables to a proxy.
     pub fn proxy_disconnected(&mut self, now: f64, name: &str) {
         let known = self.proxies.get_mut(name);
         let Some(known) = known.filter(|known| known.is_connected) else {
@@ -192,14 +192,14 @@
         }
     }
 
-    /// The id that a proxy had, or a free one. None: there is none.
+    /// The known id of a proxy, or a free one. `None` if no id is available.
     fn proxy_id(&mut self, name: &str) -> Option<ProxyId> {
         if let Some(known) = self.proxies.get(name) {
             return Some(known.served.proxy);
         }
         let count = self.proxies.len();
         if count < MAX_PROXIES {
-            // Ids are given in order and passed on with their names: the count is free.
+            // Ids are consecutive, and an entry is removed only when its id is reused, so the count is a free id.
             return ProxyId::try_from(count).ok();
         }
         let others = self.proxies.iter().filter(|(_, known)| !known.is_connected);
@@ -219,7 +219,7 @@
         connected.map(|known| known.served).collect()
     }
 
-    /// A proxy has reported what it has met.
+    /// Adds a load report of a proxy.
     pub fn report(&mut self, name: &str, report: &LoadReport) {
         let Some(proxy) = self.served_proxy(name) else {
             return;
@@ -231,7 +231,7 @@
         }
     }
 
-    /// A proxy uses its tables up to this one.
+    /// Handles a proxy's acknowledgement of all tables up to sequence number `up_to`.
     pub fn tables_applied(&mut self, name: &str, up_to: u64) {
         let Some(proxy) = self.served_proxy(name) else {
             return;
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Takes what the registry has. What is draining leaves the tables with the next tick.
+    /// Synchronises with the registry. Draining instances are removed from the tables by the next tick.
     pub fn sync(&mut self, now: f64, registry: &Registry) {
         self.is_settling = registry.is_settling(now);
         let version = Some(registry.version());
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Lets time pass. Returns the tables that are to be sent now.
+    /// Runs due work. Returns the tables to send and lines to log.
     pub fn tick(&mut self, now: f64) -> Vec<PublisherOutput> {
         let proxies = self.served_proxies();
         let names = self.proxies.iter();
@@ -297,7 +297,7 @@
         output
     }
 
-    /// All tables, for operators.
+    /// Status of all tables, for operators.
     pub fn tables(&self) -> Vec<TableStatus> {
         let mut tables = Vec::new();
         for (service, hosted) in &self.services {
--- a/crates/rookpulley-registry/tests/table_publisher.rs
+++ b/crates/rookpulley-registry/tests/table_publisher.rs
@@ -1,4 +1,4 @@
-//! A registry and a desk with tasks and proxies of chance.
+//! Property and scenario tests of a registry with a table publisher.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_protocol::{InstanceLoad, LoadReport, ServiceLoad, TableEntry};
@@ -12,30 +12,30 @@
 const STEP_MS: f64 = 100.0;
 
 #[derive(Clone)]
-struct Task {
+struct Instance {
     heartbeat: Heartbeat,
     due_ms: f64,
 }
 
-/// What a proxy holds of a service.
+/// The table of a service that a proxy holds.
 #[derive(Clone, Default)]
-struct Held {
-    lines: Vec<TableEntry>,
-    at_ms: f64,
+struct HeldTable {
+    entries: Vec<TableEntry>,
+    received_ms: f64,
 }
 
-struct World {
+struct Cluster {
     now: f64,
     registry: Registry,
     publisher: TablePublisher,
-    tasks: Vec<Task>,
+    instances: Vec<Instance>,
     proxies: BTreeSet<String>,
-    held: BTreeMap<(String, String), Held>,
+    held: BTreeMap<(String, String), HeldTable>,
     incarnations: usize,
     log: Vec<String>,
 }
 
-impl World {
+impl Cluster {
     fn new(services: &[&str], max_connections: u32) -> Self {
         let mut publisher = TablePublisher::new(7);
         let service = |name: &&str| Service {
@@ -48,7 +48,7 @@
             now: 0.0,
             registry: Registry::new(0.0, HEARTBEAT_MS, 2_500.0),
             publisher,
-            tasks: Vec::new(),
+            instances: Vec::new(),
             proxies: BTreeSet::new(),
             held: BTreeMap::new(),
             incarnations: 0,
@@ -56,26 +56,27 @@
         }
     }
 
-    fn start(&mut self, service: &str, place: usize, warm_up_ms: f64) -> String {
+    fn start(&mut self, service: &str, index: usize, warm_up_ms: f64) -> String {
         self.incarnations += 1;
         let incarnation = format!("i-{}", self.incarnations);
-        let address = format!("10.0.{}.{}:80", place / 200, place % 200 + 1)
+        let address = format!("10.0.{}.{}:80", index / 200, index % 200 + 1)
             .parse()
             .unwrap();
-        // A new incarnation at a place means that the one before has ended.
-        self.tasks.retain(|task| task.heartbeat.address != address);
+        // A new incarnation at an address implies that the previous one has ended.
+        self.instances
+            .retain(|instance| instance.heartbeat.address != address);
         let heartbeat = Heartbeat {
             incarnation: incarnation.clone(),
             service: service.into(),
             address,
-            zone: format!("z{}", place % 3),
+            zone: format!("z{}", index % 3),
             software_version: "v1".into(),
-            slots: 4 + (place % 3) as u16,
+            slots: 4 + (index % 3) as u16,
             draining: false,
             warm_up_ms,
             sequence: 0,
         };
-        self.tasks.push(Task {
+        self.instances.push(Instance {
             heartbeat,
             due_ms: self.now,
         });
@@ -83,12 +84,12 @@
     }
 
     fn drain(&mut self, incarnation: &str) {
-        for task in self
-            .tasks
+        for instance in self
+            .instances
             .iter_mut()
-            .filter(|task| task.heartbeat.incarnation == incarnation)
+            .filter(|instance| instance.heartbeat.incarnation == incarnation)
         {
-            (task.heartbeat.draining, task.due_ms) = (true, self.now);
+            (instance.heartbeat.draining, instance.due_ms) = (true, self.now);
         }
     }
 
@@ -104,14 +105,19 @@
         self.publisher.set_proxy_count(self.proxies.len() as u32);
     }
 
-    /// One step of time: heartbeats that are due, a tick, and what goes out is taken.
+    /// Advances time by one step: delivers due heartbeats, ticks, and applies the published tables.
     fn step(&mut self) {
         self.now += STEP_MS;
-        for task in self.tasks.iter_mut().filter(|task| task.due_ms <= self.now) {
-            task.due_ms = self.now + HEARTBEAT_MS;
-            task.heartbeat.sequence += 1;
-            self.registry.heartbeat(self.now, task.heartbeat.clone());
-            task.heartbeat.warm_up_ms = (task.heartbeat.warm_up_ms - HEARTBEAT_MS).max(0.0);
+        for instance in self
+            .instances
+            .iter_mut()
+            .filter(|instance| instance.due_ms <= self.now)
+        {
+            instance.due_ms = self.now + HEARTBEAT_MS;
+            instance.heartbeat.sequence += 1;
+            self.registry
+                .heartbeat(self.now, instance.heartbeat.clone());
+            instance.heartbeat.warm_up_ms = (instance.heartbeat.warm_up_ms - HEARTBEAT_MS).max(0.0);
         }
         self.registry.tick(self.now);
         self.publisher.sync(self.now, &self.registry);
@@ -120,17 +126,17 @@
                 PublisherOutput::Table {
                     proxy,
                     service,
-                    sequence: mark,
-                    entries: lines,
+                    sequence,
+                    entries,
                     ..
                 } => {
-                    self.check_sent(&proxy, &service, &lines);
-                    self.publisher.tables_applied(&proxy, mark);
+                    self.check_sent(&proxy, &service, &entries);
+                    self.publisher.tables_applied(&proxy, sequence);
                     self.held.insert(
                         (proxy, service),
-                        Held {
-                            lines,
-                            at_ms: self.now,
+                        HeldTable {
+                            entries,
+                            received_ms: self.now,
                         },
                     );
                 }
@@ -144,126 +150,132 @@
         (0..count).for_each(|_| self.step());
     }
 
-    fn gone(&self, line: &TableEntry) -> bool {
+    fn is_gone(&self, entry: &TableEntry) -> bool {
         !matches!(
-            self.registry.status(&line.incarnation),
+            self.registry.status(&entry.incarnation),
             InstanceStatus::Live | InstanceStatus::Silent
         )
     }
 
-    fn check_sent(&self, proxy: &str, service: &str, lines: &[TableEntry]) {
+    fn check_sent(&self, proxy: &str, service: &str, entries: &[TableEntry]) {
         assert!(
             self.proxies.contains(proxy),
-            "a table for a proxy that is out"
+            "table sent to a disconnected proxy"
         );
         let live: BTreeMap<_, _> = self
             .registry
             .live_instances(service)
             .map(|b| (&b.incarnation, b.address))
             .collect();
-        let named: BTreeSet<_> = lines.iter().map(|line| &line.incarnation).collect();
-        assert_eq!(named.len(), lines.len());
-        let before = self.incarnations_held(proxy, service);
-        for line in lines {
-            // One that is merely silent may stay where there is nothing better, and is never new.
-            let silent = self.registry.status(&line.incarnation) == InstanceStatus::Silent;
-            let kept = silent && before.contains(&line.incarnation);
+        let distinct: BTreeSet<_> = entries.iter().map(|entry| &entry.incarnation).collect();
+        assert_eq!(distinct.len(), entries.len());
+        let before = self.held_incarnations(proxy, service);
+        for entry in entries {
+            // A silent instance may be retained but never added.
+            let silent = self.registry.status(&entry.incarnation) == InstanceStatus::Silent;
+            let retained = silent && before.contains(&entry.incarnation);
             assert!(
-                live.get(&line.incarnation) == Some(&line.address) || kept,
-                "{line:?} is not live"
+                live.get(&entry.incarnation) == Some(&entry.address) || retained,
+                "{entry:?} is not live"
             );
-            assert!(line.weight > 0.0);
+            assert!(entry.weight > 0.0);
         }
         if let Some(held) = self.held.get(&(proxy.into(), service.into())) {
-            let urgent = held.lines.is_empty() || held.lines.iter().any(|line| self.gone(line));
-            let pace_ms = if self.registry.is_settling(self.now) {
+            let urgent =
+                held.entries.is_empty() || held.entries.iter().any(|entry| self.is_gone(entry));
+            let interval_ms = if self.registry.is_settling(self.now) {
                 300.0
             } else {
                 1_000.0
             };
             assert!(
-                urgent || self.now - held.at_ms >= pace_ms - 1.0,
-                "tables change too often"
+                urgent || self.now - held.received_ms >= interval_ms - 1.0,
+                "table updated before the minimum interval"
             );
-            assert_ne!(held.lines, lines, "the same table again");
+            assert_ne!(held.entries, entries, "unchanged table sent again");
         }
     }
 
     fn check_held(&self) {
-        for (of, held) in &self.held {
-            let gone: Vec<_> = held.lines.iter().filter(|line| self.gone(line)).collect();
-            // Lines of which none is any good are as bad as no lines.
-            let settling = self.registry.is_settling(self.now) && gone.len() == held.lines.len();
-            assert!(gone.is_empty() || settling, "{of:?} still holds {gone:?}");
+        for (key, held) in &self.held {
+            let gone: Vec<_> = held
+                .entries
+                .iter()
+                .filter(|entry| self.is_gone(entry))
+                .collect();
+            // While settling, a table whose entries are all gone may stay.
+            let settling = self.registry.is_settling(self.now) && gone.len() == held.entries.len();
+            assert!(gone.is_empty() || settling, "{key:?} still holds {gone:?}");
         }
     }
 
-    /// Each proxy reports tries at all that it holds.
-    fn report(&mut self, tries: u32, bad: u32) {
-        self.report_of(tries, |_| bad);
+    /// Each proxy reports this many attempts and failures for every entry that it holds.
+    fn report(&mut self, attempts: u32, failed: u32) {
+        self.report_with(attempts, |_| failed);
     }
 
-    fn report_of(&mut self, tries: u32, bad: impl Fn(&str) -> u32) {
+    fn report_with(&mut self, attempts: u32, failed: impl Fn(&str) -> u32) {
         for ((proxy, service), held) in &self.held {
             let mean_ms = 20.0;
-            let task = |l: &TableEntry| InstanceLoad {
-                incarnation: l.incarnation.clone(),
-                attempts: tries,
-                failed: bad(&l.incarnation),
+            let instance = |entry: &TableEntry| InstanceLoad {
+                incarnation: entry.incarnation.clone(),
+                attempts,
+                failed: failed(&entry.incarnation),
                 mean_ms,
             };
-            let tasks: Vec<_> = held.lines.iter().map(task).collect();
-            let came = tries * tasks.len() as u32;
-            let of = ServiceLoad {
+            let instances: Vec<_> = held.entries.iter().map(instance).collect();
+            let received = attempts * instances.len() as u32;
+            let load = ServiceLoad {
                 service: service.clone(),
-                received: came,
+                received,
                 failed: 0,
-                instances: tasks,
+                instances,
             };
             self.publisher.report(
                 proxy,
                 &LoadReport {
                     span_ms: 1_000,
-                    services: vec![of],
+                    services: vec![load],
                 },
             );
         }
     }
 
-    fn incarnations_held(&self, proxy: &str, service: &str) -> BTreeSet<String> {
+    fn held_incarnations(&self, proxy: &str, service: &str) -> BTreeSet<String> {
         let held = self.held.get(&(proxy.into(), service.into()));
         held.into_iter()
-            .flat_map(|h| &h.lines)
-            .map(|line| line.incarnation.clone())
+            .flat_map(|h| &h.entries)
+            .map(|entry| entry.incarnation.clone())
             .collect()
     }
 
-    fn act(&mut self, u: &mut Unstructured) -> Result<()> {
-        let some = if self.tasks.is_empty() {
+    fn random_action(&mut self, u: &mut Unstructured) -> Result<()> {
+        let some = if self.instances.is_empty() {
             None
         } else {
-            Some(u.choose_index(self.tasks.len())?)
+            Some(u.choose_index(self.instances.len())?)
         };
         match (u.int_in_range(0..=11)?, some) {
             (0..=2, _) => {
                 let service = *u.choose(&["a", "b"])?;
-                let place = u.choose_index(12)?;
-                let cold_ms = *u.choose(&[0.0, 2_000.0, 8_000.0])?;
-                self.start(service, place, cold_ms);
+                let index = u.choose_index(12)?;
+                let warm_up_ms = *u.choose(&[0.0, 2_000.0, 8_000.0])?;
+                self.start(service, index, warm_up_ms);
             }
             (3, Some(at)) => {
-                let incarnation = self.tasks[at].heartbeat.incarnation.clone();
+                let incarnation = self.instances[at].heartbeat.incarnation.clone();
                 self.drain(&incarnation);
             }
             (4, Some(at)) => {
-                let task = self.tasks.swap_remove(at);
-                self.registry.leave(self.now, &task.heartbeat.incarnation);
+                let instance = self.instances.swap_remove(at);
+                self.registry
+                    .leave(self.now, &instance.heartbeat.incarnation);
             }
-            // Its heartbeats stop for a while, or for good.
+            // Heartbeats stop for a while, or permanently.
             (5, Some(at)) => {
-                self.tasks[at].due_ms = self.now + f64::from(u.int_in_range(1..=9)?) * 1e3
+                self.instances[at].due_ms = self.now + f64::from(u.int_in_range(1..=9)?) * 1e3
             }
-            (6, Some(at)) => _ = self.tasks.swap_remove(at),
+            (6, Some(at)) => _ = self.instances.swap_remove(at),
             (7 | 8, _) => {
                 let name = format!("c{}", u.choose_index(4)?);
                 self.proxy_connected(&name);
@@ -275,43 +287,43 @@
                 self.publisher.proxy_disconnected(self.now, &name);
             }
             _ => {
-                let bad = u.int_in_range(0..=10)?;
-                self.report(10, bad);
+                let failed = u.int_in_range(0..=10)?;
+                self.report(10, failed);
             }
         }
         Ok(())
     }
 }
 
-/// Longer and longer runs.
-fn longer(n: u32) -> u32 {
+/// Input length in bytes by run number.
+fn input_length(n: u32) -> u32 {
     64 + n % 100 * 24
 }
 
 #[test]
-fn tables_name_live_tasks_alone_and_lose_a_drained_one_with_the_next_tick() {
-    plays_of(60, longer, |u| {
-        let mut world = World::new(&["a", "b"], 130);
+fn tables_contain_only_live_instances_and_drop_a_drained_one_in_the_next_tick() {
+    plays_of(60, input_length, |u| {
+        let mut cluster = Cluster::new(&["a", "b"], 130);
         for _ in 0..u.int_in_range(5..=60)? {
-            world.act(u)?;
-            world.steps(u.int_in_range(1..=8)?);
+            cluster.random_action(u)?;
+            cluster.steps(u.int_in_range(1..=8)?);
         }
-        // Once all is calm for longer than anybody is held out, every task is in a table of somebody.
-        world.proxy_connected("c9");
+        // After a quiet period longer than any exclusion, every live instance is in some table.
+        cluster.proxy_connected("c9");
         (0..40).for_each(|_| {
-            world.report(10, 0);
-            world.steps(10);
+            cluster.report(10, 0);
+            cluster.steps(10);
         });
         for service in ["a", "b"] {
-            let live: BTreeSet<String> = world
+            let live: BTreeSet<String> = cluster
                 .registry
                 .live_instances(service)
                 .map(|b| b.incarnation.clone())
                 .collect();
-            let held: BTreeSet<String> = world
+            let held: BTreeSet<String> = cluster
                 .proxies
                 .iter()
-                .flat_map(|proxy| world.incarnations_held(proxy, service))
+                .flat_map(|proxy| cluster.held_incarnations(proxy, service))
                 .collect();
             assert!(
                 live.is_subset(&held),
@@ -323,59 +335,70 @@
 }
 
 #[test]
-fn a_small_zone_is_open_to_all_its_proxies_and_a_large_one_in_parts() {
-    for (tasks, proxies, most, least) in [(25, 12, 130, 8), (419, 91, 610, 24)] {
-        let mut world = World::new(&["a"], most);
-        (0..tasks).for_each(|place| _ = world.start("a", place, 0.0));
-        (0..proxies).for_each(|n| world.proxy_in_zone(&format!("c{n}"), &format!("z{}", n % 3)));
-        world.steps(100);
-        let mut reach = BTreeMap::<String, usize>::new();
-        for held in world.held.values() {
-            let count = held.lines.len();
-            assert!((least..=110).contains(&count), "{count} lines of {tasks}");
-            held.lines
+fn table_size_is_bounded_and_instances_are_spread_evenly_across_tables() {
+    for (instances, proxies, max_connections, min_entries) in [(25, 12, 130, 8), (419, 91, 610, 24)]
+    {
+        let mut cluster = Cluster::new(&["a"], max_connections);
+        (0..instances).for_each(|index| _ = cluster.start("a", index, 0.0));
+        (0..proxies).for_each(|n| cluster.proxy_in_zone(&format!("c{n}"), &format!("z{}", n % 3)));
+        cluster.steps(100);
+        let mut table_counts = BTreeMap::<String, usize>::new();
+        for held in cluster.held.values() {
+            let count = held.entries.len();
+            assert!(
+                (min_entries..=110).contains(&count),
+                "{count} entries for {instances} instances"
+            );
+            held.entries
                 .iter()
-                .for_each(|line| *reach.entry(line.incarnation.clone()).or_default() += 1);
+                .for_each(|entry| *table_counts.entry(entry.incarnation.clone()).or_default() += 1);
         }
-        assert_eq!((world.held.len(), reach.len()), (proxies, tasks));
-        let mean = reach.values().sum::<usize>() / tasks;
+        assert_eq!(
+            (cluster.held.len(), table_counts.len()),
+            (proxies, instances)
+        );
+        let mean = table_counts.values().sum::<usize>() / instances;
         assert!(
-            reach.values().all(|count| *count >= mean / 2),
-            "{mean}: {reach:?}"
+            table_counts.values().all(|count| *count >= mean / 2),
+            "{mean}: {table_counts:?}"
         );
     }
 }
 
-/// What each zone's proxies send where, as shares of what all bring, where each brings as much.
-fn flows(world: &World) -> BTreeMap<(String, String), f64> {
+/// Traffic between zones as fractions of the total, if all proxies have the same load.
+fn flows(cluster: &Cluster) -> BTreeMap<(String, String), f64> {
     let mut flows = BTreeMap::new();
-    for ((proxy, _), held) in &world.held {
+    for ((proxy, _), held) in &cluster.held {
         let from = format!("z{}", proxy.rsplit('z').next().unwrap());
-        let all: f64 = held.lines.iter().map(|line| f64::from(line.weight)).sum();
-        for line in &held.lines {
+        let all: f64 = held
+            .entries
+            .iter()
+            .map(|entry| f64::from(entry.weight))
+            .sum();
+        for entry in &held.entries {
             *flows
-                .entry((from.clone(), line.zone.clone()))
-                .or_insert(0.0) += f64::from(line.weight) / all / world.held.len() as f64;
+                .entry((from.clone(), entry.zone.clone()))
+                .or_insert(0.0) += f64::from(entry.weight) / all / cluster.held.len() as f64;
         }
     }
     flows
 }
 
 #[test]
-fn arcs_stay_in_their_proxies_zone_as_far_as_it_has_room_and_the_rest_goes_where_room_is() {
-    // Proxies by zone; tasks stand evenly in z0, z1 and z2.
-    for (proxies, home) in [
+fn traffic_stays_in_the_proxy_zone_up_to_its_capacity_and_the_rest_goes_to_other_zones() {
+    // Proxies by zone; instances are spread evenly over z0, z1 and z2.
+    for (proxies, expected_local) in [
         ([4, 4, 4], [0.33, 0.33, 0.33]),
         ([9, 3, 0], [0.33, 0.25, 0.0]),
     ] {
-        let mut world = World::new(&["a"], 610);
-        (0..90).for_each(|place| _ = world.start("a", place, 0.0));
+        let mut cluster = Cluster::new(&["a"], 610);
+        (0..90).for_each(|index| _ = cluster.start("a", index, 0.0));
         for (zone, count) in proxies.iter().enumerate() {
             (0..*count)
-                .for_each(|n| world.proxy_in_zone(&format!("c{n}z{zone}"), &format!("z{zone}")));
+                .for_each(|n| cluster.proxy_in_zone(&format!("c{n}z{zone}"), &format!("z{zone}")));
         }
-        world.steps(100);
-        let flows = flows(&world);
+        cluster.steps(100);
+        let flows = flows(&cluster);
         let into = |zone: &str| -> f64 {
             flows
                 .iter()
@@ -383,15 +406,15 @@
                 .map(|(_, f)| f)
                 .sum()
         };
-        for (zone, wanted) in home.iter().enumerate() {
+        for (zone, expected) in expected_local.iter().enumerate() {
             let zone = format!("z{zone}");
-            let stays = flows
+            let local = flows
                 .get(&(zone.clone(), zone.clone()))
                 .copied()
                 .unwrap_or(0.0);
             assert!(
-                (stays - wanted).abs() < 0.08,
-                "{proxies:?}: {stays} of {zone} stay, of {flows:?}"
+                (local - expected).abs() < 0.08,
+                "{proxies:?}: {local} of the traffic stays in {zone}: {flows:?}"
             );
             assert!(
                 (0.2..0.5).contains(&into(&zone)),
@@ -402,147 +425,154 @@
     }
 }
 
-/// As it is at a start: proxies call before most tasks have been heard of.
+/// At startup, proxies connect before most instances have sent a heartbeat.
 #[test]
-fn tasks_that_come_after_the_proxies_are_in_as_many_tables_as_those_that_came_before() {
-    for (tasks, proxies) in [(29, 91), (419, 91), (25, 12)] {
-        let mut world = World::new(&["a"], 610);
-        (0..proxies).for_each(|n| world.proxy_connected(&format!("c{n}")));
-        for place in 0..tasks {
-            world.start("a", place, 0.0);
-            if place % (tasks / 15 + 1) == 0 {
-                world.step();
+fn instances_registered_after_the_proxies_connect_are_in_as_many_tables_as_earlier_ones() {
+    for (instances, proxies) in [(29, 91), (419, 91), (25, 12)] {
+        let mut cluster = Cluster::new(&["a"], 610);
+        (0..proxies).for_each(|n| cluster.proxy_connected(&format!("c{n}")));
+        for index in 0..instances {
+            cluster.start("a", index, 0.0);
+            if index % (instances / 15 + 1) == 0 {
+                cluster.step();
             }
         }
-        world.steps(140);
-        let mut reach = BTreeMap::<String, usize>::new();
-        let lines = world.held.values().flat_map(|held| &held.lines);
-        lines.for_each(|line| *reach.entry(line.incarnation.clone()).or_default() += 1);
-        let mean = reach.values().sum::<usize>() / tasks;
-        assert_eq!(reach.len(), tasks, "{reach:?}");
+        cluster.steps(140);
+        let mut table_counts = BTreeMap::<String, usize>::new();
+        let entries = cluster.held.values().flat_map(|held| &held.entries);
+        entries.for_each(|entry| *table_counts.entry(entry.incarnation.clone()).or_default() += 1);
+        let mean = table_counts.values().sum::<usize>() / instances;
+        assert_eq!(table_counts.len(), instances, "{table_counts:?}");
         assert!(
-            reach
+            table_counts
                 .values()
                 .all(|count| (mean / 3..=3 * mean).contains(count)),
-            "{mean}: {reach:?}"
+            "{mean}: {table_counts:?}"
         );
     }
 }
 
 #[test]
-fn a_table_that_fails_is_tainted_and_the_one_before_comes_back_without_what_drains() {
-    let mut world = World::new(&["a"], 130);
-    let incarnations: Vec<String> = (0..4).map(|place| world.start("a", place, 0.0)).collect();
-    world.proxy_connected("c0");
+fn failing_revision_is_rolled_back_without_restoring_draining_instances() {
+    let mut cluster = Cluster::new(&["a"], 130);
+    let incarnations: Vec<String> = (0..4).map(|index| cluster.start("a", index, 0.0)).collect();
+    cluster.proxy_connected("c0");
     for _ in 0..10 {
-        world.report(20, 0);
-        world.steps(10);
+        cluster.report(20, 0);
+        cluster.steps(10);
     }
-    assert_eq!(world.incarnations_held("c0", "a").len(), 4);
-    let before = world.publisher.tables()[0].revision;
-    let new = world.start("a", 4, 0.0);
-    world.drain(&incarnations[0]);
-    world.steps(15);
-    let held = world.incarnations_held("c0", "a");
+    assert_eq!(cluster.held_incarnations("c0", "a").len(), 4);
+    let before = cluster.publisher.tables()[0].revision;
+    let new = cluster.start("a", 4, 0.0);
+    cluster.drain(&incarnations[0]);
+    cluster.steps(15);
+    let held = cluster.held_incarnations("c0", "a");
     assert!(
         held.contains(&new) && !held.contains(&incarnations[0]) && held.len() == 4,
         "{held:?}"
     );
-    assert_ne!(world.publisher.tables()[0].revision, before);
+    assert_ne!(cluster.publisher.tables()[0].revision, before);
     for _ in 0..10 {
-        world.report(20, 3);
-        world.steps(10);
+        cluster.report(20, 3);
+        cluster.steps(10);
     }
-    let held = world.incarnations_held("c0", "a");
+    let held = cluster.held_incarnations("c0", "a");
     assert_eq!(
         held.iter().collect::<Vec<_>>(),
         [&incarnations[1], &incarnations[2], &incarnations[3]],
         "{:?}",
-        world.log
+        cluster.log
     );
     assert!(
-        world
+        cluster
             .log
             .iter()
             .any(|text| text.contains("tainted, rolled back")),
         "{:?}",
-        world.log
+        cluster.log
     );
 }
 
 #[test]
-fn revisions_that_follow_each_other_faster_than_any_is_judged_are_tainted_together() {
-    let mut world = World::new(&["a"], 130);
-    let incarnations: Vec<String> = (0..12).map(|place| world.start("a", place, 0.0)).collect();
-    world.proxy_connected("c0");
+fn revisions_too_frequent_to_judge_individually_are_rolled_back_together() {
+    let mut cluster = Cluster::new(&["a"], 130);
+    let incarnations: Vec<String> = (0..12)
+        .map(|index| cluster.start("a", index, 0.0))
+        .collect();
+    cluster.proxy_connected("c0");
     for _ in 0..10 {
-        world.report(20, 0);
-        world.steps(10);
+        cluster.report(20, 0);
+        cluster.steps(10);
     }
-    let mut bad = BTreeSet::new();
-    for (place, oldest) in incarnations.iter().enumerate().take(3) {
-        bad.insert(world.start("a", 12 + place, 0.0));
-        world.drain(oldest);
-        world.steps(10);
-        world.report_of(
+    let mut failed = BTreeSet::new();
+    for (index, oldest) in incarnations.iter().enumerate().take(3) {
+        failed.insert(cluster.start("a", 12 + index, 0.0));
+        cluster.drain(oldest);
+        cluster.steps(10);
+        cluster.report_with(
             20,
-            |incarnation| if bad.contains(incarnation) { 8 } else { 0 },
+            |incarnation| if failed.contains(incarnation) { 8 } else { 0 },
         );
     }
-    let released = world.incarnations_held("c0", "a");
+    let released = cluster.held_incarnations("c0", "a");
     assert!(
-        bad.is_subset(&released) && released.len() == 12,
+        failed.is_subset(&released) && released.len() == 12,
         "{released:?}"
     );
     for _ in 0..4 {
-        world.steps(10);
-        world.report_of(
+        cluster.steps(10);
+        cluster.report_with(
             20,
-            |incarnation| if bad.contains(incarnation) { 8 } else { 0 },
+            |incarnation| if failed.contains(incarnation) { 8 } else { 0 },
         );
     }
-    let held = world.incarnations_held("c0", "a");
+    let held = cluster.held_incarnations("c0", "a");
     assert_eq!(
         held,
         incarnations[3..].iter().cloned().collect(),
         "{:?}",
-        world.log
+        cluster.log
     );
     assert!(
-        world
+        cluster
             .log
             .iter()
             .any(|text| text.contains("tainted, rolled back")),
         "{:?}",
-        world.log
+        cluster.log
     );
 }
 
 #[test]
-fn one_that_holds_tables_gets_none_from_a_controller_that_is_still_settling() {
-    let mut world = World::new(&["a"], 130);
-    world.start("a", 0, 0.0);
-    world.publisher.proxy_connected(0.0, "old", "z0", 1.0, true);
-    world.proxies.insert("old".into());
-    world.proxy_connected("new");
-    world.steps(25);
-    assert_eq!(world.incarnations_held("new", "a").len(), 1);
-    assert_eq!(world.incarnations_held("old", "a").len(), 0);
-    world.steps(10);
-    assert_eq!(world.incarnations_held("old", "a").len(), 1);
+fn proxy_with_tables_gets_none_while_the_controller_is_settling() {
+    let mut cluster = Cluster::new(&["a"], 130);
+    cluster.start("a", 0, 0.0);
+    cluster
+        .publisher
+        .proxy_connected(0.0, "old", "z0", 1.0, true);
+    cluster.proxies.insert("old".into());
+    cluster.proxy_connected("new");
+    cluster.steps(25);
+    assert_eq!(cluster.held_incarnations("new", "a").len(), 1);
+    assert_eq!(cluster.held_incarnations("old", "a").len(), 0);
+    cluster.steps(10);
+    assert_eq!(cluster.held_incarnations("old", "a").len(), 1);
 }
 
 #[test]
-fn the_last_known_tasks_stay_while_they_are_merely_silent() {
-    let mut world = World::new(&["a"], 130);
-    let incarnation = world.start("a", 0, 0.0);
-    world.proxy_connected("c0");
-    world.steps(40);
-    world.tasks.clear();
-    world.steps(100);
-    assert_eq!(world.registry.status(&incarnation), InstanceStatus::Silent);
-    assert_eq!(world.incarnations_held("c0", "a").len(), 1);
-    world.registry.leave(world.now, &incarnation);
-    world.step();
-    assert_eq!(world.incarnations_held("c0", "a").len(), 0);
+fn silent_instances_stay_in_the_table_when_no_instance_is_live() {
+    let mut cluster = Cluster::new(&["a"], 130);
+    let incarnation = cluster.start("a", 0, 0.0);
+    cluster.proxy_connected("c0");
+    cluster.steps(40);
+    cluster.instances.clear();
+    cluster.steps(100);
+    assert_eq!(
+        cluster.registry.status(&incarnation),
+        InstanceStatus::Silent
+    );
+    assert_eq!(cluster.held_incarnations("c0", "a").len(), 1);
+    cluster.registry.leave(cluster.now, &incarnation);
+    cluster.step();
+    assert_eq!(cluster.held_incarnations("c0", "a").len(), 0);
 }
