--- a/crates/rookpulley-routes/src/faults.rs
+++ b/crates/rookpulley-routes/src/faults.rs
@@ -1,4 +1,4 @@
-//! How the faults of a configuration are told. They go into an answer.
+//! Formatting of validation errors of a configuration, which are returned to the operator.
 
 use rookpulley_diagnostics::Manner;
 
@@ -6,5 +6,5 @@
     told: 16,
     shown: 80,
     heading: |_| "the configuration is invalid".into(),
-    help: "mend the places named and send the whole configuration again",
+    help: "correct the listed errors and send the complete configuration again",
 };
--- a/crates/rookpulley-routes/src/json.rs
+++ b/crates/rookpulley-routes/src/json.rs
@@ -1,18 +1,19 @@
-//! Bytes become JSON values within bounds, and what is wrong with them a fault of the configuration.
+//! Parses JSON within bounds and converts parse errors to configuration faults.
 
 use crate::faults::CONFIGURATION;
 use rookpulley_diagnostics::{Bounds, Faults, Nesting, Place, Unread, read};
 use std::fmt::Display;
 use tinyjson::{JsonParseError, JsonValue};
 
-/// A configuration of 3,000 routes takes about half a megabyte, one of 35,000 six.
+/// Maximum size of a configuration; fits more than 35,000 routes.
 pub const MAX_BYTES: usize = 8 << 20;
-/// Deeper values are refused.
+/// Maximum nesting depth.
 pub const MAX_DEPTH: usize = 64;
-/// In what is built at once: all but the rules, or one rule, or the whole where it must be told what is wrong with it.
+/// Maximum number of JSON values in one parsed document: a single rule, the configuration without its rules, or the
+/// complete configuration when it is parsed for error reporting.
 pub const MAX_VALUES: usize = 250_000;
-/// So many brackets stand open round a rule.
-const DEPTH_OF_RULE: usize = 4;
+/// Nesting depth at which a rule starts.
+const RULE_DEPTH: usize = 4;
 
 const BOUNDS: Bounds = Bounds {
     bytes: MAX_BYTES,
@@ -20,12 +21,12 @@
     values: MAX_VALUES,
 };
 
-/// A rule alone; none where it is faulty.
+/// Parses a single rule. `None` if it is invalid.
 pub(crate) fn parse_rule(bytes: &[u8]) -> Option<JsonValue> {
     read(
         bytes,
         Bounds {
-            nesting: Nesting::Levels(MAX_DEPTH - DEPTH_OF_RULE),
+            nesting: Nesting::Levels(MAX_DEPTH - RULE_DEPTH),
             ..BOUNDS
         },
     )
@@ -36,10 +37,10 @@
     read(bytes, BOUNDS)
 }
 
-/// Bytes that are no text are told of as such, whatever else was found in them.
-pub(crate) fn unread(bytes: &[u8], why: Unread) -> Faults {
+/// Converts a parse error to a fault. Invalid UTF-8 is reported in preference to other errors, except for the size.
+pub(crate) fn parse_fault(bytes: &[u8], error: Unread) -> Faults {
     let after = |end: usize| Place::after(bytes.get(..end).unwrap_or(bytes));
-    match (why, std::str::from_utf8(bytes)) {
+    match (error, std::str::from_utf8(bytes)) {
         (Unread::Long, _) => fault(
             "the body",
             format!("{} bytes long", bytes.len()),
@@ -47,12 +48,12 @@
         ),
         (Unread::NotUtf8(e), _) | (_, Err(e)) => fault(
             after(e.valid_up_to()),
-            "no UTF-8",
-            "the whole configuration as JSON in UTF-8",
+            "invalid UTF-8",
+            "the complete configuration as JSON in UTF-8",
         ),
         (Unread::Deep { at }, _) => fault(
             after(at),
-            "nested too deep",
+            "nested too deeply",
             format!("at most {MAX_DEPTH} levels"),
         ),
         (Unread::Many { at }, _) => fault(
@@ -60,27 +61,29 @@
             "one value too many",
             format!("at most {MAX_VALUES} values"),
         ),
-        (Unread::NoJson(e), _) => no_json(&e),
+        (Unread::NoJson(e), _) => syntax_fault(&e),
     }
 }
 
-fn no_json(e: &JsonParseError) -> Faults {
+fn syntax_fault(e: &JsonParseError) -> Faults {
     let place = Place {
         line: e.line(),
         column: e.column(),
     };
-    let told = e.to_string();
-    let cause = told.split_once(": ").map_or("no JSON", |(_, cause)| cause);
+    let message = e.to_string();
+    let cause = message
+        .split_once(": ")
+        .map_or("syntax error", |(_, cause)| cause);
     if cause.starts_with("Unexpected EOF") {
         fault(
             place,
-            "where the text ends too soon",
-            "the whole configuration; this one was cut short",
+            "an unexpected end of input",
+            "the complete configuration; this one is truncated",
         )
     } else {
         fault(
             place,
-            format!("no JSON ({cause})"),
+            format!("invalid JSON ({cause})"),
             "one JSON object and nothing after it",
         )
     }
--- a/crates/rookpulley-routes/src/lib.rs
+++ b/crates/rookpulley-routes/src/lib.rs
@@ -1,12 +1,12 @@
-//! The operator's configuration: read, checked, and asked for the route of a request.
+//! Parses and validates the operator's configuration, and looks up the routes of requests.
 //!
-//! | file | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `split` | cuts the bytes into rules and the rest, so that unchanged rules needn't be read again |
-//! | `json`, `values` | bytes to JSON values within bounds, and fields out of those |
-//! | `read` | checks what the fields say |
-//! | `route_table`, `route` | the checked configuration, as requests are routed by it |
-//! | `faults` | how what is wrong with a configuration is said |
+//! | `split` | splits the text into rules and the rest, so that unchanged rules are not parsed again |
+//! | `json`, `values` | bounded JSON parsing and typed access to fields |
+//! | `read` | validates the fields and builds the route table |
+//! | `route_table`, `route` | the validated configuration and route lookup |
+//! | `faults` | formatting of validation errors |
 
 #![warn(missing_docs)]
 
--- a/crates/rookpulley-routes/src/read.rs
+++ b/crates/rookpulley-routes/src/read.rs
@@ -1,7 +1,7 @@
-//! From the operator's bytes to the snapshot, or to all that is wrong with them.
+//! Parses and validates a configuration, and reports all faults.
 
 use crate::faults::CONFIGURATION;
-use crate::json::{MAX_BYTES, parse, parse_rule, unread};
+use crate::json::{MAX_BYTES, parse, parse_fault, parse_rule};
 use crate::route::{Route, RouteKind};
 use crate::route_table::{Limits, RouteTable, Service};
 use crate::split::split;
@@ -13,37 +13,37 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// No request is held longer, whatever a route says.
+/// Upper limit of configured times.
 const DAY_MS: f64 = 86_400_000.0;
-const ABOVE_0: &str = "a number of milliseconds above 0";
-const WEIGHT: &str = "a number from 0 on";
+const POSITIVE_MS: &str = "a number of milliseconds above 0";
+const WEIGHT: &str = "a number of at least 0";
 
 impl RouteTable {
-    /// The operator's configuration as it was sent. Nothing of the bytes is kept.
+    /// Parses a configuration. Does not retain `bytes`.
     pub fn read(bytes: &[u8]) -> Result<Self, Faults> {
         Self::read_after(bytes, None)
     }
 
-    /// The same after an earlier one, with the bytes that it was read from: routes whose rules have not changed are
-    /// shared with it, so that a change costs what it changes.
+    /// Parses a configuration, sharing the routes of unchanged rules with an earlier one. `earlier` is the text of that
+    /// configuration and its table.
     pub fn read_after(bytes: &[u8], earlier: Option<(&[u8], &RouteTable)>) -> Result<Self, Faults> {
-        // What is faulty is read whole, to be told of with all that is wrong with it.
+        // An invalid configuration is parsed again as a whole, to report all faults.
         match read_by_rule(bytes, earlier) {
             Ok(table) => Ok(table),
-            Err(found) => read_whole(bytes, found),
+            Err(faults) => read_complete(bytes, faults),
         }
     }
 }
 
-/// `found`: what is known to be wrong with it, where it is too much to be built at once.
-fn read_whole(bytes: &[u8], found: Faults) -> Result<RouteTable, Faults> {
+/// Parses a configuration as a whole. If it has too many values for that, returns the faults already `known`.
+fn read_complete(bytes: &[u8], known: Faults) -> Result<RouteTable, Faults> {
     let json = match parse(bytes) {
         Ok(json) => json,
-        Err(Unread::Many { .. }) if !found.is_empty() => return Err(found),
-        Err(why) => return Err(unread(bytes, why)),
+        Err(Unread::Many { .. }) if !known.is_empty() => return Err(known),
+        Err(error) => return Err(parse_fault(bytes, error)),
     };
     let faults = RefCell::new(Faults::none(&CONFIGURATION));
-    let table = table(Value::top(&json, &faults));
+    let table = table(Value::root(&json, &faults));
     let faults = faults.into_inner();
     match table {
         Some(table) if faults.is_empty() => Ok(table),
@@ -51,20 +51,20 @@
     }
 }
 
-/// Rules of an earlier configuration with their hosts, and the routes that came of them.
-type KnownRules<'a> = HashMap<(&'a str, &'a [u8]), &'a Arc<Route>>;
+/// Routes of an earlier configuration by host and rule text.
+type RuleCache<'a> = HashMap<(&'a str, &'a [u8]), &'a Arc<Route>>;
 
-fn known_rules<'a>(
+fn cached_rules<'a>(
     services: &[Service],
     earlier: Option<(&'a [u8], &'a RouteTable)>,
-) -> KnownRules<'a> {
+) -> RuleCache<'a> {
     let Some((bytes, table)) = earlier else {
-        return KnownRules::new();
+        return RuleCache::new();
     };
-    // Routes name services by their places.
+    // Routes refer to services by index, so they can be shared only if the services are the same.
     let names = |services: &'a [Service]| services.iter().map(|service| service.name.as_str());
     if !names(&table.services).eq(services.iter().map(|service| service.name.as_str())) {
-        return KnownRules::new();
+        return RuleCache::new();
     }
     let known = table.rules.iter().filter_map(|(at, route)| {
         let rule = bytes.get(at.clone())?;
@@ -73,57 +73,57 @@
     known.collect()
 }
 
-/// What is wrong with it as far as that was found: nothing, where it must be read whole to tell.
+/// Parses the rules one by one. On failure, returns the faults found so far, which may be none.
 fn read_by_rule(bytes: &[u8], earlier: Option<(&[u8], &RouteTable)>) -> Result<RouteTable, Faults> {
     let faults = RefCell::new(Faults::none(&CONFIGURATION));
-    let short = Some(bytes).filter(|bytes| bytes.len() <= MAX_BYTES);
-    let rest = short
+    let within_limit = Some(bytes).filter(|bytes| bytes.len() <= MAX_BYTES);
+    let rest = within_limit
         .and_then(split)
         .and_then(|split| Some((parse(&split.rest).ok()?, split.rules)));
     let table = rest.and_then(|(json, rules)| {
-        let text = RuleText { bytes, rules };
-        table_by_rule(Value::top(&json, &faults), &text, earlier)
+        let text = SplitRules { bytes, rules };
+        table_by_rule(Value::root(&json, &faults), &text, earlier)
     });
     let faults = faults.into_inner();
     table.filter(|_| faults.is_empty()).ok_or(faults)
 }
 
-struct RuleText<'a> {
+struct SplitRules<'a> {
     bytes: &'a [u8],
     rules: Vec<Range<usize>>,
 }
 
-impl RuleText<'_> {
-    /// The rule that this value stands in for.
-    fn of(&self, stand_in: &Value) -> Option<(Range<usize>, &[u8])> {
-        let number = stand_in.field("").whole(0, "a number")?;
+impl SplitRules<'_> {
+    /// The rule that a placeholder refers to.
+    fn resolve(&self, placeholder: &Value) -> Option<(Range<usize>, &[u8])> {
+        let number = placeholder.field("").integer(0, "a number")?;
         let at = self.rules.get(usize::try_from(number).ok()?)?;
         Some((at.clone(), self.bytes.get(at.clone())?))
     }
 }
 
 fn table_by_rule(
-    top: Value,
-    rules: &RuleText,
+    root: Value,
+    rules: &SplitRules,
     earlier: Option<(&[u8], &RouteTable)>,
 ) -> Option<RouteTable> {
-    if !top.is_object() {
+    if !root.require_object() {
         return None;
     }
-    let version = top
+    let version = root
         .field("configVersion")
-        .whole_needed(1, "a whole number from 1 to 9007199254740991")?;
-    let limits = limits(top.field("limits"));
-    let (services, indices) = services(top.field("services"));
-    let known = known_rules(&services, earlier);
-    let (mut routes, mut read) = (Vec::new(), Vec::with_capacity(rules.rules.len()));
-    for host in top.field("hostnames").items() {
+        .required_integer(1, "an integer from 1 to 9007199254740991")?;
+    let limits = limits(root.field("limits"));
+    let (services, indices) = services(root.field("services"));
+    let known = cached_rules(&services, earlier);
+    let (mut routes, mut parsed_rules) = (Vec::new(), Vec::with_capacity(rules.rules.len()));
+    for host in root.field("hostnames").items() {
         let name = host
             .field("hostname")
-            .text_needed("the host that these rules are for")?;
+            .required_string("the host that these rules are for")?;
         let name = name.to_ascii_lowercase();
         for rule in host.field("pathRules").items() {
-            let Some((at, text)) = rules.of(&rule) else {
+            let Some((at, text)) = rules.resolve(&rule) else {
                 routes.push(Arc::new(route(rule, &name, &indices)?));
                 continue;
             };
@@ -131,85 +131,85 @@
                 Some(route) => Arc::clone(route),
                 None => Arc::new(route(rule.with(&parse_rule(text)?), &name, &indices)?),
             };
-            read.push((at, route.clone()));
+            parsed_rules.push((at, route.clone()));
             routes.push(route);
         }
     }
-    routes.sort_by(|one, other| (&one.host, &one.prefix).cmp(&(&other.host, &other.prefix)));
-    let alike = |pair: &[Arc<Route>]| matches!(pair, [one, next] if (&one.host, &one.prefix) == (&next.host, &next.prefix));
-    if routes.windows(2).any(alike) {
+    routes.sort_by(|a, b| (&a.host, &a.prefix).cmp(&(&b.host, &b.prefix)));
+    let is_duplicate = |pair: &[Arc<Route>]| matches!(pair, [a, b] if (&a.host, &a.prefix) == (&b.host, &b.prefix));
+    if routes.windows(2).any(is_duplicate) {
         return None;
     }
     let mut table = RouteTable::new(version, limits, services, indices, routes);
-    table.rules = read;
+    table.rules = parsed_rules;
     Some(table)
 }
 
-/// Goes on after a fault, so that all are noted.
-fn table(top: Value) -> Option<RouteTable> {
-    if !top.is_object() {
+/// Builds the table. Continues after a fault, so that all are recorded.
+fn table(root: Value) -> Option<RouteTable> {
+    if !root.require_object() {
         return None;
     }
-    let version = top
+    let version = root
         .field("configVersion")
-        .whole_needed(1, "a whole number from 1 to 9007199254740991");
-    let limits = limits(top.field("limits"));
-    let (services, indices) = services(top.field("services"));
+        .required_integer(1, "an integer from 1 to 9007199254740991");
+    let limits = limits(root.field("limits"));
+    let (services, indices) = services(root.field("services"));
     let mut routes = Routes::default();
-    for (at, host) in top
+    for (at, host) in root
         .field("hostnames")
         .items()
         .enumerate()
-        .filter(|(_, host)| host.is_object())
+        .filter(|(_, host)| host.require_object())
     {
         routes.add_host(at, host, &indices);
     }
     let mut routes = routes.routes;
-    routes.sort_by(|one, other| (&one.host, &one.prefix).cmp(&(&other.host, &other.prefix)));
+    routes.sort_by(|a, b| (&a.host, &a.prefix).cmp(&(&b.host, &b.prefix)));
     let routes = routes.into_iter().map(Arc::new).collect();
     Some(RouteTable::new(version?, limits, services, indices, routes))
 }
 
 fn limits(limits: Value) -> Limits {
-    if !limits.present() || !limits.is_object() {
+    if !limits.is_present() || !limits.require_object() {
         return Limits::default();
     }
-    let whole = |field: &'static str, otherwise: u64| {
+    let integer = |field: &'static str, default: u64| {
         limits
             .field(field)
-            .whole(1, "a whole number above 0")
-            .unwrap_or(otherwise)
+            .integer(1, "an integer above 0")
+            .unwrap_or(default)
     };
-    let usual = Limits::default();
+    let defaults = Limits::default();
     Limits {
-        header_bytes: whole("maxHeaderBytes", usual.header_bytes as u64) as usize,
-        body_bytes: whole("maxBodyBytes", usual.body_bytes),
-        header_ms: whole("headerTimeoutMs", usual.header_ms),
-        idle_ms: whole("idleTimeoutMs", usual.idle_ms),
+        header_bytes: integer("maxHeaderBytes", defaults.header_bytes as u64) as usize,
+        body_bytes: integer("maxBodyBytes", defaults.body_bytes),
+        header_ms: integer("headerTimeoutMs", defaults.header_ms),
+        idle_ms: integer("idleTimeoutMs", defaults.idle_ms),
     }
 }
 
 fn services(list: Value) -> (Vec<Service>, HashMap<String, usize>) {
     let (mut services, mut indices) = (Vec::new(), HashMap::new());
-    for one in list.items().filter(|one| one.is_object()) {
-        let name = one.field("name").text_needed("the service's name");
-        let health = one.field("healthCheckPath");
+    for service in list.items().filter(|service| service.require_object()) {
+        let name = service.field("name").required_string("the service's name");
+        let health = service.field("healthCheckPath");
         let health_path = health
-            .text()
+            .string()
             .filter(|path| !path.is_empty())
             .unwrap_or("/health");
         if !health_path.starts_with('/') {
-            health.note(format!("{health_path:?}"), "a path that begins with \"/\"");
+            health.record_fault(format!("{health_path:?}"), "a path that starts with \"/\"");
         }
-        let connections = one
+        let connections = service
             .field("maxConnections")
-            .whole(0, "a whole number from 0 on")
+            .integer(0, "an integer of at least 0")
             .unwrap_or(0);
         let Some(name) = name else { continue };
         match indices.entry(name.to_string()) {
-            Entry::Occupied(before) => one.field("name").note(
-                format!("{name:?}, as is services[{}].name", before.get()),
-                "each service once, under a name of its own",
+            Entry::Occupied(before) => service.field("name").record_fault(
+                format!("{name:?}, the same as services[{}].name", before.get()),
+                "a unique service name",
             ),
             Entry::Vacant(place) => _ = place.insert(services.len()),
         }
@@ -225,7 +225,7 @@
 #[derive(Default)]
 struct Routes {
     routes: Vec<Route>,
-    /// Where each host and prefix was seen: two that are alike would leave it open which one holds.
+    /// Position of each host and prefix, to detect duplicates.
     seen: HashMap<(String, String), (usize, usize)>,
 }
 
@@ -233,21 +233,21 @@
     fn add_host(&mut self, at: usize, host: Value, indices: &HashMap<String, usize>) {
         let name = host
             .field("hostname")
-            .text_needed("the host that these rules are for");
+            .required_string("the host that these rules are for");
         let name = name.unwrap_or_default().to_ascii_lowercase();
         for (rule_at, rule) in host.field("pathRules").items().enumerate() {
-            if rule.is_object()
+            if rule.require_object()
                 && let Some(route) = route(rule, &name, indices)
             {
                 match self.seen.entry((name.clone(), route.prefix.clone())) {
                     Entry::Occupied(before) => {
                         let (host, before) = before.get();
-                        rule.field("pathPrefix").note(
+                        rule.field("pathPrefix").record_fault(
                             format!(
-                                "{:?}, as it is in hostnames[{host}].pathRules[{before}]",
+                                "{:?}, the same as in hostnames[{host}].pathRules[{before}]",
                                 route.prefix
                             ),
-                            "each prefix of a host once",
+                            "a prefix that is unique for the host",
                         );
                     }
                     Entry::Vacant(place) => _ = place.insert((at, rule_at)),
@@ -261,32 +261,32 @@
 fn route(rule: Value, host: &str, indices: &HashMap<String, usize>) -> Option<Route> {
     let prefix = rule.field("pathPrefix");
     let prefix = prefix
-        .text_needed("a path that begins and ends with \"/\"")
+        .required_string("a path that starts and ends with \"/\"")
         .filter(|text| {
             let fits = text.starts_with('/') && text.ends_with('/');
             if !fits {
-                prefix.note(
+                prefix.record_fault(
                     format!("{text:?}"),
-                    "a path that begins and ends with \"/\"",
+                    "a path that starts and ends with \"/\"",
                 );
             }
             fits
         });
-    let name = rule.field("name").text().filter(|name| !name.is_empty());
+    let name = rule.field("name").string().filter(|name| !name.is_empty());
     let kind = kind(rule.field("routeKind"));
     let timeout = rule
         .field("timeoutMs")
-        .number_needed(ABOVE_0, |ms| ms > 0.0);
-    let aim = rule
+        .required_number(POSITIVE_MS, |ms| ms > 0.0);
+    let latency_target = rule
         .field("targetLatencyMs")
         .number("a number of milliseconds", |ms| ms >= 0.0);
     let priority = rule
         .field("priority")
-        .whole(0, "a whole number, 0 for the highest")
+        .integer(0, "an integer, 0 for the highest priority")
         .unwrap_or(0);
     let attempts = rule
         .field("maxAttempts")
-        .whole_needed(1, "a whole number of tasks, at least 1");
+        .required_integer(1, "an integer of at least 1");
     let targets = targets(rule, indices);
 
     let (prefix, timeout) = (prefix?, timeout?.min(DAY_MS));
@@ -296,7 +296,7 @@
         prefix: prefix.into(),
         kind: kind?,
         timeout_ms: timeout,
-        latency_target_ms: aim
+        latency_target_ms: latency_target
             .filter(|ms| *ms > 0.0)
             .map_or(timeout, |ms| ms.min(DAY_MS)),
         priority: u32::try_from(priority).unwrap_or(u32::MAX),
@@ -306,27 +306,27 @@
 }
 
 fn kind(kind: Value) -> Option<RouteKind> {
-    let instead = "\"read_only\", \"mutating\" or \"download\"";
-    match kind.text_needed(instead)? {
+    let expected = "\"read_only\", \"mutating\" or \"download\"";
+    match kind.required_string(expected)? {
         "read_only" => Some(RouteKind::ReadOnly),
         "mutating" => Some(RouteKind::Mutating),
         "download" => Some(RouteKind::Download),
         other => {
-            kind.note(format!("{other:?}"), instead);
+            kind.record_fault(format!("{other:?}"), expected);
             None
         }
     }
 }
 
-/// The services that a rule names, with their weights: one by `targetService`, or several by `trafficSplit`. The
-/// one that isn't meant may also stand there empty.
+/// The target services of a rule with their weights: either `targetService` or the services of `trafficSplit`. The
+/// unused field may be absent or empty.
 fn targets(rule: Value, indices: &HashMap<String, usize>) -> Option<Vec<(usize, f64)>> {
     let (single, split) = (rule.field("targetService"), rule.field("trafficSplit"));
-    let named = match single.text() {
-        None if single.present() => return None,
+    let named = match single.string() {
+        None if single.is_present() => return None,
         named => named.filter(|name| !name.is_empty()),
     };
-    let shares = if split.present() {
+    let shares = if split.is_present() {
         split.items().collect()
     } else {
         Vec::new()
@@ -335,56 +335,56 @@
         return Some(vec![(service(single, indices)?, 1.0)]);
     }
     if named.is_some() {
-        split.note("there beside targetService", "one of the two");
+        split.record_fault("set together with targetService", "only one of the two");
     }
     if shares.is_empty() {
-        single.note(
-            "missing, and trafficSplit names no service",
-            "the name of a service, or fill trafficSplit",
+        single.record_fault(
+            "missing, and trafficSplit is empty",
+            "the name of a service, or a trafficSplit",
         );
         return None;
     }
-    weighed(split, &shares, indices)
+    weighted_targets(split, &shares, indices)
 }
 
-fn weighed(
+fn weighted_targets(
     split: Value,
     shares: &[Value],
     indices: &HashMap<String, usize>,
 ) -> Option<Vec<(usize, f64)>> {
     let shares = shares
         .iter()
-        .filter(|share| share.is_object())
+        .filter(|share| share.require_object())
         .map(|share| {
             let weight = share
                 .field("weight")
-                .number_needed(WEIGHT, |weight| weight >= 0.0);
+                .required_number(WEIGHT, |weight| weight >= 0.0);
             let service = service(share.field("targetService"), indices);
             Some((service?, weight?))
         });
-    // All are looked at before the first that is faulty ends it.
+    // Collected first, so that the faults of all shares are recorded.
     let shares: Vec<Option<(usize, f64)>> = shares.collect();
     let shares: Vec<(usize, f64)> = shares.into_iter().collect::<Option<_>>()?;
     let sum: f64 = shares.iter().map(|(_, weight)| weight).sum();
     if sum > 0.0 && sum.is_finite() {
         Some(shares)
     } else {
-        split.note(
-            format!("a list of weights that add up to {sum}"),
-            "weights with a sum above 0",
+        split.record_fault(
+            format!("a list of weights with the sum {sum}"),
+            "weights with a finite sum above 0",
         );
         None
     }
 }
 
 fn service(name: Value, indices: &HashMap<String, usize>) -> Option<usize> {
-    let text = name.text_needed("the name of a service")?;
-    let place = indices.get(text).copied();
-    if place.is_none() {
-        name.note(
-            format!("{text:?}, which is no service"),
-            "a name that stands under services",
+    let text = name.required_string("the name of a service")?;
+    let index = indices.get(text).copied();
+    if index.is_none() {
+        name.record_fault(
+            format!("{text:?}, which is not a known service"),
+            "the name of a service listed under services",
         );
     }
-    place
+    index
 }
--- a/crates/rookpulley-routes/src/route.rs
+++ b/crates/rookpulley-routes/src/route.rs
@@ -1,59 +1,59 @@
-//! One route: where its requests go and how long they may take.
+//! A route: the targets, timeout and retry limits of its requests.
 
-/// What may be done with the requests of a route.
+/// How the requests of a route may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run twice at no harm.
+    /// Idempotent; may be sent more than once.
     ReadOnly,
-    /// Runs once at most.
+    /// Must be executed at most once.
     Mutating,
-    /// Large answers, otherwise as `ReadOnly`.
+    /// Idempotent with large responses.
     Download,
 }
 
 impl RouteKind {
-    /// Whether a request may run twice at no harm.
+    /// Whether a request may safely be executed more than once.
     pub fn is_idempotent(self) -> bool {
         self != Self::Mutating
     }
 }
 
-/// One rule of a host.
+/// A routing rule of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The name that the operator gave it.
+    /// Configured name, or host and prefix if none is configured.
     pub name: String,
-    /// In lower case.
+    /// Host name in lower case.
     pub host: String,
-    /// Begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: String,
-    /// What may be done with its requests.
+    /// How its requests may be retried.
     pub kind: RouteKind,
-    /// Above 0 and a day at most, so that it can be turned into any form of time.
+    /// Request timeout, greater than 0 and at most one day.
     pub timeout_ms: f64,
-    /// Within it, an answer earns its full value.
+    /// Target response time.
     pub latency_target_ms: f64,
-    /// 0 is the highest.
+    /// 0 is the highest priority.
     pub priority: u32,
-    /// How many instances one request may be sent to, at least 1.
+    /// Maximum number of instances that one request may be sent to, at least 1.
     pub attempts: u32,
-    /// Indices of `RouteTable::services`, each with its weight. No weight is below 0, and their sum is above it.
+    /// Indices into `RouteTable::services` with their weights. No weight is negative, and the sum is positive.
     pub targets: Vec<(usize, f64)>,
 }
 
 impl Route {
-    /// The index of a service, drawn by weight. `random` is even over 0 to 1, without 1. A service of weight 0 is
-    /// never drawn, whatever `random` is.
+    /// Selects a service by weight and returns its index. `random` is uniformly distributed in `[0, 1)`. A service of
+    /// weight 0 is never selected, even for values outside that range.
     pub fn draw(&self, random: f64) -> Option<usize> {
         let sum: f64 = self.targets.iter().map(|(_, weight)| weight).sum();
-        let (mut left, mut drawn) = (random * sum, None);
+        let (mut remaining, mut selected) = (random * sum, None);
         for (service, weight) in self.targets.iter().filter(|(_, weight)| *weight > 0.0) {
-            drawn = Some(*service);
-            if left < *weight {
+            selected = Some(*service);
+            if remaining < *weight {
                 break;
             }
-            left -= weight;
+            remaining -= weight;
         }
-        drawn
+        selected
     }
 }
--- a/crates/rookpulley-routes/src/route_table.rs
+++ b/crates/rookpulley-routes/src/route_table.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration in the form that requests are routed by.
+//! The validated configuration and route lookup.
 
 use crate::route::Route;
 use std::borrow::Cow;
@@ -6,47 +6,47 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// A configuration. It never changes: a newer one is a new value, and takes its place at once.
+/// An immutable configuration. A newer configuration replaces it as a whole.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
-    /// Its version, as the operator gave it.
+    /// Version assigned by the operator.
     pub version: u64,
-    /// What clients may send.
+    /// Limits on client requests.
     pub limits: Limits,
-    /// The services, in the order of the configuration.
+    /// Services in configuration order.
     pub services: Vec<Service>,
-    /// Their indices, by name.
+    /// Indices into `services` by name.
     indices: HashMap<String, usize>,
     /// Sorted by host, then by prefix.
     routes: Vec<Arc<Route>>,
     hosts: HashMap<String, Host>,
-    /// By service: the least latency target of its routes.
+    /// Smallest latency target of the routes to each service.
     least_latency_targets_ms: Vec<Option<f64>>,
-    /// Where rules stand in the bytes that it was read from, and the routes that came of them.
+    /// Byte ranges of the rules in the source text, with the resulting routes.
     pub(crate) rules: Vec<(Range<usize>, Arc<Route>)>,
 }
 
-/// A service that routes go to.
+/// A service that routes can target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// The path of its health check.
+    /// Path of the health check.
     pub health_path: String,
-    /// The connections that one of its instances accepts from all callers together. 0: not known.
+    /// Connections that each instance accepts from all clients together; 0 if unknown.
     pub max_connections: u32,
 }
 
-/// What a client may send, and how long it may take or stay idle.
+/// Size and time limits on client connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// The longest head.
+    /// Maximum size of the request header.
     pub header_bytes: usize,
-    /// The longest body.
+    /// Maximum size of the request body.
     pub body_bytes: u64,
-    /// How long a head may take.
+    /// Timeout for receiving the request header, in milliseconds.
     pub header_ms: u64,
-    /// How long a connection may stay idle.
+    /// Timeout of idle connections, in milliseconds.
     pub idle_ms: u64,
 }
 
@@ -63,14 +63,14 @@
 
 #[derive(Clone, Debug)]
 struct Host {
-    /// Its routes among all.
+    /// Range of its routes in `RouteTable::routes`.
     routes: Range<usize>,
-    /// The length of its longest prefix: no longer beginning of a path is looked up.
+    /// Length of its longest prefix, an upper bound for lookups.
     longest_prefix: usize,
 }
 
 impl RouteTable {
-    /// `routes` are sorted by host and prefix, and no two are alike in both.
+    /// `routes` must be sorted by host and prefix, without duplicates.
     pub(crate) fn new(
         version: u64,
         limits: Limits,
@@ -79,17 +79,17 @@
         routes: Vec<Arc<Route>>,
     ) -> Self {
         let (mut hosts, mut from) = (HashMap::new(), 0);
-        for of_host in routes.chunk_by(|one, next| one.host == next.host) {
-            let Some(first) = of_host.first() else {
+        for host_routes in routes.chunk_by(|a, b| a.host == b.host) {
+            let Some(first) = host_routes.first() else {
                 continue;
             };
-            let prefixes = of_host.iter().map(|route| route.prefix.len());
+            let prefixes = host_routes.iter().map(|route| route.prefix.len());
             let host = Host {
-                routes: from..from + of_host.len(),
+                routes: from..from + host_routes.len(),
                 longest_prefix: prefixes.max().unwrap_or(0),
             };
             hosts.insert(first.host.clone(), host);
-            from += of_host.len();
+            from += host_routes.len();
         }
         let mut least_latency_targets_ms = vec![None; services.len()];
         for (service, latency_target_ms) in routes
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The least latency target of the routes that may go to this service. None: no route does.
+    /// The smallest latency target of the routes to a service. `None` if no route targets it.
     pub fn least_latency_target_ms(&self, service: usize) -> Option<f64> {
         self.least_latency_targets_ms
             .get(service)
@@ -122,8 +122,8 @@
             .flatten()
     }
 
-    /// The route of a request: of the host's routes, the one with the longest prefix that begins the path. The
-    /// host comes without port and in any case, the path without query.
+    /// Looks up the route with the longest matching prefix. The host is case-insensitive and has no port; the path has
+    /// no query.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let lower = match host.bytes().any(|byte| byte.is_ascii_uppercase()) {
             true => Cow::Owned(host.to_ascii_lowercase()),
@@ -133,11 +133,10 @@
         let routes = self.routes.get(host.routes.clone())?;
         let bytes = path.as_bytes();
         let mut end = bytes.len().min(host.longest_prefix);
-        // From the last slash that can end a prefix back to the first: the longest prefix is found first.
+        // Tries prefixes from longest to shortest, ending at each slash.
         while let Some(slash) = bytes.get(..end)?.iter().rposition(|byte| *byte == b'/') {
-            let beginning = bytes.get(..=slash)?;
-            if let Ok(at) = routes.binary_search_by(|route| route.prefix.as_bytes().cmp(beginning))
-            {
+            let prefix = bytes.get(..=slash)?;
+            if let Ok(at) = routes.binary_search_by(|route| route.prefix.as_bytes().cmp(prefix)) {
                 return routes.get(at).map(Arc::as_ref);
             }
             end = slash;
@@ -150,12 +149,12 @@
         self.routes.iter().map(Arc::as_ref)
     }
 
-    /// The service with this index.
+    /// The service at an index.
     pub fn service(&self, index: usize) -> Option<&Service> {
         self.services.get(index)
     }
 
-    /// The index of a service in `services`.
+    /// The index of a service by name.
     pub fn service_index(&self, name: &str) -> Option<usize> {
         self.indices.get(name).copied()
     }
--- a/crates/rookpulley-routes/src/split.rs
+++ b/crates/rookpulley-routes/src/split.rs
@@ -1,19 +1,19 @@
-//! Cuts a configuration's text into its rules and the rest, without building any value.
+//! Splits the text of a configuration into its rules and the rest, without parsing any value.
 //!
-//! The rest has an object with one field, named by the empty text, in the place of each rule: the number of the rule.
-//! Where rest and rules are JSON each, the whole is JSON and means the same, as one value stands in the place of another.
+//! In the rest, each rule is replaced by a placeholder object `{"": N}`, where N is the index of the rule. If the rest
+//! and all rules are valid JSON, so is the text, with the same meaning.
 
 use std::ops::Range;
 
 pub(crate) struct Split {
     pub rest: Vec<u8>,
-    /// Where the rules stand in the whole.
+    /// Byte ranges of the rules in the text.
     pub rules: Vec<Range<usize>>,
 }
 
-/// What an open bracket belongs to.
+/// The container that an open bracket belongs to.
 #[derive(Clone, Copy, PartialEq)]
-enum Place {
+enum Container {
     Top,
     /// The list under `hostnames`.
     Hosts,
@@ -23,31 +23,31 @@
     Other,
 }
 
-/// Room for a rule's stand-in.
-const STAND_IN_BYTES: usize = 12;
+/// Typical length of a placeholder.
+const PLACEHOLDER_BYTES: usize = 12;
 
-/// None where the text can't be cut: it is spoilt, or names a field by the empty text.
+/// Returns `None` if the text can't be split: it is malformed or has a field with an empty name.
 pub(crate) fn split(bytes: &[u8]) -> Option<Split> {
     let mut split = Split {
         rest: Vec::new(),
         rules: Vec::new(),
     };
-    let (mut open, mut at, mut copied) = (Vec::<Place>::new(), 0, 0);
-    // The last text, and the name of the field whose value comes next.
-    let (mut text, mut field) = (&[][..], None);
+    let (mut open, mut at, mut copied) = (Vec::<Container>::new(), 0, 0);
+    // The last string, and the name of the field whose value follows.
+    let (mut last_string, mut field) = (&[][..], None);
     while let Some(byte) = bytes.get(at) {
         match byte {
             b'"' => {
-                let end = text_end(bytes, at)?;
-                text = bytes.get(at + 1..end - 1)?;
+                let end = string_end(bytes, at)?;
+                last_string = bytes.get(at + 1..end - 1)?;
                 at = end;
                 continue;
             }
-            b':' if text.is_empty() => return None,
-            b':' => field = Some(text),
-            b'{' if open.last() == Some(&Place::Rules) => {
+            b':' if last_string.is_empty() => return None,
+            b':' => field = Some(last_string),
+            b'{' if open.last() == Some(&Container::Rules) => {
                 let end = object_end(bytes, at)?;
-                split.rest.reserve(at - copied + STAND_IN_BYTES);
+                split.rest.reserve(at - copied + PLACEHOLDER_BYTES);
                 split.rest.extend_from_slice(bytes.get(copied..at)?);
                 split
                     .rest
@@ -58,17 +58,17 @@
             }
             b'{' => {
                 open.push(match open.last() {
-                    None => Place::Top,
-                    Some(Place::Hosts) => Place::Host,
-                    Some(_) => Place::Other,
+                    None => Container::Top,
+                    Some(Container::Hosts) => Container::Host,
+                    Some(_) => Container::Other,
                 });
                 field = None;
             }
             b'[' => {
                 open.push(match (open.last(), field.take()) {
-                    (Some(Place::Top), Some(b"hostnames")) => Place::Hosts,
-                    (Some(Place::Host), Some(b"pathRules")) => Place::Rules,
-                    _ => Place::Other,
+                    (Some(Container::Top), Some(b"hostnames")) => Container::Hosts,
+                    (Some(Container::Host), Some(b"pathRules")) => Container::Rules,
+                    _ => Container::Other,
                 });
             }
             b'}' | b']' => _ = open.pop()?,
@@ -81,9 +81,9 @@
     Some(split)
 }
 
-/// Behind the quote that ends the text that begins here.
-fn text_end(bytes: &[u8], begins: usize) -> Option<usize> {
-    let mut at = begins + 1;
+/// Returns the position after the string that starts here.
+fn string_end(bytes: &[u8], start: usize) -> Option<usize> {
+    let mut at = start + 1;
     loop {
         match bytes.get(at)? {
             b'"' => return Some(at + 1),
@@ -93,13 +93,13 @@
     }
 }
 
-/// Behind the bracket that ends the object that begins here.
-fn object_end(bytes: &[u8], begins: usize) -> Option<usize> {
-    let (mut depth, mut at) = (0usize, begins);
+/// Returns the position after the object that starts here.
+fn object_end(bytes: &[u8], start: usize) -> Option<usize> {
+    let (mut depth, mut at) = (0usize, start);
     loop {
         match bytes.get(at)? {
             b'"' => {
-                at = text_end(bytes, at)?;
+                at = string_end(bytes, at)?;
                 continue;
             }
             b'{' | b'[' => depth += 1,
--- a/crates/rookpulley-routes/src/values.rs
+++ b/crates/rookpulley-routes/src/values.rs
@@ -1,4 +1,4 @@
-//! Takes fields out of a JSON value by name, and notes each that can't be used, with the way to it.
+//! Typed access to the fields of a JSON value. Invalid fields are recorded as faults with their path.
 
 use crate::faults::CONFIGURATION;
 use rookpulley_diagnostics::{Faults, said};
@@ -7,67 +7,72 @@
 use std::fmt::{self, Display, Formatter};
 use tinyjson::JsonValue;
 
-/// The last number up to which values tell all whole numbers apart.
-pub(crate) const EXACT: f64 = 9_007_199_254_740_991.0;
+/// Largest integer up to which all integers are exact as JSON numbers.
+pub(crate) const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_991.0;
 
-/// A value and the way to it from the top. The way is written out only for a fault.
+/// A value and its path from the root. The path is formatted only when a fault is recorded.
 #[derive(Clone, Copy)]
 pub(crate) struct Value<'a> {
-    /// None: absent, or `null`.
+    /// `None` if absent or `null`.
     json: Option<&'a JsonValue>,
-    way: Way<'a>,
+    path: Path<'a>,
     faults: &'a RefCell<Faults>,
 }
 
 #[derive(Clone, Copy)]
-enum Way<'a> {
-    Top,
+enum Path<'a> {
+    Root,
     Field(&'a Value<'a>, &'static str),
     Item(&'a Value<'a>, usize),
 }
 
 impl Display for Value<'_> {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
-        match self.way {
-            Way::Top => write!(f, "the configuration"),
-            Way::Field(Value { way: Way::Top, .. }, field) => write!(f, "{field}"),
-            Way::Field(of, field) => write!(f, "{of}.{field}"),
-            Way::Item(of, at) => write!(f, "{of}[{at}]"),
+        match self.path {
+            Path::Root => write!(f, "the configuration"),
+            Path::Field(
+                Value {
+                    path: Path::Root, ..
+                },
+                field,
+            ) => write!(f, "{field}"),
+            Path::Field(parent, field) => write!(f, "{parent}.{field}"),
+            Path::Item(parent, index) => write!(f, "{parent}[{index}]"),
         }
     }
 }
 
 impl<'a> Value<'a> {
-    pub fn top(json: &'a JsonValue, faults: &'a RefCell<Faults>) -> Self {
+    pub fn root(json: &'a JsonValue, faults: &'a RefCell<Faults>) -> Self {
         Self {
             json: Some(json),
-            way: Way::Top,
+            path: Path::Root,
             faults,
         }
     }
 
-    /// Another value at the same place.
+    /// Another value at the same path.
     pub fn with<'b>(&self, json: &'b JsonValue) -> Value<'b>
     where
         'a: 'b,
     {
         Value {
             json: Some(json),
-            way: self.way,
+            path: self.path,
             faults: self.faults,
         }
     }
 
-    pub fn present(&self) -> bool {
+    pub fn is_present(&self) -> bool {
         self.json.is_some()
     }
 
-    /// Notes that this value can't be used.
-    pub fn note(&self, found: impl Display, instead: impl Display) {
-        self.faults.borrow_mut().add(self, found, instead);
+    /// Records that this value is invalid.
+    pub fn record_fault(&self, found: impl Display, expected: impl Display) {
+        self.faults.borrow_mut().add(self, found, expected);
     }
 
-    /// A field of this object; absent where this is none.
+    /// A field of this object; absent if this is not an object.
     pub fn field(&'a self, name: &'static str) -> Value<'a> {
         let fields = self.json.and_then(|json| json.get::<HashMap<_, _>>());
         let json = fields
@@ -75,79 +80,85 @@
             .filter(|json| !json.is_null());
         Value {
             json,
-            way: Way::Field(self, name),
+            path: Path::Field(self, name),
             faults: self.faults,
         }
     }
 
-    /// Notes anything but an object.
-    pub fn is_object(&self) -> bool {
-        self.needed("an object in { }", |json| json.get::<HashMap<_, _>>())
+    /// Whether this is an object; records a fault otherwise.
+    pub fn require_object(&self) -> bool {
+        self.required("an object", |json| json.get::<HashMap<_, _>>())
             .is_some()
     }
 
-    /// The items of a list; notes anything but a list.
+    /// The items of a list; records a fault if this is not a list.
     pub fn items(&'a self) -> impl Iterator<Item = Value<'a>> {
-        let items = self.needed("a list in [ ]", |json| json.get::<Vec<_>>());
+        let items = self.required("a list", |json| json.get::<Vec<_>>());
         items
             .into_iter()
             .flatten()
             .enumerate()
-            .map(|(at, json)| Value {
+            .map(|(index, json)| Value {
                 json: Some(json),
-                way: Way::Item(self, at),
+                path: Path::Item(self, index),
                 faults: self.faults,
             })
     }
 
-    /// The value in the form that `form` gives it. None where it is absent, or faulty and noted.
-    fn take<T>(&self, instead: &str, form: impl FnOnce(&'a JsonValue) -> Option<T>) -> Option<T> {
+    /// Converts the value. `None` if it is absent, or invalid and recorded as a fault.
+    fn take<T>(
+        &self,
+        expected: &str,
+        convert: impl FnOnce(&'a JsonValue) -> Option<T>,
+    ) -> Option<T> {
         let json = self.json?;
-        let taken = form(json);
-        if taken.is_none() {
-            self.note(said(json, "an object", CONFIGURATION.shown), instead);
+        let converted = convert(json);
+        if converted.is_none() {
+            self.record_fault(said(json, "an object", CONFIGURATION.shown), expected);
         }
-        taken
+        converted
     }
 
-    /// The same, where being absent is a fault.
-    fn needed<T>(&self, instead: &str, form: impl FnOnce(&'a JsonValue) -> Option<T>) -> Option<T> {
-        if !self.present() {
-            self.note("missing", instead);
+    /// Like `take`, but records a fault if the value is absent.
+    fn required<T>(
+        &self,
+        expected: &str,
+        convert: impl FnOnce(&'a JsonValue) -> Option<T>,
+    ) -> Option<T> {
+        if !self.is_present() {
+            self.record_fault("missing", expected);
         }
-        self.take(instead, form)
+        self.take(expected, convert)
     }
 
-    /// A text that says something.
-    pub fn text_needed(&self, instead: &str) -> Option<&'a str> {
-        let form = |json: &'a JsonValue| {
-            Some(json.get::<String>()?.as_str()).filter(|text| !text.trim().is_empty())
+    /// A string that is not blank.
+    pub fn required_string(&self, expected: &str) -> Option<&'a str> {
+        let convert = |json: &'a JsonValue| {
+            Some(json.get::<String>()?.as_str()).filter(|string| !string.trim().is_empty())
         };
-        self.needed(instead, form)
+        self.required(expected, convert)
     }
 
-    pub fn text(&self) -> Option<&'a str> {
-        self.take("a text in quotes", |json| {
-            Some(json.get::<String>()?.as_str())
-        })
+    pub fn string(&self) -> Option<&'a str> {
+        self.take("a string", |json| Some(json.get::<String>()?.as_str()))
     }
 
-    pub fn number_needed(&self, instead: &str, fits: impl FnOnce(f64) -> bool) -> Option<f64> {
-        self.needed(instead, |json| number(json).filter(|number| fits(*number)))
+    pub fn required_number(&self, expected: &str, fits: impl FnOnce(f64) -> bool) -> Option<f64> {
+        self.required(expected, |json| number(json).filter(|number| fits(*number)))
     }
 
-    pub fn number(&self, instead: &str, fits: impl FnOnce(f64) -> bool) -> Option<f64> {
-        self.take(instead, |json| number(json).filter(|number| fits(*number)))
+    pub fn number(&self, expected: &str, fits: impl FnOnce(f64) -> bool) -> Option<f64> {
+        self.take(expected, |json| number(json).filter(|number| fits(*number)))
     }
 
-    /// A whole number from `least` on, small enough to be what was written.
-    pub fn whole_needed(&self, least: u32, instead: &str) -> Option<u64> {
-        let number = self.number_needed(instead, |number| whole(number, least))?;
+    /// An integer of at least `min` that is exact as a JSON number.
+    pub fn required_integer(&self, min: u32, expected: &str) -> Option<u64> {
+        let number = self.required_number(expected, |number| is_integer(number, min))?;
         Some(number as u64)
     }
 
-    pub fn whole(&self, least: u32, instead: &str) -> Option<u64> {
-        let number = self.number(instead, |number| whole(number, least))?;
+    pub fn integer(&self, min: u32, expected: &str) -> Option<u64> {
+        let number = self.number(expected, |number| is_integer(number, min))?;
         Some(number as u64)
     }
 }
@@ -158,6 +169,6 @@
         .filter(|number| number.is_finite())
 }
 
-fn whole(number: f64, least: u32) -> bool {
-    number.fract() == 0.0 && (f64::from(least)..=EXACT).contains(&number)
+fn is_integer(number: f64, min: u32) -> bool {
+    number.fract() == 0.0 && (f64::from(min)..=MAX_EXACT_INTEGER).contains(&number)
 }
--- a/crates/rookpulley-routes/tests/route_table.rs
+++ b/crates/rookpulley-routes/tests/route_table.rs
@@ -1,11 +1,11 @@
-//! Configurations printed, cut, spoilt and read back.
+//! Parsing, validation and lookup, including truncated and corrupted configurations.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_routes::{Faults, Limits, RouteKind, RouteTable};
 use rookpulley_samples::plays;
 
-/// A small configuration with something of everything.
-const WHOLE: &str = r#"{
+/// A small configuration that uses every field.
+const COMPLETE: &str = r#"{
   "configVersion": 12,
   "services": [
     {"name": "stamps", "healthCheckPath": "/well", "maxConnections": 40, "protocol": "h1"},
@@ -31,32 +31,32 @@
 }
 
 #[test]
-fn a_whole_configuration_is_read_and_what_it_leaves_out_has_a_default() {
-    let book = read(WHOLE).unwrap();
-    assert_eq!(book.version, 12);
+fn complete_configuration_is_parsed_and_omitted_fields_have_defaults() {
+    let table = read(COMPLETE).unwrap();
+    assert_eq!(table.version, 12);
     let limits = Limits {
         header_bytes: 9_000,
         body_bytes: 70_000,
         header_ms: 1_000,
         idle_ms: 2_000,
     };
-    assert_eq!(book.limits, limits);
+    assert_eq!(table.limits, limits);
     assert_eq!(
         (
-            book.services[0].health_path.as_str(),
-            book.services[0].max_connections
+            table.services[0].health_path.as_str(),
+            table.services[0].max_connections
         ),
         ("/well", 40)
     );
     assert_eq!(
         (
-            book.services[1].health_path.as_str(),
-            book.services[1].max_connections
+            table.services[1].health_path.as_str(),
+            table.services[1].max_connections
         ),
         ("/health", 60)
     );
 
-    let sell = book.route("POST.example", "/sell/stamps/7").unwrap();
+    let sell = table.route("POST.example", "/sell/stamps/7").unwrap();
     assert_eq!(
         (sell.name.as_str(), sell.kind, sell.attempts),
         ("sell", RouteKind::Mutating, 2)
@@ -66,27 +66,30 @@
         (900.0, 90.5, 1)
     );
     assert_eq!(sell.targets, [(0, 1.0)]);
-    let track = book.route("post.example", "/track/").unwrap();
+    let track = table.route("post.example", "/track/").unwrap();
     assert_eq!(
         (track.timeout_ms, track.latency_target_ms, track.priority),
         (800.5, 800.5, 0)
     );
     assert_eq!(track.targets, [(1, 3.0), (0, 1.0)]);
-    let depot = book.route("depot.example", "/anything").unwrap();
+    let depot = table.route("depot.example", "/anything").unwrap();
     assert_eq!(
         (depot.name.as_str(), depot.kind),
         ("depot.example/", RouteKind::Download)
     );
 
-    let endless = read(&WHOLE.replace("\"timeoutMs\": 900", "\"timeoutMs\": 1e300")).unwrap();
+    let unlimited = read(&COMPLETE.replace("\"timeoutMs\": 900", "\"timeoutMs\": 1e300")).unwrap();
     assert_eq!(
-        endless.route("post.example", "/sell/").unwrap().timeout_ms,
+        unlimited
+            .route("post.example", "/sell/")
+            .unwrap()
+            .timeout_ms,
         86_400_000.0
     );
 
-    let bare = read(r#"{"configVersion": 1, "services": [], "hostnames": []}"#).unwrap();
+    let empty = read(r#"{"configVersion": 1, "services": [], "hostnames": []}"#).unwrap();
     assert_eq!(
-        bare.limits,
+        empty.limits,
         Limits {
             header_bytes: 16_384,
             body_bytes: 67_108_864,
@@ -97,17 +100,17 @@
 }
 
 #[test]
-fn a_path_takes_the_longest_prefix_as_a_plain_search_finds_it() {
-    const WORDS: [&str; 5] = ["", "a", "ab", "b", "-"];
+fn longest_prefix_lookup_agrees_with_a_linear_search() {
+    const SEGMENTS: [&str; 5] = ["", "a", "ab", "b", "-"];
     fn path(u: &mut Unstructured) -> Result<String> {
-        let words: Vec<&str> = (0..u.int_in_range(0..=4)?)
-            .map(|_| u.choose(&WORDS).copied())
+        let segments: Vec<&str> = (0..u.int_in_range(0..=4)?)
+            .map(|_| u.choose(&SEGMENTS).copied())
             .collect::<Result<_>>()?;
         Ok(format!(
             "/{}",
-            words
+            segments
                 .iter()
-                .map(|word| format!("{word}/"))
+                .map(|segment| format!("{segment}/"))
                 .collect::<String>()
         ))
     }
@@ -137,44 +140,44 @@
             r#"{{"hostnames":[{}],"services":[{{"name":"s"}}],"configVersion":3}}"#,
             entries.join(", ")
         );
-        let book = read(&text).unwrap();
-        assert_eq!(book.routes().len(), seen.len());
+        let table = read(&text).unwrap();
+        assert_eq!(table.routes().len(), seen.len());
         for _ in 0..40 {
             let host = *u.choose(&["x.example", "X.EXAMPLE", "y.example", "x", "z"])?;
             let end = u.choose(&["", "a", "abc", "*"])?;
             let path = format!("{}{end}", path(u)?);
-            let fits = |(own, prefix): &&(&str, String)| {
+            let matches = |(own, prefix): &&(&str, String)| {
                 own.eq_ignore_ascii_case(host) && path.starts_with(prefix.as_str())
             };
             let longest = seen
                 .iter()
-                .filter(fits)
+                .filter(matches)
                 .map(|(_, prefix)| prefix)
                 .max_by_key(|prefix| prefix.len());
-            let found = book.route(host, &path);
+            let found = table.route(host, &path);
             assert_eq!(found.map(|route| &route.prefix), longest, "{host}{path}");
             assert!(found.is_none_or(|route| route.host.eq_ignore_ascii_case(host)));
         }
-        for strange in ["", "*", "a/", "ab/a/"] {
-            assert!(book.route("x", strange).is_none());
+        for invalid in ["", "*", "a/", "ab/a/"] {
+            assert!(table.route("x", invalid).is_none());
         }
         Ok(())
     });
 }
 
 #[test]
-fn what_is_cut_off_anywhere_or_goes_on_after_its_end_is_refused() {
-    for cut in 0..WHOLE.len() {
-        let faults = read(&WHOLE[..cut]).unwrap_err();
+fn truncated_or_trailing_input_is_rejected() {
+    for cut in 0..COMPLETE.len() {
+        let faults = read(&COMPLETE[..cut]).unwrap_err();
         assert!(
             faults.faults[0].place.starts_with("line "),
             "{cut}: {faults}"
         );
     }
     for more in ["}", "{}", "0", ",", "\u{0}"] {
-        assert!(read(&format!("{WHOLE}{more}")).is_err());
+        assert!(read(&format!("{COMPLETE}{more}")).is_err());
     }
-    assert!(read(&format!(" {WHOLE}\r\n\t ")).is_ok());
+    assert!(read(&format!(" {COMPLETE}\r\n\t ")).is_ok());
     assert!(
         RouteTable::read(
             b"{\"configVersion\": 1, \"services\": [], \"hostnames\": [], \"x\": \"\xff\"}"
@@ -184,9 +187,9 @@
 }
 
 #[test]
-fn a_spoilt_configuration_never_panics_and_what_is_still_taken_keeps_its_word() {
+fn corrupted_configuration_never_panics_and_accepted_ones_satisfy_the_invariants() {
     plays(3_000, 256, |u| {
-        let mut bytes = WHOLE.as_bytes().to_vec();
+        let mut bytes = COMPLETE.as_bytes().to_vec();
         for _ in 0..u.int_in_range(1..=6)? {
             let at = u.choose_index(bytes.len())?;
             match u.int_in_range(0..=4)? {
@@ -202,15 +205,15 @@
                 }
             }
         }
-        let book = match RouteTable::read(&bytes) {
-            Ok(book) => book,
+        let table = match RouteTable::read(&bytes) {
+            Ok(table) => table,
             Err(faults) => {
                 assert!(!faults.faults.is_empty() && faults.to_string().len() < 8_000);
                 return Ok(());
             }
         };
-        assert!((1..1 << 53).contains(&book.version));
-        for route in book.routes() {
+        assert!((1..1 << 53).contains(&table.version));
+        for route in table.routes() {
             assert!(
                 route.prefix.starts_with('/')
                     && route.prefix.ends_with('/')
@@ -223,18 +226,18 @@
                 route.latency_target_ms > 0.0
                     && route.targets.iter().all(|(_, weight)| *weight >= 0.0)
             );
-            let drawn = route
+            let selected = route
                 .draw(u.int_in_range(0..=999)? as f64 / 1_000.0)
                 .unwrap();
-            assert!(book.service(drawn).is_some());
-            assert_eq!(book.route(&route.host, &route.prefix), Some(route));
+            assert!(table.service(selected).is_some());
+            assert_eq!(table.route(&route.host, &route.prefix), Some(route));
         }
         Ok(())
     });
 }
 
 #[test]
-fn each_kind_of_invalid_is_refused_with_its_place_and_what_to_write_instead() {
+fn each_invalid_field_is_rejected_with_its_path_and_the_expected_value() {
     const SELL: &str = "hostnames[0].pathRules[0]";
     const TRACK: &str = "hostnames[0].pathRules[1]";
     let cases = [
@@ -242,43 +245,43 @@
             "\"configVersion\": 12,",
             "",
             "configVersion".to_string(),
-            "a whole number",
+            "an integer",
         ),
         (
             "Version\": 12",
             "Version\": 0",
             "configVersion".into(),
-            "a whole number",
+            "an integer",
         ),
         (
             "Version\": 12",
             "Version\": -3",
             "configVersion".into(),
-            "a whole number",
+            "an integer",
         ),
         (
             "Version\": 12",
             "Version\": 1.5",
             "configVersion".into(),
-            "a whole number",
+            "an integer",
         ),
         (
             "Version\": 12",
             "Version\": \"12\"",
             "configVersion".into(),
-            "a whole number",
+            "an integer",
         ),
         (
             "Version\": 12",
             "Version\": 9007199254740993",
             "configVersion".into(),
-            "a whole number",
+            "an integer",
         ),
         (
             "Version\": 12",
             "Version\": 1e400",
             "configVersion".into(),
-            "a whole number",
+            "an integer",
         ),
         (
             "\"targetService\": \"stamps\", \"max",
@@ -296,7 +299,7 @@
             "\"targetService\": \"stamps\", \"max",
             "\"targetService\": 4, \"max",
             format!("{SELL}.targetService"),
-            "a text",
+            "a string",
         ),
         (
             "\"targetService\": \"stamps\", \"max",
@@ -320,25 +323,25 @@
             "\"weight\": 3}, {\"targetService\": \"stamps\", \"weight\": 1",
             "\"weight\": 0}, {\"targetService\": \"stamps\", \"weight\": 0",
             format!("{TRACK}.trafficSplit"),
-            "a sum above 0",
+            "a finite sum above 0",
         ),
         (
             "\"weight\": 3",
             "\"weight\": -3",
             format!("{TRACK}.trafficSplit[0].weight"),
-            "from 0 on",
+            "at least 0",
         ),
         (
             "\"weight\": 3",
             "\"weight\": 1e999",
             format!("{TRACK}.trafficSplit[0].weight"),
-            "from 0 on",
+            "at least 0",
         ),
         (
             "\"weight\": 3}, {\"targetService\": \"stamps\", \"weight\": 1",
             "\"weight\": 1e308}, {\"targetService\": \"stamps\", \"weight\": 1e308",
             format!("{TRACK}.trafficSplit"),
-            "a sum above 0",
+            "a finite sum above 0",
         ),
         (
             "{\"targetService\": \"parcels\", \"weight\"",
@@ -386,7 +389,7 @@
             "\"priority\": 1",
             "\"priority\": true",
             format!("{SELL}.priority"),
-            "a whole number",
+            "an integer",
         ),
         (
             "\"mutating\"",
@@ -410,31 +413,31 @@
             "\"/sell/\"",
             "\"/sell\"",
             format!("{SELL}.pathPrefix"),
-            "begins and ends",
+            "starts and ends",
         ),
         (
             "\"/sell/\"",
             "\"sell/\"",
             format!("{SELL}.pathPrefix"),
-            "begins and ends",
+            "starts and ends",
         ),
         (
             "\"/track/\"",
             "\"/sell/\"",
             format!("{TRACK}.pathPrefix"),
-            "once",
+            "unique",
         ),
         (
             "\"depot.example\", \"pathRules\": [\n      {\"pathPrefix\": \"/\"",
             "\"POST.example\", \"pathRules\": [\n      {\"pathPrefix\": \"/track/\"",
             "hostnames[1].pathRules[0].pathPrefix".into(),
-            "once",
+            "unique",
         ),
         (
             "\"name\": \"parcels\"",
             "\"name\": \"stamps\"",
             "services[1].name".into(),
-            "once",
+            "unique",
         ),
         (
             "{\"name\": \"parcels\"",
@@ -448,7 +451,7 @@
             "\"maxHeaderBytes\": 9000",
             "\"maxHeaderBytes\": \"many\"",
             "limits.maxHeaderBytes".into(),
-            "a whole number",
+            "an integer",
         ),
         (
             "\"configVersion\": 12",
@@ -457,12 +460,12 @@
             "one JSON object",
         ),
     ];
-    for (what, with, place, instead) in cases {
-        assert!(WHOLE.contains(what), "{what}");
-        let faults = read(&WHOLE.replacen(what, with, 1)).expect_err(with);
+    for (from, to, place, expected) in cases {
+        assert!(COMPLETE.contains(from), "{from}");
+        let faults = read(&COMPLETE.replacen(from, to, 1)).expect_err(to);
         let fault = faults.faults.iter().find(|fault| fault.place == place);
-        let fault = fault.unwrap_or_else(|| panic!("{with}: nothing of {place} in: {faults}"));
-        assert!(fault.instead.contains(instead), "{with}: {fault}");
+        let fault = fault.unwrap_or_else(|| panic!("{to}: no fault at {place} in: {faults}"));
+        assert!(fault.instead.contains(expected), "{to}: {fault}");
     }
     for other in ["[]", "12", "null", "\"x\""] {
         assert_eq!(
@@ -473,8 +476,8 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once_up_to_a_bound() {
-    let text = WHOLE
+fn all_faults_are_reported_up_to_a_limit() {
+    let text = COMPLETE
         .replace("\"timeoutMs\"", "\"timeout\"")
         .replace("12", "0");
     assert_eq!(read(&text).unwrap_err().faults.len(), 4);
@@ -488,7 +491,7 @@
 }
 
 #[test]
-fn what_would_cost_too_much_is_refused_before_it_is_built() {
+fn oversized_input_is_rejected_before_parsing() {
     let within =
         |inner: &str| format!(r#"{{"configVersion":1,"services":[],"hostnames":[],"x":{inner}}}"#);
     let nested = |levels: usize| within(&format!("{}{}", "[".repeat(levels), "]".repeat(levels)));
@@ -515,12 +518,12 @@
             .found
             .contains("bytes long")
     );
-    // Brackets, commas and quotes in texts count for nothing.
+    // Brackets, commas and quotes in strings are not counted.
     assert!(read(&within(&format!("\"{}\"", r#"[\"{,"#.repeat(300_000)))).is_ok());
 }
 
 #[test]
-fn services_are_drawn_by_their_weights_and_never_at_weight_0() {
+fn services_are_selected_by_weight_and_never_at_weight_0() {
     plays(200, 512, |u| {
         let weights: Vec<u32> = (0..u.int_in_range(1..=5)?)
             .map(|_| u.int_in_range(0..=9))
@@ -542,17 +545,17 @@
             r#"{{"configVersion":1,"services":[{}],"hostnames":[{{"hostname":"h","pathRules":[{rule}]}}]}}"#,
             services.join(",")
         );
-        let book = read(&text);
-        assert_eq!(book.is_ok(), sum > 0);
-        let Ok(book) = book else { return Ok(()) };
-        let route = book.route("h", "/x").unwrap();
-        let mut drawn = vec![0; weights.len()];
+        let table = read(&text);
+        assert_eq!(table.is_ok(), sum > 0);
+        let Ok(table) = table else { return Ok(()) };
+        let route = table.route("h", "/x").unwrap();
+        let mut selected = vec![0; weights.len()];
         for step in 0..sum {
-            drawn[route
+            selected[route
                 .draw((f64::from(step) + 0.5) / f64::from(sum))
                 .unwrap()] += 1;
         }
-        assert_eq!(drawn, weights);
+        assert_eq!(selected, weights);
         for unit in [0.0, 1.0, -1.0, 2.0, f64::NAN] {
             assert!(weights[route.draw(unit).unwrap()] > 0);
         }
