--- a/crates/rookpulley-routes/examples/read_cost.rs
+++ b/crates/rookpulley-routes/examples/read_cost.rs
@@ -1,10 +1,12 @@
-//! What it costs to read a configuration by its number of routes: `cargo run --release -p rookpulley-routes --example read_cost`.
+//! Measures the time to parse a configuration, by number of routes.
+//!
+//!     cargo run --release -p rookpulley-routes --example read_cost
 
 use rookpulley_routes::RouteTable;
 use std::fmt::Write;
 use std::time::Instant;
 
-const PLAYS: usize = 9;
+const ROUNDS: usize = 9;
 const HOSTS: usize = 200;
 
 fn body(routes: usize, version: usize) -> String {
@@ -31,32 +33,32 @@
     text + "]}"
 }
 
-fn median(mut took: Vec<f64>) -> f64 {
-    took.sort_by(f64::total_cmp);
-    took[took.len() / 2]
+fn median(mut durations: Vec<f64>) -> f64 {
+    durations.sort_by(f64::total_cmp);
+    durations[durations.len() / 2]
 }
 
 fn main() {
     println!(
-        "routes, bytes, ms to read alone, and after one that differs in a route (medians of {PLAYS})"
+        "routes, bytes, ms to parse, ms to parse incrementally after a change of one route (medians of {ROUNDS})"
     );
     for routes in [100, 700, 2_000, 5_000, 15_000, 35_000] {
-        let (mut alone, mut after, mut bytes) = (Vec::new(), Vec::new(), 0);
-        for play in 0..PLAYS {
-            let (first, second) = (body(routes, play + 1), body(routes, play + 2));
+        let (mut full, mut incremental, mut bytes) = (Vec::new(), Vec::new(), 0);
+        for round in 0..ROUNDS {
+            let (first, second) = (body(routes, round + 1), body(routes, round + 2));
             bytes = first.len();
-            let begun = Instant::now();
-            let book = RouteTable::read(first.as_bytes()).unwrap();
-            alone.push(begun.elapsed().as_secs_f64() * 1e3);
-            let begun = Instant::now();
-            let next = RouteTable::read_after(second.as_bytes(), Some((first.as_bytes(), &book)));
-            after.push(begun.elapsed().as_secs_f64() * 1e3);
+            let start = Instant::now();
+            let table = RouteTable::read(first.as_bytes()).unwrap();
+            full.push(start.elapsed().as_secs_f64() * 1e3);
+            let start = Instant::now();
+            let next = RouteTable::read_after(second.as_bytes(), Some((first.as_bytes(), &table)));
+            incremental.push(start.elapsed().as_secs_f64() * 1e3);
             assert!(next.is_ok());
         }
         println!(
             "{routes}, {bytes}, {:.2}, {:.2}",
-            median(alone),
-            median(after)
+            median(full),
+            median(incremental)
         );
     }
 }
--- a/crates/rookpulley-routes/tests/changes.rs
+++ b/crates/rookpulley-routes/tests/changes.rs
@@ -1,4 +1,4 @@
-//! A configuration read after an earlier one is what it is when it is read alone and whole.
+//! Incremental parsing gives the same result as parsing the complete configuration.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_routes::{Route, RouteTable};
@@ -23,7 +23,7 @@
     r#"{"name":"one"}"#,
 ];
 
-fn text(u: &mut Unstructured, version: u64) -> Result<String> {
+fn random_configuration(u: &mut Unstructured, version: u64) -> Result<String> {
     let services = if u.ratio(4, 5)? {
         SERVICES[0]
     } else {
@@ -47,28 +47,28 @@
     }
     text += "]}";
     if u.ratio(1, 5)? {
-        // Some byte is another one.
+        // Corrupts one byte.
         let at = u.choose_index(text.len())?;
         text.replace_range(at..=at, u.choose(&["\"", "{", "]", ",", "0", "\\", ""])?);
     }
     Ok(text)
 }
 
-/// All that a configuration says, or all that is wrong with it.
-fn said(book: std::result::Result<RouteTable, rookpulley_routes::Faults>) -> String {
-    match book {
-        Ok(book) => {
-            let routes: Vec<&Route> = book.routes().collect();
-            let aims: Vec<_> = (0..3)
-                .map(|service| book.least_latency_target_ms(service))
+/// The contents of a configuration, or its faults.
+fn describe(table: std::result::Result<RouteTable, rookpulley_routes::Faults>) -> String {
+    match table {
+        Ok(table) => {
+            let routes: Vec<&Route> = table.routes().collect();
+            let latency_targets: Vec<_> = (0..3)
+                .map(|service| table.least_latency_target_ms(service))
                 .collect();
-            let found = HOSTS.map(|host| book.route(host, "/x/y/1").map(|route| route.timeout_ms));
+            let found = HOSTS.map(|host| table.route(host, "/x/y/1").map(|route| route.timeout_ms));
             format!(
-                "{} {:?} {:?} {routes:?} {aims:?} {found:?}",
-                book.version, book.limits, book.services
+                "{} {:?} {:?} {routes:?} {latency_targets:?} {found:?}",
+                table.version, table.limits, table.services
             )
         }
-        // The parser's own words show values in any order.
+        // The parser's message shows object fields in arbitrary order.
         Err(faults) => faults
             .to_string()
             .split(" (")
@@ -78,29 +78,29 @@
     }
 }
 
-/// A name with an escape means the same, and no rule under it is read apart.
-fn whole(text: &str) -> String {
+/// An equivalent text whose escaped field name prevents the rules from being split off.
+fn without_splitting(text: &str) -> String {
     text.replace("pathRules", "pathRul\\u0065s")
 }
 
 #[test]
-fn what_is_read_after_another_says_what_it_says_when_it_is_read_whole() {
+fn incremental_parsing_agrees_with_complete_parsing() {
     let (good, shared) = (Cell::new(0), Cell::new(0));
     plays(3_000, 1_024, |u| {
-        let (earlier, later) = (text(u, 3)?, text(u, 4)?);
-        // The other way to write it moves the places of faults that the parser tells.
-        let alone = said(RouteTable::read(later.as_bytes()));
-        let read_whole = said(RouteTable::read(whole(&later).as_bytes()));
+        let (earlier, later) = (random_configuration(u, 3)?, random_configuration(u, 4)?);
+        // Compared only if valid: the escaped name shifts the positions of syntax errors.
+        let alone = describe(RouteTable::read(later.as_bytes()));
+        let unsplit = describe(RouteTable::read(without_splitting(&later).as_bytes()));
         let before = RouteTable::read(earlier.as_bytes()).ok();
         let known = before.as_ref().map(|before| (earlier.as_bytes(), before));
         let after = RouteTable::read_after(later.as_bytes(), known);
         if let (Ok(after), Some(before)) = (&after, &before) {
-            assert_eq!(alone, read_whole, "{later}");
+            assert_eq!(alone, unsplit, "{later}");
             good.set(good.get() + 1);
             let same = |route: &&Route| before.routes().any(|old| std::ptr::eq(old, *route));
             shared.set(shared.get() + after.routes().filter(same).count());
         }
-        assert_eq!(said(after), alone, "{later}\nafter {earlier}");
+        assert_eq!(describe(after), alone, "{later}\nafter {earlier}");
         Ok(())
     });
     let (good, shared) = (good.get(), shared.get());
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn what_is_wrong_with_one_route_of_more_than_can_be_built_at_once_is_told_with_its_place() {
+fn fault_in_a_configuration_with_too_many_values_is_reported_with_its_path() {
     let rule = |at: usize| {
         let attempts = if at == 31_007 { 0 } else { 2 };
         format!(
@@ -124,15 +124,15 @@
         "{{\"configVersion\":7,\"services\":[{{\"name\":\"s\"}}],\"hostnames\":[{{\"hostname\":\"h\",\"pathRules\":[{}]}}]}}",
         rules.join(",")
     );
-    let told = RouteTable::read(text.as_bytes()).unwrap_err().to_string();
+    let message = RouteTable::read(text.as_bytes()).unwrap_err().to_string();
     assert!(
-        told.contains("hostnames[0].pathRules[31007].maxAttempts is 0"),
-        "{told}"
+        message.contains("hostnames[0].pathRules[31007].maxAttempts is 0"),
+        "{message}"
     );
 }
 
 #[test]
-fn a_change_of_one_route_of_thousands_shares_all_others_and_reads_as_many_as_the_target_has() {
+fn changing_one_of_35000_routes_shares_all_others() {
     let body = |version: usize, changed: usize| {
         let mut text = format!(
             "{{\"configVersion\":{version},\"services\":[{{\"name\":\"s\"}}],\"hostnames\":[{{\"hostname\":\"h\",\"pathRules\":["
@@ -153,12 +153,12 @@
     let after =
         RouteTable::read_after(second.as_bytes(), Some((first.as_bytes(), &before))).unwrap();
     assert_eq!(after.routes().len(), 35_000);
-    let anew = after.routes().filter(|route| {
+    let rebuilt = after.routes().filter(|route| {
         let old = before.route("h", &route.prefix);
         old.is_none_or(|old| !std::ptr::eq(old, *route))
     });
-    // The one that changed, and the one that is again as all others are.
-    assert_eq!(anew.count(), 2);
+    // The route changed by the second version and the one that was changed in the first.
+    assert_eq!(rebuilt.count(), 2);
     assert_eq!(after.route("h", "/p11/x").unwrap().timeout_ms, 8.0);
     assert_eq!(after.route("h", "/p5/x").unwrap().timeout_ms, 900.0);
 }
