--- a/crates/rookpulley-cli/src/gateway/explain.rs
+++ b/crates/rookpulley-cli/src/gateway/explain.rs
@@ -116,7 +116,7 @@
         .collect();
     json!({"name": route.name, "prefix": route.prefix, "kind": kind(route.kind).0, "services": services,
         "timeoutMs": route.timeout_ms, "targetLatencyMs": route.latency_target_ms, "priority": route.priority,
-        "maxAttempts": route.attempts})
+        "maxAttempts": route.max_attempts})
 }
 
 /// What is printed, and whether a route takes the request.
@@ -157,7 +157,7 @@
         book.version,
         route.name,
         route.prefix,
-        counted(route.attempts as usize, "task"),
+        counted(route.max_attempts as usize, "task"),
         route.timeout_ms,
         route.latency_target_ms,
         route.priority,
--- a/crates/rookpulley-control/src/controller/publication.rs
+++ b/crates/rookpulley-control/src/controller/publication.rs
@@ -47,7 +47,7 @@
 
     /// Takes the services of a configuration. What differs little from the published one is read quickly.
     fn set_services(&mut self, body: &[u8]) {
-        let routes = match RouteTable::read_after(body, self.configuration()) {
+        let routes = match RouteTable::read_incremental(body, self.configuration()) {
             Ok(routes) => routes,
             Err(why) => {
                 let line = format!("state: the configuration held can't be read: {why}");
@@ -58,7 +58,7 @@
         let services = services.map(|(index, service)| Service {
             name: service.name.clone(),
             max_connections: service.max_connections,
-            latency_target_ms: routes.least_latency_target_ms(index).unwrap_or(0.0),
+            latency_target_ms: routes.min_latency_target_ms(index).unwrap_or(0.0),
         });
         self.tables.set_services(&services.collect::<Vec<_>>());
         self.routes = Some(routes);
--- a/crates/rookpulley-control/src/endpoint.rs
+++ b/crates/rookpulley-control/src/endpoint.rs
@@ -138,7 +138,8 @@
         }
         Endpoint::Leave => Ok(Operation::Leave(name)),
         Endpoint::PutConfiguration => {
-            let table = RouteTable::read_after(&body, held).map_err(|why| bad_request(&why))?;
+            let table =
+                RouteTable::read_incremental(&body, held).map_err(|why| bad_request(&why))?;
             let version = table.version;
             Ok(Operation::Update(Update::PutConfiguration {
                 version,
--- a/crates/rookpulley-proxy-core/src/lifecycle.rs
+++ b/crates/rookpulley-proxy-core/src/lifecycle.rs
@@ -104,7 +104,9 @@
             .route(host, path)
             .ok_or(LocalResponse::of_status(404))?;
         let random = self.endpoints.random();
-        let service = route.draw(random).and_then(|index| table.service(index));
+        let service = route
+            .select_target(random)
+            .and_then(|index| table.service(index));
         let service = service.ok_or(no_configuration)?;
         let wait_ms = client_wait_ms.unwrap_or(route.timeout_ms);
         self.load.count_request(&service.name);
@@ -112,7 +114,7 @@
         Ok(RouteDecision {
             service: Rc::from(service.name.as_str()),
             kind: route.kind,
-            max_attempts: route.attempts,
+            max_attempts: route.max_attempts,
             latency_target_ms: route.latency_target_ms,
             deadline_ms: now + wait_ms.min(route.timeout_ms),
             max_connections: service.max_connections,
--- a/crates/rookpulley-proxy-core/src/state.rs
+++ b/crates/rookpulley-proxy-core/src/state.rs
@@ -355,7 +355,7 @@
         };
         let earlier = self.routes.as_ref();
         let earlier = earlier.map(|routes| (self.body.as_slice(), routes.as_ref()));
-        match RouteTable::read_after(&body, earlier) {
+        match RouteTable::read_incremental(&body, earlier) {
             Ok(routes) => self.apply_configuration(routes, body),
             Err(faults) => self.log_warning(format!(
                 "controllers: configuration {version} from {controller} can't be used: {faults}"
--- a/crates/rookpulley-proxy/src/connection_monitor.rs
+++ b/crates/rookpulley-proxy/src/connection_monitor.rs
@@ -107,7 +107,7 @@
 
     /// Why it is to be closed now, if at all.
     pub fn close_reason(&self, limits: Limits, is_ending: bool) -> Option<CloseReason> {
-        let mut idle_timeout = Duration::from_millis(limits.idle_ms);
+        let mut idle_timeout = Duration::from_millis(limits.idle_timeout_ms);
         let stuck = self.stuck.get();
         if stuck.is_some_and(|since| since.elapsed() > idle_timeout) {
             return Some(CloseReason::WriteStuck);
@@ -117,7 +117,7 @@
         let elapsed = self.changed.get().elapsed();
         if is_in_head
             && self.requests_at_work.get() == 0
-            && elapsed > Duration::from_millis(limits.header_ms)
+            && elapsed > Duration::from_millis(limits.header_timeout_ms)
         {
             return Some(CloseReason::SlowHead);
         }
--- a/crates/rookpulley-proxy/src/forward.rs
+++ b/crates/rookpulley-proxy/src/forward.rs
@@ -127,7 +127,7 @@
         return Ok(RequestBody::stream(
             VecDeque::new(),
             body,
-            limits.body_bytes,
+            limits.max_body_bytes,
         ));
     };
     let deadline = proxy.instant(deadline_ms);
@@ -137,7 +137,7 @@
         Ok(Err(_)) => return Err(BadRequest(400)),
         Ok(Ok(read)) => read,
     };
-    let Some(left) = limits.body_bytes.checked_sub(read.bytes as u64) else {
+    let Some(left) = limits.max_body_bytes.checked_sub(read.bytes as u64) else {
         return Err(BadRequest(413));
     };
     if read.is_complete {
--- a/crates/rookpulley-proxy/src/listener.rs
+++ b/crates/rookpulley-proxy/src/listener.rs
@@ -50,8 +50,8 @@
 async fn serve_client(proxy: Rc<ProxyContext>, stream: TcpStream, admitted: Admitted) {
     let Admitted { number, monitor } = admitted;
     connection::configure(&stream, UNACKNOWLEDGED);
-    let max_head = proxy.limits().header_bytes;
-    let max_head = max_head.clamp(Limits::default().header_bytes, MAX_HEAD_BYTES);
+    let max_head = proxy.limits().max_header_bytes;
+    let max_head = max_head.clamp(Limits::default().max_header_bytes, MAX_HEAD_BYTES);
     let io = TokioIo::new(ClientConnection::new(stream, monitor.clone()));
     let service = {
         let (proxy, monitor) = (proxy.clone(), monitor.clone());
--- a/crates/rookpulley-proxy/src/request_check.rs
+++ b/crates/rookpulley-proxy/src/request_check.rs
@@ -39,7 +39,7 @@
     monitor: &ConnectionMonitor,
     limits: Limits,
 ) -> Result<CheckedHead, BadRequest> {
-    if monitor.head_bytes.get() > limits.header_bytes {
+    if monitor.head_bytes.get() > limits.max_header_bytes {
         return Err(HEAD_TOO_LONG);
     }
     // To an older client a long answer that breaks off would look complete.
@@ -61,7 +61,7 @@
     }
     let length = headers.get(CONTENT_LENGTH).map(whole_number);
     let length = length.transpose()?;
-    if length.is_some_and(|length| length > limits.body_bytes) {
+    if length.is_some_and(|length| length > limits.max_body_bytes) {
         return Err(BODY_TOO_LONG);
     }
     Ok(CheckedHead {
--- a/crates/rookpulley-routes/examples/read_cost.rs
+++ b/crates/rookpulley-routes/examples/read_cost.rs
@@ -51,7 +51,8 @@
             let table = RouteTable::read(first.as_bytes()).unwrap();
             full.push(start.elapsed().as_secs_f64() * 1e3);
             let start = Instant::now();
-            let next = RouteTable::read_after(second.as_bytes(), Some((first.as_bytes(), &table)));
+            let next =
+                RouteTable::read_incremental(second.as_bytes(), Some((first.as_bytes(), &table)));
             incremental.push(start.elapsed().as_secs_f64() * 1e3);
             assert!(next.is_ok());
         }
--- a/crates/rookpulley-routes/src/read.rs
+++ b/crates/rookpulley-routes/src/read.rs
@@ -21,12 +21,15 @@
 impl RouteTable {
     /// Parses a configuration. Does not retain `bytes`.
     pub fn read(bytes: &[u8]) -> Result<Self, Faults> {
-        Self::read_after(bytes, None)
+        Self::read_incremental(bytes, None)
     }
 
     /// Parses a configuration, sharing the routes of unchanged rules with an earlier one. `earlier` is the text of that
     /// configuration and its table.
-    pub fn read_after(bytes: &[u8], earlier: Option<(&[u8], &RouteTable)>) -> Result<Self, Faults> {
+    pub fn read_incremental(
+        bytes: &[u8],
+        earlier: Option<(&[u8], &RouteTable)>,
+    ) -> Result<Self, Faults> {
         // An invalid configuration is parsed again as a whole, to report all faults.
         match read_by_rule(bytes, earlier) {
             Ok(table) => Ok(table),
@@ -182,10 +185,10 @@
     };
     let defaults = Limits::default();
     Limits {
-        header_bytes: integer("maxHeaderBytes", defaults.header_bytes as u64) as usize,
-        body_bytes: integer("maxBodyBytes", defaults.body_bytes),
-        header_ms: integer("headerTimeoutMs", defaults.header_ms),
-        idle_ms: integer("idleTimeoutMs", defaults.idle_ms),
+        max_header_bytes: integer("maxHeaderBytes", defaults.max_header_bytes as u64) as usize,
+        max_body_bytes: integer("maxBodyBytes", defaults.max_body_bytes),
+        header_timeout_ms: integer("headerTimeoutMs", defaults.header_timeout_ms),
+        idle_timeout_ms: integer("idleTimeoutMs", defaults.idle_timeout_ms),
     }
 }
 
@@ -300,7 +303,7 @@
             .filter(|ms| *ms > 0.0)
             .map_or(timeout, |ms| ms.min(DAY_MS)),
         priority: u32::try_from(priority).unwrap_or(u32::MAX),
-        attempts: u32::try_from(attempts?).unwrap_or(u32::MAX),
+        max_attempts: u32::try_from(attempts?).unwrap_or(u32::MAX),
         targets: targets?,
     })
 }
--- a/crates/rookpulley-routes/src/route.rs
+++ b/crates/rookpulley-routes/src/route.rs
@@ -36,7 +36,7 @@
     /// 0 is the highest priority.
     pub priority: u32,
     /// Maximum number of instances that one request may be sent to, at least 1.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Indices into `RouteTable::services` with their weights. No weight is negative, and the sum is positive.
     pub targets: Vec<(usize, f64)>,
 }
@@ -44,7 +44,7 @@
 impl Route {
     /// Selects a service by weight and returns its index. `random` is uniformly distributed in `[0, 1)`. A service of
     /// weight 0 is never selected, even for values outside that range.
-    pub fn draw(&self, random: f64) -> Option<usize> {
+    pub fn select_target(&self, random: f64) -> Option<usize> {
         let sum: f64 = self.targets.iter().map(|(_, weight)| weight).sum();
         let (mut remaining, mut selected) = (random * sum, None);
         for (service, weight) in self.targets.iter().filter(|(_, weight)| *weight > 0.0) {
--- a/crates/rookpulley-routes/src/route_table.rs
+++ b/crates/rookpulley-routes/src/route_table.rs
@@ -21,7 +21,7 @@
     routes: Vec<Arc<Route>>,
     hosts: HashMap<String, Host>,
     /// Smallest latency target of the routes to each service.
-    least_latency_targets_ms: Vec<Option<f64>>,
+    min_latency_targets_ms: Vec<Option<f64>>,
     /// Byte ranges of the rules in the source text, with the resulting routes.
     pub(crate) rules: Vec<(Range<usize>, Arc<Route>)>,
 }
@@ -41,22 +41,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Maximum size of the request header.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Maximum size of the request body.
-    pub body_bytes: u64,
+    pub max_body_bytes: u64,
     /// Timeout for receiving the request header, in milliseconds.
-    pub header_ms: u64,
+    pub header_timeout_ms: u64,
     /// Timeout of idle connections, in milliseconds.
-    pub idle_ms: u64,
+    pub idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            header_bytes: 16_384,
-            body_bytes: 64 << 20,
-            header_ms: 3_000,
-            idle_ms: 15_000,
+            max_header_bytes: 16_384,
+            max_body_bytes: 64 << 20,
+            header_timeout_ms: 3_000,
+            idle_timeout_ms: 15_000,
         }
     }
 }
@@ -91,12 +91,12 @@
             hosts.insert(first.host.clone(), host);
             from += host_routes.len();
         }
-        let mut least_latency_targets_ms = vec![None; services.len()];
+        let mut min_latency_targets_ms = vec![None; services.len()];
         for (service, latency_target_ms) in routes
             .iter()
             .flat_map(|r| r.targets.iter().map(|(at, _)| (*at, r.latency_target_ms)))
         {
-            if let Some(least) = least_latency_targets_ms.get_mut(service) {
+            if let Some(least) = min_latency_targets_ms.get_mut(service) {
                 *least = Some(
                     least.map_or(latency_target_ms, |least: f64| least.min(latency_target_ms)),
                 );
@@ -109,17 +109,14 @@
             indices,
             routes,
             hosts,
-            least_latency_targets_ms,
+            min_latency_targets_ms,
             rules: Vec::new(),
         }
     }
 
     /// The smallest latency target of the routes to a service. `None` if no route targets it.
-    pub fn least_latency_target_ms(&self, service: usize) -> Option<f64> {
-        self.least_latency_targets_ms
-            .get(service)
-            .copied()
-            .flatten()
+    pub fn min_latency_target_ms(&self, service: usize) -> Option<f64> {
+        self.min_latency_targets_ms.get(service).copied().flatten()
     }
 
     /// Looks up the route with the longest matching prefix. The host is case-insensitive and has no port; the path has
--- a/crates/rookpulley-routes/tests/changes.rs
+++ b/crates/rookpulley-routes/tests/changes.rs
@@ -60,7 +60,7 @@
         Ok(table) => {
             let routes: Vec<&Route> = table.routes().collect();
             let latency_targets: Vec<_> = (0..3)
-                .map(|service| table.least_latency_target_ms(service))
+                .map(|service| table.min_latency_target_ms(service))
                 .collect();
             let found = HOSTS.map(|host| table.route(host, "/x/y/1").map(|route| route.timeout_ms));
             format!(
@@ -93,7 +93,7 @@
         let unsplit = describe(RouteTable::read(without_splitting(&later).as_bytes()));
         let before = RouteTable::read(earlier.as_bytes()).ok();
         let known = before.as_ref().map(|before| (earlier.as_bytes(), before));
-        let after = RouteTable::read_after(later.as_bytes(), known);
+        let after = RouteTable::read_incremental(later.as_bytes(), known);
         if let (Ok(after), Some(before)) = (&after, &before) {
             assert_eq!(alone, unsplit, "{later}");
             good.set(good.get() + 1);
@@ -151,7 +151,7 @@
     let (first, second) = (body(7, 5), body(8, 11));
     let before = RouteTable::read(first.as_bytes()).unwrap();
     let after =
-        RouteTable::read_after(second.as_bytes(), Some((first.as_bytes(), &before))).unwrap();
+        RouteTable::read_incremental(second.as_bytes(), Some((first.as_bytes(), &before))).unwrap();
     assert_eq!(after.routes().len(), 35_000);
     let rebuilt = after.routes().filter(|route| {
         let old = before.route("h", &route.prefix);
--- a/crates/rookpulley-routes/tests/route_table.rs
+++ b/crates/rookpulley-routes/tests/route_table.rs
@@ -35,10 +35,10 @@
     let table = read(COMPLETE).unwrap();
     assert_eq!(table.version, 12);
     let limits = Limits {
-        header_bytes: 9_000,
-        body_bytes: 70_000,
-        header_ms: 1_000,
-        idle_ms: 2_000,
+        max_header_bytes: 9_000,
+        max_body_bytes: 70_000,
+        header_timeout_ms: 1_000,
+        idle_timeout_ms: 2_000,
     };
     assert_eq!(table.limits, limits);
     assert_eq!(
@@ -58,7 +58,7 @@
 
     let sell = table.route("POST.example", "/sell/stamps/7").unwrap();
     assert_eq!(
-        (sell.name.as_str(), sell.kind, sell.attempts),
+        (sell.name.as_str(), sell.kind, sell.max_attempts),
         ("sell", RouteKind::Mutating, 2)
     );
     assert_eq!(
@@ -91,10 +91,10 @@
     assert_eq!(
         empty.limits,
         Limits {
-            header_bytes: 16_384,
-            body_bytes: 67_108_864,
-            header_ms: 3_000,
-            idle_ms: 15_000
+            max_header_bytes: 16_384,
+            max_body_bytes: 67_108_864,
+            header_timeout_ms: 3_000,
+            idle_timeout_ms: 15_000
         }
     );
 }
@@ -220,14 +220,16 @@
                     && !route.host.is_empty()
             );
             assert!(
-                route.attempts > 0 && route.timeout_ms > 0.0 && route.timeout_ms <= 86_400_000.0
+                route.max_attempts > 0
+                    && route.timeout_ms > 0.0
+                    && route.timeout_ms <= 86_400_000.0
             );
             assert!(
                 route.latency_target_ms > 0.0
                     && route.targets.iter().all(|(_, weight)| *weight >= 0.0)
             );
             let selected = route
-                .draw(u.int_in_range(0..=999)? as f64 / 1_000.0)
+                .select_target(u.int_in_range(0..=999)? as f64 / 1_000.0)
                 .unwrap();
             assert!(table.service(selected).is_some());
             assert_eq!(table.route(&route.host, &route.prefix), Some(route));
@@ -552,12 +554,12 @@
         let mut selected = vec![0; weights.len()];
         for step in 0..sum {
             selected[route
-                .draw((f64::from(step) + 0.5) / f64::from(sum))
+                .select_target((f64::from(step) + 0.5) / f64::from(sum))
                 .unwrap()] += 1;
         }
         assert_eq!(selected, weights);
         for unit in [0.0, 1.0, -1.0, 2.0, f64::NAN] {
-            assert!(weights[route.draw(unit).unwrap()] > 0);
+            assert!(weights[route.select_target(unit).unwrap()] > 0);
         }
         Ok(())
     });
