--- a/crates/rookpulley-control/src/controller.rs
+++ b/crates/rookpulley-control/src/controller.rs
@@ -159,7 +159,7 @@
     fn restore_instances(&mut self) {
         for (_, row) in &self.stored_instances {
             if let Ok(update) = postcard::from_bytes::<InstanceUpdate>(row) {
-                self.registry.apply_update(0.0, &update.as_of_now());
+                self.registry.apply_update(0.0, &update.with_zero_age());
             }
         }
     }
@@ -347,7 +347,7 @@
         let members = self.chain.view().map_or(&[][..], |view| &view.members);
         let members: Vec<Ipv4Addr> = members.iter().map(|m| *m.address.ip()).collect();
         let in_touch = self.in_touch(now);
-        self.registry.set_in_touch(now, in_touch);
+        self.registry.set_has_majority(now, in_touch);
         for ip in members {
             self.discover_peer(now, ip);
         }
--- a/crates/rookpulley-control/src/controller/drains.rs
+++ b/crates/rookpulley-control/src/controller/drains.rs
@@ -40,7 +40,7 @@
         }
         let members = self.chain.view().map_or(0, |view| view.members.len());
         let query = self.next_number();
-        let is_asked = self.drains.begin(query, members.saturating_sub(1));
+        let is_asked = self.drains.start_query(query, members.saturating_sub(1));
         let updates = vec![InstanceUpdate::Gone {
             incarnation: drain.incarnation.clone(),
             age_ms: 0.0,
@@ -59,7 +59,7 @@
 
     /// Another controller has the drain on its disk.
     pub(super) fn handle_updates_stored(&mut self, now: f64, from: u64, query: u64) {
-        if !self.drains.confirmed_by(query, from) {
+        if !self.drains.record_confirmation(query, from) {
             return;
         }
         if let Some(pending) = self.pending_drains.get_mut(&query) {
@@ -86,7 +86,7 @@
         let Some(pending) = self.pending_drains.remove(&query) else {
             return;
         };
-        self.drains.finish(query);
+        self.drains.finish_query(query);
         let DrainCall { call, incarnation } = pending.drain;
         if self.in_touch(now) {
             self.drains.confirm(now, incarnation);
@@ -101,7 +101,7 @@
         let is_late = |_: &u64, pending: &mut PendingDrain| pending.until_ms <= now;
         let late: Vec<(u64, PendingDrain)> = self.pending_drains.extract_if(.., is_late).collect();
         for (query, pending) in late {
-            self.drains.finish(query);
+            self.drains.finish_query(query);
             self.answer_instance(pending.drain.call, Acceptance::Local);
         }
     }
--- a/crates/rookpulley-registry/src/drain_tracker.rs
+++ b/crates/rookpulley-registry/src/drain_tracker.rs
@@ -45,7 +45,7 @@
     }
 
     /// Starts a query to `others` controllers. Returns false if no confirmation is required.
-    pub fn begin(&mut self, query: u64, others: usize) -> bool {
+    pub fn start_query(&mut self, query: u64, others: usize) -> bool {
         let required = others.min(self.tolerated_losses);
         if required == 0 {
             return false;
@@ -60,7 +60,7 @@
     }
 
     /// Records that a controller has persisted the drain. Returns true once enough controllers have.
-    pub fn confirmed_by(&mut self, query: u64, controller: u64) -> bool {
+    pub fn record_confirmation(&mut self, query: u64, controller: u64) -> bool {
         self.queries.get_mut(&query).is_some_and(|pending| {
             pending.confirmed_by.insert(controller);
             pending.confirmed_by.len() >= pending.required
@@ -68,7 +68,7 @@
     }
 
     /// Removes a query, whatever its result.
-    pub fn finish(&mut self, query: u64) {
+    pub fn finish_query(&mut self, query: u64) {
         self.queries.remove(&query);
     }
 }
--- a/crates/rookpulley-registry/src/instance_update.rs
+++ b/crates/rookpulley-registry/src/instance_update.rs
@@ -30,7 +30,7 @@
 
 impl InstanceUpdate {
     /// The update with its age set to 0, for replay after a restart, when its actual age is unknown.
-    pub fn as_of_now(self) -> Self {
+    pub fn with_zero_age(self) -> Self {
         match self {
             Self::Heartbeat { heartbeat, .. } => Self::Heartbeat {
                 heartbeat,
--- a/crates/rookpulley-registry/src/registry.rs
+++ b/crates/rookpulley-registry/src/registry.rs
@@ -70,7 +70,7 @@
     settled_ms: f64,
     ticked_ms: f64,
     /// When this controller last had contact with a majority, or was settling.
-    in_touch_ms: f64,
+    majority_ms: f64,
     incarnations: BTreeMap<IncarnationId, InstanceRecord>,
     /// End time of ended incarnations.
     ended_ms: BTreeMap<IncarnationId, f64>,
@@ -87,7 +87,7 @@
             retention_ms: RETENTION_MS.max(RETENTION_DRAINS * drain_ms),
             settled_ms: start_ms + SETTLING_HEARTBEATS * heartbeat_ms,
             ticked_ms: start_ms,
-            in_touch_ms: start_ms,
+            majority_ms: start_ms,
             incarnations: BTreeMap::new(),
             ended_ms: BTreeMap::new(),
             by_address: BTreeMap::new(),
@@ -101,15 +101,15 @@
     }
 
     /// Updates whether this controller has contact with a majority of the controllers.
-    pub fn set_in_touch(&mut self, now: f64, in_touch: bool) {
-        if in_touch || self.is_settling(now) {
-            self.in_touch_ms = now;
+    pub fn set_has_majority(&mut self, now: f64, has_majority: bool) {
+        if has_majority || self.is_settling(now) {
+            self.majority_ms = now;
         }
     }
 
     /// Whether this controller may acknowledge heartbeats.
     pub fn accepts_heartbeats(&self, now: f64) -> bool {
-        now - self.in_touch_ms <= ISOLATION_GRACE_MS
+        now - self.majority_ms <= ISOLATION_GRACE_MS
     }
 
     /// Increases whenever the status or the attributes of an incarnation change.
--- a/crates/rookpulley-registry/tests/registry.rs
+++ b/crates/rookpulley-registry/tests/registry.rs
@@ -284,10 +284,10 @@
 #[test]
 fn isolated_controller_rejects_heartbeats_after_settling_and_the_grace_period() {
     let mut registry = Registry::new(0.0, 1_000.0, 2_500.0);
-    registry.set_in_touch(1_900.0, false);
+    registry.set_has_majority(1_900.0, false);
     assert!(registry.accepts_heartbeats(3_400.0));
-    registry.set_in_touch(2_100.0, false);
+    registry.set_has_majority(2_100.0, false);
     assert!(!registry.accepts_heartbeats(3_401.0));
-    registry.set_in_touch(3_402.0, true);
+    registry.set_has_majority(3_402.0, true);
     assert!(registry.accepts_heartbeats(3_403.0));
 }
