--- a/crates/rookpulley-registry/src/decision_module.rs
+++ b/crates/rookpulley-registry/src/decision_module.rs
@@ -25,8 +25,8 @@
 /// Cost of sending a request to another zone, as a fraction of its value. The module prefers servers in the proxy's
 /// zone while that zone has capacity.
 const CROSS_ZONE_PRICE: f64 = 0.03;
-/// Granularity of the traffic split between zones. With the module's default of 8 steps, a zone that exceeds its
-/// capacity by 10% would keep all of its traffic.
+/// Granularity of the traffic split between zones. With `DEAR_STEPS` (8), a zone that exceeds its capacity by 10% would
+/// keep all of its traffic.
 const FLOW_STEPS: f64 = 32.0;
 /// Number of revisions kept for each table, the same as in the module.
 const MAX_REVISIONS: usize = 10;
