--- a/crates/rookpulley-chain/src/chain.rs
+++ b/crates/rookpulley-chain/src/chain.rs
@@ -1,7 +1,7 @@
-//! One member of the chain: its fields, and which part of it handles an input.
+//! One member of the chain: its fields, and the dispatch of inputs to the modules under `chain/`.
 //!
-//! The parts are in the files under `chain/`, each with the invariants that it keeps. They share these fields and call
-//! each other's functions; none but this one sees an [`Input`].
+//! Each of those modules documents the invariants that it maintains. They share these fields and call each other's
+//! functions; only this module handles [`Input`].
 
 mod acceptor;
 mod candidates;
@@ -32,36 +32,36 @@
 use crate::view::{Member, View};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A member without two-way contact for so long is suspected to be lost. Figures: `docs/design/chain.md`.
+/// A member without two-way contact for this long is suspected to have failed. See `docs/design/chain.md`.
 const SUSPECT_AFTER_MS: u64 = 600;
-/// The same since its connection has ended: a process that runs connects again meanwhile.
+/// The timeout once its connection has closed: a running process reconnects sooner.
 const SUSPECT_AFTER_DISCONNECT_MS: u64 = 350;
 const HEARTBEAT_INTERVAL_MS: u64 = 120;
-/// Ticks that are so far apart show that this process itself did not run.
+/// A longer gap between ticks means that this process was not scheduled.
 const STALL_MS: u64 = 250;
 
-/// One member of the chain, or a controller that is about to become one.
+/// One member of the chain, or a controller that may become one.
 pub struct Chain<S> {
     me: Member,
     tolerated_losses: usize,
     seed: u64,
     state: S,
-    /// The decided views that are remembered, oldest first.
+    /// The decided views that are retained, oldest first.
     views: Vec<View>,
-    /// When the newest view became known.
+    /// When the newest view was learned.
     learned_ms: u64,
     /// The newest view that is installed on this disk.
     installed: u64,
-    /// This view and those before it are never installed here, unless they have been.
+    /// Views up to this number will not be installed here unless they already were.
     abandoned: u64,
     /// The newest view that is known to be active.
     active: u64,
     acceptor: AcceptorState,
-    /// The disk has lost what was synced: it may have forgotten what it promised, and says nothing that depends on it.
+    /// The disk lost synced data. Promises may be missing, so messages that depend on the acceptor's state are ignored.
     corrupted: bool,
     replication: ReplicationState,
     reply_cache: ReplyCache,
-    /// How many rows the snapshot on the disk has. 0: there is none.
+    /// The number of chunks of the snapshot on disk. 0: there is none.
     snapshot_chunks: u32,
     /// By identity.
     peers: BTreeMap<u64, PeerState>,
@@ -70,10 +70,10 @@
     catch_up: CatchUp,
     digests: Digests,
     disk_slow: bool,
-    /// This incarnation has written to its disk. One that can't is taken into no view.
+    /// The first write of this incarnation was synced. Until then it reports a slow disk and is not added to a view.
     disk_proven: bool,
     ticked_ms: u64,
-    /// When this process last ran again after a stall.
+    /// When this process last resumed after a stall.
     woke_ms: u64,
     heartbeat_sent_ms: u64,
     ticket: u64,
@@ -82,7 +82,7 @@
 }
 
 impl<S: State> Chain<S> {
-    /// Takes an event at the time `now`, in milliseconds of a monotonic clock, and returns what is to be done.
+    /// Handles an event at the time `now`, in milliseconds of a monotonic clock, and returns the effects to carry out.
     pub fn handle(&mut self, now: u64, input: Input) -> Vec<Effect> {
         match input {
             Input::Tick => self.tick(now),
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Sends a message. One to ourselves is handled at once.
+    /// Sends a message. A message to this member is handled immediately.
     fn send(&mut self, now: u64, to: u64, message: Message) {
         if to == self.me.id {
             self.handle_message(now, to, message);
@@ -251,7 +251,7 @@
         self.effects.push(Effect::Send { to, message });
     }
 
-    /// Writes records as one batch. `next` is done once they are synced.
+    /// Writes records as one batch. `next` runs once they are synced.
     fn write(&mut self, records: Vec<Record>, next: AfterSync) {
         self.ticket += 1;
         self.after_sync.push_back((self.ticket, next));
@@ -270,17 +270,17 @@
         self.views.last()
     }
 
-    /// Its number. 0: none is known.
+    /// The number of the newest decided view. 0: none is known.
     fn decided(&self) -> u64 {
         self.view().map_or(0, |view| view.number)
     }
 
-    /// Whether the newest view known is active. Where a later one is, that one must be learned first.
+    /// Whether the newest known view is active. False also if a later active view has yet to be learned.
     fn is_view_active(&self) -> bool {
         self.active > 0 && self.active == self.decided()
     }
 
-    /// The newest view, where this incarnation is a member of it and has installed it.
+    /// The newest view, if this incarnation is a member of it and has installed it.
     fn installed_view(&self) -> Option<&View> {
         let is_installed = |view: &&View| {
             view.number == self.installed && view.has_member(self.me.id, self.me.incarnation)
@@ -288,18 +288,18 @@
         self.view().filter(is_installed)
     }
 
-    /// The same, where it has this number.
+    /// Whether the view with this number is the newest one and is installed here.
     fn has_installed(&self, number: u64) -> bool {
         self.installed_view()
             .is_some_and(|view| view.number == number)
     }
 
-    /// Who this is.
+    /// The identity, incarnation and address of this member.
     pub fn me(&self) -> Member {
         self.me
     }
 
-    /// The state with all that is applied here.
+    /// The replicated state, with every entry applied here.
     pub fn state(&self) -> &S {
         &self.state
     }
--- a/crates/rookpulley-chain/src/chain/acceptor.rs
+++ b/crates/rookpulley-chain/src/chain/acceptor.rs
@@ -1,7 +1,7 @@
-//! The Paxos acceptor: promises and accepts for the view after the one decided.
+//! The Paxos acceptor for the successor of the newest view.
 //!
-//! Invariant: nothing is said before it is on the disk. So an acceptor still knows after any crash what it said, and
-//! one whose disk is new has another identity.
+//! Invariant: no reply is sent before the state that it depends on is on disk, so promises survive a crash. A
+//! controller with a new disk has a new identity.
 
 use super::Chain;
 use crate::after_sync::AfterSync;
@@ -12,7 +12,7 @@
 use std::cmp::Ordering;
 
 impl<S: State> Chain<S> {
-    /// What was said for this view number. None: a later number has taken its place, and nothing is known any more.
+    /// The acceptor state for this view number. None: it was replaced by that of a later number.
     fn acceptor_for(&self, number: u64) -> Option<AcceptorState> {
         match self.acceptor.number.cmp(&number) {
             Ordering::Less => Some(AcceptorState {
@@ -24,9 +24,9 @@
         }
     }
 
-    /// Writes what the acceptor says, then says it. The state for one number takes the place of that for the number
-    /// before, so the view in between is written with it: a disk that had the new state and not the view would open the
-    /// older number again.
+    /// Writes the acceptor state, then sends `message`. The state replaces that of the previous view number, so the
+    /// newest view is written in the same batch: without it on disk, a restarted acceptor would take part in deciding
+    /// the earlier number again.
     fn persist_acceptor(&mut self, acceptor: AcceptorState, to: u64, message: Message) {
         let mut records: Vec<_> = self.view().map(persisted::put_view).into_iter().collect();
         records.push(persisted::put_acceptor(&acceptor));
@@ -63,7 +63,7 @@
 
     pub(super) fn handle_accept(&mut self, from: u64, ballot: Ballot, view: View) {
         let number = view.number;
-        // Only the acceptors of the view right before are asked.
+        // Only acceptors of the immediately preceding view may accept.
         let is_acceptor = self
             .view()
             .is_some_and(|known| known.number + 1 == number && known.is_acceptor(self.me.id));
@@ -82,8 +82,8 @@
         self.persist_acceptor(acceptor, from, Message::Accepted { number, ballot });
     }
 
-    /// Promises never to install this view or an earlier one, unless that has been done or begun: what is on its way to
-    /// the disk is waited for, and reported as installed.
+    /// Promises not to install this view or an earlier one, unless it is installed already. The reply waits for an
+    /// installation that is being written, and then reports the view as installed.
     pub(super) fn handle_abandon_view(&mut self, from: u64, query: u64, number: u64) {
         if number > self.decided() {
             return;
--- a/crates/rookpulley-chain/src/chain/candidates.rs
+++ b/crates/rookpulley-chain/src/chain/candidates.rs
@@ -1,4 +1,4 @@
-//! Who would be in the next view, by what all members that replied see.
+//! Selection of the members and voters of the next view from the collected status replies.
 
 use super::Chain;
 use super::reconfiguration::NEAR_ENTRIES;
@@ -7,23 +7,23 @@
 use crate::view::{Member, View};
 use std::collections::BTreeSet;
 
-/// Why no view is proposed.
+/// The reason why no view is proposed.
 #[derive(Debug, PartialEq)]
 pub(super) enum NoCandidates {
-    /// Somebody knows a newer view than the one to be followed.
+    /// A reply reports a newer view than the one to be succeeded.
     ViewIsOld,
-    /// Too few have replied to decide anything.
+    /// The replies do not form a quorum.
     NoQuorum,
-    /// This member would not be in the view that it proposed.
+    /// This member would not be in the proposed view.
     NotAMember,
-    /// It would be the view that is there.
+    /// The proposed view would equal the current one.
     Unchanged,
-    /// It would have too few members to lose one.
+    /// The proposed view would have too few members to tolerate the configured losses.
     TooFewMembers,
 }
 
 impl<S: State> Chain<S> {
-    /// The members of the next view, in their order.
+    /// Selects the members of the next view, in chain order.
     pub(super) fn choose_members(
         &self,
         now: u64,
@@ -40,7 +40,7 @@
         let mut chosen = fully_connected(view, replies);
         let is_quick = |id: &u64| replies.get(id).is_some_and(|r| !r.status.slow);
         self.prefer(&mut chosen, is_quick);
-        // Who lacks much is filled first, beside the chain, as far as the chain is long enough without it.
+        // Lagging replicas catch up outside the chain first, as long as it is long enough without them.
         let newest = replies.values().map(|r| r.status.committed).max();
         let lacks_little = |id: &u64| {
             let last = replies.get(id).map(|r| last_of(r, view));
@@ -56,23 +56,23 @@
         if members == view.members && voters == view.voters && self.is_view_active() {
             return Err(NoCandidates::Unchanged);
         }
-        // Unless there were no more before.
+        // A chain that is already this short may be replaced by one of the same length.
         if members.len() <= self.tolerated_losses && members.len() < view.members.len() {
             return Err(NoCandidates::TooFewMembers);
         }
         Ok(members)
     }
 
-    /// Leaves only those that `fits` accepts, where they are enough to lose what may be lost.
+    /// Retains only the candidates that satisfy `fits`, if they suffice to tolerate the configured losses.
     fn prefer(&self, chosen: &mut Vec<u64>, fits: impl Fn(&u64) -> bool) {
         if chosen.iter().filter(|id| fits(id)).count() > self.tolerated_losses {
             chosen.retain(|id| fits(id));
         }
     }
 
-    /// Acceptors that are left out as members stay voters if they still reply, as far as the chain is shorter than it
-    /// would have to be to lose what it may lose and still be a majority. Of the silent ones one stays for a while,
-    /// where that makes the majority no larger: most often it only did not run, and is back before another is lost.
+    /// Selects the voters of the next view. Acceptors that are not members remain voters if they replied, up to the
+    /// number of acceptors that tolerates the configured losses. One recently silent acceptor is also kept if it does
+    /// not increase the majority, since it is probably only stalled and may return before another one is lost.
     pub(super) fn choose_voters(
         &self,
         now: u64,
@@ -102,8 +102,8 @@
     }
 }
 
-/// The largest part in which all are in contact with each other: whoever misses most of the others is left out first,
-/// newcomers before members.
+/// A subset of the replying controllers in which all are in two-way contact. Repeatedly removes the one that misses the
+/// most others, and among equals a new one before a member.
 fn fully_connected(view: &View, replies: &StatusReplies) -> Vec<u64> {
     let hears = |a: &StatusReply, b: &StatusReply| a.contacts.contains(&b.status.member.into());
     let mut chosen: Vec<u64> = replies.keys().copied().collect();
@@ -129,7 +129,7 @@
     }
 }
 
-/// The last entry that a member could bring into the next view.
+/// The last entry that a member could contribute to the next view.
 fn last_of(reply: &StatusReply, view: &View) -> u64 {
     if reply.status.installed == view.number {
         reply.status.last
@@ -138,7 +138,7 @@
     }
 }
 
-/// The members that stay in their order, then the newcomers.
+/// The remaining members in their current order, followed by the new ones.
 fn in_order(view: &View, chosen: &[u64], replies: &StatusReplies) -> Vec<Member> {
     let stay = view.members.iter().map(|m| m.id);
     let stay = stay.filter(|id| chosen.contains(id));
--- a/crates/rookpulley-chain/src/chain/catch_up.rs
+++ b/crates/rookpulley-chain/src/chain/catch_up.rs
@@ -1,8 +1,8 @@
-//! How a replica that lacks much gets it, while the chain goes on without it.
+//! State transfer to a lagging replica, while the chain continues without it.
 //!
-//! Whatever is applied anywhere is the beginning of one order. So a replica may take what it lacks from any other that
-//! has it, without any view: entries while the other still has them in memory, else a snapshot chunk by chunk. It asks
-//! for one part at a time, and for the next once that one is on its disk: a slow replica is never flooded.
+//! All replicas apply prefixes of the same log, so missing data can come from any replica that is ahead, regardless of
+//! views: entries as long as the source has them in memory, otherwise a snapshot in chunks. One part is requested at a
+//! time, and the next one only after the previous was synced, so a slow replica is not flooded.
 
 use super::Chain;
 use super::reconfiguration::NEAR_ENTRIES;
@@ -14,14 +14,14 @@
 use crate::reply_cache::ReplyCache;
 use crate::state::State;
 
-/// The size of a part: of entries at least one, of a snapshot one chunk.
+/// The maximum size of the entries in a reply, unless a single entry is larger, and the size of a snapshot chunk.
 const PART_BYTES: usize = 128 << 10;
-/// A question that wasn't answered is asked again after so long.
+/// The time after which an unanswered request is repeated.
 const RETRY_MS: u64 = 250;
-/// A snapshot that is handed out stays the same for so long after it was last asked for.
+/// The time since its last use after which a snapshot for transfer is dropped.
 const SERVED_SNAPSHOT_MS: u64 = 3_000;
 
-/// A chunk of a snapshot that has come.
+/// A received snapshot chunk.
 struct ReceivedChunk {
     from: u64,
     seq: u64,
@@ -32,9 +32,10 @@
     bytes: Vec<u8>,
 }
 
-/// The replica that lacks something.
+/// The receiving replica.
 impl<S: State> Chain<S> {
-    /// Whom to ask: who sent the pending view, or whoever of the chain has applied more, from its tail on.
+    /// The replica to ask: the sender of the pending view, or else the member closest to the tail that has applied
+    /// more.
     fn catch_up_source(&self, now: u64) -> Option<u64> {
         if let Some(install) = &self.catch_up.pending_install {
             return Some(install.from);
@@ -58,7 +59,7 @@
         others.into_iter().find(is_ahead)
     }
 
-    /// Asks for the next part, if one is lacking and none is on its way.
+    /// Requests the next part if one is missing and no reply is outstanding.
     pub(super) fn request_catch_up(&mut self, now: u64) {
         let is_waiting = self.catch_up.writing || now < self.catch_up.waits_until_ms;
         let is_unfit = self.disk_slow && self.catch_up.pending_install.is_none();
@@ -74,7 +75,7 @@
             .get(&from)
             .map_or(0, |peer| peer.status.committed);
         self.catch_up.far_behind |= applied_there > applied + NEAR_ENTRIES;
-        // What has come of one replica's snapshot is no beginning of another's.
+        // Chunks of different replicas' snapshots cannot be combined.
         self.catch_up
             .partial
             .take_if(|partial| partial.from != from);
@@ -93,7 +94,7 @@
         self.send(now, from, message);
     }
 
-    /// An answer shows that others have applied so much.
+    /// Requests missing entries if `committed` is ahead of this replica.
     pub(super) fn catch_up_to(&mut self, now: u64, committed: u64) {
         if committed > self.replication.committed {
             self.request_catch_up(now);
@@ -148,7 +149,7 @@
         self.effects.push(Effect::StateChanged);
     }
 
-    /// A part is on the disk.
+    /// Continues after a received part was synced.
     pub(super) fn handle_caught_up(&mut self, now: u64) {
         self.catch_up.writing = false;
         self.install_as_source(now);
@@ -157,7 +158,7 @@
         self.announce_when_near(now);
     }
 
-    /// A replica that may be taken into a view now says so at once.
+    /// Sends heartbeats as soon as this replica has caught up enough to be added to a view.
     fn announce_when_near(&mut self, now: u64) {
         let committed = self.peers.values().map(|peer| peer.status.committed);
         let newest = committed.max().unwrap_or(0);
@@ -167,10 +168,10 @@
         }
     }
 
-    /// Applies entries that are known to be committed, and returns the records that put them on the disk. An entry that
-    /// is held already is the same; if it isn't, it was never committed, and goes with all behind it.
+    /// Applies entries that are known to be committed, and returns the records to write. If the held entry differs, it
+    /// was never committed, so it and all later ones are replaced.
     pub(super) fn apply_committed(&mut self, entries: Vec<Entry>) -> Vec<Record> {
-        /// Entries that come committed belong to no view.
+        /// Entries received as committed are not tied to a view.
         const NO_VIEW: u64 = 0;
         let mut records = Vec::new();
         for entry in entries {
@@ -193,7 +194,7 @@
         records
     }
 
-    /// Adds a chunk to those that came before it. With the last one the snapshot takes the place of the state.
+    /// Appends a chunk to the partial snapshot. The last chunk completes the snapshot, which then replaces the state.
     fn take_chunk(&mut self, now: u64, received: ReceivedChunk) -> Vec<Record> {
         let ReceivedChunk { from, seq, .. } = received;
         let follows = |partial: &PartialSnapshot| {
@@ -232,7 +233,7 @@
             return Vec::new();
         }
         self.reply_cache = reply_cache;
-        // The log behind it stays: where we are a member of the newest view, it may have been acknowledged.
+        // Later log entries are kept: if this replica is a member of the newest view, they may have been acknowledged.
         let mut behind: Vec<Entry> = self.replication.log.iter().cloned().collect();
         behind.retain(|entry| entry.seq > seq);
         let last = behind.last().map_or(seq, |entry| entry.seq);
@@ -249,7 +250,7 @@
     }
 }
 
-/// The replica that has it.
+/// The serving replica.
 impl<S: State> Chain<S> {
     pub(super) fn handle_catch_up_request(
         &mut self,
@@ -270,8 +271,8 @@
         self.send(now, from, Message::CatchUpReply { query, data });
     }
 
-    /// A chunk of the snapshot that is handed out, or the first one of a newer snapshot where that can't be followed by
-    /// entries any more.
+    /// The requested chunk of the current snapshot, or the first chunk of a new one if the entries after the current
+    /// one are no longer in memory.
     fn serve_chunk(&mut self, now: u64, wanted: Option<ChunkPosition>) -> CatchUpData {
         let is_usable = |served: &ServedSnapshot| self.replication.covers(served.seq);
         let served = self.catch_up.served.take().filter(is_usable);
--- a/crates/rookpulley-chain/src/chain/client_requests.rs
+++ b/crates/rookpulley-chain/src/chain/client_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients that this controller was asked: forwarded to the head, answered by the tail, given up in time.
+//! Client requests received by this controller: forwarded to the head, answered by the tail, with a timeout.
 //!
 //! Invariant: a request is rejected only if no attempt of it has taken effect or ever will.
 
@@ -8,14 +8,14 @@
 use crate::pending_requests::{HeadTime, PendingRequest};
 use crate::state::State;
 
-/// A caller goes elsewhere after a second of silence.
+/// Below the one second after which a caller turns to another controller.
 const REQUEST_TIMEOUT_MS: u64 = 850;
-/// A read that isn't answered is forwarded again; it changes nothing.
+/// The time after which an unanswered read is forwarded again, which is safe because reads have no effect.
 const READ_RETRY_MS: u64 = 300;
-/// A head's time that was heard longer ago would make a request seem older than it is.
+/// A head time received longer ago than this is not used, because it would overstate the age of a request.
 const MAX_HEAD_TIME_AGE_MS: u64 = 700;
-/// A process that did not run for so long can't tell how old a request is that lay in a socket meanwhile. Whatever comes
-/// within `WAKE_GRACE_MS` after it runs again lay there.
+/// After a stall of this length, requests that were buffered in a socket are of unknown age. Those received up to
+/// `WAKE_GRACE_MS` after it are rejected.
 const STALL_MS: u64 = 300;
 const WAKE_GRACE_MS: u64 = 100;
 
@@ -40,7 +40,7 @@
         self.effects.push(Effect::Reply { token, outcome });
     }
 
-    /// Forwards a request to the head of the newest view, if that is active and its time is known.
+    /// Forwards a request to the head of the newest view, if that view is active and the head's time is known.
     fn forward(&mut self, now: u64, token: u64) {
         let Some(view) = self.view().filter(|_| self.is_view_active()) else {
             return;
@@ -96,7 +96,7 @@
         committed: u64,
         body: Vec<u8>,
     ) {
-        // What is shown here is to be as new as the answer that was given here.
+        // Local reads after this reply must not return older state.
         if committed > self.replication.committed {
             self.handle_commit(view, committed);
             self.catch_up_to(now, committed);
@@ -123,8 +123,8 @@
         self.forward_due(now);
     }
 
-    /// Forwards what waits for a head, and in a new view what may have been lost with the one before. An attempt that
-    /// took effect is known to the head's chain (`reply_cache`).
+    /// Forwards requests that wait for a head, and repeats those that may have been lost with an earlier view. The
+    /// reply cache prevents an update from being applied twice.
     pub(super) fn forward_due(&mut self, now: u64) {
         let decided = self.decided();
         let is_due = |request: &PendingRequest| match request.sent {
--- a/crates/rookpulley-chain/src/chain/digests.rs
+++ b/crates/rookpulley-chain/src/chain/digests.rs
@@ -1,4 +1,4 @@
-//! How replicas are compared: by a digest of the state after each so many entries, which goes along with heartbeats.
+//! Comparison of replicas by state digests, which are taken at fixed log positions and sent in heartbeats.
 
 use super::Chain;
 use crate::effect::Effect;
@@ -6,7 +6,7 @@
 use crate::persisted::checksum;
 use crate::state::State;
 
-/// So many other replicas must agree before one that differs from them is given up.
+/// The number of other replicas that must agree before a differing one is discarded.
 const AGREEING_REPLICAS: usize = 2;
 
 impl<S: State> Chain<S> {
@@ -15,8 +15,8 @@
         self.digests.latest = StateDigest { seq, digest };
     }
 
-    /// Compares another replica's digest with ours. Where two others agree and nobody agrees with us, this replica is
-    /// given up. One that the chain can't spare is only logged, and so is a difference between two.
+    /// Compares another replica's digest with the local one. This replica is discarded if none agrees with it, at least
+    /// two others agree with each other, and the chain can spare it. Otherwise the mismatch is only logged.
     pub(super) fn compare_digests(&mut self, theirs: StateDigest) {
         let ours = self.digests.latest;
         let seq = theirs.seq;
--- a/crates/rookpulley-chain/src/chain/heartbeats.rs
+++ b/crates/rookpulley-chain/src/chain/heartbeats.rs
@@ -1,8 +1,8 @@
-//! Failure detection: who is in two-way contact.
+//! Failure detection based on two-way contact.
 //!
-//! A heartbeat carries the sender's clock and echoes the newest one heard from the receiver. Only an echo of one's own
-//! clock counts as contact, so one direction that works is not enough, and what lay in a socket for long counts for
-//! little.
+//! A heartbeat carries the sender's clock and echoes the latest clock received from the receiver. Only an echo of the
+//! local clock counts as contact, so a link that works in one direction is not enough, and messages that were delayed
+//! in a socket prove no recent contact.
 
 use super::{Chain, SUSPECT_AFTER_DISCONNECT_MS, SUSPECT_AFTER_MS};
 use crate::message::{MemberStatus, Message};
@@ -11,7 +11,7 @@
 use crate::state::State;
 use crate::view::Member;
 
-/// A peer that is in no view and was not heard for so long is forgotten.
+/// A peer outside the newest view is removed after this long without a heartbeat.
 const FORGET_PEER_MS: u64 = 30_000;
 
 impl<S: State> Chain<S> {
@@ -32,7 +32,8 @@
         in_contact.count() >= view.majority()
     }
 
-    /// Whether it is in touch and a member: what is applied here is as new as it can be.
+    /// Whether this controller is in contact with a majority and has installed the newest view, so that its state is
+    /// current.
     pub fn serving(&self, now: u64) -> bool {
         self.in_touch(now) && self.installed_view().is_some()
     }
@@ -48,7 +49,7 @@
         if peer.status.member.incarnation != member.incarnation {
             peer.restart(member);
         }
-        // Contact with a new peer is to be known as soon as can be.
+        // Contact with a new peer is established without waiting for the next interval.
         if peer.contact_ms.is_none() {
             self.send_heartbeat(now, member.id);
         }
@@ -62,8 +63,8 @@
         peer.contact_ms = peer.contact_ms.map(|at| at.min(at_most));
     }
 
-    /// Our monotonic clock as it is sent. It begins elsewhere for each incarnation, so that an echo of an earlier one
-    /// means nothing.
+    /// The local monotonic clock as sent in heartbeats. The offset differs between incarnations, so echoes sent to an
+    /// earlier one are not counted.
     fn sent_clock(&self, now: u64) -> u64 {
         (self.me.incarnation >> 16) + now
     }
@@ -114,7 +115,7 @@
         peer.last_heard_ms = now;
         peer.sent = Some(sent);
         peer.status = status.clone();
-        // Our clock has come back: both directions have worked since then.
+        // The echoed clock shows that both directions have worked since then.
         let contact = echo
             .and_then(|echo| echo.checked_sub(clock_start))
             .filter(|at| *at <= now && now < *at + SUSPECT_AFTER_MS);
@@ -149,8 +150,8 @@
         }
     }
 
-    /// Of two identities at one address only the later one is there; the other one's disk is lost. False: `from`, whose
-    /// echo is of `at`, is the one that was lost.
+    /// Resolves two identities at one address: the one with the newer echo stays, since the disk of the other is lost.
+    /// Returns false if `from`, whose echo is from `at`, is the one that is removed.
     fn supersede_address(&mut self, from: u64, member: Member, at: u64) -> bool {
         let same_address = |peer: &PeerState| peer.status.member.address == member.address;
         let is_superseded = self
--- a/crates/rookpulley-chain/src/chain/install.rs
+++ b/crates/rookpulley-chain/src/chain/install.rs
@@ -1,12 +1,12 @@
-//! How a decided view becomes active.
+//! Installation and activation of a decided view.
 //!
-//! Its source leaves the view before and passes what the new one begins with along the chain, member by member. What
-//! the next member has already isn't sent again: whatever is applied anywhere is the beginning of one order.
+//! The source leaves the previous view and sends the initial log of the new one along the chain, member by member.
+//! Entries that the next member already has are omitted: all replicas apply prefixes of the same log.
 //!
-//! Invariant: nothing acknowledged is lost. It was on every member of the view that was active, the source was one of
-//! them, and from the moment it installs the new view it takes nothing of an earlier one. What the source holds beyond
-//! that is committed once the view is active and not before: till then nobody applies it, since the view may yet be
-//! passed over.
+//! Invariant: no acknowledged update is lost. It was on every member of the previous active view, the source was one of
+//! them, and from the installation of the new view on, the source accepts no entry of an earlier one. Uncommitted
+//! entries of the source are committed only once the new view is active; until then no member applies them, since the
+//! view may still be skipped.
 
 use super::Chain;
 use crate::after_sync::AfterSync;
@@ -17,9 +17,9 @@
 use crate::state::State;
 use crate::view::{Member, View};
 
-/// An `Install` that had no effect is sent again after so long.
+/// The time after which an `Install` without effect is repeated.
 const RETRY_MS: u64 = 300;
-/// So much of what the successor lacks goes along with an `Install`; it asks for the rest.
+/// The maximum size of missing committed entries sent with an `Install`; the successor requests the rest.
 const MAX_CATCH_UP_BYTES: usize = 256 << 10;
 
 impl<S: State> Chain<S> {
@@ -39,7 +39,7 @@
         (member.id, member.incarnation) == (self.me.id, self.me.incarnation)
     }
 
-    /// Installs the newest view, where this member is its source: no entry of an earlier one is taken from here on.
+    /// Installs the newest view if this member is its source. From here on no entry of an earlier view is accepted.
     pub(super) fn install_as_source(&mut self, now: u64) {
         let Some(view) = self.view() else {
             return;
@@ -54,9 +54,9 @@
         self.write_installed_view(now, &view, at_ms, Vec::new(), log);
     }
 
-    /// The replicated time when the installed view is left: what its head said last, and no less than the last stamp.
-    /// What a head of an older view says is worth nothing: cut off, it ran ahead of the stamps given since, and leases
-    /// would end early by the difference.
+    /// The replicated time when the installed view is left: the latest time of its head, but not less than the last
+    /// timestamp. A head of an older view is ignored: if it was cut off, its clock ran ahead of the later timestamps,
+    /// and leases would expire early.
     fn time_at_leaving(&self, now: u64) -> u64 {
         let left = self.views.iter().find(|view| view.number == self.installed);
         let time = match left.and_then(View::head) {
@@ -84,8 +84,8 @@
         self.try_install(now);
     }
 
-    /// Installs the pending view as soon as all that it begins with is here. What has come of that is on the disk
-    /// before: after a loss of power the view must not be there without it.
+    /// Installs the pending view once its committed entries have been received. Catch-up data is synced first, so that
+    /// a power failure cannot leave the view on disk without it.
     pub(super) fn try_install(&mut self, now: u64) {
         if self.catch_up.writing {
             return;
@@ -96,7 +96,7 @@
         if install.view.number <= self.abandoned {
             return;
         }
-        // What is applied here was committed, so it is part of what comes.
+        // The entries applied here are committed, so they are a prefix of the received ones.
         let up_to = install.committed;
         let entries = install.log.iter().cloned();
         let (committed, behind): (Vec<Entry>, Vec<Entry>) =
@@ -119,8 +119,8 @@
         self.write(records, AfterSync::CaughtUp);
     }
 
-    /// Goes on from what is applied here with this log behind it. What else the disk holds behind it goes. The view is
-    /// in the same batch: whoever has installed it knows of it.
+    /// Writes the view with `log` as its unapplied entries, and deletes all later ones on disk. The view itself is in
+    /// the same batch, so that a member that has installed it also knows it.
     fn write_installed_view(
         &mut self,
         now: u64,
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Passes the view on. What the successor may lack by what it last said goes along, if that isn't much.
+    /// Sends the view to the successor, with the committed entries that it may lack if they are still in memory.
     fn send_install(&mut self, now: u64, to: u64) {
         let Some(view) = self.installed_view().cloned() else {
             return;
@@ -190,7 +190,7 @@
         self.send(now, to, message);
     }
 
-    /// From the tail: all members have installed the view.
+    /// Announces from the tail that all members have installed the view.
     pub(super) fn announce_view_active(&mut self, now: u64) {
         let Some(view) = self.installed_view().cloned() else {
             return;
@@ -201,7 +201,8 @@
         }
     }
 
-    /// Sends again what the successor has not got, by what it says of itself.
+    /// Resends what the successor has not received, according to its status. A tail's status also advances the commit
+    /// position.
     pub(super) fn check_successor(&mut self, now: u64, from: u64, status: &MemberStatus) {
         let Some(view) = self.installed_view() else {
             return;
@@ -209,7 +210,7 @@
         let number = view.number;
         let is_sender =
             |member: &Member| member.id == from && member.incarnation == status.member.incarnation;
-        // One that knows a later view may have caught up with what that one committed, in place of what ours did.
+        // A tail that knows a later view may have caught up with entries that replaced those of this view.
         let is_tail = view.tail().is_some_and(is_sender);
         if is_tail && (status.installed, status.decided) == (number, number) {
             self.handle_commit(number, status.committed);
@@ -218,7 +219,7 @@
             return;
         }
         if status.installed < number {
-            // Nothing is ordered before all have installed: the log is still the one that the view began with.
+            // No entries are appended before all members have installed the view, so the log is still the initial one.
             if !self.is_view_active() && now >= self.replication.install_sent_ms + RETRY_MS {
                 self.send_install(now, from);
             }
--- a/crates/rookpulley-chain/src/chain/proposer.rs
+++ b/crates/rookpulley-chain/src/chain/proposer.rs
@@ -1,8 +1,8 @@
 //! The Paxos proposer of the next view.
 //!
-//! A view may follow the newest one only from a member that has installed it, since such a member has all that the
-//! view acknowledged. Where none is left, the newest view may be passed over once one of its members has promised never
-//! to install it: then it never was active and never will be.
+//! Only a member that has installed the newest view may be the source of the next one, since it has every update that
+//! the view acknowledged. If no such member is left, the newest view may be skipped once one of its members has
+//! promised not to install it: then it never became active and never will.
 
 use super::Chain;
 use crate::message::Message;
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl<S: State> Chain<S> {
-    /// Goes on from the replies that were collected.
+    /// Continues the proposal with the collected replies.
     pub(super) fn evaluate_replies(&mut self, now: u64) {
         let Some(replies) = self.reconfiguration.take_collected() else {
             return;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Asks members of the newest view never to install it.
+    /// Asks the members of the newest view to abandon it.
     fn request_abandonment(
         &mut self,
         now: u64,
@@ -84,8 +84,8 @@
         self.propose_from_older_view(now);
     }
 
-    /// Proposes a view that goes on from the newest one that a member has installed, once each view after that is known
-    /// never to have been active.
+    /// Proposes a view based on the newest one installed by a chosen member, once every later view is known never to
+    /// have been active.
     fn propose_from_older_view(&mut self, now: u64) {
         let Step::AbandoningView {
             replies, members, ..
@@ -113,7 +113,7 @@
         self.propose(now, &replies, members, newest);
     }
 
-    /// Whether one of the members of this view has not installed it and never will.
+    /// Whether some member of this view has not installed it and promised not to.
     fn never_active(&self, number: u64, replies: &StatusReplies) -> bool {
         let Some(view) = self.views.iter().find(|view| view.number == number) else {
             return false;
@@ -124,8 +124,8 @@
         })
     }
 
-    /// Proposes a view with these members that goes on from `base_number`. Its source, who is put first, is one that has
-    /// installed that view: the one with the longest log, of these the first in the chain.
+    /// Proposes a view with these members, based on view `base_number`. The source, which becomes the head, is the
+    /// member with that view installed and the longest log, or the first of these in the given order.
     fn propose(
         &mut self,
         now: u64,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Paxos phase 1b, and 2a once a quorum has promised.
+    /// Paxos phase 1b; starts phase 2a once a quorum has promised.
     pub(super) fn handle_promise(
         &mut self,
         now: u64,
@@ -207,7 +207,7 @@
         if !base.is_quorum(&responded, &lost) {
             return;
         }
-        // What may have been chosen already goes before what we wanted.
+        // A view that may have been chosen already takes precedence over this member's own.
         let highest = promises
             .values()
             .flatten()
--- a/crates/rookpulley-chain/src/chain/reconfiguration.rs
+++ b/crates/rookpulley-chain/src/chain/reconfiguration.rs
@@ -1,8 +1,8 @@
-//! When the newest view needs a successor, and what the other members see.
+//! Detection of the need for a new view, and collection of the other members' status.
 //!
-//! There is no leader. Whoever notices a fault waits for a while that depends on its position in the chain, asks all
-//! peers in contact what they see, and proposes. Nothing is proposed before a quorum has replied, so a member that can
-//! send and not receive disturbs nobody.
+//! There is no leader. A member that detects a fault waits for a delay that depends on its position in the chain, asks
+//! all peers in contact for their status, and proposes a view. A proposal requires replies from a quorum, so a member
+//! that can send but not receive is not disruptive.
 
 use super::{Chain, SUSPECT_AFTER_MS};
 use crate::message::{Contact, Message};
@@ -11,35 +11,36 @@
 use crate::view::{Member, View};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A replica that lacks no more entries than this may be taken into a view.
+/// The maximum number of missing entries with which a replica may be added to a view.
 pub(super) const NEAR_ENTRIES: u64 = 256;
-/// A fault must last so long before anything is done about it.
+/// The time for which a fault must persist before a view is proposed.
 const FAULT_CONFIRM_MS: u64 = 40;
-/// Each member waits so much longer than the one before it in the chain.
+/// The additional delay per reachable member earlier in the chain.
 const RANK_DELAY_MS: u64 = 130;
-/// A process that did not run reads what lay in its sockets before it suspects others.
+/// The time after a stall in which no peer is suspected, so that buffered messages can be read first.
 const WAKE_GRACE_MS: u64 = 150;
-/// Newcomers are gathered for so long before the first of them is taken in: several often come at once.
+/// The delay before members are added to the first view, so that several that start together join in one change.
 const GATHER_MS: u64 = 250;
-/// A decided view that isn't active after so long needs another one.
+/// A decided view that is not active after this long is replaced.
 const INSTALL_TIMEOUT_MS: u64 = 1_300;
-/// A voter that has fallen silent stays one for so long.
+/// The time for which a silent acceptor may remain a voter.
 const SILENT_VOTER_MS: u64 = 4_000;
-/// Replies of peers that are still in contact are waited for so long.
+/// The maximum wait for status replies of peers that are still in contact.
 const STATUS_TIMEOUT_MS: u64 = 350;
-/// One phase of Paxos may take so long in the first round, and as much longer in each later one.
+/// The timeout of a proposal step in the first round; it grows linearly with the round.
 const BALLOT_TIMEOUT_MS: u64 = 400;
 const MAX_TIMEOUT_ROUNDS: u64 = 5;
-/// After a proposal came to nothing.
+/// The minimum delay after a failed proposal.
 pub(super) const RETRY_MS: u64 = 250;
 const RETRY_JITTER_MS: u64 = 128;
-/// After the replies allowed no proposal while the newest view serves nobody: those that have just come back are in
-/// contact with each other a few messages later. No ballot was begun, so nobody else's is disturbed.
+/// The delay after status replies that allowed no proposal, if the newest view is out of service. It is short because
+/// restarted members reach two-way contact within a few messages. No ballot was started, so it disturbs no other
+/// proposer.
 const RETRY_WITHOUT_VIEW_MS: u64 = 20;
 const DELAY_JITTER_MS: u64 = 50;
 
 impl<S: State> Chain<S> {
-    /// Goes on with a proposal, or begins one where the newest view needs a successor.
+    /// Continues the current proposal, or starts one if the newest view needs a successor.
     pub(super) fn reconfigure_if_needed(&mut self, now: u64) {
         let Some(view) = self.view() else {
             return;
@@ -56,7 +57,7 @@
                 }
             }
             Step::AbandoningView { .. } | Step::Preparing { .. } | Step::Accepting { .. } => {
-                // Longer with each round: a slow disk must get what its acceptor says written at last.
+                // The timeout grows with each round, so that acceptors with slow disks can eventually reply in time.
                 let rounds = self.reconfiguration.round.clamp(1, MAX_TIMEOUT_ROUNDS);
                 if waited_ms >= BALLOT_TIMEOUT_MS * rounds {
                     self.back_off(now);
@@ -73,7 +74,7 @@
         };
         let since_ms = *self.reconfiguration.needed_since_ms.get_or_insert(now);
         let wait_ms = match delay_ms {
-            // Who has a slow disk knows it first, and for certain.
+            // The member with the slow disk detects the fault first and with certainty.
             _ if self.disk_slow => 0,
             0 => self.rank(now) * RANK_DELAY_MS,
             _ => delay_ms + self.rank(now) * RANK_DELAY_MS + self.jitter(now, DELAY_JITTER_MS),
@@ -83,29 +84,29 @@
         }
     }
 
-    /// Whether those in contact suffice to decide the next view. While they don't, a proposal would only be given up,
-    /// and the pause after it would still run when the last one that was missing comes into contact.
+    /// Whether the acceptors in contact can form a quorum. Without one, a proposal would only fail, and its back-off
+    /// would delay the next attempt when contact is restored.
     fn can_reach_quorum(&self, now: u64) -> bool {
         let in_contact: BTreeSet<u64> = self.contacts(now).iter().map(|c| c.id).collect();
         let view = self.view();
         view.is_some_and(|view| view.is_quorum(&in_contact, &self.lost_disks(now)))
     }
 
-    /// How many members before this one in the chain may be expected to propose.
+    /// The number of reachable members before this one in the chain, which are expected to propose first.
     fn rank(&self, now: u64) -> u64 {
         let members = self.view().map_or(&[][..], |view| &view.members);
         let before = members.iter().take_while(|m| m.id != self.me.id);
         before.filter(|m| self.in_contact(now, m.id)).count() as u64
     }
 
-    /// A number below `bound` that differs between members and over time.
+    /// A pseudo-random number below `bound` that differs between members and over time.
     fn jitter(&self, now: u64, bound: u64) -> u64 {
-        /// Spreads neighbouring numbers (the golden ratio in 64 bits).
+        /// 2^64 divided by the golden ratio, for multiplicative hashing.
         const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
         ((self.seed ^ now).wrapping_mul(MULTIPLIER) >> 32) % bound
     }
 
-    /// The replies allow no proposal: asks again after a while.
+    /// Schedules another status request after replies that allowed no proposal.
     pub(super) fn retry_statuses(&mut self, now: u64) {
         let is_urgent = self
             .view()
@@ -117,18 +118,18 @@
         self.reconfiguration.not_before_ms = now + RETRY_WITHOUT_VIEW_MS;
     }
 
-    /// Gives a proposal up, and waits before the next one.
+    /// Abandons the current proposal and delays the next one.
     pub(super) fn back_off(&mut self, now: u64) {
         self.reconfiguration.begin(now, Step::Idle);
         self.reconfiguration.not_before_ms = now + RETRY_MS + self.jitter(now, RETRY_JITTER_MS);
     }
 
-    /// Whether the newest view needs a successor, and how long that may wait.
+    /// The delay before a successor of the newest view is proposed. None: it needs no successor.
     fn reconfiguration_delay(&self, now: u64) -> Option<u64> {
         let view = self.view()?;
         if view.members.iter().any(|m| self.has_restarted(m)) {
-            // Where all are here again and healthy there is nothing to wait for. Nor is there where nobody that is here
-            // serves in this view any more: each moment without a view is one without service.
+            // No delay is needed if all members are reachable and healthy, or if no reachable member still serves in
+            // this view.
             let is_here = |m: &&Member| self.in_contact(now, m.id);
             let all_here = view.members.iter().all(|m| is_here(&m));
             let all_well = !view
@@ -159,13 +160,13 @@
         None
     }
 
-    /// Whether nobody in contact serves in this view any more: all that are here have restarted since.
+    /// Whether no member in contact serves in this view: all of them have restarted since.
     fn is_out_of_service(&self, now: u64, view: &View) -> bool {
         let serves = |m: &Member| self.in_contact(now, m.id) && !self.has_restarted(m);
         !view.members.iter().any(serves)
     }
 
-    /// Whether another incarnation than the one in the view is there.
+    /// Whether this member now runs with another incarnation than the one in the view.
     fn has_restarted(&self, member: &Member) -> bool {
         let present = if member.id == self.me.id {
             Some(self.me.incarnation)
@@ -176,7 +177,7 @@
         present.is_some_and(|incarnation| incarnation != member.incarnation)
     }
 
-    /// Whether a member was heard in this view and is no longer, or had time enough to be heard.
+    /// Whether contact with a member was lost in this view, or was not established in time.
     fn is_lost(&self, now: u64, member: &Member) -> bool {
         let had_time = now >= self.learned_ms + SUSPECT_AFTER_MS;
         let is_awake = now >= self.woke_ms + WAKE_GRACE_MS;
@@ -187,7 +188,7 @@
         (had_time || was_heard) && is_awake && !self.in_contact(now, member.id)
     }
 
-    /// Whether a silent voter may be gone for good, or the majority would be smaller without it.
+    /// Whether a silent voter must be removed, because it may be lost permanently or because it increases the majority.
     fn needs_other_voters(&self, now: u64, view: &View) -> bool {
         let silent: Vec<&Member> = view
             .voters
@@ -195,12 +196,12 @@
             .filter(|m| self.is_lost(now, m))
             .collect();
         let others = view.members.len() + view.voters.len() - silent.len();
-        // Beside an even number of others one more acceptor makes the majority no larger.
+        // One more acceptor besides an even number of others does not increase the majority.
         let tolerated = usize::from(others.is_multiple_of(2));
         silent.len() > tolerated || silent.iter().any(|m| !self.was_heard_lately(now, m.id))
     }
 
-    /// Whether a peer that is no member is there, healthy, and lacks little.
+    /// Whether a peer that is not a member is reachable, healthy and nearly caught up.
     fn may_join(&self, now: u64, view: &View, id: u64) -> bool {
         let lacks_little = self
             .peers
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Acceptors of the newest view whose disks are lost: another identity is at their address now.
+    /// The acceptors of the newest view whose disks are lost, shown by another identity at their address.
     pub(super) fn lost_disks(&self, now: u64) -> BTreeSet<u64> {
         let is_replaced = |member: &&Member| {
             let mut others = self.peers.iter().filter(|(id, _)| **id != member.id);
--- a/crates/rookpulley-chain/src/chain/replication.rs
+++ b/crates/rookpulley-chain/src/chain/replication.rs
@@ -1,11 +1,11 @@
-//! Updates and reads through an active view: in at the head, on to each successor at once, synced by each member,
-//! committed and answered by the tail.
+//! Updates and reads in an active view: appended by the head, forwarded to each successor without waiting for the sync,
+//! synced by each member, and committed and answered by the tail.
 //!
-//! Invariant: an entry is committed only once it is on the disks of all members, in the order of the chain. So whichever
-//! member is left has all that was acknowledged.
+//! Invariant: an entry is committed only once it is on the disks of all members, in chain order. Every remaining member
+//! therefore has all acknowledged updates.
 //!
-//! A read passes the same members. That it has passed a member shows that the member had not left this view before, so
-//! that no later view was active yet: the tail's answer is as new as the question, without any clock.
+//! A read travels the same path. Each member that forwards it had not left the view, so no later view was active yet.
+//! Reads are thus linearizable without relying on clocks.
 
 use super::Chain;
 use crate::after_sync::AfterSync;
@@ -14,20 +14,20 @@
 use crate::persisted::{self, Record};
 use crate::state::State;
 
-/// A request may be so old, by the head's clock and that of the controller that was asked: its age doesn't begin anew
-/// with each attempt. What a partition held back and then let go takes no effect, and its caller, who waits a second,
-/// knows that.
+/// The maximum age of a request, measured with the clocks of the head and of the controller that received it. Retries
+/// do not reset the age. A request delayed by a partition is rejected, consistent with its caller's timeout of one
+/// second.
 const MAX_REQUEST_AGE_MS: u64 = 750;
-/// A snapshot is written after so many entries, or so many bytes of them.
+/// A snapshot is written after this many entries, or this many bytes of entries.
 const SNAPSHOT_ENTRIES: u64 = 512;
 const SNAPSHOT_BYTES: usize = 2 << 20;
-/// No more entries wait to be committed: all of them go along with a new view.
+/// Limits on the uncommitted entries, all of which are carried over into a new view.
 const MAX_UNCOMMITTED_ENTRIES: usize = 4_096;
 const MAX_UNCOMMITTED_BYTES: usize = 3 << 20;
 const MAX_WAITING_READS: usize = 4_096;
-/// A message carries so much; a larger entry goes alone.
+/// The maximum size of the entries in one message. A larger entry is sent alone.
 const MAX_APPEND_BYTES: usize = 1 << 20;
-/// All replicas take a digest of their state after each so many entries.
+/// All replicas compute a state digest each time this many entries are applied.
 pub(super) const DIGEST_ENTRIES: u64 = 1_024;
 
 impl<S: State> Chain<S> {
@@ -36,8 +36,8 @@
         head.is_some_and(|head| head.id == self.me.id)
     }
 
-    /// The replicated time, at the head of an active view. It goes on from where the source left the view before, so
-    /// it only ever loses time.
+    /// The replicated time, if this member is the head of an active view. It continues from the time at which the
+    /// source left the previous view, so it can fall behind real time but never run ahead.
     pub(super) fn replicated_time(&self, now: u64) -> Option<u64> {
         (self.is_view_active() && self.is_head()).then(|| self.replication.clock_now(now))
     }
@@ -60,7 +60,7 @@
         self.replicate(now);
     }
 
-    /// The replicated time to stamp on a request, where this member may take it.
+    /// The replicated time to assign to a request. None: this member must reject the request.
     fn time_to_take(&self, now: u64, forwarded: &ForwardedRequest) -> Option<u64> {
         let time = self.replicated_time(now)?;
         let view = self.installed_view()?;
@@ -121,7 +121,8 @@
         self.replicate(now);
     }
 
-    /// How far the log is committed, for the disk: up to there it needs no other controller's word at the next start.
+    /// The record of the commit position. At the next start, entries up to it can be applied without contacting other
+    /// controllers.
     pub(super) fn committed_record(&self) -> Record {
         persisted::put_committed(self.replication.committed, self.replication.last_at_ms)
     }
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The last entry that this member and all before it have on their disks.
+    /// The last entry synced by this member and all its predecessors.
     fn synced_up_to_here(&self) -> u64 {
         let synced_here = self.replication.synced_here;
         if self.is_head() {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Hands what is new to the successor, or commits it at the tail.
+    /// Sends new entries and reads to the successor, or commits and answers them at the tail.
     pub(super) fn replicate(&mut self, now: u64) {
         let Some(view) = self.installed_view().map(|view| view.number) else {
             return;
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Applies the entries up to `seq`. Returns the answers to their callers.
+    /// Applies the entries up to `seq`. Returns the replies by request.
     pub(super) fn apply_up_to(&mut self, seq: u64) -> Vec<(RequestId, Vec<u8>)> {
         let mut answers = Vec::new();
         while let Some(entry) = self.replication.log.front().filter(|e| e.seq <= seq) {
@@ -241,8 +242,8 @@
         }
     }
 
-    /// Writes a snapshot where much is applied behind the one on the disk. One that is due by its bytes is written at
-    /// once: else the disk had to hold all that comes meanwhile.
+    /// Writes a snapshot if enough was applied since the one on disk. It is not deferred, which bounds the size of the
+    /// entries on disk.
     pub(super) fn write_snapshot_if_due(&mut self) {
         let (entries, bytes) = self.replication.applied_after_snapshot();
         let is_due = entries > SNAPSHOT_ENTRIES || bytes >= SNAPSHOT_BYTES;
@@ -252,10 +253,10 @@
         }
     }
 
-    /// A snapshot in place of the one on the disk and of the entries that it covers.
+    /// The records that replace the snapshot on disk and delete the entries that the new one covers.
     pub(super) fn snapshot_records(&mut self) -> Vec<Record> {
-        // The time of the last entry applied isn't kept apart: that of the last one held is later, and no later than
-        // now, so the replicated time still never runs fast.
+        // The time of the last applied entry is not tracked separately. That of the last entry held is not earlier and
+        // not in the future, so the replicated time does not run fast.
         let (mut records, chunks) = persisted::put_snapshot(
             self.replication.committed,
             self.replication.last_at_ms,
@@ -268,7 +269,7 @@
         records
     }
 
-    /// A disk that holds no snapshot yet gets one with the first entries that are written behind it.
+    /// The records of a snapshot if the disk has none yet. Entries are only written behind a snapshot.
     pub(super) fn first_snapshot_records(&mut self) -> Vec<Record> {
         if self.snapshot_chunks == 0 {
             self.snapshot_records()
@@ -277,7 +278,7 @@
         }
     }
 
-    /// The state with the answers that were given lately.
+    /// Encodes the reply cache and the state.
     pub(super) fn encode_snapshot(&self) -> Vec<u8> {
         self.reply_cache.encode_before(&self.state.snapshot())
     }
--- a/crates/rookpulley-chain/src/chain/start.rs
+++ b/crates/rookpulley-chain/src/chain/start.rs
@@ -1,4 +1,4 @@
-//! How a member starts: from what its disk holds, or with the first view of all.
+//! Start of a member from the contents of its disk, and bootstrap of the first view.
 
 use super::Chain;
 use crate::after_sync::AfterSync;
@@ -13,10 +13,10 @@
 use std::collections::{BTreeMap, VecDeque};
 
 impl<S: State> Chain<S> {
-    /// Starts at the time `now`. `state` is empty; what the disk holds is restored into it.
+    /// Starts at the time `now`. `state` must be empty; the snapshot on disk is restored into it.
     ///
-    /// All entries that are known to be committed are applied at once: what was shown before is where this replica
-    /// begins. Entries behind them wait for a view.
+    /// All entries known to be committed are applied immediately, so this replica does not go back behind state that it
+    /// has already exposed. Later entries wait for a view.
     pub fn start(now: u64, start: StartState, mut state: S) -> Self {
         let PersistedState {
             mut installed,
@@ -46,7 +46,7 @@
             replication.include_disk_entries(&found);
         }
         if corrupted {
-            // Without its state the disk holds nothing that a view could begin with.
+            // Without a readable state this replica can't be the source of a view.
             installed = 0;
         }
         let mut chain = Self {
@@ -79,7 +79,7 @@
             effects: Vec::new(),
         };
         chain.apply_up_to(committed.seq);
-        // Nothing has changed that anybody has seen.
+        // Replayed entries are not state changes for the caller.
         chain.effects.clear();
         let begun = persisted::put_begun(chain.me.incarnation);
         chain.write(vec![begun], AfterSync::DiskProven);
@@ -89,8 +89,8 @@
         chain
     }
 
-    /// Writes the first view of all, alone in it. Nobody hears of it before it is on the disk: one that loses its power
-    /// before does so once more.
+    /// Writes the first view, with this controller as its only member. It is announced only once it is on disk, so a
+    /// crash before that restarts the bootstrap.
     pub(super) fn bootstrap(&mut self) {
         let is_bootstrapping = self
             .after_sync
--- a/crates/rookpulley-chain/src/chain/status.rs
+++ b/crates/rookpulley-chain/src/chain/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown: a member's part in the chain, and what a store holds of it.
+//! Status reports for operators, of a running member and of a store.
 
 use super::Chain;
 use super::views::member_addresses;
@@ -8,7 +8,7 @@
 use crate::state::State;
 use crate::view::{Member, View};
 
-/// How the chain looks from one member.
+/// The chain as seen by one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChainStatus {
     /// The newest view that is decided.
@@ -19,7 +19,7 @@
     pub active: u64,
     /// This incarnation is a member of the newest view and has installed it.
     pub acting: bool,
-    /// It is in two-way contact with a majority of an active view.
+    /// This controller is in two-way contact with a majority of an active view.
     pub in_touch: bool,
     /// The last entry held.
     pub last: u64,
@@ -27,41 +27,42 @@
     pub applied: u64,
     /// The disk is slow.
     pub slow: bool,
-    /// When replicas were last compared, and the digest of the one here.
+    /// The latest state digest of this replica and its log position.
     pub digest: StateDigest,
-    /// How many members may lose their disks at once. With no more members than that nothing is acknowledged.
+    /// The number of disks that may be lost at once without losing acknowledged updates. The chain needs more members
+    /// than this to accept requests.
     pub tolerated_losses: usize,
-    /// How many members may be lost now, before the chain is repaired: enough hold all that is acknowledged, enough are
-    /// left to agree on the next view, and updates go on.
+    /// The number of members that may be lost now, before the chain is reconfigured, such that acknowledged updates are
+    /// kept, a quorum remains and updates continue.
     pub spare: usize,
-    /// From head to tail.
+    /// The members from head to tail.
     pub members: Vec<MemberReport>,
 }
 
-/// A member, as it was last heard.
+/// The last known state of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberReport {
-    /// Who it is.
+    /// The member.
     pub member: Member,
-    /// Whether it is in two-way contact.
+    /// Whether this controller is in two-way contact with it.
     pub in_contact: bool,
-    /// None: it was not heard since this process began.
+    /// Its last report. None: nothing was received from it since this process started.
     pub heard: Option<PeerReport>,
 }
 
-/// What a member last said.
+/// The last report of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerReport {
-    /// How long ago, in milliseconds.
+    /// The age of the report in milliseconds.
     pub ago_ms: u64,
     /// The last entry that it had applied.
     pub applied: u64,
-    /// Its disk was slow.
+    /// Whether its disk was slow.
     pub slow: bool,
 }
 
 impl<S: State> Chain<S> {
-    /// For operators.
+    /// Returns a status report for operators.
     pub fn status(&self, now: u64) -> ChainStatus {
         let members = self.view().map_or(&[][..], |view| &view.members);
         let members = members.iter().map(|member| MemberReport {
@@ -111,7 +112,7 @@
         beyond_losses.min(acceptors.saturating_sub(view.majority()))
     }
 
-    /// A line for the log.
+    /// A one-line summary for the log.
     pub fn summary(&self) -> String {
         let addresses = self.view().map_or_else(String::new, member_addresses);
         let is_acting = self.installed_view().is_some();
@@ -125,49 +126,49 @@
     }
 }
 
-/// What a store holds, as a process that starts with it takes it.
+/// The contents of a store as a starting process would load them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreStatus<'a> {
-    /// The view that is installed.
+    /// The installed view.
     pub installed: u64,
-    /// This view and those before it are never installed here, unless they have been.
+    /// Views up to this number will not be installed here unless they already were.
     pub abandoned: u64,
-    /// For which view number the acceptor last said something. 0: for none.
+    /// The view number of the acceptor's latest promise. 0: none.
     pub acceptor: u64,
     /// The view that it accepted for that number.
     pub accepted: Option<&'a View>,
-    /// The decided views that are remembered, oldest first.
+    /// The decided views that are retained, oldest first.
     pub views: &'a [View],
-    /// The state, if it is whole.
+    /// The state, if the snapshot is intact.
     pub snapshot: Option<StoredSnapshot<'a>>,
-    /// The entries behind the snapshot. The last of them may not be committed.
+    /// The entries after the snapshot. The last ones may not be committed.
     pub log: Vec<StoredUpdate<'a>>,
 }
 
-/// The state in a store.
+/// A snapshot of the state in a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredSnapshot<'a> {
     /// The last entry applied.
     pub seq: u64,
     /// The replicated time, in milliseconds.
     pub at_ms: u64,
-    /// The state's own bytes.
+    /// The serialized state.
     pub bytes: &'a [u8],
 }
 
-/// An entry in a store.
+/// A log entry in a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredUpdate<'a> {
-    /// Its position.
+    /// The sequence number.
     pub seq: u64,
-    /// The replicated time stamped on it, in milliseconds.
+    /// The replicated time assigned to it, in milliseconds.
     pub at_ms: u64,
-    /// The update as the state reads it.
+    /// The update, encoded for the state machine.
     pub body: &'a [u8],
 }
 
 impl PersistedState {
-    /// For operators.
+    /// Returns a status report for operators.
     pub fn status(&self) -> StoreStatus<'_> {
         let snapshot = self.snapshot.as_ref().and_then(|(header, bytes)| {
             let (_, bytes) = ReplyCache::decode(bytes)?;
--- a/crates/rookpulley-chain/src/chain/views.rs
+++ b/crates/rookpulley-chain/src/chain/views.rs
@@ -1,4 +1,4 @@
-//! Decided views: which are remembered, and what a new one changes.
+//! Learning of decided views, and the transition to a newer one.
 
 use super::Chain;
 use crate::after_sync::AfterSync;
@@ -10,8 +10,8 @@
 use crate::view::View;
 
 impl<S: State> Chain<S> {
-    /// Takes decided views. Older ones that were missed are remembered as well: a view that never became active can
-    /// only be passed over by who knows its members.
+    /// Learns decided views. Missed older views are kept too, because a view that never became active can be skipped
+    /// only by a proposer that knows its members.
     pub(super) fn learn_views(&mut self, now: u64, views: Vec<View>) {
         let before = self.decided();
         let unknown = self.unknown_views(views);
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Of these views those that are to be remembered and aren't yet.
+    /// The given views that should be retained and are not known yet.
     fn unknown_views(&self, views: Vec<View>) -> Vec<View> {
         let is_full = self.views.len() >= MAX_VIEWS;
         let oldest = self.views.first().filter(|_| is_full);
@@ -46,7 +46,7 @@
         unknown
     }
 
-    /// A newer view than `before` is known. Whatever the one before was waiting for is over.
+    /// Starts the transition to a view newer than `before`, and cancels what was pending in the previous one.
     fn begin_view(&mut self, now: u64, before: u64) {
         let Some(view) = self.view() else {
             return;
@@ -65,7 +65,7 @@
         self.install_as_source(now);
     }
 
-    /// Tells a peer of the views that it doesn't know.
+    /// Sends a peer the views that it does not know.
     pub(super) fn teach_views(&mut self, now: u64, to: u64, known: u64) {
         if known >= self.decided() {
             return;
@@ -85,14 +85,14 @@
         }
         self.log(format_args!("view {number} is at work"));
         if self.replicated_time(now).is_some() {
-            // Nobody can forward a request before having heard our time.
+            // Other controllers cannot forward requests before they have received the head's time.
             self.send_heartbeats(now);
         }
         self.forward_due(now);
     }
 }
 
-/// The members' addresses from head to tail, for the log.
+/// The members' IP addresses from head to tail, for log lines.
 pub(super) fn member_addresses(view: &View) -> String {
     let addresses: Vec<String> = view
         .members
