--- a/crates/rookpulley-chain/src/after_sync.rs
+++ b/crates/rookpulley-chain/src/after_sync.rs
@@ -1,23 +1,23 @@
-//! What waits for a write to reach the disk.
+//! Continuations that run when a write has been synced.
 
 use crate::message::Message;
 
-/// What to do once a write is synced. Nothing is said to anybody before what it depends on is on the disk.
+/// What to do once a write is synced. No message is sent before the data it depends on is on disk.
 pub enum AfterSync {
-    /// Send a message that promises what was written.
+    /// Send a message that depends on the write.
     Send { to: u64, message: Message },
-    /// A view is installed on this disk.
+    /// The installation of a view was synced.
     Installed { number: u64 },
-    /// Entries of a view are on this disk, up to and including `to`.
+    /// The entries of a view up to and including `to` were synced.
     Appended { view: u64, to: u64 },
-    /// Report whether views up to `number` are abandoned or were installed before.
+    /// Reply to `AbandonView`: report the view installed here.
     ViewAbandoned { to: u64, query: u64, number: u64 },
-    /// The first view is on the disk.
+    /// The first view was synced.
     Bootstrapped,
-    /// A part of what this replica lacked is on the disk.
+    /// A part of a catch-up was synced.
     CaughtUp,
-    /// The disk has taken the first write of this incarnation.
+    /// The first write of this incarnation was synced.
     DiskProven,
-    /// Nothing depends on it.
+    /// Nothing depends on the write.
     Nothing,
 }
--- a/crates/rookpulley-chain/src/catch_up_state.rs
+++ b/crates/rookpulley-chain/src/catch_up_state.rs
@@ -1,11 +1,11 @@
-//! What a member keeps of a catch-up that is under way, of one that it serves, and of the comparison of replicas.
+//! State of a catch-up in progress, of a snapshot being served, and of the comparison of replicas.
 
 use crate::message::{Entry, StateDigest};
 use crate::view::View;
 
-/// A view that can't be installed here before the entries that it begins with are here.
+/// A view that cannot be installed until its committed entries have been received.
 pub struct PendingInstall {
-    /// The predecessor, who sent it.
+    /// The predecessor that sent it.
     pub from: u64,
     pub view: View,
     pub committed: u64,
@@ -13,23 +13,23 @@
     pub log: Vec<Entry>,
 }
 
-/// What this replica asks for, and what it hands out.
+/// State of the replica as receiver and as source of catch-up data.
 #[derive(Default)]
 pub struct CatchUp {
     pub pending_install: Option<PendingInstall>,
-    /// The number of the last question.
+    /// The identifier of the last request.
     pub query: u64,
-    /// Until when its answer is waited for. 0: none is.
+    /// The deadline for the reply. 0: none is expected.
     pub waits_until_ms: u64,
-    /// A part is on its way to the disk. Nothing is asked for and no view is installed meanwhile.
+    /// Received data is being written. Meanwhile nothing is requested and no view is installed.
     pub writing: bool,
-    /// This replica lacked so much that it could be in no view.
+    /// This replica lagged too far behind to be added to a view.
     pub far_behind: bool,
     pub partial: Option<PartialSnapshot>,
     pub served: Option<ServedSnapshot>,
 }
 
-/// A snapshot, as far as it has come.
+/// A partly received snapshot.
 pub struct PartialSnapshot {
     pub from: u64,
     pub seq: u64,
@@ -37,7 +37,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// A snapshot that is handed out chunk by chunk.
+/// A snapshot that is being served in chunks.
 pub struct ServedSnapshot {
     pub seq: u64,
     pub at_ms: u64,
@@ -46,10 +46,10 @@
     pub used_ms: u64,
 }
 
-/// The digests of this replica.
+/// The state digests of this replica.
 #[derive(Default)]
 pub struct Digests {
     pub latest: StateDigest,
-    /// The last update at which a difference was logged.
+    /// The last update for which a mismatch was logged.
     pub logged_difference: u64,
 }
--- a/crates/rookpulley-chain/src/disk_health.rs
+++ b/crates/rookpulley-chain/src/disk_health.rs
@@ -1,39 +1,39 @@
-//! Whether a disk is fit for the chain, by how long its writes take.
+//! Detection of slow disks by the latency of writes.
 
-/// A write that takes longer shows a slow disk.
+/// A write that takes longer marks the disk as slow.
 const SLOW_MS: f64 = 60.0;
-/// So many writes in a row that each take less show a disk that is quick again.
+/// The disk has recovered after `QUICK_WRITES` consecutive writes that each take less than `QUICK_MS`.
 const QUICK_MS: f64 = SLOW_MS / 2.0;
 const QUICK_WRITES: u32 = 24;
-/// A process that didn't check for so long did not run itself: that says nothing of its disk.
+/// A longer gap between checks means that the process was not scheduled; the write latency is then not counted.
 const STALL_MS: f64 = 100.0;
-/// The ticket of a write that only tests the disk.
+/// The ticket of a probe write.
 const PROBE_TICKET: u64 = 0;
 
-/// A write that was handed to the disk and isn't synced yet.
+/// A write that was submitted and is not synced yet.
 #[derive(Clone, Copy)]
 struct PendingWrite {
     ticket: u64,
     since_ms: f64,
 }
 
-/// Watches the writes of the chain. A disk is slow after one slow write, and quick again after many quick ones.
+/// Tracks the write latency of the chain. One slow write marks the disk as slow; many consecutive quick ones clear it.
 #[derive(Default)]
 pub struct DiskHealth {
-    /// The first write that waits for its sync.
+    /// The oldest unsynced write.
     pending: Option<PendingWrite>,
     checked_ms: f64,
     quick_writes: u32,
     is_slow: bool,
 }
 
-/// What a check has found.
+/// The result of a check.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DiskCheck {
-    /// The disk has become slow (true), or quick again (false).
+    /// The disk became slow (true) or recovered (false). None: no change.
     pub changed: Option<bool>,
-    /// An empty write with this ticket is to be made. A member that has left the chain writes nothing else, and this
-    /// shows when its disk is quick again.
+    /// Submit an empty write with this ticket. A member that has left the chain writes nothing else, so only probes can
+    /// show that its disk has recovered.
     pub probe: Option<u64>,
 }
 
@@ -43,14 +43,14 @@
         self.is_slow
     }
 
-    /// A write of the chain was handed to the disk.
+    /// Records that a write was submitted.
     pub fn write_began(&mut self, now_ms: f64, ticket: u64) {
         let since_ms = now_ms;
         self.pending
             .get_or_insert(PendingWrite { ticket, since_ms });
     }
 
-    /// A sync took so long. Of the chain's writes it covered those up to this ticket; None: none of them.
+    /// Records a sync that took `took_ms`. It covered the chain's writes up to `ticket`; None: it covered none of them.
     pub fn synced(&mut self, ticket: Option<u64>, took_ms: f64) {
         if let Some(ticket) = ticket {
             self.pending = self.pending.filter(|write| write.ticket > ticket);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// To be called at each tick.
+    /// Checks for overdue writes. Must be called at each tick.
     pub fn check(&mut self, now_ms: f64) -> DiskCheck {
         let has_stalled = now_ms - self.checked_ms > STALL_MS;
         self.checked_ms = now_ms;
--- a/crates/rookpulley-chain/src/disk_health/tests.rs
+++ b/crates/rookpulley-chain/src/disk_health/tests.rs
@@ -1,12 +1,11 @@
 use super::*;
 
 #[test]
-fn one_slow_write_makes_a_disk_slow_many_quick_ones_make_it_quick_and_a_stall_of_the_process_counts_for_nothing()
- {
+fn slow_write_marks_disk_slow_until_enough_quick_writes_and_stalls_are_ignored() {
     let mut disk = DiskHealth::default();
     disk.check(0.0);
     disk.write_began(0.0, 1);
-    // The process itself stood still: the write is given its time anew.
+    // After a stall of the process the pending write gets a new deadline.
     assert_eq!(disk.check(500.0), DiskCheck::default());
     assert_eq!(disk.check(550.0), DiskCheck::default());
     assert_eq!(disk.check(561.0).changed, Some(true));
--- a/crates/rookpulley-chain/src/effect.rs
+++ b/crates/rookpulley-chain/src/effect.rs
@@ -1,49 +1,49 @@
-//! What a member of the chain wants done.
+//! Outputs of a chain member.
 
 use crate::message::Message;
 use crate::persisted::Record;
 
-/// What became of a client's request.
+/// The outcome of a client request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It has taken effect; the state's answer.
+    /// It took effect. Holds the reply of the state machine.
     Completed(Vec<u8>),
-    /// It has taken no effect and never will.
+    /// It took no effect and never will.
     Rejected,
     /// It may or may not have taken effect.
     Unknown,
 }
 
-/// One thing to do, in the order in which they were returned.
+/// An action for the caller, to be carried out in the order returned.
 #[derive(Debug)]
 pub enum Effect {
-    /// Send a message to the controller with this identity. It may be lost.
+    /// Send a message to the controller with this identity. Delivery is not guaranteed.
     Send {
         /// The receiver's identity.
         to: u64,
         /// What to send.
         message: Message,
     },
-    /// Apply these records as one batch, after all earlier tickets, sync them, and report the ticket by
+    /// Write these records as one atomic batch after all earlier tickets, sync them, and report the ticket with
     /// [`Input::Synced`](crate::Input::Synced).
     Write {
-        /// Rises by one with each write of this incarnation.
+        /// Increases by one with each write of this incarnation.
         ticket: u64,
-        /// Maybe none: then only the order matters.
+        /// May be empty, if only the ordering with other writes matters.
         records: Vec<Record>,
     },
-    /// Answer a client.
+    /// Reply to a client.
     Reply {
         /// The token of its request.
         token: u64,
-        /// What became of it.
+        /// The outcome.
         outcome: Outcome,
     },
     /// The state of this replica has changed.
     StateChanged,
-    /// This replica is not a copy of what the others hold: its store is to be discarded, and the process to start
-    /// again with an empty disk.
+    /// This replica has diverged from the others or belongs to a superseded chain: discard its store and restart with
+    /// an empty disk.
     DiscardStore,
-    /// A line for the log.
+    /// A log line.
     Log(String),
 }
--- a/crates/rookpulley-chain/src/integrity.rs
+++ b/crates/rookpulley-chain/src/integrity.rs
@@ -1,4 +1,4 @@
-//! What is wrong with the chain's rows of a store, for operators who want to know more than that it is unsound.
+//! Consistency check of the chain's rows in a store, with a description of each inconsistency for operators.
 
 use crate::message::Entry;
 use crate::persisted::{AcceptorState, CommittedUpTo, PersistedState, SnapshotHeader, kind};
@@ -6,14 +6,14 @@
 use serde::de::DeserializeOwned;
 use std::fmt::Display;
 
-/// One thing that is wrong.
+/// One inconsistency.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Inconsistency {
-    /// Where.
+    /// The row or item that it concerns.
     pub place: String,
-    /// What was found there.
+    /// What was found.
     pub found: String,
-    /// What should be there.
+    /// What was expected.
     pub expected: String,
 }
 
@@ -29,7 +29,7 @@
         });
     }
 
-    /// Decodes a row of a kind.
+    /// Decodes a row, and reports it if it cannot be decoded. `kind` describes the expected contents.
     fn decode<T: DeserializeOwned>(&mut self, key: &[u8], row: &[u8], kind: &str) -> Option<T> {
         let value = postcard::from_bytes(row).ok();
         if value.is_none() {
@@ -39,7 +39,7 @@
         value
     }
 
-    /// A row must stand under the number that it is of.
+    /// Reports a row whose contents have another number than its key.
     fn check_number(&mut self, key: &[u8], number: u64) {
         if number_in(key) != Some(number) {
             let found = format!("of number {number}");
@@ -62,7 +62,7 @@
 
 type Rows = [(Vec<u8>, Vec<u8>)];
 
-/// Checks the chain's rows of a store with this identity. What its state and its updates mean is not looked at.
+/// Checks the chain's rows of a store with this identity. The contents of snapshots and updates are not decoded.
 pub fn find_inconsistencies(rows: &Rows, identity: Option<u64>) -> Vec<Inconsistency> {
     let mut found = Inconsistencies::default();
     let mut header = None;
@@ -180,7 +180,7 @@
     }
     let oldest = persisted.views.first().map(|view| view.number);
     let newest = persisted.views.last().map_or(0, |view| view.number);
-    // A view that was installed long ago may be forgotten.
+    // The installed view may be older than the retained ones.
     let installed = persisted.installed;
     if installed > 0 && oldest.is_none_or(|oldest| oldest <= installed) {
         match view_of(persisted, installed) {
--- a/crates/rookpulley-chain/src/lib.rs
+++ b/crates/rookpulley-chain/src/lib.rs
@@ -1,27 +1,27 @@
-//! Chain replication with reconfiguration by Paxos, free of I/O and of any clock.
+//! Chain replication with Paxos-based reconfiguration, independent of I/O and clocks.
 //!
-//! The machines with a disk form a *chain*. An update enters at the *head*, is handed from each member to its
-//! *successor*, is synced to the disk of each, and takes effect once the *tail* has it: then it is *committed*. A read
-//! passes the same members and is answered by the tail. Which machines are members, and in which order, says the
-//! *view*; views are numbered, and each is decided by a quorum of the one before (single-decree Paxos a view number).
-//! There is no elected leader: whoever notices a fault first proposes the next view.
+//! The controllers with a disk form a *chain*. An update enters at the *head* and is forwarded from each member to its
+//! *successor*. Every member syncs it to disk, and it is *committed* once the *tail* has it. Reads travel the same path
+//! and are answered by the tail. The *view* defines the members and their order. Views are numbered, and each is
+//! decided by a quorum of the previous one, with one instance of single-decree Paxos per view number. There is no
+//! elected leader: any acceptor that detects a fault may propose the next view.
 //!
-//! [`Chain`] is one member. [`Chain::handle`] takes an [`Input`] with the time and returns [`Effect`]s; the caller owns
-//! sockets, disk and clock. The caller's [`State`] is what is replicated.
+//! [`Chain`] is one member. [`Chain::handle`] takes an [`Input`] and the current time and returns [`Effect`]s; the
+//! caller owns sockets, disk and clock. The replicated state machine is the caller's [`State`].
 //!
-//! | file | what it owns |
+//! | file | responsibility |
 //! | --- | --- |
-//! | `input`, `effect`, `message`, `view` | the values that go in, come out, and pass between controllers |
-//! | `chain` | one member: its fields, and which part handles an input |
-//! | `chain/heartbeats` | who is reachable, and the time of the head |
-//! | `chain/reconfiguration`, `chain/candidates`, `chain/proposer`, `chain/acceptor` | how the next view is agreed on |
-//! | `chain/views`, `chain/install` | what a decided view changes, and how it becomes active |
+//! | `input`, `effect`, `message`, `view` | inputs, outputs, and the messages between controllers |
+//! | `chain` | the fields of one member, and dispatch of inputs |
+//! | `chain/heartbeats` | failure detection, and the replicated time of the head |
+//! | `chain/reconfiguration`, `chain/candidates`, `chain/proposer`, `chain/acceptor` | agreement on the next view |
+//! | `chain/views`, `chain/install` | learning, installing and activating views |
 //! | `chain/replication`, `chain/client_requests` | updates and reads through an active view |
-//! | `chain/catch_up`, `chain/digests` | how a replica gets what it lacks, and how replicas are compared |
-//! | `persisted`, `integrity`, `refound`, `disk_health` | what is on the disk, what can be wrong with it, the way out of a lost quorum |
+//! | `chain/catch_up`, `chain/digests` | state transfer to lagging replicas, and comparison of replicas |
+//! | `persisted`, `integrity`, `refound`, `disk_health` | stored rows, their consistency check, recovery from a lost quorum, disk latency |
 //!
-//! `docs/design/chain.md` argues why nothing acknowledged is lost; the model under `tests/model` searches the protocol
-//! exhaustively, and `tests/world` simulates whole chains with faults.
+//! `docs/design/chain.md` argues why no acknowledged update is lost. The model under `tests/model` explores the
+//! protocol exhaustively, and `tests/world` simulates whole chains with injected faults.
 
 #![warn(missing_docs)]
 
--- a/crates/rookpulley-chain/src/message.rs
+++ b/crates/rookpulley-chain/src/message.rs
@@ -1,12 +1,13 @@
-//! What controllers say to each other about the chain.
+//! Messages between controllers about the chain.
 //!
-//! Messages are encoded by `postcard`, which writes fields by position: their order is part of the protocol, their
-//! names are not.
+//! They are encoded with `postcard`, which writes fields by position: the order of fields is part of the protocol,
+//! their names are not.
 
 use crate::view::{Ballot, Member, View};
 use serde::{Deserialize, Serialize, Serializer};
 
-/// Writes bytes in one piece rather than one by one. The result is the same, and a body may have several megabytes.
+/// Serializes bytes as one slice instead of element by element, which is faster for bodies of several megabytes. The
+/// encoding is the same.
 fn serialize_bytes<S: Serializer>(bytes: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_bytes(bytes)
 }
@@ -14,82 +15,82 @@
 /// An update at its position in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its position, from 1 without gaps.
+    /// Sequence number, from 1 without gaps.
     pub seq: u64,
-    /// The replicated time that the head stamped on it, in milliseconds.
+    /// The replicated time assigned by the head, in milliseconds.
     pub at_ms: u64,
-    /// The update as the state reads it.
+    /// The update, encoded for the state machine.
     #[serde(serialize_with = "serialize_bytes")]
     pub body: Vec<u8>,
-    /// Which request it came from.
+    /// The request that created it.
     pub request: RequestId,
 }
 
-/// One attempt of a client's request.
+/// One attempt of a client request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestId {
-    /// The controller that was asked.
+    /// The controller that received the request.
     pub controller: u64,
-    /// The incarnation of its process.
+    /// The incarnation of that controller.
     pub incarnation: u64,
-    /// Its number for the request.
+    /// The token that the controller assigned to the request.
     pub token: u64,
-    /// How often it has forwarded the request, from 1.
+    /// The number of the attempt, from 1.
     pub attempt: u32,
 }
 
-/// What a client of the chain wants.
+/// The kind of a client request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestKind {
     /// Changes the state, at most once.
     Update,
-    /// Reads the state, and changes nothing.
+    /// Reads the state.
     Read,
 }
 
-/// A read on its way along the chain.
+/// A read in transit along the chain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadRequest {
-    /// The read as the state reads it.
+    /// The read, encoded for the state machine.
     pub body: Vec<u8>,
     /// Which request it is.
     pub request: RequestId,
 }
 
-/// A client's request on its way to the head.
+/// A client request forwarded to the head.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardedRequest {
-    /// The view whose head the receiver is.
+    /// The view in which the receiver is the head.
     pub view: u64,
-    /// The head's time as the sender last heard it, in milliseconds.
+    /// The latest replicated time that the sender received from the head, in milliseconds.
     pub echo: u64,
-    /// How long ago the client asked, by the sender's clock, in milliseconds.
+    /// The age of the client request by the sender's clock, in milliseconds.
     pub age_ms: u64,
     /// Which request it is.
     pub request: RequestId,
-    /// Whether it may change the state.
+    /// Whether it is an update or a read.
     pub kind: RequestKind,
-    /// The request as the state reads it.
+    /// The request, encoded for the state machine.
     pub body: Vec<u8>,
 }
 
-/// The digest of the state after an update, by which replicas are compared.
+/// The digest of the state after an update, used to compare replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateDigest {
-    /// The last update applied. 0: no digest was taken yet.
+    /// The last update applied. 0: no digest has been computed.
     pub seq: u64,
     /// XXH64 of the snapshot, with seed 0.
     pub digest: u64,
 }
 
-/// What a controller says of itself in each heartbeat.
+/// The status that a controller reports in each heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Who says so.
+    /// The reporting controller.
     pub member: Member,
     /// The newest view that it knows to be decided.
     pub decided: u64,
-    /// The view that it has installed.
+    /// The newest view that it has installed.
     pub installed: u64,
     /// The newest view that it knows to be active.
     pub active: u64,
@@ -97,14 +98,14 @@
     pub last: u64,
     /// The last entry that it knows to be committed.
     pub committed: u64,
-    /// Its disk is slow, or hasn't taken a write yet.
+    /// Its disk is slow, or has not completed a write in this incarnation.
     pub slow: bool,
-    /// When it last took a digest of its state.
+    /// The latest digest of its state.
     pub digest: StateDigest,
 }
 
 impl MemberStatus {
-    /// The status of a controller that has said nothing yet.
+    /// The status of a controller that has sent no heartbeat yet.
     pub fn unknown(member: Member) -> Self {
         Self {
             member,
@@ -137,91 +138,91 @@
     }
 }
 
-/// A chunk of a snapshot that is asked for.
+/// The position of a requested snapshot chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkPosition {
     /// The last update in the snapshot.
     pub seq: u64,
-    /// Which chunk of it, from 0.
+    /// The index of the chunk.
     pub chunk: u32,
 }
 
-/// A part of what one replica has applied, for one that has applied less.
+/// Catch-up data for a replica that lags behind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatchUpData {
-    /// The entries that follow.
+    /// Log entries.
     Updates {
-        /// How far the sender has applied.
+        /// The last entry that the sender has applied.
         committed: u64,
-        /// Entries without gaps, behind the receiver's last.
+        /// Consecutive entries after the receiver's last applied one.
         entries: Vec<Entry>,
     },
-    /// A chunk of a snapshot, where the sender no longer has the entries.
+    /// A snapshot chunk, sent if the entries are no longer in memory.
     SnapshotChunk {
         /// The last update in the snapshot.
         seq: u64,
         /// The replicated time of that update.
         at_ms: u64,
-        /// Which chunk, from 0.
+        /// The index of the chunk.
         chunk: u32,
-        /// How many there are.
+        /// The number of chunks.
         chunks: u32,
         /// XXH64 of the whole snapshot, with seed 0.
         checksum: u64,
-        /// The chunk.
+        /// The contents of the chunk.
         bytes: Vec<u8>,
     },
 }
 
-/// A message between two controllers. `query` numbers a question of its sender, `number` is that of a view.
+/// A message between two controllers. `query` identifies a request of its sender; `number` is a view number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Sent to all peers a few times a second.
+    /// Sent periodically to all peers.
     Heartbeat {
-        /// What the sender says of itself.
+        /// The sender's status.
         status: MemberStatus,
-        /// The sender's monotonic clock, from a start of its own for each incarnation.
+        /// The sender's monotonic clock, with a different offset for each incarnation.
         sent: u64,
-        /// The newest `sent` that it has heard from the receiver.
+        /// The latest `sent` that it received from the receiver.
         echo: Option<u64>,
-        /// The replicated time, where the sender is the head of an active view.
+        /// The replicated time, if the sender is the head of an active view.
         head_time_ms: Option<u64>,
     },
-    /// Asks what another sees, before a view is proposed.
+    /// Asks for the receiver's status before a view is proposed.
     StatusRequest {
-        /// The sender's number for it.
+        /// The sender's identifier for this request.
         query: u64,
     },
-    /// Answers `StatusRequest`.
+    /// Reply to `StatusRequest`.
     StatusReply {
-        /// The number of the question.
+        /// The identifier of the request.
         query: u64,
-        /// What the sender says of itself.
+        /// The sender's status.
         status: MemberStatus,
-        /// Whom it is in two-way contact with, itself included.
+        /// The controllers that it is in two-way contact with, including itself.
         contacts: Vec<Contact>,
-        /// It never installs this view or an earlier one, unless it has already.
+        /// The sender will not install views up to this number unless it already has.
         abandoned: u64,
-        /// All decided views that it remembers: who missed one needs it to prove that it was never active.
+        /// All decided views that it retains. A proposer that missed a view needs it to prove that it was never active.
         views: Vec<View>,
     },
-    /// Asks for a promise never to install this view or an earlier one.
+    /// Asks for a promise not to install this view or an earlier one.
     AbandonView {
-        /// The sender's number for it.
+        /// The sender's identifier for this request.
         query: u64,
         /// The view.
         number: u64,
     },
-    /// Answers `AbandonView`.
+    /// Reply to `AbandonView`.
     ViewAbandoned {
-        /// The number of the question.
+        /// The identifier of the request.
         query: u64,
-        /// The view that was asked about.
+        /// The view in the request.
         number: u64,
-        /// The view that the sender had installed by then.
+        /// The newest view that the sender has installed.
         installed: u64,
     },
-    /// Paxos phase 1a, for the view after `base`, by its acceptors.
+    /// Paxos phase 1a for the successor of `base`, sent to the acceptors of `base`.
     Prepare {
         /// The view whose successor is to be decided.
         base: View,
@@ -230,18 +231,18 @@
     },
     /// Paxos phase 1b.
     Promise {
-        /// The view number that is to be decided.
+        /// The view number to be decided.
         number: u64,
-        /// The ballot that is promised.
+        /// The promised ballot.
         ballot: Ballot,
-        /// What the sender accepted before, with the ballot in which it did.
+        /// The view that the sender accepted earlier, with its ballot.
         accepted: Option<(Ballot, View)>,
     },
     /// Paxos phase 2a.
     Accept {
         /// The proposal number.
         ballot: Ballot,
-        /// The view that is proposed.
+        /// The proposed view.
         view: View,
     },
     /// Paxos phase 2b.
@@ -251,80 +252,81 @@
         /// The ballot in which it was accepted.
         ballot: Ballot,
     },
-    /// Refuses a `Prepare` or `Accept`: a higher ballot was promised.
+    /// Rejects a `Prepare` or `Accept`: a higher ballot was promised.
     Preempted {
         /// The view number.
         number: u64,
-        /// The ballot that was promised.
+        /// The promised ballot.
         ballot: Ballot,
     },
-    /// These views are decided.
+    /// Announces decided views.
     Learn {
-        /// Any of them, in any order.
+        /// Decided views, in any order.
         views: Vec<View>,
     },
-    /// From each member of a new view to its successor.
+    /// Starts a new view. Sent by each member to its successor.
     Install {
         /// The new view.
         view: View,
-        /// The view begins with all entries up to this one.
+        /// The new view starts with all entries up to this one committed.
         committed: u64,
-        /// The replicated time when the source left the view before.
+        /// The replicated time at which the source left the previous view.
         at_ms: u64,
-        /// What the receiver may lack of these entries, as far as the sender has it, and all that follows them.
+        /// The committed entries that the receiver may lack, as far as the sender has them in memory, and all
+        /// uncommitted ones.
         log: Vec<Entry>,
     },
-    /// Asks for entries behind `applied`, or for a chunk of a snapshot.
+    /// Asks for the entries after `applied`, or for a snapshot chunk.
     CatchUpRequest {
-        /// The sender's number for it.
+        /// The sender's identifier for this request.
         query: u64,
-        /// The last entry that it has applied.
+        /// The last entry that the sender has applied.
         applied: u64,
-        /// The next chunk of the snapshot that it has begun to take.
+        /// The next chunk of a snapshot that was partly received.
         chunk: Option<ChunkPosition>,
     },
-    /// Answers `CatchUpRequest`.
+    /// Reply to `CatchUpRequest`.
     CatchUpReply {
-        /// The number of the question.
+        /// The identifier of the request.
         query: u64,
-        /// What was asked for, or a part of it.
+        /// The requested data, or the first part of it.
         data: CatchUpData,
     },
-    /// All members have installed this view: it is active.
+    /// Announces that all members have installed this view.
     ViewActive {
         /// The view.
         number: u64,
     },
-    /// A client's request, from the controller that was asked to the head.
+    /// A client request, forwarded to the head.
     Forward(ForwardedRequest),
-    /// The head has not taken a request and never will.
+    /// The receiver of a `Forward` has not accepted the request and never will.
     Reject {
         /// The request.
         request: RequestId,
     },
-    /// From each member of an active view to its successor.
+    /// Replicates entries and reads. Sent by each member of an active view to its successor.
     Append {
         /// The view.
         view: u64,
-        /// New entries, without gaps.
+        /// New consecutive entries.
         entries: Vec<Entry>,
-        /// Reads that have passed the sender.
+        /// Reads that have passed through the sender.
         reads: Vec<ReadRequest>,
-        /// The sender and all before it have synced the log up to this entry.
+        /// The sender and all its predecessors have synced the log up to this entry.
         synced_up_to: u64,
     },
-    /// The answer to a request, from the tail to the controller that was asked.
+    /// The reply to a request, from the tail to the controller that received it.
     Response {
         /// The request.
         request: RequestId,
-        /// The view whose tail answers.
+        /// The view in which the sender is the tail.
         view: u64,
-        /// How far the tail had applied.
+        /// The last entry that the tail had applied.
         committed: u64,
-        /// The state's answer.
+        /// The reply of the state machine.
         body: Vec<u8>,
     },
-    /// From the tail: all entries up to this one are committed.
+    /// Announces from the tail that all entries up to `seq` are committed.
     Commit {
         /// The view.
         view: u64,
@@ -334,7 +336,7 @@
 }
 
 impl Message {
-    /// Whether only a controller that has lost nothing it ever wrote may answer.
+    /// Whether handling the message requires an intact acceptor state.
     pub(crate) fn needs_acceptor_state(&self) -> bool {
         matches!(
             self,
--- a/crates/rookpulley-chain/src/peer.rs
+++ b/crates/rookpulley-chain/src/peer.rs
@@ -1,18 +1,19 @@
-//! What is known of another controller.
+//! What this member knows about another controller.
 
 use crate::message::MemberStatus;
 use crate::view::Member;
 
-/// Another controller, as it was last heard.
+/// The last known state of another controller.
 pub struct PeerState {
-    /// What it last said of itself.
+    /// The status in its last heartbeat.
     pub status: MemberStatus,
     pub last_heard_ms: u64,
-    /// The newest clock of its that was heard; it is sent back to it.
+    /// The clock value of its latest heartbeat, echoed back to it.
     pub sent: Option<u64>,
-    /// By our clock, the sending of the newest heartbeat that it has answered: both directions worked since then.
+    /// When the latest heartbeat that the peer echoed was sent, by the local clock. Both directions have worked since
+    /// then.
     pub contact_ms: Option<u64>,
-    /// The same, but not shortened when a connection ends: of two identities at one address it tells which came later.
+    /// The same, but not moved back on a disconnect. It decides which of two identities at one address is newer.
     pub echoed: Option<u64>,
 }
 
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Another process has taken the place of the one that was known.
+    /// A new incarnation has replaced the known one.
     pub fn restart(&mut self, member: Member) {
         self.status.member = member;
         self.sent = None;
--- a/crates/rookpulley-chain/src/pending_requests.rs
+++ b/crates/rookpulley-chain/src/pending_requests.rs
@@ -1,16 +1,16 @@
-//! Requests of clients that this controller was asked and that are not answered yet.
+//! Client requests that this controller has received and not answered yet.
 
 use crate::message::RequestKind;
 use std::collections::BTreeMap;
 
-/// A request that waits for its answer.
+/// A request that is waiting for its reply.
 pub struct PendingRequest {
     pub kind: RequestKind,
     pub body: Vec<u8>,
     pub received_ms: u64,
-    /// How often it was forwarded.
+    /// The number of times that it was forwarded.
     pub attempt: u32,
-    /// The last forwarding that was not rejected.
+    /// The last attempt, unless it was rejected.
     pub sent: Option<Forwarded>,
     /// The last attempt may have taken effect.
     pub may_have_taken_effect: bool,
@@ -18,7 +18,7 @@
     pub earlier_may_have_taken_effect: bool,
 }
 
-/// When a request was forwarded, and to the head of which view.
+/// When a request was forwarded, and in which view.
 #[derive(Clone, Copy)]
 pub struct Forwarded {
     pub view: u64,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Begins the next attempt.
+    /// Records a new attempt.
     pub fn forwarded(&mut self, now: u64, view: u64) {
         self.earlier_may_have_taken_effect |= self.may_have_taken_effect;
         self.attempt += 1;
@@ -46,20 +46,20 @@
         self.may_have_taken_effect = true;
     }
 
-    /// The last attempt took no effect and never will.
+    /// Records that the last attempt took no effect and never will.
     pub fn rejected(&mut self) {
         self.sent = None;
         self.may_have_taken_effect = false;
     }
 
-    /// Whether it certainly took no effect.
+    /// Whether it is certain that no attempt took effect.
     pub fn had_no_effect(&self) -> bool {
         let is_read = self.kind == RequestKind::Read;
         is_read || !(self.may_have_taken_effect || self.earlier_may_have_taken_effect)
     }
 }
 
-/// The replicated time that the head of a view said, and when it was heard by our clock.
+/// The replicated time reported by the head of a view, and the local time at which it was received.
 #[derive(Clone, Copy)]
 pub struct HeadTime {
     pub view: u64,
@@ -68,7 +68,7 @@
     pub heard_ms: u64,
 }
 
-/// All requests of clients of this controller, and what is known of the head's time.
+/// The pending client requests of this controller, and the latest time reported by a head.
 #[derive(Default)]
 pub struct PendingRequests {
     /// By token.
@@ -77,7 +77,7 @@
 }
 
 impl PendingRequests {
-    /// A head has said its time.
+    /// Records the time reported by a head.
     pub fn note_head_time(&mut self, heard: HeadTime) {
         let newer = |known: HeadTime| (heard.view, heard.at_ms) >= (known.view, known.at_ms);
         if self.head_time.is_none_or(newer) {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The newest time that was heard from the head of this view.
+    /// The latest time reported by the head of this view.
     pub fn head_time(&self, view: u64) -> Option<HeadTime> {
         self.head_time.filter(|known| known.view == view)
     }
--- a/crates/rookpulley-chain/src/persisted.rs
+++ b/crates/rookpulley-chain/src/persisted.rs
@@ -1,7 +1,7 @@
-//! What the chain has on the disk, row by row, and how it is read back.
+//! Encoding and decoding of the chain's rows on disk.
 //!
-//! `docs/formats/chain-store.md` describes the rows. They are encoded by `postcard`, by position: the names of fields
-//! are not part of the format.
+//! `docs/formats/chain-store.md` describes the rows. They are encoded with `postcard` by position: field names are not
+//! part of the format.
 
 use crate::message::Entry;
 use crate::view::{Ballot, View};
@@ -10,51 +10,52 @@
 use std::ops::RangeInclusive;
 use twox_hash::XxHash64;
 
-/// A change of the store.
+/// A change to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// Put a row in place of the one under this key.
+    /// Insert or replace the row with this key.
     Put {
         /// The key.
         key: Vec<u8>,
-        /// The row.
+        /// The encoded row.
         value: Vec<u8>,
     },
-    /// Remove the row under this key, if there is one.
+    /// Remove the row with this key, if it exists.
     Delete {
         /// The key.
         key: Vec<u8>,
     },
 }
 
-/// The kinds of rows: the first byte of each key.
+/// Row kinds: the first byte of each key.
 pub(crate) mod kind {
-    /// The incarnation that began last.
+    /// The incarnation that started last.
     pub const BEGUN: u8 = b'b';
-    /// How far the log is committed.
+    /// The commit position of the log.
     pub const COMMITTED: u8 = b'c';
-    /// An entry of the log; with its number.
+    /// A log entry; the key contains its sequence number.
     pub const ENTRY: u8 = b'e';
-    /// The installed view's number.
+    /// The number of the installed view.
     pub const INSTALLED: u8 = b'i';
-    /// Views up to this number are never installed.
+    /// Views up to this number will not be installed.
     pub const ABANDONED: u8 = b'n';
-    /// What the acceptor has promised and accepted.
+    /// The acceptor's promise and accepted view.
     pub const ACCEPTOR: u8 = b'p';
-    /// A chunk of the snapshot; with its number.
+    /// A snapshot chunk; the key contains its index.
     pub const SNAPSHOT_CHUNK: u8 = b's';
-    /// The snapshot's header.
+    /// The snapshot header.
     pub const SNAPSHOT_HEADER: u8 = b'S';
-    /// A decided view; with its number.
+    /// A decided view; the key contains its number.
     pub const VIEW: u8 = b'v';
 }
 
-/// How long a row of the snapshot is. The fewer rows, the fewer borders that shift what stands behind a change.
+/// The size of a snapshot chunk. Large chunks keep the number of boundaries low across which bytes move when the state
+/// grows or shrinks.
 const SNAPSHOT_CHUNK_BYTES: usize = 1 << 20;
-/// How many decided views are remembered. One that never became active can only be passed over while it is.
+/// The number of decided views retained. A view that never became active can be skipped only while it is retained.
 pub const MAX_VIEWS: usize = 32;
 
-/// What an acceptor has promised and accepted for one view number.
+/// The acceptor's promise and accepted view for one view number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptorState {
     pub number: u64,
@@ -62,7 +63,7 @@
     pub accepted: Option<(Ballot, View)>,
 }
 
-/// What a snapshot on the disk holds.
+/// The header of a snapshot on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotHeader {
     /// The last entry applied.
@@ -71,18 +72,18 @@
     pub at_ms: u64,
     pub chunks: u32,
     pub length: u64,
-    /// XXH64 of all chunks joined, with seed 0.
+    /// XXH64 of all chunks concatenated, with seed 0.
     pub checksum: u64,
 }
 
-/// How far the log is committed, whichever view its entries came in, and a lower bound of the replicated time.
+/// The commit position of the log, regardless of the view of its entries, and a lower bound of the replicated time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommittedUpTo {
     pub seq: u64,
     pub at_ms: u64,
 }
 
-/// All that a disk holds of the chain.
+/// The chain's data on a disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistedState {
     pub(crate) installed: u64,
@@ -92,7 +93,7 @@
     pub(crate) snapshot: Option<(SnapshotHeader, Vec<u8>)>,
     pub(crate) log: Vec<Entry>,
     pub(crate) committed: CommittedUpTo,
-    /// All entries on the disk, of whichever view.
+    /// The range of entries on disk, regardless of their view.
     pub(crate) entry_range: Option<RangeInclusive<u64>>,
     pub(crate) corrupted: bool,
 }
@@ -116,7 +117,7 @@
     XxHash64::oneshot(0, bytes)
 }
 
-/// The first write of each incarnation: that it succeeds is all that it is for.
+/// The first write of each incarnation. It only verifies that the disk accepts writes.
 pub fn put_begun(incarnation: u64) -> Record {
     put(vec![kind::BEGUN], &incarnation)
 }
@@ -143,7 +144,7 @@
     }
 }
 
-/// An entry with the view that it came in: what another view left behind the snapshot is no part of this one's log.
+/// A log entry with the view in which it was appended. Uncommitted entries of other views are not part of the log.
 pub fn put_entry(view: u64, entry: &Entry) -> Record {
     put(numbered_key(kind::ENTRY, entry.seq), &(view, entry))
 }
@@ -154,12 +155,12 @@
     }
 }
 
-/// All entries up to `seq` are committed, whichever view they came in.
+/// Records that all entries up to `seq` are committed, regardless of their view.
 pub fn put_committed(seq: u64, at_ms: u64) -> Record {
     put(vec![kind::COMMITTED], &CommittedUpTo { seq, at_ms })
 }
 
-/// A snapshot in place of the one before, which had `chunks_before` rows. Also returns how many it has.
+/// The records that replace the previous snapshot, which had `chunks_before` chunks, and the number of new chunks.
 pub fn put_snapshot(
     seq: u64,
     at_ms: u64,
@@ -187,7 +188,7 @@
     (records, header.chunks)
 }
 
-/// Decodes rows, and remembers whether one could not be.
+/// Decodes rows and records whether any of them failed to decode.
 #[derive(Default)]
 struct RowReader {
     corrupted: bool,
@@ -202,8 +203,7 @@
 }
 
 impl PersistedState {
-    /// Reads the rows of a store, in any order. Batches of a store are whole, and any of those that weren't synced may
-    /// be missing.
+    /// Reads the rows of a store, in any order. Each batch is complete or absent, and unsynced batches may be missing.
     pub fn read(rows: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>) -> Self {
         let mut state = Self::default();
         let mut reader = RowReader::default();
@@ -233,7 +233,7 @@
         state
     }
 
-    /// An entry belongs to the log if it came in the installed view, or is committed.
+    /// Loads the log: the entries of the installed view and all committed ones.
     fn take_entries(&mut self, entries: Vec<(u64, Entry)>) {
         let positions = entries.iter().map(|(_, entry)| entry.seq);
         let first = positions.clone().min();
@@ -248,7 +248,7 @@
         self.log = log;
     }
 
-    /// Takes a snapshot that is whole, and of the log what follows it without a gap.
+    /// Loads the snapshot if it is intact, and drops entries that do not follow it without a gap.
     fn take_snapshot(&mut self, header: SnapshotHeader, bytes: Vec<u8>) {
         if bytes.len() as u64 != header.length || checksum(&bytes) != header.checksum {
             return;
@@ -260,15 +260,15 @@
             follows
         });
         if next <= self.committed.seq {
-            // A write before the last one is missing: none of them was synced, and nobody was told of them.
+            // An earlier batch is missing, so it and all later ones were unsynced and never acknowledged.
             self.installed = 0;
             self.committed.seq = next - 1;
         }
         self.snapshot = Some((header, bytes));
     }
 
-    /// Whether it is all there. If not, the disk has lost what was synced, maybe also what its acceptor promised: it is
-    /// to be taken for empty, and for another identity.
+    /// Whether the store is intact. If not, the disk has lost synced data, possibly promises of the acceptor: the store
+    /// must be treated as empty and get a new identity.
     pub fn is_sound(&self) -> bool {
         !self.corrupted
     }
--- a/crates/rookpulley-chain/src/reconfiguration_state.rs
+++ b/crates/rookpulley-chain/src/reconfiguration_state.rs
@@ -1,31 +1,31 @@
-//! How far this member has come with a proposal for the next view.
+//! The progress of this member's proposal for the next view.
 
 use crate::message::{Contact, MemberStatus};
 use crate::view::{Ballot, Member, View};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What another member sees.
+/// The reply of another controller to a status request.
 pub struct StatusReply {
     pub status: MemberStatus,
     pub contacts: Vec<Contact>,
-    /// It never installs this view or an earlier one, unless it has already.
+    /// It will not install views up to this number unless it already has.
     pub abandoned: u64,
 }
 
 /// Replies by identity.
 pub type StatusReplies = BTreeMap<u64, StatusReply>;
 
-/// The steps of a proposal, in their order. Each may end in `Idle`.
+/// The steps of a proposal, in order. Each may return to `Idle`.
 pub enum Step {
-    /// Nothing is proposed.
+    /// No proposal is in progress.
     Idle,
-    /// All peers in contact were asked what they see.
+    /// Status requests were sent to all peers in contact.
     CollectingStatus {
         query: u64,
         replies: StatusReplies,
         asked: BTreeSet<u64>,
     },
-    /// Nobody left has installed the newest view: its members were asked never to.
+    /// No chosen member has installed the newest view, so its members were asked to abandon it.
     AbandoningView {
         query: u64,
         replies: StatusReplies,
@@ -47,15 +47,15 @@
 
 pub struct Reconfiguration {
     pub step: Step,
-    /// When the step began.
+    /// The start of the step.
     pub since_ms: u64,
-    /// Since when the newest view needs a successor.
+    /// The time since which the newest view has needed a successor.
     pub needed_since_ms: Option<u64>,
-    /// Nothing is proposed before.
+    /// The earliest time of the next proposal.
     pub not_before_ms: u64,
     /// The round of the last ballot.
     pub round: u64,
-    /// The number of the last question.
+    /// The identifier of the last request.
     pub queries: u64,
 }
 
@@ -73,26 +73,26 @@
 }
 
 impl Reconfiguration {
-    /// A view was decided: whatever was under way is over.
+    /// Ends any proposal in progress, because a view was decided.
     pub fn reset(&mut self, now: u64) {
         self.begin(now, Step::Idle);
         self.needed_since_ms = None;
         self.round = 0;
     }
 
-    /// Goes on to a step.
+    /// Enters a step.
     pub fn begin(&mut self, now: u64, step: Step) {
         self.step = step;
         self.since_ms = now;
     }
 
-    /// A number for the next question.
+    /// Returns a new request identifier.
     pub fn next_query(&mut self) -> u64 {
         self.queries += 1;
         self.queries
     }
 
-    /// Takes what was collected, and leaves `Idle`. None: another step is under way.
+    /// Takes the collected replies and returns to `Idle`. None: another step is active.
     pub fn take_collected(&mut self) -> Option<StatusReplies> {
         match std::mem::replace(&mut self.step, Step::Idle) {
             Step::CollectingStatus { replies, .. } => Some(replies),
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Takes what was collected before the newest view was abandoned, and leaves `Idle`. None: another step is under way.
+    /// Takes the replies and members of the step `AbandoningView` and returns to `Idle`. None: another step is active.
     pub fn take_abandoned(&mut self) -> Option<(StatusReplies, Vec<Member>)> {
         match std::mem::replace(&mut self.step, Step::Idle) {
             Step::AbandoningView {
--- a/crates/rookpulley-chain/src/refound.rs
+++ b/crates/rookpulley-chain/src/refound.rs
@@ -1,37 +1,37 @@
-//! Recovery when a majority of a view is lost for good: the store of one that is left founds the chain anew.
+//! Recovery from the permanent loss of a quorum: one surviving store founds a new chain.
 //!
-//! The new store has another identity, so that nothing it promised counts again, and a view of its own whose number the
-//! old chain never reaches. Whoever hears of that number gives its store up. The numbers in between were never decided,
-//! so no view of the old chain can be gone on from.
+//! The new store has a new identity, so its earlier promises no longer count, and a view number far above any that the
+//! old chain can reach. A controller that learns of such a view discards its store. The numbers in between were never
+//! decided, so no view of the old chain can be continued.
 
 use crate::persisted::{self, PersistedState, Record};
 use crate::view::{Member, View};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The number of a view that founds the chain anew is above the newest one known by a multiple of this, at least one and
-/// at most `VIEW_NUMBER_MULTIPLES`, drawn from its identity: of two that were founded anew by mistake one is higher, and
-/// the other gives way.
+/// The refounded view number exceeds the newest known one by a multiple of this step. The factor, from 1 to
+/// `VIEW_NUMBER_MULTIPLES`, is derived from the identity, so that if two stores are refounded by mistake, one view
+/// number is higher and supersedes the other.
 const VIEW_NUMBER_STEP: u64 = 1_000_000;
 const VIEW_NUMBER_MULTIPLES: u64 = 1_000_000_000;
-/// No process has this incarnation. Whichever starts with a store founded anew decides the next view, under its own.
+/// No process has this incarnation. The process that starts with a refounded store decides the next view under its own.
 const NO_INCARNATION: u64 = 0;
 
-/// Whether the chain was founded anew between two views. A state of before is then no beginning of the new order,
-/// however far it got.
+/// Whether the chain was refounded between two views. State from before is then not a prefix of the new log, however
+/// far it got.
 pub(crate) fn is_refounded_between(known: u64, view: u64) -> bool {
     known > 0 && view >= known.saturating_add(VIEW_NUMBER_STEP / 2)
 }
 
 impl PersistedState {
-    /// The highest number of a view that this disk has heard of, decided or not.
+    /// The highest view number on this disk, decided or not.
     pub fn newest(&self) -> u64 {
         let views = self.views.iter().map(|view| view.number);
         let others = [self.installed, self.abandoned, self.acceptor.number];
         views.chain(others).max().unwrap_or(0)
     }
 
-    /// What an empty disk must hold to found the chain anew with this state and log, in place of all that was there, and
-    /// the view that it founds. `old_identity` is the one up to now. None: there is no state to found it with.
+    /// The refounded view, and the records to write to an empty store to refound the chain with this state and log.
+    /// `old_identity` is the identity of this store. None: the store is unsound or has no installed view.
     pub fn refounded(&self, old_identity: u64, identity: u64) -> Option<(View, Vec<Record>)> {
         if !self.is_sound() || self.installed == 0 {
             return None;
@@ -60,7 +60,7 @@
         Some((view, records))
     }
 
-    /// Where the newest view had this identity. 0.0.0.0:0: no view that is remembered had it.
+    /// The address of this identity in the newest view that contains it. 0.0.0.0:0 if no retained view does.
     fn last_address(&self, identity: u64) -> SocketAddrV4 {
         let mut views = self.views.iter().rev();
         let known = views.find_map(|view| view.acceptors().find(|m| m.id == identity));
--- a/crates/rookpulley-chain/src/replication_state.rs
+++ b/crates/rookpulley-chain/src/replication_state.rs
@@ -4,67 +4,67 @@
 use std::collections::VecDeque;
 use std::ops::RangeInclusive;
 
-/// What an entry is counted with beyond its body.
+/// The accounted size of an entry in addition to its body.
 const ENTRY_OVERHEAD_BYTES: usize = 64;
-/// So much of what was applied is kept in memory, for replicas that lack it.
+/// Limits on the applied entries kept in memory for lagging replicas.
 const MAX_APPLIED_ENTRIES: usize = 4_096;
 const MAX_APPLIED_BYTES: usize = 2 << 20;
 
-/// The replicated time that stood at a moment of our own clock.
+/// A replicated time and the local time to which it corresponds.
 #[derive(Clone, Copy, Default)]
 struct ClockBase {
     replicated_ms: u64,
     local_ms: u64,
 }
 
-/// Sequence numbers of the entries that the disk may hold.
+/// The sequence numbers of the entries that may be on disk.
 #[derive(Clone, Copy, Default)]
 struct DiskEntries {
     first: u64,
     last: u64,
 }
 
-/// What a member of the chain holds of the log.
+/// The log as held by one member.
 ///
-/// Invariant: `committed <= sent_to <= last`, and the entries behind `committed` are those in `log`, without gaps.
+/// Invariant: `committed <= sent_to <= last`, and `log` contains exactly the entries after `committed`, without gaps.
 #[derive(Default)]
 pub struct ReplicationState {
     /// Entries that are not applied yet, in order.
     pub log: VecDeque<Entry>,
-    /// What was applied last, in order, up to `committed`.
+    /// The most recently applied entries, in order, up to `committed`.
     recently_applied: VecDeque<Entry>,
     recently_applied_bytes: usize,
     /// The last entry held.
     pub last: u64,
-    /// No entry is stamped with a replicated time below this any more.
+    /// Lower bound for the replicated time of new entries.
     pub last_at_ms: u64,
-    /// The last entry that is applied. All entries up to it are committed.
+    /// The last applied entry. All entries up to it are committed.
     pub committed: u64,
-    /// The last entry that is on the disk here.
+    /// The last entry synced on this disk.
     pub synced_here: u64,
-    /// The last entry that is on the disks of all members before this one.
+    /// The last entry synced by all predecessors.
     pub synced_upstream: u64,
     /// The last entry that was sent to the successor.
     pub sent_to: u64,
-    /// What the successor was last told of `synced_upstream`.
+    /// The position last sent to the successor as `synced_up_to`.
     pub sent_synced_up_to: u64,
-    /// What the successor last said of its last entry, where that was behind `sent_to`.
+    /// The last entry in the successor's latest heartbeat, unless entries were resent since.
     pub successor_reported: Option<u64>,
-    /// Reads that wait to be handed on.
+    /// Reads to be forwarded to the successor, or to be answered by the tail.
     pub reads: Vec<ReadRequest>,
-    /// The newest view whose installation was written, synced or not.
+    /// The newest view whose installation was written, whether synced or not.
     pub installing: u64,
-    /// When the successor was last sent its `Install`.
+    /// When `Install` was last sent to the successor.
     pub install_sent_ms: u64,
     clock_base: ClockBase,
     disk_entries: DiskEntries,
-    /// The size of what was applied since the snapshot on the disk.
+    /// The size of the entries applied since the snapshot on disk.
     bytes_after_snapshot: usize,
     uncommitted_bytes: usize,
 }
 
 impl ReplicationState {
-    /// Goes on from a snapshot on the disk that holds all entries up to `seq`.
+    /// Resets to a snapshot on disk that contains all entries up to `seq`.
     pub fn start_from_snapshot(&mut self, seq: u64, at_ms: u64, now: u64) {
         *self = Self {
             last: seq,
@@ -79,7 +79,7 @@
         self.resume_with_log(at_ms, now, Vec::new());
     }
 
-    /// Goes on from what is applied, with this log in place of the one before. The log is on the disk.
+    /// Replaces the unapplied entries with `log`, which is already on disk.
     pub fn resume_with_log(&mut self, at_ms: u64, now: u64, log: Vec<Entry>) {
         self.discard_uncommitted();
         self.last_at_ms = at_ms;
@@ -99,14 +99,14 @@
         self.sent_synced_up_to = self.last;
     }
 
-    /// Gives up all entries that are not applied.
+    /// Discards all entries that are not applied.
     pub fn discard_uncommitted(&mut self) {
         self.log.clear();
         self.last = self.committed;
         self.uncommitted_bytes = 0;
     }
 
-    /// Lets the replicated time go on from the last stamp.
+    /// Restarts the replicated clock from the last timestamp.
     pub fn restart_clock(&mut self, now: u64) {
         self.clock_base = ClockBase {
             replicated_ms: self.last_at_ms,
@@ -114,24 +114,24 @@
         };
     }
 
-    /// The replicated time, if this member is the head: it goes on with our own clock and never falls.
+    /// The replicated time if this member is the head. It advances with the local clock and never decreases.
     pub fn clock_now(&self, now: u64) -> u64 {
         let passed_ms = now.saturating_sub(self.clock_base.local_ms);
         (self.clock_base.replicated_ms + passed_ms).max(self.last_at_ms)
     }
 
-    /// The entries that the disk may hold, of whichever view.
+    /// The entries that may be on disk, regardless of their view.
     pub fn entries_on_disk(&self) -> RangeInclusive<u64> {
         self.disk_entries.first..=self.disk_entries.last
     }
 
-    /// Rows of entries were found on the disk, also such as are no part of the log.
+    /// Adds entries that were found on disk, including those that are not part of the log.
     pub fn include_disk_entries(&mut self, found: &RangeInclusive<u64>) {
         self.disk_entries.first = self.disk_entries.first.min(*found.start());
         self.disk_entries.last = self.disk_entries.last.max(*found.end());
     }
 
-    /// Adds the next entry to the log.
+    /// Appends the next entry to the log.
     pub fn append(&mut self, entry: Entry) {
         self.last = entry.seq;
         self.last_at_ms = entry.at_ms;
@@ -140,7 +140,7 @@
         self.log.push_back(entry);
     }
 
-    /// The first entry of the log has been applied.
+    /// Moves the first entry of the log, which was applied, to the applied entries.
     pub fn advance_commit(&mut self) {
         let Some(entry) = self.log.pop_front() else {
             return;
@@ -161,13 +161,13 @@
         }
     }
 
-    /// Whether all entries that were applied after `seq` are still in memory.
+    /// Whether all entries applied after `seq` are still in memory.
     pub fn covers(&self, seq: u64) -> bool {
         let first = self.recently_applied.front();
         seq >= self.committed || first.is_some_and(|first| first.seq <= seq + 1)
     }
 
-    /// The entries that were applied after `seq`, up to so many bytes, and at least one where there is one.
+    /// The entries applied after `seq`, up to `max_bytes`, but at least one if there is any.
     pub fn applied_after(&self, seq: u64, max_bytes: usize) -> Vec<Entry> {
         let next = self
             .recently_applied
@@ -175,7 +175,7 @@
         take_up_to(self.recently_applied.range(next..), max_bytes)
     }
 
-    /// The entries of the log that were not sent to the successor yet, up to so many bytes.
+    /// The log entries not sent to the successor yet, up to `max_bytes`, but at least one if there is any.
     pub fn unsent(&self, max_bytes: usize) -> Vec<Entry> {
         let unsent = self
             .log
@@ -184,18 +184,18 @@
         take_up_to(unsent, max_bytes)
     }
 
-    /// The size of the log that is not applied.
+    /// The total body size of the unapplied entries.
     pub fn uncommitted_bytes(&self) -> usize {
         self.uncommitted_bytes
     }
 
-    /// How many entries, and how many of their bytes, are applied behind the snapshot on the disk.
+    /// The number and total size of the entries applied since the snapshot on disk.
     pub fn applied_after_snapshot(&self) -> (u64, usize) {
         let entries = (self.committed + 1).saturating_sub(self.disk_entries.first);
         (entries, self.bytes_after_snapshot)
     }
 
-    /// A snapshot up to `committed` was written. Returns the entries that it makes superfluous on the disk.
+    /// Records that a snapshot up to `committed` was written. Returns the entries on disk that it covers.
     pub fn snapshot_written(&mut self) -> RangeInclusive<u64> {
         let covered = self.disk_entries.first..=self.committed;
         self.disk_entries.first = self.committed + 1;
@@ -208,7 +208,7 @@
     entry.body.len() + ENTRY_OVERHEAD_BYTES
 }
 
-/// Entries from the first on, up to so many bytes; a first entry that is larger goes alone.
+/// The first entries up to `max_bytes`. A first entry that exceeds the limit is returned alone.
 fn take_up_to<'a>(entries: impl Iterator<Item = &'a Entry>, max_bytes: usize) -> Vec<Entry> {
     let mut bytes = 0;
     let fits = |entry: &&Entry| {
--- a/crates/rookpulley-chain/src/reply_cache.rs
+++ b/crates/rookpulley-chain/src/reply_cache.rs
@@ -1,16 +1,16 @@
-//! Answers that were given lately.
+//! Cache of recent replies, for at-most-once execution of updates.
 //!
-//! A controller forwards a request again when the view has changed. The second attempt of an update that has taken
-//! effect gets the first one's answer, and must not take effect twice.
+//! A controller forwards a request again when the view changes. If an earlier attempt of an update took effect, a later
+//! one gets the cached reply and is not applied again.
 
 use crate::message::{Entry, RequestId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Much longer than all attempts of one request take, in replicated time.
+/// Retention in replicated time, well above the time in which all attempts of a request are made.
 const KEEP_MS: u64 = 4_000;
 
-/// A request, whichever of its attempts.
+/// Identifies a request, independent of the attempt.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct RequestKey {
     controller: u64,
@@ -28,15 +28,15 @@
     }
 }
 
-/// A part of the replicated state: equal on all members after equal updates.
+/// Replies by request. Part of the replicated state: equal on all members after equal updates.
 #[derive(Default)]
 pub struct ReplyCache {
     answers: BTreeMap<RequestKey, Vec<u8>>,
-    /// When each was recorded, oldest first.
+    /// Recording times and keys, oldest first.
     order: VecDeque<(u64, RequestKey)>,
 }
 
-/// An answer as it is stored.
+/// The encoded form of a cached reply.
 #[derive(Serialize, Deserialize)]
 struct Row {
     at_ms: u64,
@@ -45,12 +45,12 @@
 }
 
 impl ReplyCache {
-    /// The answer of an earlier attempt of the same request.
+    /// The reply to an earlier attempt of the same request.
     pub fn answer(&self, request: &RequestId) -> Option<Vec<u8>> {
         self.answers.get(&request.into()).cloned()
     }
 
-    /// Records an answer. Older ones are forgotten by the time of this entry alone, so that all members forget alike.
+    /// Records a reply. Expiry depends only on the time of the entry, so it is the same on all members.
     pub fn record(&mut self, entry: &Entry, answer: &[u8]) {
         let expired = |(at_ms, _): &(u64, RequestKey)| at_ms + KEEP_MS < entry.at_ms;
         while self.order.front().is_some_and(expired) {
@@ -63,7 +63,7 @@
         self.order.push_back((entry.at_ms, key));
     }
 
-    /// Its own bytes with those of the state behind them.
+    /// Encodes the cache, followed by the bytes of the state.
     pub fn encode_before(&self, state: &[u8]) -> Vec<u8> {
         let row = |(at_ms, key): &(u64, RequestKey)| {
             Some(Row {
@@ -78,7 +78,7 @@
         bytes
     }
 
-    /// Reads its own bytes, and returns those of the state behind them.
+    /// Decodes the cache, and returns it with the remaining bytes, which are those of the state.
     pub fn decode(bytes: &[u8]) -> Option<(Self, &[u8])> {
         let (rows, rest) = postcard::take_from_bytes::<Vec<Row>>(bytes).ok()?;
         let order = rows.iter().map(|row| (row.at_ms, row.key)).collect();
--- a/crates/rookpulley-chain/src/view.rs
+++ b/crates/rookpulley-chain/src/view.rs
@@ -1,4 +1,4 @@
-//! Who is in the chain, and in which order.
+//! Chain membership: members, views and ballots.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -7,27 +7,27 @@
 /// A controller: the identity of its disk, the incarnation of its process, and its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
-    /// Minted with the disk. A machine whose disk was lost comes back with another one.
+    /// Generated when the disk is initialized. A machine whose disk was lost gets a new one.
     pub id: u64,
-    /// Drawn at each start of the process.
+    /// Generated at each start of the process.
     pub incarnation: u64,
-    /// Where it listens for other controllers.
+    /// The address on which it listens for other controllers.
     pub address: SocketAddrV4,
 }
 
 /// One configuration of the chain.
 ///
-/// The first member is the head, the last one the tail; the head of a new view is also its source: the member whose
-/// log the view begins with. Members hold the state. Members and voters together are the acceptors that decide the
-/// next view. Voters were members and are out of the chain for now, slow or silent: without them, a chain that is as
-/// short as it may be could not be repaired once it loses one more.
+/// The first member is the head and the last one the tail. The head of a new view is also its source, whose log the
+/// view starts with. Members hold the state. Members and voters together are the acceptors that decide the next view.
+/// Voters are former members that are currently out of the chain because they are slow or silent; they keep the quorum
+/// large enough for a short chain to survive another loss.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Rises with each view. Views are decided in this order.
+    /// Increases with each view. Views are decided in this order.
     pub number: u64,
-    /// In the order of the chain.
+    /// The members from head to tail.
     pub members: Vec<Member>,
-    /// Acceptors that hold nothing.
+    /// Acceptors that do not hold the state.
     pub voters: Vec<Member>,
 }
 
@@ -54,7 +54,7 @@
         self.members.last()
     }
 
-    /// Those who decide the next view.
+    /// The members and voters, which decide the next view.
     pub fn acceptors(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().chain(&self.voters)
     }
@@ -64,16 +64,16 @@
         self.acceptors().any(|m| m.id == id)
     }
 
-    /// How many acceptors are more than half of them.
+    /// The smallest number of acceptors that is more than half of them.
     pub fn majority(&self) -> usize {
         (self.members.len() + self.voters.len()) / 2 + 1
     }
 
-    /// Whether those who responded suffice to decide the next view.
+    /// Whether the acceptors that responded can decide the next view.
     ///
-    /// A quorum is a majority of the acceptors, or all acceptors whose disks aren't lost for good (`lost`), where
-    /// those lost are fewer than a majority. Any two quorums share an acceptor that still knows what it promised: a
-    /// majority has one more than was lost, and the other kind has all that are left.
+    /// A quorum is a majority of the acceptors, or all acceptors except those whose disks are permanently lost
+    /// (`lost`), provided that these are fewer than a majority. Any two quorums share an acceptor that still has its
+    /// promises: a majority exceeds the number of lost acceptors, and the second kind contains all survivors.
     pub fn is_quorum(&self, responded: &BTreeSet<u64>, lost: &BTreeSet<u64>) -> bool {
         let present = self
             .acceptors()
@@ -88,11 +88,11 @@
     }
 }
 
-/// Orders the proposals for one view number.
+/// A Paxos ballot, which orders the proposals for one view number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Rises with each proposal of one proposer.
+    /// Increases with each proposal of one proposer.
     pub round: u64,
-    /// The proposer's incarnation: one that has restarted has forgotten its rounds, and must never use a ballot twice.
+    /// The proposer's incarnation. It keeps ballots unique after a restart, when earlier rounds are forgotten.
     pub by: u64,
 }
