--- a/crates/rookpulley-chain/src/after_sync.rs
+++ b/crates/rookpulley-chain/src/after_sync.rs
@@ -15,9 +15,9 @@
     /// The first view was synced.
     Bootstrapped,
     /// A part of a catch-up was synced.
-    CaughtUp,
+    CatchUpSynced,
     /// The first write of this incarnation was synced.
-    DiskProven,
+    FirstWriteSynced,
     /// Nothing depends on the write.
     Nothing,
 }
--- a/crates/rookpulley-chain/src/catch_up_state.rs
+++ b/crates/rookpulley-chain/src/catch_up_state.rs
@@ -20,7 +20,7 @@
     /// The identifier of the last request.
     pub query: u64,
     /// The deadline for the reply. 0: none is expected.
-    pub waits_until_ms: u64,
+    pub reply_deadline_ms: u64,
     /// Received data is being written. Meanwhile nothing is requested and no view is installed.
     pub writing: bool,
     /// This replica lagged too far behind to be added to a view.
@@ -51,5 +51,5 @@
 pub struct Digests {
     pub latest: StateDigest,
     /// The last update for which a mismatch was logged.
-    pub logged_difference: u64,
+    pub last_logged_mismatch: u64,
 }
--- a/crates/rookpulley-chain/src/chain.rs
+++ b/crates/rookpulley-chain/src/chain.rs
@@ -49,7 +49,7 @@
     /// The decided views that are retained, oldest first.
     views: Vec<View>,
     /// When the newest view was learned.
-    learned_ms: u64,
+    view_learned_ms: u64,
     /// The newest view that is installed on this disk.
     installed: u64,
     /// Views up to this number will not be installed here unless they already were.
@@ -71,10 +71,10 @@
     digests: Digests,
     disk_slow: bool,
     /// The first write of this incarnation was synced. Until then it reports a slow disk and is not added to a view.
-    disk_proven: bool,
-    ticked_ms: u64,
+    first_write_synced: bool,
+    last_tick_ms: u64,
     /// When this process last resumed after a stall.
-    woke_ms: u64,
+    resumed_ms: u64,
     heartbeat_sent_ms: u64,
     ticket: u64,
     after_sync: VecDeque<(u64, AfterSync)>,
@@ -104,10 +104,10 @@
     }
 
     fn tick(&mut self, now: u64) {
-        if now > self.ticked_ms + STALL_MS {
-            self.woke_ms = now;
+        if now > self.last_tick_ms + STALL_MS {
+            self.resumed_ms = now;
         }
-        self.ticked_ms = now;
+        self.last_tick_ms = now;
         if now >= self.heartbeat_sent_ms + HEARTBEAT_INTERVAL_MS {
             self.heartbeat_sent_ms = now;
             self.send_heartbeats(now);
@@ -228,9 +228,9 @@
                 self.send(now, to, message);
             }
             AfterSync::Bootstrapped => self.handle_bootstrapped(now),
-            AfterSync::CaughtUp => self.handle_caught_up(now),
-            AfterSync::DiskProven => {
-                self.disk_proven = true;
+            AfterSync::CatchUpSynced => self.handle_catch_up_synced(now),
+            AfterSync::FirstWriteSynced => {
+                self.first_write_synced = true;
                 self.send_heartbeats(now);
                 self.reconfigure_if_needed(now);
             }
--- a/crates/rookpulley-chain/src/chain/acceptor.rs
+++ b/crates/rookpulley-chain/src/chain/acceptor.rs
@@ -37,7 +37,7 @@
     pub(super) fn handle_prepare(&mut self, now: u64, from: u64, base: View, ballot: Ballot) {
         let number = base.number + 1;
         if self.decided() >= number {
-            return self.teach_views(now, from, base.number);
+            return self.send_newer_views(now, from, base.number);
         }
         let is_acceptor = base.is_acceptor(self.me.id);
         self.learn_views(now, vec![base]);
--- a/crates/rookpulley-chain/src/chain/candidates.rs
+++ b/crates/rookpulley-chain/src/chain/candidates.rs
@@ -1,7 +1,7 @@
 //! Selection of the members and voters of the next view from the collected status replies.
 
 use super::Chain;
-use super::reconfiguration::NEAR_ENTRIES;
+use super::reconfiguration::MAX_JOIN_LAG_ENTRIES;
 use crate::reconfiguration_state::{StatusReplies, StatusReply};
 use crate::state::State;
 use crate::view::{Member, View};
@@ -38,20 +38,20 @@
             return Err(NoCandidates::NoQuorum);
         }
         let mut chosen = fully_connected(view, replies);
-        let is_quick = |id: &u64| replies.get(id).is_some_and(|r| !r.status.slow);
-        self.prefer(&mut chosen, is_quick);
+        let is_disk_healthy = |id: &u64| replies.get(id).is_some_and(|r| !r.status.slow);
+        self.prefer(&mut chosen, is_disk_healthy);
         // Lagging replicas catch up outside the chain first, as long as it is long enough without them.
         let newest = replies.values().map(|r| r.status.committed).max();
-        let lacks_little = |id: &u64| {
-            let last = replies.get(id).map(|r| last_of(r, view));
-            last.is_some_and(|last| last + NEAR_ENTRIES >= newest.unwrap_or(0))
+        let is_nearly_caught_up = |id: &u64| {
+            let last = replies.get(id).map(|r| last_usable_entry(r, view));
+            last.is_some_and(|last| last + MAX_JOIN_LAG_ENTRIES >= newest.unwrap_or(0))
         };
-        self.prefer(&mut chosen, lacks_little);
-        let is_in = chosen.contains(&self.me.id) || self.disk_slow;
-        if !replies.contains_key(&self.me.id) || !is_in {
+        self.prefer(&mut chosen, is_nearly_caught_up);
+        let is_selected = chosen.contains(&self.me.id) || self.disk_slow;
+        if !replies.contains_key(&self.me.id) || !is_selected {
             return Err(NoCandidates::NotAMember);
         }
-        let members = in_order(view, &chosen, replies);
+        let members = order_members(view, &chosen, replies);
         let voters = self.choose_voters(now, view, &members, replies);
         if members == view.members && voters == view.voters && self.is_view_active() {
             return Err(NoCandidates::Unchanged);
@@ -86,17 +86,21 @@
             !is_member && !lost.contains(&acceptor.id)
         };
         let present = |acceptor: &Member| replies.get(&acceptor.id).map(|r| r.status.member);
-        let room = (2 * self.tolerated_losses + 1).saturating_sub(members.len());
+        let max_voters = (2 * self.tolerated_losses + 1).saturating_sub(members.len());
         let mut voters: Vec<Member> = base
             .acceptors()
             .filter(is_left_out)
             .filter_map(present)
-            .take(room)
+            .take(max_voters)
             .collect();
-        if voters.len() < room && (members.len() + voters.len()).is_multiple_of(2) {
-            let fell_silent =
-                |m: &&Member| present(m).is_none() && self.was_heard_lately(now, m.id);
-            voters.extend(base.acceptors().filter(is_left_out).find(fell_silent));
+        if voters.len() < max_voters && (members.len() + voters.len()).is_multiple_of(2) {
+            let is_recently_silent =
+                |m: &&Member| present(m).is_none() && self.was_heard_recently(now, m.id);
+            voters.extend(
+                base.acceptors()
+                    .filter(is_left_out)
+                    .find(is_recently_silent),
+            );
         }
         voters
     }
@@ -105,24 +109,25 @@
 /// A subset of the replying controllers in which all are in two-way contact. Repeatedly removes the one that misses the
 /// most others, and among equals a new one before a member.
 fn fully_connected(view: &View, replies: &StatusReplies) -> Vec<u64> {
-    let hears = |a: &StatusReply, b: &StatusReply| a.contacts.contains(&b.status.member.into());
+    let has_contact_with =
+        |a: &StatusReply, b: &StatusReply| a.contacts.contains(&b.status.member.into());
     let mut chosen: Vec<u64> = replies.keys().copied().collect();
     loop {
-        let missed_by = |id: &u64| {
+        let count_missing = |id: &u64| {
             let Some(reply) = replies.get(id) else {
                 return 0;
             };
             let others = chosen.iter().filter(|other| *other != id);
             others
                 .filter_map(|other| replies.get(other))
-                .filter(|other| !(hears(reply, other) && hears(other, reply)))
+                .filter(|other| !(has_contact_with(reply, other) && has_contact_with(other, reply)))
                 .count()
         };
-        let worst = chosen
+        let least_connected = chosen
             .iter()
-            .map(|id| (missed_by(id), view.position(*id).is_none(), *id))
+            .map(|id| (count_missing(id), view.position(*id).is_none(), *id))
             .max();
-        match worst {
+        match least_connected {
             Some((missed, _, id)) if missed > 0 => chosen.retain(|other| *other != id),
             _ => return chosen,
         }
@@ -130,7 +135,7 @@
 }
 
 /// The last entry that a member could contribute to the next view.
-fn last_of(reply: &StatusReply, view: &View) -> u64 {
+fn last_usable_entry(reply: &StatusReply, view: &View) -> u64 {
     if reply.status.installed == view.number {
         reply.status.last
     } else {
@@ -139,12 +144,13 @@
 }
 
 /// The remaining members in their current order, followed by the new ones.
-fn in_order(view: &View, chosen: &[u64], replies: &StatusReplies) -> Vec<Member> {
-    let stay = view.members.iter().map(|m| m.id);
-    let stay = stay.filter(|id| chosen.contains(id));
-    let join = chosen.iter().copied();
-    let join = join.filter(|id| view.position(*id).is_none());
-    stay.chain(join)
+fn order_members(view: &View, chosen: &[u64], replies: &StatusReplies) -> Vec<Member> {
+    let remaining = view.members.iter().map(|m| m.id);
+    let remaining = remaining.filter(|id| chosen.contains(id));
+    let joining = chosen.iter().copied();
+    let joining = joining.filter(|id| view.position(*id).is_none());
+    remaining
+        .chain(joining)
         .filter_map(|id| replies.get(&id).map(|r| r.status.member))
         .collect()
 }
--- a/crates/rookpulley-chain/src/chain/catch_up.rs
+++ b/crates/rookpulley-chain/src/chain/catch_up.rs
@@ -5,7 +5,7 @@
 //! time, and the next one only after the previous was synced, so a slow replica is not flooded.
 
 use super::Chain;
-use super::reconfiguration::NEAR_ENTRIES;
+use super::reconfiguration::MAX_JOIN_LAG_ENTRIES;
 use crate::after_sync::AfterSync;
 use crate::catch_up_state::{PartialSnapshot, ServedSnapshot};
 use crate::effect::Effect;
@@ -15,11 +15,11 @@
 use crate::state::State;
 
 /// The maximum size of the entries in a reply, unless a single entry is larger, and the size of a snapshot chunk.
-const PART_BYTES: usize = 128 << 10;
+const CATCH_UP_PART_BYTES: usize = 128 << 10;
 /// The time after which an unanswered request is repeated.
 const RETRY_MS: u64 = 250;
 /// The time since its last use after which a snapshot for transfer is dropped.
-const SERVED_SNAPSHOT_MS: u64 = 3_000;
+const SERVED_SNAPSHOT_TTL_MS: u64 = 3_000;
 
 /// A received snapshot chunk.
 struct ReceivedChunk {
@@ -48,11 +48,11 @@
             return None;
         }
         let is_ahead = |id: &u64| {
-            let has_more = self
+            let is_further = self
                 .peers
                 .get(id)
                 .is_some_and(|peer| peer.status.committed > self.replication.committed);
-            self.in_contact(now, *id) && has_more
+            self.in_contact(now, *id) && is_further
         };
         let members = self.view()?.members.iter().rev();
         let others = members.map(|m| m.id).filter(|id| *id != self.me.id);
@@ -61,20 +61,20 @@
 
     /// Requests the next part if one is missing and no reply is outstanding.
     pub(super) fn request_catch_up(&mut self, now: u64) {
-        let is_waiting = self.catch_up.writing || now < self.catch_up.waits_until_ms;
-        let is_unfit = self.disk_slow && self.catch_up.pending_install.is_none();
-        if is_waiting || is_unfit {
+        let is_waiting = self.catch_up.writing || now < self.catch_up.reply_deadline_ms;
+        let is_disk_too_slow = self.disk_slow && self.catch_up.pending_install.is_none();
+        if is_waiting || is_disk_too_slow {
             return;
         }
         let Some(from) = self.catch_up_source(now) else {
             return;
         };
         let applied = self.replication.committed;
-        let applied_there = self
+        let peer_applied = self
             .peers
             .get(&from)
             .map_or(0, |peer| peer.status.committed);
-        self.catch_up.far_behind |= applied_there > applied + NEAR_ENTRIES;
+        self.catch_up.far_behind |= peer_applied > applied + MAX_JOIN_LAG_ENTRIES;
         // Chunks of different replicas' snapshots cannot be combined.
         self.catch_up
             .partial
@@ -84,7 +84,7 @@
             chunk: partial.next_chunk,
         });
         self.catch_up.query += 1;
-        self.catch_up.waits_until_ms = now + RETRY_MS;
+        self.catch_up.reply_deadline_ms = now + RETRY_MS;
         let query = self.catch_up.query;
         let message = Message::CatchUpRequest {
             query,
@@ -95,7 +95,7 @@
     }
 
     /// Requests missing entries if `committed` is ahead of this replica.
-    pub(super) fn catch_up_to(&mut self, now: u64, committed: u64) {
+    pub(super) fn request_catch_up_to(&mut self, now: u64, committed: u64) {
         if committed > self.replication.committed {
             self.request_catch_up(now);
         }
@@ -108,11 +108,11 @@
         query: u64,
         data: CatchUpData,
     ) {
-        let is_waited_for = query == self.catch_up.query && self.catch_up.waits_until_ms != 0;
-        if !is_waited_for || self.installed_view().is_some() {
+        let is_expected = query == self.catch_up.query && self.catch_up.reply_deadline_ms != 0;
+        if !is_expected || self.installed_view().is_some() {
             return;
         }
-        self.catch_up.waits_until_ms = 0;
+        self.catch_up.reply_deadline_ms = 0;
         let records = match data {
             CatchUpData::Updates { entries, .. } => {
                 self.catch_up.partial = None;
@@ -135,34 +135,34 @@
                     checksum,
                     bytes,
                 };
-                self.take_chunk(now, received)
+                self.receive_chunk(now, received)
             }
         };
         if records.is_empty() {
             if self.catch_up.partial.is_some() {
                 return self.request_catch_up(now);
             }
-            return self.announce_when_near(now);
+            return self.announce_if_caught_up(now);
         }
         self.catch_up.writing = true;
-        self.write(records, AfterSync::CaughtUp);
+        self.write(records, AfterSync::CatchUpSynced);
         self.effects.push(Effect::StateChanged);
     }
 
     /// Continues after a received part was synced.
-    pub(super) fn handle_caught_up(&mut self, now: u64) {
+    pub(super) fn handle_catch_up_synced(&mut self, now: u64) {
         self.catch_up.writing = false;
         self.install_as_source(now);
         self.try_install(now);
         self.request_catch_up(now);
-        self.announce_when_near(now);
+        self.announce_if_caught_up(now);
     }
 
     /// Sends heartbeats as soon as this replica has caught up enough to be added to a view.
-    fn announce_when_near(&mut self, now: u64) {
+    fn announce_if_caught_up(&mut self, now: u64) {
         let committed = self.peers.values().map(|peer| peer.status.committed);
         let newest = committed.max().unwrap_or(0);
-        if self.catch_up.far_behind && newest <= self.replication.committed + NEAR_ENTRIES {
+        if self.catch_up.far_behind && newest <= self.replication.committed + MAX_JOIN_LAG_ENTRIES {
             self.catch_up.far_behind = false;
             self.send_heartbeats(now);
         }
@@ -188,19 +188,19 @@
             self.apply_up_to(next);
         }
         if !records.is_empty() {
-            records.extend(self.first_snapshot_records());
+            records.extend(self.initial_snapshot_records());
             records.push(self.committed_record());
         }
         records
     }
 
     /// Appends a chunk to the partial snapshot. The last chunk completes the snapshot, which then replaces the state.
-    fn take_chunk(&mut self, now: u64, received: ReceivedChunk) -> Vec<Record> {
+    fn receive_chunk(&mut self, now: u64, received: ReceivedChunk) -> Vec<Record> {
         let ReceivedChunk { from, seq, .. } = received;
         let follows = |partial: &PartialSnapshot| {
             (partial.from, partial.seq, partial.next_chunk) == (from, seq, received.chunk)
         };
-        let begun = self.catch_up.partial.take().filter(follows);
+        let continued = self.catch_up.partial.take().filter(follows);
         let is_first = received.chunk == 0;
         let new = is_first.then_some(PartialSnapshot {
             from,
@@ -208,7 +208,7 @@
             next_chunk: 0,
             bytes: Vec::new(),
         });
-        let Some(mut partial) = begun.or(new) else {
+        let Some(mut partial) = continued.or(new) else {
             return Vec::new();
         };
         partial.bytes.extend(received.bytes);
@@ -217,8 +217,8 @@
             self.catch_up.partial = Some(partial);
             return Vec::new();
         }
-        let is_whole = checksum(&partial.bytes) == received.checksum;
-        if seq <= self.replication.committed || !is_whole {
+        let is_intact = checksum(&partial.bytes) == received.checksum;
+        if seq <= self.replication.committed || !is_intact {
             return Vec::new();
         }
         self.restore_snapshot(now, seq, received.at_ms, &partial.bytes)
@@ -234,15 +234,15 @@
         }
         self.reply_cache = reply_cache;
         // Later log entries are kept: if this replica is a member of the newest view, they may have been acknowledged.
-        let mut behind: Vec<Entry> = self.replication.log.iter().cloned().collect();
-        behind.retain(|entry| entry.seq > seq);
-        let last = behind.last().map_or(seq, |entry| entry.seq);
+        let mut later_entries: Vec<Entry> = self.replication.log.iter().cloned().collect();
+        later_entries.retain(|entry| entry.seq > seq);
+        let last = later_entries.last().map_or(seq, |entry| entry.seq);
         let on_disk = self.replication.entries_on_disk();
-        let superfluous = on_disk.filter(|entry| *entry <= seq || *entry > last);
-        let mut records: Vec<Record> = superfluous.map(persisted::delete_entry).collect();
+        let obsolete = on_disk.filter(|entry| *entry <= seq || *entry > last);
+        let mut records: Vec<Record> = obsolete.map(persisted::delete_entry).collect();
         let at_ms = at_ms.max(self.replication.last_at_ms);
         self.replication.start_from_snapshot(seq, at_ms, now);
-        self.replication.resume_with_log(at_ms, now, behind);
+        self.replication.resume_with_log(at_ms, now, later_entries);
         self.log(format_args!("filled with all up to update {seq}"));
         records.extend(self.snapshot_records());
         records.push(self.committed_record());
@@ -260,10 +260,10 @@
         applied: u64,
         chunk: Option<ChunkPosition>,
     ) {
-        let data = if self.replication.covers(applied) {
+        let data = if self.replication.has_entries_after(applied) {
             CatchUpData::Updates {
                 committed: self.replication.committed,
-                entries: self.replication.applied_after(applied, PART_BYTES),
+                entries: self.replication.applied_after(applied, CATCH_UP_PART_BYTES),
             }
         } else {
             self.serve_chunk(now, chunk)
@@ -274,18 +274,18 @@
     /// The requested chunk of the current snapshot, or the first chunk of a new one if the entries after the current
     /// one are no longer in memory.
     fn serve_chunk(&mut self, now: u64, wanted: Option<ChunkPosition>) -> CatchUpData {
-        let is_usable = |served: &ServedSnapshot| self.replication.covers(served.seq);
+        let is_usable = |served: &ServedSnapshot| self.replication.has_entries_after(served.seq);
         let served = self.catch_up.served.take().filter(is_usable);
         let mut served = served.unwrap_or_else(|| self.new_served_snapshot());
         served.used_ms = now;
         let wanted = wanted.filter(|wanted| wanted.seq == served.seq);
         let chunk = wanted.map_or(0, |wanted| wanted.chunk);
-        let bytes = served.bytes.chunks(PART_BYTES).nth(chunk as usize);
+        let bytes = served.bytes.chunks(CATCH_UP_PART_BYTES).nth(chunk as usize);
         let data = CatchUpData::SnapshotChunk {
             seq: served.seq,
             at_ms: served.at_ms,
             chunk,
-            chunks: served.bytes.len().div_ceil(PART_BYTES) as u32,
+            chunks: served.bytes.len().div_ceil(CATCH_UP_PART_BYTES) as u32,
             checksum: served.checksum,
             bytes: bytes.unwrap_or_default().to_vec(),
         };
@@ -305,7 +305,7 @@
     }
 
     pub(super) fn tick_catch_up(&mut self, now: u64) {
-        let is_unused = |served: &mut ServedSnapshot| now > served.used_ms + SERVED_SNAPSHOT_MS;
+        let is_unused = |served: &mut ServedSnapshot| now > served.used_ms + SERVED_SNAPSHOT_TTL_MS;
         self.catch_up.served.take_if(is_unused);
         self.request_catch_up(now);
     }
--- a/crates/rookpulley-chain/src/chain/client_requests.rs
+++ b/crates/rookpulley-chain/src/chain/client_requests.rs
@@ -15,9 +15,9 @@
 /// A head time received longer ago than this is not used, because it would overstate the age of a request.
 const MAX_HEAD_TIME_AGE_MS: u64 = 700;
 /// After a stall of this length, requests that were buffered in a socket are of unknown age. Those received up to
-/// `WAKE_GRACE_MS` after it are rejected.
+/// `STALL_GRACE_MS` after it are rejected.
 const STALL_MS: u64 = 300;
-const WAKE_GRACE_MS: u64 = 100;
+const STALL_GRACE_MS: u64 = 100;
 
 impl<S: State> Chain<S> {
     pub(super) fn handle_client_request(
@@ -27,7 +27,8 @@
         kind: RequestKind,
         body: Vec<u8>,
     ) {
-        let has_stalled = now > self.ticked_ms + STALL_MS || now < self.woke_ms + WAKE_GRACE_MS;
+        let has_stalled =
+            now > self.last_tick_ms + STALL_MS || now < self.resumed_ms + STALL_GRACE_MS;
         if has_stalled {
             return self.reply(token, Outcome::Rejected);
         }
@@ -99,7 +100,7 @@
         // Local reads after this reply must not return older state.
         if committed > self.replication.committed {
             self.handle_commit(view, committed);
-            self.catch_up_to(now, committed);
+            self.request_catch_up_to(now, committed);
         }
         let is_ours = request.incarnation == self.me.incarnation;
         if is_ours && self.requests.pending.remove(&request.token).is_some() {
--- a/crates/rookpulley-chain/src/chain/digests.rs
+++ b/crates/rookpulley-chain/src/chain/digests.rs
@@ -7,10 +7,10 @@
 use crate::state::State;
 
 /// The number of other replicas that must agree before a differing one is discarded.
-const AGREEING_REPLICAS: usize = 2;
+const MIN_AGREEING_REPLICAS: usize = 2;
 
 impl<S: State> Chain<S> {
-    pub(super) fn take_digest(&mut self, seq: u64) {
+    pub(super) fn update_digest(&mut self, seq: u64) {
         let digest = checksum(&self.encode_snapshot());
         self.digests.latest = StateDigest { seq, digest };
     }
@@ -23,8 +23,8 @@
         if seq == 0 || seq != ours.seq || theirs.digest == ours.digest {
             return;
         }
-        if self.digests.logged_difference < seq {
-            self.digests.logged_difference = seq;
+        if self.digests.last_logged_mismatch < seq {
+            self.digests.last_logged_mismatch = seq;
             self.log(format_args!("copies differ at update {seq}"));
         }
         let others: Vec<u64> = self
@@ -34,13 +34,13 @@
             .filter(|theirs| theirs.seq == seq)
             .map(|theirs| theirs.digest)
             .collect();
-        let is_alone = !others.contains(&ours.digest);
+        let is_unmatched = !others.contains(&ours.digest);
         let count = |digest: &u64| others.iter().filter(|other| *other == digest).count();
-        let is_outvoted = others.iter().any(|d| count(d) >= AGREEING_REPLICAS);
-        let is_spare = self
+        let is_outvoted = others.iter().any(|d| count(d) >= MIN_AGREEING_REPLICAS);
+        let can_be_spared = self
             .installed_view()
             .is_none_or(|view| view.members.len() > self.tolerated_losses + 1);
-        if is_alone && is_outvoted && is_spare {
+        if is_unmatched && is_outvoted && can_be_spared {
             self.log("the copy here differs from all others: it is begun anew");
             self.effects.push(Effect::DiscardStore);
         }
--- a/crates/rookpulley-chain/src/chain/heartbeats.rs
+++ b/crates/rookpulley-chain/src/chain/heartbeats.rs
@@ -12,7 +12,7 @@
 use crate::view::Member;
 
 /// A peer outside the newest view is removed after this long without a heartbeat.
-const FORGET_PEER_MS: u64 = 30_000;
+const PEER_EXPIRY_MS: u64 = 30_000;
 
 impl<S: State> Chain<S> {
     pub(super) fn in_contact(&self, now: u64, id: u64) -> bool {
@@ -59,8 +59,8 @@
         let Some(peer) = self.peers.get_mut(&id) else {
             return;
         };
-        let at_most = now.saturating_sub(SUSPECT_AFTER_MS - SUSPECT_AFTER_DISCONNECT_MS);
-        peer.contact_ms = peer.contact_ms.map(|at| at.min(at_most));
+        let latest_contact = now.saturating_sub(SUSPECT_AFTER_MS - SUSPECT_AFTER_DISCONNECT_MS);
+        peer.contact_ms = peer.contact_ms.map(|at| at.min(latest_contact));
     }
 
     /// The local monotonic clock as sent in heartbeats. The offset differs between incarnations, so echoes sent to an
@@ -76,7 +76,7 @@
         let message = Message::Heartbeat {
             status: self.own_status(),
             sent: self.sent_clock(now),
-            echo: peer.sent,
+            echo: peer.latest_clock,
             head_time_ms: self.replicated_time(now),
         };
         self.send_to_peer(to, message);
@@ -85,8 +85,8 @@
     pub(super) fn send_heartbeats(&mut self, now: u64) {
         let view = self.views.last();
         self.peers.retain(|id, peer| {
-            let is_old = now > peer.last_heard_ms + FORGET_PEER_MS;
-            !is_old || view.is_some_and(|view| view.is_acceptor(*id))
+            let is_expired = now > peer.last_heard_ms + PEER_EXPIRY_MS;
+            !is_expired || view.is_some_and(|view| view.is_acceptor(*id))
         });
         let to: Vec<u64> = self.peers.keys().copied().collect();
         for id in to {
@@ -109,11 +109,11 @@
         let Some(peer) = self.peers.get_mut(&from).filter(is_known) else {
             return self.handle_peer_discovered(now, status.member);
         };
-        let is_first = peer.sent.is_none();
+        let is_first_heartbeat = peer.latest_clock.is_none();
         let had_no_contact = peer.contact_ms.is_none();
         let health_changed = peer.status.slow != status.slow;
         peer.last_heard_ms = now;
-        peer.sent = Some(sent);
+        peer.latest_clock = Some(sent);
         peer.status = status.clone();
         // The echoed clock shows that both directions have worked since then.
         let contact = echo
@@ -121,12 +121,12 @@
             .filter(|at| *at <= now && now < *at + SUSPECT_AFTER_MS);
         if let Some(at) = contact {
             peer.contact_ms = peer.contact_ms.max(Some(at));
-            peer.echoed = peer.echoed.max(Some(at));
-            if !self.supersede_address(from, status.member, at) {
+            peer.last_echo_ms = peer.last_echo_ms.max(Some(at));
+            if !self.resolve_address_conflict(from, status.member, at) {
                 return;
             }
         }
-        if is_first {
+        if is_first_heartbeat {
             self.send_heartbeat(now, from);
         }
         if let Some(at_ms) = head_time_ms {
@@ -141,7 +141,7 @@
         if head_time_ms.is_some() {
             self.forward_due(now);
         }
-        self.teach_views(now, from, status.decided);
+        self.send_newer_views(now, from, status.decided);
         self.check_successor(now, from, &status);
         self.request_catch_up(now);
         self.compare_digests(status.digest);
@@ -152,12 +152,12 @@
 
     /// Resolves two identities at one address: the one with the newer echo stays, since the disk of the other is lost.
     /// Returns false if `from`, whose echo is from `at`, is the one that is removed.
-    fn supersede_address(&mut self, from: u64, member: Member, at: u64) -> bool {
+    fn resolve_address_conflict(&mut self, from: u64, member: Member, at: u64) -> bool {
         let same_address = |peer: &PeerState| peer.status.member.address == member.address;
         let is_superseded = self
             .peers
             .iter()
-            .any(|(id, peer)| *id != from && same_address(peer) && peer.echoed > Some(at));
+            .any(|(id, peer)| *id != from && same_address(peer) && peer.last_echo_ms > Some(at));
         if is_superseded {
             self.peers.remove(&from);
             return false;
@@ -175,7 +175,7 @@
             active: self.active,
             last: self.replication.last,
             committed: self.replication.committed,
-            slow: self.disk_slow || !self.disk_proven,
+            slow: self.disk_slow || !self.first_write_synced,
             digest: self.digests.latest,
         }
     }
--- a/crates/rookpulley-chain/src/chain/install.rs
+++ b/crates/rookpulley-chain/src/chain/install.rs
@@ -50,14 +50,14 @@
         }
         let view = view.clone();
         let log = self.replication.log.iter().cloned().collect();
-        let at_ms = self.time_at_leaving(now);
+        let at_ms = self.replicated_time_when_leaving(now);
         self.write_installed_view(now, &view, at_ms, Vec::new(), log);
     }
 
     /// The replicated time when the installed view is left: the latest time of its head, but not less than the last
     /// timestamp. A head of an older view is ignored: if it was cut off, its clock ran ahead of the later timestamps,
     /// and leases would expire early.
-    fn time_at_leaving(&self, now: u64) -> u64 {
+    fn replicated_time_when_leaving(&self, now: u64) -> u64 {
         let left = self.views.iter().find(|view| view.number == self.installed);
         let time = match left.and_then(View::head) {
             Some(head) if self.is_me(head) => self.replication.clock_now(now),
@@ -76,8 +76,8 @@
             view.number == number && view.has_member(self.me.id, self.me.incarnation)
         });
         let is_from_predecessor = self.predecessor().is_some_and(|m| m.id == install.from);
-        let is_late = number <= self.abandoned || number <= self.replication.installing;
-        if !is_member || !is_from_predecessor || is_late {
+        let is_superseded = number <= self.abandoned || number <= self.replication.installing;
+        if !is_member || !is_from_predecessor || is_superseded {
             return;
         }
         self.catch_up.pending_install = Some(install);
@@ -99,14 +99,14 @@
         // The entries applied here are committed, so they are a prefix of the received ones.
         let up_to = install.committed;
         let entries = install.log.iter().cloned();
-        let (committed, behind): (Vec<Entry>, Vec<Entry>) =
+        let (committed, uncommitted): (Vec<Entry>, Vec<Entry>) =
             entries.partition(|entry| entry.seq <= up_to);
         let records = self.apply_committed(committed);
         if !records.is_empty() {
             self.effects.push(Effect::StateChanged);
         }
         if self.replication.committed >= up_to {
-            let mut log = behind;
+            let mut log = uncommitted;
             log.retain(|entry| entry.seq > self.replication.committed);
             self.write_installed_view(now, &install.view, install.at_ms, records, log);
             return;
@@ -116,7 +116,7 @@
             return self.request_catch_up(now);
         }
         self.catch_up.writing = true;
-        self.write(records, AfterSync::CaughtUp);
+        self.write(records, AfterSync::CatchUpSynced);
     }
 
     /// Writes the view with `log` as its unapplied entries, and deletes all later ones on disk. The view itself is in
@@ -131,7 +131,7 @@
     ) {
         let committed = self.replication.committed;
         let number = view.number;
-        records.extend(self.first_snapshot_records());
+        records.extend(self.initial_snapshot_records());
         let last = log.last().map_or(committed, |entry| entry.seq);
         records.extend(self.delete_entries_after(last));
         records.extend(log.iter().map(|entry| persisted::put_entry(number, entry)));
@@ -173,12 +173,12 @@
             return;
         };
         self.replication.install_sent_ms = now;
-        let applied_there = self.peers.get(&to).map_or(0, |peer| peer.status.committed);
+        let peer_applied = self.peers.get(&to).map_or(0, |peer| peer.status.committed);
         let mut log = Vec::new();
-        if self.replication.covers(applied_there) {
+        if self.replication.has_entries_after(peer_applied) {
             log = self
                 .replication
-                .applied_after(applied_there, MAX_CATCH_UP_BYTES);
+                .applied_after(peer_applied, MAX_CATCH_UP_BYTES);
         }
         log.extend(self.replication.log.iter().cloned());
         let message = Message::Install {
@@ -226,15 +226,15 @@
             return;
         }
         let reported = Some(status.last);
-        let is_stuck = status.last < self.replication.sent_to
+        let is_stalled = status.last < self.replication.sent_to
             && self.replication.successor_reported == reported;
-        if is_stuck {
+        if is_stalled {
             self.replication.sent_to = status.last.max(self.replication.committed);
             self.replication.successor_reported = None;
         } else {
             self.replication.successor_reported = reported;
-            let told = self.replication.sent_synced_up_to;
-            self.replication.sent_synced_up_to = told.min(status.committed);
+            let previously_sent = self.replication.sent_synced_up_to;
+            self.replication.sent_synced_up_to = previously_sent.min(status.committed);
         }
         self.replicate(now);
     }
--- a/crates/rookpulley-chain/src/chain/proposer.rs
+++ b/crates/rookpulley-chain/src/chain/proposer.rs
@@ -226,7 +226,13 @@
     }
 
     /// Paxos phase 2b: the view is decided once a quorum has accepted it.
-    pub(super) fn handle_accepted(&mut self, now: u64, from: u64, number: u64, by: Ballot) {
+    pub(super) fn handle_accepted(
+        &mut self,
+        now: u64,
+        from: u64,
+        number: u64,
+        ballot_accepted: Ballot,
+    ) {
         let lost = self.lost_disks(now);
         let Some(base) = self.view().cloned() else {
             return;
@@ -239,7 +245,7 @@
         else {
             return;
         };
-        if *ballot != by || view.number != number || number != base.number + 1 {
+        if *ballot != ballot_accepted || view.number != number || number != base.number + 1 {
             return;
         }
         accepted.insert(from);
--- a/crates/rookpulley-chain/src/chain/reconfiguration.rs
+++ b/crates/rookpulley-chain/src/chain/reconfiguration.rs
@@ -12,19 +12,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The maximum number of missing entries with which a replica may be added to a view.
-pub(super) const NEAR_ENTRIES: u64 = 256;
+pub(super) const MAX_JOIN_LAG_ENTRIES: u64 = 256;
 /// The time for which a fault must persist before a view is proposed.
 const FAULT_CONFIRM_MS: u64 = 40;
 /// The additional delay per reachable member earlier in the chain.
 const RANK_DELAY_MS: u64 = 130;
 /// The time after a stall in which no peer is suspected, so that buffered messages can be read first.
-const WAKE_GRACE_MS: u64 = 150;
+const STALL_GRACE_MS: u64 = 150;
 /// The delay before members are added to the first view, so that several that start together join in one change.
-const GATHER_MS: u64 = 250;
+const INITIAL_JOIN_DELAY_MS: u64 = 250;
 /// A decided view that is not active after this long is replaced.
 const INSTALL_TIMEOUT_MS: u64 = 1_300;
 /// The time for which a silent acceptor may remain a voter.
-const SILENT_VOTER_MS: u64 = 4_000;
+const SILENT_VOTER_TIMEOUT_MS: u64 = 4_000;
 /// The maximum wait for status replies of peers that are still in contact.
 const STATUS_TIMEOUT_MS: u64 = 350;
 /// The timeout of a proposal step in the first round; it grows linearly with the round.
@@ -130,17 +130,18 @@
         if view.members.iter().any(|m| self.has_restarted(m)) {
             // No delay is needed if all members are reachable and healthy, or if no reachable member still serves in
             // this view.
-            let is_here = |m: &&Member| self.in_contact(now, m.id);
-            let all_here = view.members.iter().all(|m| is_here(&m));
-            let all_well = !view
+            let is_reachable = |m: &&Member| self.in_contact(now, m.id);
+            let all_reachable = view.members.iter().all(|m| is_reachable(&m));
+            let all_healthy = !view
                 .members
                 .iter()
-                .filter(is_here)
+                .filter(is_reachable)
                 .any(|m| self.is_slow(m.id));
-            let is_urgent = all_well && (all_here || self.is_out_of_service(now, view));
+            let is_urgent = all_healthy && (all_reachable || self.is_out_of_service(now, view));
             return Some(if is_urgent { 0 } else { FAULT_CONFIRM_MS });
         }
-        let install_failed = !self.is_view_active() && now >= self.learned_ms + INSTALL_TIMEOUT_MS;
+        let install_failed =
+            !self.is_view_active() && now >= self.view_learned_ms + INSTALL_TIMEOUT_MS;
         let has_lost_member = view.members.iter().any(|m| self.is_lost(now, m));
         if has_lost_member || install_failed || self.needs_other_voters(now, view) {
             return Some(FAULT_CONFIRM_MS);
@@ -152,7 +153,7 @@
         if self.is_view_active() && self.peers.keys().any(|id| self.may_join(now, view, *id)) {
             let is_first_view = view.number == 1;
             return Some(if is_first_view {
-                GATHER_MS
+                INITIAL_JOIN_DELAY_MS
             } else {
                 2 * FAULT_CONFIRM_MS
             });
@@ -179,13 +180,15 @@
 
     /// Whether contact with a member was lost in this view, or was not established in time.
     fn is_lost(&self, now: u64, member: &Member) -> bool {
-        let had_time = now >= self.learned_ms + SUSPECT_AFTER_MS;
-        let is_awake = now >= self.woke_ms + WAKE_GRACE_MS;
+        let had_time_to_connect = now >= self.view_learned_ms + SUSPECT_AFTER_MS;
+        let is_past_stall_grace = now >= self.resumed_ms + STALL_GRACE_MS;
         let was_heard = self
             .peers
             .get(&member.id)
-            .is_some_and(|peer| peer.contact_ms >= Some(self.learned_ms));
-        (had_time || was_heard) && is_awake && !self.in_contact(now, member.id)
+            .is_some_and(|peer| peer.contact_ms >= Some(self.view_learned_ms));
+        (had_time_to_connect || was_heard)
+            && is_past_stall_grace
+            && !self.in_contact(now, member.id)
     }
 
     /// Whether a silent voter must be removed, because it may be lost permanently or because it increases the majority.
@@ -198,27 +201,29 @@
         let others = view.members.len() + view.voters.len() - silent.len();
         // One more acceptor besides an even number of others does not increase the majority.
         let tolerated = usize::from(others.is_multiple_of(2));
-        silent.len() > tolerated || silent.iter().any(|m| !self.was_heard_lately(now, m.id))
+        silent.len() > tolerated || silent.iter().any(|m| !self.was_heard_recently(now, m.id))
     }
 
     /// Whether a peer that is not a member is reachable, healthy and nearly caught up.
     fn may_join(&self, now: u64, view: &View, id: u64) -> bool {
-        let lacks_little = self
-            .peers
-            .get(&id)
-            .is_some_and(|peer| peer.status.committed + NEAR_ENTRIES >= self.replication.committed);
-        view.position(id).is_none() && self.in_contact(now, id) && !self.is_slow(id) && lacks_little
+        let is_nearly_caught_up = self.peers.get(&id).is_some_and(|peer| {
+            peer.status.committed + MAX_JOIN_LAG_ENTRIES >= self.replication.committed
+        });
+        view.position(id).is_none()
+            && self.in_contact(now, id)
+            && !self.is_slow(id)
+            && is_nearly_caught_up
     }
 
-    pub(super) fn was_heard_lately(&self, now: u64, id: u64) -> bool {
+    pub(super) fn was_heard_recently(&self, now: u64, id: u64) -> bool {
         self.peers
             .get(&id)
-            .is_some_and(|peer| now < peer.last_heard_ms + SILENT_VOTER_MS)
+            .is_some_and(|peer| now < peer.last_heard_ms + SILENT_VOTER_TIMEOUT_MS)
     }
 
     fn is_slow(&self, id: u64) -> bool {
         if id == self.me.id {
-            self.disk_slow || !self.disk_proven
+            self.disk_slow || !self.first_write_synced
         } else {
             self.peers.get(&id).is_some_and(|peer| peer.status.slow)
         }
--- a/crates/rookpulley-chain/src/chain/replication.rs
+++ b/crates/rookpulley-chain/src/chain/replication.rs
@@ -43,7 +43,7 @@
     }
 
     pub(super) fn handle_forward(&mut self, now: u64, forwarded: ForwardedRequest) {
-        let Some(at_ms) = self.time_to_take(now, &forwarded) else {
+        let Some(at_ms) = self.timestamp_for_request(now, &forwarded) else {
             let request = forwarded.request;
             return self.send(now, request.controller, Message::Reject { request });
         };
@@ -61,16 +61,17 @@
     }
 
     /// The replicated time to assign to a request. None: this member must reject the request.
-    fn time_to_take(&self, now: u64, forwarded: &ForwardedRequest) -> Option<u64> {
+    fn timestamp_for_request(&self, now: u64, forwarded: &ForwardedRequest) -> Option<u64> {
         let time = self.replicated_time(now)?;
         let view = self.installed_view()?;
         let oldest = forwarded.echo.saturating_add(MAX_REQUEST_AGE_MS);
         let is_fresh = time.saturating_add(forwarded.age_ms) <= oldest;
         let is_long_enough = view.members.len() > self.tolerated_losses;
-        let has_room = self.replication.log.len() < MAX_UNCOMMITTED_ENTRIES
+        let has_capacity = self.replication.log.len() < MAX_UNCOMMITTED_ENTRIES
             && self.replication.uncommitted_bytes() < MAX_UNCOMMITTED_BYTES;
-        let is_taken = is_fresh && view.number == forwarded.view && is_long_enough && has_room;
-        is_taken.then_some(time)
+        let is_accepted =
+            is_fresh && view.number == forwarded.view && is_long_enough && has_capacity;
+        is_accepted.then_some(time)
     }
 
     fn append_at_head(&mut self, at_ms: u64, request: RequestId, body: Vec<u8>) {
@@ -129,18 +130,18 @@
 
     pub(super) fn handle_entries_synced(&mut self, now: u64, view: u64, to: u64) {
         if self.has_installed(view) {
-            self.replication.synced_here = self.replication.synced_here.max(to);
+            self.replication.synced_locally = self.replication.synced_locally.max(to);
             self.replicate(now);
         }
     }
 
     /// The last entry synced by this member and all its predecessors.
-    fn synced_up_to_here(&self) -> u64 {
-        let synced_here = self.replication.synced_here;
+    fn synced_prefix(&self) -> u64 {
+        let synced_locally = self.replication.synced_locally;
         if self.is_head() {
-            synced_here
+            synced_locally
         } else {
-            synced_here.min(self.replication.synced_upstream)
+            synced_locally.min(self.replication.synced_upstream)
         }
     }
 
@@ -149,7 +150,7 @@
         let Some(view) = self.installed_view().map(|view| view.number) else {
             return;
         };
-        let synced_up_to = self.synced_up_to_here();
+        let synced_up_to = self.synced_prefix();
         let Some(next) = self.successor() else {
             return self.commit_at_tail(now, view, synced_up_to);
         };
@@ -178,16 +179,16 @@
     fn commit_at_tail(&mut self, now: u64, view: u64, synced_up_to: u64) {
         let seq = synced_up_to.min(self.replication.last);
         if seq > self.replication.committed {
-            for (request, answer) in self.apply_up_to(seq) {
-                self.respond(now, view, request, answer);
+            for (request, reply) in self.apply_up_to(seq) {
+                self.respond(now, view, request, reply);
             }
             for member in self.other_members() {
                 self.send_to_peer(member, Message::Commit { view, seq });
             }
         }
         for read in std::mem::take(&mut self.replication.reads) {
-            let answer = self.state.read(&read.body);
-            self.respond(now, view, read.request, answer);
+            let reply = self.state.read(&read.body);
+            self.respond(now, view, read.request, reply);
         }
     }
 
@@ -215,24 +216,24 @@
 
     /// Applies the entries up to `seq`. Returns the replies by request.
     pub(super) fn apply_up_to(&mut self, seq: u64) -> Vec<(RequestId, Vec<u8>)> {
-        let mut answers = Vec::new();
+        let mut replies = Vec::new();
         while let Some(entry) = self.replication.log.front().filter(|e| e.seq <= seq) {
             let (applied, request) = (entry.seq, entry.request);
-            let answer = self.reply_cache.answer(&request).unwrap_or_else(|| {
-                let answer = self.state.apply(entry.at_ms, &entry.body);
-                self.reply_cache.record(entry, &answer);
-                answer
+            let reply = self.reply_cache.get(&request).unwrap_or_else(|| {
+                let reply = self.state.apply(entry.at_ms, &entry.body);
+                self.reply_cache.record(entry, &reply);
+                reply
             });
-            answers.push((request, answer));
+            replies.push((request, reply));
             self.replication.advance_commit();
             if applied.is_multiple_of(DIGEST_ENTRIES) {
-                self.take_digest(applied);
+                self.update_digest(applied);
             }
         }
-        if !answers.is_empty() {
+        if !replies.is_empty() {
             self.effects.push(Effect::StateChanged);
         }
-        answers
+        replies
     }
 
     pub(super) fn tick_replication(&mut self, now: u64) {
@@ -270,7 +271,7 @@
     }
 
     /// The records of a snapshot if the disk has none yet. Entries are only written behind a snapshot.
-    pub(super) fn first_snapshot_records(&mut self) -> Vec<Record> {
+    pub(super) fn initial_snapshot_records(&mut self) -> Vec<Record> {
         if self.snapshot_chunks == 0 {
             self.snapshot_records()
         } else {
@@ -280,6 +281,6 @@
 
     /// Encodes the reply cache and the state.
     pub(super) fn encode_snapshot(&self) -> Vec<u8> {
-        self.reply_cache.encode_before(&self.state.snapshot())
+        self.reply_cache.encode_with_state(&self.state.snapshot())
     }
 }
--- a/crates/rookpulley-chain/src/chain/start.rs
+++ b/crates/rookpulley-chain/src/chain/start.rs
@@ -55,7 +55,7 @@
             seed: start.seed,
             state,
             views,
-            learned_ms: now,
+            view_learned_ms: now,
             installed,
             abandoned,
             active: 0,
@@ -70,9 +70,9 @@
             catch_up: catch_up_state::CatchUp::default(),
             digests: catch_up_state::Digests::default(),
             disk_slow: false,
-            disk_proven: false,
-            ticked_ms: now,
-            woke_ms: 0,
+            first_write_synced: false,
+            last_tick_ms: now,
+            resumed_ms: 0,
             heartbeat_sent_ms: 0,
             ticket: 0,
             after_sync: VecDeque::new(),
@@ -81,8 +81,8 @@
         chain.apply_up_to(committed.seq);
         // Replayed entries are not state changes for the caller.
         chain.effects.clear();
-        let begun = persisted::put_begun(chain.me.incarnation);
-        chain.write(vec![begun], AfterSync::DiskProven);
+        let incarnation_record = persisted::put_incarnation(chain.me.incarnation);
+        chain.write(vec![incarnation_record], AfterSync::FirstWriteSynced);
         if start.founder {
             chain.bootstrap();
         }
@@ -101,7 +101,7 @@
         }
         self.log("founds the first view");
         let view = self.first_view();
-        let mut records = self.first_snapshot_records();
+        let mut records = self.initial_snapshot_records();
         records.extend([
             self.committed_record(),
             persisted::put_view(&view),
--- a/crates/rookpulley-chain/src/chain/status.rs
+++ b/crates/rookpulley-chain/src/chain/status.rs
@@ -105,9 +105,9 @@
         let Some(view) = self.view().filter(|_| self.in_touch(now)) else {
             return 0;
         };
-        let is_here = |member: &&Member| self.in_contact(now, member.id);
-        let members = view.members.iter().filter(is_here).count();
-        let acceptors = view.acceptors().filter(is_here).count();
+        let is_reachable = |member: &&Member| self.in_contact(now, member.id);
+        let members = view.members.iter().filter(is_reachable).count();
+        let acceptors = view.acceptors().filter(is_reachable).count();
         let beyond_losses = members.saturating_sub(self.tolerated_losses + 1);
         beyond_losses.min(acceptors.saturating_sub(view.majority()))
     }
--- a/crates/rookpulley-chain/src/chain/views.rs
+++ b/crates/rookpulley-chain/src/chain/views.rs
@@ -4,7 +4,7 @@
 use crate::after_sync::AfterSync;
 use crate::effect::Effect;
 use crate::message::Message;
-use crate::persisted::{self, MAX_VIEWS, Record};
+use crate::persisted::{self, MAX_RETAINED_VIEWS, Record};
 use crate::refound::is_refounded_between;
 use crate::state::State;
 use crate::view::View;
@@ -21,19 +21,19 @@
         let mut records: Vec<Record> = unknown.iter().map(persisted::put_view).collect();
         self.views.extend(unknown);
         self.views.sort_by_key(|view| view.number);
-        while self.views.len() > MAX_VIEWS {
+        while self.views.len() > MAX_RETAINED_VIEWS {
             let forgotten = self.views.remove(0);
             records.push(persisted::delete_view(forgotten.number));
         }
         self.write(records, AfterSync::Nothing);
         if self.decided() > before {
-            self.begin_view(now, before);
+            self.handle_newer_view(now, before);
         }
     }
 
     /// The given views that should be retained and are not known yet.
     fn unknown_views(&self, views: Vec<View>) -> Vec<View> {
-        let is_full = self.views.len() >= MAX_VIEWS;
+        let is_full = self.views.len() >= MAX_RETAINED_VIEWS;
         let oldest = self.views.first().filter(|_| is_full);
         let oldest = oldest.map_or(0, |view| view.number);
         let is_known = |number: u64| self.views.iter().any(|known| known.number == number);
@@ -47,7 +47,7 @@
     }
 
     /// Starts the transition to a view newer than `before`, and cancels what was pending in the previous one.
-    fn begin_view(&mut self, now: u64, before: u64) {
+    fn handle_newer_view(&mut self, now: u64, before: u64) {
         let Some(view) = self.view() else {
             return;
         };
@@ -58,7 +58,7 @@
             self.log("the chain was founded anew without what is kept here: it is given up");
             self.effects.push(Effect::DiscardStore);
         }
-        self.learned_ms = now;
+        self.view_learned_ms = now;
         self.reconfiguration.reset(now);
         self.catch_up.pending_install = None;
         self.replication.reads.clear();
@@ -66,7 +66,7 @@
     }
 
     /// Sends a peer the views that it does not know.
-    pub(super) fn teach_views(&mut self, now: u64, to: u64, known: u64) {
+    pub(super) fn send_newer_views(&mut self, now: u64, to: u64, known: u64) {
         if known >= self.decided() {
             return;
         }
--- a/crates/rookpulley-chain/src/disk_health.rs
+++ b/crates/rookpulley-chain/src/disk_health.rs
@@ -69,10 +69,10 @@
         if has_stalled && let Some(write) = &mut self.pending {
             write.since_ms = now_ms;
         }
-        let waits = self
+        let is_overdue = self
             .pending
             .is_some_and(|write| now_ms - write.since_ms > SLOW_MS);
-        if waits {
+        if is_overdue {
             self.quick_writes = 0;
         }
         let needs_probe = self.is_slow && self.pending.is_none();
@@ -82,7 +82,7 @@
         let is_slow = if self.is_slow {
             self.quick_writes < QUICK_WRITES
         } else {
-            waits
+            is_overdue
         };
         let changed = (is_slow != self.is_slow).then_some(is_slow);
         self.is_slow = is_slow;
--- a/crates/rookpulley-chain/src/integrity.rs
+++ b/crates/rookpulley-chain/src/integrity.rs
@@ -70,7 +70,7 @@
     let mut entries = Vec::new();
     for (key, row) in rows {
         match key.first().copied() {
-            Some(kind::BEGUN | kind::INSTALLED | kind::ABANDONED) => {
+            Some(kind::INCARNATION | kind::INSTALLED | kind::ABANDONED) => {
                 _ = found.decode::<u64>(key, row, "a whole number");
             }
             Some(kind::COMMITTED) => {
@@ -123,11 +123,11 @@
             let lengths = chunks.take(header.chunks as usize).map(|(_, c)| c.len());
             let length: usize = lengths.sum();
             if length as u64 == header.length {
-                let is = "spoilt (its sum is another)";
-                found.add("snapshot", is, "as it was written");
+                let actual = "spoilt (its sum is another)";
+                found.add("snapshot", actual, "as it was written");
             } else {
-                let is = format!("{length} bytes long");
-                found.add("snapshot", is, format!("{} bytes long", header.length));
+                let actual = format!("{length} bytes long");
+                found.add("snapshot", actual, format!("{} bytes long", header.length));
             }
         }
         Some(_) if persisted.status().snapshot.is_none() => found.add(
@@ -150,23 +150,23 @@
     };
     let last = persisted.log.last().map_or(header.seq, |entry| entry.seq);
     let newest = entries.iter().map(|(view, _)| *view).max().unwrap_or(0);
-    let belongs =
+    let is_part_of_log =
         |view: u64, seq: u64| seq <= committed || (view == newest && persisted.installed <= newest);
     let behind = entries
         .iter()
-        .filter(|(view, entry)| entry.seq > last && belongs(*view, entry.seq))
+        .filter(|(view, entry)| entry.seq > last && is_part_of_log(*view, entry.seq))
         .count();
     if behind > 0 || committed > last {
         let missing = last + 1;
-        let is = format!("without update {missing}, and {behind} behind it are there");
+        let actual = format!("without update {missing}, and {behind} behind it are there");
         let expected = format!("whole from update {} on", header.seq + 1);
-        found.add("log", is, expected);
+        found.add("log", actual, expected);
     }
     for (before, entry) in persisted.log.iter().zip(persisted.log.iter().skip(1)) {
         if entry.at_ms < before.at_ms {
             let place = format!("update {}", entry.seq);
-            let is = format!("of {} ms", entry.at_ms);
-            found.add(place, is, format!("of {} ms or later", before.at_ms));
+            let actual = format!("of {} ms", entry.at_ms);
+            found.add(place, actual, format!("of {} ms or later", before.at_ms));
         }
     }
 }
@@ -185,19 +185,23 @@
     if installed > 0 && oldest.is_none_or(|oldest| oldest <= installed) {
         match view_of(persisted, installed) {
             None => {
-                let is = format!("{installed}, which is not known");
-                found.add("installed view", is, "a known one");
+                let actual = format!("{installed}, which is not known");
+                found.add("installed view", actual, "a known one");
             }
             Some(view) if identity.is_some_and(|id| view.position(id).is_none()) => {
-                let is = format!("{installed} without this identity");
-                found.add("installed view", is, "one that names it");
+                let actual = format!("{installed} without this identity");
+                found.add("installed view", actual, "one that names it");
             }
             _ => {}
         }
     }
     if persisted.abandoned > newest {
-        let is = format!("{} (never installed up to it)", persisted.abandoned);
-        found.add("row n", is, format!("at most {newest}, the newest view"));
+        let actual = format!("{} (never installed up to it)", persisted.abandoned);
+        found.add(
+            "row n",
+            actual,
+            format!("at most {newest}, the newest view"),
+        );
     }
 }
 
@@ -221,12 +225,12 @@
         return;
     };
     if view.number != number {
-        let is = format!("an accepted view {}", view.number);
-        found.add("vote", is, format!("view {number}"));
+        let actual = format!("an accepted view {}", view.number);
+        found.add("vote", actual, format!("view {number}"));
     }
     if *ballot > acceptor.promised {
-        let is = "accepted in a ballot above the promised one";
-        found.add("vote", is, "of the promised ballot at most");
+        let actual = "accepted in a ballot above the promised one";
+        found.add("vote", actual, "of the promised ballot at most");
     }
 }
 
--- a/crates/rookpulley-chain/src/peer.rs
+++ b/crates/rookpulley-chain/src/peer.rs
@@ -9,12 +9,12 @@
     pub status: MemberStatus,
     pub last_heard_ms: u64,
     /// The clock value of its latest heartbeat, echoed back to it.
-    pub sent: Option<u64>,
+    pub latest_clock: Option<u64>,
     /// When the latest heartbeat that the peer echoed was sent, by the local clock. Both directions have worked since
     /// then.
     pub contact_ms: Option<u64>,
     /// The same, but not moved back on a disconnect. It decides which of two identities at one address is newer.
-    pub echoed: Option<u64>,
+    pub last_echo_ms: Option<u64>,
 }
 
 impl PeerState {
@@ -22,16 +22,16 @@
         Self {
             status: MemberStatus::unknown(member),
             last_heard_ms: now,
-            sent: None,
+            latest_clock: None,
             contact_ms: None,
-            echoed: None,
+            last_echo_ms: None,
         }
     }
 
     /// A new incarnation has replaced the known one.
     pub fn restart(&mut self, member: Member) {
         self.status.member = member;
-        self.sent = None;
+        self.latest_clock = None;
         self.contact_ms = None;
     }
 }
--- a/crates/rookpulley-chain/src/persisted.rs
+++ b/crates/rookpulley-chain/src/persisted.rs
@@ -30,7 +30,7 @@
 /// Row kinds: the first byte of each key.
 pub(crate) mod kind {
     /// The incarnation that started last.
-    pub const BEGUN: u8 = b'b';
+    pub const INCARNATION: u8 = b'b';
     /// The commit position of the log.
     pub const COMMITTED: u8 = b'c';
     /// A log entry; the key contains its sequence number.
@@ -53,7 +53,7 @@
 /// grows or shrinks.
 const SNAPSHOT_CHUNK_BYTES: usize = 1 << 20;
 /// The number of decided views retained. A view that never became active can be skipped only while it is retained.
-pub const MAX_VIEWS: usize = 32;
+pub const MAX_RETAINED_VIEWS: usize = 32;
 
 /// The acceptor's promise and accepted view for one view number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -118,8 +118,8 @@
 }
 
 /// The first write of each incarnation. It only verifies that the disk accepts writes.
-pub fn put_begun(incarnation: u64) -> Record {
-    put(vec![kind::BEGUN], &incarnation)
+pub fn put_incarnation(incarnation: u64) -> Record {
+    put(vec![kind::INCARNATION], &incarnation)
 }
 
 pub fn put_installed(number: u64) -> Record {
@@ -224,24 +224,25 @@
             }
         }
         state.views.sort_by_key(|view| view.number);
-        state.take_entries(entries);
+        state.load_entries(entries);
         if let Some(header) = header {
             let chunks = chunks.into_values().take(header.chunks as usize);
-            state.take_snapshot(header, chunks.flatten().collect());
+            state.load_snapshot(header, chunks.flatten().collect());
         }
         state.corrupted = reader.corrupted || (state.installed > 0 && state.snapshot.is_none());
         state
     }
 
     /// Loads the log: the entries of the installed view and all committed ones.
-    fn take_entries(&mut self, entries: Vec<(u64, Entry)>) {
+    fn load_entries(&mut self, entries: Vec<(u64, Entry)>) {
         let positions = entries.iter().map(|(_, entry)| entry.seq);
         let first = positions.clone().min();
         self.entry_range = first.zip(positions.max()).map(|(first, last)| first..=last);
-        let belongs = |view: u64, seq: u64| view == self.installed || seq <= self.committed.seq;
+        let is_part_of_log =
+            |view: u64, seq: u64| view == self.installed || seq <= self.committed.seq;
         let mut log: Vec<Entry> = entries
             .into_iter()
-            .filter(|(view, entry)| belongs(*view, entry.seq))
+            .filter(|(view, entry)| is_part_of_log(*view, entry.seq))
             .map(|(_, entry)| entry)
             .collect();
         log.sort_by_key(|entry| entry.seq);
@@ -249,7 +250,7 @@
     }
 
     /// Loads the snapshot if it is intact, and drops entries that do not follow it without a gap.
-    fn take_snapshot(&mut self, header: SnapshotHeader, bytes: Vec<u8>) {
+    fn load_snapshot(&mut self, header: SnapshotHeader, bytes: Vec<u8>) {
         if bytes.len() as u64 != header.length || checksum(&bytes) != header.checksum {
             return;
         }
--- a/crates/rookpulley-chain/src/refound.rs
+++ b/crates/rookpulley-chain/src/refound.rs
@@ -37,8 +37,8 @@
             return None;
         }
         let (header, snapshot) = self.snapshot.as_ref()?;
-        let above = VIEW_NUMBER_STEP * (1 + identity % VIEW_NUMBER_MULTIPLES);
-        let number = self.newest().checked_add(above)?;
+        let offset = VIEW_NUMBER_STEP * (1 + identity % VIEW_NUMBER_MULTIPLES);
+        let number = self.newest().checked_add(offset)?;
         let founder = Member {
             id: identity,
             incarnation: NO_INCARNATION,
--- a/crates/rookpulley-chain/src/replication_state.rs
+++ b/crates/rookpulley-chain/src/replication_state.rs
@@ -41,7 +41,7 @@
     /// The last applied entry. All entries up to it are committed.
     pub committed: u64,
     /// The last entry synced on this disk.
-    pub synced_here: u64,
+    pub synced_locally: u64,
     /// The last entry synced by all predecessors.
     pub synced_upstream: u64,
     /// The last entry that was sent to the successor.
@@ -93,7 +93,7 @@
             self.append(entry);
         }
         self.last_at_ms = self.last_at_ms.max(at_ms);
-        self.synced_here = self.last;
+        self.synced_locally = self.last;
         self.synced_upstream = self.last;
         self.sent_to = self.last;
         self.sent_synced_up_to = self.last;
@@ -162,7 +162,7 @@
     }
 
     /// Whether all entries applied after `seq` are still in memory.
-    pub fn covers(&self, seq: u64) -> bool {
+    pub fn has_entries_after(&self, seq: u64) -> bool {
         let first = self.recently_applied.front();
         seq >= self.committed || first.is_some_and(|first| first.seq <= seq + 1)
     }
