--- a/crates/rookpulley-chain/src/chain/catch_up.rs
+++ b/crates/rookpulley-chain/src/chain/catch_up.rs
@@ -229,7 +229,7 @@
             return Vec::new();
         };
         if !self.state.restore(state) {
-            self.log("the state that was handed out can't be read");
+            self.log("cannot decode the received snapshot");
             return Vec::new();
         }
         self.reply_cache = reply_cache;
@@ -243,7 +243,7 @@
         let at_ms = at_ms.max(self.replication.last_at_ms);
         self.replication.start_from_snapshot(seq, at_ms, now);
         self.replication.resume_with_log(at_ms, now, later_entries);
-        self.log(format_args!("filled with all up to update {seq}"));
+        self.log(format_args!("restored a snapshot up to update {seq}"));
         records.extend(self.snapshot_records());
         records.push(self.committed_record());
         records
--- a/crates/rookpulley-chain/src/chain/digests.rs
+++ b/crates/rookpulley-chain/src/chain/digests.rs
@@ -25,7 +25,7 @@
         }
         if self.digests.last_logged_mismatch < seq {
             self.digests.last_logged_mismatch = seq;
-            self.log(format_args!("copies differ at update {seq}"));
+            self.log(format_args!("state digests differ at update {seq}"));
         }
         let others: Vec<u64> = self
             .peers
@@ -41,7 +41,7 @@
             .installed_view()
             .is_none_or(|view| view.members.len() > self.tolerated_losses + 1);
         if is_unmatched && is_outvoted && can_be_spared {
-            self.log("the copy here differs from all others: it is begun anew");
+            self.log("the local state differs from all other replicas; discarding the store");
             self.effects.push(Effect::DiscardStore);
         }
     }
--- a/crates/rookpulley-chain/src/chain/proposer.rs
+++ b/crates/rookpulley-chain/src/chain/proposer.rs
@@ -108,7 +108,7 @@
             return;
         };
         self.log(format_args!(
-            "view {decided} never came to work; the one before, {newest}, is gone on from"
+            "view {decided} never became active; proposing a successor based on view {newest}"
         ));
         self.propose(now, &replies, members, newest);
     }
--- a/crates/rookpulley-chain/src/chain/start.rs
+++ b/crates/rookpulley-chain/src/chain/start.rs
@@ -99,7 +99,7 @@
         if is_bootstrapping || !self.views.is_empty() {
             return;
         }
-        self.log("founds the first view");
+        self.log("bootstrapping the first view");
         let view = self.first_view();
         let mut records = self.initial_snapshot_records();
         records.extend([
--- a/crates/rookpulley-chain/src/chain/status.rs
+++ b/crates/rookpulley-chain/src/chain/status.rs
@@ -117,7 +117,7 @@
         let addresses = self.view().map_or_else(String::new, member_addresses);
         let is_acting = self.installed_view().is_some();
         format!(
-            "view {} of {addresses}, at work {}, {}, update {}",
+            "view {} of {addresses}, active view {}, {}, update {}",
             self.decided(),
             self.active,
             if is_acting { "acting" } else { "idle" },
--- a/crates/rookpulley-chain/src/chain/views.rs
+++ b/crates/rookpulley-chain/src/chain/views.rs
@@ -55,7 +55,7 @@
         let addresses = member_addresses(view);
         self.log(format_args!("view {number} is decided: {addresses}"));
         if is_refounded_between(before, number) {
-            self.log("the chain was founded anew without what is kept here: it is given up");
+            self.log("the chain was refounded from another store; discarding this one");
             self.effects.push(Effect::DiscardStore);
         }
         self.view_learned_ms = now;
@@ -83,7 +83,7 @@
         if number != self.decided() {
             return;
         }
-        self.log(format_args!("view {number} is at work"));
+        self.log(format_args!("view {number} is active"));
         if self.replicated_time(now).is_some() {
             // Other controllers cannot forward requests before they have received the head's time.
             self.send_heartbeats(now);
--- a/crates/rookpulley-chain/tests/filling.rs
+++ b/crates/rookpulley-chain/tests/filling.rs
@@ -165,7 +165,12 @@
     world.rots(1);
     world.play(6_000);
     assert_eq!(world.spoilt, 0);
-    assert!(world.log.iter().any(|line| line.contains("copies differ")));
+    assert!(
+        world
+            .log
+            .iter()
+            .any(|line| line.contains("state digests differ"))
+    );
     world.must_answer();
 }
 
--- a/crates/rookpulley-chain/tests/world/mod.rs
+++ b/crates/rookpulley-chain/tests/world/mod.rs
@@ -1102,10 +1102,13 @@
             answered > 25,
             "only {answered} updates of a second are answered"
         );
-        let differ = self.log.iter().any(|line| line.contains("copies differ"));
+        let differ = self
+            .log
+            .iter()
+            .any(|line| line.contains("state digests differ"));
         assert!(
             self.rotten || !differ,
-            "copies differ without anybody's doing"
+            "state digests differ without an injected fault"
         );
         self.check();
     }
--- a/crates/rookpulley-simulator/tests/worst_days.rs
+++ b/crates/rookpulley-simulator/tests/worst_days.rs
@@ -293,9 +293,9 @@
         let views = played
             .log
             .iter()
-            .filter(|line| line.contains("is at work"))
+            .filter(|line| line.contains("is active"))
             .count();
-        little_served(played).or((views == 0).then(|| "no view came to work".into()))
+        little_served(played).or((views == 0).then(|| "no view became active".into()))
     }
     case(
         day,
