--- a/crates/rookpulley-chain/src/integrity.rs
+++ b/crates/rookpulley-chain/src/integrity.rs
@@ -42,8 +42,8 @@
     /// Reports a row whose contents have another number than its key.
     fn check_number(&mut self, key: &[u8], number: u64) {
         if number_in(key) != Some(number) {
-            let found = format!("of number {number}");
-            self.add(row_name(key), found, "of the number of its key");
+            let found = format!("numbered {number}");
+            self.add(row_name(key), found, "numbered as in its key");
         }
     }
 }
@@ -71,10 +71,10 @@
     for (key, row) in rows {
         match key.first().copied() {
             Some(kind::INCARNATION | kind::INSTALLED | kind::ABANDONED) => {
-                _ = found.decode::<u64>(key, row, "a whole number");
+                _ = found.decode::<u64>(key, row, "an integer");
             }
             Some(kind::COMMITTED) => {
-                let decoded = found.decode(key, row, "an update with its time");
+                let decoded = found.decode(key, row, "a commit position with its time");
                 committed = decoded.unwrap_or_default();
             }
             Some(kind::ACCEPTOR) => _ = found.decode::<AcceptorState>(key, row, "a vote"),
@@ -84,14 +84,14 @@
                 }
             }
             Some(kind::ENTRY) => {
-                let entry = found.decode::<(u64, Entry)>(key, row, "an update with its view");
+                let entry = found.decode::<(u64, Entry)>(key, row, "a log entry with its view");
                 if let Some((view, entry)) = entry {
                     found.check_number(key, entry.seq);
                     entries.push((view, entry));
                 }
             }
             Some(kind::SNAPSHOT_HEADER) => {
-                header = found.decode(key, row, "the head of a snapshot");
+                header = found.decode(key, row, "a snapshot header");
             }
             _ => {}
         }
@@ -113,7 +113,7 @@
     let has_header = rows.iter().any(|(key, _)| key == &[kind::SNAPSHOT_HEADER]);
     match header {
         None if !has_header && persisted.installed > 0 => {
-            let expected = format!("there, as view {} is installed", persisted.installed);
+            let expected = format!("present, as view {} is installed", persisted.installed);
             found.add("snapshot", "missing", expected);
         }
         Some(header) if persisted.snapshot.is_none() => {
@@ -123,8 +123,8 @@
             let lengths = chunks.take(header.chunks as usize).map(|(_, c)| c.len());
             let length: usize = lengths.sum();
             if length as u64 == header.length {
-                let actual = "spoilt (its sum is another)";
-                found.add("snapshot", actual, "as it was written");
+                let actual = "corrupt (checksum mismatch)";
+                found.add("snapshot", actual, "intact");
             } else {
                 let actual = format!("{length} bytes long");
                 found.add("snapshot", actual, format!("{} bytes long", header.length));
@@ -132,8 +132,8 @@
         }
         Some(_) if persisted.status().snapshot.is_none() => found.add(
             "snapshot",
-            "without the late answers",
-            "the late answers, then the state",
+            "without a readable reply cache",
+            "a reply cache followed by the state",
         ),
         _ => {}
     }
@@ -152,21 +152,25 @@
     let newest = entries.iter().map(|(view, _)| *view).max().unwrap_or(0);
     let is_part_of_log =
         |view: u64, seq: u64| seq <= committed || (view == newest && persisted.installed <= newest);
-    let behind = entries
+    let later = entries
         .iter()
         .filter(|(view, entry)| entry.seq > last && is_part_of_log(*view, entry.seq))
         .count();
-    if behind > 0 || committed > last {
+    if later > 0 || committed > last {
         let missing = last + 1;
-        let actual = format!("without update {missing}, and {behind} behind it are there");
-        let expected = format!("whole from update {} on", header.seq + 1);
+        let actual = format!("missing update {missing}, with {later} later ones present");
+        let expected = format!("complete from update {} on", header.seq + 1);
         found.add("log", actual, expected);
     }
     for (before, entry) in persisted.log.iter().zip(persisted.log.iter().skip(1)) {
         if entry.at_ms < before.at_ms {
             let place = format!("update {}", entry.seq);
-            let actual = format!("of {} ms", entry.at_ms);
-            found.add(place, actual, format!("of {} ms or later", before.at_ms));
+            let actual = format!("timestamped {} ms", entry.at_ms);
+            found.add(
+                place,
+                actual,
+                format!("timestamped {} ms or later", before.at_ms),
+            );
         }
     }
 }
@@ -175,7 +179,7 @@
     for view in &persisted.views {
         if view.members.is_empty() {
             let place = format!("view {}", view.number);
-            found.add(place, "without members", "of one member at least");
+            found.add(place, "without members", "with at least one member");
         }
     }
     let oldest = persisted.views.first().map(|view| view.number);
@@ -185,18 +189,18 @@
     if installed > 0 && oldest.is_none_or(|oldest| oldest <= installed) {
         match view_of(persisted, installed) {
             None => {
-                let actual = format!("{installed}, which is not known");
-                found.add("installed view", actual, "a known one");
+                let actual = format!("{installed}, which is not in the store");
+                found.add("installed view", actual, "a stored view");
             }
             Some(view) if identity.is_some_and(|id| view.position(id).is_none()) => {
                 let actual = format!("{installed} without this identity");
-                found.add("installed view", actual, "one that names it");
+                found.add("installed view", actual, "a view that contains it");
             }
             _ => {}
         }
     }
     if persisted.abandoned > newest {
-        let actual = format!("{} (never installed up to it)", persisted.abandoned);
+        let actual = format!("{} (views up to it are abandoned)", persisted.abandoned);
         found.add(
             "row n",
             actual,
@@ -218,19 +222,23 @@
         .checked_sub(1)
         .and_then(|before| view_of(persisted, before));
     if before.is_some_and(|view| identity.is_some_and(|id| !view.is_acceptor(id))) {
-        let expected = "for a view after one that this identity votes in";
+        let expected = "for a view after one in which this identity is an acceptor";
         found.add("vote", format!("for view {number}"), expected);
     }
     let Some((ballot, view)) = &acceptor.accepted else {
         return;
     };
     if view.number != number {
-        let actual = format!("an accepted view {}", view.number);
-        found.add("vote", actual, format!("view {number}"));
+        let actual = format!("with accepted view {}", view.number);
+        found.add("vote", actual, format!("with accepted view {number}"));
     }
     if *ballot > acceptor.promised {
         let actual = "accepted in a ballot above the promised one";
-        found.add("vote", actual, "of the promised ballot at most");
+        found.add(
+            "vote",
+            actual,
+            "accepted in the promised ballot or a lower one",
+        );
     }
 }
 
--- a/crates/rookpulley-cli/tests/gateway.rs
+++ b/crates/rookpulley-cli/tests/gateway.rs
@@ -617,7 +617,7 @@
             },
             1,
             &[
-                "snapshot is spoilt (its sum is another); it should be as it was written\n",
+                "snapshot is corrupt (checksum mismatch); it should be intact\n",
                 "installed view 2",
                 unsound,
             ],
@@ -630,7 +630,7 @@
             },
             1,
             &[
-                "log is without update 602, and 2 behind it are there; it should be whole from update ",
+                "log is missing update 602, with 2 later ones present; it should be complete from update ",
                 // What was agreed on is not all there: it can be no source.
                 "installed view 0 (newest known 2), update 601, configuration 8; a controller goes on with it\n",
             ],
@@ -639,9 +639,9 @@
             |controller| controller.write(vec![put(&keyed(b'v', 2), [255]), put(b"n", [])]),
             1,
             &[
-                "row n is unreadable (0 bytes); it should be a whole number\n",
+                "row n is unreadable (0 bytes); it should be an integer\n",
                 "row v 2 is unreadable (1 bytes); it should be a view\n",
-                "installed view is 2, which is not known; it should be a known one\n",
+                "installed view is 2, which is not in the store; it should be a stored view\n",
                 unsound,
             ],
         ),
@@ -657,7 +657,7 @@
             |controller| controller.write(vec![Record::Delete { key: b"S".to_vec() }]),
             1,
             &[
-                "snapshot is missing; it should be there, as view 2 is installed\n",
+                "snapshot is missing; it should be present, as view 2 is installed\n",
                 unsound,
             ],
         ),
