--- a/crates/rookpulley-chain/src/chain/proposer.rs
+++ b/crates/rookpulley-chain/src/chain/proposer.rs
@@ -163,7 +163,7 @@
         self.reconfiguration.round += 1;
         let ballot = Ballot {
             round: self.reconfiguration.round,
-            by: self.me.incarnation,
+            proposer: self.me.incarnation,
         };
         let promises = BTreeMap::new();
         let step = Step::Preparing {
--- a/crates/rookpulley-chain/src/view.rs
+++ b/crates/rookpulley-chain/src/view.rs
@@ -94,5 +94,5 @@
     /// Increases with each proposal of one proposer.
     pub round: u64,
     /// The proposer's incarnation. It keeps ballots unique after a restart, when earlier rounds are forgotten.
-    pub by: u64,
+    pub proposer: u64,
 }
--- a/crates/rookpulley-chain/tests/doubts.rs
+++ b/crates/rookpulley-chain/tests/doubts.rs
@@ -211,7 +211,7 @@
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, by: 9 }
+    Ballot { round, proposer: 9 }
 }
 
 #[test]
--- a/crates/rookpulley-control/tests/compatibility/frames.rs
+++ b/crates/rookpulley-control/tests/compatibility/frames.rs
@@ -122,7 +122,13 @@
 }
 
 fn paxos_messages() -> Vec<(&'static str, Message)> {
-    let (ballot, number) = (Ballot { round: 4, by: 9 }, 7);
+    let (ballot, number) = (
+        Ballot {
+            round: 4,
+            proposer: 9,
+        },
+        7,
+    );
     let accepted = Some((ballot, view(7)));
     let promise = Message::Promise {
         number,
