--- a/crates/rookpulley-assigner/src/driver.rs
+++ b/crates/rookpulley-assigner/src/driver.rs
@@ -12,11 +12,11 @@
 use crate::say;
 use crate::servers::Servers;
 use crate::streams::{ConnId, Conns};
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use rookpulley_files::watch::Found;
 use rookpulley_operators::Asked;
-use rookpulley_versions::{Book, Claim, Kinds};
+use rookpulley_versions::{Claim, Kinds, VersionManager};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -146,7 +146,7 @@
 /// What the operators' file switched on.
 #[derive(Default)]
 pub struct Switched {
-    pub book: Option<Book>,
+    pub book: Option<VersionManager>,
     pub servers: Option<Servers>,
 }
 
@@ -221,7 +221,11 @@
             .keys()
             .next()
             .map(|(us, _)| self.clock.at_ms(*us as f64 / 1e3));
-        let idle = self.orders.book.as_ref().map_or(3_600_000.0, Book::look_ms);
+        let idle = self
+            .orders
+            .book
+            .as_ref()
+            .map_or(3_600_000.0, VersionManager::check_interval_ms);
         let idle = Duration::from_secs_f64(idle / 1e3);
         let due = due
             .unwrap_or_else(|| Instant::now() + idle)
@@ -262,7 +266,7 @@
                 self.front
                     .counters
                     .most("most proxies joined", self.streams.len() as u64);
-                self.inputs.push(Input::Joined {
+                self.inputs.push(Input::ProxyJoined {
                     proxy,
                     zone,
                     usual_per_s,
@@ -276,7 +280,7 @@
                 holds,
             } => match self.streams.get(&proxy) {
                 Some(stream) if stream.conn == conn => match input {
-                    Input::Applied { mark, .. }
+                    Input::Acknowledged { mark, .. }
                         if !self
                             .orders
                             .answered(self.clock.now_ms(), proxy, mark, &holds) =>
@@ -304,7 +308,7 @@
                         "version",
                         "proxy {proxy} refused an order, it holds {holds:?}"
                     );
-                    book.refuses(self.clock.now_ms(), proxy, kinds, holds);
+                    book.record_refusal(self.clock.now_ms(), proxy, kinds, holds);
                 }
                 _ => self.front.counters.one("late input of old streams"),
             },
@@ -325,7 +329,7 @@
                 }
             }
             Event::Report(input) => match &input {
-                Input::Heard { server, .. } if !self.names.contains_key(server) => {
+                Input::ServerReport { server, .. } if !self.names.contains_key(server) => {
                     self.front.counters.one("bad input: unknown server");
                     say!(
                         self.front.log,
@@ -361,7 +365,7 @@
                     lines,
                 });
             }
-            Event::Note { from, bytes } => self.inputs.push(Input::Note { from, bytes }),
+            Event::Note { from, bytes } => self.inputs.push(Input::PeerMessage { from, bytes }),
         }
     }
 
@@ -371,7 +375,7 @@
             return;
         };
         let mut owed = book.take_uncounted();
-        for (proxy, table) in book.due_by_now(now) {
+        for (proxy, table) in book.poll_due(now) {
             say!(
                 self.front.log,
                 "version",
@@ -381,7 +385,7 @@
         }
         self.front.counters.add("tables owed", owed.len() as u64);
         self.inputs
-            .extend(owed.into_iter().map(|table| Input::Lost { table }));
+            .extend(owed.into_iter().map(|table| Input::TableLost { table }));
     }
 
     /// A list for the module; names are learnt from it.
@@ -399,7 +403,7 @@
             }
             debug_assert_eq!(line.server, server_id(&name));
             self.shown
-                .entry(rookpulley::state::show(line.server))
+                .entry(rookpulley::state::format_server(line.server))
                 .or_insert(line.server);
             self.names.entry(line.server).or_insert(name);
         }
@@ -415,7 +419,7 @@
         let now = self.clock.now_ms();
         let due = (now * 1e3) as u64;
         while let Some(alarm) = self.alarms.first_entry().filter(|a| a.key().0 <= due) {
-            self.inputs.push(Input::Alarm {
+            self.inputs.push(Input::TimerFired {
                 name: alarm.remove(),
             });
         }
@@ -441,7 +445,7 @@
         }
         for effect in effects {
             match effect {
-                Effect::Alarm { in_ms, name } => {
+                Effect::SetTimer { in_ms, name } => {
                     self.alarms_set += 1;
                     self.alarms
                         .insert((due + (in_ms * 1e3) as u64, self.alarms_set), name);
@@ -449,29 +453,31 @@
                 Effect::Log(text) => {
                     say!(self.front.log, "module", "{}", self.named(&text));
                 }
-                Effect::Note { to, bytes } => {
+                Effect::PeerMessage { to, bytes } => {
                     if let Some(peers) = &self.peers {
                         peers.send(to, &bytes, &self.front);
                     }
                 }
                 // Lifted for good: no list, table or proxy of ours names it any more.
-                Effect::Withdraw { server, out: false } if !self.controller.knows(&server) => {
+                Effect::WithdrawServer { server, out: false }
+                    if !self.controller.knows(&server) =>
+                {
                     self.names.remove(&server);
-                    self.shown.remove(&rookpulley::state::show(server));
+                    self.shown.remove(&rookpulley::state::format_server(server));
                     self.orders.forget(&server);
                     self.front.counters.one("servers forgotten");
                 }
-                Effect::Back { table, what } => {
+                Effect::RollbackStatus { table, what } => {
                     say!(self.front.log, "way back", "table {table}: {what:?}");
                     self.ways_back.hear(table, &what);
                 }
-                Effect::Watch { on } => self.roster.set_watch(on),
-                Effect::Fetch => self.roster.fetch(),
+                Effect::WatchList { on } => self.roster.set_watch(on),
+                Effect::FetchList => self.roster.fetch(),
                 // On sockets there is no way to probe.
-                Effect::Probe { server } => {
+                Effect::ProbeServer { server } => {
                     self.front.counters.one("probes not possible");
-                    let (answer, took_ms, load) = (ProbeAnswer::Void, 0.0, Vec::new());
-                    self.inputs.push(Input::Probed {
+                    let (answer, took_ms, load) = (ProbeOutcome::Void, 0.0, Vec::new());
+                    self.inputs.push(Input::ProbeCompleted {
                         server,
                         answer,
                         took_ms,
--- a/crates/rookpulley-assigner/src/messages.rs
+++ b/crates/rookpulley-assigner/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages, decoded once into small typed values and encoded once. Only here stand the wire's words.
 
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley_versions::{Claim, Kinds};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -76,7 +76,7 @@
             Self::Collector { .. } => "collectors",
             Self::Joining { .. } => "joinings",
             Self::OfProxy {
-                input: Input::Applied { .. },
+                input: Input::Acknowledged { .. },
                 ..
             } => "marks answered",
             Self::OfProxy { .. } => "usage",
@@ -200,12 +200,12 @@
 
 fn load_field(name: &str) -> LoadField {
     match name {
-        "inflight" | "concurrent" => LoadField::Held,
+        "inflight" | "concurrent" => LoadField::InFlight,
         "queue" | "depth" => LoadField::Queue,
         "util" | "load_share" => LoadField::Busy,
         "latency_ms" | "mean_ms" => LoadField::ServiceMs,
-        "qps" | "tps" => LoadField::DonePerS,
-        "eps" | "err_ps" => LoadField::ErroredPerS,
+        "qps" | "tps" => LoadField::CompletedPerS,
+        "eps" | "err_ps" => LoadField::FailedPerS,
         _ => LoadField::Other,
     }
 }
@@ -312,7 +312,7 @@
                 let holds = self.holds(&told)?.unwrap_or_default();
                 Message::OfProxy {
                     proxy,
-                    input: Input::Applied {
+                    input: Input::Acknowledged {
                         proxy,
                         mark,
                         took_ms,
@@ -324,7 +324,7 @@
                 let (proxy, kind) = (self.proxy(&told)?, told.place("class", &self.kinds)?.into());
                 // Those that could not be served may have come in a span before.
                 let [came, bad, span_ms] = told.figures(["tries", "failed", "span_ms"])?;
-                let input = Input::Usage {
+                let input = Input::ProxyUsage {
                     proxy,
                     kind,
                     came,
@@ -354,7 +354,7 @@
                 let zone = told.place("zone", &self.zones)?;
                 let server = server_id(&told.get::<Cow<str>>("server")?);
                 let load = self.load(&told)?;
-                Message::Heard(Input::Heard {
+                Message::Heard(Input::ServerReport {
                     zone,
                     server,
                     tries,
@@ -434,7 +434,7 @@
 pub struct List {
     pub version: u64,
     pub whole: bool,
-    pub lines: Vec<Listed>,
+    pub lines: Vec<ServerEntry>,
     /// In the order of the lines.
     pub names: Vec<String>,
 }
@@ -453,7 +453,7 @@
             if !(weight >= 0.0 && started_ms >= 0.0) {
                 return Err(Bad::Unreadable("a figure below 0".into()));
             }
-            list.lines.push(Listed {
+            list.lines.push(ServerEntry {
                 server: server_id(&server.name),
                 zone: place(&self.zones, &server.zone).unwrap_or(ELSEWHERE),
                 machine: place(&self.machines, &server.machine).unwrap_or(ELSEWHERE),
--- a/crates/rookpulley-assigner/src/operators.rs
+++ b/crates/rookpulley-assigner/src/operators.rs
@@ -5,15 +5,17 @@
 use crate::messages::server_id;
 use crate::orders::{Orders, places};
 use crate::servers::Servers;
-use rookpulley::facts::{Back, ChannelFacts, Input, TableId};
+use rookpulley::interface::{ChannelLimits, Input, RollbackStatus, TableId};
 use rookpulley_operators::address;
 use rookpulley_operators::asks::{
     Answer, Ask, Asked, BackList, BackRow, DiffList, DiffRow, HolderList, HolderRow, Refusal,
     VersionList, VersionRow,
 };
 use rookpulley_operators::file::{Reach, Token};
-use rookpulley_versions::version::start_of;
-use rookpulley_versions::{Book, Bounds, Delta, History, Issuer, Judged, Patience, Version};
+use rookpulley_versions::version::start_id;
+use rookpulley_versions::{
+    AckTimeouts, Delta, History, Issuer, RetentionLimits, SyncState, Version, VersionManager,
+};
 use std::collections::BTreeSet;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -71,17 +73,17 @@
 
 /// The book of one start. The start's name must never come again, also where the seed of the configuration
 /// does: its part of chance is the process's own.
-pub fn book(name: &str, keep: Bounds, channel: &ChannelFacts) -> Book {
+pub fn book(name: &str, keep: RetentionLimits, channel: &ChannelLimits) -> VersionManager {
     let chance = RandomState::new().hash_one(std::process::id()) as u32;
-    let start = start_of(unix_ms(), chance);
-    Book::new(
+    let start = start_id(unix_ms(), chance);
+    VersionManager::new(
         Issuer {
             assigner: name.into(),
             start,
         },
         1,
         keep,
-        Patience::for_transit(channel.transit_most_ms),
+        AckTimeouts::for_transit(channel.max_transit_ms),
     )
 }
 
@@ -106,7 +108,7 @@
     }
 }
 
-fn row(table: TableId, what: &Back) -> BackRow {
+fn row(table: TableId, what: &RollbackStatus) -> BackRow {
     let blank = BackRow {
         table,
         what: String::new(),
@@ -115,18 +117,18 @@
         of: None,
     };
     match what {
-        Back::Held { lines, of } => BackRow {
+        RollbackStatus::Held { lines, of } => BackRow {
             what: "held".into(),
             usable: Some(*lines),
             of: Some(*of),
             ..blank
         },
-        Back::Refused(why) => BackRow {
+        RollbackStatus::Refused(why) => BackRow {
             what: "refused".into(),
             why: Some(why.to_string()),
             ..blank
         },
-        Back::Ended(why) => BackRow {
+        RollbackStatus::Ended(why) => BackRow {
             what: "ended".into(),
             why: Some(why.to_string()),
             ..blank
@@ -159,14 +161,16 @@
             (Ask::Holders, Some(book), _) => Ok(holders(now, book, orders, &self.held)),
             (Ask::Diff { from, to }, Some(book), _) => Ok(diff(&book.history, &from, &to)),
             (Ask::Rollback { to, table, all }, Some(book), _) => go_back(book, &to, table, all),
-            (Ask::Release { table: Some(table) }, ..) => Err(vec![Input::Release { table }]),
+            (Ask::Release { table: Some(table) }, ..) => {
+                Err(vec![Input::ReleaseRollback { table }])
+            }
             (Ask::Release { .. }, ..) if self.held.is_empty() => {
                 Ok(refused(409, "no table is held back", "see holders"))
             }
             (Ask::Release { .. }, ..) => Err(self
                 .held
                 .iter()
-                .map(|table| Input::Release { table: *table })
+                .map(|table| Input::ReleaseRollback { table: *table })
                 .collect()),
         };
         match said {
@@ -177,10 +181,14 @@
             }
             Err(inputs) => {
                 let table = |i: &Input| match i {
-                    Input::GoBack { table, .. } | Input::Release { table } => Some(*table),
+                    Input::Rollback { table, .. } | Input::ReleaseRollback { table } => {
+                        Some(*table)
+                    }
                     _ => None,
                 };
-                let releases = inputs.iter().any(|i| matches!(i, Input::Release { .. }));
+                let releases = inputs
+                    .iter()
+                    .any(|i| matches!(i, Input::ReleaseRollback { .. }));
                 let tables = inputs.iter().filter_map(table).collect();
                 self.waiting.push(Waiting {
                     tables,
@@ -194,13 +202,13 @@
     }
 
     /// What the module made of a way back; whoever waits for no further table is answered.
-    pub fn hear(&mut self, table: TableId, what: &Back) {
+    pub fn hear(&mut self, table: TableId, what: &RollbackStatus) {
         match what {
-            Back::Held { .. } => _ = self.held.insert(table),
-            Back::Ended(_) => _ = self.held.remove(&table),
-            Back::Refused(_) => {}
+            RollbackStatus::Held { .. } => _ = self.held.insert(table),
+            RollbackStatus::Ended(_) => _ = self.held.remove(&table),
+            RollbackStatus::Refused(_) => {}
         }
-        let ended = matches!(what, Back::Ended(_));
+        let ended = matches!(what, RollbackStatus::Ended(_));
         let waits = |w: &&mut Waiting| w.tables.contains(&table) && (w.releases || !ended);
         let Some(waiting) = self.waiting.iter_mut().find(waits) else {
             return;
@@ -225,8 +233,8 @@
         digest: issued.table.digest().to_string(),
         lines: issued.table.len(),
         issued_ms: issued.at_ms.round(),
-        newest: issued.until.is_none(),
-        in_use: issued.pinned(),
+        newest: issued.superseded_by.is_none(),
+        in_use: issued.is_pinned(),
     });
     let issuer = history.issuer();
     let (assigner, start) = (
@@ -240,32 +248,37 @@
     })
 }
 
-fn judged(judged: Judged) -> &'static str {
+fn judged(judged: SyncState) -> &'static str {
     match judged {
-        Judged::Unknown => "unknown",
-        Judged::Behind => "behind",
-        Judged::InStep => "in step",
-        Judged::Lost => "lost",
-        Judged::Diverged => "diverged",
+        SyncState::Unknown => "unknown",
+        SyncState::Behind => "behind",
+        SyncState::InSync => "in step",
+        SyncState::Lost => "lost",
+        SyncState::Diverged => "diverged",
     }
 }
 
-fn holders(now: f64, book: &Book, orders: &Orders, held_back: &BTreeSet<TableId>) -> Answer {
+fn holders(
+    now: f64,
+    book: &VersionManager,
+    orders: &Orders,
+    held_back: &BTreeSet<TableId>,
+) -> Answer {
     let named = |n: Option<u64>| n.map(|n| book.history.version(n).to_string());
     let mut holders = Vec::new();
-    for (dispatcher, entry) in book.ledger.entries() {
+    for (dispatcher, entry) in book.deliveries.entries() {
         for (table, held) in entry.tables() {
             let kinds = places(book.kinds_of(dispatcher, table));
             holders.push(HolderRow {
                 dispatcher,
                 joined: entry.joined,
-                speaks: entry.speaks,
+                speaks: entry.reports_versions,
                 kinds: kinds
                     .filter_map(|k| orders.kinds().get(k).cloned())
                     .collect(),
                 table,
-                judged: judged(held.judged).into(),
-                told: named(held.told),
+                judged: judged(held.sync_state).into(),
+                told: named(held.sent),
                 confirmed: named(held.confirmed),
                 claimed: held
                     .claimed
@@ -273,7 +286,7 @@
                     .and_then(|c| c.version.as_ref())
                     .map(Version::to_string),
                 waits_ms: entry
-                    .waits_since_ms()
+                    .oldest_pending_since_ms()
                     .map(|since| (now - since).max(0.0).round()),
                 back: held_back.contains(&table),
             });
@@ -316,12 +329,17 @@
     })
 }
 
-fn go_back(book: &Book, to: &str, table: Option<TableId>, all: bool) -> Result<Answer, Vec<Input>> {
+fn go_back(
+    book: &VersionManager,
+    to: &str,
+    table: Option<TableId>,
+    all: bool,
+) -> Result<Answer, Vec<Input>> {
     let version: Version = match to.parse() {
         Ok(version) => version,
         Err(e) => return Ok(refused(400, format!("{e}"), "see versions")),
     };
-    let ways = match book.way_back(&version, table, all) {
+    let ways = match book.rollback_tables(&version, table, all) {
         Ok(ways) => ways,
         Err(e) => return Ok(refused(404, format!("{e}"), "see versions")),
     };
@@ -330,7 +348,7 @@
     };
     Err(ways
         .iter()
-        .map(|(id, table)| Input::GoBack {
+        .map(|(id, table)| Input::Rollback {
             table: *id,
             lines: lines(table),
         })
--- a/crates/rookpulley-assigner/src/streams.rs
+++ b/crates/rookpulley-assigner/src/streams.rs
@@ -5,7 +5,7 @@
 use crate::messages::{Bad, LINE_MOST, Message, beat_answer};
 use crate::outbox::Outbox;
 use crate::say;
-use rookpulley::facts::{Input, ProxyId, ZoneId};
+use rookpulley::interface::{Input, ProxyId, ZoneId};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -334,7 +334,7 @@
                 | (
                     Role::Collector(_),
                     Message::OfProxy {
-                        input: input @ Input::Usage { .. },
+                        input: input @ Input::ProxyUsage { .. },
                         ..
                     },
                 ) => {
--- a/crates/rookpulley-assigner/tests/sockets.rs
+++ b/crates/rookpulley-assigner/tests/sockets.rs
@@ -1,7 +1,7 @@
 //! The assigner on loopback sockets, against stand-ins of its own. Tests wait for what happens, not for
 //! a clock; where a stand-in has a pace of its own, a slower one changes nothing.
 
-use rookpulley::facts::Input;
+use rookpulley::interface::Input;
 use rookpulley_assigner::counters::Counters;
 use rookpulley_assigner::driver::{Event, Front};
 use rookpulley_assigner::ending::{ALL, Ending};
@@ -138,7 +138,7 @@
         let mut new = Wire::join(running.place, 2, false).await;
         new.table().await;
         // Input of the old one that was read before its end and comes after the joining of the new.
-        let input = Input::Applied {
+        let input = Input::Acknowledged {
             proxy: 2,
             mark: 0,
             took_ms: 1.0,
--- a/crates/rookpulley-chain/src/chain/heartbeats.rs
+++ b/crates/rookpulley-chain/src/chain/heartbeats.rs
@@ -1,8 +1,8 @@
-//! Failure detection: who is in two-way contact.
+//! Failure detection based on two-way contact.
 //!
-//! A heartbeat carries the sender's clock and echoes the newest one heard from the receiver. Only an echo of one's own
-//! clock counts as contact, so one direction that works is not enough, and what lay in a socket for long counts for
-//! little.
+//! A heartbeat carries the sender's clock and echoes the latest clock received from the receiver. Only an echo of the
+//! local clock counts as contact, so a link that works in one direction is not enough, and messages that were delayed
+//! in a socket prove no recent contact.
 
 use super::{Chain, SUSPECT_AFTER_DISCONNECT_MS, SUSPECT_AFTER_MS};
 use crate::message::{MemberStatus, Message};
@@ -11,8 +11,8 @@
 use crate::state::State;
 use crate::view::Member;
 
-/// A peer that is in no view and was not heard for so long is forgotten.
-const FORGET_PEER_MS: u64 = 30_000;
+/// A peer outside the newest view is removed after this long without a heartbeat.
+const PEER_EXPIRY_MS: u64 = 30_000;
 
 impl<S: State> Chain<S> {
     pub(super) fn in_contact(&self, now: u64, id: u64) -> bool {
@@ -32,7 +32,8 @@
         in_contact.count() >= view.majority()
     }
 
-    /// Whether it is in touch and a member: what is applied here is as new as it can be.
+    /// Whether this controller is in contact with a majority and has installed the newest view, so that its state is
+    /// current.
     pub fn serving(&self, now: u64) -> bool {
         self.in_touch(now) && self.installed_view().is_some()
     }
@@ -48,7 +49,7 @@
         if peer.status.member.incarnation != member.incarnation {
             peer.restart(member);
         }
-        // Contact with a new peer is to be known as soon as can be.
+        // Contact with a new peer is established without waiting for the next interval.
         if peer.contact_ms.is_none() {
             self.send_heartbeat(now, member.id);
         }
@@ -58,12 +59,12 @@
         let Some(peer) = self.peers.get_mut(&id) else {
             return;
         };
-        let at_most = now.saturating_sub(SUSPECT_AFTER_MS - SUSPECT_AFTER_DISCONNECT_MS);
-        peer.contact_ms = peer.contact_ms.map(|at| at.min(at_most));
+        let latest_contact = now.saturating_sub(SUSPECT_AFTER_MS - SUSPECT_AFTER_DISCONNECT_MS);
+        peer.contact_ms = peer.contact_ms.map(|at| at.min(latest_contact));
     }
 
-    /// Our monotonic clock as it is sent. It begins elsewhere for each incarnation, so that an echo of an earlier one
-    /// means nothing.
+    /// The local monotonic clock as sent in heartbeats. The offset differs between incarnations, so echoes sent to an
+    /// earlier one are not counted.
     fn sent_clock(&self, now: u64) -> u64 {
         (self.me.incarnation >> 16) + now
     }
@@ -75,7 +76,7 @@
         let message = Message::Heartbeat {
             status: self.own_status(),
             sent: self.sent_clock(now),
-            echo: peer.sent,
+            echo: peer.latest_clock,
             head_time_ms: self.replicated_time(now),
         };
         self.send_to_peer(to, message);
@@ -84,8 +85,8 @@
     pub(super) fn send_heartbeats(&mut self, now: u64) {
         let view = self.views.last();
         self.peers.retain(|id, peer| {
-            let is_old = now > peer.last_heard_ms + FORGET_PEER_MS;
-            !is_old || view.is_some_and(|view| view.is_acceptor(*id))
+            let is_expired = now > peer.last_heard_ms + PEER_EXPIRY_MS;
+            !is_expired || view.is_some_and(|view| view.is_acceptor(*id))
         });
         let to: Vec<u64> = self.peers.keys().copied().collect();
         for id in to {
@@ -108,24 +109,24 @@
         let Some(peer) = self.peers.get_mut(&from).filter(is_known) else {
             return self.handle_peer_discovered(now, status.member);
         };
-        let is_first = peer.sent.is_none();
+        let is_first_heartbeat = peer.latest_clock.is_none();
         let had_no_contact = peer.contact_ms.is_none();
         let health_changed = peer.status.slow != status.slow;
         peer.last_heard_ms = now;
-        peer.sent = Some(sent);
+        peer.latest_clock = Some(sent);
         peer.status = status.clone();
-        // Our clock has come back: both directions have worked since then.
+        // The echoed clock shows that both directions have worked since then.
         let contact = echo
             .and_then(|echo| echo.checked_sub(clock_start))
             .filter(|at| *at <= now && now < *at + SUSPECT_AFTER_MS);
         if let Some(at) = contact {
             peer.contact_ms = peer.contact_ms.max(Some(at));
-            peer.echoed = peer.echoed.max(Some(at));
-            if !self.supersede_address(from, status.member, at) {
+            peer.last_echo_ms = peer.last_echo_ms.max(Some(at));
+            if !self.resolve_address_conflict(from, status.member, at) {
                 return;
             }
         }
-        if is_first {
+        if is_first_heartbeat {
             self.send_heartbeat(now, from);
         }
         if let Some(at_ms) = head_time_ms {
@@ -140,7 +141,7 @@
         if head_time_ms.is_some() {
             self.forward_due(now);
         }
-        self.teach_views(now, from, status.decided);
+        self.send_newer_views(now, from, status.decided);
         self.check_successor(now, from, &status);
         self.request_catch_up(now);
         self.compare_digests(status.digest);
@@ -149,14 +150,14 @@
         }
     }
 
-    /// Of two identities at one address only the later one is there; the other one's disk is lost. False: `from`, whose
-    /// echo is of `at`, is the one that was lost.
-    fn supersede_address(&mut self, from: u64, member: Member, at: u64) -> bool {
+    /// Resolves two identities at one address: the one with the newer echo stays, since the disk of the other is lost.
+    /// Returns false if `from`, whose echo is from `at`, is the one that is removed.
+    fn resolve_address_conflict(&mut self, from: u64, member: Member, at: u64) -> bool {
         let same_address = |peer: &PeerState| peer.status.member.address == member.address;
         let is_superseded = self
             .peers
             .iter()
-            .any(|(id, peer)| *id != from && same_address(peer) && peer.echoed > Some(at));
+            .any(|(id, peer)| *id != from && same_address(peer) && peer.last_echo_ms > Some(at));
         if is_superseded {
             self.peers.remove(&from);
             return false;
@@ -174,7 +175,7 @@
             active: self.active,
             last: self.replication.last,
             committed: self.replication.committed,
-            slow: self.disk_slow || !self.disk_proven,
+            slow: self.disk_slow || !self.first_write_synced,
             digest: self.digests.latest,
         }
     }
--- a/crates/rookpulley-chain/src/chain/views.rs
+++ b/crates/rookpulley-chain/src/chain/views.rs
@@ -1,17 +1,17 @@
-//! Decided views: which are remembered, and what a new one changes.
+//! Learning of decided views, and the transition to a newer one.
 
 use super::Chain;
 use crate::after_sync::AfterSync;
 use crate::effect::Effect;
 use crate::message::Message;
-use crate::persisted::{self, MAX_VIEWS, Record};
+use crate::persisted::{self, MAX_RETAINED_VIEWS, Record};
 use crate::refound::is_refounded_between;
 use crate::state::State;
 use crate::view::View;
 
 impl<S: State> Chain<S> {
-    /// Takes decided views. Older ones that were missed are remembered as well: a view that never became active can
-    /// only be passed over by who knows its members.
+    /// Learns decided views. Missed older views are kept too, because a view that never became active can be skipped
+    /// only by a proposer that knows its members.
     pub(super) fn learn_views(&mut self, now: u64, views: Vec<View>) {
         let before = self.decided();
         let unknown = self.unknown_views(views);
@@ -21,19 +21,19 @@
         let mut records: Vec<Record> = unknown.iter().map(persisted::put_view).collect();
         self.views.extend(unknown);
         self.views.sort_by_key(|view| view.number);
-        while self.views.len() > MAX_VIEWS {
+        while self.views.len() > MAX_RETAINED_VIEWS {
             let forgotten = self.views.remove(0);
             records.push(persisted::delete_view(forgotten.number));
         }
         self.write(records, AfterSync::Nothing);
         if self.decided() > before {
-            self.begin_view(now, before);
+            self.handle_newer_view(now, before);
         }
     }
 
-    /// Of these views those that are to be remembered and aren't yet.
+    /// The given views that should be retained and are not known yet.
     fn unknown_views(&self, views: Vec<View>) -> Vec<View> {
-        let is_full = self.views.len() >= MAX_VIEWS;
+        let is_full = self.views.len() >= MAX_RETAINED_VIEWS;
         let oldest = self.views.first().filter(|_| is_full);
         let oldest = oldest.map_or(0, |view| view.number);
         let is_known = |number: u64| self.views.iter().any(|known| known.number == number);
@@ -46,8 +46,8 @@
         unknown
     }
 
-    /// A newer view than `before` is known. Whatever the one before was waiting for is over.
-    fn begin_view(&mut self, now: u64, before: u64) {
+    /// Starts the transition to a view newer than `before`, and cancels what was pending in the previous one.
+    fn handle_newer_view(&mut self, now: u64, before: u64) {
         let Some(view) = self.view() else {
             return;
         };
@@ -55,18 +55,18 @@
         let addresses = member_addresses(view);
         self.log(format_args!("view {number} is decided: {addresses}"));
         if is_refounded_between(before, number) {
-            self.log("the chain was founded anew without what is kept here: it is given up");
+            self.log("the chain was refounded from another store; discarding this one");
             self.effects.push(Effect::DiscardStore);
         }
-        self.learned_ms = now;
+        self.view_learned_ms = now;
         self.reconfiguration.reset(now);
         self.catch_up.pending_install = None;
         self.replication.reads.clear();
         self.install_as_source(now);
     }
 
-    /// Tells a peer of the views that it doesn't know.
-    pub(super) fn teach_views(&mut self, now: u64, to: u64, known: u64) {
+    /// Sends a peer the views that it does not know.
+    pub(super) fn send_newer_views(&mut self, now: u64, to: u64, known: u64) {
         if known >= self.decided() {
             return;
         }
@@ -83,16 +83,16 @@
         if number != self.decided() {
             return;
         }
-        self.log(format_args!("view {number} is at work"));
+        self.log(format_args!("view {number} is active"));
         if self.replicated_time(now).is_some() {
-            // Nobody can forward a request before having heard our time.
+            // Other controllers cannot forward requests before they have received the head's time.
             self.send_heartbeats(now);
         }
         self.forward_due(now);
     }
 }
 
-/// The members' addresses from head to tail, for the log.
+/// The members' IP addresses from head to tail, for log lines.
 pub(super) fn member_addresses(view: &View) -> String {
     let addresses: Vec<String> = view
         .members
--- a/crates/rookpulley-chain/src/peer.rs
+++ b/crates/rookpulley-chain/src/peer.rs
@@ -1,19 +1,20 @@
-//! What is known of another controller.
+//! What this member knows about another controller.
 
 use crate::message::MemberStatus;
 use crate::view::Member;
 
-/// Another controller, as it was last heard.
+/// The last known state of another controller.
 pub struct PeerState {
-    /// What it last said of itself.
+    /// The status in its last heartbeat.
     pub status: MemberStatus,
     pub last_heard_ms: u64,
-    /// The newest clock of its that was heard; it is sent back to it.
-    pub sent: Option<u64>,
-    /// By our clock, the sending of the newest heartbeat that it has answered: both directions worked since then.
+    /// The clock value of its latest heartbeat, echoed back to it.
+    pub latest_clock: Option<u64>,
+    /// When the latest heartbeat that the peer echoed was sent, by the local clock. Both directions have worked since
+    /// then.
     pub contact_ms: Option<u64>,
-    /// The same, but not shortened when a connection ends: of two identities at one address it tells which came later.
-    pub echoed: Option<u64>,
+    /// The same, but not moved back on a disconnect. It decides which of two identities at one address is newer.
+    pub last_echo_ms: Option<u64>,
 }
 
 impl PeerState {
@@ -21,16 +22,16 @@
         Self {
             status: MemberStatus::unknown(member),
             last_heard_ms: now,
-            sent: None,
+            latest_clock: None,
             contact_ms: None,
-            echoed: None,
+            last_echo_ms: None,
         }
     }
 
-    /// Another process has taken the place of the one that was known.
+    /// A new incarnation has replaced the known one.
     pub fn restart(&mut self, member: Member) {
         self.status.member = member;
-        self.sent = None;
+        self.latest_clock = None;
         self.contact_ms = None;
     }
 }
--- a/crates/rookpulley-control/src/controller.rs
+++ b/crates/rookpulley-control/src/controller.rs
@@ -29,7 +29,7 @@
     Chain, DiskHealth, Effect as ChainEffect, Input, Member, PersistedState, RequestKind,
     StartState,
 };
-use rookpulley_protocol::frame;
+use rookpulley_protocol::encode_frame;
 use rookpulley_registry::{
     ConfigurationHistory, DrainTracker, InstanceUpdate, ProxyRoster, Registry, TablePublisher,
 };
@@ -159,7 +159,7 @@
     fn restore_instances(&mut self) {
         for (_, row) in &self.stored_instances {
             if let Ok(update) = postcard::from_bytes::<InstanceUpdate>(row) {
-                self.registry.apply_update(0.0, &update.as_of_now());
+                self.registry.apply_update(0.0, &update.with_zero_age());
             }
         }
     }
@@ -347,7 +347,7 @@
         let members = self.chain.view().map_or(&[][..], |view| &view.members);
         let members: Vec<Ipv4Addr> = members.iter().map(|m| *m.address.ip()).collect();
         let in_touch = self.in_touch(now);
-        self.registry.set_in_touch(now, in_touch);
+        self.registry.set_has_majority(now, in_touch);
         for ip in members {
             self.discover_peer(now, ip);
         }
@@ -393,7 +393,7 @@
     fn announce_status(&mut self, now: f64) {
         let status = self.status_message(now);
         self.send_to_all_proxies(&status);
-        let frame = frame(&status);
+        let frame = encode_frame(&status);
         let connections: Vec<u64> = self.stateless.keys().copied().collect();
         for connection in connections {
             let frame = frame.clone();
--- a/crates/rookpulley-control/src/controller/publication.rs
+++ b/crates/rookpulley-control/src/controller/publication.rs
@@ -2,7 +2,7 @@
 
 use super::Controller;
 use crate::effect::Effect;
-use rookpulley_protocol::{ControllerToProxy, frame};
+use rookpulley_protocol::{ControllerToProxy, encode_frame};
 use rookpulley_registry::Service;
 use rookpulley_routes::RouteTable;
 
@@ -31,7 +31,7 @@
         self.pacer.published(now, body.len());
         self.set_services(&body);
         self.history.publish();
-        let status = frame(&self.status_message(now));
+        let status = encode_frame(&self.status_message(now));
         for proxy in self.proxies.values_mut() {
             if proxy.is_primary {
                 proxy.send_newer(&mut self.history, &mut self.effects);
@@ -47,7 +47,7 @@
 
     /// Takes the services of a configuration. What differs little from the published one is read quickly.
     fn set_services(&mut self, body: &[u8]) {
-        let routes = match RouteTable::read_after(body, self.configuration()) {
+        let routes = match RouteTable::read_incremental(body, self.configuration()) {
             Ok(routes) => routes,
             Err(why) => {
                 let line = format!("state: the configuration held can't be read: {why}");
@@ -58,7 +58,7 @@
         let services = services.map(|(index, service)| Service {
             name: service.name.clone(),
             max_connections: service.max_connections,
-            latency_target_ms: routes.least_latency_target_ms(index).unwrap_or(0.0),
+            latency_target_ms: routes.min_latency_target_ms(index).unwrap_or(0.0),
         });
         self.tables.set_services(&services.collect::<Vec<_>>());
         self.routes = Some(routes);
--- a/crates/rookpulley-control/tests/compatibility/frames.rs
+++ b/crates/rookpulley-control/tests/compatibility/frames.rs
@@ -122,7 +122,13 @@
 }
 
 fn paxos_messages() -> Vec<(&'static str, Message)> {
-    let (ballot, number) = (Ballot { round: 4, by: 9 }, 7);
+    let (ballot, number) = (
+        Ballot {
+            round: 4,
+            proposer: 9,
+        },
+        7,
+    );
     let accepted = Some((ballot, view(7)));
     let promise = Message::Promise {
         number,
@@ -470,7 +476,7 @@
     }
     encoded.add_bytes(
         "frame",
-        rookpulley_protocol::frame(&ProxyToController::TablesApplied { up_to: 88 }),
+        rookpulley_protocol::encode_frame(&ProxyToController::TablesApplied { up_to: 88 }),
     );
     encoded.matches("proxies-and-controllers.txt");
 }
--- a/crates/rookpulley-lists/src/membership.rs
+++ b/crates/rookpulley-lists/src/membership.rs
@@ -1,74 +1,135 @@
-//! Each server's part in the list. A server that drains, or that a list drops, stays drained: only a later start
-//! makes it usable again, whatever list names it.
+//! The state machine of a listed server. A server that drains, or that is dropped from the list, returns to
+//! service only after a later start.
 
-/// What a server is to us.
+/// The state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// Never named.
+    /// Not listed yet.
     Unknown,
     Serving,
-    /// Told to drain, by a list or by being dropped; it finishes what it has.
+    /// Drained by a list or by removal from it; requests in flight finish.
     Draining,
-    /// Its grace is over, and no list names it as serving since.
+    /// The drain grace period has expired, and the server has not started since.
     Drained,
 }
 
+/// An input of the server state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Cue {
-    /// A list names it as serving, with a start that is not later than its drain.
-    Named,
-    /// The same, with a later start.
-    Starts,
-    /// A list names it as draining.
+pub enum MemberEvent {
+    /// Listed as serving, without a new start.
+    Listed,
+    /// Listed as serving, with a start later than the last known start and drain.
+    Restarted,
+    /// Listed as draining.
     Drains,
-    /// The list that named it does not any more.
+    /// No longer listed.
     Dropped,
-    GraceEnds,
+    GraceExpired,
 }
 
-/// What follows for the list that the module is told.
+/// The effect of a transition on the list reported to the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Keep,
-    /// Told as ready.
+    /// Reports the server as ready.
     Serve,
-    /// Told as draining.
+    /// Reports the server as draining.
     Drain,
-    /// Told as gone.
-    Leave,
-    /// It stays as it is, and the list that names it so is at odds with what is known.
-    Refuse,
+    /// Reports the server as gone.
+    Remove,
+    /// The state stays; the list contradicts a known drain.
+    Reject,
 }
 
-/// State, input, next state, effect. What is not here changes nothing.
-pub const MEMBERSHIP: &[(State, Cue, State, Effect)] = &[
-    (State::Unknown, Cue::Named, State::Serving, Effect::Serve),
-    (State::Unknown, Cue::Starts, State::Serving, Effect::Serve),
-    (State::Unknown, Cue::Drains, State::Draining, Effect::Drain),
-    (State::Serving, Cue::Named, State::Serving, Effect::Keep),
-    (State::Serving, Cue::Starts, State::Serving, Effect::Serve),
-    (State::Serving, Cue::Drains, State::Draining, Effect::Drain),
-    (State::Serving, Cue::Dropped, State::Draining, Effect::Drain),
-    (State::Draining, Cue::Named, State::Draining, Effect::Refuse),
-    (State::Draining, Cue::Starts, State::Serving, Effect::Serve),
+/// State, event, next state, effect. Combinations not listed leave the state unchanged.
+pub const MEMBERSHIP: &[(State, MemberEvent, State, Effect)] = &[
     (
+        State::Unknown,
+        MemberEvent::Listed,
+        State::Serving,
+        Effect::Serve,
+    ),
+    (
+        State::Unknown,
+        MemberEvent::Restarted,
+        State::Serving,
+        Effect::Serve,
+    ),
+    (
+        State::Unknown,
+        MemberEvent::Drains,
+        State::Draining,
+        Effect::Drain,
+    ),
+    (
+        State::Serving,
+        MemberEvent::Listed,
+        State::Serving,
+        Effect::Keep,
+    ),
+    (
+        State::Serving,
+        MemberEvent::Restarted,
+        State::Serving,
+        Effect::Serve,
+    ),
+    (
+        State::Serving,
+        MemberEvent::Drains,
+        State::Draining,
+        Effect::Drain,
+    ),
+    (
+        State::Serving,
+        MemberEvent::Dropped,
+        State::Draining,
+        Effect::Drain,
+    ),
+    (
+        State::Draining,
+        MemberEvent::Listed,
         State::Draining,
-        Cue::GraceEnds,
+        Effect::Reject,
+    ),
+    (
+        State::Draining,
+        MemberEvent::Restarted,
+        State::Serving,
+        Effect::Serve,
+    ),
+    (
+        State::Draining,
+        MemberEvent::GraceExpired,
+        State::Drained,
+        Effect::Remove,
+    ),
+    (
         State::Drained,
-        Effect::Leave,
+        MemberEvent::Listed,
+        State::Drained,
+        Effect::Reject,
+    ),
+    (
+        State::Drained,
+        MemberEvent::Restarted,
+        State::Serving,
+        Effect::Serve,
+    ),
+    (
+        State::Drained,
+        MemberEvent::Drains,
+        State::Drained,
+        Effect::Keep,
     ),
-    (State::Drained, Cue::Named, State::Drained, Effect::Refuse),
-    (State::Drained, Cue::Starts, State::Serving, Effect::Serve),
-    (State::Drained, Cue::Drains, State::Drained, Effect::Keep),
 ];
 
-/// One server, as far as it is remembered.
+/// The remembered state of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     pub state: State,
-    /// When it last started, as far as any list says.
+    /// The latest known start.
     pub started_ms: f64,
-    /// Since when it drains; the start that makes it usable again is later.
+    /// When the drain began. Only a later start returns the server to service.
     pub drained_ms: f64,
 }
 
@@ -81,34 +142,38 @@
         }
     }
 
-    /// The cue that naming it as serving, with this start, is.
-    pub fn named(&self, started_ms: f64) -> Cue {
+    /// The event caused by listing the server as serving with this start.
+    pub fn listing_event(&self, started_ms: f64) -> MemberEvent {
         let drained = matches!(self.state, State::Draining | State::Drained);
-        let later = started_ms
+        let restarted = started_ms
             > if drained {
                 self.drained_ms.max(self.started_ms)
             } else {
                 self.started_ms
             };
-        if later { Cue::Starts } else { Cue::Named }
+        if restarted {
+            MemberEvent::Restarted
+        } else {
+            MemberEvent::Listed
+        }
     }
 
-    /// Takes one step of the table above.
-    pub fn step(&mut self, now: f64, cue: Cue, started_ms: f64) -> Effect {
-        let Some(row) = MEMBERSHIP
+    /// Applies an event according to `MEMBERSHIP`.
+    pub fn step(&mut self, now: f64, event: MemberEvent, started_ms: f64) -> Effect {
+        let Some(transition) = MEMBERSHIP
             .iter()
-            .find(|row| row.0 == self.state && row.1 == cue)
+            .find(|transition| transition.0 == self.state && transition.1 == event)
         else {
             return Effect::Keep;
         };
-        if row.2 == State::Draining && self.state != State::Draining {
+        if transition.2 == State::Draining && self.state != State::Draining {
             self.drained_ms = now;
         }
-        self.state = row.2;
-        if row.3 != Effect::Refuse {
+        self.state = transition.2;
+        if transition.3 != Effect::Reject {
             self.started_ms = self.started_ms.max(started_ms);
         }
-        row.3
+        transition.3
     }
 }
 
--- a/crates/rookpulley-versions/src/holder.rs
+++ b/crates/rookpulley-versions/src/holder.rs
@@ -1,65 +1,67 @@
-//! The dispatcher's side of versions: one table, and what becomes of each order for it. Whatever comes, the
-//! table held is one that an assigner issued whole.
+//! The dispatcher side of versioning: one table and the handling of the orders for it. The held table is
+//! always one that an assigner issued; no order is applied in part.
 
 use crate::delta::Update;
 use crate::table::{Digest, Table};
 use crate::version::Version;
 use std::sync::Arc;
 
-/// An order on a stream: brings the holder to this version.
+/// An update received on a stream that brings the holder to `version`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
     pub version: Version,
     pub update: Update,
 }
 
-/// What an order is, seen from what is held.
+/// The kind of an order relative to the held table and the current stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
-    /// It came on a stream that is no longer followed.
-    OldStream,
-    /// A newer order of this stream has been taken.
-    Overtaken,
-    /// It ends at the table held.
+pub enum OrderKind {
+    /// Received on a stream other than the current one.
+    StaleStream,
+    /// Older than an order already accepted on this stream.
+    Superseded,
+    /// The result equals the held table.
     SameTable,
     Whole,
-    /// A delta, or word that nothing changed, that starts from the table held.
-    Fits,
-    /// One that starts from another.
-    FitsNot,
+    /// A delta based on the held table.
+    Applicable,
+    /// A delta on another base table, or `Unchanged` for a table that is not held.
+    Inapplicable,
 }
 
+/// The result of handling an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Outcome {
     Applied,
-    /// The table is held already: only the version's name is taken.
-    Renamed,
-    PassedOver,
-    /// It is not applied, and the assigner is told what is held.
+    /// The table is held already; only its version identifier is updated.
+    VersionUpdated,
+    Ignored,
+    /// Not applied; the caller reports the held table to the assigner.
     Refused,
 }
 
-/// What is seen, and what becomes of it.
-const HOLDING: &[(Seen, Verdict)] = &[
-    (Seen::OldStream, Verdict::PassedOver),
-    (Seen::Overtaken, Verdict::PassedOver),
-    (Seen::SameTable, Verdict::Renamed),
-    (Seen::Whole, Verdict::Applied),
-    (Seen::Fits, Verdict::Applied),
-    (Seen::FitsNot, Verdict::Refused),
+/// The outcome for each kind of order.
+const OUTCOMES: &[(OrderKind, Outcome)] = &[
+    (OrderKind::StaleStream, Outcome::Ignored),
+    (OrderKind::Superseded, Outcome::Ignored),
+    (OrderKind::SameTable, Outcome::VersionUpdated),
+    (OrderKind::Whole, Outcome::Applied),
+    (OrderKind::Applicable, Outcome::Applied),
+    (OrderKind::Inapplicable, Outcome::Refused),
 ];
 
+/// One table held by a dispatcher.
 #[derive(Clone, Debug, Default)]
 pub struct Holder {
     stream: u64,
-    /// The newest version named on this stream.
+    /// The number of the newest version accepted on this stream.
     newest: Option<u64>,
     held: Option<(Version, Arc<Table>)>,
 }
 
 impl Holder {
-    /// A new stream is followed from now on; what is held stays.
-    pub fn follow(&mut self, stream: u64) {
+    /// Switches to a new stream and keeps the held table.
+    pub fn follow_stream(&mut self, stream: u64) {
         (self.stream, self.newest) = (stream, None);
     }
 
@@ -75,37 +77,39 @@
         self.table().map(|t| t.digest())
     }
 
-    /// Takes an order that came on this stream.
-    pub fn hear(&mut self, stream: u64, order: &Order) -> Verdict {
+    /// Handles an order received on `stream`.
+    pub fn handle(&mut self, stream: u64, order: &Order) -> Outcome {
         let held = self.table().cloned();
-        let mut next = None;
-        let seen = match &order.update {
-            _ if stream != self.stream => Seen::OldStream,
-            _ if self.newest.is_some_and(|n| order.version.number < n) => Seen::Overtaken,
+        let mut new_table = None;
+        let kind = match &order.update {
+            _ if stream != self.stream => OrderKind::StaleStream,
+            _ if self.newest.is_some_and(|n| order.version.number < n) => OrderKind::Superseded,
             update if held.as_ref().is_some_and(|t| t.digest() == update.digest()) => {
-                Seen::SameTable
+                OrderKind::SameTable
             }
-            Update::Same(_) => Seen::FitsNot,
+            Update::Unchanged(_) => OrderKind::Inapplicable,
             Update::Whole(table) => {
-                next = Some(table.clone());
-                Seen::Whole
+                new_table = Some(table.clone());
+                OrderKind::Whole
             }
             Update::Delta(delta) => match held.as_ref().map(|t| delta.apply(t)) {
                 Some(Ok(table)) => {
-                    next = Some(Arc::new(table));
-                    Seen::Fits
+                    new_table = Some(Arc::new(table));
+                    OrderKind::Applicable
                 }
-                _ => Seen::FitsNot,
+                _ => OrderKind::Inapplicable,
             },
         };
-        let verdict = HOLDING
+        let outcome = OUTCOMES
             .iter()
-            .find(|row| row.0 == seen)
-            .map_or(Verdict::Refused, |row| row.1);
-        if matches!(verdict, Verdict::Applied | Verdict::Renamed) {
+            .find(|row| row.0 == kind)
+            .map_or(Outcome::Refused, |row| row.1);
+        if matches!(outcome, Outcome::Applied | Outcome::VersionUpdated) {
             self.newest = Some(order.version.number);
-            self.held = next.or(held).map(|table| (order.version.clone(), table));
+            self.held = new_table
+                .or(held)
+                .map(|table| (order.version.clone(), table));
         }
-        verdict
+        outcome
     }
 }
--- a/crates/rookpulley-versions/tests/holding.rs
+++ b/crates/rookpulley-versions/tests/holding.rs
@@ -1,14 +1,14 @@
-//! The dispatcher's side, and the ledger by its hard cases.
+//! Edge cases of order handling by dispatchers and of delivery tracking.
 
-use rookpulley_versions::ledger::{Cue, JUDGEMENT, MARKS_MOST};
+use rookpulley_versions::deliveries::{MAX_PENDING_MARKS, SYNC_TRANSITIONS, SyncEvent};
 use rookpulley_versions::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const PATIENCE: Patience = Patience {
-    answer_ms: 1_000.0,
-    again_ms: 500.0,
-    again_most_ms: 8_000.0,
+const TIMEOUTS: AckTimeouts = AckTimeouts {
+    ack_ms: 1_000.0,
+    resend_ms: 500.0,
+    resend_max_ms: 8_000.0,
 };
 
 fn table(n: u32) -> Arc<Table> {
@@ -18,7 +18,7 @@
             f64::from(k + if k == 1 { n } else { 0 }),
         )
     });
-    Arc::new(Table::of(lines).unwrap())
+    Arc::new(Table::from_lines(lines).unwrap())
 }
 
 fn version(start: u64, number: u64) -> Version {
@@ -45,50 +45,54 @@
     }
 }
 
-fn holding(n: u32, number: u64) -> Holder {
+fn holder_with(n: u32, number: u64) -> Holder {
     let mut holder = Holder::default();
-    holder.follow(7);
-    assert_eq!(holder.hear(7, &whole(number, n)), Verdict::Applied);
+    holder.follow_stream(7);
+    assert_eq!(holder.handle(7, &whole(number, n)), Outcome::Applied);
     holder
 }
 
 #[test]
-fn a_delta_that_arrives_twice_changes_nothing() {
-    let mut holder = holding(1, 1);
-    assert_eq!(holder.hear(7, &delta(2, 1, 2)), Verdict::Applied);
-    assert_eq!(holder.hear(7, &delta(2, 1, 2)), Verdict::Renamed);
+fn duplicate_delta_changes_nothing() {
+    let mut holder = holder_with(1, 1);
+    assert_eq!(holder.handle(7, &delta(2, 1, 2)), Outcome::Applied);
+    assert_eq!(holder.handle(7, &delta(2, 1, 2)), Outcome::VersionUpdated);
     assert_eq!(holder.table(), Some(&table(2)));
 }
 
 #[test]
-fn a_delta_that_arrives_late_is_passed_over() {
-    let mut holder = holding(1, 1);
+fn late_delta_is_ignored() {
+    let mut holder = holder_with(1, 1);
     assert_eq!(
-        holder.hear(7, &delta(3, 2, 3)),
-        Verdict::Refused,
-        "the one before it is on its way still"
+        holder.handle(7, &delta(3, 2, 3)),
+        Outcome::Refused,
+        "the preceding delta has not arrived"
     );
-    assert_eq!(holder.table(), Some(&table(1)), "never half applied");
-    assert_eq!(holder.hear(7, &delta(2, 1, 2)), Verdict::Applied);
-    assert_eq!(holder.hear(7, &delta(3, 2, 3)), Verdict::Applied);
-    assert_eq!(holder.hear(7, &delta(2, 1, 2)), Verdict::PassedOver);
+    assert_eq!(
+        holder.table(),
+        Some(&table(1)),
+        "a refused delta leaves the table unchanged"
+    );
+    assert_eq!(holder.handle(7, &delta(2, 1, 2)), Outcome::Applied);
+    assert_eq!(holder.handle(7, &delta(3, 2, 3)), Outcome::Applied);
+    assert_eq!(holder.handle(7, &delta(2, 1, 2)), Outcome::Ignored);
     assert_eq!(holder.version(), Some(&version(1, 3)));
 }
 
 #[test]
-fn a_delta_after_the_whole_table_that_overtook_it_is_passed_over() {
-    let mut holder = holding(1, 1);
+fn delta_superseded_by_a_whole_table_is_ignored() {
+    let mut holder = holder_with(1, 1);
     assert_eq!(
-        holder.hear(7, &whole(4, 1)),
-        Verdict::Renamed,
-        "the way back to the lines held"
+        holder.handle(7, &whole(4, 1)),
+        Outcome::VersionUpdated,
+        "same content as the held table"
     );
     assert_eq!(
-        holder.hear(7, &delta(2, 1, 2)),
-        Verdict::PassedOver,
-        "though it would fit"
+        holder.handle(7, &delta(2, 1, 2)),
+        Outcome::Ignored,
+        "although its base matches"
     );
-    assert_eq!(holder.hear(7, &whole(3, 9)), Verdict::PassedOver);
+    assert_eq!(holder.handle(7, &whole(3, 9)), Outcome::Ignored);
     assert_eq!(
         (holder.version(), holder.table()),
         (Some(&version(1, 4)), Some(&table(1)))
@@ -96,80 +100,78 @@
 }
 
 #[test]
-fn orders_of_the_old_assigner_on_their_way_are_passed_over_after_a_move() {
-    let mut holder = holding(1, 40);
-    holder.follow(8);
+fn orders_of_the_previous_stream_are_ignored() {
+    let mut holder = holder_with(1, 40);
+    holder.follow_stream(8);
     let of_new = Order {
         version: version(9, 2),
         update: Update::Whole(table(5)),
     };
     assert_eq!(
-        holder.hear(7, &whole(41, 6)),
-        Verdict::PassedOver,
-        "before the first order of the new one"
+        holder.handle(7, &whole(41, 6)),
+        Outcome::Ignored,
+        "before the first order of the new stream"
     );
     assert_eq!(
-        holder.hear(8, &of_new),
-        Verdict::Applied,
-        "a smaller number of another start is newer here"
+        holder.handle(8, &of_new),
+        Outcome::Applied,
+        "numbers of another start are not compared"
     );
-    assert_eq!(holder.hear(7, &whole(42, 6)), Verdict::PassedOver);
+    assert_eq!(holder.handle(7, &whole(42, 6)), Outcome::Ignored);
     assert_eq!(holder.version(), Some(&version(9, 2)));
 }
 
 #[test]
-fn word_that_nothing_changed_is_refused_by_whom_holds_something_else() {
-    let mut holder = holding(1, 1);
+fn unchanged_update_for_another_table_is_refused() {
+    let mut holder = holder_with(1, 1);
     let same = Order {
         version: version(1, 2),
-        update: Update::Same(table(2).digest()),
+        update: Update::Unchanged(table(2).digest()),
     };
-    assert_eq!(holder.hear(7, &same), Verdict::Refused);
-    assert_eq!(Holder::default().hear(0, &same), Verdict::Refused);
+    assert_eq!(holder.handle(7, &same), Outcome::Refused);
+    assert_eq!(Holder::default().handle(0, &same), Outcome::Refused);
 }
 
-// ---- The ledger ---------------------------------------------------------------------------
-
-struct Publisher {
-    book: Book,
+struct Fixture {
+    book: VersionManager,
     now: f64,
     mark: u64,
 }
 
-impl Publisher {
-    /// A book with versions 1 to `newest` of table 0, and dispatcher 3 joined.
-    fn new(newest: u32, claims: Option<Claim>, speaks: bool) -> Self {
+impl Fixture {
+    /// Creates a manager with versions 1 to `newest` of table 0 and joins dispatcher 3.
+    fn new(newest: u32, claims: Option<Claim>, reports_versions: bool) -> Self {
         let issuer = Issuer {
             assigner: "n0".into(),
             start: 1,
         };
-        let book = Book::new(
+        let book = VersionManager::new(
             issuer,
             1,
-            Bounds {
-                each: 300,
+            RetentionLimits {
+                per_table: 300,
                 bytes: 1 << 24,
             },
-            PATIENCE,
+            TIMEOUTS,
         );
-        let mut publisher = Self {
+        let mut fixture = Self {
             book,
             now: 0.0,
             mark: 0,
         };
-        (1..=newest).for_each(|n| publisher.issue(n));
+        (1..=newest).for_each(|n| fixture.issue(n));
         let claims = claims.map(|c| BTreeMap::from([(1, c)]));
-        publisher.book.joins(
-            publisher.now,
+        fixture.book.join(
+            fixture.now,
             3,
-            if speaks {
+            if reports_versions {
                 Some(claims.unwrap_or_default())
             } else {
                 None
             },
         );
-        publisher.book.binds(publisher.now, 3, 1, 0);
-        publisher
+        fixture.book.bind(fixture.now, 3, 1, 0);
+        fixture
     }
 
     fn issue(&mut self, n: u32) {
@@ -177,13 +179,13 @@
         self.book.issue(self.now, 0, table);
     }
 
-    fn write(&mut self) -> u64 {
+    fn send(&mut self) -> u64 {
         self.mark += 1;
-        self.book.wrote(self.now, 3, &[0], Some(self.mark));
+        self.book.record_sent(self.now, 3, &[0], Some(self.mark));
         self.mark
     }
 
-    fn answer(&mut self, mark: u64, holds: Option<u32>) {
+    fn acknowledge(&mut self, mark: u64, holds: Option<u32>) {
         let named = |d| {
             self.book
                 .history
@@ -196,20 +198,20 @@
         };
         let claims = holds.map(|n| (1, claim(table(n).digest())));
         self.book
-            .answers(self.now, 3, mark, &claims.into_iter().collect());
+            .acknowledge(self.now, 3, mark, &claims.into_iter().collect());
     }
 
-    fn judged(&self) -> Judged {
-        let entry = self.book.ledger.entry(3).unwrap();
+    fn sync_state(&self) -> SyncState {
+        let entry = self.book.deliveries.entry(3).unwrap();
         entry
             .tables()
             .next()
-            .map_or(Judged::Unknown, |(_, held)| held.judged)
+            .map_or(SyncState::Unknown, |(_, held)| held.sync_state)
     }
 
-    fn pass(&mut self, ms: f64) -> usize {
+    fn advance(&mut self, ms: f64) -> usize {
         self.now += ms;
-        self.book.due(self.now).len()
+        self.book.due_resends(self.now).len()
     }
 }
 
@@ -225,22 +227,22 @@
 }
 
 #[test]
-fn a_claim_of_the_other_assigner_with_our_table_is_not_sent_it_again() {
-    let publisher = Publisher::new(3, Some(claim("n1", 77, 9, 3)), true);
-    assert_eq!(publisher.judged(), Judged::InStep);
-    let update = publisher.book.order(3, 0).unwrap().update;
+fn claim_from_another_assigner_with_equal_table_gets_unchanged_update() {
+    let fixture = Fixture::new(3, Some(claim("n1", 77, 9, 3)), true);
+    assert_eq!(fixture.sync_state(), SyncState::InSync);
+    let update = fixture.book.order(3, 0).unwrap().update;
     assert_eq!(
         update,
-        Update::Same(table(3).digest()),
+        Update::Unchanged(table(3).digest()),
         "equal digests mean equal tables"
     );
 }
 
 #[test]
-fn a_claim_of_an_earlier_start_with_a_kept_table_gets_a_delta() {
-    let publisher = Publisher::new(3, Some(claim("n0", 0, 2, 2)), true);
-    assert_eq!(publisher.judged(), Judged::Behind);
-    let Update::Delta(delta) = publisher.book.order(3, 0).unwrap().update else {
+fn claim_of_an_earlier_start_with_retained_table_gets_a_delta() {
+    let fixture = Fixture::new(3, Some(claim("n0", 0, 2, 2)), true);
+    assert_eq!(fixture.sync_state(), SyncState::Behind);
+    let Update::Delta(delta) = fixture.book.order(3, 0).unwrap().update else {
         panic!("no delta")
     };
     assert_eq!(
@@ -250,217 +252,233 @@
 }
 
 #[test]
-fn a_claim_of_the_future_or_of_what_never_was_gets_a_whole_table() {
-    for strange in [
+fn claim_of_an_unknown_table_gets_a_whole_table() {
+    for unknown in [
         claim("n0", 1, 900, 50),
         claim("n0", 1, 2, 51),
         claim("nobody", 8, 1, 52),
     ] {
-        let mut publisher = Publisher::new(3, Some(strange), true);
-        assert_eq!(publisher.judged(), Judged::Diverged);
-        assert_eq!(publisher.pass(0.0), 1, "it is owed the table");
+        let mut fixture = Fixture::new(3, Some(unknown), true);
+        assert_eq!(fixture.sync_state(), SyncState::Diverged);
+        assert_eq!(fixture.advance(0.0), 1, "a resend is due");
         assert!(matches!(
-            publisher.book.order(3, 0).unwrap().update,
+            fixture.book.order(3, 0).unwrap().update,
             Update::Whole(_)
         ));
-        let mark = publisher.write();
-        publisher.answer(mark, Some(3));
-        assert_eq!(publisher.judged(), Judged::InStep);
+        let mark = fixture.send();
+        fixture.acknowledge(mark, Some(3));
+        assert_eq!(fixture.sync_state(), SyncState::InSync);
     }
 }
 
 #[test]
-fn a_wrong_claim_after_an_answer_is_a_loss_and_is_paced() {
-    let mut publisher = Publisher::new(1, None, true);
-    let mark = publisher.write();
-    publisher.answer(mark, Some(1));
-    publisher.issue(2);
-    let mut owed_at = Vec::new();
+fn repeated_loss_is_resent_with_backoff() {
+    let mut fixture = Fixture::new(1, None, true);
+    let mark = fixture.send();
+    fixture.acknowledge(mark, Some(1));
+    fixture.issue(2);
+    let mut resend_delays = Vec::new();
     for _ in 0..6 {
-        let mark = publisher.write();
-        publisher.answer(mark, Some(1));
+        let mark = fixture.send();
+        fixture.acknowledge(mark, Some(1));
         assert_eq!(
-            publisher.judged(),
-            Judged::Lost,
-            "it answers and still holds the old one"
+            fixture.sync_state(),
+            SyncState::Lost,
+            "acknowledged, but still holds the old version"
         );
-        let from = publisher.now;
-        while publisher.pass(100.0) == 0 {}
-        owed_at.push((publisher.now - from).round());
+        let from = fixture.now;
+        while fixture.advance(100.0) == 0 {}
+        resend_delays.push((fixture.now - from).round());
     }
     assert_eq!(
-        owed_at,
+        resend_delays,
         [100.0, 500.0, 1_000.0, 2_000.0, 4_000.0, 8_000.0],
-        "never ever faster"
+        "the backoff doubles up to its maximum"
     );
 }
 
 #[test]
-fn the_newest_lines_under_an_older_name_are_a_loss() {
-    let mut publisher = Publisher::new(1, None, true);
-    let mark = publisher.write();
-    publisher.answer(mark, Some(1));
-    let old = publisher.book.history.newest(0).unwrap().version.clone();
-    publisher.issue(2);
-    publisher.write();
-    publisher.issue(1);
-    let mark = publisher.write();
-    // It got neither; the order for version 2 may still come and would be taken.
+fn newest_table_claimed_under_an_older_version_is_a_loss() {
+    let mut fixture = Fixture::new(1, None, true);
+    let mark = fixture.send();
+    fixture.acknowledge(mark, Some(1));
+    let old = fixture.book.history.newest(0).unwrap().version.clone();
+    fixture.issue(2);
+    fixture.send();
+    fixture.issue(1);
+    let mark = fixture.send();
+    // Neither order arrived; a delayed order for version 2 would still be applied.
     let claim = Claim {
         version: Some(old),
         digest: table(1).digest(),
     };
-    publisher
+    fixture
         .book
-        .answers(publisher.now, 3, mark, &BTreeMap::from([(1, claim)]));
-    assert_eq!(publisher.judged(), Judged::Lost);
+        .acknowledge(fixture.now, 3, mark, &BTreeMap::from([(1, claim)]));
+    assert_eq!(fixture.sync_state(), SyncState::Lost);
 }
 
 #[test]
-fn an_answer_without_a_claim_is_a_loss() {
-    let mut publisher = Publisher::new(1, None, true);
-    let mark = publisher.write();
-    publisher.answer(mark, None);
-    assert_eq!(publisher.judged(), Judged::Lost);
+fn acknowledgement_without_a_claim_is_a_loss() {
+    let mut fixture = Fixture::new(1, None, true);
+    let mark = fixture.send();
+    fixture.acknowledge(mark, None);
+    assert_eq!(fixture.sync_state(), SyncState::Lost);
 }
 
 #[test]
-fn an_answer_that_comes_twice_proves_nothing_of_what_came_between() {
-    let mut publisher = Publisher::new(1, None, true);
-    let first = publisher.write();
-    publisher.answer(first, Some(1));
-    publisher.issue(2);
-    publisher.write();
-    publisher.issue(1);
-    publisher.write();
-    // The lines are those of the first version again; the old answer, doubled, seems to prove them held.
-    publisher.answer(first, Some(1));
-    assert_eq!(publisher.judged(), Judged::Behind);
+fn duplicate_acknowledgement_confirms_nothing() {
+    let mut fixture = Fixture::new(1, None, true);
+    let first = fixture.send();
+    fixture.acknowledge(first, Some(1));
+    fixture.issue(2);
+    fixture.send();
+    fixture.issue(1);
+    fixture.send();
+    // The newest table equals version 1, so the duplicated acknowledgement appears to confirm it.
+    fixture.acknowledge(first, Some(1));
+    assert_eq!(fixture.sync_state(), SyncState::Behind);
 }
 
 #[test]
-fn a_silent_dispatcher_is_never_taken_for_one_in_step() {
-    let mut publisher = Publisher::new(1, None, true);
-    let mark = publisher.write();
-    publisher.answer(mark, Some(1));
-    assert_eq!(publisher.judged(), Judged::InStep);
-    // A mark without a table, never answered.
-    publisher.book.wrote(publisher.now, 3, &[], Some(900));
+fn silent_dispatcher_does_not_stay_in_sync() {
+    let mut fixture = Fixture::new(1, None, true);
+    let mark = fixture.send();
+    fixture.acknowledge(mark, Some(1));
+    assert_eq!(fixture.sync_state(), SyncState::InSync);
+    // A mark without a table that is never acknowledged.
+    fixture.book.record_sent(fixture.now, 3, &[], Some(900));
     assert_eq!(
-        (publisher.pass(900.0), publisher.judged()),
-        (0, Judged::InStep)
+        (fixture.advance(900.0), fixture.sync_state()),
+        (0, SyncState::InSync)
     );
     assert_eq!(
-        (publisher.pass(200.0), publisher.judged()),
-        (0, Judged::Unknown)
+        (fixture.advance(200.0), fixture.sync_state()),
+        (0, SyncState::Unknown)
     );
-    let mark = publisher.write();
+    let mark = fixture.send();
     assert_eq!(
-        (publisher.pass(1_100.0), publisher.judged()),
-        (1, Judged::Lost)
+        (fixture.advance(1_100.0), fixture.sync_state()),
+        (1, SyncState::Lost)
     );
-    publisher.answer(mark, Some(1));
+    fixture.acknowledge(mark, Some(1));
     assert_eq!(
-        publisher.judged(),
-        Judged::InStep,
-        "a late answer still tells"
+        fixture.sync_state(),
+        SyncState::InSync,
+        "a late acknowledgement still counts"
     );
 }
 
 #[test]
-fn marks_alone_feed_the_ledger_of_one_that_claims_nothing() {
-    let mut publisher = Publisher::new(1, None, false);
-    assert_eq!(publisher.judged(), Judged::Unknown);
-    let first = publisher.write();
-    publisher.issue(2);
-    let second = publisher.write();
-    publisher.answer(first, None);
-    assert_eq!(publisher.judged(), Judged::Behind);
-    publisher.answer(second, None);
-    assert_eq!(publisher.judged(), Judged::InStep);
-    publisher.issue(3);
-    publisher.write();
-    assert_eq!(publisher.judged(), Judged::Behind);
+fn acknowledged_marks_suffice_without_version_reports() {
+    let mut fixture = Fixture::new(1, None, false);
+    assert_eq!(fixture.sync_state(), SyncState::Unknown);
+    let first = fixture.send();
+    fixture.issue(2);
+    let second = fixture.send();
+    fixture.acknowledge(first, None);
+    assert_eq!(fixture.sync_state(), SyncState::Behind);
+    fixture.acknowledge(second, None);
+    assert_eq!(fixture.sync_state(), SyncState::InSync);
+    fixture.issue(3);
+    fixture.send();
+    assert_eq!(fixture.sync_state(), SyncState::Behind);
     assert_eq!(
-        (publisher.pass(5_000.0), publisher.judged()),
-        (0, Judged::Lost),
-        "known for lost, not written again"
+        (fixture.advance(5_000.0), fixture.sync_state()),
+        (0, SyncState::Lost),
+        "marked as lost, but not resent"
     );
-    publisher.book.leaves(publisher.now, 3);
-    assert_eq!(publisher.judged(), Judged::Unknown);
+    fixture.book.leave(fixture.now, 3);
+    assert_eq!(fixture.sync_state(), SyncState::Unknown);
 }
 
 #[test]
-fn with_256_unanswered_marks_the_oldest_are_given_up() {
-    let mut publisher = Publisher::new(1, None, false);
-    let marks: Vec<u64> = (2..=MARKS_MOST as u32 + 40)
+fn oldest_pending_marks_are_dropped_beyond_the_limit() {
+    let mut fixture = Fixture::new(1, None, false);
+    let marks: Vec<u64> = (2..=MAX_PENDING_MARKS as u32 + 40)
         .map(|n| {
-            publisher.issue(n);
-            publisher.write()
+            fixture.issue(n);
+            fixture.send()
         })
         .collect();
-    let entry = publisher.book.ledger.entry(3).unwrap();
-    assert_eq!(entry.marks_waiting(), MARKS_MOST);
-    publisher.answer(marks[0], None);
+    let entry = fixture.book.deliveries.entry(3).unwrap();
+    assert_eq!(entry.pending_mark_count(), MAX_PENDING_MARKS);
+    fixture.acknowledge(marks[0], None);
+    assert_eq!(
+        fixture.sync_state(),
+        SyncState::Behind,
+        "a dropped mark confirms nothing"
+    );
+    fixture.acknowledge(marks[marks.len() - 2], None);
+    assert_eq!(fixture.sync_state(), SyncState::Behind);
+    fixture.acknowledge(marks[marks.len() - 1], None);
+    assert_eq!(fixture.sync_state(), SyncState::InSync);
     assert_eq!(
-        publisher.judged(),
-        Judged::Behind,
-        "given up: proves nothing"
+        fixture
+            .book
+            .deliveries
+            .entry(3)
+            .unwrap()
+            .pending_mark_count(),
+        0
     );
-    publisher.answer(marks[marks.len() - 2], None);
-    assert_eq!(publisher.judged(), Judged::Behind);
-    publisher.answer(marks[marks.len() - 1], None);
-    assert_eq!(publisher.judged(), Judged::InStep);
-    assert_eq!(publisher.book.ledger.entry(3).unwrap().marks_waiting(), 0);
 }
 
 #[test]
-fn what_a_joined_dispatcher_holds_is_pinned_until_it_leaves() {
-    let mut publisher = Publisher::new(1, None, true);
-    let mark = publisher.write();
-    publisher.answer(mark, Some(1));
-    (2..=600).for_each(|n| publisher.issue(n));
-    assert!(publisher.book.history.numbered(1).is_some());
-    publisher.book.leaves(publisher.now, 3);
-    publisher.issue(601);
-    assert!(publisher.book.history.numbered(1).is_none());
+fn held_version_is_pinned_until_the_dispatcher_leaves() {
+    let mut fixture = Fixture::new(1, None, true);
+    let mark = fixture.send();
+    fixture.acknowledge(mark, Some(1));
+    (2..=600).for_each(|n| fixture.issue(n));
+    assert!(fixture.book.history.get(1).is_some());
+    fixture.book.leave(fixture.now, 3);
+    fixture.issue(601);
+    assert!(fixture.book.history.get(1).is_none());
 }
 
 #[test]
-fn the_table_of_judgements_has_one_row_for_a_state_and_a_cue() {
-    let mut rows: Vec<(Judged, Cue)> = JUDGEMENT.iter().map(|row| (row.0, row.1)).collect();
+fn sync_transitions_are_unique_and_only_confirmation_leads_to_in_sync() {
+    let mut rows: Vec<(SyncState, SyncEvent)> =
+        SYNC_TRANSITIONS.iter().map(|row| (row.0, row.1)).collect();
     rows.sort();
     rows.dedup();
-    assert_eq!(rows.len(), JUDGEMENT.len());
-    let breaks = JUDGEMENT.iter().filter(|row| row.1 == Cue::Breaks);
-    assert!(breaks.clone().count() == 4 && breaks.into_iter().all(|row| row.2 == Judged::Unknown));
+    assert_eq!(rows.len(), SYNC_TRANSITIONS.len());
+    let disconnect = SYNC_TRANSITIONS
+        .iter()
+        .filter(|row| row.1 == SyncEvent::Disconnected);
     assert!(
-        JUDGEMENT
+        disconnect.clone().count() == 4
+            && disconnect
+                .into_iter()
+                .all(|row| row.2 == SyncState::Unknown)
+    );
+    assert!(
+        SYNC_TRANSITIONS
             .iter()
-            .all(|row| row.2 != Judged::InStep || row.1 == Cue::ProvesNewest)
+            .all(|row| row.2 != SyncState::InSync || row.1 == SyncEvent::ConfirmedNewest)
     );
 }
 
 #[test]
-fn the_way_back_names_a_table_or_a_moment_of_all() {
-    let mut publisher = Publisher::new(2, None, true);
-    publisher
-        .book
-        .issue(0.0, 5, Arc::unwrap_or_clone(table(30)));
-    publisher.issue(3);
-    publisher
-        .book
-        .issue(0.0, 5, Arc::unwrap_or_clone(table(31)));
-    let back = |text: &str, table, all| publisher.book.way_back(&text.parse().unwrap(), table, all);
-    let one = back("n0~0000000000000001~2", None, false).unwrap();
+fn rollback_selects_one_table_or_all_tables_at_a_version() {
+    let mut fixture = Fixture::new(2, None, true);
+    fixture.book.issue(0.0, 5, Arc::unwrap_or_clone(table(30)));
+    fixture.issue(3);
+    fixture.book.issue(0.0, 5, Arc::unwrap_or_clone(table(31)));
+    let rollback = |text: &str, table, all| {
+        fixture
+            .book
+            .rollback_tables(&text.parse().unwrap(), table, all)
+    };
+    let one = rollback("n0~0000000000000001~2", None, false).unwrap();
     assert_eq!(one, [(0, table(2))]);
-    let all = back("n0~0000000000000001~3", None, true).unwrap();
+    let all = rollback("n0~0000000000000001~3", None, true).unwrap();
     assert_eq!(
         all,
         [(0, table(2)), (5, table(30))],
-        "as they were when version 3 was the newest"
+        "the newest versions at the time of version 3"
     );
-    let said = back("n0~0000000000000001~2", Some(5), false)
+    let said = rollback("n0~0000000000000001~2", Some(5), false)
         .unwrap_err()
         .to_string();
     assert!(said.contains("of table 0, not of table 5"), "{said}");
--- a/crates/rookpulley-wirehost/src/wire.rs
+++ b/crates/rookpulley-wirehost/src/wire.rs
@@ -1,6 +1,6 @@
 //! Frames: little-endian, fixed records, one shared tail.
 
-use rookpulley::facts::{Effect, Input, ListScope, Listed, ProbeAnswer, ServerId, Stage};
+use rookpulley::interface::{Effect, Input, ListScope, ProbeOutcome, ServerEntry, ServerId, Stage};
 
 pub const BATCH_HEAD: usize = 20;
 const EVENT: usize = 48;
@@ -162,7 +162,7 @@
                     2 => Stage::Draining,
                     other => return Err(self.no_meaning("stage_state", other)),
                 };
-                Ok(Listed {
+                Ok(ServerEntry {
                     server: bytes_at(e, 0),
                     zone: u16_at(e, 6),
                     machine: u16_at(e, 8),
@@ -184,42 +184,42 @@
         Ok(match b[0] {
             16 => self.start()?,
             17 => self.list()?,
-            18 => Input::Alarm { name: u64_at(b, 5) },
-            19 => Input::Probed {
+            18 => Input::TimerFired { name: u64_at(b, 5) },
+            19 => Input::ProbeCompleted {
                 answer: match b[5] {
-                    0 => ProbeAnswer::Done,
-                    5 => ProbeAnswer::Errored,
-                    11 => ProbeAnswer::Denied,
-                    110 => ProbeAnswer::TimedOut,
-                    111 => ProbeAnswer::Unreachable,
-                    104 => ProbeAnswer::Broken,
-                    114 | 125 => ProbeAnswer::Void,
+                    0 => ProbeOutcome::Done,
+                    5 => ProbeOutcome::Errored,
+                    11 => ProbeOutcome::Denied,
+                    110 => ProbeOutcome::TimedOut,
+                    111 => ProbeOutcome::Unreachable,
+                    104 => ProbeOutcome::Broken,
+                    114 | 125 => ProbeOutcome::Void,
                     other => return Err(self.no_meaning("rc", other)),
                 },
                 server: bytes_at(b, 6),
                 took_ms: span(b, 12),
                 load: load_at(b, 16),
             },
-            20 => Input::Note {
+            20 => Input::PeerMessage {
                 from: u16_at(b, 5),
                 bytes: self.tail_part("blob", 7, 1)?.to_vec(),
             },
             21 => Input::Stop,
-            22 => Input::Joined {
+            22 => Input::ProxyJoined {
                 proxy: u16_at(b, 5),
                 zone: u16_at(b, 7),
                 usual_per_s: f32_at(b, 9),
                 fresh: b[13] != 0,
             },
-            23 => Input::Left {
+            23 => Input::ProxyLeft {
                 proxy: u16_at(b, 5),
             },
-            24 => Input::Applied {
+            24 => Input::Acknowledged {
                 proxy: u16_at(b, 5),
                 mark: u64_at(b, 7),
                 took_ms: span(b, 15),
             },
-            25 => Input::Heard {
+            25 => Input::ServerReport {
                 zone: u16_at(b, 5),
                 server: bytes_at(b, 7),
                 tries: f64::from(u32_at(b, 13)),
@@ -228,7 +228,7 @@
                 span_ms: span(b, 25),
                 load: load_at(b, 29),
             },
-            26 => Input::Usage {
+            26 => Input::ProxyUsage {
                 proxy: u16_at(b, 5),
                 came: f64::from(u32_at(b, 7)),
                 span_ms: span(b, 11),
@@ -242,11 +242,11 @@
                 bad: f64::from(u32_at(b, 12)),
                 span_ms: span(b, 16),
             },
-            28 => Input::SliceGiven {
+            28 => Input::SliceAssigned {
                 ours: b[5] != 0,
                 slice: u16_at(b, 6),
             },
-            29 => Input::SliceLine {
+            29 => Input::SliceWeight {
                 server: bytes_at(b, 5),
                 slice: u16_at(b, 11),
                 weight: f32_at(b, 13),
@@ -297,20 +297,20 @@
         let addressed = |server: &ServerId, rest: &[u8]| [&server[..], rest].concat();
         let (code, fields) = match effect {
             Effect::Log(text) => (80, self.text(text.as_bytes())),
-            Effect::Wipe { table } => (81, table.to_le_bytes().to_vec()),
-            Effect::Mark { mark, all } => {
+            Effect::ClearTable { table } => (81, table.to_le_bytes().to_vec()),
+            Effect::RequestAck { mark, all } => {
                 (82, [&mark.to_le_bytes()[..], &[u8::from(*all)]].concat())
             }
-            Effect::Note { to, bytes } => {
+            Effect::PeerMessage { to, bytes } => {
                 let blob = self.text(bytes);
                 (
                     83,
                     [&to.unwrap_or(EVERYONE).to_le_bytes()[..], &blob].concat(),
                 )
             }
-            Effect::Probe { server } => (84, server.to_vec()),
-            Effect::Watch { on } => (85, vec![u8::from(*on)]),
-            Effect::Bind {
+            Effect::ProbeServer { server } => (84, server.to_vec()),
+            Effect::WatchList { on } => (85, vec![u8::from(*on)]),
+            Effect::BindTable {
                 proxy,
                 table,
                 kinds,
@@ -323,8 +323,8 @@
                 ]
                 .concat(),
             ),
-            Effect::Withdraw { server, out } => (88, addressed(server, &[u8::from(*out)])),
-            Effect::Admit {
+            Effect::WithdrawServer { server, out } => (88, addressed(server, &[u8::from(*out)])),
+            Effect::SetAdmission {
                 table,
                 kinds,
                 level,
@@ -337,11 +337,11 @@
                     [&weight(*level)[..], &table, &retry, &kinds.to_le_bytes()].concat(),
                 )
             }
-            Effect::Alarm { in_ms, name } => {
+            Effect::SetTimer { in_ms, name } => {
                 let delay = (in_ms * 1000.0).clamp(0.0, f64::from(u32::MAX)) as u32;
                 (90, [&delay.to_le_bytes()[..], &name.to_le_bytes()].concat())
             }
-            Effect::Line {
+            Effect::SetWeight {
                 table,
                 server,
                 weight: w,
@@ -349,9 +349,9 @@
                 91,
                 [&table.to_le_bytes()[..], &addressed(server, &weight(*w))].concat(),
             ),
-            Effect::Fetch => (92, Vec::new()),
+            Effect::FetchList => (92, Vec::new()),
             // No operator speaks on this wire.
-            Effect::Back { .. } => return,
+            Effect::RollbackStatus { .. } => return,
         };
         let end = self.records.len() + ACTION;
         self.records.push(code);
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,6 +1,6 @@
-//! A harness that scripts one controller and prints what it orders, a line for each kind of order.
+//! Test harness that runs one controller on scripted inputs and records its effects as text.
 
-use rookpulley::facts::*;
+use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -12,7 +12,7 @@
     marks: BTreeMap<ProxyId, u64>,
     reached: Vec<ProxyId>,
     bound: BTreeMap<TableId, ProxyId>,
-    /// What the tables hold by the orders.
+    /// Table contents according to the effects.
     lines: BTreeMap<TableId, BTreeMap<u8, f64>>,
     pub trace: String,
 }
@@ -21,9 +21,9 @@
     [10, 0, 0, n, 80, 0]
 }
 
-pub fn listed(n: u8, zone: ZoneId) -> Listed {
+pub fn listed(n: u8, zone: ZoneId) -> ServerEntry {
     let (stage, weight, started_ms) = (Stage::Ready, 2.0, 0.0);
-    Listed {
+    ServerEntry {
         server: server(n),
         zone,
         machine: 0,
@@ -34,8 +34,8 @@
     }
 }
 
-pub fn kind(name: &str, value: f64, repeat: Repeat) -> ReqKind {
-    ReqKind {
+pub fn kind(name: &str, value: f64, repeat: RepeatSafety) -> RequestKind {
+    RequestKind {
         name: name.into(),
         response_target_ms: 1_000.0,
         client_timeout_ms: 3_000.0,
@@ -49,55 +49,55 @@
     }
 }
 
-/// One kind, two proxies, one ring; the tests change what they are about.
+/// Default settings: one request kind, two proxies, and no zone-local traffic.
 pub fn start() -> Start {
     Start {
         seed: 7,
-        place: Place {
+        topology: Topology {
             controllers: 2,
             zones: vec!["a".into(), "b".into()],
             proxies: 2,
-            ..Place::default()
+            ..Topology::default()
         },
-        kinds: vec![kind("view", 1.0, Repeat::Replayable)],
-        bounds: RuleBounds {
-            bare_ms: 3_000.0,
+        kinds: vec![kind("view", 1.0, RepeatSafety::Replayable)],
+        bounds: SafetyBounds {
+            max_unbound_ms: 3_000.0,
             drain_grace_ms: 2_000.0,
             cold_share: 0.25,
-            cold_ms: 15_000.0,
+            warm_up_ms: 15_000.0,
             fall_multiple: 3.0,
-            fall_ms: 2_000.0,
-            only_draining_binds: false,
+            overload_ms: 2_000.0,
+            soft_removal: false,
         },
-        channel: ChannelFacts {
+        channel: ChannelLimits {
             lines_per_s: 1_000.0,
-            head_lines: 6.0,
+            header_lines: 6.0,
             bind_lines: 1.0,
             backlog_lines: 1_500.0,
             messages_most: 0,
-            messages_over_ms: 10_000.0,
+            message_window_ms: 10_000.0,
             transit_ms: 100.0,
-            transit_most_ms: 300.0,
+            max_transit_ms: 300.0,
         },
-        habits: ProxyHabits {
-            levels: Levels::Rate,
-            usual_retry: Retry::IfUnrun,
-            ..ProxyHabits::default()
+        proxy_behavior: ProxyBehavior {
+            levels: AdmissionMode::Rate,
+            default_retry: Retry::IfNotExecuted,
+            ..ProxyBehavior::default()
         },
-        list: ListFacts::default(),
-        means: Means {
+        list: ListSettings::default(),
+        capabilities: Capabilities {
             report_period_ms: 1_000.0,
-            conns_least: f64::INFINITY,
-            flow_steps: DEAR_STEPS,
-            ..Means::default()
+            min_connections: f64::INFINITY,
+            flow_steps: COARSE_FLOW_STEPS,
+            ..Capabilities::default()
         },
         load_fields: vec![],
     }
 }
 
 impl Harness {
-    /// A started controller with this list; the clock starts well after zero.
-    pub fn new(start: Start, lines: Vec<Listed>) -> Self {
+    /// A started controller with this server list. The clock starts well after 0, which means an unknown start time.
+    pub fn new(start: Start, lines: Vec<ServerEntry>) -> Self {
         let now = 100_000.0;
         let controller = Controller::new(now, start);
         let (marks, bound) = (BTreeMap::new(), BTreeMap::new());
@@ -112,7 +112,7 @@
             lines: BTreeMap::new(),
             trace,
         };
-        harness.give(vec![Input::List {
+        harness.handle(vec![Input::List {
             scope: ListScope::Cached,
             version: 1,
             lines,
@@ -120,19 +120,19 @@
         harness
     }
 
-    pub fn note(&mut self, what: &str) {
+    pub fn heading(&mut self, what: &str) {
         writeln!(self.trace, "-- {what}").unwrap();
     }
 
-    pub fn give(&mut self, inputs: Vec<Input>) {
+    pub fn handle(&mut self, inputs: Vec<Input>) {
         let effects = self.controller.handle(self.now, &inputs);
         let mut lines: BTreeMap<TableId, Vec<String>> = BTreeMap::new();
         let mut said = Vec::new();
         self.reached.clear();
         for effect in effects {
             match effect {
-                Effect::Alarm { in_ms, name } => self.alarms.push((self.now + in_ms, name)),
-                Effect::Line {
+                Effect::SetTimer { in_ms, name } => self.alarms.push((self.now + in_ms, name)),
+                Effect::SetWeight {
                     table,
                     server,
                     weight,
@@ -147,7 +147,7 @@
                         .or_default()
                         .insert(server[3], weight);
                 }
-                Effect::Bind {
+                Effect::BindTable {
                     proxy,
                     table,
                     kinds,
@@ -156,24 +156,24 @@
                     self.reached.push(proxy);
                     said.push(format!("bind p{proxy} to t{table} for kinds {kinds:b}"));
                 }
-                Effect::Withdraw { server, out } => {
+                Effect::WithdrawServer { server, out } => {
                     said.push(format!(
                         "{} s{}",
                         if out { "withdraw" } else { "let back" },
                         server[3]
                     ));
                 }
-                Effect::Admit {
+                Effect::SetAdmission {
                     kinds,
                     level,
                     retry,
                     ..
                 } => {
                     said.push(format!(
-                        "kinds {kinds:b}: let in {level:.1}, retry {retry:?}"
+                        "kinds {kinds:b}: admit {level:.1}, retry {retry:?}"
                     ));
                 }
-                Effect::Mark { mark, .. } => {
+                Effect::RequestAck { mark, .. } => {
                     self.reached
                         .iter()
                         .for_each(|p| _ = self.marks.insert(*p, mark));
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Lets this much time pass, with the alarms that come due, and after each round `each`.
-    pub fn pass(&mut self, ms: f64, mut each: impl FnMut(&mut Self)) {
+    /// Advances the clock, fires the timers that are due, and calls `each` after each of them.
+    pub fn advance(&mut self, ms: f64, mut each: impl FnMut(&mut Self)) {
         let end = self.now + ms;
         while let Some(at) =
             (0..self.alarms.len()).min_by(|a, b| self.alarms[*a].0.total_cmp(&self.alarms[*b].0))
@@ -201,14 +201,14 @@
             }
             let (due, name) = self.alarms.remove(at);
             self.now = due;
-            self.give(vec![Input::Alarm { name }]);
+            self.handle(vec![Input::TimerFired { name }]);
             each(self);
         }
         self.now = end;
     }
 
     pub fn join(&mut self, proxy: ProxyId, zone: ZoneId) {
-        self.give(vec![Input::Joined {
+        self.handle(vec![Input::ProxyJoined {
             proxy,
             zone,
             usual_per_s: 10.0,
@@ -216,24 +216,24 @@
         }]);
     }
 
-    /// A list change for one server.
+    /// Applies a list change for one server.
     pub fn change(&mut self, n: u8, stage: Stage, started_ms: f64) {
-        let line = Listed {
+        let line = ServerEntry {
             stage,
             started_ms,
             ..listed(n, 0)
         };
-        self.give(vec![Input::List {
+        self.handle(vec![Input::List {
             scope: ListScope::Changes,
             version: 2,
             lines: vec![line],
         }]);
     }
 
-    /// All proxies answer the marks that reached them.
+    /// Acknowledges all outstanding requests.
     pub fn answer(&mut self) {
         for (proxy, mark) in std::mem::take(&mut self.marks) {
-            self.give(vec![Input::Applied {
+            self.handle(vec![Input::Acknowledged {
                 proxy,
                 mark,
                 took_ms: 150.0,
@@ -241,9 +241,9 @@
         }
     }
 
-    pub fn hear(&mut self, n: u8, tries: f64, bad: f64, mean_ms: f64) {
+    pub fn report(&mut self, n: u8, tries: f64, bad: f64, mean_ms: f64) {
         let (zone, server, span_ms, load) = (0, server(n), 1_000.0, vec![0.0]);
-        self.give(vec![Input::Heard {
+        self.handle(vec![Input::ServerReport {
             zone,
             server,
             tries,
@@ -255,7 +255,7 @@
     }
 
     pub fn usage(&mut self, proxy: ProxyId, kind: KindId, came: f64) {
-        self.give(vec![Input::Usage {
+        self.handle(vec![Input::ProxyUsage {
             proxy,
             kind,
             came,
@@ -264,7 +264,7 @@
         }]);
     }
 
-    /// What each server is sent where each proxy brings 1 and splits it by the weights of its table.
+    /// Load per server if each table brings a load of 1, split by its weights.
     pub fn sent(&self) -> BTreeMap<u8, f64> {
         let mut sent = BTreeMap::new();
         for lines in self.bound.keys().filter_map(|table| self.lines.get(table)) {
