--- a/crates/rookpulley-samples/src/lib.rs
+++ b/crates/rookpulley-samples/src/lib.rs
@@ -1,20 +1,20 @@
-//! Cases drawn for tests, the same in every run.
+//! Deterministic property tests: the generated inputs are the same in every run.
 
 use arbtest::arbitrary::{Result, Unstructured};
 
-/// Plays a property on so many cases, each drawn from so many bytes. The seed of one that fails is printed; seeds are
-/// spread, as their generator starts close to where it is told to.
+/// Checks a property on `runs` inputs, each generated from `bytes` bytes. Prints the seed of an input that fails.
 pub fn plays(runs: u32, bytes: u32, property: impl Fn(&mut Unstructured) -> Result<()>) {
     plays_of(runs, |_| bytes, property);
 }
 
-/// The same with cases of different lengths, by the number of the run.
+/// Like `plays`, with an input size that depends on the run number, which starts at 1.
 pub fn plays_of(
     runs: u32,
     bytes: impl Fn(u32) -> u32,
     property: impl Fn(&mut Unstructured) -> Result<()>,
 ) {
     for run in 1..=runs {
+        // Adjacent seeds yield similar inputs, so the run numbers are scattered.
         let spread = u64::from(run.wrapping_mul(0x9e37_79b1));
         arbtest::arbtest(&property)
             .seed(spread << 32 | u64::from(bytes(run)))
