--- a/crates/rookpulley-diagnostics/src/faults.rs
+++ b/crates/rookpulley-diagnostics/src/faults.rs
@@ -1,27 +1,27 @@
-//! Why a text is not taken. All that is wrong with it is told at once, within bounds.
+//! Faults of a rejected document. All of them are reported at once, up to a limit.
 
 use std::fmt::{self, Display};
 
-/// How the faults of one kind of text are told, and how much of them.
+/// How faults of one kind of document are reported.
 #[derive(Debug)]
 pub struct Manner {
-    /// Faults told of one text.
+    /// The maximum number of faults listed for one document.
     pub told: usize,
-    /// Of what was found, so many letters are shown.
+    /// The maximum number of characters shown of a value found.
     pub shown: usize,
-    /// What stands before the faults, by their count with those untold.
+    /// The text before the list, given the total number of faults.
     pub heading: fn(usize) -> String,
     pub help: &'static str,
 }
 
-/// Everything that is wrong with a text. Nothing of it is in force.
+/// All faults of a document, which is rejected as a whole.
 #[derive(Clone, Debug, thiserror::Error, miette::Diagnostic)]
-#[error("{}: {}", (.manner.heading)(.faults.len() + .untold), listed(.faults, *.untold))]
+#[error("{}: {}", (.manner.heading)(.faults.len() + .untold), format_list(.faults, *.untold))]
 #[diagnostic(help("{}", manner.help))]
 pub struct Faults {
     #[related]
     pub faults: Vec<Fault>,
-    /// How many more there are.
+    /// The number of faults that are not listed.
     pub untold: usize,
     manner: &'static Manner,
 }
@@ -30,7 +30,7 @@
 #[error("{place} is {found}; write {instead}")]
 #[diagnostic(help("write {instead}"))]
 pub struct Fault {
-    /// The way to the value, such as `limits.cpuShare` or `hostnames[2].pathRules[0]`, or a line and a column.
+    /// The path to the value, such as `limits.cpuShare` or `hostnames[2].pathRules[0]`, or a line and a column.
     pub place: String,
     pub found: String,
     pub instead: String,
@@ -61,7 +61,7 @@
             let (place, instead) = (place.to_string(), instead.to_string());
             self.faults.push(Fault {
                 place,
-                found: shortened(found, self.manner.shown),
+                found: truncated(found, self.manner.shown),
                 instead,
             });
         } else {
@@ -74,18 +74,18 @@
     }
 }
 
-fn shortened(found: impl Display, most: usize) -> String {
+fn truncated(found: impl Display, max_chars: usize) -> String {
     let found = found.to_string();
-    match found.char_indices().nth(most) {
+    match found.char_indices().nth(max_chars) {
         Some((end, _)) => format!("{}...", found.get(..end).unwrap_or_default()),
         None => found,
     }
 }
 
-fn listed(faults: &[Fault], untold: usize) -> impl Display {
+fn format_list(faults: &[Fault], untold: usize) -> impl Display {
     fmt::from_fn(move |f| {
-        for (at, fault) in faults.iter().enumerate() {
-            write!(f, "{}{fault}", if at > 0 { ". " } else { "" })?;
+        for (index, fault) in faults.iter().enumerate() {
+            write!(f, "{}{fault}", if index > 0 { ". " } else { "" })?;
         }
         if untold > 0 {
             write!(f, ". And {untold} more")?;
@@ -103,11 +103,11 @@
         told: 2,
         shown: 4,
         heading: |faults| format!("{} can't be used", counted(faults, "line")),
-        help: "mend them",
+        help: "correct them",
     };
 
     #[test]
-    fn faults_are_told_in_the_manner_of_their_text_and_as_far_as_it_goes() {
+    fn faults_are_listed_and_values_shortened_up_to_the_limits() {
         let mut faults = Faults::one(
             &MANNER,
             "line 1",
@@ -128,7 +128,7 @@
         );
         assert_eq!(
             miette::Diagnostic::help(&faults).unwrap().to_string(),
-            "mend them"
+            "correct them"
         );
     }
 }
--- a/crates/rookpulley-diagnostics/src/json.rs
+++ b/crates/rookpulley-diagnostics/src/json.rs
@@ -1,25 +1,25 @@
-//! Bytes become JSON values. What would cost too much stack or memory is refused before it is built.
+//! Parses JSON. Input that would take too much stack or memory is rejected before any value is built.
 
 use tinyjson::{JsonParseError, JsonValue};
 
-/// The most that a text of JSON may have.
+/// Limits on a JSON document.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     pub bytes: usize,
     pub nesting: Nesting,
-    /// Each value costs some hundred bytes at worst, whatever it takes on the wire.
+    /// A parsed value takes up to about 100 bytes, however short its text is.
     pub values: usize,
 }
 
-/// The parser calls itself for each value within a value: no text is without this bound.
+/// The limit on nesting, which is required because the parser is recursive.
 #[derive(Clone, Copy, Debug)]
 pub enum Nesting {
     Levels(usize),
-    /// Opening brackets in all, also those in quotes.
+    /// The total number of opening brackets, including those in strings.
     Brackets(usize),
 }
 
-/// Why bytes are no value. `at` is the byte that was one too many.
+/// Why a document was rejected. `at` is the offset of the byte that exceeds the limit.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum Unread {
     #[error("too many bytes")]
@@ -34,26 +34,26 @@
     #[error(transparent)]
     #[diagnostic(help("send UTF-8"))]
     NotUtf8(#[from] std::str::Utf8Error),
-    /// The parser's own words, which show the input around the place.
+    /// The message of the parser, which quotes the input around the error.
     #[error(transparent)]
     #[diagnostic(help("send one whole JSON value"))]
     NoJson(#[from] JsonParseError),
 }
 
-/// The value that these bytes are. The first bound that they break is told before what else is wrong with them.
+/// Parses one JSON value. A limit that is exceeded is reported before encoding and syntax errors.
 pub fn read(bytes: &[u8], bounds: Bounds) -> Result<JsonValue, Unread> {
     if bytes.len() > bounds.bytes {
         return Err(Unread::Long);
     }
-    weigh(bytes, bounds)?;
+    check_limits(bytes, bounds)?;
     Ok(std::str::from_utf8(bytes)?.parse()?)
 }
 
-/// Counts depth and values, without building any.
-fn weigh(bytes: &[u8], bounds: Bounds) -> Result<(), Unread> {
-    let deepest = match bounds.nesting {
+/// Checks the limits on depth and number of values without building any value.
+fn check_limits(bytes: &[u8], bounds: Bounds) -> Result<(), Unread> {
+    let max_depth = match bounds.nesting {
         Nesting::Levels(most) => most,
-        Nesting::Brackets(most) => match bracket(bytes, most) {
+        Nesting::Brackets(most) => match nth_bracket(bytes, most) {
             Some(at) => return Err(Unread::Deep { at }),
             None => most,
         },
@@ -70,7 +70,7 @@
             b',' => values += 1,
             _ => {}
         }
-        if depth > deepest {
+        if depth > max_depth {
             return Err(Unread::Deep { at });
         }
         if values > bounds.values {
@@ -80,8 +80,8 @@
     Ok(())
 }
 
-/// Where the opening bracket stands that has so many before it.
-fn bracket(bytes: &[u8], before: usize) -> Option<usize> {
+/// The offset of the opening bracket that is preceded by `before` others.
+fn nth_bracket(bytes: &[u8], before: usize) -> Option<usize> {
     let opening = bytes
         .iter()
         .enumerate()
@@ -100,7 +100,7 @@
     };
 
     #[test]
-    fn bounds_hold_before_anything_is_built_and_signs_in_quotes_count_only_as_brackets() {
+    fn limits_apply_before_parsing_and_strings_count_only_toward_the_bracket_limit() {
         let read = |text: &str| super::read(text.as_bytes(), FLAT);
         assert!(read(r#"[["\"[[,,,,,,"],[]]"#).is_ok());
         assert!(matches!(read("[[[]]]"), Err(Unread::Deep { at: 2 })));
--- a/crates/rookpulley-diagnostics/src/lib.rs
+++ b/crates/rookpulley-diagnostics/src/lib.rs
@@ -1,7 +1,7 @@
-//! What is sent back to who wrote it: each fault with its place, what was found there and what to write instead.
+//! Diagnostics for rejected input: each fault with its location, the value found and the value expected.
 //!
-//! `faults` gathers them within bounds, in the manner of the text that they are of; `shown` names places and
-//! values; `json` reads bytes within bounds, as what is sent back begins with what was sent.
+//! `faults` collects a bounded number of faults, `shown` formats positions and values, and `json` parses JSON within
+//! limits on size, depth and number of values.
 
 mod faults;
 mod json;
--- a/crates/rookpulley-diagnostics/src/shown.rs
+++ b/crates/rookpulley-diagnostics/src/shown.rs
@@ -1,9 +1,9 @@
-//! The words of faults: a place in a text, a value, a count.
+//! Text for faults: a position in a document, a value, a count.
 
 use std::fmt::{self, Display, Formatter};
 use tinyjson::JsonValue;
 
-/// A place in a text, both from 1 on.
+/// A position in a document; lines and columns start at 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Place {
     pub line: usize,
@@ -11,7 +11,7 @@
 }
 
 impl Place {
-    /// The place of the byte that follows these.
+    /// The position of the byte that follows `before`.
     pub fn after(before: &[u8]) -> Self {
         let last = before
             .rsplit(|byte| *byte == b'\n')
@@ -31,8 +31,8 @@
     }
 }
 
-/// A value as a fault shows it. What holds fields is `holder` in the words of its text, such as "an object". Of a
-/// text the first letters alone are told, up to `shown`: the quotes around them let `Faults` see that there is more.
+/// Formats a value for a fault. `holder` is the name of an object in the format at hand, such as "a table" in TOML.
+/// A string is cut to `shown` characters; with its quotes it still exceeds the limit, so `Faults` marks the cut.
 pub fn said(value: &JsonValue, holder: &str, shown: usize) -> String {
     match value {
         JsonValue::Null => "null".into(),
@@ -44,10 +44,11 @@
     }
 }
 
-pub fn counted(count: usize, what: &str) -> String {
+/// A count with its noun, which takes a plural `s` unless the count is 1.
+pub fn counted(count: usize, noun: &str) -> String {
     if count == 1 {
-        format!("1 {what}")
+        format!("1 {noun}")
     } else {
-        format!("{count} {what}s")
+        format!("{count} {noun}s")
     }
 }
