--- a/crates/rookpulley-settings/src/deploy.rs
+++ b/crates/rookpulley-settings/src/deploy.rs
@@ -1,4 +1,4 @@
-//! The deploy file: how the system is built, and which program runs on which machines.
+//! The deploy file: how the system is built and which program runs on which machines.
 
 use crate::faults::{SETTINGS, SettingsError};
 use crate::fields::Table;
@@ -9,24 +9,24 @@
 use std::path::Path;
 use tinyjson::JsonValue;
 
-/// The one class of machines that there is.
-const CLASS: &str = "edge";
-/// So many roles may run on one machine.
-const ROLES_A_MACHINE: usize = 2;
-const COUNT_MOST: f64 = 1e6;
-/// What would start another program: the program itself is to be named.
-const HELPERS: [&str; 13] = [
+/// The only machine class.
+const MACHINE_CLASS: &str = "edge";
+/// The maximum number of roles on one machine.
+const MAX_ROLES: usize = 2;
+const MAX_COUNT: f64 = 1e6;
+/// Programs that only start another one; the file has to name that one directly.
+const WRAPPERS: [&str; 13] = [
     "sh", "bash", "dash", "zsh", "fish", "env", "npx", "nohup", "nice", "sudo", "exec", "timeout",
     "setsid",
 ];
-/// What only a shell would make something of.
-const FOR_SHELLS: [char; 11] = ['|', '&', ';', '<', '>', '$', '`', '"', '\'', '\\', '*'];
+/// Characters that only have a meaning in a shell.
+const SHELL_CHARS: [char; 11] = ['|', '&', ';', '<', '>', '$', '`', '"', '\'', '\\', '*'];
 
-/// Which program runs where.
+/// The content of the deploy file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Deploy {
     pub build: String,
-    /// System packages that a clean build needs, by the names under which the package manager knows them.
+    /// System packages that a clean build needs.
     pub packages: Vec<String>,
     pub roles: BTreeMap<String, Role>,
 }
@@ -37,21 +37,21 @@
     pub run: Vec<String>,
     pub on: String,
     pub amount: Amount,
-    /// Taken from the end of a zone's machines instead of their start.
+    /// Placed on the last machines of a zone instead of the first.
     pub apart: bool,
     pub serves: Vec<String>,
 }
 
-/// How many of a zone's machines run a role.
+/// The number of machines per zone that run a role.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Amount {
-    /// Over 0 and up to 1, rounded up to whole machines.
+    /// A fraction above 0 and up to 1, rounded up to whole machines.
     Share(f64),
     Count(u32),
 }
 
 impl Amount {
-    /// How many of a zone's machines that is.
+    /// The number of machines in a zone of `machines` machines.
     pub fn of(self, machines: u32) -> u32 {
         match self {
             Amount::Share(share) => (share * f64::from(machines)).ceil() as u32,
@@ -61,12 +61,12 @@
 }
 
 impl Role {
-    fn serves(&self, whom: &str) -> bool {
-        self.serves.iter().any(|one| one == whom)
+    fn serves(&self, audience: &str) -> bool {
+        self.serves.iter().any(|one| one == audience)
     }
 
-    /// What carries the traffic runs on all machines, whatever it is given.
-    fn everywhere(&self) -> bool {
+    /// Whether it runs on all machines. A role that serves clients does, whatever its share or count.
+    fn runs_everywhere(&self) -> bool {
         self.serves(CLIENTS) || self.amount == Amount::Share(1.0)
     }
 }
@@ -78,7 +78,7 @@
 
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let (file, faults) = (values(text)?, RefCell::new(Faults::none(&SETTINGS)));
-        let deploy = deploy(&Table::top(&file, &faults));
+        let deploy = deploy(&Table::root(&file, &faults));
         let faults = faults.into_inner();
         if faults.is_empty() {
             Ok(deploy)
@@ -89,10 +89,10 @@
 }
 
 fn deploy(file: &Table) -> Deploy {
-    file.only(&["build", "packages", "roles"]);
-    let build = file.text_needed(
+    file.reject_unknown(&["build", "packages", "roles"]);
+    let build = file.required_string(
         "build",
-        "the line that builds it, such as \"cargo build --release\"",
+        "the build command, such as \"cargo build --release\"",
     );
     let packages = packages(file);
     let table = file.table("roles");
@@ -100,21 +100,21 @@
         .names()
         .into_iter()
         .map(|name| (name.to_string(), table.table(name)));
-    let tables: BTreeMap<String, Table> = tables.filter(|(_, table)| table.is_there()).collect();
+    let tables: BTreeMap<String, Table> = tables.filter(|(_, table)| table.exists()).collect();
     let roles: BTreeMap<String, Role> = tables
         .iter()
         .map(|(name, of)| (name.clone(), role(of)))
         .collect();
     if roles.is_empty() {
-        file.note(
+        file.report(
             "roles",
             "missing or empty",
             "a table [roles.NAME] for each program",
         );
     } else {
-        serve_each_once(file, &tables, &roles);
+        check_serves(file, &tables, &roles);
     }
-    fit_machines(file, &roles);
+    check_placement(file, &roles);
     Deploy {
         build,
         packages,
@@ -135,9 +135,9 @@
     );
     for (at, name) in packages.iter().enumerate() {
         if packages.iter().take(at).any(|before| before == name) {
-            file.note(
+            file.report(
                 "packages",
-                &format!("a list that has {name:?} twice"),
+                &format!("a list that contains {name:?} twice"),
                 "each once",
             );
         }
@@ -145,25 +145,27 @@
     packages
 }
 
-/// Whether this may be a package's name: two or more small letters, digits and `+-.`, the first a letter or digit.
+/// Whether a name has two or more lower-case letters, digits and `+-.`, and begins with a letter or digit.
 fn is_package_name(name: &str) -> bool {
-    let fits = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
-    name.len() >= 2 && name.starts_with(fits) && name.chars().all(|c| fits(c) || "+-.".contains(c))
+    let alphanumeric = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
+    name.len() >= 2
+        && name.starts_with(alphanumeric)
+        && name.chars().all(|c| alphanumeric(c) || "+-.".contains(c))
 }
 
 fn role(table: &Table) -> Role {
-    table.only(&["run", "on", "share", "count", "apart", "serves"]);
-    let on = table.text_needed("on", "the class of machines, \"edge\"");
-    if !on.is_empty() && on != CLASS {
-        table.note(
+    table.reject_unknown(&["run", "on", "share", "count", "apart", "serves"]);
+    let on = table.required_string("on", "the machine class, \"edge\"");
+    if !on.is_empty() && on != MACHINE_CLASS {
+        table.report(
             "on",
-            &format!("{on:?}, which is no class of machines"),
+            &format!("{on:?}, which is not a machine class"),
             "\"edge\"",
         );
     }
     let known = |item: &JsonValue| {
         item.get::<String>()
-            .filter(|whom| [CLIENTS, CONTROL].contains(&whom.as_str()))
+            .filter(|audience| [CLIENTS, CONTROL].contains(&audience.as_str()))
             .cloned()
     };
     let serves = table.list(
@@ -171,11 +173,11 @@
         "\"edge\" for clients, \"control_plane\" for tasks and operators",
         known,
     );
-    for (at, whom) in serves.iter().enumerate() {
-        if serves.iter().take(at).any(|before| before == whom) {
-            table.note(
+    for (at, audience) in serves.iter().enumerate() {
+        if serves.iter().take(at).any(|before| before == audience) {
+            table.report(
                 "serves",
-                &format!("a list that has {whom:?} twice"),
+                &format!("a list that contains {audience:?} twice"),
                 "each once",
             );
         }
@@ -184,52 +186,55 @@
         run: run(table),
         on,
         amount: amount(table),
-        apart: table.flag("apart", false),
+        apart: table.boolean("apart", false),
         serves,
     }
 }
 
 fn run(table: &Table) -> Vec<String> {
-    let line = table.text_needed("run", "a program and its arguments, split at spaces");
+    let line = table.required_string("run", "a program and its arguments, split at spaces");
     let words: Vec<String> = line.split_whitespace().map(String::from).collect();
     let Some(program) = words.first() else {
         return words;
     };
     let name = program.rsplit('/').next().unwrap_or_default();
-    if let Some(sign) = line.chars().find(|sign| FOR_SHELLS.contains(sign)) {
-        let found = format!("a line with {sign}, which no shell reads: {line:?}");
-        table.note("run", &found, "the program and plain arguments alone");
+    if let Some(character) = line
+        .chars()
+        .find(|character| SHELL_CHARS.contains(character))
+    {
+        let found = format!("a command with {character}, which no shell interprets: {line:?}");
+        table.report("run", &found, "the program and plain arguments alone");
     } else if program.contains('=') {
-        let found = format!("a line that begins with a variable: {line:?}");
-        table.note(
+        let found = format!("a command that begins with a variable: {line:?}");
+        table.report(
             "run",
             &found,
-            "the program first; of variables it gets PATH, HOME, JAVA_HOME and LANG",
+            "the program first; its environment has only PATH, HOME, JAVA_HOME and LANG",
         );
-    } else if HELPERS.contains(&name) {
-        let found = format!("a line that has a helper start the program: {line:?}");
-        table.note("run", &found, "that program itself");
+    } else if WRAPPERS.contains(&name) {
+        let found = format!("a command that starts the program through a wrapper: {line:?}");
+        table.report("run", &found, "the program itself");
     }
     words
 }
 
 fn amount(table: &Table) -> Amount {
-    let number = |least_out: f64, most: f64| {
+    let number = |min_exclusive: f64, max: f64| {
         move |value: &JsonValue| {
             value
                 .get::<f64>()
                 .copied()
-                .filter(|n| *n > least_out && *n <= most)
+                .filter(|n| *n > min_exclusive && *n <= max)
         }
     };
-    let share = table.take("share", "a number over 0 and up to 1", number(0.0, 1.0));
+    let share = table.optional("share", "a number above 0 and up to 1", number(0.0, 1.0));
     let whole =
-        |value: &JsonValue| number(0.0, COUNT_MOST)(value).filter(|count| count.fract() == 0.0);
-    let count = table.take("count", "a whole number from 1 on", whole);
+        |value: &JsonValue| number(0.0, MAX_COUNT)(value).filter(|count| count.fract() == 0.0);
+    let count = table.optional("count", "a whole number, at least 1", whole);
     match (table.has("share"), table.has("count")) {
-        (true, true) => table.note("count", "there beside share", "one of the two"),
+        (true, true) => table.report("count", "there beside share", "one of the two"),
         (false, false) => {
-            table.note(
+            table.report(
                 "share",
                 "missing, and so is count",
                 "a share such as 1.0, or a count such as 1",
@@ -243,43 +248,44 @@
     }
 }
 
-/// Callers of a class find one role there that serves them.
-fn serve_each_once(file: &Table, tables: &BTreeMap<String, Table>, roles: &BTreeMap<String, Role>) {
-    for whom in [CLIENTS, CONTROL] {
-        let mut serving = roles.iter().filter(|(_, role)| role.serves(whom));
+/// Checks that each audience is served, and by one role per machine class.
+fn check_serves(file: &Table, tables: &BTreeMap<String, Table>, roles: &BTreeMap<String, Role>) {
+    for audience in [CLIENTS, CONTROL] {
+        let mut serving = roles.iter().filter(|(_, role)| role.serves(audience));
         let Some((first, held)) = serving.next() else {
-            let found = format!("a table with no role that serves {whom:?}");
-            file.note(
+            let found = format!("a table with no role that serves {audience:?}");
+            file.report(
                 "roles",
                 &found,
-                &format!("serves = [{whom:?}] in one of them"),
+                &format!("serves = [{audience:?}] in one of them"),
             );
             continue;
         };
         for (name, _) in serving.filter(|(_, role)| role.on == held.on) {
             let found =
-                format!("a list with {whom:?}, which roles.{first} on the same class serves");
+                format!("a list with {audience:?}, which roles.{first} on the same class serves");
             let table = tables.get(name);
             table
                 .into_iter()
-                .for_each(|t| t.note("serves", &found, "what no other role on it serves"));
+                .for_each(|t| t.report("serves", &found, "what no other role on it serves"));
         }
     }
 }
 
-/// The machines of a zone are taken from the start, or from the end by what stands apart.
-fn fit_machines(file: &Table, roles: &BTreeMap<String, Role>) {
+/// Checks the number of roles on the first and on the last machine of a zone, where roles accumulate.
+fn check_placement(file: &Table, roles: &BTreeMap<String, Role>) {
     for (end, apart) in [("first", false), ("last", true)] {
-        let there = roles.iter().filter(|(_, role)| role.on == CLASS);
-        let there = there.filter(|(_, role)| role.apart == apart || role.everywhere());
+        let there = roles.iter().filter(|(_, role)| role.on == MACHINE_CLASS);
+        let there = there.filter(|(_, role)| role.apart == apart || role.runs_everywhere());
         let names: Vec<&str> = there.map(|(name, _)| name.as_str()).collect();
-        if names.len() > ROLES_A_MACHINE {
+        if names.len() > MAX_ROLES {
             let (count, names) = (names.len(), names.join(", "));
-            let found = format!("a table that puts {count} on a zone's {end} machine ({names})");
-            file.note(
+            let found =
+                format!("a table that places {count} roles on a zone's {end} machine ({names})");
+            file.report(
                 "roles",
                 &found,
-                "two roles a machine at most; apart = true takes the other end",
+                "at most two roles per machine; apart = true places a role at the other end",
             );
         }
     }
--- a/crates/rookpulley-settings/src/describe.rs
+++ b/crates/rookpulley-settings/src/describe.rs
@@ -1,9 +1,9 @@
-//! What is in force, under the names of the file, for `--check`.
+//! Formats the effective settings in the syntax of the file, for `--check`.
 
 use crate::node::Node;
 use std::fmt::{self, Debug, Display, Formatter, Write};
 
-/// One `name = value` a line, as the file would have it.
+/// Writes TOML that parses to the same settings.
 impl Display for Node {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         let mut line = |name: &str, value: &dyn Display| writeln!(f, "{name} = {value}");
@@ -45,7 +45,7 @@
 
         writeln!(f, "\n[limits]")?;
         let limits = &self.limits;
-        figures(
+        write_numbers(
             f,
             &[
                 ("cpuShare", &limits.cpu_share),
@@ -56,12 +56,12 @@
             ],
         )?;
         if let Some(disk) = limits.disk_mb {
-            figures(f, &[("diskMb", &disk)])?;
+            write_numbers(f, &[("diskMb", &disk)])?;
         }
 
         writeln!(f, "\n[faultTolerance]")?;
         let tolerance = &self.tolerance;
-        figures(
+        write_numbers(
             f,
             &[
                 ("machineLosses", &tolerance.machines),
@@ -72,7 +72,7 @@
 
         writeln!(f, "\n[bounds]")?;
         let bounds = &self.bounds;
-        figures(
+        write_numbers(
             f,
             &[
                 ("seedLagS", &bounds.seed_lag_s),
@@ -97,10 +97,10 @@
     }
 }
 
-fn figures(f: &mut Formatter, lines: &[(&str, &dyn Debug)]) -> fmt::Result {
-    lines
+fn write_numbers(f: &mut Formatter, numbers: &[(&str, &dyn Debug)]) -> fmt::Result {
+    numbers
         .iter()
-        .try_for_each(|(name, figure)| writeln!(f, "{name} = {figure:?}"))
+        .try_for_each(|(name, number)| writeln!(f, "{name} = {number:?}"))
 }
 
 fn quoted(text: &dyn Display) -> String {
--- a/crates/rookpulley-settings/src/faults.rs
+++ b/crates/rookpulley-settings/src/faults.rs
@@ -1,24 +1,26 @@
-//! Why a settings file is not taken. All that is wrong with it is told at once.
+//! Reasons for rejecting a settings file. All faults of a file are reported at once.
 
 use rookpulley_diagnostics::{Faults, Manner, counted};
 use std::path::PathBuf;
 
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum SettingsError {
-    #[error("no settings file is named")]
+    #[error("no settings file is configured")]
     #[diagnostic(help("set ROOKPULLEY_BOOT to the path of the settings file"))]
     NotTold,
     #[error("the settings file {} can't be read: {cause}", path.display())]
-    #[diagnostic(help("let ROOKPULLEY_BOOT name a file that this user may read"))]
+    #[diagnostic(help("set ROOKPULLEY_BOOT to a file that this user may read"))]
     Unreadable {
         path: PathBuf,
         cause: std::io::Error,
     },
-    #[error("the settings have {bytes} bytes; {most} are the most")]
-    #[diagnostic(help("keep to the fields that the deployment's page names"))]
+    #[error("the settings file has {bytes} bytes, the maximum is {most}")]
+    #[diagnostic(help("remove what is not a documented field"))]
     TooLong { bytes: u64, most: u64 },
-    #[error("the settings are no TOML, line {line}, column {column}: {cause}")]
-    #[diagnostic(help("write one `field = value` a line, texts in quotes, tables under [name]"))]
+    #[error("the settings file is not valid TOML, line {line}, column {column}: {cause}")]
+    #[diagnostic(help(
+        "write one `field = value` per line, strings in quotes, tables under [name]"
+    ))]
     NotToml {
         line: usize,
         column: usize,
@@ -32,6 +34,6 @@
 pub(crate) static SETTINGS: Manner = Manner {
     told: 40,
     shown: 100,
-    heading: |faults| format!("{} of the settings can't be used", counted(faults, "field")),
-    help: "mend the fields named and send SIGHUP, or start the process again",
+    heading: |faults| format!("the settings file has {}", counted(faults, "invalid field")),
+    help: "correct these fields and send SIGHUP, or restart the process",
 };
--- a/crates/rookpulley-settings/src/fields.rs
+++ b/crates/rookpulley-settings/src/fields.rs
@@ -1,4 +1,4 @@
-//! One table of the file: takes fields out by name, and notes each that can't be used and what to write instead.
+//! Reads the fields of a table by name, and reports each invalid one with what is expected.
 
 use crate::faults::SETTINGS;
 use rookpulley_diagnostics::{Faults, said};
@@ -7,19 +7,19 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use tinyjson::JsonValue;
 
-/// No figure is larger. Up to here, values tell whole numbers apart, and all forms of time can hold them.
-const LARGEST: f64 = 9_007_199_254_740_991.0;
-const NUMBER: &str = "a number from 0 to 9007199254740991";
+/// The maximum of a number: up to here, `f64` represents all integers and durations cannot overflow.
+const MAX_NUMBER: f64 = 9_007_199_254_740_991.0;
+const NUMBER_HINT: &str = "a number from 0 to 9007199254740991";
 
 pub(crate) struct Table<'a> {
-    /// With the tables that it is in; empty for the top of the file.
+    /// The path of the table; empty for the root of the file.
     name: String,
     fields: Option<&'a HashMap<String, JsonValue>>,
     faults: &'a RefCell<Faults>,
 }
 
 impl<'a> Table<'a> {
-    pub fn top(file: &'a JsonValue, faults: &'a RefCell<Faults>) -> Self {
+    pub fn root(file: &'a JsonValue, faults: &'a RefCell<Faults>) -> Self {
         Self {
             name: String::new(),
             fields: file.get(),
@@ -27,9 +27,9 @@
         }
     }
 
-    /// A table in this one. One that is absent has no fields.
+    /// A nested table. A missing one is treated as empty.
     pub fn table(&self, name: &str) -> Table<'a> {
-        let fields = self.take(name, "a table", |value| value.get::<HashMap<_, _>>());
+        let fields = self.optional(name, "a table", |value| value.get::<HashMap<_, _>>());
         Table {
             name: self.path(name),
             fields,
@@ -37,11 +37,11 @@
         }
     }
 
-    pub fn is_there(&self) -> bool {
+    pub fn exists(&self) -> bool {
         self.fields.is_some()
     }
 
-    /// The names of all fields, in order.
+    /// The sorted names of all fields.
     pub fn names(&self) -> Vec<&'a str> {
         let mut names: Vec<&str> = self
             .fields
@@ -53,16 +53,16 @@
         names
     }
 
-    /// Notes fields of other names than these.
-    pub fn only(&self, known: &[&str]) {
+    /// Reports fields whose names are not in `known`.
+    pub fn reject_unknown(&self, known: &[&str]) {
         for name in self
             .names()
             .into_iter()
             .filter(|name| !known.contains(name))
         {
-            self.note(
+            self.report(
                 name,
-                "no field of this file",
+                "not a field of this file",
                 &format!("one of {}", known.join(", ")),
             );
         }
@@ -80,147 +80,150 @@
         }
     }
 
-    /// Notes a fault of a field.
-    pub fn note(&self, field: &str, found: &str, instead: &str) {
+    /// Reports a fault of a field.
+    pub fn report(&self, field: &str, found: &str, expected: &str) {
         self.faults
             .borrow_mut()
-            .add(self.path(field), found, instead);
+            .add(self.path(field), found, expected);
     }
 
-    /// A field in the form that `form` gives it; None where it is absent, or faulty and noted.
-    pub fn take<T>(
+    /// Converts a field with `convert`. None: it is missing, or it is invalid and has been reported.
+    pub fn optional<T>(
         &self,
         field: &str,
-        instead: &str,
-        form: impl FnOnce(&'a JsonValue) -> Option<T>,
+        expected: &str,
+        convert: impl FnOnce(&'a JsonValue) -> Option<T>,
     ) -> Option<T> {
         let value = self.value(field)?;
-        let taken = form(value);
-        if taken.is_none() {
-            self.note(field, &said(value, "a table", SETTINGS.shown), instead);
+        let converted = convert(value);
+        if converted.is_none() {
+            self.report(field, &said(value, "a table", SETTINGS.shown), expected);
         }
-        taken
+        converted
     }
 
-    fn must<T>(
+    /// Like `optional`, and reports a missing field.
+    fn required<T>(
         &self,
         field: &str,
-        instead: &str,
-        form: impl FnOnce(&'a JsonValue) -> Option<T>,
+        expected: &str,
+        convert: impl FnOnce(&'a JsonValue) -> Option<T>,
     ) -> Option<T> {
         if self.value(field).is_none() {
-            self.note(field, "missing", instead);
+            self.report(field, "missing", expected);
         }
-        self.take(field, instead, form)
+        self.optional(field, expected, convert)
     }
 
-    pub fn text(&self, field: &str) -> Option<String> {
-        self.take(field, "a text in quotes", |value| {
+    pub fn string(&self, field: &str) -> Option<String> {
+        self.optional(field, "a string in quotes", |value| {
             value.get::<String>().cloned()
         })
     }
 
-    pub fn text_needed(&self, field: &str, instead: &str) -> String {
-        let form = |value: &JsonValue| {
+    pub fn required_string(&self, field: &str, expected: &str) -> String {
+        let convert = |value: &JsonValue| {
             value
                 .get::<String>()
                 .filter(|text| !text.trim().is_empty())
                 .cloned()
         };
-        self.must(field, instead, form).unwrap_or_default()
+        self.required(field, expected, convert).unwrap_or_default()
     }
 
     pub fn has(&self, field: &str) -> bool {
         self.value(field).is_some()
     }
 
-    pub fn flag(&self, field: &str, otherwise: bool) -> bool {
-        self.take(field, "true or false", |value| value.get::<bool>().copied())
-            .unwrap_or(otherwise)
+    pub fn boolean(&self, field: &str, default: bool) -> bool {
+        self.optional(field, "true or false", |value| value.get::<bool>().copied())
+            .unwrap_or(default)
     }
 
-    /// A number, whole or not. True and false are allowed as figures and say nothing of a size.
-    pub fn number(&self, field: &str, otherwise: f64) -> f64 {
-        let form = |value: &JsonValue| match value {
-            JsonValue::Boolean(_) => Some(otherwise),
-            JsonValue::Number(number) => Some(*number).filter(|n| (0.0..=LARGEST).contains(n)),
+    /// A number from 0 to `MAX_NUMBER`. A boolean is accepted and stands for the default.
+    pub fn number(&self, field: &str, default: f64) -> f64 {
+        let convert = |value: &JsonValue| match value {
+            JsonValue::Boolean(_) => Some(default),
+            JsonValue::Number(number) => Some(*number).filter(|n| (0.0..=MAX_NUMBER).contains(n)),
             _ => None,
         };
-        self.take(field, NUMBER, form).unwrap_or(otherwise)
+        self.optional(field, NUMBER_HINT, convert)
+            .unwrap_or(default)
     }
 
-    pub fn number_above_0(&self, field: &str, otherwise: f64) -> f64 {
-        let number = self.number(field, otherwise);
+    pub fn positive_number(&self, field: &str, default: f64) -> f64 {
+        let number = self.number(field, default);
         if number == 0.0 {
-            self.note(field, "0", "a number above 0");
+            self.report(field, "0", "a number above 0");
         }
         number
     }
 
-    /// A number without its fraction.
-    pub fn whole(&self, field: &str, otherwise: u64) -> u64 {
-        self.number(field, otherwise as f64) as u64
+    /// A number, rounded down.
+    pub fn integer(&self, field: &str, default: u64) -> u64 {
+        self.number(field, default as f64) as u64
     }
 
-    pub fn count(&self, field: &str, otherwise: u32) -> u32 {
-        let number = self.whole(field, otherwise.into());
+    pub fn count(&self, field: &str, default: u32) -> u32 {
+        let number = self.integer(field, default.into());
         u32::try_from(number).unwrap_or_else(|_| {
-            self.note(field, &number.to_string(), "a smaller number");
-            otherwise
+            self.report(field, &number.to_string(), "a smaller number");
+            default
         })
     }
 
-    pub fn ip_needed(&self, field: &str) -> Ipv4Addr {
-        let form = |value: &JsonValue| value.get::<String>()?.parse().ok();
-        self.must(field, "an IPv4 address such as \"10.0.0.4\"", form)
+    pub fn required_ip(&self, field: &str) -> Ipv4Addr {
+        let convert = |value: &JsonValue| value.get::<String>()?.parse().ok();
+        self.required(field, "an IPv4 address such as \"10.0.0.4\"", convert)
             .unwrap_or(Ipv4Addr::UNSPECIFIED)
     }
 
     pub fn address(&self, field: &str) -> Option<SocketAddrV4> {
-        self.take(field, ADDRESS, address)
+        self.optional(field, ADDRESS_HINT, address)
     }
 
-    pub fn address_needed(&self, field: &str) -> Option<SocketAddrV4> {
-        self.must(field, ADDRESS, address)
+    pub fn required_address(&self, field: &str) -> Option<SocketAddrV4> {
+        self.required(field, ADDRESS_HINT, address)
     }
 
-    /// A list whose items all have the form that `form` gives them. One that is absent is empty.
+    /// A list whose items are converted with `convert`; invalid items are reported. A missing list is empty.
     pub fn list<T>(
         &self,
         field: &str,
-        instead: &str,
-        form: impl Fn(&JsonValue) -> Option<T>,
+        expected: &str,
+        convert: impl Fn(&JsonValue) -> Option<T>,
     ) -> Vec<T> {
-        let Some(items) = self.take(field, "a list in [ ]", |value| value.get::<Vec<_>>()) else {
+        let Some(items) = self.optional(field, "a list in [ ]", |value| value.get::<Vec<_>>())
+        else {
             return Vec::new();
         };
-        let each = items.iter().enumerate().filter_map(|(at, item)| {
-            let taken = form(item);
-            if taken.is_none() {
-                self.note(
-                    &format!("{field}[{at}]"),
+        let each = items.iter().enumerate().filter_map(|(index, item)| {
+            let converted = convert(item);
+            if converted.is_none() {
+                self.report(
+                    &format!("{field}[{index}]"),
                     &said(item, "a table", SETTINGS.shown),
-                    instead,
+                    expected,
                 );
             }
-            taken
+            converted
         });
         each.collect()
     }
 
-    pub fn texts(&self, field: &str) -> Vec<String> {
-        self.list(field, "a text in quotes", |item| {
+    pub fn strings(&self, field: &str) -> Vec<String> {
+        self.list(field, "a string in quotes", |item| {
             item.get::<String>().cloned()
         })
     }
 
     pub fn addresses(&self, field: &str) -> Vec<SocketAddrV4> {
-        self.list(field, ADDRESS, address)
+        self.list(field, ADDRESS_HINT, address)
     }
 
-    /// The first and the last of a range of ports.
-    pub fn ports_needed(&self, field: &str) -> (u16, u16) {
-        let form = |value: &JsonValue| {
+    /// The first and the last port of a range.
+    pub fn required_ports(&self, field: &str) -> (u16, u16) {
+        let convert = |value: &JsonValue| {
             let [JsonValue::Number(first), JsonValue::Number(last)] =
                 value.get::<Vec<_>>()?.as_slice()
             else {
@@ -229,22 +232,22 @@
             let (first, last) = (port(*first)?, port(*last)?);
             (first <= last).then_some((first, last))
         };
-        self.must(
+        self.required(
             field,
             "the first and the last port, such as [7000,7015]",
-            form,
+            convert,
         )
         .unwrap_or_default()
     }
 
-    /// All fields of this table, which has texts only.
-    pub fn all_texts(&self) -> impl Iterator<Item = (String, String)> {
+    /// All fields of a table that contains only strings.
+    pub fn all_strings(&self) -> impl Iterator<Item = (String, String)> {
         let fields = self.fields.into_iter().flatten();
-        fields.filter_map(|(field, _)| Some((field.clone(), self.text(field)?)))
+        fields.filter_map(|(field, _)| Some((field.clone(), self.string(field)?)))
     }
 }
 
-const ADDRESS: &str = "an IPv4 address with a port such as \"10.0.0.4:8000\"";
+const ADDRESS_HINT: &str = "an IPv4 address with a port such as \"10.0.0.4:8000\"";
 
 fn address(value: &JsonValue) -> Option<SocketAddrV4> {
     value
--- a/crates/rookpulley-settings/src/lib.rs
+++ b/crates/rookpulley-settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a machine tells a process of the gateway: the settings file that `ROOKPULLEY_BOOT` names, checked by hand.
+//! Parses and validates the settings file named by `ROOKPULLEY_BOOT`, and the deploy file.
 //!
-//! `node` holds the values, `read` finds them in the file, `fields` names what is wrong with a field, `describe`
-//! prints what is in force. `deploy` checks the file that says which program runs where.
+//! `node` holds the settings, `read` loads them, `fields` validates single fields and reports faults, and `describe`
+//! prints the effective settings. `deploy` loads the deploy file, which assigns programs to machines.
 
 mod deploy;
 mod describe;
--- a/crates/rookpulley-settings/src/node.rs
+++ b/crates/rookpulley-settings/src/node.rs
@@ -1,32 +1,32 @@
-//! The values of a settings file, and what holds where the file leaves one out.
+//! The settings of a process, with the default of each field.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
 
-/// What one process is told of itself and of its deployment.
+/// The settings of one process, and of the deployment that it belongs to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
     pub name: String,
-    /// Empty where the file doesn't say, as is `class`.
+    /// Empty if the file has none, like `class`.
     pub role: String,
     pub class: String,
-    /// Who may call this process from outside: `edge`, `control_plane`, both or nobody.
+    /// Which external listeners the process has: `edge`, `control_plane`, both or none.
     pub serves: Vec<String>,
     pub ip: Ipv4Addr,
     pub zone: String,
-    /// Where the file doesn't say: what `zones` has for the zone.
+    /// Defaults to the region of the zone in `zones`.
     pub region: String,
-    /// The first and the last port that are ours for what our programs say to each other.
+    /// The first and the last port for traffic between the processes of the deployment.
     pub inner_ports: (u16, u16),
     pub seeds: Vec<SocketAddrV4>,
-    /// False where the file doesn't say: a deployment founded twice loses what the first one acknowledged.
+    /// Defaults to false: bootstrapping a deployment twice loses the writes that the first one acknowledged.
     pub first_start: bool,
     pub loss_counted: bool,
-    /// None: this machine has no disk for us.
+    /// None: this process stores nothing on disk.
     pub data: Option<PathBuf>,
     pub heartbeat_ms: u64,
-    /// Every zone with its region.
+    /// The region of each zone.
     pub zones: BTreeMap<String, String>,
     pub listen: Listen,
     pub limits: Limits,
@@ -35,17 +35,17 @@
 }
 
 impl Node {
-    pub fn serves(&self, whom: &str) -> bool {
-        self.serves.iter().any(|one| one == whom)
+    pub fn serves(&self, audience: &str) -> bool {
+        self.serves.iter().any(|one| one == audience)
     }
 
-    /// Where this machine's controller hears the other programs of ours.
+    /// The address at which the controller of this machine accepts connections of other processes.
     pub fn inner_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip, self.inner_ports.0)
     }
 }
 
-/// Where calls from outside come in. What `serves` asks for is there.
+/// Addresses for external requests. Those that `serves` requires are set.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Listen {
     pub front: Option<SocketAddrV4>,
@@ -64,7 +64,7 @@
 }
 
 impl Default for Limits {
-    /// A small machine: who is told nothing takes little.
+    /// The limits of a small machine.
     fn default() -> Self {
         Self {
             cpu_share: 1.0,
@@ -77,7 +77,7 @@
     }
 }
 
-/// What may be lost at once with nothing that was acknowledged lost with it.
+/// Simultaneous losses that must not lose any acknowledged write.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tolerance {
     pub machines: u32,
@@ -85,7 +85,7 @@
     pub regions: u32,
 }
 
-/// The figures of the deployment's rules, under the names and in the units of the file.
+/// Timing and retry limits of the deployment, with the names and units of the file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     pub seed_lag_s: f64,
@@ -108,7 +108,7 @@
 }
 
 impl Default for Bounds {
-    /// For a file that leaves figures out, each on its careful side.
+    /// Conservative values for fields that the file omits.
     fn default() -> Self {
         Self {
             seed_lag_s: 3.0,
--- a/crates/rookpulley-settings/src/read.rs
+++ b/crates/rookpulley-settings/src/read.rs
@@ -1,4 +1,4 @@
-//! From the file's text to its values.
+//! Reads a settings file.
 
 use crate::faults::{SETTINGS, SettingsError};
 use crate::fields::Table;
@@ -11,11 +11,11 @@
 use std::path::{Path, PathBuf};
 use tinyjson::JsonValue;
 
-/// The variable that names the settings file.
+/// The environment variable with the path of the settings file.
 pub const BOOT: &str = "ROOKPULLEY_BOOT";
-/// A file is a few kilobytes.
-const BYTES_MOST: u64 = 1 << 20;
-/// The words of `serves`.
+/// The maximum size of a file, far above the few kilobytes of a real one.
+const MAX_BYTES: u64 = 1 << 20;
+/// Values of `serves`.
 pub(crate) const CLIENTS: &str = "edge";
 pub(crate) const CONTROL: &str = "control_plane";
 
@@ -33,7 +33,7 @@
 
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let (file, faults) = (values(text)?, RefCell::new(Faults::none(&SETTINGS)));
-        let node = node(&Table::top(&file, &faults));
+        let node = node(&Table::root(&file, &faults));
         let faults = faults.into_inner();
         if faults.is_empty() {
             Ok(node)
@@ -43,7 +43,7 @@
     }
 }
 
-/// The text of a file, as far as it may go.
+/// Reads a file up to one byte beyond the maximum size, so that `values` rejects a longer one.
 pub(crate) fn text(path: &Path) -> Result<String, SettingsError> {
     let unreadable = |cause| SettingsError::Unreadable {
         path: path.into(),
@@ -51,22 +51,23 @@
     };
     let mut text = String::new();
     let file = File::open(path).map_err(unreadable)?;
-    file.take(BYTES_MOST + 1)
+    file.take(MAX_BYTES + 1)
         .read_to_string(&mut text)
         .map_err(unreadable)?;
     Ok(text)
 }
 
+/// Parses TOML.
 pub(crate) fn values(text: &str) -> Result<JsonValue, SettingsError> {
     let bytes = text.len() as u64;
-    if bytes > BYTES_MOST {
+    if bytes > MAX_BYTES {
         return Err(SettingsError::TooLong {
             bytes,
-            most: BYTES_MOST,
+            most: MAX_BYTES,
         });
     }
     let table: toml::Table = text.parse().map_err(|e| not_toml(text, &e))?;
-    Ok(turned(toml::Value::Table(table)))
+    Ok(to_json(toml::Value::Table(table)))
 }
 
 fn not_toml(text: &str, error: &toml::de::Error) -> SettingsError {
@@ -80,46 +81,46 @@
     }
 }
 
-/// The values of TOML as those that all our files are read from. Times become texts.
-fn turned(value: toml::Value) -> JsonValue {
+/// Converts TOML to the JSON values that all file formats are validated as. Dates and times become strings.
+fn to_json(value: toml::Value) -> JsonValue {
     match value {
         toml::Value::String(text) => JsonValue::String(text),
         toml::Value::Integer(number) => JsonValue::Number(number as f64),
         toml::Value::Float(number) => JsonValue::Number(number),
         toml::Value::Boolean(flag) => JsonValue::Boolean(flag),
         toml::Value::Datetime(time) => JsonValue::String(time.to_string()),
-        toml::Value::Array(items) => JsonValue::Array(items.into_iter().map(turned).collect()),
+        toml::Value::Array(items) => JsonValue::Array(items.into_iter().map(to_json).collect()),
         toml::Value::Table(fields) => JsonValue::Object(
             fields
                 .into_iter()
-                .map(|(name, value)| (name, turned(value)))
+                .map(|(name, value)| (name, to_json(value)))
                 .collect(),
         ),
     }
 }
 
 fn node(file: &Table) -> Node {
-    let serves = file.texts("serves");
-    let zones: BTreeMap<String, String> = file.table("zones").all_texts().collect();
-    let zone = file.text_needed("zone", "the name of this machine's zone");
+    let serves = file.strings("serves");
+    let zones: BTreeMap<String, String> = file.table("zones").all_strings().collect();
+    let zone = file.required_string("zone", "the name of this machine's zone");
     let region = file
-        .text("region")
+        .string("region")
         .or_else(|| zones.get(&zone).cloned())
         .unwrap_or_default();
     Node {
-        name: file.text_needed("nodeName", "a name that no other machine has"),
-        role: file.text("role").unwrap_or_default(),
-        class: file.text("machineClass").unwrap_or_default(),
-        ip: file.ip_needed("ipAddress"),
-        inner_ports: file.ports_needed("internalPortRange"),
+        name: file.required_string("nodeName", "a name that no other machine has"),
+        role: file.string("role").unwrap_or_default(),
+        class: file.string("machineClass").unwrap_or_default(),
+        ip: file.required_ip("ipAddress"),
+        inner_ports: file.required_ports("internalPortRange"),
         seeds: file.addresses("seedNodes"),
-        first_start: file.flag("firstStart", false),
-        loss_counted: file.flag("lossCounted", true),
+        first_start: file.boolean("firstStart", false),
+        loss_counted: file.boolean("lossCounted", true),
         data: file
-            .text("dataDirectory")
+            .string("dataDirectory")
             .filter(|path| !path.is_empty())
             .map(PathBuf::from),
-        heartbeat_ms: file.number_above_0("heartbeatMs", 1_000.0).ceil() as u64,
+        heartbeat_ms: file.positive_number("heartbeatMs", 1_000.0).ceil() as u64,
         listen: listen(&file.table("listenAddresses"), &serves),
         limits: limits(&file.table("limits")),
         tolerance: tolerance(&file.table("faultTolerance")),
@@ -132,9 +133,9 @@
 }
 
 fn listen(table: &Table, serves: &[String]) -> Listen {
-    let address = |field, whom: &str| {
-        if serves.iter().any(|one| one == whom) {
-            table.address_needed(field)
+    let address = |field, audience: &str| {
+        if serves.iter().any(|one| one == audience) {
+            table.required_address(field)
         } else {
             table.address(field)
         }
@@ -147,14 +148,14 @@
 }
 
 fn limits(table: &Table) -> Limits {
-    let small = Limits::default();
+    let default = Limits::default();
     let disk = table.number("diskMb", 0.0);
     Limits {
-        cpu_share: table.number_above_0("cpuShare", small.cpu_share),
-        cpu_cores: table.number_above_0("cpuCores", small.cpu_cores),
-        memory_mb: table.number_above_0("memoryMb", small.memory_mb),
-        open_files: table.whole("maxOpenFiles", small.open_files),
-        link_mbps: table.number_above_0("linkMbps", small.link_mbps),
+        cpu_share: table.positive_number("cpuShare", default.cpu_share),
+        cpu_cores: table.positive_number("cpuCores", default.cpu_cores),
+        memory_mb: table.positive_number("memoryMb", default.memory_mb),
+        open_files: table.integer("maxOpenFiles", default.open_files),
+        link_mbps: table.positive_number("linkMbps", default.link_mbps),
         disk_mb: (disk > 0.0).then_some(disk),
     }
 }
@@ -168,24 +169,24 @@
 }
 
 fn bounds(table: &Table) -> Bounds {
-    let careful = Bounds::default();
+    let default = Bounds::default();
     Bounds {
-        seed_lag_s: table.number("seedLagS", careful.seed_lag_s),
-        address_reuse_s: table.number("addressReuseS", careful.address_reuse_s),
-        contact_ms: table.whole("contactMs", careful.contact_ms),
-        ack_deadline_ms: table.whole("ackDeadlineMs", careful.ack_deadline_ms),
-        catch_up_s: table.number("catchUpS", careful.catch_up_s),
-        drain_ms: table.whole("drainMs", careful.drain_ms),
-        grace_period_s: table.number("gracePeriodS", careful.grace_period_s),
-        loss_slack_ms: table.whole("lossSlackMs", careful.loss_slack_ms),
-        config_apply_ms: table.whole("configApplyMs", careful.config_apply_ms),
-        downgrade_slack_ms: table.whole("downgradeSlackMs", careful.downgrade_slack_ms),
-        max_stretch_ms: table.whole("maxStretchMs", careful.max_stretch_ms),
-        retry_budget_ratio: table.number("retryBudgetRatio", careful.retry_budget_ratio),
-        retry_window_s: table.number("retryWindowS", careful.retry_window_s),
-        retry_budget_slack: table.number("retryBudgetSlack", careful.retry_budget_slack),
-        recovery_s: table.number("recoveryS", careful.recovery_s),
-        history_retention_s: table.number("historyRetentionS", careful.history_retention_s),
-        release_ms: table.whole("releaseMs", careful.release_ms),
+        seed_lag_s: table.number("seedLagS", default.seed_lag_s),
+        address_reuse_s: table.number("addressReuseS", default.address_reuse_s),
+        contact_ms: table.integer("contactMs", default.contact_ms),
+        ack_deadline_ms: table.integer("ackDeadlineMs", default.ack_deadline_ms),
+        catch_up_s: table.number("catchUpS", default.catch_up_s),
+        drain_ms: table.integer("drainMs", default.drain_ms),
+        grace_period_s: table.number("gracePeriodS", default.grace_period_s),
+        loss_slack_ms: table.integer("lossSlackMs", default.loss_slack_ms),
+        config_apply_ms: table.integer("configApplyMs", default.config_apply_ms),
+        downgrade_slack_ms: table.integer("downgradeSlackMs", default.downgrade_slack_ms),
+        max_stretch_ms: table.integer("maxStretchMs", default.max_stretch_ms),
+        retry_budget_ratio: table.number("retryBudgetRatio", default.retry_budget_ratio),
+        retry_window_s: table.number("retryWindowS", default.retry_window_s),
+        retry_budget_slack: table.number("retryBudgetSlack", default.retry_budget_slack),
+        recovery_s: table.number("recoveryS", default.recovery_s),
+        history_retention_s: table.number("historyRetentionS", default.history_retention_s),
+        release_ms: table.integer("releaseMs", default.release_ms),
     }
 }
--- a/crates/rookpulley-settings/tests/deploy.rs
+++ b/crates/rookpulley-settings/tests/deploy.rs
@@ -1,8 +1,8 @@
-//! The deploy file against what may stand in it.
+//! Valid, invalid and corrupted deploy files.
 
 use rookpulley_settings::{Amount, Deploy, SettingsError};
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 build = "cargo build --release"
 packages = ["gcc", "libc6-dev"]
 [roles.carrier]
@@ -20,14 +20,14 @@
 fn faults(text: &str) -> Vec<String> {
     match Deploy::parse(text) {
         Ok(_) => Vec::new(),
-        Err(SettingsError::Faulty(told)) => told.faults.iter().map(ToString::to_string).collect(),
+        Err(SettingsError::Faulty(all)) => all.faults.iter().map(ToString::to_string).collect(),
         Err(other) => vec![other.to_string()],
     }
 }
 
 #[test]
-fn a_deploy_file_is_read_role_by_role() {
-    let deploy = Deploy::parse(GOOD).unwrap();
+fn all_fields_of_a_deploy_file_are_read() {
+    let deploy = Deploy::parse(VALID).unwrap();
     let (carrier, keeper) = (&deploy.roles["carrier"], &deploy.roles["keeper"]);
     assert_eq!(deploy.packages, ["gcc", "libc6-dev"]);
     assert_eq!(carrier.run, ["target/release/gate", "carry", "--quiet"]);
@@ -42,17 +42,17 @@
 }
 
 #[test]
-fn each_fault_has_its_place_what_was_found_and_what_to_write() {
-    for (was, is, said) in [
+fn each_fault_names_the_field_the_value_found_and_the_value_expected() {
+    for (original, replacement, expected) in [
         (
             "build = \"cargo build --release\"",
             "",
-            "build is missing; write the line that builds it",
+            "build is missing; write the build command, such as",
         ),
         (
             "build =",
             "rebuild = 1\nbuild =",
-            "rebuild is no field of this file; write one of build, packages, roles",
+            "rebuild is not a field of this file; write one of build, packages, roles",
         ),
         (
             "\"libc6-dev\"",
@@ -67,17 +67,17 @@
         (
             "\"libc6-dev\"",
             "\"gcc\"",
-            "packages is a list that has \"gcc\" twice; write each once",
+            "packages is a list that contains \"gcc\" twice; write each once",
         ),
         (
             "share = 1.0",
             "share = 0",
-            "roles.carrier.share is 0; write a number over 0 and up to 1",
+            "roles.carrier.share is 0; write a number above 0 and up to 1",
         ),
         (
             "share = 1.0",
             "share = 1.5",
-            "roles.carrier.share is 1.5; write a number over 0 and up to 1",
+            "roles.carrier.share is 1.5; write a number above 0 and up to 1",
         ),
         (
             "share = 1.0",
@@ -92,7 +92,7 @@
         (
             "count = 1",
             "count = 0.5",
-            "roles.keeper.count is 0.5; write a whole number from 1 on",
+            "roles.keeper.count is 0.5; write a whole number, at least 1",
         ),
         (
             "count = 1",
@@ -102,7 +102,7 @@
         (
             "on = \"edge\"\ncount",
             "on = \"core\"\ncount",
-            "roles.keeper.on is \"core\", which is no class",
+            "roles.keeper.on is \"core\", which is not a machine class",
         ),
         (
             "\"control_plane\"",
@@ -122,22 +122,22 @@
         (
             "\"control_plane\"",
             "\"control_plane\",\"control_plane\"",
-            "has \"control_plane\" twice",
+            "contains \"control_plane\" twice",
         ),
         (
             "gate keep\"",
             "gate keep | tee log\"",
-            "roles.keeper.run is a line with |, which no shell reads: \"target",
+            "roles.keeper.run is a command with |, which no shell interprets: \"target",
         ),
         (
             "target/release/gate keep",
             "/usr/bin/env gate",
-            "a line that has a helper start the program: \"/usr/bin/env gate\"; write that",
+            "a command that starts the program through a wrapper: \"/usr/bin/env gate\"; write the program itself",
         ),
         (
             "target/release/gate keep",
             "MODE=keep gate",
-            "a line that begins with a variable: \"MODE=keep gate\"; write the program",
+            "a command that begins with a variable: \"MODE=keep gate\"; write the program",
         ),
         (
             "count = 1",
@@ -150,11 +150,11 @@
             "roles.keeper is 3; write a table",
         ),
     ] {
-        assert!(GOOD.contains(was), "{was}");
-        let told = faults(&GOOD.replacen(was, is, 1));
+        assert!(VALID.contains(original), "{original}");
+        let reported = faults(&VALID.replacen(original, replacement, 1));
         assert!(
-            told.iter().any(|fault| fault.contains(said)),
-            "{was} -> {is}: {told:?}"
+            reported.iter().any(|fault| fault.contains(expected)),
+            "{original} -> {replacement}: {reported:?}"
         );
     }
     let broken = faults("build = \"x\"\n[roles.a\n");
@@ -162,21 +162,25 @@
 }
 
 #[test]
-fn no_machine_is_given_more_than_two_roles() {
+fn a_machine_runs_at_most_two_roles() {
     let third = "[roles.sweeper]\nrun = \"target/release/gate sweep\"\non = \"edge\"\ncount = 2\n";
-    let told = faults(&format!("{GOOD}{third}"));
-    let said = "roles is a table that puts 3 on a zone's first machine (carrier, keeper, sweeper)";
-    assert!(told.len() == 1 && told[0].contains(said), "{told:?}");
-    assert_eq!(faults(&format!("{GOOD}{third}apart = true\n")), [""; 0]);
-    let told = faults(&format!(
-        "{GOOD}{}apart = true\n",
+    let reported = faults(&format!("{VALID}{third}"));
+    let expected =
+        "roles is a table that places 3 roles on a zone's first machine (carrier, keeper, sweeper)";
+    assert!(
+        reported.len() == 1 && reported[0].contains(expected),
+        "{reported:?}"
+    );
+    assert_eq!(faults(&format!("{VALID}{third}apart = true\n")), [""; 0]);
+    let reported = faults(&format!(
+        "{VALID}{}apart = true\n",
         third.replace("count = 2", "share = 1.0")
     ));
-    assert!(told[0].contains("first machine"), "{told:?}");
+    assert!(reported[0].contains("first machine"), "{reported:?}");
 }
 
-/// A deployment: in each zone so many machines, the first of which have a disk, and what it must bear.
-struct Site {
+/// A deployment, with the number of disks per zone and the machine losses that it must tolerate.
+struct Deployment {
     zones: u32,
     machines: std::ops::RangeInclusive<u32>,
     disks: u32,
@@ -184,7 +188,7 @@
 }
 
 #[test]
-fn the_deploy_file_gives_the_deployments_as_many_controllers_with_a_disk_as_their_losses_need() {
+fn the_deploy_file_places_enough_controllers_with_a_disk_to_tolerate_the_losses() {
     let file = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/system.toml");
     let deploy = Deploy::read(&file).unwrap();
     let control = deploy
@@ -192,52 +196,52 @@
         .values()
         .find(|role| role.serves == ["control_plane"])
         .unwrap();
-    // The small ones, and the grown ones with spare machines for a zone or without.
-    for Site {
+    // Small and large deployments, with different numbers of spare machines.
+    for Deployment {
         zones,
         machines,
         disks,
         losses,
     } in [
-        Site {
+        Deployment {
             zones: 4,
             machines: 3..=4,
             disks: 1,
             losses: 1,
         },
-        Site {
+        Deployment {
             zones: 3,
             machines: 4..=5,
             disks: 1,
             losses: 1,
         },
-        Site {
+        Deployment {
             zones: 5,
             machines: 17..=20,
             disks: 1,
             losses: 2,
         },
-        Site {
+        Deployment {
             zones: 3,
             machines: 25..=28,
             disks: 2,
             losses: 2,
         },
     ] {
-        for in_zone in machines {
-            let stores = zones * control.amount.of(in_zone).min(disks);
-            // A majority of them must be left once so many are lost.
+        for zone_machines in machines {
+            let stores = zones * control.amount.of(zone_machines).min(disks);
+            // A majority must remain after the losses.
             assert!(
                 stores > 2 * losses,
-                "{zones} zones of {in_zone}: {stores} stores for {losses} losses"
+                "{zones} zones of {zone_machines}: {stores} stores for {losses} losses"
             );
         }
     }
 }
 
 #[test]
-fn a_spoilt_deploy_file_never_panics_and_what_is_taken_keeps_the_bounds() {
-    let lines: Vec<&str> = GOOD.lines().collect();
+fn a_corrupted_deploy_file_never_panics_and_an_accepted_one_is_valid() {
+    let lines: Vec<&str> = VALID.lines().collect();
     let property = |u: &mut arbtest::arbitrary::Unstructured| {
         let mut text = String::new();
         for line in &lines {
@@ -259,12 +263,12 @@
         }
         if let Ok(deploy) = Deploy::parse(&text) {
             assert!(!deploy.build.is_empty() && !deploy.roles.is_empty());
-            for whom in ["edge", "control_plane"] {
+            for name in ["edge", "control_plane"] {
                 assert_eq!(
                     deploy
                         .roles
                         .values()
-                        .filter(|r| r.serves.iter().any(|s| s == whom))
+                        .filter(|r| r.serves.iter().any(|s| s == name))
                         .count(),
                     1
                 );
--- a/crates/rookpulley-settings/tests/node.rs
+++ b/crates/rookpulley-settings/tests/node.rs
@@ -1,10 +1,10 @@
-//! Settings files: whole ones, ones that leave much out, faulty ones and spoilt ones.
+//! Complete, minimal, invalid and corrupted settings files.
 
 use rookpulley_samples::plays;
 use rookpulley_settings::{Bounds, Limits, Node, SettingsError, Tolerance};
 use std::path::Path;
 
-const WHOLE: &str = r#"
+const COMPLETE: &str = r#"
 nodeName = "sorter-7"
 role = "sorting"
 machineClass = "edge"
@@ -58,8 +58,8 @@
 futureBound = false
 "#;
 
-/// The least that a process needs to be told.
-const BARE: &str = r#"
+/// The required fields.
+const MINIMAL: &str = r#"
 nodeName = "sorter-8"
 ipAddress = "10.9.0.8"
 zone = "south-hall"
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn a_whole_file_is_read_field_by_field() {
-    let node = Node::parse(WHOLE).unwrap();
+fn all_fields_of_a_file_are_read() {
+    let node = Node::parse(COMPLETE).unwrap();
     assert_eq!(
         (node.name.as_str(), node.role.as_str(), node.class.as_str()),
         ("sorter-7", "sorting", "edge")
@@ -158,8 +158,8 @@
 }
 
 #[test]
-fn what_a_file_leaves_out_has_a_default() {
-    let node = Node::parse(BARE).unwrap();
+fn omitted_fields_have_defaults() {
+    let node = Node::parse(MINIMAL).unwrap();
     assert!(
         node.serves.is_empty()
             && node.seeds.is_empty()
@@ -171,24 +171,27 @@
         (node.limits, node.tolerance, node.bounds),
         Default::default()
     );
-    // A figure may be a mere yes or no: it tells no size.
-    let node = Node::parse(&format!("{BARE}[bounds]\ndrainMs = true\nseedLagS = false")).unwrap();
+    // A boolean in place of a number selects the default.
+    let node = Node::parse(&format!(
+        "{MINIMAL}[bounds]\ndrainMs = true\nseedLagS = false"
+    ))
+    .unwrap();
     assert_eq!(node.bounds, Bounds::default());
-    // The region is known from the zones, too.
-    let node = Node::parse(&format!("{BARE}[zones]\nsouth-hall = \"mainland\"")).unwrap();
+    // The region defaults to that of the zone.
+    let node = Node::parse(&format!("{MINIMAL}[zones]\nsouth-hall = \"mainland\"")).unwrap();
     assert_eq!(node.region, "mainland");
 }
 
 #[test]
-fn what_is_printed_is_a_file_that_says_the_same() {
-    for text in [WHOLE, BARE] {
+fn formatted_settings_parse_to_the_same_settings() {
+    for text in [COMPLETE, MINIMAL] {
         let node = Node::parse(text).unwrap();
         assert_eq!(Node::parse(&node.to_string()).unwrap(), node, "{node}");
     }
 }
 
 #[test]
-fn each_fault_names_its_field_and_what_to_write_instead() {
+fn each_fault_names_its_field_and_the_expected_value() {
     let cases = [
         ("nodeName = \"sorter-7\"", "", "nodeName", "a name"),
         (
@@ -226,7 +229,7 @@
             "serves = [\"edge\", ",
             "serves = [1, ",
             "serves[0]",
-            "a text",
+            "a string",
         ),
         (
             "firstStart = true",
@@ -298,19 +301,21 @@
             "south-hall = \"main\\tland\"",
             "south-hall = 3",
             "zones.south-hall",
-            "a text",
+            "a string",
         ),
     ];
-    for (what, with, field, instead) in cases {
-        assert!(WHOLE.contains(what), "{what}");
-        let found = faults(&WHOLE.replacen(what, with, 1));
+    for (original, replacement, field, expected) in cases {
+        assert!(COMPLETE.contains(original), "{original}");
+        let found = faults(&COMPLETE.replacen(original, replacement, 1));
         assert!(
             found.iter().all(|(named, _)| named == field),
-            "{with}: {found:?}"
+            "{replacement}: {found:?}"
         );
         assert!(
-            found.iter().any(|(_, told)| told.contains(instead)),
-            "{with}: {found:?}"
+            found
+                .iter()
+                .any(|(_, reported)| reported.contains(expected)),
+            "{replacement}: {found:?}"
         );
     }
     let found = faults("zones = 5\nlimits = []\nserves = [\"edge\"]");
@@ -329,7 +334,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_toml_or_isn_t_there_says_so() {
+fn invalid_toml_oversized_and_missing_files_are_distinguished() {
     match Node::parse("nodeName = \"sorter\"\nzone = ?") {
         Err(SettingsError::NotToml {
             line: 2, column: 8, ..
@@ -347,9 +352,9 @@
 }
 
 #[test]
-fn a_spoilt_file_never_panics_and_what_is_still_taken_can_be_used() {
+fn a_corrupted_file_never_panics_and_accepted_settings_are_valid() {
     plays(2_000, 128, |u| {
-        let mut bytes = WHOLE.as_bytes().to_vec();
+        let mut bytes = COMPLETE.as_bytes().to_vec();
         for _ in 0..u.int_in_range(1..=4)? {
             let at = u.choose_index(bytes.len())?;
             match u.int_in_range(0..=3)? {
