--- a/crates/rookpulley-runtime/src/backoff.rs
+++ b/crates/rookpulley-runtime/src/backoff.rs
@@ -1,8 +1,8 @@
-//! The pause before something that failed is attempted again.
+//! Exponential backoff between retries.
 
 use std::time::Duration;
 
-/// Pauses that double with each failure, up to a bound.
+/// A delay that doubles with each failure, up to a maximum.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     min: Duration,
@@ -11,7 +11,7 @@
 }
 
 impl Backoff {
-    /// The first pause, and the longest one.
+    /// Starts at `min` and never exceeds `max`.
     pub const fn new(min: Duration, max: Duration) -> Self {
         Self {
             min,
@@ -20,14 +20,14 @@
         }
     }
 
-    /// How long to wait before the next attempt.
+    /// Returns the delay before the next attempt.
     pub fn pause(&mut self) -> Duration {
         let pause = self.next;
         self.next = (pause * 2).min(self.max);
         pause
     }
 
-    /// An attempt has succeeded: the next pause is the first one again.
+    /// Restarts at the minimum after a successful attempt.
     pub fn reset(&mut self) {
         self.next = self.min;
     }
--- a/crates/rookpulley-runtime/src/connection.rs
+++ b/crates/rookpulley-runtime/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection between two of our programs: bounded in what waits, ended when the other side falls silent.
+//! A connection between two processes, with a bounded send queue and a timeout for a silent peer.
 
 use rookpulley_protocol::{Frames, frame};
 use serde::{Serialize, de::DeserializeOwned};
@@ -12,26 +12,26 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-/// Data that the other side hasn't acknowledged for so long ends the connection, however silent the network is.
+/// The TCP user timeout: a connection is closed when sent data stays unacknowledged for this long.
 pub const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
-/// Attempts of one `connect`. With more of them a machine that begins to listen is reached sooner, and each one costs a
-/// process a few system calls.
+/// Connection attempts per `connect`. More of them reach a peer sooner that has just begun to listen, at the cost of a
+/// few system calls each.
 const CONNECT_ATTEMPTS: u32 = 4;
-/// How many messages may wait for one peer. A peer that reads more slowly is disconnected and starts anew.
+/// The capacity of the send queue. A peer too slow to keep it from filling is disconnected and has to reconnect.
 const MAX_WAITING: usize = 1_024;
-/// Messages that wait are written together, up to so many bytes.
+/// Queued messages are written in batches of about this size.
 const MAX_WRITE_BYTES: usize = 64 << 10;
 const READ_BYTES: usize = 16 << 10;
 
-/// Sets what every socket of ours has: no delay, and an end when the other side acknowledges nothing.
+/// Sets `TCP_NODELAY` and the TCP user timeout.
 pub fn configure(stream: &impl AsFd, unacknowledged: Duration) {
     let socket = socket2::SockRef::from(stream);
-    // Without these a connection still works, only worse.
+    // Failures are ignored: the connection works without these options.
     _ = socket.set_tcp_nodelay(true);
     _ = socket.set_tcp_user_timeout(Some(unacknowledged));
 }
 
-/// Listens at an address that a process before us may just have left.
+/// Listens with `SO_REUSEADDR`, so that a restarted process can bind the address of its predecessor.
 pub fn listen(at: SocketAddr, backlog: u32) -> std::io::Result<tokio::net::TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -39,17 +39,17 @@
     socket.listen(backlog)
 }
 
-/// Opens a connection within a time.
+/// Opens a connection, with several attempts, within a time limit.
 pub async fn connect(to: SocketAddr, within: Duration) -> std::io::Result<TcpStream> {
     let stream = first_to_succeed(within, || TcpStream::connect(to)).await?;
     configure(&stream, UNACKNOWLEDGED);
     Ok(stream)
 }
 
-/// Begins attempts one after the other, evenly spread over a time, until one succeeds. All that are left are dropped.
+/// Starts attempts at even intervals within a time limit until one succeeds, and drops the others.
 ///
-/// A single attempt is not enough after a loss of power: its first packet is lost where the other machine isn't running
-/// yet, and the system sends it again only after a second. One that is refused meets a process that is just starting.
+/// A single attempt is not enough while machines restart: the first SYN to a machine that is still down is lost and
+/// retransmitted only after a second, and a process that is still starting refuses the connection.
 async fn first_to_succeed<T, F>(
     within: Duration,
     mut attempt: impl FnMut() -> F,
@@ -81,55 +81,55 @@
     Err(failure)
 }
 
-/// The writing end of a connection. Sending never waits: where too much waits already the connection ends.
+/// The sending half of a connection. Sending never blocks: a full queue means that the connection has to be closed.
 #[derive(Clone)]
 pub struct Outbox {
     queue: mpsc::Sender<Vec<u8>>,
 }
 
 impl Outbox {
-    /// False: the connection has ended, or must. Its owner drops the outbox then.
+    /// Queues a message. False: the connection has ended or the queue is full, and the owner has to drop the outbox.
     pub fn send<T: Serialize>(&self, message: &T) -> bool {
         self.send_framed(frame(message))
     }
 
-    /// The same for bytes framed once for many connections.
+    /// Like `send`, for bytes that were framed once for many connections.
     pub fn send_framed(&self, bytes: Vec<u8>) -> bool {
         self.queue.try_send(bytes).is_ok()
     }
 }
 
-/// Why a connection has ended. Its text goes on in a sentence of the log: "the connection to X ...".
+/// Why a connection ended. The text completes a log line that begins with "the connection to X".
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// Writing failed.
+    /// A write failed.
     WriteFailed,
-    /// Its outbox was dropped.
+    /// The outbox was dropped.
     Dropped,
-    /// Nothing came for too long.
+    /// Nothing was received within the timeout.
     Silent,
-    /// The other side has closed it.
+    /// The peer closed it, or a read failed.
     Closed,
-    /// What came is no message.
+    /// An invalid message was received.
     Malformed,
 }
 
 impl fmt::Display for ConnectionEnd {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
-            Self::WriteFailed => "can't be written",
-            Self::Dropped => "is no longer wanted",
-            Self::Silent => "fell silent",
-            Self::Closed => "was ended by the other side",
-            Self::Malformed => "brought what is no message",
+            Self::WriteFailed => "failed on write",
+            Self::Dropped => "was closed by this side",
+            Self::Silent => "timed out",
+            Self::Closed => "was closed by the peer",
+            Self::Malformed => "received an invalid message",
         })
     }
 }
 
-/// Runs a connection until either side ends it: what comes is handed to `take`, what the outbox is given is written.
+/// Runs a connection until either side closes it: received messages go to `take`, those queued in the outbox are sent.
 ///
-/// The caller gets the outbox first, through `open`. Silence of `silence_timeout` ends it. None: the other side need not
-/// say anything, and what we write to it shows whether it is there.
+/// `open` receives the outbox before anything is read. The connection ends when nothing is received for
+/// `silence_timeout`. None: the peer may stay silent, and failing writes reveal its loss.
 pub async fn run<T: DeserializeOwned>(
     stream: TcpStream,
     silence_timeout: Option<Duration>,
--- a/crates/rookpulley-runtime/src/connection/tests.rs
+++ b/crates/rookpulley-runtime/src/connection/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Two ends of a connection: a silent one ends after its time, and only where it has one.
-async fn ended_after(quiet: Option<Duration>, within: Duration) -> bool {
+/// Whether a connection with a silent peer ends within a time.
+async fn ends_within(timeout: Option<Duration>, within: Duration) -> bool {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let there = TcpStream::connect(listener.local_addr().unwrap())
         .await
@@ -10,7 +10,7 @@
     let mut kept = None;
     let ended = tokio::time::timeout(
         within,
-        run::<u8>(here, quiet, |outbox| kept = Some(outbox), |_| ()),
+        run::<u8>(here, timeout, |outbox| kept = Some(outbox), |_| ()),
     )
     .await;
     drop(there);
@@ -18,16 +18,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_need_not_speak_is_not_disconnected() {
+async fn a_silent_peer_is_disconnected_only_with_a_timeout() {
     let hour = Duration::from_secs(3_600);
-    assert!(!ended_after(None, hour).await);
-    assert!(ended_after(Some(Duration::from_secs(2)), hour).await);
+    assert!(!ends_within(None, hour).await);
+    assert!(ends_within(Some(Duration::from_secs(2)), hour).await);
 }
 
 const WITHIN: Duration = Duration::from_millis(400);
 
 #[tokio::test(start_paused = true)]
-async fn an_attempt_whose_first_packet_is_lost_does_not_keep_the_next_one_waiting() {
+async fn an_attempt_that_hangs_does_not_delay_the_next_one() {
     let begun = tokio::time::Instant::now();
     let mut attempts = 0;
     let connected = first_to_succeed(WITHIN, || {
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn attempts_end_with_their_time_and_the_last_failure_is_named() {
+async fn attempts_end_at_the_time_limit_with_the_last_error() {
     let begun = tokio::time::Instant::now();
     let silent = first_to_succeed(WITHIN, std::future::pending::<std::io::Result<()>>).await;
     assert_eq!(silent.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_process_that_listens_only_after_the_first_attempt_is_reached() {
+async fn a_process_that_starts_listening_after_the_first_attempt_is_reached() {
     let reserved = TcpSocket::new_v4().unwrap();
     reserved.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = reserved.local_addr().unwrap();
--- a/crates/rookpulley-runtime/src/lib.rs
+++ b/crates/rookpulley-runtime/src/lib.rs
@@ -1,4 +1,4 @@
-//! What both programs of the gateway stand on: connections between them, the log, the settings file while they run.
+//! Shared runtime of proxy and controller: connections between processes, logging, reloading of the settings file.
 
 #![warn(missing_docs)]
 
--- a/crates/rookpulley-runtime/src/log.rs
+++ b/crates/rookpulley-runtime/src/log.rs
@@ -1,15 +1,15 @@
-//! Lines on standard error: a short sentence each, with the prefix of its part.
+//! Logging to standard error, one line per event: the level, the message, then the fields as `name=value`.
 
 use std::fmt::Write as _;
 use tracing::{Event, Subscriber, field::Field, field::Visit};
 use tracing_subscriber::layer::{Context, Layer};
 use tracing_subscriber::prelude::*;
 
-struct Lines;
+struct StderrLayer;
 
-struct Sentence(String);
+struct LineVisitor(String);
 
-impl Visit for Sentence {
+impl Visit for LineVisitor {
     fn record_debug(&mut self, field: &Field, value: &dyn std::fmt::Debug) {
         _ = match field.name() {
             "message" => write!(self.0, "{value:?}"),
@@ -18,22 +18,22 @@
     }
 }
 
-impl<S: Subscriber> Layer<S> for Lines {
+impl<S: Subscriber> Layer<S> for StderrLayer {
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
-        let mut sentence = Sentence(String::new());
-        event.record(&mut sentence);
+        let mut line = LineVisitor(String::new());
+        event.record(&mut line);
         eprintln!(
             "{} {}",
             event.metadata().level().as_str().to_lowercase(),
-            sentence.0
+            line.0
         );
     }
 }
 
-/// Begins to print lines of this level and above.
+/// Installs the global subscriber, which logs events of `level` and above.
 pub fn begin(level: tracing::Level) {
     let filter = tracing_subscriber::filter::LevelFilter::from_level(level);
     tracing_subscriber::registry()
-        .with(Lines.with_filter(filter))
+        .with(StderrLayer.with_filter(filter))
         .init();
 }
--- a/crates/rookpulley-runtime/src/settings.rs
+++ b/crates/rookpulley-runtime/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file while a program runs: a change brings other seeds.
+//! Reloads the settings file of a running process when it changes.
 
 use rookpulley_settings::Node;
 use std::path::{Path, PathBuf};
@@ -7,18 +7,18 @@
 /// The settings file of a running program.
 pub struct SettingsFile {
     path: PathBuf,
-    /// When it was changed, as last seen. None: it could not be looked at.
+    /// The modification time last seen. None: the metadata could not be read.
     modified: Option<SystemTime>,
 }
 
 impl SettingsFile {
-    /// A file whose present text is known already.
+    /// Watches a file whose current content has already been loaded.
     pub fn new(path: PathBuf) -> Self {
         let modified = modified(&path);
         Self { path, modified }
     }
 
-    /// What it says, if it has changed since it was last looked at.
+    /// Loads the settings if the file was modified since the last check. None: it is unchanged or invalid.
     pub fn read_if_changed(&mut self) -> Option<Node> {
         let now = modified(&self.path);
         if now.is_none() || now == self.modified {
@@ -28,16 +28,16 @@
         self.read()
     }
 
-    /// What it says now. None: it can't be used, and what was known holds.
+    /// Loads the settings. None: the file is invalid, and the settings in force remain.
     pub fn read(&self) -> Option<Node> {
         match Node::read(&self.path) {
             Ok(node) => {
-                tracing::info!("settings: read again, {} seeds", node.seeds.len());
+                tracing::info!("settings: reloaded, {} seeds", node.seeds.len());
                 Some(node)
             }
             Err(why) => {
                 tracing::warn!(
-                    "settings: the changed file can't be used, the old ones hold: {why}"
+                    "settings: the changed file is invalid, the previous settings remain in force: {why}"
                 );
                 None
             }
