--- a/crates/rookpulley-api/src/bounds.rs
+++ b/crates/rookpulley-api/src/bounds.rs
@@ -1,16 +1,16 @@
-//! What a server grants its callers, and the memory that bodies may take together.
+//! Limits of a server, and the memory that request bodies share.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a server grants: bytes, connections and times.
+/// Limits of a server: sizes, number of connections and timeouts.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     pub head_bytes: usize,
-    /// Of one message, after a chunked body has been made plain.
+    /// For one message, after chunked decoding.
     pub body_bytes: usize,
-    /// Of the messages of all connections together.
+    /// For the bodies of all connections together.
     pub bodies_bytes: usize,
     pub connections: usize,
     pub head_time: Duration,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The memory that is left for bodies on a whole server.
+/// The memory that remains for request bodies, shared by all connections of a server.
 #[derive(Clone, Debug)]
 pub struct BodyMemory(Rc<Cell<usize>>);
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// What one body has taken of the memory; it goes back when this is dropped.
+/// The memory reserved for one body, which is released on drop.
 #[derive(Debug)]
 pub struct MemoryShare {
     memory: BodyMemory,
@@ -59,12 +59,12 @@
 }
 
 impl MemoryShare {
-    /// Takes for bytes that have come, not for those that are only announced: announcements alone fill no memory.
+    /// Reserves memory for received bytes; false when too little is left. An announced length reserves nothing.
     pub fn take(&mut self, bytes: usize) -> bool {
-        let Some(left) = self.memory.0.get().checked_sub(bytes) else {
+        let Some(remaining) = self.memory.0.get().checked_sub(bytes) else {
             return false;
         };
-        self.memory.0.set(left);
+        self.memory.0.set(remaining);
         self.taken += bytes;
         true
     }
--- a/crates/rookpulley-api/src/call.rs
+++ b/crates/rookpulley-api/src/call.rs
@@ -1,16 +1,16 @@
-//! What a handler is given and what it gives back.
+//! The request that a handler receives and the reply that it returns.
 
 use rookpulley_diagnostics::{Bounds, Nesting, Unread, read};
 use tinyjson::JsonValue;
 
-/// Deeper values are refused. How long a body may be is seen to before there is a call.
+/// Limits the depth only: the size of a body has been checked when it was read.
 const BOUNDS: Bounds = Bounds {
     bytes: usize::MAX,
     nesting: Nesting::Levels(64),
     values: usize::MAX,
 };
 
-/// One call, whole. Path and query are raw, as they were sent; header names are in small letters.
+/// A complete request. Path and query are not decoded; header names are in lower case.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Call {
     pub method: String,
@@ -21,15 +21,15 @@
 }
 
 impl Call {
-    /// The first header of this name, in capitals or not.
+    /// The first header of this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
-            .find(|(held, _)| held.eq_ignore_ascii_case(name))
+            .find(|(key, _)| key.eq_ignore_ascii_case(name))
             .map(|(_, value)| value.as_str())
     }
 
-    /// The body as a value, or the reply to a caller whose body is none.
+    /// Parses the body as JSON, or returns the reply to an invalid body.
     pub fn json(&self) -> Result<JsonValue, Reply> {
         read(&self.body, BOUNDS).map_err(|why| match why {
             Unread::Deep { .. } => {
@@ -43,7 +43,7 @@
     }
 }
 
-/// What goes back. Length, date and connection are seen to elsewhere; `Connection: close` set here is kept.
+/// A reply. The codec sets the length, date and connection headers; `Connection: close` set here closes the connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
     pub status: u16,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// JSON that stands already, such as a configuration as it was sent.
+    /// A reply whose body is serialized JSON.
     pub fn bytes(status: u16, body: Vec<u8>) -> Reply {
         Reply {
             status,
@@ -76,8 +76,8 @@
         }
     }
 
-    pub fn error(status: u16, sentence: &str) -> Reply {
-        let text = JsonValue::from(sentence.to_owned())
+    pub fn error(status: u16, message: &str) -> Reply {
+        let text = JsonValue::from(message.to_owned())
             .stringify()
             .unwrap_or_else(|_| "\"\"".to_owned());
         Reply::bytes(status, format!("{{\"errorMessage\":{text}}}").into_bytes())
@@ -105,7 +105,7 @@
     use super::*;
 
     #[test]
-    fn a_body_that_nests_beyond_measure_is_refused_and_brackets_in_words_do_not_count() {
+    fn deeply_nested_bodies_are_rejected_and_brackets_in_strings_do_not_count() {
         let call = |body: &str| Call {
             body: body.as_bytes().to_vec(),
             ..Call::default()
--- a/crates/rookpulley-api/src/chunks.rs
+++ b/crates/rookpulley-api/src/chunks.rs
@@ -1,6 +1,6 @@
-//! Makes a chunked body plain, byte by byte where lines are, slice by slice where data is.
+//! Decodes chunked bodies.
 //!
-//! Stricter than the proxy's `span`, which must end a body where hyper does and so takes what hyper takes.
+//! Stricter than the proxy's `span`, which has to find the same end of a body as hyper and accepts whatever hyper does.
 
 use crate::head::MAX_HEADERS;
 use crate::refusal::Refusal;
@@ -10,62 +10,62 @@
     Size { digits: u8, size: usize },
     Extension { size: usize },
     SizeEnd { size: usize },
-    Data { left: usize },
+    Data { remaining: usize },
     DataReturn,
     DataEnd,
     Trailer,
 }
 
-/// A body on its way. What stands beside the data (extensions, trailers) is checked, bounded and left out.
+/// Decodes one chunked body incrementally. Extensions and trailers are validated, bounded and discarded.
 #[derive(Debug)]
 pub struct ChunkDecoder {
     state: State,
     max_bytes: usize,
-    /// What extensions may still take.
-    max_beside_bytes: usize,
+    /// The number of bytes that extensions may still take.
+    max_extra_bytes: usize,
     trailer: Vec<u8>,
     max_trailer_bytes: usize,
 }
 
 impl ChunkDecoder {
-    /// For a body of `max_bytes` bytes, with as much as a head may take beside it.
-    pub fn new(max_bytes: usize, max_beside_bytes: usize) -> ChunkDecoder {
+    /// Accepts a body of up to `max_bytes`, and up to `max_extra_bytes` each of extensions and of trailers.
+    pub fn new(max_bytes: usize, max_extra_bytes: usize) -> ChunkDecoder {
         let state = State::Size { digits: 0, size: 0 };
         ChunkDecoder {
             state,
             max_bytes,
-            max_beside_bytes,
+            max_extra_bytes,
             trailer: Vec::new(),
-            max_trailer_bytes: max_beside_bytes,
+            max_trailer_bytes: max_extra_bytes,
         }
     }
 
-    /// Reads on: how many bytes were used, and whether the body is whole. What isn't used belongs to what follows.
+    /// Decodes `bytes` into `body`. Returns how many were consumed, and whether the body is complete.
     pub fn read(&mut self, bytes: &[u8], body: &mut Vec<u8>) -> Result<(usize, bool), Refusal> {
-        let mut used = 0;
-        while let Some(rest) = bytes.get(used..).filter(|rest| !rest.is_empty()) {
-            if let State::Data { left } = self.state {
-                let data = rest.get(..left).unwrap_or(rest);
+        let mut consumed = 0;
+        while let Some(rest) = bytes.get(consumed..).filter(|rest| !rest.is_empty()) {
+            if let State::Data { remaining } = self.state {
+                let data = rest.get(..remaining).unwrap_or(rest);
                 body.extend_from_slice(data);
-                used += data.len();
-                let left = left - data.len();
-                self.state = if left == 0 {
+                consumed += data.len();
+                let remaining = remaining - data.len();
+                self.state = if remaining == 0 {
                     State::DataReturn
                 } else {
-                    State::Data { left }
+                    State::Data { remaining }
                 };
                 continue;
             }
             let Some(byte) = rest.first() else { break };
-            used += 1;
+            consumed += 1;
             if self.step(*byte, body.len())? {
-                return Ok((used, true));
+                return Ok((consumed, true));
             }
         }
-        Ok((used, false))
+        Ok((consumed, false))
     }
 
-    fn step(&mut self, byte: u8, held: usize) -> Result<bool, Refusal> {
+    fn step(&mut self, byte: u8, body_length: usize) -> Result<bool, Refusal> {
         self.state = match (self.state, byte) {
             (State::Size { digits, size }, b'0'..=b'9' | b'a'..=b'f' | b'A'..=b'F') => {
                 let digit = char::from(byte).to_digit(16).unwrap_or_default() as usize;
@@ -73,10 +73,10 @@
                     .checked_mul(16)
                     .and_then(|size| size.checked_add(digit))
                     .ok_or(Refusal::LongBody)?;
-                if size > self.max_bytes.saturating_sub(held) {
+                if size > self.max_bytes.saturating_sub(body_length) {
                     return Err(Refusal::LongBody);
                 }
-                // Leading zeros could go on for ever.
+                // Bounds the number of leading zeros.
                 State::Size {
                     digits: digits
                         .checked_add(1)
@@ -89,14 +89,14 @@
             (State::Size { digits: 1.., size }, b';') => State::Extension { size },
             (State::Extension { size }, b'\r') => State::SizeEnd { size },
             (State::Extension { size }, b'\t' | b' '..=b'~') => {
-                self.max_beside_bytes = self
-                    .max_beside_bytes
+                self.max_extra_bytes = self
+                    .max_extra_bytes
                     .checked_sub(1)
                     .ok_or(Refusal::LongHead)?;
                 State::Extension { size }
             }
             (State::SizeEnd { size: 0 }, b'\n') => State::Trailer,
-            (State::SizeEnd { size }, b'\n') => State::Data { left: size },
+            (State::SizeEnd { size }, b'\n') => State::Data { remaining: size },
             (State::DataReturn, b'\r') => State::DataEnd,
             (State::DataEnd, b'\n') => State::Size { digits: 0, size: 0 },
             (State::Trailer, _) => return self.trailer(byte),
--- a/crates/rookpulley-api/src/codec.rs
+++ b/crates/rookpulley-api/src/codec.rs
@@ -1,7 +1,7 @@
-//! The one place that speaks with `async-h1`: a message in memory goes in, the bytes of an answer come out.
+//! Decodes requests and encodes replies with `async-h1`, entirely in memory.
 //!
-//! It is given a head that it can't misread and that starts no executor and no timer thread: target and headers stay
-//! with the reader, since `async-h1` rewrites `/a/../b` and ends the program on a header with other than ASCII letters.
+//! `async-h1` only sees a generated head, without the target and headers of the client: it normalizes `/a/../b` and
+//! crashes on a header that is not ASCII. That head also starts no executor and no timer thread.
 
 use crate::call::Reply;
 use async_h1::server::{Encoder, decode};
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::task::{Context, Poll};
 
-/// A message in memory, as a connection that is always ready.
+/// A message in memory, as a stream that is always ready.
 #[derive(Clone)]
 struct MemoryStream(Arc<Parts>);
 
@@ -28,7 +28,7 @@
     fn poll_read(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
-        into: &mut [u8],
+        buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let Parts { head, body, read } = &*self.0;
         let at = read.load(Ordering::Relaxed);
@@ -37,8 +37,8 @@
             Some(at) => body.get(at..),
         };
         let part = part.unwrap_or_default();
-        let length = part.len().min(into.len());
-        if let (Some(to), Some(from)) = (into.get_mut(..length), part.get(..length)) {
+        let length = part.len().min(buffer.len());
+        if let (Some(to), Some(from)) = (buffer.get_mut(..length), part.get(..length)) {
             to.copy_from_slice(from);
         }
         read.store(at + length, Ordering::Relaxed);
@@ -64,7 +64,7 @@
     }
 }
 
-/// Hands a message to `async-h1`: its method, and its body as it was read.
+/// Passes a message through `async-h1` and returns its method and body. None: it was not decoded completely.
 pub async fn decode_request(
     method: &str,
     body: Vec<u8>,
@@ -72,15 +72,15 @@
     let length = body.len();
     let head = format!("{method} / HTTP/1.1\r\nhost: counter\r\ncontent-length: {length}\r\n\r\n")
         .into_bytes();
-    let codec = MemoryStream(Arc::new(Parts {
+    let stream = MemoryStream(Arc::new(Parts {
         head,
         body,
         read: AtomicUsize::new(0),
     }));
-    let Some((mut request, _)) = decode(codec).await? else {
+    let Some((mut request, _)) = decode(stream).await? else {
         return Ok(None);
     };
-    // A little more room than needed: with none to spare the reader would double it to find the end.
+    // Spare capacity, since `read_to_end` would double a full buffer to detect the end.
     let mut body = Vec::with_capacity(if length == 0 { 0 } else { length + 32 });
     if length > 0 {
         request.read_to_end(&mut body).await?;
@@ -88,7 +88,7 @@
     Ok((body.len() == length).then(|| (request.method(), body)))
 }
 
-/// The bytes of an answer. `async-h1` gives every answer a length, which 204 may not have: that goes out as 200.
+/// Encodes a reply. `async-h1` always sends a length, which 204 must not have, so 204 is sent as 200.
 pub async fn encode_reply(reply: Reply, method: Method, close: bool) -> io::Result<Vec<u8>> {
     let status = match reply.status {
         204 => StatusCode::Ok,
@@ -102,13 +102,13 @@
         response.remove_header("content-type");
     }
     for (name, value) in &reply.headers {
-        let ours = ["connection", "content-length", "transfer-encoding"]
+        let reserved = ["connection", "content-length", "transfer-encoding"]
             .iter()
-            .any(|ours| name.eq_ignore_ascii_case(ours));
-        let plain = value
+            .any(|reserved| name.eq_ignore_ascii_case(reserved));
+        let printable = value
             .bytes()
             .all(|byte| byte == b'\t' || matches!(byte, b' '..=b'~'));
-        if !ours && plain && name.is_ascii() {
+        if !reserved && printable && name.is_ascii() {
             response.append_header(*name, value.as_str());
         }
     }
--- a/crates/rookpulley-api/src/connection_limiter.rs
+++ b/crates/rookpulley-api/src/connection_limiter.rs
@@ -1,4 +1,4 @@
-//! The connections of one server: how many there are, which of them are idle, and the request that they close.
+//! Tracks the connections of a server: their number, which are idle, and requests to close them.
 
 use crate::bounds::{BodyMemory, Bounds};
 use std::cell::{Cell, RefCell};
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// What one connection shares with the limiter.
+/// The state that a connection shares with the limiter.
 #[derive(Default)]
 struct SlotState {
-    /// Since when it is idle, in the order in which connections became so. None while a call is at work.
+    /// The sequence number at which it became idle. None while a request is in progress.
     idle_since: Cell<Option<u64>>,
     close: Notify,
 }
@@ -18,7 +18,7 @@
     pub bounds: Bounds,
     pub memory: BodyMemory,
     stopping: Cell<bool>,
-    last_turn: Cell<u64>,
+    last_sequence: Cell<u64>,
     slots: RefCell<BTreeMap<u64, Rc<SlotState>>>,
 }
 
@@ -28,21 +28,21 @@
             bounds,
             memory: BodyMemory::new(bounds.bodies_bytes),
             stopping: Cell::new(false),
-            last_turn: Cell::new(0),
+            last_sequence: Cell::new(0),
             slots: RefCell::default(),
         }
     }
 
-    fn next_turn(&self) -> u64 {
-        self.last_turn.set(self.last_turn.get() + 1);
-        self.last_turn.get()
+    fn next_sequence(&self) -> u64 {
+        self.last_sequence.set(self.last_sequence.get() + 1);
+        self.last_sequence.get()
     }
 
     pub fn is_stopping(&self) -> bool {
         self.stopping.get()
     }
 
-    /// Asks all to close once their call is answered.
+    /// Asks all connections to close after the request in progress.
     pub fn stop(&self) {
         self.stopping.set(true);
         self.slots
@@ -51,7 +51,7 @@
             .for_each(|state| state.close.notify_one());
     }
 
-    /// Closes the connection that has been idle longest; false if all are at work.
+    /// Asks the connection that has been idle longest to close; false if none is idle.
     pub fn evict_idle(&self) -> bool {
         let slots = self.slots.borrow();
         let longest = slots
@@ -65,12 +65,12 @@
         longest.is_some()
     }
 
-    /// A slot for a new connection, if need be that of the one that has been idle longest.
+    /// Returns a slot for a new connection, and evicts an idle one at the limit. None: all are busy.
     pub fn admit(self: &Rc<ConnectionLimiter>) -> Option<ConnectionSlot> {
         if self.slots.borrow().len() >= self.bounds.connections && !self.evict_idle() {
             return None;
         }
-        let (number, state) = (self.next_turn(), Rc::new(SlotState::default()));
+        let (number, state) = (self.next_sequence(), Rc::new(SlotState::default()));
         self.slots.borrow_mut().insert(number, state.clone());
         Some(ConnectionSlot {
             limiter: self.clone(),
@@ -80,7 +80,7 @@
     }
 }
 
-/// A connection's slot. It is free again when this is dropped.
+/// The slot of a connection, which is released on drop.
 pub struct ConnectionSlot {
     pub limiter: Rc<ConnectionLimiter>,
     number: u64,
@@ -89,14 +89,16 @@
 
 impl ConnectionSlot {
     pub fn set_idle(&self) {
-        self.state.idle_since.set(Some(self.limiter.next_turn()));
+        self.state
+            .idle_since
+            .set(Some(self.limiter.next_sequence()));
     }
 
     pub fn set_busy(&self) {
         self.state.idle_since.set(None);
     }
 
-    /// Ends when this connection is asked to close.
+    /// Resolves when the connection is asked to close.
     pub async fn close_requested(&self) {
         self.state.close.notified().await;
     }
--- a/crates/rookpulley-api/src/head.rs
+++ b/crates/rookpulley-api/src/head.rs
@@ -1,12 +1,12 @@
-//! Reads the head of a message and refuses whatever two readers could take for two different things.
+//! Parses request heads and rejects ambiguous ones, as a defense against request smuggling.
 
 use crate::refusal::Refusal;
 use std::str::FromStr;
 
-/// The most header lines of one message.
+/// The maximum number of header lines of a message.
 pub const MAX_HEADERS: usize = 100;
 
-/// How the body is told from what follows it.
+/// The framing of the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Length {
     Bytes(usize),
@@ -18,33 +18,33 @@
     pub method: String,
     pub path: String,
     pub query: String,
-    /// Names in small letters, in the order sent.
+    /// Names are in lower case, in the order sent.
     pub headers: Vec<(String, String)>,
     pub length: Length,
     /// The connection may carry another message after this one.
     pub keep_alive: bool,
-    /// The caller waits for `100 Continue` before it sends the body.
+    /// The client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
-/// Reads a head at the start of `bytes`: it and its length, or nothing as long as it isn't whole. `max_bytes` bounds it.
-/// The outcome does not depend on how the bytes were cut on their way.
+/// Parses a head of up to `max_bytes` at the start of `bytes` and returns it with its length. None: it is incomplete.
+/// The result does not depend on how the bytes were split into reads.
 pub fn read(bytes: &[u8], max_bytes: usize) -> Result<Option<(Head, usize)>, Refusal> {
     let window = bytes.get(..max_bytes).unwrap_or(bytes);
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut lines);
     match request.parse(window) {
-        Ok(httparse::Status::Complete(length)) => Ok(Some((checked(&request)?, length))),
+        Ok(httparse::Status::Complete(length)) => Ok(Some((validate(&request)?, length))),
         Ok(httparse::Status::Partial) if window.len() == max_bytes => Err(Refusal::LongHead),
         Ok(httparse::Status::Partial) => Ok(None),
         Err(httparse::Error::TooManyHeaders) => Err(Refusal::LongHead),
-        Err(httparse::Error::Version) => version(window, max_bytes),
+        Err(httparse::Error::Version) => check_version(window, max_bytes),
         Err(_) => Err(Refusal::Head),
     }
 }
 
-/// Another version of HTTP is told from something else only once the line is whole.
-fn version(window: &[u8], max_bytes: usize) -> Result<Option<(Head, usize)>, Refusal> {
+/// Distinguishes another version of HTTP from an invalid head, which takes the complete request line.
+fn check_version(window: &[u8], max_bytes: usize) -> Result<Option<(Head, usize)>, Refusal> {
     let Some(end) = window.iter().position(|byte| *byte == b'\n') else {
         return if window.len() == max_bytes {
             Err(Refusal::LongHead)
@@ -61,19 +61,19 @@
     }
 }
 
-fn checked(request: &httparse::Request<'_, '_>) -> Result<Head, Refusal> {
-    let (method, newer) = (
+fn validate(request: &httparse::Request<'_, '_>) -> Result<Head, Refusal> {
+    let (method, http11) = (
         request.method.unwrap_or_default(),
         request.version == Some(1),
     );
-    // Methods are told apart by their letters, so `get` is none, though async-h1 would take it for GET.
+    // Methods are case-sensitive, so `get` is invalid, although async-h1 accepts it as GET.
     let known = http_types::Method::from_str(method).is_ok_and(|known| known.as_ref() == method);
     if !known || method == "CONNECT" {
         return Err(Refusal::Method);
     }
     let (path, query) = target(method, request.path.unwrap_or_default())?;
     let (mut hosts, mut lengths, mut codings) = (Vec::new(), Vec::new(), Vec::new());
-    let (mut keep_alive, mut expects_continue) = (newer, false);
+    let (mut keep_alive, mut expects_continue) = (http11, false);
     let mut headers = Vec::with_capacity(request.headers.len());
     for line in request.headers.iter() {
         let name = line.name.to_ascii_lowercase();
@@ -82,20 +82,21 @@
             "content-length" => lengths.push(line.value),
             "transfer-encoding" => codings.push(line.value),
             "connection" => {
-                keep_alive &= !words(line.value).any(|word| word.eq_ignore_ascii_case(b"close"))
+                keep_alive &=
+                    !comma_separated(line.value).any(|word| word.eq_ignore_ascii_case(b"close"))
             }
-            "expect" if newer && line.value.eq_ignore_ascii_case(b"100-continue") => {
+            "expect" if http11 && line.value.eq_ignore_ascii_case(b"100-continue") => {
                 expects_continue = true
             }
-            "expect" if newer => return Err(Refusal::Expectation),
+            "expect" if http11 => return Err(Refusal::Expectation),
             _ => {}
         }
         headers.push((name, String::from_utf8_lossy(line.value).into_owned()));
     }
-    if hosts.len() > 1 || (newer && hosts.is_empty()) || !hosts.iter().all(|host| is_host(host)) {
+    if hosts.len() > 1 || (http11 && hosts.is_empty()) || !hosts.iter().all(|host| is_host(host)) {
         return Err(Refusal::Host);
     }
-    let length = length(&lengths, &codings, newer)?;
+    let length = length(&lengths, &codings, http11)?;
     Ok(Head {
         method: method.to_owned(),
         path,
@@ -107,7 +108,7 @@
     })
 }
 
-fn words(value: &[u8]) -> impl Iterator<Item = &[u8]> {
+fn comma_separated(value: &[u8]) -> impl Iterator<Item = &[u8]> {
     value.split(|byte| *byte == b',').map(<[u8]>::trim_ascii)
 }
 
@@ -117,7 +118,7 @@
         .all(|byte| byte.is_ascii_graphic() && !b"/\\?#@,<>\"".contains(byte))
 }
 
-/// The raw path and query. A target with a scheme and a name in front means what it means without them.
+/// The path and query, not decoded. The scheme and authority of an absolute target are ignored.
 fn target(method: &str, target: &str) -> Result<(String, String), Refusal> {
     if target.contains('#') {
         return Err(Refusal::Target);
@@ -144,12 +145,12 @@
     ))
 }
 
-fn length(lengths: &[&[u8]], codings: &[&[u8]], newer: bool) -> Result<Length, Refusal> {
+fn length(lengths: &[&[u8]], codings: &[&[u8]], http11: bool) -> Result<Length, Refusal> {
     match (lengths, codings) {
         ([], []) => Ok(Length::Bytes(0)),
         ([first, more @ ..], []) => {
-            let plain = !first.is_empty() && first.iter().all(u8::is_ascii_digit);
-            if !plain || more.iter().any(|other| other != first) {
+            let is_decimal = !first.is_empty() && first.iter().all(u8::is_ascii_digit);
+            if !is_decimal || more.iter().any(|other| other != first) {
                 return Err(Refusal::Length);
             }
             let digits = std::str::from_utf8(first).unwrap_or_default();
@@ -158,13 +159,13 @@
                 .map(Length::Bytes)
                 .map_err(|_| Refusal::LongBody)
         }
-        ([], [coding]) if newer && coding.eq_ignore_ascii_case(b"chunked") => Ok(Length::Chunked),
-        ([], codings) if newer => {
-            let known = codings
+        ([], [coding]) if http11 && coding.eq_ignore_ascii_case(b"chunked") => Ok(Length::Chunked),
+        ([], codings) if http11 => {
+            let only_chunked = codings
                 .iter()
-                .flat_map(|coding| words(coding))
+                .flat_map(|coding| comma_separated(coding))
                 .all(|word| word.eq_ignore_ascii_case(b"chunked"));
-            Err(if known {
+            Err(if only_chunked {
                 Refusal::Length
             } else {
                 Refusal::Coding
--- a/crates/rookpulley-api/src/lib.rs
+++ b/crates/rookpulley-api/src/lib.rs
@@ -1,14 +1,14 @@
-//! The HTTP server for calls of instances, operators and applications.
+//! An HTTP/1.1 server for requests of instances, operators and applications.
 //!
-//! | file | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `serve` | accepts connections, and answers their calls one after the other |
-//! | `connection_limiter` | how many connections there are, which are idle, and when they are to close |
-//! | `message_reader` | takes one message at a time off a connection, complete and within bounds |
-//! | `head`, `chunks` | the bytes of a head and of a chunked body |
-//! | `codec` | the one place that speaks with `async-h1` |
-//! | `matcher` | which call a method and a path name |
-//! | `call`, `refusal`, `bounds` | what handlers are given, why messages are refused, what a server grants |
+//! | `serve` | accepts connections and answers the requests of each in order |
+//! | `connection_limiter` | bounds the number of connections, evicts idle ones, and closes them on shutdown |
+//! | `message_reader` | reads complete requests from a connection within the limits |
+//! | `head`, `chunks` | parse request heads and decode chunked bodies |
+//! | `codec` | the only module that uses `async-h1` |
+//! | `matcher` | routes a method and a path |
+//! | `call`, `refusal`, `bounds` | requests and replies, reasons for rejection, limits of a server |
 
 pub mod bounds;
 pub mod call;
--- a/crates/rookpulley-api/src/matcher.rs
+++ b/crates/rookpulley-api/src/matcher.rs
@@ -1,61 +1,61 @@
-//! A tree of matchers: the segments of a path lead to a node, which knows the methods that end there.
+//! A router: a tree of path segments, whose nodes hold the methods of the routes that end there.
 
-/// Why a tree can't be built.
+/// Why a router could not be built.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum TreeError {
-    #[error("`{0}` is no pattern")]
-    #[diagnostic(help("write `METHOD /word/{{}}`: a method, a space, a path"))]
+    #[error("`{0}` is not a valid pattern")]
+    #[diagnostic(help("write `METHOD /segment/{{}}`: a method, a space, a path"))]
     Pattern(String),
-    #[error("`{0}` captures more than one segment, or a part of one")]
-    #[diagnostic(help("write `{{}}` once, in the place of a whole segment"))]
+    #[error("`{0}` captures more than one segment, or part of a segment")]
+    #[diagnostic(help("write `{{}}` at most once, as a whole segment"))]
     Captures(String),
-    #[error("`{0}` stands twice")]
-    #[diagnostic(help("write each method and path once"))]
+    #[error("`{0}` is registered twice")]
+    #[diagnostic(help("register each method and path once"))]
     Twice(String),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Match<T> {
-    /// The value of the pattern, and what stood in the place of `{}`, with its percent signs decoded once.
+    /// The value of the route, and the captured segment with its percent encoding decoded once.
     Found(T, String),
-    /// The path is known, under other methods.
+    /// The path has routes, but none for this method.
     WrongMethod,
     Nothing,
 }
 
 #[derive(Clone, Debug)]
 struct Node<T> {
-    words: Vec<(String, Node<T>)>,
-    any: Option<Box<Node<T>>>,
+    literals: Vec<(String, Node<T>)>,
+    capture: Option<Box<Node<T>>>,
     methods: Vec<(String, T)>,
 }
 
 impl<T> Node<T> {
     fn new() -> Node<T> {
         Node {
-            words: Vec::new(),
-            any: None,
+            literals: Vec::new(),
+            capture: None,
             methods: Vec::new(),
         }
     }
 
-    fn grow(&mut self, segment: &str) -> &mut Node<T> {
+    fn child(&mut self, segment: &str) -> &mut Node<T> {
         if segment == "{}" {
-            return self.any.get_or_insert_with(|| Box::new(Node::new()));
+            return self.capture.get_or_insert_with(|| Box::new(Node::new()));
         }
-        let at = self
-            .words
+        let index = self
+            .literals
             .iter()
-            .position(|(word, _)| word == segment)
-            .unwrap_or(self.words.len());
-        if at == self.words.len() {
-            self.words.push((segment.to_owned(), Node::new()));
+            .position(|(literal, _)| literal == segment)
+            .unwrap_or(self.literals.len());
+        if index == self.literals.len() {
+            self.literals.push((segment.to_owned(), Node::new()));
         }
-        &mut self.words[at].1
+        &mut self.literals[index].1
     }
 }
 
-/// Patterns like `PUT /rookpulley/instances/{}`, each with a value. A word goes before a capture.
+/// Maps patterns such as `PUT /rookpulley/instances/{}` to values. A literal segment takes precedence over a capture.
 #[derive(Clone, Debug)]
 pub struct Tree<T> {
     root: Node<T>,
@@ -79,8 +79,8 @@
             }
             let node = path
                 .split('/')
-                .fold(&mut root, |node, segment| node.grow(segment));
-            if node.methods.iter().any(|(held, _)| held == method) {
+                .fold(&mut root, |node, segment| node.child(segment));
+            if node.methods.iter().any(|(name, _)| name == method) {
                 return Err(TreeError::Twice((*pattern).to_owned()));
             }
             node.methods.push((method.to_owned(), *value));
@@ -89,22 +89,22 @@
     }
 
     pub fn lookup(&self, method: &str, path: &str) -> Match<T> {
-        let (mut found, mut known) = (None, false);
+        let (mut found, mut path_known) = (None, false);
         self.visit(path, &mut |node, captured| {
-            known = true;
-            let ends = node.methods.iter().find(|(held, _)| held == method);
+            path_known = true;
+            let route = node.methods.iter().find(|(name, _)| name == method);
             found =
-                ends.map(|(_, value)| (*value, captured.map(str::to_owned).unwrap_or_default()));
+                route.map(|(_, value)| (*value, captured.map(str::to_owned).unwrap_or_default()));
             found.is_some()
         });
         match found {
             Some((value, captured)) => Match::Found(value, captured),
-            None if known => Match::WrongMethod,
+            None if path_known => Match::WrongMethod,
             None => Match::Nothing,
         }
     }
 
-    /// The methods that a path is known under, as an `Allow` line names them.
+    /// The methods of a path, formatted for the `Allow` header.
     pub fn allowed(&self, path: &str) -> String {
         let mut methods: Vec<&str> = Vec::new();
         self.visit(path, &mut |node, _| {
@@ -116,10 +116,10 @@
         methods.join(", ")
     }
 
-    /// Shows the nodes where a path may end, words first, until `enough` says so.
-    fn visit<'a>(&'a self, path: &str, enough: &mut dyn FnMut(&'a Node<T>, Option<&str>) -> bool) {
+    /// Visits the nodes that match a path, literals before captures, until `visitor` returns true.
+    fn visit<'a>(&'a self, path: &str, visitor: &mut dyn FnMut(&'a Node<T>, Option<&str>) -> bool) {
         if let Some(rest) = path.strip_prefix('/') {
-            walk(&self.root, rest.split('/'), None, enough);
+            walk(&self.root, rest.split('/'), None, visitor);
         }
     }
 }
@@ -128,26 +128,26 @@
     node: &'a Node<T>,
     mut rest: std::str::Split<'_, char>,
     captured: Option<&str>,
-    enough: &mut dyn FnMut(&'a Node<T>, Option<&str>) -> bool,
+    visitor: &mut dyn FnMut(&'a Node<T>, Option<&str>) -> bool,
 ) -> bool {
     let Some(segment) = rest.next() else {
-        return !node.methods.is_empty() && enough(node, captured);
+        return !node.methods.is_empty() && visitor(node, captured);
     };
-    if let Some((_, next)) = node.words.iter().find(|(word, _)| word == segment)
-        && walk(next, rest.clone(), captured, enough)
+    if let Some((_, next)) = node.literals.iter().find(|(literal, _)| literal == segment)
+        && walk(next, rest.clone(), captured, visitor)
     {
         return true;
     }
-    match &node.any {
+    match &node.capture {
         Some(next) => {
-            decoded(segment).is_some_and(|captured| walk(next, rest, Some(&captured), enough))
+            decode(segment).is_some_and(|captured| walk(next, rest, Some(&captured), visitor))
         }
         None => false,
     }
 }
 
-/// A segment with its percent signs decoded once; none where that is empty or no text.
-fn decoded(segment: &str) -> Option<String> {
+/// Decodes the percent encoding of a segment once. None: the segment is empty, or invalid.
+fn decode(segment: &str) -> Option<String> {
     if segment.is_empty() {
         return None;
     }
@@ -168,12 +168,12 @@
     String::from_utf8(bytes).ok()
 }
 
-/// The raw value of a name in a query; of several, the first.
+/// The first value of a query parameter, without percent decoding.
 pub fn query<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
         .find_map(|pair| match pair.split_once('=') {
-            Some((held, value)) => (held == name).then_some(value),
+            Some((key, value)) => (key == name).then_some(value),
             None => (pair == name).then_some(""),
         })
 }
@@ -182,34 +182,36 @@
 mod tests {
     use super::*;
 
-    fn fits(pattern: &str, path: &str) -> Option<Vec<String>> {
+    /// Matches a path against a single pattern, segment by segment, and returns what it captures.
+    fn captures(pattern: &str, path: &str) -> Option<Vec<String>> {
         let (pattern, path): (Vec<_>, Vec<_>) =
             (pattern.split('/').collect(), path.split('/').collect());
-        let fits = |(word, segment): (&&str, &&str)| match *word {
-            "{}" => decoded(segment).map(Some),
+        let matches = |(word, segment): (&&str, &&str)| match *word {
+            "{}" => decode(segment).map(Some),
             word => (word == *segment).then_some(None),
         };
-        let same = pattern.len() == path.len();
-        same.then(|| {
-            pattern
-                .iter()
-                .zip(&path)
-                .map(fits)
-                .collect::<Option<Vec<_>>>()
-        })
-        .flatten()
-        .map(|captured| {
-            let captured = captured.into_iter().flatten().collect::<Vec<_>>();
-            if captured.is_empty() {
-                vec![String::new()]
-            } else {
-                captured
-            }
-        })
+        let same_length = pattern.len() == path.len();
+        same_length
+            .then(|| {
+                pattern
+                    .iter()
+                    .zip(&path)
+                    .map(matches)
+                    .collect::<Option<Vec<_>>>()
+            })
+            .flatten()
+            .map(|captured| {
+                let captured = captured.into_iter().flatten().collect::<Vec<_>>();
+                if captured.is_empty() {
+                    vec![String::new()]
+                } else {
+                    captured
+                }
+            })
     }
 
     #[test]
-    fn a_tree_finds_what_a_search_through_all_patterns_finds() {
+    fn lookup_agrees_with_a_linear_search_of_all_patterns() {
         let property = |u: &mut arbtest::arbitrary::Unstructured| {
             let mut patterns: Vec<String> = Vec::new();
             for _ in 0..u.int_in_range(1..=12)? {
@@ -244,10 +246,10 @@
                     .enumerate()
                     .filter_map(|(number, pattern)| {
                         let (held, pattern) = pattern.split_once(' ')?;
-                        // Where two patterns fit, the one whose capture comes later goes first.
+                        // Of several matching patterns, the one with the later capture takes precedence.
                         let rank: Vec<bool> =
                             pattern.split('/').map(|segment| segment == "{}").collect();
-                        fits(pattern, &path)
+                        captures(pattern, &path)
                             .map(|captured| (rank, held.to_owned(), number, captured))
                     })
                     .collect::<Vec<_>>();
@@ -271,7 +273,7 @@
     }
 
     #[test]
-    fn patterns_that_mean_nothing_or_two_things_are_refused() {
+    fn invalid_and_duplicate_patterns_are_rejected() {
         assert!(matches!(
             Tree::new(&[("GET rookpulley", 0)]),
             Err(TreeError::Pattern(_))
--- a/crates/rookpulley-api/src/message_reader.rs
+++ b/crates/rookpulley-api/src/message_reader.rs
@@ -1,4 +1,4 @@
-//! Takes one message at a time off a connection, complete and within bounds; what follows it stays for the next.
+//! Reads one complete message at a time from a connection, within the limits. Pipelined bytes stay buffered.
 
 use crate::bounds::{BodyMemory, Bounds, MemoryShare};
 use crate::chunks::ChunkDecoder;
@@ -8,14 +8,14 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// What one read asks for while lines are read; most messages fit.
+/// The size of one read of a head or of chunk lines.
 const READ_BYTES: usize = 4 << 10;
-/// What one read of a body asks for at most, beyond doubling what is there.
+/// The maximum that one read of a body reserves; a sized body longer than this is doubled instead.
 const MAX_READ_BYTES: usize = 64 << 10;
-/// How long a connection that ends is listened to, so that its last answer isn't lost with a reset.
+/// How long input is drained before a connection is closed: closing with unread input resets it and may lose the reply.
 const LINGER: Duration = Duration::from_secs(1);
 
-/// A message that is whole. Its share of the memory for bodies goes back when it is dropped.
+/// A complete message. Dropping it returns its share of the body memory.
 #[derive(Debug)]
 pub struct Message {
     pub head: Head,
@@ -23,11 +23,11 @@
     pub memory: MemoryShare,
 }
 
-/// The reading and writing end of one connection.
+/// Reads messages from a connection and writes replies to it.
 #[derive(Debug)]
 pub struct MessageReader<S> {
     stream: S,
-    held: Vec<u8>,
+    buffer: Vec<u8>,
     bounds: Bounds,
     memory: BodyMemory,
 }
@@ -36,28 +36,28 @@
     pub fn new(stream: S, bounds: Bounds, memory: BodyMemory) -> MessageReader<S> {
         MessageReader {
             stream,
-            held: Vec::new(),
+            buffer: Vec::new(),
             bounds,
             memory,
         }
     }
 
-    /// Waits until a message begins; false when none will. Empty lines between messages are dropped.
-    /// Nothing is lost when this is given up.
+    /// Waits for the first byte of a message; false at the end of the stream. Skips empty lines between messages.
+    /// Cancel-safe.
     pub async fn wait_for_message(&mut self) -> bool {
         loop {
             let empty = self
-                .held
+                .buffer
                 .chunks_exact(2)
                 .take_while(|pair| *pair == b"\r\n")
                 .count()
                 * 2;
-            self.held.drain(..empty);
-            if !matches!(self.held.as_slice(), [] | b"\r") {
+            self.buffer.drain(..empty);
+            if !matches!(self.buffer.as_slice(), [] | b"\r") {
                 return true;
             }
-            if self.held.capacity() > 2 * READ_BYTES {
-                self.held = std::mem::take(&mut self.held).as_slice().to_vec();
+            if self.buffer.capacity() > 2 * READ_BYTES {
+                self.buffer = std::mem::take(&mut self.buffer).as_slice().to_vec();
             }
             if !matches!(self.fill(READ_BYTES).await, Ok(1..)) {
                 return false;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Reads one message. After a refusal nothing more can be read here.
+    /// Reads one message. After an error the connection can no longer be read.
     pub async fn message(&mut self) -> Result<Message, Refusal> {
         let head = within(self.bounds.head_time, self.head())
             .await
@@ -78,21 +78,21 @@
     }
 
     async fn head(&mut self) -> Result<Head, Refusal> {
-        // A head that comes in small pieces is parsed where it ends and after each doubling, so that those cost little.
-        let (mut seen, mut parse_at) = (0, 0);
+        // Parses only after a new line end and when the size has doubled, so that small reads stay cheap.
+        let (mut scanned, mut parse_at) = (0, 0);
         loop {
-            let fresh = self.held.get(seen..).unwrap_or_default();
-            if self.held.len() >= parse_at || fresh.contains(&b'\n') {
-                if let Some((head, length)) = head::read(&self.held, self.bounds.head_bytes)? {
-                    self.held.drain(..length);
+            let unscanned = self.buffer.get(scanned..).unwrap_or_default();
+            if self.buffer.len() >= parse_at || unscanned.contains(&b'\n') {
+                if let Some((head, length)) = head::read(&self.buffer, self.bounds.head_bytes)? {
+                    self.buffer.drain(..length);
                     return Ok(head);
                 }
-                parse_at = (self.held.len() * 2).min(self.bounds.head_bytes);
+                parse_at = (self.buffer.len() * 2).min(self.bounds.head_bytes);
             }
-            seen = self.held.len();
+            scanned = self.buffer.len();
             if !matches!(self.fill(READ_BYTES).await, Ok(1..)) {
-                // What has not been parsed yet may tell more than that it is cut.
-                return head::read(&self.held, self.bounds.head_bytes).and(Err(Refusal::Cut));
+                // Bytes that were not parsed yet may contain a more specific error than the early end.
+                return head::read(&self.buffer, self.bounds.head_bytes).and(Err(Refusal::Cut));
             }
         }
     }
@@ -103,7 +103,7 @@
             Length::Bytes(length) if length > self.bounds.body_bytes => Err(Refusal::LongBody),
             Length::Bytes(length) => {
                 self.send_continue(head).await?;
-                self.plain(length, memory).await
+                self.sized(length, memory).await
             }
             Length::Chunked => {
                 self.send_continue(head).await?;
@@ -112,9 +112,9 @@
         }
     }
 
-    /// Asks for a body that its caller holds back.
+    /// Sends `100 Continue` if the client waits for it.
     async fn send_continue(&mut self, head: &Head) -> Result<(), Refusal> {
-        if head.expects_continue && self.held.is_empty() {
+        if head.expects_continue && self.buffer.is_empty() {
             self.stream
                 .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
                 .await
@@ -123,20 +123,20 @@
         Ok(())
     }
 
-    async fn plain(&mut self, length: usize, memory: &mut MemoryShare) -> Result<Vec<u8>, Refusal> {
-        let mut body: Vec<u8> = self.held.drain(..length.min(self.held.len())).collect();
+    async fn sized(&mut self, length: usize, memory: &mut MemoryShare) -> Result<Vec<u8>, Refusal> {
+        let mut body: Vec<u8> = self.buffer.drain(..length.min(self.buffer.len())).collect();
         if !memory.take(body.len()) {
             return Err(Refusal::NoRoom);
         }
         while body.len() < length {
             let left = length - body.len();
             body.reserve(left.min(MAX_READ_BYTES.max(body.len())));
-            let got = (&mut self.stream)
+            let read = (&mut self.stream)
                 .take(left as u64)
                 .read_buf(&mut body)
                 .await;
-            let got = got.ok().filter(|got| *got > 0).ok_or(Refusal::Cut)?;
-            if !memory.take(got) {
+            let count = read.ok().filter(|count| *count > 0).ok_or(Refusal::Cut)?;
+            if !memory.take(count) {
                 return Err(Refusal::NoRoom);
             }
         }
@@ -144,16 +144,16 @@
     }
 
     async fn chunked(&mut self, memory: &mut MemoryShare) -> Result<Vec<u8>, Refusal> {
-        let mut chunks = ChunkDecoder::new(self.bounds.body_bytes, self.bounds.head_bytes);
+        let mut decoder = ChunkDecoder::new(self.bounds.body_bytes, self.bounds.head_bytes);
         let mut body = Vec::new();
         loop {
             let before = body.len();
-            let (used, whole) = chunks.read(&self.held, &mut body)?;
-            self.held.drain(..used);
+            let (consumed, complete) = decoder.read(&self.buffer, &mut body)?;
+            self.buffer.drain(..consumed);
             if !memory.take(body.len() - before) {
                 return Err(Refusal::NoRoom);
             }
-            if whole {
+            if complete {
                 return Ok(body);
             }
             if !matches!(
@@ -166,17 +166,18 @@
         }
     }
 
+    /// Reads up to about `max_bytes` more into the buffer.
     async fn fill(&mut self, max_bytes: usize) -> io::Result<usize> {
-        self.held.reserve(max_bytes);
-        self.stream.read_buf(&mut self.held).await
+        self.buffer.reserve(max_bytes);
+        self.stream.read_buf(&mut self.buffer).await
     }
 
-    /// More has come than the messages taken.
+    /// Whether bytes are buffered that belong to no message read so far.
     pub fn has_more(&self) -> bool {
-        !self.held.is_empty()
+        !self.buffer.is_empty()
     }
 
-    /// Writes an answer; false when the caller doesn't take it.
+    /// Writes a reply; false when that fails or times out.
     pub async fn write(&mut self, bytes: &[u8]) -> bool {
         matches!(
             within(self.bounds.write_time, self.stream.write_all(bytes)).await,
@@ -184,7 +185,7 @@
         )
     }
 
-    /// Ends the connection so that the last answer arrives: what still comes is read and dropped for a moment.
+    /// Closes the connection after draining input for up to `LINGER`, so that the last reply is not lost in a reset.
     pub async fn end(mut self) {
         let (mut left, mut sink) = (
             self.bounds.body_bytes.max(MAX_READ_BYTES),
@@ -192,17 +193,17 @@
         );
         within(LINGER, async {
             _ = self.stream.shutdown().await;
-            while let Ok(got @ 1..) = self.stream.read(&mut sink).await
+            while let Ok(count @ 1..) = self.stream.read(&mut sink).await
                 && left > 0
             {
-                left = left.saturating_sub(got);
+                left = left.saturating_sub(count);
             }
         })
         .await;
     }
 }
 
-/// Runs work within a time. The clock is read only if the work has to wait.
+/// Applies a time limit to a future. The timer is created only if the future is not ready at once.
 pub(crate) async fn within<F: Future>(time: Duration, work: F) -> Option<F::Output> {
     tokio::select! {
         biased;
--- a/crates/rookpulley-api/src/refusal.rs
+++ b/crates/rookpulley-api/src/refusal.rs
@@ -1,6 +1,6 @@
-//! Why a message is not taken: each reason with its status and with what to send instead.
+//! Reasons for rejecting a message, each with its HTTP status and a hint on how to correct it.
 
-/// Why the reader turned a message away. Nothing was run then, and the connection ends after the reply.
+/// Why a message was rejected. No handler runs for it, and the connection is closed after the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum Refusal {
     #[error("the head can't be read as HTTP/1.1")]
--- a/crates/rookpulley-api/src/serve.rs
+++ b/crates/rookpulley-api/src/serve.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and answers their calls, each connection in a task of its own on this thread.
+//! Accepts connections and serves each in a local task of its own.
 
 use crate::bounds::Bounds;
 use crate::call::{Call, Reply};
@@ -15,15 +15,15 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// After an accept that failed for want of something, such as descriptors.
+/// The pause after an `accept` that failed for lack of resources, such as file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// At a stop, calls that are on their way to us are waited for so long on connections that wait.
+/// How long idle connections wait on shutdown for a request that is already on its way.
 const STOP_GRACE: Duration = Duration::from_millis(50);
-/// What a caller has not confirmed for so long ends the connection, however silent the network is.
+/// The TCP user timeout of a connection to a client.
 const UNACKNOWLEDGED: Duration = Duration::from_millis(5_000);
 
-/// Serves until `stop` turns true and every call at work is answered. Dropping this ends all connections at once.
-/// It must run inside a `LocalSet`. A sender that is dropped without a value means that there is no stop.
+/// Serves until `stop` becomes true and all requests in progress are answered. Dropping the future closes all
+/// connections at once. It must run in a `LocalSet`. If the sender is dropped first, the server runs on.
 pub async fn serve<H, F>(
     listener: TcpListener,
     bounds: Bounds,
@@ -35,24 +35,24 @@
 {
     let limiter = Rc::new(ConnectionLimiter::new(bounds));
     let mut connections = JoinSet::new();
-    let mut stopped = std::pin::pin!(stopped(stop));
+    let mut stopped = std::pin::pin!(wait_for_stop(stop));
     loop {
         tokio::select! {
             biased;
             () = &mut stopped => break,
-            Some(ended) = connections.join_next(), if !connections.is_empty() => told(ended),
+            Some(ended) = connections.join_next(), if !connections.is_empty() => log_failure(ended),
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => admit(&mut connections, &limiter, &handler, stream),
                 Err(error) if is_transient(error.kind()) => {}
                 Err(error) => {
-                    tracing::warn!("api: no connection can be taken: {error}");
+                    tracing::warn!("api: accept failed: {error}");
                     limiter.evict_idle();
                     tokio::select! { biased; () = &mut stopped => break, () = tokio::time::sleep(ACCEPT_BACKOFF) => {} }
                 }
             },
         }
     }
-    // Connections in the backlog have been accepted by the system by now, and are answered.
+    // Connections in the backlog are established for their clients, so they are served as well.
     for _ in 0..bounds.connections {
         let Some(Ok((stream, _))) = futures_lite::future::poll_once(listener.accept()).await else {
             break;
@@ -62,19 +62,19 @@
     drop(listener);
     limiter.stop();
     while let Some(ended) = connections.join_next().await {
-        told(ended);
+        log_failure(ended);
     }
 }
 
-async fn stopped(mut stop: watch::Receiver<bool>) {
+async fn wait_for_stop(mut stop: watch::Receiver<bool>) {
     if stop.wait_for(|stop| *stop).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-fn told(ended: Result<(), tokio::task::JoinError>) {
+fn log_failure(ended: Result<(), tokio::task::JoinError>) {
     if let Err(error) = ended {
-        tracing::error!("api: a connection ended in disorder: {error}");
+        tracing::error!("api: a connection task failed: {error}");
     }
 }
 
@@ -95,14 +95,16 @@
     F: Future<Output = Reply> + 'static,
 {
     let Some(slot) = limiter.admit() else {
-        tracing::warn!("api: all connections are at work, the newest is refused");
+        tracing::warn!(
+            "api: connection limit reached and no connection is idle, closing the new one"
+        );
         return;
     };
     connection::configure(&stream, UNACKNOWLEDGED);
     connections.spawn_local(serve_connection(stream, slot, handler.clone()));
 }
 
-/// Answers the calls of one connection, one after the other.
+/// Answers the requests of one connection in order.
 async fn serve_connection<S, H, F>(stream: S, slot: ConnectionSlot, handler: Rc<H>)
 where
     S: AsyncRead + AsyncWrite + Unpin,
@@ -122,7 +124,7 @@
         let (head, memory) = (message.head, message.memory);
         let Ok(Some((method, body))) = codec::decode_request(&head.method, message.body).await
         else {
-            tracing::warn!("api: a message that was accepted can't be read");
+            tracing::warn!("api: async-h1 rejected a message that the reader accepted");
             return refuse(reader, Refusal::Head).await;
         };
         let call = Call {
@@ -142,16 +144,16 @@
             return;
         }
         if close {
-            // A caller that asked for the end sends nothing more that could be met with a reset.
-            let sends_on = head.keep_alive || reader.has_more();
-            return if sends_on {
+            // A client that asked to close sends nothing more, so no reset can hit the reply.
+            let may_send = head.keep_alive || reader.has_more();
+            return if may_send {
                 reader.end().await
             };
         }
     }
 }
 
-/// Waits for the next message; false when there is none, or the connection is no longer wanted.
+/// Waits for the next message; false at the end of the stream, on idle timeout, or when asked to close.
 async fn next_message_begins<S: AsyncRead + AsyncWrite + Unpin>(
     reader: &mut MessageReader<S>,
     slot: &ConnectionSlot,
@@ -175,7 +177,7 @@
 }
 
 async fn refuse<S: AsyncRead + AsyncWrite + Unpin>(mut reader: MessageReader<S>, refusal: Refusal) {
-    tracing::debug!("api: a message is refused: {refusal}");
+    tracing::debug!("api: message rejected: {refusal}");
     let help = miette::Diagnostic::help(&refusal)
         .map(|help| help.to_string())
         .unwrap_or_default();
--- a/crates/rookpulley-api/tests/message_reader.rs
+++ b/crates/rookpulley-api/tests/message_reader.rs
@@ -1,4 +1,4 @@
-//! What the reader takes and what it turns away, on streams in memory.
+//! Messages that the reader accepts and rejects, on in-memory streams.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_api::bounds::{BodyMemory, Bounds};
@@ -9,16 +9,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// Method, path, query and body.
-type Told = (String, String, String, Vec<u8>);
+type Parsed = (String, String, String, Vec<u8>);
 
-/// What came off a connection: messages, and how it ended.
+/// The messages read from a connection, and the error that ended it, if any.
 #[derive(Debug, PartialEq)]
-struct Taken {
-    messages: Vec<Told>,
-    refused: Option<Refusal>,
+struct Outcome {
+    messages: Vec<Parsed>,
+    rejection: Option<Refusal>,
 }
 
-fn in_time(work: impl Future<Output = ()>) {
+fn run_paused(work: impl Future<Output = ()>) {
     tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -27,7 +27,7 @@
         .block_on(work);
 }
 
-fn told(message: Message) -> Told {
+fn parsed(message: Message) -> Parsed {
     (
         message.head.method,
         message.head.path,
@@ -36,53 +36,53 @@
     )
 }
 
-/// Sends bytes through a pipe that holds so many at once, and ends it.
-async fn through(bytes: &[u8], width: usize, bounds: Bounds) -> Taken {
-    let (mut ours, theirs) = tokio::io::duplex(width);
-    let mut reader = MessageReader::new(theirs, bounds, BodyMemory::new(bounds.bodies_bytes));
+/// Reads all messages of a stream whose pipe holds `width` bytes at a time.
+async fn read_all(bytes: &[u8], width: usize, bounds: Bounds) -> Outcome {
+    let (mut client, server) = tokio::io::duplex(width);
+    let mut reader = MessageReader::new(server, bounds, BodyMemory::new(bounds.bodies_bytes));
     let send = async move {
-        _ = ours.write_all(bytes).await;
-        _ = ours.shutdown().await;
+        _ = client.write_all(bytes).await;
+        _ = client.shutdown().await;
         let mut sink = Vec::new();
-        _ = ours.read_to_end(&mut sink).await;
+        _ = client.read_to_end(&mut sink).await;
     };
     let take = async move {
-        let mut taken = Taken {
+        let mut outcome = Outcome {
             messages: Vec::new(),
-            refused: None,
+            rejection: None,
         };
         while reader.wait_for_message().await {
             match reader.message().await {
-                Ok(message) => taken.messages.push(told(message)),
+                Ok(message) => outcome.messages.push(parsed(message)),
                 Err(refusal) => {
-                    taken.refused = Some(refusal);
+                    outcome.rejection = Some(refusal);
                     break;
                 }
             }
         }
-        taken
+        outcome
     };
     tokio::join!(send, take).1
 }
 
-fn taken(bytes: &[u8]) -> Taken {
-    let mut taken = None;
-    in_time(async { taken = Some(through(bytes, 1 << 20, Bounds::default()).await) });
-    taken.unwrap()
+fn outcome(bytes: &[u8]) -> Outcome {
+    let mut outcome = None;
+    run_paused(async { outcome = Some(read_all(bytes, 1 << 20, Bounds::default()).await) });
+    outcome.unwrap()
 }
 
-/// The status of a refusal of the first message, or 200.
+/// The status of the rejection of the first message, or 200.
 fn status(bytes: &[u8]) -> u16 {
-    let taken = taken(bytes);
+    let outcome = outcome(bytes);
     assert!(
-        taken.messages.is_empty() || taken.refused.is_none(),
-        "{taken:?}"
+        outcome.messages.is_empty() || outcome.rejection.is_none(),
+        "{outcome:?}"
     );
-    taken.refused.map_or(200, Refusal::status)
+    outcome.rejection.map_or(200, Refusal::status)
 }
 
 #[test]
-fn whatever_could_be_read_in_two_ways_is_refused() {
+fn ambiguous_messages_are_rejected() {
     let post = |lines: &str, body: &str| {
         status(format!("POST /a HTTP/1.1\r\nHost: h\r\n{lines}\r\n{body}").as_bytes())
     };
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn what_is_no_call_gets_a_status_that_says_so() {
+fn invalid_requests_get_the_matching_status() {
     assert_eq!(status(b"GET / HTTP/1.1\r\n\r\n"), 400);
     assert_eq!(status(b"GET / HTTP/1.0\r\n\r\n"), 200);
     assert_eq!(
@@ -218,16 +218,16 @@
 }
 
 #[test]
-fn a_target_comes_raw_and_a_head_may_be_as_long_as_the_bounds_say() {
+fn targets_are_not_normalized_and_heads_may_reach_the_size_limit() {
     for (target, path, query) in [
         ("/a/../b", "/a/../b", ""),
         ("/%2e%2e/%2Fx//./?q=/../?", "/%2e%2e/%2Fx//./", "q=/../?"),
         ("http://other/a/../b?c", "/a/../b", "c"),
         ("http://other?c", "/", "c"),
     ] {
-        let taken = taken(format!("GET {target} HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes());
+        let outcome = outcome(format!("GET {target} HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes());
         assert_eq!(
-            taken.messages,
+            outcome.messages,
             [(
                 "GET".to_owned(),
                 path.to_owned(),
@@ -248,8 +248,8 @@
     assert_eq!(status(padded((16 << 10) + 1).as_bytes()), 431);
 }
 
-/// A proper message and what is to come of it.
-fn message(u: &mut Unstructured) -> Result<(Vec<u8>, Told)> {
+/// Generates a valid message and the result of reading it.
+fn message(u: &mut Unstructured) -> Result<(Vec<u8>, Parsed)> {
     let method = *u.choose(&["GET", "PUT", "POST", "DELETE"])?;
     let target = *u.choose(&[
         "/",
@@ -258,7 +258,7 @@
         "/x?y=z&w",
         "/rookpulley/cells/g1.2d",
     ])?;
-    // A body may look like another call, and stays a body.
+    // A body that looks like another request must remain a body.
     let smuggled = b"\r\nGET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n0\r\n\r\n".to_vec();
     let body: Vec<u8> = match u.int_in_range(0..=3)? {
         0 => Vec::new(),
@@ -272,8 +272,8 @@
         let mut rest = body.as_slice();
         while !rest.is_empty() {
             let (chunk, left) = rest.split_at(u.int_in_range(1..=rest.len())?);
-            let mark = *u.choose(&["", ";a", ";b=\"c\""])?;
-            bytes.extend_from_slice(format!("{:X}{mark}\r\n", chunk.len()).as_bytes());
+            let extension = *u.choose(&["", ";a", ";b=\"c\""])?;
+            bytes.extend_from_slice(format!("{:X}{extension}\r\n", chunk.len()).as_bytes());
             bytes.extend_from_slice(chunk);
             bytes.extend_from_slice(b"\r\n");
             rest = left;
@@ -300,22 +300,22 @@
 }
 
 #[test]
-fn calls_come_out_as_they_went_in_however_they_are_cut() {
+fn valid_requests_are_read_unchanged_however_they_are_split() {
     plays(300, 600, |u| {
         let (mut bytes, mut messages) = (Vec::new(), Vec::new());
         for _ in 0..u.int_in_range(1..=4)? {
-            let (more, message) = message(u)?;
-            bytes.extend(more);
+            let (encoded, message) = message(u)?;
+            bytes.extend(encoded);
             messages.push(message);
         }
         let width = *u.choose(&[1, 2, 3, 7, 64, 1_000, 5_000, 100_000])?;
-        in_time(async {
-            let taken = through(&bytes, width, Bounds::default()).await;
+        run_paused(async {
+            let outcome = read_all(&bytes, width, Bounds::default()).await;
             assert_eq!(
-                taken,
-                Taken {
+                outcome,
+                Outcome {
                     messages,
-                    refused: None
+                    rejection: None
                 }
             );
         });
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn spoilt_bytes_end_nothing_but_their_connection_and_are_judged_alike_however_they_are_cut() {
+fn corrupted_requests_get_the_same_outcome_however_they_are_split() {
     plays(800, 300, |u| {
         let mut bytes = Vec::new();
         for _ in 0..u.int_in_range(0..=2)? {
@@ -344,10 +344,10 @@
             ..Bounds::default()
         };
         let (narrow, wide) = (*u.choose(&[1, 5, 50])?, 1 << 20);
-        in_time(async {
+        run_paused(async {
             assert_eq!(
-                through(&bytes, narrow, bounds).await,
-                through(&bytes, wide, bounds).await
+                read_all(&bytes, narrow, bounds).await,
+                read_all(&bytes, wide, bounds).await
             );
         });
         Ok(())
@@ -355,36 +355,36 @@
 }
 
 #[test]
-fn a_caller_that_stalls_is_told_and_one_that_waits_for_a_word_gets_it() {
-    in_time(async {
+fn stalled_requests_time_out_and_expect_continue_is_answered() {
+    run_paused(async {
         let bounds = Bounds::default();
-        for (sent, patience) in [
+        for (request, timeout_s) in [
             ("GET / HT", 5),
             (
                 "PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc",
                 10,
             ),
         ] {
-            let (mut ours, theirs) = tokio::io::duplex(1 << 10);
-            let mut reader = MessageReader::new(theirs, bounds, BodyMemory::new(100));
-            ours.write_all(sent.as_bytes()).await.unwrap();
+            let (mut client, server) = tokio::io::duplex(1 << 10);
+            let mut reader = MessageReader::new(server, bounds, BodyMemory::new(100));
+            client.write_all(request.as_bytes()).await.unwrap();
             assert!(reader.wait_for_message().await);
-            let began = tokio::time::Instant::now();
+            let started = tokio::time::Instant::now();
             assert_eq!(reader.message().await.unwrap_err(), Refusal::Slow);
-            assert_eq!(began.elapsed().as_secs(), patience);
+            assert_eq!(started.elapsed().as_secs(), timeout_s);
         }
-        let (mut ours, theirs) = tokio::io::duplex(1 << 10);
-        let mut reader = MessageReader::new(theirs, bounds, BodyMemory::new(100));
+        let (mut client, server) = tokio::io::duplex(1 << 10);
+        let mut reader = MessageReader::new(server, bounds, BodyMemory::new(100));
         let call = async {
-            ours.write_all(
+            client.write_all(
                 b"PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n",
             )
             .await
             .unwrap();
-            let mut word = [0; 25];
-            ours.read_exact(&mut word).await.unwrap();
-            assert_eq!(&word, b"HTTP/1.1 100 Continue\r\n\r\n");
-            ours.write_all(b"abc").await.unwrap();
+            let mut response = [0; 25];
+            client.read_exact(&mut response).await.unwrap();
+            assert_eq!(&response, b"HTTP/1.1 100 Continue\r\n\r\n");
+            client.write_all(b"abc").await.unwrap();
         };
         let (message, ()) = tokio::join!(reader.message(), call);
         assert_eq!(message.unwrap().body, b"abc");
@@ -392,8 +392,8 @@
 }
 
 #[test]
-fn bodies_share_one_room_and_give_it_back() {
-    in_time(async {
+fn bodies_share_the_memory_limit_and_release_it() {
+    run_paused(async {
         let bounds = Bounds {
             body_time: Duration::from_secs(1),
             ..Bounds::default()
@@ -401,15 +401,16 @@
         let memory = BodyMemory::new(10);
         for chunked in [false, true] {
             let mut first = None;
-            for (expected, drops) in [(None, false), (Some(Refusal::NoRoom), true), (None, true)] {
-                let (mut ours, theirs) = tokio::io::duplex(1 << 10);
-                let mut reader = MessageReader::new(theirs, bounds, memory.clone());
-                let sent: &[u8] = if chunked {
+            for (expected, releases) in [(None, false), (Some(Refusal::NoRoom), true), (None, true)]
+            {
+                let (mut client, server) = tokio::io::duplex(1 << 10);
+                let mut reader = MessageReader::new(server, bounds, memory.clone());
+                let request: &[u8] = if chunked {
                     b"PUT / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nabcdef\r\n0\r\n\r\n"
                 } else {
                     b"PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 6\r\n\r\nabcdef"
                 };
-                ours.write_all(sent).await.unwrap();
+                client.write_all(request).await.unwrap();
                 match reader.message().await {
                     Ok(message) => {
                         assert_eq!(expected, None);
@@ -417,7 +418,7 @@
                     }
                     Err(refusal) => assert_eq!(Some(refusal), expected),
                 }
-                if drops {
+                if releases {
                     first = None;
                 }
             }
--- a/crates/rookpulley-api/tests/serve.rs
+++ b/crates/rookpulley-api/tests/serve.rs
@@ -1,4 +1,4 @@
-//! The whole of it on loopback sockets: the reader, `async-h1`, the handler, and what comes back.
+//! The complete server on loopback sockets.
 
 use rookpulley_api::{Bounds, Call, Reply, serve};
 use std::cell::{Cell, RefCell};
@@ -8,17 +8,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, watch};
 
-struct Place {
-    at: SocketAddr,
+struct TestServer {
+    address: SocketAddr,
     stop: watch::Sender<bool>,
     served: tokio::task::JoinHandle<()>,
     calls: Rc<RefCell<Vec<Call>>>,
-    /// Calls of `/wait` stay at work until this is told.
-    go: Rc<Notify>,
-    working: Rc<Cell<usize>>,
+    /// Each notification completes one request for `/wait`.
+    release: Rc<Notify>,
+    active: Rc<Cell<usize>>,
 }
 
-fn at_a_counter<F: Future<Output = ()>>(bounds: Bounds, trial: impl FnOnce(Place) -> F) {
+fn with_server<F: Future<Output = ()>>(bounds: Bounds, test: impl FnOnce(TestServer) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -26,20 +26,20 @@
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         let (stop, stopped) = watch::channel(false);
-        let (calls, go, working) = (
+        let (calls, release, active) = (
             Rc::new(RefCell::new(Vec::new())),
             Rc::new(Notify::new()),
             Rc::new(Cell::new(0)),
         );
-        let (held, gate, at_work) = (calls.clone(), go.clone(), working.clone());
+        let (received, gate, active_now) = (calls.clone(), release.clone(), active.clone());
         let handler = move |call: Call| {
-            let (gate, at_work) = (gate.clone(), at_work.clone());
-            held.borrow_mut().push(call.clone());
+            let (gate, active_now) = (gate.clone(), active_now.clone());
+            received.borrow_mut().push(call.clone());
             async move {
                 if call.path == "/wait" {
-                    at_work.set(at_work.get() + 1);
+                    active_now.set(active_now.get() + 1);
                     gate.notified().await;
                 }
                 Reply::bytes(200, call.body)
@@ -47,42 +47,42 @@
             }
         };
         let served = tokio::task::spawn_local(serve(listener, bounds, stopped, Rc::new(handler)));
-        trial(Place {
-            at,
+        test(TestServer {
+            address,
             stop,
             served,
             calls,
-            go,
-            working,
+            release,
+            active,
         })
         .await;
     });
 }
 
-async fn dial(at: SocketAddr, bytes: &[u8]) -> TcpStream {
-    let mut stream = TcpStream::connect(at).await.unwrap();
+async fn send(address: SocketAddr, bytes: &[u8]) -> TcpStream {
+    let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(bytes).await.unwrap();
     stream
 }
 
-async fn rest(mut stream: TcpStream) -> String {
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).await.unwrap();
-    String::from_utf8(answer).unwrap()
+async fn read_to_end(mut stream: TcpStream) -> String {
+    let mut reply = Vec::new();
+    stream.read_to_end(&mut reply).await.unwrap();
+    String::from_utf8(reply).unwrap()
 }
 
-/// Reads until this stands at the end of what came.
-async fn until(stream: &mut TcpStream, end: &str) -> String {
-    let mut answer = Vec::new();
-    while !answer.ends_with(end.as_bytes()) {
-        answer.push(stream.read_u8().await.unwrap());
+/// Reads until the received text ends with `end`.
+async fn read_until(stream: &mut TcpStream, end: &str) -> String {
+    let mut reply = Vec::new();
+    while !reply.ends_with(end.as_bytes()) {
+        reply.push(stream.read_u8().await.unwrap());
     }
-    String::from_utf8(answer).unwrap()
+    String::from_utf8(reply).unwrap()
 }
 
 #[test]
-fn calls_sent_together_are_answered_in_order_and_arrive_raw() {
-    at_a_counter(Bounds::default(), |place| async move {
+fn pipelined_requests_are_answered_in_order_and_arrive_unchanged() {
+    with_server(Bounds::default(), |server| async move {
         let smuggled = "GET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n";
         let sent = format!(
             "PUT /a/../%2e%2e?q=%20 HTTP/1.1\r\nHost: h\r\nNoté: x\r\n\r\n\
@@ -91,39 +91,39 @@
              HEAD /three HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 5\r\n\r\nthree",
             smuggled.len()
         );
-        // A name that is no token spoils its own connection only.
-        let spoilt = rest(dial(place.at, sent.as_bytes()).await).await;
+        // An invalid header name ends its own connection only.
+        let rejected = read_to_end(send(server.address, sent.as_bytes()).await).await;
         assert!(
-            spoilt.starts_with("HTTP/1.1 400 Bad Request\r\n"),
-            "{spoilt}"
+            rejected.starts_with("HTTP/1.1 400 Bad Request\r\n"),
+            "{rejected}"
         );
         assert!(
-            spoilt.contains("connection: close\r\n") && spoilt.contains("{\"errorMessage\":\""),
-            "{spoilt}"
+            rejected.contains("connection: close\r\n") && rejected.contains("{\"errorMessage\":\""),
+            "{rejected}"
         );
 
         let sent = sent.split_once("\r\n\r\n").unwrap().1;
-        let answers = rest(dial(place.at, sent.as_bytes()).await).await;
+        let replies = read_to_end(send(server.address, sent.as_bytes()).await).await;
         assert_eq!(
-            answers.matches("HTTP/1.1 200 OK\r\n").count(),
+            replies.matches("HTTP/1.1 200 OK\r\n").count(),
             3,
-            "{answers}"
+            "{replies}"
         );
-        let places: Vec<_> = [
+        let positions: Vec<_> = [
             "x-target: /a/../%2e%2e?q=%20\r\n",
             smuggled,
             "x-target: /two?",
             "x-target: /three?",
         ]
         .iter()
-        .map(|mark| answers.find(mark).unwrap())
+        .map(|mark| replies.find(mark).unwrap())
         .collect();
-        assert!(places.is_sorted());
+        assert!(positions.is_sorted());
         assert!(
-            answers.ends_with("\r\n\r\n") && answers.contains("content-length: 5\r\n"),
-            "{answers}"
+            replies.ends_with("\r\n\r\n") && replies.contains("content-length: 5\r\n"),
+            "{replies}"
         );
-        let calls = place.calls.borrow();
+        let calls = server.calls.borrow();
         assert_eq!(calls[0].header("A"), Some("é"));
         assert_eq!(
             calls
@@ -136,13 +136,13 @@
 }
 
 #[test]
-fn a_large_body_goes_there_and_back_and_one_too_large_gets_its_answer() {
-    at_a_counter(
+fn a_large_body_is_echoed_and_one_above_the_limit_gets_a_reply() {
+    with_server(
         Bounds {
             body_bytes: 1 << 20,
             ..Bounds::default()
         },
-        |place| async move {
+        |server| async move {
             let body: Vec<u8> = (0..1 << 20)
                 .map(|number: u32| b'a' + (number % 23) as u8)
                 .collect();
@@ -151,73 +151,72 @@
                     "PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n"
                 )
             };
-            let (mut reader, mut writer) = dial(place.at, head(body.len()).as_bytes())
+            let (mut reader, mut writer) = send(server.address, head(body.len()).as_bytes())
                 .await
                 .into_split();
-            let mut answer = Vec::new();
-            let (sent, got) =
-                tokio::join!(writer.write_all(&body), reader.read_to_end(&mut answer));
-            assert!(sent.is_ok() && got.is_ok() && answer.ends_with(&body));
+            let mut reply = Vec::new();
+            let (sent, got) = tokio::join!(writer.write_all(&body), reader.read_to_end(&mut reply));
+            assert!(sent.is_ok() && got.is_ok() && reply.ends_with(&body));
 
-            let mut stream = dial(place.at, head(body.len() + 9).as_bytes()).await;
+            let mut stream = send(server.address, head(body.len() + 9).as_bytes()).await;
             stream.write_all(&body).await.unwrap();
             stream.write_all(b"more").await.unwrap();
-            assert!(rest(stream).await.starts_with("HTTP/1.1 413 "));
+            assert!(read_to_end(stream).await.starts_with("HTTP/1.1 413 "));
         },
     );
 }
 
 #[test]
-fn a_stop_lets_the_call_at_work_end_and_closes_what_waits() {
-    at_a_counter(Bounds::default(), |place| async move {
-        let mut waiting = dial(place.at, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n").await;
-        until(&mut waiting, "\r\n\r\n").await;
-        let mut working = dial(place.at, b"GET /wait HTTP/1.1\r\nHost: h\r\n\r\n").await;
-        while place.working.get() == 0 {
+fn shutdown_completes_requests_in_progress_and_closes_idle_connections() {
+    with_server(Bounds::default(), |server| async move {
+        let mut idle = send(server.address, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n").await;
+        read_until(&mut idle, "\r\n\r\n").await;
+        let mut busy = send(server.address, b"GET /wait HTTP/1.1\r\nHost: h\r\n\r\n").await;
+        while server.active.get() == 0 {
             tokio::task::yield_now().await;
         }
-        // It has been let in by the system but not yet by us when the word comes.
-        let queued = dial(place.at, b"GET /queued HTTP/1.1\r\nHost: h\r\n\r\n").await;
-        place.stop.send(true).unwrap();
-        assert_eq!(rest(waiting).await, "");
-        assert!(rest(queued).await.contains("connection: close\r\n"));
-        place.go.notify_one();
+        // This connection is still in the backlog when the server is stopped.
+        let queued = send(server.address, b"GET /queued HTTP/1.1\r\nHost: h\r\n\r\n").await;
+        server.stop.send(true).unwrap();
+        assert_eq!(read_to_end(idle).await, "");
+        assert!(read_to_end(queued).await.contains("connection: close\r\n"));
+        server.release.notify_one();
         assert!(
-            until(&mut working, "\r\n\r\n")
+            read_until(&mut busy, "\r\n\r\n")
                 .await
                 .contains("connection: close\r\n")
         );
-        drop(working);
-        place.served.await.unwrap();
-        assert!(TcpStream::connect(place.at).await.is_err());
+        drop(busy);
+        server.served.await.unwrap();
+        assert!(TcpStream::connect(server.address).await.is_err());
     });
 }
 
 #[test]
-fn a_full_house_lets_the_one_go_that_waited_longest_and_keeps_those_at_work() {
-    at_a_counter(
+fn at_the_connection_limit_the_longest_idle_connection_is_evicted_and_busy_ones_are_kept() {
+    with_server(
         Bounds {
             connections: 2,
             ..Bounds::default()
         },
-        |place| async move {
-            let mut working = dial(place.at, b"GET /wait HTTP/1.1\r\nHost: h\r\n\r\n").await;
-            while place.working.get() == 0 {
+        |server| async move {
+            let mut busy = send(server.address, b"GET /wait HTTP/1.1\r\nHost: h\r\n\r\n").await;
+            while server.active.get() == 0 {
                 tokio::task::yield_now().await;
             }
-            let mut waiting = dial(place.at, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n").await;
-            until(&mut waiting, "\r\n\r\n").await;
-            let mut newest = dial(place.at, b"GET /wait HTTP/1.1\r\nHost: h\r\n\r\n").await;
-            assert_eq!(rest(waiting).await, "");
-            while place.working.get() == 1 {
+            let mut idle = send(server.address, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n").await;
+            read_until(&mut idle, "\r\n\r\n").await;
+            let mut newest = send(server.address, b"GET /wait HTTP/1.1\r\nHost: h\r\n\r\n").await;
+            assert_eq!(read_to_end(idle).await, "");
+            while server.active.get() == 1 {
                 tokio::task::yield_now().await;
             }
-            let mut refused = TcpStream::connect(place.at).await.unwrap();
+            let mut refused = TcpStream::connect(server.address).await.unwrap();
             assert!(!matches!(refused.read(&mut [0; 1]).await, Ok(1..)));
-            for stream in [&mut working, &mut newest] {
-                place.go.notify_one();
+            for stream in [&mut busy, &mut newest] {
+                server.release.notify_one();
                 assert!(
-                    until(stream, "\r\n\r\n")
+                    read_until(stream, "\r\n\r\n")
                         .await
                         .starts_with("HTTP/1.1 200 OK\r\n")
                 );
