--- a/crates/rookpulley-api/src/matcher.rs
+++ b/crates/rookpulley-api/src/matcher.rs
@@ -269,7 +269,7 @@
             }
             Ok(())
         };
-        rookpulley_samples::plays(400, 400, property);
+        rookpulley_samples::run_cases(400, 400, property);
     }
 
     #[test]
--- a/crates/rookpulley-api/tests/message_reader.rs
+++ b/crates/rookpulley-api/tests/message_reader.rs
@@ -4,7 +4,7 @@
 use rookpulley_api::bounds::{BodyMemory, Bounds};
 use rookpulley_api::message_reader::{Message, MessageReader};
 use rookpulley_api::refusal::Refusal;
-use rookpulley_samples::plays;
+use rookpulley_samples::run_cases;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
@@ -301,7 +301,7 @@
 
 #[test]
 fn valid_requests_are_read_unchanged_however_they_are_split() {
-    plays(300, 600, |u| {
+    run_cases(300, 600, |u| {
         let (mut bytes, mut messages) = (Vec::new(), Vec::new());
         for _ in 0..u.int_in_range(1..=4)? {
             let (encoded, message) = message(u)?;
@@ -325,7 +325,7 @@
 
 #[test]
 fn corrupted_requests_get_the_same_outcome_however_they_are_split() {
-    plays(800, 300, |u| {
+    run_cases(800, 300, |u| {
         let mut bytes = Vec::new();
         for _ in 0..u.int_in_range(0..=2)? {
             bytes.extend(message(u)?.0);
--- a/crates/rookpulley-balancer/tests/endpoint_picker.rs
+++ b/crates/rookpulley-balancer/tests/endpoint_picker.rs
@@ -3,7 +3,7 @@
 use rookpulley_balancer::{AttemptOutcome, EndpointPicker, Pick, RequestAttempts};
 use rookpulley_protocol::TableEntry;
 use rookpulley_routes::RouteKind;
-use rookpulley_samples::plays;
+use rookpulley_samples::run_cases;
 use std::collections::BTreeSet;
 
 fn line(incarnation: &str, zone: &str) -> TableEntry {
@@ -22,7 +22,7 @@
 
 #[test]
 fn what_is_gone_or_tried_or_in_no_table_is_never_picked_and_all_else_is_found() {
-    plays(60, 1 << 14, |u| {
+    run_cases(60, 1 << 14, |u| {
         let mut picker = EndpointPicker::new("a", 1);
         let mut now_ms = 0.0;
         let (mut gone, mut listed) = (BTreeSet::new(), [BTreeSet::new(), BTreeSet::new()]);
--- a/crates/rookpulley-balancer/tests/request_attempts.rs
+++ b/crates/rookpulley-balancer/tests/request_attempts.rs
@@ -3,7 +3,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_balancer::{AttemptOutcome, NextAction, RequestAttempts, RetryBudget};
 use rookpulley_routes::RouteKind;
-use rookpulley_samples::plays;
+use rookpulley_samples::run_cases;
 
 fn kind(u: &mut Unstructured) -> Result<RouteKind> {
     Ok(*u.choose(&[
@@ -81,7 +81,7 @@
 
 #[test]
 fn no_promise_follows_a_try_that_may_have_run_and_no_other_bound_is_passed() {
-    plays(60, 1 << 14, |u| {
+    run_cases(60, 1 << 14, |u| {
         let mut budget = RetryBudget::new(10.0, 1_000.0);
         budget.set_proxies(1);
         (0..100).for_each(|_| budget.record_request(0.0));
@@ -107,7 +107,7 @@
 #[test]
 fn further_sends_of_all_proxies_stay_within_what_a_service_is_allowed_in_every_window() {
     const WINDOW_MS: f64 = 10_000.0;
-    plays(60, 1 << 14, |u| {
+    run_cases(60, 1 << 14, |u| {
         let (ratio, slack) = (
             f64::from(u.int_in_range(1..=10u32)?) / 10.0,
             f64::from(u.int_in_range(8..=80u32)?),
--- a/crates/rookpulley-cli/src/gateway/explain.rs
+++ b/crates/rookpulley-cli/src/gateway/explain.rs
@@ -226,7 +226,7 @@
             }
             Ok(())
         };
-        rookpulley_samples::plays(300, 64, property);
+        rookpulley_samples::run_cases(300, 64, property);
     }
 
     #[test]
--- a/crates/rookpulley-protocol/src/frame/tests.rs
+++ b/crates/rookpulley-protocol/src/frame/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn frames_come_out_as_they_went_in_however_they_are_cut() {
-    rookpulley_samples::plays(200, 256, |u| {
+    rookpulley_samples::run_cases(200, 256, |u| {
         let values: Vec<Vec<u8>> = u.arbitrary()?;
         let wire: Vec<u8> = values.iter().flat_map(frame).collect();
         let (mut frames, mut out, mut at) = (Frames::default(), Vec::new(), 0);
--- a/crates/rookpulley-proxy/src/client_connection/tests.rs
+++ b/crates/rookpulley-proxy/src/client_connection/tests.rs
@@ -7,7 +7,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use rookpulley_samples::plays;
+use rookpulley_samples::run_cases;
 use std::cell::RefCell;
 use std::task::Waker;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -103,7 +103,7 @@
 
 #[test]
 fn the_parser_gets_one_request_at_a_time_however_the_bytes_are_cut() {
-    plays(200, 1 << 11, |u| {
+    run_cases(200, 1 << 11, |u| {
         let sent = (0..u.int_in_range(1..=6)?)
             .map(|_| sent(u))
             .collect::<Result<Vec<_>>>()?;
@@ -207,7 +207,7 @@
         "0\r\nx: y\r\n\r\n",
     ];
     const NEXT: &str = "GET /next HTTP/1.1\r\nHost: h\r\n\r\n";
-    plays(200, 1 << 11, |u| {
+    run_cases(200, 1 << 11, |u| {
         let mut body = String::new();
         for _ in 0..u.int_in_range(1..=12)? {
             body += u.choose(&PIECES)?;
--- a/crates/rookpulley-proxy/src/response_filter/tests.rs
+++ b/crates/rookpulley-proxy/src/response_filter/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use arbtest::arbitrary::{Result, Unstructured};
-use rookpulley_samples::plays;
+use rookpulley_samples::run_cases;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::net::TcpListener;
 
@@ -50,7 +50,7 @@
 
 #[test]
 fn each_gets_its_own_answer_and_none_of_those_that_come_again() {
-    plays(200, 1 << 11, |u| {
+    run_cases(200, 1 << 11, |u| {
         let (mut task, proxy) = tokio::io::duplex(1 << 16);
         let pending = Rc::new(PendingResponse::default());
         let mut filter = ResponseFilter::new(proxy, pending.clone());
--- a/crates/rookpulley-proxy/tests/proxy/rude.rs
+++ b/crates/rookpulley-proxy/tests/proxy/rude.rs
@@ -2,7 +2,7 @@
 
 use crate::scene::{Act, Got, Scene, Talk, answer, play, request};
 use arbtest::arbitrary::{Result, Unstructured};
-use rookpulley_samples::plays;
+use rookpulley_samples::run_cases;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -203,7 +203,7 @@
 
 #[test]
 fn no_promise_breaks_and_no_answer_goes_astray() {
-    plays(40, 1 << 12, |u| {
+    run_cases(40, 1 << 12, |u| {
         let mut clients = Vec::new();
         for client in 0..u.int_in_range(1..=6)? {
             let mut asks = Vec::new();
--- a/crates/rookpulley-registry/src/heartbeat/tests.rs
+++ b/crates/rookpulley-registry/src/heartbeat/tests.rs
@@ -31,7 +31,7 @@
     }
     assert!(Heartbeat::read("i-1", &[b'['; 10_000]).is_err());
     assert!(Heartbeat::read("i 1", NESTED.as_bytes()).is_err());
-    rookpulley_samples::plays(2_000, 64, |u| {
+    rookpulley_samples::run_cases(2_000, 64, |u| {
         let mut body = NESTED.as_bytes().to_vec();
         for _ in 0..u.int_in_range(1..=4)? {
             let at = u.choose_index(body.len())?;
--- a/crates/rookpulley-registry/tests/registry.rs
+++ b/crates/rookpulley-registry/tests/registry.rs
@@ -3,7 +3,7 @@
 use rookpulley_registry::{
     Heartbeat, InstanceStatus, InstanceUpdate, Propagation, Registry, UpdateOutcome,
 };
-use rookpulley_samples::plays_of;
+use rookpulley_samples::run_sized_cases;
 use std::collections::BTreeSet;
 
 const HEARTBEAT_MS: f64 = 1_500.0;
@@ -145,7 +145,7 @@
 
 #[test]
 fn controllers_that_heard_the_same_in_any_order_agree_and_list_no_gone_incarnation() {
-    plays_of(300, longer, |u| {
+    run_sized_cases(300, longer, |u| {
         let controllers = (0..CONTROLLERS)
             .map(|_| Registry::new(0.0, HEARTBEAT_MS, 2_500.0))
             .collect();
--- a/crates/rookpulley-registry/tests/table_publisher.rs
+++ b/crates/rookpulley-registry/tests/table_publisher.rs
@@ -5,7 +5,7 @@
 use rookpulley_registry::{
     Heartbeat, InstanceStatus, PublisherOutput, Registry, Service, TablePublisher,
 };
-use rookpulley_samples::plays_of;
+use rookpulley_samples::run_sized_cases;
 use std::collections::{BTreeMap, BTreeSet};
 
 const HEARTBEAT_MS: f64 = 1_500.0;
@@ -290,7 +290,7 @@
 
 #[test]
 fn tables_name_live_tasks_alone_and_lose_a_drained_one_with_the_next_tick() {
-    plays_of(60, longer, |u| {
+    run_sized_cases(60, longer, |u| {
         let mut world = World::new(&["a", "b"], 130);
         for _ in 0..u.int_in_range(5..=60)? {
             world.act(u)?;
--- a/crates/rookpulley-routes/tests/changes.rs
+++ b/crates/rookpulley-routes/tests/changes.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_routes::{Route, RouteTable};
-use rookpulley_samples::plays;
+use rookpulley_samples::run_cases;
 use std::cell::Cell;
 use std::fmt::Write;
 
@@ -86,7 +86,7 @@
 #[test]
 fn what_is_read_after_another_says_what_it_says_when_it_is_read_whole() {
     let (good, shared) = (Cell::new(0), Cell::new(0));
-    plays(3_000, 1_024, |u| {
+    run_cases(3_000, 1_024, |u| {
         let (earlier, later) = (text(u, 3)?, text(u, 4)?);
         // The other way to write it moves the places of faults that the parser tells.
         let alone = said(RouteTable::read(later.as_bytes()));
--- a/crates/rookpulley-routes/tests/route_table.rs
+++ b/crates/rookpulley-routes/tests/route_table.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_routes::{Faults, Limits, RouteKind, RouteTable};
-use rookpulley_samples::plays;
+use rookpulley_samples::run_cases;
 
 /// A small configuration with something of everything.
 const WHOLE: &str = r#"{
@@ -111,7 +111,7 @@
                 .collect::<String>()
         ))
     }
-    plays(300, 4_096, |u| {
+    run_cases(300, 4_096, |u| {
         let (hosts, mut seen, mut entries) =
             (["x.example", "Y.example", "x"], Vec::new(), Vec::new());
         for host in hosts {
@@ -185,7 +185,7 @@
 
 #[test]
 fn a_spoilt_configuration_never_panics_and_what_is_still_taken_keeps_its_word() {
-    plays(3_000, 256, |u| {
+    run_cases(3_000, 256, |u| {
         let mut bytes = WHOLE.as_bytes().to_vec();
         for _ in 0..u.int_in_range(1..=6)? {
             let at = u.choose_index(bytes.len())?;
@@ -521,7 +521,7 @@
 
 #[test]
 fn services_are_drawn_by_their_weights_and_never_at_weight_0() {
-    plays(200, 512, |u| {
+    run_cases(200, 512, |u| {
         let weights: Vec<u32> = (0..u.int_in_range(1..=5)?)
             .map(|_| u.int_in_range(0..=9))
             .collect::<Result<_>>()?;
--- a/crates/rookpulley-samples/src/lib.rs
+++ b/crates/rookpulley-samples/src/lib.rs
@@ -3,12 +3,12 @@
 use arbtest::arbitrary::{Result, Unstructured};
 
 /// Checks a property on `runs` inputs, each generated from `bytes` bytes. Prints the seed of an input that fails.
-pub fn plays(runs: u32, bytes: u32, property: impl Fn(&mut Unstructured) -> Result<()>) {
-    plays_of(runs, |_| bytes, property);
+pub fn run_cases(runs: u32, bytes: u32, property: impl Fn(&mut Unstructured) -> Result<()>) {
+    run_sized_cases(runs, |_| bytes, property);
 }
 
-/// Like `plays`, with an input size that depends on the run number, which starts at 1.
-pub fn plays_of(
+/// Like `run_cases`, with an input size that depends on the run number, which starts at 1.
+pub fn run_sized_cases(
     runs: u32,
     bytes: impl Fn(u32) -> u32,
     property: impl Fn(&mut Unstructured) -> Result<()>,
--- a/crates/rookpulley-settings/tests/deploy.rs
+++ b/crates/rookpulley-settings/tests/deploy.rs
@@ -285,5 +285,5 @@
         }
         Ok(())
     };
-    rookpulley_samples::plays(600, 128, property);
+    rookpulley_samples::run_cases(600, 128, property);
 }
--- a/crates/rookpulley-settings/tests/node.rs
+++ b/crates/rookpulley-settings/tests/node.rs
@@ -1,6 +1,6 @@
 //! Complete, minimal, invalid and corrupted settings files.
 
-use rookpulley_samples::plays;
+use rookpulley_samples::run_cases;
 use rookpulley_settings::{Bounds, Limits, Node, SettingsError, Tolerance};
 use std::path::Path;
 
@@ -353,7 +353,7 @@
 
 #[test]
 fn a_corrupted_file_never_panics_and_accepted_settings_are_valid() {
-    plays(2_000, 128, |u| {
+    run_cases(2_000, 128, |u| {
         let mut bytes = COMPLETE.as_bytes().to_vec();
         for _ in 0..u.int_in_range(1..=4)? {
             let at = u.choose_index(bytes.len())?;
--- a/crates/rookpulley-state/tests/state_machine/callers.rs
+++ b/crates/rookpulley-state/tests/state_machine/callers.rs
@@ -1,6 +1,6 @@
 //! Callers as they live outside: they die, sleep, ask again, and count their own time by when they sent a call.
 
-use super::{moved, plays};
+use super::{moved, run_cases};
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_state::{Answer, StateMachine, Update};
 
@@ -232,5 +232,5 @@
 
 #[test]
 fn no_two_callers_count_themselves_holders_whatever_is_late_lost_or_repeated() {
-    plays(150, 20_000, play);
+    run_cases(150, 20_000, play);
 }
--- a/crates/rookpulley-state/tests/state_machine/main.rs
+++ b/crates/rookpulley-state/tests/state_machine/main.rs
@@ -5,7 +5,7 @@
 mod model;
 mod named;
 
-use rookpulley_samples::plays;
+use rookpulley_samples::run_cases;
 use rookpulley_state::{Answer, StateMachine, Update};
 
 fn take(state: &mut StateMachine, at_ms: u64, name: &str, holder: &str, hold_ms: u64) -> Answer {
--- a/crates/rookpulley-state/tests/state_machine/model.rs
+++ b/crates/rookpulley-state/tests/state_machine/model.rs
@@ -1,6 +1,6 @@
 //! Cells, watches, numbers and configurations against a model that keeps the whole past and searches it.
 
-use super::{moved, plays};
+use super::{moved, run_cases};
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_state::{Answer, Limits, Query, StateMachine, Update, WatchResult};
 use std::collections::BTreeMap;
@@ -276,5 +276,5 @@
 
 #[test]
 fn puts_watches_and_reads_are_what_a_model_that_forgets_nothing_says_through_all_moves() {
-    plays(60, 10_000, play);
+    run_cases(60, 10_000, play);
 }
--- a/crates/rookpulley-state/tests/state_machine/named.rs
+++ b/crates/rookpulley-state/tests/state_machine/named.rs
@@ -125,7 +125,7 @@
 
 #[test]
 fn calls_come_back_from_their_bytes_and_other_bytes_do_no_harm() {
-    super::plays(300, 3_000, |u| {
+    super::run_cases(300, 3_000, |u| {
         let bytes: Vec<u8> = u.arbitrary()?;
         let mut state = StateMachine::default();
         put(&mut state, 5, "g.k", "v", None);
