--- a/crates/rookpulley-api/src/call.rs
+++ b/crates/rookpulley-api/src/call.rs
@@ -1,13 +1,13 @@
 //! The request that a handler receives and the reply that it returns.
 
-use rookpulley_diagnostics::{Bounds, Nesting, Unread, read};
+use rookpulley_diagnostics::{JsonError, JsonLimits, Nesting, parse_json};
 use tinyjson::JsonValue;
 
 /// Limits the depth only: the size of a body has been checked when it was read.
-const BOUNDS: Bounds = Bounds {
-    bytes: usize::MAX,
+const BOUNDS: JsonLimits = JsonLimits {
+    max_bytes: usize::MAX,
     nesting: Nesting::Levels(64),
-    values: usize::MAX,
+    max_values: usize::MAX,
 };
 
 /// A complete request. Path and query are not decoded; header names are in lower case.
@@ -31,8 +31,8 @@
 
     /// Parses the body as JSON, or returns the reply to an invalid body.
     pub fn json(&self) -> Result<JsonValue, Reply> {
-        read(&self.body, BOUNDS).map_err(|why| match why {
-            Unread::Deep { .. } => {
+        parse_json(&self.body, BOUNDS).map_err(|why| match why {
+            JsonError::TooDeep { .. } => {
                 Reply::error(400, "the body nests too deeply: send a flatter value")
             }
             _ => Reply::error(
--- a/crates/rookpulley-cli/src/gateway/check.rs
+++ b/crates/rookpulley-cli/src/gateway/check.rs
@@ -1,6 +1,6 @@
 //! What is wrong with a file: the place, what was found there, what to write instead.
 
-use rookpulley_diagnostics::{Fault, Faults, Manner, Place, counted};
+use rookpulley_diagnostics::{Fault, FaultFormat, Faults, Position, pluralize};
 use rookpulley_routes::{MAX_BYTES, RouteTable};
 use rookpulley_settings::{Amount, Deploy, Node, Role, SettingsError};
 use serde_json::{Value, json};
@@ -10,9 +10,9 @@
 use std::path::{Path, PathBuf};
 
 /// How the faults of a file that can't be read are told: whole, as there is one.
-static FILE: Manner = Manner {
-    told: 1,
-    shown: usize::MAX,
+static FILE: FaultFormat = FaultFormat {
+    max_faults: 1,
+    max_chars: usize::MAX,
     heading: |_| "the file can't be read".into(),
     help: "name a file of this kind",
 };
@@ -46,7 +46,7 @@
             column,
             cause,
         } => one(
-            Place { line, column },
+            Position { line, column },
             format!("no TOML ({})", cause.lines().collect::<Vec<_>>().join(", ")),
             "one `field = value` a line, texts in quotes, tables under [name]",
         ),
@@ -81,7 +81,7 @@
                 let each =
                     |f: &Fault| json!({"place": f.place, "found": f.found, "instead": f.instead});
                 let faults: Vec<Value> = told.faults.iter().map(each).collect();
-                json!({"file": self.file, "ok": false, "faults": faults, "more": told.untold})
+                json!({"file": self.file, "ok": false, "faults": faults, "more": told.omitted})
             }
         }
     }
@@ -95,8 +95,8 @@
                 let line = |f: &Fault| {
                     format!("{file}: {} is {}; {mend} {}\n", f.place, f.found, f.instead)
                 };
-                let more = if told.untold > 0 {
-                    format!("{file}: and {} more\n", told.untold)
+                let more = if told.omitted > 0 {
+                    format!("{file}: and {} more\n", told.omitted)
                 } else {
                     String::new()
                 };
@@ -124,7 +124,7 @@
             "{} of {} serves {serves}, has {disk} and {}; can be used",
             node.name,
             node.zone,
-            counted(node.seeds.len(), "seed")
+            pluralize(node.seeds.len(), "seed")
         )
     });
     Checked {
@@ -155,7 +155,7 @@
         };
         format!(
             "{} ({}); can be used{disks}",
-            counted(names.len(), "role"),
+            pluralize(names.len(), "role"),
             names.join(", ")
         )
     });
@@ -172,9 +172,9 @@
         format!(
             "version {}, {}, {}, {}; can be taken",
             book.version,
-            counted(book.services.len(), "service"),
-            counted(hosts.len(), "host"),
-            counted(book.routes().len(), "route")
+            pluralize(book.services.len(), "service"),
+            pluralize(hosts.len(), "host"),
+            pluralize(book.routes().len(), "route")
         )
     });
     Checked {
--- a/crates/rookpulley-cli/src/gateway/explain.rs
+++ b/crates/rookpulley-cli/src/gateway/explain.rs
@@ -2,7 +2,7 @@
 
 use super::check::{read, refused};
 use crate::show::table;
-use rookpulley_diagnostics::counted;
+use rookpulley_diagnostics::pluralize;
 use rookpulley_routes::{Route, RouteKind, RouteTable};
 use serde_json::{Value, json};
 use std::path::Path;
@@ -157,7 +157,7 @@
         book.version,
         route.name,
         route.prefix,
-        counted(route.attempts as usize, "task"),
+        pluralize(route.attempts as usize, "task"),
         route.timeout_ms,
         route.latency_target_ms,
         route.priority,
--- a/crates/rookpulley-cli/src/gateway/store.rs
+++ b/crates/rookpulley-cli/src/gateway/store.rs
@@ -6,7 +6,7 @@
 use crate::call::CannotAsk;
 use crate::show::table;
 use rookpulley_chain::{PersistedState, StoredSnapshot, View};
-use rookpulley_diagnostics::counted;
+use rookpulley_diagnostics::pluralize;
 use rookpulley_registry::InstanceUpdate;
 use rookpulley_state::{StateMachine, Update};
 use rookpulley_store::{Contents, inspect};
@@ -137,7 +137,7 @@
         .filter(|version| *version > 0);
     let held = held.map_or_else(|| "none".to_string(), |version| version.to_string());
     let count =
-        |field: &str, what: &str| counted(snapshot[field].as_u64().unwrap_or(0) as usize, what);
+        |field: &str, what: &str| pluralize(snapshot[field].as_u64().unwrap_or(0) as usize, what);
     let kept = [
         count("locks", "lock"),
         count("numbers", "number"),
--- a/crates/rookpulley-cli/src/gateway/store/check.rs
+++ b/crates/rookpulley-cli/src/gateway/store/check.rs
@@ -3,7 +3,7 @@
 use crate::call::CannotAsk;
 use crate::gateway::check::Checked;
 use rookpulley_chain::{PersistedState, StoredSnapshot, StoredUpdate, find_inconsistencies};
-use rookpulley_diagnostics::{Faults, Manner, counted};
+use rookpulley_diagnostics::{FaultFormat, Faults, pluralize};
 use rookpulley_registry::InstanceUpdate;
 use rookpulley_routes::RouteTable;
 use rookpulley_state::{StateMachine, Update};
@@ -11,10 +11,10 @@
 use serde_json::{Value, json};
 use std::path::Path;
 
-static STORE: Manner = Manner {
-    told: 64,
-    shown: 160,
-    heading: |faults| format!("{} in the store", counted(faults, "fault")),
+static STORE: FaultFormat = FaultFormat {
+    max_faults: 64,
+    max_chars: 160,
+    heading: |faults| format!("{} in the store", pluralize(faults, "fault")),
     help: "let the controller start and be filled by the others, or found the chain anew from a better store",
 };
 
@@ -49,7 +49,7 @@
 impl Examined {
     fn of(contents: Contents) -> Self {
         let kept = PersistedState::read(contents.chain_rows.iter().cloned());
-        let mut faults = Faults::none(&STORE);
+        let mut faults = Faults::new(&STORE);
         if contents.identity.is_none() {
             faults.add(
                 "the identity",
@@ -163,7 +163,7 @@
             fault.instead,
         );
     }
-    faults.untold += told.untold;
+    faults.omitted += told.omitted;
 }
 
 /// What is printed of an examined store, and whether nothing is wrong with it. `refused`: why something else that was
--- a/crates/rookpulley-control/src/endpoint.rs
+++ b/crates/rookpulley-control/src/endpoint.rs
@@ -1,7 +1,7 @@
 //! The calls of instances, the operator and applications: what each asks for.
 
 use crate::reply::Reply;
-use rookpulley_diagnostics::{Bounds, Nesting, Unread, read as read_json};
+use rookpulley_diagnostics::{JsonError, JsonLimits, Nesting, parse_json};
 use rookpulley_protocol::IncarnationId;
 use rookpulley_registry::Heartbeat;
 use rookpulley_routes::RouteTable;
@@ -39,10 +39,10 @@
 /// No watch waits longer, whatever it asks for.
 const MAX_WATCH_MS: u64 = 30_000;
 /// A value that nests deeper is refused. How long a body may be is seen to before there is a call.
-const BOUNDS: Bounds = Bounds {
-    bytes: usize::MAX,
+const BOUNDS: JsonLimits = JsonLimits {
+    max_bytes: usize::MAX,
     nesting: Nesting::Levels(64),
-    values: usize::MAX,
+    max_values: usize::MAX,
 };
 /// Whole numbers up to this are exact in JSON.
 const MAX_WHOLE_NUMBER: f64 = 9e15;
@@ -74,8 +74,8 @@
 
 impl Fields {
     fn parse(body: &[u8]) -> Result<Self, Reply> {
-        let value = read_json(body, BOUNDS).map_err(|why| match why {
-            Unread::Deep { .. } => {
+        let value = parse_json(body, BOUNDS).map_err(|why| match why {
+            JsonError::TooDeep { .. } => {
                 Reply::error(400, "the body nests too deeply: send a flatter value")
             }
             _ => Reply::error(
--- a/crates/rookpulley-diagnostics/src/faults.rs
+++ b/crates/rookpulley-diagnostics/src/faults.rs
@@ -4,11 +4,11 @@
 
 /// How faults of one kind of document are reported.
 #[derive(Debug)]
-pub struct Manner {
+pub struct FaultFormat {
     /// The maximum number of faults listed for one document.
-    pub told: usize,
+    pub max_faults: usize,
     /// The maximum number of characters shown of a value found.
-    pub shown: usize,
+    pub max_chars: usize,
     /// The text before the list, given the total number of faults.
     pub heading: fn(usize) -> String,
     pub help: &'static str,
@@ -16,14 +16,14 @@
 
 /// All faults of a document, which is rejected as a whole.
 #[derive(Clone, Debug, thiserror::Error, miette::Diagnostic)]
-#[error("{}: {}", (.manner.heading)(.faults.len() + .untold), format_list(.faults, *.untold))]
-#[diagnostic(help("{}", manner.help))]
+#[error("{}: {}", (.format.heading)(.faults.len() + .omitted), format_list(.faults, *.omitted))]
+#[diagnostic(help("{}", format.help))]
 pub struct Faults {
     #[related]
     pub faults: Vec<Fault>,
     /// The number of faults that are not listed.
-    pub untold: usize,
-    manner: &'static Manner,
+    pub omitted: usize,
+    format: &'static FaultFormat,
 }
 
 #[derive(Clone, Debug, PartialEq, thiserror::Error, miette::Diagnostic)]
@@ -37,35 +37,35 @@
 }
 
 impl Faults {
-    pub fn none(manner: &'static Manner) -> Self {
+    pub fn new(format: &'static FaultFormat) -> Self {
         Self {
             faults: Vec::new(),
-            untold: 0,
-            manner,
+            omitted: 0,
+            format,
         }
     }
 
     pub fn one(
-        manner: &'static Manner,
+        format: &'static FaultFormat,
         place: impl Display,
         found: impl Display,
         instead: impl Display,
     ) -> Self {
-        let mut faults = Self::none(manner);
+        let mut faults = Self::new(format);
         faults.add(place, found, instead);
         faults
     }
 
     pub fn add(&mut self, place: impl Display, found: impl Display, instead: impl Display) {
-        if self.faults.len() < self.manner.told {
+        if self.faults.len() < self.format.max_faults {
             let (place, instead) = (place.to_string(), instead.to_string());
             self.faults.push(Fault {
                 place,
-                found: truncated(found, self.manner.shown),
+                found: truncated(found, self.format.max_chars),
                 instead,
             });
         } else {
-            self.untold += 1;
+            self.omitted += 1;
         }
     }
 
@@ -82,13 +82,13 @@
     }
 }
 
-fn format_list(faults: &[Fault], untold: usize) -> impl Display {
+fn format_list(faults: &[Fault], omitted: usize) -> impl Display {
     fmt::from_fn(move |f| {
         for (index, fault) in faults.iter().enumerate() {
             write!(f, "{}{fault}", if index > 0 { ". " } else { "" })?;
         }
-        if untold > 0 {
-            write!(f, ". And {untold} more")?;
+        if omitted > 0 {
+            write!(f, ". And {omitted} more")?;
         }
         Ok(())
     })
@@ -97,21 +97,21 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::{counted, said};
+    use crate::{describe, pluralize};
 
-    static MANNER: Manner = Manner {
-        told: 2,
-        shown: 4,
-        heading: |faults| format!("{} can't be used", counted(faults, "line")),
+    static FORMAT: FaultFormat = FaultFormat {
+        max_faults: 2,
+        max_chars: 4,
+        heading: |faults| format!("{} can't be used", pluralize(faults, "line")),
         help: "correct them",
     };
 
     #[test]
     fn faults_are_listed_and_values_shortened_up_to_the_limits() {
         let mut faults = Faults::one(
-            &MANNER,
+            &FORMAT,
             "line 1",
-            said(&"öffnen".to_owned().into(), "a table", 4),
+            describe(&"öffnen".to_owned().into(), "a table", 4),
             "a word",
         );
         assert_eq!(
--- a/crates/rookpulley-diagnostics/src/json.rs
+++ b/crates/rookpulley-diagnostics/src/json.rs
@@ -4,11 +4,11 @@
 
 /// Limits on a JSON document.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    pub bytes: usize,
+pub struct JsonLimits {
+    pub max_bytes: usize,
     pub nesting: Nesting,
     /// A parsed value takes up to about 100 bytes, however short its text is.
-    pub values: usize,
+    pub max_values: usize,
 }
 
 /// The limit on nesting, which is required because the parser is recursive.
@@ -19,47 +19,47 @@
     Brackets(usize),
 }
 
-/// Why a document was rejected. `at` is the offset of the byte that exceeds the limit.
+/// Why a document was rejected. `offset` is that of the byte that exceeds the limit.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
-pub enum Unread {
+pub enum JsonError {
     #[error("too many bytes")]
     #[diagnostic(help("send fewer"))]
-    Long,
+    TooLong,
     #[error("nested too deep")]
     #[diagnostic(help("send a flatter value"))]
-    Deep { at: usize },
+    TooDeep { offset: usize },
     #[error("too many values")]
     #[diagnostic(help("send a value of fewer parts"))]
-    Many { at: usize },
+    TooManyValues { offset: usize },
     #[error(transparent)]
     #[diagnostic(help("send UTF-8"))]
     NotUtf8(#[from] std::str::Utf8Error),
     /// The message of the parser, which quotes the input around the error.
     #[error(transparent)]
     #[diagnostic(help("send one whole JSON value"))]
-    NoJson(#[from] JsonParseError),
+    Syntax(#[from] JsonParseError),
 }
 
 /// Parses one JSON value. A limit that is exceeded is reported before encoding and syntax errors.
-pub fn read(bytes: &[u8], bounds: Bounds) -> Result<JsonValue, Unread> {
-    if bytes.len() > bounds.bytes {
-        return Err(Unread::Long);
+pub fn parse_json(bytes: &[u8], limits: JsonLimits) -> Result<JsonValue, JsonError> {
+    if bytes.len() > limits.max_bytes {
+        return Err(JsonError::TooLong);
     }
-    check_limits(bytes, bounds)?;
+    check_limits(bytes, limits)?;
     Ok(std::str::from_utf8(bytes)?.parse()?)
 }
 
 /// Checks the limits on depth and number of values without building any value.
-fn check_limits(bytes: &[u8], bounds: Bounds) -> Result<(), Unread> {
-    let max_depth = match bounds.nesting {
+fn check_limits(bytes: &[u8], limits: JsonLimits) -> Result<(), JsonError> {
+    let max_depth = match limits.nesting {
         Nesting::Levels(most) => most,
         Nesting::Brackets(most) => match nth_bracket(bytes, most) {
-            Some(at) => return Err(Unread::Deep { at }),
+            Some(offset) => return Err(JsonError::TooDeep { offset }),
             None => most,
         },
     };
     let (mut depth, mut values, mut quoted, mut escaped) = (0usize, 1usize, false, false);
-    for (at, byte) in bytes.iter().enumerate() {
+    for (offset, byte) in bytes.iter().enumerate() {
         match byte {
             _ if escaped => escaped = false,
             b'\\' if quoted => escaped = true,
@@ -71,10 +71,10 @@
             _ => {}
         }
         if depth > max_depth {
-            return Err(Unread::Deep { at });
+            return Err(JsonError::TooDeep { offset });
         }
-        if values > bounds.values {
-            return Err(Unread::Many { at });
+        if values > limits.max_values {
+            return Err(JsonError::TooManyValues { offset });
         }
     }
     Ok(())
@@ -93,39 +93,42 @@
 mod tests {
     use super::*;
 
-    const FLAT: Bounds = Bounds {
-        bytes: 40,
+    const FLAT: JsonLimits = JsonLimits {
+        max_bytes: 40,
         nesting: Nesting::Levels(2),
-        values: 6,
+        max_values: 6,
     };
 
     #[test]
     fn limits_apply_before_parsing_and_strings_count_only_toward_the_bracket_limit() {
-        let read = |text: &str| super::read(text.as_bytes(), FLAT);
+        let read = |text: &str| super::parse_json(text.as_bytes(), FLAT);
         assert!(read(r#"[["\"[[,,,,,,"],[]]"#).is_ok());
-        assert!(matches!(read("[[[]]]"), Err(Unread::Deep { at: 2 })));
+        assert!(matches!(
+            read("[[[]]]"),
+            Err(JsonError::TooDeep { offset: 2 })
+        ));
         assert!(matches!(
             read("[1,2,3,4,5,6]"),
-            Err(Unread::Many { at: 10 })
+            Err(JsonError::TooManyValues { offset: 10 })
         ));
-        assert!(matches!(read(&" ".repeat(41)), Err(Unread::Long)));
-        assert!(matches!(read("[1"), Err(Unread::NoJson(_))));
+        assert!(matches!(read(&" ".repeat(41)), Err(JsonError::TooLong)));
+        assert!(matches!(read("[1"), Err(JsonError::Syntax(_))));
         assert!(matches!(
-            super::read(b"\"\xff\"", FLAT),
-            Err(Unread::NotUtf8(_))
+            super::parse_json(b"\"\xff\"", FLAT),
+            Err(JsonError::NotUtf8(_))
         ));
         assert!(matches!(
-            super::read(b"[[[\xff", FLAT),
-            Err(Unread::Deep { at: 2 })
+            super::parse_json(b"[[[\xff", FLAT),
+            Err(JsonError::TooDeep { offset: 2 })
         ));
-        let counted = Bounds {
+        let counted = JsonLimits {
             nesting: Nesting::Brackets(2),
             ..FLAT
         };
-        assert!(super::read(b"[[]]", counted).is_ok());
+        assert!(super::parse_json(b"[[]]", counted).is_ok());
         assert!(matches!(
-            super::read(b"[[\"[\"]]", counted),
-            Err(Unread::Deep { at: 3 })
+            super::parse_json(b"[[\"[\"]]", counted),
+            Err(JsonError::TooDeep { offset: 3 })
         ));
     }
 }
--- a/crates/rookpulley-diagnostics/src/lib.rs
+++ b/crates/rookpulley-diagnostics/src/lib.rs
@@ -7,6 +7,6 @@
 mod json;
 mod shown;
 
-pub use faults::{Fault, Faults, Manner};
-pub use json::{Bounds, Nesting, Unread, read};
-pub use shown::{Place, counted, said};
+pub use faults::{Fault, FaultFormat, Faults};
+pub use json::{JsonError, JsonLimits, Nesting, parse_json};
+pub use shown::{Position, describe, pluralize};
--- a/crates/rookpulley-diagnostics/src/shown.rs
+++ b/crates/rookpulley-diagnostics/src/shown.rs
@@ -5,12 +5,12 @@
 
 /// A position in a document; lines and columns start at 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Place {
+pub struct Position {
     pub line: usize,
     pub column: usize,
 }
 
-impl Place {
+impl Position {
     /// The position of the byte that follows `before`.
     pub fn after(before: &[u8]) -> Self {
         let last = before
@@ -25,27 +25,27 @@
     }
 }
 
-impl Display for Place {
+impl Display for Position {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         write!(f, "line {}, column {}", self.line, self.column)
     }
 }
 
 /// Formats a value for a fault. `holder` is the name of an object in the format at hand, such as "a table" in TOML.
-/// A string is cut to `shown` characters; with its quotes it still exceeds the limit, so `Faults` marks the cut.
-pub fn said(value: &JsonValue, holder: &str, shown: usize) -> String {
+/// A string is cut to `limit` characters; with its quotes it still exceeds the limit, so `Faults` marks the cut.
+pub fn describe(value: &JsonValue, holder: &str, limit: usize) -> String {
     match value {
         JsonValue::Null => "null".into(),
         JsonValue::Boolean(flag) => flag.to_string(),
         JsonValue::Number(number) => number.to_string(),
-        JsonValue::String(text) => format!("{:?}", text.chars().take(shown).collect::<String>()),
+        JsonValue::String(text) => format!("{:?}", text.chars().take(limit).collect::<String>()),
         JsonValue::Array(items) => format!("a list of {}", items.len()),
         JsonValue::Object(fields) => format!("{holder} of {}", fields.len()),
     }
 }
 
 /// A count with its noun, which takes a plural `s` unless the count is 1.
-pub fn counted(count: usize, noun: &str) -> String {
+pub fn pluralize(count: usize, noun: &str) -> String {
     if count == 1 {
         format!("1 {noun}")
     } else {
--- a/crates/rookpulley-registry/src/heartbeat.rs
+++ b/crates/rookpulley-registry/src/heartbeat.rs
@@ -1,6 +1,6 @@
 //! An instance's heartbeat, read from the body of its call. The page PROTOCOL names its fields.
 
-use rookpulley_diagnostics::{Bounds, Nesting, Unread, read};
+use rookpulley_diagnostics::{JsonError, JsonLimits, Nesting, parse_json};
 use rookpulley_protocol::IncarnationId;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -10,10 +10,10 @@
 /// A heartbeat has a few hundred bytes.
 const MAX_BYTES: usize = 16 << 10;
 /// A heartbeat needs three brackets.
-const BOUNDS: Bounds = Bounds {
-    bytes: MAX_BYTES,
+const BOUNDS: JsonLimits = JsonLimits {
+    max_bytes: MAX_BYTES,
     nesting: Nesting::Brackets(64),
-    values: usize::MAX,
+    max_values: usize::MAX,
 };
 const MAX_NAME_BYTES: usize = 128;
 /// What an instance says of its warm-up beyond this isn't believed.
@@ -176,9 +176,9 @@
         if !is_incarnation_id(incarnation) {
             return Err(HeartbeatError::IncarnationId);
         }
-        let value = read(body, BOUNDS).map_err(|why| match why {
-            Unread::Long => HeartbeatError::TooLong(body.len()),
-            Unread::Deep { .. } => HeartbeatError::Json("too many brackets".into()),
+        let value = parse_json(body, BOUNDS).map_err(|why| match why {
+            JsonError::TooLong => HeartbeatError::TooLong(body.len()),
+            JsonError::TooDeep { .. } => HeartbeatError::Json("too many brackets".into()),
             why => HeartbeatError::Json(why.to_string()),
         })?;
         let top = value
--- a/crates/rookpulley-routes/src/faults.rs
+++ b/crates/rookpulley-routes/src/faults.rs
@@ -1,10 +1,10 @@
 //! How the faults of a configuration are told. They go into an answer.
 
-use rookpulley_diagnostics::Manner;
+use rookpulley_diagnostics::FaultFormat;
 
-pub(crate) static CONFIGURATION: Manner = Manner {
-    told: 16,
-    shown: 80,
+pub(crate) static CONFIGURATION: FaultFormat = FaultFormat {
+    max_faults: 16,
+    max_chars: 80,
     heading: |_| "the configuration is invalid".into(),
     help: "mend the places named and send the whole configuration again",
 };
--- a/crates/rookpulley-routes/src/json.rs
+++ b/crates/rookpulley-routes/src/json.rs
@@ -1,7 +1,7 @@
 //! Bytes become JSON values within bounds, and what is wrong with them a fault of the configuration.
 
 use crate::faults::CONFIGURATION;
-use rookpulley_diagnostics::{Bounds, Faults, Nesting, Place, Unread, read};
+use rookpulley_diagnostics::{Faults, JsonError, JsonLimits, Nesting, Position, parse_json};
 use std::fmt::Display;
 use tinyjson::{JsonParseError, JsonValue};
 
@@ -14,17 +14,17 @@
 /// So many brackets stand open round a rule.
 const DEPTH_OF_RULE: usize = 4;
 
-const BOUNDS: Bounds = Bounds {
-    bytes: MAX_BYTES,
+const BOUNDS: JsonLimits = JsonLimits {
+    max_bytes: MAX_BYTES,
     nesting: Nesting::Levels(MAX_DEPTH),
-    values: MAX_VALUES,
+    max_values: MAX_VALUES,
 };
 
 /// A rule alone; none where it is faulty.
 pub(crate) fn parse_rule(bytes: &[u8]) -> Option<JsonValue> {
-    read(
+    parse_json(
         bytes,
-        Bounds {
+        JsonLimits {
             nesting: Nesting::Levels(MAX_DEPTH - DEPTH_OF_RULE),
             ..BOUNDS
         },
@@ -32,40 +32,40 @@
     .ok()
 }
 
-pub(crate) fn parse(bytes: &[u8]) -> Result<JsonValue, Unread> {
-    read(bytes, BOUNDS)
+pub(crate) fn parse(bytes: &[u8]) -> Result<JsonValue, JsonError> {
+    parse_json(bytes, BOUNDS)
 }
 
 /// Bytes that are no text are told of as such, whatever else was found in them.
-pub(crate) fn unread(bytes: &[u8], why: Unread) -> Faults {
-    let after = |end: usize| Place::after(bytes.get(..end).unwrap_or(bytes));
+pub(crate) fn unread(bytes: &[u8], why: JsonError) -> Faults {
+    let after = |end: usize| Position::after(bytes.get(..end).unwrap_or(bytes));
     match (why, std::str::from_utf8(bytes)) {
-        (Unread::Long, _) => fault(
+        (JsonError::TooLong, _) => fault(
             "the body",
             format!("{} bytes long", bytes.len()),
             format!("at most {MAX_BYTES} bytes"),
         ),
-        (Unread::NotUtf8(e), _) | (_, Err(e)) => fault(
+        (JsonError::NotUtf8(e), _) | (_, Err(e)) => fault(
             after(e.valid_up_to()),
             "no UTF-8",
             "the whole configuration as JSON in UTF-8",
         ),
-        (Unread::Deep { at }, _) => fault(
-            after(at),
+        (JsonError::TooDeep { offset }, _) => fault(
+            after(offset),
             "nested too deep",
             format!("at most {MAX_DEPTH} levels"),
         ),
-        (Unread::Many { at }, _) => fault(
-            after(at),
+        (JsonError::TooManyValues { offset }, _) => fault(
+            after(offset),
             "one value too many",
             format!("at most {MAX_VALUES} values"),
         ),
-        (Unread::NoJson(e), _) => no_json(&e),
+        (JsonError::Syntax(e), _) => no_json(&e),
     }
 }
 
 fn no_json(e: &JsonParseError) -> Faults {
-    let place = Place {
+    let place = Position {
         line: e.line(),
         column: e.column(),
     };
--- a/crates/rookpulley-routes/src/read.rs
+++ b/crates/rookpulley-routes/src/read.rs
@@ -6,7 +6,7 @@
 use crate::route_table::{Limits, RouteTable, Service};
 use crate::split::split;
 use crate::values::Value;
-use rookpulley_diagnostics::{Faults, Unread};
+use rookpulley_diagnostics::{Faults, JsonError};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -39,10 +39,10 @@
 fn read_whole(bytes: &[u8], found: Faults) -> Result<RouteTable, Faults> {
     let json = match parse(bytes) {
         Ok(json) => json,
-        Err(Unread::Many { .. }) if !found.is_empty() => return Err(found),
+        Err(JsonError::TooManyValues { .. }) if !found.is_empty() => return Err(found),
         Err(why) => return Err(unread(bytes, why)),
     };
-    let faults = RefCell::new(Faults::none(&CONFIGURATION));
+    let faults = RefCell::new(Faults::new(&CONFIGURATION));
     let table = table(Value::top(&json, &faults));
     let faults = faults.into_inner();
     match table {
@@ -75,7 +75,7 @@
 
 /// What is wrong with it as far as that was found: nothing, where it must be read whole to tell.
 fn read_by_rule(bytes: &[u8], earlier: Option<(&[u8], &RouteTable)>) -> Result<RouteTable, Faults> {
-    let faults = RefCell::new(Faults::none(&CONFIGURATION));
+    let faults = RefCell::new(Faults::new(&CONFIGURATION));
     let short = Some(bytes).filter(|bytes| bytes.len() <= MAX_BYTES);
     let rest = short
         .and_then(split)
--- a/crates/rookpulley-routes/src/values.rs
+++ b/crates/rookpulley-routes/src/values.rs
@@ -1,7 +1,7 @@
 //! Takes fields out of a JSON value by name, and notes each that can't be used, with the way to it.
 
 use crate::faults::CONFIGURATION;
-use rookpulley_diagnostics::{Faults, said};
+use rookpulley_diagnostics::{Faults, describe};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::fmt::{self, Display, Formatter};
@@ -105,7 +105,10 @@
         let json = self.json?;
         let taken = form(json);
         if taken.is_none() {
-            self.note(said(json, "an object", CONFIGURATION.shown), instead);
+            self.note(
+                describe(json, "an object", CONFIGURATION.max_chars),
+                instead,
+            );
         }
         taken
     }
--- a/crates/rookpulley-routes/tests/route_table.rs
+++ b/crates/rookpulley-routes/tests/route_table.rs
@@ -483,7 +483,7 @@
         r#"{{"configVersion":1,"services":[{names}],"hostnames":[]}}"#
     ))
     .unwrap_err();
-    assert_eq!((faults.faults.len(), faults.untold), (16, 84));
+    assert_eq!((faults.faults.len(), faults.omitted), (16, 84));
     assert!(faults.to_string().ends_with("And 84 more"));
 }
 
--- a/crates/rookpulley-settings/src/deploy.rs
+++ b/crates/rookpulley-settings/src/deploy.rs
@@ -77,7 +77,7 @@
     }
 
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
-        let (file, faults) = (values(text)?, RefCell::new(Faults::none(&SETTINGS)));
+        let (file, faults) = (values(text)?, RefCell::new(Faults::new(&SETTINGS)));
         let deploy = deploy(&Table::root(&file, &faults));
         let faults = faults.into_inner();
         if faults.is_empty() {
--- a/crates/rookpulley-settings/src/faults.rs
+++ b/crates/rookpulley-settings/src/faults.rs
@@ -1,6 +1,6 @@
 //! Reasons for rejecting a settings file. All faults of a file are reported at once.
 
-use rookpulley_diagnostics::{Faults, Manner, counted};
+use rookpulley_diagnostics::{FaultFormat, Faults, pluralize};
 use std::path::PathBuf;
 
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
@@ -31,9 +31,9 @@
     Faulty(#[from] Faults),
 }
 
-pub(crate) static SETTINGS: Manner = Manner {
-    told: 40,
-    shown: 100,
-    heading: |faults| format!("the settings file has {}", counted(faults, "invalid field")),
+pub(crate) static SETTINGS: FaultFormat = FaultFormat {
+    max_faults: 40,
+    max_chars: 100,
+    heading: |faults| format!("the settings have {}", pluralize(faults, "invalid field")),
     help: "correct these fields and send SIGHUP, or restart the process",
 };
--- a/crates/rookpulley-settings/src/fields.rs
+++ b/crates/rookpulley-settings/src/fields.rs
@@ -1,7 +1,7 @@
 //! Reads the fields of a table by name, and reports each invalid one with what is expected.
 
 use crate::faults::SETTINGS;
-use rookpulley_diagnostics::{Faults, said};
+use rookpulley_diagnostics::{Faults, describe};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -97,7 +97,11 @@
         let value = self.value(field)?;
         let converted = convert(value);
         if converted.is_none() {
-            self.report(field, &said(value, "a table", SETTINGS.shown), expected);
+            self.report(
+                field,
+                &describe(value, "a table", SETTINGS.max_chars),
+                expected,
+            );
         }
         converted
     }
@@ -202,7 +206,7 @@
             if converted.is_none() {
                 self.report(
                     &format!("{field}[{index}]"),
-                    &said(item, "a table", SETTINGS.shown),
+                    &describe(item, "a table", SETTINGS.max_chars),
                     expected,
                 );
             }
--- a/crates/rookpulley-settings/src/read.rs
+++ b/crates/rookpulley-settings/src/read.rs
@@ -3,7 +3,7 @@
 use crate::faults::{SETTINGS, SettingsError};
 use crate::fields::Table;
 use crate::node::{Bounds, Limits, Listen, Node, Tolerance};
-use rookpulley_diagnostics::{Faults, Place};
+use rookpulley_diagnostics::{Faults, Position};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -32,7 +32,7 @@
     }
 
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
-        let (file, faults) = (values(text)?, RefCell::new(Faults::none(&SETTINGS)));
+        let (file, faults) = (values(text)?, RefCell::new(Faults::new(&SETTINGS)));
         let node = node(&Table::root(&file, &faults));
         let faults = faults.into_inner();
         if faults.is_empty() {
@@ -73,7 +73,7 @@
 fn not_toml(text: &str, error: &toml::de::Error) -> SettingsError {
     let start = error.span().map_or(0, |span| span.start);
     let before = text.get(..start).unwrap_or(text);
-    let Place { line, column } = Place::after(before.as_bytes());
+    let Position { line, column } = Position::after(before.as_bytes());
     SettingsError::NotToml {
         line,
         column,
