--- a/crates/rookpulley-cli/src/gateway/check.rs
+++ b/crates/rookpulley-cli/src/gateway/check.rs
@@ -31,13 +31,13 @@
 
 fn untaken(error: SettingsError) -> Faults {
     match error {
-        SettingsError::Faulty(told) => told,
+        SettingsError::Invalid(told) => told,
         SettingsError::Unreadable { cause, .. } => unreadable(&cause),
-        SettingsError::TooLong { bytes, most } => {
-            let instead = format!("at most {most}; it takes a few kilobytes");
+        SettingsError::TooLong { bytes, max } => {
+            let instead = format!("at most {max}; it takes a few kilobytes");
             one(
                 "the file",
-                format!("over {} bytes long", bytes.min(most)),
+                format!("over {} bytes long", bytes.min(max)),
                 instead,
             )
         }
@@ -50,7 +50,7 @@
             format!("no TOML ({})", cause.lines().collect::<Vec<_>>().join(", ")),
             "one `field = value` a line, texts in quotes, tables under [name]",
         ),
-        SettingsError::NotTold => one("the file", "not named", "its path"),
+        SettingsError::PathNotSet => one("the file", "not named", "its path"),
     }
 }
 
--- a/crates/rookpulley-controller/src/incarnation.rs
+++ b/crates/rookpulley-controller/src/incarnation.rs
@@ -49,7 +49,7 @@
 
 /// Listens for calls, proxies and other controllers.
 pub fn listen(node: &Node, control: SocketAddrV4) -> miette::Result<Listeners> {
-    let internal = |offset| SocketAddrV4::new(node.ip, node.inner_ports.0 + offset);
+    let internal = |offset| SocketAddrV4::new(node.ip, node.internal_ports.0 + offset);
     Ok(Listeners {
         api: listen_at(control)?,
         proxies: listen_at(internal(0))?,
--- a/crates/rookpulley-controller/src/server.rs
+++ b/crates/rookpulley-controller/src/server.rs
@@ -73,12 +73,12 @@
         let me = Member {
             id: store.identity,
             incarnation: seed,
-            address: SocketAddrV4::new(node.ip, node.inner_ports.0 + 1),
+            address: SocketAddrV4::new(node.ip, node.internal_ports.0 + 1),
         };
         let start = ControllerStart {
             me,
             seeds: node.seeds.clone(),
-            tolerated_losses: node.tolerance.machines,
+            tolerated_losses: node.tolerance.machine_losses,
             heartbeat_ms: node.heartbeat_ms,
             drain_ms: node.bounds.drain_ms,
             zone: node.zone.clone(),
--- a/crates/rookpulley-controller/src/stateless.rs
+++ b/crates/rookpulley-controller/src/stateless.rs
@@ -94,7 +94,7 @@
 impl StatelessServer {
     fn new(node: &Node, control: SocketAddrV4) -> Result<Rc<Self>, TreeError> {
         let start = StatelessStart {
-            address: SocketAddrV4::new(node.ip, node.inner_ports.0 + 1),
+            address: SocketAddrV4::new(node.ip, node.internal_ports.0 + 1),
             zone: node.zone.clone(),
             seeds: node.seeds.clone(),
             first_start: node.first_start,
@@ -104,7 +104,7 @@
             connections: RefCell::default(),
             started: Instant::now(),
             last_connection: Cell::new(0),
-            proxy_port: node.inner_ports.0,
+            proxy_port: node.internal_ports.0,
             control_port: control.port(),
             tree: request_tree()?,
             redirected: Cell::new(0),
--- a/crates/rookpulley-devcluster/src/processes.rs
+++ b/crates/rookpulley-devcluster/src/processes.rs
@@ -114,7 +114,7 @@
             command.arg("--verbose");
         }
         command
-            .env(rookpulley_settings::BOOT, &file)
+            .env(rookpulley_settings::BOOT_VARIABLE, &file)
             .current_dir(environment.folder());
         command
             .stdin(Stdio::null())
--- a/crates/rookpulley-devcluster/src/sheet.rs
+++ b/crates/rookpulley-devcluster/src/sheet.rs
@@ -68,7 +68,7 @@
         ip: environment.ip(machine),
         zone: ZONES.get(machine).copied().unwrap_or_default().into(),
         region: REGION.into(),
-        inner_ports: environment.ports.inner(),
+        internal_ports: environment.ports.inner(),
         seeds: environment.controls(),
         first_start: first,
         loss_counted: true,
@@ -84,9 +84,9 @@
             ..Limits::default()
         },
         tolerance: Tolerance {
-            machines: 1,
-            zones: 0,
-            regions: 0,
+            machine_losses: 1,
+            zone_losses: 0,
+            region_losses: 0,
         },
         bounds: Bounds {
             drain_ms: DRAIN_MS,
--- a/crates/rookpulley-proxy/src/context.rs
+++ b/crates/rookpulley-proxy/src/context.rs
@@ -46,7 +46,10 @@
 
 impl ProxyContext {
     pub fn new(node: Node) -> Rc<Self> {
-        let descriptors = node.limits.open_files.saturating_sub(RESERVED_DESCRIPTORS);
+        let descriptors = node
+            .limits
+            .max_open_files
+            .saturating_sub(RESERVED_DESCRIPTORS);
         let descriptors = descriptors.max(MIN_DESCRIPTORS) as usize;
         let upstream_connections = (descriptors / 3).min(MAX_UPSTREAM_CONNECTIONS);
         let max_buffered_response = if node.limits.link_mbps >= QUICK_LINK_MBPS {
--- a/crates/rookpulley-proxy/src/controller_connections.rs
+++ b/crates/rookpulley-proxy/src/controller_connections.rs
@@ -45,7 +45,7 @@
 
 /// Connects to a controller again and again for as long as somebody names it.
 async fn keep_connected(proxy: Rc<ProxyContext>, controller: Ipv4Addr) {
-    let to = SocketAddr::from((controller, proxy.node.inner_ports.0));
+    let to = SocketAddr::from((controller, proxy.node.internal_ports.0));
     let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
     loop {
         if let Ok(stream) = connection::connect(to, CONNECT_TIMEOUT).await {
--- a/crates/rookpulley-settings/src/deploy.rs
+++ b/crates/rookpulley-settings/src/deploy.rs
@@ -52,7 +52,7 @@
 
 impl Amount {
     /// The number of machines in a zone of `machines` machines.
-    pub fn of(self, machines: u32) -> u32 {
+    pub fn machines_in_zone(self, machines: u32) -> u32 {
         match self {
             Amount::Share(share) => (share * f64::from(machines)).ceil() as u32,
             Amount::Count(count) => count.min(machines),
--- a/crates/rookpulley-settings/src/describe.rs
+++ b/crates/rookpulley-settings/src/describe.rs
@@ -16,7 +16,7 @@
         line("region", &quoted(&self.region))?;
         line(
             "internalPortRange",
-            &format_args!("[{}, {}]", self.inner_ports.0, self.inner_ports.1),
+            &format_args!("[{}, {}]", self.internal_ports.0, self.internal_ports.1),
         )?;
         line("seedNodes", &list(&self.seeds))?;
         line("firstStart", &self.first_start)?;
@@ -51,7 +51,7 @@
                 ("cpuShare", &limits.cpu_share),
                 ("cpuCores", &limits.cpu_cores),
                 ("memoryMb", &limits.memory_mb),
-                ("maxOpenFiles", &limits.open_files),
+                ("maxOpenFiles", &limits.max_open_files),
                 ("linkMbps", &limits.link_mbps),
             ],
         )?;
@@ -64,9 +64,9 @@
         write_numbers(
             f,
             &[
-                ("machineLosses", &tolerance.machines),
-                ("zones", &tolerance.zones),
-                ("regionLosses", &tolerance.regions),
+                ("machineLosses", &tolerance.machine_losses),
+                ("zones", &tolerance.zone_losses),
+                ("regionLosses", &tolerance.region_losses),
             ],
         )?;
 
--- a/crates/rookpulley-settings/src/faults.rs
+++ b/crates/rookpulley-settings/src/faults.rs
@@ -7,16 +7,16 @@
 pub enum SettingsError {
     #[error("no settings file is configured")]
     #[diagnostic(help("set ROOKPULLEY_BOOT to the path of the settings file"))]
-    NotTold,
+    PathNotSet,
     #[error("the settings file {} can't be read: {cause}", path.display())]
     #[diagnostic(help("set ROOKPULLEY_BOOT to a file that this user may read"))]
     Unreadable {
         path: PathBuf,
         cause: std::io::Error,
     },
-    #[error("the settings file has {bytes} bytes, the maximum is {most}")]
+    #[error("the settings file has {bytes} bytes, the maximum is {max}")]
     #[diagnostic(help("remove what is not a documented field"))]
-    TooLong { bytes: u64, most: u64 },
+    TooLong { bytes: u64, max: u64 },
     #[error("the settings file is not valid TOML, line {line}, column {column}: {cause}")]
     #[diagnostic(help(
         "write one `field = value` per line, strings in quotes, tables under [name]"
@@ -28,7 +28,7 @@
     },
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Faulty(#[from] Faults),
+    Invalid(#[from] Faults),
 }
 
 pub(crate) static SETTINGS: FaultFormat = FaultFormat {
--- a/crates/rookpulley-settings/src/lib.rs
+++ b/crates/rookpulley-settings/src/lib.rs
@@ -13,5 +13,5 @@
 pub use deploy::{Amount, Deploy, Role};
 pub use faults::SettingsError;
 pub use node::{Bounds, Limits, Listen, Node, Tolerance};
-pub use read::{BOOT, boot_path};
+pub use read::{BOOT_VARIABLE, boot_path};
 pub use rookpulley_diagnostics::{Fault, Faults};
--- a/crates/rookpulley-settings/src/node.rs
+++ b/crates/rookpulley-settings/src/node.rs
@@ -18,7 +18,7 @@
     /// Defaults to the region of the zone in `zones`.
     pub region: String,
     /// The first and the last port for traffic between the processes of the deployment.
-    pub inner_ports: (u16, u16),
+    pub internal_ports: (u16, u16),
     pub seeds: Vec<SocketAddrV4>,
     /// Defaults to false: bootstrapping a deployment twice loses the writes that the first one acknowledged.
     pub first_start: bool,
@@ -40,8 +40,8 @@
     }
 
     /// The address at which the controller of this machine accepts connections of other processes.
-    pub fn inner_address(&self) -> SocketAddrV4 {
-        SocketAddrV4::new(self.ip, self.inner_ports.0)
+    pub fn internal_address(&self) -> SocketAddrV4 {
+        SocketAddrV4::new(self.ip, self.internal_ports.0)
     }
 }
 
@@ -58,7 +58,7 @@
     pub cpu_share: f64,
     pub cpu_cores: f64,
     pub memory_mb: f64,
-    pub open_files: u64,
+    pub max_open_files: u64,
     pub link_mbps: f64,
     pub disk_mb: Option<f64>,
 }
@@ -70,7 +70,7 @@
             cpu_share: 1.0,
             cpu_cores: 1.0,
             memory_mb: 256.0,
-            open_files: 1_024,
+            max_open_files: 1_024,
             link_mbps: 1_000.0,
             disk_mb: None,
         }
@@ -80,9 +80,9 @@
 /// Simultaneous losses that must not lose any acknowledged write.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tolerance {
-    pub machines: u32,
-    pub zones: u32,
-    pub regions: u32,
+    pub machine_losses: u32,
+    pub zone_losses: u32,
+    pub region_losses: u32,
 }
 
 /// Timing and retry limits of the deployment, with the names and units of the file.
--- a/crates/rookpulley-settings/src/read.rs
+++ b/crates/rookpulley-settings/src/read.rs
@@ -12,7 +12,7 @@
 use tinyjson::JsonValue;
 
 /// The environment variable with the path of the settings file.
-pub const BOOT: &str = "ROOKPULLEY_BOOT";
+pub const BOOT_VARIABLE: &str = "ROOKPULLEY_BOOT";
 /// The maximum size of a file, far above the few kilobytes of a real one.
 const MAX_BYTES: u64 = 1 << 20;
 /// Values of `serves`.
@@ -20,10 +20,10 @@
 pub(crate) const CONTROL: &str = "control_plane";
 
 pub fn boot_path() -> Result<PathBuf, SettingsError> {
-    std::env::var_os(BOOT)
+    std::env::var_os(BOOT_VARIABLE)
         .filter(|path| !path.is_empty())
         .map(PathBuf::from)
-        .ok_or(SettingsError::NotTold)
+        .ok_or(SettingsError::PathNotSet)
 }
 
 impl Node {
@@ -63,7 +63,7 @@
     if bytes > MAX_BYTES {
         return Err(SettingsError::TooLong {
             bytes,
-            most: MAX_BYTES,
+            max: MAX_BYTES,
         });
     }
     let table: toml::Table = text.parse().map_err(|e| not_toml(text, &e))?;
@@ -112,7 +112,7 @@
         role: file.string("role").unwrap_or_default(),
         class: file.string("machineClass").unwrap_or_default(),
         ip: file.required_ip("ipAddress"),
-        inner_ports: file.required_ports("internalPortRange"),
+        internal_ports: file.required_ports("internalPortRange"),
         seeds: file.addresses("seedNodes"),
         first_start: file.boolean("firstStart", false),
         loss_counted: file.boolean("lossCounted", true),
@@ -154,7 +154,7 @@
         cpu_share: table.positive_number("cpuShare", default.cpu_share),
         cpu_cores: table.positive_number("cpuCores", default.cpu_cores),
         memory_mb: table.positive_number("memoryMb", default.memory_mb),
-        open_files: table.integer("maxOpenFiles", default.open_files),
+        max_open_files: table.integer("maxOpenFiles", default.max_open_files),
         link_mbps: table.positive_number("linkMbps", default.link_mbps),
         disk_mb: (disk > 0.0).then_some(disk),
     }
@@ -162,9 +162,9 @@
 
 fn tolerance(table: &Table) -> Tolerance {
     Tolerance {
-        machines: table.count("machineLosses", 0),
-        zones: table.count("zones", 0),
-        regions: table.count("regionLosses", 0),
+        machine_losses: table.count("machineLosses", 0),
+        zone_losses: table.count("zones", 0),
+        region_losses: table.count("regionLosses", 0),
     }
 }
 
--- a/crates/rookpulley-settings/tests/deploy.rs
+++ b/crates/rookpulley-settings/tests/deploy.rs
@@ -20,7 +20,7 @@
 fn faults(text: &str) -> Vec<String> {
     match Deploy::parse(text) {
         Ok(_) => Vec::new(),
-        Err(SettingsError::Faulty(all)) => all.faults.iter().map(ToString::to_string).collect(),
+        Err(SettingsError::Invalid(all)) => all.faults.iter().map(ToString::to_string).collect(),
         Err(other) => vec![other.to_string()],
     }
 }
@@ -229,7 +229,7 @@
         },
     ] {
         for zone_machines in machines {
-            let stores = zones * control.amount.of(zone_machines).min(disks);
+            let stores = zones * control.amount.machines_in_zone(zone_machines).min(disks);
             // A majority must remain after the losses.
             assert!(
                 stores > 2 * losses,
--- a/crates/rookpulley-settings/tests/node.rs
+++ b/crates/rookpulley-settings/tests/node.rs
@@ -68,7 +68,7 @@
 
 fn faults(text: &str) -> Vec<(String, String)> {
     match Node::parse(text) {
-        Err(SettingsError::Faulty(faults)) => faults
+        Err(SettingsError::Invalid(faults)) => faults
             .faults
             .into_iter()
             .map(|fault| (fault.place, fault.instead))
@@ -90,7 +90,7 @@
         ("north-hall", "island")
     );
     assert_eq!(
-        (node.inner_ports, node.inner_address().to_string()),
+        (node.internal_ports, node.internal_address().to_string()),
         ((7_100, 7_103), "10.9.0.7:7100".into())
     );
     assert_eq!(
@@ -122,7 +122,7 @@
         cpu_share: 0.25,
         cpu_cores: 2.0,
         memory_mb: 128.0,
-        open_files: 900,
+        max_open_files: 900,
         link_mbps: 400.5,
         disk_mb: Some(32.0),
     };
@@ -130,9 +130,9 @@
     assert_eq!(
         node.tolerance,
         Tolerance {
-            machines: 2,
-            zones: 1,
-            regions: 0
+            machine_losses: 2,
+            zone_losses: 1,
+            region_losses: 0
         }
     );
     let bounds = Bounds {
@@ -366,7 +366,7 @@
         }
         if let Ok(node) = Node::parse(&String::from_utf8_lossy(&bytes)) {
             assert!(!node.name.is_empty() && !node.zone.is_empty() && node.heartbeat_ms > 0);
-            assert!(node.inner_ports.0 > 0 && node.inner_ports.0 <= node.inner_ports.1);
+            assert!(node.internal_ports.0 > 0 && node.internal_ports.0 <= node.internal_ports.1);
             assert!(
                 !node.serves("edge")
                     || node.listen.front.is_some() && node.listen.readiness.is_some()
