--- a/crates/rookpulley-controller/src/main.rs
+++ b/crates/rookpulley-controller/src/main.rs
@@ -49,7 +49,7 @@
     } else {
         tracing::Level::INFO
     };
-    log::begin(level);
+    log::init(level);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/rookpulley-controller/src/peers.rs
+++ b/crates/rookpulley-controller/src/peers.rs
@@ -36,7 +36,7 @@
             server.peer_disconnected(ip);
             tracing::info!("peers: the connection to {ip} {why}");
         }
-        let pause = tokio::time::sleep(backoff.pause());
+        let pause = tokio::time::sleep(backoff.next_delay());
         if unless_notified(pause, &is_alive).await.is_none() {
             backoff.reset();
         }
@@ -63,7 +63,7 @@
             tokio::time::sleep(ACCEPT_RETRY).await;
             continue;
         };
-        connection::configure(&stream, connection::UNACKNOWLEDGED);
+        connection::configure(&stream, connection::USER_TIMEOUT);
         tokio::task::spawn_local(serve(server.clone(), stream, from));
     }
 }
--- a/crates/rookpulley-controller/src/proxy_sessions.rs
+++ b/crates/rookpulley-controller/src/proxy_sessions.rs
@@ -21,7 +21,7 @@
             tokio::time::sleep(ACCEPT_RETRY).await;
             continue;
         };
-        connection::configure(&stream, connection::UNACKNOWLEDGED);
+        connection::configure(&stream, connection::USER_TIMEOUT);
         tokio::task::spawn_local(serve(server.clone(), stream));
     }
 }
--- a/crates/rookpulley-controller/src/stateless.rs
+++ b/crates/rookpulley-controller/src/stateless.rs
@@ -189,7 +189,7 @@
                     backoff.reset();
                 }
             }
-            tokio::time::sleep(backoff.pause()).await;
+            tokio::time::sleep(backoff.next_delay()).await;
             if self.step(|controller, now| controller.is_forgotten(now, ip)) {
                 return;
             }
@@ -219,7 +219,7 @@
                 tokio::time::sleep(ACCEPT_RETRY).await;
                 continue;
             };
-            connection::configure(&stream, connection::UNACKNOWLEDGED);
+            connection::configure(&stream, connection::USER_TIMEOUT);
             tokio::task::spawn_local(serve(self.clone(), stream));
         }
     }
--- a/crates/rookpulley-proxy/src/main.rs
+++ b/crates/rookpulley-proxy/src/main.rs
@@ -26,7 +26,7 @@
         _ = write!(std::io::stdout(), "{node}");
         return Ok(());
     }
-    log::begin(if flags.verbose {
+    log::init(if flags.verbose {
         tracing::Level::DEBUG
     } else {
         tracing::Level::INFO
--- a/crates/rookpulley-proxy/src/upstream_pool.rs
+++ b/crates/rookpulley-proxy/src/upstream_pool.rs
@@ -244,7 +244,7 @@
         pool: Rc<Pool>,
         open: OpenConnection,
     ) -> Result<Self, ConnectError> {
-        connection::configure(&stream, connection::UNACKNOWLEDGED);
+        connection::configure(&stream, connection::USER_TIMEOUT);
         let pending = Rc::new(PendingResponse::default());
         let filter = TokioIo::new(ResponseFilter::new(stream, pending.clone()));
         let handshake = Builder::new()
--- a/crates/rookpulley-runtime/src/backoff.rs
+++ b/crates/rookpulley-runtime/src/backoff.rs
@@ -21,10 +21,10 @@
     }
 
     /// Returns the delay before the next attempt.
-    pub fn pause(&mut self) -> Duration {
-        let pause = self.next;
-        self.next = (pause * 2).min(self.max);
-        pause
+    pub fn next_delay(&mut self) -> Duration {
+        let delay = self.next;
+        self.next = (delay * 2).min(self.max);
+        delay
     }
 
     /// Restarts at the minimum after a successful attempt.
--- a/crates/rookpulley-runtime/src/connection.rs
+++ b/crates/rookpulley-runtime/src/connection.rs
@@ -13,7 +13,7 @@
 use tokio::task::JoinSet;
 
 /// The TCP user timeout: a connection is closed when sent data stays unacknowledged for this long.
-pub const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
+pub const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Connection attempts per `connect`. More of them reach a peer sooner that has just begun to listen, at the cost of a
 /// few system calls each.
 const CONNECT_ATTEMPTS: u32 = 4;
@@ -24,11 +24,11 @@
 const READ_BYTES: usize = 16 << 10;
 
 /// Sets `TCP_NODELAY` and the TCP user timeout.
-pub fn configure(stream: &impl AsFd, unacknowledged: Duration) {
+pub fn configure(stream: &impl AsFd, user_timeout: Duration) {
     let socket = socket2::SockRef::from(stream);
     // Failures are ignored: the connection works without these options.
     _ = socket.set_tcp_nodelay(true);
-    _ = socket.set_tcp_user_timeout(Some(unacknowledged));
+    _ = socket.set_tcp_user_timeout(Some(user_timeout));
 }
 
 /// Listens with `SO_REUSEADDR`, so that a restarted process can bind the address of its predecessor.
@@ -42,7 +42,7 @@
 /// Opens a connection, with several attempts, within a time limit.
 pub async fn connect(to: SocketAddr, within: Duration) -> std::io::Result<TcpStream> {
     let stream = first_to_succeed(within, || TcpStream::connect(to)).await?;
-    configure(&stream, UNACKNOWLEDGED);
+    configure(&stream, USER_TIMEOUT);
     Ok(stream)
 }
 
--- a/crates/rookpulley-runtime/src/log.rs
+++ b/crates/rookpulley-runtime/src/log.rs
@@ -31,7 +31,7 @@
 }
 
 /// Installs the global subscriber, which logs events of `level` and above.
-pub fn begin(level: tracing::Level) {
+pub fn init(level: tracing::Level) {
     let filter = tracing_subscriber::filter::LevelFilter::from_level(level);
     tracing_subscriber::registry()
         .with(StderrLayer.with_filter(filter))
