--- a/crates/rookpulley-api/src/chunks.rs
+++ b/crates/rookpulley-api/src/chunks.rs
@@ -3,7 +3,7 @@
 //! Stricter than the proxy's `span`, which has to find the same end of a body as hyper and accepts whatever hyper does.
 
 use crate::head::MAX_HEADERS;
-use crate::refusal::Refusal;
+use crate::rejection::Rejection;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
@@ -41,7 +41,7 @@
     }
 
     /// Decodes `bytes` into `body`. Returns how many were consumed, and whether the body is complete.
-    pub fn read(&mut self, bytes: &[u8], body: &mut Vec<u8>) -> Result<(usize, bool), Refusal> {
+    pub fn read(&mut self, bytes: &[u8], body: &mut Vec<u8>) -> Result<(usize, bool), Rejection> {
         let mut consumed = 0;
         while let Some(rest) = bytes.get(consumed..).filter(|rest| !rest.is_empty()) {
             if let State::Data { remaining } = self.state {
@@ -65,23 +65,23 @@
         Ok((consumed, false))
     }
 
-    fn step(&mut self, byte: u8, body_length: usize) -> Result<bool, Refusal> {
+    fn step(&mut self, byte: u8, body_length: usize) -> Result<bool, Rejection> {
         self.state = match (self.state, byte) {
             (State::Size { digits, size }, b'0'..=b'9' | b'a'..=b'f' | b'A'..=b'F') => {
                 let digit = char::from(byte).to_digit(16).unwrap_or_default() as usize;
                 let size = size
                     .checked_mul(16)
                     .and_then(|size| size.checked_add(digit))
-                    .ok_or(Refusal::LongBody)?;
+                    .ok_or(Rejection::BodyTooLong)?;
                 if size > self.max_bytes.saturating_sub(body_length) {
-                    return Err(Refusal::LongBody);
+                    return Err(Rejection::BodyTooLong);
                 }
                 // Bounds the number of leading zeros.
                 State::Size {
                     digits: digits
                         .checked_add(1)
                         .filter(|digits| *digits <= 16)
-                        .ok_or(Refusal::Chunk)?,
+                        .ok_or(Rejection::InvalidChunk)?,
                     size,
                 }
             }
@@ -92,7 +92,7 @@
                 self.max_extra_bytes = self
                     .max_extra_bytes
                     .checked_sub(1)
-                    .ok_or(Refusal::LongHead)?;
+                    .ok_or(Rejection::HeadTooLong)?;
                 State::Extension { size }
             }
             (State::SizeEnd { size: 0 }, b'\n') => State::Trailer,
@@ -100,14 +100,14 @@
             (State::DataReturn, b'\r') => State::DataEnd,
             (State::DataEnd, b'\n') => State::Size { digits: 0, size: 0 },
             (State::Trailer, _) => return self.trailer(byte),
-            _ => return Err(Refusal::Chunk),
+            _ => return Err(Rejection::InvalidChunk),
         };
         Ok(false)
     }
 
-    fn trailer(&mut self, byte: u8) -> Result<bool, Refusal> {
+    fn trailer(&mut self, byte: u8) -> Result<bool, Rejection> {
         if self.trailer.len() >= self.max_trailer_bytes {
-            return Err(Refusal::LongHead);
+            return Err(Rejection::HeadTooLong);
         }
         self.trailer.push(byte);
         if self.trailer == b"\r\n" {
@@ -119,7 +119,7 @@
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         match httparse::parse_headers(&self.trailer, &mut lines) {
             Ok(httparse::Status::Complete((length, _))) if length == self.trailer.len() => Ok(true),
-            _ => Err(Refusal::Chunk),
+            _ => Err(Rejection::InvalidChunk),
         }
     }
 }
--- a/crates/rookpulley-api/src/head.rs
+++ b/crates/rookpulley-api/src/head.rs
@@ -1,6 +1,6 @@
 //! Parses request heads and rejects ambiguous ones, as a defense against request smuggling.
 
-use crate::refusal::Refusal;
+use crate::rejection::Rejection;
 use std::str::FromStr;
 
 /// The maximum number of header lines of a message.
@@ -29,25 +29,25 @@
 
 /// Parses a head of up to `max_bytes` at the start of `bytes` and returns it with its length. None: it is incomplete.
 /// The result does not depend on how the bytes were split into reads.
-pub fn read(bytes: &[u8], max_bytes: usize) -> Result<Option<(Head, usize)>, Refusal> {
+pub fn read(bytes: &[u8], max_bytes: usize) -> Result<Option<(Head, usize)>, Rejection> {
     let window = bytes.get(..max_bytes).unwrap_or(bytes);
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut lines);
     match request.parse(window) {
         Ok(httparse::Status::Complete(length)) => Ok(Some((validate(&request)?, length))),
-        Ok(httparse::Status::Partial) if window.len() == max_bytes => Err(Refusal::LongHead),
+        Ok(httparse::Status::Partial) if window.len() == max_bytes => Err(Rejection::HeadTooLong),
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(httparse::Error::TooManyHeaders) => Err(Refusal::LongHead),
+        Err(httparse::Error::TooManyHeaders) => Err(Rejection::HeadTooLong),
         Err(httparse::Error::Version) => check_version(window, max_bytes),
-        Err(_) => Err(Refusal::Head),
+        Err(_) => Err(Rejection::InvalidHead),
     }
 }
 
 /// Distinguishes another version of HTTP from an invalid head, which takes the complete request line.
-fn check_version(window: &[u8], max_bytes: usize) -> Result<Option<(Head, usize)>, Refusal> {
+fn check_version(window: &[u8], max_bytes: usize) -> Result<Option<(Head, usize)>, Rejection> {
     let Some(end) = window.iter().position(|byte| *byte == b'\n') else {
         return if window.len() == max_bytes {
-            Err(Refusal::LongHead)
+            Err(Rejection::HeadTooLong)
         } else {
             Ok(None)
         };
@@ -55,13 +55,13 @@
     let line = window.get(..end).unwrap_or_default().trim_ascii_end();
     match line.rsplit(|byte| *byte == b' ').next() {
         Some([b'H', b'T', b'T', b'P', b'/', b'0'..=b'9', b'.', b'0'..=b'9']) => {
-            Err(Refusal::Version)
+            Err(Rejection::Version)
         }
-        _ => Err(Refusal::Head),
+        _ => Err(Rejection::InvalidHead),
     }
 }
 
-fn validate(request: &httparse::Request<'_, '_>) -> Result<Head, Refusal> {
+fn validate(request: &httparse::Request<'_, '_>) -> Result<Head, Rejection> {
     let (method, http11) = (
         request.method.unwrap_or_default(),
         request.version == Some(1),
@@ -69,7 +69,7 @@
     // Methods are case-sensitive, so `get` is invalid, although async-h1 accepts it as GET.
     let known = http_types::Method::from_str(method).is_ok_and(|known| known.as_ref() == method);
     if !known || method == "CONNECT" {
-        return Err(Refusal::Method);
+        return Err(Rejection::UnknownMethod);
     }
     let (path, query) = target(method, request.path.unwrap_or_default())?;
     let (mut hosts, mut lengths, mut codings) = (Vec::new(), Vec::new(), Vec::new());
@@ -88,13 +88,13 @@
             "expect" if http11 && line.value.eq_ignore_ascii_case(b"100-continue") => {
                 expects_continue = true
             }
-            "expect" if http11 => return Err(Refusal::Expectation),
+            "expect" if http11 => return Err(Rejection::Expectation),
             _ => {}
         }
         headers.push((name, String::from_utf8_lossy(line.value).into_owned()));
     }
     if hosts.len() > 1 || (http11 && hosts.is_empty()) || !hosts.iter().all(|host| is_host(host)) {
-        return Err(Refusal::Host);
+        return Err(Rejection::InvalidHost);
     }
     let length = length(&lengths, &codings, http11)?;
     Ok(Head {
@@ -119,9 +119,9 @@
 }
 
 /// The path and query, not decoded. The scheme and authority of an absolute target are ignored.
-fn target(method: &str, target: &str) -> Result<(String, String), Refusal> {
+fn target(method: &str, target: &str) -> Result<(String, String), Rejection> {
     if target.contains('#') {
-        return Err(Refusal::Target);
+        return Err(Rejection::InvalidTarget);
     }
     let scheme = target
         .get(..7)
@@ -136,7 +136,7 @@
             .and_then(|at| rest.get(at..))
             .unwrap_or_default(),
         _ if target == "*" && method == "OPTIONS" => target,
-        _ => return Err(Refusal::Target),
+        _ => return Err(Rejection::InvalidTarget),
     };
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     Ok((
@@ -145,19 +145,19 @@
     ))
 }
 
-fn length(lengths: &[&[u8]], codings: &[&[u8]], http11: bool) -> Result<Length, Refusal> {
+fn length(lengths: &[&[u8]], codings: &[&[u8]], http11: bool) -> Result<Length, Rejection> {
     match (lengths, codings) {
         ([], []) => Ok(Length::Bytes(0)),
         ([first, more @ ..], []) => {
             let is_decimal = !first.is_empty() && first.iter().all(u8::is_ascii_digit);
             if !is_decimal || more.iter().any(|other| other != first) {
-                return Err(Refusal::Length);
+                return Err(Rejection::InvalidLength);
             }
             let digits = std::str::from_utf8(first).unwrap_or_default();
             digits
                 .parse()
                 .map(Length::Bytes)
-                .map_err(|_| Refusal::LongBody)
+                .map_err(|_| Rejection::BodyTooLong)
         }
         ([], [coding]) if http11 && coding.eq_ignore_ascii_case(b"chunked") => Ok(Length::Chunked),
         ([], codings) if http11 => {
@@ -166,11 +166,11 @@
                 .flat_map(|coding| comma_separated(coding))
                 .all(|word| word.eq_ignore_ascii_case(b"chunked"));
             Err(if only_chunked {
-                Refusal::Length
+                Rejection::InvalidLength
             } else {
-                Refusal::Coding
+                Rejection::UnknownCoding
             })
         }
-        _ => Err(Refusal::Length),
+        _ => Err(Rejection::InvalidLength),
     }
 }
--- a/crates/rookpulley-api/src/lib.rs
+++ b/crates/rookpulley-api/src/lib.rs
@@ -7,8 +7,8 @@
 //! | `message_reader` | reads complete requests from a connection within the limits |
 //! | `head`, `chunks` | parse request heads and decode chunked bodies |
 //! | `codec` | the only module that uses `async-h1` |
-//! | `matcher` | routes a method and a path |
-//! | `call`, `refusal`, `bounds` | requests and replies, reasons for rejection, limits of a server |
+//! | `router` | routes a method and a path |
+//! | `call`, `rejection`, `bounds` | requests and replies, reasons for rejection, limits of a server |
 
 pub mod bounds;
 pub mod call;
@@ -16,13 +16,13 @@
 mod codec;
 mod connection_limiter;
 pub mod head;
-pub mod matcher;
 pub mod message_reader;
-pub mod refusal;
+pub mod rejection;
+pub mod router;
 pub mod serve;
 
 pub use bounds::Bounds;
 pub use call::{Call, Reply};
-pub use matcher::{Match, Tree, TreeError, query};
-pub use refusal::Refusal;
+pub use rejection::Rejection;
+pub use router::{Match, Router, RouterError, query_value};
 pub use serve::serve;
--- a/crates/rookpulley-api/src/message_reader.rs
+++ b/crates/rookpulley-api/src/message_reader.rs
@@ -3,7 +3,7 @@
 use crate::bounds::{BodyMemory, Bounds, MemoryShare};
 use crate::chunks::ChunkDecoder;
 use crate::head::{self, Head, Length};
-use crate::refusal::Refusal;
+use crate::rejection::Rejection;
 use std::io;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -66,18 +66,18 @@
     }
 
     /// Reads one message. After an error the connection can no longer be read.
-    pub async fn message(&mut self) -> Result<Message, Refusal> {
+    pub async fn message(&mut self) -> Result<Message, Rejection> {
         let head = within(self.bounds.head_time, self.head())
             .await
-            .ok_or(Refusal::Slow)??;
+            .ok_or(Rejection::Timeout)??;
         let mut memory = self.memory.share();
         let body = within(self.bounds.body_time, self.body(&head, &mut memory))
             .await
-            .ok_or(Refusal::Slow)??;
+            .ok_or(Rejection::Timeout)??;
         Ok(Message { head, body, memory })
     }
 
-    async fn head(&mut self) -> Result<Head, Refusal> {
+    async fn head(&mut self) -> Result<Head, Rejection> {
         // Parses only after a new line end and when the size has doubled, so that small reads stay cheap.
         let (mut scanned, mut parse_at) = (0, 0);
         loop {
@@ -92,15 +92,16 @@
             scanned = self.buffer.len();
             if !matches!(self.fill(READ_BYTES).await, Ok(1..)) {
                 // Bytes that were not parsed yet may contain a more specific error than the early end.
-                return head::read(&self.buffer, self.bounds.head_bytes).and(Err(Refusal::Cut));
+                return head::read(&self.buffer, self.bounds.head_bytes)
+                    .and(Err(Rejection::Truncated));
             }
         }
     }
 
-    async fn body(&mut self, head: &Head, memory: &mut MemoryShare) -> Result<Vec<u8>, Refusal> {
+    async fn body(&mut self, head: &Head, memory: &mut MemoryShare) -> Result<Vec<u8>, Rejection> {
         match head.length {
             Length::Bytes(0) => Ok(Vec::new()),
-            Length::Bytes(length) if length > self.bounds.body_bytes => Err(Refusal::LongBody),
+            Length::Bytes(length) if length > self.bounds.body_bytes => Err(Rejection::BodyTooLong),
             Length::Bytes(length) => {
                 self.send_continue(head).await?;
                 self.sized(length, memory).await
@@ -113,20 +114,24 @@
     }
 
     /// Sends `100 Continue` if the client waits for it.
-    async fn send_continue(&mut self, head: &Head) -> Result<(), Refusal> {
+    async fn send_continue(&mut self, head: &Head) -> Result<(), Rejection> {
         if head.expects_continue && self.buffer.is_empty() {
             self.stream
                 .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
                 .await
-                .map_err(|_| Refusal::Cut)?;
+                .map_err(|_| Rejection::Truncated)?;
         }
         Ok(())
     }
 
-    async fn sized(&mut self, length: usize, memory: &mut MemoryShare) -> Result<Vec<u8>, Refusal> {
+    async fn sized(
+        &mut self,
+        length: usize,
+        memory: &mut MemoryShare,
+    ) -> Result<Vec<u8>, Rejection> {
         let mut body: Vec<u8> = self.buffer.drain(..length.min(self.buffer.len())).collect();
         if !memory.take(body.len()) {
-            return Err(Refusal::NoRoom);
+            return Err(Rejection::OutOfMemory);
         }
         while body.len() < length {
             let left = length - body.len();
@@ -135,15 +140,18 @@
                 .take(left as u64)
                 .read_buf(&mut body)
                 .await;
-            let count = read.ok().filter(|count| *count > 0).ok_or(Refusal::Cut)?;
+            let count = read
+                .ok()
+                .filter(|count| *count > 0)
+                .ok_or(Rejection::Truncated)?;
             if !memory.take(count) {
-                return Err(Refusal::NoRoom);
+                return Err(Rejection::OutOfMemory);
             }
         }
         Ok(body)
     }
 
-    async fn chunked(&mut self, memory: &mut MemoryShare) -> Result<Vec<u8>, Refusal> {
+    async fn chunked(&mut self, memory: &mut MemoryShare) -> Result<Vec<u8>, Rejection> {
         let mut decoder = ChunkDecoder::new(self.bounds.body_bytes, self.bounds.head_bytes);
         let mut body = Vec::new();
         loop {
@@ -151,7 +159,7 @@
             let (consumed, complete) = decoder.read(&self.buffer, &mut body)?;
             self.buffer.drain(..consumed);
             if !memory.take(body.len() - before) {
-                return Err(Refusal::NoRoom);
+                return Err(Rejection::OutOfMemory);
             }
             if complete {
                 return Ok(body);
@@ -161,7 +169,7 @@
                     .await,
                 Ok(1..)
             ) {
-                return Err(Refusal::Cut);
+                return Err(Rejection::Truncated);
             }
         }
     }
--- a/crates/rookpulley-api/src/matcher.rs
+++ b/crates/rookpulley-api/src/router.rs
@@ -2,16 +2,16 @@
 
 /// Why a router could not be built.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
-pub enum TreeError {
+pub enum RouterError {
     #[error("`{0}` is not a valid pattern")]
     #[diagnostic(help("write `METHOD /segment/{{}}`: a method, a space, a path"))]
-    Pattern(String),
+    InvalidPattern(String),
     #[error("`{0}` captures more than one segment, or part of a segment")]
     #[diagnostic(help("write `{{}}` at most once, as a whole segment"))]
-    Captures(String),
+    InvalidCapture(String),
     #[error("`{0}` is registered twice")]
     #[diagnostic(help("register each method and path once"))]
-    Twice(String),
+    Duplicate(String),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
     Found(T, String),
     /// The path has routes, but none for this method.
     WrongMethod,
-    Nothing,
+    NotFound,
 }
 
 #[derive(Clone, Debug)]
@@ -57,35 +57,35 @@
 
 /// Maps patterns such as `PUT /rookpulley/instances/{}` to values. A literal segment takes precedence over a capture.
 #[derive(Clone, Debug)]
-pub struct Tree<T> {
+pub struct Router<T> {
     root: Node<T>,
 }
 
-impl<T: Copy> Tree<T> {
-    pub fn new(patterns: &[(&str, T)]) -> Result<Tree<T>, TreeError> {
+impl<T: Copy> Router<T> {
+    pub fn new(patterns: &[(&str, T)]) -> Result<Router<T>, RouterError> {
         let mut root = Node::new();
         for (pattern, value) in patterns {
             let parts = pattern
                 .split_once(" /")
                 .filter(|(method, _)| !method.is_empty());
             let Some((method, path)) = parts else {
-                return Err(TreeError::Pattern((*pattern).to_owned()));
+                return Err(RouterError::InvalidPattern((*pattern).to_owned()));
             };
             let captures = path
                 .split('/')
                 .filter(|segment| segment.contains(['{', '}']));
             if captures.clone().count() > 1 || captures.clone().any(|segment| segment != "{}") {
-                return Err(TreeError::Captures((*pattern).to_owned()));
+                return Err(RouterError::InvalidCapture((*pattern).to_owned()));
             }
             let node = path
                 .split('/')
                 .fold(&mut root, |node, segment| node.child(segment));
             if node.methods.iter().any(|(name, _)| name == method) {
-                return Err(TreeError::Twice((*pattern).to_owned()));
+                return Err(RouterError::Duplicate((*pattern).to_owned()));
             }
             node.methods.push((method.to_owned(), *value));
         }
-        Ok(Tree { root })
+        Ok(Router { root })
     }
 
     pub fn lookup(&self, method: &str, path: &str) -> Match<T> {
@@ -100,7 +100,7 @@
         match found {
             Some((value, captured)) => Match::Found(value, captured),
             None if path_known => Match::WrongMethod,
-            None => Match::Nothing,
+            None => Match::NotFound,
         }
     }
 
@@ -169,7 +169,7 @@
 }
 
 /// The first value of a query parameter, without percent decoding.
-pub fn query<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+pub fn query_value<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
         .find_map(|pair| match pair.split_once('=') {
@@ -233,7 +233,7 @@
                 .enumerate()
                 .map(|(number, pattern)| (pattern.as_str(), number))
                 .collect();
-            let tree = Tree::new(&numbered).unwrap();
+            let router = Router::new(&numbered).unwrap();
             for _ in 0..20 {
                 let mut path = String::new();
                 for _ in 0..u.int_in_range(1..=4)? {
@@ -258,14 +258,14 @@
                 let expected = match found {
                     Some((_, _, number, captured)) => Match::Found(*number, captured[0].clone()),
                     None if !known.is_empty() => Match::WrongMethod,
-                    None => Match::Nothing,
+                    None => Match::NotFound,
                 };
                 assert_eq!(
-                    tree.lookup(method, &path),
+                    router.lookup(method, &path),
                     expected,
                     "{method} {path} in {patterns:?}"
                 );
-                assert_eq!(tree.allowed(&path).is_empty(), known.is_empty());
+                assert_eq!(router.allowed(&path).is_empty(), known.is_empty());
             }
             Ok(())
         };
@@ -275,22 +275,25 @@
     #[test]
     fn invalid_and_duplicate_patterns_are_rejected() {
         assert!(matches!(
-            Tree::new(&[("GET rookpulley", 0)]),
-            Err(TreeError::Pattern(_))
+            Router::new(&[("GET rookpulley", 0)]),
+            Err(RouterError::InvalidPattern(_))
         ));
         assert!(matches!(
-            Tree::new(&[("GET /{}/{}", 0)]),
-            Err(TreeError::Captures(_))
+            Router::new(&[("GET /{}/{}", 0)]),
+            Err(RouterError::InvalidCapture(_))
         ));
         assert!(matches!(
-            Tree::new(&[("GET /a{}", 0)]),
-            Err(TreeError::Captures(_))
+            Router::new(&[("GET /a{}", 0)]),
+            Err(RouterError::InvalidCapture(_))
         ));
         assert!(matches!(
-            Tree::new(&[("GET /{}", 0), ("GET /{}", 1)]),
-            Err(TreeError::Twice(_))
+            Router::new(&[("GET /{}", 0), ("GET /{}", 1)]),
+            Err(RouterError::Duplicate(_))
         ));
-        assert_eq!(query("after=930&waitMs=2000&after=1", "after"), Some("930"));
-        assert_eq!(query("after=930", "aft"), None);
+        assert_eq!(
+            query_value("after=930&waitMs=2000&after=1", "after"),
+            Some("930")
+        );
+        assert_eq!(query_value("after=930", "aft"), None);
     }
 }
--- a/crates/rookpulley-api/src/serve.rs
+++ b/crates/rookpulley-api/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::codec;
 use crate::connection_limiter::{ConnectionLimiter, ConnectionSlot};
 use crate::message_reader::{MessageReader, within};
-use crate::refusal::Refusal;
+use crate::rejection::Rejection;
 use rookpulley_runtime::connection;
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 /// How long idle connections wait on shutdown for a request that is already on its way.
 const STOP_GRACE: Duration = Duration::from_millis(50);
 /// The TCP user timeout of a connection to a client.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(5_000);
+const USER_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 /// Serves until `stop` becomes true and all requests in progress are answered. Dropping the future closes all
 /// connections at once. It must run in a `LocalSet`. If the sender is dropped first, the server runs on.
@@ -100,7 +100,7 @@
         );
         return;
     };
-    connection::configure(&stream, UNACKNOWLEDGED);
+    connection::configure(&stream, USER_TIMEOUT);
     connections.spawn_local(serve_connection(stream, slot, handler.clone()));
 }
 
@@ -119,13 +119,13 @@
         }
         let message = match reader.message().await {
             Ok(message) => message,
-            Err(refusal) => return refuse(reader, refusal).await,
+            Err(rejection) => return reject(reader, rejection).await,
         };
         let (head, memory) = (message.head, message.memory);
         let Ok(Some((method, body))) = codec::decode_request(&head.method, message.body).await
         else {
             tracing::warn!("api: async-h1 rejected a message that the reader accepted");
-            return refuse(reader, Refusal::Head).await;
+            return reject(reader, Rejection::InvalidHead).await;
         };
         let call = Call {
             method: head.method,
@@ -176,13 +176,16 @@
     arrived
 }
 
-async fn refuse<S: AsyncRead + AsyncWrite + Unpin>(mut reader: MessageReader<S>, refusal: Refusal) {
-    tracing::debug!("api: message rejected: {refusal}");
-    let help = miette::Diagnostic::help(&refusal)
+async fn reject<S: AsyncRead + AsyncWrite + Unpin>(
+    mut reader: MessageReader<S>,
+    rejection: Rejection,
+) {
+    tracing::debug!("api: message rejected: {rejection}");
+    let help = miette::Diagnostic::help(&rejection)
         .map(|help| help.to_string())
         .unwrap_or_default();
-    let reply = Reply::error(refusal.status(), &format!("{refusal}: {help}"));
-    let reply = if refusal == Refusal::NoRoom {
+    let reply = Reply::error(rejection.status(), &format!("{rejection}: {help}"));
+    let reply = if rejection == Rejection::OutOfMemory {
         reply.with("retry-after", "0.5")
     } else {
         reply
--- a/crates/rookpulley-api/tests/message_reader.rs
+++ b/crates/rookpulley-api/tests/message_reader.rs
@@ -3,7 +3,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_api::bounds::{BodyMemory, Bounds};
 use rookpulley_api::message_reader::{Message, MessageReader};
-use rookpulley_api::refusal::Refusal;
+use rookpulley_api::rejection::Rejection;
 use rookpulley_samples::run_cases;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -15,7 +15,7 @@
 #[derive(Debug, PartialEq)]
 struct Outcome {
     messages: Vec<Parsed>,
-    rejection: Option<Refusal>,
+    rejection: Option<Rejection>,
 }
 
 fn run_paused(work: impl Future<Output = ()>) {
@@ -54,8 +54,8 @@
         while reader.wait_for_message().await {
             match reader.message().await {
                 Ok(message) => outcome.messages.push(parsed(message)),
-                Err(refusal) => {
-                    outcome.rejection = Some(refusal);
+                Err(rejection) => {
+                    outcome.rejection = Some(rejection);
                     break;
                 }
             }
@@ -78,7 +78,7 @@
         outcome.messages.is_empty() || outcome.rejection.is_none(),
         "{outcome:?}"
     );
-    outcome.rejection.map_or(200, Refusal::status)
+    outcome.rejection.map_or(200, Rejection::status)
 }
 
 #[test]
@@ -370,7 +370,7 @@
             client.write_all(request.as_bytes()).await.unwrap();
             assert!(reader.wait_for_message().await);
             let started = tokio::time::Instant::now();
-            assert_eq!(reader.message().await.unwrap_err(), Refusal::Slow);
+            assert_eq!(reader.message().await.unwrap_err(), Rejection::Timeout);
             assert_eq!(started.elapsed().as_secs(), timeout_s);
         }
         let (mut client, server) = tokio::io::duplex(1 << 10);
@@ -401,8 +401,11 @@
         let memory = BodyMemory::new(10);
         for chunked in [false, true] {
             let mut first = None;
-            for (expected, releases) in [(None, false), (Some(Refusal::NoRoom), true), (None, true)]
-            {
+            for (expected, releases) in [
+                (None, false),
+                (Some(Rejection::OutOfMemory), true),
+                (None, true),
+            ] {
                 let (mut client, server) = tokio::io::duplex(1 << 10);
                 let mut reader = MessageReader::new(server, bounds, memory.clone());
                 let request: &[u8] = if chunked {
@@ -416,7 +419,7 @@
                         assert_eq!(expected, None);
                         first = Some(message);
                     }
-                    Err(refusal) => assert_eq!(Some(refusal), expected),
+                    Err(rejection) => assert_eq!(Some(rejection), expected),
                 }
                 if releases {
                     first = None;
--- a/crates/rookpulley-controller/src/api.rs
+++ b/crates/rookpulley-controller/src/api.rs
@@ -3,7 +3,7 @@
 use crate::inspect;
 use crate::request::{ApiRequest, request_tree};
 use crate::server::Server;
-use rookpulley_api::{Bounds, Call, Match, Reply, Tree, TreeError, query};
+use rookpulley_api::{Bounds, Call, Match, Reply, Router, RouterError, query_value};
 use rookpulley_control::{self as control, Content, Endpoint};
 use std::rc::Rc;
 use tokio::net::TcpListener;
@@ -13,11 +13,11 @@
 /// Answers calls on behalf of a controller.
 pub struct Api {
     pub server: Rc<Server>,
-    tree: Tree<ApiRequest>,
+    tree: Router<ApiRequest>,
 }
 
 impl Api {
-    pub fn new(server: Rc<Server>) -> Result<Rc<Self>, TreeError> {
+    pub fn new(server: Rc<Server>) -> Result<Rc<Self>, RouterError> {
         let tree = request_tree()?;
         Ok(Rc::new(Self { server, tree }))
     }
@@ -39,7 +39,7 @@
 
     pub async fn answer(&self, call: Call) -> Reply {
         let (request, reply) = match self.tree.lookup(&call.method, &call.path) {
-            Match::Nothing => (None, no_such_call()),
+            Match::NotFound => (None, no_such_call()),
             Match::WrongMethod => (None, wrong_method()),
             Match::Found(request, name) => (Some(request), self.take(request, &name, call).await),
         };
@@ -53,7 +53,7 @@
             ApiRequest::Inspect(section) => return inspect::answer(&self.server, section, name),
         };
         let operation = self.server.inspect(|controller| {
-            let field = |field: &str| query(&call.query, field);
+            let field = |field: &str| query_value(&call.query, field);
             control::parse(endpoint, name, call.body, field, controller.configuration())
         });
         match operation {
--- a/crates/rookpulley-controller/src/request.rs
+++ b/crates/rookpulley-controller/src/request.rs
@@ -1,6 +1,6 @@
 //! What may be asked of a controller over HTTP, by method and path.
 
-use rookpulley_api::{Tree, TreeError};
+use rookpulley_api::{Router, RouterError};
 use rookpulley_control::Endpoint;
 
 /// What a call asks for.
@@ -30,10 +30,10 @@
 }
 
 /// All that may be asked for, by method and path.
-pub fn request_tree() -> Result<Tree<ApiRequest>, TreeError> {
+pub fn request_tree() -> Result<Router<ApiRequest>, RouterError> {
     let call = ApiRequest::Call;
     let inspect = ApiRequest::Inspect;
-    Tree::new(&[
+    Router::new(&[
         ("PUT /rookpulley/instances/{}", call(Endpoint::Heartbeat)),
         ("DELETE /rookpulley/instances/{}", call(Endpoint::Leave)),
         (
--- a/crates/rookpulley-controller/src/standby.rs
+++ b/crates/rookpulley-controller/src/standby.rs
@@ -6,7 +6,7 @@
 use crate::request::{ApiRequest, request_tree};
 use crate::shutdown::{self, Signals};
 use miette::IntoDiagnostic;
-use rookpulley_api::{Bounds, Call, Match, Reply, Tree, TreeError};
+use rookpulley_api::{Bounds, Call, Match, Reply, Router, RouterError};
 use rookpulley_control::Standby;
 use rookpulley_runtime::SettingsFile;
 use rookpulley_settings::Node;
@@ -82,13 +82,13 @@
 
 /// Sends calls to other controllers.
 struct Redirects {
-    tree: Tree<ApiRequest>,
+    tree: Router<ApiRequest>,
     standby: Standby,
     control_port: u16,
 }
 
 impl Redirects {
-    fn new(standby: Standby, control_port: u16) -> Result<Self, TreeError> {
+    fn new(standby: Standby, control_port: u16) -> Result<Self, RouterError> {
         Ok(Self {
             tree: request_tree()?,
             standby,
@@ -98,7 +98,7 @@
 
     fn answer(&self, call: &Call) -> Reply {
         match self.tree.lookup(&call.method, &call.path) {
-            Match::Nothing => return no_such_call(),
+            Match::NotFound => return no_such_call(),
             Match::WrongMethod => return wrong_method(),
             // What could be looked at is of one controller alone.
             Match::Found(ApiRequest::Inspect(_), _) => return not_now(),
--- a/crates/rookpulley-controller/src/stateless.rs
+++ b/crates/rookpulley-controller/src/stateless.rs
@@ -6,7 +6,7 @@
 use crate::request::{ApiRequest, request_tree};
 use crate::shutdown::{self, Signals};
 use miette::IntoDiagnostic;
-use rookpulley_api::{Bounds, Call, Match, Reply, Tree, TreeError};
+use rookpulley_api::{Bounds, Call, Match, Reply, Router, RouterError};
 use rookpulley_control::{PeerMessage, StatelessController, StatelessEffect, StatelessStart};
 use rookpulley_protocol::{ControllerToProxy, ProxyToController};
 use rookpulley_runtime::{Backoff, SettingsFile, connection};
@@ -47,7 +47,7 @@
     /// Where controllers listen for proxies.
     proxy_port: u16,
     control_port: u16,
-    tree: Tree<ApiRequest>,
+    tree: Router<ApiRequest>,
     /// Calls that were redirected, and those that nobody could take.
     redirected: Cell<u64>,
     refused: Cell<u64>,
@@ -92,7 +92,7 @@
 }
 
 impl StatelessServer {
-    fn new(node: &Node, control: SocketAddrV4) -> Result<Rc<Self>, TreeError> {
+    fn new(node: &Node, control: SocketAddrV4) -> Result<Rc<Self>, RouterError> {
         let start = StatelessStart {
             address: SocketAddrV4::new(node.ip, node.internal_ports.0 + 1),
             zone: node.zone.clone(),
@@ -260,7 +260,7 @@
 
     fn answer(&self, call: &Call) -> Reply {
         match self.tree.lookup(&call.method, &call.path) {
-            Match::Nothing => return no_such_call(),
+            Match::NotFound => return no_such_call(),
             Match::WrongMethod => return wrong_method(),
             // What could be looked at is of one controller alone: whoever asks is to know of which.
             Match::Found(ApiRequest::Inspect(_), _) => {
