--- a/crates/rookpulley-api/src/bounds.rs
+++ b/crates/rookpulley-api/src/bounds.rs
@@ -46,7 +46,7 @@
     pub fn share(&self) -> MemoryShare {
         MemoryShare {
             memory: self.clone(),
-            taken: 0,
+            reserved: 0,
         }
     }
 }
@@ -55,23 +55,23 @@
 #[derive(Debug)]
 pub struct MemoryShare {
     memory: BodyMemory,
-    taken: usize,
+    reserved: usize,
 }
 
 impl MemoryShare {
     /// Reserves memory for received bytes; false when too little is left. An announced length reserves nothing.
-    pub fn take(&mut self, bytes: usize) -> bool {
+    pub fn reserve(&mut self, bytes: usize) -> bool {
         let Some(remaining) = self.memory.0.get().checked_sub(bytes) else {
             return false;
         };
         self.memory.0.set(remaining);
-        self.taken += bytes;
+        self.reserved += bytes;
         true
     }
 }
 
 impl Drop for MemoryShare {
     fn drop(&mut self) {
-        self.memory.0.set(self.memory.0.get() + self.taken);
+        self.memory.0.set(self.memory.0.get() + self.reserved);
     }
 }
--- a/crates/rookpulley-api/src/head.rs
+++ b/crates/rookpulley-api/src/head.rs
@@ -83,7 +83,7 @@
             "transfer-encoding" => codings.push(line.value),
             "connection" => {
                 keep_alive &=
-                    !comma_separated(line.value).any(|word| word.eq_ignore_ascii_case(b"close"))
+                    !comma_separated(line.value).any(|item| item.eq_ignore_ascii_case(b"close"))
             }
             "expect" if http11 && line.value.eq_ignore_ascii_case(b"100-continue") => {
                 expects_continue = true
@@ -164,7 +164,7 @@
             let only_chunked = codings
                 .iter()
                 .flat_map(|coding| comma_separated(coding))
-                .all(|word| word.eq_ignore_ascii_case(b"chunked"));
+                .all(|item| item.eq_ignore_ascii_case(b"chunked"));
             Err(if only_chunked {
                 Rejection::InvalidLength
             } else {
--- a/crates/rookpulley-api/src/message_reader.rs
+++ b/crates/rookpulley-api/src/message_reader.rs
@@ -130,7 +130,7 @@
         memory: &mut MemoryShare,
     ) -> Result<Vec<u8>, Rejection> {
         let mut body: Vec<u8> = self.buffer.drain(..length.min(self.buffer.len())).collect();
-        if !memory.take(body.len()) {
+        if !memory.reserve(body.len()) {
             return Err(Rejection::OutOfMemory);
         }
         while body.len() < length {
@@ -144,7 +144,7 @@
                 .ok()
                 .filter(|count| *count > 0)
                 .ok_or(Rejection::Truncated)?;
-            if !memory.take(count) {
+            if !memory.reserve(count) {
                 return Err(Rejection::OutOfMemory);
             }
         }
@@ -158,7 +158,7 @@
             let before = body.len();
             let (consumed, complete) = decoder.read(&self.buffer, &mut body)?;
             self.buffer.drain(..consumed);
-            if !memory.take(body.len() - before) {
+            if !memory.reserve(body.len() - before) {
                 return Err(Rejection::OutOfMemory);
             }
             if complete {
--- a/crates/rookpulley-api/src/router.rs
+++ b/crates/rookpulley-api/src/router.rs
@@ -186,9 +186,9 @@
     fn captures(pattern: &str, path: &str) -> Option<Vec<String>> {
         let (pattern, path): (Vec<_>, Vec<_>) =
             (pattern.split('/').collect(), path.split('/').collect());
-        let matches = |(word, segment): (&&str, &&str)| match *word {
+        let matches = |(literal, segment): (&&str, &&str)| match *literal {
             "{}" => decode(segment).map(Some),
-            word => (word == *segment).then_some(None),
+            literal => (literal == *segment).then_some(None),
         };
         let same_length = pattern.len() == path.len();
         same_length
@@ -218,10 +218,14 @@
                 let mut path = String::new();
                 let mut captured = false;
                 for _ in 0..u.int_in_range(1..=4)? {
-                    let word = *u.choose(&["a", "b", "{}", "%61", ""])?;
+                    let literal = *u.choose(&["a", "b", "{}", "%61", ""])?;
                     path += "/";
-                    path += if word == "{}" && captured { "c" } else { word };
-                    captured |= word == "{}";
+                    path += if literal == "{}" && captured {
+                        "c"
+                    } else {
+                        literal
+                    };
+                    captured |= literal == "{}";
                 }
                 let pattern = format!("{} {path}", u.choose(&["GET", "PUT"])?);
                 if !patterns.contains(&pattern) {
