--- a/crates/rookpulley-controller/src/stateless.rs
+++ b/crates/rookpulley-controller/src/stateless.rs
@@ -6,7 +6,7 @@
 use crate::request::{ApiRequest, request_tree};
 use crate::shutdown::{self, Signals};
 use miette::IntoDiagnostic;
-use rookpulley_api::{Bounds, Call, Match, Reply, Tree, TreeError};
+use rookpulley_api::{Bounds, Call, Match, Reply, Router, RouterError};
 use rookpulley_control::{PeerMessage, StatelessController, StatelessEffect, StatelessStart};
 use rookpulley_protocol::{ControllerToProxy, ProxyToController};
 use rookpulley_runtime::{Backoff, SettingsFile, connection};
@@ -47,7 +47,7 @@
     /// Where controllers listen for proxies.
     proxy_port: u16,
     control_port: u16,
-    tree: Tree<ApiRequest>,
+    tree: Router<ApiRequest>,
     /// Calls that were redirected, and those that nobody could take.
     redirected: Cell<u64>,
     refused: Cell<u64>,
@@ -92,9 +92,9 @@
 }
 
 impl StatelessServer {
-    fn new(node: &Node, control: SocketAddrV4) -> Result<Rc<Self>, TreeError> {
+    fn new(node: &Node, control: SocketAddrV4) -> Result<Rc<Self>, RouterError> {
         let start = StatelessStart {
-            address: SocketAddrV4::new(node.ip, node.inner_ports.0 + 1),
+            address: SocketAddrV4::new(node.ip, node.internal_ports.0 + 1),
             zone: node.zone.clone(),
             seeds: node.seeds.clone(),
             first_start: node.first_start,
@@ -104,7 +104,7 @@
             connections: RefCell::default(),
             started: Instant::now(),
             last_connection: Cell::new(0),
-            proxy_port: node.inner_ports.0,
+            proxy_port: node.internal_ports.0,
             control_port: control.port(),
             tree: request_tree()?,
             redirected: Cell::new(0),
@@ -189,7 +189,7 @@
                     backoff.reset();
                 }
             }
-            tokio::time::sleep(backoff.pause()).await;
+            tokio::time::sleep(backoff.next_delay()).await;
             if self.step(|controller, now| controller.is_forgotten(now, ip)) {
                 return;
             }
@@ -219,7 +219,7 @@
                 tokio::time::sleep(ACCEPT_RETRY).await;
                 continue;
             };
-            connection::configure(&stream, connection::UNACKNOWLEDGED);
+            connection::configure(&stream, connection::USER_TIMEOUT);
             tokio::task::spawn_local(serve(self.clone(), stream));
         }
     }
@@ -260,7 +260,7 @@
 
     fn answer(&self, call: &Call) -> Reply {
         match self.tree.lookup(&call.method, &call.path) {
-            Match::Nothing => return no_such_call(),
+            Match::NotFound => return no_such_call(),
             Match::WrongMethod => return wrong_method(),
             // What could be looked at is of one controller alone: whoever asks is to know of which.
             Match::Found(ApiRequest::Inspect(_), _) => {
--- a/crates/rookpulley-diagnostics/src/faults.rs
+++ b/crates/rookpulley-diagnostics/src/faults.rs
@@ -1,71 +1,71 @@
-//! Why a text is not taken. All that is wrong with it is told at once, within bounds.
+//! Faults of a rejected document. All of them are reported at once, up to a limit.
 
 use std::fmt::{self, Display};
 
-/// How the faults of one kind of text are told, and how much of them.
+/// How faults of one kind of document are reported.
 #[derive(Debug)]
-pub struct Manner {
-    /// Faults told of one text.
-    pub told: usize,
-    /// Of what was found, so many letters are shown.
-    pub shown: usize,
-    /// What stands before the faults, by their count with those untold.
+pub struct FaultFormat {
+    /// The maximum number of faults listed for one document.
+    pub max_faults: usize,
+    /// The maximum number of characters shown of a value found.
+    pub max_chars: usize,
+    /// The text before the list, given the total number of faults.
     pub heading: fn(usize) -> String,
     pub help: &'static str,
 }
 
-/// Everything that is wrong with a text. Nothing of it is in force.
+/// All faults of a document, which is rejected as a whole.
 #[derive(Clone, Debug, thiserror::Error, miette::Diagnostic)]
-#[error("{}: {}", (.manner.heading)(.faults.len() + .untold), listed(.faults, *.untold))]
-#[diagnostic(help("{}", manner.help))]
+#[error("{}: {}", (.format.heading)(.faults.len() + .omitted), format_list(.faults, *.omitted))]
+#[diagnostic(help("{}", format.help))]
 pub struct Faults {
     #[related]
     pub faults: Vec<Fault>,
-    /// How many more there are.
-    pub untold: usize,
-    manner: &'static Manner,
+    /// The number of faults that are not listed.
+    pub omitted: usize,
+    format: &'static FaultFormat,
 }
 
 #[derive(Clone, Debug, PartialEq, thiserror::Error, miette::Diagnostic)]
 #[error("{place} is {found}; write {instead}")]
 #[diagnostic(help("write {instead}"))]
 pub struct Fault {
-    /// The way to the value, such as `limits.cpuShare` or `hostnames[2].pathRules[0]`, or a line and a column.
+    /// The path to the value, such as `limits.cpuShare` or `hostnames[2].pathRules[0]`, or a line and a column.
     pub place: String,
     pub found: String,
     pub instead: String,
 }
 
 impl Faults {
-    pub fn none(manner: &'static Manner) -> Self {
+    pub fn new(format: &'static FaultFormat) -> Self {
         Self {
             faults: Vec::new(),
-            untold: 0,
-            manner,
+            omitted: 0,
+            format,
         }
     }
 
     pub fn one(
-        manner: &'static Manner,
+        format: &'static FaultFormat,
         place: impl Display,
         found: impl Display,
         instead: impl Display,
     ) -> Self {
-        let mut faults = Self::none(manner);
+        let mut faults = Self::new(format);
         faults.add(place, found, instead);
         faults
     }
 
     pub fn add(&mut self, place: impl Display, found: impl Display, instead: impl Display) {
-        if self.faults.len() < self.manner.told {
+        if self.faults.len() < self.format.max_faults {
             let (place, instead) = (place.to_string(), instead.to_string());
             self.faults.push(Fault {
                 place,
-                found: shortened(found, self.manner.shown),
+                found: truncated(found, self.format.max_chars),
                 instead,
             });
         } else {
-            self.untold += 1;
+            self.omitted += 1;
         }
     }
 
@@ -74,21 +74,21 @@
     }
 }
 
-fn shortened(found: impl Display, most: usize) -> String {
+fn truncated(found: impl Display, max_chars: usize) -> String {
     let found = found.to_string();
-    match found.char_indices().nth(most) {
+    match found.char_indices().nth(max_chars) {
         Some((end, _)) => format!("{}...", found.get(..end).unwrap_or_default()),
         None => found,
     }
 }
 
-fn listed(faults: &[Fault], untold: usize) -> impl Display {
+fn format_list(faults: &[Fault], omitted: usize) -> impl Display {
     fmt::from_fn(move |f| {
-        for (at, fault) in faults.iter().enumerate() {
-            write!(f, "{}{fault}", if at > 0 { ". " } else { "" })?;
+        for (index, fault) in faults.iter().enumerate() {
+            write!(f, "{}{fault}", if index > 0 { ". " } else { "" })?;
         }
-        if untold > 0 {
-            write!(f, ". And {untold} more")?;
+        if omitted > 0 {
+            write!(f, ". And {omitted} more")?;
         }
         Ok(())
     })
@@ -97,21 +97,21 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::{counted, said};
+    use crate::{describe, pluralize};
 
-    static MANNER: Manner = Manner {
-        told: 2,
-        shown: 4,
-        heading: |faults| format!("{} can't be used", counted(faults, "line")),
-        help: "mend them",
+    static FORMAT: FaultFormat = FaultFormat {
+        max_faults: 2,
+        max_chars: 4,
+        heading: |faults| format!("{} can't be used", pluralize(faults, "line")),
+        help: "correct them",
     };
 
     #[test]
-    fn faults_are_told_in_the_manner_of_their_text_and_as_far_as_it_goes() {
+    fn faults_are_listed_and_values_shortened_up_to_the_limits() {
         let mut faults = Faults::one(
-            &MANNER,
+            &FORMAT,
             "line 1",
-            said(&"öffnen".to_owned().into(), "a table", 4),
+            describe(&"öffnen".to_owned().into(), "a table", 4),
             "a word",
         );
         assert_eq!(
@@ -128,7 +128,7 @@
         );
         assert_eq!(
             miette::Diagnostic::help(&faults).unwrap().to_string(),
-            "mend them"
+            "correct them"
         );
     }
 }
--- a/crates/rookpulley-protocol/src/frame/tests.rs
+++ b/crates/rookpulley-protocol/src/frame/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn frames_are_reassembled_from_arbitrary_pieces() {
-    rookpulley_samples::plays(200, 256, |u| {
+    rookpulley_samples::run_cases(200, 256, |u| {
         let values: Vec<Vec<u8>> = u.arbitrary()?;
         let wire: Vec<u8> = values.iter().flat_map(encode_frame).collect();
         let (mut frames, mut decoded, mut offset) = (FrameDecoder::default(), Vec::new(), 0);
--- a/crates/rookpulley-registry/src/heartbeat.rs
+++ b/crates/rookpulley-registry/src/heartbeat.rs
@@ -1,6 +1,6 @@
 //! Parses and validates heartbeat request bodies. PROTOCOL documents the fields.
 
-use rookpulley_diagnostics::{Bounds, Nesting, Unread, read};
+use rookpulley_diagnostics::{JsonError, JsonLimits, Nesting, parse_json};
 use rookpulley_protocol::IncarnationId;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -8,10 +8,10 @@
 use tinyjson::JsonValue;
 
 const MAX_BYTES: usize = 16 << 10;
-const BOUNDS: Bounds = Bounds {
-    bytes: MAX_BYTES,
+const BOUNDS: JsonLimits = JsonLimits {
+    max_bytes: MAX_BYTES,
     nesting: Nesting::Brackets(64),
-    values: usize::MAX,
+    max_values: usize::MAX,
 };
 const MAX_NAME_BYTES: usize = 128;
 /// Longer warm-up times are clamped to this.
@@ -169,9 +169,9 @@
         if !is_incarnation_id(incarnation) {
             return Err(HeartbeatError::IncarnationId);
         }
-        let value = read(body, BOUNDS).map_err(|error| match error {
-            Unread::Long => HeartbeatError::TooLong(body.len()),
-            Unread::Deep { .. } => HeartbeatError::Json("too many brackets".into()),
+        let value = parse_json(body, BOUNDS).map_err(|error| match error {
+            JsonError::TooLong => HeartbeatError::TooLong(body.len()),
+            JsonError::TooDeep { .. } => HeartbeatError::Json("too many brackets".into()),
             error => HeartbeatError::Json(error.to_string()),
         })?;
         let top = value
--- a/crates/rookpulley-registry/tests/table_publisher.rs
+++ b/crates/rookpulley-registry/tests/table_publisher.rs
@@ -5,7 +5,7 @@
 use rookpulley_registry::{
     Heartbeat, InstanceStatus, PublisherOutput, Registry, Service, TablePublisher,
 };
-use rookpulley_samples::plays_of;
+use rookpulley_samples::run_sized_cases;
 use std::collections::{BTreeMap, BTreeSet};
 
 const HEARTBEAT_MS: f64 = 1_500.0;
@@ -302,7 +302,7 @@
 
 #[test]
 fn tables_contain_only_live_instances_and_drop_a_drained_one_in_the_next_tick() {
-    plays_of(60, input_length, |u| {
+    run_sized_cases(60, input_length, |u| {
         let mut cluster = Cluster::new(&["a", "b"], 130);
         for _ in 0..u.int_in_range(5..=60)? {
             cluster.random_action(u)?;
--- a/crates/rookpulley-routes/src/json.rs
+++ b/crates/rookpulley-routes/src/json.rs
@@ -1,7 +1,7 @@
 //! Parses JSON within bounds and converts parse errors to configuration faults.
 
 use crate::faults::CONFIGURATION;
-use rookpulley_diagnostics::{Bounds, Faults, Nesting, Place, Unread, read};
+use rookpulley_diagnostics::{Faults, JsonError, JsonLimits, Nesting, Position, parse_json};
 use std::fmt::Display;
 use tinyjson::{JsonParseError, JsonValue};
 
@@ -15,17 +15,17 @@
 /// Nesting depth at which a rule starts.
 const RULE_DEPTH: usize = 4;
 
-const BOUNDS: Bounds = Bounds {
-    bytes: MAX_BYTES,
+const BOUNDS: JsonLimits = JsonLimits {
+    max_bytes: MAX_BYTES,
     nesting: Nesting::Levels(MAX_DEPTH),
-    values: MAX_VALUES,
+    max_values: MAX_VALUES,
 };
 
 /// Parses a single rule. `None` if it is invalid.
 pub(crate) fn parse_rule(bytes: &[u8]) -> Option<JsonValue> {
-    read(
+    parse_json(
         bytes,
-        Bounds {
+        JsonLimits {
             nesting: Nesting::Levels(MAX_DEPTH - RULE_DEPTH),
             ..BOUNDS
         },
@@ -33,40 +33,40 @@
     .ok()
 }
 
-pub(crate) fn parse(bytes: &[u8]) -> Result<JsonValue, Unread> {
-    read(bytes, BOUNDS)
+pub(crate) fn parse(bytes: &[u8]) -> Result<JsonValue, JsonError> {
+    parse_json(bytes, BOUNDS)
 }
 
 /// Converts a parse error to a fault. Invalid UTF-8 is reported in preference to other errors, except for the size.
-pub(crate) fn parse_fault(bytes: &[u8], error: Unread) -> Faults {
-    let after = |end: usize| Place::after(bytes.get(..end).unwrap_or(bytes));
+pub(crate) fn parse_fault(bytes: &[u8], error: JsonError) -> Faults {
+    let after = |end: usize| Position::after(bytes.get(..end).unwrap_or(bytes));
     match (error, std::str::from_utf8(bytes)) {
-        (Unread::Long, _) => fault(
+        (JsonError::TooLong, _) => fault(
             "the body",
             format!("{} bytes long", bytes.len()),
             format!("at most {MAX_BYTES} bytes"),
         ),
-        (Unread::NotUtf8(e), _) | (_, Err(e)) => fault(
+        (JsonError::NotUtf8(e), _) | (_, Err(e)) => fault(
             after(e.valid_up_to()),
             "invalid UTF-8",
             "the complete configuration as JSON in UTF-8",
         ),
-        (Unread::Deep { at }, _) => fault(
-            after(at),
+        (JsonError::TooDeep { offset }, _) => fault(
+            after(offset),
             "nested too deeply",
             format!("at most {MAX_DEPTH} levels"),
         ),
-        (Unread::Many { at }, _) => fault(
-            after(at),
+        (JsonError::TooManyValues { offset }, _) => fault(
+            after(offset),
             "one value too many",
             format!("at most {MAX_VALUES} values"),
         ),
-        (Unread::NoJson(e), _) => syntax_fault(&e),
+        (JsonError::Syntax(e), _) => syntax_fault(&e),
     }
 }
 
 fn syntax_fault(e: &JsonParseError) -> Faults {
-    let place = Place {
+    let place = Position {
         line: e.line(),
         column: e.column(),
     };
--- a/crates/rookpulley-routes/src/read.rs
+++ b/crates/rookpulley-routes/src/read.rs
@@ -6,7 +6,7 @@
 use crate::route_table::{Limits, RouteTable, Service};
 use crate::split::split;
 use crate::values::Value;
-use rookpulley_diagnostics::{Faults, Unread};
+use rookpulley_diagnostics::{Faults, JsonError};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -42,10 +42,10 @@
 fn read_complete(bytes: &[u8], known: Faults) -> Result<RouteTable, Faults> {
     let json = match parse(bytes) {
         Ok(json) => json,
-        Err(Unread::Many { .. }) if !known.is_empty() => return Err(known),
+        Err(JsonError::TooManyValues { .. }) if !known.is_empty() => return Err(known),
         Err(error) => return Err(parse_fault(bytes, error)),
     };
-    let faults = RefCell::new(Faults::none(&CONFIGURATION));
+    let faults = RefCell::new(Faults::new(&CONFIGURATION));
     let table = table(Value::root(&json, &faults));
     let faults = faults.into_inner();
     match table {
@@ -78,7 +78,7 @@
 
 /// Parses the rules one by one. On failure, returns the faults found so far, which may be none.
 fn read_by_rule(bytes: &[u8], earlier: Option<(&[u8], &RouteTable)>) -> Result<RouteTable, Faults> {
-    let faults = RefCell::new(Faults::none(&CONFIGURATION));
+    let faults = RefCell::new(Faults::new(&CONFIGURATION));
     let within_limit = Some(bytes).filter(|bytes| bytes.len() <= MAX_BYTES);
     let rest = within_limit
         .and_then(split)
--- a/crates/rookpulley-routes/src/values.rs
+++ b/crates/rookpulley-routes/src/values.rs
@@ -1,7 +1,7 @@
 //! Typed access to the fields of a JSON value. Invalid fields are recorded as faults with their path.
 
 use crate::faults::CONFIGURATION;
-use rookpulley_diagnostics::{Faults, said};
+use rookpulley_diagnostics::{Faults, describe};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::fmt::{self, Display, Formatter};
@@ -114,7 +114,10 @@
         let json = self.json?;
         let converted = convert(json);
         if converted.is_none() {
-            self.record_fault(said(json, "an object", CONFIGURATION.shown), expected);
+            self.record_fault(
+                describe(json, "an object", CONFIGURATION.max_chars),
+                expected,
+            );
         }
         converted
     }
--- a/crates/rookpulley-routes/tests/route_table.rs
+++ b/crates/rookpulley-routes/tests/route_table.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_routes::{Faults, Limits, RouteKind, RouteTable};
-use rookpulley_samples::plays;
+use rookpulley_samples::run_cases;
 
 /// A small configuration that uses every field.
 const COMPLETE: &str = r#"{
@@ -114,7 +114,7 @@
                 .collect::<String>()
         ))
     }
-    plays(300, 4_096, |u| {
+    run_cases(300, 4_096, |u| {
         let (hosts, mut seen, mut entries) =
             (["x.example", "Y.example", "x"], Vec::new(), Vec::new());
         for host in hosts {
@@ -188,7 +188,7 @@
 
 #[test]
 fn corrupted_configuration_never_panics_and_accepted_ones_satisfy_the_invariants() {
-    plays(3_000, 256, |u| {
+    run_cases(3_000, 256, |u| {
         let mut bytes = COMPLETE.as_bytes().to_vec();
         for _ in 0..u.int_in_range(1..=6)? {
             let at = u.choose_index(bytes.len())?;
@@ -488,7 +488,7 @@
         r#"{{"configVersion":1,"services":[{names}],"hostnames":[]}}"#
     ))
     .unwrap_err();
-    assert_eq!((faults.faults.len(), faults.untold), (16, 84));
+    assert_eq!((faults.faults.len(), faults.omitted), (16, 84));
     assert!(faults.to_string().ends_with("And 84 more"));
 }
 
@@ -526,7 +526,7 @@
 
 #[test]
 fn services_are_selected_by_weight_and_never_at_weight_0() {
-    plays(200, 512, |u| {
+    run_cases(200, 512, |u| {
         let weights: Vec<u32> = (0..u.int_in_range(1..=5)?)
             .map(|_| u.int_in_range(0..=9))
             .collect::<Result<_>>()?;
--- a/crates/rookpulley-state/tests/state_machine/lock_clients.rs
+++ b/crates/rookpulley-state/tests/state_machine/lock_clients.rs
@@ -1,6 +1,6 @@
 //! Simulated lock clients that crash, pause and retry, and measure their leases from when they sent the request.
 
-use super::{plays, restored_copy};
+use super::{restored_copy, run_cases};
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_state::{Answer, StateMachine, Update};
 
@@ -250,5 +250,5 @@
 
 #[test]
 fn at_most_one_client_considers_itself_holder() {
-    plays(150, 20_000, simulate_clients);
+    run_cases(150, 20_000, simulate_clients);
 }
--- a/crates/rookpulley-state/tests/state_machine/model.rs
+++ b/crates/rookpulley-state/tests/state_machine/model.rs
@@ -1,6 +1,6 @@
 //! Compares keys, watches, counters and configurations with a reference model that retains the full history.
 
-use super::{plays, restored_copy};
+use super::{restored_copy, run_cases};
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_state::{Answer, Limits, Query, StateMachine, Update, WatchResult};
 use std::collections::BTreeMap;
@@ -304,5 +304,5 @@
 
 #[test]
 fn state_matches_the_model_across_restores() {
-    plays(60, 10_000, compare_with_model);
+    run_cases(60, 10_000, compare_with_model);
 }
