--- a/crates/rookpulley-proxy/src/controller_connections.rs
+++ b/crates/rookpulley-proxy/src/controller_connections.rs
@@ -71,7 +71,7 @@
                 backoff.reset();
             }
         }
-        tokio::time::sleep(backoff.pause()).await;
+        tokio::time::sleep(backoff.next_delay()).await;
         if proxy.step(|state, now| state.remove_if_expired(now, controller)) {
             return;
         }
