--- a/crates/rookpulley-proxy/src/attempt.rs
+++ b/crates/rookpulley-proxy/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request is sent to one instance, and what comes back is judged.
+//! A single attempt: sends a request to one instance and evaluates the response.
 
 use crate::body::{self, ReadBody};
 use crate::context::ProxyContext;
@@ -6,7 +6,7 @@
 use crate::request_body::{RequestBody, UploadState};
 use crate::response_body::{Download, ResponseBody};
 use crate::response_check;
-use crate::upstream_pool::{self, ConnectError, Demand, KeepAlive, UpstreamConnection};
+use crate::upstream_pool::{self, ConnectError, ConnectOptions, KeepAlive, UpstreamConnection};
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::TrySendError;
 use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderValue, TRANSFER_ENCODING};
@@ -19,40 +19,43 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The instance is told a little less time than there is: its response has a way to go.
-const RETURN_MS: f64 = 5.0;
-/// A response that is not to be passed on is read to its end if that is near, so that the connection can be used again.
+/// Subtracted from the deadline sent to the instance, to leave time for the response to travel
+/// back.
+const RESPONSE_MARGIN_MS: f64 = 5.0;
+/// A response that is not forwarded is drained if it is short, so that its connection can be
+/// reused.
 const MAX_DRAINED_BYTES: usize = 64 << 10;
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A request as it is sent to instances.
+/// A request in the form in which it is sent to instances.
 pub struct UpstreamRequest {
     pub proxy: Rc<ProxyContext>,
     pub method: Method,
     pub target: Uri,
-    /// Without those of the client's connection.
+    /// End-to-end headers only; hop-by-hop headers are already removed.
     pub headers: HeaderMap,
     pub id: HeaderValue,
     pub route: RouteDecision,
 }
 
-/// How an attempt ended, what came of it, and the request's body where it can be sent again.
-pub struct EndedAttempt {
+/// The result of an attempt, with the request body if it can be sent again.
+pub struct AttemptResult {
     pub end: AttemptEnd,
     pub response: Option<UpstreamResponse>,
     pub body: Option<RequestBody>,
 }
 
-/// A response that can be passed on.
+/// A response that can be forwarded to the client.
 pub enum UpstreamResponse {
-    /// It is complete.
+    /// The body is fully buffered.
     Complete(Response<ResponseBody>),
-    /// Its head and first bytes are here. The connection and the rest come along.
-    Begun(response::Parts, Box<Download>),
+    /// The head and the first bytes have arrived; the `Download` reads the rest from the
+    /// connection.
+    Streaming(response::Parts, Box<Download>),
 }
 
-impl EndedAttempt {
-    /// Without a response, and without a body to send again.
+impl AttemptResult {
+    /// A result without a response and without a reusable body.
     pub fn new(end: AttemptEnd) -> Self {
         Self {
             end,
@@ -80,81 +83,81 @@
     }
 }
 
-/// A request that was sent on a connection, whose response is awaited.
-struct Sending {
+/// A request written to a connection, awaiting its response.
+struct InFlightRequest {
     connection: UpstreamConnection,
-    /// The request's body once more, where it can be had.
-    copy: Option<RequestBody>,
+    /// A copy of the request body, if the body is buffered.
+    body_copy: Option<RequestBody>,
     upload: Option<Rc<Cell<UploadState>>>,
 }
 
-/// What follows a send that failed.
-enum AfterFailure {
-    SendAgain(RequestBody),
-    End(EndedAttempt),
+/// What to do after a failed send.
+enum FailureAction {
+    Resend(RequestBody),
+    End(AttemptResult),
 }
 
 impl UpstreamRequest {
-    /// Whether it may run twice at no harm.
+    /// Whether the request is safe to execute more than once.
     pub fn is_idempotent(&self) -> bool {
         self.route.kind.is_idempotent()
     }
 
-    /// Sends the request to one instance. `is_sent` turns true once bytes of it may have been sent.
+    /// Sends the request to one instance. Sets `is_sent` once any bytes may have been written.
     pub async fn attempt(
         &self,
         to: &TableEntry,
         mut body: RequestBody,
         is_sent: &Cell<bool>,
-    ) -> EndedAttempt {
+    ) -> AttemptResult {
         let mut resend = Resend::default();
         loop {
-            let demand = Demand {
+            let options = ConnectOptions {
                 max_connections: self
                     .proxy
                     .inspect(|state| state.connection_limit(&self.route)),
                 is_idempotent: self.is_idempotent(),
                 needs_new: resend.needs_new_connection(),
             };
-            let connection = match self.proxy.upstreams.connect(to, demand).await {
+            let connection = match self.proxy.upstreams.connect(to, options).await {
                 Ok(connection) => connection,
-                Err(ConnectError::Limit) => return EndedAttempt::connection_limit(body),
-                Err(ConnectError::Unreachable) => return EndedAttempt::unsent(Some(body)),
+                Err(ConnectError::Limit) => return AttemptResult::connection_limit(body),
+                Err(ConnectError::Unreachable) => return AttemptResult::unsent(Some(body)),
             };
-            // It may have begun to drain while the connection came up.
+            // The instance may have started draining during the connect.
             let may_send = self.proxy.inspect(|state| state.may_send(&to.incarnation));
             if !may_send {
-                return EndedAttempt::connection_limit(body);
+                return AttemptResult::connection_limit(body);
             }
-            let mut sending = Sending {
+            let mut in_flight = InFlightRequest {
                 connection,
-                copy: body.copy(),
+                body_copy: body.try_clone(),
                 upload: body.upload_state(),
             };
-            let Some(request) = self.request(to, body) else {
-                return EndedAttempt::unsent(sending.copy);
+            let Some(request) = self.build_request(to, body) else {
+                return AttemptResult::unsent(in_flight.body_copy);
             };
             is_sent.set(true);
             let is_head = self.method == Method::HEAD;
-            sending
+            in_flight
                 .connection
                 .begin(&self.id, is_head, self.is_idempotent());
-            let sent = sending.connection.sender.try_send_request(request).await;
+            let sent = in_flight.connection.sender.try_send_request(request).await;
             let failure = match sent {
-                Ok(response) => return self.judge(sending.connection, response).await,
+                Ok(response) => return self.evaluate(in_flight.connection, response).await,
                 Err(failure) => failure,
             };
-            match handle_failure(sending, failure, &mut resend, is_sent) {
-                AfterFailure::SendAgain(copy) => body = copy,
-                AfterFailure::End(ended) => return ended,
+            match handle_failure(in_flight, failure, &mut resend, is_sent) {
+                FailureAction::Resend(body_copy) => body = body_copy,
+                FailureAction::End(result) => return result,
             }
         }
     }
 
-    /// None where the instance couldn't be told that it is meant.
-    fn request(&self, to: &TableEntry, body: RequestBody) -> Option<Request<RequestBody>> {
+    /// Builds the upstream request. Returns `None` if the incarnation is not a valid header value.
+    fn build_request(&self, to: &TableEntry, body: RequestBody) -> Option<Request<RequestBody>> {
         let incarnation = HeaderValue::from_str(&to.incarnation).ok()?;
-        // A body that comes in chunks goes on in chunks, whatever the method.
+        // A chunked body stays chunked, whatever the method.
         let is_chunked = body.size_hint().exact().is_none();
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
@@ -162,8 +165,11 @@
         *request.version_mut() = Version::HTTP_11;
         let headers = request.headers_mut();
         *headers = self.headers.clone();
-        let left_ms = self.route.deadline_ms - self.proxy.now_ms() - RETURN_MS;
-        headers.insert(&DEADLINE_MS, HeaderValue::from(left_ms.max(1.0) as u64));
+        let remaining_ms = self.route.deadline_ms - self.proxy.now_ms() - RESPONSE_MARGIN_MS;
+        headers.insert(
+            &DEADLINE_MS,
+            HeaderValue::from(remaining_ms.max(1.0) as u64),
+        );
         headers.insert(&TARGET_INSTANCE, incarnation);
         if is_chunked {
             headers.insert(TRANSFER_ENCODING, HeaderValue::from_static("chunked"));
@@ -171,11 +177,11 @@
         Some(request)
     }
 
-    async fn judge(
+    async fn evaluate(
         &self,
         connection: UpstreamConnection,
         response: Response<Incoming>,
-    ) -> EndedAttempt {
+    ) -> AttemptResult {
         let (mut head, body) = response.into_parts();
         let keep_alive = upstream_pool::keep_alive(&head.headers);
         let verdict = response_check::check(&head, &self.id);
@@ -183,29 +189,30 @@
             if end == AttemptEnd::Outcome(AttemptOutcome::NotExecuted) {
                 drain(connection, body, keep_alive);
             }
-            return EndedAttempt::new(end);
+            return AttemptResult::new(end);
         }
         strip_hop_by_hop(&mut head.headers);
         head.version = Version::HTTP_11;
-        self.take_body(connection, head, body, keep_alive).await
+        self.buffer_or_stream(connection, head, body, keep_alive)
+            .await
     }
 
-    /// Holds the response until it is complete, if it isn't too long for that.
-    async fn take_body(
+    /// Buffers the response if it is short enough, otherwise starts streaming it.
+    async fn buffer_or_stream(
         &self,
         connection: UpstreamConnection,
         mut head: response::Parts,
         mut body: Incoming,
         keep_alive: KeepAlive,
-    ) -> EndedAttempt {
+    ) -> AttemptResult {
         let status = head.status.as_u16();
         let length = body.size_hint().exact();
         let max_buffered = self.proxy.max_buffered_response;
-        let wanted = length.map_or(max_buffered, |length| {
+        let expected_bytes = length.map_or(max_buffered, |length| {
             usize::try_from(length).unwrap_or(usize::MAX)
         });
-        let reservation = if wanted <= max_buffered {
-            self.proxy.memory.reserve_for_response(wanted)
+        let reservation = if expected_bytes <= max_buffered {
+            self.proxy.memory.reserve_for_response(expected_bytes)
         } else {
             None
         };
@@ -215,29 +222,30 @@
             0
         };
         let Ok(read) = body::read_up_to(&mut body, max_read).await else {
-            return EndedAttempt::with_outcome(AttemptOutcome::Interrupted);
+            return AttemptResult::with_outcome(AttemptOutcome::Interrupted);
         };
         if read.is_complete && length.is_some_and(|length| length != read.bytes as u64) {
-            return EndedAttempt::with_outcome(AttemptOutcome::Interrupted);
+            return AttemptResult::with_outcome(AttemptOutcome::Interrupted);
         }
-        // The length is stated anew, as it is; what a HEAD states is the length of no body.
+        // hyper restates the length from the body; for HEAD the header is kept, as there is no
+        // body.
         if self.method != Method::HEAD {
             head.headers.remove(CONTENT_LENGTH);
         }
         let response = if read.is_complete {
             connection.release(keep_alive);
             let bytes = match reservation {
-                Some(reservation) => reservation.attach(read.joined()),
-                None => read.joined(),
+                Some(reservation) => reservation.attach(read.into_bytes()),
+                None => read.into_bytes(),
             };
             UpstreamResponse::Complete(Response::from_parts(head, ResponseBody::complete(bytes)))
         } else {
             let download = self.download(connection, read, body, length, keep_alive);
-            UpstreamResponse::Begun(head, Box::new(download))
+            UpstreamResponse::Streaming(head, Box::new(download))
         };
-        EndedAttempt {
+        AttemptResult {
             response: Some(response),
-            ..EndedAttempt::with_outcome(AttemptOutcome::Answered(status))
+            ..AttemptResult::with_outcome(AttemptOutcome::Answered(status))
         }
     }
 
@@ -253,7 +261,7 @@
         Download {
             chunks: read.chunks,
             rest,
-            bytes_left: length,
+            remaining_bytes: length,
             deadline: Box::pin(tokio::time::sleep_until(deadline)),
             connection: Some((connection, keep_alive)),
             attempt: None,
@@ -261,36 +269,36 @@
     }
 }
 
-/// A connection failed before a response.
+/// Decides what follows a connection failure before the response.
 fn handle_failure(
-    sending: Sending,
+    in_flight: InFlightRequest,
     mut failure: TrySendError<Request<RequestBody>>,
     resend: &mut Resend,
     is_sent: &Cell<bool>,
-) -> AfterFailure {
-    // The request comes back only if nothing of it was written.
+) -> FailureAction {
+    // hyper returns the request only if none of it was written.
     let returned = failure.take_message().map(Request::into_body);
-    let is_unsent = returned.is_some() || sending.connection.is_unsent();
-    let body = returned.or(sending.copy);
-    let was_idle = sending.connection.was_idle;
-    let after = resend.send_failed(is_unsent, was_idle, body.is_some());
-    is_sent.set(after == SendFailure::Interrupted);
-    match (after, body) {
-        (SendFailure::Resend, Some(body)) => AfterFailure::SendAgain(body),
+    let is_unsent = returned.is_some() || in_flight.connection.is_unsent();
+    let body = returned.or(in_flight.body_copy);
+    let was_idle = in_flight.connection.was_idle;
+    let next = resend.send_failed(is_unsent, was_idle, body.is_some());
+    is_sent.set(next == SendFailure::Interrupted);
+    match (next, body) {
+        (SendFailure::Resend, Some(body)) => FailureAction::Resend(body),
         (SendFailure::Interrupted, _) => {
-            let upload = sending.upload.map(|upload| upload.get());
-            AfterFailure::End(match upload {
+            let upload = in_flight.upload.map(|upload| upload.get());
+            FailureAction::End(match upload {
                 Some(UploadState::Failed(status)) => {
-                    EndedAttempt::new(AttemptEnd::ClientFailed(status))
+                    AttemptResult::new(AttemptEnd::ClientFailed(status))
                 }
-                _ => EndedAttempt::with_outcome(AttemptOutcome::Interrupted),
+                _ => AttemptResult::with_outcome(AttemptOutcome::Interrupted),
             })
         }
-        (_, body) => AfterFailure::End(EndedAttempt::unsent(body)),
+        (_, body) => FailureAction::End(AttemptResult::unsent(body)),
     }
 }
 
-/// Reads a response that nobody waits for, so that its connection can be used again.
+/// Reads and discards a short response in the background, so that its connection can be reused.
 fn drain(connection: UpstreamConnection, mut body: Incoming, keep_alive: KeepAlive) {
     if body.is_end_stream() {
         return connection.release(keep_alive);
--- a/crates/rookpulley-proxy/src/body.rs
+++ b/crates/rookpulley-proxy/src/body.rs
@@ -1,4 +1,4 @@
-//! What bodies of requests and of responses have in common.
+//! Types shared by request and response bodies.
 
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -6,33 +6,33 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 
-/// Why a body broke off.
+/// The error of a body that ended early.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// What was read so far of a body.
+/// The part of a body that has been read so far.
 #[derive(Default)]
 pub struct ReadBody {
     pub chunks: VecDeque<Bytes>,
     pub bytes: usize,
-    /// False while more is to come.
+    /// Whether the end of the body was reached.
     pub is_complete: bool,
 }
 
 impl ReadBody {
-    /// In one piece. A body that came in one isn't copied.
-    pub fn joined(mut self) -> Bytes {
+    /// Concatenates the chunks. A body of one chunk is not copied.
+    pub fn into_bytes(mut self) -> Bytes {
         if self.chunks.len() <= 1 {
             return self.chunks.pop_front().unwrap_or_default();
         }
-        let mut joined = BytesMut::with_capacity(self.bytes);
+        let mut buffer = BytesMut::with_capacity(self.bytes);
         for chunk in &self.chunks {
-            joined.extend_from_slice(chunk);
+            buffer.extend_from_slice(chunk);
         }
-        joined.freeze()
+        buffer.freeze()
     }
 }
 
-/// Reads a body until it is complete or longer than so many bytes.
+/// Reads a body until it ends or more than `max_bytes` have been read.
 pub async fn read_up_to(body: &mut Incoming, max_bytes: usize) -> Result<ReadBody, hyper::Error> {
     let mut read = ReadBody {
         is_complete: body.is_end_stream(),
@@ -52,7 +52,7 @@
     Ok(read)
 }
 
-/// The next bytes of a body. Trailers are left out.
+/// Polls for the next data frame. Trailers are discarded.
 pub fn poll_data(
     body: &mut Incoming,
     context: &mut Context<'_>,
@@ -60,7 +60,7 @@
     loop {
         match ready!(Pin::new(&mut *body).poll_frame(context)) {
             None => return Poll::Ready(None),
-            Some(Err(why)) => return Poll::Ready(Some(Err(why.into()))),
+            Some(Err(error)) => return Poll::Ready(Some(Err(error.into()))),
             Some(Ok(frame)) => {
                 if let Ok(chunk) = frame.into_data() {
                     return Poll::Ready(Some(Ok(chunk)));
@@ -70,16 +70,16 @@
     }
 }
 
-/// What comes chunk by chunk.
+/// A source of body chunks.
 pub trait ChunkStream {
-    /// The next chunk.
+    /// Polls for the next chunk.
     fn poll_chunk(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>>;
 
-    /// How many bytes are still to come, where that is known.
-    fn bytes_left(&self) -> Option<u64>;
+    /// The number of bytes still to be read, if known.
+    fn remaining_bytes(&self) -> Option<u64>;
 }
 
-/// A body held in whole, or one that is passed on as it comes.
+/// A body that is either fully buffered or streamed.
 pub enum Content<S> {
     Complete(Bytes),
     Stream(Box<S>),
@@ -106,10 +106,10 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        let left = match self {
+        let remaining = match self {
             Self::Complete(bytes) => Some(bytes.len() as u64),
-            Self::Stream(stream) => stream.bytes_left(),
+            Self::Stream(stream) => stream.remaining_bytes(),
         };
-        left.map_or_else(SizeHint::new, SizeHint::with_exact)
+        remaining.map_or_else(SizeHint::new, SizeHint::with_exact)
     }
 }
--- a/crates/rookpulley-proxy/src/body_length.rs
+++ b/crates/rookpulley-proxy/src/body_length.rs
@@ -1,96 +1,96 @@
-//! How far the body of a message reaches among the bytes of its connection.
+//! Tracks where a message body ends in the byte stream of its connection.
 
-/// What is still to come of a body.
+/// The remaining part of a body.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BodyLength {
-    /// So many bytes.
+    /// This many bytes remain.
     Bytes(u64),
-    /// Chunks, up to the last one.
+    /// Chunked transfer coding, at this position.
     Chunked(ChunkPosition),
-    /// It breaks its own form: nobody can tell where it ends.
-    Unknown,
+    /// The framing is malformed, so the end cannot be determined.
+    Invalid,
 }
 
-/// Where a chunked body stands (RFC 9112, 7.1).
+/// The parser position within a chunked body (RFC 9112, section 7.1).
 ///
-/// It is read as hyper reads it, byte by byte where lines are: the reader of `rookpulley-api` refuses what hyper takes,
-/// and so would lose the place where hyper's body ends.
+/// Accepts exactly what hyper accepts. The stricter parser of `rookpulley-api` could place the end
+/// of a body elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ChunkPosition {
-    /// Before the first digit of a size.
+    /// Before the first digit of a chunk size.
     Start,
-    /// Amid the digits.
+    /// Within the digits of a chunk size.
     Size(u64),
-    /// In spaces behind a size, to which no further digit may come.
+    /// In whitespace after a chunk size; no further digit may follow.
     Spaces(u64),
-    /// In an extension.
+    /// In a chunk extension.
     Extension(u64),
-    /// Before the line feed of a size.
-    SizeLineFeed(u64),
-    /// In the data, of which so much is to come.
+    /// Before the line feed that ends a chunk size line.
+    SizeLf(u64),
+    /// In chunk data, with this many bytes remaining.
     Data(u64),
-    /// Before the carriage return behind the data.
-    DataReturn,
-    /// Before the line feed behind the data.
-    DataLineFeed,
-    /// At the start of a line behind the last chunk.
+    /// Before the carriage return after chunk data.
+    DataCr,
+    /// Before the line feed after chunk data.
+    DataLf,
+    /// At the start of a line after the last chunk.
     LineStart,
-    /// In a trailer.
+    /// In a trailer field.
     Trailer,
-    /// Before the line feed of a trailer.
-    TrailerLineFeed,
-    /// Before the last line feed.
-    LastLineFeed,
-    /// Behind the body.
+    /// Before the line feed that ends a trailer field.
+    TrailerLf,
+    /// Before the line feed that ends the body.
+    FinalLf,
+    /// After the end of the body.
     End,
 }
 
 impl BodyLength {
-    /// Of a chunked body of which nothing has come.
+    /// A chunked body of which nothing has been read.
     pub const CHUNKED: Self = Self::Chunked(ChunkPosition::Start);
 
-    /// Whether the body is complete.
     pub fn is_complete(&self) -> bool {
         matches!(self, Self::Bytes(0) | Self::Chunked(ChunkPosition::End))
     }
 
-    /// How many of these bytes belong to the body.
+    /// Consumes the part of `bytes` that belongs to the body and returns its length.
     pub fn advance(&mut self, bytes: &[u8]) -> usize {
         match self {
-            Self::Bytes(left) => {
-                let taken =
-                    usize::try_from(*left).map_or(bytes.len(), |left| left.min(bytes.len()));
-                *left -= taken as u64;
-                taken
+            Self::Bytes(remaining) => {
+                let consumed = usize::try_from(*remaining)
+                    .map_or(bytes.len(), |remaining| remaining.min(bytes.len()));
+                *remaining -= consumed as u64;
+                consumed
             }
             Self::Chunked(_) => self.advance_chunked(bytes),
-            Self::Unknown => bytes.len(),
+            Self::Invalid => bytes.len(),
         }
     }
 
     fn advance_chunked(&mut self, bytes: &[u8]) -> usize {
-        let mut taken = 0;
+        let mut consumed = 0;
         while let Self::Chunked(position) = self
             && *position != ChunkPosition::End
-            && let Some(byte) = bytes.get(taken)
+            && let Some(byte) = bytes.get(consumed)
         {
-            if let ChunkPosition::Data(left) = position {
-                let available = bytes.len() - taken;
-                let data = usize::try_from(*left).map_or(available, |left| left.min(available));
-                taken += data;
-                *left -= data as u64;
-                if *left == 0 {
-                    *position = ChunkPosition::DataReturn;
+            if let ChunkPosition::Data(remaining) = position {
+                let available = bytes.len() - consumed;
+                let data = usize::try_from(*remaining)
+                    .map_or(available, |remaining| remaining.min(available));
+                consumed += data;
+                *remaining -= data as u64;
+                if *remaining == 0 {
+                    *position = ChunkPosition::DataCr;
                 }
                 continue;
             }
-            taken += 1;
-            *self = position.step(*byte).map_or(Self::Unknown, Self::Chunked);
+            consumed += 1;
+            *self = position.step(*byte).map_or(Self::Invalid, Self::Chunked);
         }
-        if *self == Self::Unknown {
+        if *self == Self::Invalid {
             bytes.len()
         } else {
-            taken
+            consumed
         }
     }
 }
@@ -99,29 +99,29 @@
     fn step(self, byte: u8) -> Option<Self> {
         use ChunkPosition::*;
         Some(match (self, byte) {
-            (Start, _) if byte.is_ascii_hexdigit() => Size(digit(byte)),
+            (Start, _) if byte.is_ascii_hexdigit() => Size(hex_value(byte)),
             (Size(size), _) if byte.is_ascii_hexdigit() => {
-                Size(size.checked_mul(16)?.checked_add(digit(byte))?)
+                Size(size.checked_mul(16)?.checked_add(hex_value(byte))?)
             }
             (Size(size) | Spaces(size), b'\t' | b' ') => Spaces(size),
             (Size(size) | Spaces(size), b';') => Extension(size),
-            (Size(size) | Spaces(size) | Extension(size), b'\r') => SizeLineFeed(size),
+            (Size(size) | Spaces(size) | Extension(size), b'\r') => SizeLf(size),
             (Extension(_), b'\n') => return None,
             (Extension(size), _) => Extension(size),
-            (SizeLineFeed(0), b'\n') => LineStart,
-            (SizeLineFeed(size), b'\n') => Data(size),
-            (DataReturn, b'\r') => DataLineFeed,
-            (DataLineFeed, b'\n') => Start,
-            (LineStart, b'\r') => LastLineFeed,
-            (Trailer, b'\r') => TrailerLineFeed,
+            (SizeLf(0), b'\n') => LineStart,
+            (SizeLf(size), b'\n') => Data(size),
+            (DataCr, b'\r') => DataLf,
+            (DataLf, b'\n') => Start,
+            (LineStart, b'\r') => FinalLf,
+            (Trailer, b'\r') => TrailerLf,
             (LineStart | Trailer, _) => Trailer,
-            (TrailerLineFeed, b'\n') => LineStart,
-            (LastLineFeed, b'\n') => End,
+            (TrailerLf, b'\n') => LineStart,
+            (FinalLf, b'\n') => End,
             _ => return None,
         })
     }
 }
 
-fn digit(byte: u8) -> u64 {
+fn hex_value(byte: u8) -> u64 {
     char::from(byte).to_digit(16).unwrap_or_default().into()
 }
--- a/crates/rookpulley-proxy/src/client_connection.rs
+++ b/crates/rookpulley-proxy/src/client_connection.rs
@@ -1,5 +1,5 @@
-//! A client's connection, between the socket and hyper's parser: the parser gets one request at a time, and the monitor
-//! is told how far it is.
+//! Wraps a client socket for hyper's parser: delivers one request at a time and reports progress to
+//! the connection monitor.
 
 use crate::connection_monitor::{ConnectionMonitor, ReadPhase};
 use crate::head_scanner::HeadScanner;
@@ -12,29 +12,30 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep};
 
-/// What a client sent ahead of its turn is held up to this; more stays in the network.
-const MAX_HELD_BYTES: usize = 8 << 10;
+/// Limit on pipelined bytes buffered while a request is in progress; the rest stays in the socket.
+const MAX_BUFFERED_BYTES: usize = 8 << 10;
 const READ_AHEAD_BYTES: usize = 2 << 10;
-/// A connection that ends amid what its client sends is read for so long: a reset would take the last answer along.
+/// A connection closed while the client is still sending is drained for this long, because a reset
+/// would discard the last response.
 const LINGER: Duration = Duration::from_secs(1);
 const LINGER_READ_BYTES: usize = 8 << 10;
 
-/// How far the closing of a connection is.
+/// The progress of closing the connection.
 enum Shutdown {
     Open,
     Closing { lingers: bool },
     Lingering(Pin<Box<Sleep>>),
 }
 
-/// A client's connection.
+/// A client connection that delivers one request at a time to the parser.
 pub struct ClientConnection<S = TcpStream> {
     stream: S,
     monitor: Rc<ConnectionMonitor>,
     scanner: HeadScanner,
-    /// What came and isn't handed on yet.
-    held: BytesMut,
-    /// The client has ended its side, behind what is held.
-    has_ended: bool,
+    /// Bytes received but not yet delivered to the parser.
+    buffered: BytesMut,
+    /// The client has closed its write side, after the buffered bytes.
+    is_eof: bool,
     shutdown: Shutdown,
 }
 
@@ -44,78 +45,79 @@
             stream,
             monitor,
             scanner: HeadScanner::BeforeHead,
-            held: BytesMut::new(),
-            has_ended: false,
+            buffered: BytesMut::new(),
+            is_eof: false,
             shutdown: Shutdown::Open,
         }
     }
 
-    /// Hands on bytes that came, up to where `split` says that they belong together; the rest is held.
-    fn hand_on(
+    /// Delivers received bytes to the parser, as many as `split` accepts, and buffers the rest.
+    fn deliver(
         &mut self,
         context: &mut Context<'_>,
-        into: &mut ReadBuf<'_>,
+        output: &mut ReadBuf<'_>,
         split: impl FnOnce(&mut Self, &[u8]) -> usize,
     ) -> Poll<std::io::Result<()>> {
-        let before = into.filled().len();
-        if !self.held.is_empty() {
-            let mut held = std::mem::take(&mut self.held);
-            let available = held.len().min(into.remaining());
-            let bytes = held.get(..available).unwrap_or_default();
-            let used = split(self, bytes).min(available);
-            into.put_slice(bytes.get(..used).unwrap_or_default());
-            held.advance(used);
-            self.held = held;
-        } else if !self.has_ended {
-            ready!(Pin::new(&mut self.stream).poll_read(context, into))?;
-            let came = into.filled().get(before..).unwrap_or_default();
-            let used = split(self, came).min(came.len());
-            let rest = came.get(used..).unwrap_or_default();
-            self.held.extend_from_slice(rest);
-            into.set_filled(before + used);
+        let start = output.filled().len();
+        if !self.buffered.is_empty() {
+            let mut buffered = std::mem::take(&mut self.buffered);
+            let available = buffered.len().min(output.remaining());
+            let bytes = buffered.get(..available).unwrap_or_default();
+            let consumed = split(self, bytes).min(available);
+            output.put_slice(bytes.get(..consumed).unwrap_or_default());
+            buffered.advance(consumed);
+            self.buffered = buffered;
+        } else if !self.is_eof {
+            ready!(Pin::new(&mut self.stream).poll_read(context, output))?;
+            let received = output.filled().get(start..).unwrap_or_default();
+            let consumed = split(self, received).min(received.len());
+            let rest = received.get(consumed..).unwrap_or_default();
+            self.buffered.extend_from_slice(rest);
+            output.set_filled(start + consumed);
         }
         Poll::Ready(Ok(()))
     }
 
-    /// Reads without handing anything on. An end is handed on if nothing stands before it.
+    /// Buffers input without delivering it. Reports end of file once the buffer is empty.
     fn read_ahead(&mut self, context: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        while !self.has_ended && self.held.len() < MAX_HELD_BYTES {
+        while !self.is_eof && self.buffered.len() < MAX_BUFFERED_BYTES {
             let mut buffer = [0; READ_AHEAD_BYTES];
-            let mut came = ReadBuf::new(&mut buffer);
-            let Poll::Ready(read) = Pin::new(&mut self.stream).poll_read(context, &mut came) else {
+            let mut received = ReadBuf::new(&mut buffer);
+            let Poll::Ready(read) = Pin::new(&mut self.stream).poll_read(context, &mut received)
+            else {
                 break;
             };
             read?;
-            self.held.extend_from_slice(came.filled());
-            self.has_ended = came.filled().is_empty();
-            if self.has_ended && self.held.is_empty() {
+            self.buffered.extend_from_slice(received.filled());
+            self.is_eof = received.filled().is_empty();
+            if self.is_eof && self.buffered.is_empty() {
                 return Poll::Ready(Ok(()));
             }
         }
-        self.monitor.set_reader(context.waker());
+        self.monitor.set_read_waker(context.waker());
         Poll::Pending
     }
 
     fn read(
         &mut self,
         context: &mut Context<'_>,
-        into: &mut ReadBuf<'_>,
+        output: &mut ReadBuf<'_>,
     ) -> Poll<std::io::Result<()>> {
         match self.monitor.phase() {
-            ReadPhase::Idle | ReadPhase::Head => self.hand_on(context, into, Self::split_head),
+            ReadPhase::Idle | ReadPhase::Head => self.deliver(context, output, Self::split_head),
             ReadPhase::AfterHead | ReadPhase::Complete => self.read_ahead(context),
-            ReadPhase::Body => self.hand_on(context, into, |connection, bytes| {
-                connection.monitor.read_body(bytes)
+            ReadPhase::Body => self.deliver(context, output, |connection, bytes| {
+                connection.monitor.advance_body(bytes)
             }),
             ReadPhase::Closing => Poll::Ready(Ok(())),
         }
     }
 
-    /// How many of these bytes belong to the head.
+    /// Returns how many of these bytes belong to the request head.
     fn split_head(&mut self, bytes: &[u8]) -> usize {
         let end = self.scanner.scan(bytes, &self.monitor);
         if end.is_some() {
-            self.monitor.head_ended();
+            self.monitor.head_completed();
         }
         end.unwrap_or(bytes.len())
     }
@@ -125,10 +127,10 @@
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        into: &mut ReadBuf<'_>,
+        output: &mut ReadBuf<'_>,
     ) -> Poll<std::io::Result<()>> {
-        let read = self.read(context, into);
-        let has_unread = !self.held.is_empty() || self.has_ended;
+        let read = self.read(context, output);
+        let has_unread = !self.buffered.is_empty() || self.is_eof;
         self.monitor.set_has_unread(has_unread);
         read
     }
@@ -141,7 +143,7 @@
         bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.monitor.wrote(&written);
+        self.monitor.record_write(&written);
         written
     }
 
@@ -151,7 +153,7 @@
         slices: &[std::io::IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.monitor.wrote(&written);
+        self.monitor.record_write(&written);
         written
     }
 
@@ -173,10 +175,10 @@
         loop {
             match &mut self.shutdown {
                 Shutdown::Open => {
-                    let is_amid_request =
-                        self.monitor.phase() != ReadPhase::Idle || !self.held.is_empty();
-                    let lingers = !self.has_ended && is_amid_request;
-                    self.monitor.closing();
+                    let is_mid_request =
+                        self.monitor.phase() != ReadPhase::Idle || !self.buffered.is_empty();
+                    let lingers = !self.is_eof && is_mid_request;
+                    self.monitor.start_closing();
                     self.shutdown = Shutdown::Closing { lingers };
                 }
                 Shutdown::Closing { lingers } => {
@@ -187,14 +189,14 @@
                     }
                     self.shutdown = Shutdown::Lingering(Box::pin(sleep(LINGER)));
                 }
-                Shutdown::Lingering(time) => {
-                    if time.as_mut().poll(context).is_ready() {
+                Shutdown::Lingering(timeout) => {
+                    if timeout.as_mut().poll(context).is_ready() {
                         return Poll::Ready(Ok(()));
                     }
                     let mut buffer = [0; LINGER_READ_BYTES];
-                    let mut came = ReadBuf::new(&mut buffer);
-                    let read = ready!(Pin::new(&mut self.stream).poll_read(context, &mut came));
-                    if read.is_err() || came.filled().is_empty() {
+                    let mut received = ReadBuf::new(&mut buffer);
+                    let read = ready!(Pin::new(&mut self.stream).poll_read(context, &mut received));
+                    if read.is_err() || received.filled().is_empty() {
                         return Poll::Ready(Ok(()));
                     }
                 }
--- a/crates/rookpulley-proxy/src/client_connection/tests.rs
+++ b/crates/rookpulley-proxy/src/client_connection/tests.rs
@@ -12,21 +12,21 @@
 use std::task::Waker;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// A request as it is sent, and what a service is to see of it.
-struct Sent {
+/// A request as sent on the wire, and as the service should receive it.
+struct WireRequest {
     bytes: Vec<u8>,
-    seen: Seen,
+    seen: ParsedRequest,
 }
 
 #[derive(Debug, PartialEq)]
-struct Seen {
+struct ParsedRequest {
     target: String,
     fragment: bool,
     head_bytes: usize,
     body: Vec<u8>,
 }
 
-fn sent(u: &mut Unstructured) -> Result<Sent> {
+fn draw_request(u: &mut Unstructured) -> Result<WireRequest> {
     const BODIES: [&[u8]; 4] = [
         b"",
         b"x",
@@ -35,13 +35,13 @@
     ];
     let fragment = u.ratio(1, 4)?;
     let target = *u.choose(&["/", "/r/x?a=b", "//"])?;
-    let (feed, bare) = if u.ratio(1, 4)? {
+    let (line_end, header_end) = if u.ratio(1, 4)? {
         ("\n", "\n")
     } else {
         ("\r\n", "\r\n")
     };
     let mut head = format!(
-        "POST {target}{} HTTP/1.1{feed}Host: h#h{bare}",
+        "POST {target}{} HTTP/1.1{line_end}Host: h#h{header_end}",
         if fragment { "#f" } else { "" }
     );
     let (mut body, mut wire) = (Vec::new(), Vec::new());
@@ -50,10 +50,10 @@
         1 => {
             body = u.choose(&BODIES)?.to_vec();
             wire = body.clone();
-            head += &format!("Content-Length: {}{feed}", body.len());
+            head += &format!("Content-Length: {}{line_end}", body.len());
         }
         _ => {
-            head += &format!("Transfer-Encoding: chunked{feed}");
+            head += &format!("Transfer-Encoding: chunked{line_end}");
             for _ in 0..u.int_in_range(0..=3)? {
                 let chunk = *u.choose(&BODIES[1..])?;
                 let size = *u.choose(&["", ";e=\"0\"", " ", "\t ;"])?;
@@ -68,13 +68,13 @@
             );
         }
     }
-    head += feed;
+    head += line_end;
     let mut bytes = if u.ratio(1, 4)? {
         b"\r\n".to_vec()
     } else {
         Vec::new()
     };
-    let seen = Seen {
+    let seen = ParsedRequest {
         target: target.to_owned(),
         fragment,
         head_bytes: head.len(),
@@ -82,19 +82,22 @@
     };
     bytes.extend(head.bytes());
     bytes.extend(wire);
-    Ok(Sent { bytes, seen })
+    Ok(WireRequest { bytes, seen })
 }
 
-async fn see(monitor: &ConnectionMonitor, request: Request<hyper::body::Incoming>) -> Seen {
+async fn parse_request(
+    monitor: &ConnectionMonitor,
+    request: Request<hyper::body::Incoming>,
+) -> ParsedRequest {
     let mut body = request.into_parts();
     let length = body.1.size_hint().exact();
-    monitor.request_began(length.map_or(BodyLength::CHUNKED, BodyLength::Bytes));
+    monitor.request_started(length.map_or(BodyLength::CHUNKED, BodyLength::Bytes));
     let read = read_up_to(&mut body.1, usize::MAX).await.unwrap();
-    let seen = Seen {
+    let seen = ParsedRequest {
         target: body.0.uri.to_string(),
         fragment: monitor.has_fragment.get(),
         head_bytes: monitor.head_bytes.get(),
-        body: read.joined().to_vec(),
+        body: read.into_bytes().to_vec(),
     };
     assert!(!monitor.is_in_body() && !monitor.is_idle());
     monitor.request_ended();
@@ -102,12 +105,15 @@
 }
 
 #[test]
-fn the_parser_gets_one_request_at_a_time_however_the_bytes_are_cut() {
+fn pipelined_requests_are_delivered_one_at_a_time_for_any_split() {
     plays(200, 1 << 11, |u| {
-        let sent = (0..u.int_in_range(1..=6)?)
-            .map(|_| sent(u))
+        let requests = (0..u.int_in_range(1..=6)?)
+            .map(|_| draw_request(u))
             .collect::<Result<Vec<_>>>()?;
-        let all: Vec<u8> = sent.iter().flat_map(|sent| sent.bytes.clone()).collect();
+        let all: Vec<u8> = requests
+            .iter()
+            .flat_map(|request| request.bytes.clone())
+            .collect();
         let mut cuts = Vec::new();
         for _ in 0..u.int_in_range(0..=12)? {
             cuts.push(u.choose_index(all.len())?);
@@ -122,39 +128,42 @@
                 Rc::new(ConnectionMonitor::new()),
                 Rc::new(RefCell::new(Vec::new())),
             );
-            let (its, tell) = (monitor.clone(), seen.clone());
+            let (service_monitor, sink) = (monitor.clone(), seen.clone());
             let service = service_fn(move |request| {
-                let (monitor, tell) = (its.clone(), tell.clone());
+                let (monitor, sink) = (service_monitor.clone(), sink.clone());
                 async move {
-                    let seen = see(&monitor, request).await;
-                    tell.borrow_mut().push(seen);
+                    let seen = parse_request(&monitor, request).await;
+                    sink.borrow_mut().push(seen);
                     Ok::<_, std::convert::Infallible>(Response::new(String::new()))
                 }
             });
             let io = TokioIo::new(ClientConnection::new(server, monitor.clone()));
             let served =
                 tokio::task::spawn_local(http1::Builder::new().serve_connection(io, service));
-            let (mut reads, mut writes) = tokio::io::split(client);
-            let answers = tokio::task::spawn_local(async move {
-                let mut answers = String::new();
-                reads.read_to_string(&mut answers).await.unwrap();
-                answers.matches("HTTP/1.1 200").count()
+            let (mut reader, mut writer) = tokio::io::split(client);
+            let responses = tokio::task::spawn_local(async move {
+                let mut responses = String::new();
+                reader.read_to_string(&mut responses).await.unwrap();
+                responses.matches("HTTP/1.1 200").count()
             });
-            let mut from = 0;
+            let mut start = 0;
             for cut in cuts.into_iter().chain([all.len()]) {
-                writes.write_all(&all[from..cut]).await.unwrap();
+                writer.write_all(&all[start..cut]).await.unwrap();
                 tokio::task::yield_now().await;
-                from = cut;
+                start = cut;
             }
-            while seen.borrow().len() < sent.len() {
+            while seen.borrow().len() < requests.len() {
                 tokio::task::yield_now().await;
             }
-            writes.shutdown().await.unwrap();
-            assert_eq!(answers.await.unwrap(), sent.len());
+            writer.shutdown().await.unwrap();
+            assert_eq!(responses.await.unwrap(), requests.len());
             served.await.unwrap().unwrap();
             assert_eq!(
                 *seen.borrow(),
-                sent.into_iter().map(|sent| sent.seen).collect::<Vec<_>>()
+                requests
+                    .into_iter()
+                    .map(|request| request.seen)
+                    .collect::<Vec<_>>()
             );
         });
         Ok(())
@@ -162,7 +171,7 @@
 }
 
 #[test]
-fn what_is_held_for_its_turn_is_bounded() {
+fn buffer_for_pipelined_input_is_bounded() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .unwrap();
@@ -173,23 +182,26 @@
         let head = b"GET / HTTP/1.1\r\n\r\n";
         client.write_all(head).await.unwrap();
         client.write_all(&[b'x'; 100_000]).await.unwrap();
-        let mut got = Vec::new();
-        assert_eq!(connection.read_buf(&mut got).await.unwrap(), head.len());
-        monitor.request_began(BodyLength::Bytes(0));
+        let mut head_received = Vec::new();
+        assert_eq!(
+            connection.read_buf(&mut head_received).await.unwrap(),
+            head.len()
+        );
+        monitor.request_started(BodyLength::Bytes(0));
         let mut more = [0; 100];
-        let mut into = ReadBuf::new(&mut more);
+        let mut output = ReadBuf::new(&mut more);
         let mut context = Context::from_waker(Waker::noop());
         assert!(
             Pin::new(&mut connection)
-                .poll_read(&mut context, &mut into)
+                .poll_read(&mut context, &mut output)
                 .is_pending()
         );
-        assert!(connection.held.len() <= MAX_HELD_BYTES + READ_AHEAD_BYTES);
+        assert!(connection.buffered.len() <= MAX_BUFFERED_BYTES + READ_AHEAD_BYTES);
     });
 }
 
 #[test]
-fn a_body_in_chunks_ends_where_the_parser_ends_it() {
+fn chunked_body_ends_where_hyper_ends_it() {
     const PIECES: [&str; 14] = [
         "0",
         "1",
@@ -216,18 +228,18 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .build()
             .unwrap();
-        let (whole, next) = tokio::task::LocalSet::new().block_on(&runtime, async {
+        let (is_complete, next) = tokio::task::LocalSet::new().block_on(&runtime, async {
             let (mut client, server) = tokio::io::duplex(1 << 16);
             let seen = Rc::new(RefCell::new((false, false)));
-            let tell = seen.clone();
+            let sink = seen.clone();
             let service = service_fn(move |request: Request<hyper::body::Incoming>| {
-                let tell = tell.clone();
+                let sink = sink.clone();
                 async move {
                     let (head, mut body) = request.into_parts();
-                    let whole = read_up_to(&mut body, usize::MAX).await.is_ok();
+                    let is_complete = read_up_to(&mut body, usize::MAX).await.is_ok();
                     match head.uri.path() {
-                        "/" => tell.borrow_mut().0 = whole,
-                        _ => tell.borrow_mut().1 = head.method == "GET",
+                        "/" => sink.borrow_mut().0 = is_complete,
+                        _ => sink.borrow_mut().1 = head.method == "GET",
                     }
                     Ok::<_, std::convert::Infallible>(Response::new(String::new()))
                 }
@@ -244,16 +256,16 @@
         let all = format!("{body}{NEXT}");
         let (mut length, mut taken) = (BodyLength::CHUNKED, 0);
         while !length.is_complete() && taken < all.len() {
-            let here = u.int_in_range(1..=all.len() - taken).unwrap_or(1);
-            taken += length.advance(&all.as_bytes()[taken..taken + here]);
+            let length_now = u.int_in_range(1..=all.len() - taken).unwrap_or(1);
+            taken += length.advance(&all.as_bytes()[taken..taken + length_now]);
         }
-        // What the parser refuses for its trailers ends the connection.
-        assert!(length.is_complete() || !whole, "{body:?}");
+        // hyper may reject a complete body because of its trailers.
+        assert!(length.is_complete() || !is_complete, "{body:?}");
         let mut rest = &all[taken..];
-        while let Some(after) = rest.strip_prefix("\r\n").or(rest.strip_prefix("\n")) {
-            rest = after;
+        while let Some(stripped) = rest.strip_prefix("\r\n").or(rest.strip_prefix("\n")) {
+            rest = stripped;
         }
-        assert_eq!(whole && rest == NEXT, next, "{body:?}");
+        assert_eq!(is_complete && rest == NEXT, next, "{body:?}");
         Ok(())
     });
 }
--- a/crates/rookpulley-proxy/src/client_registry.rs
+++ b/crates/rookpulley-proxy/src/client_registry.rs
@@ -1,4 +1,4 @@
-//! All connections of clients, and which of them make room for others.
+//! Tracks all client connections and evicts idle ones when the limit is reached.
 
 use crate::connection_monitor::ConnectionMonitor;
 use rookpulley_routes::Limits;
@@ -6,19 +6,19 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Connections beyond the bound, for as long as those that make room take to close.
-const MAX_EXCESS: usize = 64;
+/// Connections allowed above the limit while evicted ones are still closing.
+const MAX_PENDING_EVICTIONS: usize = 64;
 
-/// All connections of clients.
+/// All client connections.
 pub struct ClientRegistry {
     monitors: RefCell<BTreeMap<u64, Rc<ConnectionMonitor>>>,
-    next_number: Cell<u64>,
+    next_id: Cell<u64>,
     max_connections: usize,
 }
 
-/// A connection that was admitted.
+/// A connection accepted by the registry.
 pub struct Admitted {
-    pub number: u64,
+    pub id: u64,
     pub monitor: Rc<ConnectionMonitor>,
 }
 
@@ -26,55 +26,57 @@
     pub fn new(max_connections: usize) -> Self {
         Self {
             monitors: RefCell::default(),
-            next_number: Cell::new(0),
+            next_id: Cell::new(0),
             max_connections,
         }
     }
 
-    /// Has connections closed that are idle, take too long over a head, or don't take their answer.
-    pub fn sweep(&self, limits: Limits, is_ending: bool) {
+    /// Notifies connections that are idle, slow to send a head, or blocked on writing beyond the
+    /// limits.
+    pub fn sweep(&self, limits: Limits, is_shutting_down: bool) {
         for monitor in self.monitors.borrow().values() {
-            if monitor.close_reason(limits, is_ending).is_some() {
+            if monitor.close_reason(limits, is_shutting_down).is_some() {
                 monitor.close.notify_one();
             }
         }
     }
 
-    /// Nothing of any request is here.
+    /// Whether no connection has a request in progress.
     pub fn is_idle(&self) -> bool {
         let monitors = self.monitors.borrow();
         monitors.values().all(|monitor| monitor.is_idle())
     }
 
-    /// Takes a connection. Where there are too many, the one that has been idle longest makes room.
+    /// Registers a connection. At the limit, evicts the connection that has been idle longest, or
+    /// refuses the new one if there is none.
     pub fn admit(&self) -> Option<Admitted> {
         let count = self.monitors.borrow().len();
         if count >= self.max_connections {
-            // It is gone a moment later; until then few more than the bound are here.
-            let is_room_made = self.make_room();
-            if !is_room_made || count >= self.max_connections + MAX_EXCESS {
+            // The evicted connection closes asynchronously, so the limit may be exceeded briefly.
+            let has_evicted = self.evict_idle();
+            if !has_evicted || count >= self.max_connections + MAX_PENDING_EVICTIONS {
                 return None;
             }
         }
-        let number = self.next_number.get();
-        self.next_number.set(number + 1);
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
         let monitor = Rc::new(ConnectionMonitor::new());
-        self.monitors.borrow_mut().insert(number, monitor.clone());
-        Some(Admitted { number, monitor })
+        self.monitors.borrow_mut().insert(id, monitor.clone());
+        Some(Admitted { id, monitor })
     }
 
-    /// A connection is over.
-    pub fn remove(&self, number: u64) {
-        self.monitors.borrow_mut().remove(&number);
+    /// Removes a closed connection.
+    pub fn remove(&self, id: u64) {
+        self.monitors.borrow_mut().remove(&id);
     }
 
-    /// Has one closed that is idle and isn't asked to close yet. False: there is none.
-    pub fn make_room(&self) -> bool {
+    /// Evicts the connection that has been idle longest. Returns false if none is idle.
+    pub fn evict_idle(&self) -> bool {
         let monitors = self.monitors.borrow();
         let idle = monitors
             .values()
             .filter(|monitor| monitor.is_idle() && !monitor.is_evicted.get());
-        let oldest = idle.min_by_key(|monitor| monitor.changed());
+        let oldest = idle.min_by_key(|monitor| monitor.phase_started());
         if let Some(monitor) = oldest {
             monitor.is_evicted.set(true);
             monitor.close.notify_one();
--- a/crates/rookpulley-proxy/src/connection_monitor.rs
+++ b/crates/rookpulley-proxy/src/connection_monitor.rs
@@ -1,7 +1,8 @@
-//! What is known of one client's connection: how far its request is, whether it is idle, slow or stuck.
+//! Tracks the state of a client connection: the progress of its request and whether it is idle or
+//! slow.
 //!
-//! The connection itself tells it what is read and written, the request what is at work; the registry asks it which
-//! connections are to be closed.
+//! The connection reports reads and writes, the request guard reports requests, and the registry
+//! asks which connections to close.
 
 use crate::body_length::BodyLength;
 use rookpulley_routes::Limits;
@@ -11,57 +12,56 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// While the program ends, a connection without a request stays so long: requests on their way still find it.
-const IDLE_WHILE_ENDING: Duration = Duration::from_millis(1_500);
+/// Idle timeout during shutdown, long enough for a request that is already in transit.
+const SHUTDOWN_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Where the bytes handed to the parser stand.
+/// Where the bytes delivered to the parser end within a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReadPhase {
-    /// Between two requests, or before the first.
+    /// Between requests, or before the first one.
     Idle,
-    /// In a head.
+    /// In a request head.
     Head,
-    /// Behind a head, until it is known what follows it.
+    /// After a request head, before its body length is known.
     AfterHead,
-    /// In a body.
+    /// In a request body.
     Body,
-    /// A request is complete: nothing more is handed on until it is answered.
+    /// The request is complete; the next one is delivered after the response.
     Complete,
-    /// The connection is being closed.
     Closing,
 }
 
-/// Why a connection is to be closed.
+/// Why a connection should be closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CloseReason {
-    /// It has no request.
+    /// No request was in progress for the idle timeout.
     Idle,
-    /// Its head takes too long.
+    /// The request head was not complete within the head timeout.
     SlowHead,
-    /// The client doesn't take what is written.
-    WriteStuck,
+    /// The client accepted no response bytes for the idle timeout.
+    WriteBlocked,
 }
 
-/// What is known of one client's connection.
+/// The state of a client connection.
 pub struct ConnectionMonitor {
     phase: Cell<ReadPhase>,
-    /// What is to come of the body of the request at work.
-    body: Cell<BodyLength>,
-    requests_at_work: Cell<u32>,
-    /// Since when it is idle, or its head comes.
-    changed: Cell<Instant>,
-    /// Since when the client has taken nothing of what is written.
-    stuck: Cell<Option<Instant>>,
-    /// Something waits that the parser hasn't got.
+    /// The remaining body of the current request.
+    remaining_body: Cell<BodyLength>,
+    active_requests: Cell<u32>,
+    /// When the connection became idle or the current head started.
+    phase_started: Cell<Instant>,
+    /// When writing became blocked, or `None` if the last write succeeded.
+    stalled: Cell<Option<Instant>>,
+    /// Whether input is buffered that the parser has not received.
     has_unread: Cell<bool>,
-    reader: RefCell<Option<Waker>>,
-    /// The first line had a fragment in it, which the parser drops unseen.
+    read_waker: RefCell<Option<Waker>>,
+    /// Whether the request target has a fragment, which hyper's parser drops.
     pub has_fragment: Cell<bool>,
-    /// What the head took, line ends and all.
+    /// The length of the request head in bytes, including line endings.
     pub head_bytes: Cell<usize>,
-    /// It has been asked to make room for another.
+    /// Whether the registry has asked this connection to close.
     pub is_evicted: Cell<bool>,
-    /// Notified when there may be a reason to close it.
+    /// Notified when the connection may have to be closed.
     pub close: Notify,
 }
 
@@ -69,12 +69,12 @@
     pub fn new() -> Self {
         Self {
             phase: Cell::new(ReadPhase::Idle),
-            body: Cell::new(BodyLength::Bytes(0)),
-            requests_at_work: Cell::new(0),
-            changed: Cell::new(Instant::now()),
-            stuck: Cell::new(None),
+            remaining_body: Cell::new(BodyLength::Bytes(0)),
+            active_requests: Cell::new(0),
+            phase_started: Cell::new(Instant::now()),
+            stalled: Cell::new(None),
             has_unread: Cell::new(false),
-            reader: RefCell::new(None),
+            read_waker: RefCell::new(None),
             has_fragment: Cell::new(false),
             head_bytes: Cell::new(0),
             is_evicted: Cell::new(false),
@@ -82,56 +82,56 @@
         }
     }
 
-    /// Nothing of a request or of an answer is here.
+    /// Whether no request is in progress and no bytes are pending in either direction.
     pub fn is_idle(&self) -> bool {
-        self.requests_at_work.get() == 0
+        self.active_requests.get() == 0
             && self.phase.get() == ReadPhase::Idle
             && !self.has_unread.get()
-            && self.stuck.get().is_none()
+            && self.stalled.get().is_none()
     }
 
-    /// Since when it is idle, or its head comes.
-    pub fn changed(&self) -> Instant {
-        self.changed.get()
+    /// When the connection became idle or the current head started.
+    pub fn phase_started(&self) -> Instant {
+        self.phase_started.get()
     }
 
-    /// Something of an answer hasn't been taken by the client yet.
-    pub fn is_write_stuck(&self) -> bool {
-        self.stuck.get().is_some()
+    /// Whether response bytes are waiting for the client to read.
+    pub fn is_write_blocked(&self) -> bool {
+        self.stalled.get().is_some()
     }
 
-    /// More of the request at work is to come.
+    /// Whether the current request body is incomplete.
     pub fn is_in_body(&self) -> bool {
         self.phase.get() == ReadPhase::Body
     }
 
-    /// Why it is to be closed now, if at all.
-    pub fn close_reason(&self, limits: Limits, is_ending: bool) -> Option<CloseReason> {
+    /// The reason to close the connection now, if any.
+    pub fn close_reason(&self, limits: Limits, is_shutting_down: bool) -> Option<CloseReason> {
         let mut idle_timeout = Duration::from_millis(limits.idle_timeout_ms);
-        let stuck = self.stuck.get();
-        if stuck.is_some_and(|since| since.elapsed() > idle_timeout) {
-            return Some(CloseReason::WriteStuck);
+        let stalled = self.stalled.get();
+        if stalled.is_some_and(|since| since.elapsed() > idle_timeout) {
+            return Some(CloseReason::WriteBlocked);
         }
         let phase = self.phase.get();
         let is_in_head = matches!(phase, ReadPhase::Head | ReadPhase::AfterHead);
-        let elapsed = self.changed.get().elapsed();
+        let elapsed = self.phase_started.get().elapsed();
         if is_in_head
-            && self.requests_at_work.get() == 0
+            && self.active_requests.get() == 0
             && elapsed > Duration::from_millis(limits.header_timeout_ms)
         {
             return Some(CloseReason::SlowHead);
         }
-        if is_ending {
-            idle_timeout = idle_timeout.min(IDLE_WHILE_ENDING);
+        if is_shutting_down {
+            idle_timeout = idle_timeout.min(SHUTDOWN_IDLE_TIMEOUT);
         }
         (self.is_idle() && elapsed > idle_timeout).then_some(CloseReason::Idle)
     }
 
-    /// The parser has read a head, and knows where its body ends.
-    pub fn request_began(&self, body: BodyLength) {
-        self.requests_at_work.set(self.requests_at_work.get() + 1);
-        self.body.set(body);
-        self.phase.set(if body.is_complete() {
+    /// Records that hyper has parsed a request head.
+    pub fn request_started(&self, remaining_body: BodyLength) {
+        self.active_requests.set(self.active_requests.get() + 1);
+        self.remaining_body.set(remaining_body);
+        self.phase.set(if remaining_body.is_complete() {
             ReadPhase::Complete
         } else {
             ReadPhase::Body
@@ -139,85 +139,84 @@
         self.wake_reader();
     }
 
-    /// The answer has been handed on.
+    /// Records that the response has been written.
     pub fn request_ended(&self) {
-        let at_work = self.requests_at_work.get();
-        self.requests_at_work.set(at_work.saturating_sub(1));
-        self.changed.set(Instant::now());
+        let active = self.active_requests.get();
+        self.active_requests.set(active.saturating_sub(1));
+        self.phase_started.set(Instant::now());
         if self.phase.get() == ReadPhase::Complete {
             self.phase.set(ReadPhase::Idle);
         }
         self.wake_reader();
     }
 
-    /// Bytes were read on.
     pub fn phase(&self) -> ReadPhase {
         self.phase.get()
     }
 
-    /// The first byte of a head has come.
-    pub fn head_began(&self) {
+    /// Records the first byte of a request head.
+    pub fn head_started(&self) {
         self.phase.set(ReadPhase::Head);
-        self.changed.set(Instant::now());
+        self.phase_started.set(Instant::now());
         self.has_fragment.set(false);
         self.head_bytes.set(0);
     }
 
-    /// A head is complete.
-    pub fn head_ended(&self) {
+    /// Records the end of a request head.
+    pub fn head_completed(&self) {
         self.phase.set(ReadPhase::AfterHead);
     }
 
-    /// How many of these bytes belong to the body of the request at work.
-    pub fn read_body(&self, bytes: &[u8]) -> usize {
-        let mut body = self.body.get();
-        let used = body.advance(bytes);
-        self.body.set(body);
-        if body.is_complete() {
-            let is_answered = self.requests_at_work.get() == 0;
-            self.phase.set(if is_answered {
+    /// Returns how many of these bytes belong to the body of the current request.
+    pub fn advance_body(&self, bytes: &[u8]) -> usize {
+        let mut remaining_body = self.remaining_body.get();
+        let consumed = remaining_body.advance(bytes);
+        self.remaining_body.set(remaining_body);
+        if remaining_body.is_complete() {
+            let is_response_sent = self.active_requests.get() == 0;
+            self.phase.set(if is_response_sent {
                 ReadPhase::Idle
             } else {
                 ReadPhase::Complete
             });
         }
-        used
+        consumed
     }
 
-    /// The connection is being closed.
-    pub fn closing(&self) {
+    /// Records that the connection is closing.
+    pub fn start_closing(&self) {
         self.phase.set(ReadPhase::Closing);
     }
 
-    /// Whether something waits that the parser hasn't got.
+    /// Sets whether input is buffered that the parser has not received.
     pub fn set_has_unread(&self, has_unread: bool) {
         self.has_unread.set(has_unread);
     }
 
-    /// This one is to be woken when what waits may be handed on.
-    pub fn set_reader(&self, waker: &Waker) {
-        let mut reader = self.reader.borrow_mut();
-        let is_same = reader
+    /// Registers the task to wake when buffered input may be delivered.
+    pub fn set_read_waker(&self, waker: &Waker) {
+        let mut read_waker = self.read_waker.borrow_mut();
+        let is_same = read_waker
             .as_ref()
-            .is_some_and(|reader| reader.will_wake(waker));
+            .is_some_and(|read_waker| read_waker.will_wake(waker));
         if !is_same {
-            *reader = Some(waker.clone());
+            *read_waker = Some(waker.clone());
         }
     }
 
     fn wake_reader(&self) {
         if self.has_unread.get()
-            && let Some(reader) = self.reader.borrow_mut().take()
+            && let Some(read_waker) = self.read_waker.borrow_mut().take()
         {
-            reader.wake();
+            read_waker.wake();
         }
     }
 
-    /// A write was tried.
-    pub fn wrote(&self, written: &Poll<std::io::Result<usize>>) {
-        match written {
-            Poll::Ready(_) => self.stuck.set(None),
-            Poll::Pending if self.stuck.get().is_none() => self.stuck.set(Some(Instant::now())),
+    /// Records the result of a write.
+    pub fn record_write(&self, result: &Poll<std::io::Result<usize>>) {
+        match result {
+            Poll::Ready(_) => self.stalled.set(None),
+            Poll::Pending if self.stalled.get().is_none() => self.stalled.set(Some(Instant::now())),
             Poll::Pending => {}
         }
     }
--- a/crates/rookpulley-proxy/src/context.rs
+++ b/crates/rookpulley-proxy/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a proxy share. Nothing borrowed from here is held across a wait.
+//! State shared by all parts of a proxy. No `RefCell` borrow may be held across an await point.
 
 use crate::client_registry::ClientRegistry;
 use crate::memory::MemoryLimit;
@@ -15,32 +15,33 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Descriptors for controllers, listeners, the runtime, and those kept for files.
+/// File descriptors reserved for controllers, listeners, the runtime and files.
 const RESERVED_DESCRIPTORS: u64 = 400;
 const MIN_DESCRIPTORS: u64 = 100;
-/// Connections to instances take a third of the descriptors, and no more than this.
+/// Upper limit on upstream connections, which otherwise get a third of the descriptors.
 const MAX_UPSTREAM_CONNECTIONS: usize = 800;
-/// Up to which length a response is held until it is complete, on a quick link and on a slow one.
-const QUICK_LINK_MBPS: f64 = 100.0;
-const QUICK_LINK_BUFFER: usize = 1 << 20;
+/// Responses up to this length are buffered before they are forwarded; the limit depends on the
+/// link speed.
+const FAST_LINK_MBPS: f64 = 100.0;
+const FAST_LINK_BUFFER: usize = 1 << 20;
 const SLOW_LINK_BUFFER: usize = 16 << 10;
-/// Bodies that are held take this part of the memory.
-const BODIES_MEMORY_PART: f64 = 0.25;
+/// The share of memory for buffered bodies.
+const BODY_MEMORY_FRACTION: f64 = 0.25;
 const MAX_INSTANT_MS: f64 = 1e12;
 
-/// A proxy on sockets and clock.
+/// A proxy with its state, sockets and clock.
 pub struct ProxyContext {
     pub node: Node,
     started: Instant,
     state: RefCell<ProxyState>,
-    /// The open connections to controllers.
+    /// The open controller connections.
     pub(crate) controllers: RefCell<BTreeMap<Ipv4Addr, Outbox>>,
     pub(crate) upstreams: UpstreamPools,
     pub(crate) clients: ClientRegistry,
-    /// Requests that were read and whose answers aren't written yet.
+    /// Requests received whose responses are not fully written.
     pub(crate) requests_in_flight: Cell<usize>,
     pub(crate) memory: MemoryLimit,
-    /// A response up to this length is held until it is complete.
+    /// The longest response that is buffered before it is forwarded.
     pub(crate) max_buffered_response: usize,
 }
 
@@ -49,8 +50,8 @@
         let descriptors = node.limits.open_files.saturating_sub(RESERVED_DESCRIPTORS);
         let descriptors = descriptors.max(MIN_DESCRIPTORS) as usize;
         let upstream_connections = (descriptors / 3).min(MAX_UPSTREAM_CONNECTIONS);
-        let max_buffered_response = if node.limits.link_mbps >= QUICK_LINK_MBPS {
-            QUICK_LINK_BUFFER
+        let max_buffered_response = if node.limits.link_mbps >= FAST_LINK_MBPS {
+            FAST_LINK_BUFFER
         } else {
             SLOW_LINK_BUFFER
         };
@@ -62,7 +63,7 @@
             retry_slack: node.bounds.retry_budget_slack,
             seed: RandomState::new().hash_one(&node.name),
         });
-        let bodies_bytes = node.limits.memory_mb * BODIES_MEMORY_PART * 1e6;
+        let body_memory_bytes = node.limits.memory_mb * BODY_MEMORY_FRACTION * 1e6;
         Rc::new(Self {
             started: Instant::now(),
             state: RefCell::new(state),
@@ -70,24 +71,24 @@
             upstreams: UpstreamPools::new(&node.zone, upstream_connections),
             clients: ClientRegistry::new(descriptors - upstream_connections),
             requests_in_flight: Cell::new(0),
-            memory: MemoryLimit::new(bodies_bytes as usize),
+            memory: MemoryLimit::new(body_memory_bytes as usize),
             max_buffered_response,
             node,
         })
     }
 
-    /// Since the start, in milliseconds.
+    /// Milliseconds since the proxy started.
     pub fn now_ms(&self) -> f64 {
         self.started.elapsed().as_secs_f64() * 1e3
     }
 
-    /// The moment so many milliseconds after the start.
-    pub(crate) fn instant(&self, at_ms: f64) -> Instant {
-        let after = Duration::from_secs_f64(at_ms.clamp(0.0, MAX_INSTANT_MS) / 1e3);
-        self.started + after
+    /// The instant at this many milliseconds after the start.
+    pub(crate) fn instant(&self, time_ms: f64) -> Instant {
+        let offset = Duration::from_secs_f64(time_ms.clamp(0.0, MAX_INSTANT_MS) / 1e3);
+        self.started + offset
     }
 
-    /// Hands something to the state, and carries out what it wants.
+    /// Applies an input to the state and carries out the resulting effects.
     pub(crate) fn step<T>(self: &Rc<Self>, input: impl FnOnce(&mut ProxyState, f64) -> T) -> T {
         let (result, effects) = {
             let mut state = self.state.borrow_mut();
@@ -95,12 +96,12 @@
             (result, state.take_effects())
         };
         for effect in effects {
-            self.carry_out(effect);
+            self.apply_effect(effect);
         }
         result
     }
 
-    fn carry_out(self: &Rc<Self>, effect: Effect) {
+    fn apply_effect(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Connect(controller) => self.connect_to_controller(controller),
             Effect::SendToController { to, message } => self.send_to_controller(to, &message),
@@ -110,12 +111,12 @@
         }
     }
 
-    /// Looks at the state.
-    pub(crate) fn inspect<T>(&self, look: impl FnOnce(&ProxyState) -> T) -> T {
-        look(&self.state.borrow())
+    /// Reads the state.
+    pub(crate) fn inspect<T>(&self, read: impl FnOnce(&ProxyState) -> T) -> T {
+        read(&self.state.borrow())
     }
 
-    /// The limits of the configuration in force.
+    /// The limits of the current configuration.
     pub(crate) fn limits(&self) -> Limits {
         let routes: Option<Rc<RouteTable>> = self.inspect(ProxyState::route_table);
         routes.map_or_else(Limits::default, |routes| routes.limits)
@@ -125,7 +126,7 @@
         self.inspect(ProxyState::is_ready)
     }
 
-    pub(crate) fn is_ending(&self) -> bool {
+    pub(crate) fn is_shutting_down(&self) -> bool {
         self.inspect(|state| state.is_shutting_down)
     }
 }
--- a/crates/rookpulley-proxy/src/controller_connections.rs
+++ b/crates/rookpulley-proxy/src/controller_connections.rs
@@ -1,4 +1,4 @@
-//! The connections to controllers: one to each that is known of.
+//! Maintains a connection to each known controller.
 
 use crate::context::ProxyContext;
 use rookpulley_protocol::ProxyToController;
@@ -8,14 +8,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A controller sends its status every 400 ms or so: after such a silence the connection is given up.
+/// A connection is closed after this much silence; a controller sends its status about every 400
+/// ms.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The backoff between two connections.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// A connection that lasted for so long was a good one: the backoff begins anew.
-const GOOD_CONNECTION_MS: f64 = 1_000.0;
+/// The backoff is reset after a connection that lasted at least this long.
+const STABLE_CONNECTION_MS: f64 = 1_000.0;
 
 impl ProxyContext {
     pub(crate) fn send_to_controller(
@@ -23,12 +23,12 @@
         controller: Ipv4Addr,
         message: &ProxyToController,
     ) {
-        let is_over = {
+        let is_closed = {
             let controllers = self.controllers.borrow();
             let outbox = controllers.get(&controller);
             outbox.is_some_and(|outbox| !outbox.send(message))
         };
-        if is_over {
+        if is_closed {
             self.controller_disconnected(controller);
         }
     }
@@ -43,7 +43,7 @@
     }
 }
 
-/// Connects to a controller again and again for as long as somebody names it.
+/// Keeps reconnecting to a controller until it is no longer known.
 async fn keep_connected(proxy: Rc<ProxyContext>, controller: Ipv4Addr) {
     let to = SocketAddr::from((controller, proxy.node.inner_ports.0));
     let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
@@ -67,7 +67,7 @@
             tracing::info!("controllers: the connection to {controller} {end}");
             proxy.controller_disconnected(controller);
             proxy.step(ProxyState::choose_primary);
-            if proxy.now_ms() - connected_ms > GOOD_CONNECTION_MS {
+            if proxy.now_ms() - connected_ms > STABLE_CONNECTION_MS {
                 backoff.reset();
             }
         }
--- a/crates/rookpulley-proxy/src/forward.rs
+++ b/crates/rookpulley-proxy/src/forward.rs
@@ -1,7 +1,7 @@
-//! A request from its head to its response, in phases: checked, routed, its body gathered, attempted as often as it may
-//! be.
+//! Processes a request from its head to its response: checks and routes it, buffers the body, and
+//! attempts it until it succeeds or must not be retried.
 
-use crate::attempt::{EndedAttempt, UpstreamRequest, UpstreamResponse};
+use crate::attempt::{AttemptResult, UpstreamRequest, UpstreamResponse};
 use crate::body;
 use crate::body_length::BodyLength;
 use crate::connection_monitor::ConnectionMonitor;
@@ -25,19 +25,19 @@
 use std::rc::Rc;
 use tokio::time::timeout_at;
 
-/// A request's body up to this length is read in whole before anything is sent on.
+/// A request body up to this length is buffered before the request is sent.
 const MAX_BUFFERED_REQUEST: usize = 64 << 10;
 
-/// Tells, once dropped, that the client is gone.
-struct ClientGoneGuard(Rc<Cell<bool>>);
+/// Sets its flag when dropped, which happens when the client disconnects.
+struct ClientDisconnectGuard(Rc<Cell<bool>>);
 
-impl Drop for ClientGoneGuard {
+impl Drop for ClientDisconnectGuard {
     fn drop(&mut self) {
         self.0.set(true);
     }
 }
 
-/// Answers a request of a client.
+/// Handles one client request.
 pub async fn serve(
     proxy: Rc<ProxyContext>,
     monitor: Rc<ConnectionMonitor>,
@@ -47,12 +47,12 @@
     let body = length.map_or(BodyLength::CHUNKED, BodyLength::Bytes);
     let guard = RequestGuard::new(&proxy, &monitor, body);
     let mut response = forward(&proxy, &monitor, request).await;
-    // What the client still sends isn't read to its end.
-    if proxy.is_ending() || monitor.is_in_body() {
+    // The rest of an incomplete request body is not read, so the connection cannot be reused.
+    if proxy.is_shutting_down() || monitor.is_in_body() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
-    response.body_mut().keep(guard);
+    response.body_mut().attach_guard(guard);
     response
 }
 
@@ -65,7 +65,7 @@
     let limits = proxy.limits();
     let checked = match request_check::check(&head, monitor, limits) {
         Ok(checked) => checked,
-        Err(BadRequest(status)) => return local_response::of_status_and_close(status),
+        Err(BadRequest(status)) => return local_response::with_status_and_close(status),
     };
     let path = head.uri.path();
     let route =
@@ -77,7 +77,7 @@
     let body = gather_body(proxy, body, checked.length, limits, route.deadline_ms).await;
     let body = match body {
         Ok(body) => body,
-        Err(BadRequest(status)) => return local_response::of_status_and_close(status),
+        Err(BadRequest(status)) => return local_response::with_status_and_close(status),
     };
     strip_hop_by_hop(&mut head.headers);
     head.headers.remove(EXPECT);
@@ -89,22 +89,23 @@
         id: checked.id,
         route,
     };
-    let is_client_gone = Rc::new(Cell::new(false));
+    let is_client_disconnected = Rc::new(Cell::new(false));
     if request.is_idempotent() {
-        return run_attempts(request, body, is_client_gone).await;
+        return run_attempts(request, body, is_client_disconnected).await;
     }
-    // An instance that has begun on it may finish though the client has left: its work is done once and not broken off.
-    let _client = ClientGoneGuard(is_client_gone.clone());
+    // A non-idempotent request runs in its own task: an instance that has started it may finish
+    // after the client disconnects.
+    let _disconnect_guard = ClientDisconnectGuard(is_client_disconnected.clone());
     let in_flight = InFlightGuard::new(proxy);
     let attempts = tokio::task::spawn_local(async move {
         let _in_flight = in_flight;
-        run_attempts(request, body, is_client_gone).await
+        run_attempts(request, body, is_client_disconnected).await
     });
     let response = attempts.await;
-    response.unwrap_or_else(|_| local_response::of_status(502))
+    response.unwrap_or_else(|_| local_response::with_status(502))
 }
 
-/// The body in whole, if it is short; else what there is of it, to be passed on as it comes.
+/// Buffers a short body completely, otherwise streams it.
 async fn gather_body(
     proxy: &ProxyContext,
     mut body: Incoming,
@@ -115,11 +116,11 @@
     if body.is_end_stream() {
         return Ok(RequestBody::Complete(Bytes::new()));
     }
-    let wanted = length.map_or(MAX_BUFFERED_REQUEST, |length| {
+    let expected_bytes = length.map_or(MAX_BUFFERED_REQUEST, |length| {
         usize::try_from(length).unwrap_or(usize::MAX)
     });
-    let reservation = if wanted <= MAX_BUFFERED_REQUEST {
-        proxy.memory.reserve_for_request(wanted)
+    let reservation = if expected_bytes <= MAX_BUFFERED_REQUEST {
+        proxy.memory.reserve_for_request(expected_bytes)
     } else {
         None
     };
@@ -137,29 +138,30 @@
         Ok(Err(_)) => return Err(BadRequest(400)),
         Ok(Ok(read)) => read,
     };
-    let Some(left) = limits.max_body_bytes.checked_sub(read.bytes as u64) else {
+    let Some(remaining) = limits.max_body_bytes.checked_sub(read.bytes as u64) else {
         return Err(BadRequest(413));
     };
     if read.is_complete {
-        return Ok(RequestBody::Complete(reservation.attach(read.joined())));
+        return Ok(RequestBody::Complete(reservation.attach(read.into_bytes())));
     }
-    Ok(RequestBody::stream(read.chunks, body, left))
+    Ok(RequestBody::stream(read.chunks, body, remaining))
 }
 
-/// `is_client_gone` turns true when the client leaves: nothing is begun for it any more.
+/// Attempts the request until it gets a final response. No attempt starts after `is_client_disconnected` is
+/// set.
 async fn run_attempts(
     request: UpstreamRequest,
     body: RequestBody,
-    is_client_gone: Rc<Cell<bool>>,
+    is_client_disconnected: Rc<Cell<bool>>,
 ) -> Response<ResponseBody> {
     let proxy = &request.proxy;
-    let is_repeatable = body.copy().is_some();
+    let is_repeatable = body.try_clone().is_some();
     let route = request.route.clone();
     let mut lifecycle = proxy.step(|state, _| RequestLifecycle::new(state, route, is_repeatable));
     let mut body = Some(body);
     loop {
-        let is_wanted = !is_client_gone.get() && body.is_some();
-        let step = proxy.step(|state, now| lifecycle.next_step(state, now, is_wanted));
+        let can_attempt = !is_client_disconnected.get() && body.is_some();
+        let step = proxy.step(|state, now| lifecycle.next_step(state, now, can_attempt));
         let (pick, to, check_at_ms) = match step {
             NextStep::Attempt {
                 pick,
@@ -170,65 +172,65 @@
         };
         let attempt = TrackedAttempt::new(proxy, &request.route.service, pick);
         let Some(sent) = body.take() else {
-            return local_response::of_status(502);
+            return local_response::with_status(502);
         };
-        body = sent.copy();
-        let ended = run_attempt(&request, &lifecycle, &to, sent, check_at_ms).await;
-        if let AttemptEnd::ClientFailed(status) = ended.end {
-            attempt.end(ended.end);
-            return local_response::of_status_and_close(status);
+        body = sent.try_clone();
+        let result = run_attempt(&request, &lifecycle, &to, sent, check_at_ms).await;
+        if let AttemptEnd::ClientFailed(status) = result.end {
+            attempt.end(result.end);
+            return local_response::with_status_and_close(status);
         }
-        let response = end_attempt(attempt, ended.end, ended.response);
-        if ended.body.is_some() {
-            body = ended.body;
+        let response = end_attempt(attempt, result.end, result.response);
+        if result.body.is_some() {
+            body = result.body;
         }
         let status = response.as_ref().map(|response| response.status().as_u16());
         let has_body = body.is_some();
         let after = proxy
-            .step(|state, now| lifecycle.attempt_ended(state, now, ended.end, status, has_body));
+            .step(|state, now| lifecycle.attempt_ended(state, now, result.end, status, has_body));
         match (after, response) {
             (AfterAttempt::Retry, _) => {}
             (AfterAttempt::Forward, Some(response)) => return response,
-            (AfterAttempt::Forward, None) => return local_response::of_status(502),
+            (AfterAttempt::Forward, None) => return local_response::with_status(502),
             (AfterAttempt::Respond(local), _) => return local_response::response(local),
         }
     }
 }
 
-/// One attempt, broken off when it takes too long.
+/// Runs one attempt and aborts it if it takes too long.
 async fn run_attempt(
     request: &UpstreamRequest,
     lifecycle: &RequestLifecycle,
     to: &TableEntry,
     body: RequestBody,
     check_at_ms: f64,
-) -> EndedAttempt {
+) -> AttemptResult {
     let proxy = &request.proxy;
     let is_sent = Cell::new(false);
     let upload = body.upload_state();
     let mut attempt = std::pin::pin!(request.attempt(to, body, &is_sent));
-    if let Ok(ended) = timeout_at(proxy.instant(check_at_ms), attempt.as_mut()).await {
-        return ended;
+    if let Ok(result) = timeout_at(proxy.instant(check_at_ms), attempt.as_mut()).await {
+        return result;
     }
-    let is_broken_off = proxy.step(|state, now| lifecycle.should_abort(state, now));
-    if !is_broken_off {
+    let is_aborted = proxy.step(|state, now| lifecycle.should_abort(state, now));
+    if !is_aborted {
         let deadline = proxy.instant(request.route.deadline_ms);
-        if let Ok(ended) = timeout_at(deadline, attempt).await {
-            return ended;
+        if let Ok(result) = timeout_at(deadline, attempt).await {
+            return result;
         }
     }
-    let waits_for_client = upload.is_some_and(|upload| upload.get() == UploadState::WaitsForClient);
-    EndedAttempt::new(AttemptEnd::from_abort(is_sent.get(), waits_for_client))
+    let awaits_client = upload.is_some_and(|upload| upload.get() == UploadState::AwaitingClient);
+    AttemptResult::new(AttemptEnd::from_abort(is_sent.get(), awaits_client))
 }
 
-/// Has an attempt counted: at once, or when the last byte of a response that is passed on as it comes has come.
+/// Records the end of an attempt. A streamed response records it when its last byte arrives.
 fn end_attempt(
     attempt: TrackedAttempt,
     end: AttemptEnd,
     response: Option<UpstreamResponse>,
 ) -> Option<Response<ResponseBody>> {
     match response {
-        Some(UpstreamResponse::Begun(head, mut download)) => {
+        Some(UpstreamResponse::Streaming(head, mut download)) => {
             download.attempt = Some(attempt);
             let body = ResponseBody::stream(*download);
             Some(Response::from_parts(head, body))
--- a/crates/rookpulley-proxy/src/head_scanner.rs
+++ b/crates/rookpulley-proxy/src/head_scanner.rs
@@ -1,31 +1,31 @@
-//! Finds the end of a request's head among the bytes of its connection, as hyper's parser finds it.
+//! Finds the end of a request head in the byte stream, consistently with hyper's parser.
 
 use crate::connection_monitor::ConnectionMonitor;
 
-/// Where in a head the bytes stand.
+/// The scanner position within a head.
 #[derive(Clone, Copy, PartialEq)]
 pub enum HeadScanner {
-    /// Before the first byte that counts; empty lines may come before it.
+    /// Before the first byte of the head; empty lines are skipped.
     BeforeHead,
-    /// In the first line.
-    FirstLine,
-    /// In a later one.
-    LaterLine,
+    /// In the request line.
+    RequestLine,
+    /// In a header line.
+    HeaderLine,
     /// At the start of a line.
     LineStart,
-    /// Behind a carriage return at the start of a line.
-    LineStartReturn,
+    /// After a carriage return at the start of a line.
+    LineStartCr,
 }
 
 impl HeadScanner {
-    /// Reads on. How many bytes there are up to the head's end, if it is here.
+    /// Scans bytes and returns the number up to the end of the head, if it is among them.
     pub fn scan(&mut self, bytes: &[u8], monitor: &ConnectionMonitor) -> Option<usize> {
         let mut read = 0;
         if *self == Self::BeforeHead {
             let is_line_end = |byte: &u8| matches!(byte, b'\r' | b'\n');
             read = bytes.iter().position(|byte| !is_line_end(byte))?;
-            monitor.head_began();
-            *self = Self::FirstLine;
+            monitor.head_started();
+            *self = Self::RequestLine;
         }
         let start = read;
         let mut end = None;
@@ -33,13 +33,13 @@
             && let Some(rest @ [first, ..]) = bytes.get(read..)
         {
             read += match (*self, first) {
-                (Self::LineStart | Self::LineStartReturn, b'\n') => {
+                (Self::LineStart | Self::LineStartCr, b'\n') => {
                     *self = Self::BeforeHead;
                     end = Some(read + 1);
                     1
                 }
                 (Self::LineStart, b'\r') => {
-                    *self = Self::LineStartReturn;
+                    *self = Self::LineStartCr;
                     1
                 }
                 _ => self.scan_line(rest, monitor),
@@ -50,16 +50,16 @@
         end
     }
 
-    /// Reads up to the end of a line, and says how many bytes that takes.
+    /// Scans to the end of the line and returns the number of bytes consumed.
     fn scan_line(&mut self, rest: &[u8], monitor: &ConnectionMonitor) -> usize {
         let line_feed = rest.iter().position(|&byte| byte == b'\n');
         let line = rest.get(..line_feed.unwrap_or(rest.len()));
-        if *self == Self::FirstLine && line.unwrap_or_default().contains(&b'#') {
+        if *self == Self::RequestLine && line.unwrap_or_default().contains(&b'#') {
             monitor.has_fragment.set(true);
         }
         match line_feed {
             Some(_) => *self = Self::LineStart,
-            None if *self != Self::FirstLine => *self = Self::LaterLine,
+            None if *self != Self::RequestLine => *self = Self::HeaderLine,
             None => {}
         }
         line_feed.map_or(rest.len(), |line_feed| line_feed + 1)
--- a/crates/rookpulley-proxy/src/lib.rs
+++ b/crates/rookpulley-proxy/src/lib.rs
@@ -1,20 +1,21 @@
-//! Carries requests from clients to instances, by the tables and the configuration that controllers publish.
+//! The proxy process: forwards client requests to instances, using the instance tables and the configuration that
+//! controllers publish.
 //!
-//! What is decided is decided in `rookpulley-proxy-core`. A request passes these phases:
+//! Decisions are made in `rookpulley-proxy-core`; this crate does the I/O. A request passes these phases:
 //!
-//! | phase | file |
+//! | phase | modules |
 //! | --- | --- |
-//! | its connection is taken, and closed where it is idle or slow | `listener`, `client_registry`, `connection_monitor` |
-//! | its bytes are cut from those of the next one | `client_connection`, `head_scanner`, `body_length` |
-//! | it is checked, routed and attempted as often as it may be | `forward`, `request_check`, `headers` |
-//! | one attempt at one instance | `attempt`, `tracked_attempt` |
-//! | a connection to the instance | `upstream_pool`, `response_filter` |
-//! | the response is judged | `response_check` |
-//! | bodies both ways | `body`, `request_body`, `response_body`, `memory` |
-//! | the proxy answers itself | `local_response` |
+//! | accept the connection; close it when idle or slow | `listener`, `client_registry`, `connection_monitor` |
+//! | separate pipelined requests | `client_connection`, `head_scanner`, `body_length` |
+//! | validate, route, attempt and retry | `forward`, `request_check`, `headers`, `request_guard` |
+//! | make one attempt at one instance | `attempt`, `tracked_attempt` |
+//! | connect to the instance | `upstream_pool`, `response_filter` |
+//! | evaluate the response | `response_check` |
+//! | transfer bodies | `body`, `request_body`, `response_body`, `memory` |
+//! | respond locally | `local_response` |
 //!
-//! `context` is what the parts share, `controller_connections` are the connections to controllers, `shutdown` hears the
-//! platform and `readiness` tells it.
+//! `context` holds the shared state, `controller_connections` connects to controllers, `shutdown` handles signals and
+//! periodic work, and `readiness` reports to the platform.
 
 mod attempt;
 mod body;
@@ -56,44 +57,44 @@
 const CLIENT_BACKLOG: u32 = 4_096;
 const READINESS_BACKLOG: u32 = 64;
 
-/// Why a proxy can't run.
+/// Why a proxy cannot start.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum StartError {
-    #[error("proxy: the system refuses what every program needs: {0}")]
-    #[diagnostic(help("look at the limits of the process: descriptors, memory"))]
+    #[error("proxy: cannot initialize the process: {0}")]
+    #[diagnostic(help("check the limits of the process on file descriptors and memory"))]
     System(#[source] std::io::Error),
-    #[error("proxy: the settings give no {0}")]
-    #[diagnostic(help("write \"edge\" under `serves` and both addresses under `listenAddresses`"))]
+    #[error("proxy: the settings contain no address for `{0}`")]
+    #[diagnostic(help("add \"edge\" to `serves` and set both addresses under `listenAddresses`"))]
     NoAddress(&'static str),
-    #[error("proxy: {at} can't be listened at: {why}")]
-    #[diagnostic(help("write an address of this machine, with a port that no other program has"))]
+    #[error("proxy: cannot listen on {address}: {reason}")]
+    #[diagnostic(help("use an address of this machine and a port that is not in use"))]
     Listen {
-        at: SocketAddrV4,
-        why: std::io::Error,
+        address: SocketAddrV4,
+        reason: std::io::Error,
     },
 }
 
-/// The addresses that a proxy serves.
+/// The listening sockets of a proxy.
 pub struct Listeners {
     clients: TcpListener,
     readiness: TcpListener,
 }
 
-/// Where a proxy listens.
+/// The addresses that a proxy listens on.
 pub struct ListenAddresses {
-    /// For clients.
+    /// Serves client requests.
     pub clients: SocketAddr,
-    /// For whoever asks whether clients should come.
+    /// Serves readiness checks.
     pub readiness: SocketAddr,
 }
 
 impl Listeners {
-    /// Listens at the addresses of the settings.
+    /// Binds the addresses given in the settings.
     pub fn bind(node: &Node) -> Result<Self, StartError> {
-        let listen = |at: Option<SocketAddrV4>, name, backlog| {
-            let at = at.ok_or(StartError::NoAddress(name))?;
-            connection::listen(SocketAddr::V4(at), backlog)
-                .map_err(|why| StartError::Listen { at, why })
+        let listen = |address: Option<SocketAddrV4>, name, backlog| {
+            let address = address.ok_or(StartError::NoAddress(name))?;
+            connection::listen(SocketAddr::V4(address), backlog)
+                .map_err(|reason| StartError::Listen { address, reason })
         };
         Ok(Self {
             clients: listen(node.listen.front, "frontHttp", CLIENT_BACKLOG)?,
@@ -101,7 +102,7 @@
         })
     }
 
-    /// Where it listens.
+    /// The bound addresses.
     pub fn addresses(&self) -> std::io::Result<ListenAddresses> {
         Ok(ListenAddresses {
             clients: self.clients.local_addr()?,
@@ -110,16 +111,17 @@
     }
 }
 
-/// Runs until the platform ends it, inside a `LocalSet`. The settings file is read again when it changes.
+/// Runs the proxy until it is told to shut down. Must be called inside a `LocalSet`. The settings
+/// file is reloaded when it changes.
 pub async fn run(
     proxy: Rc<ProxyContext>,
     listeners: Listeners,
     settings_file: Option<PathBuf>,
     signals: Signals,
 ) {
-    tracing::info!("proxy: {} begins", proxy.node.name);
+    tracing::info!("proxy: {} is starting", proxy.node.name);
     tokio::task::spawn_local(readiness::serve(proxy.clone(), listeners.readiness));
     tokio::task::spawn_local(listener::serve(proxy.clone(), listeners.clients));
     proxy.step(ProxyState::tick);
-    shutdown::run_until_end(proxy, settings_file, signals).await;
+    shutdown::run_until_shutdown(proxy, settings_file, signals).await;
 }
--- a/crates/rookpulley-proxy/src/listener.rs
+++ b/crates/rookpulley-proxy/src/listener.rs
@@ -1,4 +1,5 @@
-//! Takes clients' connections, serves them, and closes those that are idle or slow beyond their limits.
+//! Accepts and serves client connections, and closes those that are idle or slow beyond their
+//! limits.
 
 use crate::client_connection::ClientConnection;
 use crate::client_registry::Admitted;
@@ -16,20 +17,21 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// What a client may leave unacknowledged: its link may be slow, so this is longer than among machines.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(10);
-/// How long a client may take to hear that it was too slow.
-const LAST_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// After an accept that failed for want of something, such as descriptors.
+/// How long sent data may stay unacknowledged; longer than between servers, as client links may be
+/// slow.
+const ACK_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long to wait while sending the 408 response.
+const FINAL_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pause after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// The parser takes a bit more than any head may have, so that the limit is kept in one place: by the check.
+/// Extra buffer for hyper's parser, so that only `request_check` enforces the head limit.
 const PARSER_MARGIN: usize = 8 << 10;
-/// A longer head is refused though the operator should allow it.
+/// Upper limit on the configured head size.
 const MAX_HEAD_BYTES: usize = 256 << 10;
-const TOO_SLOW: &[u8] =
+const REQUEST_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// Takes connections until it is dropped.
+/// Accepts connections until the task is dropped.
 pub async fn serve(proxy: Rc<ProxyContext>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -38,9 +40,9 @@
                     tokio::task::spawn_local(serve_client(proxy.clone(), stream, admitted));
                 }
             }
-            Err(why) => {
-                tracing::warn!("listener: no connection can be taken: {why}");
-                proxy.clients.make_room();
+            Err(error) => {
+                tracing::warn!("listener: cannot accept a connection: {error}");
+                proxy.clients.evict_idle();
                 tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
@@ -48,10 +50,10 @@
 }
 
 async fn serve_client(proxy: Rc<ProxyContext>, stream: TcpStream, admitted: Admitted) {
-    let Admitted { number, monitor } = admitted;
-    connection::configure(&stream, UNACKNOWLEDGED);
-    let max_head = proxy.limits().max_header_bytes;
-    let max_head = max_head.clamp(Limits::default().max_header_bytes, MAX_HEAD_BYTES);
+    let Admitted { id, monitor } = admitted;
+    connection::configure(&stream, ACK_TIMEOUT);
+    let max_head_bytes = proxy.limits().max_header_bytes;
+    let max_head_bytes = max_head_bytes.clamp(Limits::default().max_header_bytes, MAX_HEAD_BYTES);
     let io = TokioIo::new(ClientConnection::new(stream, monitor.clone()));
     let service = {
         let (proxy, monitor) = (proxy.clone(), monitor.clone());
@@ -60,56 +62,58 @@
             async move { Ok::<_, Infallible>(forward::serve(proxy, monitor, request).await) }
         })
     };
-    // The time for a head is kept by the sweep: the parser's own would also run while a connection is idle.
+    // The sweep enforces the head timeout, because hyper's timer also runs while a connection is
+    // idle.
     let mut connection = http1::Builder::new()
         .header_read_timeout(None)
-        .max_buf_size(max_head + PARSER_MARGIN)
+        .max_buf_size(max_head_bytes + PARSER_MARGIN)
         .auto_date_header(false)
         .serve_connection(io, service);
     loop {
         tokio::select! {
             biased;
-            ended = &mut connection => {
-                if let Err(why) = ended {
-                    tracing::debug!("listener: a client's connection ended: {why}");
+            result = &mut connection => {
+                if let Err(error) = result {
+                    tracing::debug!("listener: client connection closed with an error: {error}");
                 }
                 break;
             }
             () = monitor.close.notified() => {}
         }
-        match next_close(&proxy, &monitor) {
-            Close::No => {}
-            Close::AtOnce => break,
-            Close::AfterAnswer => {
+        match close_mode(&proxy, &monitor) {
+            CloseMode::KeepOpen => {}
+            CloseMode::Immediate => break,
+            CloseMode::AfterResponse => {
                 let client = connection.into_parts().io.into_inner();
-                _ = tokio::time::timeout(LAST_ANSWER_TIMEOUT, answer_too_slow(client)).await;
+                _ = tokio::time::timeout(FINAL_RESPONSE_TIMEOUT, send_request_timeout(client))
+                    .await;
                 break;
             }
         }
     }
-    proxy.clients.remove(number);
+    proxy.clients.remove(id);
 }
 
-/// How a connection is closed.
-enum Close {
-    No,
-    AtOnce,
-    AfterAnswer,
+/// How to close a connection.
+enum CloseMode {
+    KeepOpen,
+    Immediate,
+    AfterResponse,
 }
 
-fn next_close(proxy: &ProxyContext, monitor: &ConnectionMonitor) -> Close {
-    match monitor.close_reason(proxy.limits(), proxy.is_ending()) {
-        // Nothing of a request is here, or the client doesn't take what is written.
-        Some(CloseReason::Idle | CloseReason::WriteStuck) => Close::AtOnce,
-        Some(CloseReason::SlowHead) if monitor.is_write_stuck() => Close::AtOnce,
-        Some(CloseReason::SlowHead) => Close::AfterAnswer,
-        None if monitor.is_evicted.take() && monitor.is_idle() => Close::AtOnce,
-        None => Close::No,
+fn close_mode(proxy: &ProxyContext, monitor: &ConnectionMonitor) -> CloseMode {
+    match monitor.close_reason(proxy.limits(), proxy.is_shutting_down()) {
+        // There is no request to respond to, or the client does not read.
+        Some(CloseReason::Idle | CloseReason::WriteBlocked) => CloseMode::Immediate,
+        Some(CloseReason::SlowHead) if monitor.is_write_blocked() => CloseMode::Immediate,
+        Some(CloseReason::SlowHead) => CloseMode::AfterResponse,
+        None if monitor.is_evicted.take() && monitor.is_idle() => CloseMode::Immediate,
+        None => CloseMode::KeepOpen,
     }
 }
 
-async fn answer_too_slow(mut client: ClientConnection) {
-    if client.write_all(TOO_SLOW).await.is_ok() {
+async fn send_request_timeout(mut client: ClientConnection) {
+    if client.write_all(REQUEST_TIMEOUT_RESPONSE).await.is_ok() {
         _ = client.shutdown().await;
     }
 }
--- a/crates/rookpulley-proxy/src/main.rs
+++ b/crates/rookpulley-proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The program that carries traffic.
+//! The proxy process.
 
 use rookpulley_proxy::{Listeners, ProxyContext, Signals, StartError, run};
 use rookpulley_runtime::log;
@@ -6,11 +6,11 @@
 use std::io::Write;
 
 xflags::xflags! {
-    /// The program of rookpulley that carries traffic. Its settings are read from the file that ROOKPULLEY_BOOT names.
+    /// The rookpulley proxy. Reads its settings from the file named by ROOKPULLEY_BOOT.
     cmd rookpulley-proxy {
-        /// Reads the settings, prints them and ends.
+        /// Validate and print the settings, then exit.
         optional --check
-        /// Prints lines of the ordinary path, too.
+        /// Also log at debug level.
         optional --verbose
     }
 }
@@ -35,13 +35,13 @@
         .enable_all()
         .build();
     let runtime = runtime.map_err(StartError::System)?;
-    let ended = tokio::task::LocalSet::new().block_on(&runtime, async {
-        // Before anything else, lest a signal that comes early ends the program.
-        let signals = Signals::of_process().map_err(StartError::System)?;
+    let result = tokio::task::LocalSet::new().block_on(&runtime, async {
+        // Installed first, so that an early signal does not kill the process.
+        let signals = Signals::from_process().map_err(StartError::System)?;
         let listeners = Listeners::bind(&node)?;
         run(ProxyContext::new(node), listeners, Some(path), signals).await;
         Ok::<_, StartError>(())
     });
     runtime.shutdown_background();
-    Ok(ended?)
+    Ok(result?)
 }
--- a/crates/rookpulley-proxy/src/memory.rs
+++ b/crates/rookpulley-proxy/src/memory.rs
@@ -1,10 +1,10 @@
-//! How much memory bodies may take that are held in whole.
+//! Limits the memory used by buffered bodies.
 
 use bytes::Bytes;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 
-/// The memory for bodies that are held until they are complete.
+/// The memory budget for buffered bodies.
 pub struct MemoryLimit {
     used: Arc<AtomicUsize>,
     max: usize,
@@ -18,12 +18,14 @@
         }
     }
 
-    /// Memory for a response, given back when it is dropped. None: there is no more.
+    /// Reserves memory for a response until the reservation is dropped. Returns `None` if not
+    /// enough is left.
     pub fn reserve_for_response(&self, bytes: usize) -> Option<Reservation> {
         self.reserve(bytes, self.max)
     }
 
-    /// The same for what a client sends. Clients that take their time can't take all the memory there is.
+    /// Reserves memory for a request body. Requests get at most half of the budget, so that slow
+    /// clients cannot exhaust it.
     pub fn reserve_for_request(&self, bytes: usize) -> Option<Reservation> {
         self.reserve(bytes, self.max / 2)
     }
@@ -41,14 +43,14 @@
     }
 }
 
-/// Memory that is taken. It goes along with bytes into whatever writes them, hence no plain cell.
+/// Reserved memory. Atomic, because it is released wherever the attached bytes are dropped.
 pub struct Reservation {
     used: Arc<AtomicUsize>,
     bytes: usize,
 }
 
 impl Reservation {
-    /// Bytes that take no more memory than they need, until the last copy of them is gone.
+    /// Ties the reservation to `bytes`, shrunk to their length; it is released with the last clone.
     pub fn attach(mut self, bytes: Bytes) -> Bytes {
         let spare = self.bytes.saturating_sub(bytes.len());
         self.bytes -= spare;
--- a/crates/rookpulley-proxy/src/memory/tests.rs
+++ b/crates/rookpulley-proxy/src/memory/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn memory_is_given_back_with_the_last_copy_of_what_takes_it() {
+fn reservation_is_released_with_the_last_clone_of_the_bytes() {
     let max = 1_000_000;
     let memory = MemoryLimit::new(max);
     assert!(memory.reserve_for_response(max + 1).is_none());
--- a/crates/rookpulley-proxy/src/readiness.rs
+++ b/crates/rookpulley-proxy/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Tells the platform whether clients should come here.
+//! The readiness endpoint polled by the platform.
 
 use crate::context::ProxyContext;
 use rookpulley_api::{Bounds, Call, Reply};
@@ -7,13 +7,12 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Only the platform asks, now and then.
 const MAX_CONNECTIONS: usize = 32;
 const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// Answers until it is dropped.
+/// Serves readiness checks until the task is dropped.
 pub async fn serve(proxy: Rc<ProxyContext>, listener: TcpListener) {
-    let answer = move |_: Call| {
+    let respond = move |_: Call| {
         let status = if proxy.is_ready() { 200 } else { 503 };
         ready(Reply::empty(status))
     };
@@ -23,7 +22,7 @@
         bodies_bytes: MAX_BODY_BYTES,
         ..Bounds::default()
     };
-    // It answers until the program ends: that the end has begun is what the platform asks for.
-    let (_stop, stopped) = watch::channel(false);
-    rookpulley_api::serve(listener, bounds, stopped, Rc::new(answer)).await;
+    // Never stopped: the endpoint has to report 503 during shutdown.
+    let (_stop_sender, stop_receiver) = watch::channel(false);
+    rookpulley_api::serve(listener, bounds, stop_receiver, Rc::new(respond)).await;
 }
--- a/crates/rookpulley-proxy/src/request_body.rs
+++ b/crates/rookpulley-proxy/src/request_body.rs
@@ -1,4 +1,4 @@
-//! The body of a request on its way to an instance.
+//! Request bodies sent to instances.
 
 use crate::body::{BodyError, ChunkStream, Content, poll_data};
 use bytes::Bytes;
@@ -8,34 +8,34 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// How far a client is with a body that is passed on as it comes.
+/// The progress of a streamed upload.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum UploadState {
-    /// There is more of it than was asked for so far.
+    /// The last poll returned data, or there was none yet.
     Available,
-    /// The client is waited for.
-    WaitsForClient,
-    /// It is complete.
+    /// Waiting for the client to send more.
+    AwaitingClient,
+    /// The whole body has been read.
     Complete,
-    /// It failed by the client's fault, which is worth this status.
+    /// The client failed to send the body correctly; respond with this status.
     Failed(u16),
 }
 
-/// The body of a request. Held in whole, it can be sent again.
+/// The body of a request. A buffered body can be sent again.
 pub type RequestBody = Content<Upload>;
 
-/// A body that is too long to be held.
+/// A body that is streamed instead of buffered.
 pub struct Upload {
-    /// What was read of it before.
+    /// Chunks that were already read.
     chunks: VecDeque<Bytes>,
     rest: Incoming,
-    /// How much more the client may send.
+    /// How many more bytes the client may send.
     max_bytes: u64,
     state: Rc<Cell<UploadState>>,
 }
 
 impl RequestBody {
-    /// A body of which these chunks were read.
+    /// A streamed body, starting with chunks that were already read.
     pub fn stream(chunks: VecDeque<Bytes>, rest: Incoming, max_bytes: u64) -> Self {
         Self::Stream(Box::new(Upload {
             chunks,
@@ -45,15 +45,15 @@
         }))
     }
 
-    /// The same body once more, where it can be had.
-    pub fn copy(&self) -> Option<Self> {
+    /// A copy of a buffered body, or `None` if the body is streamed.
+    pub fn try_clone(&self) -> Option<Self> {
         match self {
             Self::Complete(bytes) => Some(Self::Complete(bytes.clone())),
             Self::Stream(_) => None,
         }
     }
 
-    /// How far a client is that still sends it.
+    /// The progress of a streamed body, or `None` if it is buffered.
     pub fn upload_state(&self) -> Option<Rc<Cell<UploadState>>> {
         match self {
             Self::Complete(_) => None,
@@ -69,16 +69,16 @@
         }
         let polled = poll_data(&mut self.rest, context);
         let state = match &polled {
-            Poll::Pending => UploadState::WaitsForClient,
+            Poll::Pending => UploadState::AwaitingClient,
             Poll::Ready(None) => UploadState::Complete,
             Poll::Ready(Some(Err(_))) => UploadState::Failed(400),
             Poll::Ready(Some(Ok(chunk))) => {
-                let Some(left) = self.max_bytes.checked_sub(chunk.len() as u64) else {
+                let Some(remaining) = self.max_bytes.checked_sub(chunk.len() as u64) else {
                     self.state.set(UploadState::Failed(413));
-                    let why = "the client sends more than it may";
-                    return Poll::Ready(Some(Err(why.into())));
+                    let error = "the request body exceeds the size limit";
+                    return Poll::Ready(Some(Err(error.into())));
                 };
-                self.max_bytes = left;
+                self.max_bytes = remaining;
                 UploadState::Available
             }
         };
@@ -86,7 +86,7 @@
         polled
     }
 
-    fn bytes_left(&self) -> Option<u64> {
+    fn remaining_bytes(&self) -> Option<u64> {
         let read: usize = self.chunks.iter().map(Bytes::len).sum();
         let rest = self.rest.size_hint().exact();
         rest.map(|rest| rest + read as u64)
--- a/crates/rookpulley-proxy/src/request_check.rs
+++ b/crates/rookpulley-proxy/src/request_check.rs
@@ -1,4 +1,4 @@
-//! What a request must look like before anything is done for it.
+//! Validates request heads.
 
 use crate::connection_monitor::ConnectionMonitor;
 use crate::headers::{DEADLINE_MS, REQUEST_ID, is_chunked, single};
@@ -8,23 +8,22 @@
 use hyper::{Method, Version};
 use rookpulley_routes::Limits;
 
-/// A request's id is short; what is longer is none.
+/// The maximum length of a request id.
 const MAX_ID_BYTES: usize = 256;
 
-/// What was read from a proper head.
+/// The values read from a valid head.
 #[derive(Debug)]
 pub struct CheckedHead {
-    /// Without a port.
+    /// The host name, without the port.
     pub host: String,
-    /// The request's id.
     pub id: HeaderValue,
-    /// How long the client says that it will wait, if it says so in a way that can be read.
+    /// How long the client waits, if it sent a valid value.
     pub client_wait_ms: Option<f64>,
-    /// The length of the body, where it is stated.
+    /// The value of `Content-Length`, if present.
     pub length: Option<u64>,
 }
 
-/// Why a request is refused: the status that says so.
+/// The status of the response that rejects an invalid request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BadRequest(pub u16);
 
@@ -33,7 +32,7 @@
 const HEAD_TOO_LONG: BadRequest = BadRequest(431);
 const VERSION_NOT_SUPPORTED: BadRequest = BadRequest(505);
 
-/// Checks a head.
+/// Validates a request head and extracts the values needed to route it.
 pub fn check(
     head: &Parts,
     monitor: &ConnectionMonitor,
@@ -42,16 +41,16 @@
     if monitor.head_bytes.get() > limits.max_header_bytes {
         return Err(HEAD_TOO_LONG);
     }
-    // To an older client a long answer that breaks off would look complete.
+    // An HTTP/1.0 client could take a truncated streamed response for a complete one.
     if head.version != Version::HTTP_11 {
         return Err(VERSION_NOT_SUPPORTED);
     }
-    if !has_plain_target(head, monitor) {
+    if !is_origin_form(head, monitor) {
         return Err(BAD_REQUEST);
     }
     let headers = &head.headers;
     let host = single(headers, &HOST).and_then(|host| host.to_str().ok());
-    let host = host.and_then(without_port).ok_or(BAD_REQUEST)?;
+    let host = host.and_then(strip_port).ok_or(BAD_REQUEST)?;
     let id = single(headers, &REQUEST_ID);
     let id = id
         .filter(|id| !id.is_empty() && id.len() <= MAX_ID_BYTES)
@@ -59,7 +58,7 @@
     if headers.contains_key(TRANSFER_ENCODING) && !is_chunked(headers) {
         return Err(BAD_REQUEST);
     }
-    let length = headers.get(CONTENT_LENGTH).map(whole_number);
+    let length = headers.get(CONTENT_LENGTH).map(parse_content_length);
     let length = length.transpose()?;
     if length.is_some_and(|length| length > limits.max_body_bytes) {
         return Err(BODY_TOO_LONG);
@@ -67,13 +66,13 @@
     Ok(CheckedHead {
         host,
         id: id.clone(),
-        client_wait_ms: single(headers, &DEADLINE_MS).and_then(milliseconds),
+        client_wait_ms: single(headers, &DEADLINE_MS).and_then(parse_milliseconds),
         length,
     })
 }
 
-/// Whether the target is a path of this host alone.
-fn has_plain_target(head: &Parts, monitor: &ConnectionMonitor) -> bool {
+/// Whether the target is in origin form, without a fragment.
+fn is_origin_form(head: &Parts, monitor: &ConnectionMonitor) -> bool {
     let target = &head.uri;
     target.scheme().is_none()
         && target.authority().is_none()
@@ -82,17 +81,17 @@
         && head.method != Method::CONNECT
 }
 
-fn whole_number(value: &HeaderValue) -> Result<u64, BadRequest> {
+fn parse_content_length(value: &HeaderValue) -> Result<u64, BadRequest> {
     let text = value.to_str().map_err(|_| BAD_REQUEST)?;
     text.parse().map_err(|_| BAD_REQUEST)
 }
 
-fn milliseconds(value: &HeaderValue) -> Option<f64> {
+fn parse_milliseconds(value: &HeaderValue) -> Option<f64> {
     let ms = value.to_str().ok()?.trim().parse::<f64>().ok()?;
     (ms.is_finite() && ms >= 0.0).then_some(ms)
 }
 
-fn without_port(host: &str) -> Option<String> {
+fn strip_port(host: &str) -> Option<String> {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         Some(_) => return None,
--- a/crates/rookpulley-proxy/src/request_guard.rs
+++ b/crates/rookpulley-proxy/src/request_guard.rs
@@ -1,11 +1,11 @@
-//! A request is at work for as long as its guard lives.
+//! Guards that track requests in progress.
 
 use crate::body_length::BodyLength;
 use crate::connection_monitor::ConnectionMonitor;
 use crate::context::ProxyContext;
 use std::rc::Rc;
 
-/// Counts among the requests in flight as long as it lives.
+/// Counts as a request in flight until dropped.
 pub struct InFlightGuard(Rc<ProxyContext>);
 
 impl InFlightGuard {
@@ -23,20 +23,20 @@
     }
 }
 
-/// A request is at work on its connection as long as this lives.
+/// Marks a request as active on its connection until dropped.
 pub struct RequestGuard {
     monitor: Rc<ConnectionMonitor>,
     _in_flight: InFlightGuard,
 }
 
 impl RequestGuard {
-    /// `body`: what is to come of the request's body.
+    /// `body` is the remaining request body.
     pub fn new(
         proxy: &Rc<ProxyContext>,
         monitor: &Rc<ConnectionMonitor>,
         body: BodyLength,
     ) -> Self {
-        monitor.request_began(body);
+        monitor.request_started(body);
         Self {
             monitor: monitor.clone(),
             _in_flight: InFlightGuard::new(proxy),
--- a/crates/rookpulley-proxy/src/response_body.rs
+++ b/crates/rookpulley-proxy/src/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of a response on its way to a client.
+//! Response bodies sent to clients.
 
 use crate::body::{BodyError, ChunkStream, Content, poll_data};
 use crate::request_guard::RequestGuard;
@@ -12,30 +12,31 @@
 use std::task::{Context, Poll, ready};
 use tokio::time::Sleep;
 
-const LATE: &str = "its time is over";
+const DEADLINE_EXCEEDED: &str = "the request deadline was exceeded";
 
 /// The body of a response.
 pub struct ResponseBody {
     content: Content<Download>,
-    /// Kept until the last byte has been handed on.
+    /// Dropped with the body, once the last byte has been written.
     guard: Option<RequestGuard>,
 }
 
-/// A body that is too long to be held. If it breaks off, so does the client's connection: it must not look complete.
+/// A body that is streamed instead of buffered. If it fails, the client connection is closed, so
+/// that the response does not look complete.
 pub struct Download {
-    /// What was read of it before.
+    /// Chunks that were already read.
     pub chunks: VecDeque<Bytes>,
     pub rest: Incoming,
-    /// How many bytes are still to come, where that is known.
-    pub bytes_left: Option<u64>,
+    /// How many bytes are still to come, if known.
+    pub remaining_bytes: Option<u64>,
     pub deadline: Pin<Box<Sleep>>,
-    /// The connection that it comes on, and how long the instance keeps that.
+    /// The upstream connection and how long it may be reused.
     pub connection: Option<(UpstreamConnection, KeepAlive)>,
     pub attempt: Option<TrackedAttempt>,
 }
 
 impl ResponseBody {
-    /// A body held in whole.
+    /// A buffered body.
     pub fn complete(bytes: Bytes) -> Self {
         Self {
             content: Content::Complete(bytes),
@@ -43,7 +44,7 @@
         }
     }
 
-    /// A body that is passed on as it comes.
+    /// A streamed body.
     pub fn stream(download: Download) -> Self {
         Self {
             content: Content::Stream(Box::new(download)),
@@ -51,8 +52,8 @@
         }
     }
 
-    /// The request is at work until this body is handed on.
-    pub fn keep(&mut self, guard: RequestGuard) {
+    /// Keeps the guard until the body is dropped.
+    pub fn attach_guard(&mut self, guard: RequestGuard) {
         self.guard = Some(guard);
     }
 }
@@ -60,14 +61,14 @@
 impl ChunkStream for Download {
     fn poll_chunk(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         let chunk = ready!(self.poll_next(context));
-        if let (Some(Ok(chunk)), Some(left)) = (&chunk, &mut self.bytes_left) {
-            *left = left.saturating_sub(chunk.len() as u64);
+        if let (Some(Ok(chunk)), Some(remaining)) = (&chunk, &mut self.remaining_bytes) {
+            *remaining = remaining.saturating_sub(chunk.len() as u64);
         }
         Poll::Ready(chunk)
     }
 
-    fn bytes_left(&self) -> Option<u64> {
-        self.bytes_left
+    fn remaining_bytes(&self) -> Option<u64> {
+        self.remaining_bytes
     }
 }
 
@@ -76,25 +77,25 @@
         if let Some(chunk) = self.chunks.pop_front() {
             return Poll::Ready(Some(Ok(chunk)));
         }
-        let is_late = self.deadline.as_mut().poll(context).is_ready();
+        let is_past_deadline = self.deadline.as_mut().poll(context).is_ready();
         match poll_data(&mut self.rest, context) {
             Poll::Ready(None) => {
                 self.complete();
                 Poll::Ready(None)
             }
-            Poll::Ready(Some(Err(why))) => {
+            Poll::Ready(Some(Err(error))) => {
                 self.fail(Some(AttemptOutcome::Interrupted));
-                Poll::Ready(Some(Err(why)))
+                Poll::Ready(Some(Err(error)))
             }
-            // The instance has done its part: the client takes too long.
-            Poll::Ready(Some(Ok(_))) if is_late => {
+            // The instance delivered in time; the client is too slow.
+            Poll::Ready(Some(Ok(_))) if is_past_deadline => {
                 self.fail(None);
-                Poll::Ready(Some(Err(LATE.into())))
+                Poll::Ready(Some(Err(DEADLINE_EXCEEDED.into())))
             }
             Poll::Ready(Some(Ok(chunk))) => Poll::Ready(Some(Ok(chunk))),
-            Poll::Pending if is_late => {
+            Poll::Pending if is_past_deadline => {
                 self.fail(Some(AttemptOutcome::Interrupted));
-                Poll::Ready(Some(Err(LATE.into())))
+                Poll::Ready(Some(Err(DEADLINE_EXCEEDED.into())))
             }
             Poll::Pending => Poll::Pending,
         }
@@ -112,10 +113,10 @@
         self.end_attempt(outcome);
     }
 
-    /// Without an outcome it says nothing about the instance.
+    /// Records the outcome of the attempt. Without one, the attempt is cancelled and not counted.
     fn end_attempt(&mut self, outcome: Option<AttemptOutcome>) {
         if let (Some(attempt), Some(outcome)) = (self.attempt.take(), outcome) {
-            attempt.end_with(outcome);
+            attempt.end_with_outcome(outcome);
         }
     }
 }
--- a/crates/rookpulley-proxy/src/response_filter.rs
+++ b/crates/rookpulley-proxy/src/response_filter.rs
@@ -1,5 +1,5 @@
-//! A connection to an instance, between the socket and hyper's parser: late responses that nobody waits for any more are
-//! left out, and it is known whether anything of a request has been sent.
+//! Wraps an upstream socket for hyper's parser: discards stale responses, and tracks whether any
+//! byte of a request has been sent.
 
 use crate::body_length::BodyLength;
 use bytes::{Buf, BytesMut};
@@ -15,104 +15,105 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A head that is longer is handed on as it is: the parser refuses it.
+/// A longer head is passed through, and rejected by hyper's parser.
 const MAX_HEAD_BYTES: usize = 64 << 10;
-/// The most headers of a head: the parser refuses more, too.
+/// The maximum number of headers, as in hyper's parser.
 const MAX_HEADERS: usize = 100;
-/// Requests of a connection whose responses may still come a second time.
-const MAX_EARLIER_REQUESTS: usize = 4;
+/// How many previous requests per connection are checked for duplicate responses.
+const MAX_PREVIOUS_REQUESTS: usize = 4;
 const READ_BYTES: usize = 4 << 10;
 
-/// What a connection and those who use it tell each other.
+/// State shared by a connection and its users.
 #[derive(Default)]
 pub struct PendingResponse {
-    /// The head of a response is awaited.
-    is_head_awaited: Cell<bool>,
-    /// Bytes of the request that the system has taken.
+    /// Whether the head of a response is awaited.
+    is_awaiting_head: Cell<bool>,
+    /// Bytes of the current request that were written to the socket.
     bytes_sent: Cell<u64>,
-    /// Before the first byte is sent it is to be checked whether the instance has closed the connection.
-    is_checked: Cell<bool>,
+    /// Whether to check for unexpected input from the instance before the first byte is sent.
+    must_check_peer: Cell<bool>,
     requests: RefCell<SentRequests>,
-    /// A response that had come before was left out: the connection isn't to be used again.
-    is_out_of_order: Cell<bool>,
+    /// Whether a stale or interim response was discarded; the connection must not be reused.
+    has_discarded_response: Cell<bool>,
 }
 
-/// Whose responses may come on a connection.
+/// The requests whose responses may arrive on a connection.
 #[derive(Default)]
 struct SentRequests {
     current: Option<SentRequest>,
-    earlier: VecDeque<SentRequest>,
+    previous: VecDeque<SentRequest>,
 }
 
-/// A request. The response to a HEAD has no body, whatever length it states.
+/// A sent request. The response to a HEAD has no body, whatever length it states.
 struct SentRequest {
-    /// A copy of id own: the client's would keep the whole head in memory.
+    /// An own copy: a clone of the header value would keep the whole client head in memory.
     id: Box<[u8]>,
     is_head: bool,
 }
 
 impl PendingResponse {
-    /// A request is sent. `is_checked`: only if the instance hasn't said anything unasked by then.
-    pub fn begin(&self, id: &HeaderValue, is_head: bool, is_checked: bool) {
+    /// Starts a request. With `must_check_peer`, it is sent only if the instance has neither closed the
+    /// connection nor sent anything.
+    pub fn begin(&self, id: &HeaderValue, is_head: bool, must_check_peer: bool) {
         let mut requests = self.requests.borrow_mut();
         let request = SentRequest {
             id: id.as_bytes().into(),
             is_head,
         };
-        if let Some(earlier) = requests.current.replace(request) {
-            requests.earlier.truncate(MAX_EARLIER_REQUESTS - 1);
-            requests.earlier.push_front(earlier);
+        if let Some(previous) = requests.current.replace(request) {
+            requests.previous.truncate(MAX_PREVIOUS_REQUESTS - 1);
+            requests.previous.push_front(previous);
         }
-        self.is_head_awaited.set(true);
+        self.is_awaiting_head.set(true);
         self.bytes_sent.set(0);
-        self.is_checked.set(is_checked);
+        self.must_check_peer.set(must_check_peer);
     }
 
-    /// Nothing of the request has been sent: it can't have run, and won't.
+    /// Whether no byte of the request has been sent, so that it cannot have been executed.
     pub fn is_unsent(&self) -> bool {
         self.bytes_sent.get() == 0
     }
 
-    /// A response that had come before was left out.
-    pub fn is_out_of_order(&self) -> bool {
-        self.is_out_of_order.get()
+    /// Whether a stale or interim response was discarded.
+    pub fn has_discarded_response(&self) -> bool {
+        self.has_discarded_response.get()
     }
 }
 
-/// What can be looked at without waiting.
-pub trait Peer {
-    /// Whether it has closed the connection, or said something. What it said is lost.
-    fn has_stirred(&self) -> bool;
+/// A peer that can be checked without blocking.
+pub trait PeerProbe {
+    /// Whether the peer has closed the connection or sent data. Consumes a byte of such data.
+    fn has_unexpected_input(&self) -> bool;
 }
 
-impl Peer for TcpStream {
-    fn has_stirred(&self) -> bool {
+impl PeerProbe for TcpStream {
+    fn has_unexpected_input(&self) -> bool {
         let socket = socket2::SockRef::from(self);
         let read = io::Read::read(&mut &*socket, &mut [0]);
-        !matches!(read, Err(why) if why.kind() == io::ErrorKind::WouldBlock)
+        !matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
-/// What the first response among some bytes is.
+/// The classification of the next response in the stream.
 #[derive(Debug, PartialEq)]
 enum Classification {
-    /// The awaited one, or what can't be told: the parser judges.
-    HandOn,
-    /// Its head isn't complete.
+    /// The awaited response, or one that cannot be identified; the parser decides.
+    PassThrough,
+    /// The head is incomplete.
     Incomplete,
-    /// It came before, and nobody waits for it: id head is so long, and then comes id body.
-    LeaveOut(usize, BodyLength),
+    /// A stale or interim response, with the length of its head and its body.
+    Discard(usize, BodyLength),
 }
 
-/// A connection to an instance.
+/// An upstream connection that discards stale responses.
 pub struct ResponseFilter<S = TcpStream> {
     stream: S,
     pending: Rc<PendingResponse>,
-    held: BytesMut,
-    /// What is still to come of a response that is left out.
-    skipped: Option<BodyLength>,
-    /// Writing has failed amid a request: what the instance said before is still to be read.
-    is_peer_gone: bool,
+    buffered: BytesMut,
+    /// The remaining body of a response that is being discarded.
+    discarding: Option<BodyLength>,
+    /// Whether a write failed after part of a request was sent. The response may still be readable.
+    has_write_failed: bool,
 }
 
 impl<S: AsyncRead + Unpin> ResponseFilter<S> {
@@ -120,91 +121,98 @@
         Self {
             stream,
             pending,
-            held: BytesMut::new(),
-            skipped: None,
-            is_peer_gone: false,
+            buffered: BytesMut::new(),
+            discarding: None,
+            has_write_failed: false,
         }
     }
 
     fn classify(&self, bytes: &[u8]) -> Classification {
-        if self.pending.is_head_awaited.get() {
+        if self.pending.is_awaiting_head.get() {
             classify(bytes, &self.pending.requests.borrow())
         } else {
-            Classification::HandOn
+            Classification::PassThrough
         }
     }
 
-    /// Leaves out what nobody waits for among what is held. True: the parser can have the rest.
-    fn filter_held(&mut self) -> io::Result<bool> {
+    /// Discards stale responses from the buffer. Returns true if the rest can be passed to the
+    /// parser.
+    fn filter_buffered(&mut self) -> io::Result<bool> {
         loop {
-            if let Some(length) = &mut self.skipped {
-                let used = length.advance(&self.held);
-                self.held.advance(used);
-                if *length == BodyLength::Unknown {
+            if let Some(length) = &mut self.discarding {
+                let consumed = length.advance(&self.buffered);
+                self.buffered.advance(consumed);
+                if *length == BodyLength::Invalid {
                     return Err(io::ErrorKind::InvalidData.into());
                 }
                 if !length.is_complete() {
                     return Ok(false);
                 }
-                self.skipped = None;
+                self.discarding = None;
             }
-            match self.classify(&self.held) {
-                Classification::HandOn => return Ok(true),
-                Classification::Incomplete => return Ok(self.held.len() > MAX_HEAD_BYTES),
-                Classification::LeaveOut(head, body) => {
-                    self.held.advance(head);
-                    self.pending.is_out_of_order.set(true);
-                    self.skipped = Some(body);
+            match self.classify(&self.buffered) {
+                Classification::PassThrough => return Ok(true),
+                Classification::Incomplete => return Ok(self.buffered.len() > MAX_HEAD_BYTES),
+                Classification::Discard(head, body) => {
+                    self.buffered.advance(head);
+                    self.pending.has_discarded_response.set(true);
+                    self.discarding = Some(body);
                 }
             }
         }
     }
 
-    /// Hands on what came, without what nobody waits for.
-    fn read(&mut self, context: &mut Context<'_>, into: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        if self.held.is_empty() && self.skipped.is_none() {
-            let before = into.filled().len();
-            ready!(Pin::new(&mut self.stream).poll_read(context, into))?;
-            if !self.pending.is_head_awaited.get() {
+    /// Reads from the connection, discarding stale responses.
+    fn read(
+        &mut self,
+        context: &mut Context<'_>,
+        output: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        if self.buffered.is_empty() && self.discarding.is_none() {
+            let before = output.filled().len();
+            ready!(Pin::new(&mut self.stream).poll_read(context, output))?;
+            if !self.pending.is_awaiting_head.get() {
                 return Poll::Ready(Ok(()));
             }
-            let came = into.filled().get(before..).unwrap_or_default();
-            if came.is_empty() || self.classify(came) == Classification::HandOn {
-                self.pending.is_head_awaited.set(false);
+            let received = output.filled().get(before..).unwrap_or_default();
+            if received.is_empty() || self.classify(received) == Classification::PassThrough {
+                self.pending.is_awaiting_head.set(false);
                 return Poll::Ready(Ok(()));
             }
-            self.held.extend_from_slice(came);
-            into.set_filled(before);
+            self.buffered.extend_from_slice(received);
+            output.set_filled(before);
         }
-        while self.pending.is_head_awaited.get() && !self.filter_held()? {
+        while self.pending.is_awaiting_head.get() && !self.filter_buffered()? {
             let mut buffer = [0; READ_BYTES];
-            let mut came = ReadBuf::new(&mut buffer);
-            ready!(Pin::new(&mut self.stream).poll_read(context, &mut came))?;
-            if came.filled().is_empty() {
+            let mut received = ReadBuf::new(&mut buffer);
+            ready!(Pin::new(&mut self.stream).poll_read(context, &mut received))?;
+            if received.filled().is_empty() {
                 break;
             }
-            self.held.extend_from_slice(came.filled());
+            self.buffered.extend_from_slice(received.filled());
         }
-        self.pending.is_head_awaited.set(false);
-        let available = self.held.len().min(into.remaining());
-        let bytes = self.held.get(..available);
-        into.put_slice(bytes.unwrap_or_default());
-        self.held.advance(available);
+        self.pending.is_awaiting_head.set(false);
+        let available = self.buffered.len().min(output.remaining());
+        let bytes = self.buffered.get(..available);
+        output.put_slice(bytes.unwrap_or_default());
+        self.buffered.advance(available);
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: AsyncRead + AsyncWrite + Peer + Unpin> ResponseFilter<S> {
-    /// A request whose first byte hasn't been sent can still be kept.
+impl<S: AsyncRead + AsyncWrite + PeerProbe + Unpin> ResponseFilter<S> {
+    /// Aborts the request before its first byte is sent, if the instance has closed the connection
+    /// or sent data.
     fn check_peer(&mut self) -> io::Result<()> {
-        if self.pending.is_checked.take() && self.stream.has_stirred() {
+        if self.pending.must_check_peer.take() && self.stream.has_unexpected_input() {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         Ok(())
     }
 
-    /// Once a part was sent, a failure to write is no end: the instance may have answered before it stopped listening.
-    fn wrote(
+    /// Records a write. A failure after a partial write is not reported, because the instance may
+    /// have responded before it closed the connection.
+    fn handle_write(
         &mut self,
         written: Poll<io::Result<usize>>,
         length: impl FnOnce() -> usize,
@@ -216,7 +224,7 @@
                 Poll::Ready(Ok(bytes))
             }
             Poll::Ready(Err(_)) if !self.pending.is_unsent() => {
-                self.is_peer_gone = true;
+                self.has_write_failed = true;
                 Poll::Ready(Ok(length()))
             }
             other => other,
@@ -228,24 +236,24 @@
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        into: &mut ReadBuf<'_>,
+        output: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.read(context, into)
+        self.read(context, output)
     }
 }
 
-impl<S: AsyncRead + AsyncWrite + Peer + Unpin> AsyncWrite for ResponseFilter<S> {
+impl<S: AsyncRead + AsyncWrite + PeerProbe + Unpin> AsyncWrite for ResponseFilter<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.is_peer_gone {
+        if self.has_write_failed {
             return Poll::Ready(Ok(bytes.len()));
         }
         self.check_peer()?;
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.wrote(written, || bytes.len())
+        self.handle_write(written, || bytes.len())
     }
 
     fn poll_write_vectored(
@@ -254,12 +262,12 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let length = || slices.iter().map(|slice| slice.len()).sum();
-        if self.is_peer_gone {
+        if self.has_write_failed {
             return Poll::Ready(Ok(length()));
         }
         self.check_peer()?;
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.wrote(written, length)
+        self.handle_write(written, length)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -275,17 +283,17 @@
     }
 }
 
-/// What matters of the head of a response.
+/// The relevant parts of a response head.
 struct Head<'a> {
     status: u16,
-    /// How many bytes it takes.
+    /// The length of the head.
     bytes: usize,
     id: Option<&'a [u8]>,
     length: Option<&'a [u8]>,
-    coding: Option<&'a [u8]>,
+    encoding: Option<&'a [u8]>,
 }
 
-/// What the first response among these bytes is.
+/// Classifies the first response in `bytes`.
 fn classify(bytes: &[u8], requests: &SentRequests) -> Classification {
     let mut headers = [const { MaybeUninit::uninit() }; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut []);
@@ -293,32 +301,32 @@
     let end = match parser.parse_response_with_uninit_headers(&mut response, bytes, &mut headers) {
         Ok(Status::Complete(end)) => end,
         Ok(Status::Partial) => return Classification::Incomplete,
-        Err(_) => return Classification::HandOn,
+        Err(_) => return Classification::PassThrough,
     };
-    match Head::of(&response, end) {
+    match Head::from_response(&response, end) {
         Some(head) => head.classify(requests),
-        None => Classification::HandOn,
+        None => Classification::PassThrough,
     }
 }
 
 impl<'a> Head<'a> {
-    /// None: one of its headers is there twice.
-    fn of(response: &httparse::Response<'_, 'a>, bytes: usize) -> Option<Self> {
+    /// Returns `None` if a relevant header is repeated.
+    fn from_response(response: &httparse::Response<'_, 'a>, bytes: usize) -> Option<Self> {
         let mut head = Self {
             status: response.code.unwrap_or_default(),
             bytes,
             id: None,
             length: None,
-            coding: None,
+            encoding: None,
         };
         for header in response.headers.iter() {
-            let known = match header.name.len() {
+            let field = match header.name.len() {
                 10 if header.name.eq_ignore_ascii_case("request-id") => &mut head.id,
                 14 if header.name.eq_ignore_ascii_case("content-length") => &mut head.length,
-                17 if header.name.eq_ignore_ascii_case("transfer-encoding") => &mut head.coding,
+                17 if header.name.eq_ignore_ascii_case("transfer-encoding") => &mut head.encoding,
                 _ => continue,
             };
-            if known.replace(header.value).is_some() {
+            if field.replace(header.value).is_some() {
                 return None;
             }
         }
@@ -327,38 +335,38 @@
 
     fn classify(&self, requests: &SentRequests) -> Classification {
         if (100..200).contains(&self.status) {
-            // It announces the response that is still to come, or ends all responses.
+            // 101 switches protocols; other interim responses precede the final one.
             return if self.status == 101 {
-                Classification::HandOn
+                Classification::PassThrough
             } else {
-                Classification::LeaveOut(self.bytes, BodyLength::Bytes(0))
+                Classification::Discard(self.bytes, BodyLength::Bytes(0))
             };
         }
         let Some(id) = self.id else {
-            return Classification::HandOn;
+            return Classification::PassThrough;
         };
         let current = requests.current.as_ref();
         if current.is_some_and(|request| *request.id == *id) {
-            return Classification::HandOn;
+            return Classification::PassThrough;
         }
-        let mut earlier = requests.earlier.iter();
-        let Some(request) = earlier.find(|request| *request.id == *id) else {
-            return Classification::HandOn;
+        let mut previous = requests.previous.iter();
+        let Some(request) = previous.find(|request| *request.id == *id) else {
+            return Classification::PassThrough;
         };
         match self.body_length(request) {
-            Some(body) => Classification::LeaveOut(self.bytes, body),
-            None => Classification::HandOn,
+            Some(body) => Classification::Discard(self.bytes, body),
+            None => Classification::PassThrough,
         }
     }
 
-    /// None: it can't be told where the body ends.
+    /// The length of the body, or `None` if it is ambiguous.
     fn body_length(&self, request: &SentRequest) -> Option<BodyLength> {
         if request.is_head || matches!(self.status, 204 | 304) {
             return Some(BodyLength::Bytes(0));
         }
-        match (self.length, self.coding) {
-            (Some(length), None) => whole_number(length).map(BodyLength::Bytes),
-            (None, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") => {
+        match (self.length, self.encoding) {
+            (Some(length), None) => parse_decimal(length).map(BodyLength::Bytes),
+            (None, Some(encoding)) if encoding.eq_ignore_ascii_case(b"chunked") => {
                 Some(BodyLength::CHUNKED)
             }
             _ => None,
@@ -366,7 +374,7 @@
     }
 }
 
-fn whole_number(digits: &[u8]) -> Option<u64> {
+fn parse_decimal(digits: &[u8]) -> Option<u64> {
     let digits = std::str::from_utf8(digits)
         .ok()
         .filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
--- a/crates/rookpulley-proxy/src/response_filter/tests.rs
+++ b/crates/rookpulley-proxy/src/response_filter/tests.rs
@@ -4,8 +4,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::net::TcpListener;
 
-impl Peer for DuplexStream {
-    fn has_stirred(&self) -> bool {
+impl PeerProbe for DuplexStream {
+    fn has_unexpected_input(&self) -> bool {
         false
     }
 }
@@ -22,8 +22,8 @@
     HeaderValue::from(number)
 }
 
-/// An answer, and whether it is one to a HEAD.
-fn answer(u: &mut Unstructured, number: usize) -> Result<(Vec<u8>, bool)> {
+/// Draws a response, and whether it answers a HEAD request.
+fn draw_response(u: &mut Unstructured, number: usize) -> Result<(Vec<u8>, bool)> {
     let body = *u.choose(&["", "x", "HTTP/1.1 200 OK\r\nRequest-Id: 0\r\n\r\n"])?;
     let head = u.ratio(1, 5)?;
     let (lines, body) = match u.int_in_range(0..=3)? {
@@ -49,106 +49,109 @@
 }
 
 #[test]
-fn each_gets_its_own_answer_and_none_of_those_that_come_again() {
+fn duplicate_and_interim_responses_are_discarded() {
     plays(200, 1 << 11, |u| {
-        let (mut task, proxy) = tokio::io::duplex(1 << 16);
+        let (mut instance, proxy) = tokio::io::duplex(1 << 16);
         let pending = Rc::new(PendingResponse::default());
         let mut filter = ResponseFilter::new(proxy, pending.clone());
-        let mut before: Vec<Vec<u8>> = Vec::new();
-        let mut again = false;
+        let mut previous: Vec<Vec<u8>> = Vec::new();
+        let mut has_discarded = false;
         for number in 0..u.int_in_range(1..=6)? {
-            let (own, head) = answer(u, number)?;
+            let (expected, head) = draw_response(u, number)?;
             pending.begin(&id(number), head, false);
             let mut wire = Vec::new();
             if u.ratio(1, 3)? {
                 wire.extend(b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n");
-                again = true;
+                has_discarded = true;
             }
-            if !before.is_empty() && u.ratio(1, 2)? {
+            if !previous.is_empty() && u.ratio(1, 2)? {
                 wire.extend(
-                    u.choose(&before[before.len().saturating_sub(MAX_EARLIER_REQUESTS)..])?,
+                    u.choose(&previous[previous.len().saturating_sub(MAX_PREVIOUS_REQUESTS)..])?,
                 );
-                again = true;
+                has_discarded = true;
             }
-            wire.extend(&own);
+            wire.extend(&expected);
             let mut cuts = vec![wire.len()];
             for _ in 0..u.int_in_range(0..=5)? {
                 cuts.push(u.choose_index(wire.len())?);
             }
             cuts.sort_unstable();
-            let room = u.int_in_range(1..=300)?;
-            let mut got = Vec::new();
+            let buffer_size = u.int_in_range(1..=300)?;
+            let mut received = Vec::new();
             run(async {
-                let mut from = 0;
+                let mut start = 0;
                 for cut in cuts {
-                    task.write_all(&wire[from..cut]).await.unwrap();
-                    from = cut;
-                    let mut piece = vec![0; room];
+                    instance.write_all(&wire[start..cut]).await.unwrap();
+                    start = cut;
+                    let mut buffer = vec![0; buffer_size];
                     let mut context = Context::from_waker(std::task::Waker::noop());
                     loop {
-                        let mut into = ReadBuf::new(&mut piece);
-                        match Pin::new(&mut filter).poll_read(&mut context, &mut into) {
+                        let mut output = ReadBuf::new(&mut buffer);
+                        match Pin::new(&mut filter).poll_read(&mut context, &mut output) {
                             Poll::Pending => break,
                             Poll::Ready(read) => read.unwrap(),
                         }
-                        assert!(!into.filled().is_empty());
-                        got.extend_from_slice(into.filled());
+                        assert!(!output.filled().is_empty());
+                        received.extend_from_slice(output.filled());
                     }
                 }
             });
-            assert_eq!(String::from_utf8_lossy(&got), String::from_utf8_lossy(&own));
-            assert_eq!(pending.is_out_of_order(), again);
-            before.push(own);
+            assert_eq!(
+                String::from_utf8_lossy(&received),
+                String::from_utf8_lossy(&expected)
+            );
+            assert_eq!(pending.has_discarded_response(), has_discarded);
+            previous.push(expected);
         }
         Ok(())
     });
 }
 
 #[test]
-fn what_the_task_has_ended_takes_nothing_and_what_it_has_not_is_counted() {
+fn nothing_is_sent_if_the_instance_closed_the_connection_or_sent_data() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        for (ends, says) in [(false, false), (true, false), (false, true)] {
+        for (closes, sends) in [(false, false), (true, false), (false, true)] {
             let stream = TcpStream::connect(listener.local_addr().unwrap())
                 .await
                 .unwrap();
-            let (mut task, _) = listener.accept().await.unwrap();
+            let (mut instance, _) = listener.accept().await.unwrap();
             let pending = Rc::new(PendingResponse::default());
             let mut filter = ResponseFilter::new(stream, pending.clone());
-            if says {
-                task.write_all(b"more").await.unwrap();
+            if sends {
+                instance.write_all(b"more").await.unwrap();
             }
-            if ends {
-                task.shutdown().await.unwrap();
+            if closes {
+                instance.shutdown().await.unwrap();
             }
-            if ends || says {
+            if closes || sends {
                 filter.stream.readable().await.unwrap();
             }
             pending.begin(&id(1), false, true);
-            let wrote = filter.write(b"request").await;
+            let result = filter.write(b"request").await;
             assert_eq!(
-                (wrote.is_err(), pending.is_unsent()),
-                (ends || says, ends || says)
+                (result.is_err(), pending.is_unsent()),
+                (closes || sends, closes || sends)
             );
         }
     });
 }
 
 #[test]
-fn an_answer_that_came_before_the_task_stopped_listening_is_read() {
+fn response_received_before_a_write_failure_is_read() {
     run(async {
-        let (mut task, proxy) = tokio::io::duplex(8);
+        let (mut instance, proxy) = tokio::io::duplex(8);
         let pending = Rc::new(PendingResponse::default());
         let mut filter = ResponseFilter::new(proxy, pending.clone());
         pending.begin(&id(1), false, false);
         filter.write_all(b"part").await.unwrap();
-        task.write_all(b"no more").await.unwrap();
-        drop(task);
+        instance.write_all(b"no more").await.unwrap();
+        drop(instance);
         filter.write_all(&[b'x'; 1_000]).await.unwrap();
-        let mut got = Vec::new();
-        filter.read_to_end(&mut got).await.unwrap();
-        assert_eq!(got, b"no more");
-        // Where nothing had left, a failure is one.
+        let mut received = Vec::new();
+        filter.read_to_end(&mut received).await.unwrap();
+        assert_eq!(received, b"no more");
+        // A failure before the first byte is reported.
         pending.begin(&id(2), false, false);
         let (_, proxy) = tokio::io::duplex(8);
         let mut filter = ResponseFilter::new(proxy, pending.clone());
--- a/crates/rookpulley-proxy/src/shutdown.rs
+++ b/crates/rookpulley-proxy/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! What the platform says by signals, what is due from time to time, and the end in order.
+//! Signal handling, periodic tasks and graceful shutdown.
 
 use crate::context::ProxyContext;
 use rookpulley_proxy_core::ProxyState;
@@ -12,60 +12,60 @@
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
 const TICK: Duration = Duration::from_millis(250);
-/// What is done how often, in ticks.
+/// Periods of recurring work, in ticks.
 const SWEEP_TICKS: u32 = 2;
 const REPORT_TICKS: u32 = 4;
 const SETTINGS_TICKS: u32 = 8;
-/// While the program ends it looks more often whether it may.
-const ENDING_TICK: Duration = Duration::from_millis(100);
-const ENDING_TICKS_PER_TICK: u32 = 2;
-/// For so long clients are still sent here after the end has begun.
-const CLIENTS_STILL_COME: Duration = Duration::from_secs(3);
-/// The end comes so long before the platform would make it.
-const BEFORE_KILL: Duration = Duration::from_millis(700);
+/// The tick during shutdown, shorter to exit soon after the last request.
+const SHUTDOWN_TICK: Duration = Duration::from_millis(100);
+const SHUTDOWN_TICKS_PER_TICK: u32 = 2;
+/// Minimum duration of the shutdown, during which clients are still routed here.
+const MIN_SHUTDOWN: Duration = Duration::from_secs(3);
+/// How long before the end of the grace period the proxy exits.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
 const MAX_GRACE_S: f64 = 3_600.0;
 const SIGNAL_QUEUE: usize = 8;
 
-/// What the platform may ask for.
+/// What the platform requests by a signal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Signal {
-    /// To end in order.
+    /// Shut down gracefully.
     Shutdown,
-    /// To read the settings again.
+    /// Reload the settings file.
     ReloadSettings,
 }
 
-/// Signals as they come.
+/// A receiver of signals.
 pub struct Signals {
     received: mpsc::Receiver<Signal>,
 }
 
 impl Signals {
-    /// Those of this process. It must run inside a `LocalSet`.
-    pub fn of_process() -> std::io::Result<Self> {
+    /// Receives the signals of this process. Must be called inside a `LocalSet`.
+    pub fn from_process() -> std::io::Result<Self> {
         let (sender, signals) = Self::channel();
-        for (kind, meaning) in [
+        for (kind, event) in [
             (SignalKind::terminate(), Signal::Shutdown),
             (SignalKind::hangup(), Signal::ReloadSettings),
         ] {
             let mut stream = signal(kind)?;
             let sender = sender.clone();
             tokio::task::spawn_local(async move {
-                while stream.recv().await.is_some() && sender.send(meaning).await.is_ok() {}
+                while stream.recv().await.is_some() && sender.send(event).await.is_ok() {}
             });
         }
         Ok(signals)
     }
 
-    /// Those that somebody in this process sends.
+    /// Receives signals sent through a channel.
     pub fn channel() -> (mpsc::Sender<Signal>, Self) {
         let (sender, received) = mpsc::channel(SIGNAL_QUEUE);
         (sender, Self { received })
     }
 }
 
-/// Returns when the program may end.
-pub async fn run_until_end(
+/// Handles signals and periodic work. Returns after graceful shutdown.
+pub async fn run_until_shutdown(
     proxy: Rc<ProxyContext>,
     settings_file: Option<PathBuf>,
     mut signals: Signals,
@@ -90,7 +90,7 @@
             }
         }
     }
-    end_in_order(&proxy).await;
+    shut_down_gracefully(&proxy).await;
 }
 
 fn apply_settings(proxy: &Rc<ProxyContext>, node: Option<Node>) {
@@ -104,35 +104,38 @@
     proxy.step(ProxyState::tick);
     if tick.is_multiple_of(SWEEP_TICKS) {
         proxy.upstreams.sweep();
-        proxy.clients.sweep(proxy.limits(), proxy.is_ending());
+        proxy
+            .clients
+            .sweep(proxy.limits(), proxy.is_shutting_down());
     }
     if tick.is_multiple_of(REPORT_TICKS) {
         proxy.step(ProxyState::send_report);
     }
 }
 
-/// Not ready from now on, but at work for what still comes, until nothing does.
-async fn end_in_order(proxy: &Rc<ProxyContext>) {
-    tracing::info!("ending: no longer ready");
+/// Reports not ready, then keeps serving until no requests are left or the grace period is about to
+/// end.
+async fn shut_down_gracefully(proxy: &Rc<ProxyContext>) {
+    tracing::info!("shutdown: no longer ready");
     proxy.step(|state, _| state.is_shutting_down = true);
-    let began = Instant::now();
+    let started = Instant::now();
     let grace_s = proxy.node.bounds.grace_period_s.clamp(0.0, MAX_GRACE_S);
     let grace = Duration::from_secs_f64(grace_s);
-    let latest = grace.saturating_sub(BEFORE_KILL).max(grace / 2);
-    let mut ticks = interval(ENDING_TICK);
+    let max_duration = grace.saturating_sub(KILL_MARGIN).max(grace / 2);
+    let mut ticks = interval(SHUTDOWN_TICK);
     let mut tick = 0u32;
-    while began.elapsed() < latest {
+    while started.elapsed() < max_duration {
         ticks.tick().await;
         tick = tick.wrapping_add(1);
         proxy.clients.sweep(proxy.limits(), true);
-        if tick.is_multiple_of(ENDING_TICKS_PER_TICK) {
-            handle_tick(proxy, tick / ENDING_TICKS_PER_TICK);
+        if tick.is_multiple_of(SHUTDOWN_TICKS_PER_TICK) {
+            handle_tick(proxy, tick / SHUTDOWN_TICKS_PER_TICK);
         }
         let is_idle = proxy.requests_in_flight.get() == 0 && proxy.clients.is_idle();
-        if began.elapsed() >= CLIENTS_STILL_COME && is_idle {
+        if started.elapsed() >= MIN_SHUTDOWN && is_idle {
             break;
         }
     }
-    let left = proxy.requests_in_flight.get();
-    tracing::info!("ending: done, {left} requests are left");
+    let remaining = proxy.requests_in_flight.get();
+    tracing::info!("shutdown: complete with {remaining} requests still in flight");
 }
--- a/crates/rookpulley-proxy/src/tracked_attempt.rs
+++ b/crates/rookpulley-proxy/src/tracked_attempt.rs
@@ -1,29 +1,29 @@
-//! An attempt as the endpoint picker counts it.
+//! Reports attempts to the endpoint picker.
 
 use crate::context::ProxyContext;
 use rookpulley_balancer::{AttemptOutcome, Pick};
 use rookpulley_proxy_core::AttemptEnd;
 use std::rc::Rc;
 
-/// An attempt that has begun. Dropped without an end, its client has left.
+/// An attempt in progress. Dropping it without an outcome cancels it.
 pub struct TrackedAttempt {
     proxy: Rc<ProxyContext>,
     service: Rc<str>,
     pick: Option<Pick>,
-    began_ms: f64,
+    start_ms: f64,
 }
 
 impl TrackedAttempt {
     pub fn new(proxy: &Rc<ProxyContext>, service: &Rc<str>, pick: Pick) -> Self {
         Self {
-            began_ms: proxy.now_ms(),
+            start_ms: proxy.now_ms(),
             proxy: proxy.clone(),
             service: service.clone(),
             pick: Some(pick),
         }
     }
 
-    pub fn end_with(self, outcome: AttemptOutcome) {
+    pub fn end_with_outcome(self, outcome: AttemptOutcome) {
         self.end(AttemptEnd::Outcome(outcome));
     }
 
@@ -34,7 +34,7 @@
         let incarnation = pick.entry.incarnation.clone();
         let is_wrong_instance = self
             .proxy
-            .step(|state, now| state.record_attempt(&self.service, pick, end, self.began_ms, now));
+            .step(|state, now| state.record_attempt(&self.service, pick, end, self.start_ms, now));
         if is_wrong_instance {
             self.proxy.upstreams.close(&incarnation);
         }
--- a/crates/rookpulley-proxy/src/upstream_pool.rs
+++ b/crates/rookpulley-proxy/src/upstream_pool.rs
@@ -1,7 +1,8 @@
-//! Connections to instances: few, used again, never after anything odd.
+//! Connection pools per instance.
 //!
-//! A request that isn't idempotent goes only on a connection that the instance is known to keep: a new one, which has
-//! rested for long enough that the instance would have reset it, or one that was used a moment ago.
+//! A non-idempotent request uses only a connection that the instance is unlikely to have closed: a
+//! new one that stayed open for a settling delay, a recently used one, or one whose keep-alive time
+//! is known.
 
 use crate::request_body::RequestBody;
 use crate::response_filter::{PendingResponse, ResponseFilter};
@@ -19,50 +20,50 @@
 use tokio::time::Instant;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// The way to another zone is longer.
 const OTHER_ZONE_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// An idle connection is kept for so long, less where the instance ends it sooner.
+/// The idle timeout of a connection, unless the instance states a shorter one.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// An instance that doesn't say how long it keeps a connection may end it within the second. One that was used this
-/// lately will hardly have been ended: a request that isn't idempotent can go there.
-const FRESH: Duration = Duration::from_millis(250);
-/// One that was idle for longer is checked again before it is used.
-const CHECKED_AFTER: Duration = Duration::from_millis(20);
-/// A connection that was idle and isn't ready at once isn't waited for.
+/// An instance that states no keep-alive time may close a connection within a second. One used
+/// within this time can still carry a non-idempotent request.
+const RECENT_USE: Duration = Duration::from_millis(250);
+/// A connection that was idle for longer is checked for unexpected input before use.
+const CHECK_AFTER_IDLE: Duration = Duration::from_millis(20);
+/// How long to wait for an idle connection to become ready.
 const READY_TIMEOUT: Duration = Duration::from_millis(20);
 const MAX_PARSER_BYTES: usize = 64 << 10;
-/// An instance that has enough connections resets a new one as soon as it sees it. What isn't idempotent waits for so
-/// long, a way there and back and some: before it is sent, it can still go elsewhere.
-const MIN_REST: Duration = Duration::from_millis(1);
-const MAX_REST: Duration = Duration::from_millis(10);
-/// A connection is kept a second less than the instance says, and no longer than an hour.
+/// An instance at its connection limit resets a new connection immediately. A non-idempotent
+/// request is delayed by two round trips, within these bounds, to detect this while another
+/// instance can still be chosen.
+const MIN_SETTLE_DELAY: Duration = Duration::from_millis(1);
+const MAX_SETTLE_DELAY: Duration = Duration::from_millis(10);
+/// Safety margin and bounds for the keep-alive time stated by an instance.
 const KEEP_ALIVE_MARGIN_MS: u64 = 1_000;
 const MIN_KEEP_ALIVE_MS: u64 = 300;
 const MAX_KEEP_ALIVE_S: u64 = 3_600;
 
-/// How long an instance keeps a connection after a response. None: it doesn't say.
+/// How long an instance keeps a connection open after a response, or `None` if it does not say.
 pub type KeepAlive = Option<Duration>;
 
-/// What connection is wanted.
+/// Requirements for a connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Demand {
-    /// How many there may be to the instance.
+pub struct ConnectOptions {
+    /// The limit on connections to the instance.
     pub max_connections: usize,
-    /// The request may run twice at no harm.
+    /// Whether the request is safe to execute more than once.
     pub is_idempotent: bool,
-    /// None that was used before.
+    /// Whether to skip idle connections.
     pub needs_new: bool,
 }
 
-/// Why there is no connection.
+/// Why no connection is available.
 #[derive(Debug, PartialEq)]
 pub enum ConnectError {
-    /// There are as many as there may be.
+    /// The connection limit is reached.
     Limit,
     Unreachable,
 }
 
-/// Connections to one incarnation.
+/// The connections to one incarnation.
 #[derive(Default)]
 struct Pool {
     open: Cell<usize>,
@@ -70,7 +71,7 @@
     is_closed: Cell<bool>,
 }
 
-/// All connections to instances.
+/// The connections to all instances.
 pub struct UpstreamPools {
     zone: String,
     pools: RefCell<HashMap<IncarnationId, Rc<Pool>>>,
@@ -78,25 +79,25 @@
     max_connections: usize,
 }
 
-/// One connection. Dropped, it is closed at once.
+/// A connection to an instance. Closed when dropped.
 pub struct UpstreamConnection {
     pub sender: SendRequest<RequestBody>,
-    /// It was idle before: the instance may have closed it since.
+    /// Whether the connection was reused; the instance may have closed it meanwhile.
     pub was_idle: bool,
     pending: Rc<PendingResponse>,
-    _open: OpenConnection,
+    _count: ConnectionCount,
     pool: Rc<Pool>,
-    /// When it is to be closed.
+    /// When the connection has been idle for too long.
     expires: Instant,
-    /// The instance has said how long it keeps it.
+    /// Whether the instance has stated a keep-alive time.
     has_keep_alive: bool,
-    /// When it was used last.
+    /// When the connection was last used.
     released: Instant,
     driver: AbortHandle,
 }
 
 impl UpstreamPools {
-    /// `zone` is that of this proxy.
+    /// `zone` is the zone of this proxy.
     pub fn new(zone: &str, max_connections: usize) -> Self {
         Self {
             zone: zone.to_owned(),
@@ -106,42 +107,43 @@
         }
     }
 
-    /// A connection to this instance: an idle one, or a new one.
+    /// Returns an idle connection to the instance, or opens a new one.
     pub async fn connect(
         &self,
         to: &TableEntry,
-        demand: Demand,
+        options: ConnectOptions,
     ) -> Result<UpstreamConnection, ConnectError> {
         let pool = {
             let mut pools = self.pools.borrow_mut();
             pools.entry(to.incarnation.clone()).or_default().clone()
         };
-        if !demand.needs_new
-            && let Some(idle) = pool.take_ready(demand.is_idempotent).await
+        if !options.needs_new
+            && let Some(idle) = pool.take_ready(options.is_idempotent).await
         {
             return Ok(idle);
         }
-        let before = pool.open.get() + self.open.get();
-        if !self.make_room(&pool, demand.max_connections) {
+        let open_before = pool.open.get() + self.open.get();
+        if !self.ensure_capacity(&pool, options.max_connections) {
             return Err(ConnectError::Limit);
         }
-        let has_made_room = pool.open.get() + self.open.get() < before;
-        let open = OpenConnection::new(&pool, &self.open);
-        if has_made_room {
-            // What was just given up is closed before the instance hears of another.
+        let has_closed_idle = pool.open.get() + self.open.get() < open_before;
+        let open = ConnectionCount::new(&pool, &self.open);
+        if has_closed_idle {
+            // Let the closed connection's task finish before opening another.
             tokio::task::yield_now().await;
         }
-        self.connect_new(to, pool, open, demand.is_idempotent).await
+        self.connect_new(to, pool, open, options.is_idempotent)
+            .await
     }
 
     async fn connect_new(
         &self,
         to: &TableEntry,
         pool: Rc<Pool>,
-        open: OpenConnection,
+        open: ConnectionCount,
         is_idempotent: bool,
     ) -> Result<UpstreamConnection, ConnectError> {
-        let began = Instant::now();
+        let started = Instant::now();
         let timeout = if to.zone == self.zone {
             CONNECT_TIMEOUT
         } else {
@@ -151,10 +153,10 @@
         let Ok(Ok(stream)) = stream else {
             return Err(ConnectError::Unreachable);
         };
-        let round_trip = began.elapsed();
+        let round_trip = started.elapsed();
         let connection = UpstreamConnection::new(stream, pool, open).await?;
         if !is_idempotent {
-            tokio::time::sleep((round_trip * 2).clamp(MIN_REST, MAX_REST)).await;
+            tokio::time::sleep((round_trip * 2).clamp(MIN_SETTLE_DELAY, MAX_SETTLE_DELAY)).await;
             if connection.sender.is_closed() {
                 return Err(ConnectError::Unreachable);
             }
@@ -162,8 +164,9 @@
         Ok(connection)
     }
 
-    /// Closes connections that are idle where there are as many as there may be.
-    fn make_room(&self, pool: &Pool, max_connections: usize) -> bool {
+    /// Closes idle connections until both limits allow a new one. Returns false if that is
+    /// impossible.
+    fn ensure_capacity(&self, pool: &Pool, max_connections: usize) -> bool {
         while pool.open.get() >= max_connections {
             if pool.idle.borrow_mut().pop().is_none() {
                 return false;
@@ -174,7 +177,7 @@
             || self.close_any_idle()
     }
 
-    /// No request goes to this incarnation any more.
+    /// Closes the pool of an incarnation that gets no more requests.
     pub fn close(&self, incarnation: &IncarnationId) {
         let pool = self.pools.borrow_mut().remove(incarnation);
         if let Some(pool) = pool {
@@ -184,10 +187,10 @@
         }
     }
 
-    /// Closes what has been idle too long.
+    /// Closes connections that have been idle for too long.
     pub fn sweep(&self) {
         let now = Instant::now();
-        // They are closed once nothing is borrowed any more.
+        // Dropped only after the pools are no longer borrowed.
         let mut expired = Vec::new();
         self.pools.borrow_mut().retain(|_, pool| {
             let mut idle = pool.idle.borrow_mut();
@@ -196,7 +199,7 @@
         });
     }
 
-    /// Closes an idle connection to any instance.
+    /// Closes one idle connection to any instance.
     fn close_any_idle(&self) -> bool {
         let pools = self.pools.borrow();
         let idle = pools.values().find_map(|pool| pool.idle.borrow_mut().pop());
@@ -205,7 +208,7 @@
 }
 
 impl Pool {
-    /// An idle connection that a request can be sent on at once.
+    /// Takes an idle connection that is ready to send a request.
     async fn take_ready(&self, is_idempotent: bool) -> Option<UpstreamConnection> {
         loop {
             let mut connection = self.take_idle(is_idempotent)?;
@@ -219,14 +222,14 @@
         }
     }
 
-    /// The idle connection that was used last.
+    /// Takes the most recently used idle connection.
     fn take_idle(&self, is_idempotent: bool) -> Option<UpstreamConnection> {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         while let Some(connection) = idle.pop() {
-            let is_known_to_be_kept =
-                connection.has_keep_alive || now - connection.released <= FRESH;
-            if !is_idempotent && !is_known_to_be_kept {
+            let is_likely_open =
+                connection.has_keep_alive || now - connection.released <= RECENT_USE;
+            if !is_idempotent && !is_likely_open {
                 idle.push(connection);
                 return None;
             }
@@ -242,7 +245,7 @@
     async fn new(
         stream: TcpStream,
         pool: Rc<Pool>,
-        open: OpenConnection,
+        open: ConnectionCount,
     ) -> Result<Self, ConnectError> {
         connection::configure(&stream, connection::UNACKNOWLEDGED);
         let pending = Rc::new(PendingResponse::default());
@@ -254,8 +257,10 @@
             return Err(ConnectError::Unreachable);
         };
         let driver = tokio::task::spawn_local(async move {
-            if let Err(why) = connection.await {
-                tracing::debug!("upstream: the connection to an instance ended: {why}");
+            if let Err(error) = connection.await {
+                tracing::debug!(
+                    "upstream: connection to an instance closed with an error: {error}"
+                );
             }
         });
         let now = Instant::now();
@@ -263,7 +268,7 @@
             sender,
             was_idle: false,
             pending,
-            _open: open,
+            _count: open,
             pool,
             expires: now + IDLE_TIMEOUT,
             has_keep_alive: false,
@@ -276,18 +281,18 @@
         self.expires > now && !self.sender.is_closed()
     }
 
-    /// A request is sent on it.
+    /// Records the start of a request on this connection.
     pub fn begin(&self, id: &HeaderValue, is_head: bool, is_idempotent: bool) {
-        let is_checked = !is_idempotent || self.released.elapsed() > CHECKED_AFTER;
-        self.pending.begin(id, is_head, is_checked);
+        let must_check_peer = !is_idempotent || self.released.elapsed() > CHECK_AFTER_IDLE;
+        self.pending.begin(id, is_head, must_check_peer);
     }
 
-    /// Nothing of the request has been sent.
+    /// Whether no byte of the request has been sent.
     pub fn is_unsent(&self) -> bool {
         self.pending.is_unsent()
     }
 
-    /// The complete response has come: the connection may serve again.
+    /// Returns the connection to the pool after a complete response.
     pub fn release(mut self, keep_alive: KeepAlive) {
         let now = Instant::now();
         self.was_idle = true;
@@ -295,8 +300,8 @@
         self.expires = now + keep_alive.map_or(IDLE_TIMEOUT, |time| time.min(IDLE_TIMEOUT));
         self.has_keep_alive = keep_alive.is_some();
         let pool = self.pool.clone();
-        let is_odd = pool.is_closed.get() || self.pending.is_out_of_order();
-        if !is_odd && self.is_usable(now) {
+        let is_unusable = pool.is_closed.get() || self.pending.has_discarded_response();
+        if !is_unusable && self.is_usable(now) {
             pool.idle.borrow_mut().push(self);
         }
     }
@@ -308,7 +313,7 @@
     }
 }
 
-/// How long the instance keeps the connection after this response, a second less than it says.
+/// The keep-alive time stated by the response, reduced by a safety margin.
 pub fn keep_alive(headers: &HeaderMap) -> KeepAlive {
     let closes = |value: &HeaderValue| {
         let value = value.to_str();
@@ -328,28 +333,28 @@
     Some(Duration::from_millis(ms.max(MIN_KEEP_ALIVE_MS)))
 }
 
-/// Counts a connection from its first moment, also one that doesn't come up.
-struct OpenConnection {
+/// Counts a connection against the limits, from the start of the connect until it is dropped.
+struct ConnectionCount {
     pool: Rc<Pool>,
-    all: Rc<Cell<usize>>,
+    total: Rc<Cell<usize>>,
 }
 
-impl OpenConnection {
-    fn new(pool: &Rc<Pool>, all: &Rc<Cell<usize>>) -> Self {
+impl ConnectionCount {
+    fn new(pool: &Rc<Pool>, total: &Rc<Cell<usize>>) -> Self {
         pool.open.set(pool.open.get() + 1);
-        all.set(all.get() + 1);
+        total.set(total.get() + 1);
         Self {
             pool: pool.clone(),
-            all: all.clone(),
+            total: total.clone(),
         }
     }
 }
 
-impl Drop for OpenConnection {
+impl Drop for ConnectionCount {
     fn drop(&mut self) {
         let open = &self.pool.open;
         open.set(open.get().saturating_sub(1));
-        self.all.set(self.all.get().saturating_sub(1));
+        self.total.set(self.total.get().saturating_sub(1));
     }
 }
 
--- a/crates/rookpulley-proxy/src/upstream_pool/tests.rs
+++ b/crates/rookpulley-proxy/src/upstream_pool/tests.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-fn demand(max_connections: usize, is_idempotent: bool, needs_new: bool) -> Demand {
-    Demand {
+fn options(max_connections: usize, is_idempotent: bool, needs_new: bool) -> ConnectOptions {
+    ConnectOptions {
         max_connections,
         is_idempotent,
         needs_new,
@@ -21,7 +21,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
-async fn task(incarnation: &str) -> (TcpListener, TableEntry) {
+async fn instance(incarnation: &str) -> (TcpListener, TableEntry) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
         unreachable!()
@@ -39,34 +39,34 @@
 }
 
 #[test]
-fn no_task_gets_more_connections_than_its_bound_though_others_could_spare_one() {
+fn connection_limits_apply_per_instance_and_in_total() {
     run(async {
-        let ((_one, one), (_two, two)) = (task("one").await, task("two").await);
+        let ((_one, one), (_two, two)) = (instance("one").await, instance("two").await);
         let pools = UpstreamPools::new("z", 3);
-        let first = pools.connect(&one, demand(2, true, false)).await.unwrap();
-        let _second = pools.connect(&one, demand(2, true, false)).await.unwrap();
+        let first = pools.connect(&one, options(2, true, false)).await.unwrap();
+        let _second = pools.connect(&one, options(2, true, false)).await.unwrap();
         pools
-            .connect(&two, demand(2, true, false))
+            .connect(&two, options(2, true, false))
             .await
             .unwrap()
             .release(None);
         assert_eq!(
-            pools.connect(&one, demand(2, true, false)).await.err(),
+            pools.connect(&one, options(2, true, false)).await.err(),
             Some(ConnectError::Limit)
         );
-        // More proxies, a smaller bound: what is idle goes first.
+        // With a lower limit, idle connections are closed first.
         first.release(None);
         assert_eq!(
-            pools.connect(&one, demand(1, true, true)).await.err(),
+            pools.connect(&one, options(1, true, true)).await.err(),
             Some(ConnectError::Limit)
         );
         assert_eq!(
             (pools.open.get(), pools.pools.borrow()["one"].open.get()),
             (2, 1)
         );
-        // One that is idle elsewhere makes room where the bound of all is reached.
-        let _third = pools.connect(&one, demand(2, true, false)).await.unwrap();
-        let _fourth = pools.connect(&one, demand(3, true, false)).await.unwrap();
+        // At the total limit, an idle connection of another instance is closed.
+        let _third = pools.connect(&one, options(2, true, false)).await.unwrap();
+        let _fourth = pools.connect(&one, options(3, true, false)).await.unwrap();
         assert_eq!(
             (pools.open.get(), pools.pools.borrow()["two"].open.get()),
             (3, 0)
@@ -75,9 +75,9 @@
 }
 
 #[test]
-fn what_may_run_once_leaves_only_where_the_task_keeps_the_connection() {
+fn non_idempotent_request_is_not_sent_on_a_connection_reset_by_the_instance() {
     run(async {
-        let (listener, line) = task("one").await;
+        let (listener, entry) = instance("one").await;
         let pools = UpstreamPools::new("z", 3);
         tokio::task::spawn_local(async move {
             loop {
@@ -91,7 +91,7 @@
             }
         });
         for _ in 0..10 {
-            let Ok(mut connection) = pools.connect(&line, demand(3, false, false)).await else {
+            let Ok(mut connection) = pools.connect(&entry, options(3, false, false)).await else {
                 continue;
             };
             connection.begin(&HeaderValue::from_static("q"), false, false);
@@ -105,18 +105,18 @@
 }
 
 #[test]
-fn what_may_run_once_goes_on_a_used_connection_only_where_the_task_is_known_to_keep_it() {
+fn non_idempotent_request_reuses_only_recently_used_or_kept_alive_connections() {
     run(async {
-        let (listener, line) = task("one").await;
+        let (listener, entry) = instance("one").await;
         let pools = UpstreamPools::new("z", 3);
-        let rested = async |told: Option<u64>, rest: u64| {
-            let mut connection = pools.connect(&line, demand(3, true, true)).await.unwrap();
+        let usable_after_idle = async |keep_alive_ms: Option<u64>, idle_ms: u64| {
+            let mut connection = pools.connect(&entry, options(3, true, true)).await.unwrap();
             connection.sender.ready().await.unwrap();
-            connection.release(told.map(Duration::from_millis));
+            connection.release(keep_alive_ms.map(Duration::from_millis));
             let pool = pools.pools.borrow()["one"].clone();
             pool.idle.borrow_mut().iter_mut().for_each(|connection| {
-                connection.released -= Duration::from_millis(rest);
-                connection.expires -= Duration::from_millis(rest);
+                connection.released -= Duration::from_millis(idle_ms);
+                connection.expires -= Duration::from_millis(idle_ms);
             });
             let (not_idempotent, idempotent) = (
                 pool.take_idle(false).is_some(),
@@ -124,29 +124,32 @@
             );
             (not_idempotent, not_idempotent || idempotent)
         };
-        assert_eq!(rested(None, 100).await, (true, true));
-        assert_eq!(rested(None, 900).await, (false, true));
-        assert_eq!(rested(Some(3_000), 900).await, (true, true));
-        assert_eq!(rested(Some(300), 900).await, (false, false));
+        assert_eq!(usable_after_idle(None, 100).await, (true, true));
+        assert_eq!(usable_after_idle(None, 900).await, (false, true));
+        assert_eq!(usable_after_idle(Some(3_000), 900).await, (true, true));
+        assert_eq!(usable_after_idle(Some(300), 900).await, (false, false));
         drop(listener);
     });
 }
 
 #[test]
-fn a_task_is_left_when_it_says_so_and_a_second_before_it_says() {
-    let after = |lines: &[(&'static str, &'static str)]| {
+fn keep_alive_honors_connection_close_and_subtracts_the_margin() {
+    let parse_keep_alive = |header_lines: &[(&'static str, &'static str)]| {
         let mut headers = HeaderMap::new();
-        for (name, value) in lines {
+        for (name, value) in header_lines {
             headers.append(*name, HeaderValue::from_static(value));
         }
-        keep_alive(&headers).map(|time| time.as_millis())
+        keep_alive(&headers).map(|duration| duration.as_millis())
     };
-    assert_eq!(after(&[]), None);
+    assert_eq!(parse_keep_alive(&[]), None);
     assert_eq!(
-        after(&[("connection", "keep-alive"), ("connection", "x, Close")]),
+        parse_keep_alive(&[("connection", "keep-alive"), ("connection", "x, Close")]),
         Some(0)
     );
-    assert_eq!(after(&[("keep-alive", "max=9, timeout=5")]), Some(4_000));
-    assert_eq!(after(&[("keep-alive", "timeout=1")]), Some(300));
-    assert_eq!(after(&[("keep-alive", "timeout=-1")]), None);
+    assert_eq!(
+        parse_keep_alive(&[("keep-alive", "max=9, timeout=5")]),
+        Some(4_000)
+    );
+    assert_eq!(parse_keep_alive(&[("keep-alive", "timeout=1")]), Some(300));
+    assert_eq!(parse_keep_alive(&[("keep-alive", "timeout=-1")]), None);
 }
