--- a/crates/rookpulley-proxy/tests/proxy/deadlines.rs
+++ b/crates/rookpulley-proxy/tests/proxy/deadlines.rs
@@ -1,52 +1,52 @@
-//! How much time a task is given (BUDGET of NEWS-22: tasks are handed no more time than is left).
+//! The deadline passed on to instances.
 
-use crate::scene::{Got, Scene, good, play, turned_away};
+use crate::harness::{Harness, ReceivedRequest, not_executed, run_test, signed_ok};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// So much passes while the first task has the request.
-const HELD: Duration = Duration::from_millis(60);
-/// A value in whole milliseconds may be off by one.
+/// How long the first instance holds the request.
+const HOLD_TIME: Duration = Duration::from_millis(60);
+/// Tolerance for rounding to whole milliseconds.
 const ROUNDING_MS: u64 = 1;
 
-fn deadline_ms(got: &Got) -> u64 {
-    got.header("deadline-ms").unwrap().parse().unwrap()
+fn deadline_ms(received: &ReceivedRequest) -> u64 {
+    received.header("deadline-ms").unwrap().parse().unwrap()
 }
 
-/// When each attempt arrived, and the time that it was given.
+/// The arrival time of each attempt and the deadline it was given.
 type Arrivals = Rc<RefCell<Vec<(Instant, u64)>>>;
 
-/// Two tasks, of which the one that is asked first takes its time and turns the request away.
-async fn scene_with_a_late_refusal(arrivals: Arrivals) -> Scene {
-    Scene::with_tasks(2, move |got| {
+/// Two instances, of which the first one asked delays its response and rejects the request.
+async fn harness_with_delayed_rejection(arrivals: Arrivals) -> Harness {
+    Harness::with_instances(2, move |received| {
         let arrived = Instant::now();
-        arrivals.borrow_mut().push((arrived, deadline_ms(got)));
+        arrivals.borrow_mut().push((arrived, deadline_ms(received)));
         if arrivals.borrow().len() > 1 {
-            return good(got, "served");
+            return signed_ok(received, "served");
         }
-        while arrived.elapsed() < HELD {
+        while arrived.elapsed() < HOLD_TIME {
             std::hint::spin_loop();
         }
-        turned_away(got)
+        not_executed(received)
     })
     .await
 }
 
 #[test]
-fn an_attempt_that_is_made_later_is_given_only_the_time_that_is_left() {
+fn later_attempt_gets_the_remaining_time() {
     for (method, target) in [("GET", "/r/x"), ("POST", "/m/x"), ("GET", "/d/x")] {
-        play(async {
+        run_test(async {
             let arrivals = Arrivals::default();
-            let scene = scene_with_a_late_refusal(arrivals.clone()).await;
-            let (code, back) = scene.ask(method, target, "q").await;
-            assert_eq!(code, 200, "{target}: {back}");
+            let harness = harness_with_delayed_rejection(arrivals.clone()).await;
+            let (code, response) = harness.send_request(method, target, "q").await;
+            assert_eq!(code, 200, "{target}: {response}");
             let [(first, first_ms), (second, second_ms)] = arrivals.borrow()[..] else {
                 panic!("{target}: {arrivals:?}");
             };
             let passed_ms = (second - first).as_millis() as u64;
             assert!(first_ms < 19_000, "{target}: {first_ms}");
-            assert!(passed_ms >= HELD.as_millis() as u64);
+            assert!(passed_ms >= HOLD_TIME.as_millis() as u64);
             assert!(
                 second_ms + passed_ms <= first_ms + ROUNDING_MS,
                 "{target}: first {first_ms}, {passed_ms} later {second_ms}"
@@ -56,14 +56,14 @@
 }
 
 #[test]
-fn a_request_without_a_deadline_is_given_its_routes_time() {
-    play(async {
-        let scene = Scene::with_tasks(1, |got| good(got, "")).await;
+fn request_without_deadline_gets_the_route_timeout() {
+    run_test(async {
+        let harness = Harness::with_instances(1, |received| signed_ok(received, "")).await;
         let head =
             "GET /r/x HTTP/1.1\r\nHost: h.example\r\nRequest-Id: q\r\nConnection: close\r\n\r\n";
-        let back = scene.send(head.as_bytes()).await;
-        assert!(back.starts_with("HTTP/1.1 200"), "{back}");
-        let given = deadline_ms(&scene.got.borrow()[0]);
+        let response = harness.send(head.as_bytes()).await;
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+        let given = deadline_ms(&harness.received.borrow()[0]);
         assert!((19_000..20_000).contains(&given), "{given}");
     });
 }
--- a/crates/rookpulley-proxy/tests/proxy/main.rs
+++ b/crates/rookpulley-proxy/tests/proxy/main.rs
@@ -1,11 +1,11 @@
-//! A proxy on loopback: what clients, tasks and controllers see of it.
+//! End-to-end tests of the proxy over loopback sockets.
 
-mod answers;
+mod client_disconnects;
 mod clients;
+mod controllers;
 mod deadlines;
-mod departures;
-mod homes;
+mod harness;
+mod instances;
+mod randomized;
 mod requests;
-mod rude;
-mod scene;
-mod tasks;
+mod responses;
