--- a/crates/rookpulley-proxy/src/connection_monitor.rs
+++ b/crates/rookpulley-proxy/src/connection_monitor.rs
@@ -50,7 +50,7 @@
     active_requests: Cell<u32>,
     /// When the connection became idle or the current head started.
     phase_started: Cell<Instant>,
-    /// When writing became blocked, or `None` if the last write succeeded.
+    /// When writing became blocked, or `None` if the last write completed.
     stalled: Cell<Option<Instant>>,
     /// Whether input is buffered that the parser has not received.
     has_unread: Cell<bool>,
--- a/crates/rookpulley-proxy/src/upstream_pool.rs
+++ b/crates/rookpulley-proxy/src/upstream_pool.rs
@@ -127,12 +127,12 @@
             return Err(ConnectError::Limit);
         }
         let has_closed_idle = pool.open.get() + self.open.get() < open_before;
-        let open = ConnectionCount::new(&pool, &self.open);
+        let count = ConnectionCount::new(&pool, &self.open);
         if has_closed_idle {
-            // Let the closed connection's task finish before opening another.
+            // Let the aborted connection task close its socket before another is opened.
             tokio::task::yield_now().await;
         }
-        self.connect_new(to, pool, open, options.is_idempotent)
+        self.connect_new(to, pool, count, options.is_idempotent)
             .await
     }
 
@@ -140,7 +140,7 @@
         &self,
         to: &TableEntry,
         pool: Rc<Pool>,
-        open: ConnectionCount,
+        count: ConnectionCount,
         is_idempotent: bool,
     ) -> Result<UpstreamConnection, ConnectError> {
         let started = Instant::now();
@@ -154,7 +154,7 @@
             return Err(ConnectError::Unreachable);
         };
         let round_trip = started.elapsed();
-        let connection = UpstreamConnection::new(stream, pool, open).await?;
+        let connection = UpstreamConnection::new(stream, pool, count).await?;
         if !is_idempotent {
             tokio::time::sleep((round_trip * 2).clamp(MIN_SETTLE_DELAY, MAX_SETTLE_DELAY)).await;
             if connection.sender.is_closed() {
@@ -245,7 +245,7 @@
     async fn new(
         stream: TcpStream,
         pool: Rc<Pool>,
-        open: ConnectionCount,
+        count: ConnectionCount,
     ) -> Result<Self, ConnectError> {
         connection::configure(&stream, connection::UNACKNOWLEDGED);
         let pending = Rc::new(PendingResponse::default());
@@ -268,7 +268,7 @@
             sender,
             was_idle: false,
             pending,
-            _count: open,
+            _count: count,
             pool,
             expires: now + IDLE_TIMEOUT,
             has_keep_alive: false,
--- a/crates/rookpulley-proxy/tests/proxy/clients.rs
+++ b/crates/rookpulley-proxy/tests/proxy/clients.rs
@@ -280,15 +280,15 @@
         harness.configure(1, "/m/").await;
         let entry = harness.start_instance("life-0").await;
         harness.send_table(vec![entry]).await;
-        let (mut idle, mut before) = (harness.client().await, harness.client().await);
-        before.send(request("GET", "/r/x", "a", "")).await;
-        assert_eq!(before.read_message().await.unwrap().status(), 200);
+        let (mut idle, mut reused) = (harness.client().await, harness.client().await);
+        reused.send(request("GET", "/r/x", "a", "")).await;
+        assert_eq!(reused.read_message().await.unwrap().status(), 200);
         let mut slow = harness.client().await;
-        for client in [&mut slow, &mut before] {
+        for client in [&mut slow, &mut reused] {
             client.send("\r\nGET /r/x HTTP/1.1\r\nHost: ").await;
         }
         assert_served(&harness, "b").await;
-        for client in [&mut slow, &mut before] {
+        for client in [&mut slow, &mut reused] {
             let response = client.read_message().await.unwrap();
             assert_eq!(
                 (response.status(), response.header("connection")),
--- a/crates/rookpulley-proxy/tests/proxy/requests.rs
+++ b/crates/rookpulley-proxy/tests/proxy/requests.rs
@@ -46,8 +46,8 @@
             ),
             (None, None, None)
         );
-        let left: u64 = received.header("deadline-ms").unwrap().parse().unwrap();
-        assert!((1..5_000).contains(&left));
+        let deadline_ms: u64 = received.header("deadline-ms").unwrap().parse().unwrap();
+        assert!((1..5_000).contains(&deadline_ms));
     });
 }
 
@@ -462,7 +462,7 @@
             "/r/?", "/r/??/#", "/r//", "/r/./..", "/r/%", "/r/%00", "/r/;a=b", "/r/é", "/r/?é",
             "/r/\\",
         ];
-        targets.extend(edge_cases.map(|word| word.as_bytes().to_vec()));
+        targets.extend(edge_cases.map(|target| target.as_bytes().to_vec()));
         let mut refused = 0;
         for target in targets {
             let mut client = harness.client().await;
