--- a/crates/rookpulley-wirehost/src/main.rs
+++ b/crates/rookpulley-wirehost/src/main.rs
@@ -1,5 +1,5 @@
-//! The bench adapter: reads batches on standard input, hosts one isolated controller per
-//! instance, writes one reply per batch. It decides nothing.
+//! The bench adapter: reads batches from standard input, runs one isolated controller per instance and writes one
+//! reply per batch to standard output.
 
 mod wire;
 
@@ -11,54 +11,54 @@
 
 #[derive(Debug, thiserror::Error)]
 enum HostError {
-    #[error("batch {batch}: {what}")]
-    Frame { batch: u32, what: wire::Malformed },
+    #[error("batch {batch}: {error}")]
+    Frame { batch: u32, error: wire::FrameError },
     #[error("batch {batch}: event for instance {instance}, which has not started")]
     NotStarted { batch: u32, instance: u32 },
-    #[error("input ends inside a {part}: {got} of {want} bytes")]
-    Short {
+    #[error("input ends inside a {part}: {got} of {expected} bytes")]
+    Truncated {
         part: &'static str,
         got: usize,
-        want: usize,
+        expected: usize,
     },
     #[error("{0}")]
     Io(#[from] std::io::Error),
 }
 
-/// Reads until `buf` is full or the input ends; tells how many bytes came.
-fn read_up_to(input: &mut impl Read, buf: &mut Vec<u8>, want: usize) -> std::io::Result<usize> {
+/// Reads `expected` bytes, or fewer if the input ends first. Returns the number of bytes read.
+fn read_up_to(input: &mut impl Read, buf: &mut Vec<u8>, expected: usize) -> std::io::Result<usize> {
     buf.clear();
-    input.take(want as u64).read_to_end(buf)
+    input.take(expected as u64).read_to_end(buf)
 }
 
 fn host(input: impl Read, output: impl Write) -> Result<(), HostError> {
     let (mut input, mut output) = (BufReader::new(input), BufWriter::new(output));
     let mut controllers: BTreeMap<u32, Controller> = BTreeMap::new();
-    let (mut head, mut body, mut reply) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut header, mut body, mut reply) = (Vec::new(), Vec::new(), Vec::new());
     loop {
-        let got = read_up_to(&mut input, &mut head, wire::BATCH_HEAD)?;
+        let got = read_up_to(&mut input, &mut header, wire::BATCH_HEADER_BYTES)?;
         if got == 0 {
             return Ok(output.flush()?);
         }
-        if got < wire::BATCH_HEAD {
-            return Err(HostError::Short {
+        if got < wire::BATCH_HEADER_BYTES {
+            return Err(HostError::Truncated {
                 part: "batch header",
                 got,
-                want: wire::BATCH_HEAD,
+                expected: wire::BATCH_HEADER_BYTES,
             });
         }
-        let batch = wire::BatchHead::read(&head);
+        let batch = wire::BatchHeader::read(&header);
         let got = read_up_to(&mut input, &mut body, batch.length)?;
         if got < batch.length {
-            return Err(HostError::Short {
+            return Err(HostError::Truncated {
                 part: "batch",
                 got,
-                want: batch.length,
+                expected: batch.length,
             });
         }
-        let events = wire::read_events(&batch, &body).map_err(|what| HostError::Frame {
+        let events = wire::read_events(&batch, &body).map_err(|error| HostError::Frame {
             batch: batch.number,
-            what,
+            error,
         })?;
         let mut by_instance: BTreeMap<u32, Vec<Input>> = BTreeMap::new();
         for (instance, event) in events {
@@ -66,18 +66,18 @@
         }
         let mut writer = wire::ReplyWriter::default();
         for (instance, events) in by_instance {
-            let mut run = Vec::new();
+            let mut inputs = Vec::new();
             for event in events {
                 match event {
                     Input::Stop => {
-                        run.clear();
+                        inputs.clear();
                         controllers.remove(&instance);
                     }
                     Input::Start(start) => {
-                        run.clear();
+                        inputs.clear();
                         controllers.insert(instance, Controller::new(batch.now_ms, *start));
                     }
-                    other if controllers.contains_key(&instance) => run.push(other),
+                    other if controllers.contains_key(&instance) => inputs.push(other),
                     _ => {
                         return Err(HostError::NotStarted {
                             batch: batch.number,
@@ -87,7 +87,7 @@
                 }
             }
             if let Some(controller) = controllers.get_mut(&instance) {
-                writer.add(instance, &controller.handle(batch.now_ms, &run));
+                writer.add(instance, &controller.handle(batch.now_ms, &inputs));
             }
         }
         writer.finish(batch.number, &mut reply);
@@ -110,7 +110,7 @@
 mod tests {
     use super::host;
 
-    fn complaint(bytes: &[u8]) -> String {
+    fn error_of(bytes: &[u8]) -> String {
         host(bytes, Vec::new()).map_or_else(|e| e.to_string(), |()| "fine".into())
     }
 
@@ -147,28 +147,32 @@
             "fall_multiple": 2, "tip_after_us": 700000}}"#;
 
     #[test]
-    fn every_event_is_read() {
-        let mut boot = event(16, 13, &0_u32.to_le_bytes());
-        boot[17..21].copy_from_slice(&(SETTINGS.len() as u32).to_le_bytes());
-        let others = [17, 18, 19, 20, 22, 23, 24, 25, 26, 27, 28, 29];
-        let mut body = boot.clone();
-        others
+    fn every_event_code_is_decoded() {
+        let mut start = event(16, 13, &0_u32.to_le_bytes());
+        start[17..21].copy_from_slice(&(SETTINGS.len() as u32).to_le_bytes());
+        let codes_after_start = [17, 18, 19, 20, 22, 23, 24, 25, 26, 27, 28, 29];
+        let mut body = start.clone();
+        codes_after_start
             .iter()
             .for_each(|code| body.extend(event(*code, 0, &[*code])));
-        body.extend([event(21, 0, &[21]), boot].concat());
+        body.extend([event(21, 0, &[21]), start].concat());
         body.extend(SETTINGS.as_bytes());
         let mut out = Vec::new();
-        host(&batch(others.len() as u32 + 3, &body)[..], &mut out).unwrap();
+        host(
+            &batch(codes_after_start.len() as u32 + 3, &body)[..],
+            &mut out,
+        )
+        .unwrap();
         let codes: Vec<u8> = out[12..].chunks_exact(24).map(|record| record[0]).collect();
         assert_eq!(
             codes,
             [90, 85],
-            "after the restart: a timer, and the list is asked for"
+            "after the restart: sets a timer and watches the list"
         );
     }
 
     #[test]
-    fn a_megabyte_of_many_proxies_is_read_and_a_torn_one_refused() {
+    fn a_large_batch_is_read_and_a_truncated_one_rejected() {
         let mut body = event(16, 13, &0_u32.to_le_bytes());
         body[17..21].copy_from_slice(&(SETTINGS.len() as u32).to_le_bytes());
         (0..1_000_u16).for_each(|proxy| body.extend(event(22, 5, &proxy.to_le_bytes())));
@@ -178,20 +182,23 @@
         assert!(frame.len() > 1_000_000);
         let mut out = Vec::new();
         host(&frame[..], &mut out).unwrap();
-        assert_eq!(out[12], 90, "the first order sets a timer");
-        let torn = complaint(&frame[..frame.len() / 2]);
-        assert!(torn != "fine" && !torn.contains('\n'), "{torn}");
+        assert_eq!(out[12], 90, "the first effect sets a timer");
+        let truncated = error_of(&frame[..frame.len() / 2]);
+        assert!(
+            truncated != "fine" && !truncated.contains('\n'),
+            "{truncated}"
+        );
     }
 
     #[test]
-    fn malformed_frames_get_a_plain_message() {
-        let mut boot = event(16, 13, &0_u32.to_le_bytes());
-        boot[17..21].copy_from_slice(&2_u32.to_le_bytes());
-        boot.extend(b"{x");
-        let mut not_text = boot.clone();
-        not_text[48] = 0xff;
+    fn malformed_frames_are_reported() {
+        let mut start = event(16, 13, &0_u32.to_le_bytes());
+        start[17..21].copy_from_slice(&2_u32.to_le_bytes());
+        start.extend(b"{x");
+        let mut not_utf8 = start.clone();
+        not_utf8[48] = 0xff;
         let outside = event(20, 11, &9_u32.to_le_bytes());
-        let said: Vec<String> = [
+        let messages: Vec<String> = [
             vec![1, 2, 3],
             batch(0, &[])[..19].to_vec(),
             [&9_u32.to_le_bytes()[..], &batch(0, &[])[4..]].concat(),
@@ -200,12 +207,12 @@
             batch(1, &event(18, 0, &[18])),
             batch(1, &event(17, 5, &[7])),
             batch(1, &outside),
-            batch(1, &boot),
-            batch(1, &not_text),
+            batch(1, &start),
+            batch(1, &not_utf8),
         ]
         .iter()
-        .map(|bytes| complaint(bytes))
+        .map(|bytes| error_of(bytes))
         .collect();
-        insta::assert_snapshot!(said.join("\n"));
+        insta::assert_snapshot!(messages.join("\n"));
     }
 }
--- a/crates/rookpulley-wirehost/src/wire.rs
+++ b/crates/rookpulley-wirehost/src/wire.rs
@@ -1,30 +1,30 @@
-//! Frames: little-endian, fixed records, one shared tail.
+//! Binary frames: little-endian fixed-size records, followed by a tail for data of variable length.
 
 use rookpulley::interface::{Effect, Input, ListScope, ProbeOutcome, ServerEntry, ServerId, Stage};
 
-pub const BATCH_HEAD: usize = 20;
-const EVENT: usize = 48;
-const ACTION: usize = 24;
-const ENTRY: usize = 25;
+pub const BATCH_HEADER_BYTES: usize = 20;
+const EVENT_BYTES: usize = 48;
+const ACTION_BYTES: usize = 24;
+const ENTRY_BYTES: usize = 25;
 
 #[derive(Debug, thiserror::Error)]
-pub enum Malformed {
-    #[error("{count} records take {need} bytes, but the batch holds {have}")]
+pub enum FrameError {
+    #[error("{count} records take {needed} bytes, but the batch holds {available}")]
     Records {
         count: usize,
-        need: usize,
-        have: usize,
+        needed: usize,
+        available: usize,
     },
     #[error("record {at}: unknown event code {code}")]
     Code { at: usize, code: u8 },
-    #[error("record {at}: {field} has no meaning for {value}")]
+    #[error("record {at}: {field} has the unknown value {value}")]
     Value {
         at: usize,
         field: &'static str,
         value: u64,
     },
     #[error(
-        "record {at}: {field} at offset {offset}, {bytes} bytes, lies outside the tail of {tail}"
+        "record {at}: {field} at offset {offset}, {bytes} bytes, lies outside the tail of {tail} bytes"
     )]
     Outside {
         at: usize,
@@ -45,20 +45,20 @@
     },
 }
 
-pub struct BatchHead {
+pub struct BatchHeader {
     pub length: usize,
     pub now_ms: f64,
     pub count: usize,
     pub number: u32,
 }
 
-impl BatchHead {
-    pub fn read(head: &[u8]) -> Self {
+impl BatchHeader {
+    pub fn read(header: &[u8]) -> Self {
         Self {
-            length: u32_at(head, 0) as usize,
-            now_ms: ms(u64_at(head, 4)),
-            count: u32_at(head, 12) as usize,
-            number: u32_at(head, 16),
+            length: u32_at(header, 0) as usize,
+            now_ms: us_to_ms(u64_at(header, 4)),
+            count: u32_at(header, 12) as usize,
+            number: u32_at(header, 16),
         }
     }
 }
@@ -85,15 +85,15 @@
     f64::from(f32::from_le_bytes(bytes_at(b, at)))
 }
 
-fn ms(us: u64) -> f64 {
+fn us_to_ms(us: u64) -> f64 {
     us as f64 / 1000.0
 }
 
-fn span(b: &[u8], at: usize) -> f64 {
-    ms(u64::from(u32_at(b, at)))
+fn duration_ms_at(b: &[u8], at: usize) -> f64 {
+    us_to_ms(u64::from(u32_at(b, at)))
 }
 
-/// A load report: a count, then four places of which the first `count` are meant.
+/// Reads a load report: a count, then four slots of which the first `count` are valid.
 fn load_at(b: &[u8], at: usize) -> Vec<f64> {
     (0..usize::from(b[at]).min(4))
         .map(|k| f32_at(b, at + 1 + 4 * k))
@@ -107,19 +107,19 @@
 }
 
 impl<'a> Record<'a> {
-    fn tail_part(
+    fn tail_slice(
         &self,
         field: &'static str,
         at: usize,
         unit: usize,
-    ) -> Result<&'a [u8], Malformed> {
+    ) -> Result<&'a [u8], FrameError> {
         let (offset, bytes) = (
             u32_at(self.b, at) as usize,
             u32_at(self.b, at + 4) as usize * unit,
         );
         self.tail
             .get(offset..offset + bytes)
-            .ok_or(Malformed::Outside {
+            .ok_or(FrameError::Outside {
                 at: self.at,
                 field,
                 offset,
@@ -128,39 +128,39 @@
             })
     }
 
-    fn no_meaning(&self, field: &'static str, value: u8) -> Malformed {
-        Malformed::Value {
+    fn invalid_value(&self, field: &'static str, value: u8) -> FrameError {
+        FrameError::Value {
             at: self.at,
             field,
             value: u64::from(value),
         }
     }
 
-    fn start(&self) -> Result<Input, Malformed> {
-        let text = std::str::from_utf8(self.tail_part("info", 13, 1)?)
-            .map_err(|error| Malformed::Text { at: self.at, error })?;
+    fn start(&self) -> Result<Input, FrameError> {
+        let text = std::str::from_utf8(self.tail_slice("info", 13, 1)?)
+            .map_err(|error| FrameError::Text { at: self.at, error })?;
         let start = rookpulley_start::read(u64_at(self.b, 5), text)
-            .map_err(|error| Malformed::Settings { at: self.at, error })?;
+            .map_err(|error| FrameError::Settings { at: self.at, error })?;
         Ok(Input::Start(Box::new(start)))
     }
 
-    fn list(&self) -> Result<Input, Malformed> {
+    fn list(&self) -> Result<Input, FrameError> {
         let scope = match self.b[5] {
             0 => ListScope::Changes,
             1 => ListScope::Full,
             2 => ListScope::Cached,
             3 => ListScope::Failed,
-            other => return Err(self.no_meaning("scope", other)),
+            other => return Err(self.invalid_value("scope", other)),
         };
         let lines = self
-            .tail_part("lines", 14, ENTRY)?
-            .chunks_exact(ENTRY)
+            .tail_slice("lines", 14, ENTRY_BYTES)?
+            .chunks_exact(ENTRY_BYTES)
             .map(|e| {
                 let stage = match e[12] {
                     0 => Stage::Gone,
                     1 => Stage::Ready,
                     2 => Stage::Draining,
-                    other => return Err(self.no_meaning("stage_state", other)),
+                    other => return Err(self.invalid_value("stage_state", other)),
                 };
                 Ok(ServerEntry {
                     server: bytes_at(e, 0),
@@ -169,7 +169,7 @@
                     bay: u16_at(e, 10),
                     stage,
                     weight: f32_at(e, 13),
-                    started_ms: ms(u64_at(e, 17)),
+                    started_ms: us_to_ms(u64_at(e, 17)),
                 })
             });
         Ok(Input::List {
@@ -179,7 +179,7 @@
         })
     }
 
-    fn read(&self) -> Result<Input, Malformed> {
+    fn read(&self) -> Result<Input, FrameError> {
         let b = self.b;
         Ok(match b[0] {
             16 => self.start()?,
@@ -194,15 +194,15 @@
                     111 => ProbeOutcome::Unreachable,
                     104 => ProbeOutcome::Broken,
                     114 | 125 => ProbeOutcome::Void,
-                    other => return Err(self.no_meaning("rc", other)),
+                    other => return Err(self.invalid_value("rc", other)),
                 },
                 server: bytes_at(b, 6),
-                took_ms: span(b, 12),
+                took_ms: duration_ms_at(b, 12),
                 load: load_at(b, 16),
             },
             20 => Input::PeerMessage {
                 from: u16_at(b, 5),
-                bytes: self.tail_part("blob", 7, 1)?.to_vec(),
+                bytes: self.tail_slice("blob", 7, 1)?.to_vec(),
             },
             21 => Input::Stop,
             22 => Input::ProxyJoined {
@@ -217,21 +217,21 @@
             24 => Input::Acknowledged {
                 proxy: u16_at(b, 5),
                 mark: u64_at(b, 7),
-                took_ms: span(b, 15),
+                took_ms: duration_ms_at(b, 15),
             },
             25 => Input::ServerReport {
                 zone: u16_at(b, 5),
                 server: bytes_at(b, 7),
                 tries: f64::from(u32_at(b, 13)),
                 bad: f64::from(u32_at(b, 17)),
-                mean_ms: span(b, 21),
-                span_ms: span(b, 25),
+                mean_ms: duration_ms_at(b, 21),
+                span_ms: duration_ms_at(b, 25),
                 load: load_at(b, 29),
             },
             26 => Input::ProxyUsage {
                 proxy: u16_at(b, 5),
                 came: f64::from(u32_at(b, 7)),
-                span_ms: span(b, 11),
+                span_ms: duration_ms_at(b, 11),
                 bad: f64::from(u32_at(b, 15)),
                 kind: usize::from(b[19]),
             },
@@ -240,7 +240,7 @@
                 kind: usize::from(b[7]),
                 came: f64::from(u32_at(b, 8)),
                 bad: f64::from(u32_at(b, 12)),
-                span_ms: span(b, 16),
+                span_ms: duration_ms_at(b, 16),
             },
             28 => Input::SliceAssigned {
                 ours: b[5] != 0,
@@ -251,23 +251,27 @@
                 slice: u16_at(b, 11),
                 weight: f32_at(b, 13),
             },
-            code => return Err(Malformed::Code { at: self.at, code }),
+            code => return Err(FrameError::Code { at: self.at, code }),
         })
     }
 }
 
-pub fn read_events(head: &BatchHead, body: &[u8]) -> Result<Vec<(u32, Input)>, Malformed> {
-    let need = head.count.saturating_mul(EVENT);
-    if need > body.len() {
-        return Err(Malformed::Records {
-            count: head.count,
-            need,
-            have: body.len(),
+pub fn read_events(header: &BatchHeader, body: &[u8]) -> Result<Vec<(u32, Input)>, FrameError> {
+    let needed = header.count.saturating_mul(EVENT_BYTES);
+    if needed > body.len() {
+        return Err(FrameError::Records {
+            count: header.count,
+            needed,
+            available: body.len(),
         });
     }
-    let (records, tail) = body.split_at(need);
+    let (records, tail) = body.split_at(needed);
     let read = |(at, b)| Ok((u32_at(b, 1), Record { at, b, tail }.read()?));
-    records.chunks_exact(EVENT).enumerate().map(read).collect()
+    records
+        .chunks_exact(EVENT_BYTES)
+        .enumerate()
+        .map(read)
+        .collect()
 }
 
 #[derive(Default)]
@@ -277,36 +281,34 @@
     tail: Vec<u8>,
 }
 
-const EVERYONE: u16 = u16::MAX;
+/// The peer or table number that stands for all of them.
+const ALL: u16 = u16::MAX;
 
 impl ReplyWriter {
     pub fn add(&mut self, instance: u32, effects: &[Effect]) {
         for effect in effects {
-            self.put(instance, effect);
+            self.write_effect(instance, effect);
         }
     }
 
-    fn text(&mut self, bytes: &[u8]) -> Vec<u8> {
+    fn append_to_tail(&mut self, bytes: &[u8]) -> Vec<u8> {
         let at = self.tail.len() as u32;
         self.tail.extend(bytes);
         [at.to_le_bytes(), (bytes.len() as u32).to_le_bytes()].concat()
     }
 
-    fn put(&mut self, instance: u32, effect: &Effect) {
+    fn write_effect(&mut self, instance: u32, effect: &Effect) {
         let weight = |w: f64| (w as f32).to_le_bytes();
         let addressed = |server: &ServerId, rest: &[u8]| [&server[..], rest].concat();
         let (code, fields) = match effect {
-            Effect::Log(text) => (80, self.text(text.as_bytes())),
+            Effect::Log(text) => (80, self.append_to_tail(text.as_bytes())),
             Effect::ClearTable { table } => (81, table.to_le_bytes().to_vec()),
             Effect::RequestAck { mark, all } => {
                 (82, [&mark.to_le_bytes()[..], &[u8::from(*all)]].concat())
             }
             Effect::PeerMessage { to, bytes } => {
-                let blob = self.text(bytes);
-                (
-                    83,
-                    [&to.unwrap_or(EVERYONE).to_le_bytes()[..], &blob].concat(),
-                )
+                let blob = self.append_to_tail(bytes);
+                (83, [&to.unwrap_or(ALL).to_le_bytes()[..], &blob].concat())
             }
             Effect::ProbeServer { server } => (84, server.to_vec()),
             Effect::WatchList { on } => (85, vec![u8::from(*on)]),
@@ -330,7 +332,7 @@
                 level,
                 retry,
             } => {
-                let table = table.unwrap_or(EVERYONE).to_le_bytes();
+                let table = table.unwrap_or(ALL).to_le_bytes();
                 let retry = [*retry as u8];
                 (
                     89,
@@ -350,10 +352,10 @@
                 [&table.to_le_bytes()[..], &addressed(server, &weight(*w))].concat(),
             ),
             Effect::FetchList => (92, Vec::new()),
-            // No operator speaks on this wire.
+            // This protocol has no operator requests, so there is no status to report.
             Effect::RollbackStatus { .. } => return,
         };
-        let end = self.records.len() + ACTION;
+        let end = self.records.len() + ACTION_BYTES;
         self.records.push(code);
         self.records.extend(instance.to_le_bytes());
         self.records.extend(fields);
