--- a/crates/rookpulley-assigner/tests/versions.rs
+++ b/crates/rookpulley-assigner/tests/versions.rs
@@ -705,7 +705,7 @@
     }
     let (lines, _) = program(Some("versions(keep = 1)\n"));
     assert!(
-        lines[0].contains("operators.star:1:1: keep = 1 is out of range; write a figure"),
+        lines[0].contains("operators.star:1:1: keep = 1 is out of range; write a number"),
         "{lines:?}"
     );
 }
--- a/crates/rookpulley-files/tests/files.rs
+++ b/crates/rookpulley-files/tests/files.rs
@@ -161,7 +161,7 @@
         ),
         (
             sealed_body("generation(1)\nservers(\"s-1\")\n", 1),
-            "the file knows generation(), loss(), server() and end()",
+            "the available functions are generation(), loss(), server() and end()",
         ),
         (
             sealed_body(
--- a/crates/rookpulley-operators/src/address.rs
+++ b/crates/rookpulley-operators/src/address.rs
@@ -1,4 +1,4 @@
-//! The operators' address: HTTP/1.1 with JSON, a few connections, small bodies, each call within its time.
+//! The HTTP/1.1 server of the operators' API, with limits on connections, body sizes and call times.
 
 use crate::asks::{self, Answer, Ask, Asked, Refusal};
 use crate::file::Token;
@@ -16,19 +16,19 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// So many connections at once; more are closed unread.
+/// The maximum number of open connections; further ones are closed at once.
 pub const CONNECTIONS: usize = 16;
-const BODY_MOST: usize = 16 * 1024;
-const HEAD_WITHIN: Duration = Duration::from_secs(5);
-/// A whole call, its body and its answer, and then a connection's whole life.
-const CALL_WITHIN: Duration = Duration::from_secs(10);
-const LIFE_MOST: Duration = Duration::from_secs(300);
-const ACCEPT_AGAIN: Duration = Duration::from_millis(100);
+const MAX_BODY_BYTES: usize = 16 * 1024;
+const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
+/// The time limit for a call, including reading its body and waiting for the response.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_CONNECTION_AGE: Duration = Duration::from_secs(300);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Calls taken and how they ended, for the counters.
+/// Increments the counter of this name.
 pub type Count = Rc<dyn Fn(&str)>;
 
-/// Answers calls for as long as the assigner runs. Called within a `LocalSet`.
+/// Accepts connections and serves calls indefinitely. Must be called within a `LocalSet`.
 pub async fn serve(
     listener: TcpListener,
     token: Option<Token>,
@@ -39,7 +39,7 @@
     loop {
         let Ok((socket, _)) = listener.accept().await else {
             count("operators' connections not taken");
-            tokio::time::sleep(ACCEPT_AGAIN).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if open.get() >= CONNECTIONS {
@@ -50,22 +50,26 @@
         count("operators' connections taken");
         let (token, asks, open, count) = (token.clone(), asks.clone(), open.clone(), count.clone());
         tokio::task::spawn_local(async move {
-            _ = timeout(LIFE_MOST, connection(socket, &token, &asks, &count)).await;
+            _ = timeout(
+                MAX_CONNECTION_AGE,
+                serve_connection(socket, &token, &asks, &count),
+            )
+            .await;
             open.set(open.get() - 1);
         });
     }
 }
 
-async fn connection(
+async fn serve_connection(
     socket: TcpStream,
     token: &Option<Token>,
     asks: &mpsc::Sender<Asked>,
     count: &Count,
 ) {
-    let answer = service_fn(async |request: Request<Incoming>| {
-        let late = || Refusal::new(503, "no answer in time", Some("ask again"));
-        let answer = timeout(CALL_WITHIN, call(request, token, asks)).await;
-        let answer = answer.unwrap_or_else(|_| Err(late()));
+    let service = service_fn(async |request: Request<Incoming>| {
+        let timed_out = || Refusal::new(503, "no response in time", Some("retry the request"));
+        let answer = timeout(CALL_TIMEOUT, handle_call(request, token, asks)).await;
+        let answer = answer.unwrap_or_else(|_| Err(timed_out()));
         let answer = answer.unwrap_or_else(|refusal| Answer::Refused { refusal });
         count(&format!("operators' calls answered {}", answer.status()));
         let body = serde_json::to_vec(&answer).unwrap_or_default();
@@ -77,25 +81,25 @@
     let mut server = hyper::server::conn::http1::Builder::new();
     server
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_WITHIN)
+        .header_read_timeout(HEADER_TIMEOUT)
         .max_buf_size(32 * 1024);
-    // However the connection ends, nobody waits for it.
-    _ = server.serve_connection(TokioIo::new(socket), answer).await;
+    // Connection errors are ignored: the calls that were answered are already counted.
+    _ = server.serve_connection(TokioIo::new(socket), service).await;
 }
 
-/// One call, from its head to its answer.
-async fn call(
+/// Checks authorization, host and content type, then passes the request on and waits for the response.
+async fn handle_call(
     request: Request<Incoming>,
     token: &Option<Token>,
     asks: &mpsc::Sender<Asked>,
 ) -> Result<Answer, Refusal> {
     let (head, body) = request.into_parts();
     if let Some(token) = token {
-        let shown = head
+        let credentials = head
             .headers
             .get(AUTHORIZATION)
             .and_then(|h| h.to_str().ok());
-        if !token.is(shown
+        if !token.is(credentials
             .and_then(|s| s.strip_prefix("Bearer "))
             .unwrap_or_default())
         {
@@ -107,49 +111,51 @@
             ));
         }
     }
-    // Without a token whoever calls must mean this machine: a name that was bent to it is refused.
+    // Without a token, accept only loopback host names: this guards against DNS rebinding.
     let host = head
         .headers
         .get(HOST)
         .and_then(|h| h.to_str().ok())
         .unwrap_or_default();
-    let here = host
+    let is_loopback_host = host
         .parse::<SocketAddr>()
         .is_ok_and(|a| a.ip().is_loopback())
         || host.parse::<IpAddr>().is_ok_and(|a| a.is_loopback())
         || host.split(':').next() == Some("localhost");
-    if token.is_none() && !here {
+    if token.is_none() && !is_loopback_host {
         return Err(Refusal::new(
             403,
-            format!("{host:?} is no loopback address"),
+            format!("{host:?} is not a loopback address"),
             Some("call 127.0.0.1"),
         ));
     }
-    // A page in a browser can't be made to call: no form sends this, and no other origin is let in.
-    let json = head
+    // Guards against cross-site requests: a form cannot send this content type, and no CORS headers allow other origins.
+    let is_json = head
         .headers
         .get(CONTENT_TYPE)
         .is_some_and(|t| t.as_bytes().starts_with(b"application/json"));
-    if head.method == hyper::Method::POST && !json {
+    if head.method == hyper::Method::POST && !is_json {
         return Err(Refusal::new(
             415,
-            "the body is no JSON",
+            "the body is not JSON",
             Some("send Content-Type: application/json"),
         ));
     }
-    let body = Limited::new(body, BODY_MOST).collect().await;
-    let too_long = |_| {
+    let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
+    let body_error = |_| {
         Refusal::new(
             413,
-            format!("the body is over {BODY_MOST} bytes or broke off"),
+            format!("the body is over {MAX_BODY_BYTES} bytes or was cut short"),
             None,
         )
     };
-    let body = body.map_err(too_long)?.to_bytes();
+    let body = body.map_err(body_error)?.to_bytes();
     let (path, query) = (head.uri.path(), head.uri.query().unwrap_or_default());
     let ask: Ask = asks::read(head.method.as_str(), path, query, &body)?;
-    let (answer, answered) = oneshot::channel();
-    let ends = || Refusal::new(503, "the assigner ends", None);
-    asks.send(Asked { ask, answer }).await.map_err(|_| ends())?;
-    answered.await.map_err(|_| ends())
+    let (answer, received) = oneshot::channel();
+    let shutting_down = || Refusal::new(503, "the assigner is shutting down", None);
+    asks.send(Asked { ask, answer })
+        .await
+        .map_err(|_| shutting_down())?;
+    received.await.map_err(|_| shutting_down())
 }
--- a/crates/rookpulley-operators/src/asks.rs
+++ b/crates/rookpulley-operators/src/asks.rs
@@ -1,5 +1,5 @@
-//! What can be asked at the operators' address, and what is answered: the one place where the JSON of both
-//! sides is laid down. Times are Unix milliseconds.
+//! The requests and responses of the operators' API. The server and its clients share these types, which define the
+//! JSON. Times are Unix milliseconds.
 
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
@@ -9,25 +9,25 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ask {
-    /// The kept versions, of one table or of all.
+    /// Lists the retained versions of one table or of all.
     Versions { table: Option<u16> },
-    /// Who holds what.
+    /// Lists the version that each dispatcher holds for each of its tables.
     Holders,
-    /// The lines that differ between two kept versions.
+    /// Lists the lines that differ between two retained versions.
     Diff { from: VersionText, to: VersionText },
-    /// Back to an earlier version: of its own table, or of all tables as they were then.
+    /// Rolls a table back to an earlier version, or all tables to their state at the time of that version.
     Rollback {
         to: VersionText,
         table: Option<u16>,
         all: bool,
     },
-    /// The servers, as the file that lists them and discovery have it.
+    /// Lists the servers known from the server file and from discovery.
     Servers,
-    /// Ends a way back: of one table, or all of them.
+    /// Ends the rollback of one table or of all tables.
     Release { table: Option<u16> },
 }
 
-/// An ask on its way, and where the answer goes.
+/// A pending request and the channel for its response.
 pub struct Asked {
     pub ask: Ask,
     pub answer: oneshot::Sender<Answer>,
@@ -40,16 +40,16 @@
     pub digest: String,
     pub lines: usize,
     pub issued_ms: f64,
-    /// It is what its table publishes now.
+    /// Whether its table publishes this version now.
     pub newest: bool,
-    /// A joined dispatcher is known to hold it, or was told it last.
+    /// Whether a joined dispatcher holds it, or was last sent it.
     pub in_use: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionList {
     pub assigner: String,
-    /// The start, in 16 hexadecimal digits.
+    /// The id of the assigner's start, as 16 hexadecimal digits.
     pub start: String,
     pub versions: Vec<VersionRow>,
 }
@@ -58,18 +58,18 @@
 pub struct HolderRow {
     pub dispatcher: u16,
     pub joined: bool,
-    /// It says itself which versions it holds; otherwise its answers to marks are all that is known.
+    /// Whether it reports the versions it holds; otherwise only its acknowledgements are known.
     pub speaks: bool,
     pub kinds: Vec<String>,
     pub table: u16,
-    /// in step, behind, lost, diverged or unknown.
+    /// The synchronization state: in step, behind, lost, diverged or unknown.
     pub judged: String,
     pub told: Option<VersionText>,
     pub confirmed: Option<VersionText>,
     pub claimed: Option<VersionText>,
-    /// For so long an answer has been waited for.
+    /// How long an acknowledgement has been pending.
     pub waits_ms: Option<f64>,
-    /// An operator went back to what is published.
+    /// Whether an operator rolled the table back.
     pub back: bool,
 }
 
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DiffRow {
     pub server: String,
-    /// None: no line.
+    /// The weight in each version; `None` where it has no line for the server.
     pub from: Option<f64>,
     pub to: Option<f64>,
 }
@@ -99,10 +99,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BackRow {
     pub table: u16,
-    /// held, refused or ended.
+    /// The outcome: held, refused or ended.
     pub what: String,
     pub why: Option<String>,
-    /// Of the version's lines so many can be used now.
+    /// How many of the version's lines are usable now.
     pub usable: Option<usize>,
     pub of: Option<usize>,
 }
@@ -120,7 +120,7 @@
     pub machine: String,
     pub bay: u16,
     pub weight: f64,
-    /// ready or draining.
+    /// The lifecycle stage: ready or draining.
     pub stage: String,
     pub started_ms: f64,
 }
@@ -128,15 +128,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerList {
     pub file: String,
-    /// Of the list in force; None: none was taken yet, and discovery's list counts.
+    /// The generation of the active server file; `None` while no file has been accepted and discovery's list applies.
     pub generation: Option<u64>,
     pub age_ms: Option<f64>,
-    /// Why what stands at the file's place now is not taken.
+    /// Why the current content of the file was rejected.
     pub not_taken: Option<String>,
     pub servers: Vec<ServerRow>,
 }
 
-/// Why an ask is not answered; `status` is that of HTTP.
+/// An error response; `status` is the HTTP status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, thiserror::Error)]
 #[error("{what}{}", instead.as_ref().map(|i| format!("; {i}")).unwrap_or_default())]
 pub struct Refusal {
@@ -175,7 +175,7 @@
     pub fn status(&self) -> u16 {
         match self {
             Self::Refused { refusal } => refusal.status,
-            // Nothing came of it: no table changed.
+            // Every table was refused: nothing changed.
             Self::Back(list) if list.tables.iter().all(|t| t.what == "refused") => 409,
             _ => 200,
         }
@@ -201,77 +201,78 @@
     all: bool,
 }
 
-fn body<'a, T: Deserialize<'a>>(bytes: &'a [u8], shape: &str) -> Result<T, Refusal> {
+fn parse_body<'a, T: Deserialize<'a>>(bytes: &'a [u8], example: &str) -> Result<T, Refusal> {
     serde_json::from_slice(bytes).map_err(|e| {
         Refusal::new(
             400,
             format!("the body can't be used: {e}"),
-            Some(&format!("write {shape}")),
+            Some(&format!("write {example}")),
         )
     })
 }
 
-/// What a call asks for.
+/// Parses the method, path, query and body of a call.
 pub fn read(method: &str, path: &str, query: &str, bytes: &[u8]) -> Result<Ask, Refusal> {
-    let pairs: Vec<(String, String)> = form_urlencoded::parse(query.as_bytes())
+    let params: Vec<(String, String)> = form_urlencoded::parse(query.as_bytes())
         .into_owned()
         .collect();
-    let find = |name: &str| {
-        pairs
+    let param = |name: &str| {
+        params
             .iter()
             .find(|(n, _)| n == name)
             .map(|(_, v)| v.clone())
     };
-    let known = |names: &[&str]| match pairs.iter().find(|(n, _)| !names.contains(&n.as_str())) {
-        None => Ok(()),
-        Some((n, _)) if names.is_empty() => {
-            Err(Refusal::new(400, format!("{n:?} is unknown here"), None))
-        }
-        Some((n, _)) => {
-            let instead = format!("write {}", names.join(" or "));
-            Err(Refusal::new(
-                400,
-                format!("{n:?} is unknown here"),
-                Some(&instead),
-            ))
-        }
-    };
-    let must = |name: &str| {
-        let wanted = Some("write a version as /v1/versions shows it");
-        find(name).ok_or_else(|| Refusal::new(400, format!("{name} is missing"), wanted))
+    let check_names =
+        |names: &[&str]| match params.iter().find(|(n, _)| !names.contains(&n.as_str())) {
+            None => Ok(()),
+            Some((n, _)) if names.is_empty() => {
+                Err(Refusal::new(400, format!("{n:?} is unknown here"), None))
+            }
+            Some((n, _)) => {
+                let instead = format!("write {}", names.join(" or "));
+                Err(Refusal::new(
+                    400,
+                    format!("{n:?} is unknown here"),
+                    Some(&instead),
+                ))
+            }
+        };
+    let required = |name: &str| {
+        let remedy = Some("write a version as /v1/versions shows it");
+        param(name).ok_or_else(|| Refusal::new(400, format!("{name} is missing"), remedy))
     };
     match (method, path) {
         ("GET", "/v1/versions") => {
-            known(&["table"])?;
-            let number = |text: String| {
-                let wrong = || {
+            check_names(&["table"])?;
+            let parse_table = |text: String| {
+                let invalid = || {
                     Refusal::new(
                         400,
-                        format!("table {text:?} is no number"),
+                        format!("table {text:?} is not a number"),
                         Some("write table=0"),
                     )
                 };
-                text.parse().map_err(|_| wrong())
+                text.parse().map_err(|_| invalid())
             };
             Ok(Ask::Versions {
-                table: find("table").map(number).transpose()?,
+                table: param("table").map(parse_table).transpose()?,
             })
         }
-        ("GET", "/v1/holders") => known(&[]).map(|()| Ask::Holders),
-        ("GET", "/v1/servers") => known(&[]).map(|()| Ask::Servers),
+        ("GET", "/v1/holders") => check_names(&[]).map(|()| Ask::Holders),
+        ("GET", "/v1/servers") => check_names(&[]).map(|()| Ask::Servers),
         ("GET", "/v1/diff") => {
-            known(&["from", "to"])?;
+            check_names(&["from", "to"])?;
             Ok(Ask::Diff {
-                from: must("from")?,
-                to: must("to")?,
+                from: required("from")?,
+                to: required("to")?,
             })
         }
         ("POST", "/v1/rollback") => {
-            known(&[])?;
-            let shape =
+            check_names(&[])?;
+            let example =
                 r#"{"to":"n0~18f3a2c41b7e0042~17"}, with "table":0 or "all":true where wanted"#;
-            let told: RollbackBody = body(bytes, shape)?;
-            if told.all && told.table.is_some() {
+            let request: RollbackBody = parse_body(bytes, example)?;
+            if request.all && request.table.is_some() {
                 return Err(Refusal::new(
                     400,
                     "table and all exclude each other",
@@ -279,18 +280,18 @@
                 ));
             }
             Ok(Ask::Rollback {
-                to: told.to,
-                table: told.table,
-                all: told.all,
+                to: request.to,
+                table: request.table,
+                all: request.all,
             })
         }
         ("POST", "/v1/release") => {
-            known(&[])?;
-            let told: ReleaseBody = body(bytes, r#"{"table":0} or {"all":true}"#)?;
-            match (told.table, told.all) {
+            check_names(&[])?;
+            let request: ReleaseBody = parse_body(bytes, r#"{"table":0} or {"all":true}"#)?;
+            match (request.table, request.all) {
                 (Some(_), true) | (None, false) => Err(Refusal::new(
                     400,
-                    "one of table and all is wanted",
+                    "one of table and all is required",
                     Some("write {\"all\":true}"),
                 )),
                 (table, _) => Ok(Ask::Release { table }),
@@ -298,17 +299,17 @@
         }
         (_, "/v1/versions" | "/v1/holders" | "/v1/diff" | "/v1/servers") => Err(Refusal::new(
             405,
-            format!("{method} is not for {path}"),
+            format!("{method} is not allowed for {path}"),
             Some("use GET"),
         )),
         (_, "/v1/rollback" | "/v1/release") => Err(Refusal::new(
             405,
-            format!("{method} is not for {path}"),
+            format!("{method} is not allowed for {path}"),
             Some("use POST"),
         )),
         _ => {
-            let known = "there are /v1/versions, /v1/holders, /v1/diff, /v1/servers, /v1/rollback and /v1/release";
-            Err(Refusal::new(404, format!("{path} is unknown"), Some(known)))
+            let paths = "there are /v1/versions, /v1/holders, /v1/diff, /v1/servers, /v1/rollback and /v1/release";
+            Err(Refusal::new(404, format!("{path} is unknown"), Some(paths)))
         }
     }
 }
--- a/crates/rookpulley-operators/src/file.rs
+++ b/crates/rookpulley-operators/src/file.rs
@@ -1,5 +1,5 @@
-//! The operators' own file: a script in Starlark, without loads, files, clocks or chance, so it says the same
-//! on every machine. It is bounded in size, steps, memory and depth: `plain` says what it may hold.
+//! The operators' file: a Starlark script without access to files, clocks or random numbers, so that it evaluates to
+//! the same settings on every machine. Size, steps, memory and nesting are limited; `subset` lists what is allowed.
 //!
 //! ```python
 //! address(listen = "127.0.0.1:3990")
@@ -9,7 +9,7 @@
 
 pub use crate::script::BadFile;
 use crate::script::{self, Vocabulary, once, said};
-use rookpulley_versions::RetentionLimits as Kept;
+use rookpulley_versions::RetentionLimits;
 use starlark::any::ProvidesStaticType;
 use starlark::environment::GlobalsBuilder;
 use starlark::eval::Evaluator;
@@ -19,14 +19,14 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-const BYTES_MOST: usize = 16 * 1024;
-const TOKEN_LEAST: usize = 16;
+const MAX_BYTES: usize = 16 * 1024;
+const MIN_TOKEN_LENGTH: usize = 16;
 
-/// Where operators reach the assigner.
+/// Where the operators' API listens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reach {
     pub listen: SocketAddr,
-    /// Where it is none, only loopback addresses are allowed.
+    /// Without a token file, only loopback addresses are allowed.
     pub token_file: Option<PathBuf>,
 }
 
@@ -37,77 +37,78 @@
     Json,
 }
 
-/// All that the file says; what it does not name is off.
+/// The settings of the file; whatever it does not name is disabled.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Operators {
     pub address: Option<Reach>,
-    pub versions: Option<Kept>,
+    pub versions: Option<RetentionLimits>,
     /// The file that lists the servers.
     pub servers: Option<PathBuf>,
     pub log: LogForm,
 }
 
 #[derive(Default, ProvidesStaticType)]
-struct Said(RefCell<Found>);
+struct Collected(RefCell<Settings>);
 
 #[derive(Default)]
-struct Found {
+struct Settings {
     address: Option<Reach>,
-    versions: Option<Kept>,
+    versions: Option<RetentionLimits>,
     servers: Option<PathBuf>,
     log: Option<LogForm>,
 }
 
-fn within(name: &str, figure: i32, from: i32, to: i32) -> anyhow::Result<usize> {
-    match (from..=to).contains(&figure) {
-        true => Ok(figure as usize),
+fn in_range(name: &str, value: i32, min: i32, max: i32) -> anyhow::Result<usize> {
+    match (min..=max).contains(&value) {
+        true => Ok(value as usize),
         false => Err(anyhow::anyhow!(
-            "{name} = {figure} is out of range; write a figure from {from} to {to}"
+            "{name} = {value} is out of range; write a number from {min} to {max}"
         )),
     }
 }
 
 #[starlark_module]
-fn words(builder: &mut GlobalsBuilder) {
+fn functions(builder: &mut GlobalsBuilder) {
     fn address(
         #[starlark(require = named)] listen: &str,
         #[starlark(require = named, default = NoneOr::None)] token_file: NoneOr<&str>,
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
-        let place: SocketAddr = listen.parse().map_err(|_| {
+        let socket_address: SocketAddr = listen.parse().map_err(|_| {
             anyhow::anyhow!(
-                "listen = {listen:?} is no address; write one such as \"127.0.0.1:3990\" or \"[::1]:3990\""
+                "listen = {listen:?} is not an address; write one such as \"127.0.0.1:3990\" or \"[::1]:3990\""
             )
         })?;
         let token_file = token_file.into_option().map(PathBuf::from);
-        if !place.ip().is_loopback() && token_file.is_none() {
+        if !socket_address.ip().is_loopback() && token_file.is_none() {
             return Err(anyhow::anyhow!(
                 "{listen} can be reached from other machines; write token_file = \"/path\" beside it, or a loopback address"
             ));
         }
-        let reach = Reach {
-            listen: place,
+        let endpoint = Reach {
+            listen: socket_address,
             token_file,
         };
         once(
-            &mut said::<Said>(eval)?.0.borrow_mut().address,
+            &mut said::<Collected>(eval)?.0.borrow_mut().address,
             "address",
-            reach,
+            endpoint,
         )?;
         Ok(NoneType)
     }
 
     fn versions(
-        #[starlark(require = named, default = Kept::DEFAULT.per_table as i32)] keep: i32,
-        #[starlark(require = named, default = (Kept::DEFAULT.bytes >> 20) as i32)] megabytes: i32,
+        #[starlark(require = named, default = RetentionLimits::DEFAULT.per_table as i32)] keep: i32,
+        #[starlark(require = named, default = (RetentionLimits::DEFAULT.bytes >> 20) as i32)]
+        megabytes: i32,
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
-        let per_table = within("keep", keep, 2, 1_000)?;
-        let bytes = within("megabytes", megabytes, 1, 4_096)? << 20;
+        let per_table = in_range("keep", keep, 2, 1_000)?;
+        let bytes = in_range("megabytes", megabytes, 1, 4_096)? << 20;
         once(
-            &mut said::<Said>(eval)?.0.borrow_mut().versions,
+            &mut said::<Collected>(eval)?.0.borrow_mut().versions,
             "versions",
-            Kept { per_table, bytes },
+            RetentionLimits { per_table, bytes },
         )?;
         Ok(NoneType)
     }
@@ -122,7 +123,7 @@
             ));
         }
         once(
-            &mut said::<Said>(eval)?.0.borrow_mut().servers,
+            &mut said::<Collected>(eval)?.0.borrow_mut().servers,
             "servers",
             PathBuf::from(file),
         )?;
@@ -142,22 +143,26 @@
                 ));
             }
         };
-        once(&mut said::<Said>(eval)?.0.borrow_mut().log, "log", form)?;
+        once(
+            &mut said::<Collected>(eval)?.0.borrow_mut().log,
+            "log",
+            form,
+        )?;
         Ok(NoneType)
     }
 }
 
 const VOCABULARY: Vocabulary = Vocabulary {
-    words,
+    words: functions,
     known: "address(), versions(), servers() and log()",
-    bytes: BYTES_MOST,
+    bytes: MAX_BYTES,
     calls: 10_000,
 };
 
-/// Reads a script. `file` is named in errors only.
+/// Reads a script. `file` is used only in error messages.
 pub fn read(file: &Path, text: &str) -> Result<Operators, BadFile> {
-    let said: Said = script::run(file, text, &VOCABULARY)?;
-    let Found {
+    let said: Collected = script::run(file, text, &VOCABULARY)?;
+    let Settings {
         address,
         versions,
         servers,
@@ -172,22 +177,24 @@
 }
 
 pub fn load(file: &Path) -> Result<Operators, BadFile> {
-    let plain = |what: String| BadFile {
+    let without_position = |what: String| BadFile {
         file: file.into(),
         at: None,
         what,
     };
-    let size = std::fs::metadata(file).map_err(|e| plain(format!("can't be read: {e}")))?;
-    if !size.is_file() || size.len() > BYTES_MOST as u64 {
-        return Err(plain(format!(
-            "it must be a plain file of at most {BYTES_MOST} bytes"
+    let size =
+        std::fs::metadata(file).map_err(|e| without_position(format!("can't be read: {e}")))?;
+    if !size.is_file() || size.len() > MAX_BYTES as u64 {
+        return Err(without_position(format!(
+            "it must be a regular file of at most {MAX_BYTES} bytes"
         )));
     }
-    let text = std::fs::read_to_string(file).map_err(|e| plain(format!("can't be read: {e}")))?;
+    let text = std::fs::read_to_string(file)
+        .map_err(|e| without_position(format!("can't be read: {e}")))?;
     read(file, &text)
 }
 
-/// What whoever calls must show. Only a hash is kept.
+/// The bearer token that callers must present. Only its hash is kept.
 pub struct Token(blake3::Hash);
 
 impl Token {
@@ -195,30 +202,30 @@
         Self(blake3::hash(text.as_bytes()))
     }
 
-    /// The first line of a file, of 16 characters at least.
+    /// Reads the token from the first line of a file; it must have at least 16 characters.
     pub fn load(file: &Path) -> Result<Self, BadFile> {
-        let plain = |what: String| BadFile {
+        let without_position = |what: String| BadFile {
             file: file.into(),
             at: None,
             what,
         };
-        let text =
-            std::fs::read_to_string(file).map_err(|e| plain(format!("can't be read: {e}")))?;
+        let text = std::fs::read_to_string(file)
+            .map_err(|e| without_position(format!("can't be read: {e}")))?;
         let token = text.lines().next().unwrap_or_default().trim();
         match token.len() {
-            TOKEN_LEAST.. => Ok(Self::of(token)),
-            short => Err(plain(format!(
-                "a token of {short} characters; write {TOKEN_LEAST} at least"
+            MIN_TOKEN_LENGTH.. => Ok(Self::of(token)),
+            length => Err(without_position(format!(
+                "the token has {length} characters; write at least {MIN_TOKEN_LENGTH}"
             ))),
         }
     }
 
-    /// In the same time whatever is shown: hashes of one length are compared, and all their bytes.
-    pub fn is(&self, shown: &str) -> bool {
+    /// Compares hashes in constant time, so that timing reveals nothing about the token.
+    pub fn is(&self, candidate: &str) -> bool {
         use subtle::ConstantTimeEq;
         self.0
             .as_bytes()
-            .ct_eq(blake3::hash(shown.as_bytes()).as_bytes())
+            .ct_eq(blake3::hash(candidate.as_bytes()).as_bytes())
             .into()
     }
 }
--- a/crates/rookpulley-operators/src/lib.rs
+++ b/crates/rookpulley-operators/src/lib.rs
@@ -1,16 +1,17 @@
-//! What operators tell an assigner beside its configuration, and where they reach it while it runs.
+//! The operators' file and the operators' HTTP API of an assigner.
 //!
-//! - [`mod@file`]: the operators' own file, a script in a small dialect of Starlark.
-//! - [`asks`]: what can be asked at the operators' address, and the answers, as typed values.
-//! - [`address`]: the address itself: HTTP/1.1 with JSON, bounded in every direction.
+//! - [`mod@file`]: the operators' file, a script in a restricted dialect of Starlark.
+//! - [`asks`]: the requests and responses of the API as typed values.
+//! - [`address`]: the HTTP/1.1 server of the API, with JSON bodies and limits on connections, sizes and times.
+//! - [`script`]: evaluation of restricted Starlark scripts.
 //!
-//! This package decides nothing: an ask goes to whoever holds the answer, and what comes back is written out.
+//! The server passes each request on over a channel and sends back the response that it receives.
 
 pub mod address;
 pub mod asks;
 pub mod file;
-mod plain;
 pub mod script;
+mod subset;
 
 pub use asks::{Answer, Ask, Asked, Refusal};
 pub use file::{BadFile, Operators};
--- a/crates/rookpulley-operators/src/script.rs
+++ b/crates/rookpulley-operators/src/script.rs
@@ -1,7 +1,7 @@
-//! Scripts in Starlark that hold names, plain values and calls (`plain` says why no more), bounded in size, depth
-//! and calls. What the calls say is gathered in a value of the caller's.
+//! Runs Starlark scripts limited to the constructs that `subset` allows, with bounds on size, nesting and calls. The
+//! functions that a script calls record their arguments in a value of the caller's type.
 
-use crate::plain;
+use crate::subset;
 use starlark::any::AnyLifetime;
 use starlark::codemap::FileSpan;
 use starlark::environment::{Globals, GlobalsBuilder, Module};
@@ -11,60 +11,58 @@
 use starlark_syntax::syntax::module::AstModuleFields;
 use std::path::{Path, PathBuf};
 
-const HEAP_MOST: usize = 256 << 20;
-const DEPTH_MOST: usize = 50;
-/// The parser goes as deep as a script nests: enough for one of 16 KiB that does so at every letter, and longer
-/// ones are looked over first. What is not touched costs nothing.
-const STACK: usize = 256 << 20;
-const LOOKED_OVER: usize = 16 * 1024;
+const MAX_HEAP_BYTES: usize = 256 << 20;
+const MAX_DEPTH: usize = 50;
+/// The stack of the thread that parses. The parser recurses once per nesting level: this is enough for a script of
+/// `SCAN_ABOVE_BYTES` that nests at every character. Longer scripts are scanned for nesting first.
+const STACK_BYTES: usize = 256 << 20;
+const SCAN_ABOVE_BYTES: usize = 16 * 1024;
 
-/// What a kind of script may say, and how much of it.
+/// The functions that a kind of script may call, and its limits.
 #[derive(Clone, Copy)]
 pub struct Vocabulary {
     pub words: fn(&mut GlobalsBuilder),
-    /// The calls there are, as errors name them.
+    /// The names of the functions, for error messages.
     pub known: &'static str,
     pub bytes: usize,
     pub calls: u64,
 }
 
-/// What the calls of this script have said so far.
+/// The value in which the script's calls record their arguments.
 pub fn said<'s, 'e, S: AnyLifetime<'e>>(eval: &'s Evaluator<'_, '_, 'e>) -> anyhow::Result<&'s S> {
     let said = eval.extra.and_then(|extra| extra.downcast_ref::<S>());
     said.ok_or_else(|| anyhow::anyhow!("called outside its script"))
 }
 
-/// Fills a place that may be filled once.
-pub fn once<T>(place: &mut Option<T>, name: &str, value: T) -> anyhow::Result<()> {
-    match place.replace(value) {
+/// Sets a value that a script may set only once.
+pub fn once<T>(slot: &mut Option<T>, name: &str, value: T) -> anyhow::Result<()> {
+    match slot.replace(value) {
         None => Ok(()),
-        Some(_) => Err(anyhow::anyhow!(
-            "{name}() is called twice; write one call for it"
-        )),
+        Some(_) => Err(anyhow::anyhow!("{name}() is called twice; call it once")),
     }
 }
 
-/// Line and column of a span's begin, both from 1.
+/// The line and column where a span begins, both counted from 1.
 pub fn place_of(span: &FileSpan) -> (usize, usize) {
     let from = span.resolve_span().begin;
     (from.line + 1, from.column + 1)
 }
 
-/// What is wrong with the file, and where.
+/// An error in a file, with its position where known.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{}{}: {what}", file.display(), place(*at))]
+#[error("{}{}: {what}", file.display(), format_position(*at))]
 pub struct BadFile {
     pub file: PathBuf,
-    /// Line and column, both from 1.
+    /// Line and column, both counted from 1.
     pub at: Option<(usize, usize)>,
     pub what: String,
 }
 
-fn place(at: Option<(usize, usize)>) -> String {
+fn format_position(at: Option<(usize, usize)>) -> String {
     at.map_or(String::new(), |(line, column)| format!(":{line}:{column}"))
 }
 
-/// Wider than what a script may hold, so that `plain` and not the parser says what to write instead.
+/// Accepts more than scripts may use, so that `subset` can reject a construct with advice on what to write instead.
 const DIALECT: Dialect = Dialect {
     enable_def: true,
     enable_lambda: true,
@@ -77,13 +75,13 @@
     ..Dialect::Standard
 };
 
-fn wrong(file: &Path, error: &starlark::Error, known: &str) -> BadFile {
+fn script_error(file: &Path, error: &starlark::Error, function_names: &str) -> BadFile {
     let at = error.span().map(place_of);
     let what = format!("{}", error.without_diagnostic());
-    // What a script may not use at all is told by what to write instead.
+    // For an unknown name, list the functions that exist.
     let what = match what.lines().next().unwrap_or_default() {
         text if text.starts_with("Variable `") && text.contains("not found") => {
-            format!("{text}; the file knows {known}")
+            format!("{text}; the available functions are {function_names}")
         }
         text => text.to_string(),
     };
@@ -94,37 +92,37 @@
     }
 }
 
-/// Runs a script and gives what its calls said. `file` is named in errors only.
+/// Runs a script and returns what its calls recorded. `file` is used only in error messages.
 pub fn run<S>(file: &Path, text: &str, vocabulary: &Vocabulary) -> Result<S, BadFile>
 where
     S: Default + Send + for<'e> AnyLifetime<'e>,
 {
-    let plain = |what: String| BadFile {
+    let without_position = |what: String| BadFile {
         file: file.into(),
         at: None,
         what,
     };
     if text.len() > vocabulary.bytes {
-        return Err(plain(format!(
-            "{} bytes are too many; {} are the most",
+        return Err(without_position(format!(
+            "{} bytes are too many; the maximum is {}",
             text.len(),
             vocabulary.bytes
         )));
     }
-    if text.len() > LOOKED_OVER {
-        plain::look_over(text).map_err(|(line, what)| BadFile {
+    if text.len() > SCAN_ABOVE_BYTES {
+        subset::scan(text).map_err(|(line, what)| BadFile {
             file: file.into(),
             at: Some((line, 1)),
             what,
         })?;
     }
     std::thread::scope(|scope| {
-        let thread = std::thread::Builder::new().stack_size(STACK);
-        let reading = thread.spawn_scoped(scope, || evaluate(file, text, vocabulary));
-        let reading = reading.map_err(|e| plain(format!("can't be evaluated: {e}")))?;
-        reading
+        let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
+        let worker = thread.spawn_scoped(scope, || evaluate(file, text, vocabulary));
+        let worker = worker.map_err(|e| without_position(format!("can't be evaluated: {e}")))?;
+        worker
             .join()
-            .unwrap_or_else(|_| Err(plain("can't be evaluated".into())))
+            .unwrap_or_else(|_| Err(without_position("can't be evaluated".into())))
     })
 }
 
@@ -138,20 +136,20 @@
 where
     S: Default + for<'e> AnyLifetime<'e>,
 {
-    let plain = |what: String| BadFile {
+    let without_position = |what: String| BadFile {
         file: file.into(),
         at: None,
         what,
     };
-    let (name, known) = (file.display().to_string(), vocabulary.known);
-    let script =
-        AstModule::parse(&name, text.into(), &DIALECT).map_err(|e| wrong(file, &e, known))?;
-    plain::statement(script.statement(), DEPTH_MOST).map_err(|e| {
+    let (name, function_names) = (file.display().to_string(), vocabulary.known);
+    let script = AstModule::parse(&name, text.into(), &DIALECT)
+        .map_err(|e| script_error(file, &e, function_names))?;
+    subset::check_statement(script.statement(), MAX_DEPTH).map_err(|e| {
         let at = Some(place_of(&script.codemap().file_span(e.span)));
         BadFile {
             file: file.into(),
             at,
-            what: e.what,
+            what: e.message,
         }
     })?;
     let globals: Globals = GlobalsBuilder::new()
@@ -162,18 +160,18 @@
     Module::with_temp_heap(|module| {
         let mut eval = Evaluator::new(&module);
         eval.extra = Some(&said);
-        let bounds = [
+        let limits = [
             eval.set_max_tick_count(vocabulary.calls),
-            eval.set_max_heap_size(HEAP_MOST),
-            eval.set_max_callstack_size(DEPTH_MOST),
+            eval.set_max_heap_size(MAX_HEAP_BYTES),
+            eval.set_max_callstack_size(MAX_DEPTH),
         ];
-        bounds
+        limits
             .into_iter()
             .collect::<anyhow::Result<()>>()
-            .map_err(|e| plain(e.to_string()))?;
+            .map_err(|e| without_position(e.to_string()))?;
         eval.eval_module(script, &globals)
             .map(|_| ())
-            .map_err(|e| wrong(file, &e, known))
+            .map_err(|e| script_error(file, &e, function_names))
     })?;
     Ok(said)
 }
--- a/crates/rookpulley-operators/tests/file.rs
+++ b/crates/rookpulley-operators/tests/file.rs
@@ -1,21 +1,21 @@
-//! The operators' own file: good ones, and deliberately broken ones, each with its place and what to write.
+//! The operators' file: valid scripts, and the position and remedy in the errors for invalid ones.
 
 use proptest::prelude::*;
 use rookpulley_operators::file::{LogForm, Operators, Reach, Token, load, read};
 use rookpulley_versions::RetentionLimits;
 use std::path::Path;
 
-fn told(text: &str) -> Result<Operators, String> {
+fn read_text(text: &str) -> Result<Operators, String> {
     read(Path::new("operators.star"), text).map_err(|e| e.to_string())
 }
 
 #[test]
-fn what_is_not_named_is_off() {
-    assert_eq!(told("# nothing\n"), Ok(Operators::default()));
+fn settings_not_named_are_disabled() {
+    assert_eq!(read_text("# nothing\n"), Ok(Operators::default()));
     let all = "PORT = \"3990\"\naddress(listen = \"127.0.0.1:\" + PORT)\nversions(keep = 4)\nservers(file = \"/etc/servers.star\")\nlog(form = \"json\")\n";
     let listen = "127.0.0.1:3990".parse().unwrap();
     assert_eq!(
-        told(all),
+        read_text(all),
         Ok(Operators {
             address: Some(Reach {
                 listen,
@@ -29,18 +29,19 @@
             log: LogForm::Json,
         })
     );
-    let far = told("address(listen = \"10.0.0.4:3990\", token_file = \"/run/token\")").unwrap();
+    let remote =
+        read_text("address(listen = \"10.0.0.4:3990\", token_file = \"/run/token\")").unwrap();
     assert_eq!(
-        far.address.unwrap().token_file.unwrap(),
+        remote.address.unwrap().token_file.unwrap(),
         Path::new("/run/token")
     );
 }
 
-/// The text, and what its error must hold.
+/// Scripts, and the parts that their error messages must contain.
 const BROKEN: &[(&str, &[&str])] = &[
     (
         "address(listen = \"nowhere\")",
-        &["operators.star:1:1", "no address; write one such as"],
+        &["operators.star:1:1", "not an address; write one such as"],
     ),
     (
         "\naddress(listen = \"10.0.0.4:3990\")",
@@ -52,7 +53,7 @@
         "address(listen = 3990)",
         &["operators.star:1:", "expected `str`"],
     ),
-    ("versions(keep = 1)", &["write a figure from 2 to 1000"]),
+    ("versions(keep = 1)", &["write a number from 2 to 1000"]),
     (
         "versions(megabytes = 9999)",
         &["megabytes", "from 1 to 4096"],
@@ -77,10 +78,10 @@
     ("load(\"other.star\", \"x\")", &["operators.star:1:1"]),
     ("versions(keep = \n", &["operators.star:"]),
     ("  versions()", &["operators.star:1:"]),
-    // Whatever could grow beyond the script's own length.
+    // Constructs whose cost is not bounded by the length of the script.
     (
         "def f():\n  return 1\nf()",
-        &["operators.star:1:1", "a function of its own can't be used"],
+        &["operators.star:1:1", "a function definition can't be used"],
     ),
     (
         "for a in [1]:\n  versions()",
@@ -104,31 +105,31 @@
     ),
     (
         "x = \"y\"\nx += \"z\"",
-        &["operators.star:2:1", "a change of a name"],
+        &["operators.star:2:1", "augmented assignment"],
     ),
     (
         "x = \"a\".join([\"b\"])",
         &["operators.star:1:5", "a method"],
     ),
     ("x = \"%s%s\" % (1, 1)", &["this operator"]),
-    ("x = lambda a: a", &["a function of its own"]),
-    ("x = 1 if True else 2", &["a condition"]),
-    ("x = [1][0]", &["a part of a value"]),
+    ("x = lambda a: a", &["a lambda"]),
+    ("x = 1 if True else 2", &["a conditional expression"]),
+    ("x = [1][0]", &["an index or slice"]),
     ("open(\"/etc/hostname\")", &["operators.star:1:1"]),
 ];
 
 #[test]
-fn broken_files_are_refused_with_place_and_remedy() {
-    for (text, wanted) in BROKEN {
-        let said = told(text).expect_err(text);
+fn invalid_files_are_rejected_with_position_and_remedy() {
+    for (text, expected) in BROKEN {
+        let message = read_text(text).expect_err(text);
         assert!(
-            wanted.iter().all(|w| said.contains(w)),
-            "{text:?} says {said:?}"
+            expected.iter().all(|w| message.contains(w)),
+            "{text:?} gives {message:?}"
         );
-        assert_eq!(said.lines().count(), 1, "one line: {said:?}");
+        assert_eq!(message.lines().count(), 1, "one line: {message:?}");
     }
-    let deep = format!("x = {}1{}", "[".repeat(60), "]".repeat(60));
-    assert!(told(&deep).unwrap_err().contains("so deep"));
+    let nested = format!("x = {}1{}", "[".repeat(60), "]".repeat(60));
+    assert!(read_text(&nested).unwrap_err().contains("nested so deeply"));
     for pair in [
         ("[", "]"),
         ("(", ")"),
@@ -137,29 +138,33 @@
         ("f(", ")"),
         ("1+", ""),
     ] {
-        // It nests at every letter, for as long as a script may be: there is a verdict and no crash.
-        let times = 16_000 / (pair.0.len() + pair.1.len());
-        _ = told(&format!(
+        // Nesting at every character up to the maximum script size must not overflow the parser's stack.
+        let repeats = 16_000 / (pair.0.len() + pair.1.len());
+        _ = read_text(&format!(
             "x = {}1{}",
-            pair.0.repeat(times),
-            pair.1.repeat(times)
+            pair.0.repeat(repeats),
+            pair.1.repeat(repeats)
         ));
     }
-    assert!(told(&"#".repeat(70_000)).unwrap_err().contains("too many"));
+    assert!(
+        read_text(&"#".repeat(70_000))
+            .unwrap_err()
+            .contains("too many")
+    );
     assert!(
         load(Path::new("/"))
             .unwrap_err()
             .to_string()
-            .contains("plain file")
+            .contains("regular file")
     );
 }
 
 #[test]
-fn a_token_is_long_and_compared_whole() {
-    let folder = tempfile::tempdir().unwrap();
-    let file = folder.path().join("token");
+fn tokens_have_a_minimum_length_and_match_exactly() {
+    let dir = tempfile::tempdir().unwrap();
+    let file = dir.path().join("token");
     std::fs::write(&file, "short\n").unwrap();
-    assert!(Token::load(&file).is_err_and(|e| e.to_string().contains("write 16 at least")));
+    assert!(Token::load(&file).is_err_and(|e| e.to_string().contains("write at least 16")));
     std::fs::write(&file, "a-token-of-some-length\nand a comment\n").unwrap();
     let token = Token::load(&file).unwrap();
     assert!(token.is("a-token-of-some-length"));
@@ -175,7 +180,7 @@
 
 proptest! {
     #[test]
-    fn whatever_stands_in_it_the_file_gets_a_verdict(text in "[a-z0-9=()\\[\\]\",.:\n ]{0,80}") {
-        _ = told(&text);
+    fn arbitrary_text_does_not_panic(text in "[a-z0-9=()\\[\\]\",.:\n ]{0,80}") {
+        _ = read_text(&text);
     }
 }
