--- a/crates/rookpulley-standin/src/checker.rs
+++ b/crates/rookpulley-standin/src/checker.rs
@@ -1,57 +1,53 @@
-//! An independent checker: it follows what came out of the links, applies it by itself with plain maps and its
-//! own writing of the canonical form, and judges the rules from that and from where reqs went.
+//! An independent protocol checker: it applies the messages that the links delivered with its own implementation of
+//! the updates and of the canonical form, and verifies the rules against that state and against routed requests.
 
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::time::Instant;
 
-/// What happened, in the order in which it was seen.
+/// An observed event. Events are reported in the order in which they occur.
 pub enum Seen {
-    /// A line that reached an assigner, or a dispatcher.
+    /// A line delivered to an assigner.
     Up {
         stream: u64,
         dispatcher: u64,
         message: Value,
     },
+    /// A line delivered to a dispatcher.
     Down {
         stream: u64,
         dispatcher: u64,
         message: Value,
     },
-    Ended {
-        stream: u64,
-        dispatcher: u64,
-    },
-    /// A req went to a server.
-    Routed {
-        dispatcher: u64,
-        server: String,
-    },
+    /// A connection closed.
+    Ended { stream: u64, dispatcher: u64 },
+    /// A request was routed to a server.
+    Routed { dispatcher: u64, server: String },
 }
 
 type Lines = BTreeMap<String, f64>;
 
 #[derive(Clone, Default)]
-struct Copy {
+struct TableState {
     lines: Lines,
-    /// The numbers that changed these lines on this stream, and the newest named.
+    /// The version numbers that changed the lines on this stream, and the newest number received.
     effects: BTreeSet<u64>,
     newest: u64,
     version: String,
 }
 
 #[derive(Default)]
-struct Followed {
+struct DispatcherState {
     stream: u64,
-    /// By the request kinds of the table, as the message writes them.
-    tables: BTreeMap<String, Copy>,
+    /// Tables keyed by the JSON text of their request kinds.
+    tables: BTreeMap<String, TableState>,
     parts: Vec<Value>,
 }
 
 #[derive(Default)]
 pub struct Checker {
-    dispatchers: BTreeMap<u64, Followed>,
-    /// Since when each drained server is drained, and when it started anew.
+    dispatchers: BTreeMap<u64, DispatcherState>,
+    /// When each drained server began to drain, and when it restarted.
     drains: BTreeMap<String, (Instant, Option<Instant>)>,
     pub grace_ms: f64,
     pub broken: Vec<String>,
@@ -64,7 +60,7 @@
     pub same: u64,
 }
 
-/// The digest of the protocol's page, written once more from it.
+/// Computes the table digest that the protocol defines, independently of the assigner's implementation.
 pub fn digest(lines: &Lines) -> String {
     let mut bytes = b"RPT1".to_vec();
     bytes.extend((lines.len() as u32).to_be_bytes());
@@ -77,7 +73,7 @@
 }
 
 impl Checker {
-    /// After a drain reqs may go to the server for so long.
+    /// `grace_ms` is how long requests may still be routed to a server after it begins to drain.
     pub fn new(grace_ms: f64) -> Self {
         Self {
             grace_ms,
@@ -104,10 +100,10 @@
                 dispatcher,
                 message,
             } if message["msg"] == "attach" => {
-                let followed = self.dispatchers.entry(dispatcher).or_default();
-                (followed.stream, followed.parts) = (stream, Vec::new());
-                for copy in followed.tables.values_mut() {
-                    (copy.effects, copy.newest) = (BTreeSet::new(), 0);
+                let state = self.dispatchers.entry(dispatcher).or_default();
+                (state.stream, state.parts) = (stream, Vec::new());
+                for table in state.tables.values_mut() {
+                    (table.effects, table.newest) = (BTreeSet::new(), 0);
                 }
             }
             Seen::Down {
@@ -115,14 +111,14 @@
                 dispatcher,
                 message,
             } => {
-                let followed = self.dispatchers.entry(dispatcher).or_default();
-                if followed.stream != stream || message["msg"] != "assign" {
+                let state = self.dispatchers.entry(dispatcher).or_default();
+                if state.stream != stream || message["msg"] != "assign" {
                     return;
                 }
                 let more = message["more"] == true;
-                followed.parts.push(message);
+                state.parts.push(message);
                 if !more {
-                    let parts = std::mem::take(&mut followed.parts);
+                    let parts = std::mem::take(&mut state.parts);
                     self.apply(dispatcher, &parts);
                 }
             }
@@ -133,24 +129,24 @@
                 };
                 let after_ms = since.elapsed().as_secs_f64() * 1e3;
                 if started.is_none() && after_ms > self.grace_ms {
-                    let what = format!(
-                        "dispatcher {dispatcher} sent to {server}, drained {after_ms:.0} ms ago"
+                    let violation = format!(
+                        "dispatcher {dispatcher} routed a request to {server}, which began to drain {after_ms:.0} ms ago"
                     );
-                    self.broken.push(what);
+                    self.broken.push(violation);
                 }
             }
             Seen::Up { .. } | Seen::Ended { .. } => {}
         }
     }
 
-    /// A message that reached a dispatcher: what a dispatcher makes of it by the protocol's page.
+    /// Applies a message to the state that its dispatcher must have by the protocol.
     fn apply(&mut self, dispatcher: u64, parts: &[Value]) {
         let lines = |part: &Value| -> Vec<(String, f64)> {
             let list = part["lines"].as_array().into_iter().flatten();
             list.filter_map(|l| Some((l[0].as_str()?.to_string(), l[1].as_f64()?)))
                 .collect()
         };
-        let Some(followed) = self.dispatchers.get_mut(&dispatcher) else {
+        let Some(state) = self.dispatchers.get_mut(&dispatcher) else {
             return;
         };
         for (at, part) in parts.iter().enumerate() {
@@ -162,21 +158,21 @@
                 .next()
                 .and_then(|n| n.parse().ok())
                 .unwrap_or(0);
-            let goes_on = |p: &&Value| {
+            let continues = |p: &&Value| {
                 p["lines"].is_array() && p["version"].is_null() && p["classes"] == part["classes"]
             };
-            let rest = parts[at + 1..].iter().take_while(goes_on).flat_map(&lines);
+            let rest = parts[at + 1..]
+                .iter()
+                .take_while(continues)
+                .flat_map(&lines);
             let changes: Vec<_> = lines(part).into_iter().chain(rest).collect();
-            let copy = followed
-                .tables
-                .entry(part["classes"].to_string())
-                .or_default();
-            if number < copy.newest {
+            let table = state.tables.entry(part["classes"].to_string()).or_default();
+            if number < table.newest {
                 self.passed_over += 1;
                 continue;
             }
-            // A number alone is of the issuer that the table held has.
-            let issuer = copy
+            // A number alone refers to the issuer of the table held.
+            let issuer = table
                 .version
                 .rsplit_once('~')
                 .map_or("", |(issuer, _)| issuer);
@@ -185,42 +181,42 @@
             } else {
                 version.into()
             };
-            let ends = part["to"].as_str().unwrap_or_default();
-            let holds = digest(&copy.lines);
-            let mut next = copy.lines.clone();
+            let target = part["to"].as_str().unwrap_or_default();
+            let current = digest(&table.lines);
+            let mut next = table.lines.clone();
             if part["whole"] == true {
                 self.whole += 1;
                 next.clear();
             } else if let Some(from) = part["from"].as_str() {
                 self.deltas += 1;
-                if from != holds && ends != holds {
+                if from != current && target != current {
                     self.refused += 1;
                     continue;
                 }
             } else {
                 self.same += 1;
             }
-            if ends == holds {
-                next = copy.lines.clone();
+            if target == current {
+                next = table.lines.clone();
             } else {
                 next.extend(changes);
                 next.retain(|_, weight| *weight > 0.0);
             }
-            if digest(&next) != ends {
+            if digest(&next) != target {
                 self.refused += 1;
                 continue;
             }
-            if next != copy.lines && !copy.effects.insert(number) {
+            if next != table.lines && !table.effects.insert(number) {
                 self.broken.push(format!(
-                    "dispatcher {dispatcher}: version {version} took effect twice"
+                    "dispatcher {dispatcher}: version {version} was applied twice"
                 ));
             }
             self.applied += 1;
-            (copy.lines, copy.newest, copy.version) = (next, number, version);
+            (table.lines, table.newest, table.version) = (next, number, version);
         }
     }
 
-    /// What a dispatcher must hold by what reached it: version, digest and lines, by request kinds.
+    /// The tables that a dispatcher must hold given the messages it received: version, digest and lines of each.
     pub fn must_hold(&self, dispatcher: u64) -> Vec<(String, String, Lines)> {
         let tables = self
             .dispatchers
--- a/crates/rookpulley-standin/src/discovery.rs
+++ b/crates/rookpulley-standin/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery as the assigner meets it: HTTP with a watch, scripted call by call or keeping a list of its own.
+//! Test doubles of the discovery service, an HTTP API with a watch: one answers each call as the test scripts it, the
+//! other serves a list by itself.
 
 use crate::lists::list;
 use http_body_util::channel::{Channel, Sender};
@@ -16,12 +17,13 @@
 
 pub type Body = BoxBody<Bytes, std::io::Error>;
 
-/// A call to the stand-in for discovery, and how it is to be answered.
+/// A call to the scripted discovery service and the channel for its response.
 pub struct Call {
     pub path: String,
     pub answer: oneshot::Sender<hyper::Response<Body>>,
 }
 
+/// A discovery service whose calls the test answers one by one.
 pub struct Discovery {
     pub place: SocketAddr,
     pub calls: mpsc::UnboundedReceiver<Call>,
@@ -33,7 +35,7 @@
     }
 
     pub fn at(listener: TcpListener) -> Self {
-        let place = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         let (sender, calls) = mpsc::unbounded_channel();
         spawn_local(async move {
             while let Ok((socket, _)) = listener.accept().await {
@@ -57,19 +59,23 @@
                 );
             }
         });
-        Self { place, calls }
+        Self {
+            place: address,
+            calls,
+        }
     }
 
     pub async fn call(&mut self) -> Call {
         self.calls.recv().await.unwrap()
     }
 
-    /// Takes the next watch and keeps it open.
+    /// Answers the next call with an open watch.
     pub async fn watch(&mut self) -> Watch {
         self.call().await.watch()
     }
 }
 
+/// An open response that streams list updates.
 pub struct Watch(pub Sender<Bytes, std::io::Error>);
 
 impl Watch {
@@ -101,9 +107,10 @@
     }
 }
 
+/// Published lists with their index.
 pub type Lists = Vec<(u64, String)>;
 
-/// Discovery that works: whoever watches is told what came after the version it names.
+/// A discovery service that sends each watcher the lists published after the index that it names.
 pub struct Agent {
     pub place: SocketAddr,
     lists: watch::Sender<Lists>,
@@ -116,8 +123,8 @@
 
     pub fn at(listener: TcpListener) -> Self {
         let mut discovery = Discovery::at(listener);
-        let (place, lists) = (discovery.place, watch::Sender::new(Lists::new()));
-        let told = lists.subscribe();
+        let (address, lists) = (discovery.place, watch::Sender::new(Lists::new()));
+        let updates = lists.subscribe();
         spawn_local(async move {
             loop {
                 let call = discovery.call().await;
@@ -126,10 +133,13 @@
                     .rsplit_once("since=")
                     .and_then(|(_, n)| n.parse().ok())
                     .unwrap_or(0);
-                spawn_local(Self::follow(call.watch(), told.clone(), since));
+                spawn_local(Self::follow(call.watch(), updates.clone(), since));
             }
         });
-        Self { place, lists }
+        Self {
+            place: address,
+            lists,
+        }
     }
 
     pub async fn follow(mut watch: Watch, mut lists: watch::Receiver<Lists>, mut since: u64) {
--- a/crates/rookpulley-standin/src/dispatcher.rs
+++ b/crates/rookpulley-standin/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! A dispatcher: joins an assigner, follows its tables, answers marks and routes reqs by what it holds. It
-//! speaks of versions, or not, as the platform's proxies don't.
+//! A simulated dispatcher: joins an assigner, applies its tables, acknowledges messages and routes requests. It either
+//! reports the versions it holds or, like the platform's proxies, only acknowledges.
 
 use crate::checker::Seen;
 use rand::{RngExt, SeedableRng};
@@ -17,15 +17,15 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A stream that brings nothing for so long is dialled anew.
-const SILENT: Duration = Duration::from_secs(20);
+/// A connection that receives nothing for this long is closed and reopened.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[derive(Default)]
-struct Held {
-    /// By request kinds, where it speaks of versions.
+struct State {
+    /// Versioned tables, keyed by request kinds; used if it reports versions.
     holders: BTreeMap<Kinds, Holder>,
-    /// By request kind, where it does not.
-    plain: BTreeMap<usize, BTreeMap<String, f64>>,
+    /// Weights by server for each request kind; used if it does not report versions.
+    unversioned: BTreeMap<usize, BTreeMap<String, f64>>,
     out: BTreeSet<String>,
     fresh: bool,
 }
@@ -35,9 +35,9 @@
     zone: String,
     kinds: Vec<String>,
     speaks: bool,
-    held: RefCell<Held>,
+    state: RefCell<State>,
     rng: RefCell<ChaCha8Rng>,
-    /// Where to dial, in turn.
+    /// The assigners to connect to, in order; the first is next.
     places: RefCell<Vec<SocketAddr>>,
     streams: Cell<u64>,
     seen: Rc<dyn Fn(Seen)>,
@@ -59,9 +59,9 @@
             zone: zone.into(),
             kinds: kinds.iter().map(|k| k.to_string()).collect(),
             speaks,
-            held: RefCell::new(Held {
+            state: RefCell::new(State {
                 fresh: true,
-                ..Held::default()
+                ..State::default()
             }),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ id << 32)),
             places: RefCell::default(),
@@ -72,44 +72,44 @@
         })
     }
 
-    /// The places of the assigners; the first is dialled first, and each break goes on to the next.
+    /// Sets the assigners' addresses. Each disconnect moves on to the next address.
     pub fn dial(&self, places: &[SocketAddr]) {
         *self.places.borrow_mut() = places.to_vec();
     }
 
-    /// Stays where it is from now on, for as long as that stream lives; goes back to it afterwards.
+    /// From now on, reconnects to the same assigner instead of moving on to the next.
     pub fn rest(&self) {
         self.resting.set(true);
     }
 
-    /// Joins, follows and joins again, for as long as the test runs.
+    /// Connects and processes messages in the background, reconnecting after each disconnect.
     pub fn run(self: &Rc<Self>) {
-        let here = self.clone();
+        let this = self.clone();
         spawn_local(async move {
             loop {
-                let place = here.places.borrow()[0];
-                if let Ok(socket) = TcpStream::connect(place).await {
-                    here.follow(socket).await;
+                let address = this.places.borrow()[0];
+                if let Ok(socket) = TcpStream::connect(address).await {
+                    this.process_stream(socket).await;
                 }
-                if !here.resting.get() {
-                    here.places.borrow_mut().rotate_left(1);
+                if !this.resting.get() {
+                    this.places.borrow_mut().rotate_left(1);
                 }
-                let pause = here.rng.borrow_mut().random_range(2..40);
+                let pause = this.rng.borrow_mut().random_range(2..40);
                 sleep(Duration::from_millis(pause)).await;
             }
         });
     }
 
-    /// Routes a req every few milliseconds, and tells which server it went to.
+    /// Routes a request of each kind at the given interval and reports the chosen server.
     pub fn route(self: &Rc<Self>, every_ms: u64) {
-        let here = self.clone();
+        let this = self.clone();
         spawn_local(async move {
             loop {
                 sleep(Duration::from_millis(every_ms)).await;
-                for kind in 0..here.kinds.len() {
-                    if let Some(server) = here.pick(kind) {
-                        (here.seen)(Seen::Routed {
-                            dispatcher: here.id,
+                for kind in 0..this.kinds.len() {
+                    if let Some(server) = this.pick(kind) {
+                        (this.seen)(Seen::Routed {
+                            dispatcher: this.id,
                             server,
                         });
                     }
@@ -118,34 +118,34 @@
         });
     }
 
-    /// A server for a req of this kind, by weight.
+    /// Chooses a server for a request of this kind at random by weight.
     pub fn pick(&self, kind: usize) -> Option<String> {
-        let held = self.held.borrow();
-        let lines: Vec<(String, f64)> = self.lines(&held, kind);
+        let state = self.state.borrow();
+        let lines: Vec<(String, f64)> = self.lines(&state, kind);
         let usable: Vec<_> = lines
             .into_iter()
-            .filter(|(s, _)| !held.out.contains(s))
+            .filter(|(s, _)| !state.out.contains(s))
             .collect();
-        let all: f64 = usable.iter().map(|(_, w)| w).sum();
-        let mut at = self.rng.borrow_mut().random_range(0.0..1.0) * all;
+        let total: f64 = usable.iter().map(|(_, w)| w).sum();
+        let mut remaining = self.rng.borrow_mut().random_range(0.0..1.0) * total;
         let last = usable.last().map(|(s, _)| s.clone());
-        let found = usable.into_iter().find(|(_, w)| {
-            at -= w;
-            at < 0.0
+        let chosen = usable.into_iter().find(|(_, w)| {
+            remaining -= w;
+            remaining < 0.0
         });
-        found.map(|(s, _)| s).or(last)
+        chosen.map(|(s, _)| s).or(last)
     }
 
-    fn lines(&self, held: &Held, kind: usize) -> Vec<(String, f64)> {
-        let holder = held
+    fn lines(&self, state: &State, kind: usize) -> Vec<(String, f64)> {
+        let holder = state
             .holders
             .iter()
             .find(|(kinds, _)| *kinds >> kind & 1 == 1)
             .map(|(_, h)| h);
         match holder.and_then(Holder::table) {
             Some(table) => table.lines().map(|(n, w)| (n.to_string(), w)).collect(),
-            None => held
-                .plain
+            None => state
+                .unversioned
                 .get(&kind)
                 .into_iter()
                 .flatten()
@@ -154,19 +154,20 @@
         }
     }
 
-    /// Its tables, by request kind.
+    /// The tables it holds, by request kind.
     pub fn tables(&self) -> BTreeMap<String, BTreeMap<String, f64>> {
-        let held = self.held.borrow();
+        let state = self.state.borrow();
         let named = self.kinds.iter().enumerate();
         named
-            .map(|(k, name)| (name.clone(), self.lines(&held, k).into_iter().collect()))
+            .map(|(k, name)| (name.clone(), self.lines(&state, k).into_iter().collect()))
             .collect()
     }
 
     /// The version it holds for each of its request kinds.
     pub fn versions(&self) -> BTreeMap<Kinds, String> {
-        let held = self.held.borrow();
-        held.holders
+        let state = self.state.borrow();
+        state
+            .holders
             .iter()
             .filter_map(|(k, h)| Some((*k, h.version()?.to_string())))
             .collect()
@@ -181,27 +182,28 @@
         named.map(|(_, name)| name.as_str()).collect()
     }
 
-    fn holds(&self, held: &Held) -> Value {
-        let claim = |(kinds, holder): (&Kinds, &Holder)| {
+    fn holdings(&self, state: &State) -> Value {
+        let describe = |(kinds, holder): (&Kinds, &Holder)| {
             let (version, digest) = (holder.version()?.to_string(), holder.digest()?.to_string());
             Some(json!({"classes": self.names(*kinds), "version": version, "digest": digest}))
         };
-        held.holders.iter().filter_map(claim).collect()
+        state.holders.iter().filter_map(describe).collect()
     }
 
-    async fn follow(&self, socket: TcpStream) {
+    async fn process_stream(&self, socket: TcpStream) {
         _ = socket.set_nodelay(true);
         let stream = self.streams.replace(self.streams.get() + 1) + 1;
         let (from, mut to) = socket.into_split();
         let joining = {
-            let mut held = self.held.borrow_mut();
-            held.holders
+            let mut state = self.state.borrow_mut();
+            state
+                .holders
                 .values_mut()
                 .for_each(|h| h.follow_stream(stream));
             let mut joining = json!({"msg": "attach", "proxy": self.id, "zone": self.zone, "weight": 9.5,
-                "fresh": held.fresh});
+                "fresh": state.fresh});
             if self.speaks {
-                joining["holds"] = self.holds(&held);
+                joining["holds"] = self.holdings(&state);
             }
             joining
         };
@@ -213,7 +215,7 @@
             return;
         }
         let (mut from, mut line, mut parts) = (BufReader::new(from), String::new(), Vec::new());
-        while timeout(SILENT, from.read_line(&mut line))
+        while timeout(IDLE_TIMEOUT, from.read_line(&mut line))
             .await
             .is_ok_and(|r| r.is_ok_and(|n| n > 0))
         {
@@ -226,8 +228,8 @@
             if more {
                 continue;
             }
-            let said = self.take(stream, &std::mem::take(&mut parts));
-            for answer in said {
+            let replies = self.apply_message(stream, &std::mem::take(&mut parts));
+            for answer in replies {
                 if to
                     .write_all(format!("{answer}\n").as_bytes())
                     .await
@@ -240,18 +242,18 @@
     }
 
     fn mask(&self, part: &Value) -> Kinds {
-        let all = (1_u32 << self.kinds.len()) as Kinds - 1;
-        let place = |name: &Value| self.kinds.iter().position(|k| name == k.as_str());
+        let every_kind = (1_u32 << self.kinds.len()) as Kinds - 1;
+        let index = |name: &Value| self.kinds.iter().position(|k| name == k.as_str());
         let named = part["classes"].as_array();
-        named.map_or(all, |names| {
-            names.iter().filter_map(place).fold(0, |m, k| m | 1 << k)
+        named.map_or(every_kind, |names| {
+            names.iter().filter_map(index).fold(0, |m, k| m | 1 << k)
         })
     }
 
-    /// Takes one message, all its parts; gives what is said in answer.
-    fn take(&self, stream: u64, parts: &[Value]) -> Vec<Value> {
-        let mut held = self.held.borrow_mut();
-        let (mut said, mut all) = (Vec::new(), true);
+    /// Applies one message, given as all its parts, and returns the replies.
+    fn apply_message(&self, stream: u64, parts: &[Value]) -> Vec<Value> {
+        let mut state = self.state.borrow_mut();
+        let (mut replies, mut all_applied) = (Vec::new(), true);
         let names = |part: &Value, field: &str| -> Vec<String> {
             let list = part[field].as_array().into_iter().flatten();
             list.filter_map(|s| s.as_str().map(String::from)).collect()
@@ -261,15 +263,15 @@
             list.filter_map(|l| Some((Name::from(l[0].as_str()?), l[1].as_f64()?)))
                 .collect()
         };
-        for (at, part) in parts.iter().enumerate() {
-            held.out.extend(names(part, "out"));
+        for (index, part) in parts.iter().enumerate() {
+            state.out.extend(names(part, "out"));
             names(part, "back")
                 .iter()
-                .for_each(|s| _ = held.out.remove(s));
+                .for_each(|s| _ = state.out.remove(s));
             let kinds = self.mask(part);
             if !self.speaks {
                 for kind in (0..self.kinds.len()).filter(|k| kinds >> k & 1 == 1) {
-                    let table = held.plain.entry(kind).or_default();
+                    let table = state.unversioned.entry(kind).or_default();
                     if part["whole"] == true {
                         table.clear();
                     }
@@ -284,22 +286,25 @@
             else {
                 continue;
             };
-            // A long table goes on in the next parts.
-            let goes_on = |p: &&Value| {
+            // A long table continues in the following parts.
+            let continues = |p: &&Value| {
                 p["lines"].is_array() && p["version"].is_null() && self.mask(p) == kinds
             };
-            let rest = parts[at + 1..].iter().take_while(goes_on).flat_map(lines);
+            let rest = parts[index + 1..]
+                .iter()
+                .take_while(continues)
+                .flat_map(lines);
             let changes: Vec<_> = lines(part).into_iter().chain(rest).collect();
-            let of = held.holders.get(&kinds).and_then(Holder::version).cloned();
+            let of = state.holders.get(&kinds).and_then(Holder::version).cloned();
             let (version, to) = (
                 Version::parse_relative(version, of.as_ref()),
                 digest.parse(),
             );
             let (Ok(version), Ok(to)) = (version, to) else {
-                // The order that would have named the issuer was lost.
-                all = false;
+                // The message that named the issuer was lost.
+                all_applied = false;
                 let classes = self.names(kinds);
-                said.push(json!({"msg": "refused", "proxy": self.id, "classes": classes}));
+                replies.push(json!({"msg": "refused", "proxy": self.id, "classes": classes}));
                 continue;
             };
             let update = match part["from"].as_str().and_then(|f| f.parse().ok()) {
@@ -310,42 +315,42 @@
                 }
                 None => Some(Update::Unchanged(to)),
             };
-            let holder = held.holders.entry(kinds).or_insert_with(|| {
+            let holder = state.holders.entry(kinds).or_insert_with(|| {
                 let mut holder = Holder::default();
                 holder.follow_stream(stream);
                 holder
             });
-            let verdict = update.map_or(Outcome::Refused, |update| {
+            let outcome = update.map_or(Outcome::Refused, |update| {
                 holder.handle(stream, &Order { version, update })
             });
-            match verdict {
+            match outcome {
                 Outcome::Applied | Outcome::VersionUpdated => {}
-                Outcome::Ignored => all = false,
+                Outcome::Ignored => all_applied = false,
                 Outcome::Refused => {
-                    all = false;
+                    all_applied = false;
                     self.refused.set(self.refused.get() + 1);
                     let (version, digest) =
                         (holder.version().map(|v| v.to_string()), holder.digest());
                     let classes = self.names(kinds);
-                    said.push(
+                    replies.push(
                         json!({"msg": "refused", "proxy": self.id, "classes": classes,
                         "version": version, "digest": digest.map(|d| d.to_string())}),
                     );
                 }
             }
         }
-        held.fresh = false;
+        state.fresh = false;
         if let Some(mark) = parts
             .last()
             .and_then(|p| p["ticket"].as_u64())
-            .filter(|_| all)
+            .filter(|_| all_applied)
         {
             let mut done = json!({"msg": "done", "proxy": self.id, "mark": mark, "took_ms": 1.5});
             if self.speaks {
-                done["holds"] = self.holds(&held);
+                done["holds"] = self.holdings(&state);
             }
-            said.push(done);
+            replies.push(done);
         }
-        said
+        replies
     }
 }
--- a/crates/rookpulley-standin/src/lib.rs
+++ b/crates/rookpulley-standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for what an assigner meets: discovery, dispatchers (proxies), links between them that lose, delay,
-//! double, reorder and cut, and a checker that judges by what crossed the sockets. Written from the protocol's
-//! public description; for tests and for trying things out on loopback.
+//! Test doubles for the peers of an assigner: discovery, dispatchers (proxies), fault-injecting links that drop,
+//! delay, duplicate, reorder and disconnect, and a checker that verifies the protocol from the observed traffic.
+//! The checker implements the public protocol description and shares no code with the assigner.
 //!
-//! Whatever is left to chance comes from a seed.
+//! All randomness is seeded.
 
 pub mod checker;
 pub mod discovery;
--- a/crates/rookpulley-standin/src/link.rs
+++ b/crates/rookpulley-standin/src/link.rs
@@ -1,6 +1,6 @@
-//! A link between dispatchers and an assigner: whole lines pass, are lost, come twice, come late or overtake
-//! one another, and connections are cut, by a seed. Never are more than `IN_A_ROW` lines of one direction and
-//! dispatcher lost in a row, and the joining itself is never lost: it stands for the dialling.
+//! A fault-injecting link between dispatchers and an assigner: it drops, duplicates, delays and reorders whole lines
+//! and disconnects, driven by a seed. It drops at most `MAX_CONSECUTIVE_DROPS` consecutive lines per dispatcher and
+//! direction. The first line of a connection, the join message, is never subject to faults.
 
 use crate::checker::Seen;
 use rand::{RngExt, SeedableRng};
@@ -18,23 +18,23 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
 
-const IN_A_ROW: u32 = 2;
+const MAX_CONSECUTIVE_DROPS: u32 = 2;
 
-/// Parts of the lines that meet each fault; all 0: a link that does nothing.
+/// The probability of each fault per line. With all at 0 the link forwards everything unchanged.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     pub lose: f64,
     pub double: f64,
-    /// These come up to `late_ms` after their time, and may be overtaken.
+    /// Delayed lines arrive up to `late_ms` late, possibly after later ones.
     pub delay: f64,
     pub late_ms: f64,
     pub cut: f64,
-    /// A dispatcher that was cut off is left alone for this long.
+    /// The minimum time between two disconnects of the same dispatcher.
     pub cut_pause_ms: f64,
 }
 
 #[derive(Default)]
-struct Row {
+struct DispatcherFaults {
     lost: [u32; 2],
     cut_at: Option<Instant>,
 }
@@ -43,24 +43,24 @@
     pub place: SocketAddr,
     faults: Cell<Faults>,
     rng: RefCell<ChaCha8Rng>,
-    rows: RefCell<BTreeMap<u64, Row>>,
+    by_dispatcher: RefCell<BTreeMap<u64, DispatcherFaults>>,
     seen: Rc<dyn Fn(Seen)>,
     streams: Rc<Cell<u64>>,
     pub lost: Cell<u64>,
     pub doubled: Cell<u64>,
     pub cuts: Cell<u64>,
-    cutting: Notify,
+    disconnect: Notify,
 }
 
-/// What becomes of one line.
-enum Fate {
-    Cut,
-    Lost,
-    Passes { copies: u32, late_ms: f64 },
+/// What happens to one line.
+enum LineOutcome {
+    Disconnected,
+    Dropped,
+    Forwarded { copies: u32, late_ms: f64 },
 }
 
 impl Link {
-    /// Opens a link to an assigner. `seen` is told of what comes out of it; `streams` numbers the connections.
+    /// Opens a link to an assigner. `seen` observes each delivered line; `streams` numbers the connections.
     pub async fn open(
         to: SocketAddr,
         seed: u64,
@@ -69,125 +69,127 @@
         seen: Rc<dyn Fn(Seen)>,
     ) -> std::io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (rng, rows) = (ChaCha8Rng::seed_from_u64(seed), BTreeMap::new());
+        let (rng, by_dispatcher) = (ChaCha8Rng::seed_from_u64(seed), BTreeMap::new());
         let link = Rc::new(Self {
             place: listener.local_addr()?,
             faults: Cell::new(faults),
             rng: RefCell::new(rng),
-            rows: RefCell::new(rows),
+            by_dispatcher: RefCell::new(by_dispatcher),
             seen,
             streams,
             lost: Cell::new(0),
             doubled: Cell::new(0),
             cuts: Cell::new(0),
-            cutting: Notify::new(),
+            disconnect: Notify::new(),
         });
-        let here = link.clone();
+        let accepting = link.clone();
         spawn_local(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                spawn_local(here.clone().carry(near, to));
+            while let Ok((client, _)) = listener.accept().await {
+                spawn_local(accepting.clone().relay(client, to));
             }
         });
         Ok(link)
     }
 
-    /// From now on these faults; what is on its way stays so.
+    /// Changes the faults for lines read from now on.
     pub fn set(&self, faults: Faults) {
         self.faults.set(faults);
     }
 
-    /// Cuts all connections that are open now.
+    /// Closes all open connections.
     pub fn cut_all(&self) {
-        self.cutting.notify_waiters();
+        self.disconnect.notify_waiters();
     }
 
-    fn fate(&self, dispatcher: u64, way: usize, first: bool) -> Fate {
-        let (faults, mut rng, mut rows) = (
+    fn decide(&self, dispatcher: u64, direction: usize, is_first: bool) -> LineOutcome {
+        let (faults, mut rng, mut by_dispatcher) = (
             self.faults.get(),
             self.rng.borrow_mut(),
-            self.rows.borrow_mut(),
+            self.by_dispatcher.borrow_mut(),
         );
-        let row = rows.entry(dispatcher).or_default();
-        let mut chance = |part: f64| part > 0.0 && rng.random_range(0.0..1.0) < part;
-        let rested = row
+        let state = by_dispatcher.entry(dispatcher).or_default();
+        let mut roll =
+            |probability: f64| probability > 0.0 && rng.random_range(0.0..1.0) < probability;
+        let may_disconnect = state
             .cut_at
             .is_none_or(|at| at.elapsed().as_secs_f64() * 1e3 > faults.cut_pause_ms);
-        if rested && !first && chance(faults.cut) {
-            row.cut_at = Some(Instant::now());
+        if may_disconnect && !is_first && roll(faults.cut) {
+            state.cut_at = Some(Instant::now());
             self.cuts.set(self.cuts.get() + 1);
-            return Fate::Cut;
+            return LineOutcome::Disconnected;
         }
-        if !first && row.lost[way] < IN_A_ROW && chance(faults.lose) {
-            row.lost[way] += 1;
+        if !is_first && state.lost[direction] < MAX_CONSECUTIVE_DROPS && roll(faults.lose) {
+            state.lost[direction] += 1;
             self.lost.set(self.lost.get() + 1);
-            return Fate::Lost;
+            return LineOutcome::Dropped;
         }
-        row.lost[way] = 0;
-        let copies = if !first && chance(faults.double) {
+        state.lost[direction] = 0;
+        let copies = if !is_first && roll(faults.double) {
             2
         } else {
             1
         };
         self.doubled.set(self.doubled.get() + u64::from(copies - 1));
-        let late = !first && chance(faults.delay);
-        let late_ms = if late {
+        let delayed = !is_first && roll(faults.delay);
+        let late_ms = if delayed {
             rng.random_range(0.0..faults.late_ms.max(0.1))
         } else {
             0.0
         };
-        Fate::Passes { copies, late_ms }
+        LineOutcome::Forwarded { copies, late_ms }
     }
 
-    /// One connection, from both sides, until either ends or it is cut.
-    async fn carry(self: Rc<Self>, near: TcpStream, to: SocketAddr) {
-        let Ok(far) = TcpStream::connect(to).await else {
+    /// Relays one connection in both directions until a side closes or a disconnect is injected.
+    async fn relay(self: Rc<Self>, client: TcpStream, to: SocketAddr) {
+        let Ok(server) = TcpStream::connect(to).await else {
             return;
         };
-        _ = (near.set_nodelay(true), far.set_nodelay(true));
+        _ = (client.set_nodelay(true), server.set_nodelay(true));
         let stream = self.streams.replace(self.streams.get() + 1);
-        let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-        let (who, cut) = (Rc::new(Cell::new(u64::MAX)), Rc::new(Notify::new()));
+        let ((client_in, client_out), (server_in, server_out)) =
+            (client.into_split(), server.into_split());
+        let (dispatcher_cell, cut) = (Rc::new(Cell::new(u64::MAX)), Rc::new(Notify::new()));
         tokio::select! {
-            () = self.clone().one_way(0, stream, near_in, far_out, who.clone(), cut.clone()) => {}
-            () = self.clone().one_way(1, stream, far_in, near_out, who.clone(), cut.clone()) => {}
+            () = self.clone().relay_lines(0, stream, client_in, server_out, dispatcher_cell.clone(), cut.clone()) => {}
+            () = self.clone().relay_lines(1, stream, server_in, client_out, dispatcher_cell.clone(), cut.clone()) => {}
             () = cut.notified() => {}
-            () = self.cutting.notified() => {}
+            () = self.disconnect.notified() => {}
         }
         (self.seen)(Seen::Ended {
             stream,
-            dispatcher: who.get(),
+            dispatcher: dispatcher_cell.get(),
         });
     }
 
-    /// Lines of one direction: 0 towards the assigner, 1 from it.
-    async fn one_way(
+    /// Relays the lines of one direction: 0 to the assigner, 1 from it.
+    async fn relay_lines(
         self: Rc<Self>,
-        way: usize,
+        direction: usize,
         stream: u64,
         from: OwnedReadHalf,
         mut to: OwnedWriteHalf,
-        who: Rc<Cell<u64>>,
+        dispatcher_cell: Rc<Cell<u64>>,
         cut: Rc<Notify>,
     ) {
         let (sender, mut lines) = mpsc::unbounded_channel::<(Instant, u64, String)>();
         let seen = self.seen.clone();
-        let whose = who.clone();
-        // What is due is written in the order of its time: that is how a late line is overtaken.
-        let writing = async move {
-            let mut waiting: BTreeMap<(Instant, u64), String> = BTreeMap::new();
+        let dispatcher_id = dispatcher_cell.clone();
+        // Writes lines in the order of their due times, so that later lines overtake delayed ones.
+        let writer = async move {
+            let mut queue: BTreeMap<(Instant, u64), String> = BTreeMap::new();
             let mut open = true;
-            while open || !waiting.is_empty() {
-                let due = waiting.keys().next().map(|(due, _)| *due);
+            while open || !queue.is_empty() {
+                let due = queue.keys().next().map(|(due, _)| *due);
                 tokio::select! {
                     line = lines.recv(), if open => match line {
-                        Some((due, place, line)) => _ = waiting.insert((due, place), line),
+                        Some((due, sequence, line)) => _ = queue.insert((due, sequence), line),
                         None => open = false,
                     },
                     () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
-                        let Some((_, line)) = waiting.pop_first() else { continue };
+                        let Some((_, line)) = queue.pop_first() else { continue };
                         let message: Value = serde_json::from_str(&line).unwrap_or_default();
-                        let dispatcher = whose.get();
-                        seen(match way {
+                        let dispatcher = dispatcher_id.get();
+                        seen(match direction {
                             0 => Seen::Up { stream, dispatcher, message },
                             _ => Seen::Down { stream, dispatcher, message },
                         });
@@ -198,29 +200,29 @@
                 }
             }
         };
-        let reading = async move {
+        let reader = async move {
             let mut from = BufReader::new(from);
-            let (mut line, mut place) = (String::new(), 0);
+            let (mut line, mut sequence) = (String::new(), 0);
             while from.read_line(&mut line).await.is_ok_and(|size| size > 0) {
-                let first = who.get() == u64::MAX && way == 0;
-                if first {
+                let is_first = dispatcher_cell.get() == u64::MAX && direction == 0;
+                if is_first {
                     let message: Value = serde_json::from_str(&line).unwrap_or_default();
-                    who.set(message["proxy"].as_u64().unwrap_or(u64::MAX - 1));
+                    dispatcher_cell.set(message["proxy"].as_u64().unwrap_or(u64::MAX - 1));
                 }
-                match self.fate(who.get(), way, first) {
-                    Fate::Cut => return cut.notify_one(),
-                    Fate::Lost => {}
-                    Fate::Passes { copies, late_ms } => {
+                match self.decide(dispatcher_cell.get(), direction, is_first) {
+                    LineOutcome::Disconnected => return cut.notify_one(),
+                    LineOutcome::Dropped => {}
+                    LineOutcome::Forwarded { copies, late_ms } => {
                         let due = Instant::now() + Duration::from_secs_f64(late_ms / 1e3);
                         for _ in 0..copies {
-                            place += 1;
-                            _ = sender.send((due, place, line.clone()));
+                            sequence += 1;
+                            _ = sender.send((due, sequence, line.clone()));
                         }
                     }
                 }
                 line.clear();
             }
         };
-        tokio::join!(reading, writing);
+        tokio::join!(reader, writer);
     }
 }
--- a/crates/rookpulley-standin/src/lists.rs
+++ b/crates/rookpulley-standin/src/lists.rs
@@ -1,4 +1,4 @@
-//! Server lists as discovery writes them, and the configuration of an assigner that knows one.
+//! Server lists in discovery's format, and an assigner configuration for tests.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     servers.map(|n| server(n, "SERVING", 0.0)).collect()
 }
 
-/// A configuration of two zones, two request kinds, four proxies and servers s-1 to s-3.
+/// An assigner configuration with two zones, two request kinds, four proxies and the servers s-1 to s-3.
 pub fn told(discovery: SocketAddr) -> Value {
     let kind = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "group": "zone", "window_us": 600_000, "aim_us": 500_000,
--- a/crates/rookpulley-standin/src/main.rs
+++ b/crates/rookpulley-standin/src/main.rs
@@ -1,5 +1,5 @@
-//! Stand-ins to try an assigner with, on loopback: discovery with a list of servers, dispatchers that follow
-//! the assigner's tables, and a collector that reports that all is well. No server is behind the names.
+//! Runs test doubles for trying an assigner on loopback: discovery with a server list, dispatchers that follow the
+//! assigner's tables, and a collector that reports healthy servers. The listed servers do not exist.
 
 use clap::Parser;
 use rookpulley_standin::wire::Wire;
@@ -12,31 +12,34 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// Stands in for discovery, dispatchers and a collector, as deploy/example.json has them.
+/// Simulates the discovery, dispatchers and collector that deploy/example.json expects
 ///
 /// Example: rookpulley-standin --dispatchers 8 --churn 10
 #[derive(Parser)]
 #[command(version)]
-struct Given {
-    /// The assigners; more than one where dispatchers are to move between them
+struct Args {
+    /// The assigner's address; repeat it to let dispatchers fail over between assigners
     #[arg(long, default_value = "127.0.0.1:3900", value_name = "ADDRESS")]
     assigner: Vec<SocketAddr>,
-    /// Where to answer as discovery
+    /// The address on which to serve discovery
     #[arg(long, default_value = "127.0.0.1:3901", value_name = "ADDRESS")]
     discovery: SocketAddr,
+    /// The number of dispatchers
     #[arg(long, default_value_t = 8)]
     dispatchers: u64,
-    /// Of these the first speak of versions
+    /// How many of the dispatchers report versions
     #[arg(long, default_value_t = 6)]
     speaking: u64,
+    /// The number of listed servers
     #[arg(long, default_value_t = 6)]
     servers: u32,
-    /// Every so many seconds a server drains, and the one before starts anew; 0: never
+    /// Interval at which one server drains and the previous one restarts; 0 disables it
     #[arg(long, default_value_t = 0.0, value_name = "SECONDS")]
     churn: f64,
-    /// Ends after so many seconds; 0: never
+    /// Exit after this many seconds; 0 runs until stopped
     #[arg(long = "for", default_value_t = 0.0, value_name = "SECONDS")]
     seconds: f64,
+    /// The seed of all randomness
     #[arg(long, default_value_t = 7)]
     seed: u64,
 }
@@ -52,92 +55,92 @@
         * 1e3
 }
 
-fn line(n: u32, status: &str, since_ms: f64) -> Value {
-    let place = (n as usize + 1) % 2;
-    let machine = ["small", "large"][place];
-    json!({"name": format!("s-{n}"), "address": format!("127.0.0.1:{}", 8_000 + n), "zone": ZONES[place],
-        "type": machine, "group": place, "status": status, "weight": 1.0 + place as f64,
+fn server_entry(n: u32, status: &str, since_ms: f64) -> Value {
+    let zone = (n as usize + 1) % 2;
+    let machine = ["small", "large"][zone];
+    json!({"name": format!("s-{n}"), "address": format!("127.0.0.1:{}", 8_000 + n), "zone": ZONES[zone],
+        "type": machine, "group": zone, "status": status, "weight": 1.0 + zone as f64,
         "since_ms": since_ms})
 }
 
-async fn stand_in(given: Given) -> std::io::Result<()> {
-    let listener = TcpListener::bind(given.discovery).await?;
+async fn run(args: Args) -> std::io::Result<()> {
+    let listener = TcpListener::bind(args.discovery).await?;
     let agent = Agent::at(listener);
     let mut index = 2;
-    let all: Vec<Value> = (1..=given.servers)
-        .map(|n| line(n, "SERVING", 0.0))
+    let initial: Vec<Value> = (1..=args.servers)
+        .map(|n| server_entry(n, "SERVING", 0.0))
         .collect();
-    agent.say(index, true, &all);
+    agent.say(index, true, &initial);
     println!(
-        "discovery answers at {}, {} servers listed",
-        given.discovery, given.servers
+        "serving discovery at {} with {} servers",
+        args.discovery, args.servers
     );
-    for id in 0..given.dispatchers {
+    for id in 0..args.dispatchers {
         let zone = ZONES[(id % 2) as usize];
         let dispatcher = Dispatcher::new(
             id,
             zone,
             &KINDS,
-            id < given.speaking,
-            given.seed,
+            id < args.speaking,
+            args.seed,
             Rc::new(|_| ()),
         );
-        let mut places = given.assigner.clone();
-        places.rotate_left(id as usize % given.assigner.len());
-        dispatcher.dial(&places);
+        let mut assigners = args.assigner.clone();
+        assigners.rotate_left(id as usize % args.assigner.len());
+        dispatcher.dial(&assigners);
         dispatcher.run();
     }
     println!(
-        "{} dispatchers join, {} of them speak of versions",
-        given.dispatchers, given.speaking
+        "started {} dispatchers, {} of them report versions",
+        args.dispatchers, args.speaking
     );
-    for place in given.assigner.clone() {
-        spawn_local(report(place, given.servers));
+    for assigner in args.assigner.clone() {
+        spawn_local(report(assigner, args.servers));
     }
-    let (from, mut drained) = (Instant::now(), None);
+    let (started, mut draining) = (Instant::now(), None);
     loop {
-        let left = match given.seconds {
+        let remaining_s = match args.seconds {
             0.0 => f64::INFINITY,
-            most => most - from.elapsed().as_secs_f64(),
+            limit_s => limit_s - started.elapsed().as_secs_f64(),
         };
-        if left <= 0.0 {
+        if remaining_s <= 0.0 {
             return Ok(());
         }
-        let pause = if given.churn > 0.0 {
-            given.churn.min(left)
+        let pause_s = if args.churn > 0.0 {
+            args.churn.min(remaining_s)
         } else {
-            left.min(3_600.0)
+            remaining_s.min(3_600.0)
         };
-        sleep(Duration::from_secs_f64(pause)).await;
-        if given.churn > 0.0 {
+        sleep(Duration::from_secs_f64(pause_s)).await;
+        if args.churn > 0.0 {
             index += 1;
-            let mut lines = Vec::new();
-            let next = drained.map_or(1, |n: u32| n % given.servers + 1);
-            if let Some(back) = drained.replace(next) {
-                println!("s-{back} starts anew");
-                lines.push(line(back, "SERVING", unix_ms()));
+            let mut entries = Vec::new();
+            let next = draining.map_or(1, |n: u32| n % args.servers + 1);
+            if let Some(restarted) = draining.replace(next) {
+                println!("s-{restarted} restarts");
+                entries.push(server_entry(restarted, "SERVING", unix_ms()));
             }
             println!("s-{next} drains");
-            lines.push(line(next, "DRAINING", 0.0));
-            agent.say(index, false, &lines);
+            entries.push(server_entry(next, "DRAINING", 0.0));
+            agent.say(index, false, &entries);
         }
     }
 }
 
-/// Reports once a second that all servers do well.
-async fn report(place: SocketAddr, servers: u32) {
+/// Reports successful requests for all servers once a second, reconnecting every minute.
+async fn report(assigner: SocketAddr, servers: u32) {
     loop {
         sleep(Duration::from_secs(1)).await;
-        let Ok(mut wire) = Wire::try_dial(place).await else {
+        let Ok(mut wire) = Wire::try_dial(assigner).await else {
             continue;
         };
         wire.say(&json!({"msg": "telemetry", "zone": ZONES[0]}).to_string())
             .await;
         for _ in 0..60 {
             for n in 1..=servers {
-                let heard = json!({"msg": "upstream_stats", "zone": ZONES[0], "server": format!("s-{n}"),
+                let stats = json!({"msg": "upstream_stats", "zone": ZONES[0], "server": format!("s-{n}"),
                     "tries": 20, "failed": 0, "mean_ms": 40.0, "span_ms": 1000.0});
-                wire.say(&heard.to_string()).await;
+                wire.say(&stats.to_string()).await;
             }
             sleep(Duration::from_secs(1)).await;
         }
@@ -145,9 +148,9 @@
 }
 
 fn main() -> std::io::Result<()> {
-    let given = Given::parse();
+    let args = Args::parse();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    LocalSet::new().block_on(&runtime, stand_in(given))
+    LocalSet::new().block_on(&runtime, run(args))
 }
--- a/crates/rookpulley-standin/src/wire.rs
+++ b/crates/rookpulley-standin/src/wire.rs
@@ -1,4 +1,4 @@
-//! A connection to the assigner, by hand: a proxy, a collector or a stranger.
+//! A scripted client connection to the assigner.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -7,10 +7,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Nothing here takes so long unless it never comes.
+/// How long a test waits for an expected event before it fails.
 pub const LONG: Duration = Duration::from_secs(30);
 
-/// A connection to the assigner: a proxy, a collector or a stranger.
+/// A client connection that joins as a proxy, reports as a collector or stays unidentified.
 pub struct Wire {
     pub socket: TcpStream,
     pub held: Vec<u8>,
@@ -25,26 +25,26 @@
 pub const BEAT: &str = r#"{"msg":"hb"}"#;
 
 impl Wire {
-    pub async fn dial(place: SocketAddr) -> Self {
+    pub async fn dial(assigner: SocketAddr) -> Self {
         Self {
-            socket: TcpStream::connect(place).await.unwrap(),
+            socket: TcpStream::connect(assigner).await.unwrap(),
             held: Vec::new(),
             proxy: 0,
         }
     }
 
-    pub async fn try_dial(place: SocketAddr) -> std::io::Result<Self> {
+    pub async fn try_dial(assigner: SocketAddr) -> std::io::Result<Self> {
         Ok(Self {
-            socket: TcpStream::connect(place).await?,
+            socket: TcpStream::connect(assigner).await?,
             held: Vec::new(),
             proxy: 0,
         })
     }
 
-    pub async fn join(place: SocketAddr, proxy: u32, fresh: bool) -> Self {
+    pub async fn join(assigner: SocketAddr, proxy: u32, fresh: bool) -> Self {
         let mut wire = Self {
             proxy,
-            ..Self::dial(place).await
+            ..Self::dial(assigner).await
         };
         wire.say(&joining(proxy, fresh)).await;
         wire
@@ -54,7 +54,7 @@
         _ = self.socket.write_all(format!("{text}\n").as_bytes()).await;
     }
 
-    /// The next message; None once the connection has ended.
+    /// Receives the next message; `None` once the connection is closed.
     pub async fn hear(&mut self) -> Option<Value> {
         loop {
             if let Some(at) = self.held.iter().position(|b| *b == b'\n') {
@@ -69,34 +69,36 @@
         }
     }
 
-    /// Hears messages, answering their marks, up to one for which this holds.
-    pub async fn until(&mut self, what: &str, holds: impl Fn(&Value) -> bool) -> Value {
-        let listen = async {
+    /// Receives and acknowledges messages until one matches. `what` describes it in panic messages.
+    pub async fn until(&mut self, what: &str, matches: impl Fn(&Value) -> bool) -> Value {
+        let matching = async {
             loop {
                 let message = self
                     .hear()
                     .await
-                    .unwrap_or_else(|| panic!("ended before {what}"));
+                    .unwrap_or_else(|| panic!("connection closed before {what}"));
                 if let Some(mark) = message["ticket"].as_u64() {
                     let done =
                         json!({"msg": "done", "proxy": self.proxy, "mark": mark, "took_ms": 90.5});
                     self.say(&done.to_string()).await;
                 }
-                if holds(&message) {
+                if matches(&message) {
                     return message;
                 }
             }
         };
-        timeout(LONG, listen)
+        timeout(LONG, matching)
             .await
-            .unwrap_or_else(|_| panic!("waited long for {what}"))
+            .unwrap_or_else(|_| panic!("timed out waiting for {what}"))
     }
 
+    /// Waits for the last part of a complete table.
     pub async fn table(&mut self) -> Value {
         self.until("a whole table", |m| m["whole"] == true && m["more"] != true)
             .await
     }
 
+    /// Sends a heartbeat and returns whether it is answered before the connection closes.
     pub async fn beats(&mut self) -> bool {
         self.say(BEAT).await;
         while let Some(message) = self.hear().await {
@@ -108,6 +110,7 @@
     }
 }
 
+/// Matches messages that withdraw the server.
 pub fn names(server: &str) -> impl Fn(&Value) -> bool + use<'_> {
     move |message| {
         message["out"]
