--- a/crates/rookpulley-assigner/src/config.rs
+++ b/crates/rookpulley-assigner/src/config.rs
@@ -19,7 +19,7 @@
     #[error("the configuration's seed is not a number in hexadecimal: {0:?}")]
     Seed(String),
     #[error("the configuration's settings: {0}")]
-    Settings(#[from] rookpulley_start::Unreadable),
+    Settings(#[from] rookpulley_start::SettingsError),
     #[error("the configuration's known list {0}")]
     Known(#[from] Bad),
     #[error("the settings allow peers, but the configuration names no {0}")]
@@ -88,7 +88,7 @@
     let mut start = rookpulley_start::read_value(seed, &file.settings)?;
     // Each may have to let back a server that the proxy shut out on another assigner's word.
     start.channel.bind_lines = 2.0;
-    let facts = rookpulley_start::front_facts(&file.settings)?;
+    let facts = rookpulley_start::read_front_settings(&file.settings)?;
     let words = Words {
         zones: start.topology.zones.clone(),
         machines: facts.machines,
--- a/crates/rookpulley-cli/src/servers.rs
+++ b/crates/rookpulley-cli/src/servers.rs
@@ -61,7 +61,8 @@
     let told: Value = serde_json::from_str(&text).map_err(|e| wrong(e.to_string()))?;
     let settings = &told["settings"];
     let start = rookpulley_start::read_value(0, settings).map_err(|e| wrong(e.to_string()))?;
-    let front = rookpulley_start::front_facts(settings).map_err(|e| wrong(e.to_string()))?;
+    let front =
+        rookpulley_start::read_front_settings(settings).map_err(|e| wrong(e.to_string()))?;
     Ok(Deployment::from_start(&start, &front.machines))
 }
 
--- a/crates/rookpulley-start/src/lib.rs
+++ b/crates/rookpulley-start/src/lib.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unreadable {
+pub enum SettingsError {
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     #[error("'{key}' is missing or not {expected}")]
@@ -28,16 +28,16 @@
         }
     }
 
-    fn invalid(&self, key: &str, expected: &'static str) -> Unreadable {
+    fn invalid(&self, key: &str, expected: &'static str) -> SettingsError {
         let key = if self.path.is_empty() {
             key.to_string()
         } else {
             format!("{}.{key}", self.path)
         };
-        Unreadable::Key { key, expected }
+        SettingsError::Key { key, expected }
     }
 
-    fn number(&self, key: &str) -> Result<f64, Unreadable> {
+    fn number(&self, key: &str) -> Result<f64, SettingsError> {
         self.value[key]
             .as_f64()
             .ok_or_else(|| self.invalid(key, "a number"))
@@ -48,11 +48,11 @@
         self.value[key].as_f64().unwrap_or(default)
     }
 
-    fn us_as_ms(&self, key: &str) -> Result<f64, Unreadable> {
+    fn us_as_ms(&self, key: &str) -> Result<f64, SettingsError> {
         Ok(self.number(key)? / 1000.0)
     }
 
-    fn string(&self, key: &str) -> Result<&'a str, Unreadable> {
+    fn string(&self, key: &str) -> Result<&'a str, SettingsError> {
         self.value[key]
             .as_str()
             .ok_or_else(|| self.invalid(key, "a string"))
@@ -62,7 +62,7 @@
         self.value[key].as_bool().unwrap_or(false)
     }
 
-    fn list(&self, key: &str) -> Result<&'a [Value], Unreadable> {
+    fn list(&self, key: &str) -> Result<&'a [Value], SettingsError> {
         Ok(self.value[key]
             .as_array()
             .ok_or_else(|| self.invalid(key, "a list"))?
@@ -86,7 +86,7 @@
     value: &Value,
     index: usize,
     family: &Section,
-) -> Result<RequestKind, Unreadable> {
+) -> Result<RequestKind, SettingsError> {
     let section = Section {
         path: "categories[]",
         value,
@@ -134,19 +134,19 @@
     }
 }
 
-pub fn read(seed: u64, text: &str) -> Result<Start, Unreadable> {
+pub fn read(seed: u64, text: &str) -> Result<Start, SettingsError> {
     read_value(seed, &serde_json::from_str(text)?)
 }
 
 /// The settings that a socket front end needs and the decision module does not.
-pub struct FrontFacts {
+pub struct FrontSettings {
     /// The names of the machine kinds, in index order.
     pub machines: Vec<String>,
     /// The minimum interval between two calls of the decision module.
     pub tick_ms: f64,
 }
 
-pub fn front_facts(root: &Value) -> Result<FrontFacts, Unreadable> {
+pub fn read_front_settings(root: &Value) -> Result<FrontSettings, SettingsError> {
     let top = Section {
         path: "",
         value: root,
@@ -160,13 +160,13 @@
     let tick_ms = top.us_as_ms("tick_us")?;
     let valid = tick_ms > 0.0 && tick_ms <= 60_000.0;
     if valid {
-        Ok(FrontFacts { machines, tick_ms })
+        Ok(FrontSettings { machines, tick_ms })
     } else {
         Err(top.invalid("tick_us", "a positive duration of at most one minute"))
     }
 }
 
-pub fn read_value(seed: u64, root: &Value) -> Result<Start, Unreadable> {
+pub fn read_value(seed: u64, root: &Value) -> Result<Start, SettingsError> {
     let top = Section {
         path: "",
         value: root,
--- a/crates/rookpulley-wirehost/src/wire.rs
+++ b/crates/rookpulley-wirehost/src/wire.rs
@@ -41,7 +41,7 @@
     #[error("record {at}: the settings cannot be read: {error}")]
     Settings {
         at: usize,
-        error: rookpulley_start::Unreadable,
+        error: rookpulley_start::SettingsError,
     },
 }
 
