--- a/crates/rookpulley-assigner/src/lib.rs
+++ b/crates/rookpulley-assigner/src/lib.rs
@@ -23,7 +23,7 @@
 use peers::Peers;
 use reload::Held;
 use rookpulley::interface::Start;
-use rookpulley_operators::{BadFile, Operators};
+use rookpulley_operators::{FileError, Operators};
 use roster::{Pauses, Roster};
 use servers::Servers;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     #[error("{0}")]
     Config(#[from] config::Unusable),
     #[error("the operators' file {0}")]
-    Operators(#[from] BadFile),
+    Operators(#[from] FileError),
     #[error("{what} {place} can't be used: {why}")]
     Address {
         what: &'static str,
--- a/crates/rookpulley-cli/src/servers.rs
+++ b/crates/rookpulley-cli/src/servers.rs
@@ -6,7 +6,7 @@
 use rookpulley_files::{read, read_bytes, render, with_seal};
 use rookpulley_lists::candidate::{Rejection, capacity, validate_change, validate_list};
 use rookpulley_lists::{Candidate, Change, Deployment, Entry, Planned, plan};
-use rookpulley_operators::BadFile;
+use rookpulley_operators::FileError;
 use rookpulley_operators::asks::{Refusal, ServerList};
 use serde_json::{Value, json};
 use std::io::Write;
@@ -102,7 +102,7 @@
         }
         Ok(_) => {
             let line = |(at, why): &(_, rookpulley_lists::Reason)| {
-                let bad = BadFile {
+                let bad = FileError {
                     file: file.into(),
                     at: *at,
                     what: why.to_string(),
--- a/crates/rookpulley-files/src/read.rs
+++ b/crates/rookpulley-files/src/read.rs
@@ -5,7 +5,9 @@
 )]
 
 use rookpulley_lists::{Candidate, Entry};
-use rookpulley_operators::script::{self, BadFile, Vocabulary, once, place_of, said};
+use rookpulley_operators::script::{
+    self, FileError, ScriptSettings, collector, line_and_column, set_once,
+};
 use starlark::any::ProvidesStaticType;
 use starlark::environment::GlobalsBuilder;
 use starlark::eval::Evaluator;
@@ -18,11 +20,11 @@
 
 /// The maximum file size; 10,000 servers take about 1 MB.
 pub const MAX_BYTES: usize = 8 << 20;
-const VOCABULARY: Vocabulary = Vocabulary {
-    words,
-    known: "generation(), loss(), server() and end()",
-    bytes: MAX_BYTES,
-    calls: 200_000,
+const SCRIPT_SETTINGS: ScriptSettings = ScriptSettings {
+    functions,
+    function_names: "generation(), loss(), server() and end()",
+    max_bytes: MAX_BYTES,
+    max_ticks: 200_000,
 };
 
 /// Why a file was rejected. No part of a rejected file is used.
@@ -44,7 +46,7 @@
         remedy: String,
     },
     #[error("{0}")]
-    Script(#[from] BadFile),
+    Script(#[from] FileError),
 }
 
 impl ReadError {
@@ -118,7 +120,7 @@
 }
 
 #[starlark_module]
-fn words(builder: &mut GlobalsBuilder) {
+fn functions(builder: &mut GlobalsBuilder) {
     fn generation(
         #[starlark(require = pos)] number: Value,
         eval: &mut Evaluator,
@@ -128,8 +130,8 @@
                 "generation({number}) is not a non-negative whole number; write the previous one plus 1"
             )
         })?;
-        once(
-            &mut said::<Collector>(eval)?.0.borrow_mut().generation,
+        set_once(
+            &mut collector::<Collector>(eval)?.0.borrow_mut().generation,
             "generation",
             number,
         )?;
@@ -140,7 +142,7 @@
         #[starlark(require = pos)] part: UnpackFloat,
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
-        said::<Collector>(eval)?.0.borrow_mut().candidate.loss = Some(part.0);
+        collector::<Collector>(eval)?.0.borrow_mut().candidate.loss = Some(part.0);
         Ok(NoneType)
     }
 
@@ -158,7 +160,7 @@
         let started_ms = started.map(self::started).transpose()?.unwrap_or(0.0);
         let bay = u16::try_from(bay)
             .map_err(|_| anyhow::anyhow!("bay = {bay}; write a number from 0 to 65535"))?;
-        let place = eval.call_stack_top_location().as_ref().map(place_of);
+        let place = eval.call_stack_top_location().as_ref().map(line_and_column);
         let entry = Entry {
             name: name.into(),
             address: address.into(),
@@ -170,7 +172,7 @@
             started_ms,
             place,
         };
-        said::<Collector>(eval)?
+        collector::<Collector>(eval)?
             .0
             .borrow_mut()
             .candidate
@@ -185,8 +187,8 @@
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
         let closing = (usize::try_from(servers).unwrap_or(usize::MAX), seal.into());
-        once(
-            &mut said::<Collector>(eval)?.0.borrow_mut().end,
+        set_once(
+            &mut collector::<Collector>(eval)?.0.borrow_mut().end,
             "end",
             closing,
         )?;
@@ -195,14 +197,14 @@
 }
 
 fn evaluate(file: &Path, text: &str) -> Result<ParsedFile, ReadError> {
-    let said: Collector = script::run(file, text, &VOCABULARY)?;
+    let said: Collector = script::run(file, text, &SCRIPT_SETTINGS)?;
     Ok(said.0.into_inner())
 }
 
 /// Parses the body of a file, without the closing statement.
 pub fn parse_body(file: &Path, text: &str) -> Result<Candidate, ReadError> {
     let found = evaluate(file, text)?;
-    let missing = || BadFile {
+    let missing = || FileError {
         file: file.into(),
         at: Some((1, 1)),
         what: "generation() is missing; write generation(1), and increase it with every change"
--- a/crates/rookpulley-operators/src/file.rs
+++ b/crates/rookpulley-operators/src/file.rs
@@ -7,8 +7,8 @@
 //! log(form = "json")
 //! ```
 
-pub use crate::script::BadFile;
-use crate::script::{self, Vocabulary, once, said};
+pub use crate::script::FileError;
+use crate::script::{self, ScriptSettings, collector, set_once};
 use rookpulley_versions::RetentionLimits;
 use starlark::any::ProvidesStaticType;
 use starlark::environment::GlobalsBuilder;
@@ -89,8 +89,8 @@
             listen: socket_address,
             token_file,
         };
-        once(
-            &mut said::<Collected>(eval)?.0.borrow_mut().address,
+        set_once(
+            &mut collector::<Collected>(eval)?.0.borrow_mut().address,
             "address",
             endpoint,
         )?;
@@ -105,8 +105,8 @@
     ) -> anyhow::Result<NoneType> {
         let per_table = in_range("keep", keep, 2, 1_000)?;
         let bytes = in_range("megabytes", megabytes, 1, 4_096)? << 20;
-        once(
-            &mut said::<Collected>(eval)?.0.borrow_mut().versions,
+        set_once(
+            &mut collector::<Collected>(eval)?.0.borrow_mut().versions,
             "versions",
             RetentionLimits { per_table, bytes },
         )?;
@@ -122,8 +122,8 @@
                 "file is empty; write the path of the file that lists the servers"
             ));
         }
-        once(
-            &mut said::<Collected>(eval)?.0.borrow_mut().servers,
+        set_once(
+            &mut collector::<Collected>(eval)?.0.borrow_mut().servers,
             "servers",
             PathBuf::from(file),
         )?;
@@ -143,8 +143,8 @@
                 ));
             }
         };
-        once(
-            &mut said::<Collected>(eval)?.0.borrow_mut().log,
+        set_once(
+            &mut collector::<Collected>(eval)?.0.borrow_mut().log,
             "log",
             form,
         )?;
@@ -152,16 +152,16 @@
     }
 }
 
-const VOCABULARY: Vocabulary = Vocabulary {
-    words: functions,
-    known: "address(), versions(), servers() and log()",
-    bytes: MAX_BYTES,
-    calls: 10_000,
+const SCRIPT_SETTINGS: ScriptSettings = ScriptSettings {
+    functions,
+    function_names: "address(), versions(), servers() and log()",
+    max_bytes: MAX_BYTES,
+    max_ticks: 10_000,
 };
 
 /// Reads a script. `file` is used only in error messages.
-pub fn read(file: &Path, text: &str) -> Result<Operators, BadFile> {
-    let said: Collected = script::run(file, text, &VOCABULARY)?;
+pub fn read(file: &Path, text: &str) -> Result<Operators, FileError> {
+    let said: Collected = script::run(file, text, &SCRIPT_SETTINGS)?;
     let Settings {
         address,
         versions,
@@ -176,8 +176,8 @@
     })
 }
 
-pub fn load(file: &Path) -> Result<Operators, BadFile> {
-    let without_position = |what: String| BadFile {
+pub fn load(file: &Path) -> Result<Operators, FileError> {
+    let without_position = |what: String| FileError {
         file: file.into(),
         at: None,
         what,
@@ -203,8 +203,8 @@
     }
 
     /// Reads the token from the first line of a file; it must have at least 16 characters.
-    pub fn load(file: &Path) -> Result<Self, BadFile> {
-        let without_position = |what: String| BadFile {
+    pub fn load(file: &Path) -> Result<Self, FileError> {
+        let without_position = |what: String| FileError {
             file: file.into(),
             at: None,
             what,
--- a/crates/rookpulley-operators/src/lib.rs
+++ b/crates/rookpulley-operators/src/lib.rs
@@ -14,4 +14,4 @@
 mod subset;
 
 pub use asks::{Answer, Ask, Asked, Refusal};
-pub use file::{BadFile, Operators};
+pub use file::{FileError, Operators};
--- a/crates/rookpulley-operators/src/script.rs
+++ b/crates/rookpulley-operators/src/script.rs
@@ -20,22 +20,24 @@
 
 /// The functions that a kind of script may call, and its limits.
 #[derive(Clone, Copy)]
-pub struct Vocabulary {
-    pub words: fn(&mut GlobalsBuilder),
+pub struct ScriptSettings {
+    pub functions: fn(&mut GlobalsBuilder),
     /// The names of the functions, for error messages.
-    pub known: &'static str,
-    pub bytes: usize,
-    pub calls: u64,
+    pub function_names: &'static str,
+    pub max_bytes: usize,
+    pub max_ticks: u64,
 }
 
 /// The value in which the script's calls record their arguments.
-pub fn said<'s, 'e, S: AnyLifetime<'e>>(eval: &'s Evaluator<'_, '_, 'e>) -> anyhow::Result<&'s S> {
+pub fn collector<'s, 'e, S: AnyLifetime<'e>>(
+    eval: &'s Evaluator<'_, '_, 'e>,
+) -> anyhow::Result<&'s S> {
     let said = eval.extra.and_then(|extra| extra.downcast_ref::<S>());
     said.ok_or_else(|| anyhow::anyhow!("called outside its script"))
 }
 
 /// Sets a value that a script may set only once.
-pub fn once<T>(slot: &mut Option<T>, name: &str, value: T) -> anyhow::Result<()> {
+pub fn set_once<T>(slot: &mut Option<T>, name: &str, value: T) -> anyhow::Result<()> {
     match slot.replace(value) {
         None => Ok(()),
         Some(_) => Err(anyhow::anyhow!("{name}() is called twice; call it once")),
@@ -43,7 +45,7 @@
 }
 
 /// The line and column where a span begins, both counted from 1.
-pub fn place_of(span: &FileSpan) -> (usize, usize) {
+pub fn line_and_column(span: &FileSpan) -> (usize, usize) {
     let from = span.resolve_span().begin;
     (from.line + 1, from.column + 1)
 }
@@ -51,7 +53,7 @@
 /// An error in a file, with its position where known.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}{}: {what}", file.display(), format_position(*at))]
-pub struct BadFile {
+pub struct FileError {
     pub file: PathBuf,
     /// Line and column, both counted from 1.
     pub at: Option<(usize, usize)>,
@@ -75,8 +77,8 @@
     ..Dialect::Standard
 };
 
-fn script_error(file: &Path, error: &starlark::Error, function_names: &str) -> BadFile {
-    let at = error.span().map(place_of);
+fn script_error(file: &Path, error: &starlark::Error, function_names: &str) -> FileError {
+    let at = error.span().map(line_and_column);
     let what = format!("{}", error.without_diagnostic());
     // For an unknown name, list the functions that exist.
     let what = match what.lines().next().unwrap_or_default() {
@@ -85,7 +87,7 @@
         }
         text => text.to_string(),
     };
-    BadFile {
+    FileError {
         file: file.into(),
         at,
         what,
@@ -93,24 +95,24 @@
 }
 
 /// Runs a script and returns what its calls recorded. `file` is used only in error messages.
-pub fn run<S>(file: &Path, text: &str, vocabulary: &Vocabulary) -> Result<S, BadFile>
+pub fn run<S>(file: &Path, text: &str, settings: &ScriptSettings) -> Result<S, FileError>
 where
     S: Default + Send + for<'e> AnyLifetime<'e>,
 {
-    let without_position = |what: String| BadFile {
+    let without_position = |what: String| FileError {
         file: file.into(),
         at: None,
         what,
     };
-    if text.len() > vocabulary.bytes {
+    if text.len() > settings.max_bytes {
         return Err(without_position(format!(
             "{} bytes are too many; the maximum is {}",
             text.len(),
-            vocabulary.bytes
+            settings.max_bytes
         )));
     }
     if text.len() > SCAN_ABOVE_BYTES {
-        subset::scan(text).map_err(|(line, what)| BadFile {
+        subset::scan(text).map_err(|(line, what)| FileError {
             file: file.into(),
             at: Some((line, 1)),
             what,
@@ -118,7 +120,7 @@
     }
     std::thread::scope(|scope| {
         let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
-        let worker = thread.spawn_scoped(scope, || evaluate(file, text, vocabulary));
+        let worker = thread.spawn_scoped(scope, || evaluate(file, text, settings));
         let worker = worker.map_err(|e| without_position(format!("can't be evaluated: {e}")))?;
         worker
             .join()
@@ -132,21 +134,21 @@
     builder.set("None", NoneType);
 }
 
-fn evaluate<S>(file: &Path, text: &str, vocabulary: &Vocabulary) -> Result<S, BadFile>
+fn evaluate<S>(file: &Path, text: &str, settings: &ScriptSettings) -> Result<S, FileError>
 where
     S: Default + for<'e> AnyLifetime<'e>,
 {
-    let without_position = |what: String| BadFile {
+    let without_position = |what: String| FileError {
         file: file.into(),
         at: None,
         what,
     };
-    let (name, function_names) = (file.display().to_string(), vocabulary.known);
+    let (name, function_names) = (file.display().to_string(), settings.function_names);
     let script = AstModule::parse(&name, text.into(), &DIALECT)
         .map_err(|e| script_error(file, &e, function_names))?;
     subset::check_statement(script.statement(), MAX_DEPTH).map_err(|e| {
-        let at = Some(place_of(&script.codemap().file_span(e.span)));
-        BadFile {
+        let at = Some(line_and_column(&script.codemap().file_span(e.span)));
+        FileError {
             file: file.into(),
             at,
             what: e.message,
@@ -154,14 +156,14 @@
     })?;
     let globals: Globals = GlobalsBuilder::new()
         .with(constants)
-        .with(vocabulary.words)
+        .with(settings.functions)
         .build();
     let said = S::default();
     Module::with_temp_heap(|module| {
         let mut eval = Evaluator::new(&module);
         eval.extra = Some(&said);
         let limits = [
-            eval.set_max_tick_count(vocabulary.calls),
+            eval.set_max_tick_count(settings.max_ticks),
             eval.set_max_heap_size(MAX_HEAP_BYTES),
             eval.set_max_callstack_size(MAX_DEPTH),
         ];
