--- a/crates/rookpulley-assigner/src/driver.rs
+++ b/crates/rookpulley-assigner/src/driver.rs
@@ -15,7 +15,7 @@
 use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use rookpulley_files::watch::Found;
-use rookpulley_operators::Asked;
+use rookpulley_operators::PendingRequest;
 use rookpulley_versions::{Claim, Kinds, VersionManager};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -53,7 +53,7 @@
         from: u16,
         bytes: Vec<u8>,
     },
-    Asked(Asked),
+    Asked(PendingRequest),
     File(Found),
 }
 
--- a/crates/rookpulley-assigner/src/lib.rs
+++ b/crates/rookpulley-assigner/src/lib.rs
@@ -23,7 +23,7 @@
 use peers::Peers;
 use reload::Held;
 use rookpulley::interface::Start;
-use rookpulley_operators::{FileError, Operators};
+use rookpulley_operators::{FileError, OperatorSettings};
 use roster::{Pauses, Roster};
 use servers::Servers;
 use std::net::SocketAddr;
@@ -105,7 +105,7 @@
         told: Told,
         path: PathBuf,
         signals: Signals,
-        operators: &Operators,
+        operators: &OperatorSettings,
     ) -> Result<Self, CannotRun> {
         let Told {
             fixed,
--- a/crates/rookpulley-assigner/src/log.rs
+++ b/crates/rookpulley-assigner/src/log.rs
@@ -1,7 +1,7 @@
 //! What the program prints: short lines on standard error, a few of a kind in each stretch of time. Lines are
 //! `tracing` events; as text they are written as `name kind: text`, as JSON one object each.
 
-use rookpulley_operators::file::LogForm;
+use rookpulley_operators::file::LogFormat;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
@@ -74,13 +74,15 @@
 }
 
 /// Takes the lines of this process to standard error from now on. Called once, by the program itself.
-pub fn begin(form: LogForm) {
+pub fn begin(form: LogFormat) {
     let lines = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_ansi(false);
     let set = match form {
-        LogForm::Text => tracing::subscriber::set_global_default(lines.event_format(Text).finish()),
-        LogForm::Json => {
+        LogFormat::Text => {
+            tracing::subscriber::set_global_default(lines.event_format(Text).finish())
+        }
+        LogFormat::Json => {
             let lines = lines
                 .json()
                 .flatten_event(true)
--- a/crates/rookpulley-assigner/src/main.rs
+++ b/crates/rookpulley-assigner/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::Parser;
 use rookpulley_assigner::{Assigner, CannotRun, Signals, config, log};
-use rookpulley_operators::{Operators, file};
+use rookpulley_operators::{OperatorSettings, file};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -24,7 +24,7 @@
 
 fn start(given: Given) -> Result<(), CannotRun> {
     let operators = given.operators.as_deref().map(file::load).transpose()?;
-    let operators: Operators = operators.unwrap_or_default();
+    let operators: OperatorSettings = operators.unwrap_or_default();
     if given.check {
         config::load(&config::path_from_env()?)?;
         println!("what was read can be used");
--- a/crates/rookpulley-assigner/src/operators.rs
+++ b/crates/rookpulley-assigner/src/operators.rs
@@ -6,12 +6,12 @@
 use crate::orders::{Orders, places};
 use crate::servers::Servers;
 use rookpulley::interface::{ChannelLimits, Input, RollbackStatus, TableId};
-use rookpulley_operators::address;
-use rookpulley_operators::asks::{
-    Answer, Ask, Asked, BackList, BackRow, DiffList, DiffRow, HolderList, HolderRow, Refusal,
-    VersionList, VersionRow,
+use rookpulley_operators::api::{
+    ApiError, ApiRequest, ApiResponse, DiffList, DiffRow, HolderList, HolderRow, PendingRequest,
+    RollbackList, RollbackRow, VersionList, VersionRow,
 };
-use rookpulley_operators::file::{Reach, Token};
+use rookpulley_operators::file::{ListenSettings, Token};
+use rookpulley_operators::server;
 use rookpulley_versions::version::start_id;
 use rookpulley_versions::{
     AckTimeouts, Delta, History, Issuer, RetentionLimits, SyncState, Version, VersionManager,
@@ -34,8 +34,8 @@
 
 impl Asking {
     /// Nothing is opened where the operators' file names no address.
-    pub async fn bind(reach: Option<&Reach>) -> Result<Option<Self>, CannotRun> {
-        let Some(Reach {
+    pub async fn bind(reach: Option<&ListenSettings>) -> Result<Option<Self>, CannotRun> {
+        let Some(ListenSettings {
             listen: place,
             token_file,
         }) = reach
@@ -58,10 +58,10 @@
 
     /// Serves from now on. Called within a `LocalSet`.
     pub fn begin(self, front: &Rc<Front>) {
-        let (sender, mut asks) = mpsc::channel::<Asked>(ASKS);
+        let (sender, mut asks) = mpsc::channel::<PendingRequest>(ASKS);
         let counted = front.clone();
-        let count: address::Count = Rc::new(move |what| counted.counters.one(what));
-        tokio::task::spawn_local(address::serve(self.listener, self.token, sender, count));
+        let count: server::CounterFn = Rc::new(move |what| counted.counters.one(what));
+        tokio::task::spawn_local(server::serve(self.listener, self.token, sender, count));
         let front = front.clone();
         tokio::task::spawn_local(async move {
             while let Some(asked) = asks.recv().await {
@@ -91,8 +91,8 @@
 struct Waiting {
     tables: BTreeSet<TableId>,
     releases: bool,
-    rows: Vec<BackRow>,
-    answer: oneshot::Sender<Answer>,
+    rows: Vec<RollbackRow>,
+    answer: oneshot::Sender<ApiResponse>,
 }
 
 #[derive(Default)]
@@ -102,14 +102,14 @@
     pub held: BTreeSet<TableId>,
 }
 
-fn refused(status: u16, what: impl Into<String>, instead: &str) -> Answer {
-    Answer::Refused {
-        refusal: Refusal::new(status, what, Some(instead)),
+fn refused(status: u16, what: impl Into<String>, instead: &str) -> ApiResponse {
+    ApiResponse::Refused {
+        refusal: ApiError::new(status, what, Some(instead)),
     }
 }
 
-fn row(table: TableId, what: &RollbackStatus) -> BackRow {
-    let blank = BackRow {
+fn row(table: TableId, what: &RollbackStatus) -> RollbackRow {
+    let blank = RollbackRow {
         table,
         what: String::new(),
         why: None,
@@ -117,18 +117,18 @@
         of: None,
     };
     match what {
-        RollbackStatus::Held { lines, of } => BackRow {
+        RollbackStatus::Held { lines, of } => RollbackRow {
             what: "held".into(),
             usable: Some(*lines),
             of: Some(*of),
             ..blank
         },
-        RollbackStatus::Refused(why) => BackRow {
+        RollbackStatus::Refused(why) => RollbackRow {
             what: "refused".into(),
             why: Some(why.to_string()),
             ..blank
         },
-        RollbackStatus::Ended(why) => BackRow {
+        RollbackStatus::Ended(why) => RollbackRow {
             what: "ended".into(),
             why: Some(why.to_string()),
             ..blank
@@ -141,11 +141,11 @@
     pub fn take(
         &mut self,
         now: f64,
-        asked: Asked,
+        asked: PendingRequest,
         orders: &Orders,
         servers: Option<&Servers>,
     ) -> Vec<Input> {
-        let Asked { ask, answer } = asked;
+        let PendingRequest { ask, answer } = asked;
         let off = |what: &str, word: &str| {
             refused(
                 409,
@@ -154,20 +154,24 @@
             )
         };
         let said = match (ask, &orders.book, servers) {
-            (Ask::Servers, _, Some(servers)) => Ok(Answer::Servers(servers.shown(now))),
-            (Ask::Servers, ..) => Ok(off("no file lists the servers here", "servers(file = ...)")),
+            (ApiRequest::Servers, _, Some(servers)) => Ok(ApiResponse::Servers(servers.shown(now))),
+            (ApiRequest::Servers, ..) => {
+                Ok(off("no file lists the servers here", "servers(file = ...)"))
+            }
             (_, None, _) => Ok(off("versions are not kept here", "versions()")),
-            (Ask::Versions { table }, Some(book), _) => Ok(versions(&book.history, table)),
-            (Ask::Holders, Some(book), _) => Ok(holders(now, book, orders, &self.held)),
-            (Ask::Diff { from, to }, Some(book), _) => Ok(diff(&book.history, &from, &to)),
-            (Ask::Rollback { to, table, all }, Some(book), _) => go_back(book, &to, table, all),
-            (Ask::Release { table: Some(table) }, ..) => {
+            (ApiRequest::Versions { table }, Some(book), _) => Ok(versions(&book.history, table)),
+            (ApiRequest::Holders, Some(book), _) => Ok(holders(now, book, orders, &self.held)),
+            (ApiRequest::Diff { from, to }, Some(book), _) => Ok(diff(&book.history, &from, &to)),
+            (ApiRequest::Rollback { to, table, all }, Some(book), _) => {
+                go_back(book, &to, table, all)
+            }
+            (ApiRequest::Release { table: Some(table) }, ..) => {
                 Err(vec![Input::ReleaseRollback { table }])
             }
-            (Ask::Release { .. }, ..) if self.held.is_empty() => {
+            (ApiRequest::Release { .. }, ..) if self.held.is_empty() => {
                 Ok(refused(409, "no table is held back", "see holders"))
             }
-            (Ask::Release { .. }, ..) => Err(self
+            (ApiRequest::Release { .. }, ..) => Err(self
                 .held
                 .iter()
                 .map(|table| Input::ReleaseRollback { table: *table })
@@ -218,12 +222,12 @@
         for done in self.waiting.extract_if(.., |w| w.tables.is_empty()) {
             _ = done
                 .answer
-                .send(Answer::Back(BackList { tables: done.rows }));
+                .send(ApiResponse::Back(RollbackList { tables: done.rows }));
         }
     }
 }
 
-fn versions(history: &History, table: Option<TableId>) -> Answer {
+fn versions(history: &History, table: Option<TableId>) -> ApiResponse {
     let kept = history
         .all()
         .filter(|(id, _)| table.is_none_or(|t| t == *id));
@@ -241,7 +245,7 @@
         issuer.assigner.to_string(),
         format!("{:016x}", issuer.start),
     );
-    Answer::Versions(VersionList {
+    ApiResponse::Versions(VersionList {
         assigner,
         start,
         versions: rows.collect(),
@@ -263,7 +267,7 @@
     book: &VersionManager,
     orders: &Orders,
     held_back: &BTreeSet<TableId>,
-) -> Answer {
+) -> ApiResponse {
     let named = |n: Option<u64>| n.map(|n| book.history.version(n).to_string());
     let mut holders = Vec::new();
     for (dispatcher, entry) in book.deliveries.entries() {
@@ -292,13 +296,13 @@
             });
         }
     }
-    Answer::Holders(HolderList {
+    ApiResponse::Holders(HolderList {
         assigner: book.history.issuer().assigner.to_string(),
         holders,
     })
 }
 
-fn diff(history: &History, from: &str, to: &str) -> Answer {
+fn diff(history: &History, from: &str, to: &str) -> ApiResponse {
     let find = |text: &str| {
         let version: Version = text
             .parse()
@@ -306,7 +310,7 @@
         let found = history
             .find(&version)
             .map_err(|e| refused(404, format!("{e}"), "see versions"))?;
-        Ok::<_, Answer>(found.1.table.clone())
+        Ok::<_, ApiResponse>(found.1.table.clone())
     };
     let (a, b) = match (find(from), find(to)) {
         (Ok(a), Ok(b)) => (a, b),
@@ -320,7 +324,7 @@
     };
     let lines = delta.changes.iter().map(|(name, _)| row(name)).collect();
     let (delta_bytes, whole_bytes) = (delta.canonical_len(), b.canonical_len());
-    Answer::Diff(DiffList {
+    ApiResponse::Diff(DiffList {
         from: from.into(),
         to: to.into(),
         lines,
@@ -334,7 +338,7 @@
     to: &str,
     table: Option<TableId>,
     all: bool,
-) -> Result<Answer, Vec<Input>> {
+) -> Result<ApiResponse, Vec<Input>> {
     let version: Version = match to.parse() {
         Ok(version) => version,
         Err(e) => return Ok(refused(400, format!("{e}"), "see versions")),
--- a/crates/rookpulley-assigner/src/servers.rs
+++ b/crates/rookpulley-assigner/src/servers.rs
@@ -6,7 +6,7 @@
 use rookpulley::interface::{ListScope, ServerEntry, Stage, Start};
 use rookpulley_files::watch::{Found, follow};
 use rookpulley_lists::{Deployment, ServerLists, ServerUpdate};
-use rookpulley_operators::asks::{ServerList, ServerRow};
+use rookpulley_operators::api::{ServerList, ServerRow};
 use std::path::PathBuf;
 use std::rc::Rc;
 use tokio::sync::mpsc;
--- a/crates/rookpulley-assigner/tests/sockets.rs
+++ b/crates/rookpulley-assigner/tests/sockets.rs
@@ -9,7 +9,7 @@
 use rookpulley_assigner::roster::{Pauses, Roster};
 use rookpulley_assigner::streams::Conns;
 use rookpulley_assigner::{Assigner, Signals, config};
-use rookpulley_operators::Operators;
+use rookpulley_operators::OperatorSettings;
 use rookpulley_standin::discovery::{Agent, Discovery};
 use rookpulley_standin::lists::{list, server, serving, told};
 use rookpulley_standin::wire::{BEAT, COLLECTOR, LONG, Wire, joining, names};
@@ -35,7 +35,7 @@
         told,
         "no file".into(),
         Signals::take().unwrap(),
-        &Operators::default(),
+        &OperatorSettings::default(),
     )
     .await
     .unwrap();
--- a/crates/rookpulley-assigner/tests/versions.rs
+++ b/crates/rookpulley-assigner/tests/versions.rs
@@ -8,8 +8,8 @@
 use rand_chacha::ChaCha8Rng;
 use rookpulley_assigner::driver::Front;
 use rookpulley_assigner::{Assigner, Signals, config};
-use rookpulley_operators::Operators;
-use rookpulley_operators::asks::{HolderList, HolderRow, VersionList};
+use rookpulley_operators::OperatorSettings;
+use rookpulley_operators::api::{HolderList, HolderRow, VersionList};
 use rookpulley_operators::file;
 use rookpulley_standin::discovery::Agent;
 use rookpulley_standin::lists::{server, serving, told};
@@ -40,7 +40,7 @@
     front: Rc<Front>,
 }
 
-fn switched_on() -> Operators {
+fn switched_on() -> OperatorSettings {
     let text = "address(listen = \"127.0.0.1:0\")\nversions(keep = 24, megabytes = 8)\n";
     file::read(Path::new("operators.star"), text).unwrap()
 }
--- a/crates/rookpulley-cli/src/call.rs
+++ b/crates/rookpulley-cli/src/call.rs
@@ -4,7 +4,7 @@
 use hyper::body::Bytes;
 use hyper::header::{AUTHORIZATION, CONTENT_TYPE, HOST};
 use hyper_util::rt::TokioIo;
-use rookpulley_operators::asks::Refusal;
+use rookpulley_operators::api::ApiError;
 use rookpulley_store::InspectError;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     )]
     Unreachable { at: SocketAddr, why: String },
     #[error("{0}")]
-    No(Refusal),
+    No(ApiError),
     #[error("the answer from {at} can't be read: {why}; is another program there?")]
     Unreadable { at: SocketAddr, why: String },
     #[error(
@@ -86,7 +86,7 @@
         };
         let mut value: Value = serde_json::from_slice(&bytes).map_err(unreadable)?;
         if !value["error"].is_null() {
-            let refusal: Refusal =
+            let refusal: ApiError =
                 serde_json::from_value(value["error"].take()).map_err(unreadable)?;
             return Err(CannotAsk::No(refusal));
         }
--- a/crates/rookpulley-cli/src/main.rs
+++ b/crates/rookpulley-cli/src/main.rs
@@ -7,7 +7,7 @@
 
 use call::{CannotAsk, Place};
 use clap::{Parser, Subcommand};
-use rookpulley_operators::asks::{BackList, DiffList, HolderList, VersionList};
+use rookpulley_operators::api::{DiffList, HolderList, RollbackList, VersionList};
 use rookpulley_operators::file;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -151,7 +151,8 @@
         }
         What::Rollback { to, all, table } => {
             let body = json!({"to": to, "all": all, "table": table});
-            let (status, list) = place()?.ask::<BackList>("POST", "/v1/rollback", Some(&body))?;
+            let (status, list) =
+                place()?.ask::<RollbackList>("POST", "/v1/rollback", Some(&body))?;
             (
                 show::either(given.json, &list, || show::back(&list)),
                 status == 200,
@@ -163,7 +164,8 @@
             } else {
                 json!({"table": table})
             };
-            let (status, list) = place()?.ask::<BackList>("POST", "/v1/release", Some(&body))?;
+            let (status, list) =
+                place()?.ask::<RollbackList>("POST", "/v1/release", Some(&body))?;
             (
                 show::either(given.json, &list, || show::back(&list)),
                 status == 200,
--- a/crates/rookpulley-cli/src/servers.rs
+++ b/crates/rookpulley-cli/src/servers.rs
@@ -7,7 +7,7 @@
 use rookpulley_lists::candidate::{Rejection, capacity, validate_change, validate_list};
 use rookpulley_lists::{Candidate, Change, Deployment, Entry, Planned, plan};
 use rookpulley_operators::FileError;
-use rookpulley_operators::asks::{Refusal, ServerList};
+use rookpulley_operators::api::{ApiError, ServerList};
 use serde_json::{Value, json};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -266,7 +266,7 @@
 }
 
 fn failed(why: String) -> CannotAsk {
-    CannotAsk::No(Refusal::new(400, why, None))
+    CannotAsk::No(ApiError::new(400, why, None))
 }
 
 /// What a command prints, and whether all is well.
--- a/crates/rookpulley-cli/src/show.rs
+++ b/crates/rookpulley-cli/src/show.rs
@@ -1,9 +1,9 @@
 //! Answers as tables for people, or as JSON.
 
 use comfy_table::{Table, presets};
-use rookpulley_operators::Operators;
-use rookpulley_operators::asks::{BackList, DiffList, HolderList, VersionList};
-use rookpulley_operators::file::LogForm;
+use rookpulley_operators::OperatorSettings;
+use rookpulley_operators::api::{DiffList, HolderList, RollbackList, VersionList};
+use rookpulley_operators::file::LogFormat;
 use serde::Serialize;
 use serde_json::json;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -142,7 +142,7 @@
     }
 }
 
-pub fn back(list: &BackList) -> String {
+pub fn back(list: &RollbackList) -> String {
     let rows = list.tables.iter().map(|b| {
         let usable = b.usable.zip(b.of).map_or(String::new(), |(usable, of)| {
             format!("{usable} of {of} lines")
@@ -157,8 +157,8 @@
     table(["table", "is", "usable", "why"], rows)
 }
 
-pub fn operators(json: bool, operators: &Operators) -> String {
-    let form = if operators.log == LogForm::Json {
+pub fn operators(json: bool, operators: &OperatorSettings) -> String {
+    let form = if operators.log == LogFormat::Json {
         "json"
     } else {
         "text"
--- a/crates/rookpulley-cli/tests/command.rs
+++ b/crates/rookpulley-cli/tests/command.rs
@@ -1,12 +1,12 @@
 //! The command against an operators' address that answers by script.
 
 use assert_cmd::Command;
-use rookpulley_operators::address;
-use rookpulley_operators::asks::{
-    Answer, Ask, BackList, BackRow, DiffList, DiffRow, HolderList, HolderRow, Refusal, ServerList,
-    ServerRow, VersionList, VersionRow,
+use rookpulley_operators::api::{
+    ApiError, ApiRequest, ApiResponse, DiffList, DiffRow, HolderList, HolderRow, RollbackList,
+    RollbackRow, ServerList, ServerRow, VersionList, VersionRow,
 };
 use rookpulley_operators::file::Token;
+use rookpulley_operators::server;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,7 +31,7 @@
     }
 }
 
-fn answer(ask: &Ask) -> Answer {
+fn answer(ask: &ApiRequest) -> ApiResponse {
     let row = |version: &str, newest| VersionRow {
         version: version.into(),
         table: 0,
@@ -41,7 +41,7 @@
         newest,
         in_use: newest,
     };
-    let back = |table, what: &str| BackRow {
+    let back = |table, what: &str| RollbackRow {
         table,
         what: what.into(),
         why: None,
@@ -49,30 +49,30 @@
         of: Some(4),
     };
     match ask {
-        Ask::Versions { .. } => Answer::Versions(VersionList {
+        ApiRequest::Versions { .. } => ApiResponse::Versions(VersionList {
             assigner: "n0".into(),
             start: "00000000000000aa".into(),
             versions: vec![row(OLD, false), row(NEW, true)],
         }),
-        Ask::Holders => {
+        ApiRequest::Holders => {
             let holders = vec![
                 holder(0, true, "in step"),
                 holder(1, true, "behind"),
                 holder(2, false, "unknown"),
             ];
-            Answer::Holders(HolderList {
+            ApiResponse::Holders(HolderList {
                 assigner: "n0".into(),
                 holders,
             })
         }
-        Ask::Diff { from, to } => {
+        ApiRequest::Diff { from, to } => {
             let lines = vec![DiffRow {
                 server: "s-1".into(),
                 from: Some(1.0),
                 to: None,
             }];
             let lines = if from == to { Vec::new() } else { lines };
-            Answer::Diff(DiffList {
+            ApiResponse::Diff(DiffList {
                 from: from.clone(),
                 to: to.clone(),
                 lines,
@@ -80,17 +80,18 @@
                 whole_bytes: 80,
             })
         }
-        Ask::Rollback { to, .. } if to == OLD => Answer::Back(BackList {
+        ApiRequest::Rollback { to, .. } if to == OLD => ApiResponse::Back(RollbackList {
             tables: vec![back(0, "held")],
         }),
-        Ask::Rollback { to, .. } if to == NEW => Answer::Back(BackList {
+        ApiRequest::Rollback { to, .. } if to == NEW => ApiResponse::Back(RollbackList {
             tables: vec![back(0, "refused")],
         }),
-        Ask::Rollback { to, .. } => {
-            let refusal = Refusal::new(404, format!("{to} was never issued"), Some("see versions"));
-            Answer::Refused { refusal }
+        ApiRequest::Rollback { to, .. } => {
+            let refusal =
+                ApiError::new(404, format!("{to} was never issued"), Some("see versions"));
+            ApiResponse::Refused { refusal }
         }
-        Ask::Servers => {
+        ApiRequest::Servers => {
             let row = |n: u32, stage: &str| ServerRow {
                 server: format!("s-{n}"),
                 address: format!("10.0.0.{n}:80"),
@@ -101,7 +102,7 @@
                 stage: stage.into(),
                 started_ms: 0.0,
             };
-            Answer::Servers(ServerList {
+            ApiResponse::Servers(ServerList {
                 file: "servers.star".into(),
                 generation: Some(4),
                 age_ms: Some(9_000.0),
@@ -109,14 +110,14 @@
                 servers: vec![row(1, "ready"), row(2, "draining"), row(3, "ready")],
             })
         }
-        Ask::Release { .. } => Answer::Back(BackList {
+        ApiRequest::Release { .. } => ApiResponse::Back(RollbackList {
             tables: vec![back(0, "ended")],
         }),
     }
 }
 
 /// An address on a thread of its own, and the asks that came to it.
-fn answering(token: Option<&'static str>) -> (SocketAddr, Receiver<Ask>) {
+fn answering(token: Option<&'static str>) -> (SocketAddr, Receiver<ApiRequest>) {
     let (tell_place, place) = channel();
     let (tell, asked) = channel();
     std::thread::spawn(move || {
@@ -128,9 +129,9 @@
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
             tell_place.send(listener.local_addr().unwrap()).unwrap();
             let (sender, mut asks) = tokio::sync::mpsc::channel(4);
-            tokio::task::spawn_local(address::serve(
+            tokio::task::spawn_local(server::serve(
                 listener,
-                token.map(Token::of),
+                token.map(Token::from_text),
                 sender,
                 Rc::new(|_| ()),
             ));
@@ -203,11 +204,11 @@
         );
         assert!(err.is_empty(), "{err}");
     }
-    let asks: Vec<Ask> = asked.try_iter().collect();
-    assert_eq!(asks[1], Ask::Versions { table: Some(0) });
+    let asks: Vec<ApiRequest> = asked.try_iter().collect();
+    assert_eq!(asks[1], ApiRequest::Versions { table: Some(0) });
     assert_eq!(
         asks[7],
-        Ask::Rollback {
+        ApiRequest::Rollback {
             to: NEW.into(),
             table: None,
             all: true
@@ -216,8 +217,8 @@
     assert_eq!(
         (&asks[8], &asks[9]),
         (
-            &Ask::Release { table: None },
-            &Ask::Release { table: Some(3) }
+            &ApiRequest::Release { table: None },
+            &ApiRequest::Release { table: Some(3) }
         )
     );
 }
--- a/crates/rookpulley-operators/src/asks.rs
+++ b/crates/rookpulley-operators/src/api.rs
@@ -8,7 +8,7 @@
 pub type VersionText = String;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum ApiRequest {
     /// Lists the retained versions of one table or of all.
     Versions { table: Option<u16> },
     /// Lists the version that each dispatcher holds for each of its tables.
@@ -28,9 +28,9 @@
 }
 
 /// A pending request and the channel for its response.
-pub struct Asked {
-    pub ask: Ask,
-    pub answer: oneshot::Sender<Answer>,
+pub struct PendingRequest {
+    pub ask: ApiRequest,
+    pub answer: oneshot::Sender<ApiResponse>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -97,7 +97,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct BackRow {
+pub struct RollbackRow {
     pub table: u16,
     /// The outcome: held, refused or ended.
     pub what: String,
@@ -108,8 +108,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct BackList {
-    pub tables: Vec<BackRow>,
+pub struct RollbackList {
+    pub tables: Vec<RollbackRow>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -139,7 +139,7 @@
 /// An error response; `status` is the HTTP status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, thiserror::Error)]
 #[error("{what}{}", instead.as_ref().map(|i| format!("; {i}")).unwrap_or_default())]
-pub struct Refusal {
+pub struct ApiError {
     #[serde(skip)]
     pub status: u16,
     pub what: String,
@@ -147,7 +147,7 @@
     pub instead: Option<String>,
 }
 
-impl Refusal {
+impl ApiError {
     pub fn new(status: u16, what: impl Into<String>, instead: Option<&str>) -> Self {
         Self {
             status,
@@ -159,19 +159,19 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
-pub enum Answer {
+pub enum ApiResponse {
     Versions(VersionList),
     Holders(HolderList),
     Diff(DiffList),
-    Back(BackList),
+    Back(RollbackList),
     Servers(ServerList),
     Refused {
         #[serde(rename = "error")]
-        refusal: Refusal,
+        refusal: ApiError,
     },
 }
 
-impl Answer {
+impl ApiResponse {
     pub fn status(&self) -> u16 {
         match self {
             Self::Refused { refusal } => refusal.status,
@@ -201,9 +201,9 @@
     all: bool,
 }
 
-fn parse_body<'a, T: Deserialize<'a>>(bytes: &'a [u8], example: &str) -> Result<T, Refusal> {
+fn parse_body<'a, T: Deserialize<'a>>(bytes: &'a [u8], example: &str) -> Result<T, ApiError> {
     serde_json::from_slice(bytes).map_err(|e| {
-        Refusal::new(
+        ApiError::new(
             400,
             format!("the body can't be used: {e}"),
             Some(&format!("write {example}")),
@@ -212,7 +212,7 @@
 }
 
 /// Parses the method, path, query and body of a call.
-pub fn read(method: &str, path: &str, query: &str, bytes: &[u8]) -> Result<Ask, Refusal> {
+pub fn parse(method: &str, path: &str, query: &str, bytes: &[u8]) -> Result<ApiRequest, ApiError> {
     let params: Vec<(String, String)> = form_urlencoded::parse(query.as_bytes())
         .into_owned()
         .collect();
@@ -226,11 +226,11 @@
         |names: &[&str]| match params.iter().find(|(n, _)| !names.contains(&n.as_str())) {
             None => Ok(()),
             Some((n, _)) if names.is_empty() => {
-                Err(Refusal::new(400, format!("{n:?} is unknown here"), None))
+                Err(ApiError::new(400, format!("{n:?} is unknown here"), None))
             }
             Some((n, _)) => {
                 let instead = format!("write {}", names.join(" or "));
-                Err(Refusal::new(
+                Err(ApiError::new(
                     400,
                     format!("{n:?} is unknown here"),
                     Some(&instead),
@@ -239,14 +239,14 @@
         };
     let required = |name: &str| {
         let remedy = Some("write a version as /v1/versions shows it");
-        param(name).ok_or_else(|| Refusal::new(400, format!("{name} is missing"), remedy))
+        param(name).ok_or_else(|| ApiError::new(400, format!("{name} is missing"), remedy))
     };
     match (method, path) {
         ("GET", "/v1/versions") => {
             check_names(&["table"])?;
             let parse_table = |text: String| {
                 let invalid = || {
-                    Refusal::new(
+                    ApiError::new(
                         400,
                         format!("table {text:?} is not a number"),
                         Some("write table=0"),
@@ -254,15 +254,15 @@
                 };
                 text.parse().map_err(|_| invalid())
             };
-            Ok(Ask::Versions {
+            Ok(ApiRequest::Versions {
                 table: param("table").map(parse_table).transpose()?,
             })
         }
-        ("GET", "/v1/holders") => check_names(&[]).map(|()| Ask::Holders),
-        ("GET", "/v1/servers") => check_names(&[]).map(|()| Ask::Servers),
+        ("GET", "/v1/holders") => check_names(&[]).map(|()| ApiRequest::Holders),
+        ("GET", "/v1/servers") => check_names(&[]).map(|()| ApiRequest::Servers),
         ("GET", "/v1/diff") => {
             check_names(&["from", "to"])?;
-            Ok(Ask::Diff {
+            Ok(ApiRequest::Diff {
                 from: required("from")?,
                 to: required("to")?,
             })
@@ -273,13 +273,13 @@
                 r#"{"to":"n0~18f3a2c41b7e0042~17"}, with "table":0 or "all":true where wanted"#;
             let request: RollbackBody = parse_body(bytes, example)?;
             if request.all && request.table.is_some() {
-                return Err(Refusal::new(
+                return Err(ApiError::new(
                     400,
                     "table and all exclude each other",
                     Some("write one of them"),
                 ));
             }
-            Ok(Ask::Rollback {
+            Ok(ApiRequest::Rollback {
                 to: request.to,
                 table: request.table,
                 all: request.all,
@@ -289,27 +289,31 @@
             check_names(&[])?;
             let request: ReleaseBody = parse_body(bytes, r#"{"table":0} or {"all":true}"#)?;
             match (request.table, request.all) {
-                (Some(_), true) | (None, false) => Err(Refusal::new(
+                (Some(_), true) | (None, false) => Err(ApiError::new(
                     400,
                     "one of table and all is required",
                     Some("write {\"all\":true}"),
                 )),
-                (table, _) => Ok(Ask::Release { table }),
+                (table, _) => Ok(ApiRequest::Release { table }),
             }
         }
-        (_, "/v1/versions" | "/v1/holders" | "/v1/diff" | "/v1/servers") => Err(Refusal::new(
+        (_, "/v1/versions" | "/v1/holders" | "/v1/diff" | "/v1/servers") => Err(ApiError::new(
             405,
             format!("{method} is not allowed for {path}"),
             Some("use GET"),
         )),
-        (_, "/v1/rollback" | "/v1/release") => Err(Refusal::new(
+        (_, "/v1/rollback" | "/v1/release") => Err(ApiError::new(
             405,
             format!("{method} is not allowed for {path}"),
             Some("use POST"),
         )),
         _ => {
             let paths = "there are /v1/versions, /v1/holders, /v1/diff, /v1/servers, /v1/rollback and /v1/release";
-            Err(Refusal::new(404, format!("{path} is unknown"), Some(paths)))
+            Err(ApiError::new(
+                404,
+                format!("{path} is unknown"),
+                Some(paths),
+            ))
         }
     }
 }
--- a/crates/rookpulley-operators/src/file.rs
+++ b/crates/rookpulley-operators/src/file.rs
@@ -24,14 +24,14 @@
 
 /// Where the operators' API listens.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reach {
+pub struct ListenSettings {
     pub listen: SocketAddr,
     /// Without a token file, only loopback addresses are allowed.
     pub token_file: Option<PathBuf>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LogForm {
+pub enum LogFormat {
     #[default]
     Text,
     Json,
@@ -39,12 +39,12 @@
 
 /// The settings of the file; whatever it does not name is disabled.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Operators {
-    pub address: Option<Reach>,
+pub struct OperatorSettings {
+    pub address: Option<ListenSettings>,
     pub versions: Option<RetentionLimits>,
     /// The file that lists the servers.
     pub servers: Option<PathBuf>,
-    pub log: LogForm,
+    pub log: LogFormat,
 }
 
 #[derive(Default, ProvidesStaticType)]
@@ -52,10 +52,10 @@
 
 #[derive(Default)]
 struct Settings {
-    address: Option<Reach>,
+    address: Option<ListenSettings>,
     versions: Option<RetentionLimits>,
     servers: Option<PathBuf>,
-    log: Option<LogForm>,
+    log: Option<LogFormat>,
 }
 
 fn in_range(name: &str, value: i32, min: i32, max: i32) -> anyhow::Result<usize> {
@@ -85,7 +85,7 @@
                 "{listen} can be reached from other machines; write token_file = \"/path\" beside it, or a loopback address"
             ));
         }
-        let endpoint = Reach {
+        let endpoint = ListenSettings {
             listen: socket_address,
             token_file,
         };
@@ -135,8 +135,8 @@
         eval: &mut Evaluator,
     ) -> anyhow::Result<NoneType> {
         let form = match form {
-            "text" => LogForm::Text,
-            "json" => LogForm::Json,
+            "text" => LogFormat::Text,
+            "json" => LogFormat::Json,
             _ => {
                 return Err(anyhow::anyhow!(
                     "form = {form:?} is unknown; write \"text\" or \"json\""
@@ -160,7 +160,7 @@
 };
 
 /// Reads a script. `file` is used only in error messages.
-pub fn read(file: &Path, text: &str) -> Result<Operators, FileError> {
+pub fn read(file: &Path, text: &str) -> Result<OperatorSettings, FileError> {
     let said: Collected = script::run(file, text, &SCRIPT_SETTINGS)?;
     let Settings {
         address,
@@ -168,7 +168,7 @@
         servers,
         log,
     } = said.0.into_inner();
-    Ok(Operators {
+    Ok(OperatorSettings {
         address,
         versions,
         servers,
@@ -176,7 +176,7 @@
     })
 }
 
-pub fn load(file: &Path) -> Result<Operators, FileError> {
+pub fn load(file: &Path) -> Result<OperatorSettings, FileError> {
     let without_position = |what: String| FileError {
         file: file.into(),
         at: None,
@@ -198,7 +198,7 @@
 pub struct Token(blake3::Hash);
 
 impl Token {
-    pub fn of(text: &str) -> Self {
+    pub fn from_text(text: &str) -> Self {
         Self(blake3::hash(text.as_bytes()))
     }
 
@@ -213,7 +213,7 @@
             .map_err(|e| without_position(format!("can't be read: {e}")))?;
         let token = text.lines().next().unwrap_or_default().trim();
         match token.len() {
-            MIN_TOKEN_LENGTH.. => Ok(Self::of(token)),
+            MIN_TOKEN_LENGTH.. => Ok(Self::from_text(token)),
             length => Err(without_position(format!(
                 "the token has {length} characters; write at least {MIN_TOKEN_LENGTH}"
             ))),
@@ -221,7 +221,7 @@
     }
 
     /// Compares hashes in constant time, so that timing reveals nothing about the token.
-    pub fn is(&self, candidate: &str) -> bool {
+    pub fn matches(&self, candidate: &str) -> bool {
         use subtle::ConstantTimeEq;
         self.0
             .as_bytes()
--- a/crates/rookpulley-operators/src/address.rs
+++ b/crates/rookpulley-operators/src/server.rs
@@ -1,6 +1,6 @@
 //! The HTTP/1.1 server of the operators' API, with limits on connections, body sizes and call times.
 
-use crate::asks::{self, Answer, Ask, Asked, Refusal};
+use crate::api::{self, ApiError, ApiRequest, ApiResponse, PendingRequest};
 use crate::file::Token;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 
 /// The maximum number of open connections; further ones are closed at once.
-pub const CONNECTIONS: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 const MAX_BODY_BYTES: usize = 16 * 1024;
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 /// The time limit for a call, including reading its body and waiting for the response.
@@ -26,14 +26,14 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Increments the counter of this name.
-pub type Count = Rc<dyn Fn(&str)>;
+pub type CounterFn = Rc<dyn Fn(&str)>;
 
 /// Accepts connections and serves calls indefinitely. Must be called within a `LocalSet`.
 pub async fn serve(
     listener: TcpListener,
     token: Option<Token>,
-    asks: mpsc::Sender<Asked>,
-    count: Count,
+    asks: mpsc::Sender<PendingRequest>,
+    count: CounterFn,
 ) {
     let (token, open) = (Rc::new(token), Rc::new(Cell::new(0)));
     loop {
@@ -42,7 +42,7 @@
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if open.get() >= CONNECTIONS {
+        if open.get() >= MAX_CONNECTIONS {
             count("operators' connections turned away");
             continue;
         }
@@ -63,14 +63,14 @@
 async fn serve_connection(
     socket: TcpStream,
     token: &Option<Token>,
-    asks: &mpsc::Sender<Asked>,
-    count: &Count,
+    asks: &mpsc::Sender<PendingRequest>,
+    count: &CounterFn,
 ) {
     let service = service_fn(async |request: Request<Incoming>| {
-        let timed_out = || Refusal::new(503, "no response in time", Some("retry the request"));
+        let timed_out = || ApiError::new(503, "no response in time", Some("retry the request"));
         let answer = timeout(CALL_TIMEOUT, handle_call(request, token, asks)).await;
         let answer = answer.unwrap_or_else(|_| Err(timed_out()));
-        let answer = answer.unwrap_or_else(|refusal| Answer::Refused { refusal });
+        let answer = answer.unwrap_or_else(|refusal| ApiResponse::Refused { refusal });
         count(&format!("operators' calls answered {}", answer.status()));
         let body = serde_json::to_vec(&answer).unwrap_or_default();
         let response = Response::builder()
@@ -91,20 +91,21 @@
 async fn handle_call(
     request: Request<Incoming>,
     token: &Option<Token>,
-    asks: &mpsc::Sender<Asked>,
-) -> Result<Answer, Refusal> {
+    asks: &mpsc::Sender<PendingRequest>,
+) -> Result<ApiResponse, ApiError> {
     let (head, body) = request.into_parts();
     if let Some(token) = token {
         let credentials = head
             .headers
             .get(AUTHORIZATION)
             .and_then(|h| h.to_str().ok());
-        if !token.is(credentials
-            .and_then(|s| s.strip_prefix("Bearer "))
-            .unwrap_or_default())
-        {
+        if !token.matches(
+            credentials
+                .and_then(|s| s.strip_prefix("Bearer "))
+                .unwrap_or_default(),
+        ) {
             let instead = "send Authorization: Bearer and the token of the assigner's token file";
-            return Err(Refusal::new(
+            return Err(ApiError::new(
                 401,
                 "the token is missing or wrong",
                 Some(instead),
@@ -123,7 +124,7 @@
         || host.parse::<IpAddr>().is_ok_and(|a| a.is_loopback())
         || host.split(':').next() == Some("localhost");
     if token.is_none() && !is_loopback_host {
-        return Err(Refusal::new(
+        return Err(ApiError::new(
             403,
             format!("{host:?} is not a loopback address"),
             Some("call 127.0.0.1"),
@@ -135,7 +136,7 @@
         .get(CONTENT_TYPE)
         .is_some_and(|t| t.as_bytes().starts_with(b"application/json"));
     if head.method == hyper::Method::POST && !is_json {
-        return Err(Refusal::new(
+        return Err(ApiError::new(
             415,
             "the body is not JSON",
             Some("send Content-Type: application/json"),
@@ -143,7 +144,7 @@
     }
     let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
     let body_error = |_| {
-        Refusal::new(
+        ApiError::new(
             413,
             format!("the body is over {MAX_BODY_BYTES} bytes or was cut short"),
             None,
@@ -151,10 +152,10 @@
     };
     let body = body.map_err(body_error)?.to_bytes();
     let (path, query) = (head.uri.path(), head.uri.query().unwrap_or_default());
-    let ask: Ask = asks::read(head.method.as_str(), path, query, &body)?;
+    let ask: ApiRequest = api::parse(head.method.as_str(), path, query, &body)?;
     let (answer, received) = oneshot::channel();
-    let shutting_down = || Refusal::new(503, "the assigner is shutting down", None);
-    asks.send(Asked { ask, answer })
+    let shutting_down = || ApiError::new(503, "the assigner is shutting down", None);
+    asks.send(PendingRequest { ask, answer })
         .await
         .map_err(|_| shutting_down())?;
     received.await.map_err(|_| shutting_down())
--- a/crates/rookpulley-operators/tests/file.rs
+++ b/crates/rookpulley-operators/tests/file.rs
@@ -1,23 +1,23 @@
 //! The operators' file: valid scripts, and the position and remedy in the errors for invalid ones.
 
 use proptest::prelude::*;
-use rookpulley_operators::file::{LogForm, Operators, Reach, Token, load, read};
+use rookpulley_operators::file::{ListenSettings, LogFormat, OperatorSettings, Token, load, read};
 use rookpulley_versions::RetentionLimits;
 use std::path::Path;
 
-fn read_text(text: &str) -> Result<Operators, String> {
+fn read_text(text: &str) -> Result<OperatorSettings, String> {
     read(Path::new("operators.star"), text).map_err(|e| e.to_string())
 }
 
 #[test]
 fn settings_not_named_are_disabled() {
-    assert_eq!(read_text("# nothing\n"), Ok(Operators::default()));
+    assert_eq!(read_text("# nothing\n"), Ok(OperatorSettings::default()));
     let all = "PORT = \"3990\"\naddress(listen = \"127.0.0.1:\" + PORT)\nversions(keep = 4)\nservers(file = \"/etc/servers.star\")\nlog(form = \"json\")\n";
     let listen = "127.0.0.1:3990".parse().unwrap();
     assert_eq!(
         read_text(all),
-        Ok(Operators {
-            address: Some(Reach {
+        Ok(OperatorSettings {
+            address: Some(ListenSettings {
                 listen,
                 token_file: None
             }),
@@ -26,7 +26,7 @@
                 bytes: 16 << 20
             }),
             servers: Some("/etc/servers.star".into()),
-            log: LogForm::Json,
+            log: LogFormat::Json,
         })
     );
     let remote =
@@ -167,14 +167,14 @@
     assert!(Token::load(&file).is_err_and(|e| e.to_string().contains("write at least 16")));
     std::fs::write(&file, "a-token-of-some-length\nand a comment\n").unwrap();
     let token = Token::load(&file).unwrap();
-    assert!(token.is("a-token-of-some-length"));
+    assert!(token.matches("a-token-of-some-length"));
     for wrong in [
         "",
         "a-token-of-some-lengt",
         "a-token-of-some-length ",
         "A-token-of-some-length",
     ] {
-        assert!(!token.is(wrong));
+        assert!(!token.matches(wrong));
     }
 }
 
--- a/crates/rookpulley-operators/tests/address.rs
+++ b/crates/rookpulley-operators/tests/server.rs
@@ -3,9 +3,9 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Bytes;
 use hyper_util::rt::TokioIo;
-use rookpulley_operators::address::{self, CONNECTIONS};
-use rookpulley_operators::asks::{Answer, Ask, Asked, HolderList};
+use rookpulley_operators::api::{ApiRequest, ApiResponse, HolderList, PendingRequest};
 use rookpulley_operators::file::Token;
+use rookpulley_operators::server::{self, MAX_CONNECTIONS};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -13,7 +13,10 @@
 use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
 
-fn with_server(token: Option<&str>, test: impl AsyncFnOnce(SocketAddr, mpsc::Receiver<Asked>)) {
+fn with_server(
+    token: Option<&str>,
+    test: impl AsyncFnOnce(SocketAddr, mpsc::Receiver<PendingRequest>),
+) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -22,9 +25,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let server = listener.local_addr().unwrap();
         let (sender, asks) = mpsc::channel(4);
-        spawn_local(address::serve(
+        spawn_local(server::serve(
             listener,
-            token.map(Token::of),
+            token.map(Token::from_text),
             sender,
             Rc::new(|_| ()),
         ));
@@ -135,14 +138,14 @@
     with_server(None, async |server, mut asks| {
         spawn_local(async move {
             while let Some(asked) = asks.recv().await {
-                if asked.ask != Ask::Holders {
+                if asked.ask != ApiRequest::Holders {
                     continue; // Drops the request without a response.
                 }
                 let list = HolderList {
                     assigner: "n0".into(),
                     holders: Vec::new(),
                 };
-                _ = asked.answer.send(Answer::Holders(list));
+                _ = asked.answer.send(ApiResponse::Holders(list));
             }
         });
         let (status, text) = call(server, "GET", "/v1/holders", &[], "").await;
@@ -198,7 +201,7 @@
 fn open_connections_are_limited_and_closing_frees_slots() {
     with_server(None, async |server, _asks| {
         let mut open = Vec::new();
-        for _ in 0..CONNECTIONS {
+        for _ in 0..MAX_CONNECTIONS {
             let mut socket = TcpStream::connect(server).await.unwrap();
             socket
                 .write_all(b"GET /v1/nothing HTTP/1.1\r\nhost: localhost\r\n\r\n")
