--- a/crates/rookpulley-assigner/examples/file_latency.rs
+++ b/crates/rookpulley-assigner/examples/file_latency.rs
@@ -6,7 +6,7 @@
 use rookpulley_files::render;
 use rookpulley_lists::{Candidate, Entry};
 use rookpulley_operators::file;
-use rookpulley_standin::discovery::Agent;
+use rookpulley_standin::discovery::DiscoveryServer;
 use rookpulley_standin::{Dispatcher, lists};
 use std::path::Path;
 use std::rc::Rc;
@@ -32,8 +32,8 @@
 }
 
 async fn follow(servers: &Path) -> Rc<Dispatcher> {
-    let agent = Agent::new().await;
-    let told = lists::told(agent.place);
+    let agent = DiscoveryServer::new().await;
+    let told = lists::assigner_config(agent.address);
     let told = config::read(&told.to_string()).unwrap();
     let operators = file::read(
         Path::new("o"),
@@ -46,7 +46,7 @@
     let place = assigner.places().0.unwrap();
     spawn_local(assigner.serve());
     let dispatcher = Dispatcher::new(0, "a", &["read", "write"], false, 1, Rc::new(|_| ()));
-    dispatcher.dial(&[place]);
+    dispatcher.set_assigners(&[place]);
     dispatcher.run();
     dispatcher
 }
--- a/crates/rookpulley-assigner/tests/servers.rs
+++ b/crates/rookpulley-assigner/tests/servers.rs
@@ -8,9 +8,9 @@
 use rookpulley_lists::{Candidate, Entry};
 use rookpulley_operators::file;
 use rookpulley_standin::Dispatcher;
-use rookpulley_standin::discovery::Agent;
-use rookpulley_standin::lists::{server, told};
-use rookpulley_standin::wire::LONG;
+use rookpulley_standin::client::EVENT_TIMEOUT;
+use rookpulley_standin::discovery::DiscoveryServer;
+use rookpulley_standin::lists::{assigner_config, server};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -40,15 +40,15 @@
 
 struct Running {
     front: Rc<Front>,
-    agent: Agent,
+    agent: DiscoveryServer,
     dispatchers: Vec<Rc<Dispatcher>>,
 }
 
 const KINDS: [&str; 2] = ["read", "write"];
 
 async fn run(servers: &Path, dispatchers: u64) -> Running {
-    let agent = Agent::new().await;
-    let mut settings = told(agent.place);
+    let agent = DiscoveryServer::new().await;
+    let mut settings = assigner_config(agent.address);
     settings["limits"]["sockets"] = json!(256);
     settings["settings"]["limits"]["peers"] = json!(false);
     settings["settings"]["family_info"]["agents"] = json!(dispatchers);
@@ -65,7 +65,7 @@
     spawn_local(assigner.serve());
     let dispatchers = (0..dispatchers).map(|id| {
         let dispatcher = Dispatcher::new(id, "a", &KINDS, false, 1, Rc::new(|_| ()));
-        dispatcher.dial(&[place]);
+        dispatcher.set_assigners(&[place]);
         dispatcher.run();
         dispatcher
     });
@@ -96,7 +96,7 @@
                 sleep(Duration::from_millis(10)).await;
             }
         };
-        if timeout(LONG, wait).await.is_err() {
+        if timeout(EVENT_TIMEOUT, wait).await.is_err() {
             panic!(
                 "not all tables name {wanted:?}: {:?}\n{:#?}",
                 self.tables(),
@@ -119,7 +119,7 @@
         .build()
         .unwrap();
     LocalSet::new().block_on(&runtime, async {
-        timeout(3 * LONG, test(&folder.path().join("servers.star")))
+        timeout(3 * EVENT_TIMEOUT, test(&folder.path().join("servers.star")))
             .await
             .expect("it hangs");
     });
@@ -133,7 +133,7 @@
         std::fs::write(file, render(&list(1, 11..=14, 1.0))).unwrap();
         running.until(&[11, 12, 13, 14]).await;
         // What discovery lists is none of the file's; a drain that it sees of the file's own counts.
-        running.agent.say(
+        running.agent.publish(
             8,
             false,
             &[server(5, "SERVING", 0.0), server(12, "DRAINING", 0.0)],
@@ -240,7 +240,7 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    std::fs::write(&config, told(gone).to_string()).unwrap();
+    std::fs::write(&config, assigner_config(gone).to_string()).unwrap();
     std::fs::write(
         &operators,
         format!("servers(file = {:?})", servers.to_str().unwrap()),
--- a/crates/rookpulley-assigner/tests/sockets.rs
+++ b/crates/rookpulley-assigner/tests/sockets.rs
@@ -10,9 +10,11 @@
 use rookpulley_assigner::streams::Conns;
 use rookpulley_assigner::{Assigner, Signals, config};
 use rookpulley_operators::OperatorSettings;
-use rookpulley_standin::discovery::{Agent, Discovery};
-use rookpulley_standin::lists::{list, server, serving, told};
-use rookpulley_standin::wire::{BEAT, COLLECTOR, LONG, Wire, joining, names};
+use rookpulley_standin::client::{
+    COLLECTOR_HELLO, EVENT_TIMEOUT, HEARTBEAT, TestClient, join_message, withdraws,
+};
+use rookpulley_standin::discovery::{DiscoveryServer, ScriptedDiscovery};
+use rookpulley_standin::lists::{assigner_config, list, server, serving};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -64,7 +66,7 @@
                 tokio::task::yield_now().await;
             }
         };
-        if timeout(LONG, wait).await.is_err() {
+        if timeout(EVENT_TIMEOUT, wait).await.is_err() {
             panic!(
                 "{what} was not counted {count} times: {:#?}",
                 self.front.counters.lines()
@@ -74,10 +76,10 @@
 }
 
 /// Runs a test with an assigner whose discovery works.
-fn with_assigner<F: Future<Output = ()>>(test: impl FnOnce(Running, Agent) -> F) {
+fn with_assigner<F: Future<Output = ()>>(test: impl FnOnce(Running, DiscoveryServer) -> F) {
     on_sockets(async {
-        let agent = Agent::new().await;
-        test(run(&told(agent.place)).await, agent).await;
+        let agent = DiscoveryServer::new().await;
+        test(run(&assigner_config(agent.address)).await, agent).await;
     });
 }
 
@@ -85,7 +87,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let test = async { timeout(2 * LONG, test).await.expect("it hangs") };
+    let test = async { timeout(2 * EVENT_TIMEOUT, test).await.expect("it hangs") };
     LocalSet::new().block_on(&runtime.unwrap(), test);
 }
 
@@ -94,19 +96,19 @@
 #[test]
 fn a_proxy_joins_and_is_bound_and_hears_of_a_drain() {
     with_assigner(|running, agent| async move {
-        let mut proxy = Wire::join(running.place, 0, true).await;
-        let table = proxy.table().await;
+        let mut proxy = TestClient::join(running.place, 0, true).await;
+        let table = proxy.wait_for_table().await;
         assert_eq!(table["lines"].as_array().unwrap().len(), 3, "{table}");
         running.counted("in marks answered", 1).await;
-        agent.say(8, false, &[server(2, "DRAINING", 0.0)]);
-        let message = proxy.until("s-2 shut out", names("s-2")).await;
+        agent.publish(8, false, &[server(2, "DRAINING", 0.0)]);
+        let message = proxy.wait_for("s-2 shut out", withdraws("s-2")).await;
         assert!(message["ticket"].is_u64(), "{message}");
-        agent.say(9, false, &[server(3, "DELETED", 0.0)]);
-        proxy.until("s-3 shut out", names("s-3")).await;
+        agent.publish(9, false, &[server(3, "DELETED", 0.0)]);
+        proxy.wait_for("s-3 shut out", withdraws("s-3")).await;
         // Back with a new start: let back with the line that brings it into the table again.
-        agent.say(10, true, &serving(1..=3));
+        agent.publish(10, true, &serving(1..=3));
         proxy
-            .until("s-2 back", |m| m["back"].to_string().contains("s-2"))
+            .wait_for("s-2 back", |m| m["back"].to_string().contains("s-2"))
             .await;
     });
 }
@@ -114,29 +116,31 @@
 #[test]
 fn bytes_come_in_pieces_and_messages_together() {
     with_assigner(|running, _agent| async move {
-        let mut proxy = Wire::dial(running.place).await;
-        for byte in format!("{}\n", joining(1, true)).bytes() {
+        let mut proxy = TestClient::connect(running.place).await;
+        for byte in format!("{}\n", join_message(1, true)).bytes() {
             proxy.socket.write_all(&[byte]).await.unwrap();
             tokio::task::yield_now().await;
         }
         running.counted("in joinings", 1).await;
         let usage = r#"{"msg":"client_stats","proxy":1,"class":"read","tries":19,"failed":0,"span_ms":1000.0,"new":[1]}"#;
-        proxy.say(&[usage, usage, BEAT, usage].join("\n")).await;
         proxy
-            .until("an answer to the beat", |m| m["msg"] == "hb_ok")
+            .send(&[usage, usage, HEARTBEAT, usage].join("\n"))
+            .await;
+        proxy
+            .wait_for("an answer to the beat", |m| m["msg"] == "hb_ok")
             .await;
         running.counted("in usage", 3).await;
-        proxy.table().await;
+        proxy.wait_for_table().await;
     });
 }
 
 #[test]
 fn a_new_stream_replaces_the_old_whose_late_end_changes_nothing() {
     with_assigner(|running, agent| async move {
-        let mut old = Wire::join(running.place, 2, true).await;
-        old.table().await;
-        let mut new = Wire::join(running.place, 2, false).await;
-        new.table().await;
+        let mut old = TestClient::join(running.place, 2, true).await;
+        old.wait_for_table().await;
+        let mut new = TestClient::join(running.place, 2, false).await;
+        new.wait_for_table().await;
         // Input of the old one that was read before its end and comes after the joining of the new.
         let input = Input::Acknowledged {
             proxy: 2,
@@ -153,10 +157,10 @@
             })
             .await;
         running.counted("late input of old streams", 1).await;
-        assert!(old.hear().await.is_none());
+        assert!(old.receive().await.is_none());
         running.counted(Ending::Replaced.count(), 1).await;
-        agent.say(8, false, &[server(1, "DRAINING", 0.0)]);
-        new.until("s-1 shut out", names("s-1")).await;
+        agent.publish(8, false, &[server(1, "DRAINING", 0.0)]);
+        new.wait_for("s-1 shut out", withdraws("s-1")).await;
         assert_eq!(running.front.counters.get(Ending::Closed.count()), 0);
     });
 }
@@ -164,8 +168,8 @@
 #[test]
 fn a_reset_inside_a_message_is_a_leaving() {
     with_assigner(|running, _agent| async move {
-        let mut proxy = Wire::join(running.place, 0, true).await;
-        proxy.table().await;
+        let mut proxy = TestClient::join(running.place, 0, true).await;
+        proxy.wait_for_table().await;
         proxy
             .socket
             .write_all(br#"{"msg":"done","pro"#)
@@ -174,52 +178,55 @@
         proxy.socket.set_zero_linger().unwrap();
         drop(proxy);
         running.counted(Ending::Reset.count(), 1).await;
-        let mut again = Wire::join(running.place, 0, false).await;
-        again.table().await;
+        let mut again = TestClient::join(running.place, 0, false).await;
+        again.wait_for_table().await;
     });
 }
 
 #[test]
 fn strangers_up_to_the_limit_turn_nobody_away() {
     on_sockets(async {
-        let agent = Agent::new().await;
-        let mut told = told(agent.place);
+        let agent = DiscoveryServer::new().await;
+        let mut told = assigner_config(agent.address);
         told["limits"]["sockets"] = json!(40);
         let running = run(&told).await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
-        proxy.table().await;
-        let mut collector = Wire::dial(running.place).await;
-        collector.say(COLLECTOR).await;
+        let mut proxy = TestClient::join(running.place, 0, true).await;
+        proxy.wait_for_table().await;
+        let mut collector = TestClient::connect(running.place).await;
+        collector.send(COLLECTOR_HELLO).await;
         running.counted("in collectors", 1).await;
         let mut strangers = Vec::new();
         for _ in 0..50 {
-            strangers.push(Wire::dial(running.place).await);
+            strangers.push(TestClient::connect(running.place).await);
         }
-        let mut late = Wire::join(running.place, 1, true).await;
-        late.table().await;
+        let mut late = TestClient::join(running.place, 1, true).await;
+        late.wait_for_table().await;
         assert!(running.front.counters.get(Ending::Crowded.count()) > 0);
-        assert!(proxy.beats().await && collector.beats().await);
+        assert!(proxy.heartbeat().await && collector.heartbeat().await);
         assert_eq!(running.front.counters.get("most connections at once"), 8);
-        assert!(strangers[0].hear().await.is_none(), "the oldest go first");
+        assert!(
+            strangers[0].receive().await.is_none(),
+            "the oldest go first"
+        );
         // Collectors that come again and again while their old connections stay half-open.
         let mut collectors = Vec::new();
         for count in 2..20 {
-            let mut collector = Wire::dial(running.place).await;
-            collector.say(COLLECTOR).await;
+            let mut collector = TestClient::connect(running.place).await;
+            collector.send(COLLECTOR_HELLO).await;
             running.counted("in collectors", count).await;
             collectors.push(collector);
         }
-        assert!(collectors.pop().unwrap().beats().await && late.beats().await);
+        assert!(collectors.pop().unwrap().heartbeat().await && late.heartbeat().await);
     });
 }
 
 #[test]
 fn who_has_not_joined_in_time_gets_a_close_whatever_it_sends() {
     with_assigner(|running, _agent| async move {
-        let mut proxy = Wire::join(running.place, 0, true).await;
-        proxy.table().await;
-        let mut late = Wire::dial(running.place).await;
-        let whole = joining(1, true);
+        let mut proxy = TestClient::join(running.place, 0, true).await;
+        proxy.wait_for_table().await;
+        let mut late = TestClient::connect(running.place).await;
+        let whole = join_message(1, true);
         let (first, rest) = whole.split_at(30);
         late.socket.write_all(first.as_bytes()).await.unwrap();
         let sent = [
@@ -227,11 +234,11 @@
             (&first[..9], false),
             (" ", true),
             ("\n", true),
-            (&(BEAT.to_string() + "\n"), true),
+            (&(HEARTBEAT.to_string() + "\n"), true),
         ];
         let sent = sent.map(|(text, again)| (text.to_string(), again));
         let strangers = sent.into_iter().chain([("x".repeat(512), true)]).map(|(text, again)| async move {
-            let mut wire = Wire::dial(running.place).await.socket;
+            let mut wire = TestClient::connect(running.place).await.socket;
             let (mut hears, mut says) = wire.split();
             let mut heard = [0; 4096];
             // What is said again is said for as long as it is taken.
@@ -247,57 +254,60 @@
             }
         });
         let closed: Vec<_> = strangers.map(spawn_local).collect();
-        late.say(rest).await;
-        late.table().await;
+        late.send(rest).await;
+        late.wait_for_table().await;
         for closed in closed {
-            timeout(LONG, closed)
+            timeout(EVENT_TIMEOUT, closed)
                 .await
                 .expect("it was never closed")
                 .unwrap();
         }
         running.counted(Ending::NotJoined.count(), 5).await;
         running.counted(Ending::TooLong.count(), 1).await;
-        assert!(proxy.beats().await && late.beats().await);
+        assert!(proxy.heartbeat().await && late.heartbeat().await);
     });
 }
 
 #[test]
 fn where_all_have_joined_a_newcomer_is_turned_away_until_one_leaves() {
     on_sockets(async {
-        let agent = Agent::new().await;
-        let mut told = told(agent.place);
+        let agent = DiscoveryServer::new().await;
+        let mut told = assigner_config(agent.address);
         told["limits"]["sockets"] = json!(33);
         let running = run(&told).await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
-        proxy.table().await;
+        let mut proxy = TestClient::join(running.place, 0, true).await;
+        proxy.wait_for_table().await;
         assert!(
-            Wire::join(running.place, 1, true)
+            TestClient::join(running.place, 1, true)
                 .await
-                .hear()
+                .receive()
                 .await
                 .is_none()
         );
         running.counted("connections turned away", 1).await;
-        assert!(proxy.beats().await);
+        assert!(proxy.heartbeat().await);
         drop(proxy);
         running.alone(0).await;
-        Wire::join(running.place, 1, true).await.table().await;
+        TestClient::join(running.place, 1, true)
+            .await
+            .wait_for_table()
+            .await;
     });
 }
 
 #[test]
 fn a_reader_that_stops_reading_delays_nobody() {
     with_assigner(|running, agent| async move {
-        let mut proxy = Wire::join(running.place, 0, true).await;
-        proxy.table().await;
+        let mut proxy = TestClient::join(running.place, 0, true).await;
+        proxy.wait_for_table().await;
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
         let mut deaf = socket.connect(running.place).await.unwrap();
-        let beats = format!("{BEAT}\n").repeat(4096);
+        let beats = format!("{HEARTBEAT}\n").repeat(4096);
         spawn_local(async move { while deaf.write_all(beats.as_bytes()).await.is_ok() {} });
         running.counted(Ending::Unread.count(), 1).await;
-        agent.say(8, false, &[server(1, "DRAINING", 0.0)]);
-        proxy.until("s-1 shut out", names("s-1")).await;
+        agent.publish(8, false, &[server(1, "DRAINING", 0.0)]);
+        proxy.wait_for("s-1 shut out", withdraws("s-1")).await;
     });
 }
 
@@ -334,23 +344,23 @@
     .chain([("not UTF-8", b"{\"msg\":\"h\xffb\"}".to_vec())])
     .collect();
     with_assigner(|running, agent| async move {
-        let mut other = Wire::join(running.place, 3, true).await;
-        other.table().await;
+        let mut other = TestClient::join(running.place, 3, true).await;
+        other.wait_for_table().await;
         let mut trace = String::new();
         for (what, bytes) in bad {
             trace += &format!("{what}:");
             for (who, first) in [
                 ("stranger", ""),
-                ("collector", COLLECTOR),
-                ("proxy", &joining(0, true)),
+                ("collector", COLLECTOR_HELLO),
+                ("proxy", &join_message(0, true)),
             ] {
                 let before = running.front.counters.lines();
-                let mut wire = Wire::dial(running.place).await;
+                let mut wire = TestClient::connect(running.place).await;
                 if !first.is_empty() {
-                    wire.say(first).await;
+                    wire.send(first).await;
                 }
                 _ = wire.socket.write_all(&[&bytes[..], b"\n"].concat()).await;
-                let kept = wire.beats().await;
+                let kept = wire.heartbeat().await;
                 if !kept {
                     running.alone(1).await;
                 }
@@ -379,8 +389,8 @@
             trace += "\n";
         }
         insta::assert_snapshot!(trace);
-        agent.say(8, false, &[server(1, "DRAINING", 0.0)]);
-        other.until("s-1 shut out", names("s-1")).await;
+        agent.publish(8, false, &[server(1, "DRAINING", 0.0)]);
+        other.wait_for("s-1 shut out", withdraws("s-1")).await;
     });
 }
 
@@ -391,10 +401,10 @@
 #[test]
 fn reports_of_a_collector_reach_the_module() {
     with_assigner(|running, _agent| async move {
-        let mut proxy = Wire::join(running.place, 0, true).await;
-        proxy.table().await;
-        let mut collector = Wire::dial(running.place).await;
-        collector.say(COLLECTOR).await;
+        let mut proxy = TestClient::join(running.place, 0, true).await;
+        proxy.wait_for_table().await;
+        let mut collector = TestClient::connect(running.place).await;
+        collector.send(COLLECTOR_HELLO).await;
         // s-1 fails all its tries while the others do well: the module strikes it.
         let report = async {
             loop {
@@ -402,14 +412,14 @@
                     let heard = json!({"msg": "upstream_stats", "zone": "a", "server": format!("s-{n}"),
                         "tries": 30, "failed": failed, "mean_ms": 40.5, "span_ms": 200.0,
                         "load": {"util": 0.5, "queue": 1}});
-                    collector.say(&heard.to_string()).await;
+                    collector.send(&heard.to_string()).await;
                 }
                 tokio::time::sleep(Duration::from_millis(200)).await;
             }
         };
         let none = |m: &Value| m["lines"].to_string().contains(r#"["s-1",0.0]"#);
         tokio::select! {
-            _ = proxy.until("s-1 out of the table", none) => {}
+            _ = proxy.wait_for("s-1 out of the table", none) => {}
             () = report => {}
         }
     });
@@ -420,35 +430,35 @@
 #[test]
 fn a_beat_is_answered_only_once_the_list_is_known() {
     on_sockets(async {
-        let mut discovery = Discovery::new().await;
-        let mut told = told(discovery.place);
+        let mut discovery = ScriptedDiscovery::new().await;
+        let mut told = assigner_config(discovery.address);
         told["known"]["endpoints"] = json!([]);
         let running = run(&told).await;
-        let mut wire = Wire::dial(running.place).await;
-        wire.say(BEAT).await;
+        let mut wire = TestClient::connect(running.place).await;
+        wire.send(HEARTBEAT).await;
         let mut watch = discovery.watch().await;
         assert_eq!(
             running.front.counters.get("connections taken"),
             0,
             "taken without a list"
         );
-        watch.say(&list(8, true, &serving(1..=2))).await;
-        assert_eq!(wire.hear().await.unwrap()["msg"], "hb_ok");
+        watch.send(&list(8, true, &serving(1..=2))).await;
+        assert_eq!(wire.receive().await.unwrap()["msg"], "hb_ok");
     });
 }
 
 #[test]
 fn a_watch_that_breaks_is_resumed_and_nothing_is_skipped_or_taken_twice() {
     on_sockets(async {
-        let mut discovery = Discovery::new().await;
-        let running = run(&told(discovery.place)).await;
+        let mut discovery = ScriptedDiscovery::new().await;
+        let running = run(&assigner_config(discovery.address)).await;
         let mut watch = discovery.watch().await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
-        proxy.table().await;
+        let mut proxy = TestClient::join(running.place, 0, true).await;
+        proxy.wait_for_table().await;
         let mut trace = String::new();
         // In the middle of a line.
         let change = list(8, false, &[server(1, "DRAINING", 0.0)]);
-        watch.say(&change[..40]).await;
+        watch.send(&change[..40]).await;
         drop(watch);
         for what in [
             "refuses with an error",
@@ -461,11 +471,11 @@
             trace += &format!("{}: {what}\n", call.path);
             match what {
                 "refuses with an error" => call.answer(503, "busy"),
-                "no list" => call.watch().say("[]\n").await,
-                "a negative weight" => call.watch().say(&change.replace("1.0", "-1.0")).await,
+                "no list" => call.watch().send("[]\n").await,
+                "a negative weight" => call.watch().send(&change.replace("1.0", "-1.0")).await,
                 "goes silent" => {
                     let mut silent = call.watch();
-                    silent.say("\n").await;
+                    silent.send("\n").await;
                     discovery.call().await.answer(200, "");
                     drop(silent);
                 }
@@ -477,16 +487,16 @@
         trace += &format!("{}: the change, twice, and an old one\n", call.path);
         let mut watch = call.watch();
         let old = list(3, false, &[server(3, "DELETED", 0.0)]);
-        watch.say(&[change.clone(), change, old].concat()).await;
-        let message = proxy.until("s-1 shut out", names("s-1")).await;
-        assert!(!names("s-3")(&message), "{message}");
+        watch.send(&[change.clone(), change, old].concat()).await;
+        let message = proxy.wait_for("s-1 shut out", withdraws("s-1")).await;
+        assert!(!withdraws("s-3")(&message), "{message}");
         drop(watch);
         let call = discovery.call().await;
         trace += &format!("{}: the whole list\n", call.path);
         let mut watch = call.watch();
-        watch.say(&list(20, true, &serving(3..=3))).await;
-        let message = proxy.until("s-2 shut out", names("s-2")).await;
-        assert!(!names("s-3")(&message));
+        watch.send(&list(20, true, &serving(3..=3))).await;
+        let message = proxy.wait_for("s-2 shut out", withdraws("s-2")).await;
+        assert!(!withdraws("s-3")(&message));
         drop(watch);
         trace += &format!("{}: at last\n", discovery.call().await.path);
         insta::assert_snapshot!(trace);
@@ -496,8 +506,11 @@
 #[test]
 fn a_change_that_was_not_handed_on_comes_first_at_the_new_address() {
     on_sockets(async {
-        let (mut here, mut there) = (Discovery::new().await, Discovery::new().await);
-        let read = config::read(&told(here.place).to_string()).unwrap();
+        let (mut here, mut there) = (
+            ScriptedDiscovery::new().await,
+            ScriptedDiscovery::new().await,
+        );
+        let read = config::read(&assigner_config(here.address).to_string()).unwrap();
         // One change fits; the next waits for the driver.
         let (events, mut taken) = mpsc::channel(1);
         let (log, conns) = (Log::new("n0".into(), 9), Conns::new(1, 1));
@@ -509,23 +522,23 @@
             events,
         });
         let running = Running {
-            place: here.place,
+            place: here.address,
             notes: None,
             front: front.clone(),
         };
-        let roster = Roster::new(here.place, 7, false, front);
+        let roster = Roster::new(here.address, 7, false, front);
         spawn_local(roster.clone().follow(Pauses::new(1)));
         let mut watch = here.watch().await;
         let change = |version, n| list(version, false, &[server(n, "DRAINING", 0.0)]);
-        watch.say(&[change(8, 1), change(9, 2)].concat()).await;
+        watch.send(&[change(8, 1), change(9, 2)].concat()).await;
         running.counted("in list changes", 1).await;
-        roster.move_to(there.place);
+        roster.move_to(there.address);
         let call = there.call().await;
         assert_eq!(call.path, "/catalog/members?follow=1&since=8");
         // That agent lags behind at first: what it says last is older than what is held.
         let mut watch = call.watch();
         watch
-            .say(&[list(6, true, &serving(1..=3)), change(8, 1), change(9, 2)].concat())
+            .send(&[list(6, true, &serving(1..=3)), change(8, 1), change(9, 2)].concat())
             .await;
         let mut versions = Vec::new();
         while versions.last() != Some(&9) {
@@ -537,8 +550,8 @@
         assert_eq!(versions, [8, 9]);
         assert_eq!(running.front.counters.get("whole lists passed over"), 1);
         // The address that it has already changes nothing.
-        roster.move_to(there.place);
-        watch.say(&change(10, 3)).await;
+        roster.move_to(there.address);
+        watch.send(&change(10, 3)).await;
         assert!(matches!(taken.recv().await, Some(Event::List { list, .. }) if list.version == 10));
         assert_eq!(running.front.counters.get("watches broken"), 0);
     });
@@ -547,18 +560,18 @@
 #[test]
 fn a_server_long_gone_is_forgotten_and_let_back_when_it_returns() {
     with_assigner(|running, agent| async move {
-        let mut proxy = Wire::join(running.place, 0, true).await;
-        proxy.table().await;
-        agent.say(8, false, &[server(3, "DELETED", 0.0)]);
-        proxy.until("s-3 shut out", names("s-3")).await;
+        let mut proxy = TestClient::join(running.place, 0, true).await;
+        proxy.wait_for_table().await;
+        agent.publish(8, false, &[server(3, "DELETED", 0.0)]);
+        proxy.wait_for("s-3 shut out", withdraws("s-3")).await;
         running.counted("servers forgotten", 1).await;
-        let mut collector = Wire::dial(running.place).await;
+        let mut collector = TestClient::connect(running.place).await;
         let heard = r#"{"msg":"upstream_stats","zone":"a","server":"s-3","tries":1,"failed":1,"span_ms":1}"#;
-        collector.say(&[COLLECTOR, heard].join("\n")).await;
+        collector.send(&[COLLECTOR_HELLO, heard].join("\n")).await;
         running.counted("bad input: unknown server", 1).await;
-        agent.say(9, false, &[server(3, "SERVING", 0.0)]);
+        agent.publish(9, false, &[server(3, "SERVING", 0.0)]);
         proxy
-            .until("s-3 back", |m| m["back"].to_string().contains("s-3"))
+            .wait_for("s-3 back", |m| m["back"].to_string().contains("s-3"))
             .await;
     });
 }
@@ -569,12 +582,12 @@
         // An address that is ours, where nobody listens yet.
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-        let running = run(&told(socket.local_addr().unwrap())).await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
-        proxy.table().await;
+        let running = run(&assigner_config(socket.local_addr().unwrap())).await;
+        let mut proxy = TestClient::join(running.place, 0, true).await;
+        proxy.wait_for_table().await;
         running.counted("watches broken", 2).await;
         let listener = socket.listen(8).unwrap();
-        let mut discovery = Discovery::at(listener);
+        let mut discovery = ScriptedDiscovery::from_listener(listener);
         assert_eq!(
             discovery.call().await.path,
             "/catalog/members?follow=1&since=7"
@@ -602,20 +615,20 @@
 #[test]
 fn where_the_list_is_asked_for_the_module_asks() {
     on_sockets(async {
-        let mut discovery = Discovery::new().await;
-        let mut told = told(discovery.place);
+        let mut discovery = ScriptedDiscovery::new().await;
+        let mut told = assigner_config(discovery.address);
         told["settings"]["registry_mode"] = json!("on_request");
         let running = run(&told).await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
+        let mut proxy = TestClient::join(running.place, 0, true).await;
         discovery.call().await.answer(500, "");
         // Its next call comes by its own alarm.
         let mut watch = discovery.watch().await;
         assert_eq!(running.front.counters.get("list calls failed"), 1);
-        proxy.table().await;
+        proxy.wait_for_table().await;
         watch
-            .say(&list(8, false, &[server(2, "DRAINING", 0.0)]))
+            .send(&list(8, false, &[server(2, "DRAINING", 0.0)]))
             .await;
-        proxy.until("s-2 shut out", names("s-2")).await;
+        proxy.wait_for("s-2 shut out", withdraws("s-2")).await;
         drop(watch);
         assert_eq!(
             discovery.call().await.path,
@@ -629,15 +642,15 @@
 #[test]
 fn notes_go_to_the_peers_and_come_from_them_alone() {
     on_sockets(async {
-        let agent = Agent::new().await;
+        let agent = DiscoveryServer::new().await;
         let bind = || async { UdpSocket::bind("127.0.0.1:0").await.unwrap() };
         let (all, peer, foreign) = (bind().await, bind().await, bind().await);
-        let mut told = told(agent.place);
+        let mut told = assigner_config(agent.address);
         told["peers"] = json!(["127.0.0.1:9", peer.local_addr().unwrap()]);
         told["peers_all"] = json!(all.local_addr().unwrap());
         let running = run(&told).await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
-        proxy.table().await;
+        let mut proxy = TestClient::join(running.place, 0, true).await;
+        proxy.wait_for_table().await;
         let mut note = [0; 512];
         let (size, _) = all.recv_from(&mut note).await.unwrap();
         assert!(size > 0 && size <= 256);
@@ -655,11 +668,11 @@
 fn a_configuration_that_cannot_be_used_gets_a_plain_message() {
     let place: SocketAddr = "127.0.0.1:1".parse().unwrap();
     let change = |at: &str, value: Value| {
-        let mut told = told(place);
+        let mut told = assigner_config(place);
         *told.pointer_mut(at).unwrap() = value;
         told.to_string()
     };
-    let mut forbidden = told(place);
+    let mut forbidden = assigner_config(place);
     forbidden["settings"]["limits"]["peers"] = json!(false);
     assert!(
         config::read(&forbidden.to_string())
@@ -694,7 +707,7 @@
 
 #[test]
 fn messages_are_read_in_the_words_and_the_order_of_the_settings() {
-    let words = config::read(&told("127.0.0.1:1".parse().unwrap()).to_string())
+    let words = config::read(&assigner_config("127.0.0.1:1".parse().unwrap()).to_string())
         .unwrap()
         .words;
     let heard = |load: &str| {
@@ -703,7 +716,7 @@
             + load
     };
     let lines = [
-        joining(3, false),
+        join_message(3, false),
         r#"{"msg":"client_stats","proxy":1,"class":"write","tries":7,"failed":1,"span_ms":1000}"#
             .into(),
         r#"{"msg":"client_stats","proxy":1,"class":"read","tries":0,"failed":2,"span_ms":1000}"#
@@ -733,7 +746,9 @@
 
 /// The program itself, on real time.
 mod program {
-    use super::{Discovery, Wire, json, list, names, on_sockets, server, told};
+    use super::{
+        ScriptedDiscovery, TestClient, assigner_config, json, list, on_sockets, server, withdraws,
+    };
     use std::io::{BufRead, BufReader, Lines, Write};
     use std::net::TcpStream;
     use std::process::{Child, ChildStderr, Command, Stdio};
@@ -821,7 +836,7 @@
 
     #[test]
     fn it_serves_again_after_a_kill_and_ends_on_a_term_with_its_counters() {
-        let mut told = told("127.0.0.1:1".parse().unwrap());
+        let mut told = assigner_config("127.0.0.1:1".parse().unwrap());
         let mut program = start(&told.to_string());
         let place = program.place();
         assert!(beats(&place));
@@ -846,27 +861,30 @@
     #[test]
     fn a_new_configuration_moves_the_watch_and_no_stream_is_felt() {
         on_sockets(async {
-            let (mut here, mut there) = (Discovery::new().await, Discovery::new().await);
-            let mut told = told(here.place);
+            let (mut here, mut there) = (
+                ScriptedDiscovery::new().await,
+                ScriptedDiscovery::new().await,
+            );
+            let mut told = assigner_config(here.address);
             let mut program = start(&told.to_string());
             let place = program.place();
             program.reload(&told.to_string());
             let mut watch = here.watch().await;
-            let mut proxy = Wire::join(place.parse().unwrap(), 0, true).await;
-            proxy.table().await;
+            let mut proxy = TestClient::join(place.parse().unwrap(), 0, true).await;
+            proxy.wait_for_table().await;
             watch
-                .say(&list(8, false, &[server(1, "DRAINING", 0.0)]))
+                .send(&list(8, false, &[server(1, "DRAINING", 0.0)]))
                 .await;
-            proxy.until("s-1 shut out", names("s-1")).await;
+            proxy.wait_for("s-1 shut out", withdraws("s-1")).await;
             program.reload("{");
             program.line("all stays as it was");
             watch
-                .say(&list(9, false, &[server(1, "SERVING", 9.0)]))
+                .send(&list(9, false, &[server(1, "SERVING", 9.0)]))
                 .await;
             proxy
-                .until("s-1 back", |m| m["back"].to_string().contains("s-1"))
+                .wait_for("s-1 back", |m| m["back"].to_string().contains("s-1"))
                 .await;
-            told["discovery"] = json!(there.place);
+            told["discovery"] = json!(there.address);
             told["limits"]["sockets"] = json!(64);
             program.reload(&told.to_string());
             program.line("limits can't change while it runs");
@@ -874,10 +892,13 @@
             assert_eq!(call.path, "/catalog/members?follow=1&since=9");
             let mut moved = call.watch();
             moved
-                .say(&list(10, false, &[server(2, "DRAINING", 0.0)]))
+                .send(&list(10, false, &[server(2, "DRAINING", 0.0)]))
                 .await;
-            proxy.until("s-2 shut out", names("s-2")).await;
-            assert!(proxy.beats().await, "the stream is the one it joined on");
+            proxy.wait_for("s-2 shut out", withdraws("s-2")).await;
+            assert!(
+                proxy.heartbeat().await,
+                "the stream is the one it joined on"
+            );
             // A file that is never read to its end holds up neither the proxies nor the end.
             let fifo = program.folder.path().join("config.json");
             std::fs::remove_file(&fifo).unwrap();
@@ -889,7 +910,7 @@
                     .success()
             );
             program.signal("HUP");
-            assert!(proxy.beats().await);
+            assert!(proxy.heartbeat().await);
             program.signal("TERM");
             program.line("told to end");
             assert!(
@@ -906,11 +927,14 @@
 
     #[test]
     fn where_the_system_gives_no_more_connections_those_who_joined_are_served() {
-        let mut program = start_within(&told("127.0.0.1:1".parse().unwrap()).to_string(), 24);
+        let mut program = start_within(
+            &assigner_config("127.0.0.1:1".parse().unwrap()).to_string(),
+            24,
+        );
         let place = program.place();
         let mut joined = TcpStream::connect(&place).unwrap();
         joined
-            .write_all(format!("{}\n", super::joining(0, true)).as_bytes())
+            .write_all(format!("{}\n", super::join_message(0, true)).as_bytes())
             .unwrap();
         let strangers: Vec<_> = (0..40)
             .map(|_| TcpStream::connect(&place).unwrap())
--- a/crates/rookpulley-assigner/tests/versions.rs
+++ b/crates/rookpulley-assigner/tests/versions.rs
@@ -11,9 +11,9 @@
 use rookpulley_operators::OperatorSettings;
 use rookpulley_operators::api::{HolderList, HolderRow, VersionList};
 use rookpulley_operators::file;
-use rookpulley_standin::discovery::Agent;
-use rookpulley_standin::lists::{server, serving, told};
-use rookpulley_standin::wire::{LONG, Wire, names};
+use rookpulley_standin::client::{EVENT_TIMEOUT, TestClient, withdraws};
+use rookpulley_standin::discovery::DiscoveryServer;
+use rookpulley_standin::lists::{assigner_config, server, serving};
 use rookpulley_standin::{Checker, Dispatcher, Faults, Link};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -30,7 +30,7 @@
         .enable_all()
         .build();
     LocalSet::new().block_on(&runtime.unwrap(), async {
-        timeout(2 * LONG, test).await.expect("it hangs")
+        timeout(2 * EVENT_TIMEOUT, test).await.expect("it hangs")
     })
 }
 
@@ -112,7 +112,7 @@
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        match timeout(LONG / 2, wait).await {
+        match timeout(EVENT_TIMEOUT / 2, wait).await {
             Ok(rows) => rows,
             Err(_) => panic!("not all {count} are {judged}: {:#?}", self.holders().await),
         }
@@ -125,7 +125,7 @@
 
 /// Two request kinds that go to servers of all zones, a few dispatchers and a short channel.
 fn settings(discovery: SocketAddr, name: &str, dispatchers: u32) -> Value {
-    let mut told = told(discovery);
+    let mut told = assigner_config(discovery);
     (told["name"], told["known"]["endpoints"]) = (json!(name), json!(serving(1..=SERVERS)));
     told["limits"]["sockets"] = json!(512);
     // One kind keeps to a kind of machine, though all servers are of it: so each has a table of its own.
@@ -139,12 +139,12 @@
 }
 
 const TROUBLE: Faults = Faults {
-    lose: 0.12,
-    double: 0.06,
+    drop: 0.12,
+    duplicate: 0.06,
     delay: 0.3,
-    late_ms: 60.0,
-    cut: 0.02,
-    cut_pause_ms: 2_500.0,
+    max_delay_ms: 60.0,
+    disconnect: 0.02,
+    min_disconnect_interval_ms: 2_500.0,
 };
 
 #[derive(Debug, Default)]
@@ -191,7 +191,7 @@
             if !row.speaks {
                 continue;
             }
-            let must = checker.borrow().must_hold(dispatcher.id);
+            let must = checker.borrow().expected_tables(dispatcher.id);
             let found = must.iter().find(|(name, ..)| *name == version.version);
             let (_, digest, lines) =
                 found.ok_or(format!("{who}: {version:?} never reached it: {must:?}"))?;
@@ -220,15 +220,15 @@
     const SPEAKING: u64 = 24;
     const PLAIN: u64 = 4;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let agent = Agent::new().await;
+    let agent = DiscoveryServer::new().await;
     let all = (SPEAKING + PLAIN) as u32;
     let assigners = [
-        run(&settings(agent.place, "n0", all)).await,
-        run(&settings(agent.place, "n1", all)).await,
+        run(&settings(agent.address, "n0", all)).await,
+        run(&settings(agent.address, "n1", all)).await,
     ];
     let checker = Rc::new(RefCell::new(Checker::new(GRACE_MS)));
     let see = checker.clone();
-    let seen: Rc<dyn Fn(_)> = Rc::new(move |what| see.borrow_mut().see(what));
+    let seen: Rc<dyn Fn(_)> = Rc::new(move |what| see.borrow_mut().observe(what));
     let streams = Rc::new(Cell::new(0));
     let mut links = Vec::new();
     for (n, assigner) in assigners.iter().enumerate() {
@@ -243,8 +243,8 @@
     let mut clean = Vec::new();
     for assigner in &assigners {
         let faults = Faults {
-            cut: 0.02,
-            cut_pause_ms: 1_000.0,
+            disconnect: 0.02,
+            min_disconnect_interval_ms: 1_000.0,
             ..Faults::default()
         };
         clean.push(
@@ -258,11 +258,11 @@
         let speaks = id < SPEAKING;
         let dispatcher = Dispatcher::new(id, "a", &KINDS, speaks, seed, seen.clone());
         let through = if speaks { &links } else { &clean };
-        let mut places = [through[0].place, through[1].place];
+        let mut places = [through[0].address, through[1].address];
         places.rotate_left((id % 2) as usize);
-        dispatcher.dial(&places);
+        dispatcher.set_assigners(&places);
         dispatcher.run();
-        dispatcher.route(10);
+        dispatcher.route_requests(10);
         dispatchers.push(dispatcher);
     }
     let mut tally = Tally::default();
@@ -275,8 +275,8 @@
                 let n = rng.random_range(1..=SERVERS);
                 if !drained.contains(&n) {
                     drained.push(n);
-                    agent.say(index, false, &[server(n, "DRAINING", 0.0)]);
-                    checker.borrow_mut().drains(&format!("s-{n}"));
+                    agent.publish(index, false, &[server(n, "DRAINING", 0.0)]);
+                    checker.borrow_mut().record_drain(&format!("s-{n}"));
                 }
             }
             2 if !drained.is_empty() && rng.random_range(0..2) == 0 => {
@@ -284,8 +284,8 @@
                 let unix = std::time::SystemTime::now()
                     .duration_since(std::time::UNIX_EPOCH)
                     .unwrap();
-                checker.borrow_mut().starts(&format!("s-{n}"));
-                agent.say(
+                checker.borrow_mut().record_restart(&format!("s-{n}"));
+                agent.publish(
                     index,
                     false,
                     &[server(n, "SERVING", unix.as_secs_f64() * 1e3)],
@@ -297,7 +297,7 @@
                 if !drained.contains(&n) {
                     let mut line = server(n, "SERVING", 0.0);
                     line["weight"] = json!([1.0, 1.5, 2.0][rng.random_range(0..3)]);
-                    agent.say(index, false, &[line]);
+                    agent.publish(index, false, &[line]);
                 }
             }
             5..=8 => {
@@ -335,8 +335,8 @@
     links
         .iter()
         .chain(&clean)
-        .for_each(|link| link.set(Faults::default()));
-    dispatchers.iter().for_each(|d| d.rest());
+        .for_each(|link| link.set_faults(Faults::default()));
+    dispatchers.iter().for_each(|d| d.stay_on_assigner());
     let settled = async {
         loop {
             let (a, b) = (assigners[0].holders().await, assigners[1].holders().await);
@@ -373,9 +373,9 @@
         sleep(Duration::from_millis(50)).await;
     }
     let checker = checker.borrow();
-    if !checker.broken.is_empty() {
+    if !checker.violations.is_empty() {
         return Err(checker
-            .broken
+            .violations
             .iter()
             .take(3)
             .cloned()
@@ -383,13 +383,17 @@
             .join("; "));
     }
     for link in links.iter().chain(&clean) {
-        tally.lost += link.lost.get();
-        tally.doubled += link.doubled.get();
-        tally.cuts += link.cuts.get();
+        tally.lost += link.dropped.get();
+        tally.doubled += link.duplicated.get();
+        tally.cuts += link.disconnects.get();
     }
     tally.refused = dispatchers.iter().map(|d| d.refused.get()).sum();
-    (tally.routed, tally.whole, tally.deltas, tally.same) =
-        (checker.routed, checker.whole, checker.deltas, checker.same);
+    (tally.routed, tally.whole, tally.deltas, tally.same) = (
+        checker.routed,
+        checker.full_updates,
+        checker.deltas,
+        checker.unchanged,
+    );
     Ok(tally)
 }
 
@@ -459,12 +463,12 @@
 // ---- By hand ------------------------------------------------------------------------------
 
 /// One assigner, two dispatchers that are told by hand, and discovery.
-fn by_hand<F: Future<Output = ()>>(test: impl FnOnce(Running, Agent, Wire) -> F) {
+fn by_hand<F: Future<Output = ()>>(test: impl FnOnce(Running, DiscoveryServer, TestClient) -> F) {
     on_sockets(async {
-        let agent = Agent::new().await;
-        let running = run(&settings(agent.place, "n0", 4)).await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
-        proxy.table().await;
+        let agent = DiscoveryServer::new().await;
+        let running = run(&settings(agent.address, "n0", 4)).await;
+        let mut proxy = TestClient::join(running.place, 0, true).await;
+        proxy.wait_for_table().await;
         test(running, agent, proxy).await;
     });
 }
@@ -488,9 +492,9 @@
                 .all(|r| !r.speaks && r.claimed.is_none() && r.told == r.confirmed)
         );
         // It hears of a change and answers nothing from now on.
-        agent.say(101, false, &[server(1, "DRAINING", 0.0)]);
-        let listen = async { while proxy.hear().await.is_some_and(|m| m["out"].is_null()) {} };
-        timeout(LONG, listen).await.unwrap();
+        agent.publish(101, false, &[server(1, "DRAINING", 0.0)]);
+        let listen = async { while proxy.receive().await.is_some_and(|m| m["out"].is_null()) {} };
+        timeout(EVENT_TIMEOUT, listen).await.unwrap();
         running.until_all("lost", 2).await;
         assert_eq!(
             running.front.counters.get("tables owed"),
@@ -504,8 +508,8 @@
 fn a_rollback_never_sends_to_a_drained_server_and_outlives_newer_lists() {
     by_hand(|running, agent, mut proxy| async move {
         let first = running.versions().await.versions[0].version.clone();
-        agent.say(101, false, &[server(2, "DRAINING", 0.0)]);
-        proxy.until("s-2 shut out", names("s-2")).await;
+        agent.publish(101, false, &[server(2, "DRAINING", 0.0)]);
+        proxy.wait_for("s-2 shut out", withdraws("s-2")).await;
         let (status, answer) = back(&running, &first, false).await;
         assert_eq!(
             (status, &answer["tables"][0]["what"]),
@@ -518,11 +522,11 @@
             .duration_since(std::time::UNIX_EPOCH)
             .unwrap();
         let fresh = server(9, "SERVING", unix.as_secs_f64() * 1e3 - 60_000.0);
-        agent.say(102, false, &[server(3, "DRAINING", 0.0)]);
-        proxy.until("s-3 shut out", names("s-3")).await;
-        agent.say(103, false, &[fresh]);
+        agent.publish(102, false, &[server(3, "DRAINING", 0.0)]);
+        proxy.wait_for("s-3 shut out", withdraws("s-3")).await;
+        agent.publish(103, false, &[fresh]);
         proxy
-            .until("s-9 in the other table", |m| {
+            .wait_for("s-9 in the other table", |m| {
                 m["lines"].to_string().contains("s-9")
             })
             .await;
@@ -553,7 +557,7 @@
         .await;
         assert_eq!(status, 200);
         proxy
-            .until("s-9 in its own lines again", |m| {
+            .wait_for("s-9 in its own lines again", |m| {
                 m["lines"].to_string().contains("s-9")
             })
             .await;
@@ -588,8 +592,8 @@
         // All its servers drain; others come in their place.
         let mut lines: Vec<Value> = (1..=SERVERS).map(|n| server(n, "DRAINING", 0.0)).collect();
         lines.extend((11..=14).map(|n| server(n, "SERVING", 1.0)));
-        agent.say(101, false, &lines);
-        proxy.until("s-1 shut out", names("s-1")).await;
+        agent.publish(101, false, &lines);
+        proxy.wait_for("s-1 shut out", withdraws("s-1")).await;
         let (status, answer) = back(&running, &first, true).await;
         assert_eq!(status, 409, "{answer}");
         let rows = answer["tables"].as_array().unwrap();
@@ -605,13 +609,13 @@
 #[test]
 fn a_dispatcher_that_comes_over_with_the_same_table_is_not_sent_it_again() {
     on_sockets(async {
-        let agent = Agent::new().await;
-        let one = run(&settings(agent.place, "n0", 4)).await;
-        let other = run(&settings(agent.place, "n1", 4)).await;
+        let agent = DiscoveryServer::new().await;
+        let one = run(&settings(agent.address, "n0", 4)).await;
+        let other = run(&settings(agent.address, "n1", 4)).await;
         let checker = Rc::new(RefCell::new(Checker::new(GRACE_MS)));
         let see = checker.clone();
         let streams = Rc::new(Cell::new(0));
-        let seen: Rc<dyn Fn(_)> = Rc::new(move |what| see.borrow_mut().see(what));
+        let seen: Rc<dyn Fn(_)> = Rc::new(move |what| see.borrow_mut().observe(what));
         let mut links = Vec::new();
         for at in [&one, &other] {
             let link = Link::open(
@@ -626,21 +630,21 @@
             links.push(link);
         }
         let dispatcher = Dispatcher::new(0, "a", &KINDS, true, 1, seen);
-        dispatcher.dial(&[links[0].place, links[1].place]);
+        dispatcher.set_assigners(&[links[0].address, links[1].address]);
         dispatcher.run();
         one.until_all("in step", KINDS.len()).await;
-        let whole = checker.borrow().whole;
-        assert_eq!((whole, checker.borrow().same), (2, 0));
+        let whole = checker.borrow().full_updates;
+        assert_eq!((whole, checker.borrow().unchanged), (2, 0));
         // Cut off, it comes to the other with both tables.
-        links[0].cut_all();
+        links[0].disconnect_all();
         let rows = other.until_all("in step", KINDS.len()).await;
         assert!(
             rows.iter()
                 .all(|r| r.told.as_ref().unwrap().starts_with("n1~"))
         );
         let checker = checker.borrow();
-        assert_eq!(checker.whole, whole, "no table was sent again");
-        assert!(checker.same >= 2 && checker.broken.is_empty());
+        assert_eq!(checker.full_updates, whole, "no table was sent again");
+        assert!(checker.unchanged >= 2 && checker.violations.is_empty());
         drop(agent);
     });
 }
--- a/crates/rookpulley-standin/src/checker.rs
+++ b/crates/rookpulley-standin/src/checker.rs
@@ -6,21 +6,21 @@
 use tokio::time::Instant;
 
 /// An observed event. Events are reported in the order in which they occur.
-pub enum Seen {
+pub enum Observation {
     /// A line delivered to an assigner.
-    Up {
+    ToAssigner {
         stream: u64,
         dispatcher: u64,
         message: Value,
     },
     /// A line delivered to a dispatcher.
-    Down {
+    ToDispatcher {
         stream: u64,
         dispatcher: u64,
         message: Value,
     },
     /// A connection closed.
-    Ended { stream: u64, dispatcher: u64 },
+    Closed { stream: u64, dispatcher: u64 },
     /// A request was routed to a server.
     Routed { dispatcher: u64, server: String },
 }
@@ -50,14 +50,14 @@
     /// When each drained server began to drain, and when it restarted.
     drains: BTreeMap<String, (Instant, Option<Instant>)>,
     pub grace_ms: f64,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub applied: u64,
     pub refused: u64,
-    pub passed_over: u64,
+    pub stale: u64,
     pub routed: u64,
-    pub whole: u64,
+    pub full_updates: u64,
     pub deltas: u64,
-    pub same: u64,
+    pub unchanged: u64,
 }
 
 /// Computes the table digest that the protocol defines, independently of the assigner's implementation.
@@ -81,21 +81,21 @@
         }
     }
 
-    pub fn drains(&mut self, server: &str) {
+    pub fn record_drain(&mut self, server: &str) {
         self.drains
             .entry(server.into())
             .or_insert_with(|| (Instant::now(), None));
     }
 
-    pub fn starts(&mut self, server: &str) {
+    pub fn record_restart(&mut self, server: &str) {
         if let Some((_, started)) = self.drains.get_mut(server) {
             *started = Some(Instant::now());
         }
     }
 
-    pub fn see(&mut self, seen: Seen) {
-        match seen {
-            Seen::Up {
+    pub fn observe(&mut self, observation: Observation) {
+        match observation {
+            Observation::ToAssigner {
                 stream,
                 dispatcher,
                 message,
@@ -106,7 +106,7 @@
                     (table.effects, table.newest) = (BTreeSet::new(), 0);
                 }
             }
-            Seen::Down {
+            Observation::ToDispatcher {
                 stream,
                 dispatcher,
                 message,
@@ -122,7 +122,7 @@
                     self.apply(dispatcher, &parts);
                 }
             }
-            Seen::Routed { dispatcher, server } => {
+            Observation::Routed { dispatcher, server } => {
                 self.routed += 1;
                 let Some((since, started)) = self.drains.get(&server) else {
                     return;
@@ -132,10 +132,10 @@
                     let violation = format!(
                         "dispatcher {dispatcher} routed a request to {server}, which began to drain {after_ms:.0} ms ago"
                     );
-                    self.broken.push(violation);
+                    self.violations.push(violation);
                 }
             }
-            Seen::Up { .. } | Seen::Ended { .. } => {}
+            Observation::ToAssigner { .. } | Observation::Closed { .. } => {}
         }
     }
 
@@ -168,7 +168,7 @@
             let changes: Vec<_> = lines(part).into_iter().chain(rest).collect();
             let table = state.tables.entry(part["classes"].to_string()).or_default();
             if number < table.newest {
-                self.passed_over += 1;
+                self.stale += 1;
                 continue;
             }
             // A number alone refers to the issuer of the table held.
@@ -185,7 +185,7 @@
             let current = digest(&table.lines);
             let mut next = table.lines.clone();
             if part["whole"] == true {
-                self.whole += 1;
+                self.full_updates += 1;
                 next.clear();
             } else if let Some(from) = part["from"].as_str() {
                 self.deltas += 1;
@@ -194,7 +194,7 @@
                     continue;
                 }
             } else {
-                self.same += 1;
+                self.unchanged += 1;
             }
             if target == current {
                 next = table.lines.clone();
@@ -207,7 +207,7 @@
                 continue;
             }
             if next != table.lines && !table.effects.insert(number) {
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "dispatcher {dispatcher}: version {version} was applied twice"
                 ));
             }
@@ -217,7 +217,7 @@
     }
 
     /// The tables that a dispatcher must hold given the messages it received: version, digest and lines of each.
-    pub fn must_hold(&self, dispatcher: u64) -> Vec<(String, String, Lines)> {
+    pub fn expected_tables(&self, dispatcher: u64) -> Vec<(String, String, Lines)> {
         let tables = self
             .dispatchers
             .get(&dispatcher)
--- a/crates/rookpulley-standin/src/discovery.rs
+++ b/crates/rookpulley-standin/src/discovery.rs
@@ -24,17 +24,17 @@
 }
 
 /// A discovery service whose calls the test answers one by one.
-pub struct Discovery {
-    pub place: SocketAddr,
+pub struct ScriptedDiscovery {
+    pub address: SocketAddr,
     pub calls: mpsc::UnboundedReceiver<Call>,
 }
 
-impl Discovery {
+impl ScriptedDiscovery {
     pub async fn new() -> Self {
-        Self::at(TcpListener::bind("127.0.0.1:0").await.unwrap())
+        Self::from_listener(TcpListener::bind("127.0.0.1:0").await.unwrap())
     }
 
-    pub fn at(listener: TcpListener) -> Self {
+    pub fn from_listener(listener: TcpListener) -> Self {
         let address = listener.local_addr().unwrap();
         let (sender, calls) = mpsc::unbounded_channel();
         spawn_local(async move {
@@ -59,10 +59,7 @@
                 );
             }
         });
-        Self {
-            place: address,
-            calls,
-        }
+        Self { address, calls }
     }
 
     pub async fn call(&mut self) -> Call {
@@ -79,7 +76,7 @@
 pub struct Watch(pub Sender<Bytes, std::io::Error>);
 
 impl Watch {
-    pub async fn say(&mut self, text: &str) {
+    pub async fn send(&mut self, text: &str) {
         self.0
             .send_data(Bytes::from(text.to_string()))
             .await
@@ -111,19 +108,19 @@
 pub type Lists = Vec<(u64, String)>;
 
 /// A discovery service that sends each watcher the lists published after the index that it names.
-pub struct Agent {
-    pub place: SocketAddr,
+pub struct DiscoveryServer {
+    pub address: SocketAddr,
     lists: watch::Sender<Lists>,
 }
 
-impl Agent {
+impl DiscoveryServer {
     pub async fn new() -> Self {
-        Self::at(TcpListener::bind("127.0.0.1:0").await.unwrap())
+        Self::from_listener(TcpListener::bind("127.0.0.1:0").await.unwrap())
     }
 
-    pub fn at(listener: TcpListener) -> Self {
-        let mut discovery = Discovery::at(listener);
-        let (address, lists) = (discovery.place, watch::Sender::new(Lists::new()));
+    pub fn from_listener(listener: TcpListener) -> Self {
+        let mut discovery = ScriptedDiscovery::from_listener(listener);
+        let (address, lists) = (discovery.address, watch::Sender::new(Lists::new()));
         let updates = lists.subscribe();
         spawn_local(async move {
             loop {
@@ -133,16 +130,13 @@
                     .rsplit_once("since=")
                     .and_then(|(_, n)| n.parse().ok())
                     .unwrap_or(0);
-                spawn_local(Self::follow(call.watch(), updates.clone(), since));
+                spawn_local(Self::serve_watch(call.watch(), updates.clone(), since));
             }
         });
-        Self {
-            place: address,
-            lists,
-        }
+        Self { address, lists }
     }
 
-    pub async fn follow(mut watch: Watch, mut lists: watch::Receiver<Lists>, mut since: u64) {
+    pub async fn serve_watch(mut watch: Watch, mut lists: watch::Receiver<Lists>, mut since: u64) {
         loop {
             let mut text = String::from("\n");
             let after = since;
@@ -161,7 +155,7 @@
         }
     }
 
-    pub fn say(&self, index: u64, whole: bool, servers: &[Value]) {
+    pub fn publish(&self, index: u64, whole: bool, servers: &[Value]) {
         self.lists
             .send_modify(|lists| lists.push((index, list(index, whole, servers))));
     }
--- a/crates/rookpulley-standin/src/dispatcher.rs
+++ b/crates/rookpulley-standin/src/dispatcher.rs
@@ -1,7 +1,7 @@
 //! A simulated dispatcher: joins an assigner, applies its tables, acknowledges messages and routes requests. It either
 //! reports the versions it holds or, like the platform's proxies, only acknowledges.
 
-use crate::checker::Seen;
+use crate::checker::Observation;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rookpulley_versions::{Delta, Holder, Kinds, Name, Order, Outcome, Table, Update, Version};
@@ -34,15 +34,15 @@
     pub id: u64,
     zone: String,
     kinds: Vec<String>,
-    speaks: bool,
+    reports_versions: bool,
     state: RefCell<State>,
     rng: RefCell<ChaCha8Rng>,
     /// The assigners to connect to, in order; the first is next.
-    places: RefCell<Vec<SocketAddr>>,
+    assigners: RefCell<Vec<SocketAddr>>,
     streams: Cell<u64>,
-    seen: Rc<dyn Fn(Seen)>,
+    observer: Rc<dyn Fn(Observation)>,
     pub refused: Cell<u64>,
-    resting: Cell<bool>,
+    stays: Cell<bool>,
 }
 
 impl Dispatcher {
@@ -50,36 +50,36 @@
         id: u64,
         zone: &str,
         kinds: &[&str],
-        speaks: bool,
+        reports_versions: bool,
         seed: u64,
-        seen: Rc<dyn Fn(Seen)>,
+        observer: Rc<dyn Fn(Observation)>,
     ) -> Rc<Self> {
         Rc::new(Self {
             id,
             zone: zone.into(),
             kinds: kinds.iter().map(|k| k.to_string()).collect(),
-            speaks,
+            reports_versions,
             state: RefCell::new(State {
                 fresh: true,
                 ..State::default()
             }),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ id << 32)),
-            places: RefCell::default(),
+            assigners: RefCell::default(),
             streams: Cell::new(0),
-            seen,
+            observer,
             refused: Cell::new(0),
-            resting: Cell::new(false),
+            stays: Cell::new(false),
         })
     }
 
     /// Sets the assigners' addresses. Each disconnect moves on to the next address.
-    pub fn dial(&self, places: &[SocketAddr]) {
-        *self.places.borrow_mut() = places.to_vec();
+    pub fn set_assigners(&self, assigners: &[SocketAddr]) {
+        *self.assigners.borrow_mut() = assigners.to_vec();
     }
 
     /// From now on, reconnects to the same assigner instead of moving on to the next.
-    pub fn rest(&self) {
-        self.resting.set(true);
+    pub fn stay_on_assigner(&self) {
+        self.stays.set(true);
     }
 
     /// Connects and processes messages in the background, reconnecting after each disconnect.
@@ -87,12 +87,12 @@
         let this = self.clone();
         spawn_local(async move {
             loop {
-                let address = this.places.borrow()[0];
+                let address = this.assigners.borrow()[0];
                 if let Ok(socket) = TcpStream::connect(address).await {
                     this.process_stream(socket).await;
                 }
-                if !this.resting.get() {
-                    this.places.borrow_mut().rotate_left(1);
+                if !this.stays.get() {
+                    this.assigners.borrow_mut().rotate_left(1);
                 }
                 let pause = this.rng.borrow_mut().random_range(2..40);
                 sleep(Duration::from_millis(pause)).await;
@@ -101,14 +101,14 @@
     }
 
     /// Routes a request of each kind at the given interval and reports the chosen server.
-    pub fn route(self: &Rc<Self>, every_ms: u64) {
+    pub fn route_requests(self: &Rc<Self>, every_ms: u64) {
         let this = self.clone();
         spawn_local(async move {
             loop {
                 sleep(Duration::from_millis(every_ms)).await;
                 for kind in 0..this.kinds.len() {
-                    if let Some(server) = this.pick(kind) {
-                        (this.seen)(Seen::Routed {
+                    if let Some(server) = this.select_server(kind) {
+                        (this.observer)(Observation::Routed {
                             dispatcher: this.id,
                             server,
                         });
@@ -119,7 +119,7 @@
     }
 
     /// Chooses a server for a request of this kind at random by weight.
-    pub fn pick(&self, kind: usize) -> Option<String> {
+    pub fn select_server(&self, kind: usize) -> Option<String> {
         let state = self.state.borrow();
         let lines: Vec<(String, f64)> = self.lines(&state, kind);
         let usable: Vec<_> = lines
@@ -194,21 +194,21 @@
         _ = socket.set_nodelay(true);
         let stream = self.streams.replace(self.streams.get() + 1) + 1;
         let (from, mut to) = socket.into_split();
-        let joining = {
+        let join_message = {
             let mut state = self.state.borrow_mut();
             state
                 .holders
                 .values_mut()
                 .for_each(|h| h.follow_stream(stream));
-            let mut joining = json!({"msg": "attach", "proxy": self.id, "zone": self.zone, "weight": 9.5,
+            let mut join_message = json!({"msg": "attach", "proxy": self.id, "zone": self.zone, "weight": 9.5,
                 "fresh": state.fresh});
-            if self.speaks {
-                joining["holds"] = self.holdings(&state);
+            if self.reports_versions {
+                join_message["holds"] = self.holdings(&state);
             }
-            joining
+            join_message
         };
         if to
-            .write_all(format!("{joining}\n").as_bytes())
+            .write_all(format!("{join_message}\n").as_bytes())
             .await
             .is_err()
         {
@@ -269,7 +269,7 @@
                 .iter()
                 .for_each(|s| _ = state.out.remove(s));
             let kinds = self.mask(part);
-            if !self.speaks {
+            if !self.reports_versions {
                 for kind in (0..self.kinds.len()).filter(|k| kinds >> k & 1 == 1) {
                     let table = state.unversioned.entry(kind).or_default();
                     if part["whole"] == true {
@@ -346,7 +346,7 @@
             .filter(|_| all_applied)
         {
             let mut done = json!({"msg": "done", "proxy": self.id, "mark": mark, "took_ms": 1.5});
-            if self.speaks {
+            if self.reports_versions {
                 done["holds"] = self.holdings(&state);
             }
             replies.push(done);
--- a/crates/rookpulley-standin/src/lib.rs
+++ b/crates/rookpulley-standin/src/lib.rs
@@ -5,14 +5,14 @@
 //! All randomness is seeded.
 
 pub mod checker;
+pub mod client;
 pub mod discovery;
 pub mod dispatcher;
 pub mod link;
 pub mod lists;
-pub mod wire;
 
 pub use checker::Checker;
-pub use discovery::{Agent, Discovery, Watch};
+pub use client::TestClient;
+pub use discovery::{DiscoveryServer, ScriptedDiscovery, Watch};
 pub use dispatcher::Dispatcher;
 pub use link::{Faults, Link};
-pub use wire::Wire;
--- a/crates/rookpulley-standin/src/link.rs
+++ b/crates/rookpulley-standin/src/link.rs
@@ -2,7 +2,7 @@
 //! and disconnects, driven by a seed. It drops at most `MAX_CONSECUTIVE_DROPS` consecutive lines per dispatcher and
 //! direction. The first line of a connection, the join message, is never subject to faults.
 
-use crate::checker::Seen;
+use crate::checker::Observation;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::Value;
@@ -23,32 +23,32 @@
 /// The probability of each fault per line. With all at 0 the link forwards everything unchanged.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    pub lose: f64,
-    pub double: f64,
-    /// Delayed lines arrive up to `late_ms` late, possibly after later ones.
+    pub drop: f64,
+    pub duplicate: f64,
+    /// Delayed lines arrive up to `max_delay_ms` late, possibly after later ones.
     pub delay: f64,
-    pub late_ms: f64,
-    pub cut: f64,
+    pub max_delay_ms: f64,
+    pub disconnect: f64,
     /// The minimum time between two disconnects of the same dispatcher.
-    pub cut_pause_ms: f64,
+    pub min_disconnect_interval_ms: f64,
 }
 
 #[derive(Default)]
 struct DispatcherFaults {
-    lost: [u32; 2],
-    cut_at: Option<Instant>,
+    consecutive_drops: [u32; 2],
+    disconnected_at: Option<Instant>,
 }
 
 pub struct Link {
-    pub place: SocketAddr,
+    pub address: SocketAddr,
     faults: Cell<Faults>,
     rng: RefCell<ChaCha8Rng>,
     by_dispatcher: RefCell<BTreeMap<u64, DispatcherFaults>>,
-    seen: Rc<dyn Fn(Seen)>,
+    observer: Rc<dyn Fn(Observation)>,
     streams: Rc<Cell<u64>>,
-    pub lost: Cell<u64>,
-    pub doubled: Cell<u64>,
-    pub cuts: Cell<u64>,
+    pub dropped: Cell<u64>,
+    pub duplicated: Cell<u64>,
+    pub disconnects: Cell<u64>,
     disconnect: Notify,
 }
 
@@ -60,26 +60,26 @@
 }
 
 impl Link {
-    /// Opens a link to an assigner. `seen` observes each delivered line; `streams` numbers the connections.
+    /// Opens a link to an assigner. `observer` is called for each delivered line and each closed connection; `streams` numbers the connections.
     pub async fn open(
         to: SocketAddr,
         seed: u64,
         faults: Faults,
         streams: Rc<Cell<u64>>,
-        seen: Rc<dyn Fn(Seen)>,
+        observer: Rc<dyn Fn(Observation)>,
     ) -> std::io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (rng, by_dispatcher) = (ChaCha8Rng::seed_from_u64(seed), BTreeMap::new());
         let link = Rc::new(Self {
-            place: listener.local_addr()?,
+            address: listener.local_addr()?,
             faults: Cell::new(faults),
             rng: RefCell::new(rng),
             by_dispatcher: RefCell::new(by_dispatcher),
-            seen,
+            observer,
             streams,
-            lost: Cell::new(0),
-            doubled: Cell::new(0),
-            cuts: Cell::new(0),
+            dropped: Cell::new(0),
+            duplicated: Cell::new(0),
+            disconnects: Cell::new(0),
             disconnect: Notify::new(),
         });
         let accepting = link.clone();
@@ -92,12 +92,12 @@
     }
 
     /// Changes the faults for lines read from now on.
-    pub fn set(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         self.faults.set(faults);
     }
 
     /// Closes all open connections.
-    pub fn cut_all(&self) {
+    pub fn disconnect_all(&self) {
         self.disconnect.notify_waiters();
     }
 
@@ -111,28 +111,32 @@
         let mut roll =
             |probability: f64| probability > 0.0 && rng.random_range(0.0..1.0) < probability;
         let may_disconnect = state
-            .cut_at
-            .is_none_or(|at| at.elapsed().as_secs_f64() * 1e3 > faults.cut_pause_ms);
-        if may_disconnect && !is_first && roll(faults.cut) {
-            state.cut_at = Some(Instant::now());
-            self.cuts.set(self.cuts.get() + 1);
+            .disconnected_at
+            .is_none_or(|at| at.elapsed().as_secs_f64() * 1e3 > faults.min_disconnect_interval_ms);
+        if may_disconnect && !is_first && roll(faults.disconnect) {
+            state.disconnected_at = Some(Instant::now());
+            self.disconnects.set(self.disconnects.get() + 1);
             return LineOutcome::Disconnected;
         }
-        if !is_first && state.lost[direction] < MAX_CONSECUTIVE_DROPS && roll(faults.lose) {
-            state.lost[direction] += 1;
-            self.lost.set(self.lost.get() + 1);
+        if !is_first
+            && state.consecutive_drops[direction] < MAX_CONSECUTIVE_DROPS
+            && roll(faults.drop)
+        {
+            state.consecutive_drops[direction] += 1;
+            self.dropped.set(self.dropped.get() + 1);
             return LineOutcome::Dropped;
         }
-        state.lost[direction] = 0;
-        let copies = if !is_first && roll(faults.double) {
+        state.consecutive_drops[direction] = 0;
+        let copies = if !is_first && roll(faults.duplicate) {
             2
         } else {
             1
         };
-        self.doubled.set(self.doubled.get() + u64::from(copies - 1));
+        self.duplicated
+            .set(self.duplicated.get() + u64::from(copies - 1));
         let delayed = !is_first && roll(faults.delay);
         let late_ms = if delayed {
-            rng.random_range(0.0..faults.late_ms.max(0.1))
+            rng.random_range(0.0..faults.max_delay_ms.max(0.1))
         } else {
             0.0
         };
@@ -148,14 +152,14 @@
         let stream = self.streams.replace(self.streams.get() + 1);
         let ((client_in, client_out), (server_in, server_out)) =
             (client.into_split(), server.into_split());
-        let (dispatcher_cell, cut) = (Rc::new(Cell::new(u64::MAX)), Rc::new(Notify::new()));
+        let (dispatcher_cell, disconnect) = (Rc::new(Cell::new(u64::MAX)), Rc::new(Notify::new()));
         tokio::select! {
-            () = self.clone().relay_lines(0, stream, client_in, server_out, dispatcher_cell.clone(), cut.clone()) => {}
-            () = self.clone().relay_lines(1, stream, server_in, client_out, dispatcher_cell.clone(), cut.clone()) => {}
-            () = cut.notified() => {}
+            () = self.clone().relay_lines(0, stream, client_in, server_out, dispatcher_cell.clone(), disconnect.clone()) => {}
+            () = self.clone().relay_lines(1, stream, server_in, client_out, dispatcher_cell.clone(), disconnect.clone()) => {}
+            () = disconnect.notified() => {}
             () = self.disconnect.notified() => {}
         }
-        (self.seen)(Seen::Ended {
+        (self.observer)(Observation::Closed {
             stream,
             dispatcher: dispatcher_cell.get(),
         });
@@ -169,10 +173,10 @@
         from: OwnedReadHalf,
         mut to: OwnedWriteHalf,
         dispatcher_cell: Rc<Cell<u64>>,
-        cut: Rc<Notify>,
+        disconnect: Rc<Notify>,
     ) {
         let (sender, mut lines) = mpsc::unbounded_channel::<(Instant, u64, String)>();
-        let seen = self.seen.clone();
+        let observer = self.observer.clone();
         let dispatcher_id = dispatcher_cell.clone();
         // Writes lines in the order of their due times, so that later lines overtake delayed ones.
         let writer = async move {
@@ -189,9 +193,9 @@
                         let Some((_, line)) = queue.pop_first() else { continue };
                         let message: Value = serde_json::from_str(&line).unwrap_or_default();
                         let dispatcher = dispatcher_id.get();
-                        seen(match direction {
-                            0 => Seen::Up { stream, dispatcher, message },
-                            _ => Seen::Down { stream, dispatcher, message },
+                        observer(match direction {
+                            0 => Observation::ToAssigner { stream, dispatcher, message },
+                            _ => Observation::ToDispatcher { stream, dispatcher, message },
                         });
                         if to.write_all(line.as_bytes()).await.is_err() {
                             return;
@@ -210,7 +214,7 @@
                     dispatcher_cell.set(message["proxy"].as_u64().unwrap_or(u64::MAX - 1));
                 }
                 match self.decide(dispatcher_cell.get(), direction, is_first) {
-                    LineOutcome::Disconnected => return cut.notify_one(),
+                    LineOutcome::Disconnected => return disconnect.notify_one(),
                     LineOutcome::Dropped => {}
                     LineOutcome::Forwarded { copies, late_ms } => {
                         let due = Instant::now() + Duration::from_secs_f64(late_ms / 1e3);
--- a/crates/rookpulley-standin/src/lists.rs
+++ b/crates/rookpulley-standin/src/lists.rs
@@ -17,7 +17,7 @@
 }
 
 /// An assigner configuration with two zones, two request kinds, four proxies and the servers s-1 to s-3.
-pub fn told(discovery: SocketAddr) -> Value {
+pub fn assigner_config(discovery: SocketAddr) -> Value {
     let kind = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "group": "zone", "window_us": 600_000, "aim_us": 500_000,
             "hard_limit_us": 2_000_000, "worth": 1.0})
--- a/crates/rookpulley-standin/src/main.rs
+++ b/crates/rookpulley-standin/src/main.rs
@@ -2,8 +2,8 @@
 //! assigner's tables, and a collector that reports healthy servers. The listed servers do not exist.
 
 use clap::Parser;
-use rookpulley_standin::wire::Wire;
-use rookpulley_standin::{Agent, Dispatcher};
+use rookpulley_standin::client::TestClient;
+use rookpulley_standin::{DiscoveryServer, Dispatcher};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -65,12 +65,12 @@
 
 async fn run(args: Args) -> std::io::Result<()> {
     let listener = TcpListener::bind(args.discovery).await?;
-    let agent = Agent::at(listener);
+    let discovery = DiscoveryServer::from_listener(listener);
     let mut index = 2;
     let initial: Vec<Value> = (1..=args.servers)
         .map(|n| server_entry(n, "SERVING", 0.0))
         .collect();
-    agent.say(index, true, &initial);
+    discovery.publish(index, true, &initial);
     println!(
         "serving discovery at {} with {} servers",
         args.discovery, args.servers
@@ -87,7 +87,7 @@
         );
         let mut assigners = args.assigner.clone();
         assigners.rotate_left(id as usize % args.assigner.len());
-        dispatcher.dial(&assigners);
+        dispatcher.set_assigners(&assigners);
         dispatcher.run();
     }
     println!(
@@ -122,7 +122,7 @@
             }
             println!("s-{next} drains");
             entries.push(server_entry(next, "DRAINING", 0.0));
-            agent.say(index, false, &entries);
+            discovery.publish(index, false, &entries);
         }
     }
 }
@@ -131,16 +131,17 @@
 async fn report(assigner: SocketAddr, servers: u32) {
     loop {
         sleep(Duration::from_secs(1)).await;
-        let Ok(mut wire) = Wire::try_dial(assigner).await else {
+        let Ok(mut client) = TestClient::try_connect(assigner).await else {
             continue;
         };
-        wire.say(&json!({"msg": "telemetry", "zone": ZONES[0]}).to_string())
+        client
+            .send(&json!({"msg": "telemetry", "zone": ZONES[0]}).to_string())
             .await;
         for _ in 0..60 {
             for n in 1..=servers {
                 let stats = json!({"msg": "upstream_stats", "zone": ZONES[0], "server": format!("s-{n}"),
                     "tries": 20, "failed": 0, "mean_ms": 40.0, "span_ms": 1000.0});
-                wire.say(&stats.to_string()).await;
+                client.send(&stats.to_string()).await;
             }
             sleep(Duration::from_secs(1)).await;
         }
