--- a/crates/rookpulley-standin/src/link.rs
+++ b/crates/rookpulley-standin/src/link.rs
@@ -60,7 +60,8 @@
 }
 
 impl Link {
-    /// Opens a link to an assigner. `observer` is called for each delivered line and each closed connection; `streams` numbers the connections.
+    /// Opens a link to an assigner. `observer` is called for each delivered line and each closed connection; `streams`
+    /// numbers the connections.
     pub async fn open(
         to: SocketAddr,
         seed: u64,
