--- a/crates/rookpulley-cli/src/servers.rs
+++ b/crates/rookpulley-cli/src/servers.rs
@@ -6,8 +6,8 @@
 use rookpulley_files::{read, read_bytes, render, with_seal};
 use rookpulley_lists::candidate::{Rejection, capacity, validate_change, validate_list};
 use rookpulley_lists::{Candidate, Change, Deployment, Entry, Planned, plan};
-use rookpulley_operators::BadFile;
-use rookpulley_operators::asks::{Refusal, ServerList};
+use rookpulley_operators::FileError;
+use rookpulley_operators::api::{ApiError, ServerList};
 use serde_json::{Value, json};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -61,7 +61,8 @@
     let told: Value = serde_json::from_str(&text).map_err(|e| wrong(e.to_string()))?;
     let settings = &told["settings"];
     let start = rookpulley_start::read_value(0, settings).map_err(|e| wrong(e.to_string()))?;
-    let front = rookpulley_start::front_facts(settings).map_err(|e| wrong(e.to_string()))?;
+    let front =
+        rookpulley_start::read_front_settings(settings).map_err(|e| wrong(e.to_string()))?;
     Ok(Deployment::from_start(&start, &front.machines))
 }
 
@@ -101,7 +102,7 @@
         }
         Ok(_) => {
             let line = |(at, why): &(_, rookpulley_lists::Reason)| {
-                let bad = BadFile {
+                let bad = FileError {
                     file: file.into(),
                     at: *at,
                     what: why.to_string(),
@@ -265,7 +266,7 @@
 }
 
 fn failed(why: String) -> CannotAsk {
-    CannotAsk::No(Refusal::new(400, why, None))
+    CannotAsk::No(ApiError::new(400, why, None))
 }
 
 /// What a command prints, and whether all is well.
