--- a/crates/rookpulley-assigner/examples/file_latency.rs
+++ b/crates/rookpulley-assigner/examples/file_latency.rs
@@ -34,7 +34,7 @@
 async fn follow(servers: &Path) -> Rc<Dispatcher> {
     let agent = Agent::new().await;
     let told = lists::told(agent.place);
-    let told = config::read(&told.to_string()).unwrap();
+    let told = config::parse(&told.to_string()).unwrap();
     let operators = file::read(
         Path::new("o"),
         &format!("servers(file = {:?})", servers.to_str().unwrap()),
@@ -43,7 +43,7 @@
     let assigner = Assigner::bind(told, "none".into(), Signals::take().unwrap(), &operators)
         .await
         .unwrap();
-    let place = assigner.places().0.unwrap();
+    let place = assigner.addresses().0.unwrap();
     spawn_local(assigner.serve());
     let dispatcher = Dispatcher::new(0, "a", &["read", "write"], false, 1, Rc::new(|_| ()));
     dispatcher.dial(&[place]);
--- a/crates/rookpulley-assigner/examples/tick.rs
+++ b/crates/rookpulley-assigner/examples/tick.rs
@@ -48,7 +48,7 @@
 #[cfg(not(earlier))]
 mod api {
     use super::*;
-    use rookpulley_assigner::messages::Holds;
+    use rookpulley_assigner::messages::HeldVersions;
     use rookpulley_versions::{AckTimeouts, Issuer, RetentionLimits, VersionManager};
 
     pub fn new(kinds: Vec<String>, versions: bool) -> Orders {
@@ -72,7 +72,7 @@
     }
 
     pub fn answered(orders: &mut Orders, now: f64, proxy: ProxyId, mark: u64) {
-        orders.answered(now, proxy, mark, &Holds::new());
+        orders.acknowledge(now, proxy, mark, &HeldVersions::new());
     }
 
     pub fn carry_out(
@@ -81,8 +81,8 @@
         effects: &[Effect],
         names: &Names,
     ) -> Vec<(ProxyId, usize)> {
-        if let Some(book) = &mut orders.book {
-            assert!(book.poll_due(now).is_empty() && book.take_uncounted().is_empty());
+        if let Some(manager) = &mut orders.manager {
+            assert!(manager.poll_due(now).is_empty() && manager.take_uncounted().is_empty());
         }
         orders
             .carry_out(now, effects, names)
@@ -134,7 +134,7 @@
         version: 1,
         lines,
     }];
-    let mut alarms: Vec<(f64, u64)> = Vec::new();
+    let mut timers: Vec<(f64, u64)> = Vec::new();
     let mut answers: Vec<(f64, ProxyId, u64)> = Vec::new();
     let (mut took, mut calls, mut bytes, mut messages) = (0.0, 0, 0, 0);
     for tick in 0..4_000_u32 {
@@ -184,7 +184,7 @@
                 lines,
             });
         }
-        alarms.retain(|(due, name)| {
+        timers.retain(|(due, name)| {
             _ = (*due <= now).then(|| inputs.push(Input::TimerFired { name: *name }));
             *due > now
         });
@@ -216,7 +216,7 @@
         }
         for effect in effects {
             if let Effect::SetTimer { in_ms, name } = effect {
-                alarms.push((now + in_ms, name));
+                timers.push((now + in_ms, name));
             }
         }
     }
--- a/crates/rookpulley-assigner/src/ending.rs
+++ b/crates/rookpulley-assigner/src/close_reason.rs
@@ -3,70 +3,70 @@
 use rookpulley::interface::{Input, ProxyId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum CloseReason {
     /// The other side closed it.
     Closed,
     /// It was reset, or reading or writing failed.
     Reset,
     /// It brought what can't be read.
-    Unreadable,
+    Malformed,
     /// It brought a line over the limit.
-    TooLong,
+    LineTooLong,
     /// Its first message was neither a joining nor a collector's.
-    OutOfTurn,
+    Protocol,
     /// It had not joined in time.
-    NotJoined,
+    JoinTimeout,
     /// A new stream of the same proxy took its place.
     Replaced,
     /// It left too much unread.
-    Unread,
+    SlowReader,
     /// It had not joined, and its place was needed.
-    Crowded,
+    Evicted,
     /// The assigner ends.
-    Stopping,
+    Shutdown,
 }
 
-pub const ALL: [Ending; 10] = [
-    Ending::Closed,
-    Ending::Reset,
-    Ending::Unreadable,
-    Ending::TooLong,
-    Ending::OutOfTurn,
-    Ending::NotJoined,
-    Ending::Replaced,
-    Ending::Unread,
-    Ending::Crowded,
-    Ending::Stopping,
+pub const ALL: [CloseReason; 10] = [
+    CloseReason::Closed,
+    CloseReason::Reset,
+    CloseReason::Malformed,
+    CloseReason::LineTooLong,
+    CloseReason::Protocol,
+    CloseReason::JoinTimeout,
+    CloseReason::Replaced,
+    CloseReason::SlowReader,
+    CloseReason::Evicted,
+    CloseReason::Shutdown,
 ];
 
-impl Ending {
+impl CloseReason {
     /// What the module is told when the stream of a joined proxy ends like this.
     pub fn input(self, proxy: ProxyId) -> Option<Input> {
         match self {
-            Self::Closed | Self::Reset | Self::Unreadable | Self::TooLong => {
+            Self::Closed | Self::Reset | Self::Malformed | Self::LineTooLong => {
                 Some(Input::ProxyLeft { proxy })
             }
-            Self::Replaced | Self::Unread => Some(Input::ProxyLeft { proxy }),
+            Self::Replaced | Self::SlowReader => Some(Input::ProxyLeft { proxy }),
             // Those have not joined.
-            Self::OutOfTurn | Self::NotJoined | Self::Crowded => None,
+            Self::Protocol | Self::JoinTimeout | Self::Evicted => None,
             // Nothing is ordered any more.
-            Self::Stopping => None,
+            Self::Shutdown => None,
         }
     }
 
     /// The name it is counted and logged by.
-    pub fn count(self) -> &'static str {
+    pub fn counter(self) -> &'static str {
         match self {
             Self::Closed => "ended: closed",
             Self::Reset => "ended: reset",
-            Self::Unreadable => "ended: unreadable",
-            Self::TooLong => "ended: too long a line",
-            Self::OutOfTurn => "ended: out of turn",
-            Self::NotJoined => "ended: not joined in time",
+            Self::Malformed => "ended: unreadable",
+            Self::LineTooLong => "ended: too long a line",
+            Self::Protocol => "ended: out of turn",
+            Self::JoinTimeout => "ended: not joined in time",
             Self::Replaced => "ended: replaced",
-            Self::Unread => "ended: left unread",
-            Self::Crowded => "ended: crowded out",
-            Self::Stopping => "ended: stopping",
+            Self::SlowReader => "ended: left unread",
+            Self::Evicted => "ended: crowded out",
+            Self::Shutdown => "ended: stopping",
         }
     }
 }
--- a/crates/rookpulley-assigner/src/config.rs
+++ b/crates/rookpulley-assigner/src/config.rs
@@ -1,6 +1,6 @@
 //! What an assigner is told at its start, from the file that `PROXY_CONFIG` names.
 
-use crate::messages::{Bad, List, Words};
+use crate::messages::{Codec, List, ParseError};
 use rookpulley::interface::Start;
 use serde::Deserialize;
 use serde_json::Value;
@@ -9,21 +9,21 @@
 use std::path::{Path, PathBuf};
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum ConfigError {
     #[error("PROXY_CONFIG is not set")]
-    NotNamed,
+    PathNotSet,
     #[error("the configuration {0} can't be read: {1}")]
     File(PathBuf, std::io::Error),
     #[error("the configuration is not what it should be: {0}")]
-    Json(#[from] serde_json::Error),
+    Syntax(#[from] serde_json::Error),
     #[error("the configuration's seed is not a number in hexadecimal: {0:?}")]
     Seed(String),
     #[error("the configuration's settings: {0}")]
     Settings(#[from] rookpulley_start::Unreadable),
     #[error("the configuration's known list {0}")]
-    Known(#[from] Bad),
+    KnownList(#[from] ParseError),
     #[error("the settings allow peers, but the configuration names no {0}")]
-    Peers(&'static str),
+    MissingPeers(&'static str),
 }
 
 #[derive(Clone, Copy, Deserialize)]
@@ -33,14 +33,14 @@
 }
 
 /// The addresses for notes between assigners.
-pub struct PeerPlaces {
+pub struct PeerAddresses {
     pub listen: SocketAddr,
-    pub each: Vec<SocketAddr>,
-    pub all: SocketAddr,
+    pub peers: Vec<SocketAddr>,
+    pub broadcast: SocketAddr,
 }
 
 #[derive(Deserialize)]
-struct File {
+struct RawConfig {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -54,7 +54,7 @@
 }
 
 /// What is told once: it takes a restart to change it.
-const FIXED: [&str; 7] = [
+const STATIC_FIELDS: [&str; 7] = [
     "name",
     "listen",
     "limits",
@@ -64,32 +64,32 @@
     "settings",
 ];
 
-pub struct Told {
+pub struct Config {
     /// The fields that are told once, as they were written.
-    pub fixed: BTreeMap<String, Value>,
+    pub static_fields: BTreeMap<String, Value>,
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub limits: Limits,
     /// None where the settings forbid notes.
-    pub peers: Option<PeerPlaces>,
+    pub peers: Option<PeerAddresses>,
     pub known: List,
-    pub words: Words,
+    pub codec: Codec,
     pub tick_ms: f64,
     pub start: Start,
 }
 
-pub fn read(text: &str) -> Result<Told, Unusable> {
-    let file: File = serde_json::from_str(text)?;
-    let mut fixed: BTreeMap<String, Value> = serde_json::from_str(text)?;
-    fixed.retain(|field, _| FIXED.contains(&field.as_str()));
+pub fn parse(text: &str) -> Result<Config, ConfigError> {
+    let file: RawConfig = serde_json::from_str(text)?;
+    let mut static_fields: BTreeMap<String, Value> = serde_json::from_str(text)?;
+    static_fields.retain(|field, _| STATIC_FIELDS.contains(&field.as_str()));
     let seed =
-        u64::from_str_radix(&file.seed, 16).map_err(|_| Unusable::Seed(file.seed.clone()))?;
+        u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed(file.seed.clone()))?;
     let mut start = rookpulley_start::read_value(seed, &file.settings)?;
     // Each may have to let back a server that the proxy shut out on another assigner's word.
     start.channel.bind_lines = 2.0;
     let facts = rookpulley_start::front_facts(&file.settings)?;
-    let words = Words {
+    let codec = Codec {
         zones: start.topology.zones.clone(),
         machines: facts.machines,
         kinds: start.kinds.iter().map(|k| k.name.clone()).collect(),
@@ -97,36 +97,40 @@
         proxies: start.topology.proxies,
         versions: false,
     };
-    let known = words.decode_list(&file.known.to_string())?;
+    let known = codec.decode_list(&file.known.to_string())?;
     let peers = match start.capabilities.peers {
         false => None,
-        true => Some(PeerPlaces {
-            listen: file.peer_listen.ok_or(Unusable::Peers("peer_listen"))?,
-            each: file.peers.ok_or(Unusable::Peers("peers"))?,
-            all: file.peers_all.ok_or(Unusable::Peers("peers_all"))?,
+        true => Some(PeerAddresses {
+            listen: file
+                .peer_listen
+                .ok_or(ConfigError::MissingPeers("peer_listen"))?,
+            peers: file.peers.ok_or(ConfigError::MissingPeers("peers"))?,
+            broadcast: file
+                .peers_all
+                .ok_or(ConfigError::MissingPeers("peers_all"))?,
         }),
     };
     let (name, listen, discovery, limits) = (file.name, file.listen, file.discovery, file.limits);
-    Ok(Told {
-        fixed,
+    Ok(Config {
+        static_fields,
         name,
         listen,
         discovery,
         limits,
         peers,
         known,
-        words,
+        codec,
         tick_ms: facts.tick_ms,
         start,
     })
 }
 
-pub fn path_from_env() -> Result<PathBuf, Unusable> {
+pub fn path_from_env() -> Result<PathBuf, ConfigError> {
     std::env::var_os("PROXY_CONFIG")
         .map(PathBuf::from)
-        .ok_or(Unusable::NotNamed)
+        .ok_or(ConfigError::PathNotSet)
 }
 
-pub fn load(path: &Path) -> Result<Told, Unusable> {
-    read(&std::fs::read_to_string(path).map_err(|e| Unusable::File(path.to_path_buf(), e))?)
+pub fn load(path: &Path) -> Result<Config, ConfigError> {
+    parse(&std::fs::read_to_string(path).map_err(|e| ConfigError::File(path.to_path_buf(), e))?)
 }
--- a/crates/rookpulley-assigner/src/counters.rs
+++ b/crates/rookpulley-assigner/src/counters.rs
@@ -9,27 +9,27 @@
 }
 
 impl Counters {
-    pub fn add(&self, what: &str, more: u64) {
+    pub fn add(&self, name: &str, amount: u64) {
         let mut counts = self.counts.borrow_mut();
-        match counts.get_mut(what) {
-            Some(count) => *count += more,
-            None => _ = counts.insert(what.to_string(), more),
+        match counts.get_mut(name) {
+            Some(count) => *count += amount,
+            None => _ = counts.insert(name.to_string(), amount),
         }
     }
 
-    pub fn one(&self, what: &str) {
-        self.add(what, 1);
+    pub fn inc(&self, name: &str) {
+        self.add(name, 1);
     }
 
     /// The most that was seen at once.
-    pub fn most(&self, what: &str, seen: u64) {
+    pub fn record_max(&self, name: &str, value: u64) {
         let mut counts = self.counts.borrow_mut();
-        let most = counts.entry(what.to_string()).or_default();
-        *most = (*most).max(seen);
+        let max = counts.entry(name.to_string()).or_default();
+        *max = (*max).max(value);
     }
 
-    pub fn get(&self, what: &str) -> u64 {
-        self.counts.borrow().get(what).copied().unwrap_or(0)
+    pub fn get(&self, name: &str) -> u64 {
+        self.counts.borrow().get(name).copied().unwrap_or(0)
     }
 
     /// All of them on one line each.
@@ -37,7 +37,7 @@
         self.counts
             .borrow()
             .iter()
-            .map(|(what, count)| format!("{what} {count}"))
+            .map(|(name, count)| format!("{name} {count}"))
             .collect()
     }
 }
--- a/crates/rookpulley-assigner/src/driver.rs
+++ b/crates/rookpulley-assigner/src/driver.rs
@@ -1,17 +1,17 @@
 //! The driver: owns the controller, its clock and its alarms, and calls it with all that came.
 
+use crate::close_reason::CloseReason;
+use crate::connections::{ConnId, Connections};
 use crate::counters::Counters;
-use crate::ending::Ending;
+use crate::list_client::ListClient;
 use crate::log::Log;
-use crate::messages::{ELSEWHERE, Holds, List, Words, server_id};
-use crate::operators::WaysBack;
+use crate::log_event;
+use crate::messages::{Codec, HeldVersions, List, UNKNOWN_INDEX, server_id};
+use crate::operators::Rollbacks;
 use crate::orders::{Names, Orders};
 use crate::outbox::Outbox;
-use crate::peers::Peers;
-use crate::roster::Roster;
-use crate::say;
-use crate::servers::Servers;
-use crate::streams::{ConnId, Conns};
+use crate::peers::PeerSocket;
+use crate::server_file::ServerFile;
 use rookpulley::interface::*;
 use rookpulley::rules::Controller;
 use rookpulley_files::watch::Found;
@@ -25,12 +25,12 @@
 
 /// What connections, the list and peers tell the driver.
 pub enum Event {
-    Joined(Joined),
-    OnStream {
+    Joined(JoinedProxy),
+    ProxyInput {
         conn: ConnId,
         proxy: ProxyId,
         input: Input,
-        holds: Holds,
+        holds: HeldVersions,
     },
     Refused {
         conn: ConnId,
@@ -38,10 +38,10 @@
         kinds: Kinds,
         holds: Option<Claim>,
     },
-    Ended {
+    Disconnected {
         conn: ConnId,
         proxy: ProxyId,
-        ending: Ending,
+        reason: CloseReason,
     },
     Report(Input),
     List {
@@ -49,54 +49,54 @@
         list: List,
     },
     ListFailed,
-    Note {
+    Peer {
         from: u16,
         bytes: Vec<u8>,
     },
-    Asked(Asked),
-    File(Found),
+    OperatorRequest(Asked),
+    ServerFile(Found),
 }
 
 /// A proxy's joining.
-pub struct Joined {
+pub struct JoinedProxy {
     pub conn: ConnId,
     pub outbox: Rc<Outbox>,
     pub proxy: ProxyId,
     pub zone: ZoneId,
     pub usual_per_s: f64,
     pub fresh: bool,
-    pub holds: Option<Holds>,
+    pub holds: Option<HeldVersions>,
 }
 
 /// What every task has at hand.
-pub struct Front {
+pub struct Context {
     pub log: Log,
     pub counters: Counters,
-    pub words: Words,
-    pub conns: Conns,
+    pub codec: Codec,
+    pub conns: Connections,
     pub events: mpsc::Sender<Event>,
 }
 
-impl Front {
-    pub async fn tell(&self, event: Event) {
+impl Context {
+    pub async fn send(&self, event: Event) {
         // Nobody listens any more once the assigner ends.
         _ = self.events.send(event).await;
     }
 
     /// Prints the counters, and the most memory that the system says was held.
-    pub fn print(&self) {
+    pub fn log_counters(&self) {
         let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-        let most = status
+        let peak_kb = status
             .lines()
             .find_map(|line| line.strip_prefix("VmHWM:")?.split_whitespace().next());
-        self.counters.most(
+        self.counters.record_max(
             "most memory kB",
-            most.and_then(|kb| kb.parse().ok()).unwrap_or(0),
+            peak_kb.and_then(|kb| kb.parse().ok()).unwrap_or(0),
         );
         self.counters
             .lines()
             .iter()
-            .for_each(|line| say!(self.log, "count", "{line}"));
+            .for_each(|line| log_event!(self.log, "count", "{line}"));
     }
 }
 
@@ -130,13 +130,13 @@
         self.origin_ms + (at - self.origin).as_secs_f64() * 1e3
     }
 
-    fn at_ms(&self, ms: f64) -> Instant {
+    fn instant_at(&self, ms: f64) -> Instant {
         self.origin + Duration::from_secs_f64((ms - self.origin_ms).max(0.0) / 1e3)
     }
 }
 
 /// So many inputs wait for one call at most; more wait where they came in.
-const INPUTS_MOST: usize = 100_000;
+const MAX_INPUTS: usize = 100_000;
 
 struct Stream {
     conn: ConnId,
@@ -145,67 +145,70 @@
 
 /// What the operators' file switched on.
 #[derive(Default)]
-pub struct Switched {
-    pub book: Option<VersionManager>,
-    pub servers: Option<Servers>,
+pub struct OptionalParts {
+    pub manager: Option<VersionManager>,
+    pub server_file: Option<ServerFile>,
 }
 
 pub struct Driver {
-    front: Rc<Front>,
+    ctx: Rc<Context>,
     clock: Clock,
     tick_ms: f64,
     controller: Controller,
     orders: Orders,
     names: Names,
     /// Ids as the module's log shows them.
-    shown: BTreeMap<String, ServerId>,
+    ids_by_text: BTreeMap<String, ServerId>,
     streams: BTreeMap<ProxyId, Stream>,
     /// By the time when they are due (in whole microseconds) and the order in which they were set.
-    alarms: BTreeMap<(u64, u64), u64>,
-    alarms_set: u64,
+    timers: BTreeMap<(u64, u64), u64>,
+    timer_seq: u64,
     inputs: Vec<Input>,
-    peers: Option<Rc<Peers>>,
-    roster: Rc<Roster>,
-    ways_back: WaysBack,
+    peers: Option<Rc<PeerSocket>>,
+    list_client: Rc<ListClient>,
+    rollbacks: Rollbacks,
     /// Where a file lists the servers.
-    servers: Option<Servers>,
+    server_file: Option<ServerFile>,
 }
 
 impl Driver {
     /// Starts the module and calls it with the list as it was last known.
     pub fn start(
-        front: Rc<Front>,
+        ctx: Rc<Context>,
         start: Start,
         known: List,
         tick_ms: f64,
-        peers: Option<Rc<Peers>>,
-        roster: Rc<Roster>,
-        switched: Switched,
+        peers: Option<Rc<PeerSocket>>,
+        list_client: Rc<ListClient>,
+        optional: OptionalParts,
     ) -> Self {
-        let Switched { book, servers } = switched;
+        let OptionalParts {
+            manager,
+            server_file,
+        } = optional;
         let clock = Clock::start();
         let mut driver = Self {
             tick_ms,
-            orders: Orders::new(front.words.kinds.clone(), book),
+            orders: Orders::new(ctx.codec.kinds.clone(), manager),
             controller: Controller::new(clock.now_ms(), start),
             names: Names::new(),
-            shown: BTreeMap::new(),
+            ids_by_text: BTreeMap::new(),
             streams: BTreeMap::new(),
-            alarms: BTreeMap::new(),
-            alarms_set: 0,
+            timers: BTreeMap::new(),
+            timer_seq: 0,
             inputs: Vec::new(),
-            front,
+            ctx,
             clock,
             peers,
-            roster,
-            ways_back: WaysBack::default(),
-            servers,
+            list_client,
+            rollbacks: Rollbacks::default(),
+            server_file,
         };
-        driver.take(Event::List {
+        driver.handle_event(Event::List {
             scope: ListScope::Cached,
             list: known,
         });
-        driver.call();
+        driver.call_controller();
         driver
     }
 
@@ -214,16 +217,16 @@
     }
 
     /// One turn: waits for something to come, gathers all up to the next tick, calls the module.
-    pub async fn turn(&mut self, events: &mut mpsc::Receiver<Event>) {
+    pub async fn run_once(&mut self, events: &mut mpsc::Receiver<Event>) {
         let next_tick = Instant::now() + Duration::from_secs_f64(self.tick_ms / 1e3);
         let due = self
-            .alarms
+            .timers
             .keys()
             .next()
-            .map(|(us, _)| self.clock.at_ms(*us as f64 / 1e3));
+            .map(|(us, _)| self.clock.instant_at(*us as f64 / 1e3));
         let idle = self
             .orders
-            .book
+            .manager
             .as_ref()
             .map_or(3_600_000.0, VersionManager::check_interval_ms);
         let idle = Duration::from_secs_f64(idle / 1e3);
@@ -232,24 +235,24 @@
             .min(Instant::now() + idle);
         if self.inputs.is_empty() {
             tokio::select! {
-                Some(event) = events.recv() => self.take(event),
+                Some(event) = events.recv() => self.handle_event(event),
                 () = tokio::time::sleep_until(due) => {}
             }
         }
-        while self.inputs.len() < INPUTS_MOST {
+        while self.inputs.len() < MAX_INPUTS {
             tokio::select! {
                 biased;
                 () = tokio::time::sleep_until(next_tick) => break,
-                Some(event) = events.recv() => self.take(event),
+                Some(event) = events.recv() => self.handle_event(event),
             }
         }
-        self.call();
+        self.call_controller();
     }
 
     /// Turns what came into the module's input.
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Joined(Joined {
+            Event::Joined(JoinedProxy {
                 conn,
                 outbox,
                 proxy,
@@ -259,13 +262,13 @@
                 holds,
             }) => {
                 if let Some(before) = self.streams.insert(proxy, Stream { conn, outbox }) {
-                    before.outbox.end(Ending::Replaced);
-                    self.inputs.extend(Ending::Replaced.input(proxy));
+                    before.outbox.close(CloseReason::Replaced);
+                    self.inputs.extend(CloseReason::Replaced.input(proxy));
                 }
                 self.orders.join(self.clock.now_ms(), proxy, fresh, holds);
-                self.front
+                self.ctx
                     .counters
-                    .most("most proxies joined", self.streams.len() as u64);
+                    .record_max("most proxies joined", self.streams.len() as u64);
                 self.inputs.push(Input::ProxyJoined {
                     proxy,
                     zone,
@@ -273,7 +276,7 @@
                     fresh,
                 });
             }
-            Event::OnStream {
+            Event::ProxyInput {
                 conn,
                 proxy,
                 input,
@@ -283,56 +286,56 @@
                     Input::Acknowledged { mark, .. }
                         if !self
                             .orders
-                            .answered(self.clock.now_ms(), proxy, mark, &holds) =>
+                            .acknowledge(self.clock.now_ms(), proxy, mark, &holds) =>
                     {
-                        self.front.counters.one("bad input: mark not asked for");
-                        say!(
-                            self.front.log,
+                        self.ctx.counters.inc("bad input: mark not asked for");
+                        log_event!(
+                            self.ctx.log,
                             "bad input",
                             "from proxy {proxy}: mark {mark} not asked for"
                         );
                     }
                     input => self.inputs.push(input),
                 },
-                _ => self.front.counters.one("late input of old streams"),
+                _ => self.ctx.counters.inc("late input of old streams"),
             },
             Event::Refused {
                 conn,
                 proxy,
                 kinds,
                 holds,
-            } => match (self.streams.get(&proxy), &mut self.orders.book) {
-                (Some(stream), Some(book)) if stream.conn == conn => {
-                    say!(
-                        self.front.log,
+            } => match (self.streams.get(&proxy), &mut self.orders.manager) {
+                (Some(stream), Some(manager)) if stream.conn == conn => {
+                    log_event!(
+                        self.ctx.log,
                         "version",
                         "proxy {proxy} refused an order, it holds {holds:?}"
                     );
-                    book.record_refusal(self.clock.now_ms(), proxy, kinds, holds);
+                    manager.record_refusal(self.clock.now_ms(), proxy, kinds, holds);
                 }
-                _ => self.front.counters.one("late input of old streams"),
+                _ => self.ctx.counters.inc("late input of old streams"),
             },
-            Event::Asked(asked) => {
-                let (now, servers) = (self.clock.now_ms(), self.servers.as_ref());
-                let inputs = self.ways_back.take(now, asked, &self.orders, servers);
+            Event::OperatorRequest(asked) => {
+                let (now, server_file) = (self.clock.now_ms(), self.server_file.as_ref());
+                let inputs = self.rollbacks.handle(now, asked, &self.orders, server_file);
                 self.inputs.extend(inputs);
             }
-            Event::Ended {
+            Event::Disconnected {
                 conn,
                 proxy,
-                ending,
+                reason,
             } => {
                 if self.streams.get(&proxy).is_some_and(|s| s.conn == conn) {
                     self.streams.remove(&proxy);
                     self.orders.leave(self.clock.now_ms(), proxy);
-                    self.inputs.extend(ending.input(proxy));
+                    self.inputs.extend(reason.input(proxy));
                 }
             }
             Event::Report(input) => match &input {
                 Input::ServerReport { server, .. } if !self.names.contains_key(server) => {
-                    self.front.counters.one("bad input: unknown server");
-                    say!(
-                        self.front.log,
+                    self.ctx.counters.inc("bad input: unknown server");
+                    log_event!(
+                        self.ctx.log,
                         "bad input",
                         "from a collector: a server that was never listed"
                     );
@@ -341,20 +344,20 @@
             },
             Event::List { scope, list } => {
                 let now = self.clock.now_ms();
-                let (scope, list) = match &mut self.servers {
-                    Some(servers) => servers.seen(now, scope, list, &self.front),
+                let (scope, list) = match &mut self.server_file {
+                    Some(server_file) => server_file.merge_discovery(now, scope, list, &self.ctx),
                     None => (scope, list),
                 };
-                self.list(scope, list);
+                self.apply_list(scope, list);
             }
-            Event::File(found) => {
+            Event::ServerFile(found) => {
                 let now = self.clock.now_ms();
-                let taken = self
-                    .servers
+                let accepted = self
+                    .server_file
                     .as_mut()
-                    .and_then(|s| s.take(now, found, &self.front));
-                if let Some((scope, list)) = taken {
-                    self.list(scope, list);
+                    .and_then(|s| s.accept(now, found, &self.ctx));
+                if let Some((scope, list)) = accepted {
+                    self.apply_list(scope, list);
                 }
             }
             Event::ListFailed => {
@@ -365,44 +368,42 @@
                     lines,
                 });
             }
-            Event::Note { from, bytes } => self.inputs.push(Input::PeerMessage { from, bytes }),
+            Event::Peer { from, bytes } => self.inputs.push(Input::PeerMessage { from, bytes }),
         }
     }
 
     /// Tells the module of tables that did not reach their proxy, or that it holds otherwise.
-    fn owed(&mut self, now: f64) {
-        let Some(book) = &mut self.orders.book else {
+    fn report_lost_tables(&mut self, now: f64) {
+        let Some(manager) = &mut self.orders.manager else {
             return;
         };
-        let mut owed = book.take_uncounted();
-        for (proxy, table) in book.poll_due(now) {
-            say!(
-                self.front.log,
+        let mut lost = manager.take_uncounted();
+        for (proxy, table) in manager.poll_due(now) {
+            log_event!(
+                self.ctx.log,
                 "version",
                 "proxy {proxy} does not hold table {table} as told: written anew"
             );
-            owed.insert(table);
+            lost.insert(table);
         }
-        self.front.counters.add("tables owed", owed.len() as u64);
+        self.ctx.counters.add("tables owed", lost.len() as u64);
         self.inputs
-            .extend(owed.into_iter().map(|table| Input::TableLost { table }));
+            .extend(lost.into_iter().map(|table| Input::TableLost { table }));
     }
 
     /// A list for the module; names are learnt from it.
-    fn list(&mut self, scope: ListScope, list: List) {
+    fn apply_list(&mut self, scope: ListScope, list: List) {
         for (line, name) in list.lines.iter().zip(list.names) {
-            if line.zone == ELSEWHERE || line.machine == ELSEWHERE {
-                self.front
-                    .counters
-                    .one("servers of unknown zone or machine");
-                say!(
-                    self.front.log,
+            if line.zone == UNKNOWN_INDEX || line.machine == UNKNOWN_INDEX {
+                self.ctx.counters.inc("servers of unknown zone or machine");
+                log_event!(
+                    self.ctx.log,
                     "list",
                     "{name} is of a zone or machine that the settings don't name"
                 );
             }
             debug_assert_eq!(line.server, server_id(&name));
-            self.shown
+            self.ids_by_text
                 .entry(rookpulley::state::format_server(line.server))
                 .or_insert(line.server);
             self.names.entry(line.server).or_insert(name);
@@ -415,47 +416,51 @@
     }
 
     /// Calls the module with what came and the alarms that are due, and carries out what it orders.
-    fn call(&mut self) {
+    fn call_controller(&mut self) {
         let now = self.clock.now_ms();
         let due = (now * 1e3) as u64;
-        while let Some(alarm) = self.alarms.first_entry().filter(|a| a.key().0 <= due) {
+        while let Some(timer) = self.timers.first_entry().filter(|a| a.key().0 <= due) {
             self.inputs.push(Input::TimerFired {
-                name: alarm.remove(),
+                name: timer.remove(),
             });
         }
-        self.owed(now);
-        if let Some((scope, list)) = self.servers.as_mut().and_then(|s| s.pass(now, &self.front)) {
-            self.list(scope, list);
+        self.report_lost_tables(now);
+        if let Some((scope, list)) = self
+            .server_file
+            .as_mut()
+            .and_then(|s| s.expire_drains(now, &self.ctx))
+        {
+            self.apply_list(scope, list);
         }
         if self.inputs.is_empty() {
             return;
         }
         let effects = self.controller.handle(now, &self.inputs);
         self.inputs.clear();
-        self.front.counters.one("calls of the module");
+        self.ctx.counters.inc("calls of the module");
         for written in self.orders.carry_out(now, &effects, &self.names) {
-            self.front.counters.one("out messages");
-            self.front.counters.add("out lines", written.lines as u64);
-            self.front
+            self.ctx.counters.inc("out messages");
+            self.ctx.counters.add("out lines", written.lines as u64);
+            self.ctx
                 .counters
                 .add("out bytes", written.bytes.len() as u64);
             if let Some(stream) = self.streams.get(&written.proxy) {
-                stream.outbox.put(written.bytes);
+                stream.outbox.push(written.bytes);
             }
         }
         for effect in effects {
             match effect {
                 Effect::SetTimer { in_ms, name } => {
-                    self.alarms_set += 1;
-                    self.alarms
-                        .insert((due + (in_ms * 1e3) as u64, self.alarms_set), name);
+                    self.timer_seq += 1;
+                    self.timers
+                        .insert((due + (in_ms * 1e3) as u64, self.timer_seq), name);
                 }
                 Effect::Log(text) => {
-                    say!(self.front.log, "module", "{}", self.named(&text));
+                    log_event!(self.ctx.log, "module", "{}", self.with_server_names(&text));
                 }
                 Effect::PeerMessage { to, bytes } => {
                     if let Some(peers) = &self.peers {
-                        peers.send(to, &bytes, &self.front);
+                        peers.send(to, &bytes, &self.ctx);
                     }
                 }
                 // Lifted for good: no list, table or proxy of ours names it any more.
@@ -463,19 +468,20 @@
                     if !self.controller.knows(&server) =>
                 {
                     self.names.remove(&server);
-                    self.shown.remove(&rookpulley::state::format_server(server));
-                    self.orders.forget(&server);
-                    self.front.counters.one("servers forgotten");
+                    self.ids_by_text
+                        .remove(&rookpulley::state::format_server(server));
+                    self.orders.forget_server(&server);
+                    self.ctx.counters.inc("servers forgotten");
                 }
                 Effect::RollbackStatus { table, what } => {
-                    say!(self.front.log, "way back", "table {table}: {what:?}");
-                    self.ways_back.hear(table, &what);
+                    log_event!(self.ctx.log, "way back", "table {table}: {what:?}");
+                    self.rollbacks.record_status(table, &what);
                 }
-                Effect::WatchList { on } => self.roster.set_watch(on),
-                Effect::FetchList => self.roster.fetch(),
+                Effect::WatchList { on } => self.list_client.set_watch(on),
+                Effect::FetchList => self.list_client.fetch(),
                 // On sockets there is no way to probe.
                 Effect::ProbeServer { server } => {
-                    self.front.counters.one("probes not possible");
+                    self.ctx.counters.inc("probes not possible");
                     let (answer, took_ms, load) = (ProbeOutcome::Void, 0.0, Vec::new());
                     self.inputs.push(Input::ProbeCompleted {
                         server,
@@ -490,9 +496,9 @@
     }
 
     /// The module's line, with servers by their names.
-    fn named(&self, text: &str) -> String {
+    fn with_server_names(&self, text: &str) -> String {
         let name = |word| {
-            self.shown
+            self.ids_by_text
                 .get(word)
                 .and_then(|id| self.names.get(id))
                 .map(String::as_str)
--- a/crates/rookpulley-assigner/src/lib.rs
+++ b/crates/rookpulley-assigner/src/lib.rs
@@ -1,9 +1,11 @@
 //! The assigner: one program on sockets round the decision module. See README for how its parts fit.
 
+pub mod close_reason;
 pub mod config;
+pub mod connections;
 pub mod counters;
 pub mod driver;
-pub mod ending;
+pub mod list_client;
 pub mod log;
 pub mod messages;
 pub mod operators;
@@ -11,47 +13,45 @@
 pub mod outbox;
 pub mod peers;
 pub mod reload;
-pub mod roster;
-pub mod servers;
-pub mod streams;
+pub mod server_file;
 
-use config::Told;
-use driver::{Driver, Event, Front, Switched};
-use ending::Ending;
+use close_reason::CloseReason;
+use config::Config;
+use connections::Connections;
+use driver::{Context, Driver, Event, OptionalParts};
+use list_client::{Backoff, ListClient};
 use messages::List;
-use operators::Asking;
-use peers::Peers;
-use reload::Held;
+use operators::OperatorApi;
+use peers::PeerSocket;
+use reload::ConfigReloader;
 use rookpulley::interface::Start;
 use rookpulley_operators::{BadFile, Operators};
-use roster::{Pauses, Roster};
-use servers::Servers;
+use server_file::ServerFile;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
-use streams::Conns;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc;
 
 /// Descriptors that are no connections: standard ones, the runtime's, listeners, the watch and calls.
-const OTHER_SOCKETS: usize = 32;
-const EVENTS: usize = 1024;
+const RESERVED_DESCRIPTORS: usize = 32;
+const EVENT_QUEUE: usize = 1024;
 /// Of each kind of log line so many in ten seconds.
-const LOG_LINES: u32 = 50;
+const LOG_LINES_PER_WINDOW: u32 = 50;
 const MB: f64 = 1024.0 * 1024.0;
 
 #[derive(Debug, thiserror::Error)]
-pub enum CannotRun {
+pub enum StartError {
     #[error("{0}")]
-    Config(#[from] config::Unusable),
+    Config(#[from] config::ConfigError),
     #[error("the operators' file {0}")]
     Operators(#[from] BadFile),
-    #[error("{what} {place} can't be used: {why}")]
+    #[error("{what} {address} can't be used: {error}")]
     Address {
         what: &'static str,
-        place: SocketAddr,
-        why: std::io::Error,
+        address: SocketAddr,
+        error: std::io::Error,
     },
     #[error("the system gives no {0}: {1}")]
     System(&'static str, std::io::Error),
@@ -66,8 +66,8 @@
 
 impl Signals {
     /// Called within a runtime.
-    pub fn take() -> Result<Self, CannotRun> {
-        let take = |kind| signal(kind).map_err(|e| CannotRun::System("signals", e));
+    pub fn take() -> Result<Self, StartError> {
+        let take = |kind| signal(kind).map_err(|e| StartError::System("signals", e));
         let (stop, print) = (
             take(SignalKind::terminate())?,
             take(SignalKind::user_defined1())?,
@@ -82,118 +82,131 @@
 
 /// An assigner that holds its addresses and has not begun.
 pub struct Assigner {
-    pub front: Rc<Front>,
+    pub ctx: Rc<Context>,
     listener: TcpListener,
-    notes: Option<Rc<Peers>>,
+    peer_socket: Option<Rc<PeerSocket>>,
     signals: Signals,
-    held: Held,
+    reloader: ConfigReloader,
     events: mpsc::Receiver<Event>,
     discovery: SocketAddr,
     known: List,
     tick_ms: f64,
     start: Start,
-    asking: Option<Asking>,
-    switched: Switched,
+    operator_api: Option<OperatorApi>,
+    optional: OptionalParts,
 }
 
-fn at(what: &'static str, place: SocketAddr) -> impl FnOnce(std::io::Error) -> CannotRun {
-    move |why| CannotRun::Address { what, place, why }
+fn at(what: &'static str, address: SocketAddr) -> impl FnOnce(std::io::Error) -> StartError {
+    move |error| StartError::Address {
+        what,
+        address,
+        error,
+    }
 }
 
 impl Assigner {
     pub async fn bind(
-        told: Told,
+        config: Config,
         path: PathBuf,
         signals: Signals,
         operators: &Operators,
-    ) -> Result<Self, CannotRun> {
-        let Told {
-            fixed,
+    ) -> Result<Self, StartError> {
+        let Config {
+            static_fields,
             name,
             listen,
             discovery,
             limits,
             peers,
             known,
-            mut words,
+            mut codec,
             tick_ms,
             start,
-        } = told;
+        } = config;
         // Both are off, and hold nothing, unless the operators' own file names them.
-        let asking = Asking::bind(operators.address.as_ref()).await?;
-        let book = operators
+        let operator_api = OperatorApi::bind(operators.address.as_ref()).await?;
+        let manager = operators
             .versions
-            .map(|keep| operators::book(&name, keep, &start.channel));
-        words.versions = book.is_some();
-        let servers = operators
+            .map(|keep| operators::version_manager(&name, keep, &start.channel));
+        codec.versions = manager.is_some();
+        let server_file = operators
             .servers
             .clone()
-            .map(|file| Servers::new(file, &start, &words));
+            .map(|file| ServerFile::new(file, &start, &codec));
         let listener = TcpListener::bind(listen)
             .await
             .map_err(at("the address to listen at", listen))?;
-        let mut notes = None;
-        if let Some(places) = peers {
-            let place = places.listen;
-            let socket = UdpSocket::bind(place)
+        let mut peer_socket = None;
+        if let Some(addresses) = peers {
+            let address = addresses.listen;
+            let socket = UdpSocket::bind(address)
                 .await
-                .map_err(at("the address for notes", place))?;
-            notes = Some(Rc::new(Peers {
+                .map_err(at("the address for notes", address))?;
+            peer_socket = Some(Rc::new(PeerSocket {
                 socket,
-                places,
-                own: start.topology.index,
+                addresses,
+                own_index: start.topology.index,
             }));
         }
-        let (sender, events) = mpsc::channel(EVENTS);
-        let most = limits.sockets.saturating_sub(OTHER_SOCKETS).max(1);
-        let front = Rc::new(Front {
-            log: log::Log::new(name, LOG_LINES),
+        let (sender, events) = mpsc::channel(EVENT_QUEUE);
+        let max_connections = limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(1);
+        let ctx = Rc::new(Context {
+            log: log::Log::new(name, LOG_LINES_PER_WINDOW),
             counters: counters::Counters::default(),
-            words,
-            conns: Conns::new(most, (limits.memory_mb * MB / 4.0) as usize),
+            codec,
+            conns: Connections::new(max_connections, (limits.memory_mb * MB / 4.0) as usize),
             events: sender,
         });
-        let held = Held { path, fixed };
+        let reloader = ConfigReloader {
+            path,
+            static_fields,
+        };
         Ok(Self {
-            front,
+            ctx,
             listener,
-            notes,
+            peer_socket,
             signals,
-            held,
+            reloader,
             events,
             discovery,
             known,
             tick_ms,
             start,
-            asking,
-            switched: Switched { book, servers },
+            operator_api,
+            optional: OptionalParts {
+                manager,
+                server_file,
+            },
         })
     }
 
     /// Where operators reach it.
-    pub fn operators_place(&self) -> Option<SocketAddr> {
-        self.asking.as_ref().and_then(Asking::place)
+    pub fn operators_address(&self) -> Option<SocketAddr> {
+        self.operator_api.as_ref().and_then(OperatorApi::address)
     }
 
     /// Where it listens, and where it takes notes.
-    pub fn places(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
-        let notes = self.notes.as_ref().and_then(|n| n.socket.local_addr().ok());
-        (self.listener.local_addr().ok(), notes)
+    pub fn addresses(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
+        let peers = self
+            .peer_socket
+            .as_ref()
+            .and_then(|n| n.socket.local_addr().ok());
+        (self.listener.local_addr().ok(), peers)
     }
 
     /// Serves until SIGTERM. Called within a `LocalSet`.
     pub async fn serve(self) {
-        let place = self.places().0;
+        let address = self.addresses().0;
         let Self {
-            front,
+            ctx,
             listener,
-            notes,
+            peer_socket,
             signals,
             mut events,
             known,
             start,
-            asking,
-            switched,
+            operator_api,
+            optional,
             ..
         } = self;
         let Signals {
@@ -201,54 +214,53 @@
             mut print,
             reload,
         } = signals;
-        let ask = start.list.on_request;
-        let roster = Roster::new(self.discovery, known.version, ask, front.clone());
-        if !ask {
-            tokio::task::spawn_local(roster.clone().follow(Pauses::new(start.seed)));
+        let on_request = start.list.on_request;
+        let list_client = ListClient::new(self.discovery, known.version, on_request, ctx.clone());
+        if !on_request {
+            tokio::task::spawn_local(list_client.clone().follow(Backoff::new(start.seed)));
         }
-        tokio::task::spawn_local(self.held.follow(reload, roster.clone(), front.clone()));
-        if let Some(peers) = &notes {
-            tokio::task::spawn_local(peers.clone().listen(front.clone()));
+        tokio::task::spawn_local(self.reloader.run(reload, list_client.clone(), ctx.clone()));
+        if let Some(peers) = &peer_socket {
+            tokio::task::spawn_local(peers.clone().receive(ctx.clone()));
         }
-        if let Some(servers) = &switched.servers {
-            servers.begin(&front);
+        if let Some(server_file) = &optional.server_file {
+            server_file.spawn_watch(&ctx);
         }
-        if let Some(asking) = asking {
-            asking.begin(&front);
+        if let Some(operator_api) = operator_api {
+            operator_api.spawn(&ctx);
         }
-        if let Some(place) = place {
-            say!(
-                front.log,
+        if let Some(address) = address {
+            log_event!(
+                ctx.log,
                 "start",
-                "listening at {place}, {} servers known",
+                "listening at {address}, {} servers known",
                 known.lines.len()
             );
         }
         let mut driver = Driver::start(
-            front.clone(),
+            ctx.clone(),
             start,
             known,
             self.tick_ms,
-            notes,
-            roster,
-            switched,
+            peer_socket,
+            list_client,
+            optional,
         );
         let mut listener = Some(listener);
         loop {
             // Nobody is answered before the list is known.
             if let Some(listener) = listener.take_if(|_| driver.knows_servers()) {
-                tokio::task::spawn_local(streams::accept(listener, front.clone()));
+                tokio::task::spawn_local(connections::accept(listener, ctx.clone()));
             }
             tokio::select! {
-                () = driver.turn(&mut events) => {}
-                _ = print.recv() => front.print(),
+                () = driver.run_once(&mut events) => {}
+                _ = print.recv() => ctx.log_counters(),
                 _ = stop.recv() => break,
             }
         }
-        say!(front.log, "stop", "told to end");
-        front
-            .counters
-            .add(Ending::Stopping.count(), front.conns.count() as u64);
-        front.print();
+        log_event!(ctx.log, "stop", "told to end");
+        ctx.counters
+            .add(CloseReason::Shutdown.counter(), ctx.conns.count() as u64);
+        ctx.log_counters();
     }
 }
--- a/crates/rookpulley-assigner/src/log.rs
+++ b/crates/rookpulley-assigner/src/log.rs
@@ -11,70 +11,70 @@
 use tracing_subscriber::fmt::format::{FormatEvent, FormatFields, Writer};
 use tracing_subscriber::registry::LookupSpan;
 
-const STRETCH: Duration = Duration::from_secs(10);
+const RATE_WINDOW: Duration = Duration::from_secs(10);
 
-/// Says one line, unless its kind has had its share of this stretch: `say!(log, "kind", "text {x}")`.
+/// Says one line, unless its kind has had its share of this stretch: `log_event!(log, "kind", "text {x}")`.
 #[macro_export]
-macro_rules! say {
+macro_rules! log_event {
     ($log:expr, $kind:expr, $($text:tt)*) => {
-        if let Some(left_out) = $log.may_say($kind) {
-            tracing::info!(name = $log.name, kind = $kind, "{}{left_out}", format_args!($($text)*));
+        if let Some(suppressed) = $log.admit($kind) {
+            tracing::info!(name = $log.name, kind = $kind, "{}{suppressed}", format_args!($($text)*));
         }
     };
 }
 
 pub struct Log {
     pub name: String,
-    most: u32,
-    said: RefCell<BTreeMap<&'static str, Said>>,
+    limit: u32,
+    windows: RefCell<BTreeMap<&'static str, Window>>,
 }
 
-struct Said {
-    from: Instant,
+struct Window {
+    started: Instant,
     lines: u32,
-    left_out: u32,
+    suppressed: u32,
 }
 
 impl Log {
     /// At most so many lines of one kind in a stretch.
-    pub fn new(name: String, most: u32) -> Self {
+    pub fn new(name: String, limit: u32) -> Self {
         Self {
             name,
-            most,
-            said: RefCell::default(),
+            limit,
+            windows: RefCell::default(),
         }
     }
 
     /// Lines that were asked for are printed all.
-    pub const ASKED: &str = "count";
+    pub const UNLIMITED: &str = "count";
 
     /// None: not now. Otherwise what to say of the lines left out before.
-    pub fn may_say(&self, kind: &'static str) -> Option<String> {
-        let mut kinds = self.said.borrow_mut();
-        let fresh = || Said {
-            from: Instant::now(),
+    pub fn admit(&self, kind: &'static str) -> Option<String> {
+        let mut kinds = self.windows.borrow_mut();
+        let fresh = || Window {
+            started: Instant::now(),
             lines: 0,
-            left_out: 0,
+            suppressed: 0,
         };
-        let said = kinds.entry(kind).or_insert_with(fresh);
-        let mut note = String::new();
-        if said.from.elapsed() >= STRETCH {
-            if said.left_out > 0 {
-                note = format!(" ({} more like it were left out)", said.left_out);
+        let window = kinds.entry(kind).or_insert_with(fresh);
+        let mut suffix = String::new();
+        if window.started.elapsed() >= RATE_WINDOW {
+            if window.suppressed > 0 {
+                suffix = format!(" ({} more like it were left out)", window.suppressed);
             }
-            *said = fresh();
+            *window = fresh();
         }
-        if said.lines >= self.most && kind != Self::ASKED {
-            said.left_out += 1;
+        if window.lines >= self.limit && kind != Self::UNLIMITED {
+            window.suppressed += 1;
             return None;
         }
-        said.lines += 1;
-        Some(note)
+        window.lines += 1;
+        Some(suffix)
     }
 }
 
 /// Takes the lines of this process to standard error from now on. Called once, by the program itself.
-pub fn begin(form: LogForm) {
+pub fn init(form: LogForm) {
     let lines = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_ansi(false);
@@ -97,13 +97,13 @@
 struct Text;
 
 #[derive(Default)]
-struct Line {
+struct LogLine {
     name: String,
     kind: String,
     text: String,
 }
 
-impl Visit for Line {
+impl Visit for LogLine {
     fn record_str(&mut self, field: &Field, value: &str) {
         match field.name() {
             "name" => self.name = value.into(),
@@ -130,7 +130,7 @@
         mut writer: Writer<'_>,
         event: &tracing::Event<'_>,
     ) -> fmt::Result {
-        let mut line = Line::default();
+        let mut line = LogLine::default();
         event.record(&mut line);
         writeln!(writer, "{} {}: {}", line.name, line.kind, line.text)
     }
--- a/crates/rookpulley-assigner/src/messages.rs
+++ b/crates/rookpulley-assigner/src/messages.rs
@@ -9,13 +9,13 @@
 use std::collections::BTreeMap;
 
 /// A line holds so many bytes at most, its end included.
-pub const LINE_MOST: usize = 1 << 20;
+pub const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// Counts and milliseconds are within what 32 bits hold.
-const MOST: f64 = u32::MAX as f64;
+const MAX_VALUE: f64 = u32::MAX as f64;
 
 /// The names that messages use for what the module knows by its place.
-pub struct Words {
+pub struct Codec {
     pub zones: Vec<String>,
     pub machines: Vec<String>,
     pub kinds: Vec<String>,
@@ -25,8 +25,11 @@
     pub versions: bool,
 }
 
-fn place(names: &[String], name: &str) -> Option<u16> {
-    names.iter().position(|n| n == name).map(|at| at as u16)
+fn index_of(names: &[String], name: &str) -> Option<u16> {
+    names
+        .iter()
+        .position(|n| n == name)
+        .map(|index| index as u16)
 }
 
 /// The id of a server: from its name alone, so it is the same at every assigner and after a restart.
@@ -38,23 +41,23 @@
 #[derive(Debug)]
 pub enum Message {
     /// Asks whether the assigner can be used.
-    Beat,
+    Heartbeat,
     Collector {
         zone: ZoneId,
     },
-    Joining {
+    Join {
         proxy: ProxyId,
         zone: ZoneId,
         usual_per_s: f64,
         fresh: bool,
         /// What it holds, by request kinds; None: it says nothing of versions.
-        holds: Option<Holds>,
+        holds: Option<HeldVersions>,
     },
     /// What a proxy tells of itself: marks, usage.
-    OfProxy {
+    ProxyInput {
         proxy: ProxyId,
         input: Input,
-        holds: Holds,
+        holds: HeldVersions,
     },
     /// It did not take an order for the table of these request kinds, and holds this instead.
     Refused {
@@ -63,43 +66,46 @@
         holds: Option<Claim>,
     },
     /// What the proxies of a zone met.
-    Heard(Input),
+    Report(Input),
 }
 
 /// What a proxy says it holds, by the request kinds of its tables.
-pub type Holds = BTreeMap<Kinds, Claim>;
+pub type HeldVersions = BTreeMap<Kinds, Claim>;
 
 impl Message {
     pub fn name(&self) -> &'static str {
         match self {
-            Self::Beat => "beats",
+            Self::Heartbeat => "beats",
             Self::Collector { .. } => "collectors",
-            Self::Joining { .. } => "joinings",
-            Self::OfProxy {
+            Self::Join { .. } => "joinings",
+            Self::ProxyInput {
                 input: Input::Acknowledged { .. },
                 ..
             } => "marks answered",
-            Self::OfProxy { .. } => "usage",
+            Self::ProxyInput { .. } => "usage",
             Self::Refused { .. } => "orders refused",
-            Self::Heard(_) => "heard",
+            Self::Report(_) => "heard",
         }
     }
 }
 
 /// Why a message can't be used.
 #[derive(Debug, PartialEq, thiserror::Error)]
-pub enum Bad {
+pub enum ParseError {
     /// No object: nothing that follows can be trusted either.
     #[error("can't be read: {0}")]
-    Unreadable(String),
+    Malformed(String),
     /// An object with a spoilt field; it is dropped alone.
-    #[error("can't be used: {field} {}", .wrong.words())]
-    Spoilt { field: &'static str, wrong: Wrong },
+    #[error("can't be used: {field} {}", .error.as_str())]
+    Field {
+        field: &'static str,
+        error: FieldError,
+    },
 }
 
 /// What can be wrong with a field.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Wrong {
+pub enum FieldError {
     Missing,
     OtherType,
     OutOfRange,
@@ -107,8 +113,8 @@
     Unknown,
 }
 
-impl Wrong {
-    fn words(self) -> &'static str {
+impl FieldError {
+    fn as_str(self) -> &'static str {
         match self {
             Self::Missing => "missing",
             Self::OtherType => "of another type",
@@ -118,11 +124,11 @@
     }
 }
 
-impl Bad {
-    pub fn count(&self) -> String {
+impl ParseError {
+    pub fn counter(&self) -> String {
         match self {
-            Self::Unreadable(_) => "bad input: unreadable".into(),
-            Self::Spoilt { field, wrong } => format!("bad input: {field} {}", wrong.words()),
+            Self::Malformed(_) => "bad input: unreadable".into(),
+            Self::Field { field, error } => format!("bad input: {field} {}", error.as_str()),
         }
     }
 }
@@ -131,38 +137,38 @@
 struct Fields<'a>(BTreeMap<String, &'a RawValue>);
 
 impl<'a> Fields<'a> {
-    fn of(line: &'a [u8]) -> Result<Self, Bad> {
-        let text = std::str::from_utf8(line).map_err(|e| Bad::Unreadable(e.to_string()))?;
+    fn parse(line: &'a [u8]) -> Result<Self, ParseError> {
+        let text = std::str::from_utf8(line).map_err(|e| ParseError::Malformed(e.to_string()))?;
         serde_json::from_str(text)
             .map(Self)
-            .map_err(|e| Bad::Unreadable(e.to_string()))
+            .map_err(|e| ParseError::Malformed(e.to_string()))
     }
 
-    fn raw(&self, field: &'static str) -> Result<&'a str, Bad> {
-        let told = self
+    fn raw(&self, field: &'static str) -> Result<&'a str, ParseError> {
+        let raw = self
             .0
             .get(field)
             .map(|raw| raw.get())
             .filter(|raw| *raw != "null");
-        told.ok_or(Bad::Spoilt {
+        raw.ok_or(ParseError::Field {
             field,
-            wrong: Wrong::Missing,
+            error: FieldError::Missing,
         })
     }
 
-    fn get<T: Deserialize<'a>>(&self, field: &'static str) -> Result<T, Bad> {
-        serde_json::from_str(self.raw(field)?).map_err(|_| Bad::Spoilt {
+    fn get<T: Deserialize<'a>>(&self, field: &'static str) -> Result<T, ParseError> {
+        serde_json::from_str(self.raw(field)?).map_err(|_| ParseError::Field {
             field,
-            wrong: Wrong::OtherType,
+            error: FieldError::OtherType,
         })
     }
 
     /// The place of a name among those that the settings list.
-    fn place(&self, field: &'static str, names: &[String]) -> Result<u16, Bad> {
+    fn index(&self, field: &'static str, names: &[String]) -> Result<u16, ParseError> {
         let name: Cow<str> = self.get(field)?;
-        place(names, &name).ok_or(Bad::Spoilt {
+        index_of(names, &name).ok_or(ParseError::Field {
             field,
-            wrong: Wrong::Unknown,
+            error: FieldError::Unknown,
         })
     }
 
@@ -170,31 +176,31 @@
     fn number<T: Deserialize<'a>>(
         &self,
         field: &'static str,
-        sound: impl Fn(&T) -> bool,
-    ) -> Result<T, Bad> {
+        valid: impl Fn(&T) -> bool,
+    ) -> Result<T, ParseError> {
         let raw = self.raw(field)?;
         let number = raw.starts_with(|c: char| c == '-' || c.is_ascii_digit());
-        let wrong = if number {
-            Wrong::OutOfRange
+        let error = if number {
+            FieldError::OutOfRange
         } else {
-            Wrong::OtherType
+            FieldError::OtherType
         };
         serde_json::from_str(raw)
             .ok()
-            .filter(sound)
-            .ok_or(Bad::Spoilt { field, wrong })
+            .filter(valid)
+            .ok_or(ParseError::Field { field, error })
     }
 
-    fn figure(&self, field: &'static str) -> Result<f64, Bad> {
-        self.number(field, |x| (0.0..=MOST).contains(x))
+    fn amount(&self, field: &'static str) -> Result<f64, ParseError> {
+        self.number(field, |x| (0.0..=MAX_VALUE).contains(x))
     }
 
-    fn figures<const N: usize>(&self, fields: [&'static str; N]) -> Result<[f64; N], Bad> {
-        let mut told = [0.0; N];
-        for (figure, field) in told.iter_mut().zip(fields) {
-            *figure = self.figure(field)?;
+    fn amounts<const N: usize>(&self, fields: [&'static str; N]) -> Result<[f64; N], ParseError> {
+        let mut values = [0.0; N];
+        for (amount, field) in values.iter_mut().zip(fields) {
+            *amount = self.amount(field)?;
         }
-        Ok(told)
+        Ok(values)
     }
 }
 
@@ -212,7 +218,7 @@
 
 /// What a proxy holds for some request kinds, as it is written.
 #[derive(Deserialize)]
-struct Held<'a> {
+struct HeldEntry<'a> {
     #[serde(borrow)]
     classes: Vec<Cow<'a, str>>,
     #[serde(borrow)]
@@ -221,34 +227,40 @@
     digest: Cow<'a, str>,
 }
 
-fn claim(field: &'static str, version: Option<Cow<str>>, digest: &str) -> Result<Claim, Bad> {
-    let wrong = Wrong::OutOfRange;
+fn claim(
+    field: &'static str,
+    version: Option<Cow<str>>,
+    digest: &str,
+) -> Result<Claim, ParseError> {
+    let error = FieldError::OutOfRange;
     let version = version
-        .map(|v| v.parse().map_err(|_| Bad::Spoilt { field, wrong }))
+        .map(|v| v.parse().map_err(|_| ParseError::Field { field, error }))
         .transpose()?;
     Ok(Claim {
         version,
-        digest: digest.parse().map_err(|_| Bad::Spoilt { field, wrong })?,
+        digest: digest
+            .parse()
+            .map_err(|_| ParseError::Field { field, error })?,
     })
 }
 
-impl Words {
+impl Codec {
     /// Request kinds by their names, as bits.
-    fn mask(&self, field: &'static str, names: &[Cow<str>]) -> Result<Kinds, Bad> {
-        let place =
-            |name: &Cow<str>| place(&self.kinds, name).filter(|at| *at < Kinds::BITS as u16);
-        let bits = names.iter().map(|n| place(n).map(|at| 1 << at));
-        bits.sum::<Option<Kinds>>().ok_or(Bad::Spoilt {
+    fn mask(&self, field: &'static str, names: &[Cow<str>]) -> Result<Kinds, ParseError> {
+        let index =
+            |name: &Cow<str>| index_of(&self.kinds, name).filter(|at| *at < Kinds::BITS as u16);
+        let bits = names.iter().map(|n| index(n).map(|at| 1 << at));
+        bits.sum::<Option<Kinds>>().ok_or(ParseError::Field {
             field,
-            wrong: Wrong::Unknown,
+            error: FieldError::Unknown,
         })
     }
 
-    fn holds(&self, told: &Fields) -> Result<Option<Holds>, Bad> {
-        if !self.versions || told.raw("holds").is_err() {
+    fn holds(&self, fields: &Fields) -> Result<Option<HeldVersions>, ParseError> {
+        if !self.versions || fields.raw("holds").is_err() {
             return Ok(None);
         }
-        let held: Vec<Held> = told.get("holds")?;
+        let held: Vec<HeldEntry> = fields.get("holds")?;
         let each = held.into_iter().map(|h| {
             Ok((
                 self.mask("holds", &h.classes)?,
@@ -258,23 +270,23 @@
         each.collect::<Result<_, _>>().map(Some)
     }
 
-    fn proxy(&self, told: &Fields) -> Result<ProxyId, Bad> {
+    fn proxy(&self, fields: &Fields) -> Result<ProxyId, ParseError> {
         let known = |number: &u64| *number < u64::from(self.proxies);
-        Ok(told.number("proxy", known)? as ProxyId)
+        Ok(fields.number("proxy", known)? as ProxyId)
     }
 
     /// The figures of a load report in the order of the settings.
-    fn load(&self, told: &Fields) -> Result<Vec<f64>, Bad> {
-        let spoilt = |wrong| Bad::Spoilt {
+    fn load(&self, fields: &Fields) -> Result<Vec<f64>, ParseError> {
+        let invalid = |error| ParseError::Field {
             field: "load",
-            wrong,
+            error,
         };
-        if told.raw("load").is_err() {
+        if fields.raw("load").is_err() {
             return Ok(Vec::new());
         }
-        let fields: BTreeMap<String, Value> = told.get("load")?;
+        let values: BTreeMap<String, Value> = fields.get("load")?;
         let mut load = vec![None; self.load.len()];
-        for (name, figure) in &fields {
+        for (name, amount) in &values {
             let Some(at) = self
                 .load
                 .iter()
@@ -282,35 +294,35 @@
             else {
                 continue;
             };
-            let figure = figure.as_f64().ok_or(spoilt(Wrong::OtherType))?;
-            load[at] = Some(figure).filter(|x| (0.0..=MOST).contains(x));
-            load[at].ok_or(spoilt(Wrong::OutOfRange))?;
+            let amount = amount.as_f64().ok_or(invalid(FieldError::OtherType))?;
+            load[at] = Some(amount).filter(|x| (0.0..=MAX_VALUE).contains(x));
+            load[at].ok_or(invalid(FieldError::OutOfRange))?;
         }
         load.into_iter()
             .collect::<Option<_>>()
-            .ok_or(spoilt(Wrong::Missing))
+            .ok_or(invalid(FieldError::Missing))
     }
 
-    pub fn decode(&self, line: &[u8]) -> Result<Message, Bad> {
-        let told = Fields::of(line)?;
-        let kind: Cow<str> = told.get("msg")?;
+    pub fn decode(&self, line: &[u8]) -> Result<Message, ParseError> {
+        let fields = Fields::parse(line)?;
+        let kind: Cow<str> = fields.get("msg")?;
         Ok(match &*kind {
-            "hb" => Message::Beat,
+            "hb" => Message::Heartbeat,
             "telemetry" => Message::Collector {
-                zone: told.place("zone", &self.zones)?,
+                zone: fields.index("zone", &self.zones)?,
             },
-            "attach" => Message::Joining {
-                proxy: self.proxy(&told)?,
-                zone: told.place("zone", &self.zones)?,
-                usual_per_s: told.figure("weight")?,
-                fresh: told.get("fresh")?,
-                holds: self.holds(&told)?,
+            "attach" => Message::Join {
+                proxy: self.proxy(&fields)?,
+                zone: fields.index("zone", &self.zones)?,
+                usual_per_s: fields.amount("weight")?,
+                fresh: fields.get("fresh")?,
+                holds: self.holds(&fields)?,
             },
             "done" => {
-                let (proxy, mark) = (self.proxy(&told)?, told.number("mark", |_| true)?);
-                let took_ms = told.figure("took_ms")?;
-                let holds = self.holds(&told)?.unwrap_or_default();
-                Message::OfProxy {
+                let (proxy, mark) = (self.proxy(&fields)?, fields.number("mark", |_| true)?);
+                let took_ms = fields.amount("took_ms")?;
+                let holds = self.holds(&fields)?.unwrap_or_default();
+                Message::ProxyInput {
                     proxy,
                     input: Input::Acknowledged {
                         proxy,
@@ -321,9 +333,12 @@
                 }
             }
             "client_stats" => {
-                let (proxy, kind) = (self.proxy(&told)?, told.place("class", &self.kinds)?.into());
+                let (proxy, kind) = (
+                    self.proxy(&fields)?,
+                    fields.index("class", &self.kinds)?.into(),
+                );
                 // Those that could not be served may have come in a span before.
-                let [came, bad, span_ms] = told.figures(["tries", "failed", "span_ms"])?;
+                let [came, bad, span_ms] = fields.amounts(["tries", "failed", "span_ms"])?;
                 let input = Input::ProxyUsage {
                     proxy,
                     kind,
@@ -331,30 +346,30 @@
                     bad,
                     span_ms,
                 };
-                Message::OfProxy {
+                Message::ProxyInput {
                     proxy,
                     input,
-                    holds: Holds::new(),
+                    holds: HeldVersions::new(),
                 }
             }
             "upstream_stats" => {
-                let [tries, bad, span_ms] = told.figures(["tries", "failed", "span_ms"])?;
+                let [tries, bad, span_ms] = fields.amounts(["tries", "failed", "span_ms"])?;
                 if bad > tries {
-                    return Err(Bad::Spoilt {
+                    return Err(ParseError::Field {
                         field: "failed",
-                        wrong: Wrong::OutOfRange,
+                        error: FieldError::OutOfRange,
                     });
                 }
                 // Where none of the tries was good there is no mean of the good ones.
                 let mean_ms = if bad < tries {
-                    told.figure("mean_ms")?
+                    fields.amount("mean_ms")?
                 } else {
                     0.0
                 };
-                let zone = told.place("zone", &self.zones)?;
-                let server = server_id(&told.get::<Cow<str>>("server")?);
-                let load = self.load(&told)?;
-                Message::Heard(Input::ServerReport {
+                let zone = fields.index("zone", &self.zones)?;
+                let server = server_id(&fields.get::<Cow<str>>("server")?);
+                let load = self.load(&fields)?;
+                Message::Report(Input::ServerReport {
                     zone,
                     server,
                     tries,
@@ -365,14 +380,14 @@
                 })
             }
             "refused" if self.versions => {
-                let proxy = self.proxy(&told)?;
-                let classes: Vec<Cow<str>> = told.get("classes")?;
+                let proxy = self.proxy(&fields)?;
+                let classes: Vec<Cow<str>> = fields.get("classes")?;
                 let kinds = self.mask("classes", &classes)?;
-                let holds = match told.raw("digest") {
+                let holds = match fields.raw("digest") {
                     Ok(_) => Some(claim(
                         "digest",
-                        told.get("version").ok(),
-                        &told.get::<Cow<str>>("digest")?,
+                        fields.get("version").ok(),
+                        &fields.get::<Cow<str>>("digest")?,
                     )?),
                     Err(_) => None,
                 };
@@ -383,9 +398,9 @@
                 }
             }
             _ => {
-                return Err(Bad::Spoilt {
+                return Err(ParseError::Field {
                     field: "msg",
-                    wrong: Wrong::Unknown,
+                    error: FieldError::Unknown,
                 });
             }
         })
@@ -427,7 +442,7 @@
 
 /// The place of a zone or a kind of machine that the settings don't name: no request kind is bound to
 /// it. One such server must not hold up the list of all.
-pub const ELSEWHERE: u16 = u16::MAX;
+pub const UNKNOWN_INDEX: u16 = u16::MAX;
 
 /// The server list, or what changed in it.
 #[derive(Debug, Default, PartialEq)]
@@ -439,24 +454,24 @@
     pub names: Vec<String>,
 }
 
-impl Words {
-    pub fn decode_list(&self, text: &str) -> Result<List, Bad> {
-        let told: Endpoints =
-            serde_json::from_str(text).map_err(|e| Bad::Unreadable(e.to_string()))?;
+impl Codec {
+    pub fn decode_list(&self, text: &str) -> Result<List, ParseError> {
+        let fields: Endpoints =
+            serde_json::from_str(text).map_err(|e| ParseError::Malformed(e.to_string()))?;
         let mut list = List {
-            version: told.index,
-            whole: told.snapshot,
+            version: fields.index,
+            whole: fields.snapshot,
             ..List::default()
         };
-        for server in told.endpoints {
+        for server in fields.endpoints {
             let [weight, started_ms] = [server.weight, server.since_ms];
             if !(weight >= 0.0 && started_ms >= 0.0) {
-                return Err(Bad::Unreadable("a figure below 0".into()));
+                return Err(ParseError::Malformed("a figure below 0".into()));
             }
             list.lines.push(ServerEntry {
                 server: server_id(&server.name),
-                zone: place(&self.zones, &server.zone).unwrap_or(ELSEWHERE),
-                machine: place(&self.machines, &server.machine).unwrap_or(ELSEWHERE),
+                zone: index_of(&self.zones, &server.zone).unwrap_or(UNKNOWN_INDEX),
+                machine: index_of(&self.machines, &server.machine).unwrap_or(UNKNOWN_INDEX),
                 bay: server.group,
                 stage: match server.status {
                     Status::Serving => Stage::Ready,
@@ -513,26 +528,26 @@
     pub more: bool,
 }
 
-fn line_of(message: &impl Serialize) -> Vec<u8> {
+fn encode_line(message: &impl Serialize) -> Vec<u8> {
     // A plain value of text, numbers and lists: writing it to memory has no way to fail.
     let mut line = serde_json::to_vec(message).unwrap_or_default();
     line.push(b'\n');
     line
 }
 
-pub fn beat_answer() -> Vec<u8> {
-    line_of(&Answer::HbOk)
+pub fn heartbeat_reply() -> Vec<u8> {
+    encode_line(&Answer::HbOk)
 }
 
 impl Part<'_> {
     pub fn encode(&self) -> Vec<u8> {
-        line_of(self)
+        encode_line(self)
     }
 }
 
 impl Part<'_> {
     /// The lines it counts for in the channel.
-    pub fn counted(&self) -> usize {
+    pub fn line_count(&self) -> usize {
         let flags = [self.whole, self.level.is_some(), self.mark.is_some()];
         let lines = self.lines.as_ref().map_or(0, Vec::len) + self.out.len() + self.back.len();
         lines + flags.iter().filter(|set| **set).count()
--- a/crates/rookpulley-assigner/src/operators.rs
+++ b/crates/rookpulley-assigner/src/operators.rs
@@ -1,10 +1,10 @@
 //! What operators ask while the assigner runs: answers from the book, and ways back, which the module decides.
 
-use crate::CannotRun;
-use crate::driver::{Event, Front, unix_ms};
+use crate::StartError;
+use crate::driver::{Context, Event, unix_ms};
 use crate::messages::server_id;
-use crate::orders::{Orders, places};
-use crate::servers::Servers;
+use crate::orders::{Orders, kinds_in};
+use crate::server_file::ServerFile;
 use rookpulley::interface::{ChannelLimits, Input, RollbackStatus, TableId};
 use rookpulley_operators::address;
 use rookpulley_operators::asks::{
@@ -24,48 +24,53 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// So many asks wait at once at most.
-const ASKS: usize = 16;
+const REQUEST_QUEUE: usize = 16;
 
 /// The operators' address, held and not served yet.
-pub struct Asking {
+pub struct OperatorApi {
     listener: TcpListener,
     token: Option<Token>,
 }
 
-impl Asking {
+impl OperatorApi {
     /// Nothing is opened where the operators' file names no address.
-    pub async fn bind(reach: Option<&Reach>) -> Result<Option<Self>, CannotRun> {
+    pub async fn bind(reach: Option<&Reach>) -> Result<Option<Self>, StartError> {
         let Some(Reach {
-            listen: place,
+            listen: address,
             token_file,
         }) = reach
         else {
             return Ok(None);
         };
         let token = token_file.as_deref().map(Token::load).transpose()?;
-        let why = |why| CannotRun::Address {
+        let bind_error = |error| StartError::Address {
             what: "the operators' address",
-            place: *place,
-            why,
+            address: *address,
+            error,
         };
-        let listener = TcpListener::bind(place).await.map_err(why)?;
+        let listener = TcpListener::bind(address).await.map_err(bind_error)?;
         Ok(Some(Self { listener, token }))
     }
 
-    pub fn place(&self) -> Option<SocketAddr> {
+    pub fn address(&self) -> Option<SocketAddr> {
         self.listener.local_addr().ok()
     }
 
     /// Serves from now on. Called within a `LocalSet`.
-    pub fn begin(self, front: &Rc<Front>) {
-        let (sender, mut asks) = mpsc::channel::<Asked>(ASKS);
-        let counted = front.clone();
-        let count: address::Count = Rc::new(move |what| counted.counters.one(what));
-        tokio::task::spawn_local(address::serve(self.listener, self.token, sender, count));
-        let front = front.clone();
+    pub fn spawn(self, ctx: &Rc<Context>) {
+        let (sender, mut requests) = mpsc::channel::<Asked>(REQUEST_QUEUE);
+        let counters_ctx = ctx.clone();
+        let count_call: address::Count = Rc::new(move |what| counters_ctx.counters.inc(what));
+        tokio::task::spawn_local(address::serve(
+            self.listener,
+            self.token,
+            sender,
+            count_call,
+        ));
+        let ctx = ctx.clone();
         tokio::task::spawn_local(async move {
-            while let Some(asked) = asks.recv().await {
-                front.tell(Event::Asked(asked)).await;
+            while let Some(asked) = requests.recv().await {
+                ctx.send(Event::OperatorRequest(asked)).await;
             }
         });
     }
@@ -73,9 +78,13 @@
 
 /// The book of one start. The start's name must never come again, also where the seed of the configuration
 /// does: its part of chance is the process's own.
-pub fn book(name: &str, keep: RetentionLimits, channel: &ChannelLimits) -> VersionManager {
-    let chance = RandomState::new().hash_one(std::process::id()) as u32;
-    let start = start_id(unix_ms(), chance);
+pub fn version_manager(
+    name: &str,
+    keep: RetentionLimits,
+    channel: &ChannelLimits,
+) -> VersionManager {
+    let random = RandomState::new().hash_one(std::process::id()) as u32;
+    let start = start_id(unix_ms(), random);
     VersionManager::new(
         Issuer {
             assigner: name.into(),
@@ -88,7 +97,7 @@
 }
 
 /// Ways back that the module has been asked for, and whom to answer.
-struct Waiting {
+struct PendingRollback {
     tables: BTreeSet<TableId>,
     releases: bool,
     rows: Vec<BackRow>,
@@ -96,19 +105,19 @@
 }
 
 #[derive(Default)]
-pub struct WaysBack {
-    waiting: Vec<Waiting>,
+pub struct Rollbacks {
+    waiting: Vec<PendingRollback>,
     /// Tables that an operator holds back.
     pub held: BTreeSet<TableId>,
 }
 
-fn refused(status: u16, what: impl Into<String>, instead: &str) -> Answer {
+fn refusal(status: u16, what: impl Into<String>, instead: &str) -> Answer {
     Answer::Refused {
         refusal: Refusal::new(status, what, Some(instead)),
     }
 }
 
-fn row(table: TableId, what: &RollbackStatus) -> BackRow {
+fn rollback_row(table: TableId, what: &RollbackStatus) -> BackRow {
     let blank = BackRow {
         table,
         what: String::new(),
@@ -136,36 +145,39 @@
     }
 }
 
-impl WaysBack {
+impl Rollbacks {
     /// Answers an ask at once, or gives what the module is to be told for it.
-    pub fn take(
+    pub fn handle(
         &mut self,
         now: f64,
         asked: Asked,
         orders: &Orders,
-        servers: Option<&Servers>,
+        servers: Option<&ServerFile>,
     ) -> Vec<Input> {
         let Asked { ask, answer } = asked;
-        let off = |what: &str, word: &str| {
-            refused(
+        let disabled = |what: &str, setting: &str| {
+            refusal(
                 409,
                 what,
-                &format!("write {word} into the operators' file and start the assigner anew"),
+                &format!("write {setting} into the operators' file and start the assigner anew"),
             )
         };
-        let said = match (ask, &orders.book, servers) {
-            (Ask::Servers, _, Some(servers)) => Ok(Answer::Servers(servers.shown(now))),
-            (Ask::Servers, ..) => Ok(off("no file lists the servers here", "servers(file = ...)")),
-            (_, None, _) => Ok(off("versions are not kept here", "versions()")),
-            (Ask::Versions { table }, Some(book), _) => Ok(versions(&book.history, table)),
-            (Ask::Holders, Some(book), _) => Ok(holders(now, book, orders, &self.held)),
-            (Ask::Diff { from, to }, Some(book), _) => Ok(diff(&book.history, &from, &to)),
-            (Ask::Rollback { to, table, all }, Some(book), _) => go_back(book, &to, table, all),
+        let outcome = match (ask, &orders.manager, servers) {
+            (Ask::Servers, _, Some(servers)) => Ok(Answer::Servers(servers.snapshot(now))),
+            (Ask::Servers, ..) => Ok(disabled(
+                "no file lists the servers here",
+                "servers(file = ...)",
+            )),
+            (_, None, _) => Ok(disabled("versions are not kept here", "versions()")),
+            (Ask::Versions { table }, Some(mgr), _) => Ok(versions(&mgr.history, table)),
+            (Ask::Holders, Some(mgr), _) => Ok(holders(now, mgr, orders, &self.held)),
+            (Ask::Diff { from, to }, Some(mgr), _) => Ok(diff(&mgr.history, &from, &to)),
+            (Ask::Rollback { to, table, all }, Some(mgr), _) => rollback(mgr, &to, table, all),
             (Ask::Release { table: Some(table) }, ..) => {
                 Err(vec![Input::ReleaseRollback { table }])
             }
             (Ask::Release { .. }, ..) if self.held.is_empty() => {
-                Ok(refused(409, "no table is held back", "see holders"))
+                Ok(refusal(409, "no table is held back", "see holders"))
             }
             (Ask::Release { .. }, ..) => Err(self
                 .held
@@ -173,10 +185,10 @@
                 .map(|table| Input::ReleaseRollback { table: *table })
                 .collect()),
         };
-        match said {
-            Ok(now_known) => {
+        match outcome {
+            Ok(answer_now) => {
                 // Whoever asked may have gone.
-                _ = answer.send(now_known);
+                _ = answer.send(answer_now);
                 Vec::new()
             }
             Err(inputs) => {
@@ -190,7 +202,7 @@
                     .iter()
                     .any(|i| matches!(i, Input::ReleaseRollback { .. }));
                 let tables = inputs.iter().filter_map(table).collect();
-                self.waiting.push(Waiting {
+                self.waiting.push(PendingRollback {
                     tables,
                     releases,
                     rows: Vec::new(),
@@ -202,19 +214,19 @@
     }
 
     /// What the module made of a way back; whoever waits for no further table is answered.
-    pub fn hear(&mut self, table: TableId, what: &RollbackStatus) {
+    pub fn record_status(&mut self, table: TableId, what: &RollbackStatus) {
         match what {
             RollbackStatus::Held { .. } => _ = self.held.insert(table),
             RollbackStatus::Ended(_) => _ = self.held.remove(&table),
             RollbackStatus::Refused(_) => {}
         }
         let ended = matches!(what, RollbackStatus::Ended(_));
-        let waits = |w: &&mut Waiting| w.tables.contains(&table) && (w.releases || !ended);
+        let waits = |w: &&mut PendingRollback| w.tables.contains(&table) && (w.releases || !ended);
         let Some(waiting) = self.waiting.iter_mut().find(waits) else {
             return;
         };
         waiting.tables.remove(&table);
-        waiting.rows.push(row(table, what));
+        waiting.rows.push(rollback_row(table, what));
         for done in self.waiting.extract_if(.., |w| w.tables.is_empty()) {
             _ = done
                 .answer
@@ -248,8 +260,8 @@
     })
 }
 
-fn judged(judged: SyncState) -> &'static str {
-    match judged {
+fn sync_state_name(state: SyncState) -> &'static str {
+    match state {
         SyncState::Unknown => "unknown",
         SyncState::Behind => "behind",
         SyncState::InSync => "in step",
@@ -260,15 +272,15 @@
 
 fn holders(
     now: f64,
-    book: &VersionManager,
+    mgr: &VersionManager,
     orders: &Orders,
     held_back: &BTreeSet<TableId>,
 ) -> Answer {
-    let named = |n: Option<u64>| n.map(|n| book.history.version(n).to_string());
+    let named = |n: Option<u64>| n.map(|n| mgr.history.version(n).to_string());
     let mut holders = Vec::new();
-    for (dispatcher, entry) in book.deliveries.entries() {
+    for (dispatcher, entry) in mgr.deliveries.entries() {
         for (table, held) in entry.tables() {
-            let kinds = places(book.kinds_of(dispatcher, table));
+            let kinds = kinds_in(mgr.kinds_of(dispatcher, table));
             holders.push(HolderRow {
                 dispatcher,
                 joined: entry.joined,
@@ -277,7 +289,7 @@
                     .filter_map(|k| orders.kinds().get(k).cloned())
                     .collect(),
                 table,
-                judged: judged(held.sync_state).into(),
+                judged: sync_state_name(held.sync_state).into(),
                 told: named(held.sent),
                 confirmed: named(held.confirmed),
                 claimed: held
@@ -293,7 +305,7 @@
         }
     }
     Answer::Holders(HolderList {
-        assigner: book.history.issuer().assigner.to_string(),
+        assigner: mgr.history.issuer().assigner.to_string(),
         holders,
     })
 }
@@ -302,10 +314,10 @@
     let find = |text: &str| {
         let version: Version = text
             .parse()
-            .map_err(|e| refused(400, format!("{e}"), "see versions"))?;
+            .map_err(|e| refusal(400, format!("{e}"), "see versions"))?;
         let found = history
             .find(&version)
-            .map_err(|e| refused(404, format!("{e}"), "see versions"))?;
+            .map_err(|e| refusal(404, format!("{e}"), "see versions"))?;
         Ok::<_, Answer>(found.1.table.clone())
     };
     let (a, b) = match (find(from), find(to)) {
@@ -329,24 +341,24 @@
     })
 }
 
-fn go_back(
-    book: &VersionManager,
+fn rollback(
+    mgr: &VersionManager,
     to: &str,
     table: Option<TableId>,
     all: bool,
 ) -> Result<Answer, Vec<Input>> {
     let version: Version = match to.parse() {
         Ok(version) => version,
-        Err(e) => return Ok(refused(400, format!("{e}"), "see versions")),
+        Err(e) => return Ok(refusal(400, format!("{e}"), "see versions")),
     };
-    let ways = match book.rollback_tables(&version, table, all) {
-        Ok(ways) => ways,
-        Err(e) => return Ok(refused(404, format!("{e}"), "see versions")),
+    let tables = match mgr.rollback_tables(&version, table, all) {
+        Ok(tables) => tables,
+        Err(e) => return Ok(refusal(404, format!("{e}"), "see versions")),
     };
     let lines = |table: &rookpulley_versions::Table| {
         table.lines().map(|(n, w)| (server_id(n), w)).collect()
     };
-    Err(ways
+    Err(tables
         .iter()
         .map(|(id, table)| Input::Rollback {
             table: *id,
--- a/crates/rookpulley-assigner/src/outbox.rs
+++ b/crates/rookpulley-assigner/src/outbox.rs
@@ -1,63 +1,65 @@
 //! What waits to be written on one connection. Putting never waits; writing takes what the socket takes.
 
-use crate::ending::Ending;
+use crate::close_reason::CloseReason;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
 /// Where more than this waits already, the reader has stopped reading.
-const UNREAD_MOST: usize = 256 * 1024;
+const MAX_QUEUED_BYTES: usize = 256 * 1024;
 
 #[derive(Default)]
 pub struct Outbox {
-    waiting: RefCell<VecDeque<Vec<u8>>>,
+    queue: RefCell<VecDeque<Vec<u8>>>,
     /// How much of the first has been written.
-    written: Cell<usize>,
-    bytes: Cell<usize>,
-    ordered: Cell<Option<Ending>>,
-    stirred: Notify,
+    offset: Cell<usize>,
+    queued_bytes: Cell<usize>,
+    close_reason: Cell<Option<CloseReason>>,
+    changed: Notify,
 }
 
 impl Outbox {
-    pub fn put(&self, message: Vec<u8>) {
-        if self.bytes.get() > UNREAD_MOST {
-            return self.end(Ending::Unread);
+    pub fn push(&self, message: Vec<u8>) {
+        if self.queued_bytes.get() > MAX_QUEUED_BYTES {
+            return self.close(CloseReason::SlowReader);
         }
-        self.bytes.set(self.bytes.get() + message.len());
-        self.waiting.borrow_mut().push_back(message);
-        self.stirred.notify_one();
+        self.queued_bytes
+            .set(self.queued_bytes.get() + message.len());
+        self.queue.borrow_mut().push_back(message);
+        self.changed.notify_one();
     }
 
     /// Orders the connection to end like this.
-    pub fn end(&self, ending: Ending) {
-        self.ordered.set(self.ordered.get().or(Some(ending)));
-        self.stirred.notify_one();
+    pub fn close(&self, reason: CloseReason) {
+        self.close_reason
+            .set(self.close_reason.get().or(Some(reason)));
+        self.changed.notify_one();
     }
 
-    pub fn ordered(&self) -> Option<Ending> {
-        self.ordered.get()
+    pub fn close_reason(&self) -> Option<CloseReason> {
+        self.close_reason.get()
     }
 
-    pub fn waits(&self) -> bool {
-        self.bytes.get() > 0
+    pub fn has_pending(&self) -> bool {
+        self.queued_bytes.get() > 0
     }
 
-    pub async fn stirred(&self) {
-        self.stirred.notified().await;
+    pub async fn changed(&self) {
+        self.changed.notified().await;
     }
 
     /// Writes as much as goes without waiting.
-    pub fn write(&self, socket: &TcpStream) -> std::io::Result<()> {
-        let mut waiting = self.waiting.borrow_mut();
-        while let Some(message) = waiting.front() {
-            match socket.try_write(&message[self.written.get()..]) {
+    pub fn flush(&self, socket: &TcpStream) -> std::io::Result<()> {
+        let mut queue = self.queue.borrow_mut();
+        while let Some(message) = queue.front() {
+            match socket.try_write(&message[self.offset.get()..]) {
                 Ok(size) => {
-                    self.bytes.set(self.bytes.get() - size);
-                    self.written.set(self.written.get() + size);
-                    if self.written.get() == message.len() {
-                        self.written.set(0);
-                        waiting.pop_front();
+                    self.queued_bytes.set(self.queued_bytes.get() - size);
+                    self.offset.set(self.offset.get() + size);
+                    if self.offset.get() == message.len() {
+                        self.offset.set(0);
+                        queue.pop_front();
                     }
                 }
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => break,
--- a/crates/rookpulley-assigner/src/reload.rs
+++ b/crates/rookpulley-assigner/src/reload.rs
@@ -1,9 +1,9 @@
 //! A new configuration while the assigner runs: at SIGHUP the file is read again.
 
-use crate::config::{self, Told};
-use crate::driver::Front;
-use crate::roster::Roster;
-use crate::say;
+use crate::config::{self, Config};
+use crate::driver::Context;
+use crate::list_client::ListClient;
+use crate::log_event;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -11,53 +11,55 @@
 use tokio::signal::unix::Signal;
 
 /// What a running assigner holds of its configuration.
-pub struct Held {
+pub struct ConfigReloader {
     pub path: PathBuf,
-    pub fixed: BTreeMap<String, Value>,
+    pub static_fields: BTreeMap<String, Value>,
 }
 
-impl Held {
+impl ConfigReloader {
     /// Takes each new configuration; where one can't be used, all stays as it was.
-    pub async fn follow(self, mut asked: Signal, roster: Rc<Roster>, front: Rc<Front>) {
-        while asked.recv().await.is_some() {
+    pub async fn run(self, mut hangup: Signal, list_client: Rc<ListClient>, ctx: Rc<Context>) {
+        while hangup.recv().await.is_some() {
             let path = self.path.clone();
             // On a thread of its own: the disk may be slow, and proxies don't wait for it.
             let read =
                 tokio::task::spawn_blocking(move || config::load(&path).map_err(|e| e.to_string()));
             match read.await.unwrap_or_else(|e| Err(e.to_string())) {
-                Ok(told) => self.take(told, &roster, &front),
-                Err(why) => {
-                    front.counters.one("configurations refused");
-                    say!(front.log, "configuration", "{why}; all stays as it was");
+                Ok(config) => self.apply(config, &list_client, &ctx),
+                Err(error) => {
+                    ctx.counters.inc("configurations refused");
+                    log_event!(ctx.log, "configuration", "{error}; all stays as it was");
                 }
             }
         }
     }
 
-    fn take(&self, told: Told, roster: &Rc<Roster>, front: &Front) {
-        let names = self
-            .fixed
-            .keys()
-            .chain(told.fixed.keys().filter(|f| !self.fixed.contains_key(*f)));
-        let differ: Vec<&str> = names
-            .filter(|f| self.fixed.get(*f) != told.fixed.get(*f))
+    fn apply(&self, config: Config, list_client: &Rc<ListClient>, ctx: &Context) {
+        let names = self.static_fields.keys().chain(
+            config
+                .static_fields
+                .keys()
+                .filter(|f| !self.static_fields.contains_key(*f)),
+        );
+        let changed: Vec<&str> = names
+            .filter(|f| self.static_fields.get(*f) != config.static_fields.get(*f))
             .map(String::as_str)
             .collect();
-        if !differ.is_empty() {
-            let fields = differ.join(", ");
-            say!(
-                front.log,
+        if !changed.is_empty() {
+            let fields = changed.join(", ");
+            log_event!(
+                ctx.log,
                 "configuration",
                 "{fields} can't change while it runs: that takes a restart"
             );
         }
-        front.counters.one("configurations taken");
-        say!(
-            front.log,
+        ctx.counters.inc("configurations taken");
+        log_event!(
+            ctx.log,
             "configuration",
             "taken, discovery is at {}",
-            told.discovery
+            config.discovery
         );
-        roster.move_to(told.discovery);
+        list_client.set_address(config.discovery);
     }
 }
--- a/crates/rookpulley-assigner/src/servers.rs
+++ b/crates/rookpulley-assigner/src/server_file.rs
@@ -1,8 +1,8 @@
 //! Servers listed by a file: what the file and discovery say, turned into lists for the module.
 
-use crate::driver::{Event, Front};
-use crate::messages::{ELSEWHERE, List, Words, server_id};
-use crate::say;
+use crate::driver::{Context, Event};
+use crate::log_event;
+use crate::messages::{Codec, List, UNKNOWN_INDEX, server_id};
 use rookpulley::interface::{ListScope, ServerEntry, Stage, Start};
 use rookpulley_files::watch::{Found, follow};
 use rookpulley_lists::{Deployment, ServerLists, ServerUpdate};
@@ -11,102 +11,102 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-pub struct Servers {
+pub struct ServerFile {
     file: PathBuf,
     lists: ServerLists,
-    not_taken: Option<String>,
-    pass_at_ms: f64,
+    rejection: Option<String>,
+    next_check_ms: f64,
 }
 
-impl Servers {
-    pub fn new(file: PathBuf, start: &Start, words: &Words) -> Self {
+impl ServerFile {
+    pub fn new(file: PathBuf, start: &Start, codec: &Codec) -> Self {
         let lists = ServerLists::new(
-            Deployment::from_start(start, &words.machines),
+            Deployment::from_start(start, &codec.machines),
             start.bounds.drain_grace_ms,
         );
         Self {
             file,
             lists,
-            not_taken: None,
-            pass_at_ms: 0.0,
+            rejection: None,
+            next_check_ms: 0.0,
         }
     }
 
     /// Follows the file from now on; what is found comes as events. Called within a `LocalSet`.
-    pub fn begin(&self, front: &Rc<Front>) {
+    pub fn spawn_watch(&self, ctx: &Rc<Context>) {
         let (sender, mut found) = mpsc::channel(1);
         tokio::task::spawn_local(follow(self.file.clone(), sender));
-        let front = front.clone();
+        let ctx = ctx.clone();
         tokio::task::spawn_local(async move {
             while let Some(found) = found.recv().await {
-                front.tell(Event::File(found)).await;
+                ctx.send(Event::ServerFile(found)).await;
             }
         });
     }
 
     /// What was found at the file's place: the list for the module, if it is taken.
-    pub fn take(&mut self, now: f64, found: Found, front: &Front) -> Option<(ListScope, List)> {
-        let why = match found {
+    pub fn accept(&mut self, now: f64, found: Found, ctx: &Context) -> Option<(ListScope, List)> {
+        let reason = match found {
             Found::List(candidate) => {
                 let (generation, count) = (candidate.generation, candidate.entries.len());
                 match self.lists.accept(now, candidate) {
-                    Ok((scope, told)) => {
-                        self.not_taken = None;
-                        front.counters.one("server files taken");
-                        say!(
-                            front.log,
+                    Ok((scope, updates)) => {
+                        self.rejection = None;
+                        ctx.counters.inc("server files taken");
+                        log_event!(
+                            ctx.log,
                             "servers",
                             "generation {generation} taken, {count} servers"
                         );
-                        return Some((scope, list(told, &front.words)));
+                        return Some((scope, to_list(updates, &ctx.codec)));
                     }
                     Err(refused) => format!("generation {generation} is refused: {refused}"),
                 }
             }
-            Found::Rejected(why) => why,
-            Found::Missing(why) => format!("there is no file to read: {why}"),
+            Found::Rejected(reason) => reason,
+            Found::Missing(reason) => format!("there is no file to read: {reason}"),
         };
-        front.counters.one("server files not taken");
-        say!(
-            front.log,
+        ctx.counters.inc("server files not taken");
+        log_event!(
+            ctx.log,
             "servers",
-            "{}: {why}; the last good list stays",
+            "{}: {reason}; the last good list stays",
             self.file.display()
         );
-        self.not_taken = Some(why);
+        self.rejection = Some(reason);
         None
     }
 
     /// Discovery's list: before a file was taken it counts as ever, after that for drains and starts alone.
-    pub fn seen(
+    pub fn merge_discovery(
         &mut self,
         now: f64,
         scope: ListScope,
-        seen: List,
-        front: &Front,
+        list: List,
+        ctx: &Context,
     ) -> (ListScope, List) {
-        let lines = seen
+        let lines = list
             .lines
             .iter()
-            .zip(&seen.names)
+            .zip(&list.names)
             .map(|(l, n)| (n.as_str(), l.stage, l.started_ms));
         match self.lists.apply_discovery_list(now, lines) {
-            Some(told) => (ListScope::Changes, list(told, &front.words)),
-            None => (scope, seen),
+            Some(updates) => (ListScope::Changes, to_list(updates, &ctx.codec)),
+            None => (scope, list),
         }
     }
 
     /// Whose grace is over.
-    pub fn pass(&mut self, now: f64, front: &Front) -> Option<(ListScope, List)> {
-        if now < self.pass_at_ms {
+    pub fn expire_drains(&mut self, now: f64, ctx: &Context) -> Option<(ListScope, List)> {
+        if now < self.next_check_ms {
             return None;
         }
-        self.pass_at_ms = now + self.lists.check_interval_ms();
-        let told = self.lists.expire_drains(now);
-        (!told.is_empty()).then(|| (ListScope::Changes, list(told, &front.words)))
+        self.next_check_ms = now + self.lists.check_interval_ms();
+        let updates = self.lists.expire_drains(now);
+        (!updates.is_empty()).then(|| (ListScope::Changes, to_list(updates, &ctx.codec)))
     }
 
-    pub fn shown(&self, now: f64) -> ServerList {
+    pub fn snapshot(&self, now: f64) -> ServerList {
         let rows = self.lists.snapshot().into_iter().map(|t| ServerRow {
             server: t.entry.name,
             address: t.entry.address,
@@ -127,24 +127,24 @@
             file: self.file.display().to_string(),
             generation: held.map(|h| h.generation),
             age_ms: held.map(|_| (now - self.lists.accepted_ms()).round()),
-            not_taken: self.not_taken.clone(),
+            not_taken: self.rejection.clone(),
             servers: rows.collect(),
         }
     }
 }
 
-fn list(told: Vec<ServerUpdate>, words: &Words) -> List {
+fn to_list(updates: Vec<ServerUpdate>, codec: &Codec) -> List {
     let mut list = List::default();
-    for ServerUpdate { entry, stage } in told {
-        let place = |of: &[String], name: &str| {
+    for ServerUpdate { entry, stage } in updates {
+        let index = |of: &[String], name: &str| {
             of.iter()
                 .position(|n| n == name)
-                .map_or(ELSEWHERE, |p| p as u16)
+                .map_or(UNKNOWN_INDEX, |p| p as u16)
         };
         list.lines.push(ServerEntry {
             server: server_id(&entry.name),
-            zone: place(&words.zones, &entry.zone),
-            machine: place(&words.machines, &entry.machine),
+            zone: index(&codec.zones, &entry.zone),
+            machine: index(&codec.machines, &entry.machine),
             bay: entry.bay,
             stage,
             weight: entry.weight,
--- a/crates/rookpulley-assigner/tests/orders.rs
+++ b/crates/rookpulley-assigner/tests/orders.rs
@@ -3,8 +3,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rookpulley::interface::*;
-use rookpulley_assigner::messages::{LINE_MOST, server_id};
-use rookpulley_assigner::orders::{Names, Orders, Written};
+use rookpulley_assigner::messages::{MAX_LINE_BYTES, server_id};
+use rookpulley_assigner::orders::{Names, Orders, ProxyMessage};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -176,7 +176,7 @@
         written
             .bytes
             .split(|b| *b == b'\n')
-            .all(|part| part.len() < LINE_MOST)
+            .all(|part| part.len() < MAX_LINE_BYTES)
     );
     assert!(parts > 1 && parts <= 64, "{parts}");
     assert_eq!((proxy.tables[0].len(), written.lines), (12_000, 12_000 + 2));
@@ -193,7 +193,7 @@
     );
     orders.carry_out(0.0, &[withdraw(1, true), line(0, 1, 0.0)], &names());
     orders.carry_out(0.0, &[withdraw(1, false)], &names());
-    orders.forget(&server_id(&name(1)));
+    orders.forget_server(&server_id(&name(1)));
     let written = orders.carry_out(0.0, &[line(0, 1, 0.5)], &names());
     let text = String::from_utf8(written[0].bytes.clone()).unwrap();
     assert!(text.contains(r#""back":["s-1"]"#), "{text}");
@@ -209,7 +209,7 @@
 
 impl Proxy {
     /// Applies a message; gives the number of its parts.
-    fn hear(&mut self, written: &Written) -> usize {
+    fn hear(&mut self, written: &ProxyMessage) -> usize {
         let text = std::str::from_utf8(&written.bytes).unwrap();
         let parts: Vec<Value> = text
             .lines()
--- a/crates/rookpulley-assigner/tests/servers.rs
+++ b/crates/rookpulley-assigner/tests/servers.rs
@@ -2,7 +2,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rookpulley_assigner::driver::Front;
+use rookpulley_assigner::driver::Context;
 use rookpulley_assigner::{Assigner, Signals, config};
 use rookpulley_files::render;
 use rookpulley_lists::{Candidate, Entry};
@@ -39,7 +39,7 @@
 }
 
 struct Running {
-    front: Rc<Front>,
+    ctx: Rc<Context>,
     agent: Agent,
     dispatchers: Vec<Rc<Dispatcher>>,
 }
@@ -57,11 +57,11 @@
         &format!("servers(file = {:?})", servers.to_str().unwrap()),
     )
     .unwrap();
-    let told = config::read(&settings.to_string()).unwrap();
+    let told = config::parse(&settings.to_string()).unwrap();
     let assigner = Assigner::bind(told, "no file".into(), Signals::take().unwrap(), &operators)
         .await
         .unwrap();
-    let (place, front) = (assigner.places().0.unwrap(), assigner.front.clone());
+    let (place, ctx) = (assigner.addresses().0.unwrap(), assigner.ctx.clone());
     spawn_local(assigner.serve());
     let dispatchers = (0..dispatchers).map(|id| {
         let dispatcher = Dispatcher::new(id, "a", &KINDS, false, 1, Rc::new(|_| ()));
@@ -71,7 +71,7 @@
     });
     Running {
         dispatchers: dispatchers.collect(),
-        front,
+        ctx,
         agent,
     }
 }
@@ -100,13 +100,13 @@
             panic!(
                 "not all tables name {wanted:?}: {:?}\n{:#?}",
                 self.tables(),
-                self.front.counters.lines()
+                self.ctx.counters.lines()
             );
         }
     }
 
     async fn counted(&self, what: &str, count: u64) {
-        while self.front.counters.get(what) < count {
+        while self.ctx.counters.get(what) < count {
             sleep(Duration::from_millis(5)).await;
         }
     }
@@ -145,16 +145,16 @@
             (render(&list(3, 11..=14, 2.0))[..60].to_string(), 2),
             (render(&list(0, 11..=16, 1.0)), 3),
         ] {
-            let before = running.front.counters.get("server files not taken");
+            let before = running.ctx.counters.get("server files not taken");
             std::fs::write(file, text).unwrap();
             running.counted("server files not taken", before + 1).await;
-            assert!(running.front.counters.get("server files not taken") >= count);
+            assert!(running.ctx.counters.get("server files not taken") >= count);
             running.until(&[11, 13, 14]).await;
         }
         // A line less is a drain; the same file as before does not bring it back.
         std::fs::write(file, render(&list(4, [11, 12, 13].into_iter(), 1.0))).unwrap();
         running.until(&[11, 13]).await;
-        let before = running.front.counters.get("server files not taken");
+        let before = running.ctx.counters.get("server files not taken");
         std::fs::write(file, render(&list(5, 11..=14, 1.0))).unwrap();
         running.counted("server files not taken", before + 1).await;
         running.until(&[11, 13]).await;
@@ -218,11 +218,11 @@
             }
         }
         assert_eq!(
-            running.front.counters.get("server files taken"),
+            running.ctx.counters.get("server files taken"),
             good,
             "just those that were written whole"
         );
-        assert!(running.front.counters.get("server files not taken") > 20);
+        assert!(running.ctx.counters.get("server files not taken") > 20);
     });
 }
 
--- a/crates/rookpulley-assigner/tests/sockets.rs
+++ b/crates/rookpulley-assigner/tests/sockets.rs
@@ -2,12 +2,12 @@
 //! a clock; where a stand-in has a pace of its own, a slower one changes nothing.
 
 use rookpulley::interface::Input;
+use rookpulley_assigner::close_reason::{ALL, CloseReason};
+use rookpulley_assigner::connections::Connections;
 use rookpulley_assigner::counters::Counters;
-use rookpulley_assigner::driver::{Event, Front};
-use rookpulley_assigner::ending::{ALL, Ending};
+use rookpulley_assigner::driver::{Context, Event};
+use rookpulley_assigner::list_client::{Backoff, ListClient};
 use rookpulley_assigner::log::Log;
-use rookpulley_assigner::roster::{Pauses, Roster};
-use rookpulley_assigner::streams::Conns;
 use rookpulley_assigner::{Assigner, Signals, config};
 use rookpulley_operators::Operators;
 use rookpulley_standin::discovery::{Agent, Discovery};
@@ -26,11 +26,11 @@
 struct Running {
     place: SocketAddr,
     notes: Option<SocketAddr>,
-    front: Rc<Front>,
+    ctx: Rc<Context>,
 }
 
 async fn run(told: &Value) -> Running {
-    let told = config::read(&told.to_string()).unwrap();
+    let told = config::parse(&told.to_string()).unwrap();
     let assigner = Assigner::bind(
         told,
         "no file".into(),
@@ -39,20 +39,20 @@
     )
     .await
     .unwrap();
-    let (place, notes) = assigner.places();
-    let front = assigner.front.clone();
+    let (place, notes) = assigner.addresses();
+    let ctx = assigner.ctx.clone();
     spawn_local(assigner.serve());
     Running {
         place: place.unwrap(),
         notes,
-        front,
+        ctx,
     }
 }
 
 impl Running {
     /// Waits until only so many connections are open.
     async fn alone(&self, open: usize) {
-        while self.front.conns.count() > open {
+        while self.ctx.conns.count() > open {
             tokio::task::yield_now().await;
         }
     }
@@ -60,14 +60,14 @@
     /// Waits until this was counted so often.
     async fn counted(&self, what: &str, count: u64) {
         let wait = async {
-            while self.front.counters.get(what) < count {
+            while self.ctx.counters.get(what) < count {
                 tokio::task::yield_now().await;
             }
         };
         if timeout(LONG, wait).await.is_err() {
             panic!(
                 "{what} was not counted {count} times: {:#?}",
-                self.front.counters.lines()
+                self.ctx.counters.lines()
             );
         }
     }
@@ -144,8 +144,8 @@
             took_ms: 1.0,
         };
         running
-            .front
-            .tell(Event::OnStream {
+            .ctx
+            .send(Event::ProxyInput {
                 conn: 0,
                 proxy: 2,
                 input,
@@ -154,10 +154,10 @@
             .await;
         running.counted("late input of old streams", 1).await;
         assert!(old.hear().await.is_none());
-        running.counted(Ending::Replaced.count(), 1).await;
+        running.counted(CloseReason::Replaced.counter(), 1).await;
         agent.say(8, false, &[server(1, "DRAINING", 0.0)]);
         new.until("s-1 shut out", names("s-1")).await;
-        assert_eq!(running.front.counters.get(Ending::Closed.count()), 0);
+        assert_eq!(running.ctx.counters.get(CloseReason::Closed.counter()), 0);
     });
 }
 
@@ -173,7 +173,7 @@
             .unwrap();
         proxy.socket.set_zero_linger().unwrap();
         drop(proxy);
-        running.counted(Ending::Reset.count(), 1).await;
+        running.counted(CloseReason::Reset.counter(), 1).await;
         let mut again = Wire::join(running.place, 0, false).await;
         again.table().await;
     });
@@ -197,9 +197,9 @@
         }
         let mut late = Wire::join(running.place, 1, true).await;
         late.table().await;
-        assert!(running.front.counters.get(Ending::Crowded.count()) > 0);
+        assert!(running.ctx.counters.get(CloseReason::Evicted.counter()) > 0);
         assert!(proxy.beats().await && collector.beats().await);
-        assert_eq!(running.front.counters.get("most connections at once"), 8);
+        assert_eq!(running.ctx.counters.get("most connections at once"), 8);
         assert!(strangers[0].hear().await.is_none(), "the oldest go first");
         // Collectors that come again and again while their old connections stay half-open.
         let mut collectors = Vec::new();
@@ -255,8 +255,8 @@
                 .expect("it was never closed")
                 .unwrap();
         }
-        running.counted(Ending::NotJoined.count(), 5).await;
-        running.counted(Ending::TooLong.count(), 1).await;
+        running.counted(CloseReason::JoinTimeout.counter(), 5).await;
+        running.counted(CloseReason::LineTooLong.counter(), 1).await;
         assert!(proxy.beats().await && late.beats().await);
     });
 }
@@ -295,7 +295,7 @@
         let mut deaf = socket.connect(running.place).await.unwrap();
         let beats = format!("{BEAT}\n").repeat(4096);
         spawn_local(async move { while deaf.write_all(beats.as_bytes()).await.is_ok() {} });
-        running.counted(Ending::Unread.count(), 1).await;
+        running.counted(CloseReason::SlowReader.counter(), 1).await;
         agent.say(8, false, &[server(1, "DRAINING", 0.0)]);
         proxy.until("s-1 shut out", names("s-1")).await;
     });
@@ -344,7 +344,7 @@
                 ("collector", COLLECTOR),
                 ("proxy", &joining(0, true)),
             ] {
-                let before = running.front.counters.lines();
+                let before = running.ctx.counters.lines();
                 let mut wire = Wire::dial(running.place).await;
                 if !first.is_empty() {
                     wire.say(first).await;
@@ -356,7 +356,7 @@
                 }
                 let bad = |line: &&String| line.starts_with("bad") || line.starts_with("ended");
                 let news: Vec<String> = running
-                    .front
+                    .ctx
                     .counters
                     .lines()
                     .iter()
@@ -428,7 +428,7 @@
         wire.say(BEAT).await;
         let mut watch = discovery.watch().await;
         assert_eq!(
-            running.front.counters.get("connections taken"),
+            running.ctx.counters.get("connections taken"),
             0,
             "taken without a list"
         );
@@ -497,29 +497,29 @@
 fn a_change_that_was_not_handed_on_comes_first_at_the_new_address() {
     on_sockets(async {
         let (mut here, mut there) = (Discovery::new().await, Discovery::new().await);
-        let read = config::read(&told(here.place).to_string()).unwrap();
+        let read = config::parse(&told(here.place).to_string()).unwrap();
         // One change fits; the next waits for the driver.
         let (events, mut taken) = mpsc::channel(1);
-        let (log, conns) = (Log::new("n0".into(), 9), Conns::new(1, 1));
-        let front = Rc::new(Front {
+        let (log, conns) = (Log::new("n0".into(), 9), Connections::new(1, 1));
+        let ctx = Rc::new(Context {
             log,
             counters: Counters::default(),
-            words: read.words,
+            codec: read.codec,
             conns,
             events,
         });
         let running = Running {
             place: here.place,
             notes: None,
-            front: front.clone(),
+            ctx: ctx.clone(),
         };
-        let roster = Roster::new(here.place, 7, false, front);
-        spawn_local(roster.clone().follow(Pauses::new(1)));
+        let list_client = ListClient::new(here.place, 7, false, ctx);
+        spawn_local(list_client.clone().follow(Backoff::new(1)));
         let mut watch = here.watch().await;
         let change = |version, n| list(version, false, &[server(n, "DRAINING", 0.0)]);
         watch.say(&[change(8, 1), change(9, 2)].concat()).await;
         running.counted("in list changes", 1).await;
-        roster.move_to(there.place);
+        list_client.set_address(there.place);
         let call = there.call().await;
         assert_eq!(call.path, "/catalog/members?follow=1&since=8");
         // That agent lags behind at first: what it says last is older than what is held.
@@ -535,12 +535,12 @@
             versions.push(list.version);
         }
         assert_eq!(versions, [8, 9]);
-        assert_eq!(running.front.counters.get("whole lists passed over"), 1);
+        assert_eq!(running.ctx.counters.get("whole lists passed over"), 1);
         // The address that it has already changes nothing.
-        roster.move_to(there.place);
+        list_client.set_address(there.place);
         watch.say(&change(10, 3)).await;
         assert!(matches!(taken.recv().await, Some(Event::List { list, .. }) if list.version == 10));
-        assert_eq!(running.front.counters.get("watches broken"), 0);
+        assert_eq!(running.ctx.counters.get("watches broken"), 0);
     });
 }
 
@@ -584,17 +584,17 @@
 
 #[test]
 fn pauses_grow_while_nothing_is_heard() {
-    let mut pauses = Pauses::new(1);
+    let mut backoff = Backoff::new(1);
     let heard = [
         true, false, false, false, false, false, false, false, true, false,
     ];
     let trace: Vec<String> = heard
-        .map(|h| format!("{:.0}", pauses.next(h).as_secs_f64() * 1e3))
+        .map(|h| format!("{:.0}", backoff.next(h).as_secs_f64() * 1e3))
         .to_vec();
     insta::assert_snapshot!(trace.join(" "));
     assert_ne!(
-        Pauses::new(2).next(true),
-        Pauses::new(3).next(true),
+        Backoff::new(2).next(true),
+        Backoff::new(3).next(true),
         "not in step"
     );
 }
@@ -610,7 +610,7 @@
         discovery.call().await.answer(500, "");
         // Its next call comes by its own alarm.
         let mut watch = discovery.watch().await;
-        assert_eq!(running.front.counters.get("list calls failed"), 1);
+        assert_eq!(running.ctx.counters.get("list calls failed"), 1);
         proxy.table().await;
         watch
             .say(&list(8, false, &[server(2, "DRAINING", 0.0)]))
@@ -647,7 +647,7 @@
         peer.send_to(&[0; 300], place).await.unwrap();
         running.counted("in notes", 1).await;
         running.counted("notes refused", 2).await;
-        assert_eq!(running.front.counters.get("in notes"), 1);
+        assert_eq!(running.ctx.counters.get("in notes"), 1);
     });
 }
 
@@ -662,7 +662,7 @@
     let mut forbidden = told(place);
     forbidden["settings"]["limits"]["peers"] = json!(false);
     assert!(
-        config::read(&forbidden.to_string())
+        config::parse(&forbidden.to_string())
             .unwrap()
             .peers
             .is_none()
@@ -684,7 +684,7 @@
     ]
     .iter()
     .map(|text| {
-        config::read(text)
+        config::parse(text)
             .err()
             .map_or("fine".into(), |e| e.to_string())
     })
@@ -694,9 +694,9 @@
 
 #[test]
 fn messages_are_read_in_the_words_and_the_order_of_the_settings() {
-    let words = config::read(&told("127.0.0.1:1".parse().unwrap()).to_string())
+    let codec = config::parse(&told("127.0.0.1:1".parse().unwrap()).to_string())
         .unwrap()
-        .words;
+        .codec;
     let heard = |load: &str| {
         r#"{"msg":"upstream_stats","zone":"b","server":"s-1","tries":4,"failed":4,"span_ms":1000.5"#
             .to_string()
@@ -712,13 +712,13 @@
         heard(r#","mean_ms":0,"load":{"load_share":0.25,"depth":0}}"#),
         heard("}"),
     ];
-    let read = lines.map(|line| format!("{:?}", words.decode(line.as_bytes()).unwrap()));
+    let read = lines.map(|line| format!("{:?}", codec.decode(line.as_bytes()).unwrap()));
     insta::assert_snapshot!(read.join("\n"));
 }
 
 #[test]
 fn every_ending_has_one_meaning() {
-    let lines = ALL.map(|ending| format!("{}: {:?}", ending.count(), ending.input(5)));
+    let lines = ALL.map(|reason| format!("{}: {:?}", reason.counter(), reason.input(5)));
     insta::assert_snapshot!(lines.join("\n"));
 }
 
@@ -726,7 +726,7 @@
 fn a_kind_of_log_line_has_its_share() {
     let log = Log::new("n0".into(), 2);
     let said: Vec<bool> = ["a", "a", "a", "b"]
-        .map(|kind| log.may_say(kind).is_some())
+        .map(|kind| log.admit(kind).is_some())
         .to_vec();
     assert_eq!(said, [true, true, false, true]);
 }
--- a/crates/rookpulley-assigner/tests/versions.rs
+++ b/crates/rookpulley-assigner/tests/versions.rs
@@ -6,7 +6,7 @@
 use hyper_util::rt::TokioIo;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rookpulley_assigner::driver::Front;
+use rookpulley_assigner::driver::Context;
 use rookpulley_assigner::{Assigner, Signals, config};
 use rookpulley_operators::Operators;
 use rookpulley_operators::asks::{HolderList, HolderRow, VersionList};
@@ -37,7 +37,7 @@
 struct Running {
     place: SocketAddr,
     operators: SocketAddr,
-    front: Rc<Front>,
+    ctx: Rc<Context>,
 }
 
 fn switched_on() -> Operators {
@@ -46,21 +46,21 @@
 }
 
 async fn run(told: &Value) -> Running {
-    let told = config::read(&told.to_string()).unwrap();
+    let told = config::parse(&told.to_string()).unwrap();
     let signals = Signals::take().unwrap();
     let assigner = Assigner::bind(told, "no file".into(), signals, &switched_on())
         .await
         .unwrap();
     let (place, operators) = (
-        assigner.places().0.unwrap(),
-        assigner.operators_place().unwrap(),
+        assigner.addresses().0.unwrap(),
+        assigner.operators_address().unwrap(),
     );
-    let front = assigner.front.clone();
+    let ctx = assigner.ctx.clone();
     spawn_local(assigner.serve());
     Running {
         place,
         operators,
-        front,
+        ctx,
     }
 }
 
@@ -493,7 +493,7 @@
         timeout(LONG, listen).await.unwrap();
         running.until_all("lost", 2).await;
         assert_eq!(
-            running.front.counters.get("tables owed"),
+            running.ctx.counters.get("tables owed"),
             0,
             "on the platform's streams nothing is sent again"
         );
