--- a/crates/rookpulley-assigner/examples/file_latency.rs
+++ b/crates/rookpulley-assigner/examples/file_latency.rs
@@ -1,5 +1,5 @@
-//! From the last write of a good server file to the first order at a dispatcher, on loopback: the watch, against
-//! reading the file once a second; and how often the watch wakes while nothing changes.
+//! Measures the time from writing a server file to the first update at a dispatcher over loopback,
+//! with the file watch and with polling once a second.
 //! `cargo run --release -p rookpulley-assigner --example file_latency [ROUNDS]`
 
 use rookpulley_assigner::{Assigner, Signals, config};
@@ -20,7 +20,7 @@
         address: format!("10.0.0.{n}:80"),
         zone: if n.is_multiple_of(2) { "a" } else { "b" }.into(),
         machine: "m".into(),
-        // Weights tell the generations apart.
+        // The weight identifies the generation.
         weight: 1.0 + (generation % 100) as f64 / 64.0,
         ..Entry::default()
     };
@@ -61,7 +61,7 @@
 async fn measure(write: &Path, dispatcher: &Dispatcher, rounds: u64) -> Vec<f64> {
     let mut took = Vec::new();
     for round in 0..rounds {
-        // Not in step with anything that looks once a second.
+        // Vary the pause, so that writes do not align with the polling interval.
         sleep(Duration::from_millis(300 + round * 137 % 700)).await;
         let beside = write.with_extension("new");
         std::fs::write(&beside, text(round + 2)).unwrap();
--- a/crates/rookpulley-assigner/examples/tick.rs
+++ b/crates/rookpulley-assigner/examples/tick.rs
@@ -1,6 +1,6 @@
-//! What one call of the driver costs: the module and the orders, without sockets, over twenty simulated
-//! seconds of 400 dispatchers and 120 servers. `tools/tick-against COMMIT` runs it beside an earlier version,
-//! which is built with `--cfg earlier`.
+//! Measures one call of the decision module and the encoding of its effects, without sockets, over
+//! twenty simulated seconds with 400 dispatchers and 120 servers. `tools/tick-against COMMIT` compares
+//! it with an earlier commit, which is built with `--cfg earlier`.
 
 #[expect(dead_code, reason = "the harness's tests use more of it")]
 #[path = "../../../tests/harness/mod.rs"]
--- a/crates/rookpulley-assigner/src/close_reason.rs
+++ b/crates/rookpulley-assigner/src/close_reason.rs
@@ -1,28 +1,28 @@
-//! Every way in which a connection can end, and what each means to the module.
+//! Reasons for closing a connection and the input that each one produces for the decision module.
 
 use rookpulley::interface::{Input, ProxyId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The other side closed it.
+    /// The remote side closed it.
     Closed,
-    /// It was reset, or reading or writing failed.
+    /// It was reset, or a read or write failed.
     Reset,
-    /// It brought what can't be read.
+    /// It sent a malformed message.
     Malformed,
-    /// It brought a line over the limit.
+    /// It sent a line over the size limit.
     LineTooLong,
-    /// Its first message was neither a joining nor a collector's.
+    /// Its first message identified neither a proxy nor a collector.
     Protocol,
-    /// It had not joined in time.
+    /// It did not identify itself in time.
     JoinTimeout,
-    /// A new stream of the same proxy took its place.
+    /// The same proxy opened a new stream.
     Replaced,
-    /// It left too much unread.
+    /// Too much output was queued because it did not read.
     SlowReader,
-    /// It had not joined, and its place was needed.
+    /// It was closed to make room for a new connection.
     Evicted,
-    /// The assigner ends.
+    /// The assigner is shutting down.
     Shutdown,
 }
 
@@ -40,21 +40,21 @@
 ];
 
 impl CloseReason {
-    /// What the module is told when the stream of a joined proxy ends like this.
+    /// The input for the decision module when the stream of a joined proxy closes.
     pub fn input(self, proxy: ProxyId) -> Option<Input> {
         match self {
             Self::Closed | Self::Reset | Self::Malformed | Self::LineTooLong => {
                 Some(Input::ProxyLeft { proxy })
             }
             Self::Replaced | Self::SlowReader => Some(Input::ProxyLeft { proxy }),
-            // Those have not joined.
+            // Connections without a joined proxy.
             Self::Protocol | Self::JoinTimeout | Self::Evicted => None,
-            // Nothing is ordered any more.
+            // The decision module is not called any more.
             Self::Shutdown => None,
         }
     }
 
-    /// The name it is counted and logged by.
+    /// The counter name, also used in log lines.
     pub fn counter(self) -> &'static str {
         match self {
             Self::Closed => "ended: closed",
--- a/crates/rookpulley-assigner/src/config.rs
+++ b/crates/rookpulley-assigner/src/config.rs
@@ -1,4 +1,4 @@
-//! What an assigner is told at its start, from the file that `PROXY_CONFIG` names.
+//! The configuration file that `PROXY_CONFIG` names.
 
 use crate::messages::{Codec, List, ParseError};
 use rookpulley::interface::Start;
@@ -12,17 +12,17 @@
 pub enum ConfigError {
     #[error("PROXY_CONFIG is not set")]
     PathNotSet,
-    #[error("the configuration {0} can't be read: {1}")]
+    #[error("cannot read configuration {0}: {1}")]
     File(PathBuf, std::io::Error),
-    #[error("the configuration is not what it should be: {0}")]
+    #[error("invalid configuration: {0}")]
     Syntax(#[from] serde_json::Error),
-    #[error("the configuration's seed is not a number in hexadecimal: {0:?}")]
+    #[error("configuration seed {0:?} is not a hexadecimal number")]
     Seed(String),
-    #[error("the configuration's settings: {0}")]
+    #[error("invalid settings: {0}")]
     Settings(#[from] rookpulley_start::Unreadable),
-    #[error("the configuration's known list {0}")]
+    #[error("invalid known list: {0}")]
     KnownList(#[from] ParseError),
-    #[error("the settings allow peers, but the configuration names no {0}")]
+    #[error("settings enable peers, but the configuration has no {0}")]
     MissingPeers(&'static str),
 }
 
@@ -32,7 +32,7 @@
     pub sockets: usize,
 }
 
-/// The addresses for notes between assigners.
+/// Addresses for messages between assigners.
 pub struct PeerAddresses {
     pub listen: SocketAddr,
     pub peers: Vec<SocketAddr>,
@@ -53,7 +53,7 @@
     settings: Value,
 }
 
-/// What is told once: it takes a restart to change it.
+/// Fields that only take effect at startup.
 const STATIC_FIELDS: [&str; 7] = [
     "name",
     "listen",
@@ -65,13 +65,13 @@
 ];
 
 pub struct Config {
-    /// The fields that are told once, as they were written.
+    /// The values of `STATIC_FIELDS` as written in the file.
     pub static_fields: BTreeMap<String, Value>,
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub limits: Limits,
-    /// None where the settings forbid notes.
+    /// `None` if the settings disable peer messages.
     pub peers: Option<PeerAddresses>,
     pub known: List,
     pub codec: Codec,
@@ -86,7 +86,7 @@
     let seed =
         u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed(file.seed.clone()))?;
     let mut start = rookpulley_start::read_value(seed, &file.settings)?;
-    // Each may have to let back a server that the proxy shut out on another assigner's word.
+    // Each table line may need a second one that restores a server withdrawn by another assigner.
     start.channel.bind_lines = 2.0;
     let facts = rookpulley_start::front_facts(&file.settings)?;
     let codec = Codec {
--- a/crates/rookpulley-assigner/src/connections.rs
+++ b/crates/rookpulley-assigner/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections at the assigner's address: streams of proxies, collectors, and strangers.
+//! Connections at the assigner's listen address: proxy streams, collectors and unidentified clients.
 
 use crate::close_reason::CloseReason;
 use crate::driver::{Context, Event, JoinedProxy};
@@ -18,18 +18,18 @@
 
 pub type ConnId = u64;
 
-/// A connection has joined by this time after it was taken, or it is closed.
+/// A connection that has not identified itself within this time is closed.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A line that comes before the joining holds so many bytes at most.
+/// Line limit before a connection has identified itself.
 const MAX_FIRST_LINE_BYTES: usize = 4 * 1024;
-/// Whoever has been taken has this long to say who it is before it makes room for others: a joining
-/// that is on its way is not cut off by a flood.
+/// Connections are not evicted before this age, so that a join message in flight survives a flood
+/// of new connections.
 const IDENTIFY_GRACE: Duration = Duration::from_millis(200);
-/// Where the system gives no more connections it is asked again after this.
+/// Wait after a failed `accept`, and between eviction attempts.
 const ACCEPT_RETRY: Duration = Duration::from_millis(10);
 
-/// In the order in which connections make room: those that never spoke first, streams never.
-/// Of the collectors of one zone all but the newest may be half-open.
+/// Who a connection belongs to, in eviction order: silent ones first, streams never. Of a zone's
+/// collectors only the newest is exempt, since older ones may be half-open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     Silent,
@@ -50,13 +50,13 @@
     }
 }
 
-/// The open connections, and how many there may be.
+/// The open connections and their limits.
 pub struct Connections {
     open: RefCell<BTreeMap<ConnId, Rc<Conn>>>,
     limit: usize,
-    /// A connection has ended.
+    /// Notified when a connection closes.
     closed: Notify,
-    /// Bytes of lines that have not ended yet, and how many they may add up to.
+    /// Bytes of incomplete lines over all connections, and their limit.
     buffered: Cell<usize>,
     buffered_limit: usize,
     next_id: Cell<ConnId>,
@@ -79,8 +79,8 @@
         self.count() >= self.limit
     }
 
-    /// Whether a line so long, not ended yet, is more than its connection may hold: a joined one a
-    /// whole message, but no more than its share where all together hold too much.
+    /// Whether an incomplete line exceeds the line limit of its connection or, once the total is
+    /// over its limit, an equal share of the total.
     fn too_long(&self, len: usize, joined: bool) -> bool {
         let share = self.buffered_limit / self.count().max(1);
         let limit = if joined {
@@ -108,8 +108,8 @@
         (id, conn)
     }
 
-    /// Ends the connection that can best be done without, one at a time, once it has had its time to
-    /// speak; false where none can be done without.
+    /// Evicts the first candidate in eviction order that is past `IDENTIFY_GRACE`, unless an eviction
+    /// is pending. Returns false if there is no candidate.
     fn evict_one(&self) -> bool {
         let open = self.open.borrow();
         let newer = |id: &ConnId, role| open.range(id + 1..).any(|(_, c)| c.role.get() == role);
@@ -123,11 +123,11 @@
             .iter()
             .any(|(_, c)| c.outbox.close_reason().is_some())
         {
-            let idle = candidates
+            let eligible = candidates
                 .iter()
                 .filter(|(_, c)| c.accepted_at.elapsed() >= IDENTIFY_GRACE);
-            let first = idle.min_by_key(|(id, c)| (c.role.get(), **id));
-            _ = first.inspect(|(_, c)| c.outbox.close(CloseReason::Evicted));
+            let victim = eligible.min_by_key(|(id, c)| (c.role.get(), **id));
+            _ = victim.inspect(|(_, c)| c.outbox.close(CloseReason::Evicted));
         }
         !candidates.is_empty()
     }
@@ -137,20 +137,20 @@
     }
 }
 
-/// Takes connections for as long as the assigner runs.
+/// Accepts connections until shutdown.
 pub async fn accept(listener: TcpListener, ctx: Rc<Context>) {
     loop {
         let socket = match listener.accept().await {
             Ok((socket, _)) => socket,
             Err(e) => {
                 ctx.counters.inc("connections not taken");
-                log_event!(ctx.log, "listen", "a connection was not taken: {e}");
+                log_event!(ctx.log, "listen", "accept failed: {e}");
                 ctx.conns.evict_one();
                 tokio::time::sleep(ACCEPT_RETRY).await;
                 continue;
             }
         };
-        // The one that makes room ends by its own task.
+        // The task of the evicted connection removes it.
         let mut has_room = true;
         while has_room && ctx.conns.is_full() {
             has_room = ctx.conns.evict_one();
@@ -161,7 +161,7 @@
             log_event!(
                 ctx.log,
                 "listen",
-                "turned away: all {} connections have joined",
+                "connection rejected: all {} connections are in use",
                 ctx.conns.count()
             );
             continue;
@@ -199,7 +199,7 @@
     }
 }
 
-/// The life of a connection, from its first byte to its end.
+/// Reads and writes a connection until it closes.
 async fn run(
     socket: &TcpStream,
     id: ConnId,
@@ -210,7 +210,7 @@
     let outbox = &conn.outbox;
     let join_deadline = conn.accepted_at + JOIN_TIMEOUT;
     loop {
-        // Wait for bytes, for room to write, or for an order to end.
+        // Wait for input, for space in the send buffer, or for a close request.
         let interest = if outbox.has_pending() {
             Interest::READABLE | Interest::WRITABLE
         } else {
@@ -228,7 +228,7 @@
         if outbox.flush(socket).is_err() {
             return CloseReason::Reset;
         }
-        // Read what is there, in pieces of any size; others get their turn in between.
+        // Read what is available; the budget lets other tasks run in between.
         tokio::task::consume_budget().await;
         let previous = buffer.len();
         match read_available(socket, buffer) {
@@ -240,10 +240,10 @@
         ctx.conns
             .buffered
             .set(ctx.conns.buffered.get() + buffer.len() - previous);
-        // Take the lines that have come whole, one after the other.
+        // Process the complete lines.
         let (mut from, mut search) = (0, previous);
-        while let Some(at) = buffer[search..].iter().position(|b| *b == b'\n') {
-            let end = search + at;
+        while let Some(offset) = buffer[search..].iter().position(|b| *b == b'\n') {
+            let end = search + offset;
             let line = &buffer[from..end];
             (from, search) = (end + 1, end + 1);
             if line.len()
@@ -260,10 +260,10 @@
             }
             let message = match ctx.codec.decode(line) {
                 Ok(message) => message,
-                Err(bad) => {
-                    ctx.counters.inc(&bad.counter());
-                    log_event!(ctx.log, "bad input", "from {:?}: {bad}", conn.role.get());
-                    match bad {
+                Err(error) => {
+                    ctx.counters.inc(&error.counter());
+                    log_event!(ctx.log, "bad input", "from {:?}: {error}", conn.role.get());
+                    match error {
                         ParseError::Malformed(_) => return CloseReason::Malformed,
                         ParseError::Field { .. } if !conn.joined() => return CloseReason::Protocol,
                         ParseError::Field { .. } => continue,
@@ -351,7 +351,7 @@
                     log_event!(
                         ctx.log,
                         "bad input",
-                        "from {role:?}: {} out of turn",
+                        "from {role:?}: unexpected {}",
                         message.name()
                     );
                 }
--- a/crates/rookpulley-assigner/src/counters.rs
+++ b/crates/rookpulley-assigner/src/counters.rs
@@ -1,4 +1,4 @@
-//! What came in, went out and was answered, by kind; printed on request and at the end.
+//! Named event counters, logged on SIGUSR1 and at shutdown.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
         self.add(name, 1);
     }
 
-    /// The most that was seen at once.
+    /// Keeps the maximum of the recorded values.
     pub fn record_max(&self, name: &str, value: u64) {
         let mut counts = self.counts.borrow_mut();
         let max = counts.entry(name.to_string()).or_default();
@@ -32,7 +32,7 @@
         self.counts.borrow().get(name).copied().unwrap_or(0)
     }
 
-    /// All of them on one line each.
+    /// Formats each counter as `name value`.
     pub fn lines(&self) -> Vec<String> {
         self.counts
             .borrow()
--- a/crates/rookpulley-assigner/src/driver.rs
+++ b/crates/rookpulley-assigner/src/driver.rs
@@ -1,4 +1,5 @@
-//! The driver: owns the controller, its clock and its alarms, and calls it with all that came.
+//! The event loop around the decision module: it batches events into inputs, keeps the module's clock
+//! and timers, and executes the effects that the module returns.
 
 use crate::close_reason::CloseReason;
 use crate::connections::{ConnId, Connections};
@@ -23,7 +24,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// What connections, the list and peers tell the driver.
+/// Events from connections, discovery, peers and operators.
 pub enum Event {
     Joined(JoinedProxy),
     ProxyInput {
@@ -57,7 +58,7 @@
     ServerFile(Found),
 }
 
-/// A proxy's joining.
+/// A proxy that has joined on a new stream.
 pub struct JoinedProxy {
     pub conn: ConnId,
     pub outbox: Rc<Outbox>,
@@ -68,7 +69,7 @@
     pub holds: Option<HeldVersions>,
 }
 
-/// What every task has at hand.
+/// State shared by all tasks.
 pub struct Context {
     pub log: Log,
     pub counters: Counters,
@@ -79,11 +80,11 @@
 
 impl Context {
     pub async fn send(&self, event: Event) {
-        // Nobody listens any more once the assigner ends.
+        // The receiver is dropped at shutdown.
         _ = self.events.send(event).await;
     }
 
-    /// Prints the counters, and the most memory that the system says was held.
+    /// Logs all counters, including the peak resident memory.
     pub fn log_counters(&self) {
         let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
         let peak_kb = status
@@ -100,7 +101,7 @@
     }
 }
 
-/// Unix time in milliseconds, by the system's clock.
+/// Unix time in milliseconds from the system clock.
 pub fn unix_ms() -> f64 {
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -108,7 +109,7 @@
     unix.as_secs_f64() * 1e3
 }
 
-/// Milliseconds of Unix time, as the list has them, but never set back or forward.
+/// A monotonic clock in milliseconds of Unix time. It ignores later adjustments of the system clock.
 pub struct Clock {
     origin_ms: f64,
     origin: Instant,
@@ -135,7 +136,7 @@
     }
 }
 
-/// So many inputs wait for one call at most; more wait where they came in.
+/// Maximum inputs per call of the module; further events stay in the channel.
 const MAX_INPUTS: usize = 100_000;
 
 struct Stream {
@@ -143,7 +144,7 @@
     outbox: Rc<Outbox>,
 }
 
-/// What the operators' file switched on.
+/// Features enabled by the operators file.
 #[derive(Default)]
 pub struct OptionalParts {
     pub manager: Option<VersionManager>,
@@ -157,22 +158,22 @@
     controller: Controller,
     orders: Orders,
     names: Names,
-    /// Ids as the module's log shows them.
+    /// Server ids by the text that the module's log lines use for them.
     ids_by_text: BTreeMap<String, ServerId>,
     streams: BTreeMap<ProxyId, Stream>,
-    /// By the time when they are due (in whole microseconds) and the order in which they were set.
+    /// Ordered by due time in microseconds, then by the order in which they were set.
     timers: BTreeMap<(u64, u64), u64>,
     timer_seq: u64,
     inputs: Vec<Input>,
     peers: Option<Rc<PeerSocket>>,
     list_client: Rc<ListClient>,
     rollbacks: Rollbacks,
-    /// Where a file lists the servers.
+    /// Set if a file lists the servers.
     server_file: Option<ServerFile>,
 }
 
 impl Driver {
-    /// Starts the module and calls it with the list as it was last known.
+    /// Starts the module and calls it with the last known server list.
     pub fn start(
         ctx: Rc<Context>,
         start: Start,
@@ -216,7 +217,7 @@
         !self.names.is_empty()
     }
 
-    /// One turn: waits for something to come, gathers all up to the next tick, calls the module.
+    /// Waits for an event or a timer, collects events until the next tick, then calls the module.
     pub async fn run_once(&mut self, events: &mut mpsc::Receiver<Event>) {
         let next_tick = Instant::now() + Duration::from_secs_f64(self.tick_ms / 1e3);
         let due = self
@@ -249,7 +250,7 @@
         self.call_controller();
     }
 
-    /// Turns what came into the module's input.
+    /// Converts an event into inputs for the module.
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::Joined(JoinedProxy {
@@ -261,8 +262,8 @@
                 fresh,
                 holds,
             }) => {
-                if let Some(before) = self.streams.insert(proxy, Stream { conn, outbox }) {
-                    before.outbox.close(CloseReason::Replaced);
+                if let Some(old) = self.streams.insert(proxy, Stream { conn, outbox }) {
+                    old.outbox.close(CloseReason::Replaced);
                     self.inputs.extend(CloseReason::Replaced.input(proxy));
                 }
                 self.orders.join(self.clock.now_ms(), proxy, fresh, holds);
@@ -292,7 +293,7 @@
                         log_event!(
                             self.ctx.log,
                             "bad input",
-                            "from proxy {proxy}: mark {mark} not asked for"
+                            "proxy {proxy} acknowledged mark {mark}, which is not pending"
                         );
                     }
                     input => self.inputs.push(input),
@@ -309,7 +310,7 @@
                     log_event!(
                         self.ctx.log,
                         "version",
-                        "proxy {proxy} refused an order, it holds {holds:?}"
+                        "proxy {proxy} refused an update and holds {holds:?}"
                     );
                     manager.record_refusal(self.clock.now_ms(), proxy, kinds, holds);
                 }
@@ -337,7 +338,7 @@
                     log_event!(
                         self.ctx.log,
                         "bad input",
-                        "from a collector: a server that was never listed"
+                        "a collector reported an unknown server"
                     );
                 }
                 _ => self.inputs.push(input),
@@ -372,7 +373,7 @@
         }
     }
 
-    /// Tells the module of tables that did not reach their proxy, or that it holds otherwise.
+    /// Reports tables to the module that a proxy did not receive or does not hold as sent.
     fn report_lost_tables(&mut self, now: f64) {
         let Some(manager) = &mut self.orders.manager else {
             return;
@@ -382,7 +383,7 @@
             log_event!(
                 self.ctx.log,
                 "version",
-                "proxy {proxy} does not hold table {table} as told: written anew"
+                "proxy {proxy} does not hold table {table} as sent; sending it again"
             );
             lost.insert(table);
         }
@@ -391,7 +392,7 @@
             .extend(lost.into_iter().map(|table| Input::TableLost { table }));
     }
 
-    /// A list for the module; names are learnt from it.
+    /// Passes a server list to the module and records the server names.
     fn apply_list(&mut self, scope: ListScope, list: List) {
         for (line, name) in list.lines.iter().zip(list.names) {
             if line.zone == UNKNOWN_INDEX || line.machine == UNKNOWN_INDEX {
@@ -399,7 +400,7 @@
                 log_event!(
                     self.ctx.log,
                     "list",
-                    "{name} is of a zone or machine that the settings don't name"
+                    "server {name} has a zone or machine type that the settings do not define"
                 );
             }
             debug_assert_eq!(line.server, server_id(&name));
@@ -415,7 +416,7 @@
         });
     }
 
-    /// Calls the module with what came and the alarms that are due, and carries out what it orders.
+    /// Calls the module with the collected inputs and expired timers, then executes its effects.
     fn call_controller(&mut self) {
         let now = self.clock.now_ms();
         let due = (now * 1e3) as u64;
@@ -438,14 +439,14 @@
         let effects = self.controller.handle(now, &self.inputs);
         self.inputs.clear();
         self.ctx.counters.inc("calls of the module");
-        for written in self.orders.carry_out(now, &effects, &self.names) {
+        for message in self.orders.carry_out(now, &effects, &self.names) {
             self.ctx.counters.inc("out messages");
-            self.ctx.counters.add("out lines", written.lines as u64);
+            self.ctx.counters.add("out lines", message.lines as u64);
             self.ctx
                 .counters
-                .add("out bytes", written.bytes.len() as u64);
-            if let Some(stream) = self.streams.get(&written.proxy) {
-                stream.outbox.push(written.bytes);
+                .add("out bytes", message.bytes.len() as u64);
+            if let Some(stream) = self.streams.get(&message.proxy) {
+                stream.outbox.push(message.bytes);
             }
         }
         for effect in effects {
@@ -463,7 +464,7 @@
                         peers.send(to, &bytes, &self.ctx);
                     }
                 }
-                // Lifted for good: no list, table or proxy of ours names it any more.
+                // The module has removed the server: no list, table or proxy refers to it.
                 Effect::WithdrawServer { server, out: false }
                     if !self.controller.knows(&server) =>
                 {
@@ -474,12 +475,12 @@
                     self.ctx.counters.inc("servers forgotten");
                 }
                 Effect::RollbackStatus { table, what } => {
-                    log_event!(self.ctx.log, "way back", "table {table}: {what:?}");
+                    log_event!(self.ctx.log, "rollback", "table {table}: {what:?}");
                     self.rollbacks.record_status(table, &what);
                 }
                 Effect::WatchList { on } => self.list_client.set_watch(on),
                 Effect::FetchList => self.list_client.fetch(),
-                // On sockets there is no way to probe.
+                // The assigner cannot probe servers.
                 Effect::ProbeServer { server } => {
                     self.ctx.counters.inc("probes not possible");
                     let (answer, took_ms, load) = (ProbeOutcome::Void, 0.0, Vec::new());
@@ -495,7 +496,7 @@
         }
     }
 
-    /// The module's line, with servers by their names.
+    /// Replaces server ids in a log line of the module by server names.
     fn with_server_names(&self, text: &str) -> String {
         let name = |word| {
             self.ids_by_text
--- a/crates/rookpulley-assigner/src/lib.rs
+++ b/crates/rookpulley-assigner/src/lib.rs
@@ -1,4 +1,5 @@
-//! The assigner: one program on sockets round the decision module. See README for how its parts fit.
+//! The assigner: runs the decision module and connects it to proxies, collectors, discovery and peers
+//! over sockets. The README describes its structure.
 
 pub mod close_reason;
 pub mod config;
@@ -34,10 +35,10 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc;
 
-/// Descriptors that are no connections: standard ones, the runtime's, listeners, the watch and calls.
+/// File descriptors reserved for standard streams, the runtime, listeners and discovery requests.
 const RESERVED_DESCRIPTORS: usize = 32;
 const EVENT_QUEUE: usize = 1024;
-/// Of each kind of log line so many in ten seconds.
+/// Log lines of one kind that are written per rate-limit window.
 const LOG_LINES_PER_WINDOW: u32 = 50;
 const MB: f64 = 1024.0 * 1024.0;
 
@@ -45,19 +46,20 @@
 pub enum StartError {
     #[error("{0}")]
     Config(#[from] config::ConfigError),
-    #[error("the operators' file {0}")]
+    #[error("operators file {0}")]
     Operators(#[from] BadFile),
-    #[error("{what} {address} can't be used: {error}")]
+    #[error("cannot bind {what} {address}: {error}")]
     Address {
         what: &'static str,
         address: SocketAddr,
         error: std::io::Error,
     },
-    #[error("the system gives no {0}: {1}")]
+    #[error("cannot create {0}: {1}")]
     System(&'static str, std::io::Error),
 }
 
-/// The signals that the assigner answers. Once taken, none of them ends the program by itself.
+/// Handlers for SIGTERM, SIGUSR1 and SIGHUP. Once installed, they replace the default action,
+/// which would terminate the process.
 pub struct Signals {
     stop: Signal,
     print: Signal,
@@ -65,9 +67,9 @@
 }
 
 impl Signals {
-    /// Called within a runtime.
+    /// Must be called within a Tokio runtime.
     pub fn take() -> Result<Self, StartError> {
-        let take = |kind| signal(kind).map_err(|e| StartError::System("signals", e));
+        let take = |kind| signal(kind).map_err(|e| StartError::System("signal handlers", e));
         let (stop, print) = (
             take(SignalKind::terminate())?,
             take(SignalKind::user_defined1())?,
@@ -80,7 +82,7 @@
     }
 }
 
-/// An assigner that holds its addresses and has not begun.
+/// An assigner whose sockets are bound but that does not serve yet.
 pub struct Assigner {
     pub ctx: Rc<Context>,
     listener: TcpListener,
@@ -123,7 +125,7 @@
             tick_ms,
             start,
         } = config;
-        // Both are off, and hold nothing, unless the operators' own file names them.
+        // The operator API and versions are disabled unless the operators file enables them.
         let operator_api = OperatorApi::bind(operators.address.as_ref()).await?;
         let manager = operators
             .versions
@@ -135,13 +137,13 @@
             .map(|file| ServerFile::new(file, &start, &codec));
         let listener = TcpListener::bind(listen)
             .await
-            .map_err(at("the address to listen at", listen))?;
+            .map_err(at("listen address", listen))?;
         let mut peer_socket = None;
         if let Some(addresses) = peers {
             let address = addresses.listen;
             let socket = UdpSocket::bind(address)
                 .await
-                .map_err(at("the address for notes", address))?;
+                .map_err(at("peer address", address))?;
             peer_socket = Some(Rc::new(PeerSocket {
                 socket,
                 addresses,
@@ -180,12 +182,12 @@
         })
     }
 
-    /// Where operators reach it.
+    /// The address of the operator API, if it is enabled.
     pub fn operators_address(&self) -> Option<SocketAddr> {
         self.operator_api.as_ref().and_then(OperatorApi::address)
     }
 
-    /// Where it listens, and where it takes notes.
+    /// The addresses of the listener and of the peer socket.
     pub fn addresses(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
         let peers = self
             .peer_socket
@@ -194,7 +196,7 @@
         (self.listener.local_addr().ok(), peers)
     }
 
-    /// Serves until SIGTERM. Called within a `LocalSet`.
+    /// Serves until SIGTERM. Must be called within a `LocalSet`.
     pub async fn serve(self) {
         let address = self.addresses().0;
         let Self {
@@ -248,7 +250,7 @@
         );
         let mut listener = Some(listener);
         loop {
-            // Nobody is answered before the list is known.
+            // Accept no connections until the server list is known.
             if let Some(listener) = listener.take_if(|_| driver.knows_servers()) {
                 tokio::task::spawn_local(connections::accept(listener, ctx.clone()));
             }
@@ -258,7 +260,7 @@
                 _ = stop.recv() => break,
             }
         }
-        log_event!(ctx.log, "stop", "told to end");
+        log_event!(ctx.log, "stop", "received SIGTERM, shutting down");
         ctx.counters
             .add(CloseReason::Shutdown.counter(), ctx.conns.count() as u64);
         ctx.log_counters();
--- a/crates/rookpulley-assigner/src/list_client.rs
+++ b/crates/rookpulley-assigner/src/list_client.rs
@@ -1,4 +1,5 @@
-//! The server list: the watch, resumed where it broke, and the whole list on request.
+//! Client for the discovery service: watches the server list, resumes from the last version, and
+//! fetches the full list on request.
 
 use crate::driver::{Context, Event};
 use crate::log_event;
@@ -18,34 +19,34 @@
 use tokio::sync::Notify;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// On a watch that works something comes every 2 s.
+/// A working watch sends data at least every 2 s.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 const BACKOFF_MIN_MS: f64 = 50.0;
 const BACKOFF_MAX_MS: f64 = 1_000.0;
 const MAX_LINE_BYTES: usize = 16 << 20;
 
-/// Why a watch or a call ended.
+/// Why a watch or a request failed.
 #[derive(Debug, thiserror::Error)]
 enum ListError {
-    #[error("no connection: {0}")]
+    #[error("connection failed: {0}")]
     Connect(#[from] std::io::Error),
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    #[error("silent for 3 s")]
+    #[error("no data for 3 s")]
     Timeout(#[from] tokio::time::error::Elapsed),
-    #[error("answered with status {0}")]
+    #[error("unexpected status {0}")]
     Status(u16),
-    #[error("a list {0}")]
+    #[error("invalid list: {0}")]
     List(#[from] ParseError),
-    #[error("a list that is no UTF-8 text")]
+    #[error("list is not valid UTF-8")]
     Text(#[from] std::str::Utf8Error),
-    #[error("a line over the limit")]
+    #[error("list exceeds the size limit")]
     TooLarge,
-    #[error("it ended")]
+    #[error("connection closed")]
     Disconnected,
 }
 
-/// The pauses before dialling anew: growing while nothing is heard, and not in step with others.
+/// Exponential backoff with jitter between connection attempts. Received data resets it.
 pub struct Backoff {
     next_ms: f64,
     rng: ChaCha8Rng,
@@ -75,7 +76,7 @@
     address_changed: Notify,
     version: Cell<u64>,
     ctx: Rc<Context>,
-    /// The module asks for the list itself, and is told of each call's outcome.
+    /// The module requests the list itself and is notified when a request fails.
     on_request: bool,
     watch: RefCell<Option<JoinHandle<()>>>,
 }
@@ -94,7 +95,7 @@
         })
     }
 
-    /// Follows the list for as long as the assigner runs, dialling anew after growing pauses.
+    /// Watches the list and reconnects with backoff after each failure.
     pub async fn follow(self: Rc<Self>, mut backoff: Backoff) {
         loop {
             let watch = async {
@@ -104,11 +105,11 @@
                 log_event!(
                     self.ctx.log,
                     "list",
-                    "the watch broke: {error}; the list stays as it is"
+                    "watch failed: {error}; keeping the current list"
                 );
                 tokio::time::sleep(backoff.next(received)).await;
             };
-            // What a watch that is given up had not handed on yet comes first on the next.
+            // The next watch resumes from the last version that was forwarded.
             tokio::select! {
                 () = watch => {}
                 () = self.address_changed.notified() => {}
@@ -116,7 +117,7 @@
         }
     }
 
-    /// From now on discovery is there; a watch goes on from the version that is held.
+    /// Changes the discovery address. A running watch reconnects and resumes from its version.
     pub fn set_address(self: &Rc<Self>, address: SocketAddr) {
         if self.address.replace(address) == address {
             return;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The module asks for the watch, or wants it no longer.
+    /// Starts or stops the watch on request of the module.
     pub fn set_watch(self: &Rc<Self>, on: bool) {
         if !self.on_request {
             return;
@@ -145,7 +146,7 @@
         }
     }
 
-    /// The module asks for the whole list once.
+    /// Fetches the full list once on request of the module.
     pub fn fetch(self: &Rc<Self>) {
         let list_client = self.clone();
         tokio::task::spawn_local(async move {
@@ -160,7 +161,7 @@
         log_event!(
             self.ctx.log,
             "list",
-            "a call failed: {error}; the list stays as it is"
+            "list request failed: {error}; keeping the current list"
         );
         self.ctx.send(Event::ListFailed).await;
     }
@@ -172,12 +173,12 @@
         let (mut sender, connection) = http1::handshake(TokioIo::new(socket)).await?;
         connections.spawn_local(async move { _ = connection.await });
         let request = hyper::Request::get(path).header("host", address.to_string());
-        // Built of fixed text, an address and numbers: there is nothing in it to refuse.
+        // Cannot fail: the path and the header consist of valid characters only.
         let Ok(request) = request.body(Empty::<Bytes>::new()) else {
             return Err(ListError::Disconnected);
         };
         let response = sender.send_request(request).await?;
-        // The sender goes; the connection stays for as long as the answer is read.
+        // The connection task in `connections` outlives the sender while the body is read.
         match response.status().as_u16() {
             200 => Ok(response.into_body()),
             other => Err(ListError::Status(other)),
@@ -199,7 +200,7 @@
         self.handle_list(&text, true).await
     }
 
-    /// One watch, from its dialling to its break.
+    /// Runs one watch until it fails.
     async fn watch(&self, received: &mut bool) -> ListError {
         match self.read_watch(received).await {
             Ok(()) => ListError::Disconnected,
@@ -234,12 +235,12 @@
         Ok(())
     }
 
-    /// Hands on what is new. What is known already, or older (another agent may lag behind), is passed
-    /// over unless a call is to be answered.
+    /// Forwards a list to the driver. Known or older lists, as from an agent that lags behind, are
+    /// dropped; with `always_report` an empty change is forwarded instead.
     async fn handle_list(&self, text: &[u8], always_report: bool) -> Result<(), ListError> {
         let mut list = self.ctx.codec.decode_list(std::str::from_utf8(text)?)?;
-        // From here on nothing waits: a watch that is given up has handed a change on and holds its
-        // version, or neither.
+        // No await below: an aborted watch has either both forwarded a change and stored its
+        // version, or done neither.
         let Ok(permit) = self.ctx.events.reserve().await else {
             return Ok(());
         };
@@ -250,7 +251,7 @@
             log_event!(
                 self.ctx.log,
                 "list",
-                "a whole list of version {} is older than {current}",
+                "ignoring full list of version {}: current version is {current}",
                 list.version
             );
         }
--- a/crates/rookpulley-assigner/src/log.rs
+++ b/crates/rookpulley-assigner/src/log.rs
@@ -1,5 +1,5 @@
-//! What the program prints: short lines on standard error, a few of a kind in each stretch of time. Lines are
-//! `tracing` events; as text they are written as `name kind: text`, as JSON one object each.
+//! Rate-limited logging to standard error. Lines are `tracing` events, written either as
+//! `name kind: text` or as one JSON object each.
 
 use rookpulley_operators::file::LogForm;
 use std::cell::RefCell;
@@ -13,7 +13,7 @@
 
 const RATE_WINDOW: Duration = Duration::from_secs(10);
 
-/// Says one line, unless its kind has had its share of this stretch: `log_event!(log, "kind", "text {x}")`.
+/// Logs one line unless the limit of its kind is reached: `log_event!(log, "kind", "text {x}")`.
 #[macro_export]
 macro_rules! log_event {
     ($log:expr, $kind:expr, $($text:tt)*) => {
@@ -36,7 +36,7 @@
 }
 
 impl Log {
-    /// At most so many lines of one kind in a stretch.
+    /// Allows `limit` lines of each kind per window.
     pub fn new(name: String, limit: u32) -> Self {
         Self {
             name,
@@ -45,10 +45,11 @@
         }
     }
 
-    /// Lines that were asked for are printed all.
+    /// The kind that is exempt from the limit.
     pub const UNLIMITED: &str = "count";
 
-    /// None: not now. Otherwise what to say of the lines left out before.
+    /// Returns `None` if the line must be suppressed, otherwise a suffix that reports how many
+    /// lines were suppressed in the previous window.
     pub fn admit(&self, kind: &'static str) -> Option<String> {
         let mut kinds = self.windows.borrow_mut();
         let fresh = || Window {
@@ -60,7 +61,7 @@
         let mut suffix = String::new();
         if window.started.elapsed() >= RATE_WINDOW {
             if window.suppressed > 0 {
-                suffix = format!(" ({} more like it were left out)", window.suppressed);
+                suffix = format!(" ({} similar lines suppressed)", window.suppressed);
             }
             *window = fresh();
         }
@@ -73,7 +74,7 @@
     }
 }
 
-/// Takes the lines of this process to standard error from now on. Called once, by the program itself.
+/// Installs the global subscriber that writes to standard error.
 pub fn init(form: LogForm) {
     let lines = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
@@ -89,11 +90,11 @@
             tracing::subscriber::set_global_default(lines.with_span_list(false).finish())
         }
     };
-    // Set already: somebody else in this process takes the lines.
+    // Keep a subscriber that is already installed.
     _ = set;
 }
 
-/// `name kind: text`.
+/// Formats events as `name kind: text`.
 struct Text;
 
 #[derive(Default)]
--- a/crates/rookpulley-assigner/src/main.rs
+++ b/crates/rookpulley-assigner/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts one assigner by the file that `PROXY_CONFIG` names.
+//! Runs one assigner with the configuration file that `PROXY_CONFIG` names.
 
 use clap::Parser;
 use rookpulley_assigner::{Assigner, Signals, StartError, config, log};
@@ -6,18 +6,18 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// One assigner: tables to proxies, by what they and discovery tell.
+/// Assigns routing tables to proxies from their reports and from discovery
 ///
-/// PROXY_CONFIG names its configuration.
+/// The environment variable PROXY_CONFIG names the configuration file.
 ///
 /// Example: PROXY_CONFIG=deploy/example.json rookpulley-assigner --operators deploy/operators.star
 #[derive(Parser)]
 #[command(version)]
 struct Args {
-    /// The operators' own file; what it does not name, and all without one, is off
+    /// Operators file; features that it does not enable are disabled
     #[arg(long, env = "ROOKPULLEY_OPERATORS", value_name = "FILE")]
     operators: Option<PathBuf>,
-    /// Reads the configuration, and the operators' file where one is named; says what is wrong and ends
+    /// Validate the configuration and the operators file, then exit
     #[arg(long)]
     check: bool,
 }
@@ -27,7 +27,7 @@
     let operators: Operators = operators.unwrap_or_default();
     if args.check {
         config::load(&config::path_from_env()?)?;
-        println!("what was read can be used");
+        println!("configuration is valid");
         return Ok(());
     }
     log::init(operators.log);
@@ -36,7 +36,7 @@
         .build();
     let runtime = runtime.map_err(|e| StartError::System("runtime", e))?;
     let result = tokio::task::LocalSet::new().block_on(&runtime, async {
-        // Before anything else, lest a signal that comes early ends the program.
+        // Install the handlers first: an early signal would otherwise terminate the process.
         let signals = Signals::take()?;
         let path = config::path_from_env()?;
         let config = config::load(&path)?;
@@ -46,8 +46,7 @@
             .await;
         Ok(())
     });
-    // Tasks that still run are dropped: their connections end with the process, and a file that
-    // takes long to read holds nothing up.
+    // Drop running tasks without waiting: a blocking file read must not delay the exit.
     runtime.shutdown_background();
     result
 }
--- a/crates/rookpulley-assigner/src/messages.rs
+++ b/crates/rookpulley-assigner/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages, decoded once into small typed values and encoded once. Only here stand the wire's words.
+//! Decoding and encoding of wire messages. The field names of the protocol appear only in this module.
 
 use rookpulley::interface::*;
 use rookpulley_versions::{Claim, Kinds};
@@ -8,20 +8,20 @@
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-/// A line holds so many bytes at most, its end included.
+/// Maximum length of a line, including the newline.
 pub const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Counts and milliseconds are within what 32 bits hold.
+/// Upper bound for counts and durations in milliseconds.
 const MAX_VALUE: f64 = u32::MAX as f64;
 
-/// The names that messages use for what the module knows by its place.
+/// Translates between names on the wire and the indices that the decision module uses.
 pub struct Codec {
     pub zones: Vec<String>,
     pub machines: Vec<String>,
     pub kinds: Vec<String>,
     pub load: Vec<LoadField>,
     pub proxies: u32,
-    /// Proxies may say which versions they hold; off, nothing is read of it.
+    /// Whether version fields are decoded; otherwise they are ignored.
     pub versions: bool,
 }
 
@@ -32,7 +32,8 @@
         .map(|index| index as u16)
 }
 
-/// The id of a server: from its name alone, so it is the same at every assigner and after a restart.
+/// Derives the server id from the name alone, so that it is the same on all assigners and after a
+/// restart.
 pub fn server_id(name: &str) -> ServerId {
     let [a, b, c, d, e, f, _, _] = twox_hash::XxHash64::oneshot(0, name.as_bytes()).to_le_bytes();
     [a, b, c, d, e, f]
@@ -40,7 +41,7 @@
 
 #[derive(Debug)]
 pub enum Message {
-    /// Asks whether the assigner can be used.
+    /// Liveness check.
     Heartbeat,
     Collector {
         zone: ZoneId,
@@ -50,26 +51,26 @@
         zone: ZoneId,
         usual_per_s: f64,
         fresh: bool,
-        /// What it holds, by request kinds; None: it says nothing of versions.
+        /// `None` if the proxy does not report versions.
         holds: Option<HeldVersions>,
     },
-    /// What a proxy tells of itself: marks, usage.
+    /// An acknowledged mark or usage figures of a proxy.
     ProxyInput {
         proxy: ProxyId,
         input: Input,
         holds: HeldVersions,
     },
-    /// It did not take an order for the table of these request kinds, and holds this instead.
+    /// The proxy refused an update of the table for these request kinds and holds another version.
     Refused {
         proxy: ProxyId,
         kinds: Kinds,
         holds: Option<Claim>,
     },
-    /// What the proxies of a zone met.
+    /// Statistics from the proxies of a zone.
     Report(Input),
 }
 
-/// What a proxy says it holds, by the request kinds of its tables.
+/// The versions that a proxy reports, by the request kinds of its tables.
 pub type HeldVersions = BTreeMap<Kinds, Claim>;
 
 impl Message {
@@ -89,27 +90,27 @@
     }
 }
 
-/// Why a message can't be used.
+/// Why a message was rejected.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ParseError {
-    /// No object: nothing that follows can be trusted either.
-    #[error("can't be read: {0}")]
+    /// Not a JSON object. The connection is closed, since framing may be lost.
+    #[error("malformed: {0}")]
     Malformed(String),
-    /// An object with a spoilt field; it is dropped alone.
-    #[error("can't be used: {field} {}", .error.as_str())]
+    /// An object with an invalid field. Only this message is dropped.
+    #[error("invalid field: {field} {}", .error.as_str())]
     Field {
         field: &'static str,
         error: FieldError,
     },
 }
 
-/// What can be wrong with a field.
+/// Why a field is invalid.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FieldError {
     Missing,
     OtherType,
     OutOfRange,
-    /// It names what does not exist.
+    /// It holds a name that the settings do not define.
     Unknown,
 }
 
@@ -133,7 +134,7 @@
     }
 }
 
-/// A message's fields, each still as it was written.
+/// The fields of a message as raw JSON.
 struct Fields<'a>(BTreeMap<String, &'a RawValue>);
 
 impl<'a> Fields<'a> {
@@ -163,7 +164,7 @@
         })
     }
 
-    /// The place of a name among those that the settings list.
+    /// The index of a name in a list from the settings.
     fn index(&self, field: &'static str, names: &[String]) -> Result<u16, ParseError> {
         let name: Cow<str> = self.get(field)?;
         index_of(names, &name).ok_or(ParseError::Field {
@@ -172,7 +173,7 @@
         })
     }
 
-    /// A number that is as it should be; one that its type can't hold is out of range, too.
+    /// Decodes a number that satisfies `valid`. A number that does not fit `T` is out of range.
     fn number<T: Deserialize<'a>>(
         &self,
         field: &'static str,
@@ -216,7 +217,7 @@
     }
 }
 
-/// What a proxy holds for some request kinds, as it is written.
+/// One entry of the `holds` field.
 #[derive(Deserialize)]
 struct HeldEntry<'a> {
     #[serde(borrow)]
@@ -245,7 +246,7 @@
 }
 
 impl Codec {
-    /// Request kinds by their names, as bits.
+    /// Converts names of request kinds to a bit mask.
     fn mask(&self, field: &'static str, names: &[Cow<str>]) -> Result<Kinds, ParseError> {
         let index =
             |name: &Cow<str>| index_of(&self.kinds, name).filter(|at| *at < Kinds::BITS as u16);
@@ -275,7 +276,7 @@
         Ok(fields.number("proxy", known)? as ProxyId)
     }
 
-    /// The figures of a load report in the order of the settings.
+    /// Decodes a load report into the field order of the settings.
     fn load(&self, fields: &Fields) -> Result<Vec<f64>, ParseError> {
         let invalid = |error| ParseError::Field {
             field: "load",
@@ -337,7 +338,7 @@
                     self.proxy(&fields)?,
                     fields.index("class", &self.kinds)?.into(),
                 );
-                // Those that could not be served may have come in a span before.
+                // `failed` may exceed `tries`: failures can belong to requests of an earlier span.
                 let [came, bad, span_ms] = fields.amounts(["tries", "failed", "span_ms"])?;
                 let input = Input::ProxyUsage {
                     proxy,
@@ -360,7 +361,7 @@
                         error: FieldError::OutOfRange,
                     });
                 }
-                // Where none of the tries was good there is no mean of the good ones.
+                // The mean covers successful tries only, so it is absent if all failed.
                 let mean_ms = if bad < tries {
                     fields.amount("mean_ms")?
                 } else {
@@ -407,7 +408,7 @@
     }
 }
 
-// ---- The list -----------------------------------------------------------------------------
+// ---- Server list --------------------------------------------------------------------------
 
 #[derive(Deserialize)]
 struct Endpoint<'a> {
@@ -440,17 +441,17 @@
     endpoints: Vec<Endpoint<'a>>,
 }
 
-/// The place of a zone or a kind of machine that the settings don't name: no request kind is bound to
-/// it. One such server must not hold up the list of all.
+/// Index of a zone or machine type that the settings do not define. No request kind uses it, so an
+/// unknown name affects only its server and not the whole list.
 pub const UNKNOWN_INDEX: u16 = u16::MAX;
 
-/// The server list, or what changed in it.
+/// A full server list, or changes to it.
 #[derive(Debug, Default, PartialEq)]
 pub struct List {
     pub version: u64,
     pub whole: bool,
     pub lines: Vec<ServerEntry>,
-    /// In the order of the lines.
+    /// In the order of `lines`.
     pub names: Vec<String>,
 }
 
@@ -466,7 +467,9 @@
         for server in fields.endpoints {
             let [weight, started_ms] = [server.weight, server.since_ms];
             if !(weight >= 0.0 && started_ms >= 0.0) {
-                return Err(ParseError::Malformed("a figure below 0".into()));
+                return Err(ParseError::Malformed(
+                    "negative weight or start time".into(),
+                ));
             }
             list.lines.push(ServerEntry {
                 server: server_id(&server.name),
@@ -487,7 +490,7 @@
     }
 }
 
-// ---- Orders -------------------------------------------------------------------------------
+// ---- Updates for proxies ------------------------------------------------------------------
 
 #[derive(Serialize)]
 #[serde(tag = "msg", rename_all = "snake_case")]
@@ -495,7 +498,7 @@
     HbOk,
 }
 
-/// One part of a message to a proxy, in names.
+/// One line of an update message for a proxy.
 #[derive(Default, Serialize)]
 #[serde(tag = "msg", rename = "assign")]
 pub struct Part<'a> {
@@ -507,13 +510,13 @@
     pub lines: Option<Vec<(&'a str, f64)>>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub level: Option<f64>,
-    /// The version that these lines bring the table to (its number alone where what is held was told on this
-    /// stream), and the digest it then has.
+    /// The version of the table after this update, shortened to its number if the stream already
+    /// carries the full name, and in `to` its digest.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub version: Option<String>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub to: Option<String>,
-    /// The digest that the table must have before.
+    /// The digest that the table must have before this update.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub from: Option<String>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -529,7 +532,7 @@
 }
 
 fn encode_line(message: &impl Serialize) -> Vec<u8> {
-    // A plain value of text, numbers and lists: writing it to memory has no way to fail.
+    // Serialization to memory cannot fail: the messages hold only text, numbers and lists.
     let mut line = serde_json::to_vec(message).unwrap_or_default();
     line.push(b'\n');
     line
@@ -546,7 +549,7 @@
 }
 
 impl Part<'_> {
-    /// The lines it counts for in the channel.
+    /// The number of lines that this part uses of the channel budget.
     pub fn line_count(&self) -> usize {
         let flags = [self.whole, self.level.is_some(), self.mark.is_some()];
         let lines = self.lines.as_ref().map_or(0, Vec::len) + self.out.len() + self.back.len();
--- a/crates/rookpulley-assigner/src/operators.rs
+++ b/crates/rookpulley-assigner/src/operators.rs
@@ -1,4 +1,5 @@
-//! What operators ask while the assigner runs: answers from the book, and ways back, which the module decides.
+//! The operator API: queries that the version manager answers, and rollbacks, which the decision
+//! module accepts or refuses.
 
 use crate::StartError;
 use crate::driver::{Context, Event, unix_ms};
@@ -23,17 +24,17 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 
-/// So many asks wait at once at most.
+/// Capacity of the request queue.
 const REQUEST_QUEUE: usize = 16;
 
-/// The operators' address, held and not served yet.
+/// The bound listener of the operator API.
 pub struct OperatorApi {
     listener: TcpListener,
     token: Option<Token>,
 }
 
 impl OperatorApi {
-    /// Nothing is opened where the operators' file names no address.
+    /// Returns `None` if the operators file configures no address.
     pub async fn bind(reach: Option<&Reach>) -> Result<Option<Self>, StartError> {
         let Some(Reach {
             listen: address,
@@ -44,7 +45,7 @@
         };
         let token = token_file.as_deref().map(Token::load).transpose()?;
         let bind_error = |error| StartError::Address {
-            what: "the operators' address",
+            what: "operator address",
             address: *address,
             error,
         };
@@ -56,7 +57,7 @@
         self.listener.local_addr().ok()
     }
 
-    /// Serves from now on. Called within a `LocalSet`.
+    /// Starts serving. Must be called within a `LocalSet`.
     pub fn spawn(self, ctx: &Rc<Context>) {
         let (sender, mut requests) = mpsc::channel::<Asked>(REQUEST_QUEUE);
         let counters_ctx = ctx.clone();
@@ -76,8 +77,8 @@
     }
 }
 
-/// The book of one start. The start's name must never come again, also where the seed of the configuration
-/// does: its part of chance is the process's own.
+/// Creates the version manager. The id of this start must be unique even if the configured seed is
+/// reused, so its random part comes from the process.
 pub fn version_manager(
     name: &str,
     keep: RetentionLimits,
@@ -96,8 +97,8 @@
     )
 }
 
-/// Ways back that the module has been asked for, and whom to answer.
-struct PendingRollback {
+/// Rollbacks or releases requested from the module, and the channel for the response.
+struct PendingRequest {
     tables: BTreeSet<TableId>,
     releases: bool,
     rows: Vec<BackRow>,
@@ -106,8 +107,8 @@
 
 #[derive(Default)]
 pub struct Rollbacks {
-    waiting: Vec<PendingRollback>,
-    /// Tables that an operator holds back.
+    pending: Vec<PendingRequest>,
+    /// Tables that are held at an earlier version.
     pub held: BTreeSet<TableId>,
 }
 
@@ -146,7 +147,7 @@
 }
 
 impl Rollbacks {
-    /// Answers an ask at once, or gives what the module is to be told for it.
+    /// Answers a request immediately, or returns the inputs that it requires.
     pub fn handle(
         &mut self,
         now: f64,
@@ -186,9 +187,9 @@
                 .collect()),
         };
         match outcome {
-            Ok(answer_now) => {
-                // Whoever asked may have gone.
-                _ = answer.send(answer_now);
+            Ok(response) => {
+                // The client may have disconnected.
+                _ = answer.send(response);
                 Vec::new()
             }
             Err(inputs) => {
@@ -202,7 +203,7 @@
                     .iter()
                     .any(|i| matches!(i, Input::ReleaseRollback { .. }));
                 let tables = inputs.iter().filter_map(table).collect();
-                self.waiting.push(PendingRollback {
+                self.pending.push(PendingRequest {
                     tables,
                     releases,
                     rows: Vec::new(),
@@ -213,7 +214,7 @@
         }
     }
 
-    /// What the module made of a way back; whoever waits for no further table is answered.
+    /// Records the outcome of a rollback and answers requests that have no more tables pending.
     pub fn record_status(&mut self, table: TableId, what: &RollbackStatus) {
         match what {
             RollbackStatus::Held { .. } => _ = self.held.insert(table),
@@ -221,13 +222,14 @@
             RollbackStatus::Refused(_) => {}
         }
         let ended = matches!(what, RollbackStatus::Ended(_));
-        let waits = |w: &&mut PendingRollback| w.tables.contains(&table) && (w.releases || !ended);
-        let Some(waiting) = self.waiting.iter_mut().find(waits) else {
+        let is_waiting =
+            |w: &&mut PendingRequest| w.tables.contains(&table) && (w.releases || !ended);
+        let Some(pending) = self.pending.iter_mut().find(is_waiting) else {
             return;
         };
-        waiting.tables.remove(&table);
-        waiting.rows.push(rollback_row(table, what));
-        for done in self.waiting.extract_if(.., |w| w.tables.is_empty()) {
+        pending.tables.remove(&table);
+        pending.rows.push(rollback_row(table, what));
+        for done in self.pending.extract_if(.., |w| w.tables.is_empty()) {
             _ = done
                 .answer
                 .send(Answer::Back(BackList { tables: done.rows }));
--- a/crates/rookpulley-assigner/src/orders.rs
+++ b/crates/rookpulley-assigner/src/orders.rs
@@ -1,7 +1,7 @@
-//! What the module orders in one call becomes one message for each proxy concerned.
+//! Converts the effects of one module call into one message for each affected proxy.
 //!
-//! The tables, levels and withdrawals of the module's orders are kept here, with what each stream has
-//! been told of them, so that a message says what the order means and no more.
+//! Keeps the current tables, admission levels and withdrawals, and what each stream has been sent of
+//! them, so that messages contain only what changed for their proxy.
 
 use crate::messages::{HeldVersions, MAX_LINE_BYTES, Part};
 use rookpulley::interface::*;
@@ -12,30 +12,30 @@
 type Kinds = u16;
 type Level = (f64, Retry);
 
-/// So many marks wait for a stream's answer at most; of one that answers none the oldest are given up.
+/// Maximum unacknowledged marks per stream; the oldest ones are dropped first.
 const MAX_PENDING_MARKS: usize = 256;
 
-/// The names of the servers that orders may name.
+/// Names of the servers that effects may refer to.
 pub type Names = BTreeMap<ServerId, String>;
 
 #[derive(Default)]
 struct Table {
     lines: BTreeMap<ServerId, f64>,
     levels: BTreeMap<KindId, Level>,
-    /// The joined proxies bound to it, and for which kinds.
+    /// The joined proxies bound to this table, with the kinds they use it for.
     bindings: BTreeMap<ProxyId, Kinds>,
 }
 
-/// What a stream has been told.
+/// What has been sent on a stream.
 struct Stream {
     tables: BTreeSet<TableId>,
     bound: Kinds,
     levels: BTreeMap<KindId, Level>,
-    /// Servers it was told to shut out or let back.
+    /// Servers that were withdrawn (true) or restored (false) on this stream.
     withdrawn: BTreeMap<ServerId, bool>,
-    /// It may still shut out servers on the word of an assigner before.
+    /// The proxy may hold withdrawals that were not sent on this stream.
     unknown_withdrawals: bool,
-    /// Marks that were ordered of it and not answered, in their order.
+    /// Unacknowledged marks, oldest first.
     pending_marks: VecDeque<u64>,
 }
 
@@ -45,19 +45,19 @@
     whole: bool,
     lines: Vec<(ServerId, f64)>,
     level: Option<Level>,
-    /// Where the proxy speaks of versions: which one this brings it to.
+    /// The resulting version, if the proxy reports versions.
     order: Option<versions::Order>,
     short_version: bool,
 }
 
-/// One proxy's message as it grows.
+/// A message under construction for one proxy.
 #[derive(Default)]
 struct Draft {
     blocks: Vec<Block>,
     withdrawn: BTreeMap<ServerId, bool>,
 }
 
-/// A message ready to be written, all its parts, and the lines it counts for.
+/// An encoded message with all its parts, and the number of lines that it counts for.
 pub struct ProxyMessage {
     pub proxy: ProxyId,
     pub bytes: Vec<u8>,
@@ -68,13 +68,13 @@
     kinds: Vec<String>,
     all_kinds: Kinds,
     tables: BTreeMap<TableId, Table>,
-    /// Levels for all joined proxies.
+    /// Admission levels that apply to all joined proxies.
     levels: BTreeMap<KindId, Level>,
     withdrawn: BTreeSet<ServerId>,
     streams: BTreeMap<ProxyId, Stream>,
-    /// The versions of all tables and who holds them, where the operators want them.
+    /// The versions of all tables and their holders, if versions are enabled.
     pub manager: Option<VersionManager>,
-    /// Names as the book has them.
+    /// Server names shared with the version manager.
     name_cache: BTreeMap<ServerId, Name>,
 }
 
@@ -82,7 +82,7 @@
     (0..Kinds::BITS as KindId).filter(move |k| mask >> k & 1 == 1)
 }
 
-/// Cuts lines into runs that fit a part, however their names are written.
+/// Splits lines into runs that fit into one part, even if JSON escaping expands each name sixfold.
 fn split_to_fit<'a>(lines: &[(&'a str, f64)]) -> impl Iterator<Item = Vec<(&'a str, f64)>> {
     let longest = lines.iter().map(|(name, _)| name.len()).max().unwrap_or(0);
     let fit = MAX_LINE_BYTES / 2 / (6 * longest + 32);
@@ -94,7 +94,7 @@
 }
 
 impl Draft {
-    /// The last piece that touches these kinds, where it is for just these.
+    /// The last block that affects any of these kinds, if it covers exactly these.
     fn last_for(&mut self, kinds: Kinds) -> Option<&mut Block> {
         self.blocks
             .iter_mut()
@@ -111,7 +111,7 @@
             });
             return;
         };
-        // Of two orders for one line the later one stands.
+        // A later weight for the same server replaces the earlier one.
         block.lines.retain(|(s, _)| *s != server);
         if weight > 0.0 || !block.whole {
             block.lines.push((server, weight));
@@ -151,7 +151,7 @@
         &self.kinds
     }
 
-    /// A proxy has joined: bound to none of our tables, told nothing yet.
+    /// Registers a proxy that has joined. It is bound to no table yet.
     pub fn join(&mut self, now: f64, proxy: ProxyId, fresh: bool, holds: Option<HeldVersions>) {
         self.leave(now, proxy);
         if let Some(manager) = &mut self.manager {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Whether a mark was ordered of this stream and waits for its answer, as do those before it.
+    /// Acknowledges a mark and all earlier ones. Returns false if the mark is not pending.
     pub fn acknowledge(
         &mut self,
         now: f64,
@@ -206,7 +206,8 @@
         pending
     }
 
-    /// No order names this server any more. A stream that was told to shut it out may still do so.
+    /// Drops all state of a server that the module no longer refers to. A stream on which it was
+    /// withdrawn may keep the withdrawal.
     pub fn forget_server(&mut self, server: &ServerId) {
         self.withdrawn.remove(server);
         self.name_cache.remove(server);
@@ -218,7 +219,8 @@
         }
     }
 
-    /// The level that a kind has at a proxy: of two the lower, and the table's own way of retrying.
+    /// The admission level of a kind at a proxy: the lower of the table's level and the common one,
+    /// with the retry policy of the table.
     fn effective_level(&self, proxy: ProxyId, kind: KindId) -> Option<Level> {
         let stream = self.streams.get(&proxy)?;
         let tables = stream.tables.iter().filter_map(|id| self.tables.get(id));
@@ -230,7 +232,8 @@
         }
     }
 
-    /// Levels for these kinds that the stream has not been told, alike ones together.
+    /// Adds the levels of these kinds that the stream has not been sent (all of them with `again`),
+    /// grouped by value.
     fn add_levels(&mut self, proxy: ProxyId, kinds: Kinds, again: bool, draft: &mut Draft) {
         let mut groups: Vec<(Kinds, Level)> = Vec::new();
         for kind in kinds_in(kinds & self.all_kinds) {
@@ -253,7 +256,8 @@
             .for_each(|(kinds, level)| draft.set_level(kinds, level));
     }
 
-    /// A line is of no use while its server is shut out, and what was shut out before must not stick.
+    /// Adds the withdrawal state of a server if the proxy may hold another one, since a line has no
+    /// effect while its server is withdrawn.
     fn add_withdrawal(&mut self, proxy: ProxyId, server: ServerId, draft: &mut Draft) {
         let out = self.withdrawn.contains(&server);
         let Some(stream) = self.streams.get_mut(&proxy) else {
@@ -271,7 +275,8 @@
         }
     }
 
-    /// Whether a proxy may send to a server by the tables it holds; what it brought is not known.
+    /// Whether a proxy may send requests to a server. Assumed true while some kinds are not bound,
+    /// since the tables from an earlier stream are unknown.
     fn may_use(&self, proxy: ProxyId, server: &ServerId) -> bool {
         let Some(stream) = self.streams.get(&proxy) else {
             return false;
@@ -281,7 +286,8 @@
             || tables.any(|t| t.lines.contains_key(server))
     }
 
-    /// Carries out the orders of one call, in their order. Effects that are no orders are passed over.
+    /// Applies the effects of one call in order and encodes the messages. Effects that do not concern
+    /// proxies are ignored.
     pub fn carry_out(&mut self, now: f64, effects: &[Effect], names: &Names) -> Vec<ProxyMessage> {
         let mut drafts: BTreeMap<ProxyId, Draft> = BTreeMap::new();
         let (mut mark, mut changed, mut new_bindings) = (None, BTreeSet::new(), Vec::new());
@@ -390,30 +396,30 @@
             }
         }
         self.issue_versions(now, &changed, &new_bindings, names);
-        let mut written = Vec::new();
+        let mut messages = Vec::new();
         for (proxy, mut draft) in drafts {
             let updated = self.apply_versions(proxy, &mut draft);
-            // Levels for all travel along with whatever goes to a proxy that has not been told them.
+            // Add levels that this stream has not been sent yet.
             self.add_levels(proxy, self.all_kinds, false, &mut draft);
             if let (Some(mark), Some(stream)) = (mark, self.streams.get_mut(&proxy)) {
-                let over = (stream.pending_marks.len() + 1).saturating_sub(MAX_PENDING_MARKS);
-                stream.pending_marks.drain(..over);
+                let excess = (stream.pending_marks.len() + 1).saturating_sub(MAX_PENDING_MARKS);
+                stream.pending_marks.drain(..excess);
                 stream.pending_marks.push_back(mark);
             }
             if let Some(manager) = &mut self.manager {
                 manager.record_sent(now, proxy, &updated, mark);
             }
             let (bytes, lines) = self.encode(draft, mark, names);
-            written.push(ProxyMessage {
+            messages.push(ProxyMessage {
                 proxy,
                 bytes,
                 lines,
             });
         }
-        written
+        messages
     }
 
-    /// Puts a proxy on a table for these kinds; gives the table's lines.
+    /// Binds a proxy to a table for these kinds and returns the lines of the table.
     fn bind(&mut self, proxy: ProxyId, id: TableId, kinds: Kinds) -> Vec<(ServerId, f64)> {
         let Some(stream) = self.streams.get_mut(&proxy) else {
             return Vec::new();
@@ -434,8 +440,8 @@
         table.lines.iter().map(|(s, w)| (*s, *w)).collect()
     }
 
-    /// The tables that changed are issued, where the operators want versions; then what proxies brought along
-    /// counts for the tables that they were bound to.
+    /// Issues versions of the changed tables, if versions are enabled, then matches what newly bound
+    /// proxies reported against their tables.
     fn issue_versions(
         &mut self,
         now: f64,
@@ -458,7 +464,7 @@
                     .or_insert_with(|| name.clone());
                 lines.push((name, *weight));
             }
-            // The module's lines are above 0 and a server has one name: there is no other case.
+            // Cannot fail: weights are above 0 and each server has one name.
             let Ok(issued) = versions::Table::from_lines(lines) else {
                 continue;
             };
@@ -469,7 +475,7 @@
         }
     }
 
-    /// A proxy that lost what was written may have lost word of who is shut out, too.
+    /// A proxy that lost a table update may have lost withdrawals, too.
     fn distrust_withdrawals(&mut self, proxy: ProxyId, id: TableId) {
         let lost = self
             .manager
@@ -480,9 +486,9 @@
         }
     }
 
-    /// Where a proxy speaks of versions, its lines become the shortest way from what it holds to the newest
-    /// version. A whole table that the module has not counted is not written: it is owed. Gives the tables
-    /// that the message brings up to date.
+    /// For a proxy that reports versions, replaces the lines by the shortest update from the version
+    /// that it holds to the newest one. A whole table that the module has not budgeted for is left
+    /// out and sent later. Returns the tables that the message brings up to date.
     fn apply_versions(&mut self, proxy: ProxyId, draft: &mut Draft) -> Vec<TableId> {
         let Some(manager) = &mut self.manager else {
             return Vec::new();
@@ -504,7 +510,7 @@
             let mut blocks = draft.blocks.iter_mut().filter(|p| touched(p));
             let Some(block) = blocks.next() else { continue };
             let counted = blocks.fold(block.whole, |whole, later| {
-                // What came later in the same call is in the newest version already.
+                // The newest version already includes later blocks of this call.
                 later.lines.clear();
                 block.level = later.level.or(block.level);
                 whole | std::mem::take(&mut later.whole)
@@ -526,7 +532,7 @@
                 .into_iter()
                 .map(|(n, w)| (crate::messages::server_id(&n), w))
                 .collect();
-            // A delta on what this stream was told goes on from a version that is known there.
+            // The short form suffices if the delta starts from a version sent on this stream.
             block.short_version =
                 matches!(order.update, Update::Delta(_)) && manager.was_sent(proxy, *id);
             block.order = Some(order);
@@ -535,14 +541,14 @@
         draft
             .blocks
             .retain(|p| p.whole || !p.lines.is_empty() || p.level.is_some() || p.order.is_some());
-        // A whole table makes the proxy forget its levels.
+        // A whole table resets the levels of the proxy.
         if resend != 0 {
             self.add_levels(proxy, resend, true, draft);
         }
         updated
     }
 
-    /// A whole table for these kinds, with the levels that it makes the proxy forget.
+    /// Adds a whole table for these kinds and the levels that it resets.
     fn add_table(
         &mut self,
         proxy: ProxyId,
--- a/crates/rookpulley-assigner/src/outbox.rs
+++ b/crates/rookpulley-assigner/src/outbox.rs
@@ -1,4 +1,4 @@
-//! What waits to be written on one connection. Putting never waits; writing takes what the socket takes.
+//! The output queue of one connection. Pushing and flushing never block.
 
 use crate::close_reason::CloseReason;
 use std::cell::{Cell, RefCell};
@@ -6,13 +6,13 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Where more than this waits already, the reader has stopped reading.
+/// Above this limit the reader counts as stalled and the connection is closed.
 const MAX_QUEUED_BYTES: usize = 256 * 1024;
 
 #[derive(Default)]
 pub struct Outbox {
     queue: RefCell<VecDeque<Vec<u8>>>,
-    /// How much of the first has been written.
+    /// Bytes of the first message already written.
     offset: Cell<usize>,
     queued_bytes: Cell<usize>,
     close_reason: Cell<Option<CloseReason>>,
@@ -30,7 +30,7 @@
         self.changed.notify_one();
     }
 
-    /// Orders the connection to end like this.
+    /// Requests that the connection be closed; the first reason wins.
     pub fn close(&self, reason: CloseReason) {
         self.close_reason
             .set(self.close_reason.get().or(Some(reason)));
@@ -49,7 +49,7 @@
         self.changed.notified().await;
     }
 
-    /// Writes as much as goes without waiting.
+    /// Writes as much as the socket accepts without blocking.
     pub fn flush(&self, socket: &TcpStream) -> std::io::Result<()> {
         let mut queue = self.queue.borrow_mut();
         while let Some(message) = queue.front() {
--- a/crates/rookpulley-assigner/src/peers.rs
+++ b/crates/rookpulley-assigner/src/peers.rs
@@ -1,4 +1,4 @@
-//! Notes between assigners: datagrams, late or not at all.
+//! Messages between assigners over UDP, without delivery guarantees.
 
 use crate::config::PeerAddresses;
 use crate::driver::{Context, Event};
@@ -15,7 +15,7 @@
 }
 
 impl PeerSocket {
-    /// Never waits: what can't go now is lost, as notes may be.
+    /// Sends without blocking; a datagram that cannot be sent now is dropped.
     pub fn send(&self, to: Option<u16>, bytes: &[u8], ctx: &Context) {
         let address = match to {
             None => Some(&self.addresses.broadcast),
@@ -25,8 +25,8 @@
             ctx.counters.inc("notes not sendable");
             log_event!(
                 ctx.log,
-                "note",
-                "{} bytes to {to:?} can't be sent",
+                "peer",
+                "cannot send {} bytes to {to:?}",
                 bytes.len()
             );
             return;
@@ -36,11 +36,11 @@
             .inc(if sent { "out notes" } else { "notes lost here" });
     }
 
-    /// Takes notes in, from the peers' addresses only.
+    /// Receives datagrams and drops those that do not come from a peer's address.
     pub async fn receive(self: Rc<Self>, ctx: Rc<Context>) {
         let mut bytes = [0; MAX_DATAGRAM + 1];
         loop {
-            // An error here tells of an earlier note that nobody took.
+            // The error reports an earlier datagram that could not be delivered.
             let Ok((size, from)) = self.socket.recv_from(&mut bytes).await else {
                 continue;
             };
--- a/crates/rookpulley-assigner/src/reload.rs
+++ b/crates/rookpulley-assigner/src/reload.rs
@@ -1,4 +1,4 @@
-//! A new configuration while the assigner runs: at SIGHUP the file is read again.
+//! Reloads the configuration file on SIGHUP.
 
 use crate::config::{self, Config};
 use crate::driver::Context;
@@ -10,25 +10,29 @@
 use std::rc::Rc;
 use tokio::signal::unix::Signal;
 
-/// What a running assigner holds of its configuration.
+/// The configuration path and the field values that cannot change at runtime.
 pub struct ConfigReloader {
     pub path: PathBuf,
     pub static_fields: BTreeMap<String, Value>,
 }
 
 impl ConfigReloader {
-    /// Takes each new configuration; where one can't be used, all stays as it was.
+    /// Applies the configuration after each SIGHUP. An invalid file changes nothing.
     pub async fn run(self, mut hangup: Signal, list_client: Rc<ListClient>, ctx: Rc<Context>) {
         while hangup.recv().await.is_some() {
             let path = self.path.clone();
-            // On a thread of its own: the disk may be slow, and proxies don't wait for it.
+            // Read on a blocking thread so that a slow disk does not stall the event loop.
             let read =
                 tokio::task::spawn_blocking(move || config::load(&path).map_err(|e| e.to_string()));
             match read.await.unwrap_or_else(|e| Err(e.to_string())) {
                 Ok(config) => self.apply(config, &list_client, &ctx),
                 Err(error) => {
                     ctx.counters.inc("configurations refused");
-                    log_event!(ctx.log, "configuration", "{error}; all stays as it was");
+                    log_event!(
+                        ctx.log,
+                        "configuration",
+                        "{error}; keeping the current configuration"
+                    );
                 }
             }
         }
@@ -50,14 +54,14 @@
             log_event!(
                 ctx.log,
                 "configuration",
-                "{fields} can't change while it runs: that takes a restart"
+                "{fields} cannot change at runtime; restart to apply"
             );
         }
         ctx.counters.inc("configurations taken");
         log_event!(
             ctx.log,
             "configuration",
-            "taken, discovery is at {}",
+            "applied, discovery at {}",
             config.discovery
         );
         list_client.set_address(config.discovery);
--- a/crates/rookpulley-assigner/src/server_file.rs
+++ b/crates/rookpulley-assigner/src/server_file.rs
@@ -1,4 +1,4 @@
-//! Servers listed by a file: what the file and discovery say, turned into lists for the module.
+//! A server list from a file, merged with discovery and converted into lists for the decision module.
 
 use crate::driver::{Context, Event};
 use crate::log_event;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Follows the file from now on; what is found comes as events. Called within a `LocalSet`.
+    /// Watches the file and sends its contents as events. Must be called within a `LocalSet`.
     pub fn spawn_watch(&self, ctx: &Rc<Context>) {
         let (sender, mut found) = mpsc::channel(1);
         tokio::task::spawn_local(follow(self.file.clone(), sender));
@@ -44,7 +44,7 @@
         });
     }
 
-    /// What was found at the file's place: the list for the module, if it is taken.
+    /// Validates new file contents. Returns the list for the module if they are accepted.
     pub fn accept(&mut self, now: f64, found: Found, ctx: &Context) -> Option<(ListScope, List)> {
         let reason = match found {
             Found::List(candidate) => {
@@ -56,7 +56,7 @@
                         log_event!(
                             ctx.log,
                             "servers",
-                            "generation {generation} taken, {count} servers"
+                            "generation {generation} accepted, {count} servers"
                         );
                         return Some((scope, to_list(updates, &ctx.codec)));
                     }
@@ -70,14 +70,15 @@
         log_event!(
             ctx.log,
             "servers",
-            "{}: {reason}; the last good list stays",
+            "{}: {reason}; keeping the last accepted list",
             self.file.display()
         );
         self.rejection = Some(reason);
         None
     }
 
-    /// Discovery's list: before a file was taken it counts as ever, after that for drains and starts alone.
+    /// Merges a discovery list. It is used unchanged until a file is accepted; after that only its
+    /// drains and starts count.
     pub fn merge_discovery(
         &mut self,
         now: f64,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Whose grace is over.
+    /// Returns changes for servers whose drain grace period has expired.
     pub fn expire_drains(&mut self, now: f64, ctx: &Context) -> Option<(ListScope, List)> {
         if now < self.next_check_ms {
             return None;
--- a/crates/rookpulley-assigner/tests/orders.rs
+++ b/crates/rookpulley-assigner/tests/orders.rs
@@ -1,4 +1,4 @@
-//! What the module orders, against the messages that the proxies get.
+//! Compares the messages to proxies with the effects that they implement.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -49,7 +49,7 @@
     }
 }
 
-fn admit(table: Option<TableId>, kinds: u16, level: f64, retry: Retry) -> Effect {
+fn set_admission(table: Option<TableId>, kinds: u16, level: f64, retry: Retry) -> Effect {
     Effect::SetAdmission {
         table,
         kinds,
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_script_of_orders() {
+fn scripted_effects() {
     let (mut orders, mut trace) = (orders(), String::new());
     let mut step = |orders: &mut Orders, what: &str, effects: Vec<Effect>| {
         trace += &format!("-- {what}\n");
@@ -74,10 +74,10 @@
     };
     orders.join(0.0, 0, true, None);
     orders.join(0.0, 1, false, None);
-    let all = admit(None, 0, 1.0, Retry::IfNotExecuted);
+    let all = set_admission(None, 0, 1.0, Retry::IfNotExecuted);
     step(
         &mut orders,
-        "a level for all reaches the joined",
+        "a common level is sent to all joined proxies",
         vec![all, mark(1, false)],
     );
     let first = vec![
@@ -86,7 +86,7 @@
         bind(0, 0, 0),
         mark(2, false),
     ];
-    step(&mut orders, "a fresh proxy is bound for all kinds", first);
+    step(&mut orders, "a new proxy is bound for all kinds", first);
     let second = vec![
         line(1, 2, 1.0),
         bind(1, 0, 0b001),
@@ -95,30 +95,33 @@
     ];
     step(
         &mut orders,
-        "one that held tables before: what was shut out must not stick",
+        "a rejoined proxy is bound: earlier withdrawals are lifted",
         second,
     );
     step(
         &mut orders,
-        "a later change goes to both",
+        "a change is sent to both",
         vec![line(0, 3, 1.5), line(0, 1, 0.0), mark(4, false)],
     );
     step(
         &mut orders,
-        "a drain: only p1 holds s-2",
+        "a drain: only p1 uses s-2",
         vec![withdraw(2, true), line(1, 2, 0.0), mark(5, false)],
     );
     step(
         &mut orders,
-        "let back: nobody holds it",
+        "restored: no table contains it",
         vec![withdraw(2, false), mark(6, false)],
     );
     step(
         &mut orders,
-        "in a table again: let back with its line",
+        "in a table again: restored with its line",
         vec![line(1, 2, 0.25), mark(7, false)],
     );
-    let lower = vec![admit(Some(1), 0b010, 0.5, Retry::Never), mark(8, true)];
+    let lower = vec![
+        set_admission(Some(1), 0b010, 0.5, Retry::Never),
+        mark(8, true),
+    ];
     step(
         &mut orders,
         "a level for one kind of one table, and a mark for all",
@@ -127,12 +130,12 @@
     orders.join(0.0, 1, false, None);
     step(
         &mut orders,
-        "p1 came anew: changes wait until it is bound",
+        "p1 rejoined: no changes until it is bound",
         vec![line(0, 4, 1.0), mark(9, false)],
     );
     step(
         &mut orders,
-        "then it gets the whole table",
+        "p1 is bound and receives the whole table",
         vec![bind(1, 0, 0), mark(10, false)],
     );
     orders.leave(0.0, 1);
@@ -142,21 +145,21 @@
         withdraw(4, true),
         mark(11, true),
     ];
-    step(&mut orders, "p1 left: nothing goes there", gone);
+    step(&mut orders, "p1 left: nothing is sent to it", gone);
     let wipe = vec![
         Effect::ClearTable { table: 0 },
         line(0, 5, 1.0),
         mark(12, false),
     ];
-    step(&mut orders, "a table wiped and written again", wipe);
+    step(&mut orders, "a table is cleared and filled again", wipe);
     insta::assert_snapshot!(trace);
 }
 
 #[test]
-fn a_table_over_a_megabyte_goes_in_parts() {
-    let long = |n: usize| format!("server-{n:0200}");
+fn large_table_is_split_into_parts() {
+    let long_name = |n: usize| format!("server-{n:0200}");
     let names: Names = (0..12_000)
-        .map(|n| (server_id(&long(n)), long(n)))
+        .map(|n| (server_id(&long_name(n)), long_name(n)))
         .collect();
     let mut orders = orders();
     orders.join(0.0, 0, true, None);
@@ -170,8 +173,8 @@
         .collect();
     effects.extend([bind(0, 0, 0), mark(1, false)]);
     let written = orders.carry_out(0.0, &effects, &names).remove(0);
-    let mut proxy = Proxy::default();
-    let parts = proxy.hear(&written);
+    let mut proxy = ProxyState::default();
+    let parts = proxy.apply(&written);
     assert!(
         written
             .bytes
@@ -183,7 +186,7 @@
 }
 
 #[test]
-fn what_was_shut_out_is_let_back_also_after_it_was_forgotten() {
+fn withdrawn_server_is_restored_after_it_was_forgotten() {
     let mut orders = orders();
     orders.join(0.0, 0, true, None);
     orders.carry_out(
@@ -199,17 +202,17 @@
     assert!(text.contains(r#""back":["s-1"]"#), "{text}");
 }
 
-/// A proxy as the protocol has it.
+/// Proxy state according to the protocol.
 #[derive(Clone, Default)]
-struct Proxy {
+struct ProxyState {
     tables: [BTreeMap<String, f64>; KINDS.len()],
     levels: [Option<(f64, u64)>; KINDS.len()],
     out: BTreeSet<String>,
 }
 
-impl Proxy {
-    /// Applies a message; gives the number of its parts.
-    fn hear(&mut self, written: &ProxyMessage) -> usize {
+impl ProxyState {
+    /// Applies a message and returns the number of its parts.
+    fn apply(&mut self, written: &ProxyMessage) -> usize {
         let text = std::str::from_utf8(&written.bytes).unwrap();
         let parts: Vec<Value> = text
             .lines()
@@ -268,18 +271,18 @@
     }
 }
 
-/// The same orders by the rules of the simulator's wire.
+/// Reference model: applies the effects directly, as the simulator does.
 #[derive(Default)]
-struct Wire {
+struct Model {
     tables: BTreeMap<TableId, BTreeMap<ServerId, f64>>,
     own: BTreeMap<(TableId, KindId), (f64, u64)>,
     all: BTreeMap<KindId, (f64, u64)>,
     out: BTreeSet<ServerId>,
-    /// The tables that joined proxies are bound to, by kind.
+    /// The tables that the joined proxies are bound to, by kind.
     joined: BTreeMap<ProxyId, BTreeMap<KindId, TableId>>,
 }
 
-impl Wire {
+impl Model {
     fn usable(&self, table: TableId) -> Vec<(String, f64)> {
         let names = names();
         let open = self.tables[&table]
@@ -297,8 +300,8 @@
         }
     }
 
-    /// Counts the lines that the orders cost at each proxy, levels apart, and how many of them are
-    /// lines of tables.
+    /// Returns for each proxy the lines that the effects may use, without levels, and how many of
+    /// them are table lines.
     fn carry_out(&mut self, effects: &[Effect]) -> BTreeMap<ProxyId, (usize, usize)> {
         let mut cost: BTreeMap<ProxyId, (usize, usize)> = BTreeMap::new();
         for effect in effects {
@@ -401,7 +404,7 @@
     }
 }
 
-fn drawn(rng: &mut ChaCha8Rng, number: u64) -> Vec<Effect> {
+fn random_effects(rng: &mut ChaCha8Rng, number: u64) -> Vec<Effect> {
     let mut effects = Vec::new();
     for _ in 0..rng.random_range(1..7) {
         let (table, n) = (rng.random_range(0..4), rng.random_range(0..SERVERS));
@@ -410,13 +413,13 @@
             0..9 => line(table, n, f64::from(rng.random_range(0..4_u8)) / 2.0),
             9..14 => bind(proxy, table, kinds),
             14..17 => withdraw(n, rng.random_bool(0.5)),
-            17 => admit(
+            17 => set_admission(
                 None,
                 kinds,
                 f64::from(rng.random_range(0..3_u8)),
                 Retry::IfNotExecuted,
             ),
-            18 => admit(
+            18 => set_admission(
                 Some(table),
                 kinds,
                 f64::from(rng.random_range(0..3_u8)),
@@ -430,40 +433,40 @@
 }
 
 #[test]
-fn messages_mean_what_the_orders_mean_and_cost_no_more() {
+fn messages_match_the_reference_model_within_its_line_budget() {
     for seed in 0..300 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut orders, mut wire) = (orders(), Wire::default());
-        let mut proxies: BTreeMap<ProxyId, Proxy> =
-            (0..PROXIES).map(|p| (p, Proxy::default())).collect();
+        let (mut orders, mut model) = (orders(), Model::default());
+        let mut proxies: BTreeMap<ProxyId, ProxyState> =
+            (0..PROXIES).map(|p| (p, ProxyState::default())).collect();
         for number in 0..40 {
             let id = rng.random_range(0..PROXIES);
             let proxy = proxies.get_mut(&id).unwrap();
             match rng.random_range(0..8) {
-                // Its stream breaks, and another assigner shuts out what it likes.
+                // The stream breaks, and another assigner withdraws a server.
                 0 => {
                     orders.leave(0.0, id);
-                    wire.joined.remove(&id);
+                    model.joined.remove(&id);
                     proxy.out.insert(name(rng.random_range(0..SERVERS)));
                 }
                 1 | 2 => {
                     let fresh = rng.random_bool(0.3);
                     *proxy = if fresh {
-                        Proxy::default()
+                        ProxyState::default()
                     } else {
                         proxy.clone()
                     };
                     orders.join(0.0, id, fresh, None);
-                    wire.joined.insert(id, BTreeMap::new());
+                    model.joined.insert(id, BTreeMap::new());
                 }
                 _ => {}
             }
-            let effects = drawn(&mut rng, number);
-            let mut cost = wire.carry_out(&effects);
+            let effects = random_effects(&mut rng, number);
+            let mut cost = model.carry_out(&effects);
             for written in orders.carry_out(0.0, &effects, &names()) {
                 let proxy = proxies.get_mut(&written.proxy).unwrap();
-                proxy.hear(&written);
-                // What the protocol adds: levels in pieces, and servers let back or shut with a line.
+                proxy.apply(&written);
+                // Lines that the protocol adds: levels, and withdrawals or restores sent with a line.
                 let text = String::from_utf8(written.bytes).unwrap();
                 let of = |part: &Value, key: &str| part[key].as_array().map_or(0, Vec::len);
                 let parts: Vec<Value> = text
@@ -474,30 +477,30 @@
                 let settled: usize = parts.iter().map(|p| of(p, "out") + of(p, "back")).sum();
                 let (most, tables) = cost
                     .remove(&written.proxy)
-                    .expect("a message that nobody ordered");
+                    .expect("a message without an effect");
                 let lines = written.lines - levels;
                 assert!(
                     lines - settled <= most,
                     "seed {seed}: {lines} lines for {most}: {text}"
                 );
-                // One more for each line of a table: what `bind_lines` has the module count.
+                // At most one extra per table line, which `bind_lines` accounts for.
                 assert!(
                     lines <= most + tables,
                     "seed {seed}: {lines} for {most} + {tables}: {text}"
                 );
             }
             assert!(cost.is_empty(), "seed {seed}: no message for {cost:?}");
-            for (id, bound) in &wire.joined {
+            for (id, bound) in &model.joined {
                 for (kind, table) in bound {
                     let proxy = &proxies[id];
                     assert_eq!(
                         proxy.usable(*kind),
-                        wire.usable(*table),
+                        model.usable(*table),
                         "seed {seed}, p{id}, {kind}"
                     );
                     assert_eq!(
                         proxy.levels[*kind],
-                        wire.level(*table, *kind),
+                        model.level(*table, *kind),
                         "seed {seed}, p{id}, {kind}"
                     );
                 }
--- a/crates/rookpulley-assigner/tests/servers.rs
+++ b/crates/rookpulley-assigner/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Servers listed by a file: an assigner, dispatchers that follow it, and a writer who does everything wrong.
+//! Server lists from a file: an assigner, its dispatchers, and a writer that produces invalid files.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -84,8 +84,8 @@
             .collect()
     }
 
-    /// Waits until every table names just these servers.
-    async fn until(&self, servers: &[usize]) {
+    /// Waits until every table contains exactly these servers.
+    async fn wait_for_servers(&self, servers: &[usize]) {
         let wanted: BTreeSet<String> = servers.iter().map(|n| format!("s-{n}")).collect();
         let wait = async {
             while !self
@@ -98,21 +98,21 @@
         };
         if timeout(LONG, wait).await.is_err() {
             panic!(
-                "not all tables name {wanted:?}: {:?}\n{:#?}",
+                "not all tables contain exactly {wanted:?}: {:?}\n{:#?}",
                 self.tables(),
                 self.ctx.counters.lines()
             );
         }
     }
 
-    async fn counted(&self, what: &str, count: u64) {
+    async fn wait_for_count(&self, what: &str, count: u64) {
         while self.ctx.counters.get(what) < count {
             sleep(Duration::from_millis(5)).await;
         }
     }
 }
 
-fn on_sockets(test: impl AsyncFnOnce(&Path)) {
+fn run_local(test: impl AsyncFnOnce(&Path)) {
     let folder = tempfile::tempdir().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -121,25 +121,25 @@
     LocalSet::new().block_on(&runtime, async {
         timeout(3 * LONG, test(&folder.path().join("servers.star")))
             .await
-            .expect("it hangs");
+            .expect("test timed out");
     });
 }
 
 #[test]
-fn a_file_takes_the_place_of_discovery_and_discoverys_drains_still_count() {
-    on_sockets(async |file| {
+fn file_replaces_discovery_but_discovery_drains_still_apply() {
+    run_local(async |file| {
         let running = run(file, 2).await;
-        running.until(&[1, 2, 3]).await;
+        running.wait_for_servers(&[1, 2, 3]).await;
         std::fs::write(file, render(&list(1, 11..=14, 1.0))).unwrap();
-        running.until(&[11, 12, 13, 14]).await;
-        // What discovery lists is none of the file's; a drain that it sees of the file's own counts.
+        running.wait_for_servers(&[11, 12, 13, 14]).await;
+        // Discovery cannot add servers, but it can drain servers of the file.
         running.agent.say(
             8,
             false,
             &[server(5, "SERVING", 0.0), server(12, "DRAINING", 0.0)],
         );
-        running.until(&[11, 13, 14]).await;
-        // Every weight zero, a truncated file, an older one: the last good list stays.
+        running.wait_for_servers(&[11, 13, 14]).await;
+        // Zero weights, a truncated file and an older generation are rejected.
         for (text, count) in [
             (render(&list(2, 11..=14, 0.0)), 1),
             (render(&list(3, 11..=14, 2.0))[..60].to_string(), 2),
@@ -147,42 +147,48 @@
         ] {
             let before = running.ctx.counters.get("server files not taken");
             std::fs::write(file, text).unwrap();
-            running.counted("server files not taken", before + 1).await;
+            running
+                .wait_for_count("server files not taken", before + 1)
+                .await;
             assert!(running.ctx.counters.get("server files not taken") >= count);
-            running.until(&[11, 13, 14]).await;
+            running.wait_for_servers(&[11, 13, 14]).await;
         }
-        // A line less is a drain; the same file as before does not bring it back.
+        // A removed server is drained; listing it again does not restore it.
         std::fs::write(file, render(&list(4, [11, 12, 13].into_iter(), 1.0))).unwrap();
-        running.until(&[11, 13]).await;
+        running.wait_for_servers(&[11, 13]).await;
         let before = running.ctx.counters.get("server files not taken");
         std::fs::write(file, render(&list(5, 11..=14, 1.0))).unwrap();
-        running.counted("server files not taken", before + 1).await;
-        running.until(&[11, 13]).await;
+        running
+            .wait_for_count("server files not taken", before + 1)
+            .await;
+        running.wait_for_servers(&[11, 13]).await;
         std::fs::remove_file(file).unwrap();
-        running.counted("server files not taken", before + 2).await;
-        running.until(&[11, 13]).await;
+        running
+            .wait_for_count("server files not taken", before + 2)
+            .await;
+        running.wait_for_servers(&[11, 13]).await;
     });
 }
 
-/// At every moment the tables name servers of one accepted list, and what is accepted was written whole.
+/// Guards against tables that mix generations or contain servers of an invalid file.
 #[test]
-fn a_file_rewritten_five_thousand_times_with_truncations_and_bad_values() {
-    on_sockets(async |file| {
+fn invalid_rewrites_never_change_the_tables() {
+    run_local(async |file| {
         let seed: u64 = std::env::var("SEED")
             .ok()
             .and_then(|s| s.parse().ok())
             .unwrap_or(3);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // Each good list has a pair of servers of its own, one in each zone, so a mixture would show.
+        // Each valid list has its own pair of servers, one per zone, which makes mixtures visible.
         let pair = |generation: u64| [100 + 2 * generation as usize, 101 + 2 * generation as usize];
         std::fs::write(file, render(&list(1, pair(1).into_iter(), 1.0))).unwrap();
         let running = run(file, 4).await;
-        running.until(&pair(1)).await;
+        running.wait_for_servers(&pair(1)).await;
         let (mut generation, mut good) = (1, 1);
         for n in 0..5_000 {
             let next = list(generation + 1, pair(generation + 1).into_iter(), 1.0);
             let text = render(&next);
-            let spoilt = match rng.random_range(0..6) {
+            let invalid = match rng.random_range(0..6) {
                 0 | 1 => text[..rng.random_range(0..text.trim_end().len())].to_string(),
                 2 => text.replace(
                     "weight = 1.0",
@@ -192,7 +198,7 @@
                 4 => render(&list(generation - 1, pair(generation - 1).into_iter(), 1.0)),
                 _ => text.replacen("s-", "s", 1),
             };
-            std::fs::write(file, spoilt).unwrap();
+            std::fs::write(file, invalid).unwrap();
             if n % 8 == 0 {
                 sleep(Duration::from_micros(500)).await;
             } else {
@@ -209,25 +215,25 @@
                 names.iter().all(|n| newest.contains(n)),
                 "write {n} of seed {seed}: {names:?}, {newest:?}"
             );
-            // Now and then a good one, waited for.
+            // Write a valid file at intervals and wait for it.
             if n % 200 == 199 {
                 std::fs::write(file, &text).unwrap();
                 generation += 1;
                 good += 1;
-                running.until(&pair(generation)).await;
+                running.wait_for_servers(&pair(generation)).await;
             }
         }
         assert_eq!(
             running.ctx.counters.get("server files taken"),
             good,
-            "just those that were written whole"
+            "exactly the valid files"
         );
         assert!(running.ctx.counters.get("server files not taken") > 20);
     });
 }
 
 #[test]
-fn a_reload_signal_in_the_midst_of_it_changes_no_list() {
+fn reload_signal_during_a_file_change_is_harmless() {
     use std::io::{BufRead, BufReader};
     use std::process::{Command, Stdio};
     let folder = tempfile::tempdir().unwrap();
@@ -236,11 +242,11 @@
         folder.path().join("servers.star"),
         folder.path().join("o.star"),
     );
-    let gone = std::net::TcpListener::bind("127.0.0.1:0")
+    let closed_port = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    std::fs::write(&config, told(gone).to_string()).unwrap();
+    std::fs::write(&config, told(closed_port).to_string()).unwrap();
     std::fs::write(
         &operators,
         format!("servers(file = {:?})", servers.to_str().unwrap()),
@@ -257,13 +263,13 @@
     let mut lines = BufReader::new(child.stderr.take().unwrap())
         .lines()
         .map(Result::unwrap);
-    let mut until = |what: &str| {
+    let mut wait_for_line = |what: &str| {
         lines
             .find(|line| line.contains(what))
-            .unwrap_or_else(|| panic!("no {what}"))
+            .unwrap_or_else(|| panic!("no line contains {what}"))
     };
-    until("generation 1 taken");
-    let hang_up = || {
+    wait_for_line("generation 1 accepted");
+    let send_sighup = || {
         let kill = format!("kill -HUP {}", child.id());
         assert!(
             Command::new("sh")
@@ -273,14 +279,14 @@
                 .success()
         );
     };
-    // Half a file, a signal, the other half, a signal.
+    // Send a signal after half of the file is written, and after all of it.
     let text = render(&list(2, 11..=15, 1.0));
     std::fs::write(&servers, &text[..text.len() / 2]).unwrap();
-    hang_up();
-    until("the last good list stays");
+    send_sighup();
+    wait_for_line("keeping the last accepted list");
     std::fs::write(&servers, &text).unwrap();
-    hang_up();
-    until("generation 2 taken, 5 servers");
+    send_sighup();
+    wait_for_line("generation 2 accepted, 5 servers");
     child.kill().unwrap();
     child.wait().unwrap();
 }
--- a/crates/rookpulley-assigner/tests/sockets.rs
+++ b/crates/rookpulley-assigner/tests/sockets.rs
@@ -1,5 +1,4 @@
-//! The assigner on loopback sockets, against stand-ins of its own. Tests wait for what happens, not for
-//! a clock; where a stand-in has a pace of its own, a slower one changes nothing.
+//! The assigner on loopback sockets, against test doubles. Tests wait for events, not for fixed times.
 
 use rookpulley::interface::Input;
 use rookpulley_assigner::close_reason::{ALL, CloseReason};
@@ -24,8 +23,8 @@
 use tokio::time::timeout;
 
 struct Running {
-    place: SocketAddr,
-    notes: Option<SocketAddr>,
+    address: SocketAddr,
+    peer_address: Option<SocketAddr>,
     ctx: Rc<Context>,
 }
 
@@ -39,26 +38,26 @@
     )
     .await
     .unwrap();
-    let (place, notes) = assigner.addresses();
+    let (address, peer_address) = assigner.addresses();
     let ctx = assigner.ctx.clone();
     spawn_local(assigner.serve());
     Running {
-        place: place.unwrap(),
-        notes,
+        address: address.unwrap(),
+        peer_address,
         ctx,
     }
 }
 
 impl Running {
-    /// Waits until only so many connections are open.
-    async fn alone(&self, open: usize) {
+    /// Waits until at most `open` connections are open.
+    async fn wait_for_connections(&self, open: usize) {
         while self.ctx.conns.count() > open {
             tokio::task::yield_now().await;
         }
     }
 
-    /// Waits until this was counted so often.
-    async fn counted(&self, what: &str, count: u64) {
+    /// Waits until a counter reaches a value.
+    async fn wait_for_count(&self, what: &str, count: u64) {
         let wait = async {
             while self.ctx.counters.get(what) < count {
                 tokio::task::yield_now().await;
@@ -66,44 +65,44 @@
         };
         if timeout(LONG, wait).await.is_err() {
             panic!(
-                "{what} was not counted {count} times: {:#?}",
+                "counter {what} did not reach {count}: {:#?}",
                 self.ctx.counters.lines()
             );
         }
     }
 }
 
-/// Runs a test with an assigner whose discovery works.
+/// Runs a test with an assigner and a working discovery agent.
 fn with_assigner<F: Future<Output = ()>>(test: impl FnOnce(Running, Agent) -> F) {
-    on_sockets(async {
+    run_local(async {
         let agent = Agent::new().await;
         test(run(&told(agent.place)).await, agent).await;
     });
 }
 
-fn on_sockets(test: impl Future<Output = ()>) {
+fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let test = async { timeout(2 * LONG, test).await.expect("it hangs") };
+    let test = async { timeout(2 * LONG, test).await.expect("test timed out") };
     LocalSet::new().block_on(&runtime.unwrap(), test);
 }
 
 // ---- Streams ------------------------------------------------------------------------------
 
 #[test]
-fn a_proxy_joins_and_is_bound_and_hears_of_a_drain() {
+fn joined_proxy_receives_its_table_and_drains() {
     with_assigner(|running, agent| async move {
-        let mut proxy = Wire::join(running.place, 0, true).await;
+        let mut proxy = Wire::join(running.address, 0, true).await;
         let table = proxy.table().await;
         assert_eq!(table["lines"].as_array().unwrap().len(), 3, "{table}");
-        running.counted("in marks answered", 1).await;
+        running.wait_for_count("in marks answered", 1).await;
         agent.say(8, false, &[server(2, "DRAINING", 0.0)]);
         let message = proxy.until("s-2 shut out", names("s-2")).await;
         assert!(message["ticket"].is_u64(), "{message}");
         agent.say(9, false, &[server(3, "DELETED", 0.0)]);
         proxy.until("s-3 shut out", names("s-3")).await;
-        // Back with a new start: let back with the line that brings it into the table again.
+        // After a restart the server is restored together with its table line.
         agent.say(10, true, &serving(1..=3));
         proxy
             .until("s-2 back", |m| m["back"].to_string().contains("s-2"))
@@ -112,32 +111,32 @@
 }
 
 #[test]
-fn bytes_come_in_pieces_and_messages_together() {
+fn split_and_coalesced_messages_are_decoded() {
     with_assigner(|running, _agent| async move {
-        let mut proxy = Wire::dial(running.place).await;
+        let mut proxy = Wire::dial(running.address).await;
         for byte in format!("{}\n", joining(1, true)).bytes() {
             proxy.socket.write_all(&[byte]).await.unwrap();
             tokio::task::yield_now().await;
         }
-        running.counted("in joinings", 1).await;
+        running.wait_for_count("in joinings", 1).await;
         let usage = r#"{"msg":"client_stats","proxy":1,"class":"read","tries":19,"failed":0,"span_ms":1000.0,"new":[1]}"#;
         proxy.say(&[usage, usage, BEAT, usage].join("\n")).await;
         proxy
             .until("an answer to the beat", |m| m["msg"] == "hb_ok")
             .await;
-        running.counted("in usage", 3).await;
+        running.wait_for_count("in usage", 3).await;
         proxy.table().await;
     });
 }
 
 #[test]
-fn a_new_stream_replaces_the_old_whose_late_end_changes_nothing() {
+fn new_stream_replaces_the_old_one_and_late_input_is_ignored() {
     with_assigner(|running, agent| async move {
-        let mut old = Wire::join(running.place, 2, true).await;
+        let mut old = Wire::join(running.address, 2, true).await;
         old.table().await;
-        let mut new = Wire::join(running.place, 2, false).await;
+        let mut new = Wire::join(running.address, 2, false).await;
         new.table().await;
-        // Input of the old one that was read before its end and comes after the joining of the new.
+        // Input of the old stream that arrives after the new stream has joined.
         let input = Input::Acknowledged {
             proxy: 2,
             mark: 0,
@@ -152,9 +151,11 @@
                 holds: Default::default(),
             })
             .await;
-        running.counted("late input of old streams", 1).await;
+        running.wait_for_count("late input of old streams", 1).await;
         assert!(old.hear().await.is_none());
-        running.counted(CloseReason::Replaced.counter(), 1).await;
+        running
+            .wait_for_count(CloseReason::Replaced.counter(), 1)
+            .await;
         agent.say(8, false, &[server(1, "DRAINING", 0.0)]);
         new.until("s-1 shut out", names("s-1")).await;
         assert_eq!(running.ctx.counters.get(CloseReason::Closed.counter()), 0);
@@ -162,9 +163,9 @@
 }
 
 #[test]
-fn a_reset_inside_a_message_is_a_leaving() {
+fn reset_within_a_message_removes_the_proxy() {
     with_assigner(|running, _agent| async move {
-        let mut proxy = Wire::join(running.place, 0, true).await;
+        let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
         proxy
             .socket
@@ -173,40 +174,45 @@
             .unwrap();
         proxy.socket.set_zero_linger().unwrap();
         drop(proxy);
-        running.counted(CloseReason::Reset.counter(), 1).await;
-        let mut again = Wire::join(running.place, 0, false).await;
+        running
+            .wait_for_count(CloseReason::Reset.counter(), 1)
+            .await;
+        let mut again = Wire::join(running.address, 0, false).await;
         again.table().await;
     });
 }
 
 #[test]
-fn strangers_up_to_the_limit_turn_nobody_away() {
-    on_sockets(async {
+fn unidentified_connections_are_evicted_for_proxies_and_collectors() {
+    run_local(async {
         let agent = Agent::new().await;
         let mut told = told(agent.place);
         told["limits"]["sockets"] = json!(40);
         let running = run(&told).await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
+        let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
-        let mut collector = Wire::dial(running.place).await;
+        let mut collector = Wire::dial(running.address).await;
         collector.say(COLLECTOR).await;
-        running.counted("in collectors", 1).await;
-        let mut strangers = Vec::new();
+        running.wait_for_count("in collectors", 1).await;
+        let mut unidentified = Vec::new();
         for _ in 0..50 {
-            strangers.push(Wire::dial(running.place).await);
+            unidentified.push(Wire::dial(running.address).await);
         }
-        let mut late = Wire::join(running.place, 1, true).await;
+        let mut late = Wire::join(running.address, 1, true).await;
         late.table().await;
         assert!(running.ctx.counters.get(CloseReason::Evicted.counter()) > 0);
         assert!(proxy.beats().await && collector.beats().await);
         assert_eq!(running.ctx.counters.get("most connections at once"), 8);
-        assert!(strangers[0].hear().await.is_none(), "the oldest go first");
-        // Collectors that come again and again while their old connections stay half-open.
+        assert!(
+            unidentified[0].hear().await.is_none(),
+            "the oldest are evicted first"
+        );
+        // Reconnecting collectors whose old connections stay half-open.
         let mut collectors = Vec::new();
         for count in 2..20 {
-            let mut collector = Wire::dial(running.place).await;
+            let mut collector = Wire::dial(running.address).await;
             collector.say(COLLECTOR).await;
-            running.counted("in collectors", count).await;
+            running.wait_for_count("in collectors", count).await;
             collectors.push(collector);
         }
         assert!(collectors.pop().unwrap().beats().await && late.beats().await);
@@ -214,11 +220,11 @@
 }
 
 #[test]
-fn who_has_not_joined_in_time_gets_a_close_whatever_it_sends() {
+fn connections_that_do_not_join_in_time_are_closed() {
     with_assigner(|running, _agent| async move {
-        let mut proxy = Wire::join(running.place, 0, true).await;
+        let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
-        let mut late = Wire::dial(running.place).await;
+        let mut late = Wire::dial(running.address).await;
         let whole = joining(1, true);
         let (first, rest) = whole.split_at(30);
         late.socket.write_all(first.as_bytes()).await.unwrap();
@@ -230,11 +236,11 @@
             (&(BEAT.to_string() + "\n"), true),
         ];
         let sent = sent.map(|(text, again)| (text.to_string(), again));
-        let strangers = sent.into_iter().chain([("x".repeat(512), true)]).map(|(text, again)| async move {
-            let mut wire = Wire::dial(running.place).await.socket;
+        let unidentified = sent.into_iter().chain([("x".repeat(512), true)]).map(|(text, again)| async move {
+            let mut wire = Wire::dial(running.address).await.socket;
             let (mut hears, mut says) = wire.split();
             let mut heard = [0; 4096];
-            // What is said again is said for as long as it is taken.
+            // Repeat until the assigner closes the connection.
             let say = async {
                 while says.write_all(text.as_bytes()).await.is_ok() && again {
                     tokio::time::sleep(Duration::from_millis(20)).await;
@@ -246,63 +252,69 @@
                 () = say => {}
             }
         });
-        let closed: Vec<_> = strangers.map(spawn_local).collect();
+        let closed: Vec<_> = unidentified.map(spawn_local).collect();
         late.say(rest).await;
         late.table().await;
         for closed in closed {
             timeout(LONG, closed)
                 .await
-                .expect("it was never closed")
+                .expect("the connection was not closed")
                 .unwrap();
         }
-        running.counted(CloseReason::JoinTimeout.counter(), 5).await;
-        running.counted(CloseReason::LineTooLong.counter(), 1).await;
+        running
+            .wait_for_count(CloseReason::JoinTimeout.counter(), 5)
+            .await;
+        running
+            .wait_for_count(CloseReason::LineTooLong.counter(), 1)
+            .await;
         assert!(proxy.beats().await && late.beats().await);
     });
 }
 
 #[test]
-fn where_all_have_joined_a_newcomer_is_turned_away_until_one_leaves() {
-    on_sockets(async {
+fn new_connections_are_rejected_while_all_slots_are_joined() {
+    run_local(async {
         let agent = Agent::new().await;
         let mut told = told(agent.place);
         told["limits"]["sockets"] = json!(33);
         let running = run(&told).await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
+        let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
         assert!(
-            Wire::join(running.place, 1, true)
+            Wire::join(running.address, 1, true)
                 .await
                 .hear()
                 .await
                 .is_none()
         );
-        running.counted("connections turned away", 1).await;
+        running.wait_for_count("connections turned away", 1).await;
         assert!(proxy.beats().await);
         drop(proxy);
-        running.alone(0).await;
-        Wire::join(running.place, 1, true).await.table().await;
+        running.wait_for_connections(0).await;
+        Wire::join(running.address, 1, true).await.table().await;
     });
 }
 
 #[test]
-fn a_reader_that_stops_reading_delays_nobody() {
+fn stalled_reader_does_not_delay_others() {
     with_assigner(|running, agent| async move {
-        let mut proxy = Wire::join(running.place, 0, true).await;
+        let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
-        let mut deaf = socket.connect(running.place).await.unwrap();
+        let mut stalled = socket.connect(running.address).await.unwrap();
         let beats = format!("{BEAT}\n").repeat(4096);
-        spawn_local(async move { while deaf.write_all(beats.as_bytes()).await.is_ok() {} });
-        running.counted(CloseReason::SlowReader.counter(), 1).await;
+        spawn_local(async move { while stalled.write_all(beats.as_bytes()).await.is_ok() {} });
+        running
+            .wait_for_count(CloseReason::SlowReader.counter(), 1)
+            .await;
         agent.say(8, false, &[server(1, "DRAINING", 0.0)]);
         proxy.until("s-1 shut out", names("s-1")).await;
     });
 }
 
 #[test]
-fn bad_input_is_felt_by_nobody_else() {
+fn invalid_input_affects_only_its_connection() {
     let long = "x".repeat(1 << 20);
     let bad: Vec<(&str, Vec<u8>)> = [
         ("not JSON", "hello"),
@@ -334,25 +346,25 @@
     .chain([("not UTF-8", b"{\"msg\":\"h\xffb\"}".to_vec())])
     .collect();
     with_assigner(|running, agent| async move {
-        let mut other = Wire::join(running.place, 3, true).await;
+        let mut other = Wire::join(running.address, 3, true).await;
         other.table().await;
         let mut trace = String::new();
         for (what, bytes) in bad {
             trace += &format!("{what}:");
             for (who, first) in [
-                ("stranger", ""),
+                ("unidentified", ""),
                 ("collector", COLLECTOR),
                 ("proxy", &joining(0, true)),
             ] {
                 let before = running.ctx.counters.lines();
-                let mut wire = Wire::dial(running.place).await;
+                let mut wire = Wire::dial(running.address).await;
                 if !first.is_empty() {
                     wire.say(first).await;
                 }
                 _ = wire.socket.write_all(&[&bytes[..], b"\n"].concat()).await;
                 let kept = wire.beats().await;
                 if !kept {
-                    running.alone(1).await;
+                    running.wait_for_connections(1).await;
                 }
                 let bad = |line: &&String| line.starts_with("bad") || line.starts_with("ended");
                 let news: Vec<String> = running
@@ -369,12 +381,12 @@
                     .map(|l| count_name(l))
                     .collect();
                 trace += &format!(
-                    "\n  a {who} {} ({})",
-                    if kept { "stays" } else { "goes" },
+                    "\n  {who}: {} ({})",
+                    if kept { "open" } else { "closed" },
                     news.join(", ")
                 );
                 drop(wire);
-                running.alone(1).await;
+                running.wait_for_connections(1).await;
             }
             trace += "\n";
         }
@@ -389,13 +401,13 @@
 }
 
 #[test]
-fn reports_of_a_collector_reach_the_module() {
+fn collector_reports_reach_the_module() {
     with_assigner(|running, _agent| async move {
-        let mut proxy = Wire::join(running.place, 0, true).await;
+        let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
-        let mut collector = Wire::dial(running.place).await;
+        let mut collector = Wire::dial(running.address).await;
         collector.say(COLLECTOR).await;
-        // s-1 fails all its tries while the others do well: the module strikes it.
+        // s-1 fails all tries while the others succeed, so the module removes it.
         let report = async {
             loop {
                 for (n, failed) in [(1, 30), (2, 0), (3, 0)] {
@@ -415,22 +427,22 @@
     });
 }
 
-// ---- The list -----------------------------------------------------------------------------
+// ---- Server list --------------------------------------------------------------------------
 
 #[test]
-fn a_beat_is_answered_only_once_the_list_is_known() {
-    on_sockets(async {
+fn heartbeat_is_answered_once_the_list_is_known() {
+    run_local(async {
         let mut discovery = Discovery::new().await;
         let mut told = told(discovery.place);
         told["known"]["endpoints"] = json!([]);
         let running = run(&told).await;
-        let mut wire = Wire::dial(running.place).await;
+        let mut wire = Wire::dial(running.address).await;
         wire.say(BEAT).await;
         let mut watch = discovery.watch().await;
         assert_eq!(
             running.ctx.counters.get("connections taken"),
             0,
-            "taken without a list"
+            "accepted without a list"
         );
         watch.say(&list(8, true, &serving(1..=2))).await;
         assert_eq!(wire.hear().await.unwrap()["msg"], "hb_ok");
@@ -438,15 +450,15 @@
 }
 
 #[test]
-fn a_watch_that_breaks_is_resumed_and_nothing_is_skipped_or_taken_twice() {
-    on_sockets(async {
+fn broken_watch_resumes_without_gaps_or_duplicates() {
+    run_local(async {
         let mut discovery = Discovery::new().await;
         let running = run(&told(discovery.place)).await;
         let mut watch = discovery.watch().await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
+        let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
         let mut trace = String::new();
-        // In the middle of a line.
+        // Break the watch in the middle of a line.
         let change = list(8, false, &[server(1, "DRAINING", 0.0)]);
         watch.say(&change[..40]).await;
         drop(watch);
@@ -469,7 +481,7 @@
                     discovery.call().await.answer(200, "");
                     drop(silent);
                 }
-                // Neither this call nor its connection is ever ended by the stand-in.
+                // The test double never ends this request or its connection.
                 _ => discovery.call().await.answer(404, ""),
             }
         }
@@ -494,11 +506,11 @@
 }
 
 #[test]
-fn a_change_that_was_not_handed_on_comes_first_at_the_new_address() {
-    on_sockets(async {
+fn unforwarded_change_is_read_again_at_the_new_address() {
+    run_local(async {
         let (mut here, mut there) = (Discovery::new().await, Discovery::new().await);
         let read = config::parse(&told(here.place).to_string()).unwrap();
-        // One change fits; the next waits for the driver.
+        // The channel holds one change; the next one waits for the driver.
         let (events, mut taken) = mpsc::channel(1);
         let (log, conns) = (Log::new("n0".into(), 9), Connections::new(1, 1));
         let ctx = Rc::new(Context {
@@ -509,8 +521,8 @@
             events,
         });
         let running = Running {
-            place: here.place,
-            notes: None,
+            address: here.place,
+            peer_address: None,
             ctx: ctx.clone(),
         };
         let list_client = ListClient::new(here.place, 7, false, ctx);
@@ -518,11 +530,11 @@
         let mut watch = here.watch().await;
         let change = |version, n| list(version, false, &[server(n, "DRAINING", 0.0)]);
         watch.say(&[change(8, 1), change(9, 2)].concat()).await;
-        running.counted("in list changes", 1).await;
+        running.wait_for_count("in list changes", 1).await;
         list_client.set_address(there.place);
         let call = there.call().await;
         assert_eq!(call.path, "/catalog/members?follow=1&since=8");
-        // That agent lags behind at first: what it says last is older than what is held.
+        // This agent lags behind: its first lists are older than the current version.
         let mut watch = call.watch();
         watch
             .say(&[list(6, true, &serving(1..=3)), change(8, 1), change(9, 2)].concat())
@@ -536,7 +548,7 @@
         }
         assert_eq!(versions, [8, 9]);
         assert_eq!(running.ctx.counters.get("whole lists passed over"), 1);
-        // The address that it has already changes nothing.
+        // Setting the same address again has no effect.
         list_client.set_address(there.place);
         watch.say(&change(10, 3)).await;
         assert!(matches!(taken.recv().await, Some(Event::List { list, .. }) if list.version == 10));
@@ -545,17 +557,17 @@
 }
 
 #[test]
-fn a_server_long_gone_is_forgotten_and_let_back_when_it_returns() {
+fn forgotten_server_is_restored_when_it_returns() {
     with_assigner(|running, agent| async move {
-        let mut proxy = Wire::join(running.place, 0, true).await;
+        let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
         agent.say(8, false, &[server(3, "DELETED", 0.0)]);
         proxy.until("s-3 shut out", names("s-3")).await;
-        running.counted("servers forgotten", 1).await;
-        let mut collector = Wire::dial(running.place).await;
+        running.wait_for_count("servers forgotten", 1).await;
+        let mut collector = Wire::dial(running.address).await;
         let heard = r#"{"msg":"upstream_stats","zone":"a","server":"s-3","tries":1,"failed":1,"span_ms":1}"#;
         collector.say(&[COLLECTOR, heard].join("\n")).await;
-        running.counted("bad input: unknown server", 1).await;
+        running.wait_for_count("bad input: unknown server", 1).await;
         agent.say(9, false, &[server(3, "SERVING", 0.0)]);
         proxy
             .until("s-3 back", |m| m["back"].to_string().contains("s-3"))
@@ -564,15 +576,15 @@
 }
 
 #[test]
-fn an_absent_agent_is_dialled_until_it_is_there() {
-    on_sockets(async {
-        // An address that is ours, where nobody listens yet.
+fn unreachable_discovery_is_retried() {
+    run_local(async {
+        // Reserve an address without listening on it.
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let running = run(&told(socket.local_addr().unwrap())).await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
+        let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
-        running.counted("watches broken", 2).await;
+        running.wait_for_count("watches broken", 2).await;
         let listener = socket.listen(8).unwrap();
         let mut discovery = Discovery::at(listener);
         assert_eq!(
@@ -583,7 +595,7 @@
 }
 
 #[test]
-fn pauses_grow_while_nothing_is_heard() {
+fn backoff_grows_until_data_arrives() {
     let mut backoff = Backoff::new(1);
     let heard = [
         true, false, false, false, false, false, false, false, true, false,
@@ -595,20 +607,20 @@
     assert_ne!(
         Backoff::new(2).next(true),
         Backoff::new(3).next(true),
-        "not in step"
+        "jitter differs by seed"
     );
 }
 
 #[test]
-fn where_the_list_is_asked_for_the_module_asks() {
-    on_sockets(async {
+fn module_requests_lists_in_on_request_mode() {
+    run_local(async {
         let mut discovery = Discovery::new().await;
         let mut told = told(discovery.place);
         told["settings"]["registry_mode"] = json!("on_request");
         let running = run(&told).await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
+        let mut proxy = Wire::join(running.address, 0, true).await;
         discovery.call().await.answer(500, "");
-        // Its next call comes by its own alarm.
+        // The next request is triggered by a timer of the module.
         let mut watch = discovery.watch().await;
         assert_eq!(running.ctx.counters.get("list calls failed"), 1);
         proxy.table().await;
@@ -624,11 +636,11 @@
     });
 }
 
-// ---- Peers, start and end -----------------------------------------------------------------
+// ---- Peers, startup and shutdown ----------------------------------------------------------
 
 #[test]
-fn notes_go_to_the_peers_and_come_from_them_alone() {
-    on_sockets(async {
+fn peer_messages_are_accepted_from_peers_only() {
+    run_local(async {
         let agent = Agent::new().await;
         let bind = || async { UdpSocket::bind("127.0.0.1:0").await.unwrap() };
         let (all, peer, foreign) = (bind().await, bind().await, bind().await);
@@ -636,23 +648,23 @@
         told["peers"] = json!(["127.0.0.1:9", peer.local_addr().unwrap()]);
         told["peers_all"] = json!(all.local_addr().unwrap());
         let running = run(&told).await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
+        let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
         let mut note = [0; 512];
         let (size, _) = all.recv_from(&mut note).await.unwrap();
         assert!(size > 0 && size <= 256);
-        let place = running.notes.unwrap();
-        peer.send_to(&note[..size], place).await.unwrap();
-        foreign.send_to(&note[..size], place).await.unwrap();
-        peer.send_to(&[0; 300], place).await.unwrap();
-        running.counted("in notes", 1).await;
-        running.counted("notes refused", 2).await;
+        let address = running.peer_address.unwrap();
+        peer.send_to(&note[..size], address).await.unwrap();
+        foreign.send_to(&note[..size], address).await.unwrap();
+        peer.send_to(&[0; 300], address).await.unwrap();
+        running.wait_for_count("in notes", 1).await;
+        running.wait_for_count("notes refused", 2).await;
         assert_eq!(running.ctx.counters.get("in notes"), 1);
     });
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_gets_a_plain_message() {
+fn invalid_configuration_is_reported() {
     let place: SocketAddr = "127.0.0.1:1".parse().unwrap();
     let change = |at: &str, value: Value| {
         let mut told = told(place);
@@ -677,7 +689,7 @@
         change("/settings/family_info/backlog", json!("many")),
         change(
             "/known/endpoints/0/zone",
-            json!("an unknown one is passed over"),
+            json!("unknown names are accepted"),
         ),
         change("/known/endpoints/0/weight", json!(-1)),
         change("/peers", json!(null)),
@@ -693,7 +705,7 @@
 }
 
 #[test]
-fn messages_are_read_in_the_words_and_the_order_of_the_settings() {
+fn messages_decode_by_names_and_order_of_the_settings() {
     let codec = config::parse(&told("127.0.0.1:1".parse().unwrap()).to_string())
         .unwrap()
         .codec;
@@ -717,13 +729,13 @@
 }
 
 #[test]
-fn every_ending_has_one_meaning() {
+fn close_reasons_map_to_inputs() {
     let lines = ALL.map(|reason| format!("{}: {:?}", reason.counter(), reason.input(5)));
     insta::assert_snapshot!(lines.join("\n"));
 }
 
 #[test]
-fn a_kind_of_log_line_has_its_share() {
+fn log_lines_are_limited_per_kind() {
     let log = Log::new("n0".into(), 2);
     let said: Vec<bool> = ["a", "a", "a", "b"]
         .map(|kind| log.admit(kind).is_some())
@@ -731,9 +743,9 @@
     assert_eq!(said, [true, true, false, true]);
 }
 
-/// The program itself, on real time.
+/// Tests of the executable.
 mod program {
-    use super::{Discovery, Wire, json, list, names, on_sockets, server, told};
+    use super::{Discovery, Wire, json, list, names, run_local, server, told};
     use std::io::{BufRead, BufReader, Lines, Write};
     use std::net::TcpStream;
     use std::process::{Child, ChildStderr, Command, Stdio};
@@ -777,10 +789,10 @@
             let mut lines = self.log.by_ref().map(Result::unwrap);
             lines
                 .find(|line| line.contains(with))
-                .unwrap_or_else(|| panic!("it never said {with}"))
+                .unwrap_or_else(|| panic!("no line contains {with}"))
         }
 
-        /// Replaces its configuration and has it read again.
+        /// Replaces the configuration file and sends SIGHUP.
         fn reload(&self, told: &str) {
             let next = self.folder.path().join("next");
             std::fs::write(&next, told).unwrap();
@@ -820,15 +832,15 @@
     }
 
     #[test]
-    fn it_serves_again_after_a_kill_and_ends_on_a_term_with_its_counters() {
+    fn restarts_after_a_kill_and_logs_counters_on_sigterm() {
         let mut told = told("127.0.0.1:1".parse().unwrap());
         let mut program = start(&told.to_string());
         let place = program.place();
         assert!(beats(&place));
-        // Another one cannot have the same address.
+        // A second process cannot bind the same address.
         told["listen"] = place.clone().into();
         let mut second = start(&told.to_string());
-        assert!(second.line("can't be used").contains(&place));
+        assert!(second.line("cannot bind").contains(&place));
         assert!(!second.child.wait().unwrap().success());
         program.child.kill().unwrap();
         program.child.wait().unwrap();
@@ -838,14 +850,14 @@
         again.signal("USR1");
         assert!(again.line("count: in beats").ends_with(" 1"));
         again.signal("TERM");
-        again.line("told to end");
+        again.line("received SIGTERM");
         again.line("count: out beat answers");
         assert!(again.child.wait().unwrap().success());
     }
 
     #[test]
-    fn a_new_configuration_moves_the_watch_and_no_stream_is_felt() {
-        on_sockets(async {
+    fn reload_moves_the_watch_and_keeps_streams() {
+        run_local(async {
             let (mut here, mut there) = (Discovery::new().await, Discovery::new().await);
             let mut told = told(here.place);
             let mut program = start(&told.to_string());
@@ -859,7 +871,7 @@
                 .await;
             proxy.until("s-1 shut out", names("s-1")).await;
             program.reload("{");
-            program.line("all stays as it was");
+            program.line("keeping the current configuration");
             watch
                 .say(&list(9, false, &[server(1, "SERVING", 9.0)]))
                 .await;
@@ -869,7 +881,7 @@
             told["discovery"] = json!(there.place);
             told["limits"]["sockets"] = json!(64);
             program.reload(&told.to_string());
-            program.line("limits can't change while it runs");
+            program.line("limits cannot change at runtime");
             let call = there.call().await;
             assert_eq!(call.path, "/catalog/members?follow=1&since=9");
             let mut moved = call.watch();
@@ -877,8 +889,8 @@
                 .say(&list(10, false, &[server(2, "DRAINING", 0.0)]))
                 .await;
             proxy.until("s-2 shut out", names("s-2")).await;
-            assert!(proxy.beats().await, "the stream is the one it joined on");
-            // A file that is never read to its end holds up neither the proxies nor the end.
+            assert!(proxy.beats().await, "the stream was not replaced");
+            // A configuration read that blocks delays neither the proxies nor the shutdown.
             let fifo = program.folder.path().join("config.json");
             std::fs::remove_file(&fifo).unwrap();
             assert!(
@@ -891,7 +903,7 @@
             program.signal("HUP");
             assert!(proxy.beats().await);
             program.signal("TERM");
-            program.line("told to end");
+            program.line("received SIGTERM");
             assert!(
                 program
                     .line("count: configurations refused")
@@ -905,24 +917,24 @@
     }
 
     #[test]
-    fn where_the_system_gives_no_more_connections_those_who_joined_are_served() {
+    fn joined_connections_survive_descriptor_exhaustion() {
         let mut program = start_within(&told("127.0.0.1:1".parse().unwrap()).to_string(), 24);
         let place = program.place();
         let mut joined = TcpStream::connect(&place).unwrap();
         joined
             .write_all(format!("{}\n", super::joining(0, true)).as_bytes())
             .unwrap();
-        let strangers: Vec<_> = (0..40)
+        let unidentified: Vec<_> = (0..40)
             .map(|_| TcpStream::connect(&place).unwrap())
             .collect();
-        program.line("a connection was not taken");
+        program.line("accept failed");
         joined.write_all(b"{\"msg\":\"hb\"}\n").unwrap();
         let mut lines = BufReader::new(joined).lines();
         assert!(lines.any(|line| line.unwrap().contains("hb_ok")));
-        // Each of them is closed in the end, and the next is served.
-        for mut stranger in strangers {
+        // All of them are closed, and new connections are served.
+        for mut client in unidentified {
             assert!(matches!(
-                std::io::Read::read(&mut stranger, &mut [0; 9]),
+                std::io::Read::read(&mut client, &mut [0; 9]),
                 Ok(0) | Err(_)
             ));
         }
@@ -931,9 +943,9 @@
     }
 
     #[test]
-    fn without_a_configuration_it_does_not_start() {
+    fn invalid_configuration_prevents_start() {
         let mut program = start("{");
-        program.line("the configuration is not what it should be");
+        program.line("invalid configuration");
         assert!(!program.child.wait().unwrap().success());
     }
 }
--- a/crates/rookpulley-assigner/tests/versions.rs
+++ b/crates/rookpulley-assigner/tests/versions.rs
@@ -1,5 +1,5 @@
-//! Versions on sockets: two assigners, dispatchers and discovery on loopback, with links between them that
-//! lose, double, delay, reorder and cut, and operators who go back at random moments.
+//! Table versions on loopback sockets: two assigners and their dispatchers over links that lose,
+//! duplicate, delay, reorder and cut messages, with rollbacks at random times.
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::Bytes;
@@ -25,22 +25,22 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-fn on_sockets<T>(test: impl Future<Output = T>) -> T {
+fn run_local<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     LocalSet::new().block_on(&runtime.unwrap(), async {
-        timeout(2 * LONG, test).await.expect("it hangs")
+        timeout(2 * LONG, test).await.expect("test timed out")
     })
 }
 
 struct Running {
-    place: SocketAddr,
+    address: SocketAddr,
     operators: SocketAddr,
     ctx: Rc<Context>,
 }
 
-fn switched_on() -> Operators {
+fn operators_with_versions() -> Operators {
     let text = "address(listen = \"127.0.0.1:0\")\nversions(keep = 24, megabytes = 8)\n";
     file::read(Path::new("operators.star"), text).unwrap()
 }
@@ -48,25 +48,25 @@
 async fn run(told: &Value) -> Running {
     let told = config::parse(&told.to_string()).unwrap();
     let signals = Signals::take().unwrap();
-    let assigner = Assigner::bind(told, "no file".into(), signals, &switched_on())
+    let assigner = Assigner::bind(told, "no file".into(), signals, &operators_with_versions())
         .await
         .unwrap();
-    let (place, operators) = (
+    let (address, operators) = (
         assigner.addresses().0.unwrap(),
         assigner.operators_address().unwrap(),
     );
     let ctx = assigner.ctx.clone();
     spawn_local(assigner.serve());
     Running {
-        place,
+        address,
         operators,
         ctx,
     }
 }
 
-/// Calls the operators' address.
-async fn call(place: SocketAddr, method: &str, path: &str, body: Value) -> (u16, Value) {
-    let socket = TcpStream::connect(place).await.unwrap();
+/// Sends a request to the operator API.
+async fn call(address: SocketAddr, method: &str, path: &str, body: Value) -> (u16, Value) {
+    let socket = TcpStream::connect(address).await.unwrap();
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(socket))
         .await
         .unwrap();
@@ -96,8 +96,8 @@
         serde_json::from_value(list).unwrap()
     }
 
-    /// Waits until all its joined dispatchers are judged so.
-    async fn until_all(&self, judged: &str, count: usize) -> Vec<HolderRow> {
+    /// Waits until there are `count` rows of joined dispatchers, all in this state.
+    async fn wait_for_state(&self, judged: &str, count: usize) -> Vec<HolderRow> {
         let wait = async {
             loop {
                 let rows: Vec<_> = self
@@ -123,12 +123,12 @@
 const SERVERS: u32 = 8;
 const GRACE_MS: f64 = 3_500.0;
 
-/// Two request kinds that go to servers of all zones, a few dispatchers and a short channel.
+/// Two request kinds served in all zones, a few dispatchers and a short transit time.
 fn settings(discovery: SocketAddr, name: &str, dispatchers: u32) -> Value {
     let mut told = told(discovery);
     (told["name"], told["known"]["endpoints"]) = (json!(name), json!(serving(1..=SERVERS)));
     told["limits"]["sockets"] = json!(512);
-    // One kind keeps to a kind of machine, though all servers are of it: so each has a table of its own.
+    // One kind is bound to the only machine type, which gives each kind its own table.
     told["settings"]["categories"][1]["only_kinds"] = json!([0]);
     told["settings"]["family_info"]["agents"] = json!(dispatchers);
     told["settings"]["family_info"]["push_delay_max_us"] = json!(80_000);
@@ -138,7 +138,7 @@
     told
 }
 
-const TROUBLE: Faults = Faults {
+const FAULTS: Faults = Faults {
     lose: 0.12,
     double: 0.06,
     delay: 0.3,
@@ -161,8 +161,8 @@
     same: u64,
 }
 
-/// Whether ledgers, dispatchers and checker say the same of every table, byte for byte.
-async fn agree(
+/// Checks that assigners, dispatchers and checker agree on every table.
+async fn check_agreement(
     assigners: &[Running],
     dispatchers: &[Rc<Dispatcher>],
     checker: &RefCell<Checker>,
@@ -215,13 +215,13 @@
     Ok(())
 }
 
-/// One run: four seconds of trouble, then quiet links, then the checks.
-async fn play(seed: u64) -> Result<Tally, String> {
-    const SPEAKING: u64 = 24;
+/// One run: four seconds with faults, then clean links, then the checks.
+async fn run_seed(seed: u64) -> Result<Tally, String> {
+    const VERSIONED: u64 = 24;
     const PLAIN: u64 = 4;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let agent = Agent::new().await;
-    let all = (SPEAKING + PLAIN) as u32;
+    let all = (VERSIONED + PLAIN) as u32;
     let assigners = [
         run(&settings(agent.place, "n0", all)).await,
         run(&settings(agent.place, "n1", all)).await,
@@ -234,12 +234,18 @@
     for (n, assigner) in assigners.iter().enumerate() {
         let seed = seed << 4 | n as u64;
         links.push(
-            Link::open(assigner.place, seed, TROUBLE, streams.clone(), seen.clone())
-                .await
-                .unwrap(),
+            Link::open(
+                assigner.address,
+                seed,
+                FAULTS,
+                streams.clone(),
+                seen.clone(),
+            )
+            .await
+            .unwrap(),
         );
     }
-    // What the platform's dispatchers speak runs on streams that lose nothing.
+    // Dispatchers without versions rely on streams that lose nothing.
     let mut clean = Vec::new();
     for assigner in &assigners {
         let faults = Faults {
@@ -248,14 +254,20 @@
             ..Faults::default()
         };
         clean.push(
-            Link::open(assigner.place, seed, faults, streams.clone(), seen.clone())
-                .await
-                .unwrap(),
+            Link::open(
+                assigner.address,
+                seed,
+                faults,
+                streams.clone(),
+                seen.clone(),
+            )
+            .await
+            .unwrap(),
         );
     }
     let mut dispatchers = Vec::new();
-    for id in 0..SPEAKING + PLAIN {
-        let speaks = id < SPEAKING;
+    for id in 0..VERSIONED + PLAIN {
+        let speaks = id < VERSIONED;
         let dispatcher = Dispatcher::new(id, "a", &KINDS, speaks, seed, seen.clone());
         let through = if speaks { &links } else { &clean };
         let mut places = [through[0].place, through[1].place];
@@ -292,7 +304,7 @@
                 );
             }
             3 | 4 => {
-                // A new weight: a change of the list that is neither a drain nor a start.
+                // A weight change, which is neither a drain nor a start.
                 let n = rng.random_range(1..=SERVERS);
                 if !drained.contains(&n) {
                     let mut line = server(n, "SERVING", 0.0);
@@ -331,7 +343,7 @@
             }
         }
     }
-    // The links lose nothing any more; who was cut off joins again and stays.
+    // Stop the faults; disconnected dispatchers rejoin and stay.
     links
         .iter()
         .chain(&clean)
@@ -342,7 +354,7 @@
             let (a, b) = (assigners[0].holders().await, assigners[1].holders().await);
             let joined: Vec<_> = a.iter().chain(&b).filter(|r| r.joined).collect();
             let tables: usize = joined.len();
-            // Each dispatcher is joined to one assigner, with one table for its kinds or one each.
+            // Each dispatcher is joined to one assigner, with one row per kind.
             let at = |id: u64| {
                 joined
                     .iter()
@@ -350,7 +362,7 @@
                     .count()
             };
             if tables > 0
-                && (0..SPEAKING + PLAIN).all(|id| at(id) == KINDS.len())
+                && (0..VERSIONED + PLAIN).all(|id| at(id) == KINDS.len())
                 && joined.iter().all(|r| r.judged == "in step")
             {
                 return;
@@ -364,9 +376,9 @@
         rows.retain(|r| r.joined && r.judged != "in step");
         return Err(format!("not all in step: {rows:#?}"));
     }
-    // Servers that ramp change tables now and then: what is asked in between is asked again.
+    // Ramping servers still change tables, so repeat the check if it ran during a change.
     let late = Instant::now() + Duration::from_secs(8);
-    while let Err(why) = agree(&assigners, &dispatchers, &checker).await {
+    while let Err(why) = check_agreement(&assigners, &dispatchers, &checker).await {
         if Instant::now() > late {
             return Err(why);
         }
@@ -393,9 +405,9 @@
     Ok(tally)
 }
 
-/// 40 seeds, a few at a time. `SEED=n` plays one alone.
+/// Runs 40 seeds, ten at a time. `SEED=n` runs a single one.
 #[test]
-fn two_assigners_lossy_links_and_forced_rollbacks_end_on_known_versions() {
+fn rollbacks_over_lossy_links_converge_to_known_versions() {
     const AT_ONCE: usize = 10;
     let only: Option<u64> = std::env::var("SEED").ok().and_then(|s| s.parse().ok());
     let seeds: Vec<u64> = only.map_or((0..40).collect(), |seed| vec![seed]);
@@ -409,7 +421,7 @@
                     *seed,
                     std::thread::spawn({
                         let seed = *seed;
-                        move || on_sockets(play(seed))
+                        move || run_local(run_seed(seed))
                     }),
                 )
             })
@@ -452,24 +464,24 @@
     ];
     assert!(
         only.is_some() || met.iter().all(|n| *n > 20),
-        "too little was met: {sums:?}"
+        "too few events: {sums:?}"
     );
 }
 
-// ---- By hand ------------------------------------------------------------------------------
+// ---- Manual proxies -----------------------------------------------------------------------
 
-/// One assigner, two dispatchers that are told by hand, and discovery.
-fn by_hand<F: Future<Output = ()>>(test: impl FnOnce(Running, Agent, Wire) -> F) {
-    on_sockets(async {
+/// Runs a test with one assigner, discovery and one proxy that the test controls.
+fn with_manual_proxy<F: Future<Output = ()>>(test: impl FnOnce(Running, Agent, Wire) -> F) {
+    run_local(async {
         let agent = Agent::new().await;
         let running = run(&settings(agent.place, "n0", 4)).await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
+        let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
         test(running, agent, proxy).await;
     });
 }
 
-async fn back(running: &Running, to: &str, all: bool) -> (u16, Value) {
+async fn request_rollback(running: &Running, to: &str, all: bool) -> (u16, Value) {
     call(
         running.operators,
         "POST",
@@ -480,40 +492,40 @@
 }
 
 #[test]
-fn one_that_answers_marks_alone_is_in_step_by_them_and_unknown_once_it_falls_silent() {
-    by_hand(|running, agent, mut proxy| async move {
-        let rows = running.until_all("in step", 2).await;
+fn proxy_without_versions_is_tracked_by_its_acknowledgements() {
+    with_manual_proxy(|running, agent, mut proxy| async move {
+        let rows = running.wait_for_state("in step", 2).await;
         assert!(
             rows.iter()
                 .all(|r| !r.speaks && r.claimed.is_none() && r.told == r.confirmed)
         );
-        // It hears of a change and answers nothing from now on.
+        // The proxy receives a change and acknowledges nothing from now on.
         agent.say(101, false, &[server(1, "DRAINING", 0.0)]);
         let listen = async { while proxy.hear().await.is_some_and(|m| m["out"].is_null()) {} };
         timeout(LONG, listen).await.unwrap();
-        running.until_all("lost", 2).await;
+        running.wait_for_state("lost", 2).await;
         assert_eq!(
             running.ctx.counters.get("tables owed"),
             0,
-            "on the platform's streams nothing is sent again"
+            "nothing is resent to proxies without versions"
         );
     });
 }
 
 #[test]
-fn a_rollback_never_sends_to_a_drained_server_and_outlives_newer_lists() {
-    by_hand(|running, agent, mut proxy| async move {
+fn rollback_excludes_drained_servers_and_survives_newer_lists() {
+    with_manual_proxy(|running, agent, mut proxy| async move {
         let first = running.versions().await.versions[0].version.clone();
         agent.say(101, false, &[server(2, "DRAINING", 0.0)]);
         proxy.until("s-2 shut out", names("s-2")).await;
-        let (status, answer) = back(&running, &first, false).await;
+        let (status, answer) = request_rollback(&running, &first, false).await;
         assert_eq!(
             (status, &answer["tables"][0]["what"]),
             (200, &json!("held")),
             "{answer}"
         );
         assert_eq!(answer["tables"][0]["usable"], json!(SERVERS - 1));
-        // A newer list: a drain among it acts at once, a new server stays out of what is held.
+        // A newer list: its drain applies at once, its new server stays out of the held table.
         let unix = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .unwrap();
@@ -526,7 +538,7 @@
                 m["lines"].to_string().contains("s-9")
             })
             .await;
-        let rows = running.until_all("in step", 2).await;
+        let rows = running.wait_for_state("in step", 2).await;
         let held: Vec<_> = rows.iter().filter(|r| r.back).collect();
         assert_eq!(held.len(), 1);
         let newest = held[0].told.clone().unwrap();
@@ -537,13 +549,13 @@
             Value::Null,
         )
         .await;
-        let gone: Vec<&str> = diff["lines"]
+        let removed: Vec<&str> = diff["lines"]
             .as_array()
             .unwrap()
             .iter()
             .map(|l| l["server"].as_str().unwrap())
             .collect();
-        assert_eq!(gone, ["s-2", "s-3"], "{diff}");
+        assert_eq!(removed, ["s-2", "s-3"], "{diff}");
         let (status, _) = call(
             running.operators,
             "POST",
@@ -564,13 +576,13 @@
             json!({"all": true}),
         )
         .await;
-        assert_eq!(status, 409, "nothing is held any more");
+        assert_eq!(status, 409, "nothing is held");
     });
 }
 
 #[test]
-fn what_can_not_be_gone_back_to_is_refused_with_the_reason() {
-    by_hand(|running, agent, mut proxy| async move {
+fn impossible_rollbacks_are_refused_with_a_reason() {
+    with_manual_proxy(|running, agent, mut proxy| async move {
         let first = running.versions().await.versions[0].version.clone();
         let (start, _) = first.rsplit_once('~').unwrap();
         for (to, status, why) in [
@@ -579,18 +591,18 @@
             ("n0~0000000000000001~1".to_string(), 404, "an earlier start"),
             ("yesterday".to_string(), 400, "write it as"),
         ] {
-            let (got, answer) = back(&running, &to, false).await;
+            let (got, answer) = request_rollback(&running, &to, false).await;
             assert!(
                 got == status && answer.to_string().contains(why),
                 "{got} {answer}"
             );
         }
-        // All its servers drain; others come in their place.
+        // All servers of the version drain and are replaced by others.
         let mut lines: Vec<Value> = (1..=SERVERS).map(|n| server(n, "DRAINING", 0.0)).collect();
         lines.extend((11..=14).map(|n| server(n, "SERVING", 1.0)));
         agent.say(101, false, &lines);
         proxy.until("s-1 shut out", names("s-1")).await;
-        let (status, answer) = back(&running, &first, true).await;
+        let (status, answer) = request_rollback(&running, &first, true).await;
         assert_eq!(status, 409, "{answer}");
         let rows = answer["tables"].as_array().unwrap();
         assert!(
@@ -603,8 +615,8 @@
 }
 
 #[test]
-fn a_dispatcher_that_comes_over_with_the_same_table_is_not_sent_it_again() {
-    on_sockets(async {
+fn unchanged_tables_are_not_resent_after_a_failover() {
+    run_local(async {
         let agent = Agent::new().await;
         let one = run(&settings(agent.place, "n0", 4)).await;
         let other = run(&settings(agent.place, "n1", 4)).await;
@@ -615,7 +627,7 @@
         let mut links = Vec::new();
         for at in [&one, &other] {
             let link = Link::open(
-                at.place,
+                at.address,
                 1,
                 Faults::default(),
                 streams.clone(),
@@ -628,35 +640,36 @@
         let dispatcher = Dispatcher::new(0, "a", &KINDS, true, 1, seen);
         dispatcher.dial(&[links[0].place, links[1].place]);
         dispatcher.run();
-        one.until_all("in step", KINDS.len()).await;
+        one.wait_for_state("in step", KINDS.len()).await;
         let whole = checker.borrow().whole;
         assert_eq!((whole, checker.borrow().same), (2, 0));
-        // Cut off, it comes to the other with both tables.
+        // After the cut it joins the other assigner with both tables.
         links[0].cut_all();
-        let rows = other.until_all("in step", KINDS.len()).await;
+        let rows = other.wait_for_state("in step", KINDS.len()).await;
         assert!(
             rows.iter()
                 .all(|r| r.told.as_ref().unwrap().starts_with("n1~"))
         );
         let checker = checker.borrow();
-        assert_eq!(checker.whole, whole, "no table was sent again");
+        assert_eq!(checker.whole, whole, "no table was resent");
         assert!(checker.same >= 2 && checker.broken.is_empty());
         drop(agent);
     });
 }
 
-/// The program itself, with or without an operators' file: its lines, and how many descriptors it holds.
+/// Runs the executable with an optional operators file. Returns its log lines and the number of its
+/// open descriptors.
 fn program(operators: Option<&str>) -> (Vec<String>, usize) {
     use std::io::{BufRead, BufReader};
     use std::process::{Command, Stdio};
     let folder = tempfile::tempdir().unwrap();
-    // Nobody listens there: the watch breaks again and again, which is one line after the other.
-    let gone = std::net::TcpListener::bind("127.0.0.1:0")
+    // Nothing listens on this port, so each failed watch logs a line.
+    let closed_port = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     let config = folder.path().join("config.json");
-    std::fs::write(&config, settings(gone, "n0", 4).to_string()).unwrap();
+    std::fs::write(&config, settings(closed_port, "n0", 4).to_string()).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_rookpulley-assigner"));
     command
         .env("PROXY_CONFIG", &config)
@@ -672,7 +685,7 @@
         .lines()
         .map(Result::unwrap);
     let lines: Vec<String> = lines.take(3).collect();
-    // Between two dials of the watch: the fewest of many counts.
+    // The minimum of many samples excludes sockets of connection attempts.
     let count = |_| {
         std::fs::read_dir(format!("/proc/{}/fd", child.id()))
             .unwrap()
@@ -685,7 +698,7 @@
 }
 
 #[test]
-fn what_is_off_costs_no_descriptor_and_lines_are_text_or_json() {
+fn disabled_features_open_no_descriptor_and_logs_are_text_or_json() {
     let (plain, off) = program(None);
     assert!(
         plain[0].starts_with("n0 start: listening at 127.0.0.1:"),
@@ -695,7 +708,7 @@
     assert_eq!(off, empty);
     let all = "address(listen = \"127.0.0.1:0\")\nversions()\nlog(form = \"json\")\n";
     let (lines, on) = program(Some(all));
-    assert_eq!(on, off + 1, "the operators' address");
+    assert_eq!(on, off + 1, "the operator API");
     for line in &lines {
         let said: Value = serde_json::from_str(line).expect(line);
         assert!(
