--- a/crates/rookpulley-assigner/examples/file_latency.rs
+++ b/crates/rookpulley-assigner/examples/file_latency.rs
@@ -33,20 +33,20 @@
 
 async fn follow(servers: &Path) -> Rc<Dispatcher> {
     let agent = Agent::new().await;
-    let told = lists::told(agent.place);
-    let told = config::parse(&told.to_string()).unwrap();
+    let config = lists::told(agent.place);
+    let config = config::parse(&config.to_string()).unwrap();
     let operators = file::read(
         Path::new("o"),
         &format!("servers(file = {:?})", servers.to_str().unwrap()),
     )
     .unwrap();
-    let assigner = Assigner::bind(told, "none".into(), Signals::take().unwrap(), &operators)
+    let assigner = Assigner::bind(config, "none".into(), Signals::take().unwrap(), &operators)
         .await
         .unwrap();
-    let place = assigner.addresses().0.unwrap();
+    let address = assigner.addresses().0.unwrap();
     spawn_local(assigner.serve());
     let dispatcher = Dispatcher::new(0, "a", &["read", "write"], false, 1, Rc::new(|_| ()));
-    dispatcher.dial(&[place]);
+    dispatcher.dial(&[address]);
     dispatcher.run();
     dispatcher
 }
@@ -59,19 +59,19 @@
 }
 
 async fn measure(write: &Path, dispatcher: &Dispatcher, rounds: u64) -> Vec<f64> {
-    let mut took = Vec::new();
+    let mut latencies = Vec::new();
     for round in 0..rounds {
         // Vary the pause, so that writes do not align with the polling interval.
         sleep(Duration::from_millis(300 + round * 137 % 700)).await;
-        let beside = write.with_extension("new");
-        std::fs::write(&beside, text(round + 2)).unwrap();
-        std::fs::rename(&beside, write).unwrap();
+        let temporary = write.with_extension("new");
+        std::fs::write(&temporary, text(round + 2)).unwrap();
+        std::fs::rename(&temporary, write).unwrap();
         let from = Instant::now();
         until(dispatcher, round + 2).await;
-        took.push(from.elapsed().as_secs_f64() * 1e3);
+        latencies.push(from.elapsed().as_secs_f64() * 1e3);
     }
-    took.sort_by(f64::total_cmp);
-    took
+    latencies.sort_by(f64::total_cmp);
+    latencies
 }
 
 fn main() {
@@ -86,14 +86,14 @@
     LocalSet::new().block_on(&runtime, async {
         let folder =
             std::env::temp_dir().join(format!("rookpulley-latency-{}", std::process::id()));
-        for (name, plain) in [("the watch", false), ("once a second", true)] {
+        for (name, polled) in [("the watch", false), ("once a second", true)] {
             std::fs::create_dir_all(&folder).unwrap();
             let (followed, source) = (folder.join("servers.star"), folder.join("source.star"));
             std::fs::write(&followed, text(1)).unwrap();
             let dispatcher = follow(&followed).await;
             until(&dispatcher, 1).await;
-            let write = if plain { &source } else { &followed };
-            if plain {
+            let write = if polled { &source } else { &followed };
+            if polled {
                 let (source, followed) = (source.clone(), followed.clone());
                 spawn_local(async move {
                     loop {
@@ -104,8 +104,8 @@
                     }
                 });
             }
-            let took = measure(write, &dispatcher, rounds).await;
-            let at = |part: f64| took[((took.len() - 1) as f64 * part) as usize];
+            let latencies = measure(write, &dispatcher, rounds).await;
+            let at = |quantile: f64| latencies[((latencies.len() - 1) as f64 * quantile) as usize];
             println!(
                 "{name}: median {:.0} ms, 99th percentile {:.0} ms, {rounds} files",
                 at(0.5),
--- a/crates/rookpulley-assigner/src/connections.rs
+++ b/crates/rookpulley-assigner/src/connections.rs
@@ -199,7 +199,7 @@
     }
 }
 
-/// Reads and writes a connection until it closes.
+/// Reads and writes a connection until it closes, and returns the reason.
 async fn run(
     socket: &TcpStream,
     id: ConnId,
--- a/crates/rookpulley-assigner/tests/orders.rs
+++ b/crates/rookpulley-assigner/tests/orders.rs
@@ -139,19 +139,19 @@
         vec![bind(1, 0, 0), mark(10, false)],
     );
     orders.leave(0.0, 1);
-    let gone = vec![
+    let after_leave = vec![
         line(0, 4, 0.0),
         bind(1, 0, 0),
         withdraw(4, true),
         mark(11, true),
     ];
-    step(&mut orders, "p1 left: nothing is sent to it", gone);
-    let wipe = vec![
+    step(&mut orders, "p1 left: nothing is sent to it", after_leave);
+    let clear = vec![
         Effect::ClearTable { table: 0 },
         line(0, 5, 1.0),
         mark(12, false),
     ];
-    step(&mut orders, "a table is cleared and filled again", wipe);
+    step(&mut orders, "a table is cleared and filled again", clear);
     insta::assert_snapshot!(trace);
 }
 
@@ -347,9 +347,9 @@
                 } => {
                     let lines = self.tables.entry(table).or_default();
                     if let Some(bound) = self.joined.get_mut(&proxy) {
-                        let shut = lines.keys().filter(|s| self.out.contains(*s)).count();
+                        let withdrawn = lines.keys().filter(|s| self.out.contains(*s)).count();
                         tables = lines.len();
-                        reached.insert(proxy, 1 + tables + shut);
+                        reached.insert(proxy, 1 + tables + withdrawn);
                         bound.extend(kinds(mask).map(|kind| (kind, table)));
                     }
                 }
@@ -382,11 +382,11 @@
                             Some(of) => _ = self.own.insert((of, kind), (level, retry as u64)),
                         }
                     }
-                    let concerned = self
+                    let affected = self
                         .joined
                         .iter()
                         .filter(|(_, b)| table.is_none_or(|t| uses(b, &t)));
-                    reached.extend(concerned.map(|(p, _)| (*p, 0)));
+                    reached.extend(affected.map(|(p, _)| (*p, 0)));
                 }
                 Effect::RequestAck { all, .. } => {
                     let others = self.joined.keys().filter(|_| all).copied();
@@ -474,19 +474,19 @@
                     .map(|part| serde_json::from_str(part).unwrap())
                     .collect();
                 let levels = parts.iter().filter(|p| !p["level"].is_null()).count();
-                let settled: usize = parts.iter().map(|p| of(p, "out") + of(p, "back")).sum();
-                let (most, tables) = cost
+                let withdrawals: usize = parts.iter().map(|p| of(p, "out") + of(p, "back")).sum();
+                let (budget, tables) = cost
                     .remove(&written.proxy)
                     .expect("a message without an effect");
                 let lines = written.lines - levels;
                 assert!(
-                    lines - settled <= most,
-                    "seed {seed}: {lines} lines for {most}: {text}"
+                    lines - withdrawals <= budget,
+                    "seed {seed}: {lines} lines for {budget}: {text}"
                 );
                 // At most one extra per table line, which `bind_lines` accounts for.
                 assert!(
-                    lines <= most + tables,
-                    "seed {seed}: {lines} for {most} + {tables}: {text}"
+                    lines <= budget + tables,
+                    "seed {seed}: {lines} for {budget} + {tables}: {text}"
                 );
             }
             assert!(cost.is_empty(), "seed {seed}: no message for {cost:?}");
--- a/crates/rookpulley-assigner/tests/servers.rs
+++ b/crates/rookpulley-assigner/tests/servers.rs
@@ -57,15 +57,20 @@
         &format!("servers(file = {:?})", servers.to_str().unwrap()),
     )
     .unwrap();
-    let told = config::parse(&settings.to_string()).unwrap();
-    let assigner = Assigner::bind(told, "no file".into(), Signals::take().unwrap(), &operators)
-        .await
-        .unwrap();
-    let (place, ctx) = (assigner.addresses().0.unwrap(), assigner.ctx.clone());
+    let config = config::parse(&settings.to_string()).unwrap();
+    let assigner = Assigner::bind(
+        config,
+        "no file".into(),
+        Signals::take().unwrap(),
+        &operators,
+    )
+    .await
+    .unwrap();
+    let (address, ctx) = (assigner.addresses().0.unwrap(), assigner.ctx.clone());
     spawn_local(assigner.serve());
     let dispatchers = (0..dispatchers).map(|id| {
         let dispatcher = Dispatcher::new(id, "a", &KINDS, false, 1, Rc::new(|_| ()));
-        dispatcher.dial(&[place]);
+        dispatcher.dial(&[address]);
         dispatcher.run();
         dispatcher
     });
@@ -86,19 +91,19 @@
 
     /// Waits until every table contains exactly these servers.
     async fn wait_for_servers(&self, servers: &[usize]) {
-        let wanted: BTreeSet<String> = servers.iter().map(|n| format!("s-{n}")).collect();
+        let expected: BTreeSet<String> = servers.iter().map(|n| format!("s-{n}")).collect();
         let wait = async {
             while !self
                 .tables()
                 .iter()
-                .all(|t| t.keys().cloned().collect::<BTreeSet<_>>() == wanted)
+                .all(|t| t.keys().cloned().collect::<BTreeSet<_>>() == expected)
             {
                 sleep(Duration::from_millis(10)).await;
             }
         };
         if timeout(LONG, wait).await.is_err() {
             panic!(
-                "not all tables contain exactly {wanted:?}: {:?}\n{:#?}",
+                "not all tables contain exactly {expected:?}: {:?}\n{:#?}",
                 self.tables(),
                 self.ctx.counters.lines()
             );
@@ -184,7 +189,7 @@
         std::fs::write(file, render(&list(1, pair(1).into_iter(), 1.0))).unwrap();
         let running = run(file, 4).await;
         running.wait_for_servers(&pair(1)).await;
-        let (mut generation, mut good) = (1, 1);
+        let (mut generation, mut accepted) = (1, 1);
         for n in 0..5_000 {
             let next = list(generation + 1, pair(generation + 1).into_iter(), 1.0);
             let text = render(&next);
@@ -219,13 +224,13 @@
             if n % 200 == 199 {
                 std::fs::write(file, &text).unwrap();
                 generation += 1;
-                good += 1;
+                accepted += 1;
                 running.wait_for_servers(&pair(generation)).await;
             }
         }
         assert_eq!(
             running.ctx.counters.get("server files taken"),
-            good,
+            accepted,
             "exactly the valid files"
         );
         assert!(running.ctx.counters.get("server files not taken") > 20);
--- a/crates/rookpulley-assigner/tests/sockets.rs
+++ b/crates/rookpulley-assigner/tests/sockets.rs
@@ -28,10 +28,10 @@
     ctx: Rc<Context>,
 }
 
-async fn run(told: &Value) -> Running {
-    let told = config::parse(&told.to_string()).unwrap();
+async fn run(config: &Value) -> Running {
+    let config = config::parse(&config.to_string()).unwrap();
     let assigner = Assigner::bind(
-        told,
+        config,
         "no file".into(),
         Signals::take().unwrap(),
         &Operators::default(),
@@ -98,14 +98,14 @@
         assert_eq!(table["lines"].as_array().unwrap().len(), 3, "{table}");
         running.wait_for_count("in marks answered", 1).await;
         agent.say(8, false, &[server(2, "DRAINING", 0.0)]);
-        let message = proxy.until("s-2 shut out", names("s-2")).await;
+        let message = proxy.until("s-2 withdrawn", names("s-2")).await;
         assert!(message["ticket"].is_u64(), "{message}");
         agent.say(9, false, &[server(3, "DELETED", 0.0)]);
-        proxy.until("s-3 shut out", names("s-3")).await;
+        proxy.until("s-3 withdrawn", names("s-3")).await;
         // After a restart the server is restored together with its table line.
         agent.say(10, true, &serving(1..=3));
         proxy
-            .until("s-2 back", |m| m["back"].to_string().contains("s-2"))
+            .until("s-2 restored", |m| m["back"].to_string().contains("s-2"))
             .await;
     });
 }
@@ -122,7 +122,7 @@
         let usage = r#"{"msg":"client_stats","proxy":1,"class":"read","tries":19,"failed":0,"span_ms":1000.0,"new":[1]}"#;
         proxy.say(&[usage, usage, BEAT, usage].join("\n")).await;
         proxy
-            .until("an answer to the beat", |m| m["msg"] == "hb_ok")
+            .until("a heartbeat reply", |m| m["msg"] == "hb_ok")
             .await;
         running.wait_for_count("in usage", 3).await;
         proxy.table().await;
@@ -157,7 +157,7 @@
             .wait_for_count(CloseReason::Replaced.counter(), 1)
             .await;
         agent.say(8, false, &[server(1, "DRAINING", 0.0)]);
-        new.until("s-1 shut out", names("s-1")).await;
+        new.until("s-1 withdrawn", names("s-1")).await;
         assert_eq!(running.ctx.counters.get(CloseReason::Closed.counter()), 0);
     });
 }
@@ -186,9 +186,9 @@
 fn unidentified_connections_are_evicted_for_proxies_and_collectors() {
     run_local(async {
         let agent = Agent::new().await;
-        let mut told = told(agent.place);
-        told["limits"]["sockets"] = json!(40);
-        let running = run(&told).await;
+        let mut config = told(agent.place);
+        config["limits"]["sockets"] = json!(40);
+        let running = run(&config).await;
         let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
         let mut collector = Wire::dial(running.address).await;
@@ -238,18 +238,18 @@
         let sent = sent.map(|(text, again)| (text.to_string(), again));
         let unidentified = sent.into_iter().chain([("x".repeat(512), true)]).map(|(text, again)| async move {
             let mut wire = Wire::dial(running.address).await.socket;
-            let (mut hears, mut says) = wire.split();
+            let (mut reader, mut writer) = wire.split();
             let mut heard = [0; 4096];
             // Repeat until the assigner closes the connection.
-            let say = async {
-                while says.write_all(text.as_bytes()).await.is_ok() && again {
+            let write = async {
+                while writer.write_all(text.as_bytes()).await.is_ok() && again {
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
                 std::future::pending().await
             };
             tokio::select! {
-                () = async { while hears.read(&mut heard).await.is_ok_and(|size| size > 0) {} } => {}
-                () = say => {}
+                () = async { while reader.read(&mut heard).await.is_ok_and(|size| size > 0) {} } => {}
+                () = write => {}
             }
         });
         let closed: Vec<_> = unidentified.map(spawn_local).collect();
@@ -275,9 +275,9 @@
 fn new_connections_are_rejected_while_all_slots_are_joined() {
     run_local(async {
         let agent = Agent::new().await;
-        let mut told = told(agent.place);
-        told["limits"]["sockets"] = json!(33);
-        let running = run(&told).await;
+        let mut config = told(agent.place);
+        config["limits"]["sockets"] = json!(33);
+        let running = run(&config).await;
         let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
         assert!(
@@ -309,7 +309,7 @@
             .wait_for_count(CloseReason::SlowReader.counter(), 1)
             .await;
         agent.say(8, false, &[server(1, "DRAINING", 0.0)]);
-        proxy.until("s-1 shut out", names("s-1")).await;
+        proxy.until("s-1 withdrawn", names("s-1")).await;
     });
 }
 
@@ -323,20 +323,20 @@
         ("unknown msg", r#"{"msg":"dance"}"#),
         ("a field missing", r#"{"msg":"done","proxy":0,"mark":1}"#),
         ("a field of the wrong type", r#"{"msg":"done","proxy":0,"mark":"1","took_ms":1}"#),
-        ("a negative figure", r#"{"msg":"done","proxy":0,"mark":1,"took_ms":-1}"#),
-        ("a figure past all bounds", r#"{"msg":"done","proxy":0,"mark":1,"took_ms":1e999}"#),
+        ("a negative number", r#"{"msg":"done","proxy":0,"mark":1,"took_ms":-1}"#),
+        ("a number out of range", r#"{"msg":"done","proxy":0,"mark":1,"took_ms":1e999}"#),
         ("another proxy's mark", r#"{"msg":"done","proxy":1,"mark":1,"took_ms":1}"#),
         ("proxy out of range", r#"{"msg":"attach","proxy":4,"zone":"a","weight":1,"fresh":true}"#),
         ("zone out of range", r#"{"msg":"attach","proxy":1,"zone":"z","weight":1,"fresh":true}"#),
         ("kind out of range", r#"{"msg":"client_stats","proxy":0,"class":"no","tries":1,"failed":0,"span_ms":1}"#),
         ("unknown server", r#"{"msg":"upstream_stats","zone":"a","server":"no","tries":1,"failed":0,"mean_ms":1,"span_ms":1}"#),
         ("more failed than tried", r#"{"msg":"upstream_stats","zone":"a","server":"s-1","tries":1,"failed":2,"mean_ms":1,"span_ms":1}"#),
-        ("a second joining", r#"{"msg":"attach","proxy":1,"zone":"a","weight":1,"fresh":true}"#),
-        ("a mark never ordered", r#"{"msg":"done","proxy":0,"mark":40000,"took_ms":1}"#),
-        ("a mark out of its type's range", r#"{"msg":"done","proxy":0,"mark":1e30,"took_ms":1}"#),
-        ("no mean of good tries", r#"{"msg":"upstream_stats","zone":"a","server":"s-1","tries":2,"failed":1,"span_ms":1}"#),
-        ("a senseless load", r#"{"msg":"upstream_stats","zone":"a","server":"s-1","tries":1,"failed":1,"span_ms":1,"load":{"queue":-3,"util":0}}"#),
-        ("a load of which a part is missing", r#"{"msg":"upstream_stats","zone":"a","server":"s-1","tries":1,"failed":1,"span_ms":1,"load":{"util":0}}"#),
+        ("a second join", r#"{"msg":"attach","proxy":1,"zone":"a","weight":1,"fresh":true}"#),
+        ("an unknown mark", r#"{"msg":"done","proxy":0,"mark":40000,"took_ms":1}"#),
+        ("a mark beyond its type's range", r#"{"msg":"done","proxy":0,"mark":1e30,"took_ms":1}"#),
+        ("a missing mean", r#"{"msg":"upstream_stats","zone":"a","server":"s-1","tries":2,"failed":1,"span_ms":1}"#),
+        ("a negative load", r#"{"msg":"upstream_stats","zone":"a","server":"s-1","tries":1,"failed":1,"span_ms":1,"load":{"queue":-3,"util":0}}"#),
+        ("an incomplete load", r#"{"msg":"upstream_stats","zone":"a","server":"s-1","tries":1,"failed":1,"span_ms":1,"load":{"util":0}}"#),
         ("text after the object", r#"{"msg":"hb"}{"msg":"hb"}"#),
         ("over 4 KiB", &format!(r#"{{"msg":"dance","to":"{}"}}"#, "x".repeat(4096))),
         ("over a megabyte", &long),
@@ -351,7 +351,7 @@
         let mut trace = String::new();
         for (what, bytes) in bad {
             trace += &format!("{what}:");
-            for (who, first) in [
+            for (role, first) in [
                 ("unidentified", ""),
                 ("collector", COLLECTOR),
                 ("proxy", &joining(0, true)),
@@ -362,12 +362,12 @@
                     wire.say(first).await;
                 }
                 _ = wire.socket.write_all(&[&bytes[..], b"\n"].concat()).await;
-                let kept = wire.beats().await;
-                if !kept {
+                let open = wire.beats().await;
+                if !open {
                     running.wait_for_connections(1).await;
                 }
                 let bad = |line: &&String| line.starts_with("bad") || line.starts_with("ended");
-                let news: Vec<String> = running
+                let changed: Vec<String> = running
                     .ctx
                     .counters
                     .lines()
@@ -375,15 +375,15 @@
                     .filter(bad)
                     .cloned()
                     .collect();
-                let news: Vec<&str> = news
+                let changed: Vec<&str> = changed
                     .iter()
                     .filter(|l| !before.contains(l))
                     .map(|l| count_name(l))
                     .collect();
                 trace += &format!(
-                    "\n  {who}: {} ({})",
-                    if kept { "open" } else { "closed" },
-                    news.join(", ")
+                    "\n  {role}: {} ({})",
+                    if open { "open" } else { "closed" },
+                    changed.join(", ")
                 );
                 drop(wire);
                 running.wait_for_connections(1).await;
@@ -392,7 +392,7 @@
         }
         insta::assert_snapshot!(trace);
         agent.say(8, false, &[server(1, "DRAINING", 0.0)]);
-        other.until("s-1 shut out", names("s-1")).await;
+        other.until("s-1 withdrawn", names("s-1")).await;
     });
 }
 
@@ -433,9 +433,9 @@
 fn heartbeat_is_answered_once_the_list_is_known() {
     run_local(async {
         let mut discovery = Discovery::new().await;
-        let mut told = told(discovery.place);
-        told["known"]["endpoints"] = json!([]);
-        let running = run(&told).await;
+        let mut config = told(discovery.place);
+        config["known"]["endpoints"] = json!([]);
+        let running = run(&config).await;
         let mut wire = Wire::dial(running.address).await;
         wire.say(BEAT).await;
         let mut watch = discovery.watch().await;
@@ -463,19 +463,19 @@
         watch.say(&change[..40]).await;
         drop(watch);
         for what in [
-            "refuses with an error",
-            "no list",
+            "error status",
+            "not a list",
             "a negative weight",
-            "goes silent",
-            "silent at once",
+            "stalls after a line",
+            "stalls without a line",
         ] {
             let call = discovery.call().await;
             trace += &format!("{}: {what}\n", call.path);
             match what {
-                "refuses with an error" => call.answer(503, "busy"),
-                "no list" => call.watch().say("[]\n").await,
+                "error status" => call.answer(503, "busy"),
+                "not a list" => call.watch().say("[]\n").await,
                 "a negative weight" => call.watch().say(&change.replace("1.0", "-1.0")).await,
-                "goes silent" => {
+                "stalls after a line" => {
                     let mut silent = call.watch();
                     silent.say("\n").await;
                     discovery.call().await.answer(200, "");
@@ -486,21 +486,21 @@
             }
         }
         let call = discovery.call().await;
-        trace += &format!("{}: the change, twice, and an old one\n", call.path);
+        trace += &format!("{}: the change twice and an old one\n", call.path);
         let mut watch = call.watch();
         let old = list(3, false, &[server(3, "DELETED", 0.0)]);
         watch.say(&[change.clone(), change, old].concat()).await;
-        let message = proxy.until("s-1 shut out", names("s-1")).await;
+        let message = proxy.until("s-1 withdrawn", names("s-1")).await;
         assert!(!names("s-3")(&message), "{message}");
         drop(watch);
         let call = discovery.call().await;
         trace += &format!("{}: the whole list\n", call.path);
         let mut watch = call.watch();
         watch.say(&list(20, true, &serving(3..=3))).await;
-        let message = proxy.until("s-2 shut out", names("s-2")).await;
+        let message = proxy.until("s-2 withdrawn", names("s-2")).await;
         assert!(!names("s-3")(&message));
         drop(watch);
-        trace += &format!("{}: at last\n", discovery.call().await.path);
+        trace += &format!("{}: resumed\n", discovery.call().await.path);
         insta::assert_snapshot!(trace);
     });
 }
@@ -508,8 +508,8 @@
 #[test]
 fn unforwarded_change_is_read_again_at_the_new_address() {
     run_local(async {
-        let (mut here, mut there) = (Discovery::new().await, Discovery::new().await);
-        let read = config::parse(&told(here.place).to_string()).unwrap();
+        let (mut old, mut new) = (Discovery::new().await, Discovery::new().await);
+        let read = config::parse(&told(old.place).to_string()).unwrap();
         // The channel holds one change; the next one waits for the driver.
         let (events, mut taken) = mpsc::channel(1);
         let (log, conns) = (Log::new("n0".into(), 9), Connections::new(1, 1));
@@ -521,18 +521,18 @@
             events,
         });
         let running = Running {
-            address: here.place,
+            address: old.place,
             peer_address: None,
             ctx: ctx.clone(),
         };
-        let list_client = ListClient::new(here.place, 7, false, ctx);
+        let list_client = ListClient::new(old.place, 7, false, ctx);
         spawn_local(list_client.clone().follow(Backoff::new(1)));
-        let mut watch = here.watch().await;
+        let mut watch = old.watch().await;
         let change = |version, n| list(version, false, &[server(n, "DRAINING", 0.0)]);
         watch.say(&[change(8, 1), change(9, 2)].concat()).await;
         running.wait_for_count("in list changes", 1).await;
-        list_client.set_address(there.place);
-        let call = there.call().await;
+        list_client.set_address(new.place);
+        let call = new.call().await;
         assert_eq!(call.path, "/catalog/members?follow=1&since=8");
         // This agent lags behind: its first lists are older than the current version.
         let mut watch = call.watch();
@@ -542,14 +542,14 @@
         let mut versions = Vec::new();
         while versions.last() != Some(&9) {
             let Some(Event::List { list, .. }) = taken.recv().await else {
-                panic!("no list")
+                panic!("not a list")
             };
             versions.push(list.version);
         }
         assert_eq!(versions, [8, 9]);
         assert_eq!(running.ctx.counters.get("whole lists passed over"), 1);
         // Setting the same address again has no effect.
-        list_client.set_address(there.place);
+        list_client.set_address(new.place);
         watch.say(&change(10, 3)).await;
         assert!(matches!(taken.recv().await, Some(Event::List { list, .. }) if list.version == 10));
         assert_eq!(running.ctx.counters.get("watches broken"), 0);
@@ -562,7 +562,7 @@
         let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
         agent.say(8, false, &[server(3, "DELETED", 0.0)]);
-        proxy.until("s-3 shut out", names("s-3")).await;
+        proxy.until("s-3 withdrawn", names("s-3")).await;
         running.wait_for_count("servers forgotten", 1).await;
         let mut collector = Wire::dial(running.address).await;
         let heard = r#"{"msg":"upstream_stats","zone":"a","server":"s-3","tries":1,"failed":1,"span_ms":1}"#;
@@ -570,7 +570,7 @@
         running.wait_for_count("bad input: unknown server", 1).await;
         agent.say(9, false, &[server(3, "SERVING", 0.0)]);
         proxy
-            .until("s-3 back", |m| m["back"].to_string().contains("s-3"))
+            .until("s-3 restored", |m| m["back"].to_string().contains("s-3"))
             .await;
     });
 }
@@ -615,9 +615,9 @@
 fn module_requests_lists_in_on_request_mode() {
     run_local(async {
         let mut discovery = Discovery::new().await;
-        let mut told = told(discovery.place);
-        told["settings"]["registry_mode"] = json!("on_request");
-        let running = run(&told).await;
+        let mut config = told(discovery.place);
+        config["settings"]["registry_mode"] = json!("on_request");
+        let running = run(&config).await;
         let mut proxy = Wire::join(running.address, 0, true).await;
         discovery.call().await.answer(500, "");
         // The next request is triggered by a timer of the module.
@@ -627,7 +627,7 @@
         watch
             .say(&list(8, false, &[server(2, "DRAINING", 0.0)]))
             .await;
-        proxy.until("s-2 shut out", names("s-2")).await;
+        proxy.until("s-2 withdrawn", names("s-2")).await;
         drop(watch);
         assert_eq!(
             discovery.call().await.path,
@@ -644,18 +644,18 @@
         let agent = Agent::new().await;
         let bind = || async { UdpSocket::bind("127.0.0.1:0").await.unwrap() };
         let (all, peer, foreign) = (bind().await, bind().await, bind().await);
-        let mut told = told(agent.place);
-        told["peers"] = json!(["127.0.0.1:9", peer.local_addr().unwrap()]);
-        told["peers_all"] = json!(all.local_addr().unwrap());
-        let running = run(&told).await;
+        let mut config = told(agent.place);
+        config["peers"] = json!(["127.0.0.1:9", peer.local_addr().unwrap()]);
+        config["peers_all"] = json!(all.local_addr().unwrap());
+        let running = run(&config).await;
         let mut proxy = Wire::join(running.address, 0, true).await;
         proxy.table().await;
-        let mut note = [0; 512];
-        let (size, _) = all.recv_from(&mut note).await.unwrap();
+        let mut message = [0; 512];
+        let (size, _) = all.recv_from(&mut message).await.unwrap();
         assert!(size > 0 && size <= 256);
         let address = running.peer_address.unwrap();
-        peer.send_to(&note[..size], address).await.unwrap();
-        foreign.send_to(&note[..size], address).await.unwrap();
+        peer.send_to(&message[..size], address).await.unwrap();
+        foreign.send_to(&message[..size], address).await.unwrap();
         peer.send_to(&[0; 300], address).await.unwrap();
         running.wait_for_count("in notes", 1).await;
         running.wait_for_count("notes refused", 2).await;
@@ -665,13 +665,13 @@
 
 #[test]
 fn invalid_configuration_is_reported() {
-    let place: SocketAddr = "127.0.0.1:1".parse().unwrap();
+    let address: SocketAddr = "127.0.0.1:1".parse().unwrap();
     let change = |at: &str, value: Value| {
-        let mut told = told(place);
-        *told.pointer_mut(at).unwrap() = value;
-        told.to_string()
+        let mut config = told(address);
+        *config.pointer_mut(at).unwrap() = value;
+        config.to_string()
     };
-    let mut forbidden = told(place);
+    let mut forbidden = told(address);
     forbidden["settings"]["limits"]["peers"] = json!(false);
     assert!(
         config::parse(&forbidden.to_string())
@@ -756,14 +756,14 @@
         folder: tempfile::TempDir,
     }
 
-    fn start(told: &str) -> Program {
-        start_within(told, 1024)
+    fn start(config: &str) -> Program {
+        start_within(config, 1024)
     }
 
-    fn start_within(told: &str, descriptors: u32) -> Program {
+    fn start_within(config: &str, descriptors: u32) -> Program {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("config.json");
-        std::fs::write(&path, told).unwrap();
+        std::fs::write(&path, config).unwrap();
         let run = format!(
             "ulimit -n {descriptors}; exec {}",
             env!("CARGO_BIN_EXE_rookpulley-assigner")
@@ -793,14 +793,14 @@
         }
 
         /// Replaces the configuration file and sends SIGHUP.
-        fn reload(&self, told: &str) {
+        fn reload(&self, config: &str) {
             let next = self.folder.path().join("next");
-            std::fs::write(&next, told).unwrap();
+            std::fs::write(&next, config).unwrap();
             std::fs::rename(next, self.folder.path().join("config.json")).unwrap();
             self.signal("HUP");
         }
 
-        fn place(&mut self) -> String {
+        fn address(&mut self) -> String {
             let line = self.line("listening at ");
             line.split("listening at ")
                 .nth(1)
@@ -823,8 +823,8 @@
         }
     }
 
-    fn beats(place: &str) -> bool {
-        let mut socket = TcpStream::connect(place).unwrap();
+    fn heartbeat_succeeds(address: &str) -> bool {
+        let mut socket = TcpStream::connect(address).unwrap();
         socket.write_all(b"{\"msg\":\"hb\"}\n").unwrap();
         let mut line = String::new();
         BufReader::new(socket).read_line(&mut line).unwrap();
@@ -833,20 +833,20 @@
 
     #[test]
     fn restarts_after_a_kill_and_logs_counters_on_sigterm() {
-        let mut told = told("127.0.0.1:1".parse().unwrap());
-        let mut program = start(&told.to_string());
-        let place = program.place();
-        assert!(beats(&place));
+        let mut config = told("127.0.0.1:1".parse().unwrap());
+        let mut program = start(&config.to_string());
+        let address = program.address();
+        assert!(heartbeat_succeeds(&address));
         // A second process cannot bind the same address.
-        told["listen"] = place.clone().into();
-        let mut second = start(&told.to_string());
-        assert!(second.line("cannot bind").contains(&place));
+        config["listen"] = address.clone().into();
+        let mut second = start(&config.to_string());
+        assert!(second.line("cannot bind").contains(&address));
         assert!(!second.child.wait().unwrap().success());
         program.child.kill().unwrap();
         program.child.wait().unwrap();
-        let mut again = start(&told.to_string());
-        assert_eq!(again.place(), place);
-        assert!(beats(&place));
+        let mut again = start(&config.to_string());
+        assert_eq!(again.address(), address);
+        assert!(heartbeat_succeeds(&address));
         again.signal("USR1");
         assert!(again.line("count: in beats").ends_with(" 1"));
         again.signal("TERM");
@@ -858,37 +858,37 @@
     #[test]
     fn reload_moves_the_watch_and_keeps_streams() {
         run_local(async {
-            let (mut here, mut there) = (Discovery::new().await, Discovery::new().await);
-            let mut told = told(here.place);
-            let mut program = start(&told.to_string());
-            let place = program.place();
-            program.reload(&told.to_string());
-            let mut watch = here.watch().await;
-            let mut proxy = Wire::join(place.parse().unwrap(), 0, true).await;
+            let (mut old, mut new) = (Discovery::new().await, Discovery::new().await);
+            let mut config = told(old.place);
+            let mut program = start(&config.to_string());
+            let address = program.address();
+            program.reload(&config.to_string());
+            let mut watch = old.watch().await;
+            let mut proxy = Wire::join(address.parse().unwrap(), 0, true).await;
             proxy.table().await;
             watch
                 .say(&list(8, false, &[server(1, "DRAINING", 0.0)]))
                 .await;
-            proxy.until("s-1 shut out", names("s-1")).await;
+            proxy.until("s-1 withdrawn", names("s-1")).await;
             program.reload("{");
             program.line("keeping the current configuration");
             watch
                 .say(&list(9, false, &[server(1, "SERVING", 9.0)]))
                 .await;
             proxy
-                .until("s-1 back", |m| m["back"].to_string().contains("s-1"))
+                .until("s-1 restored", |m| m["back"].to_string().contains("s-1"))
                 .await;
-            told["discovery"] = json!(there.place);
-            told["limits"]["sockets"] = json!(64);
-            program.reload(&told.to_string());
+            config["discovery"] = json!(new.place);
+            config["limits"]["sockets"] = json!(64);
+            program.reload(&config.to_string());
             program.line("limits cannot change at runtime");
-            let call = there.call().await;
+            let call = new.call().await;
             assert_eq!(call.path, "/catalog/members?follow=1&since=9");
             let mut moved = call.watch();
             moved
                 .say(&list(10, false, &[server(2, "DRAINING", 0.0)]))
                 .await;
-            proxy.until("s-2 shut out", names("s-2")).await;
+            proxy.until("s-2 withdrawn", names("s-2")).await;
             assert!(proxy.beats().await, "the stream was not replaced");
             // A configuration read that blocks delays neither the proxies nor the shutdown.
             let fifo = program.folder.path().join("config.json");
@@ -919,13 +919,13 @@
     #[test]
     fn joined_connections_survive_descriptor_exhaustion() {
         let mut program = start_within(&told("127.0.0.1:1".parse().unwrap()).to_string(), 24);
-        let place = program.place();
-        let mut joined = TcpStream::connect(&place).unwrap();
+        let address = program.address();
+        let mut joined = TcpStream::connect(&address).unwrap();
         joined
             .write_all(format!("{}\n", super::joining(0, true)).as_bytes())
             .unwrap();
         let unidentified: Vec<_> = (0..40)
-            .map(|_| TcpStream::connect(&place).unwrap())
+            .map(|_| TcpStream::connect(&address).unwrap())
             .collect();
         program.line("accept failed");
         joined.write_all(b"{\"msg\":\"hb\"}\n").unwrap();
@@ -938,7 +938,7 @@
                 Ok(0) | Err(_)
             ));
         }
-        assert!(beats(&place));
+        assert!(heartbeat_succeeds(&address));
         program.child.kill().unwrap();
     }
 
--- a/crates/rookpulley-assigner/tests/versions.rs
+++ b/crates/rookpulley-assigner/tests/versions.rs
@@ -45,12 +45,17 @@
     file::read(Path::new("operators.star"), text).unwrap()
 }
 
-async fn run(told: &Value) -> Running {
-    let told = config::parse(&told.to_string()).unwrap();
+async fn run(config: &Value) -> Running {
+    let config = config::parse(&config.to_string()).unwrap();
     let signals = Signals::take().unwrap();
-    let assigner = Assigner::bind(told, "no file".into(), signals, &operators_with_versions())
-        .await
-        .unwrap();
+    let assigner = Assigner::bind(
+        config,
+        "no file".into(),
+        signals,
+        &operators_with_versions(),
+    )
+    .await
+    .unwrap();
     let (address, operators) = (
         assigner.addresses().0.unwrap(),
         assigner.operators_address().unwrap(),
@@ -97,7 +102,7 @@
     }
 
     /// Waits until there are `count` rows of joined dispatchers, all in this state.
-    async fn wait_for_state(&self, judged: &str, count: usize) -> Vec<HolderRow> {
+    async fn wait_for_state(&self, state: &str, count: usize) -> Vec<HolderRow> {
         let wait = async {
             loop {
                 let rows: Vec<_> = self
@@ -106,7 +111,7 @@
                     .into_iter()
                     .filter(|r| r.joined)
                     .collect();
-                if rows.len() == count && rows.iter().all(|r| r.judged == judged) {
+                if rows.len() == count && rows.iter().all(|r| r.judged == state) {
                     return rows;
                 }
                 sleep(Duration::from_millis(20)).await;
@@ -114,7 +119,7 @@
         };
         match timeout(LONG / 2, wait).await {
             Ok(rows) => rows,
-            Err(_) => panic!("not all {count} are {judged}: {:#?}", self.holders().await),
+            Err(_) => panic!("not all {count} are {state}: {:#?}", self.holders().await),
         }
     }
 }
@@ -125,17 +130,17 @@
 
 /// Two request kinds served in all zones, a few dispatchers and a short transit time.
 fn settings(discovery: SocketAddr, name: &str, dispatchers: u32) -> Value {
-    let mut told = told(discovery);
-    (told["name"], told["known"]["endpoints"]) = (json!(name), json!(serving(1..=SERVERS)));
-    told["limits"]["sockets"] = json!(512);
+    let mut config = told(discovery);
+    (config["name"], config["known"]["endpoints"]) = (json!(name), json!(serving(1..=SERVERS)));
+    config["limits"]["sockets"] = json!(512);
     // One kind is bound to the only machine type, which gives each kind its own table.
-    told["settings"]["categories"][1]["only_kinds"] = json!([0]);
-    told["settings"]["family_info"]["agents"] = json!(dispatchers);
-    told["settings"]["family_info"]["push_delay_max_us"] = json!(80_000);
-    told["settings"]["family_info"]["transit_us"] = json!(20_000);
-    told["settings"]["rules"]["drain_grace_us"] = json!(3_000_000);
-    told["settings"]["limits"]["peers"] = json!(false);
-    told
+    config["settings"]["categories"][1]["only_kinds"] = json!([0]);
+    config["settings"]["family_info"]["agents"] = json!(dispatchers);
+    config["settings"]["family_info"]["push_delay_max_us"] = json!(80_000);
+    config["settings"]["family_info"]["transit_us"] = json!(20_000);
+    config["settings"]["rules"]["drain_grace_us"] = json!(3_000_000);
+    config["settings"]["limits"]["peers"] = json!(false);
+    config
 }
 
 const FAULTS: Faults = Faults {
@@ -169,35 +174,39 @@
 ) -> Result<(), String> {
     for assigner in assigners {
         let rows = assigner.holders().await;
-        let kept = assigner.versions().await;
+        let known = assigner.versions().await;
         for row in rows.into_iter().filter(|r| r.joined) {
-            let who = format!("dispatcher {}, {:?}", row.dispatcher, row.kinds);
-            let told = row.told.clone().ok_or(format!("{who} was told nothing"))?;
-            let version = kept
+            let label = format!("dispatcher {}, {:?}", row.dispatcher, row.kinds);
+            let sent = row
+                .told
+                .clone()
+                .ok_or(format!("{label} was sent nothing"))?;
+            let version = known
                 .versions
                 .iter()
-                .find(|v| v.version == told)
-                .ok_or(format!("{told} unknown"))?;
+                .find(|v| v.version == sent)
+                .ok_or(format!("{sent} unknown"))?;
             let dispatcher = &dispatchers[usize::from(row.dispatcher)];
             let held = &dispatcher.tables()[&row.kinds[0]];
             if rookpulley_standin::checker::digest(held) != version.digest
                 || row.judged != "in step"
             {
                 return Err(format!(
-                    "{who} is {} and holds {held:?}, told {version:?}",
+                    "{label} is {} and holds {held:?}, sent {version:?}",
                     row.judged
                 ));
             }
             if !row.speaks {
                 continue;
             }
-            let must = checker.borrow().must_hold(dispatcher.id);
-            let found = must.iter().find(|(name, ..)| *name == version.version);
-            let (_, digest, lines) =
-                found.ok_or(format!("{who}: {version:?} never reached it: {must:?}"))?;
+            let expected = checker.borrow().must_hold(dispatcher.id);
+            let found = expected.iter().find(|(name, ..)| *name == version.version);
+            let (_, digest, lines) = found.ok_or(format!(
+                "{label}: {version:?} never reached it: {expected:?}"
+            ))?;
             if (digest, lines) != (&version.digest, held) {
                 return Err(format!(
-                    "{who} holds {held:?}, by the sockets it must hold {lines:?}"
+                    "{label} holds {held:?}, but the traffic implies {lines:?}"
                 ));
             }
             if !dispatcher
@@ -206,7 +215,7 @@
                 .any(|v| *v == version.version)
             {
                 return Err(format!(
-                    "{who} names {:?}, told {version:?}",
+                    "{label} names {:?}, sent {version:?}",
                     dispatcher.versions()
                 ));
             }
@@ -227,8 +236,8 @@
         run(&settings(agent.place, "n1", all)).await,
     ];
     let checker = Rc::new(RefCell::new(Checker::new(GRACE_MS)));
-    let see = checker.clone();
-    let seen: Rc<dyn Fn(_)> = Rc::new(move |what| see.borrow_mut().see(what));
+    let observer = checker.clone();
+    let observe: Rc<dyn Fn(_)> = Rc::new(move |what| observer.borrow_mut().see(what));
     let streams = Rc::new(Cell::new(0));
     let mut links = Vec::new();
     for (n, assigner) in assigners.iter().enumerate() {
@@ -239,7 +248,7 @@
                 seed,
                 FAULTS,
                 streams.clone(),
-                seen.clone(),
+                observe.clone(),
             )
             .await
             .unwrap(),
@@ -259,7 +268,7 @@
                 seed,
                 faults,
                 streams.clone(),
-                seen.clone(),
+                observe.clone(),
             )
             .await
             .unwrap(),
@@ -267,12 +276,12 @@
     }
     let mut dispatchers = Vec::new();
     for id in 0..VERSIONED + PLAIN {
-        let speaks = id < VERSIONED;
-        let dispatcher = Dispatcher::new(id, "a", &KINDS, speaks, seed, seen.clone());
-        let through = if speaks { &links } else { &clean };
-        let mut places = [through[0].place, through[1].place];
-        places.rotate_left((id % 2) as usize);
-        dispatcher.dial(&places);
+        let versioned = id < VERSIONED;
+        let dispatcher = Dispatcher::new(id, "a", &KINDS, versioned, seed, observe.clone());
+        let route = if versioned { &links } else { &clean };
+        let mut addresses = [route[0].place, route[1].place];
+        addresses.rotate_left((id % 2) as usize);
+        dispatcher.dial(&addresses);
         dispatcher.run();
         dispatcher.route(10);
         dispatchers.push(dispatcher);
@@ -314,11 +323,11 @@
             }
             5..=8 => {
                 let assigner = &assigners[rng.random_range(0..2)];
-                let kept = assigner.versions().await.versions;
-                if kept.is_empty() {
+                let known = assigner.versions().await.versions;
+                if known.is_empty() {
                     continue;
                 }
-                let to = &kept[rng.random_range(0..kept.len())].version;
+                let to = &known[rng.random_range(0..known.len())].version;
                 let all = rng.random_range(0..2) == 0;
                 let (_, answer) = call(
                     assigner.operators,
@@ -377,9 +386,9 @@
         return Err(format!("not all in step: {rows:#?}"));
     }
     // Ramping servers still change tables, so repeat the check if it ran during a change.
-    let late = Instant::now() + Duration::from_secs(8);
+    let deadline = Instant::now() + Duration::from_secs(8);
     while let Err(why) = check_agreement(&assigners, &dispatchers, &checker).await {
-        if Instant::now() > late {
+        if Instant::now() > deadline {
             return Err(why);
         }
         sleep(Duration::from_millis(50)).await;
@@ -408,13 +417,13 @@
 /// Runs 40 seeds, ten at a time. `SEED=n` runs a single one.
 #[test]
 fn rollbacks_over_lossy_links_converge_to_known_versions() {
-    const AT_ONCE: usize = 10;
-    let only: Option<u64> = std::env::var("SEED").ok().and_then(|s| s.parse().ok());
-    let seeds: Vec<u64> = only.map_or((0..40).collect(), |seed| vec![seed]);
+    const PARALLEL: usize = 10;
+    let single: Option<u64> = std::env::var("SEED").ok().and_then(|s| s.parse().ok());
+    let seeds: Vec<u64> = single.map_or((0..40).collect(), |seed| vec![seed]);
     let mut failed = Vec::new();
-    let mut sums = Tally::default();
-    for wave in seeds.chunks(AT_ONCE) {
-        let runs: Vec<_> = wave
+    let mut totals = Tally::default();
+    for batch in seeds.chunks(PARALLEL) {
+        let runs: Vec<_> = batch
             .iter()
             .map(|seed| {
                 (
@@ -429,42 +438,42 @@
         for (seed, run) in runs {
             match run.join() {
                 Ok(Ok(t)) => {
-                    sums.rollbacks += t.rollbacks;
-                    sums.held += t.held;
-                    sums.lost += t.lost;
-                    sums.doubled += t.doubled;
-                    sums.cuts += t.cuts;
-                    sums.refused += t.refused;
-                    sums.routed += t.routed;
-                    sums.whole += t.whole;
-                    sums.deltas += t.deltas;
-                    sums.same += t.same;
+                    totals.rollbacks += t.rollbacks;
+                    totals.held += t.held;
+                    totals.lost += t.lost;
+                    totals.doubled += t.doubled;
+                    totals.cuts += t.cuts;
+                    totals.refused += t.refused;
+                    totals.routed += t.routed;
+                    totals.whole += t.whole;
+                    totals.deltas += t.deltas;
+                    totals.same += t.same;
                 }
                 Ok(Err(why)) => failed.push(format!("seed {seed} (alone: SEED={seed}): {why}")),
                 Err(_) => failed.push(format!("seed {seed} (alone: SEED={seed}) panicked")),
             }
         }
     }
-    println!("{sums:?}");
+    println!("{totals:?}");
     assert!(
         failed.is_empty(),
         "{} seeds fail:\n{}",
         failed.len(),
         failed.join("\n")
     );
-    let met = [
-        sums.rollbacks,
-        sums.held,
-        sums.lost,
-        sums.doubled,
-        sums.cuts,
-        sums.refused,
-        sums.deltas,
-        sums.same,
+    let events = [
+        totals.rollbacks,
+        totals.held,
+        totals.lost,
+        totals.doubled,
+        totals.cuts,
+        totals.refused,
+        totals.deltas,
+        totals.same,
     ];
     assert!(
-        only.is_some() || met.iter().all(|n| *n > 20),
-        "too few events: {sums:?}"
+        single.is_some() || events.iter().all(|n| *n > 20),
+        "too few events: {totals:?}"
     );
 }
 
@@ -517,7 +526,7 @@
     with_manual_proxy(|running, agent, mut proxy| async move {
         let first = running.versions().await.versions[0].version.clone();
         agent.say(101, false, &[server(2, "DRAINING", 0.0)]);
-        proxy.until("s-2 shut out", names("s-2")).await;
+        proxy.until("s-2 withdrawn", names("s-2")).await;
         let (status, answer) = request_rollback(&running, &first, false).await;
         assert_eq!(
             (status, &answer["tables"][0]["what"]),
@@ -531,7 +540,7 @@
             .unwrap();
         let fresh = server(9, "SERVING", unix.as_secs_f64() * 1e3 - 60_000.0);
         agent.say(102, false, &[server(3, "DRAINING", 0.0)]);
-        proxy.until("s-3 shut out", names("s-3")).await;
+        proxy.until("s-3 withdrawn", names("s-3")).await;
         agent.say(103, false, &[fresh]);
         proxy
             .until("s-9 in the other table", |m| {
@@ -565,7 +574,7 @@
         .await;
         assert_eq!(status, 200);
         proxy
-            .until("s-9 in its own lines again", |m| {
+            .until("s-9 in the released table", |m| {
                 m["lines"].to_string().contains("s-9")
             })
             .await;
@@ -601,7 +610,7 @@
         let mut lines: Vec<Value> = (1..=SERVERS).map(|n| server(n, "DRAINING", 0.0)).collect();
         lines.extend((11..=14).map(|n| server(n, "SERVING", 1.0)));
         agent.say(101, false, &lines);
-        proxy.until("s-1 shut out", names("s-1")).await;
+        proxy.until("s-1 withdrawn", names("s-1")).await;
         let (status, answer) = request_rollback(&running, &first, true).await;
         assert_eq!(status, 409, "{answer}");
         let rows = answer["tables"].as_array().unwrap();
@@ -621,9 +630,9 @@
         let one = run(&settings(agent.place, "n0", 4)).await;
         let other = run(&settings(agent.place, "n1", 4)).await;
         let checker = Rc::new(RefCell::new(Checker::new(GRACE_MS)));
-        let see = checker.clone();
+        let observer = checker.clone();
         let streams = Rc::new(Cell::new(0));
-        let seen: Rc<dyn Fn(_)> = Rc::new(move |what| see.borrow_mut().see(what));
+        let observe: Rc<dyn Fn(_)> = Rc::new(move |what| observer.borrow_mut().see(what));
         let mut links = Vec::new();
         for at in [&one, &other] {
             let link = Link::open(
@@ -631,13 +640,13 @@
                 1,
                 Faults::default(),
                 streams.clone(),
-                seen.clone(),
+                observe.clone(),
             )
             .await
             .unwrap();
             links.push(link);
         }
-        let dispatcher = Dispatcher::new(0, "a", &KINDS, true, 1, seen);
+        let dispatcher = Dispatcher::new(0, "a", &KINDS, true, 1, observe);
         dispatcher.dial(&[links[0].place, links[1].place]);
         dispatcher.run();
         one.wait_for_state("in step", KINDS.len()).await;
