--- a/crates/rookpulley-assigner/src/config.rs
+++ b/crates/rookpulley-assigner/src/config.rs
@@ -73,7 +73,8 @@
     pub limits: Limits,
     /// `None` if the settings disable peer messages.
     pub peers: Option<PeerAddresses>,
-    pub known: List,
+    /// The server list to start with until discovery responds.
+    pub cached_list: List,
     pub codec: Codec,
     pub tick_ms: f64,
     pub start: Start,
@@ -97,7 +98,7 @@
         proxies: start.topology.proxies,
         versions: false,
     };
-    let known = codec.decode_list(&file.known.to_string())?;
+    let cached_list = codec.decode_list(&file.known.to_string())?;
     let peers = match start.capabilities.peers {
         false => None,
         true => Some(PeerAddresses {
@@ -118,7 +119,7 @@
         discovery,
         limits,
         peers,
-        known,
+        cached_list,
         codec,
         tick_ms: facts.tick_ms,
         start,
--- a/crates/rookpulley-assigner/src/driver.rs
+++ b/crates/rookpulley-assigner/src/driver.rs
@@ -177,7 +177,7 @@
     pub fn start(
         ctx: Rc<Context>,
         start: Start,
-        known: List,
+        cached_list: List,
         tick_ms: f64,
         peers: Option<Rc<PeerSocket>>,
         list_client: Rc<ListClient>,
@@ -207,7 +207,7 @@
         };
         driver.handle_event(Event::List {
             scope: ListScope::Cached,
-            list: known,
+            list: cached_list,
         });
         driver.call_controller();
         driver
@@ -316,9 +316,11 @@
                 }
                 _ => self.ctx.counters.inc("late input of old streams"),
             },
-            Event::OperatorRequest(asked) => {
+            Event::OperatorRequest(request) => {
                 let (now, server_file) = (self.clock.now_ms(), self.server_file.as_ref());
-                let inputs = self.rollbacks.handle(now, asked, &self.orders, server_file);
+                let inputs = self
+                    .rollbacks
+                    .handle(now, request, &self.orders, server_file);
                 self.inputs.extend(inputs);
             }
             Event::Disconnected {
@@ -353,11 +355,11 @@
             }
             Event::ServerFile(found) => {
                 let now = self.clock.now_ms();
-                let accepted = self
+                let update = self
                     .server_file
                     .as_mut()
                     .and_then(|s| s.accept(now, found, &self.ctx));
-                if let Some((scope, list)) = accepted {
+                if let Some((scope, list)) = update {
                     self.apply_list(scope, list);
                 }
             }
@@ -475,7 +477,7 @@
                     self.ctx.counters.inc("servers forgotten");
                 }
                 Effect::RollbackStatus { table, what } => {
-                    log_event!(self.ctx.log, "rollback", "table {table}: {what:?}");
+                    log_event!(self.ctx.log, "way back", "table {table}: {what:?}");
                     self.rollbacks.record_status(table, &what);
                 }
                 Effect::WatchList { on } => self.list_client.set_watch(on),
--- a/crates/rookpulley-assigner/src/lib.rs
+++ b/crates/rookpulley-assigner/src/lib.rs
@@ -91,7 +91,7 @@
     reloader: ConfigReloader,
     events: mpsc::Receiver<Event>,
     discovery: SocketAddr,
-    known: List,
+    cached_list: List,
     tick_ms: f64,
     start: Start,
     operator_api: Option<OperatorApi>,
@@ -120,7 +120,7 @@
             discovery,
             limits,
             peers,
-            known,
+            cached_list,
             mut codec,
             tick_ms,
             start,
@@ -171,7 +171,7 @@
             reloader,
             events,
             discovery,
-            known,
+            cached_list,
             tick_ms,
             start,
             operator_api,
@@ -205,7 +205,7 @@
             peer_socket,
             signals,
             mut events,
-            known,
+            cached_list,
             start,
             operator_api,
             optional,
@@ -217,7 +217,8 @@
             reload,
         } = signals;
         let on_request = start.list.on_request;
-        let list_client = ListClient::new(self.discovery, known.version, on_request, ctx.clone());
+        let list_client =
+            ListClient::new(self.discovery, cached_list.version, on_request, ctx.clone());
         if !on_request {
             tokio::task::spawn_local(list_client.clone().follow(Backoff::new(start.seed)));
         }
@@ -236,13 +237,13 @@
                 ctx.log,
                 "start",
                 "listening at {address}, {} servers known",
-                known.lines.len()
+                cached_list.lines.len()
             );
         }
         let mut driver = Driver::start(
             ctx.clone(),
             start,
-            known,
+            cached_list,
             self.tick_ms,
             peer_socket,
             list_client,
--- a/crates/rookpulley-assigner/src/list_client.rs
+++ b/crates/rookpulley-assigner/src/list_client.rs
@@ -141,8 +141,8 @@
             list_client.report_failure(error).await;
         };
         let next = on.then(|| tokio::task::spawn_local(watch));
-        if let Some(before) = self.watch.replace(next) {
-            before.abort();
+        if let Some(old) = self.watch.replace(next) {
+            old.abort();
         }
     }
 
--- a/crates/rookpulley-assigner/src/messages.rs
+++ b/crates/rookpulley-assigner/src/messages.rs
@@ -272,8 +272,8 @@
     }
 
     fn proxy(&self, fields: &Fields) -> Result<ProxyId, ParseError> {
-        let known = |number: &u64| *number < u64::from(self.proxies);
-        Ok(fields.number("proxy", known)? as ProxyId)
+        let valid = |number: &u64| *number < u64::from(self.proxies);
+        Ok(fields.number("proxy", valid)? as ProxyId)
     }
 
     /// Decodes a load report into the field order of the settings.
@@ -494,7 +494,7 @@
 
 #[derive(Serialize)]
 #[serde(tag = "msg", rename_all = "snake_case")]
-enum Answer {
+enum Reply {
     HbOk,
 }
 
@@ -539,7 +539,7 @@
 }
 
 pub fn heartbeat_reply() -> Vec<u8> {
-    encode_line(&Answer::HbOk)
+    encode_line(&Reply::HbOk)
 }
 
 impl Part<'_> {
--- a/crates/rookpulley-assigner/src/operators.rs
+++ b/crates/rookpulley-assigner/src/operators.rs
@@ -70,8 +70,8 @@
         ));
         let ctx = ctx.clone();
         tokio::task::spawn_local(async move {
-            while let Some(asked) = requests.recv().await {
-                ctx.send(Event::OperatorRequest(asked)).await;
+            while let Some(request) = requests.recv().await {
+                ctx.send(Event::OperatorRequest(request)).await;
             }
         });
     }
@@ -151,11 +151,11 @@
     pub fn handle(
         &mut self,
         now: f64,
-        asked: Asked,
+        request: Asked,
         orders: &Orders,
         servers: Option<&ServerFile>,
     ) -> Vec<Input> {
-        let Asked { ask, answer } = asked;
+        let Asked { ask, answer } = request;
         let disabled = |what: &str, setting: &str| {
             refusal(
                 409,
@@ -238,10 +238,10 @@
 }
 
 fn versions(history: &History, table: Option<TableId>) -> Answer {
-    let kept = history
+    let retained = history
         .all()
         .filter(|(id, _)| table.is_none_or(|t| t == *id));
-    let rows = kept.map(|(id, issued)| VersionRow {
+    let rows = retained.map(|(id, issued)| VersionRow {
         version: issued.version.to_string(),
         table: id,
         digest: issued.table.digest().to_string(),
--- a/crates/rookpulley-assigner/src/orders.rs
+++ b/crates/rookpulley-assigner/src/orders.rs
@@ -263,11 +263,11 @@
         let Some(stream) = self.streams.get_mut(&proxy) else {
             return;
         };
-        let told = stream.withdrawn.get(&server).copied();
+        let sent = stream.withdrawn.get(&server).copied();
         let wrong = if out {
-            told != Some(true)
+            sent != Some(true)
         } else {
-            told.unwrap_or(stream.unknown_withdrawals)
+            sent.unwrap_or(stream.unknown_withdrawals)
         };
         if wrong {
             stream.withdrawn.insert(server, out);
@@ -456,8 +456,8 @@
             };
             let mut lines = Vec::with_capacity(table.lines.len());
             for (server, weight) in &table.lines {
-                let known = self.name_cache.get(server).cloned();
-                let name = known.or_else(|| names.get(server).map(|n| Name::from(n.as_str())));
+                let cached = self.name_cache.get(server).cloned();
+                let name = cached.or_else(|| names.get(server).map(|n| Name::from(n.as_str())));
                 let Some(name) = name else { continue };
                 self.name_cache
                     .entry(*server)
--- a/crates/rookpulley-assigner/src/peers.rs
+++ b/crates/rookpulley-assigner/src/peers.rs
@@ -25,7 +25,7 @@
             ctx.counters.inc("notes not sendable");
             log_event!(
                 ctx.log,
-                "peer",
+                "note",
                 "cannot send {} bytes to {to:?}",
                 bytes.len()
             );
