--- a/crates/rookpulley-assigner/src/log.rs
+++ b/crates/rookpulley-assigner/src/log.rs
@@ -1,5 +1,5 @@
-//! What the program prints: short lines on standard error, a few of a kind in each stretch of time. Lines are
-//! `tracing` events; as text they are written as `name kind: text`, as JSON one object each.
+//! Rate-limited logging to standard error. Lines are `tracing` events, written either as
+//! `name kind: text` or as one JSON object each.
 
 use rookpulley_operators::file::LogFormat;
 use std::cell::RefCell;
@@ -11,70 +11,71 @@
 use tracing_subscriber::fmt::format::{FormatEvent, FormatFields, Writer};
 use tracing_subscriber::registry::LookupSpan;
 
-const STRETCH: Duration = Duration::from_secs(10);
+const RATE_WINDOW: Duration = Duration::from_secs(10);
 
-/// Says one line, unless its kind has had its share of this stretch: `say!(log, "kind", "text {x}")`.
+/// Logs one line unless the limit of its kind is reached: `log_event!(log, "kind", "text {x}")`.
 #[macro_export]
-macro_rules! say {
+macro_rules! log_event {
     ($log:expr, $kind:expr, $($text:tt)*) => {
-        if let Some(left_out) = $log.may_say($kind) {
-            tracing::info!(name = $log.name, kind = $kind, "{}{left_out}", format_args!($($text)*));
+        if let Some(suppressed) = $log.admit($kind) {
+            tracing::info!(name = $log.name, kind = $kind, "{}{suppressed}", format_args!($($text)*));
         }
     };
 }
 
 pub struct Log {
     pub name: String,
-    most: u32,
-    said: RefCell<BTreeMap<&'static str, Said>>,
+    limit: u32,
+    windows: RefCell<BTreeMap<&'static str, Window>>,
 }
 
-struct Said {
-    from: Instant,
+struct Window {
+    started: Instant,
     lines: u32,
-    left_out: u32,
+    suppressed: u32,
 }
 
 impl Log {
-    /// At most so many lines of one kind in a stretch.
-    pub fn new(name: String, most: u32) -> Self {
+    /// Allows `limit` lines of each kind per window.
+    pub fn new(name: String, limit: u32) -> Self {
         Self {
             name,
-            most,
-            said: RefCell::default(),
+            limit,
+            windows: RefCell::default(),
         }
     }
 
-    /// Lines that were asked for are printed all.
-    pub const ASKED: &str = "count";
+    /// The kind that is exempt from the limit.
+    pub const UNLIMITED: &str = "count";
 
-    /// None: not now. Otherwise what to say of the lines left out before.
-    pub fn may_say(&self, kind: &'static str) -> Option<String> {
-        let mut kinds = self.said.borrow_mut();
-        let fresh = || Said {
-            from: Instant::now(),
+    /// Returns `None` if the line must be suppressed, otherwise a suffix that reports how many
+    /// lines were suppressed in the previous window.
+    pub fn admit(&self, kind: &'static str) -> Option<String> {
+        let mut kinds = self.windows.borrow_mut();
+        let fresh = || Window {
+            started: Instant::now(),
             lines: 0,
-            left_out: 0,
+            suppressed: 0,
         };
-        let said = kinds.entry(kind).or_insert_with(fresh);
-        let mut note = String::new();
-        if said.from.elapsed() >= STRETCH {
-            if said.left_out > 0 {
-                note = format!(" ({} more like it were left out)", said.left_out);
+        let window = kinds.entry(kind).or_insert_with(fresh);
+        let mut suffix = String::new();
+        if window.started.elapsed() >= RATE_WINDOW {
+            if window.suppressed > 0 {
+                suffix = format!(" ({} similar lines suppressed)", window.suppressed);
             }
-            *said = fresh();
+            *window = fresh();
         }
-        if said.lines >= self.most && kind != Self::ASKED {
-            said.left_out += 1;
+        if window.lines >= self.limit && kind != Self::UNLIMITED {
+            window.suppressed += 1;
             return None;
         }
-        said.lines += 1;
-        Some(note)
+        window.lines += 1;
+        Some(suffix)
     }
 }
 
-/// Takes the lines of this process to standard error from now on. Called once, by the program itself.
-pub fn begin(form: LogFormat) {
+/// Installs the global subscriber that writes to standard error.
+pub fn init(form: LogFormat) {
     let lines = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_ansi(false);
@@ -91,21 +92,21 @@
             tracing::subscriber::set_global_default(lines.with_span_list(false).finish())
         }
     };
-    // Set already: somebody else in this process takes the lines.
+    // Keep a subscriber that is already installed.
     _ = set;
 }
 
-/// `name kind: text`.
+/// Formats events as `name kind: text`.
 struct Text;
 
 #[derive(Default)]
-struct Line {
+struct LogLine {
     name: String,
     kind: String,
     text: String,
 }
 
-impl Visit for Line {
+impl Visit for LogLine {
     fn record_str(&mut self, field: &Field, value: &str) {
         match field.name() {
             "name" => self.name = value.into(),
@@ -132,7 +133,7 @@
         mut writer: Writer<'_>,
         event: &tracing::Event<'_>,
     ) -> fmt::Result {
-        let mut line = Line::default();
+        let mut line = LogLine::default();
         event.record(&mut line);
         writeln!(writer, "{} {}: {}", line.name, line.kind, line.text)
     }
--- a/crates/rookpulley-assigner/tests/sockets.rs
+++ b/crates/rookpulley-assigner/tests/sockets.rs
@@ -1,13 +1,12 @@
-//! The assigner on loopback sockets, against stand-ins of its own. Tests wait for what happens, not for
-//! a clock; where a stand-in has a pace of its own, a slower one changes nothing.
+//! The assigner on loopback sockets, against test doubles. Tests wait for events, not for fixed times.
 
 use rookpulley::interface::Input;
+use rookpulley_assigner::close_reason::{ALL, CloseReason};
+use rookpulley_assigner::connections::Connections;
 use rookpulley_assigner::counters::Counters;
-use rookpulley_assigner::driver::{Event, Front};
-use rookpulley_assigner::ending::{ALL, Ending};
+use rookpulley_assigner::driver::{Context, Event};
+use rookpulley_assigner::list_client::{Backoff, ListClient};
 use rookpulley_assigner::log::Log;
-use rookpulley_assigner::roster::{Pauses, Roster};
-use rookpulley_assigner::streams::Conns;
 use rookpulley_assigner::{Assigner, Signals, config};
 use rookpulley_operators::OperatorSettings;
 use rookpulley_standin::client::{
@@ -26,149 +25,155 @@
 use tokio::time::timeout;
 
 struct Running {
-    place: SocketAddr,
-    notes: Option<SocketAddr>,
-    front: Rc<Front>,
+    address: SocketAddr,
+    peer_address: Option<SocketAddr>,
+    ctx: Rc<Context>,
 }
 
-async fn run(told: &Value) -> Running {
-    let told = config::read(&told.to_string()).unwrap();
+async fn run(config: &Value) -> Running {
+    let config = config::parse(&config.to_string()).unwrap();
     let assigner = Assigner::bind(
-        told,
+        config,
         "no file".into(),
         Signals::take().unwrap(),
         &OperatorSettings::default(),
     )
     .await
     .unwrap();
-    let (place, notes) = assigner.places();
-    let front = assigner.front.clone();
+    let (address, peer_address) = assigner.addresses();
+    let ctx = assigner.ctx.clone();
     spawn_local(assigner.serve());
     Running {
-        place: place.unwrap(),
-        notes,
-        front,
+        address: address.unwrap(),
+        peer_address,
+        ctx,
     }
 }
 
 impl Running {
-    /// Waits until only so many connections are open.
-    async fn alone(&self, open: usize) {
-        while self.front.conns.count() > open {
+    /// Waits until at most `open` connections are open.
+    async fn wait_for_connections(&self, open: usize) {
+        while self.ctx.conns.count() > open {
             tokio::task::yield_now().await;
         }
     }
 
-    /// Waits until this was counted so often.
-    async fn counted(&self, what: &str, count: u64) {
+    /// Waits until a counter reaches a value.
+    async fn wait_for_count(&self, what: &str, count: u64) {
         let wait = async {
-            while self.front.counters.get(what) < count {
+            while self.ctx.counters.get(what) < count {
                 tokio::task::yield_now().await;
             }
         };
         if timeout(EVENT_TIMEOUT, wait).await.is_err() {
             panic!(
-                "{what} was not counted {count} times: {:#?}",
-                self.front.counters.lines()
+                "counter {what} did not reach {count}: {:#?}",
+                self.ctx.counters.lines()
             );
         }
     }
 }
 
-/// Runs a test with an assigner whose discovery works.
+/// Runs a test with an assigner and a working discovery agent.
 fn with_assigner<F: Future<Output = ()>>(test: impl FnOnce(Running, DiscoveryServer) -> F) {
-    on_sockets(async {
+    run_local(async {
         let agent = DiscoveryServer::new().await;
         test(run(&assigner_config(agent.address)).await, agent).await;
     });
 }
 
-fn on_sockets(test: impl Future<Output = ()>) {
+fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let test = async { timeout(2 * EVENT_TIMEOUT, test).await.expect("it hangs") };
+    let test = async {
+        timeout(2 * EVENT_TIMEOUT, test)
+            .await
+            .expect("test timed out")
+    };
     LocalSet::new().block_on(&runtime.unwrap(), test);
 }
 
 // ---- Streams ------------------------------------------------------------------------------
 
 #[test]
-fn a_proxy_joins_and_is_bound_and_hears_of_a_drain() {
+fn joined_proxy_receives_its_table_and_drains() {
     with_assigner(|running, agent| async move {
-        let mut proxy = TestClient::join(running.place, 0, true).await;
+        let mut proxy = TestClient::join(running.address, 0, true).await;
         let table = proxy.wait_for_table().await;
         assert_eq!(table["lines"].as_array().unwrap().len(), 3, "{table}");
-        running.counted("in marks answered", 1).await;
+        running.wait_for_count("in marks answered", 1).await;
         agent.publish(8, false, &[server(2, "DRAINING", 0.0)]);
-        let message = proxy.wait_for("s-2 shut out", withdraws("s-2")).await;
+        let message = proxy.wait_for("s-2 withdrawn", withdraws("s-2")).await;
         assert!(message["ticket"].is_u64(), "{message}");
         agent.publish(9, false, &[server(3, "DELETED", 0.0)]);
-        proxy.wait_for("s-3 shut out", withdraws("s-3")).await;
-        // Back with a new start: let back with the line that brings it into the table again.
+        proxy.wait_for("s-3 withdrawn", withdraws("s-3")).await;
+        // After a restart the server is restored together with its table line.
         agent.publish(10, true, &serving(1..=3));
         proxy
-            .wait_for("s-2 back", |m| m["back"].to_string().contains("s-2"))
+            .wait_for("s-2 restored", |m| m["back"].to_string().contains("s-2"))
             .await;
     });
 }
 
 #[test]
-fn bytes_come_in_pieces_and_messages_together() {
+fn split_and_coalesced_messages_are_decoded() {
     with_assigner(|running, _agent| async move {
-        let mut proxy = TestClient::connect(running.place).await;
+        let mut proxy = TestClient::connect(running.address).await;
         for byte in format!("{}\n", join_message(1, true)).bytes() {
             proxy.socket.write_all(&[byte]).await.unwrap();
             tokio::task::yield_now().await;
         }
-        running.counted("in joinings", 1).await;
+        running.wait_for_count("in joinings", 1).await;
         let usage = r#"{"msg":"client_stats","proxy":1,"class":"read","tries":19,"failed":0,"span_ms":1000.0,"new":[1]}"#;
         proxy
             .send(&[usage, usage, HEARTBEAT, usage].join("\n"))
             .await;
         proxy
-            .wait_for("an answer to the beat", |m| m["msg"] == "hb_ok")
+            .wait_for("a heartbeat reply", |m| m["msg"] == "hb_ok")
             .await;
-        running.counted("in usage", 3).await;
+        running.wait_for_count("in usage", 3).await;
         proxy.wait_for_table().await;
     });
 }
 
 #[test]
-fn a_new_stream_replaces_the_old_whose_late_end_changes_nothing() {
+fn new_stream_replaces_the_old_one_and_late_input_is_ignored() {
     with_assigner(|running, agent| async move {
-        let mut old = TestClient::join(running.place, 2, true).await;
+        let mut old = TestClient::join(running.address, 2, true).await;
         old.wait_for_table().await;
-        let mut new = TestClient::join(running.place, 2, false).await;
+        let mut new = TestClient::join(running.address, 2, false).await;
         new.wait_for_table().await;
-        // Input of the old one that was read before its end and comes after the joining of the new.
+        // Input of the old stream that arrives after the new stream has joined.
         let input = Input::Acknowledged {
             proxy: 2,
             mark: 0,
             took_ms: 1.0,
         };
         running
-            .front
-            .tell(Event::OnStream {
+            .ctx
+            .send(Event::ProxyInput {
                 conn: 0,
                 proxy: 2,
                 input,
                 holds: Default::default(),
             })
             .await;
-        running.counted("late input of old streams", 1).await;
+        running.wait_for_count("late input of old streams", 1).await;
         assert!(old.receive().await.is_none());
-        running.counted(Ending::Replaced.count(), 1).await;
+        running
+            .wait_for_count(CloseReason::Replaced.counter(), 1)
+            .await;
         agent.publish(8, false, &[server(1, "DRAINING", 0.0)]);
-        new.wait_for("s-1 shut out", withdraws("s-1")).await;
-        assert_eq!(running.front.counters.get(Ending::Closed.count()), 0);
+        new.wait_for("s-1 withdrawn", withdraws("s-1")).await;
+        assert_eq!(running.ctx.counters.get(CloseReason::Closed.counter()), 0);
     });
 }
 
 #[test]
-fn a_reset_inside_a_message_is_a_leaving() {
+fn reset_within_a_message_removes_the_proxy() {
     with_assigner(|running, _agent| async move {
-        let mut proxy = TestClient::join(running.place, 0, true).await;
+        let mut proxy = TestClient::join(running.address, 0, true).await;
         proxy.wait_for_table().await;
         proxy
             .socket
@@ -177,43 +182,45 @@
             .unwrap();
         proxy.socket.set_zero_linger().unwrap();
         drop(proxy);
-        running.counted(Ending::Reset.count(), 1).await;
-        let mut again = TestClient::join(running.place, 0, false).await;
+        running
+            .wait_for_count(CloseReason::Reset.counter(), 1)
+            .await;
+        let mut again = TestClient::join(running.address, 0, false).await;
         again.wait_for_table().await;
     });
 }
 
 #[test]
-fn strangers_up_to_the_limit_turn_nobody_away() {
-    on_sockets(async {
+fn unidentified_connections_are_evicted_for_proxies_and_collectors() {
+    run_local(async {
         let agent = DiscoveryServer::new().await;
-        let mut told = assigner_config(agent.address);
-        told["limits"]["sockets"] = json!(40);
-        let running = run(&told).await;
-        let mut proxy = TestClient::join(running.place, 0, true).await;
+        let mut config = assigner_config(agent.address);
+        config["limits"]["sockets"] = json!(40);
+        let running = run(&config).await;
+        let mut proxy = TestClient::join(running.address, 0, true).await;
         proxy.wait_for_table().await;
-        let mut collector = TestClient::connect(running.place).await;
+        let mut collector = TestClient::connect(running.address).await;
         collector.send(COLLECTOR_HELLO).await;
-        running.counted("in collectors", 1).await;
-        let mut strangers = Vec::new();
+        running.wait_for_count("in collectors", 1).await;
+        let mut unidentified = Vec::new();
         for _ in 0..50 {
-            strangers.push(TestClient::connect(running.place).await);
+            unidentified.push(TestClient::connect(running.address).await);
         }
-        let mut late = TestClient::join(running.place, 1, true).await;
+        let mut late = TestClient::join(running.address, 1, true).await;
         late.wait_for_table().await;
-        assert!(running.front.counters.get(Ending::Crowded.count()) > 0);
+        assert!(running.ctx.counters.get(CloseReason::Evicted.counter()) > 0);
         assert!(proxy.heartbeat().await && collector.heartbeat().await);
-        assert_eq!(running.front.counters.get("most connections at once"), 8);
+        assert_eq!(running.ctx.counters.get("most connections at once"), 8);
         assert!(
-            strangers[0].receive().await.is_none(),
-            "the oldest go first"
+            unidentified[0].receive().await.is_none(),
+            "the oldest are evicted first"
         );
-        // Collectors that come again and again while their old connections stay half-open.
+        // Reconnecting collectors whose old connections stay half-open.
         let mut collectors = Vec::new();
         for count in 2..20 {
-            let mut collector = TestClient::connect(running.place).await;
+            let mut collector = TestClient::connect(running.address).await;
             collector.send(COLLECTOR_HELLO).await;
-            running.counted("in collectors", count).await;
+            running.wait_for_count("in collectors", count).await;
             collectors.push(collector);
         }
         assert!(collectors.pop().unwrap().heartbeat().await && late.heartbeat().await);
@@ -221,11 +228,11 @@
 }
 
 #[test]
-fn who_has_not_joined_in_time_gets_a_close_whatever_it_sends() {
+fn connections_that_do_not_join_in_time_are_closed() {
     with_assigner(|running, _agent| async move {
-        let mut proxy = TestClient::join(running.place, 0, true).await;
+        let mut proxy = TestClient::join(running.address, 0, true).await;
         proxy.wait_for_table().await;
-        let mut late = TestClient::connect(running.place).await;
+        let mut late = TestClient::connect(running.address).await;
         let whole = join_message(1, true);
         let (first, rest) = whole.split_at(30);
         late.socket.write_all(first.as_bytes()).await.unwrap();
@@ -237,58 +244,62 @@
             (&(HEARTBEAT.to_string() + "\n"), true),
         ];
         let sent = sent.map(|(text, again)| (text.to_string(), again));
-        let strangers = sent.into_iter().chain([("x".repeat(512), true)]).map(|(text, again)| async move {
-            let mut wire = TestClient::connect(running.place).await.socket;
-            let (mut hears, mut says) = wire.split();
+        let unidentified = sent.into_iter().chain([("x".repeat(512), true)]).map(|(text, again)| async move {
+            let mut wire = TestClient::connect(running.address).await.socket;
+            let (mut reader, mut writer) = wire.split();
             let mut heard = [0; 4096];
-            // What is said again is said for as long as it is taken.
-            let say = async {
-                while says.write_all(text.as_bytes()).await.is_ok() && again {
+            // Repeat until the assigner closes the connection.
+            let write = async {
+                while writer.write_all(text.as_bytes()).await.is_ok() && again {
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
                 std::future::pending().await
             };
             tokio::select! {
-                () = async { while hears.read(&mut heard).await.is_ok_and(|size| size > 0) {} } => {}
-                () = say => {}
+                () = async { while reader.read(&mut heard).await.is_ok_and(|size| size > 0) {} } => {}
+                () = write => {}
             }
         });
-        let closed: Vec<_> = strangers.map(spawn_local).collect();
+        let closed: Vec<_> = unidentified.map(spawn_local).collect();
         late.send(rest).await;
         late.wait_for_table().await;
         for closed in closed {
             timeout(EVENT_TIMEOUT, closed)
                 .await
-                .expect("it was never closed")
+                .expect("the connection was not closed")
                 .unwrap();
         }
-        running.counted(Ending::NotJoined.count(), 5).await;
-        running.counted(Ending::TooLong.count(), 1).await;
+        running
+            .wait_for_count(CloseReason::JoinTimeout.counter(), 5)
+            .await;
+        running
+            .wait_for_count(CloseReason::LineTooLong.counter(), 1)
+            .await;
         assert!(proxy.heartbeat().await && late.heartbeat().await);
     });
 }
 
 #[test]
-fn where_all_have_joined_a_newcomer_is_turned_away_until_one_leaves() {
-    on_sockets(async {
+fn new_connections_are_rejected_while_all_slots_are_joined() {
+    run_local(async {
         let agent = DiscoveryServer::new().await;
-        let mut told = assigner_config(agent.address);
-        told["limits"]["sockets"] = json!(33);
-        let running = run(&told).await;
-        let mut proxy = TestClient::join(running.place, 0, true).await;
+        let mut config = assigner_config(agent.address);
+        config["limits"]["sockets"] = json!(33);
+        let running = run(&config).await;
+        let mut proxy = TestClient::join(running.address, 0, true).await;
         proxy.wait_for_table().await;
         assert!(
-            TestClient::join(running.place, 1, true)
+            TestClient::join(running.address, 1, true)
                 .await
                 .receive()
                 .await
                 .is_none()
         );
-        running.counted("connections turned away", 1).await;
+        running.wait_for_count("connections turned away", 1).await;
         assert!(proxy.heartbeat().await);
         drop(proxy);
-        running.alone(0).await;
-        TestClient::join(running.place, 1, true)
+        running.wait_for_connections(0).await;
+        TestClient::join(running.address, 1, true)
             .await
             .wait_for_table()
             .await;
@@ -296,23 +307,25 @@
 }
 
 #[test]
-fn a_reader_that_stops_reading_delays_nobody() {
+fn stalled_reader_does_not_delay_others() {
     with_assigner(|running, agent| async move {
-        let mut proxy = TestClient::join(running.place, 0, true).await;
+        let mut proxy = TestClient::join(running.address, 0, true).await;
         proxy.wait_for_table().await;
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
-        let mut deaf = socket.connect(running.place).await.unwrap();
+        let mut stalled = socket.connect(running.address).await.unwrap();
         let beats = format!("{HEARTBEAT}\n").repeat(4096);
-        spawn_local(async move { while deaf.write_all(beats.as_bytes()).await.is_ok() {} });
-        running.counted(Ending::Unread.count(), 1).await;
+        spawn_local(async move { while stalled.write_all(beats.as_bytes()).await.is_ok() {} });
+        running
+            .wait_for_count(CloseReason::SlowReader.counter(), 1)
+            .await;
         agent.publish(8, false, &[server(1, "DRAINING", 0.0)]);
-        proxy.wait_for("s-1 shut out", withdraws("s-1")).await;
+        proxy.wait_for("s-1 withdrawn", withdraws("s-1")).await;
     });
 }
 
 #[test]
-fn bad_input_is_felt_by_nobody_else() {
+fn invalid_input_affects_only_its_connection() {
     let long = "x".repeat(1 << 20);
     let bad: Vec<(&str, Vec<u8>)> = [
         ("not JSON", "hello"),
@@ -321,20 +334,20 @@
         ("unknown msg", r#"{"msg":"dance"}"#),
         ("a field missing", r#"{"msg":"done","proxy":0,"mark":1}"#),
         ("a field of the wrong type", r#"{"msg":"done","proxy":0,"mark":"1","took_ms":1}"#),
-        ("a negative figure", r#"{"msg":"done","proxy":0,"mark":1,"took_ms":-1}"#),
-        ("a figure past all bounds", r#"{"msg":"done","proxy":0,"mark":1,"took_ms":1e999}"#),
+        ("a negative number", r#"{"msg":"done","proxy":0,"mark":1,"took_ms":-1}"#),
+        ("a number out of range", r#"{"msg":"done","proxy":0,"mark":1,"took_ms":1e999}"#),
         ("another proxy's mark", r#"{"msg":"done","proxy":1,"mark":1,"took_ms":1}"#),
         ("proxy out of range", r#"{"msg":"attach","proxy":4,"zone":"a","weight":1,"fresh":true}"#),
         ("zone out of range", r#"{"msg":"attach","proxy":1,"zone":"z","weight":1,"fresh":true}"#),
         ("kind out of range", r#"{"msg":"client_stats","proxy":0,"class":"no","tries":1,"failed":0,"span_ms":1}"#),
         ("unknown server", r#"{"msg":"upstream_stats","zone":"a","server":"no","tries":1,"failed":0,"mean_ms":1,"span_ms":1}"#),
         ("more failed than tried", r#"{"msg":"upstream_stats","zone":"a","server":"s-1","tries":1,"failed":2,"mean_ms":1,"span_ms":1}"#),
-        ("a second joining", r#"{"msg":"attach","proxy":1,"zone":"a","weight":1,"fresh":true}"#),
-        ("a mark never ordered", r#"{"msg":"done","proxy":0,"mark":40000,"took_ms":1}"#),
-        ("a mark out of its type's range", r#"{"msg":"done","proxy":0,"mark":1e30,"took_ms":1}"#),
-        ("no mean of good tries", r#"{"msg":"upstream_stats","zone":"a","server":"s-1","tries":2,"failed":1,"span_ms":1}"#),
-        ("a senseless load", r#"{"msg":"upstream_stats","zone":"a","server":"s-1","tries":1,"failed":1,"span_ms":1,"load":{"queue":-3,"util":0}}"#),
-        ("a load of which a part is missing", r#"{"msg":"upstream_stats","zone":"a","server":"s-1","tries":1,"failed":1,"span_ms":1,"load":{"util":0}}"#),
+        ("a second join", r#"{"msg":"attach","proxy":1,"zone":"a","weight":1,"fresh":true}"#),
+        ("an unknown mark", r#"{"msg":"done","proxy":0,"mark":40000,"took_ms":1}"#),
+        ("a mark beyond its type's range", r#"{"msg":"done","proxy":0,"mark":1e30,"took_ms":1}"#),
+        ("a missing mean", r#"{"msg":"upstream_stats","zone":"a","server":"s-1","tries":2,"failed":1,"span_ms":1}"#),
+        ("a negative load", r#"{"msg":"upstream_stats","zone":"a","server":"s-1","tries":1,"failed":1,"span_ms":1,"load":{"queue":-3,"util":0}}"#),
+        ("an incomplete load", r#"{"msg":"upstream_stats","zone":"a","server":"s-1","tries":1,"failed":1,"span_ms":1,"load":{"util":0}}"#),
         ("text after the object", r#"{"msg":"hb"}{"msg":"hb"}"#),
         ("over 4 KiB", &format!(r#"{{"msg":"dance","to":"{}"}}"#, "x".repeat(4096))),
         ("over a megabyte", &long),
@@ -344,53 +357,53 @@
     .chain([("not UTF-8", b"{\"msg\":\"h\xffb\"}".to_vec())])
     .collect();
     with_assigner(|running, agent| async move {
-        let mut other = TestClient::join(running.place, 3, true).await;
+        let mut other = TestClient::join(running.address, 3, true).await;
         other.wait_for_table().await;
         let mut trace = String::new();
         for (what, bytes) in bad {
             trace += &format!("{what}:");
-            for (who, first) in [
-                ("stranger", ""),
+            for (role, first) in [
+                ("unidentified", ""),
                 ("collector", COLLECTOR_HELLO),
                 ("proxy", &join_message(0, true)),
             ] {
-                let before = running.front.counters.lines();
-                let mut wire = TestClient::connect(running.place).await;
+                let before = running.ctx.counters.lines();
+                let mut wire = TestClient::connect(running.address).await;
                 if !first.is_empty() {
                     wire.send(first).await;
                 }
                 _ = wire.socket.write_all(&[&bytes[..], b"\n"].concat()).await;
-                let kept = wire.heartbeat().await;
-                if !kept {
-                    running.alone(1).await;
+                let open = wire.heartbeat().await;
+                if !open {
+                    running.wait_for_connections(1).await;
                 }
                 let bad = |line: &&String| line.starts_with("bad") || line.starts_with("ended");
-                let news: Vec<String> = running
-                    .front
+                let changed: Vec<String> = running
+                    .ctx
                     .counters
                     .lines()
                     .iter()
                     .filter(bad)
                     .cloned()
                     .collect();
-                let news: Vec<&str> = news
+                let changed: Vec<&str> = changed
                     .iter()
                     .filter(|l| !before.contains(l))
                     .map(|l| count_name(l))
                     .collect();
                 trace += &format!(
-                    "\n  a {who} {} ({})",
-                    if kept { "stays" } else { "goes" },
-                    news.join(", ")
+                    "\n  {role}: {} ({})",
+                    if open { "open" } else { "closed" },
+                    changed.join(", ")
                 );
                 drop(wire);
-                running.alone(1).await;
+                running.wait_for_connections(1).await;
             }
             trace += "\n";
         }
         insta::assert_snapshot!(trace);
         agent.publish(8, false, &[server(1, "DRAINING", 0.0)]);
-        other.wait_for("s-1 shut out", withdraws("s-1")).await;
+        other.wait_for("s-1 withdrawn", withdraws("s-1")).await;
     });
 }
 
@@ -399,13 +412,13 @@
 }
 
 #[test]
-fn reports_of_a_collector_reach_the_module() {
+fn collector_reports_reach_the_module() {
     with_assigner(|running, _agent| async move {
-        let mut proxy = TestClient::join(running.place, 0, true).await;
+        let mut proxy = TestClient::join(running.address, 0, true).await;
         proxy.wait_for_table().await;
-        let mut collector = TestClient::connect(running.place).await;
+        let mut collector = TestClient::connect(running.address).await;
         collector.send(COLLECTOR_HELLO).await;
-        // s-1 fails all its tries while the others do well: the module strikes it.
+        // s-1 fails all tries while the others succeed, so the module removes it.
         let report = async {
             loop {
                 for (n, failed) in [(1, 30), (2, 0), (3, 0)] {
@@ -425,22 +438,22 @@
     });
 }
 
-// ---- The list -----------------------------------------------------------------------------
+// ---- Server list --------------------------------------------------------------------------
 
 #[test]
-fn a_beat_is_answered_only_once_the_list_is_known() {
-    on_sockets(async {
+fn heartbeat_is_answered_once_the_list_is_known() {
+    run_local(async {
         let mut discovery = ScriptedDiscovery::new().await;
-        let mut told = assigner_config(discovery.address);
-        told["known"]["endpoints"] = json!([]);
-        let running = run(&told).await;
-        let mut wire = TestClient::connect(running.place).await;
+        let mut config = assigner_config(discovery.address);
+        config["known"]["endpoints"] = json!([]);
+        let running = run(&config).await;
+        let mut wire = TestClient::connect(running.address).await;
         wire.send(HEARTBEAT).await;
         let mut watch = discovery.watch().await;
         assert_eq!(
-            running.front.counters.get("connections taken"),
+            running.ctx.counters.get("connections taken"),
             0,
-            "taken without a list"
+            "accepted without a list"
         );
         watch.send(&list(8, true, &serving(1..=2))).await;
         assert_eq!(wire.receive().await.unwrap()["msg"], "hb_ok");
@@ -448,94 +461,94 @@
 }
 
 #[test]
-fn a_watch_that_breaks_is_resumed_and_nothing_is_skipped_or_taken_twice() {
-    on_sockets(async {
+fn broken_watch_resumes_without_gaps_or_duplicates() {
+    run_local(async {
         let mut discovery = ScriptedDiscovery::new().await;
         let running = run(&assigner_config(discovery.address)).await;
         let mut watch = discovery.watch().await;
-        let mut proxy = TestClient::join(running.place, 0, true).await;
+        let mut proxy = TestClient::join(running.address, 0, true).await;
         proxy.wait_for_table().await;
         let mut trace = String::new();
-        // In the middle of a line.
+        // Break the watch in the middle of a line.
         let change = list(8, false, &[server(1, "DRAINING", 0.0)]);
         watch.send(&change[..40]).await;
         drop(watch);
         for what in [
-            "refuses with an error",
-            "no list",
+            "error status",
+            "not a list",
             "a negative weight",
-            "goes silent",
-            "silent at once",
+            "stalls after a line",
+            "stalls without a line",
         ] {
             let call = discovery.call().await;
             trace += &format!("{}: {what}\n", call.path);
             match what {
-                "refuses with an error" => call.answer(503, "busy"),
-                "no list" => call.watch().send("[]\n").await,
+                "error status" => call.answer(503, "busy"),
+                "not a list" => call.watch().send("[]\n").await,
                 "a negative weight" => call.watch().send(&change.replace("1.0", "-1.0")).await,
-                "goes silent" => {
+                "stalls after a line" => {
                     let mut silent = call.watch();
                     silent.send("\n").await;
                     discovery.call().await.answer(200, "");
                     drop(silent);
                 }
-                // Neither this call nor its connection is ever ended by the stand-in.
+                // The test double never ends this request or its connection.
                 _ => discovery.call().await.answer(404, ""),
             }
         }
         let call = discovery.call().await;
-        trace += &format!("{}: the change, twice, and an old one\n", call.path);
+        trace += &format!("{}: the change twice and an old one\n", call.path);
         let mut watch = call.watch();
         let old = list(3, false, &[server(3, "DELETED", 0.0)]);
         watch.send(&[change.clone(), change, old].concat()).await;
-        let message = proxy.wait_for("s-1 shut out", withdraws("s-1")).await;
+        let message = proxy.wait_for("s-1 withdrawn", withdraws("s-1")).await;
         assert!(!withdraws("s-3")(&message), "{message}");
         drop(watch);
         let call = discovery.call().await;
         trace += &format!("{}: the whole list\n", call.path);
         let mut watch = call.watch();
         watch.send(&list(20, true, &serving(3..=3))).await;
-        let message = proxy.wait_for("s-2 shut out", withdraws("s-2")).await;
+        let message = proxy.wait_for("s-2 withdrawn", withdraws("s-2")).await;
         assert!(!withdraws("s-3")(&message));
         drop(watch);
-        trace += &format!("{}: at last\n", discovery.call().await.path);
+        trace += &format!("{}: resumed\n", discovery.call().await.path);
         insta::assert_snapshot!(trace);
     });
 }
 
 #[test]
-fn a_change_that_was_not_handed_on_comes_first_at_the_new_address() {
-    on_sockets(async {
-        let (mut here, mut there) = (
+fn unforwarded_change_is_read_again_at_the_new_address() {
+    run_local(async {
+        let (mut old, mut new) = (
             ScriptedDiscovery::new().await,
             ScriptedDiscovery::new().await,
         );
-        let read = config::read(&assigner_config(here.address).to_string()).unwrap();
-        // One change fits; the next waits for the driver.
+        let read = config::parse(&assigner_config(old.address).to_string()).unwrap();
+        // The channel holds one change; the next one waits for the driver.
         let (events, mut taken) = mpsc::channel(1);
-        let (log, conns) = (Log::new("n0".into(), 9), Conns::new(1, 1));
-        let front = Rc::new(Front {
+        let (log, conns) = (Log::new("n0".into(), 9), Connections::new(1, 1));
+        let ctx = Rc::new(Context {
             log,
             counters: Counters::default(),
-            words: read.words,
+            codec: read.codec,
             conns,
             events,
         });
         let running = Running {
-            place: here.address,
-            notes: None,
-            front: front.clone(),
+            address: old.address,
+            peer_address: None,
+            ctx: ctx.clone(),
         };
-        let roster = Roster::new(here.address, 7, false, front);
-        spawn_local(roster.clone().follow(Pauses::new(1)));
-        let mut watch = here.watch().await;
+        let list_client = ListClient::new(old.address, 7, false, ctx);
+        spawn_local(list_client.clone().follow(Backoff::new(1)));
+        let mut watch = old.watch().await;
         let change = |version, n| list(version, false, &[server(n, "DRAINING", 0.0)]);
         watch.send(&[change(8, 1), change(9, 2)].concat()).await;
-        running.counted("in list changes", 1).await;
-        roster.move_to(there.address);
-        let call = there.call().await;
+        running.wait_for_count("in list changes", 1).await;
+        list_client.set_address(new.address);
+        let call = new.call().await;
         assert_eq!(call.path, "/catalog/members?follow=1&since=8");
-        // That agent lags behind at first: what it says last is older than what is held.
+        // This agent lags behind: its first lists are older than the current version.
         let mut watch = call.watch();
         watch
             .send(&[list(6, true, &serving(1..=3)), change(8, 1), change(9, 2)].concat())
@@ -543,49 +556,49 @@
         let mut versions = Vec::new();
         while versions.last() != Some(&9) {
             let Some(Event::List { list, .. }) = taken.recv().await else {
-                panic!("no list")
+                panic!("not a list")
             };
             versions.push(list.version);
         }
         assert_eq!(versions, [8, 9]);
-        assert_eq!(running.front.counters.get("whole lists passed over"), 1);
-        // The address that it has already changes nothing.
-        roster.move_to(there.address);
+        assert_eq!(running.ctx.counters.get("whole lists passed over"), 1);
+        // Setting the same address again has no effect.
+        list_client.set_address(new.address);
         watch.send(&change(10, 3)).await;
         assert!(matches!(taken.recv().await, Some(Event::List { list, .. }) if list.version == 10));
-        assert_eq!(running.front.counters.get("watches broken"), 0);
+        assert_eq!(running.ctx.counters.get("watches broken"), 0);
     });
 }
 
 #[test]
-fn a_server_long_gone_is_forgotten_and_let_back_when_it_returns() {
+fn forgotten_server_is_restored_when_it_returns() {
     with_assigner(|running, agent| async move {
-        let mut proxy = TestClient::join(running.place, 0, true).await;
+        let mut proxy = TestClient::join(running.address, 0, true).await;
         proxy.wait_for_table().await;
         agent.publish(8, false, &[server(3, "DELETED", 0.0)]);
-        proxy.wait_for("s-3 shut out", withdraws("s-3")).await;
-        running.counted("servers forgotten", 1).await;
-        let mut collector = TestClient::connect(running.place).await;
+        proxy.wait_for("s-3 withdrawn", withdraws("s-3")).await;
+        running.wait_for_count("servers forgotten", 1).await;
+        let mut collector = TestClient::connect(running.address).await;
         let heard = r#"{"msg":"upstream_stats","zone":"a","server":"s-3","tries":1,"failed":1,"span_ms":1}"#;
         collector.send(&[COLLECTOR_HELLO, heard].join("\n")).await;
-        running.counted("bad input: unknown server", 1).await;
+        running.wait_for_count("bad input: unknown server", 1).await;
         agent.publish(9, false, &[server(3, "SERVING", 0.0)]);
         proxy
-            .wait_for("s-3 back", |m| m["back"].to_string().contains("s-3"))
+            .wait_for("s-3 restored", |m| m["back"].to_string().contains("s-3"))
             .await;
     });
 }
 
 #[test]
-fn an_absent_agent_is_dialled_until_it_is_there() {
-    on_sockets(async {
-        // An address that is ours, where nobody listens yet.
+fn unreachable_discovery_is_retried() {
+    run_local(async {
+        // Reserve an address without listening on it.
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let running = run(&assigner_config(socket.local_addr().unwrap())).await;
-        let mut proxy = TestClient::join(running.place, 0, true).await;
+        let mut proxy = TestClient::join(running.address, 0, true).await;
         proxy.wait_for_table().await;
-        running.counted("watches broken", 2).await;
+        running.wait_for_count("watches broken", 2).await;
         let listener = socket.listen(8).unwrap();
         let mut discovery = ScriptedDiscovery::from_listener(listener);
         assert_eq!(
@@ -596,39 +609,39 @@
 }
 
 #[test]
-fn pauses_grow_while_nothing_is_heard() {
-    let mut pauses = Pauses::new(1);
+fn backoff_grows_until_data_arrives() {
+    let mut backoff = Backoff::new(1);
     let heard = [
         true, false, false, false, false, false, false, false, true, false,
     ];
     let trace: Vec<String> = heard
-        .map(|h| format!("{:.0}", pauses.next(h).as_secs_f64() * 1e3))
+        .map(|h| format!("{:.0}", backoff.next(h).as_secs_f64() * 1e3))
         .to_vec();
     insta::assert_snapshot!(trace.join(" "));
     assert_ne!(
-        Pauses::new(2).next(true),
-        Pauses::new(3).next(true),
-        "not in step"
+        Backoff::new(2).next(true),
+        Backoff::new(3).next(true),
+        "jitter differs by seed"
     );
 }
 
 #[test]
-fn where_the_list_is_asked_for_the_module_asks() {
-    on_sockets(async {
+fn module_requests_lists_in_on_request_mode() {
+    run_local(async {
         let mut discovery = ScriptedDiscovery::new().await;
-        let mut told = assigner_config(discovery.address);
-        told["settings"]["registry_mode"] = json!("on_request");
-        let running = run(&told).await;
-        let mut proxy = TestClient::join(running.place, 0, true).await;
+        let mut config = assigner_config(discovery.address);
+        config["settings"]["registry_mode"] = json!("on_request");
+        let running = run(&config).await;
+        let mut proxy = TestClient::join(running.address, 0, true).await;
         discovery.call().await.answer(500, "");
-        // Its next call comes by its own alarm.
+        // The next request is triggered by a timer of the module.
         let mut watch = discovery.watch().await;
-        assert_eq!(running.front.counters.get("list calls failed"), 1);
+        assert_eq!(running.ctx.counters.get("list calls failed"), 1);
         proxy.wait_for_table().await;
         watch
             .send(&list(8, false, &[server(2, "DRAINING", 0.0)]))
             .await;
-        proxy.wait_for("s-2 shut out", withdraws("s-2")).await;
+        proxy.wait_for("s-2 withdrawn", withdraws("s-2")).await;
         drop(watch);
         assert_eq!(
             discovery.call().await.path,
@@ -637,45 +650,45 @@
     });
 }
 
-// ---- Peers, start and end -----------------------------------------------------------------
+// ---- Peers, startup and shutdown ----------------------------------------------------------
 
 #[test]
-fn notes_go_to_the_peers_and_come_from_them_alone() {
-    on_sockets(async {
+fn peer_messages_are_accepted_from_peers_only() {
+    run_local(async {
         let agent = DiscoveryServer::new().await;
         let bind = || async { UdpSocket::bind("127.0.0.1:0").await.unwrap() };
         let (all, peer, foreign) = (bind().await, bind().await, bind().await);
-        let mut told = assigner_config(agent.address);
-        told["peers"] = json!(["127.0.0.1:9", peer.local_addr().unwrap()]);
-        told["peers_all"] = json!(all.local_addr().unwrap());
-        let running = run(&told).await;
-        let mut proxy = TestClient::join(running.place, 0, true).await;
+        let mut config = assigner_config(agent.address);
+        config["peers"] = json!(["127.0.0.1:9", peer.local_addr().unwrap()]);
+        config["peers_all"] = json!(all.local_addr().unwrap());
+        let running = run(&config).await;
+        let mut proxy = TestClient::join(running.address, 0, true).await;
         proxy.wait_for_table().await;
-        let mut note = [0; 512];
-        let (size, _) = all.recv_from(&mut note).await.unwrap();
+        let mut message = [0; 512];
+        let (size, _) = all.recv_from(&mut message).await.unwrap();
         assert!(size > 0 && size <= 256);
-        let place = running.notes.unwrap();
-        peer.send_to(&note[..size], place).await.unwrap();
-        foreign.send_to(&note[..size], place).await.unwrap();
-        peer.send_to(&[0; 300], place).await.unwrap();
-        running.counted("in notes", 1).await;
-        running.counted("notes refused", 2).await;
-        assert_eq!(running.front.counters.get("in notes"), 1);
+        let address = running.peer_address.unwrap();
+        peer.send_to(&message[..size], address).await.unwrap();
+        foreign.send_to(&message[..size], address).await.unwrap();
+        peer.send_to(&[0; 300], address).await.unwrap();
+        running.wait_for_count("in notes", 1).await;
+        running.wait_for_count("notes refused", 2).await;
+        assert_eq!(running.ctx.counters.get("in notes"), 1);
     });
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_gets_a_plain_message() {
-    let place: SocketAddr = "127.0.0.1:1".parse().unwrap();
+fn invalid_configuration_is_reported() {
+    let address: SocketAddr = "127.0.0.1:1".parse().unwrap();
     let change = |at: &str, value: Value| {
-        let mut told = assigner_config(place);
-        *told.pointer_mut(at).unwrap() = value;
-        told.to_string()
+        let mut config = assigner_config(address);
+        *config.pointer_mut(at).unwrap() = value;
+        config.to_string()
     };
-    let mut forbidden = assigner_config(place);
+    let mut forbidden = assigner_config(address);
     forbidden["settings"]["limits"]["peers"] = json!(false);
     assert!(
-        config::read(&forbidden.to_string())
+        config::parse(&forbidden.to_string())
             .unwrap()
             .peers
             .is_none()
@@ -690,14 +703,14 @@
         change("/settings/family_info/backlog", json!("many")),
         change(
             "/known/endpoints/0/zone",
-            json!("an unknown one is passed over"),
+            json!("unknown names are accepted"),
         ),
         change("/known/endpoints/0/weight", json!(-1)),
         change("/peers", json!(null)),
     ]
     .iter()
     .map(|text| {
-        config::read(text)
+        config::parse(text)
             .err()
             .map_or("fine".into(), |e| e.to_string())
     })
@@ -706,10 +719,10 @@
 }
 
 #[test]
-fn messages_are_read_in_the_words_and_the_order_of_the_settings() {
-    let words = config::read(&assigner_config("127.0.0.1:1".parse().unwrap()).to_string())
+fn messages_decode_by_names_and_order_of_the_settings() {
+    let codec = config::parse(&assigner_config("127.0.0.1:1".parse().unwrap()).to_string())
         .unwrap()
-        .words;
+        .codec;
     let heard = |load: &str| {
         r#"{"msg":"upstream_stats","zone":"b","server":"s-1","tries":4,"failed":4,"span_ms":1000.5"#
             .to_string()
@@ -725,29 +738,29 @@
         heard(r#","mean_ms":0,"load":{"load_share":0.25,"depth":0}}"#),
         heard("}"),
     ];
-    let read = lines.map(|line| format!("{:?}", words.decode(line.as_bytes()).unwrap()));
+    let read = lines.map(|line| format!("{:?}", codec.decode(line.as_bytes()).unwrap()));
     insta::assert_snapshot!(read.join("\n"));
 }
 
 #[test]
-fn every_ending_has_one_meaning() {
-    let lines = ALL.map(|ending| format!("{}: {:?}", ending.count(), ending.input(5)));
+fn close_reasons_map_to_inputs() {
+    let lines = ALL.map(|reason| format!("{}: {:?}", reason.counter(), reason.input(5)));
     insta::assert_snapshot!(lines.join("\n"));
 }
 
 #[test]
-fn a_kind_of_log_line_has_its_share() {
+fn log_lines_are_limited_per_kind() {
     let log = Log::new("n0".into(), 2);
     let said: Vec<bool> = ["a", "a", "a", "b"]
-        .map(|kind| log.may_say(kind).is_some())
+        .map(|kind| log.admit(kind).is_some())
         .to_vec();
     assert_eq!(said, [true, true, false, true]);
 }
 
-/// The program itself, on real time.
+/// Tests of the executable.
 mod program {
     use super::{
-        ScriptedDiscovery, TestClient, assigner_config, json, list, on_sockets, server, withdraws,
+        ScriptedDiscovery, TestClient, assigner_config, json, list, run_local, server, withdraws,
     };
     use std::io::{BufRead, BufReader, Lines, Write};
     use std::net::TcpStream;
@@ -759,14 +772,14 @@
         folder: tempfile::TempDir,
     }
 
-    fn start(told: &str) -> Program {
-        start_within(told, 1024)
+    fn start(config: &str) -> Program {
+        start_within(config, 1024)
     }
 
-    fn start_within(told: &str, descriptors: u32) -> Program {
+    fn start_within(config: &str, descriptors: u32) -> Program {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("config.json");
-        std::fs::write(&path, told).unwrap();
+        std::fs::write(&path, config).unwrap();
         let run = format!(
             "ulimit -n {descriptors}; exec {}",
             env!("CARGO_BIN_EXE_rookpulley-assigner")
@@ -792,18 +805,18 @@
             let mut lines = self.log.by_ref().map(Result::unwrap);
             lines
                 .find(|line| line.contains(with))
-                .unwrap_or_else(|| panic!("it never said {with}"))
+                .unwrap_or_else(|| panic!("no line contains {with}"))
         }
 
-        /// Replaces its configuration and has it read again.
-        fn reload(&self, told: &str) {
+        /// Replaces the configuration file and sends SIGHUP.
+        fn reload(&self, config: &str) {
             let next = self.folder.path().join("next");
-            std::fs::write(&next, told).unwrap();
+            std::fs::write(&next, config).unwrap();
             std::fs::rename(next, self.folder.path().join("config.json")).unwrap();
             self.signal("HUP");
         }
 
-        fn place(&mut self) -> String {
+        fn address(&mut self) -> String {
             let line = self.line("listening at ");
             line.split("listening at ")
                 .nth(1)
@@ -826,8 +839,8 @@
         }
     }
 
-    fn beats(place: &str) -> bool {
-        let mut socket = TcpStream::connect(place).unwrap();
+    fn heartbeat_succeeds(address: &str) -> bool {
+        let mut socket = TcpStream::connect(address).unwrap();
         socket.write_all(b"{\"msg\":\"hb\"}\n").unwrap();
         let mut line = String::new();
         BufReader::new(socket).read_line(&mut line).unwrap();
@@ -835,71 +848,68 @@
     }
 
     #[test]
-    fn it_serves_again_after_a_kill_and_ends_on_a_term_with_its_counters() {
-        let mut told = assigner_config("127.0.0.1:1".parse().unwrap());
-        let mut program = start(&told.to_string());
-        let place = program.place();
-        assert!(beats(&place));
-        // Another one cannot have the same address.
-        told["listen"] = place.clone().into();
-        let mut second = start(&told.to_string());
-        assert!(second.line("can't be used").contains(&place));
+    fn restarts_after_a_kill_and_logs_counters_on_sigterm() {
+        let mut config = assigner_config("127.0.0.1:1".parse().unwrap());
+        let mut program = start(&config.to_string());
+        let address = program.address();
+        assert!(heartbeat_succeeds(&address));
+        // A second process cannot bind the same address.
+        config["listen"] = address.clone().into();
+        let mut second = start(&config.to_string());
+        assert!(second.line("cannot bind").contains(&address));
         assert!(!second.child.wait().unwrap().success());
         program.child.kill().unwrap();
         program.child.wait().unwrap();
-        let mut again = start(&told.to_string());
-        assert_eq!(again.place(), place);
-        assert!(beats(&place));
+        let mut again = start(&config.to_string());
+        assert_eq!(again.address(), address);
+        assert!(heartbeat_succeeds(&address));
         again.signal("USR1");
         assert!(again.line("count: in beats").ends_with(" 1"));
         again.signal("TERM");
-        again.line("told to end");
+        again.line("received SIGTERM");
         again.line("count: out beat answers");
         assert!(again.child.wait().unwrap().success());
     }
 
     #[test]
-    fn a_new_configuration_moves_the_watch_and_no_stream_is_felt() {
-        on_sockets(async {
-            let (mut here, mut there) = (
+    fn reload_moves_the_watch_and_keeps_streams() {
+        run_local(async {
+            let (mut old, mut new) = (
                 ScriptedDiscovery::new().await,
                 ScriptedDiscovery::new().await,
             );
-            let mut told = assigner_config(here.address);
-            let mut program = start(&told.to_string());
-            let place = program.place();
-            program.reload(&told.to_string());
-            let mut watch = here.watch().await;
-            let mut proxy = TestClient::join(place.parse().unwrap(), 0, true).await;
+            let mut config = assigner_config(old.address);
+            let mut program = start(&config.to_string());
+            let address = program.address();
+            program.reload(&config.to_string());
+            let mut watch = old.watch().await;
+            let mut proxy = TestClient::join(address.parse().unwrap(), 0, true).await;
             proxy.wait_for_table().await;
             watch
                 .send(&list(8, false, &[server(1, "DRAINING", 0.0)]))
                 .await;
-            proxy.wait_for("s-1 shut out", withdraws("s-1")).await;
+            proxy.wait_for("s-1 withdrawn", withdraws("s-1")).await;
             program.reload("{");
-            program.line("all stays as it was");
+            program.line("keeping the current configuration");
             watch
                 .send(&list(9, false, &[server(1, "SERVING", 9.0)]))
                 .await;
             proxy
-                .wait_for("s-1 back", |m| m["back"].to_string().contains("s-1"))
+                .wait_for("s-1 restored", |m| m["back"].to_string().contains("s-1"))
                 .await;
-            told["discovery"] = json!(there.address);
-            told["limits"]["sockets"] = json!(64);
-            program.reload(&told.to_string());
-            program.line("limits can't change while it runs");
-            let call = there.call().await;
+            config["discovery"] = json!(new.address);
+            config["limits"]["sockets"] = json!(64);
+            program.reload(&config.to_string());
+            program.line("limits cannot change at runtime");
+            let call = new.call().await;
             assert_eq!(call.path, "/catalog/members?follow=1&since=9");
             let mut moved = call.watch();
             moved
                 .send(&list(10, false, &[server(2, "DRAINING", 0.0)]))
                 .await;
-            proxy.wait_for("s-2 shut out", withdraws("s-2")).await;
-            assert!(
-                proxy.heartbeat().await,
-                "the stream is the one it joined on"
-            );
-            // A file that is never read to its end holds up neither the proxies nor the end.
+            proxy.wait_for("s-2 withdrawn", withdraws("s-2")).await;
+            assert!(proxy.heartbeat().await, "the stream was not replaced");
+            // A configuration read that blocks delays neither the proxies nor the shutdown.
             let fifo = program.folder.path().join("config.json");
             std::fs::remove_file(&fifo).unwrap();
             assert!(
@@ -912,7 +922,7 @@
             program.signal("HUP");
             assert!(proxy.heartbeat().await);
             program.signal("TERM");
-            program.line("told to end");
+            program.line("received SIGTERM");
             assert!(
                 program
                     .line("count: configurations refused")
@@ -926,38 +936,38 @@
     }
 
     #[test]
-    fn where_the_system_gives_no_more_connections_those_who_joined_are_served() {
+    fn joined_connections_survive_descriptor_exhaustion() {
         let mut program = start_within(
             &assigner_config("127.0.0.1:1".parse().unwrap()).to_string(),
             24,
         );
-        let place = program.place();
-        let mut joined = TcpStream::connect(&place).unwrap();
+        let address = program.address();
+        let mut joined = TcpStream::connect(&address).unwrap();
         joined
             .write_all(format!("{}\n", super::join_message(0, true)).as_bytes())
             .unwrap();
-        let strangers: Vec<_> = (0..40)
-            .map(|_| TcpStream::connect(&place).unwrap())
+        let unidentified: Vec<_> = (0..40)
+            .map(|_| TcpStream::connect(&address).unwrap())
             .collect();
-        program.line("a connection was not taken");
+        program.line("accept failed");
         joined.write_all(b"{\"msg\":\"hb\"}\n").unwrap();
         let mut lines = BufReader::new(joined).lines();
         assert!(lines.any(|line| line.unwrap().contains("hb_ok")));
-        // Each of them is closed in the end, and the next is served.
-        for mut stranger in strangers {
+        // All of them are closed, and new connections are served.
+        for mut client in unidentified {
             assert!(matches!(
-                std::io::Read::read(&mut stranger, &mut [0; 9]),
+                std::io::Read::read(&mut client, &mut [0; 9]),
                 Ok(0) | Err(_)
             ));
         }
-        assert!(beats(&place));
+        assert!(heartbeat_succeeds(&address));
         program.child.kill().unwrap();
     }
 
     #[test]
-    fn without_a_configuration_it_does_not_start() {
+    fn invalid_configuration_prevents_start() {
         let mut program = start("{");
-        program.line("the configuration is not what it should be");
+        program.line("invalid configuration");
         assert!(!program.child.wait().unwrap().success());
     }
 }
