--- a/crates/rookpulley-control/src/bootstrap.rs
+++ b/crates/rookpulley-control/src/bootstrap.rs
@@ -1,23 +1,23 @@
-//! Who makes the first view, by the seeds of the first start of the whole system.
+//! Selects the controller that creates the first view when the cluster starts for the first time.
 //!
-//! The first of the seeds that has a disk does, once each seed before it has said that it has none: silence proves
-//! nothing. Where no seed has a disk, the first one appoints a controller. What a disk was minted with decides, so the
-//! same seeds hold whatever a later settings file says.
+//! The first seed with a disk creates it, after every earlier seed has reported that it has no disk; an unreachable seed
+//! may have one. If no seed has a disk, the first seed appoints a controller. The seeds are stored when a disk is
+//! initialized, so later changes of the settings have no effect.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// What a disk holds that was minted at the first start.
+/// Bootstrap record of a disk that was initialized at the first start of the cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bootstrap {
-    /// The seeds that come first.
+    /// The seeds that precede this machine in the list, or all of them if it is not a seed.
     earlier_seeds: Vec<Ipv4Addr>,
-    /// It is a seed itself; else it makes the first view only where it is appointed.
+    /// Whether this machine is a seed. Other machines create the first view only if they are appointed.
     is_seed: bool,
 }
 
 impl Bootstrap {
-    /// Of a machine and the seeds in the settings.
+    /// Creates the record of the machine `me` from the seeds in the settings.
     pub fn new(me: Ipv4Addr, seeds: &[SocketAddrV4]) -> Self {
         let seeds: Vec<Ipv4Addr> = seeds.iter().map(|seed| *seed.ip()).collect();
         let position = seeds.iter().position(|seed| *seed == me);
@@ -27,8 +27,8 @@
         }
     }
 
-    /// For the disk: a byte that tells whether it is a seed, and the addresses of the earlier ones. Empty for the first
-    /// seed, as disks had it before there were others.
+    /// Encodes the record for storage: one byte for `is_seed`, then the addresses of the earlier seeds. The first seed's
+    /// record is empty, as in the original format.
     pub fn encode(&self) -> Vec<u8> {
         if self.is_first_seed() {
             return Vec::new();
@@ -38,7 +38,7 @@
         bytes
     }
 
-    /// Reads what `encode` wrote. None: it is something else.
+    /// Decodes a record, or returns `None` if it is malformed.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let Some((is_seed, addresses)) = bytes.split_first() else {
             return Some(Self {
@@ -61,17 +61,17 @@
         self.is_seed && self.earlier_seeds.is_empty()
     }
 
-    /// Whether it matters that this machine has no disk.
-    pub(crate) fn waits_for(&self, ip: Ipv4Addr) -> bool {
+    /// Whether the given machine is an earlier seed, which must report that it has no disk.
+    pub(crate) fn is_earlier_seed(&self, ip: Ipv4Addr) -> bool {
         self.earlier_seeds.contains(&ip)
     }
 
-    /// Whether this machine may appoint a controller.
+    /// Whether the given machine is the first seed, which may appoint a founder.
     pub(crate) fn may_appoint(&self, ip: Ipv4Addr) -> bool {
         self.earlier_seeds.first() == Some(&ip)
     }
 
-    /// Whether it is to make the first view now, where it knows of none. `without_disk`: the machines that have said so.
+    /// Whether this machine should create the first view if it knows of none.
     pub(crate) fn is_due(&self, without_disk: &BTreeSet<Ipv4Addr>, is_appointed: bool) -> bool {
         let mut earlier = self.earlier_seeds.iter();
         (self.is_seed || is_appointed) && earlier.all(|seed| without_disk.contains(seed))
--- a/crates/rookpulley-control/src/controller.rs
+++ b/crates/rookpulley-control/src/controller.rs
@@ -1,7 +1,7 @@
-//! A controller with a disk: where its parts meet.
+//! A controller with a disk.
 //!
-//! Each input comes with the time; what is to be done about it is taken by [`Controller::take_effects`] afterwards. The
-//! files under `controller/` hold one kind of input each.
+//! Each input carries the current time; [`Controller::take_effects`] returns the resulting effects. Each file under
+//! `controller/` handles one kind of input.
 
 mod drains;
 mod instances;
@@ -38,69 +38,69 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// How many calls may wait for the chain.
+/// Maximum number of requests waiting for the chain.
 const MAX_PENDING_REQUESTS: usize = 4_096;
-/// What was stored of instances before this start and hasn't been heard of since is dropped after so long.
-const TIDY_INSTANCES_AFTER_MS: f64 = 90_000.0;
-/// What is done how often, in ticks of 50 ms.
-const TABLES_TICKS: u64 = 2;
+/// Time after the start at which stored instances that are still unknown to the registry are deleted.
+const PRUNE_INSTANCES_AFTER_MS: f64 = 90_000.0;
+// Intervals of periodic work, in ticks of 50 ms.
+const TABLE_SYNC_TICKS: u64 = 2;
 const STATUS_TICKS: u64 = 8;
-const REFRESHES_TICKS: u64 = 16;
+const REFRESH_TICKS: u64 = 16;
 const HELLO_TICKS: u64 = 40;
 
 /// A controller with a disk.
 pub struct Controller {
     me: Member,
     seeds: Vec<SocketAddrV4>,
-    /// This controller's part in the chain.
+    /// This controller's replica of the chain.
     pub chain: Chain<ReplicatedState>,
-    /// The instances that it knows of.
+    /// Known instances.
     pub registry: Registry,
-    /// The tables of the proxies that it is primary for.
+    /// Tables of the proxies that have this controller as their primary.
     pub tables: TablePublisher,
-    /// What the disk held of instances at the start, until it is tidied.
+    /// Instance rows read from disk at the start, until they are pruned.
     stored_instances: Rows,
     /// Other controllers, by address.
     peers: BTreeMap<Ipv4Addr, Peer>,
     /// Connected proxies, by name.
     pub proxies: BTreeMap<String, ProxySession>,
     roster: ProxyRoster,
-    /// Controllers without a disk: their addresses, by the numbers of their connections.
+    /// Addresses of connected stateless controllers, by connection number.
     stateless: BTreeMap<u64, Ipv4Addr>,
     zone: String,
     bootstrap: Option<Bootstrap>,
-    /// Of the seeds that this one waits for: those that have said that they have no disk.
-    without_disk: BTreeSet<Ipv4Addr>,
-    /// The first seed has appointed this controller to make the first view.
+    /// Earlier seeds that are known to have no disk.
+    seeds_without_disk: BTreeSet<Ipv4Addr>,
+    /// Whether the first seed has appointed this controller to create the first view.
     is_appointed: bool,
-    /// Calls that wait for the chain.
-    requests: BTreeMap<u64, ReplyKind>,
+    /// Requests waiting for the chain, by token.
+    pending_requests: BTreeMap<u64, ReplyKind>,
     watches: Watches,
     drains: DrainTracker,
-    /// Drains that wait to be acknowledged, by the number that others were asked under.
+    /// Unacknowledged drains, by the number of the confirmation query.
     pending_drains: BTreeMap<u64, PendingDrain>,
-    /// The last ticket of a write of instances.
+    /// Ticket of the last write of instance records.
     instance_ticket: u64,
     after_instance_sync: Vec<(u64, AfterInstanceSync)>,
     last_number: u64,
     history: ConfigurationHistory,
-    /// The published configuration, as it was read.
+    /// The published configuration, parsed.
     routes: Option<RouteTable>,
     pacer: PublishPacer,
-    /// An update was applied by this incarnation, so the state here was agreed on.
-    has_applied: bool,
-    /// Watches how long writes take.
+    /// Whether this incarnation has applied an update, so that its state is known to be committed.
+    has_applied_update: bool,
+    /// Tracks write latency.
     pub disk: DiskHealth,
-    /// Figures for operators.
+    /// Metrics.
     pub counters: Counters,
-    is_ending: bool,
-    /// What proxies were last told.
-    told_in_touch: bool,
+    is_shutting_down: bool,
+    /// The contact state in the last announced status.
+    announced_in_touch: bool,
     effects: Vec<Effect>,
 }
 
 impl Controller {
-    /// Starts at the time 0. The incarnation also is the seed of all pseudo-random numbers.
+    /// Starts at time 0. The incarnation seeds the pseudo-random generators.
     pub fn new(start: ControllerStart) -> Self {
         let me = start.me;
         let seed = me.incarnation;
@@ -128,9 +128,9 @@
             stateless: BTreeMap::new(),
             zone: start.zone,
             bootstrap: start.bootstrap,
-            without_disk: BTreeSet::new(),
+            seeds_without_disk: BTreeSet::new(),
             is_appointed: false,
-            requests: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             watches: Watches::default(),
             drains: DrainTracker::new(tolerated_losses),
             pending_drains: BTreeMap::new(),
@@ -140,11 +140,11 @@
             history: ConfigurationHistory::default(),
             routes: None,
             pacer: PublishPacer::default(),
-            has_applied: false,
+            has_applied_update: false,
             disk: DiskHealth::default(),
             counters: Counters::default(),
-            is_ending: false,
-            told_in_touch: false,
+            is_shutting_down: false,
+            announced_in_touch: false,
             effects: Vec::new(),
         };
         controller.restore_instances();
@@ -154,8 +154,7 @@
         controller
     }
 
-    /// What was known of instances before this start, as if it were heard now: what no longer sends heartbeats falls
-    /// silent soon.
+    /// Loads the stored instances as if they had just been heard from. Those that no longer send heartbeats time out.
     fn restore_instances(&mut self) {
         for (_, row) in &self.stored_instances {
             if let Ok(update) = postcard::from_bytes::<InstanceUpdate>(row) {
@@ -164,18 +163,18 @@
         }
     }
 
-    /// What is to be done about all inputs since the last time.
+    /// Returns the effects of all inputs since the last call.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// A number that was never given before: for a connection, or a call.
+    /// Returns a unique number for a connection or a request.
     pub fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// A line for the log.
+    /// Summarizes the state in one line for the log.
     pub fn summary(&self) -> String {
         let primary_of = self.proxies.values().filter(|proxy| proxy.is_primary);
         format!(
@@ -186,12 +185,12 @@
         )
     }
 
-    /// Whether it is in two-way contact with a majority of an active view.
+    /// Whether this controller has two-way contact with a majority of an active view.
     pub fn in_touch(&self, now: f64) -> bool {
         self.chain.in_touch(now as u64)
     }
 
-    /// Whether it is in touch and a member of the view: what is applied here is as new as it can be.
+    /// Whether this controller is in touch and a member of the view, so that its applied state is up to date.
     pub fn is_serving(&self, now: f64) -> bool {
         self.chain.serving(now as u64)
     }
@@ -208,7 +207,7 @@
         &self.chain.state().machine
     }
 
-    /// Hands an input to the chain, and carries out what it wants.
+    /// Passes an input to the chain and processes the resulting effects.
     fn step_chain(&mut self, now: f64, input: Input) {
         let mut has_changed = false;
         for effect in self.chain.handle(now as u64, input) {
@@ -221,7 +220,7 @@
                     self.effects.push(Effect::WriteChain { ticket, records });
                 }
                 ChainEffect::Reply { token, outcome } => {
-                    if let Some(kind) = self.requests.remove(&token) {
+                    if let Some(kind) = self.pending_requests.remove(&token) {
                         self.reply(token, kind.reply(outcome));
                     }
                 }
@@ -233,13 +232,13 @@
         let view = self.chain.view().map_or(0, |view| view.number);
         self.counters.view(view);
         if has_changed {
-            self.has_applied = true;
+            self.has_applied_update = true;
             self.answer_watches(now, true);
             self.publish_configuration(now);
         }
     }
 
-    /// All writes up to these tickets are on the disk, as far as there were any of each kind. The sync took so long.
+    /// Handles a completed sync: all chain and instance writes up to the given tickets are durable.
     pub fn handle_synced(
         &mut self,
         now: f64,
@@ -258,7 +257,7 @@
     }
 
     fn check_disk(&mut self, now: f64) {
-        if self.is_ending {
+        if self.is_shutting_down {
             return;
         }
         let check = self.disk.check(now);
@@ -267,23 +266,23 @@
             self.effects.push(Effect::WriteChain { ticket, records });
         }
         if let Some(slow) = check.changed {
-            let health = if slow { "slow" } else { "quick again" };
+            let health = if slow { "slow" } else { "no longer slow" };
             self.log(format!("store: the disk is {health}"));
             self.step_chain(now, Input::DiskHealth { slow });
         }
     }
 
-    /// Takes a call. Its answer comes under its token, which `next_number` gave.
+    /// Handles a request. The reply carries its token, which must come from `next_number`.
     pub fn handle_call(&mut self, now: f64, token: u64, operation: Operation) {
         let kind = ReplyKind::of(&operation);
         match operation {
             Operation::Heartbeat(heartbeat) => self.handle_heartbeat(now, token, heartbeat),
             Operation::Leave(incarnation) => self.handle_leave(now, token, &incarnation),
             Operation::Update(update) => {
-                self.ask_chain(now, token, kind, RequestKind::Update, update.encode());
+                self.submit_to_chain(now, token, kind, RequestKind::Update, update.encode());
             }
             Operation::Read(query) => {
-                self.ask_chain(now, token, kind, RequestKind::Read, query.encode());
+                self.submit_to_chain(now, token, kind, RequestKind::Read, query.encode());
             }
             Operation::Watch {
                 group,
@@ -296,12 +295,12 @@
         }
     }
 
-    /// Nobody waits for the answer to this call any more.
+    /// Cancels a request whose caller has gone away.
     pub fn cancel_call(&mut self, token: u64) {
         self.watches.remove(token);
     }
 
-    fn ask_chain(
+    fn submit_to_chain(
         &mut self,
         now: f64,
         token: u64,
@@ -309,15 +308,15 @@
         kind: RequestKind,
         body: Vec<u8>,
     ) {
-        if self.requests.len() >= MAX_PENDING_REQUESTS {
+        if self.pending_requests.len() >= MAX_PENDING_REQUESTS {
             return self.reply(token, Reply::not_in_touch());
         }
-        self.requests.insert(token, reply);
+        self.pending_requests.insert(token, reply);
         self.step_chain(now, Input::ClientRequest { token, kind, body });
     }
 
     fn answer_watches(&mut self, now: f64, has_changed: bool) {
-        let is_serving = self.is_serving(now) && !self.is_ending;
+        let is_serving = self.is_serving(now) && !self.is_shutting_down;
         let state = &self.chain.state().machine;
         let due = self.watches.take_due(now, has_changed, is_serving, state);
         for (token, reply) in due {
@@ -325,19 +324,19 @@
         }
     }
 
-    /// From now on others are to go on without this controller.
+    /// Starts shutting down: proxies and watchers are told that this controller is out of touch.
     pub fn begin_shutdown(&mut self) {
-        self.is_ending = true;
+        self.is_shutting_down = true;
     }
 
-    /// Asks the others to go on without this controller. True: they do.
+    /// Requests removal from the chain. Returns whether the current view excludes this controller.
     pub fn leave_chain(&mut self, now: f64) -> bool {
         self.step_chain(now, Input::DiskHealth { slow: true });
         let members = self.chain.view().map_or(&[][..], |view| &view.members);
         members.iter().all(|member| member.id != self.me.id)
     }
 
-    /// Lets time pass: to be called every 50 ms. `tick` counts the calls.
+    /// Performs periodic work. Must be called every 50 ms; `tick` counts the calls.
     pub fn tick(&mut self, now: f64, tick: u64) {
         self.step_chain(now, Input::Tick);
         self.check_disk(now);
@@ -351,34 +350,34 @@
         for ip in members {
             self.discover_peer(now, ip);
         }
-        if tick.is_multiple_of(TABLES_TICKS) {
+        if tick.is_multiple_of(TABLE_SYNC_TICKS) {
             self.tick_registry(now);
         }
-        if tick.is_multiple_of(REFRESHES_TICKS) {
+        if tick.is_multiple_of(REFRESH_TICKS) {
             self.send_refreshes(now);
         }
         if tick.is_multiple_of(STATUS_TICKS) {
             self.roster.expire(now);
             self.tables.set_proxy_count(self.roster.count());
         }
-        // A change that comes with a regular announcement is announced once more with the next tick.
+        // `is_regular` short-circuits, so a change during a regular announcement is announced again on the next tick.
         let is_regular = tick.is_multiple_of(STATUS_TICKS);
-        if is_regular || std::mem::replace(&mut self.told_in_touch, in_touch) != in_touch {
+        if is_regular || std::mem::replace(&mut self.announced_in_touch, in_touch) != in_touch {
             self.announce_status(now);
         }
         if tick.is_multiple_of(HELLO_TICKS) {
             let hello = self.hello();
             self.send_to_all_peers(&hello);
         }
-        if now > TIDY_INSTANCES_AFTER_MS {
-            self.tidy_stored_instances();
+        if now > PRUNE_INSTANCES_AFTER_MS {
+            self.prune_stored_instances();
         }
     }
 
     fn tick_registry(&mut self, now: f64) {
         let silent = self.registry.tick(now);
         if !silent.is_empty() {
-            self.log(format!("registry: {} fell silent", silent.join(" ")));
+            self.log(format!("registry: {} timed out", silent.join(" ")));
         }
         self.publish_tables(now);
     }
@@ -389,7 +388,7 @@
         }
     }
 
-    /// Tells all proxies and all controllers without a disk how this controller stands.
+    /// Sends this controller's status to all proxies and stateless controllers.
     fn announce_status(&mut self, now: f64) {
         let status = self.status_message(now);
         self.send_to_all_proxies(&status);
--- a/crates/rookpulley-control/src/controller/drains.rs
+++ b/crates/rookpulley-control/src/controller/drains.rs
@@ -1,37 +1,36 @@
-//! When a drain may be acknowledged.
+//! Acknowledgement of drains.
 //!
-//! Invariant: a drain, or a message that an instance leaves, is acknowledged only once it is on the disk here and on
-//! those of as many other controllers as may be lost. Then all proxies in touch get to know of it, whatever becomes of
-//! this machine.
+//! Invariant: a drain or deregistration is acknowledged only after it is durable here and on as many other controllers
+//! as machine failures are tolerated. All proxies then learn of it even if this machine is lost.
 
 use super::Controller;
 use super::instances::AfterInstanceSync;
 use crate::peer_message::PeerMessage;
-use crate::reply::{Acceptance, InstanceCall};
+use crate::reply::{Acceptance, InstanceRequest};
 use rookpulley_protocol::IncarnationId;
 use rookpulley_registry::InstanceUpdate;
 
-/// How long the others' confirmations are waited for.
+/// How long to wait for confirmations from other controllers.
 const CONFIRM_TIMEOUT_MS: f64 = 700.0;
 
-/// A call by which an instance drains or leaves.
-pub(super) struct DrainCall {
-    pub call: InstanceCall,
+/// A request by which an instance drains or deregisters.
+pub(super) struct DrainRequest {
+    pub call: InstanceRequest,
     pub incarnation: IncarnationId,
 }
 
-/// A drain that waits to be acknowledged.
+/// A drain that is waiting for confirmations.
 pub(super) struct PendingDrain {
-    drain: DrainCall,
+    drain: DrainRequest,
     until_ms: f64,
     is_stored_here: bool,
     is_stored_elsewhere: bool,
 }
 
 impl Controller {
-    /// Asks the others to confirm a drain, also where the instance says it again. One that was confirmed is acknowledged
-    /// at once.
-    pub(super) fn confirm_drain(&mut self, now: f64, drain: DrainCall) {
+    /// Starts a confirmation query for a drain, also for a repeated request. An already confirmed drain is acknowledged
+    /// immediately.
+    pub(super) fn start_drain_confirmation(&mut self, now: f64, drain: DrainRequest) {
         if self.drains.is_confirmed(&drain.incarnation) {
             return self.answer_instance(drain.call, Acceptance::Durable);
         }
@@ -57,7 +56,7 @@
         self.write_instances(Vec::new(), Some(next));
     }
 
-    /// Another controller has the drain on its disk.
+    /// Handles the confirmation that another controller has stored the drain.
     pub(super) fn handle_updates_stored(&mut self, now: f64, from: u64, query: u64) {
         if !self.drains.record_confirmation(query, from) {
             return;
@@ -87,7 +86,7 @@
             return;
         };
         self.drains.finish_query(query);
-        let DrainCall { call, incarnation } = pending.drain;
+        let DrainRequest { call, incarnation } = pending.drain;
         if self.in_touch(now) {
             self.drains.confirm(now, incarnation);
             self.answer_instance(call, Acceptance::Durable);
@@ -96,11 +95,12 @@
         }
     }
 
-    /// Answers for the drains that took too long to be confirmed.
+    /// Replies to drains that were not confirmed within the timeout.
     pub(super) fn expire_drains(&mut self, now: f64) {
-        let is_late = |_: &u64, pending: &mut PendingDrain| pending.until_ms <= now;
-        let late: Vec<(u64, PendingDrain)> = self.pending_drains.extract_if(.., is_late).collect();
-        for (query, pending) in late {
+        let is_expired = |_: &u64, pending: &mut PendingDrain| pending.until_ms <= now;
+        let expired: Vec<(u64, PendingDrain)> =
+            self.pending_drains.extract_if(.., is_expired).collect();
+        for (query, pending) in expired {
             self.drains.finish_query(query);
             self.answer_instance(pending.drain.call, Acceptance::Local);
         }
--- a/crates/rookpulley-control/src/controller/instances.rs
+++ b/crates/rookpulley-control/src/controller/instances.rs
@@ -1,23 +1,23 @@
-//! Heartbeats of instances, and what controllers tell each other of them: taken, written to disk, passed on.
+//! Heartbeats of instances and updates from other controllers: processing, storage and propagation.
 
 use super::Controller;
-use super::drains::DrainCall;
+use super::drains::DrainRequest;
 use crate::effect::Effect;
 use crate::peer_message::PeerMessage;
-use crate::reply::{Acceptance, InstanceCall, Reply};
+use crate::reply::{Acceptance, InstanceRequest, Reply};
 use rookpulley_chain::Record;
 use rookpulley_registry::{Heartbeat, InstanceStatus, InstanceUpdate, Propagation, UpdateOutcome};
 
-/// What waits for a write of instances to reach the disk.
+/// Action to perform after a write of instance records is synced.
 pub(super) enum AfterInstanceSync {
-    /// Answer another controller's question.
+    /// Confirm stored updates to another controller.
     Confirm { to: u64, query: u64 },
-    /// A drain is on the disk here.
+    /// Record that a drain is durable on this controller.
     DrainStored { query: u64 },
 }
 
-/// An incarnation, and the last that matters of it, as it stands on the disk.
-fn record_of(update: &InstanceUpdate) -> Record {
+/// Builds the stored record of an incarnation from its latest update.
+fn instance_record(update: &InstanceUpdate) -> Record {
     let incarnation = match update {
         InstanceUpdate::Heartbeat { heartbeat, .. } => heartbeat.incarnation.as_str(),
         InstanceUpdate::Gone { incarnation, .. } => incarnation.as_str(),
@@ -31,7 +31,7 @@
 
 impl Controller {
     pub(super) fn handle_heartbeat(&mut self, now: f64, token: u64, heartbeat: Heartbeat) {
-        let call = InstanceCall {
+        let call = InstanceRequest {
             token,
             is_heartbeat: true,
         };
@@ -42,9 +42,9 @@
         self.counters.heartbeat(is_draining);
         let incarnation = heartbeat.incarnation.clone();
         let outcome = self.registry.heartbeat(now, heartbeat);
-        self.carry_out(now, outcome);
+        self.apply_outcome(now, outcome);
         if is_draining {
-            self.confirm_drain(now, DrainCall { call, incarnation });
+            self.start_drain_confirmation(now, DrainRequest { call, incarnation });
         } else {
             self.answer_instance(call, Acceptance::Durable);
         }
@@ -52,21 +52,21 @@
 
     pub(super) fn handle_leave(&mut self, now: f64, token: u64, incarnation: &str) {
         let outcome = self.registry.leave(now, incarnation);
-        self.carry_out(now, outcome);
-        let call = InstanceCall {
+        self.apply_outcome(now, outcome);
+        let call = InstanceRequest {
             token,
             is_heartbeat: false,
         };
         let incarnation = incarnation.into();
-        self.confirm_drain(now, DrainCall { call, incarnation });
+        self.start_drain_confirmation(now, DrainRequest { call, incarnation });
     }
 
-    pub(super) fn answer_instance(&mut self, call: InstanceCall, acceptance: Acceptance) {
+    pub(super) fn answer_instance(&mut self, call: InstanceRequest, acceptance: Acceptance) {
         let reply = Reply::of_acceptance(acceptance, call.is_heartbeat);
         self.reply(call.token, reply);
     }
 
-    /// Updates have come from another controller.
+    /// Handles updates from another controller.
     pub(super) fn handle_updates(
         &mut self,
         now: f64,
@@ -77,7 +77,7 @@
         self.counters.updates_received += updates.len() as u64;
         for update in updates {
             let outcome = self.registry.apply_update(now, update);
-            self.carry_out(now, outcome);
+            self.apply_outcome(now, outcome);
         }
         let wants_answer = query > 0;
         if let Some(to) = sender.filter(|_| wants_answer) {
@@ -86,17 +86,17 @@
         }
     }
 
-    /// Writes and passes on what came of a heartbeat or an update, and tells proxies of a drain.
-    fn carry_out(&mut self, now: f64, outcome: UpdateOutcome) {
+    /// Stores and propagates an update if necessary, and announces a new drain to proxies.
+    fn apply_outcome(&mut self, now: f64, outcome: UpdateOutcome) {
         if let Propagation::Immediate(update) = outcome.propagation {
-            self.write_instances(vec![record_of(&update)], None);
+            self.write_instances(vec![instance_record(&update)], None);
             self.send_updates(vec![update]);
         }
         self.announce_gone(now, outcome.newly_draining.into_iter().collect());
     }
 
-    /// Writes what is known of instances. After a crash it is where the registry begins: heartbeats alone would take a
-    /// while, and a drain that was acknowledged must hold.
+    /// Writes instance records. They restore the registry after a crash without waiting for heartbeats, and preserve
+    /// acknowledged drains.
     pub(super) fn write_instances(
         &mut self,
         records: Vec<Record>,
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Drops what the disk holds of incarnations that are unknown now: there was time for heartbeats to come.
-    pub(super) fn tidy_stored_instances(&mut self) {
+    /// Deletes the stored rows of incarnations that are still unknown to the registry.
+    pub(super) fn prune_stored_instances(&mut self) {
         let mut deletions = Vec::new();
         for (key, _) in std::mem::take(&mut self.stored_instances) {
             let incarnation = std::str::from_utf8(&key).unwrap_or_default();
--- a/crates/rookpulley-control/src/controller/peers.rs
+++ b/crates/rookpulley-control/src/controller/peers.rs
@@ -1,4 +1,4 @@
-//! The connections to other controllers: who is known, connected, heard and told.
+//! Connections to other controllers: discovery, handshake and messages.
 
 use super::Controller;
 use crate::effect::Effect;
@@ -8,23 +8,23 @@
 use rookpulley_registry::InstanceUpdate;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// A controller that was not reached for so long, and that no view names, is forgotten.
-const FORGET_MS: f64 = 20_000.0;
+/// A peer not seen for this long is forgotten, unless it is a seed or a member of the view.
+const FORGET_PEER_AFTER_MS: f64 = 20_000.0;
 const MAX_PEERS: usize = 64;
-/// Instance updates that need no answer are sent under this number.
+/// Query number of instance updates that need no reply.
 const NO_QUERY: u64 = 0;
 
 /// Another controller.
 pub(super) struct Peer {
-    /// The connection to it is open.
+    /// Whether the outgoing connection is open.
     is_connected: bool,
-    /// The identity of its disk, once it has said it.
+    /// Identity of its disk, known after its hello.
     id: Option<u64>,
     seen_ms: f64,
 }
 
 impl Controller {
-    /// Controllers are named at these addresses.
+    /// Adds controllers at these addresses to the peers.
     pub fn discover_peers(&mut self, now: f64, controllers: &[SocketAddrV4]) {
         for controller in controllers {
             self.discover_peer(now, *controller.ip());
@@ -46,14 +46,14 @@
         self.effects.push(Effect::Connect(ip));
     }
 
-    /// The controllers with a disk that a connection is open to.
+    /// Addresses of the connected controllers with a disk.
     pub(super) fn connected_peers(&self) -> impl Iterator<Item = Ipv4Addr> {
         let connected = self.peers.iter().filter(|(_, peer)| peer.is_connected);
         let with_disk = connected.filter(|(ip, _)| !self.is_stateless(**ip));
         with_disk.map(|(ip, _)| *ip)
     }
 
-    /// The addresses of the connected controllers, and our own.
+    /// Addresses of the connected controllers and of this one.
     pub(super) fn known_controllers(&self) -> Vec<SocketAddrV4> {
         let port = self.me.address.port();
         let peers = self.connected_peers();
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The connection to a controller is open.
+    /// Handles an opened outgoing connection.
     pub fn peer_connected(&mut self, now: f64, ip: Ipv4Addr) {
         let updates = PeerMessage::InstanceUpdates {
             query: NO_QUERY,
@@ -82,36 +82,36 @@
             peer.is_connected = true;
             peer.seen_ms = now;
         }
-        self.log(format!("peers: reached {ip}"));
+        self.log(format!("peers: connected to {ip}"));
     }
 
-    /// The connection to a controller is over.
+    /// Handles a closed outgoing connection.
     pub fn peer_disconnected(&mut self, ip: Ipv4Addr) {
         if let Some(peer) = self.peers.get_mut(&ip) {
             peer.is_connected = false;
         }
     }
 
-    /// Whether a connection to this controller is still wanted.
+    /// Whether the connection to this peer should be maintained.
     pub fn is_peer_wanted(&self, now: f64, ip: Ipv4Addr) -> bool {
         let is_member = self.chain.view().is_some_and(|view| {
             let mut members = view.members.iter();
             members.any(|member| *member.address.ip() == ip)
         });
         let is_seed = self.seeds.iter().any(|seed| *seed.ip() == ip);
-        let was_seen = self
+        let recently_seen = self
             .peers
             .get(&ip)
-            .is_some_and(|peer| now - peer.seen_ms < FORGET_MS);
-        (is_member || is_seed || was_seen) && !self.is_stateless(ip)
+            .is_some_and(|peer| now - peer.seen_ms < FORGET_PEER_AFTER_MS);
+        (is_member || is_seed || recently_seen) && !self.is_stateless(ip)
     }
 
-    /// No connection to this controller is wanted any more.
+    /// Removes a peer whose connection is no longer maintained.
     pub fn forget_peer(&mut self, ip: Ipv4Addr) {
         self.peers.remove(&ip);
     }
 
-    /// A message has come from another controller. `sender`: who said hello on this connection.
+    /// Handles a message from another controller. `sender` is the identity from the hello on this connection.
     pub fn handle_peer_message(
         &mut self,
         now: f64,
@@ -142,7 +142,7 @@
 
     fn handle_hello(&mut self, now: f64, from: Member, controllers: &[SocketAddrV4]) {
         let ip = *from.address.ip();
-        // It has got a disk since.
+        // Only controllers with a disk send this hello, so the peer is no longer stateless.
         self.stateless.retain(|_, stateless| *stateless != ip);
         self.discover_peer(now, ip);
         self.discover_peers(now, controllers);
@@ -157,7 +157,7 @@
         self.step_chain(now, Input::PeerDiscovered { member: from });
     }
 
-    /// The connection on which a controller has sent is over.
+    /// Handles the end of an accepted connection from a controller.
     pub fn peer_session_ended(&mut self, now: f64, id: u64) {
         self.step_chain(now, Input::Disconnected { id });
     }
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Tells all other controllers of instances, without asking for an answer.
+    /// Broadcasts instance updates to the other controllers without requesting a reply.
     pub(super) fn send_updates(&mut self, updates: Vec<InstanceUpdate>) {
         self.send_to_all_peers(&PeerMessage::InstanceUpdates {
             query: NO_QUERY,
--- a/crates/rookpulley-control/src/controller/proxies.rs
+++ b/crates/rookpulley-control/src/controller/proxies.rs
@@ -1,4 +1,4 @@
-//! The connections of proxies: what they say, and the tables and drains that they are told.
+//! Proxy connections: incoming messages, tables and drain announcements.
 
 use super::Controller;
 use crate::effect::Effect;
@@ -8,11 +8,11 @@
 };
 use rookpulley_registry::{InstanceUpdate, PublisherOutput};
 
-/// Proxies don't say how many requests they get.
+/// Request rate assumed for every proxy, because proxies do not report it when they connect.
 const REQUESTS_PER_S: f64 = 1.0;
 
 impl Controller {
-    /// A proxy says hello on a connection, whose number `next_number` gave.
+    /// Handles the hello of a proxy. `connection` must come from `next_number`.
     pub fn proxy_connected(&mut self, now: f64, connection: u64, hello: ProxyHello) {
         let ProxyHello {
             node,
@@ -35,7 +35,7 @@
             self.tables
                 .proxy_connected(now, &node, &zone, REQUESTS_PER_S, has_tables);
         }
-        self.take_gone(now, &gone);
+        self.merge_gone(now, &gone);
         let known_gone = ControllerToProxy::InstancesGone {
             incarnations: self.registry.gone_incarnations(),
         };
@@ -47,12 +47,12 @@
             self.send_configuration(now, &node);
             self.publish_tables(now);
         }
-        let primary = if is_primary { ", as its primary" } else { "" };
-        self.log(format!("proxies: {node} of {zone} is here{primary}"));
+        let primary = if is_primary { " as its primary" } else { "" };
+        self.log(format!("proxies: {node} in zone {zone} connected{primary}"));
     }
 
-    /// A proxy knows these incarnations to be gone, from this or other controllers.
-    fn take_gone(&mut self, now: f64, gone: &[IncarnationId]) {
+    /// Merges the gone incarnations that a proxy learned from this or other controllers.
+    fn merge_gone(&mut self, now: f64, gone: &[IncarnationId]) {
         let new = self.registry.apply_gone(now, gone);
         if new.is_empty() {
             return;
@@ -66,7 +66,7 @@
     }
 
     fn send_configuration(&mut self, now: f64, node: &str) {
-        // One that isn't part of the chain may have an old one: a proxy that has none would begin with it.
+        // Outside the chain the configuration may be stale, and a proxy without one would start with it.
         if !self.is_serving(now) {
             return;
         }
@@ -75,7 +75,7 @@
         }
     }
 
-    /// A proxy says something on its connection.
+    /// Handles a message from a proxy.
     pub fn handle_proxy_message(
         &mut self,
         now: f64,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The connection of a proxy is over.
+    /// Handles the end of a proxy connection.
     pub fn proxy_disconnected(&mut self, now: f64, node: &str, connection: u64) {
         let proxy = self.proxies.get(node);
         if proxy.is_some_and(|proxy| proxy.connection == connection) {
@@ -138,13 +138,13 @@
         }
     }
 
-    /// Tells all proxies that these incarnations get nothing new from now on.
+    /// Announces to all proxies that these incarnations must not receive new requests.
     pub(super) fn announce_gone(&mut self, now: f64, incarnations: Vec<IncarnationId>) {
         if incarnations.is_empty() {
             return;
         }
         self.log(format!(
-            "registry: {} drain or have left",
+            "registry: {} draining or deregistered",
             incarnations.join(" ")
         ));
         self.counters.drains += incarnations.len() as u64;
@@ -152,7 +152,7 @@
         self.publish_tables(now);
     }
 
-    /// Brings the tables up to date with the registry, and sends those that are due.
+    /// Updates the tables from the registry and sends those that are due.
     pub(super) fn publish_tables(&mut self, now: f64) {
         self.tables.sync(now, &self.registry);
         for output in self.tables.tick(now) {
--- a/crates/rookpulley-control/src/controller/publication.rs
+++ b/crates/rookpulley-control/src/controller/publication.rs
@@ -1,4 +1,4 @@
-//! The configuration as it goes out to proxies.
+//! Publication of the configuration to proxies.
 
 use super::Controller;
 use crate::effect::Effect;
@@ -7,14 +7,14 @@
 use rookpulley_routes::RouteTable;
 
 impl Controller {
-    /// The configuration that proxies are told of, with its bytes.
+    /// The published configuration with its bytes.
     pub fn configuration(&self) -> Option<(&[u8], &RouteTable)> {
         self.history.published_body().zip(self.routes.as_ref())
     }
 
-    /// Publishes the configuration of the replicated state, where it is newer than the published one and its turn has
-    /// come. It is remembered at once. What the state held at the start is published once this controller serves: the
-    /// others may have a newer one, and a proxy that has none would begin with it.
+    /// Publishes the configuration of the replicated state if it is newer than the published one and the rate limit
+    /// permits. It is added to the history immediately. A configuration loaded at the start is published only once this
+    /// controller is serving, because it may be stale and a proxy without one would start with it.
     pub(super) fn publish_configuration(&mut self, now: f64) {
         if self.state().version() <= self.history.published() {
             return;
@@ -23,7 +23,7 @@
             return;
         };
         self.history.add(version, body);
-        let may_publish = self.has_applied || self.is_serving(now);
+        let may_publish = self.has_applied_update || self.is_serving(now);
         if !self.pacer.is_due(now) || !may_publish {
             return;
         }
@@ -41,16 +41,16 @@
                 self.effects.push(Effect::SendToProxy { connection, frame });
             }
         }
-        self.log(format!("state: configuration {version} holds"));
+        self.log(format!("state: published configuration {version}"));
         self.publish_tables(now);
     }
 
-    /// Takes the services of a configuration. What differs little from the published one is read quickly.
+    /// Updates the services of the tables. The configuration is parsed incrementally against the published one.
     fn set_services(&mut self, body: &[u8]) {
         let routes = match RouteTable::read_incremental(body, self.configuration()) {
             Ok(routes) => routes,
-            Err(why) => {
-                let line = format!("state: the configuration held can't be read: {why}");
+            Err(error) => {
+                let line = format!("state: cannot parse the stored configuration: {error}");
                 return self.effects.push(Effect::LogError(line));
             }
         };
@@ -64,12 +64,12 @@
         self.routes = Some(routes);
     }
 
-    /// How this controller stands, for proxies.
+    /// Builds the status sent to proxies and stateless controllers.
     pub(super) fn status_message(&self, now: f64) -> ControllerToProxy {
-        // What can't be had here is not told of.
+        // Advertise the configuration only while it can be requested from this controller.
         let is_serving = self.is_serving(now);
         ControllerToProxy::Status {
-            in_touch: self.in_touch(now) && !self.is_ending,
+            in_touch: self.in_touch(now) && !self.is_shutting_down,
             configuration: if is_serving {
                 self.history.published()
             } else {
--- a/crates/rookpulley-control/src/controller/stateless.rs
+++ b/crates/rookpulley-control/src/controller/stateless.rs
@@ -1,4 +1,4 @@
-//! The connections of controllers without a disk, and who makes the first view.
+//! Connections of stateless controllers, and creation of the first view.
 
 use super::Controller;
 use crate::effect::Effect;
@@ -13,7 +13,7 @@
         self.stateless.values().any(|stateless| *stateless == ip)
     }
 
-    /// A controller without a disk says hello on a connection, whose number `next_number` gave.
+    /// Handles the hello of a stateless controller. `connection` must come from `next_number`.
     pub fn stateless_connected(
         &mut self,
         now: f64,
@@ -38,20 +38,18 @@
             let frame = encode_frame(&message);
             self.effects.push(Effect::SendToProxy { connection, frame });
         }
-        self.log(format!(
-            "stateless controllers: {ip} has no disk; it passes calls on"
-        ));
-        let is_awaited = self
+        self.log(format!("stateless controllers: {ip} connected"));
+        let is_earlier_seed = self
             .bootstrap
             .as_ref()
-            .is_some_and(|bootstrap| bootstrap.waits_for(ip));
-        if is_awaited {
-            self.without_disk.insert(ip);
+            .is_some_and(|bootstrap| bootstrap.is_earlier_seed(ip));
+        if is_earlier_seed {
+            self.seeds_without_disk.insert(ip);
             self.bootstrap_if_due(now);
         }
     }
 
-    /// A controller without a disk says something on its connection.
+    /// Handles a message from a stateless controller.
     pub fn handle_stateless_message(
         &mut self,
         now: f64,
@@ -77,7 +75,7 @@
         }
     }
 
-    /// The connection of a controller without a disk is over.
+    /// Handles the end of a stateless controller's connection.
     pub fn stateless_disconnected(&mut self, now: f64, connection: u64) {
         let Some(ip) = self.stateless.remove(&connection) else {
             return;
@@ -91,7 +89,7 @@
         let is_due = self
             .bootstrap
             .as_ref()
-            .is_some_and(|bootstrap| bootstrap.is_due(&self.without_disk, self.is_appointed));
+            .is_some_and(|bootstrap| bootstrap.is_due(&self.seeds_without_disk, self.is_appointed));
         if is_due && self.chain.view().is_none() {
             self.step_chain(now, Input::Bootstrap);
         }
--- a/crates/rookpulley-control/src/counters.rs
+++ b/crates/rookpulley-control/src/counters.rs
@@ -1,25 +1,25 @@
-//! Figures for operators: what a controller has met since it began.
+//! Metrics of a controller since its start.
 
-/// Counts that only rise, and the newest view.
+/// Monotonic counters and the number of the latest view.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
-    /// Heartbeats of instances that are available.
+    /// Heartbeats received from available instances.
     pub available_heartbeats: u64,
-    /// Heartbeats of instances that are draining.
+    /// Heartbeats received from draining instances.
     pub draining_heartbeats: u64,
-    /// Incarnations that proxies were told to send nothing more to.
+    /// Incarnations announced to proxies as draining or gone.
     pub drains: u64,
-    /// The newest view that is known.
+    /// Number of the latest known view.
     pub view: u64,
-    /// How many views there were.
+    /// Number of view changes.
     pub views: u64,
-    /// How many syncs of the store there were.
+    /// Number of store syncs.
     pub syncs: u64,
-    /// How long they took together, in microseconds.
+    /// Total duration of store syncs, in microseconds.
     pub sync_us: u64,
-    /// Messages with instance updates that were sent to all other controllers.
+    /// Broadcasts of instance updates to the other controllers.
     pub updates_sent: u64,
-    /// Instance updates that came from other controllers.
+    /// Instance updates received from other controllers.
     pub updates_received: u64,
 }
 
--- a/crates/rookpulley-control/src/effect.rs
+++ b/crates/rookpulley-control/src/effect.rs
@@ -1,55 +1,55 @@
-//! What a controller wants done.
+//! Actions that a controller requests from its caller.
 
 use crate::reply::Reply;
 use rookpulley_chain::Record;
 use std::net::Ipv4Addr;
 
-/// One thing to do, in the order in which they were returned.
+/// An action to perform. Effects must be performed in the order in which they are returned.
 #[derive(Debug)]
 pub enum Effect {
-    /// Keep a connection to the controller at this address.
+    /// Maintain a connection to the controller at this address.
     Connect(Ipv4Addr),
-    /// The controller at this address has sent something: no reason to wait before connecting again.
+    /// The controller at this address is alive: reconnect without backoff.
     PeerIsAlive(Ipv4Addr),
-    /// Send a frame to a controller, on the connection that was made to it.
+    /// Send a frame on the outgoing connection to a controller.
     SendToPeer {
         /// Its address.
         to: Ipv4Addr,
         /// The frame.
         frame: Vec<u8>,
     },
-    /// Send a frame to a proxy, or to a controller without a disk.
+    /// Send a frame to a proxy or a stateless controller.
     SendToProxy {
-        /// The number of its connection.
+        /// The connection number.
         connection: u64,
         /// The frame.
         frame: Vec<u8>,
     },
-    /// Write records of the chain as one batch, after all earlier tickets, and sync them.
+    /// Write chain records as one batch after all earlier tickets, and sync them.
     WriteChain {
-        /// To be reported once they are synced.
+        /// Reported back once the records are synced.
         ticket: u64,
         /// The records.
         records: Vec<Record>,
     },
-    /// The same, of what is known of instances.
+    /// Write instance records as one batch after all earlier tickets, and sync them.
     WriteInstances {
-        /// To be reported once they are synced.
+        /// Reported back once the records are synced.
         ticket: u64,
         /// The records.
         records: Vec<Record>,
     },
-    /// Answer a call.
+    /// Reply to a request.
     Reply {
-        /// The number that the call was given.
+        /// The token of the request.
         token: u64,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
-    /// The other controllers hold something else: discard the store, and start again with an empty one.
+    /// The store conflicts with the other controllers: discard it and restart with an empty one.
     DiscardStore,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
-    /// A line for the log: something is wrong.
+    /// Write an error to the log.
     LogError(String),
 }
--- a/crates/rookpulley-control/src/endpoint.rs
+++ b/crates/rookpulley-control/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The calls of instances, the operator and applications: what each asks for.
+//! Parsing of API requests from instances, the operator and applications.
 
 use crate::reply::Reply;
 use rookpulley_diagnostics::{Bounds, Nesting, Unread, read as read_json};
@@ -9,62 +9,62 @@
 use std::collections::HashMap;
 use tinyjson::JsonValue;
 
-/// What a call's method and path name.
+/// API endpoint, selected by method and path.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Endpoint {
-    /// An instance says that it is there.
+    /// An instance sends a heartbeat.
     Heartbeat,
-    /// An instance says that it leaves.
+    /// An instance deregisters an incarnation.
     Leave,
-    /// The operator changes the configuration.
+    /// The operator replaces the configuration.
     PutConfiguration,
     /// The operator reads the configuration.
     GetConfiguration,
-    /// An application takes a lock.
+    /// An application acquires a lock.
     AcquireLock,
-    /// An application keeps a lock for longer.
+    /// An application extends the lease of a lock.
     RenewLock,
-    /// An application gives a lock back.
+    /// An application releases a lock.
     ReleaseLock,
-    /// An application wants the next number of a counter.
+    /// An application increments a counter.
     NextNumber,
-    /// An application puts a value under a key.
+    /// An application writes the value of a key.
     PutKey,
-    /// An application reads the value under a key.
+    /// An application reads the value of a key.
     GetKey,
-    /// An application waits for puts in a group of keys.
+    /// An application watches a group of keys.
     Watch,
 }
 
-/// No watch waits longer, whatever it asks for.
+/// Upper bound of the wait time of a watch.
 const MAX_WATCH_MS: u64 = 30_000;
-/// A value that nests deeper is refused. How long a body may be is seen to before there is a call.
-const BOUNDS: Bounds = Bounds {
+/// Limits of a JSON body. Its length is checked before it is parsed here.
+const BODY_LIMITS: Bounds = Bounds {
     bytes: usize::MAX,
     nesting: Nesting::Levels(64),
     values: usize::MAX,
 };
-/// Whole numbers up to this are exact in JSON.
-const MAX_WHOLE_NUMBER: f64 = 9e15;
+/// Integers up to this value are exact in a JSON number, which is a double.
+const MAX_EXACT_INTEGER: f64 = 9e15;
 
-/// What a call asks for.
+/// A parsed request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Operation {
-    /// Take a heartbeat.
+    /// Process a heartbeat.
     Heartbeat(Heartbeat),
-    /// Let an incarnation leave.
+    /// Deregister an incarnation.
     Leave(IncarnationId),
     /// Change the replicated state.
     Update(Update),
     /// Read the replicated state.
     Read(Query),
-    /// Wait for puts in a group.
+    /// Wait for puts in a group of keys.
     Watch {
-        /// The group's name, with its dot.
+        /// The group's name, including the trailing dot.
         group: String,
-        /// Only puts above this revision.
+        /// Only puts after this revision are returned.
         after: u64,
-        /// For so long at most, in milliseconds.
+        /// Maximum wait time, in milliseconds.
         wait_ms: u64,
     },
 }
@@ -74,7 +74,7 @@
 
 impl Fields {
     fn parse(body: &[u8]) -> Result<Self, Reply> {
-        let value = read_json(body, BOUNDS).map_err(|why| match why {
+        let value = read_json(body, BODY_LIMITS).map_err(|error| match error {
             Unread::Deep { .. } => {
                 Reply::error(400, "the body nests too deeply: send a flatter value")
             }
@@ -100,28 +100,28 @@
         match self.0.get(name) {
             Some(JsonValue::String(text)) if !text.is_empty() => Ok(text.clone()),
             _ => {
-                let sentence = format!("{name} is missing or no text; give it as a string");
-                Err(Reply::error(400, &sentence))
+                let message = format!("{name} is missing or no text; give it as a string");
+                Err(Reply::error(400, &message))
             }
         }
     }
 
-    fn whole_number(&self, name: &str) -> Result<u64, Reply> {
-        let is_whole = |n: f64| (0.0..=MAX_WHOLE_NUMBER).contains(&n) && n.fract() == 0.0;
+    fn integer(&self, name: &str) -> Result<u64, Reply> {
+        let is_whole = |n: f64| (0.0..=MAX_EXACT_INTEGER).contains(&n) && n.fract() == 0.0;
         match self.0.get(name) {
             Some(JsonValue::Number(n)) if is_whole(*n) => Ok(*n as u64),
             _ => {
-                let sentence = format!("{name} is missing or no whole number from 0 up");
-                Err(Reply::error(400, &sentence))
+                let message = format!("{name} is missing or no whole number from 0 up");
+                Err(Reply::error(400, &message))
             }
         }
     }
 }
 
-/// Reads a call. What can't be used is answered at once.
+/// Parses a request. The error is the reply to an invalid one.
 ///
-/// `name`: what its path ends with. `query`: the value that its query has under a name. `held`: the configuration that a
-/// new one is likely to differ little from, with its bytes.
+/// `name` is the last path segment and `query` looks up a query parameter. `held` is the current configuration with its
+/// bytes, which speeds up parsing of a similar one.
 pub fn parse<'a>(
     endpoint: Endpoint,
     name: &str,
@@ -129,17 +129,17 @@
     query: impl Fn(&str) -> Option<&'a str>,
     held: Option<(&[u8], &RouteTable)>,
 ) -> Result<Operation, Reply> {
-    let bad_request = |why: &dyn std::fmt::Display| Reply::error(400, &why.to_string());
+    let bad_request = |error: &dyn std::fmt::Display| Reply::error(400, &error.to_string());
     let name = name.to_string();
     match endpoint {
         Endpoint::Heartbeat => {
-            let heartbeat = Heartbeat::read(&name, &body).map_err(|why| bad_request(&why))?;
+            let heartbeat = Heartbeat::read(&name, &body).map_err(|error| bad_request(&error))?;
             Ok(Operation::Heartbeat(heartbeat))
         }
         Endpoint::Leave => Ok(Operation::Leave(name)),
         Endpoint::PutConfiguration => {
             let table =
-                RouteTable::read_incremental(&body, held).map_err(|why| bad_request(&why))?;
+                RouteTable::read_incremental(&body, held).map_err(|error| bad_request(&error))?;
             let version = table.version;
             Ok(Operation::Update(Update::PutConfiguration {
                 version,
@@ -161,14 +161,14 @@
     let fields = Fields::parse(body)?;
     let holder = fields.text("holder")?;
     if endpoint == Endpoint::AcquireLock {
-        let lease_ms = fields.whole_number("holdMs")?;
+        let lease_ms = fields.integer("holdMs")?;
         return Ok(Update::AcquireLock {
             name,
             holder,
             lease_ms,
         });
     }
-    let fence = fields.whole_number("fence")?;
+    let fence = fields.integer("fence")?;
     if endpoint == Endpoint::ReleaseLock {
         return Ok(Update::ReleaseLock {
             name,
@@ -176,7 +176,7 @@
             fence,
         });
     }
-    let lease_ms = fields.whole_number("holdMs")?;
+    let lease_ms = fields.integer("holdMs")?;
     Ok(Update::RenewLock {
         name,
         holder,
@@ -189,7 +189,7 @@
     let fields = Fields::parse(body)?;
     let value = fields.text("value")?;
     let expected = if fields.has("active") {
-        Some(fields.whole_number("active")?)
+        Some(fields.integer("active")?)
     } else {
         None
     };
@@ -204,14 +204,14 @@
     group: String,
     query: impl Fn(&str) -> Option<&'a str>,
 ) -> Result<Operation, Reply> {
-    let figure = |name: &str, wrong: &str| {
+    let parse_number = |name: &str, message: &str| {
         let value = query(name).map_or(Ok(0), str::parse::<u64>);
-        value.map_err(|_| Reply::error(400, wrong))
+        value.map_err(|_| Reply::error(400, message))
     };
-    let after = figure("after", "after is no whole number")?;
-    let wait_ms = figure("waitMs", "waitMs is no whole number")?.min(MAX_WATCH_MS);
+    let after = parse_number("after", "after is no whole number")?;
+    let wait_ms = parse_number("waitMs", "waitMs is no whole number")?.min(MAX_WATCH_MS);
     if after == 0 {
-        // Where a watcher begins must be no older than what it may have seen acknowledged, so the chain is asked.
+        // The initial revision must not precede any put acknowledged to the watcher, so it is read through the chain.
         return Ok(Operation::Read(Query::Revision { group }));
     }
     Ok(Operation::Watch {
--- a/crates/rookpulley-control/src/lib.rs
+++ b/crates/rookpulley-control/src/lib.rs
@@ -1,19 +1,19 @@
-//! A controller without I/O: messages, calls and the time go in, effects come out.
+//! Controller logic without I/O: messages, requests and the current time go in, [`Effect`]s come out.
 //!
-//! [`Controller`] puts the chain, the registry and the tables together: it hands each input to the package that decides,
-//! and turns what they want into [`Effect`]s. It decides nothing itself about views, tables or the replicated state.
-//! [`StatelessController`] is the controller of a machine without a disk: it redirects calls and keeps nothing.
+//! [`Controller`] connects the chain, the registry and the table publisher: it routes each input to the responsible
+//! component and translates the results into [`Effect`]s. Views, tables and the replicated state are handled by those
+//! components. [`StatelessController`] runs on a machine without a disk: it redirects requests and stores nothing.
 //!
-//! | file | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `start`, `effect`, `peer_message`, `proxy_session` | the values that go in, come out, and stand for a connection |
-//! | `endpoint`, `reply`, `reply_kind` | what a call asks for, and what its caller is answered |
-//! | `controller/peers` | the connections to other controllers |
-//! | `controller/proxies`, `controller/publication` | the connections of proxies; their tables, drains and configuration |
-//! | `controller/instances`, `controller/drains` | heartbeats; when a drain may be acknowledged |
-//! | `controller/stateless`, `bootstrap` | the connections of controllers without a disk; who makes the first view |
-//! | `watches`, `publish_pacer`, `counters` | who waits for a put; how soon configurations go out; figures for operators |
-//! | `standby` | a controller whose store can't be used |
+//! | `start`, `effect`, `peer_message`, `proxy_session` | start parameters, effects, peer messages and proxy sessions |
+//! | `endpoint`, `reply`, `reply_kind` | request parsing and responses |
+//! | `controller/peers` | connections to other controllers |
+//! | `controller/proxies`, `controller/publication` | proxy connections; tables, drains and configuration for proxies |
+//! | `controller/instances`, `controller/drains` | heartbeats; acknowledgement of drains |
+//! | `controller/stateless`, `bootstrap` | connections of stateless controllers; creation of the first view |
+//! | `watches`, `publish_pacer`, `counters` | pending watches; rate limit for configurations; metrics |
+//! | `standby` | redirects while the store is unusable |
 
 #![warn(missing_docs)]
 
--- a/crates/rookpulley-control/src/peer_message.rs
+++ b/crates/rookpulley-control/src/peer_message.rs
@@ -1,32 +1,32 @@
-//! What controllers say to each other.
+//! Messages between controllers.
 
 use rookpulley_chain::{Member, Message};
 use rookpulley_registry::InstanceUpdate;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// A message between two controllers. It is encoded by `postcard`, by position.
+/// A message between two controllers. `postcard` encodes fields and variants by position, so their order is fixed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The first on a connection, and again every two seconds: the known controllers may have changed.
+    /// First message on a connection. Sent again every two seconds with the current list of controllers.
     Hello {
         /// The sender.
         from: Member,
-        /// The controllers that it is connected to, and itself.
+        /// The sender and the controllers that it is connected to.
         controllers: Vec<SocketAddrV4>,
     },
-    /// A message of the chain.
+    /// A message of the chain protocol.
     Chain(Message),
-    /// What the sender knows of instances.
+    /// Changes to instances known to the sender.
     InstanceUpdates {
-        /// Not 0: to be answered under this number once it is on the receiver's disk and its proxies are told.
+        /// If not 0, the receiver replies with this number once the updates are durable and its proxies are notified.
         query: u64,
-        /// In any order.
+        /// The updates, in any order.
         updates: Vec<InstanceUpdate>,
     },
-    /// Answers `InstanceUpdates`.
+    /// Reply to `InstanceUpdates`: the updates are durable.
     UpdatesStored {
-        /// The number that was asked under.
+        /// The query number of the request.
         query: u64,
     },
 }
--- a/crates/rookpulley-control/src/proxy_session.rs
+++ b/crates/rookpulley-control/src/proxy_session.rs
@@ -1,4 +1,4 @@
-//! The connection of a proxy.
+//! State of a proxy connection.
 
 use crate::effect::Effect;
 use rookpulley_registry::ConfigurationHistory;
@@ -8,14 +8,14 @@
     pub(crate) connection: u64,
     /// The proxy's zone.
     pub zone: String,
-    /// Whether this controller is its primary: the one that publishes its tables.
+    /// Whether this controller is the proxy's primary, which publishes its tables.
     pub is_primary: bool,
-    /// The configuration that it has once it has taken what was sent: the last that it named, or one sent since. 0: none.
+    /// Version of the configuration last reported by or sent to the proxy, or 0 if there is none.
     pub configuration: u64,
 }
 
 impl ProxySession {
-    /// Sends the published configuration, if the proxy has an older one.
+    /// Sends the published configuration if the proxy's version is older.
     pub(crate) fn send_newer(
         &mut self,
         history: &mut ConfigurationHistory,
--- a/crates/rookpulley-control/src/replicated_state.rs
+++ b/crates/rookpulley-control/src/replicated_state.rs
@@ -1,11 +1,11 @@
-//! The state machine as the chain replicates it.
+//! Adapter between the state machine and the chain.
 
 use rookpulley_state::StateMachine;
 
-/// Adapts the state machine to the chain's interface.
+/// Implements the chain's `State` trait for the state machine.
 #[derive(Default)]
 pub struct ReplicatedState {
-    /// What is replicated.
+    /// The replicated state machine.
     pub machine: StateMachine,
 }
 
--- a/crates/rookpulley-control/src/reply.rs
+++ b/crates/rookpulley-control/src/reply.rs
@@ -1,56 +1,56 @@
-//! What callers are answered.
+//! Replies to API requests.
 //!
-//! Invariant: 503 promises that the call has done nothing and never will; whatever may have taken effect gets 504.
+//! Invariant: 503 guarantees that the request had and will have no effect; one that may have taken effect gets 504.
 
 use rookpulley_state::Event;
 use std::collections::HashMap;
 use tinyjson::JsonValue;
 
-/// An answer to a call.
+/// A reply to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// When to come again, in seconds, as the header says it.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after: Option<&'static str>,
     /// The body.
     pub content: Content,
 }
 
-/// The body of an answer.
+/// The body of a reply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
-    /// None.
+    /// An empty body.
     Nothing,
     /// A JSON value.
     Json(JsonValue),
-    /// JSON as it once came.
+    /// JSON as it was received earlier.
     Bytes(Vec<u8>),
-    /// A sentence that says what is wrong.
+    /// An error message.
     Error(String),
 }
 
-/// What became of an instance's heartbeat, or of its message that it leaves.
+/// Outcome of a heartbeat or a deregistration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Acceptance {
-    /// It holds, whatever becomes of this controller.
+    /// The change survives the loss of this controller.
     Durable,
-    /// This controller and its proxies go by it; whether others do isn't known.
+    /// Applied by this controller and its proxies, but not known to be replicated.
     Local,
-    /// Nothing was done.
+    /// The request had no effect.
     Rejected,
 }
 
-/// Which call of an instance is answered.
+/// A request of an instance that awaits its reply.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct InstanceCall {
-    /// The number of the call.
+pub(crate) struct InstanceRequest {
+    /// The token of the request.
     pub token: u64,
-    /// It is a heartbeat, and not a message that the instance leaves.
+    /// Whether the request is a heartbeat. Otherwise it is a deregistration.
     pub is_heartbeat: bool,
 }
 
-pub(crate) fn number(n: u64) -> JsonValue {
+pub(crate) fn json_number(n: u64) -> JsonValue {
     JsonValue::Number(n as f64)
 }
 
@@ -63,8 +63,8 @@
         }
     }
 
-    pub(crate) fn error(status: u16, sentence: &str) -> Self {
-        Self::new(status, Content::Error(sentence.into()))
+    pub(crate) fn error(status: u16, message: &str) -> Self {
+        Self::new(status, Content::Error(message.into()))
     }
 
     pub(crate) fn json<const N: usize>(fields: [(&str, JsonValue); N]) -> Self {
@@ -75,41 +75,41 @@
         Self::new(200, Content::Json(JsonValue::Object(fields)))
     }
 
-    /// Nothing was done and never will be.
+    /// The request had and will have no effect.
     pub(crate) fn not_in_touch() -> Self {
-        let sentence = "not now: this office is not in touch with the others; nothing was done";
+        let message = "not now: this office is not in touch with the others; nothing was done";
         Self {
             retry_after: Some("0.2"),
-            ..Self::error(503, sentence)
+            ..Self::error(503, message)
         }
     }
 
-    /// No promise either way.
+    /// The request may or may not have taken effect.
     pub(crate) fn unknown() -> Self {
-        let sentence =
+        let message =
             "no answer in time: it may or may not have taken effect; send the same call again";
-        Self::error(504, sentence)
+        Self::error(504, message)
     }
 
-    /// What followed a revision is no longer kept.
+    /// The events after the requested revision have been discarded.
     pub(crate) fn too_old() -> Self {
         Self::error(410, "what followed this revision is no longer kept")
     }
 
-    /// What a watch shows.
+    /// The reply to a watch.
     pub(crate) fn events(events: Vec<Event>, revision: u64) -> Self {
         let event = |event: Event| {
             JsonValue::Object(HashMap::from([
                 ("name".into(), JsonValue::String(event.name)),
                 ("value".into(), JsonValue::String(event.value)),
-                ("revision".into(), number(event.revision)),
+                ("revision".into(), json_number(event.revision)),
             ]))
         };
         let events = JsonValue::Array(events.into_iter().map(event).collect());
-        Self::json([("events", events), ("revision", number(revision))])
+        Self::json([("events", events), ("revision", json_number(revision))])
     }
 
-    /// The answer to an instance.
+    /// The reply to an instance.
     pub(crate) fn of_acceptance(acceptance: Acceptance, is_heartbeat: bool) -> Self {
         match acceptance {
             Acceptance::Durable if is_heartbeat => Self::json([]),
--- a/crates/rookpulley-control/src/reply_kind.rs
+++ b/crates/rookpulley-control/src/reply_kind.rs
@@ -1,21 +1,21 @@
-//! The answer to a call that went through the chain.
+//! Replies to requests that were processed by the chain.
 
 use crate::endpoint::Operation;
-use crate::reply::{Content, Reply, number};
+use crate::reply::{Content, Reply, json_number};
 use rookpulley_chain::Outcome;
 use rookpulley_state::{Answer, Query, Update};
 use tinyjson::JsonValue;
 
-/// What an answer of the chain depends on beside itself.
+/// Properties of a request that determine how the chain's answer is presented.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ReplyKind {
-    /// A configuration of this version was put.
-    Configure(u64),
-    /// The configuration was asked for.
-    Configuration,
-    /// A watch asks for the present revision.
-    Watch,
-    /// Anything else.
+    /// A put of the configuration with this version.
+    PutConfiguration(u64),
+    /// A read of the configuration.
+    ReadConfiguration,
+    /// A watch that starts at the current revision.
+    StartWatch,
+    /// Any other request.
     Other,
 }
 
@@ -23,15 +23,15 @@
     pub fn of(operation: &Operation) -> Self {
         match operation {
             Operation::Update(Update::PutConfiguration { version, .. }) => {
-                Self::Configure(*version)
+                Self::PutConfiguration(*version)
             }
-            Operation::Read(Query::Configuration) => Self::Configuration,
-            Operation::Read(Query::Revision { .. }) => Self::Watch,
+            Operation::Read(Query::Configuration) => Self::ReadConfiguration,
+            Operation::Read(Query::Revision { .. }) => Self::StartWatch,
             _ => Self::Other,
         }
     }
 
-    /// The answer to a call that went through the chain.
+    /// Builds the reply from the outcome of the request.
     pub fn reply(self, outcome: Outcome) -> Reply {
         match outcome {
             Outcome::Rejected => Reply::not_in_touch(),
@@ -45,31 +45,31 @@
 
     fn reply_with(self, answer: Answer) -> Reply {
         match (self, answer) {
-            (Self::Configure(version), Answer::Configured { .. }) => {
-                Reply::json([("configVersion", number(version))])
+            (Self::PutConfiguration(version), Answer::Configured { .. }) => {
+                Reply::json([("configVersion", json_number(version))])
             }
-            (Self::Watch, Answer::Revision(revision)) => Reply::events(Vec::new(), revision),
+            (Self::StartWatch, Answer::Revision(revision)) => Reply::events(Vec::new(), revision),
             (_, Answer::Configuration { body, .. }) => Reply::new(200, Content::Bytes(body)),
-            (_, Answer::Acquired(fence)) => Reply::json([("fence", number(fence))]),
+            (_, Answer::Acquired(fence)) => Reply::json([("fence", json_number(fence))]),
             (_, Answer::Released | Answer::Renewed) => Reply::json([]),
             (_, Answer::LockHeld) => Reply::error(409, "another holds it, or it was lost"),
-            (_, Answer::Number(value)) => Reply::json([("value", number(value))]),
-            (_, Answer::Revision(revision)) => Reply::json([("revision", number(revision))]),
+            (_, Answer::Number(value)) => Reply::json([("value", json_number(value))]),
+            (_, Answer::Revision(revision)) => Reply::json([("revision", json_number(revision))]),
             (_, Answer::Conflict { revision }) => Reply {
                 status: 412,
-                ..Reply::json([("revision", number(revision))])
+                ..Reply::json([("revision", json_number(revision))])
             },
             (_, Answer::Value { value, revision }) => Reply::json([
                 ("value", JsonValue::String(value)),
-                ("revision", number(revision)),
+                ("revision", json_number(revision)),
             ]),
-            (Self::Configuration, Answer::NotFound) => {
+            (Self::ReadConfiguration, Answer::NotFound) => {
                 Reply::error(404, "no configuration was taken yet")
             }
             (_, Answer::NotFound) => Reply::error(404, "there is no such cell"),
             (_, Answer::TooLong) => {
-                let sentence = "a name, holder, value or body is too long; nothing was done";
-                Reply::error(413, sentence)
+                let message = "a name, holder, value or body is too long; nothing was done";
+                Reply::error(413, message)
             }
             (_, Answer::CapacityExceeded) => {
                 Reply::error(503, "there is no room for more; nothing was done")
--- a/crates/rookpulley-control/src/start.rs
+++ b/crates/rookpulley-control/src/start.rs
@@ -1,30 +1,30 @@
-//! What a controller starts with.
+//! Start parameters of a controller.
 
 use crate::bootstrap::Bootstrap;
 use rookpulley_chain::Member;
 use std::net::SocketAddrV4;
 
-/// Rows of a store: keys with their values.
+/// Rows of a store as key-value pairs.
 pub type Rows = Vec<(Vec<u8>, Vec<u8>)>;
 
-/// What a process starts with: its settings, and what its disk holds.
+/// Settings and stored data that a controller starts with.
 pub struct ControllerStart {
-    /// The identity of the disk, the incarnation of the process, and where it listens for other controllers.
+    /// Disk identity, process incarnation and listening address for other controllers.
     pub me: Member,
-    /// Other controllers, as the settings name them.
+    /// Addresses of other controllers from the settings.
     pub seeds: Vec<SocketAddrV4>,
-    /// How many machines may be lost at once.
+    /// Number of simultaneous machine failures to tolerate.
     pub tolerated_losses: u32,
-    /// How often instances send heartbeats, in milliseconds.
+    /// Heartbeat interval of instances, in milliseconds.
     pub heartbeat_ms: u64,
-    /// How long an instance serves on after its drain was acknowledged, in milliseconds.
+    /// How long an instance keeps serving after its drain is acknowledged, in milliseconds.
     pub drain_ms: u64,
     /// The machine's zone.
     pub zone: String,
-    /// What the disk was minted with, where that was at the first start of the whole system.
+    /// Bootstrap record, if the disk was initialized at the first start of the cluster.
     pub bootstrap: Option<Bootstrap>,
-    /// What the disk holds of the chain. None: it is new.
+    /// Stored rows of the chain, or `None` for a new disk.
     pub chain_rows: Option<Rows>,
-    /// What the disk holds of instances.
+    /// Stored rows of instances.
     pub instance_rows: Rows,
 }
--- a/crates/rookpulley-control/src/stateless.rs
+++ b/crates/rookpulley-control/src/stateless.rs
@@ -1,7 +1,7 @@
 //! A controller without a disk.
 //!
-//! It keeps nothing and decides nothing. It knows which controllers are in touch and redirects each call to one of them,
-//! and it tells proxies and controllers that have its address of the others.
+//! It stores nothing and is not part of the chain. It redirects each request to a controller that is in touch, and sends
+//! the addresses of the controllers with a disk to proxies and other controllers.
 
 use rookpulley_balancer::ControllerSelection;
 use rookpulley_chain::Member;
@@ -10,56 +10,56 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// A controller says every 400 ms that it is in touch. One that hasn't for so long may hang.
+/// Maximum age of a status with `in_touch`. Controllers send one every 400 ms.
 const IN_TOUCH_MS: f64 = 1_100.0;
-/// Connections of proxies and of others without a disk.
+/// Maximum number of connections from proxies and other stateless controllers.
 const MAX_CLIENTS: usize = 4_096;
 
-/// What a process starts with.
+/// Settings that a stateless controller starts with.
 pub struct StatelessStart {
-    /// Where controllers reach each other, with this machine's own address.
+    /// This machine's address, with the port that controllers use among themselves.
     pub address: SocketAddrV4,
     /// The machine's zone.
     pub zone: String,
-    /// Other controllers, as the settings name them.
+    /// Addresses of other controllers from the settings.
     pub seeds: Vec<SocketAddrV4>,
-    /// The whole system starts for the first time.
+    /// Whether the cluster starts for the first time.
     pub first_start: bool,
 }
 
-/// What is to be done.
+/// An action that a stateless controller requests from its caller.
 #[derive(Debug)]
 pub enum StatelessEffect {
-    /// Keep a connection to where this controller listens for proxies, until it is forgotten.
+    /// Maintain a connection to the proxy port of this controller until it is forgotten.
     Connect(Ipv4Addr),
-    /// Send a message to a controller, on that connection.
+    /// Send a message on the connection to a controller.
     SendToController {
         /// Its address.
         to: Ipv4Addr,
         /// The message.
         message: ProxyToController,
     },
-    /// Send a frame to whoever made this connection.
+    /// Send a frame on an accepted connection.
     SendToClient {
         /// The number of the connection.
         connection: u64,
         /// The frame.
         frame: Vec<u8>,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// What a controller with a disk said of itself.
+/// Properties reported by a controller with a disk.
 struct ControllerInfo {
     zone: String,
-    /// Its identity, where it may make the first view.
+    /// Its identity, if it is allowed to create the first view.
     founder: Option<u64>,
 }
 
-/// The controller that was appointed to make the first view.
+/// The controller that was appointed to create the first view.
 #[derive(Clone, Copy)]
-struct Appointed {
+struct Founder {
     ip: Ipv4Addr,
     id: u64,
 }
@@ -68,26 +68,26 @@
 pub struct StatelessController {
     start: StatelessStart,
     controllers: ControllerSelection,
-    /// Of those that a connection is open to. Who hasn't said so has no disk.
+    /// Connected controllers that have reported a disk.
     with_disk: BTreeMap<Ipv4Addr, ControllerInfo>,
-    /// The numbers of the connections that others made.
+    /// Numbers of the accepted connections.
     clients: BTreeSet<u64>,
-    /// Seeds that have said that they have no disk.
-    without_disk: BTreeSet<Ipv4Addr>,
-    /// A view was heard of: nobody is appointed any more.
+    /// Seeds that are known to have no disk, including this machine.
+    seeds_without_disk: BTreeSet<Ipv4Addr>,
+    /// Whether a view is known to exist, so that no founder is appointed any more.
     has_view: bool,
-    appointed: Option<Appointed>,
+    appointed: Option<Founder>,
     effects: Vec<StatelessEffect>,
 }
 
 impl StatelessController {
-    /// Starts at the time 0.
+    /// Starts at time 0.
     pub fn new(start: StatelessStart) -> Self {
         let mut stateless = Self {
             controllers: ControllerSelection::default(),
             with_disk: BTreeMap::new(),
             clients: BTreeSet::new(),
-            without_disk: BTreeSet::from([*start.address.ip()]),
+            seeds_without_disk: BTreeSet::from([*start.address.ip()]),
             has_view: false,
             appointed: None,
             effects: Vec::new(),
@@ -97,12 +97,12 @@
         stateless
     }
 
-    /// What is to be done about all inputs since the last time.
+    /// Returns the effects of all inputs since the last call.
     pub fn take_effects(&mut self) -> Vec<StatelessEffect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// The settings name other seeds now.
+    /// Replaces the seeds after a change of the settings.
     pub fn set_seeds(&mut self, now: f64, seeds: &[SocketAddrV4]) {
         self.start.seeds = seeds.to_vec();
         self.discover_seeds(now);
@@ -131,13 +131,13 @@
         self.effects.push(effect);
     }
 
-    /// The connection to a controller is open.
+    /// Handles an opened connection to a controller.
     pub fn controller_connected(&mut self, now: f64, ip: Ipv4Addr) {
         self.controllers.connected(now, ip);
-        self.introduce(ip);
+        self.send_hello(ip);
     }
 
-    fn introduce(&mut self, to: Ipv4Addr) {
+    fn send_hello(&mut self, to: Ipv4Addr) {
         let hello = ProxyToController::StatelessHello {
             address: self.start.address,
             controllers: self.known_controllers(),
@@ -145,25 +145,25 @@
         self.send(to, hello);
     }
 
-    /// All controllers with a disk that a connection is open to.
+    /// Addresses of the connected controllers with a disk.
     fn known_controllers(&self) -> Vec<SocketAddrV4> {
         let port = self.start.address.port();
         let addresses = self.with_disk.keys();
         addresses.map(|ip| SocketAddrV4::new(*ip, port)).collect()
     }
 
-    /// The connection to a controller is over.
+    /// Handles a closed connection to a controller.
     pub fn controller_disconnected(&mut self, ip: Ipv4Addr) {
         self.controllers.disconnected(ip);
         self.with_disk.remove(&ip);
     }
 
-    /// Whether nobody has named a controller for long: it need not be connected to again.
+    /// Removes a controller that has not been announced recently. Returns whether reconnecting is unnecessary.
     pub fn is_forgotten(&mut self, now: f64, ip: Ipv4Addr) -> bool {
         self.controllers.remove_if_expired(now, ip)
     }
 
-    /// A controller has sent a message.
+    /// Handles a message from a controller.
     pub fn handle_controller_message(
         &mut self,
         now: f64,
@@ -177,7 +177,7 @@
                 knows_view,
             } => {
                 self.has_view |= knows_view;
-                self.take_info(from, ControllerInfo { zone, founder });
+                self.handle_controller_info(from, ControllerInfo { zone, founder });
             }
             ControllerToProxy::Status {
                 in_touch,
@@ -194,28 +194,28 @@
         }
     }
 
-    fn take_info(&mut self, from: Ipv4Addr, info: ControllerInfo) {
+    fn handle_controller_info(&mut self, from: Ipv4Addr, info: ControllerInfo) {
         let is_appointed =
-            |appointed: &Appointed| appointed.ip == from && info.founder == Some(appointed.id);
-        if let Some(Appointed { ip, id }) = self.appointed.filter(is_appointed) {
+            |appointed: &Founder| appointed.ip == from && info.founder == Some(appointed.id);
+        if let Some(Founder { ip, id }) = self.appointed.filter(is_appointed) {
             self.send(ip, ProxyToController::AppointFounder { id });
         }
         let is_new = self.with_disk.insert(from, info).is_none();
         if is_new {
-            // Where this is a seed, controllers may know of each other by nobody else.
+            // If this machine is a seed, it may be the only way for controllers to discover each other.
             let all: Vec<Ipv4Addr> = self.with_disk.keys().copied().collect();
             for ip in all {
-                self.introduce(ip);
+                self.send_hello(ip);
             }
         }
     }
 
-    /// A controller that has this address as a seed says who it is.
+    /// Handles a hello from a controller that has this machine as a seed.
     pub fn handle_peer_hello(&mut self, now: f64, from: Member) {
         self.discover(now, *from.address.ip());
     }
 
-    /// A proxy, or another controller without a disk, says hello on a connection with this number.
+    /// Handles the hello of a proxy or another stateless controller on an accepted connection.
     pub fn client_connected(&mut self, connection: u64, hello: &ProxyToController) {
         if self.clients.len() >= MAX_CLIENTS {
             return;
@@ -223,7 +223,7 @@
         if let ProxyToController::StatelessHello { address, .. } = hello {
             let mut seeds = self.start.seeds.iter();
             if seeds.any(|seed| seed.ip() == address.ip()) {
-                self.without_disk.insert(*address.ip());
+                self.seeds_without_disk.insert(*address.ip());
             }
         }
         if self.clients.insert(connection) {
@@ -233,12 +233,12 @@
         }
     }
 
-    /// Its connection is over.
+    /// Handles the end of an accepted connection.
     pub fn client_disconnected(&mut self, connection: u64) {
         self.clients.remove(&connection);
     }
 
-    /// Not in touch: no proxy takes it for its primary.
+    /// Builds a status with `in_touch` unset, so that no proxy selects this controller as its primary.
     fn status_message(&self) -> ControllerToProxy {
         ControllerToProxy::Status {
             in_touch: false,
@@ -248,22 +248,22 @@
         }
     }
 
-    /// The controller that a call is redirected to: one of the own zone where there is one in touch. The same call goes
-    /// the same way for as long as that one is in touch, but from another machine maybe another.
+    /// Selects the target of a redirect by rendezvous hashing among the controllers in touch, preferring those in this
+    /// machine's zone. The hash includes this machine's address, so other machines may select a different target.
     pub fn redirect(&self, now: f64, call: &str) -> Option<Ipv4Addr> {
         let in_touch: Vec<Ipv4Addr> = self.in_touch(now).collect();
-        let is_near = |ip: &Ipv4Addr| {
+        let is_in_zone = |ip: &Ipv4Addr| {
             let info = self.with_disk.get(ip);
             info.is_some_and(|info| info.zone == self.start.zone)
         };
-        let any_is_near = in_touch.iter().any(is_near);
+        let any_in_zone = in_touch.iter().any(is_in_zone);
         let rank = |ip: &Ipv4Addr| {
             let mut hasher = DefaultHasher::new();
             (ip, self.start.address.ip(), call).hash(&mut hasher);
             hasher.finish()
         };
         let candidates = in_touch.into_iter();
-        let candidates = candidates.filter(|ip| is_near(ip) || !any_is_near);
+        let candidates = candidates.filter(|ip| is_in_zone(ip) || !any_in_zone);
         candidates.max_by_key(rank)
     }
 
@@ -272,7 +272,7 @@
         in_touch.filter(|ip| self.with_disk.contains_key(ip))
     }
 
-    /// Lets time pass: to be called every second.
+    /// Performs periodic work. Must be called every second.
     pub fn tick(&mut self, now: f64) {
         self.discover_seeds(now);
         self.appoint_founder();
@@ -288,37 +288,37 @@
         }
     }
 
-    /// Where no seed has a disk, the first one appoints the controller that makes the first view: once in its incarnation,
-    /// and only in the incarnation that was the first start.
+    /// Appoints the controller that creates the first view if this is the first seed and no seed has a disk. Done at
+    /// most once per incarnation, and only in the incarnation of the first start.
     fn appoint_founder(&mut self) {
         let mut seeds = self.start.seeds.iter().map(|seed| seed.ip());
         let is_first_seed = seeds.clone().next() == Some(self.start.address.ip());
         let may_appoint = self.start.first_start && is_first_seed;
-        let is_over = self.has_view || self.appointed.is_some();
-        if !may_appoint || is_over || !seeds.all(|ip| self.without_disk.contains(ip)) {
+        let is_decided = self.has_view || self.appointed.is_some();
+        if !may_appoint || is_decided || !seeds.all(|ip| self.seeds_without_disk.contains(ip)) {
             return;
         }
         let founder = self.with_disk.iter().find_map(|(ip, info)| {
             let id = info.founder?;
-            Some(Appointed { ip: *ip, id })
+            Some(Founder { ip: *ip, id })
         });
-        if let Some(Appointed { ip, id }) = founder {
+        if let Some(Founder { ip, id }) = founder {
             self.appointed = founder;
             self.send(ip, ProxyToController::AppointFounder { id });
-            let line = format!("founding: no seed has a disk; {ip} is named");
+            let line = format!("bootstrap: no seed has a disk; appointed {ip} as founder");
             self.effects.push(StatelessEffect::Log(line));
         }
     }
 
-    /// A line for the log.
+    /// Summarizes the state in one line for the log.
     pub fn summary(&self, now: f64) -> String {
         let names: Vec<String> = self.in_touch(now).map(|ip| ip.to_string()).collect();
         let clients = self.clients.len();
         if names.is_empty() {
-            format!("no disk; nobody to pass calls on to; lines {clients}")
+            format!("stateless; no redirect targets; connections {clients}")
         } else {
             let names = names.join(" ");
-            format!("no disk; passes calls on to {names}; lines {clients}")
+            format!("stateless; redirects to {names}; connections {clients}")
         }
     }
 }
--- a/crates/rookpulley-control/src/watches.rs
+++ b/crates/rookpulley-control/src/watches.rs
@@ -1,11 +1,11 @@
-//! Calls that wait for a put in a group.
+//! Pending watches for puts in a group of keys.
 
 use crate::reply::Reply;
 use rookpulley_state::{StateMachine, WatchResult};
 use std::collections::BTreeMap;
 
 const MAX_EVENTS: usize = 1_000;
-/// A watch that waits is looked at so often: this controller may be out of touch by then.
+/// Interval at which a pending watch is checked, because this controller may go out of touch.
 const CHECK_INTERVAL_MS: f64 = 500.0;
 
 struct Watch {
@@ -15,10 +15,10 @@
     next_check_ms: f64,
 }
 
-/// All watches that wait.
+/// All pending watches.
 #[derive(Default)]
 pub(crate) struct Watches {
-    /// By the number of the call.
+    /// By request token.
     waiting: BTreeMap<u64, Watch>,
 }
 
@@ -37,7 +37,8 @@
         self.waiting.remove(&token);
     }
 
-    /// The watches that are answered now. `has_changed`: the state has; else only those are looked at whose time has come.
+    /// Removes the watches that can be answered and returns their replies. Unless the state has changed, only watches
+    /// whose next check is due are examined.
     pub fn take_due(
         &mut self,
         now: f64,
@@ -62,7 +63,7 @@
 }
 
 impl Watch {
-    /// None: it waits on.
+    /// Returns the reply, or `None` while the watch has to wait.
     fn reply(&self, now: f64, is_serving: bool, state: &StateMachine) -> Option<Reply> {
         match state.watch(&self.group, self.after, MAX_EVENTS) {
             WatchResult::CurrentRevision { revision } => Some(Reply::events(Vec::new(), revision)),
