--- a/crates/rookpulley-control/src/reply/tests.rs
+++ b/crates/rookpulley-control/src/reply/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_drain_that_only_this_controller_knows_is_not_promised_to_have_done_nothing() {
+fn an_unreplicated_drain_gets_504_instead_of_503() {
     let status = |acceptance| Reply::of_acceptance(acceptance, false).status;
     let all = [Acceptance::Durable, Acceptance::Local, Acceptance::Rejected];
     assert_eq!(all.map(status), [200, 504, 503]);
--- a/crates/rookpulley-control/src/stateless/tests.rs
+++ b/crates/rookpulley-control/src/stateless/tests.rs
@@ -6,9 +6,9 @@
     Ipv4Addr::new(10, 3, 0, 1),
 ];
 
-/// In touch with all three, none of which is in its zone.
-fn stateless(own: u8) -> StatelessController {
-    let address = SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, own), 7_731);
+/// Creates a stateless controller in touch with all three controllers, none of which is in its zone.
+fn stateless(host: u8) -> StatelessController {
+    let address = SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, host), 7_731);
     let seeds = CONTROLLERS.map(|ip| SocketAddrV4::new(ip, 8_166)).to_vec();
     let mut stateless = StatelessController::new(StatelessStart {
         address,
@@ -27,12 +27,12 @@
                 knows_view: true,
             },
         );
-        status(&mut stateless, 0.0, ip, true);
+        send_status(&mut stateless, 0.0, ip, true);
     }
     stateless
 }
 
-fn status(stateless: &mut StatelessController, now: f64, ip: Ipv4Addr, in_touch: bool) {
+fn send_status(stateless: &mut StatelessController, now: f64, ip: Ipv4Addr, in_touch: bool) {
     stateless.handle_controller_message(
         now,
         ip,
@@ -52,28 +52,27 @@
 }
 
 #[test]
-fn calls_are_spread_over_those_in_touch_the_same_call_the_same_way_and_from_another_machine_another()
- {
-    let (one, other) = (stateless(1), stateless(2));
-    let (calls, others) = (redirects(&one, 1.0), redirects(&other, 1.0));
+fn redirects_are_balanced_stable_per_request_and_vary_by_machine() {
+    let (first, second) = (stateless(1), stateless(2));
+    let (targets, others) = (redirects(&first, 1.0), redirects(&second, 1.0));
     for ip in CONTROLLERS {
         assert!(
-            calls.iter().filter(|to| **to == Some(ip)).count() >= 70,
+            targets.iter().filter(|to| **to == Some(ip)).count() >= 70,
             "{ip}"
         );
     }
-    assert_eq!(calls, redirects(&one, 900.0));
-    assert!(calls.iter().zip(&others).filter(|(a, b)| a != b).count() >= 100);
+    assert_eq!(targets, redirects(&first, 900.0));
+    assert!(targets.iter().zip(&others).filter(|(a, b)| a != b).count() >= 100);
 }
 
 #[test]
-fn nothing_goes_to_a_controller_that_is_out_of_touch_silent_or_without_a_disk() {
+fn controllers_out_of_touch_silent_or_without_a_disk_are_not_redirect_targets() {
     let mut stateless = stateless(1);
-    status(&mut stateless, 500.0, CONTROLLERS[0], false);
+    send_status(&mut stateless, 500.0, CONTROLLERS[0], false);
     stateless.controller_disconnected(CONTROLLERS[1]);
-    // Its line is open again, and it says that it is in touch, but not that it has a disk.
+    // It reconnects and reports that it is in touch, but not that it has a disk.
     stateless.controller_connected(500.0, CONTROLLERS[1]);
-    status(&mut stateless, 500.0, CONTROLLERS[1], true);
+    send_status(&mut stateless, 500.0, CONTROLLERS[1], true);
     assert!(
         redirects(&stateless, 1_000.0)
             .iter()
--- a/crates/rookpulley-control/tests/compatibility/frames.rs
+++ b/crates/rookpulley-control/tests/compatibility/frames.rs
@@ -1,4 +1,4 @@
-//! Every message between our programs, every call of the replicated state and every note on an instance.
+//! Compatibility of messages, replicated state requests and instance updates.
 
 use crate::Encoded;
 use rookpulley_chain::{
@@ -219,7 +219,7 @@
 }
 
 fn to_controllers() -> Vec<(&'static str, ProxyToController)> {
-    let task = InstanceLoad {
+    let instance = InstanceLoad {
         incarnation: "i-1".into(),
         attempts: 90,
         failed: 2,
@@ -229,7 +229,7 @@
         service: "lots".into(),
         received: 100,
         failed: 3,
-        instances: vec![task],
+        instances: vec![instance],
     };
     let (config, tables) = (17, true);
     let (node, zone) = ("edge-7".into(), "quay".into());
@@ -278,7 +278,7 @@
 
 fn to_proxies() -> Vec<(&'static str, ControllerToProxy)> {
     let (service, zone, incarnation) = ("lots".to_string(), "quay".to_string(), "i-1".to_string());
-    let line = TableEntry {
+    let table_entry = TableEntry {
         incarnation: incarnation.clone(),
         address: address(9),
         zone: zone.clone(),
@@ -311,7 +311,7 @@
                 service,
                 revision: u64::MAX - 1,
                 sequence: 88,
-                entries: vec![line],
+                entries: vec![table_entry],
             },
         ),
         (
@@ -331,8 +331,8 @@
     ]
 }
 
-fn notes() -> Vec<(&'static str, InstanceUpdate)> {
-    let still = Refresh {
+fn instance_updates() -> Vec<(&'static str, InstanceUpdate)> {
+    let refresh = Refresh {
         incarnation: "i-1".into(),
         sequence: 43,
         age_ms: 20.0,
@@ -355,7 +355,7 @@
         (
             "heard",
             InstanceUpdate::Refreshed {
-                incarnations: vec![still],
+                incarnations: vec![refresh],
             },
         ),
     ]
@@ -452,17 +452,17 @@
             controllers: vec![address(2)],
         },
     );
-    for (name, note) in notes() {
+    for (name, update) in instance_updates() {
         encoded.add(
             &format!("news: {name}"),
             &PeerMessage::InstanceUpdates {
                 query: 12,
-                updates: vec![note],
+                updates: vec![update],
             },
         );
     }
     encoded.add("took", &PeerMessage::UpdatesStored { query: 12 });
-    encoded.matches("between-controllers.txt");
+    encoded.assert_matches("between-controllers.txt");
 }
 
 #[test]
@@ -478,34 +478,34 @@
         "frame",
         rookpulley_protocol::encode_frame(&ProxyToController::TablesApplied { up_to: 88 }),
     );
-    encoded.matches("proxies-and-controllers.txt");
+    encoded.assert_matches("proxies-and-controllers.txt");
 }
 
 #[test]
-fn notes_on_instances_keep_their_bytes() {
+fn instance_updates_keep_their_bytes() {
     let mut encoded = Encoded::default();
-    for (name, note) in notes() {
-        encoded.add(name, &note);
+    for (name, update) in instance_updates() {
+        encoded.add(name, &update);
     }
-    encoded.matches("notes.txt");
+    encoded.assert_matches("notes.txt");
 }
 
 #[test]
-fn calls_of_the_replicated_state_keep_their_bytes() {
+fn replicated_state_requests_keep_their_bytes() {
     let mut encoded = Encoded::default();
     for (name, update) in updates() {
         encoded.add(&format!("update: {name}"), &update);
     }
     let (name, group) = ("hearings.7".into(), "hearings.".into());
-    for (name, ask) in [
+    for (name, query) in [
         ("configuration", Query::Configuration),
         ("key", Query::Key { name }),
         ("revision", Query::Revision { group }),
     ] {
-        encoded.add(&format!("read: {name}"), &ask);
+        encoded.add(&format!("read: {name}"), &query);
     }
     for (name, answer) in answers() {
         encoded.add(&format!("answer: {name}"), &answer);
     }
-    encoded.matches("calls.txt");
+    encoded.assert_matches("calls.txt");
 }
--- a/crates/rookpulley-control/tests/compatibility/main.rs
+++ b/crates/rookpulley-control/tests/compatibility/main.rs
@@ -1,7 +1,6 @@
 //! Stored data and frames of earlier builds stay readable, and this build writes the same bytes.
 //!
-//! The files under `fixtures` were written by the build before the renaming of types and fields. Names are not part
-//! of either form (`postcard` writes positions), so a renamed type passes and a moved field or variant fails.
+//! `postcard` encodes fields and variants by position, so reordering them breaks compatibility while renaming does not.
 
 mod frames;
 mod rows;
@@ -11,12 +10,12 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// Values in their stored form, by a name of their own.
+/// Encoded values by unique name.
 #[derive(Default)]
 struct Encoded(BTreeMap<String, Vec<u8>>);
 
 impl Encoded {
-    /// Encodes a value, and checks that it is read back as it was.
+    /// Encodes a value and checks that it decodes to the same value.
     fn add<T: Serialize + DeserializeOwned + Debug>(&mut self, name: &str, value: &T) {
         let bytes = postcard::to_allocvec(value).unwrap();
         let read: T = postcard::from_bytes(&bytes).unwrap();
@@ -25,12 +24,12 @@
     }
 
     fn add_bytes(&mut self, name: &str, bytes: Vec<u8>) {
-        let earlier = self.0.insert(name.into(), bytes);
-        assert!(earlier.is_none(), "{name} is there twice");
+        let previous = self.0.insert(name.into(), bytes);
+        assert!(previous.is_none(), "duplicate name: {name}");
     }
 
-    /// Compares with a fixture, byte by byte. With `WRITE_FIXTURES` set, a fixture that does not exist is written.
-    fn matches(&self, file: &str) {
+    /// Compares with a fixture byte by byte. If `WRITE_FIXTURES` is set, a missing fixture is written.
+    fn assert_matches(&self, file: &str) {
         let path = format!(
             "{}/tests/compatibility/fixtures/{file}",
             env!("CARGO_MANIFEST_DIR")
@@ -42,7 +41,7 @@
                 .map(|(name, bytes)| format!("{name} = {}\n", hex(bytes)));
             std::fs::write(&path, lines.collect::<String>()).unwrap();
         }
-        let fixture = read(file);
+        let fixture = read_fixture(file);
         let names =
             |encoded: &BTreeMap<String, Vec<u8>>| encoded.keys().cloned().collect::<Vec<_>>();
         assert_eq!(names(&self.0), names(&fixture));
@@ -52,18 +51,18 @@
     }
 }
 
-/// The values of a fixture, by name.
-fn read(file: &str) -> BTreeMap<String, Vec<u8>> {
+/// Reads the encoded values of a fixture by name.
+fn read_fixture(file: &str) -> BTreeMap<String, Vec<u8>> {
     let path = format!(
         "{}/tests/compatibility/fixtures/{file}",
         env!("CARGO_MANIFEST_DIR")
     );
     let text = std::fs::read_to_string(path).unwrap();
-    let line = |line: &str| {
+    let parse_line = |line: &str| {
         let (name, digits) = line.split_once(" = ").unwrap();
         (name.to_string(), unhex(digits))
     };
-    text.lines().map(line).collect()
+    text.lines().map(parse_line).collect()
 }
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/rookpulley-control/tests/compatibility/rows.rs
+++ b/crates/rookpulley-control/tests/compatibility/rows.rs
@@ -1,6 +1,6 @@
-//! What two members of a chain have on their disks after a few updates, row by row.
+//! Compatibility of the rows that a chain stores on disk.
 
-use crate::{Encoded, read};
+use crate::{Encoded, read_fixture};
 use rookpulley_chain::{
     Chain, Effect, Input, Member, Outcome, Record, RequestKind, StartState, find_inconsistencies,
 };
@@ -19,7 +19,7 @@
     }
 }
 
-/// Controllers whose messages and disks take no time.
+/// Chain members with instant message delivery and disk syncs.
 #[derive(Default)]
 struct Cluster {
     now: u64,
@@ -30,7 +30,7 @@
 impl Cluster {
     fn start(&mut self) {
         let at = self.chains.len();
-        let boot = StartState {
+        let start = StartState {
             me: member(at),
             founder: at == 0,
             tolerated_losses: 1,
@@ -38,12 +38,12 @@
             persisted: None,
         };
         self.chains.push((
-            Chain::start(self.now, boot, ReplicatedState::default()),
+            Chain::start(self.now, start, ReplicatedState::default()),
             Rows::new(),
         ));
         for other in 0..at {
-            self.give(other, Input::PeerDiscovered { member: member(at) });
-            self.give(
+            self.handle(other, Input::PeerDiscovered { member: member(at) });
+            self.handle(
                 at,
                 Input::PeerDiscovered {
                     member: member(other),
@@ -57,13 +57,13 @@
         while self.now < until {
             self.now += 50;
             for at in 0..self.chains.len() {
-                self.give(at, Input::Tick);
+                self.handle(at, Input::Tick);
             }
         }
     }
 
-    /// Hands an input to one member, and everything that follows from it to whom it concerns.
-    fn give(&mut self, at: usize, input: Input) -> Option<Outcome> {
+    /// Passes an input to one member and delivers all resulting messages and syncs.
+    fn handle(&mut self, at: usize, input: Input) -> Option<Outcome> {
         let mut inputs = VecDeque::from([(at, input)]);
         let mut answer = None;
         while let Some((at, input)) = inputs.pop_front() {
@@ -90,7 +90,7 @@
     fn update(&mut self, update: &Update) -> Answer {
         self.token += 1;
         let body = update.encode();
-        let outcome = self.give(
+        let outcome = self.handle(
             1,
             Input::ClientRequest {
                 token: self.token,
@@ -145,8 +145,8 @@
     ]
 }
 
-/// Two members, with 600 updates so that a snapshot was written behind the first of them.
-fn played() -> Cluster {
+/// Runs two members through 600 updates, enough to write a snapshot and delete the first log entries.
+fn cluster_with_updates() -> Cluster {
     let mut cluster = Cluster::default();
     cluster.start();
     cluster.run(500);
@@ -164,19 +164,19 @@
 }
 
 #[test]
-fn a_disk_keeps_its_rows() {
+fn stored_rows_keep_their_bytes() {
     let mut encoded = Encoded::default();
-    for (at, (_, rows)) in played().chains.into_iter().enumerate() {
+    for (at, (_, rows)) in cluster_with_updates().chains.into_iter().enumerate() {
         for (key, value) in rows {
             encoded.add_bytes(&format!("member {at}, row {}", crate::hex(&key)), value);
         }
     }
-    encoded.matches("disk.txt");
+    encoded.assert_matches("disk.txt");
 }
 
 #[test]
-fn a_disk_of_an_earlier_build_is_read_whole_and_goes_on() {
-    let fixture = read("disk.txt");
+fn a_chain_starts_from_the_rows_of_an_earlier_build() {
+    let fixture = read_fixture("disk.txt");
     for at in 0..2 {
         let prefix = format!("member {at}, row ");
         let row = |(name, value): (&String, &Vec<u8>)| {
@@ -186,25 +186,25 @@
         let rows: Vec<(Vec<u8>, Vec<u8>)> = fixture.iter().filter_map(row).collect();
         assert!(rows.len() > 80, "{} rows", rows.len());
         assert_eq!(find_inconsistencies(&rows, Some(member(at).id)), Vec::new());
-        let kept = rookpulley_chain::PersistedState::read(rows);
-        assert!(kept.is_sound());
+        let persisted = rookpulley_chain::PersistedState::read(rows);
+        assert!(persisted.is_sound());
         let me = Member {
             incarnation: 2 << 20,
             ..member(at)
         };
-        let boot = StartState {
+        let start = StartState {
             me,
             founder: false,
             tolerated_losses: 1,
             seed: 7,
-            persisted: Some(kept),
+            persisted: Some(persisted),
         };
-        let started = Chain::start(0, boot, ReplicatedState::default());
-        let ledger = &started.state().machine;
-        let sizes = ledger.usage();
+        let started = Chain::start(0, start, ReplicatedState::default());
+        let machine = &started.state().machine;
+        let sizes = machine.usage();
         assert_eq!((sizes.locks, sizes.counters, sizes.keys), (1, 1, 3));
-        // That the last of 603 puts was agreed on is not on the disk yet.
-        assert_eq!((ledger.version(), ledger.revision("lots.")), (17, 602));
+        // The commit of the last of 603 puts is not stored yet.
+        assert_eq!((machine.version(), machine.revision("lots.")), (17, 602));
         assert_eq!(started.view().map(|view| view.number), Some(2));
     }
 }
--- a/crates/rookpulley-control/tests/configuration.rs
+++ b/crates/rookpulley-control/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! When a controller hands out the configuration that it holds.
+//! Publication of a stored configuration after a restart.
 
 use rookpulley_chain::{Member, Record, View};
 use rookpulley_control::{Bootstrap, Controller, ControllerStart, Effect, Endpoint, Rows, parse};
@@ -28,29 +28,30 @@
     }
 }
 
-/// A controller with its disk. What it writes is synced at once.
+/// A controller with its disk. Writes are synced immediately.
 struct SingleController {
     controller: Controller,
     disk: BTreeMap<Vec<u8>, Vec<u8>>,
-    /// Versions that a proxy was sent, and those that statuses announced.
+    /// Versions sent to a proxy.
     sent: Vec<u64>,
+    /// Versions announced in statuses.
     announced: Vec<u64>,
 }
 
 impl SingleController {
     fn new(start: ControllerStart) -> Self {
         let disk = start.chain_rows.iter().flatten().cloned().collect();
-        let mut cluster = Self {
+        let mut single = Self {
             controller: Controller::new(start),
             disk,
             sent: Vec::new(),
             announced: Vec::new(),
         };
-        cluster.carry_out(0.0);
-        cluster
+        single.run_effects(0.0);
+        single
     }
 
-    fn carry_out(&mut self, now: f64) {
+    fn run_effects(&mut self, now: f64) {
         loop {
             let effects = self.controller.take_effects();
             if effects.is_empty() {
@@ -95,9 +96,9 @@
     }
 
     fn tick_between(&mut self, from: u64, to: u64) {
-        for (round, now) in (from..to).step_by(50).enumerate() {
-            self.controller.tick(now as f64, round as u64);
-            self.carry_out(now as f64);
+        for (tick, now) in (from..to).step_by(50).enumerate() {
+            self.controller.tick(now as f64, tick as u64);
+            self.run_effects(now as f64);
         }
     }
 
@@ -116,10 +117,10 @@
         .unwrap();
         let token = self.controller.next_number();
         self.controller.handle_call(now as f64, token, operation);
-        self.carry_out(now as f64);
+        self.run_effects(now as f64);
     }
 
-    fn proxy_connects(&mut self, now: u64) {
+    fn connect_proxy(&mut self, now: u64) {
         let hello = ProxyHello {
             node: "edge-1".into(),
             zone: "quay".into(),
@@ -130,17 +131,17 @@
         };
         self.controller
             .proxy_connected(now as f64, CONNECTION, hello);
-        self.carry_out(now as f64);
+        self.run_effects(now as f64);
     }
 }
 
-/// One that was alone, has handed out version 5, and has ended.
+/// Runs a single controller until it has published version 5.
 fn with_configuration_five() -> SingleController {
     let mut first = SingleController::new(start(11, 0, None));
     first.tick_between(0, 1_000);
     first.put(1_000, 3);
     first.tick_between(1_050, 1_250);
-    first.proxy_connects(1_250);
+    first.connect_proxy(1_250);
     first.put(1_250, 5);
     first.tick_between(1_300, 2_500);
     assert_eq!(
@@ -151,20 +152,20 @@
 }
 
 #[test]
-fn after_a_start_one_that_serves_hands_out_what_it_holds_though_nothing_new_comes() {
+fn a_restarted_controller_that_serves_publishes_its_stored_configuration() {
     let rows: Rows = with_configuration_five().disk.into_iter().collect();
-    let mut again = SingleController::new(start(12, 0, Some(rows)));
-    again.proxy_connects(100);
-    again.tick_between(100, 4_000);
-    assert_eq!(again.sent, [5]);
-    assert_eq!(again.announced.last(), Some(&5));
+    let mut restarted = SingleController::new(start(12, 0, Some(rows)));
+    restarted.connect_proxy(100);
+    restarted.tick_between(100, 4_000);
+    assert_eq!(restarted.sent, [5]);
+    assert_eq!(restarted.announced.last(), Some(&5));
 }
 
 #[test]
-fn after_a_start_one_that_is_not_in_touch_hands_out_nothing() {
+fn a_restarted_controller_that_is_not_in_touch_publishes_nothing() {
     let first = with_configuration_five();
     let mut rows: Rows = first.disk.clone().into_iter().collect();
-    // It is one member of more: the others may hold a newer one.
+    // It is one of several members, and the others may have a newer configuration.
     let other = |id: u64| Member {
         id,
         incarnation: 1,
@@ -178,13 +179,13 @@
     };
     let key = [b"v".to_vec(), 2u64.to_be_bytes().to_vec()].concat();
     rows.push((key, postcard::to_allocvec(&view).unwrap()));
-    let mut again = SingleController::new(start(12, 1, Some(rows)));
-    again.proxy_connects(100);
-    again.tick_between(100, 4_000);
-    assert_eq!(again.sent, []);
+    let mut restarted = SingleController::new(start(12, 1, Some(rows)));
+    restarted.connect_proxy(100);
+    restarted.tick_between(100, 4_000);
+    assert_eq!(restarted.sent, []);
     assert!(
-        !again.announced.is_empty() && again.announced.iter().all(|version| *version == 0),
+        !restarted.announced.is_empty() && restarted.announced.iter().all(|version| *version == 0),
         "{:?}",
-        again.announced
+        restarted.announced
     );
 }
--- a/crates/rookpulley-control/tests/founding.rs
+++ b/crates/rookpulley-control/tests/founding.rs
@@ -1,5 +1,5 @@
-//! Who makes the first view, with and without disks at the seeds: on a simulated network on which messages arrive late and
-//! twice, and processes end at any moment. Never do two found, and where nothing speaks against it one does.
+//! Creation of the first view on a simulated network with delayed and duplicated messages and process failures. At most
+//! one controller creates it, and without disruptive faults exactly one does.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -18,7 +18,7 @@
 
 #[allow(clippy::large_enum_variant)]
 enum Process {
-    Controller { controller: Controller, round: u64 },
+    Controller { controller: Controller, ticks: u64 },
     StatelessController(StatelessController),
 }
 
@@ -27,7 +27,7 @@
     id: Option<u64>,
     bootstrap: Option<Vec<u8>>,
     rows: Rows,
-    /// When the last write is there.
+    /// Time at which the last write is synced.
     synced_ms: u64,
 }
 
@@ -36,41 +36,41 @@
     disk: Option<Disk>,
     process: Option<Process>,
     incarnation: u64,
-    /// Its disk was lost: this is no first start any more.
+    /// Whether its disk was lost, so that later starts are not first starts.
     wiped: bool,
 }
 
 type ProcessId = (usize, u64);
 
-/// `ends`: who made it, and who accepted it.
 struct Connection {
+    /// The initiator and the acceptor.
     ends: [ProcessId; 2],
-    /// Between controllers; else from a stateless controller.
-    of_controllers: bool,
+    /// Whether the initiator is a controller with a disk.
+    between_controllers: bool,
     number: u64,
     peer: Option<u64>,
-    said_hello: bool,
-    /// What is sent later comes later.
+    received_hello: bool,
+    /// Last delivery time per side. Messages are delivered in order.
     last_ms: [u64; 2],
 }
 
 enum Event {
     Start {
-        at: usize,
+        index: usize,
         first: bool,
     },
-    /// Only of what has been started before.
-    Again {
-        at: usize,
+    /// Restarts a machine that has been started before.
+    Restart {
+        index: usize,
         first: bool,
     },
     Stop {
-        at: usize,
-        wiped: bool,
+        index: usize,
+        wipe: bool,
     },
     Tick(ProcessId),
     Connect {
-        by: ProcessId,
+        id: ProcessId,
         ip: Ipv4Addr,
     },
     Received {
@@ -83,7 +83,7 @@
         side: usize,
     },
     Synced {
-        by: ProcessId,
+        id: ProcessId,
         ticket: u64,
         records: Vec<Record>,
     },
@@ -93,14 +93,14 @@
     rng: ChaCha8Rng,
     now: u64,
     events: BTreeMap<(u64, u64), Event>,
-    count: u64,
+    last_id: u64,
     machines: Vec<Machine>,
     seeds: Vec<SocketAddrV4>,
     connections: BTreeMap<u64, Connection>,
     founders: BTreeSet<u64>,
-    faults: bool,
-    /// Nothing speaks against a first view.
-    undisturbed: bool,
+    inject_faults: bool,
+    /// Whether the faults permit the creation of a first view.
+    expects_founder: bool,
 }
 
 fn decode<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> T {
@@ -110,19 +110,19 @@
 }
 
 impl Network {
-    /// The first `seeds` machines are the seeds; who has a disk is told by `disks`.
+    /// Creates one machine per element of `disks`, which tells whether it has a disk. The first `seeds` are the seeds.
     fn new(seed: u64, seeds: usize, disks: &[bool]) -> Network {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut machines: Vec<Machine> = (0..disks.len())
-            .map(|at| Machine {
-                ip: Ipv4Addr::new(10, 9, 0, rng.random_range(0..20u8) + 20 * at as u8),
-                disk: disks[at].then(Disk::default),
+            .map(|index| Machine {
+                ip: Ipv4Addr::new(10, 9, 0, rng.random_range(0..20u8) + 20 * index as u8),
+                disk: disks[index].then(Disk::default),
                 process: None,
                 incarnation: 0,
                 wiped: false,
             })
             .collect();
-        // Addresses tell nothing of the order of seeds.
+        // The order of addresses must be independent of the order of seeds.
         if rng.random_range(0..2u32) == 0 {
             let ips: Vec<Ipv4Addr> = machines.iter().rev().map(|m| m.ip).collect();
             machines.iter_mut().zip(ips).for_each(|(m, ip)| m.ip = ip);
@@ -135,41 +135,41 @@
             rng,
             now: 0,
             events: BTreeMap::new(),
-            count: 0,
+            last_id: 0,
             machines,
             seeds,
             connections: BTreeMap::new(),
             founders: BTreeSet::new(),
-            faults: false,
-            undisturbed: true,
+            inject_faults: false,
+            expects_founder: true,
         }
     }
 
-    fn at(&mut self, ms: u64, event: Event) {
-        self.count += 1;
-        self.events.insert((ms, self.count), event);
+    fn schedule_at(&mut self, ms: u64, event: Event) {
+        self.last_id += 1;
+        self.events.insert((ms, self.last_id), event);
     }
 
-    fn after(&mut self, ms: u64, event: Event) {
-        self.at(self.now + ms, event);
+    fn schedule(&mut self, ms: u64, event: Event) {
+        self.schedule_at(self.now + ms, event);
     }
 
     fn delay(&mut self) -> u64 {
-        let long = self.rng.random_range(0..40u32) == 0;
+        let is_slow = self.rng.random_range(0..40u32) == 0;
         self.rng
-            .random_range(if long { 300..1_500u64 } else { 1..40 })
+            .random_range(if is_slow { 300..1_500u64 } else { 1..40 })
     }
 
-    fn is_running(&self, (at, incarnation): ProcessId) -> bool {
-        self.machines[at].process.is_some() && self.machines[at].incarnation == incarnation
+    fn is_running(&self, (index, incarnation): ProcessId) -> bool {
+        self.machines[index].process.is_some() && self.machines[index].incarnation == incarnation
     }
 
-    fn start(&mut self, at: usize, first: bool) {
-        if self.machines[at].process.is_some() {
+    fn start(&mut self, index: usize, first: bool) {
+        if self.machines[index].process.is_some() {
             return;
         }
         let (incarnation, id): (u64, u64) = (self.rng.random(), self.rng.random());
-        let (seeds, machine) = (self.seeds.clone(), &mut self.machines[at]);
+        let (seeds, machine) = (self.seeds.clone(), &mut self.machines[index]);
         let first = first && !machine.wiped;
         machine.incarnation = incarnation;
         let address = SocketAddrV4::new(machine.ip, PORT);
@@ -181,8 +181,8 @@
                 first_start: first,
             })),
             Some(disk) => {
-                let fresh = disk.id.is_none();
-                if fresh {
+                let is_new = disk.id.is_none();
+                if is_new {
                     disk.bootstrap = first.then(|| Bootstrap::new(machine.ip, &seeds).encode());
                 }
                 let controller = Controller::new(ControllerStart {
@@ -197,35 +197,36 @@
                     drain_ms: 2_500,
                     zone: "quay".into(),
                     bootstrap: disk.bootstrap.as_deref().and_then(Bootstrap::decode),
-                    chain_rows: (!fresh).then(|| disk.rows.clone().into_iter().collect()),
+                    chain_rows: (!is_new).then(|| disk.rows.clone().into_iter().collect()),
                     instance_rows: Vec::new(),
                 });
                 Process::Controller {
                     controller,
-                    round: 0,
+                    ticks: 0,
                 }
             }
         };
         machine.process = Some(process);
-        self.after(50, Event::Tick((at, incarnation)));
-        self.run_effects(at);
+        self.schedule(50, Event::Tick((index, incarnation)));
+        self.run_effects(index);
     }
 
-    fn stop(&mut self, at: usize, wiped: bool) {
-        if self.machines[at].process.take().is_none() {
+    fn stop(&mut self, index: usize, wipe: bool) {
+        if self.machines[index].process.take().is_none() {
             return;
         }
-        if wiped && let Some(disk) = &mut self.machines[at].disk {
+        if wipe && let Some(disk) = &mut self.machines[index].disk {
             *disk = Disk::default();
-            self.machines[at].wiped = true;
+            self.machines[index].wiped = true;
         }
-        let of = |connection: &Connection| connection.ends.iter().position(|end| end.0 == at);
-        let ended: Vec<(u64, usize)> = self
+        let side_of =
+            |connection: &Connection| connection.ends.iter().position(|end| end.0 == index);
+        let remote_ends: Vec<(u64, usize)> = self
             .connections
             .iter()
-            .filter_map(|(n, connection)| Some((*n, 1 - of(connection)?)))
+            .filter_map(|(n, connection)| Some((*n, 1 - side_of(connection)?)))
             .collect();
-        for (connection, side) in ended {
+        for (connection, side) in remote_ends {
             self.send(connection, side, |connection, side| Event::Closed {
                 connection,
                 side,
@@ -233,15 +234,15 @@
         }
     }
 
-    /// To the end of a connection with this side.
+    /// Schedules an event at the given side of a connection.
     fn send(&mut self, connection: u64, side: usize, event: impl FnOnce(u64, usize) -> Event) {
         let ms = self.now + self.delay();
-        let Some(of) = self.connections.get_mut(&connection) else {
+        let Some(link) = self.connections.get_mut(&connection) else {
             return;
         };
-        of.last_ms[side] = of.last_ms[side].max(ms);
-        let ms = of.last_ms[side];
-        self.at(ms, event(connection, side));
+        link.last_ms[side] = link.last_ms[side].max(ms);
+        let ms = link.last_ms[side];
+        self.schedule_at(ms, event(connection, side));
     }
 
     fn send_frame(&mut self, connection: Option<u64>, side: usize, bytes: Vec<u8>) {
@@ -253,33 +254,33 @@
         });
     }
 
-    fn outgoing_connection(&self, by: usize, ip: Ipv4Addr) -> Option<u64> {
-        let is = |connection: &Connection| {
-            self.is_running(connection.ends[0]) && connection.ends[0].0 == by
+    fn outgoing_connection(&self, owner: usize, ip: Ipv4Addr) -> Option<u64> {
+        let is_open = |connection: &Connection| {
+            self.is_running(connection.ends[0]) && connection.ends[0].0 == owner
         };
-        let to = |connection: &Connection| self.machines[connection.ends[1].0].ip == ip;
+        let has_target = |connection: &Connection| self.machines[connection.ends[1].0].ip == ip;
         self.connections
             .iter()
-            .filter(|(_, connection)| is(connection) && to(connection))
+            .filter(|(_, connection)| is_open(connection) && has_target(connection))
             .map(|(n, _)| *n)
             .next_back()
     }
 
-    fn accepted_connection(&self, by: usize, number: u64) -> Option<u64> {
-        let is = |connection: &Connection| {
-            connection.ends[1].0 == by
+    fn accepted_connection(&self, owner: usize, number: u64) -> Option<u64> {
+        let matches = |connection: &Connection| {
+            connection.ends[1].0 == owner
                 && self.is_running(connection.ends[1])
                 && connection.number == number
         };
         self.connections
             .iter()
-            .find(|(_, connection)| !connection.of_controllers && is(connection))
+            .find(|(_, connection)| !connection.between_controllers && matches(connection))
             .map(|(n, _)| *n)
     }
 
-    fn run_effects(&mut self, at: usize) {
-        let by = (at, self.machines[at].incarnation);
-        match &mut self.machines[at].process {
+    fn run_effects(&mut self, index: usize) {
+        let id = (index, self.machines[index].incarnation);
+        match &mut self.machines[index].process {
             None => {}
             Some(Process::Controller { controller, .. }) => {
                 let effects = controller.take_effects();
@@ -287,28 +288,28 @@
                 self.founders.extend(view.map(|view| view.members[0].id));
                 for effect in effects {
                     match effect {
-                        Effect::Connect(ip) => self.after(1, Event::Connect { by, ip }),
+                        Effect::Connect(ip) => self.schedule(1, Event::Connect { id, ip }),
                         Effect::SendToPeer { to, frame } => {
-                            self.send_frame(self.outgoing_connection(at, to), 1, frame)
+                            self.send_frame(self.outgoing_connection(index, to), 1, frame)
                         }
                         Effect::SendToProxy { connection, frame } => {
-                            self.send_frame(self.accepted_connection(at, connection), 0, frame)
+                            self.send_frame(self.accepted_connection(index, connection), 0, frame)
                         }
                         Effect::WriteChain { ticket, records } => {
                             let ms = self.now + self.rng.random_range(1..120u64);
-                            let disk = self.machines[at].disk.as_mut().unwrap();
+                            let disk = self.machines[index].disk.as_mut().unwrap();
                             disk.synced_ms = disk.synced_ms.max(ms);
                             let ms = disk.synced_ms;
-                            self.at(
+                            self.schedule_at(
                                 ms,
                                 Event::Synced {
-                                    by,
+                                    id,
                                     ticket,
                                     records,
                                 },
                             );
                         }
-                        Effect::DiscardStore => panic!("a store is to be discarded"),
+                        Effect::DiscardStore => panic!("unexpected DiscardStore"),
                         _ => {}
                     }
                 }
@@ -316,24 +317,24 @@
             Some(Process::StatelessController(stateless)) => {
                 for effect in stateless.take_effects() {
                     match effect {
-                        StatelessEffect::Connect(ip) => self.after(1, Event::Connect { by, ip }),
+                        StatelessEffect::Connect(ip) => self.schedule(1, Event::Connect { id, ip }),
                         StatelessEffect::SendToController { to, message } => {
-                            if self.faults
+                            if self.inject_faults
                                 && matches!(message, ProxyToController::AppointFounder { .. })
                             {
-                                self.fail_around_appointment(at, to);
+                                self.fail_around_appointment(index, to);
                             }
-                            // Messages may arrive twice.
+                            // Messages may be duplicated.
                             for _ in 0..self.rng.random_range(1..=2u32) {
                                 self.send_frame(
-                                    self.outgoing_connection(at, to),
+                                    self.outgoing_connection(index, to),
                                     1,
                                     encode_frame(&message),
                                 );
                             }
                         }
                         StatelessEffect::SendToClient { connection, frame } => {
-                            self.send_frame(self.accepted_connection(at, connection), 0, frame)
+                            self.send_frame(self.accepted_connection(index, connection), 0, frame)
                         }
                         StatelessEffect::Log(_) => {}
                     }
@@ -342,28 +343,28 @@
         }
         assert!(
             self.founders.len() <= 1,
-            "two founded: {:x?}",
+            "more than one founder: {:x?}",
             self.founders
         );
     }
 
-    /// Who names and who is named end at about the moment that it is said.
-    fn fail_around_appointment(&mut self, by: usize, to: Ipv4Addr) {
-        let named = self.machines.iter().position(|m| m.ip == to).unwrap();
-        for (at, first) in [(by, false), (named, true)] {
+    /// Stops and restarts the appointing and the appointed machine around the time of the appointment.
+    fn fail_around_appointment(&mut self, from: usize, to: Ipv4Addr) {
+        let appointed = self.machines.iter().position(|m| m.ip == to).unwrap();
+        for (index, first) in [(from, false), (appointed, true)] {
             if self.rng.random_range(0..3u32) > 0 {
-                let (ms, down) = (
+                let (ms, downtime) = (
                     self.rng.random_range(0..300u64),
                     self.rng.random_range(1..2_500u64),
                 );
-                self.after(ms, Event::Stop { at, wiped: false });
-                self.after(ms + down, Event::Again { at, first });
-                self.undisturbed &= at != by;
+                self.schedule(ms, Event::Stop { index, wipe: false });
+                self.schedule(ms + downtime, Event::Restart { index, first });
+                self.expects_founder &= index != from;
             }
         }
     }
 
-    fn connect(&mut self, by: ProcessId, ip: Ipv4Addr) {
+    fn connect(&mut self, id: ProcessId, ip: Ipv4Addr) {
         let now = self.now as f64;
         let to = self
             .machines
@@ -371,75 +372,75 @@
             .position(|m| m.ip == ip)
             .filter(|to| self.machines[*to].process.is_some());
         let Some(to) = to else {
-            return self.connect_again(by, ip);
+            return self.connect_again(id, ip);
         };
-        let ends = [by, (to, self.machines[to].incarnation)];
-        let of_controllers = matches!(
-            self.machines[by.0].process,
+        let ends = [id, (to, self.machines[to].incarnation)];
+        let between_controllers = matches!(
+            self.machines[id.0].process,
             Some(Process::Controller { .. })
         );
         let number = match self.machines[to].process.as_mut().unwrap() {
             Process::Controller { controller, .. } => controller.next_number(),
-            Process::StatelessController(_) => 1_000_000 + self.count,
+            Process::StatelessController(_) => 1_000_000 + self.last_id,
         };
-        self.count += 1;
+        self.last_id += 1;
         let connection = Connection {
             ends,
-            of_controllers,
+            between_controllers,
             number,
             peer: None,
-            said_hello: false,
+            received_hello: false,
             last_ms: [self.now; 2],
         };
-        self.connections.insert(self.count, connection);
-        match self.machines[by.0].process.as_mut().unwrap() {
+        self.connections.insert(self.last_id, connection);
+        match self.machines[id.0].process.as_mut().unwrap() {
             Process::Controller { controller, .. } => controller.peer_connected(now, ip),
             Process::StatelessController(stateless) => stateless.controller_connected(now, ip),
         }
-        self.run_effects(by.0);
+        self.run_effects(id.0);
     }
 
-    fn connect_again(&mut self, by: ProcessId, ip: Ipv4Addr) {
+    fn connect_again(&mut self, id: ProcessId, ip: Ipv4Addr) {
         let now = self.now as f64;
-        let over = match self.machines[by.0].process.as_mut().unwrap() {
+        let is_expired = match self.machines[id.0].process.as_mut().unwrap() {
             Process::Controller { controller, .. } => {
-                let over = !controller.is_peer_wanted(now, ip);
-                if over {
+                let is_expired = !controller.is_peer_wanted(now, ip);
+                if is_expired {
                     controller.forget_peer(ip);
                 }
-                over
+                is_expired
             }
             Process::StatelessController(stateless) => stateless.is_forgotten(now, ip),
         };
-        if !over {
-            self.after(150, Event::Connect { by, ip });
+        if !is_expired {
+            self.schedule(150, Event::Connect { id, ip });
         }
     }
 
     fn receive(&mut self, connection: u64, side: usize, bytes: &[u8]) {
         let now = self.now as f64;
-        let Some(of) = self.connections.get_mut(&connection) else {
+        let Some(link) = self.connections.get_mut(&connection) else {
             return;
         };
-        let (end, other) = (of.ends[side], of.ends[1 - side]);
+        let (end, other) = (link.ends[side], link.ends[1 - side]);
         let from = self.machines[other.0].ip;
         let machine = &mut self.machines[end.0];
         if machine.incarnation != end.1 {
             return;
         }
-        match (machine.process.as_mut(), side, of.of_controllers) {
+        match (machine.process.as_mut(), side, link.between_controllers) {
             (Some(Process::Controller { controller, .. }), 1, true) => {
-                controller.handle_peer_message(now, &mut of.peer, decode::<PeerMessage>(bytes));
+                controller.handle_peer_message(now, &mut link.peer, decode::<PeerMessage>(bytes));
             }
             (Some(Process::Controller { controller, .. }), 1, false) => {
                 match decode::<ProxyToController>(bytes) {
                     ProxyToController::StatelessHello {
                         address,
                         controllers,
-                    } if !std::mem::replace(&mut of.said_hello, true) => {
-                        controller.stateless_connected(now, of.number, address, &controllers);
+                    } if !std::mem::replace(&mut link.received_hello, true) => {
+                        controller.stateless_connected(now, link.number, address, &controllers);
                     }
-                    message => controller.handle_stateless_message(now, of.number, &message),
+                    message => controller.handle_stateless_message(now, link.number, &message),
                 }
             }
             (Some(Process::StatelessController(stateless)), 1, true) => {
@@ -448,7 +449,7 @@
                 }
             }
             (Some(Process::StatelessController(stateless)), 1, false) => {
-                stateless.client_connected(of.number, &decode::<ProxyToController>(bytes))
+                stateless.client_connected(link.number, &decode::<ProxyToController>(bytes))
             }
             (Some(Process::StatelessController(stateless)), 0, _) => {
                 stateless.handle_controller_message(now, from, decode::<ControllerToProxy>(bytes))
@@ -460,26 +461,26 @@
 
     fn close(&mut self, connection: u64, side: usize) {
         let now = self.now as f64;
-        let Some(of) = self.connections.remove(&connection) else {
+        let Some(link) = self.connections.remove(&connection) else {
             return;
         };
-        let (end, ip) = (of.ends[side], self.machines[of.ends[1 - side].0].ip);
+        let (end, ip) = (link.ends[side], self.machines[link.ends[1 - side].0].ip);
         if !self.is_running(end) {
             return;
         }
         match (self.machines[end.0].process.as_mut().unwrap(), side) {
             (Process::Controller { controller, .. }, 0) => controller.peer_disconnected(ip),
-            (Process::Controller { controller, .. }, _) if of.of_controllers => {
-                of.peer
+            (Process::Controller { controller, .. }, _) if link.between_controllers => {
+                link.peer
                     .into_iter()
                     .for_each(|id| controller.peer_session_ended(now, id));
             }
             (Process::Controller { controller, .. }, _) => {
-                controller.stateless_disconnected(now, of.number)
+                controller.stateless_disconnected(now, link.number)
             }
             (Process::StatelessController(stateless), 0) => stateless.controller_disconnected(ip),
             (Process::StatelessController(stateless), _) => {
-                stateless.client_disconnected(of.number)
+                stateless.client_disconnected(link.number)
             }
         }
         if side == 0 {
@@ -494,30 +495,30 @@
             .first_entry()
             .filter(|entry| entry.key().0 <= until)
         {
-            let ((at, _), event) = entry.remove_entry();
-            self.now = at;
+            let ((time, _), event) = entry.remove_entry();
+            self.now = time;
             match event {
-                Event::Start { at, first } => self.start(at, first),
-                Event::Again { at, first } if self.machines[at].incarnation != 0 => {
-                    self.start(at, first)
+                Event::Start { index, first } => self.start(index, first),
+                Event::Restart { index, first } if self.machines[index].incarnation != 0 => {
+                    self.start(index, first)
                 }
-                Event::Stop { at, wiped } => self.stop(at, wiped),
-                Event::Tick(by) if self.is_running(by) => {
+                Event::Stop { index, wipe } => self.stop(index, wipe),
+                Event::Tick(id) if self.is_running(id) => {
                     let now = self.now as f64;
-                    match self.machines[by.0].process.as_mut().unwrap() {
-                        Process::Controller { controller, round } => {
-                            controller.tick(now, *round);
-                            *round += 1;
-                            self.after(50, Event::Tick(by));
+                    match self.machines[id.0].process.as_mut().unwrap() {
+                        Process::Controller { controller, ticks } => {
+                            controller.tick(now, *ticks);
+                            *ticks += 1;
+                            self.schedule(50, Event::Tick(id));
                         }
                         Process::StatelessController(stateless) => {
                             stateless.tick(now);
-                            self.after(1_000, Event::Tick(by));
+                            self.schedule(1_000, Event::Tick(id));
                         }
                     }
-                    self.run_effects(by.0);
+                    self.run_effects(id.0);
                 }
-                Event::Connect { by, ip } if self.is_running(by) => self.connect(by, ip),
+                Event::Connect { id, ip } if self.is_running(id) => self.connect(id, ip),
                 Event::Received {
                     connection,
                     side,
@@ -525,11 +526,11 @@
                 } => self.receive(connection, side, &bytes),
                 Event::Closed { connection, side } => self.close(connection, side),
                 Event::Synced {
-                    by,
+                    id,
                     ticket,
                     records,
-                } if self.is_running(by) => {
-                    let rows = &mut self.machines[by.0].disk.as_mut().unwrap().rows;
+                } if self.is_running(id) => {
+                    let rows = &mut self.machines[id.0].disk.as_mut().unwrap().rows;
                     for record in records {
                         match record {
                             Record::Put { key, value } => _ = rows.insert(key, value),
@@ -538,11 +539,11 @@
                     }
                     let now = self.now as f64;
                     if let Some(Process::Controller { controller, .. }) =
-                        &mut self.machines[by.0].process
+                        &mut self.machines[id.0].process
                     {
                         controller.handle_synced(now, Some(ticket), None, 1.0);
                     }
-                    self.run_effects(by.0);
+                    self.run_effects(id.0);
                 }
                 _ => {}
             }
@@ -558,74 +559,75 @@
     }
 }
 
-/// All orders of seeds with and without disks, and others with a disk behind them. `faults`: ends of processes in the
-/// first seconds.
-fn simulate(seed: u64, faults: bool) -> (Network, String) {
+/// Simulates one of all combinations of up to three seeds with and without disks, followed by other machines.
+/// `inject_faults` enables process and disk failures in the first seconds.
+fn simulate(seed: u64, inject_faults: bool) -> (Network, String) {
     let (seeds, mask) = (1 + (seed % 3) as usize, (seed / 3) % 8);
-    let mut disks: Vec<bool> = (0..seeds).map(|at| mask >> at & 1 == 1).collect();
-    let mut draw = ChaCha8Rng::seed_from_u64(seed);
-    let others = draw.random_range(1..=3usize);
-    disks.extend((0..others).map(|at| at == 0 || draw.random_range(0..2u32) == 0));
-    let named = !disks[..seeds].contains(&true);
+    let mut disks: Vec<bool> = (0..seeds).map(|index| mask >> index & 1 == 1).collect();
+    let mut setup_rng = ChaCha8Rng::seed_from_u64(seed);
+    let others = setup_rng.random_range(1..=3usize);
+    disks.extend((0..others).map(|index| index == 0 || setup_rng.random_range(0..2u32) == 0));
+    let needs_appointment = !disks[..seeds].contains(&true);
     let mut network = Network::new(seed, seeds, &disks);
-    for at in 0..disks.len() {
-        let ms = draw.random_range(0..1_500u64);
-        network.at(ms, Event::Start { at, first: true });
+    for index in 0..disks.len() {
+        let ms = setup_rng.random_range(0..1_500u64);
+        network.schedule_at(ms, Event::Start { index, first: true });
     }
-    // The first seed names once, so it must not be told twice that this is the first start.
-    network.faults = faults;
-    for _ in 0..if faults {
-        draw.random_range(1..=6u32)
+    // The first seed may appoint only once, so its restarts must not be first starts.
+    network.inject_faults = inject_faults;
+    for _ in 0..if inject_faults {
+        setup_rng.random_range(1..=6u32)
     } else {
         0
     } {
-        let at = if draw.random_range(0..3u32) == 0 {
+        let index = if setup_rng.random_range(0..3u32) == 0 {
             0
         } else {
-            draw.random_range(0..disks.len())
+            setup_rng.random_range(0..disks.len())
         };
-        let (ms, down) = (
-            draw.random_range(0..5_000u64),
-            draw.random_range(1..1_200u64),
+        let (ms, downtime) = (
+            setup_rng.random_range(0..5_000u64),
+            setup_rng.random_range(1..1_200u64),
         );
-        let wiped = disks[at] && draw.random_range(0..6u32) == 0;
-        let first = !wiped && (!named || at != 0) && draw.random_range(0..2u32) == 0;
-        network.undisturbed &= !wiped && (!named || at != 0);
-        network.at(ms, Event::Stop { at, wiped });
-        network.at(ms + down, Event::Again { at, first });
+        let wipe = disks[index] && setup_rng.random_range(0..6u32) == 0;
+        let first =
+            !wipe && (!needs_appointment || index != 0) && setup_rng.random_range(0..2u32) == 0;
+        network.expects_founder &= !wipe && (!needs_appointment || index != 0);
+        network.schedule_at(ms, Event::Stop { index, wipe });
+        network.schedule_at(ms + downtime, Event::Restart { index, first });
     }
     network.run(12_000);
-    let told = format!("seed {seed}: {seeds} seeds, disks {disks:?}");
-    if network.undisturbed {
-        assert!(network.founders.len() == 1, "nobody founded: {told}");
-        assert!(network.all_have_a_view(), "one knows of no view: {told}");
+    let context = format!("seed {seed}: {seeds} seeds, disks {disks:?}");
+    if network.expects_founder {
+        assert!(network.founders.len() == 1, "no founder: {context}");
+        assert!(network.all_have_a_view(), "view missing: {context}");
     }
-    (network, told)
+    (network, context)
 }
 
 #[test]
-fn the_first_seed_with_a_disk_founds_else_one_that_the_first_seed_names() {
+fn the_first_seed_with_a_disk_or_the_appointed_controller_creates_the_first_view() {
     for seed in 0..72 {
-        let (network, told) = simulate(seed, false);
+        let (network, context) = simulate(seed, false);
         let with_disk = |m: &&Machine| m.disk.is_some();
         let first = network.machines[..network.seeds.len()]
             .iter()
             .find(with_disk);
         let id = first.map(|m| m.disk.as_ref().unwrap().id.unwrap());
         let founder = *network.founders.first().unwrap();
-        assert!(id.is_none_or(|id| id == founder), "{told}");
+        assert!(id.is_none_or(|id| id == founder), "{context}");
     }
 }
 
 #[test]
-fn never_do_two_found_whatever_ends_when() {
+fn at_most_one_controller_creates_the_first_view_despite_failures() {
     for seed in 0..240 {
         simulate(seed, true);
     }
 }
 
 #[test]
-fn a_bootstrap_record_is_read_as_it_was_written() {
+fn bootstrap_records_survive_encoding_and_decoding() {
     let seeds: Vec<SocketAddrV4> = (1..=3)
         .map(|n| SocketAddrV4::new(Ipv4Addr::new(10, n, 0, 1), 8_166))
         .collect();
@@ -633,7 +635,7 @@
         let bootstrap = Bootstrap::new(me, &seeds);
         assert_eq!(Bootstrap::decode(&bootstrap.encode()), Some(bootstrap));
     }
-    // As disks had it that were minted to found.
+    // The original format of a first seed's record.
     assert_eq!(
         Bootstrap::decode(&[]),
         Some(Bootstrap::new(*seeds[0].ip(), &seeds))
