--- a/crates/rookpulley-control/src/controller.rs
+++ b/crates/rookpulley-control/src/controller.rs
@@ -273,7 +273,7 @@
     }
 
     /// Handles a request. The reply carries its token, which must come from `next_number`.
-    pub fn handle_call(&mut self, now: f64, token: u64, operation: Operation) {
+    pub fn handle_request(&mut self, now: f64, token: u64, operation: Operation) {
         let kind = ReplyKind::of(&operation);
         match operation {
             Operation::Heartbeat(heartbeat) => self.handle_heartbeat(now, token, heartbeat),
@@ -296,7 +296,7 @@
     }
 
     /// Cancels a request whose caller has gone away.
-    pub fn cancel_call(&mut self, token: u64) {
+    pub fn cancel_request(&mut self, token: u64) {
         self.watches.remove(token);
     }
 
--- a/crates/rookpulley-control/src/reply.rs
+++ b/crates/rookpulley-control/src/reply.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
     /// An empty body.
-    Nothing,
+    Empty,
     /// A JSON value.
     Json(JsonValue),
     /// JSON as it was received earlier.
@@ -113,7 +113,7 @@
     pub(crate) fn of_acceptance(acceptance: Acceptance, is_heartbeat: bool) -> Self {
         match acceptance {
             Acceptance::Durable if is_heartbeat => Self::json([]),
-            Acceptance::Durable => Self::new(200, Content::Nothing),
+            Acceptance::Durable => Self::new(200, Content::Empty),
             Acceptance::Local => Self::unknown(),
             Acceptance::Rejected => Self::not_in_touch(),
         }
--- a/crates/rookpulley-control/src/stateless.rs
+++ b/crates/rookpulley-control/src/stateless.rs
@@ -159,7 +159,7 @@
     }
 
     /// Removes a controller that has not been announced recently. Returns whether reconnecting is unnecessary.
-    pub fn is_forgotten(&mut self, now: f64, ip: Ipv4Addr) -> bool {
+    pub fn remove_stale(&mut self, now: f64, ip: Ipv4Addr) -> bool {
         self.controllers.remove_if_expired(now, ip)
     }
 
--- a/crates/rookpulley-control/tests/configuration.rs
+++ b/crates/rookpulley-control/tests/configuration.rs
@@ -116,7 +116,7 @@
         )
         .unwrap();
         let token = self.controller.next_number();
-        self.controller.handle_call(now as f64, token, operation);
+        self.controller.handle_request(now as f64, token, operation);
         self.run_effects(now as f64);
     }
 
--- a/crates/rookpulley-control/tests/founding.rs
+++ b/crates/rookpulley-control/tests/founding.rs
@@ -410,7 +410,7 @@
                 }
                 is_expired
             }
-            Process::StatelessController(stateless) => stateless.is_forgotten(now, ip),
+            Process::StatelessController(stateless) => stateless.remove_stale(now, ip),
         };
         if !is_expired {
             self.schedule(150, Event::Connect { id, ip });
--- a/crates/rookpulley-controller/src/api.rs
+++ b/crates/rookpulley-controller/src/api.rs
@@ -99,7 +99,7 @@
         content,
     } = reply;
     let encoded = match content {
-        Content::Nothing => Reply::empty(status),
+        Content::Empty => Reply::empty(status),
         Content::Json(value) => Reply::json(status, &value),
         Content::Bytes(bytes) => Reply::bytes(status, bytes),
         Content::Error(sentence) => Reply::error(status, &sentence),
--- a/crates/rookpulley-controller/src/server.rs
+++ b/crates/rookpulley-controller/src/server.rs
@@ -317,7 +317,7 @@
             server: self,
             token,
         };
-        self.step(|controller, now| controller.handle_call(now, token, operation));
+        self.step(|controller, now| controller.handle_request(now, token, operation));
         reply.await.ok()
     }
 }
@@ -405,7 +405,10 @@
     fn drop(&mut self) {
         let mut connections = self.server.connections.borrow_mut();
         connections.calls.remove(&self.token);
-        self.server.controller.borrow_mut().cancel_call(self.token);
+        self.server
+            .controller
+            .borrow_mut()
+            .cancel_request(self.token);
     }
 }
 
--- a/crates/rookpulley-controller/src/stateless.rs
+++ b/crates/rookpulley-controller/src/stateless.rs
@@ -190,7 +190,7 @@
                 }
             }
             tokio::time::sleep(backoff.pause()).await;
-            if self.step(|controller, now| controller.is_forgotten(now, ip)) {
+            if self.step(|controller, now| controller.remove_stale(now, ip)) {
                 return;
             }
         }
--- a/crates/rookpulley-simulator/src/controllers.rs
+++ b/crates/rookpulley-simulator/src/controllers.rs
@@ -517,7 +517,7 @@
             let refused = Reply {
                 status: 409,
                 retry_after: None,
-                content: Content::Nothing,
+                content: Content::Empty,
             };
             return self.reply(process, call, attempt, refused);
         }
@@ -535,7 +535,7 @@
             .into_iter()
             .for_each(|controller| _ = controller.calls.insert(token, (call, attempt)));
         self.with_controller(process, |controller, now| {
-            controller.handle_call(now, token, operation)
+            controller.handle_request(now, token, operation)
         });
     }
 
@@ -579,7 +579,7 @@
                 (200, Content::Json(JsonValue::Object(fields)))
             }
             Some(Answer::Configuration { body, .. }) => (200, Content::Bytes(body)),
-            _ => (404, Content::Nothing),
+            _ => (404, Content::Empty),
         };
         Reply {
             status,
--- a/crates/rookpulley-simulator/src/stateless_controllers.rs
+++ b/crates/rookpulley-simulator/src/stateless_controllers.rs
@@ -155,7 +155,7 @@
 
     fn stateless_dials_again(&mut self, process: usize, ip: Ipv4Addr) {
         let me = self.address(process);
-        if self.with_stateless(process, |stateless, now| stateless.is_forgotten(now, ip))
+        if self.with_stateless(process, |stateless, now| stateless.remove_stale(now, ip))
             == Some(true)
         {
             self.stateless(process)
@@ -247,7 +247,7 @@
                 let reply = Reply {
                     status: 503,
                     retry_after: Some("0.2"),
-                    content: Content::Nothing,
+                    content: Content::Empty,
                 };
                 What::Replied {
                     call,
