--- a/crates/rookpulley-control/src/controller/drains.rs
+++ b/crates/rookpulley-control/src/controller/drains.rs
@@ -22,7 +22,7 @@
 /// A drain that is waiting for confirmations.
 pub(super) struct PendingDrain {
     drain: DrainRequest,
-    until_ms: f64,
+    deadline_ms: f64,
     is_stored_here: bool,
     is_stored_elsewhere: bool,
 }
@@ -46,14 +46,14 @@
         }];
         let pending = PendingDrain {
             drain,
-            until_ms: now + CONFIRM_TIMEOUT_MS,
+            deadline_ms: now + CONFIRM_TIMEOUT_MS,
             is_stored_here: false,
             is_stored_elsewhere: !is_asked,
         };
         self.pending_drains.insert(query, pending);
         self.send_to_all_peers(&PeerMessage::InstanceUpdates { query, updates });
-        let next = AfterInstanceSync::DrainStored { query };
-        self.write_instances(Vec::new(), Some(next));
+        let after_sync = AfterInstanceSync::DrainStored { query };
+        self.write_instances(Vec::new(), Some(after_sync));
     }
 
     /// Handles the confirmation that another controller has stored the drain.
@@ -97,7 +97,7 @@
 
     /// Replies to drains that were not confirmed within the timeout.
     pub(super) fn expire_drains(&mut self, now: f64) {
-        let is_expired = |_: &u64, pending: &mut PendingDrain| pending.until_ms <= now;
+        let is_expired = |_: &u64, pending: &mut PendingDrain| pending.deadline_ms <= now;
         let expired: Vec<(u64, PendingDrain)> =
             self.pending_drains.extract_if(.., is_expired).collect();
         for (query, pending) in expired {
--- a/crates/rookpulley-control/src/controller/instances.rs
+++ b/crates/rookpulley-control/src/controller/instances.rs
@@ -81,8 +81,8 @@
         }
         let wants_answer = query > 0;
         if let Some(to) = sender.filter(|_| wants_answer) {
-            let next = AfterInstanceSync::Confirm { to, query };
-            self.write_instances(Vec::new(), Some(next));
+            let after_sync = AfterInstanceSync::Confirm { to, query };
+            self.write_instances(Vec::new(), Some(after_sync));
         }
     }
 
@@ -100,12 +100,12 @@
     pub(super) fn write_instances(
         &mut self,
         records: Vec<Record>,
-        next: Option<AfterInstanceSync>,
+        after_sync: Option<AfterInstanceSync>,
     ) {
         self.instance_ticket += 1;
         let ticket = self.instance_ticket;
-        if let Some(next) = next {
-            self.after_instance_sync.push((ticket, next));
+        if let Some(after_sync) = after_sync {
+            self.after_instance_sync.push((ticket, after_sync));
         }
         self.effects
             .push(Effect::WriteInstances { ticket, records });
@@ -114,8 +114,8 @@
     pub(super) fn handle_instances_synced(&mut self, now: f64, ticket: u64) {
         let is_due = |waiting: &mut (u64, AfterInstanceSync)| waiting.0 <= ticket;
         let due: Vec<_> = self.after_instance_sync.extract_if(.., is_due).collect();
-        for (_, next) in due {
-            match next {
+        for (_, after_sync) in due {
+            match after_sync {
                 AfterInstanceSync::Confirm { to, query } => {
                     self.send_to_peer(to, &PeerMessage::UpdatesStored { query });
                 }
--- a/crates/rookpulley-control/src/controller/publication.rs
+++ b/crates/rookpulley-control/src/controller/publication.rs
@@ -14,7 +14,8 @@
 
     /// Publishes the configuration of the replicated state if it is newer than the published one and the rate limit
     /// permits. It is added to the history immediately. A configuration loaded at the start is published only once this
-    /// controller is serving, because it may be stale and a proxy without one would start with it.
+    /// controller is serving or has applied an update, because it may be stale and a proxy without one would start with
+    /// it.
     pub(super) fn publish_configuration(&mut self, now: f64) {
         if self.state().version() <= self.history.published() {
             return;
--- a/crates/rookpulley-control/src/standby.rs
+++ b/crates/rookpulley-control/src/standby.rs
@@ -19,7 +19,7 @@
     /// Number of bytes that must be writable before the store is opened again.
     pub const REQUIRED_BYTES: usize = 1 << 20;
 
-    /// Redirects to `members`, the members of the last known view, or to the seeds if there are none.
+    /// Creates redirects to `members`, the members of the last known view, or to the seeds if there are none.
     pub fn new(me: Ipv4Addr, members: &[SocketAddrV4], seeds: &[SocketAddrV4]) -> Self {
         let known = if members.is_empty() { seeds } else { members };
         let others = known.iter().map(|other| *other.ip());
--- a/crates/rookpulley-control/src/stateless.rs
+++ b/crates/rookpulley-control/src/stateless.rs
@@ -250,7 +250,7 @@
 
     /// Selects the target of a redirect by rendezvous hashing among the controllers in touch, preferring those in this
     /// machine's zone. The hash includes this machine's address, so other machines may select a different target.
-    pub fn redirect(&self, now: f64, call: &str) -> Option<Ipv4Addr> {
+    pub fn redirect(&self, now: f64, request: &str) -> Option<Ipv4Addr> {
         let in_touch: Vec<Ipv4Addr> = self.in_touch(now).collect();
         let is_in_zone = |ip: &Ipv4Addr| {
             let info = self.with_disk.get(ip);
@@ -259,7 +259,7 @@
         let any_in_zone = in_touch.iter().any(is_in_zone);
         let rank = |ip: &Ipv4Addr| {
             let mut hasher = DefaultHasher::new();
-            (ip, self.start.address.ip(), call).hash(&mut hasher);
+            (ip, self.start.address.ip(), request).hash(&mut hasher);
             hasher.finish()
         };
         let candidates = in_touch.into_iter();
--- a/crates/rookpulley-control/src/watches.rs
+++ b/crates/rookpulley-control/src/watches.rs
@@ -11,7 +11,7 @@
 struct Watch {
     group: String,
     after: u64,
-    until_ms: f64,
+    deadline_ms: f64,
     next_check_ms: f64,
 }
 
@@ -27,7 +27,7 @@
         let watch = Watch {
             group,
             after,
-            until_ms: now + wait_ms as f64,
+            deadline_ms: now + wait_ms as f64,
             next_check_ms: now,
         };
         self.waiting.insert(token, watch);
@@ -51,7 +51,7 @@
             if !has_changed && now < watch.next_check_ms {
                 return true;
             }
-            watch.next_check_ms = watch.until_ms.min(now + CHECK_INTERVAL_MS);
+            watch.next_check_ms = watch.deadline_ms.min(now + CHECK_INTERVAL_MS);
             let Some(reply) = watch.reply(now, is_serving, state) else {
                 return true;
             };
@@ -70,7 +70,7 @@
             WatchResult::TooOld => Some(Reply::too_old()),
             WatchResult::Events { events, revision } => Some(Reply::events(events, revision)),
             WatchResult::NoEvents { .. } if !is_serving => Some(Reply::not_in_touch()),
-            WatchResult::NoEvents { revision } if now >= self.until_ms => {
+            WatchResult::NoEvents { revision } if now >= self.deadline_ms => {
                 Some(Reply::events(Vec::new(), revision.max(self.after)))
             }
             WatchResult::NoEvents { .. } => None,
