--- a/crates/rookpulley-store/src/chunks.rs
+++ b/crates/rookpulley-store/src/chunks.rs
@@ -1,37 +1,38 @@
-//! Values cut into chunks, each of which is kept once, whichever values have it.
+//! Content-defined chunking of long values, with each distinct chunk stored once.
 //!
-//! A chunk ends where its own bytes say so, wherever they stand. So a configuration that differs in a line from the one
-//! before, and a snapshot that holds it, have most of their chunks in common, and only what differs is written.
-//! `docs/formats/chain-store.md` describes the rows.
+//! Chunk boundaries depend only on the preceding bytes, so similar values share most of their chunks and an update
+//! writes only the chunks that differ. `docs/formats/chain-store.md` describes the rows.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// No chunk is longer.
+/// Maximum length of a chunk.
 pub const MAX_CHUNK_BYTES: usize = 4 << 10;
-/// A chunk has so many bytes at least, and a KiB more on average. Of these only the last `WINDOW_BYTES` are looked at.
+/// Minimum length of a chunk; the rolling hash starts `WINDOW_BYTES` before it.
 const MIN_CHUNK_BYTES: usize = 2 << 10;
-const MEAN_BITS: u32 = 10;
+/// A boundary is expected once every `2^BOUNDARY_BITS` bytes beyond the minimum length.
+const BOUNDARY_BITS: u32 = 10;
+/// The rolling hash covers this many bytes: older ones are shifted out of its 64 bits.
 const WINDOW_BYTES: usize = 64;
-/// No store has so many chunks.
+/// Maximum number of chunks in a store; a list that exceeds it is corrupted.
 const MAX_CHUNKS: u64 = 1 << 22;
-/// Begins the key of a chunk, before its number.
+/// Key prefix of a chunk, followed by its number.
 pub const CHUNK_PREFIX: u8 = 0xfe;
 
 /// A BLAKE3 digest.
 pub type Digest = [u8; 32];
 
-/// Consecutive numbers of chunks: the first one, and how many.
+/// A range of consecutive chunk numbers: the first number and the count.
 pub type Run = (u64, u32);
 
-/// The chunks of a value, in their order.
+/// The chunks of a value, in order.
 pub type ChunkList = Vec<Run>;
 
-/// The key of a chunk.
+/// Returns the key under which a chunk is stored.
 pub fn chunk_key(number: u64) -> Vec<u8> {
     [&[CHUNK_PREFIX][..], &number.to_be_bytes()].concat()
 }
 
-/// The numbers of the chunks in a list.
+/// Iterates over the chunk numbers in a list.
 pub fn numbers(list: &[Run]) -> impl Iterator<Item = u64> {
     list.iter().flat_map(|(first, count)| {
         let end = first.saturating_add(u64::from(*count));
@@ -43,32 +44,32 @@
     *blake3::hash(bytes).as_bytes()
 }
 
-/// With which weight a byte counts for the end of a chunk: drawn by the mixer of SplitMix64.
-const WEIGHTS: [u64; 256] = {
-    let mut weights = [0; 256];
+/// Gear table of the rolling hash: one 64-bit value per byte, generated with SplitMix64.
+const GEAR: [u64; 256] = {
+    let mut table = [0; 256];
     let mut byte = 0;
     while byte < 256 {
         let seed = (byte as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let mixed = (seed ^ (seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        weights[byte] = mixed ^ (mixed >> 31);
+        table[byte] = mixed ^ (mixed >> 31);
         byte += 1;
     }
-    weights
+    table
 };
 
-/// Where the first chunk ends: by the 64 bytes before, so that what was put in or taken out further ahead moves few of
-/// the ends behind it.
+/// Returns the length of the first chunk. A boundary depends only on the preceding `WINDOW_BYTES`, so boundaries realign
+/// soon after an insertion or deletion.
 fn first_chunk_end(bytes: &[u8]) -> usize {
     let bytes = &bytes[..bytes.len().min(MAX_CHUNK_BYTES)];
     let window = bytes.get(MIN_CHUNK_BYTES - WINDOW_BYTES..MIN_CHUNK_BYTES);
     let (Some(window), Some(rest)) = (window, bytes.get(MIN_CHUNK_BYTES..)) else {
         return bytes.len();
     };
-    let add = |sum: u64, byte: &u8| (sum << 1).wrapping_add(WEIGHTS[usize::from(*byte)]);
+    let add = |sum: u64, byte: &u8| (sum << 1).wrapping_add(GEAR[usize::from(*byte)]);
     let mut sum = window.iter().fold(0, add);
     for (offset, byte) in rest.iter().enumerate() {
-        if sum < 1 << (64 - MEAN_BITS) {
+        if sum < 1 << (64 - BOUNDARY_BITS) {
             return MIN_CHUNK_BYTES + offset;
         }
         sum = add(sum, byte);
@@ -76,46 +77,46 @@
     bytes.len()
 }
 
-/// A part of a value.
+/// One chunk of a value, with its digest.
 pub struct Chunk<'a> {
     digest: Digest,
     bytes: &'a [u8],
 }
 
-/// Cuts a value.
-pub fn cut(value: &[u8]) -> Vec<Chunk<'_>> {
+/// Splits a value into chunks.
+pub fn split_into_chunks(value: &[u8]) -> Vec<Chunk<'_>> {
     let mut chunks = Vec::new();
     let mut rest = value;
     while !rest.is_empty() {
-        let (bytes, behind) = rest.split_at(first_chunk_end(rest));
+        let (bytes, remainder) = rest.split_at(first_chunk_end(rest));
         let digest = digest_of(bytes);
         chunks.push(Chunk { digest, bytes });
-        rest = behind;
+        rest = remainder;
     }
     chunks
 }
 
 struct StoredChunk {
     digest: Digest,
-    /// How many lists name it.
+    /// The number of list entries that refer to the chunk.
     references: u32,
 }
 
-/// Which chunks there are, and how often they are named. It is counted anew at each opening.
+/// Index and reference counts of the stored chunks. It is rebuilt whenever a store is opened.
 #[derive(Default)]
 pub struct ChunkStore {
     by_digest: HashMap<Digest, u64>,
     by_number: HashMap<u64, StoredChunk>,
-    /// Numbers below `next` that nothing has. A row that is written over costs less than one that goes and one that comes.
+    /// Unused numbers below `next`. They are reused first, as overwriting a row costs less than a delete and an insert.
     free: BTreeSet<u64>,
     next: u64,
-    /// Bytes of chunks that were written since they were last asked for.
+    /// Bytes of chunks written since the last call of `take_written_bytes`.
     written_bytes: usize,
 }
 
 impl ChunkStore {
-    /// Names those of these chunks that are there, so that they stay for now.
-    pub fn hold(&mut self, chunks: &[Chunk]) -> ChunkList {
+    /// Adds a reference to each of these chunks that is already stored, and returns their list.
+    pub fn retain_existing(&mut self, chunks: &[Chunk]) -> ChunkList {
         let known = chunks.iter();
         let known = known.filter_map(|chunk| {
             let number = self.by_digest.get(&chunk.digest)?;
@@ -128,7 +129,7 @@
         known.into_iter().map(|(number, _)| (number, 1)).collect()
     }
 
-    /// Names all of these chunks, and writes those that aren't there yet.
+    /// Adds a reference to each of these chunks, and writes those that aren't stored yet.
     pub fn add(&mut self, chunks: &[Chunk], batch: &mut sled::Batch) -> ChunkList {
         let mut list = ChunkList::new();
         for Chunk { digest, bytes } in chunks {
@@ -150,6 +151,7 @@
         list
     }
 
+    /// Adds a reference to a chunk, and indexes it if it is new.
     pub fn add_reference(&mut self, number: u64, digest: Digest) {
         self.by_digest.insert(digest, number);
         let new = StoredChunk {
@@ -161,7 +163,7 @@
         self.next = self.next.max(number.saturating_add(1));
     }
 
-    /// A list is gone. Chunks that nothing names any more go.
+    /// Drops the references of a list, and deletes chunks that are no longer referenced.
     pub fn release(&mut self, list: &[Run], batch: &mut sled::Batch) {
         for number in numbers(list) {
             let Some(stored) = self.by_number.get_mut(&number) else {
@@ -177,9 +179,9 @@
         }
     }
 
-    /// After all lists were read: finds the numbers that are free. False: a list names a chunk that no store can have.
-    /// The lowest free number is always taken, so none is above the most chunks that there ever were.
-    pub fn find_free(&mut self) -> bool {
+    /// Rebuilds the set of unused numbers after all lists were read. Returns false if a chunk number is out of range:
+    /// the lowest unused number is always assigned first, so numbers never exceed the peak number of chunks.
+    pub fn rebuild_free_numbers(&mut self) -> bool {
         if self.next > MAX_CHUNKS {
             return false;
         }
@@ -188,12 +190,12 @@
         true
     }
 
-    /// Bytes of chunks that were written since this was last asked.
+    /// Returns and resets the number of chunk bytes written since the last call.
     pub fn take_written_bytes(&mut self) -> usize {
         std::mem::take(&mut self.written_bytes)
     }
 
-    /// How many chunks there are.
+    /// The number of stored chunks.
     #[cfg(test)]
     pub fn count(&self) -> usize {
         self.by_number.len()
--- a/crates/rookpulley-store/src/database.rs
+++ b/crates/rookpulley-store/src/database.rs
@@ -1,44 +1,44 @@
-//! The folder of a store, its files, and how `sled` is opened.
+//! File and tree names of a store, and helpers to open and sync it.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Where in its data folder a controller has its store.
+/// Directory of the store in a controller's data folder.
 pub const FOLDER: &str = "store";
-/// The file in which `sled` has its pages.
+/// The file in which `sled` keeps its pages.
 pub const PAGES: &str = "db";
-/// The trees, by name. They are part of the format.
+/// Names of the trees, part of the stored format.
 pub const CHAIN: &str = "chain";
 pub const INSTANCES: &str = "lives";
-/// Of this tree only that it is written to matters, see `writer`.
+/// Tree of dummy rows that make `sled` move pages, see `writer`.
 pub const SWEEP: &str = "sweep";
-/// Rows of the default tree.
+/// Keys of the default tree, part of the stored format.
 pub const IDENTITY: &[u8] = b"identity";
 pub const BOOTSTRAP: &[u8] = b"founder";
 
-/// A store that another process is letting go of is tried again after such a pause.
+/// Pause between attempts to open a store that another process may be closing.
 pub const RETRY: Duration = Duration::from_millis(100);
 const CACHE_BYTES: u64 = 2 << 20;
 
-/// Whether another process has the store. `sled` says it in words only.
-pub fn is_in_use(why: &sled::Error) -> bool {
-    let says_so = |why: &std::io::Error| why.to_string().starts_with("could not acquire lock");
-    matches!(why, sled::Error::Io(io) if io.raw_os_error().is_none() && says_so(io))
+/// Returns whether another process holds the lock of the store. `sled` reports this only in the error message.
+pub fn is_in_use(error: &sled::Error) -> bool {
+    let is_lock_error =
+        |error: &std::io::Error| error.to_string().starts_with("could not acquire lock");
+    matches!(error, sled::Error::Io(io) if io.raw_os_error().is_none() && is_lock_error(io))
 }
 
-/// Whether the system refuses something. What it refuses now it may grant soon.
-pub fn is_refused(why: &sled::Error) -> bool {
-    matches!(why, sled::Error::Io(io) if io.raw_os_error().is_some())
+/// Returns whether a system call failed, which may be temporary.
+pub fn is_os_error(error: &sled::Error) -> bool {
+    matches!(error, sled::Error::Io(io) if io.raw_os_error().is_some())
 }
 
-/// Something is there that this build can't have written.
+/// Creates the error for content that no supported build can have written.
 pub fn corrupted(what: &str) -> sled::Error {
     sled::Error::ReportableBug(what.into())
 }
 
-/// Syncs all files in a folder, and the folder, all at the same time. Whoever opens a store waits for all of them, and on
-/// the bench's disks that is shorter than one after the other (`docs/results.md`).
+/// Syncs a folder and all files below it in parallel, which shortens the opening of a store.
 pub fn sync_all(folder: &Path) -> std::io::Result<()> {
     let paths = paths_below(folder)?;
     std::thread::scope(|scope| {
@@ -49,7 +49,7 @@
                 std::thread::Builder::new().spawn_scoped(scope, sync)
             })
             .collect();
-        // All are waited for, whichever fails.
+        // Joins all threads, even after an error.
         let results = syncs.into_iter().map(|sync| {
             let panicked = |_| Err(std::io::ErrorKind::Other.into());
             sync?.join().unwrap_or_else(panicked)
@@ -58,7 +58,7 @@
     })
 }
 
-/// A folder and all that is below it.
+/// Returns a folder and all files and folders below it.
 fn paths_below(folder: &Path) -> std::io::Result<Vec<PathBuf>> {
     let mut paths = vec![folder.to_path_buf()];
     for entry in std::fs::read_dir(folder)? {
@@ -72,18 +72,18 @@
     Ok(paths)
 }
 
-/// Syncs which files a folder has.
+/// Syncs the entries of a folder.
 pub fn sync_folder(folder: &Path) -> std::io::Result<()> {
     File::open(folder)?.sync_all()
 }
 
-/// A corrupted store may make `sled` panic, when it is opened and also when it is read: that is an error as well.
+/// Turns a panic into an error: `sled` may panic when it opens or reads a corrupted store.
 pub fn catch_panic<T>(work: impl FnOnce() -> Result<T, sled::Error>) -> Result<T, sled::Error> {
     let work = std::panic::AssertUnwindSafe(work);
-    std::panic::catch_unwind(work).unwrap_or_else(|_| Err(corrupted("it can't be read")))
+    std::panic::catch_unwind(work).unwrap_or_else(|_| Err(corrupted("sled panicked")))
 }
 
-/// Opens the store in a folder, or makes one.
+/// Opens the database in a folder, or creates one.
 pub fn open_at(folder: &Path) -> Result<sled::Db, sled::Error> {
     let config = sled::Config::new()
         .path(folder)
@@ -93,7 +93,7 @@
     catch_panic(|| config.open())
 }
 
-/// Reads the identity that was minted with a store.
+/// Reads the identity of a store, if it has one.
 pub fn identity(db: &sled::Db) -> Result<Option<u64>, sled::Error> {
     let row = db.get(IDENTITY)?;
     let bytes = row.and_then(|row| row.as_ref().try_into().ok());
--- a/crates/rookpulley-store/src/inspect/tests.rs
+++ b/crates/rookpulley-store/src/inspect/tests.rs
@@ -2,26 +2,26 @@
 use crate::{Store, StoreTree};
 use rookpulley_chain::Record;
 
-/// `sled` may let go of its lock a little after its owner is gone.
-fn looked(folder: &Path) -> Contents {
+/// Inspects a store once `sled` has released its lock, which may be shortly after the store was closed.
+fn inspect_closed(folder: &Path) -> Contents {
     loop {
         match inspect(folder) {
             Err(InspectError::InUse(_)) => std::thread::yield_now(),
-            seen => return seen.unwrap(),
+            result => return result.unwrap(),
         }
     }
 }
 
 #[test]
-fn a_look_shows_what_was_written_and_changes_nothing_of_it() {
+fn inspect_returns_the_rows_and_leaves_them_unchanged() {
     let folder = tempfile::tempdir().unwrap();
     assert!(matches!(
         inspect(folder.path()),
-        Err(InspectError::Nothing(_))
+        Err(InspectError::NotFound(_))
     ));
     assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), 0);
-    let (said, mut heard) = tokio::sync::mpsc::unbounded_channel();
-    let store = Store::open(folder.path(), 7, None, said).unwrap();
+    let (sender, mut events) = tokio::sync::mpsc::unbounded_channel();
+    let store = Store::open(folder.path(), 7, None, sender).unwrap();
     let put = |key: &str| Record::Put {
         key: key.into(),
         value: vec![1; 9],
@@ -29,31 +29,31 @@
     assert!(store.write(StoreTree::Chain, 1, vec![put("a"), put("b")]));
     assert!(store.write(StoreTree::Instances, 1, vec![put("i-1")]));
     drop(store);
-    while heard.blocking_recv().is_some() {}
-    let seen = looked(folder.path());
+    while events.blocking_recv().is_some() {}
+    let contents = inspect_closed(folder.path());
     assert_eq!(
         (
-            seen.identity,
-            seen.chain_rows.len(),
-            seen.instance_rows.len()
+            contents.identity,
+            contents.chain_rows.len(),
+            contents.instance_rows.len()
         ),
         (Some(7), 2, 1)
     );
-    assert_eq!(looked(folder.path()), seen);
-    let (said, _heard) = tokio::sync::mpsc::unbounded_channel();
-    let again = Store::open(folder.path(), 8, None, said).unwrap();
+    assert_eq!(inspect_closed(folder.path()), contents);
+    let (sender, _events) = tokio::sync::mpsc::unbounded_channel();
+    let reopened = Store::open(folder.path(), 8, None, sender).unwrap();
     assert_eq!(
-        (again.identity, again.is_new, &again.chain_rows),
-        (7, false, &seen.chain_rows)
+        (reopened.identity, reopened.is_new, &reopened.chain_rows),
+        (7, false, &contents.chain_rows)
     );
 }
 
 #[test]
-fn a_spoilt_store_is_told_of_and_stays() {
+fn a_corrupted_store_is_reported_and_kept() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::create_dir_all(folder.path().join("store")).unwrap();
     std::fs::write(folder.path().join("store/db"), vec![0xa5; 1 << 20]).unwrap();
-    std::fs::write(folder.path().join("store/conf"), b"nothing that sled wrote").unwrap();
+    std::fs::write(folder.path().join("store/conf"), b"not written by sled").unwrap();
     assert!(matches!(
         inspect(folder.path()),
         Err(InspectError::Corrupted(..))
--- a/crates/rookpulley-store/src/lib.rs
+++ b/crates/rookpulley-store/src/lib.rs
@@ -1,15 +1,15 @@
-//! A controller's durable store, on `sled`, and the inspection of one that no process uses.
+//! The controller's durable store, built on `sled`, with offline inspection and replacement.
 //!
-//! | file | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `store` | the store of a running controller: how it is opened, and what it held |
-//! | `writer` | the thread that writes batches and syncs them |
-//! | `rows`, `chunks` | how rows of any length are kept as short ones, and what several hold kept once |
-//! | `inspect`, `replace` | reading a store that nobody uses, and putting another one in its place |
-//! | `placement` | which of the stores in a folder counts |
-//! | `database` | the folder, its files, and `sled` itself |
+//! | `store` | the store of a running controller: opening, recovery and writes |
+//! | `writer` | the background thread that writes and syncs batches |
+//! | `rows`, `chunks` | splitting of long rows into short ones, and deduplication of their content |
+//! | `inspect`, `replace` | offline inspection and replacement of a store |
+//! | `placement` | the directories of the current, the next and the replaced store |
+//! | `database` | file names, tree names and the configuration of `sled` |
 //!
-//! Invariant: a write is reported as synced only once it and all before it survive a loss of power.
+//! Invariant: a write is reported as synced only once it and all earlier writes survive a power loss.
 
 #![warn(missing_docs)]
 
--- a/crates/rookpulley-store/src/placement.rs
+++ b/crates/rookpulley-store/src/placement.rs
@@ -1,16 +1,16 @@
-//! Which of the stores in a folder counts, and how one takes the place of another.
+//! Directories of the stores in a folder, and the renames that replace one store by another.
 
 use crate::database::{FOLDER, sync_folder};
 use std::fs::{remove_dir_all, rename};
 use std::io::Error;
 use std::path::{Path, PathBuf};
 
-/// A store that is complete and not in its place yet.
+/// A complete store that is not yet at its final path.
 pub(crate) const NEXT: &str = "store.next";
-/// The store that another one took the place of.
+/// The previous store, kept after a replacement.
 pub(crate) const REPLACED: &str = "store.before";
 
-/// Puts a store that was written whole into its place, where a crash has kept that from being done.
+/// Renames a completely written store to its final path. Finishes a replacement that a crash interrupted.
 pub(crate) fn finish_replacement(folder: &Path) -> Result<(), Error> {
     let at = folder.join(FOLDER);
     let next = folder.join(NEXT);
@@ -24,8 +24,8 @@
     sync_folder(folder)
 }
 
-/// Takes a store out of its place. The first that is put aside is kept beside it, as the operator may still want it.
-pub(crate) fn put_aside(folder: &Path) -> Result<(), Error> {
+/// Removes a store from its final path. It is kept as the replaced store for the operator unless there already is one.
+pub(crate) fn move_aside(folder: &Path) -> Result<(), Error> {
     let at = folder.join(FOLDER);
     let replaced = folder.join(REPLACED);
     if replaced.exists() {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Where the store is kept that another one took the place of.
+/// Returns the path at which a replaced store is kept.
 pub fn replaced_store(folder: &Path) -> PathBuf {
     folder.join(REPLACED)
 }
--- a/crates/rookpulley-store/src/replace.rs
+++ b/crates/rookpulley-store/src/replace.rs
@@ -1,7 +1,7 @@
-//! Another store in the place of one that no process uses.
+//! Offline replacement of a store.
 //!
-//! Invariant: it is written aside and synced whole, and that it gets its final name is one step. Before it the old store
-//! counts, after it the new one, whichever of them is found where the store belongs.
+//! Invariant: the new store is written to a temporary directory, synced and renamed to `store.next` in one step. A crash
+//! before the rename leaves the old store in effect, a crash after it the new one, whichever is at the final path.
 
 use crate::database::{
     CHAIN, FOLDER, IDENTITY, INSTANCES, PAGES, RETRY, open_at, sync_all, sync_folder,
@@ -14,27 +14,27 @@
 use std::io::{Error, ErrorKind};
 use std::path::Path;
 
-/// A store that is half written.
-const MAKING: &str = "store.making";
-/// How often the lock is asked for, each time after a tenth of `RETRY`.
+/// Temporary directory of a store that is being written.
+const TEMPORARY: &str = "store.making";
+/// Maximum number of attempts to take the lock, a tenth of `RETRY` apart.
 const LOCK_RETRIES: u32 = 100;
 
-/// Nobody else may open the store as long as the file is held. `sled` may let go of its lock a little after its owner is
-/// gone.
+/// Locks the store against other processes while the returned file is open. Retries, as `sled` may release its lock
+/// shortly after the store was closed.
 fn lock(pages: &Path) -> Result<File, Error> {
     let file = File::options().read(true).write(true).open(pages)?;
     for _ in 0..LOCK_RETRIES {
         match file.try_lock() {
             Ok(()) => return Ok(file),
             Err(TryLockError::WouldBlock) => std::thread::sleep(RETRY / 10),
-            Err(TryLockError::Error(why)) => return Err(why),
+            Err(TryLockError::Error(error)) => return Err(error),
         }
     }
     Err(ErrorKind::WouldBlock.into())
 }
 
-/// Gives the controller in this folder another identity and other rows of the chain. What it knows of instances stays;
-/// `old` is what `inspect` has just shown. The store as it was is kept beside.
+/// Replaces the store in this folder by one with another identity and other chain rows. The instance rows are copied from
+/// `old`, the result of `inspect`. The previous store is kept at `replaced_store`.
 pub fn replace(
     folder: &Path,
     old: &Contents,
@@ -42,38 +42,39 @@
     chain: &[Record],
 ) -> Result<(), InspectError> {
     let at = folder.join(FOLDER);
-    let failed = |why| InspectError::Unwritten(folder.into(), why);
+    let failed = |error| InspectError::ReplaceFailed(folder.into(), error);
     let replaced = replaced_store(folder);
     if replaced.exists() {
         return Err(InspectError::ReplacedStoreExists(replaced));
     }
-    let _lock = lock(&at.join(PAGES)).map_err(|why| match why.kind() {
+    let _lock = lock(&at.join(PAGES)).map_err(|error| match error.kind() {
         ErrorKind::WouldBlock => InspectError::InUse(at.clone()),
-        _ => failed(why),
+        _ => failed(error),
     })?;
     write_next(folder, old, identity, chain).map_err(failed)?;
     finish_replacement(folder).map_err(failed)
 }
 
+/// Writes and syncs the new store, and renames it to `store.next`.
 fn write_next(folder: &Path, old: &Contents, identity: u64, chain: &[Record]) -> Result<(), Error> {
-    let making = folder.join(MAKING);
-    if making.exists() {
-        remove_dir_all(&making)?;
+    let temporary = folder.join(TEMPORARY);
+    if temporary.exists() {
+        remove_dir_all(&temporary)?;
     }
-    write_store(&making, old, identity, chain)?;
-    let _lock = lock(&making.join(PAGES))?;
-    sync_all(&making)?;
-    rename(&making, folder.join(NEXT))?;
+    write_store(&temporary, old, identity, chain)?;
+    let _lock = lock(&temporary.join(PAGES))?;
+    sync_all(&temporary)?;
+    rename(&temporary, folder.join(NEXT))?;
     sync_folder(folder)
 }
 
 fn write_store(
-    making: &Path,
+    temporary: &Path,
     old: &Contents,
     identity: u64,
     chain: &[Record],
 ) -> Result<(), sled::Error> {
-    let db = open_at(making)?;
+    let db = open_at(temporary)?;
     db.insert(IDENTITY, &identity.to_le_bytes())?;
     let instances = old.instance_rows.iter().map(|(key, value)| Record::Put {
         key: key.clone(),
--- a/crates/rookpulley-store/src/replace/tests.rs
+++ b/crates/rookpulley-store/src/replace/tests.rs
@@ -9,56 +9,57 @@
     }
 }
 
-/// What is in the store once nobody has it any more.
-fn looked(folder: &Path) -> Contents {
+/// Inspects a store once `sled` has released its lock, which may be shortly after the store was closed.
+fn inspect_closed(folder: &Path) -> Contents {
     loop {
         match inspect(folder) {
             Err(InspectError::InUse(_)) => std::thread::yield_now(),
-            seen => return seen.unwrap(),
+            result => return result.unwrap(),
         }
     }
 }
 
-fn a_store() -> (tempfile::TempDir, Contents) {
+fn create_store() -> (tempfile::TempDir, Contents) {
     let folder = tempfile::tempdir().unwrap();
-    let (said, mut heard) = tokio::sync::mpsc::unbounded_channel();
-    let store = Store::open(folder.path(), 7, None, said).unwrap();
+    let (sender, mut events) = tokio::sync::mpsc::unbounded_channel();
+    let store = Store::open(folder.path(), 7, None, sender).unwrap();
     assert!(store.write(StoreTree::Chain, 1, vec![put("a")]));
     assert!(store.write(StoreTree::Instances, 1, vec![put("i-1")]));
     drop(store);
-    while heard.blocking_recv().is_some() {}
-    let old = looked(folder.path());
+    while events.blocking_recv().is_some() {}
+    let old = inspect_closed(folder.path());
     (folder, old)
 }
 
-fn what(seen: &Contents) -> (Option<u64>, Vec<&[u8]>, Vec<&[u8]>) {
+/// The identity and the keys of the chain and the instances.
+fn identity_and_keys(contents: &Contents) -> (Option<u64>, Vec<&[u8]>, Vec<&[u8]>) {
     fn keys(rows: &[(Vec<u8>, Vec<u8>)]) -> Vec<&[u8]> {
         rows.iter().map(|(key, _)| key.as_slice()).collect()
     }
     (
-        seen.identity,
-        keys(&seen.chain_rows),
-        keys(&seen.instance_rows),
+        contents.identity,
+        keys(&contents.chain_rows),
+        keys(&contents.instance_rows),
     )
 }
 
 #[test]
-fn a_crash_at_any_step_of_a_replacement_leaves_the_old_store_or_the_new_one() {
+fn a_crash_during_replacement_leaves_the_old_or_the_new_store() {
     for step in 0..4 {
-        let (folder, old) = a_store();
-        let at = |name: &str| folder.path().join(name);
+        let (folder, old) = create_store();
+        let path = |name: &str| folder.path().join(name);
         let new = (Some(9), vec![&b"c"[..]], vec![&b"i-1"[..]]);
-        let wanted = match step {
-            // While it is written; what stands there already may be anything.
+        let expected = match step {
+            // Crash while the new store is written: the old one stays in effect.
             0 => {
-                write_store(&at(MAKING), &old, 9, &[put("b")]).unwrap();
-                what(&old)
+                write_store(&path(TEMPORARY), &old, 9, &[put("b")]).unwrap();
+                identity_and_keys(&old)
             }
-            // It is whole; the old one is still in its place, or it has left it.
+            // Crash after the new store is complete, before or after the old one is moved aside.
             1 | 2 => {
                 write_next(folder.path(), &old, 9, &[put("c")]).unwrap();
                 if step == 2 {
-                    rename(at(FOLDER), at(REPLACED)).unwrap();
+                    rename(path(FOLDER), path(REPLACED)).unwrap();
                 }
                 new.clone()
             }
@@ -67,34 +68,38 @@
                 new.clone()
             }
         };
-        let (said, mut heard) = tokio::sync::mpsc::unbounded_channel();
-        let store = Store::open(folder.path(), 8, None, said).unwrap();
+        let (sender, mut events) = tokio::sync::mpsc::unbounded_channel();
+        let store = Store::open(folder.path(), 8, None, sender).unwrap();
         assert_eq!(
             (Some(store.identity), store.is_new),
-            (wanted.0, false),
+            (expected.0, false),
             "step {step}"
         );
         drop(store);
-        while heard.blocking_recv().is_some() {}
-        assert_eq!(what(&looked(folder.path())), wanted, "step {step}");
+        while events.blocking_recv().is_some() {}
+        assert_eq!(
+            identity_and_keys(&inspect_closed(folder.path())),
+            expected,
+            "step {step}"
+        );
         if step == 0 {
             replace(folder.path(), &old, 9, &[put("c")]).unwrap();
-            assert_eq!(what(&looked(folder.path())), new);
+            assert_eq!(identity_and_keys(&inspect_closed(folder.path())), new);
         }
-        assert!(at("store.before/db").is_file());
-        let again = replace(folder.path(), &old, 10, &[put("d")]);
+        assert!(path("store.before/db").is_file());
+        let second = replace(folder.path(), &old, 10, &[put("d")]);
         assert!(
-            matches!(again, Err(InspectError::ReplacedStoreExists(_))),
-            "{again:?}"
+            matches!(second, Err(InspectError::ReplacedStoreExists(_))),
+            "{second:?}"
         );
     }
 }
 
 #[test]
 fn a_store_in_use_is_not_replaced() {
-    let (folder, old) = a_store();
-    let (said, _heard) = tokio::sync::mpsc::unbounded_channel();
-    let _store = Store::open(folder.path(), 8, None, said).unwrap();
+    let (folder, old) = create_store();
+    let (sender, _events) = tokio::sync::mpsc::unbounded_channel();
+    let _store = Store::open(folder.path(), 8, None, sender).unwrap();
     assert!(matches!(
         replace(folder.path(), &old, 9, &[put("c")]),
         Err(InspectError::InUse(_))
--- a/crates/rookpulley-store/src/rows.rs
+++ b/crates/rookpulley-store/src/rows.rs
@@ -1,30 +1,30 @@
-//! Rows of any length, kept as short ones.
+//! Storage of rows of any length as short `sled` rows.
 //!
-//! `sled` writes a page whole, and a page holds up to seventeen rows. One that grows over a quarter of a segment
-//! (128 KiB) goes to a file of its own, which nobody syncs: after a loss of power the store names a file that isn't
-//! there, and can't be read any more. So no row is long. A long value goes into chunks, in the same batch, and the row
-//! is a list of them.
+//! `sled` writes whole pages of up to seventeen rows. A page of more than a quarter of a segment (128 KiB) goes to a
+//! separate blob file that is never synced, so a power loss can leave a store that refers to a missing file. Long
+//! values are therefore split into chunks, written in the same batch, and the row holds the list of chunks.
 
 use crate::chunks::{
-    CHUNK_PREFIX, ChunkList, ChunkStore, Digest, MAX_CHUNK_BYTES, cut, digest_of, numbers,
+    CHUNK_PREFIX, ChunkList, ChunkStore, Digest, MAX_CHUNK_BYTES, digest_of, numbers,
+    split_into_chunks,
 };
 use crate::database::corrupted;
 use rookpulley_chain::Record;
 use std::collections::{BTreeMap, HashMap};
 
-/// Keys with their values, as those above the store see them.
+/// Keys and values as the users of the store see them, with long values reassembled.
 pub type Rows = Vec<(Vec<u8>, Vec<u8>)>;
 
-/// A longer value is cut. Seventeen rows of this length and their keys are far below what makes a page too long.
+/// Longer values are split into chunks. Seventeen rows of this length stay well below the blob threshold of a page.
 const MAX_ROW_BYTES: usize = MAX_CHUNK_BYTES;
-/// Begins the key of a list of chunks, before the key of its row.
+/// Key prefix of a list of chunks, followed by the key of its row.
 const LIST_PREFIX: u8 = 0xfd;
-/// Begins the key of what follows the first piece of a long list, or of a long row that an older build wrote: then come
-/// the key and the number of the piece. No other key begins with this or the other two.
+/// Key prefix of the continuation of a long list, or of a long row written by an older build, followed by the key of
+/// the row and the number of the piece. Row keys must not start with any of the three prefixes.
 const PIECE_PREFIX: u8 = 0xff;
 
-/// Stands beside the first list. A build that knows no lists takes it for a view that it can't read, and the store for
-/// corrupted: it must not go on without the rows that it doesn't see.
+/// Written along with the first list. A build without support for lists reads this key as an invalid view and rejects
+/// the store as corrupted, instead of continuing without the chunked rows.
 const LISTS_MARKER: &[u8] = b"v: rows by chunks";
 
 fn list_key(key: &[u8]) -> Vec<u8> {
@@ -35,10 +35,10 @@
     [&[PIECE_PREFIX], key, &piece.to_be_bytes()[..]].concat()
 }
 
-/// Writes the rows of one tree, and knows what stands there beside them.
+/// Writes the rows of one tree, and tracks their pieces, lists and chunks.
 #[derive(Default)]
 pub struct RowWriter {
-    /// How many further pieces there are, by the key of the first.
+    /// The number of pieces beyond the first, by the key of the row.
     pieces: BTreeMap<Vec<u8>, u32>,
     lists: BTreeMap<Vec<u8>, ChunkList>,
     chunks: ChunkStore,
@@ -46,40 +46,43 @@
 }
 
 impl RowWriter {
-    /// Puts a record into a batch, with what it needs beside its row, and takes away what the one before had.
+    /// Adds a record to a batch, with its list and chunks, and removes those of the value that it replaces.
     pub fn write(&mut self, record: Record, batch: &mut sled::Batch) {
         let (key, value) = match record {
             Record::Put { key, value } => (key, Some(value)),
             Record::Delete { key } => (key, None),
         };
         let is_long = |value: &&[u8]| value.len() > MAX_ROW_BYTES;
-        let chunks = value.as_deref().filter(is_long).map(cut);
-        let before = self.lists.remove(&key);
-        // Chunks that both have stay; the others go before their numbers are taken again.
-        let held = chunks.as_ref().map(|chunks| self.chunks.hold(chunks));
-        if let Some(list) = &before {
+        let chunks = value.as_deref().filter(is_long).map(split_into_chunks);
+        let old_list = self.lists.remove(&key);
+        // Retains shared chunks before the old list is released, so that only unshared ones are deleted. The release
+        // must come before `add`, which may reuse their numbers.
+        let retained = chunks
+            .as_ref()
+            .map(|chunks| self.chunks.retain_existing(chunks));
+        if let Some(list) = &old_list {
             self.chunks.release(list, batch);
         }
         let list = chunks.map(|chunks| self.chunks.add(&chunks, batch));
-        if let Some(list) = &held {
+        if let Some(list) = &retained {
             self.chunks.release(list, batch);
         }
-        let had_list = before.is_some();
+        let had_list = old_list.is_some();
         match list {
             Some(list) => {
                 self.put_marker(batch);
                 if !had_list {
-                    self.put(key.clone(), None, batch);
+                    self.put_pieces(key.clone(), None, batch);
                 }
                 let encoded = postcard::to_allocvec(&list).ok();
-                self.put(list_key(&key), encoded, batch);
+                self.put_pieces(list_key(&key), encoded, batch);
                 self.lists.insert(key, list);
             }
             None => {
                 if had_list {
-                    self.put(list_key(&key), None, batch);
+                    self.put_pieces(list_key(&key), None, batch);
                 }
-                self.put(key, value, batch);
+                self.put_pieces(key, value, batch);
             }
         }
     }
@@ -91,25 +94,25 @@
         }
     }
 
-    /// Bytes of chunks that were written since this was last asked.
+    /// Returns and resets the number of chunk bytes written since the last call.
     pub fn take_written_bytes(&mut self) -> usize {
         self.chunks.take_written_bytes()
     }
 
-    /// Puts a row piece by piece, and removes the pieces that the one before had beyond.
-    fn put(&mut self, key: Vec<u8>, value: Option<Vec<u8>>, batch: &mut sled::Batch) {
+    /// Writes or removes a row, split into pieces if it is long, and removes leftover pieces of its previous value.
+    fn put_pieces(&mut self, key: Vec<u8>, value: Option<Vec<u8>>, batch: &mut sled::Batch) {
         let length = value.as_ref().map_or(0, Vec::len);
-        let further = length.div_ceil(MAX_ROW_BYTES).saturating_sub(1) as u32;
-        let before = if further > 0 {
-            self.pieces.insert(key.clone(), further)
+        let continuations = length.div_ceil(MAX_ROW_BYTES).saturating_sub(1) as u32;
+        let previous = if continuations > 0 {
+            self.pieces.insert(key.clone(), continuations)
         } else {
             self.pieces.remove(&key)
         };
-        for piece in further..before.unwrap_or(0) {
+        for piece in continuations..previous.unwrap_or(0) {
             batch.remove(piece_key(&key, piece));
         }
         match value {
-            Some(value) if further > 0 => {
+            Some(value) if continuations > 0 => {
                 let mut pieces = value.chunks(MAX_ROW_BYTES);
                 batch.insert(key.as_slice(), pieces.next().unwrap_or_default());
                 for (piece, bytes) in (0..).zip(pieces) {
@@ -121,22 +124,22 @@
         }
     }
 
-    /// Reads the rows of a tree as they were before they were cut, and what stands there beside them.
+    /// Reads all rows of a tree, reassembles long ones, and returns a writer with the state of the tree.
     pub fn read(tree: &sled::Tree) -> Result<(Rows, Self), sled::Error> {
-        let torn = || corrupted("a long row is torn");
+        let incomplete = || corrupted("a long row is incomplete");
         let mut writer = Self::default();
         let mut tree_rows = TreeRows::default();
         for row in tree.iter() {
             let (key, value) = row?;
-            tree_rows.take(&key, value, &mut writer.pieces);
+            tree_rows.add(&key, value, &mut writer.pieces);
         }
         let TreeRows { mut rows, chunks } = tree_rows;
         writer.has_marker = rows.remove(LISTS_MARKER).is_some();
         for (key, list) in rows.split_off(&vec![LIST_PREFIX]) {
-            let list: ChunkList = postcard::from_bytes(&list).map_err(|_| torn())?;
+            let list: ChunkList = postcard::from_bytes(&list).map_err(|_| incomplete())?;
             let mut value = Vec::new();
             for number in numbers(&list) {
-                let (digest, bytes) = chunks.get(&number).ok_or_else(torn)?;
+                let (digest, bytes) = chunks.get(&number).ok_or_else(incomplete)?;
                 value.extend_from_slice(bytes);
                 writer.chunks.add_reference(number, *digest);
             }
@@ -144,14 +147,14 @@
             rows.insert(key.clone(), value);
             writer.lists.insert(key, list);
         }
-        if !writer.chunks.find_free() {
-            return Err(torn());
+        if !writer.chunks.rebuild_free_numbers() {
+            return Err(incomplete());
         }
         Ok((rows.into_iter().collect(), writer))
     }
 }
 
-/// What a tree holds, sorted by kind.
+/// The content of a tree, with chunks separated from other rows.
 #[derive(Default)]
 struct TreeRows {
     rows: BTreeMap<Vec<u8>, Vec<u8>>,
@@ -159,8 +162,9 @@
 }
 
 impl TreeRows {
-    /// Rows come in the order of their keys: all first pieces before all others, and those of one row in their order.
-    fn take(&mut self, key: &[u8], value: sled::IVec, pieces: &mut BTreeMap<Vec<u8>, u32>) {
+    /// Adds a row. Rows must be added in key order: first pieces precede all continuations, and those of a row are in
+    /// order.
+    fn add(&mut self, key: &[u8], value: sled::IVec, pieces: &mut BTreeMap<Vec<u8>, u32>) {
         let chunk = key.strip_prefix(&[CHUNK_PREFIX]);
         if let Some(number) = chunk.and_then(|rest| rest.try_into().ok()) {
             let digest = digest_of(&value);
--- a/crates/rookpulley-store/src/store.rs
+++ b/crates/rookpulley-store/src/store.rs
@@ -1,10 +1,10 @@
-//! The store of a running controller.
+//! Opening, recovery and writes of a running controller's store.
 
 use crate::database::{
     BOOTSTRAP, CHAIN, FOLDER, IDENTITY, INSTANCES, PAGES, RETRY, catch_panic, corrupted, identity,
-    is_in_use, is_refused, open_at, sync_all, sync_folder,
+    is_in_use, is_os_error, open_at, sync_all, sync_folder,
 };
-use crate::placement::{finish_replacement, put_aside};
+use crate::placement::{finish_replacement, move_aside};
 use crate::rows::{RowWriter, Rows};
 use crate::writer::{StoreEvent, StoreTree, TreeWriter, WriteRequest, Writer};
 use rookpulley_chain::{PersistedState, Record};
@@ -16,46 +16,47 @@
 /// Why a store can't be opened.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum StoreError {
-    /// The system refuses something in the folder.
+    /// A file operation in the folder failed.
     #[error("the folder {0} can't be used: {1}")]
     #[diagnostic(help("dataDirectory must name a folder that this process may write to"))]
     Folder(PathBuf, #[source] std::io::Error),
-    /// Another process has it.
+    /// Another process has the store open.
     #[error("the store in {0} is in use by another process")]
-    #[diagnostic(help("let one process at a time have a dataDirectory; end the other one first"))]
+    #[diagnostic(help("only one process may use a dataDirectory; end the other one first"))]
     InUse(PathBuf),
-    /// Not even a new one can be made.
-    #[error("the store can't be opened, even as a new one: {0}")]
+    /// Neither the existing store can be opened nor a new one created.
+    #[error("the store can't be opened or created: {0}")]
     Store(#[from] sled::Error),
-    /// The system refuses a thread.
-    #[error("the store's thread can't be started: {0}")]
+    /// The writer thread can't be started.
+    #[error("the store's writer thread can't be started: {0}")]
     Thread(#[source] std::io::Error),
 }
 
-/// A controller's store. All writes go to a thread of its own.
+/// A controller's store. A dedicated thread carries out the writes.
 pub struct Store {
     requests: mpsc::Sender<WriteRequest>,
-    /// The identity that was minted with the store.
+    /// The identity assigned when the store was created.
     pub identity: u64,
-    /// The store was made just now.
+    /// Whether the store was created by this call of `open`.
     pub is_new: bool,
-    /// What the store was minted with, where that was at the first start of the whole system: who makes the first view.
+    /// The bootstrap data that the store was created with, if that was at the first start of the whole system. It says
+    /// which controller creates the first view.
     pub bootstrap: Option<Vec<u8>>,
-    /// What it held of the chain when it was opened.
+    /// Rows of the chain when the store was opened.
     pub chain_rows: Rows,
-    /// What it held of instances when it was opened.
+    /// Rows of the instances when the store was opened.
     pub instance_rows: Rows,
 }
 
-/// How often a store that can't be opened now is tried again. Who opens it goes on without it meanwhile, and asks again.
+/// Maximum number of retries after a temporary error. The controller then runs without a store, and opens it later.
 const OPEN_RETRIES: u32 = 10;
-/// A file beside the store that says that it is to be discarded.
+/// Marker file beside the store: the store is discarded when it is opened next.
 const DISCARDED: &str = "spoilt";
 
-/// A store that was opened, with what it held.
+/// An open database with its content.
 struct OpenedStore {
     db: sled::Db,
-    /// None: it is new.
+    /// None if the store is new.
     identity: Option<u64>,
     chain_rows: Rows,
     chain: RowWriter,
@@ -64,14 +65,14 @@
 }
 
 impl OpenedStore {
-    /// Reads all of it. What was written before must be found again whole, the identity too.
+    /// Reads the whole store, and checks that the chain's rows are complete.
     fn read(db: sled::Db) -> Result<Self, sled::Error> {
         let identity = identity(&db)?;
         let (chain_rows, chain) = RowWriter::read(&db.open_tree(CHAIN)?)?;
         let (instance_rows, instances) = RowWriter::read(&db.open_tree(INSTANCES)?)?;
         let persisted = PersistedState::read(chain_rows.iter().cloned());
         if !persisted.is_sound() {
-            return Err(corrupted("the chain's rows are torn"));
+            return Err(corrupted("the chain's rows are incomplete"));
         }
         let mut opened = Self {
             db,
@@ -82,7 +83,7 @@
             instances,
         };
         if identity.is_none() {
-            // Whatever else it holds was written before it was a store.
+            // Without an identity the store was never in use, so its rows are ignored.
             opened.chain_rows.clear();
             opened.instance_rows.clear();
         }
@@ -100,7 +101,7 @@
         }
     }
 
-    fn mint(&self, identity: u64, bootstrap: Option<&[u8]>) -> Result<(), sled::Error> {
+    fn write_identity(&self, identity: u64, bootstrap: Option<&[u8]>) -> Result<(), sled::Error> {
         let mut batch = sled::Batch::default();
         batch.insert(IDENTITY, &identity.to_le_bytes());
         if let Some(bootstrap) = bootstrap {
@@ -111,10 +112,10 @@
 }
 
 impl Store {
-    /// Opens the store in a data folder. One that is corrupted is discarded: a new one is minted with this identity, and
-    /// with who makes the first view, if this is the first start of the whole system.
+    /// Opens the store in a data folder, or creates it with the identity `new_identity` and, at the first start of the
+    /// whole system, the `bootstrap` data. A corrupted store is discarded and replaced by a new one.
     ///
-    /// What the store says comes by `events`.
+    /// The results of writes are sent to `events`.
     pub fn open(
         folder: &Path,
         new_identity: u64,
@@ -124,7 +125,8 @@
         Self::open_with_retries(folder, new_identity, bootstrap, events, OPEN_RETRIES)
     }
 
-    /// Has the store in a folder discarded at the next opening, whatever happens till then.
+    /// Marks the store in a folder as discarded. The marker survives a crash, and takes effect when the store is opened
+    /// next.
     pub fn discard(folder: &Path) -> std::io::Result<()> {
         File::create(folder.join(DISCARDED))?.sync_all()?;
         sync_folder(folder)
@@ -137,41 +139,43 @@
         events: UnboundedSender<StoreEvent>,
         retries: u32,
     ) -> Result<Self, StoreError> {
-        let refused = |why| StoreError::Folder(folder.to_path_buf(), why);
+        let io_error = |error| StoreError::Folder(folder.to_path_buf(), error);
         let at = folder.join(FOLDER);
         let discarded = folder.join(DISCARDED);
-        finish_replacement(folder).map_err(refused)?;
-        std::fs::create_dir_all(&at).map_err(refused)?;
+        finish_replacement(folder).map_err(io_error)?;
+        std::fs::create_dir_all(&at).map_err(io_error)?;
         if discarded.exists() {
-            tracing::error!("store: was given up; begun anew as an empty disk");
-            put_aside(folder).map_err(refused)?;
-            std::fs::create_dir_all(&at).map_err(refused)?;
+            tracing::error!("store: marked as discarded; creating an empty store");
+            move_aside(folder).map_err(io_error)?;
+            std::fs::create_dir_all(&at).map_err(io_error)?;
         }
-        let db = open_patiently(&at, retries);
+        let db = open_database(&at, retries);
         let read = db.and_then(|db| catch_panic(|| OpenedStore::read(db)));
         let opened = match read {
             Ok(opened) => opened,
-            Err(sled::Error::Io(why)) if why.raw_os_error().is_some() => return Err(refused(why)),
-            // Whoever has it must not lose it.
-            Err(why) if is_in_use(&why) => return Err(StoreError::InUse(at)),
-            Err(why) => {
-                tracing::error!("store: can't be opened ({why}); begun anew as an empty disk");
-                std::fs::remove_dir_all(&at).map_err(refused)?;
-                std::fs::create_dir_all(&at).map_err(refused)?;
+            Err(sled::Error::Io(error)) if error.raw_os_error().is_some() => {
+                return Err(io_error(error));
+            }
+            // A store in use must not be deleted.
+            Err(error) if is_in_use(&error) => return Err(StoreError::InUse(at)),
+            Err(error) => {
+                tracing::error!("store: can't be opened ({error}); creating an empty store");
+                std::fs::remove_dir_all(&at).map_err(io_error)?;
+                std::fs::create_dir_all(&at).map_err(io_error)?;
                 OpenedStore::new(open_at(&at)?)
             }
         };
         if opened.identity.is_none() {
-            opened.mint(new_identity, bootstrap)?;
+            opened.write_identity(new_identity, bootstrap)?;
         }
         let bootstrap = opened.db.get(BOOTSTRAP)?.map(|row| row.to_vec());
         opened.db.flush()?;
-        sync_all(&at).map_err(refused)?;
+        sync_all(&at).map_err(io_error)?;
         if discarded.exists() {
-            std::fs::remove_file(&discarded).map_err(refused)?;
+            std::fs::remove_file(&discarded).map_err(io_error)?;
         }
-        sync_folder(folder).map_err(refused)?;
-        let pages = File::open(at.join(PAGES)).map_err(refused)?;
+        sync_folder(folder).map_err(io_error)?;
+        let pages = File::open(at.join(PAGES)).map_err(io_error)?;
         Self::start_writer(opened, new_identity, bootstrap, pages, events)
     }
 
@@ -214,7 +218,8 @@
         })
     }
 
-    /// Has records written as one batch, after all earlier writes, and synced. False: a write has failed before.
+    /// Queues records to be written atomically, after all earlier writes, and synced. Returns false if the writer thread
+    /// has ended, as after a failed write.
     pub fn write(&self, tree: StoreTree, ticket: u64, records: Vec<Record>) -> bool {
         let request = WriteRequest {
             tree,
@@ -225,12 +230,12 @@
     }
 }
 
-/// What the system refuses now it may grant soon, and another process may be letting go of the store; only one that is
-/// corrupted itself is given up.
-fn open_patiently(at: &Path, retries: u32) -> Result<sled::Db, sled::Error> {
+/// Opens the database. Retries after operating system errors, which may be temporary, and while another process holds
+/// the lock. Other errors mean that the store is corrupted, and are returned at once.
+fn open_database(at: &Path, retries: u32) -> Result<sled::Db, sled::Error> {
     let mut opened = open_at(at);
     for _ in 0..retries {
-        if !matches!(&opened, Err(why) if is_refused(why) || is_in_use(why)) {
+        if !matches!(&opened, Err(error) if is_os_error(error) || is_in_use(error)) {
             break;
         }
         std::thread::sleep(RETRY);
--- a/crates/rookpulley-store/src/writer.rs
+++ b/crates/rookpulley-store/src/writer.rs
@@ -1,7 +1,7 @@
-//! The thread that applies batches to `sled` and says which are synced.
+//! The thread that applies batches to `sled`, syncs them and reports the result.
 //!
-//! `flush` of sled 0.34 does not sync (measured: the last puts are lost with the power), so its file is synced after each
-//! flush.
+//! `flush` of sled 0.34 does not sync its file, so the last writes would be lost on a power loss. The thread therefore
+//! syncs the file after each flush.
 
 use crate::database::SWEEP;
 use crate::rows::RowWriter;
@@ -11,57 +11,56 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// What the store says.
+/// The result of one or several writes.
 #[derive(Debug)]
 pub enum StoreEvent {
-    /// All writes up to these tickets are on the disk, as far as there were any of each kind.
+    /// All writes up to these tickets are synced. A ticket is None if nothing was written to that tree.
     Synced {
-        /// Of the chain.
+        /// The highest ticket of the chain.
         chain: Option<u64>,
-        /// Of instances.
+        /// The highest ticket of the instances.
         instances: Option<u64>,
-        /// How long writing and syncing took.
+        /// The duration of writing and syncing.
         took: Duration,
     },
-    /// A write failed; why. The store says nothing after that.
+    /// A write failed with this error. It is the last event.
     Failed(String),
 }
 
-/// What a write belongs to.
+/// The tree that a write goes to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StoreTree {
     /// The chain's records.
     Chain,
-    /// What is known of instances.
+    /// The records of instances.
     Instances,
 }
 
-/// Records that are to be written as one.
+/// Records to be written atomically.
 pub struct WriteRequest {
     pub tree: StoreTree,
     pub ticket: u64,
     pub records: Vec<Record>,
 }
 
-/// `sled` moves pages out of segments of which little is in use where it writes a page anew, once for each, which is
-/// after ten changes of that page. That is too seldom where few rows of each page change, and what it has for that apart
-/// is a thread with a timer and syncs of its own. So rows that mean nothing are written to the tree `sweep`: so many
-/// changes for each page that is to be moved.
+/// `sled` rewrites a page after this many changes to it, and moves one page out of a sparsely used segment each time. That
+/// is too seldom if few rows of each page change, so the writer triggers it by dummy writes to the tree `sweep`. The
+/// alternative, `sled`'s flush timer, is a separate thread that syncs on its own.
 const CHANGES_PER_PAGE: u64 = 10;
-/// A page is moved for so many bytes of chunks that are written.
-const SWEEP_BYTES: usize = 2 << 10;
-/// So many pages are moved with one write, so that none of them takes long.
-const MAX_PAGES_AT_ONCE: usize = 8;
-/// What is owed beyond this is forgotten, as sled moves pages by itself where many are written anew.
-const MAX_PAGES_OWED: usize = 1024;
+/// One page is moved per this many bytes of written chunks.
+const CHUNK_BYTES_PER_PAGE: usize = 2 << 10;
+/// Limit of the pages moved along with one write, which bounds the duration of a write.
+const MAX_PAGES_PER_WRITE: usize = 8;
+/// Limit of the backlog of pages to move. Beyond it `sled` rewrites enough pages to move others on its own.
+const MAX_PENDING_PAGES: usize = 1024;
 
-/// One tree, and how its rows are written.
+/// A tree with the writer of its rows.
 pub struct TreeWriter {
     pub tree: sled::Tree,
     pub rows: RowWriter,
 }
 
-/// What is written at once, and up to which ticket.
+/// Records collected into one batch, with their highest ticket.
 #[derive(Default)]
 struct PendingBatch {
     batch: sled::Batch,
@@ -70,7 +69,7 @@
 
 impl TreeWriter {
     fn add(&mut self, ticket: u64, records: Vec<Record>, pending: &mut PendingBatch) {
-        // A probe of the disk has ticket 0, and may come behind others.
+        // A disk probe has ticket 0 and may follow higher tickets.
         pending.ticket = pending.ticket.max(Some(ticket));
         for record in records {
             self.rows.write(record, &mut pending.batch);
@@ -78,15 +77,15 @@
     }
 }
 
-/// The thread's work.
+/// The state of the writer thread.
 pub struct Writer {
     pub db: sled::Db,
-    /// The file in which `sled` has its pages.
+    /// The file in which `sled` keeps its pages.
     pub pages: File,
     pub chain: TreeWriter,
     pub instances: TreeWriter,
     sweep: sled::Tree,
-    pages_owed: usize,
+    pending_pages: usize,
 }
 
 impl Writer {
@@ -103,11 +102,12 @@
             chain,
             instances,
             sweep,
-            pages_owed: 0,
+            pending_pages: 0,
         })
     }
 
-    /// Writes what is asked for until nobody can ask any more, or a write fails. All that waits is written at once.
+    /// Carries out requests until the sender is dropped or a write fails. All queued requests are written as one batch
+    /// per tree.
     pub fn run(mut self, requests: &Receiver<WriteRequest>, events: &UnboundedSender<StoreEvent>) {
         while let Ok(first) = requests.recv() {
             let mut chain = PendingBatch::default();
@@ -124,15 +124,15 @@
                     StoreTree::Instances => self.instances.add(ticket, records, &mut instances),
                 }
             }
-            let begun = Instant::now();
+            let started = Instant::now();
             let tickets = (chain.ticket, instances.ticket);
             let event = match self.write(chain.batch, instances.batch) {
                 Ok(()) => StoreEvent::Synced {
                     chain: tickets.0,
                     instances: tickets.1,
-                    took: begun.elapsed(),
+                    took: started.elapsed(),
                 },
-                Err(why) => StoreEvent::Failed(why),
+                Err(error) => StoreEvent::Failed(error),
             };
             let has_failed = matches!(event, StoreEvent::Failed(_));
             if events.send(event).is_err() || has_failed {
@@ -143,8 +143,8 @@
 
     fn write(&mut self, chain: sled::Batch, instances: sled::Batch) -> Result<(), String> {
         self.write_unsynced(chain, instances)
-            .map_err(|why| why.to_string())?;
-        self.pages.sync_data().map_err(|why| why.to_string())
+            .map_err(|error| error.to_string())?;
+        self.pages.sync_data().map_err(|error| error.to_string())
     }
 
     fn write_unsynced(
@@ -159,12 +159,14 @@
         Ok(())
     }
 
+    /// Makes `sled` move pages in proportion to the bytes written.
     fn move_pages(&mut self) -> Result<(), sled::Error> {
         let chain_bytes = self.chain.rows.take_written_bytes();
         let written = chain_bytes + self.instances.rows.take_written_bytes();
-        self.pages_owed = (self.pages_owed + written / SWEEP_BYTES).min(MAX_PAGES_OWED);
-        let pages = self.pages_owed.min(MAX_PAGES_AT_ONCE);
-        self.pages_owed -= pages;
+        self.pending_pages =
+            (self.pending_pages + written / CHUNK_BYTES_PER_PAGE).min(MAX_PENDING_PAGES);
+        let pages = self.pending_pages.min(MAX_PAGES_PER_WRITE);
+        self.pending_pages -= pages;
         for change in 0..CHANGES_PER_PAGE * pages as u64 {
             self.sweep.insert(SWEEP, &change.to_le_bytes())?;
         }
