--- a/crates/rookpulley-store/examples/call_cost.rs
+++ b/crates/rookpulley-store/examples/call_cost.rs
@@ -1,7 +1,9 @@
-//! What a call of the chain takes in all its controllers together: `cargo run --release -p rookpulley-store --example
-//! call_cost [OFFICES KIND CALLS]`, the kind one of `update`, `read` and `idle`. Controllers with their ledgers on one
-//! thread, messages framed and read back, disks that take no time; a call every 20 ms of their clock, asked of each
-//! controller in turn. For instructions: `valgrind --tool=callgrind`, the difference to `idle` of as many calls.
+//! Benchmark of the CPU time and the messages per call, summed over all controllers of a chain.
+//!
+//! `cargo run --release -p rookpulley-store --example call_cost [CONTROLLERS KIND CALLS]`, where KIND is `update`, `read`
+//! or `idle`. All controllers run on one thread, with encoded messages and instant disks. Simulated time advances by 20 ms
+//! per call, and the controllers receive the calls in turn. To count instructions, compare a run under
+//! `valgrind --tool=callgrind` with an `idle` run of as many calls.
 
 mod load;
 
@@ -20,15 +22,15 @@
     Idle,
 }
 
-struct ControllerSelection {
+struct Cluster {
     now: u64,
-    all: Vec<Chain<ReplicatedState>>,
-    /// Of pings, and of all else.
-    said: [(u64, u64); 2],
-    written: u64,
+    chains: Vec<Chain<ReplicatedState>>,
+    /// Number and bytes of heartbeats, and of all other messages.
+    sent: [(u64, u64); 2],
+    written_rows: u64,
 }
 
-impl ControllerSelection {
+impl Cluster {
     fn member(at: usize) -> Member {
         Member {
             id: at as u64 + 1,
@@ -37,27 +39,28 @@
         }
     }
 
-    fn begin(controllers: usize) -> Self {
-        let mut new = Self {
+    fn start(controllers: usize) -> Self {
+        let mut cluster = Self {
             now: 0,
-            all: Vec::new(),
-            said: [(0, 0); 2],
-            written: 0,
+            chains: Vec::new(),
+            sent: [(0, 0); 2],
+            written_rows: 0,
         };
         for at in 0..controllers {
-            let boot = StartState {
+            let start = StartState {
                 me: Self::member(at),
                 founder: at == 0,
                 tolerated_losses: 1,
                 seed: 7 + at as u64,
                 persisted: None,
             };
-            new.all
-                .push(Chain::start(0, boot, ReplicatedState::default()));
+            cluster
+                .chains
+                .push(Chain::start(0, start, ReplicatedState::default()));
         }
         for at in 0..controllers {
             for other in (0..controllers).filter(|other| *other != at) {
-                new.give(
+                cluster.handle(
                     at,
                     Input::PeerDiscovered {
                         member: Self::member(other),
@@ -65,21 +68,21 @@
                 );
             }
         }
-        (0..60).for_each(|_| new.tick());
-        new
+        (0..60).for_each(|_| cluster.tick());
+        cluster
     }
 
-    fn give(&mut self, at: usize, input: Input) -> Option<Outcome> {
-        let (mut inputs, mut answer) = (VecDeque::from([(at, input)]), None);
+    fn handle(&mut self, at: usize, input: Input) -> Option<Outcome> {
+        let (mut inputs, mut reply) = (VecDeque::from([(at, input)]), None);
         while let Some((at, input)) = inputs.pop_front() {
-            for effect in self.all[at].handle(self.now, input) {
+            for effect in self.chains[at].handle(self.now, input) {
                 match effect {
                     Effect::Send { to, message } => {
-                        let said = &mut self.said
+                        let sent = &mut self.sent
                             [usize::from(!matches!(message, Message::Heartbeat { .. }))];
                         let mut frames = FrameDecoder::default();
                         let bytes = encode_frame(&message);
-                        *said = (said.0 + 1, said.1 + bytes.len() as u64);
+                        *sent = (sent.0 + 1, sent.1 + bytes.len() as u64);
                         frames.push(&bytes);
                         let message: Message = frames.decode_next().unwrap().unwrap();
                         inputs.push_back((
@@ -91,24 +94,24 @@
                         ));
                     }
                     Effect::Write { ticket, records } => {
-                        self.written += records.len() as u64;
+                        self.written_rows += records.len() as u64;
                         inputs.push_back((at, Input::Synced { ticket }));
                     }
-                    Effect::Reply { outcome, .. } => answer = Some(outcome),
+                    Effect::Reply { outcome, .. } => reply = Some(outcome),
                     _ => {}
                 }
             }
         }
-        answer
+        reply
     }
 
     fn tick(&mut self) {
         self.now += 50;
-        (0..self.all.len()).for_each(|at| _ = self.give(at, Input::Tick));
+        (0..self.chains.len()).for_each(|at| _ = self.handle(at, Input::Tick));
     }
 
     fn calls(&mut self, kind: Kind, calls: u64) {
-        let load = Load::Cells(1_000);
+        let load = Load::Keys(1_000);
         for n in 1..=calls {
             let (kind, body) = match kind {
                 Kind::Update => (RequestKind::Update, load.update(n).encode()),
@@ -122,8 +125,8 @@
                 Kind::Idle => (RequestKind::Read, Vec::new()),
             };
             if !body.is_empty() {
-                let at = n as usize % self.all.len();
-                let outcome = self.give(
+                let at = n as usize % self.chains.len();
+                let outcome = self.handle(
                     at,
                     Input::ClientRequest {
                         token: n,
@@ -147,43 +150,42 @@
     }
 }
 
-/// Microseconds a call, the least of five rounds.
+/// Microseconds per call, the minimum of five rounds.
 fn micros(controllers: usize, kind: Kind, calls: u64) -> f64 {
     let rounds = (0..5).map(|_| {
-        let mut all = ControllerSelection::begin(controllers);
-        let began = Instant::now();
-        all.calls(kind, calls);
-        began.elapsed().as_secs_f64() * 1e6 / calls as f64
+        let mut cluster = Cluster::start(controllers);
+        let started = Instant::now();
+        cluster.calls(kind, calls);
+        started.elapsed().as_secs_f64() * 1e6 / calls as f64
     });
     rounds.min_by(f64::total_cmp).unwrap()
 }
 
 fn main() {
-    let told: Vec<String> = std::env::args().skip(1).collect();
-    if let [controllers, kind, calls] = &told[..] {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    if let [controllers, kind, calls] = &arguments[..] {
         let kind = match kind.as_str() {
             "update" => Kind::Update,
             "read" => Kind::Read,
             _ => Kind::Idle,
         };
-        return ControllerSelection::begin(controllers.parse().unwrap())
-            .calls(kind, calls.parse().unwrap());
+        return Cluster::start(controllers.parse().unwrap()).calls(kind, calls.parse().unwrap());
     }
     for controllers in [3, 5] {
         let idle = micros(controllers, Kind::Idle, 8_192);
         for (name, kind) in [("update", Kind::Update), ("read", Kind::Read)] {
-            let mut all = ControllerSelection::begin(controllers);
-            let (before, written) = (all.said, all.written);
-            all.calls(kind, 8_192);
-            let each = |now: u64, before: u64| (now - before) as f64 / 8_192.0;
+            let mut cluster = Cluster::start(controllers);
+            let (before, written) = (cluster.sent, cluster.written_rows);
+            cluster.calls(kind, 8_192);
+            let per_call = |now: u64, before: u64| (now - before) as f64 / 8_192.0;
             println!(
-                "{controllers} controllers, {name}: {:.2} messages, {:.0} bytes, {:.2} rows, {:.2} us beside {idle:.2} idle; \
-                 pings {:.1} bytes each",
-                each(all.said[1].0, before[1].0),
-                each(all.said[1].1, before[1].1),
-                each(all.written, written),
+                "{controllers} controllers, {name}: {:.2} messages, {:.0} bytes, {:.2} rows, {:.2} us above {idle:.2} us idle; \
+                 heartbeats {:.1} bytes each",
+                per_call(cluster.sent[1].0, before[1].0),
+                per_call(cluster.sent[1].1, before[1].1),
+                per_call(cluster.written_rows, written),
                 micros(controllers, kind, 8_192) - idle,
-                (all.said[0].1 - before[0].1) as f64 / (all.said[0].0 - before[0].0) as f64,
+                (cluster.sent[0].1 - before[0].1) as f64 / (cluster.sent[0].0 - before[0].0) as f64,
             );
         }
     }
--- a/crates/rookpulley-store/examples/fill_time.rs
+++ b/crates/rookpulley-store/examples/fill_time.rs
@@ -1,6 +1,7 @@
-//! How long an empty controller takes to be filled, and how long updates pause meanwhile: `cargo run --release -p
-//! rookpulley-store --example fill_time [FOLDER]`. Three controllers, a thread and a store each, lines over loopback;
-//! an update every 5 ms as long as the one before is answered.
+//! Benchmark of the catch-up of an empty controller, and of the pause in updates that it causes.
+//!
+//! `cargo run --release -p rookpulley-store --example fill_time [FOLDER]`. Three controllers, each with a thread and a
+//! store, are connected over loopback. Updates are sent one at a time, 5 ms apart.
 
 mod load;
 
@@ -18,19 +19,19 @@
 use std::time::{Duration, Instant};
 
 enum Event {
-    Met(Member),
-    Heard(u64, Message),
-    StoreEvent(StoreEvent),
-    /// Asked of this controller; who asked hears what became of it.
+    PeerStarted(Member),
+    Received(u64, Message),
+    Store(StoreEvent),
+    /// An update, with the sender of its outcome.
     Call(Vec<u8>, Sender<Outcome>),
-    End,
+    Stop,
 }
 
-/// What a controller tells of itself.
-enum Told {
-    /// It is part of a chain at work.
+/// Progress of a controller.
+enum Progress {
+    /// The controller with this number is part of an active chain.
     Serving(u64),
-    Filled,
+    CaughtUp,
 }
 
 struct Controller {
@@ -40,8 +41,8 @@
 
 const TICK: Duration = Duration::from_millis(50);
 
-/// Whoever speaks says its identity first.
-fn reads(mut stream: TcpStream, events: Sender<Event>) {
+/// Reads messages from a peer, which sends its identity first.
+fn read_messages(mut stream: TcpStream, events: Sender<Event>) {
     let (mut id, mut frames, mut buffer) = ([0; 8], FrameDecoder::default(), vec![0; 64 << 10]);
     if stream.read_exact(&mut id).is_err() {
         return;
@@ -50,7 +51,7 @@
         frames.push(&buffer[..read]);
         while let Some(message) = frames.decode_next::<Message>().unwrap() {
             if events
-                .send(Event::Heard(u64::from_le_bytes(id), message))
+                .send(Event::Received(u64::from_le_bytes(id), message))
                 .is_err()
             {
                 return;
@@ -63,33 +64,33 @@
     folder: PathBuf,
     number: u64,
     others: &[Controller],
-    began: Instant,
-    told: Sender<Told>,
+    started: Instant,
+    progress: Sender<Progress>,
 ) -> Controller {
     std::fs::create_dir_all(&folder).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address: SocketAddrV4 = listener.local_addr().unwrap().to_string().parse().unwrap();
     let (events, queue) = channel();
-    let (said, mut heard) = tokio::sync::mpsc::unbounded_channel();
-    let store = Store::open(&folder, number, (number == 1).then_some(&[]), said).unwrap();
+    let (sender, mut store_events) = tokio::sync::mpsc::unbounded_channel();
+    let store = Store::open(&folder, number, (number == 1).then_some(&[]), sender).unwrap();
     let me = Member {
         id: store.identity,
         incarnation: 77,
         address,
     };
-    let boot = StartState {
+    let start = StartState {
         me,
         founder: store.bootstrap.is_some(),
         tolerated_losses: 1,
         seed: number,
         persisted: None,
     };
-    let now = began.elapsed().as_millis() as u64;
-    let chain = Chain::start(now, boot, ReplicatedState::default());
+    let now = started.elapsed().as_millis() as u64;
+    let chain = Chain::start(now, start, ReplicatedState::default());
     let to = events.clone();
     std::thread::spawn(move || {
-        while let Some(said) = heard.blocking_recv() {
-            if to.send(Event::StoreEvent(said)).is_err() {
+        while let Some(event) = store_events.blocking_recv() {
+            if to.send(Event::Store(event)).is_err() {
                 return;
             }
         }
@@ -98,25 +99,26 @@
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let to = to.clone();
-            std::thread::spawn(move || reads(stream, to));
+            std::thread::spawn(move || read_messages(stream, to));
         }
     });
-    std::thread::spawn(move || runs(chain, &store, &queue, began, (number, &told)));
+    std::thread::spawn(move || run(chain, &store, &queue, started, (number, &progress)));
     for other in others {
-        other.events.send(Event::Met(me)).unwrap();
-        events.send(Event::Met(other.me)).unwrap();
+        other.events.send(Event::PeerStarted(me)).unwrap();
+        events.send(Event::PeerStarted(other.me)).unwrap();
     }
     Controller { me, events }
 }
 
-fn runs(
+/// Runs a controller until it is told to stop.
+fn run(
     mut chain: Chain<ReplicatedState>,
     store: &Store,
     queue: &Receiver<Event>,
-    began: Instant,
-    (number, told): (u64, &Sender<Told>),
+    started: Instant,
+    (number, progress): (u64, &Sender<Progress>),
 ) {
-    let (mut lines, mut asked) = (
+    let (mut connections, mut pending) = (
         BTreeMap::<u64, TcpStream>::new(),
         BTreeMap::<u64, Sender<Outcome>>::new(),
     );
@@ -127,58 +129,60 @@
                 tick = Instant::now() + TICK;
                 Input::Tick
             }
-            Ok(Event::Met(member)) => {
-                let mut line = TcpStream::connect(member.address).unwrap();
-                line.set_nodelay(true).unwrap();
-                line.write_all(&chain.me().id.to_le_bytes()).unwrap();
-                lines.insert(member.id, line);
+            Ok(Event::PeerStarted(member)) => {
+                let mut stream = TcpStream::connect(member.address).unwrap();
+                stream.set_nodelay(true).unwrap();
+                stream.write_all(&chain.me().id.to_le_bytes()).unwrap();
+                connections.insert(member.id, stream);
                 Input::PeerDiscovered { member }
             }
-            Ok(Event::Heard(from, message)) => Input::Received { from, message },
-            Ok(Event::StoreEvent(StoreEvent::Synced {
+            Ok(Event::Received(from, message)) => Input::Received { from, message },
+            Ok(Event::Store(StoreEvent::Synced {
                 chain: Some(ticket),
                 ..
             })) => Input::Synced { ticket },
-            Ok(Event::StoreEvent(said)) => panic!("{said:?}"),
+            Ok(Event::Store(event)) => panic!("{event:?}"),
             Ok(Event::Call(body, answer)) => {
                 token += 1;
-                asked.insert(token, answer);
+                pending.insert(token, answer);
                 Input::ClientRequest {
                     token,
                     kind: RequestKind::Update,
                     body,
                 }
             }
-            Ok(Event::End) | Err(RecvTimeoutError::Disconnected) => return,
+            Ok(Event::Stop) | Err(RecvTimeoutError::Disconnected) => return,
         };
-        let now = began.elapsed().as_millis() as u64;
+        let now = started.elapsed().as_millis() as u64;
         for effect in chain.handle(now, input) {
             match effect {
                 Effect::Send { to, message } => {
-                    lines
+                    connections
                         .get_mut(&to)
                         .into_iter()
-                        .for_each(|l| l.write_all(&encode_frame(&message)).unwrap());
+                        .for_each(|stream| stream.write_all(&encode_frame(&message)).unwrap());
                 }
                 Effect::Write { ticket, records } => {
                     assert!(store.write(StoreTree::Chain, ticket, records))
                 }
                 Effect::Reply { token, outcome } => {
-                    _ = asked.remove(&token).map(|a| a.send(outcome))
+                    _ = pending.remove(&token).map(|sender| sender.send(outcome))
+                }
+                Effect::Log(line) if line.contains("filled") => {
+                    _ = progress.send(Progress::CaughtUp)
                 }
-                Effect::Log(line) if line.contains("filled") => _ = told.send(Told::Filled),
                 _ => {}
             }
         }
         if !std::mem::replace(&mut serving, chain.serving(now)) && serving {
-            _ = told.send(Told::Serving(number));
+            _ = progress.send(Progress::Serving(number));
         }
     }
 }
 
-/// These updates, many at once; what isn't taken is asked again.
-fn asks(controller: &Controller, updates: impl Iterator<Item = Update>) {
-    let ask = |update: &Update| {
+/// Applies updates with up to 64 in flight, and repeats those that fail.
+fn apply(controller: &Controller, updates: impl Iterator<Item = Update>) {
+    let send = |update: &Update| {
         let (answer, answered) = channel();
         controller
             .events
@@ -186,37 +190,37 @@
             .unwrap();
         answered
     };
-    let mut waiting = VecDeque::new();
-    let settle = |(update, answered): (Update, Receiver<Outcome>)| {
+    let mut in_flight = VecDeque::new();
+    let complete = |(update, answered): (Update, Receiver<Outcome>)| {
         let mut answered = answered;
         while !matches!(answered.recv(), Ok(Outcome::Completed(_))) {
-            answered = ask(&update);
+            answered = send(&update);
         }
     };
     for update in updates {
-        let answered = ask(&update);
-        waiting.push_back((update, answered));
-        if waiting.len() > 64 {
-            waiting.pop_front().into_iter().for_each(settle);
+        let answered = send(&update);
+        in_flight.push_back((update, answered));
+        if in_flight.len() > 64 {
+            in_flight.pop_front().into_iter().for_each(complete);
         }
     }
-    waiting.into_iter().for_each(settle);
+    in_flight.into_iter().for_each(complete);
 }
 
-fn number() -> Update {
+fn next_number() -> Update {
     Update::NextNumber {
         name: "mine".into(),
     }
 }
 
-/// Updates one by one until it is told to end: the longest time without an answer, in milliseconds.
-fn longest_pause(controller: &Controller, mut ends: impl FnMut() -> bool) -> f64 {
+/// Sends one update at a time until `is_done` returns true. Returns the longest time between two replies, in milliseconds.
+fn longest_pause(controller: &Controller, mut is_done: impl FnMut() -> bool) -> f64 {
     let (mut longest, mut last) = (0.0_f64, Instant::now());
-    while !ends() {
+    while !is_done() {
         let (answer, answered) = channel();
         controller
             .events
-            .send(Event::Call(number().encode(), answer))
+            .send(Event::Call(next_number().encode(), answer))
             .unwrap();
         if matches!(answered.recv(), Ok(Outcome::Completed(_))) {
             longest = longest.max(last.elapsed().as_secs_f64() * 1e3);
@@ -227,65 +231,73 @@
     longest.max(last.elapsed().as_secs_f64() * 1e3)
 }
 
-fn fills(at: &std::path::Path, routes: u64, cells: u64) {
+fn measure(at: &std::path::Path, routes: u64, keys: u64) {
     let folder = tempfile::tempdir_in(at).unwrap();
-    let began = Instant::now();
-    let (told, heard) = channel();
+    let started = Instant::now();
+    let (progress, progress_events) = channel();
     let mut controllers: Vec<Controller> = Vec::new();
     for n in 1..3 {
         controllers.push(start(
             folder.path().join(n.to_string()),
             n,
             &controllers,
-            began,
-            told.clone(),
+            started,
+            progress.clone(),
         ));
     }
-    while !matches!(heard.recv(), Ok(Told::Serving(2))) {}
+    while !matches!(progress_events.recv(), Ok(Progress::Serving(2))) {}
     let body = configuration(routes, 1);
-    let length = body.len() + 200 * cells as usize;
-    asks(
+    let length = body.len() + 200 * keys as usize;
+    apply(
         &controllers[0],
-        (0..cells).map(|n| Update::PutKey {
+        (0..keys).map(|n| Update::PutKey {
             name: format!("group{}.cell{n}", n % 100),
             value: "v".repeat(60),
             expected: None,
         }),
     );
-    asks(
+    apply(
         &controllers[0],
         std::iter::once(Update::PutConfiguration { version: 1, body }),
     );
-    // More than is kept at hand.
-    asks(&controllers[0], (0..4_200).map(|_| number()));
-    let mut calm = Instant::now();
-    let before = longest_pause(&controllers[0], || calm.elapsed().as_millis() > 2_000);
-    calm = Instant::now();
-    controllers.push(start(folder.path().join("3"), 3, &controllers, began, told));
-    let (mut filled, mut serving) = (0.0, 0.0);
-    let meanwhile = longest_pause(&controllers[0], || {
-        match heard.try_recv() {
-            Ok(Told::Filled) => filled = calm.elapsed().as_secs_f64() * 1e3,
-            Ok(Told::Serving(3)) => serving = calm.elapsed().as_secs_f64() * 1e3,
+    // More updates than the chain's log keeps, so that the third controller needs a snapshot.
+    apply(&controllers[0], (0..4_200).map(|_| next_number()));
+    let mut phase_start = Instant::now();
+    let baseline = longest_pause(&controllers[0], || {
+        phase_start.elapsed().as_millis() > 2_000
+    });
+    phase_start = Instant::now();
+    controllers.push(start(
+        folder.path().join("3"),
+        3,
+        &controllers,
+        started,
+        progress,
+    ));
+    let (mut caught_up, mut serving) = (0.0, 0.0);
+    let pause = longest_pause(&controllers[0], || {
+        match progress_events.try_recv() {
+            Ok(Progress::CaughtUp) => caught_up = phase_start.elapsed().as_secs_f64() * 1e3,
+            Ok(Progress::Serving(3)) => serving = phase_start.elapsed().as_secs_f64() * 1e3,
             _ => {}
         }
         serving > 0.0
     });
     println!(
-        "some {} KB: filled after {filled:.0} ms, in the chain after {serving:.0} ms; longest pause of updates \
-         {meanwhile:.0} ms, of 2 s before {before:.0} ms",
+        "about {} KB: caught up after {caught_up:.0} ms, in the chain after {serving:.0} ms; longest pause of updates \
+         {pause:.0} ms, in the 2 s before {baseline:.0} ms",
         length / 1000
     );
     controllers
         .iter()
-        .for_each(|o| _ = o.events.send(Event::End));
+        .for_each(|controller| _ = controller.events.send(Event::Stop));
 }
 
 fn main() {
     let at = std::env::args()
         .nth(1)
         .map_or_else(std::env::temp_dir, Into::into);
-    for (routes, cells) in [(550, 0), (5_700, 0), (43_000, 12_000)] {
-        fills(&at, routes, cells);
+    for (routes, keys) in [(550, 0), (5_700, 0), (43_000, 12_000)] {
+        measure(&at, routes, keys);
     }
 }
--- a/crates/rookpulley-store/examples/load/mod.rs
+++ b/crates/rookpulley-store/examples/load/mod.rs
@@ -1,12 +1,12 @@
-//! Updates for the ledger as the state of a chain: the same in each run.
+//! Reproducible updates of the replicated state, for benchmarks and tests.
 
 #![allow(dead_code)]
 
 use rookpulley_state::{Answer, Update};
 use std::fmt::Write;
 
-/// Drawn by a seed, spread by the mixer of SplitMix64.
-pub fn drawn(seed: u64) -> u64 {
+/// Pseudo-random number of a seed, by the mixing function of SplitMix64.
+pub fn random(seed: u64) -> u64 {
     let mixed = (seed.wrapping_add(0x9e37_79b9_7f4a_7c15) ^ (seed >> 30))
         .wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -14,14 +14,14 @@
 }
 
 pub enum Load {
-    /// Configurations of so many routes, each with one route changed.
+    /// Configurations with this number of routes. Each update changes one route.
     Routes(u64),
-    /// The same, each with all routes changed.
+    /// Configurations with this number of routes. Each update changes all of them.
     All(u64),
-    /// Puts into so many cells of a hundred groups, with values of 16 to 200 bytes.
-    Cells(u64),
-    /// A configuration close to the longest after each 99 puts into cells that fill what may stand.
-    Longest,
+    /// Writes to this number of keys in a hundred groups, with values of 16 to 200 bytes.
+    Keys(u64),
+    /// Writes to enough keys to fill the state, with a configuration of nearly maximum size as every 100th update.
+    Largest,
 }
 
 impl Load {
@@ -35,31 +35,32 @@
                 version: n,
                 body: configuration(*routes, n * routes),
             },
-            Load::Cells(cells) => {
-                let cell = drawn(n) % cells;
-                let value = format!("{:016x}", drawn(!n)).repeat(1 + (drawn(n << 1) % 12) as usize);
+            Load::Keys(keys) => {
+                let key = random(n) % keys;
+                let value =
+                    format!("{:016x}", random(!n)).repeat(1 + (random(n << 1) % 12) as usize);
                 Update::PutKey {
-                    name: format!("group{}.cell{cell}", cell % 100),
+                    name: format!("group{}.cell{key}", key % 100),
                     value,
                     expected: None,
                 }
             }
-            Load::Longest if n.is_multiple_of(100) => Load::Routes(45_000).update(n),
-            Load::Longest => Load::Cells(22_000).update(n),
+            Load::Largest if n.is_multiple_of(100) => Load::Routes(45_000).update(n),
+            Load::Largest => Load::Keys(22_000).update(n),
         }
     }
 
-    /// Whether the update was taken.
-    pub fn took(&self, n: u64, answer: &Answer) -> bool {
+    /// Returns whether the answer means that update `n` was applied.
+    pub fn is_applied(&self, n: u64, answer: &Answer) -> bool {
         match self {
-            Load::Cells(_) => matches!(answer, Answer::Revision(_)),
-            Load::Longest if !n.is_multiple_of(100) => matches!(answer, Answer::Revision(_)),
+            Load::Keys(_) => matches!(answer, Answer::Revision(_)),
+            Load::Largest if !n.is_multiple_of(100) => matches!(answer, Answer::Revision(_)),
             _ => *answer == Answer::Configured { version: n },
         }
     }
 }
 
-/// Ten routes a host; route `n` modulo their number was changed last.
+/// Builds a configuration with ten routes per host, in which the changes up to number `n` were made route by route.
 pub fn configuration(routes: u64, n: u64) -> Vec<u8> {
     let mut text = format!("{{\"configVersion\":{n},\"services\":[");
     for service in 0..routes.div_ceil(10) {
@@ -81,15 +82,15 @@
         } else {
             text.push(',');
         }
-        // How often it was changed so far.
-        let times = (n + routes - 1 - route) / routes;
-        let timeout = 500 + drawn(route << 20 | times) % 2_500;
+        // The number of changes to this route so far.
+        let changes = (n + routes - 1 - route) / routes;
+        let timeout = 500 + random(route << 20 | changes) % 2_500;
         _ = write!(
             text,
             "{{\"name\":\"route-{route}\",\"pathPrefix\":\"/part-{route}/\",\"routeKind\":\"read_only\",\
              \"timeoutMs\":{timeout},\"targetLatencyMs\":120,\"priority\":1,\"targetService\":\"service-{}\",\
              \"maxAttempts\":2}}",
-            drawn(route) % routes.div_ceil(10)
+            random(route) % routes.div_ceil(10)
         );
     }
     text.push_str("]}]}");
--- a/crates/rookpulley-store/tests/disk_usage.rs
+++ b/crates/rookpulley-store/tests/disk_usage.rs
@@ -1,5 +1,5 @@
-//! The room that a controller's store takes, and what is written into it. A binary of its own: it counts what its process
-//! writes.
+//! Limits on the size of a store and on the bytes written per update. Runs in its own process, as it counts the bytes that
+//! the process writes.
 
 #[path = "../examples/load/mod.rs"]
 mod load;
@@ -16,80 +16,82 @@
     now: u64,
     chain: Chain<ReplicatedState>,
     store: Store,
-    heard: UnboundedReceiver<StoreEvent>,
+    events: UnboundedReceiver<StoreEvent>,
 }
 
 impl Controller {
-    fn begin(folder: &Path) -> Self {
-        let (said, heard) = tokio::sync::mpsc::unbounded_channel();
-        let store = Store::open(folder, 7, Some(&[]), said).unwrap();
+    fn start(folder: &Path) -> Self {
+        let (sender, events) = tokio::sync::mpsc::unbounded_channel();
+        let store = Store::open(folder, 7, Some(&[]), sender).unwrap();
         let me = Member {
             id: 7,
             incarnation: 1,
             address: "127.0.0.1:7".parse().unwrap(),
         };
-        let boot = StartState {
+        let start = StartState {
             me,
             founder: true,
             tolerated_losses: 0,
             seed: 7,
             persisted: None,
         };
-        let mut new = Self {
+        let mut controller = Self {
             now: 0,
-            chain: Chain::start(0, boot, ReplicatedState::default()),
+            chain: Chain::start(0, start, ReplicatedState::default()),
             store,
-            heard,
+            events,
         };
-        (0..20).for_each(|_| new.tick());
-        new
+        (0..20).for_each(|_| controller.tick());
+        controller
     }
 
-    fn give(&mut self, input: Input) -> Option<Outcome> {
-        let (mut inputs, mut answer) = (VecDeque::from([input]), None);
+    fn handle(&mut self, input: Input) -> Option<Outcome> {
+        let (mut inputs, mut reply) = (VecDeque::from([input]), None);
         while let Some(input) = inputs.pop_front() {
             for effect in self.chain.handle(self.now, input) {
                 match effect {
                     Effect::Write { ticket, records } => {
                         assert!(self.store.write(StoreTree::Chain, ticket, records));
-                        self.synced(ticket);
+                        self.wait_for_sync(ticket);
                         inputs.push_back(Input::Synced { ticket });
                     }
-                    Effect::Reply { outcome, .. } => answer = Some(outcome),
+                    Effect::Reply { outcome, .. } => reply = Some(outcome),
                     _ => {}
                 }
             }
         }
-        answer
+        reply
     }
 
-    fn synced(&mut self, ticket: u64) {
-        while !matches!(self.heard.blocking_recv(), Some(StoreEvent::Synced { chain, .. }) if chain >= Some(ticket))
+    fn wait_for_sync(&mut self, ticket: u64) {
+        while !matches!(self.events.blocking_recv(), Some(StoreEvent::Synced { chain, .. }) if chain >= Some(ticket))
         {
         }
     }
 
     fn tick(&mut self) {
         self.now += 50;
-        self.give(Input::Tick);
+        self.handle(Input::Tick);
     }
 }
 
-/// What this process has written to files so far.
-fn written() -> u64 {
-    let told = std::fs::read_to_string("/proc/self/io").unwrap();
-    let line = told.lines().find_map(|line| line.strip_prefix("wchar: "));
+/// The number of bytes that this process has written so far.
+fn written_bytes() -> u64 {
+    let counters = std::fs::read_to_string("/proc/self/io").unwrap();
+    let line = counters
+        .lines()
+        .find_map(|line| line.strip_prefix("wchar: "));
     line.unwrap().parse().unwrap()
 }
 
-/// The longest that the store's file was, and what was written for each update behind the first ones, in bytes.
-fn plays(load: &Load, updates: u64) -> (u64, u64) {
+/// Applies a load, and returns the peak size of the store's file and the bytes written per update after a warm-up.
+fn measure(load: &Load, updates: u64) -> (u64, u64) {
     let folder = tempfile::tempdir().unwrap();
-    let (mut controller, mut longest, mut from) = (Controller::begin(folder.path()), 0, 0);
-    let first = updates / 5;
+    let (mut controller, mut peak, mut from) = (Controller::start(folder.path()), 0, 0);
+    let warm_up = updates / 5;
     for n in 1..=updates {
         let body = load.update(n).encode();
-        let outcome = controller.give(Input::ClientRequest {
+        let outcome = controller.handle(Input::ClientRequest {
             token: n,
             kind: RequestKind::Update,
             body,
@@ -98,47 +100,47 @@
             matches!(outcome, Some(Outcome::Completed(_))),
             "update {n}: {outcome:?}"
         );
-        longest = longest.max(length(folder.path()));
-        if n == first {
-            from = written();
+        peak = peak.max(file_size(folder.path()));
+        if n == warm_up {
+            from = written_bytes();
         }
         if n % 3 == 0 {
             controller.tick();
         }
     }
-    (longest, (written() - from) / (updates - first))
+    (peak, (written_bytes() - from) / (updates - warm_up))
 }
 
-fn length(folder: &Path) -> u64 {
+fn file_size(folder: &Path) -> u64 {
     std::fs::metadata(folder.join("store/db")).unwrap().len()
 }
 
-/// Of states of 1 MiB. One test, so that nothing else is written meanwhile.
+/// Uses states of 1 MiB. A single test, as concurrent tests would add to the written bytes.
 #[test]
-fn what_is_long_takes_a_few_times_its_room_and_writes_little_but_what_has_changed() {
+fn long_values_take_a_bounded_multiple_of_their_size_and_updates_write_mostly_changes() {
     let state = 1 << 20;
-    // One route of 6,000 changed, and all of them.
-    let (longest, each) = plays(&Load::Routes(6_000), 20);
+    // First one of 6,000 routes changes with each update, then all of them.
+    let (peak, per_update) = measure(&Load::Routes(6_000), 20);
     assert!(
-        longest < 6 * state && each < state / 8,
-        "{longest} bytes, {each} for an update"
+        peak < 6 * state && per_update < state / 8,
+        "{peak} bytes, {per_update} for an update"
     );
-    let (longest, each) = plays(&Load::All(6_000), 10);
+    let (peak, per_update) = measure(&Load::All(6_000), 10);
     assert!(
-        longest < 18 * state && each < 7 * state,
-        "{longest} bytes, {each} for an update"
+        peak < 18 * state && per_update < 7 * state,
+        "{peak} bytes, {per_update} for an update"
     );
 
-    // A little changed all over: no page is written anew for that.
+    // Small changes spread over the whole value: few rows of each page change, so `sled` alone rewrites no page.
     let folder = tempfile::tempdir().unwrap();
-    let mut controller = Controller::begin(folder.path());
+    let mut controller = Controller::start(folder.path());
     let mut value: Vec<u8> = (0..state / 8)
-        .flat_map(|n| load::drawn(n).to_be_bytes())
+        .flat_map(|n| load::random(n).to_be_bytes())
         .collect();
-    let (mut longest, from) = (0, written());
+    let (mut peak, from) = (0, written_bytes());
     for n in 1..=150 {
         for at in 0..20 {
-            value[(load::drawn(20 * n + at) % state) as usize] ^= 1;
+            value[(load::random(20 * n + at) % state) as usize] ^= 1;
         }
         let put = Record::Put {
             key: b"a long row".to_vec(),
@@ -149,12 +151,12 @@
                 .store
                 .write(StoreTree::Chain, u64::MAX - 150 + n, vec![put])
         );
-        controller.synced(u64::MAX - 150 + n);
-        longest = longest.max(length(folder.path()));
+        controller.wait_for_sync(u64::MAX - 150 + n);
+        peak = peak.max(file_size(folder.path()));
     }
-    let each = (written() - from) / 150;
+    let per_update = (written_bytes() - from) / 150;
     assert!(
-        longest < 6 * state && each < state / 2,
-        "{longest} bytes, {each} for a write"
+        peak < 6 * state && per_update < state / 2,
+        "{peak} bytes, {per_update} for a write"
     );
 }
--- a/crates/rookpulley-store/tests/earlier_build.rs
+++ b/crates/rookpulley-store/tests/earlier_build.rs
@@ -1,7 +1,7 @@
-//! A store that an earlier build wrote is opened with all that it holds.
+//! Compatibility with stores written by earlier builds.
 //!
-//! `fixtures/store` is the folder of such a store, file by file: as `sled` left it, packed by zstd. The build of commit
-//! 3e09636 wrote it: two rows of the chain, one of which is long, and one note on an instance.
+//! `fixtures/store` contains the zstd-compressed files of a store written by the build of commit 3e09636: a short and a
+//! long chain row, and one instance row.
 
 use rookpulley_store::{Store, inspect};
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/store")
 }
 
-/// Longer than a row may be, and cut into chunks.
+/// A value that exceeds the maximum row length, so that it is stored in chunks.
 fn long_value() -> Vec<u8> {
     (0..40_000u32)
         .flat_map(|n| n.wrapping_mul(0x9e37_79b9).to_be_bytes())
@@ -32,11 +32,11 @@
 }
 
 #[test]
-fn a_store_of_an_earlier_build_is_opened_with_all_that_it_holds() {
+fn a_store_of_an_earlier_build_is_opened_with_its_whole_content() {
     let folder = tempfile::tempdir().unwrap();
     unpack(&folder.path().join("store"));
-    let (said, mut heard) = unbounded_channel();
-    let store = Store::open(folder.path(), 7, None, said).unwrap();
+    let (sender, mut events) = unbounded_channel();
+    let store = Store::open(folder.path(), 7, None, sender).unwrap();
     assert_eq!((store.is_new, store.identity), (false, IDENTITY));
     assert_eq!(store.bootstrap.as_deref(), Some(&b"founding"[..]));
     let rows = vec![
@@ -49,11 +49,11 @@
         vec![(b"i-1".to_vec(), b"note".to_vec())]
     );
     drop(store);
-    while heard.blocking_recv().is_some() {}
+    while events.blocking_recv().is_some() {}
 }
 
 #[test]
-fn a_store_of_an_earlier_build_is_inspected_without_a_process() {
+fn a_store_of_an_earlier_build_can_be_inspected_offline() {
     let folder = tempfile::tempdir().unwrap();
     unpack(&folder.path().join("store"));
     let contents = inspect(folder.path()).unwrap();
--- a/crates/rookpulley-store/tests/power_loss.rs
+++ b/crates/rookpulley-store/tests/power_loss.rs
@@ -1,4 +1,4 @@
-//! Power lost while a controller's store is written: of what isn't synced any part may have reached the disk, cut anywhere.
+//! Simulated power loss while a store is written: any part of the unsynced data may have reached the disk.
 
 use rookpulley_chain::{Chain, Effect, Input, Member, Outcome, Record, RequestKind, StartState};
 use rookpulley_control::ReplicatedState;
@@ -9,16 +9,16 @@
 
 type Batches = Vec<Vec<Record>>;
 
-/// Controllers whose messages and disks take no time; what each writes is noted.
+/// Controllers with instant messages and disks. The batches that each writes are recorded.
 #[derive(Default)]
-struct ControllerSelection {
+struct Cluster {
     now: u64,
-    all: Vec<(Chain<ReplicatedState>, Batches)>,
+    controllers: Vec<(Chain<ReplicatedState>, Batches)>,
     token: u64,
-    losses: usize,
+    tolerated_losses: usize,
 }
 
-impl ControllerSelection {
+impl Cluster {
     fn member(at: usize) -> Member {
         Member {
             id: at as u64 + 1,
@@ -28,36 +28,36 @@
     }
 
     fn start(&mut self) {
-        let at = self.all.len();
+        let at = self.controllers.len();
         let me = Self::member(at);
-        let boot = StartState {
+        let start = StartState {
             me,
             founder: at == 0,
-            tolerated_losses: self.losses,
+            tolerated_losses: self.tolerated_losses,
             seed: 7 + at as u64,
             persisted: None,
         };
-        self.all.push((
-            Chain::start(self.now, boot, ReplicatedState::default()),
+        self.controllers.push((
+            Chain::start(self.now, start, ReplicatedState::default()),
             Vec::new(),
         ));
         for other in 0..at {
-            self.give(other, Input::PeerDiscovered { member: me });
-            self.give(
+            self.handle(other, Input::PeerDiscovered { member: me });
+            self.handle(
                 at,
                 Input::PeerDiscovered {
                     member: Self::member(other),
                 },
             );
         }
-        self.play(1_500);
+        self.advance(1_500);
     }
 
-    fn give(&mut self, at: usize, input: Input) -> Option<Outcome> {
-        let (mut inputs, mut answer) = (VecDeque::from([(at, input)]), None);
+    fn handle(&mut self, at: usize, input: Input) -> Option<Outcome> {
+        let (mut inputs, mut reply) = (VecDeque::from([(at, input)]), None);
         while let Some((at, input)) = inputs.pop_front() {
-            let known = self.all.len();
-            let (chain, batches) = &mut self.all[at];
+            let known = self.controllers.len();
+            let (chain, batches) = &mut self.controllers[at];
             for effect in chain.handle(self.now, input) {
                 match effect {
                     Effect::Send { to, message } if to as usize <= known => {
@@ -73,64 +73,65 @@
                         batches.push(records);
                         inputs.push_back((at, Input::Synced { ticket }));
                     }
-                    Effect::Reply { outcome, .. } => answer = Some(outcome),
+                    Effect::Reply { outcome, .. } => reply = Some(outcome),
                     _ => {}
                 }
             }
         }
-        answer
+        reply
     }
 
-    fn play(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
             self.now += 50;
-            (0..self.all.len()).for_each(|at| _ = self.give(at, Input::Tick));
+            (0..self.controllers.len()).for_each(|at| _ = self.handle(at, Input::Tick));
         }
     }
 
     fn update(&mut self, update: &Update) {
-        self.play(50);
+        self.advance(50);
         self.token += 1;
         let call = Input::ClientRequest {
             token: self.token,
             kind: RequestKind::Update,
             body: update.encode(),
         };
-        assert!(matches!(self.give(0, call), Some(Outcome::Completed(_))));
+        assert!(matches!(self.handle(0, call), Some(Outcome::Completed(_))));
     }
 
-    /// A controller that starts on these rows shows all that was answered, or the one update more that was being written.
-    fn starts_on(&mut self, rows: Rows, copies: &[(usize, u64)], answered: usize) {
-        let kept = rookpulley_chain::PersistedState::read(rows);
+    /// Starts a controller on these rows, and asserts that its state includes all acknowledged updates, and at most the one
+    /// update after them.
+    fn restart_on(&mut self, rows: Rows, history: &[(usize, u64)], acknowledged: usize) {
+        let persisted = rookpulley_chain::PersistedState::read(rows);
         let me = Member {
             incarnation: 78,
             ..Self::member(0)
         };
-        let boot = StartState {
+        let start = StartState {
             me,
             founder: true,
             tolerated_losses: 0,
             seed: 9,
-            persisted: Some(kept),
+            persisted: Some(persisted),
         };
-        self.all = vec![(
-            Chain::start(self.now, boot, ReplicatedState::default()),
+        self.controllers = vec![(
+            Chain::start(self.now, start, ReplicatedState::default()),
             Vec::new(),
         )];
-        self.play(3_000);
-        let chain = &self.all[0].0;
+        self.advance(3_000);
+        let chain = &self.controllers[0].0;
         assert!(chain.serving(self.now));
         let digest = chain.state().machine.digest();
-        let shown = answered
+        let expected = acknowledged
             .checked_sub(1)
             .map_or(ReplicatedState::default().machine.digest(), |last| {
-                copies[last].1
+                history[last].1
             });
-        let next = copies.get(answered).map(|(_, digest)| *digest);
+        let next = history.get(acknowledged).map(|(_, digest)| *digest);
         assert!(
-            digest == shown || Some(digest) == next,
-            "{answered} of {}",
-            copies.len()
+            digest == expected || Some(digest) == next,
+            "{acknowledged} of {}",
+            history.len()
         );
     }
 
@@ -143,56 +144,57 @@
     }
 }
 
-/// Most of it as in the version before.
+/// Builds a configuration that differs from other versions in a few bytes.
 fn configuration(version: u64, length: usize) -> Vec<u8> {
-    let mut coins = Coins(7);
+    let mut rng = Rng(7);
     let mut body: Vec<u8> = (0..length.div_ceil(8))
-        .flat_map(|_| coins.draw(u64::MAX).to_be_bytes())
+        .flat_map(|_| rng.below(u64::MAX).to_be_bytes())
         .collect();
-    let at = Coins(version).draw(length as u64) as usize;
+    let at = Rng(version).below(length as u64) as usize;
     body.splice(at..at + 1, version.to_string().into_bytes());
     body.truncate(length);
     body
 }
 
-/// What the founder writes in its first seconds, and what one writes that is filled by pieces and then takes updates.
-fn written() -> [Batches; 2] {
-    let mut controllers = ControllerSelection {
-        losses: 1,
-        ..ControllerSelection::default()
+/// The batches written by the first controller at its start, and by one that catches up from a snapshot and then receives
+/// updates.
+fn recorded_batches() -> [Batches; 2] {
+    let mut cluster = Cluster {
+        tolerated_losses: 1,
+        ..Cluster::default()
     };
-    controllers.start();
-    controllers.start();
-    (0..6).for_each(|n| controllers.configure(300 + 9_000 * (n % 2)));
-    let first = controllers.all[0].1.clone();
-    (0..24).for_each(|_| controllers.configure(100 << 10));
-    controllers.start();
+    cluster.start();
+    cluster.start();
+    (0..6).for_each(|n| cluster.configure(300 + 9_000 * (n % 2)));
+    let first = cluster.controllers[0].1.clone();
+    (0..24).for_each(|_| cluster.configure(100 << 10));
+    cluster.start();
     for n in 0..5 {
-        controllers.update(&Update::NextNumber {
+        cluster.update(&Update::NextNumber {
             name: format!("n{n}"),
         });
-        controllers.configure(40 << 10);
+        cluster.configure(40 << 10);
     }
     assert_eq!(
-        controllers.all[2].0.state().machine.digest(),
-        controllers.all[0].0.state().machine.digest()
+        cluster.controllers[2].0.state().machine.digest(),
+        cluster.controllers[0].0.state().machine.digest()
     );
-    [first, std::mem::take(&mut controllers.all[2].1)]
+    [first, std::mem::take(&mut cluster.controllers[2].1)]
 }
 
-/// Drawn by a seed, spread by the mixer of SplitMix64.
-struct Coins(u64);
+/// SplitMix64 pseudo-random number generator.
+struct Rng(u64);
 
-impl Coins {
-    fn draw(&mut self, most: u64) -> u64 {
+impl Rng {
+    fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        (mixed ^ (mixed >> 31)) % most
+        (mixed ^ (mixed >> 31)) % limit
     }
 }
 
-/// The files of a folder, by their paths from it.
+/// The content of the files in a folder, by relative path.
 type Image = BTreeMap<String, Vec<u8>>;
 
 fn image(folder: &Path) -> Image {
@@ -211,7 +213,7 @@
     all
 }
 
-fn lay(folder: &Path, image: &Image) {
+fn write_image(folder: &Path, image: &Image) {
     for (name, bytes) in image {
         let at = folder.join(name);
         std::fs::create_dir_all(at.parent().unwrap()).unwrap();
@@ -219,33 +221,34 @@
     }
 }
 
-/// Between the one and the other: files that are new or gone, ends that are missing, blocks of either.
-fn torn(before: &Image, after: &Image, coins: &mut Coins) -> Image {
-    let block = [512, 4_096, 65_536][coins.draw(3) as usize];
+/// A state between two images, as after a power loss: files may be missing or left over, truncated, and consist of blocks
+/// of either image.
+fn torn(before: &Image, after: &Image, rng: &mut Rng) -> Image {
+    let block = [512, 4_096, 65_536][rng.below(3) as usize];
     let names: std::collections::BTreeSet<&String> = before.keys().chain(after.keys()).collect();
     let mut all = Image::new();
     for name in names {
         let Some(new) = after.get(name) else {
-            if coins.draw(2) == 0 {
+            if rng.below(2) == 0 {
                 all.insert(name.clone(), before[name].clone());
             }
             continue;
         };
-        if !before.contains_key(name) && coins.draw(3) == 0 {
+        if !before.contains_key(name) && rng.below(3) == 0 {
             continue;
         }
         let old = before.get(name).cloned().unwrap_or_default();
-        let length = if coins.draw(2) == 0 {
+        let length = if rng.below(2) == 0 {
             new.len()
         } else {
-            coins.draw(1 + new.len() as u64) as usize
+            rng.below(1 + new.len() as u64) as usize
         };
         let mut bytes = old.clone();
         bytes.resize(old.len().max(length).min(old.len().max(new.len())), 0);
         for (at, piece) in new.chunks(block).enumerate() {
             let at = at * block;
             let end = (at + piece.len()).min(bytes.len());
-            if at < end && coins.draw(2) == 0 {
+            if at < end && rng.below(2) == 0 {
                 bytes[at..end].copy_from_slice(&piece[..end - at]);
             }
         }
@@ -254,19 +257,25 @@
     all
 }
 
-fn open(folder: &Path, mint: u64) -> (Store, tokio::sync::mpsc::UnboundedReceiver<StoreEvent>) {
-    let (said, heard) = tokio::sync::mpsc::unbounded_channel();
-    (Store::open(folder, mint, None, said).unwrap(), heard)
+fn open(
+    folder: &Path,
+    new_identity: u64,
+) -> (Store, tokio::sync::mpsc::UnboundedReceiver<StoreEvent>) {
+    let (sender, events) = tokio::sync::mpsc::unbounded_channel();
+    (
+        Store::open(folder, new_identity, None, sender).unwrap(),
+        events,
+    )
 }
 
-fn close((store, mut heard): (Store, tokio::sync::mpsc::UnboundedReceiver<StoreEvent>)) {
+fn close((store, mut events): (Store, tokio::sync::mpsc::UnboundedReceiver<StoreEvent>)) {
     drop(store);
-    while heard.blocking_recv().is_some() {}
+    while events.blocking_recv().is_some() {}
 }
 
 type Rows = BTreeMap<Vec<u8>, Vec<u8>>;
 
-fn put(rows: &mut Rows, records: &[Record]) {
+fn apply(rows: &mut Rows, records: &[Record]) {
     for record in records {
         match record {
             Record::Put { key, value } => _ = rows.insert(key.clone(), value.clone()),
@@ -275,12 +284,12 @@
     }
 }
 
-/// What a start finds: the rows under the identity that was minted first, or an empty disk.
-fn found(image: &Image, mint: u64) -> Option<Rows> {
+/// Opens a store on an image. Returns its rows, or None if it was replaced by an empty one.
+fn reopen(image: &Image, new_identity: u64) -> Option<Rows> {
     let folder = tempfile::tempdir().unwrap();
-    lay(folder.path(), image);
-    let opened = open(folder.path(), mint);
-    assert_eq!(opened.0.is_new, opened.0.identity == mint);
+    write_image(folder.path(), image);
+    let opened = open(folder.path(), new_identity);
+    assert_eq!(opened.0.is_new, opened.0.identity == new_identity);
     let rows = (!opened.0.is_new).then(|| opened.0.chain_rows.iter().cloned().collect());
     assert!(!opened.0.is_new || opened.0.chain_rows.is_empty());
     close(opened);
@@ -288,33 +297,33 @@
 }
 
 #[test]
-fn whatever_of_a_write_reaches_the_disk_all_before_it_is_there_or_it_is_taken_for_empty() {
-    let mut coins = Coins(7);
-    let (mut whole, mut empty) = (0, 0);
-    for batches in written() {
+fn a_torn_write_loses_no_earlier_write_or_the_store_is_replaced_by_an_empty_one() {
+    let mut rng = Rng(7);
+    let (mut complete, mut empty) = (0, 0);
+    for batches in recorded_batches() {
         let folder = tempfile::tempdir().unwrap();
-        let (store, mut heard) = open(folder.path(), 7);
+        let (store, mut events) = open(folder.path(), 7);
         let mut images = vec![
             (Image::new(), Rows::new()),
             (image(folder.path()), Rows::new()),
         ];
         for (n, records) in (1..).zip(batches) {
             let mut rows = images.last().unwrap().1.clone();
-            put(&mut rows, &records);
+            apply(&mut rows, &records);
             assert!(store.write(StoreTree::Chain, n, records));
-            while !matches!(heard.blocking_recv(), Some(StoreEvent::Synced { chain, .. }) if chain == Some(n))
+            while !matches!(events.blocking_recv(), Some(StoreEvent::Synced { chain, .. }) if chain == Some(n))
             {
             }
             images.push((image(folder.path()), rows));
         }
-        close((store, heard));
+        close((store, events));
         for pair in images.windows(2) {
             let [(before, old), (after, new)] = pair else {
                 unreachable!()
             };
-            assert_eq!(found(after, 8).as_ref(), Some(new));
+            assert_eq!(reopen(after, 8).as_ref(), Some(new));
             for _ in 0..3 {
-                match found(&torn(before, after, &mut coins), 8) {
+                match reopen(&torn(before, after, &mut rng), 8) {
                     None => empty += 1,
                     Some(rows) => {
                         assert!(
@@ -324,87 +333,87 @@
                             old.len(),
                             new.len()
                         );
-                        whole += 1;
+                        complete += 1;
                     }
                 }
             }
         }
     }
-    assert!(whole > 4 * empty, "{whole} whole, {empty} empty");
+    assert!(complete > 4 * empty, "{complete} complete, {empty} empty");
 }
 
-/// A controller alone that takes configurations, each much like the one before, puts and numbers; it loses its power at any
-/// write. The controller that starts on what is left shows, once it is at work, what a copy in memory shows after all updates
-/// that were answered, or after the one more that was being written.
+/// A single controller applies random updates and loses power during any write. A controller restarted on the remaining
+/// data must have the state after all acknowledged updates, or after the one that was being written.
 #[test]
-fn a_controller_that_lost_its_power_at_any_write_has_all_that_it_answered() {
+fn a_controller_keeps_all_acknowledged_updates_after_a_power_loss() {
     arbtest::arbtest(|u| {
-        let mut controller = ControllerSelection { losses: 0, ..ControllerSelection::default() };
-        controller.start();
-        let (length, mut copies) = (*u.choose(&[20_000, 300_000, 1_100_000])?, Vec::new());
+        let mut cluster = Cluster { tolerated_losses: 0, ..Cluster::default() };
+        cluster.start();
+        let (length, mut history) = (*u.choose(&[20_000, 300_000, 1_100_000])?, Vec::new());
         for _ in 0..u.int_in_range(4..=9)? {
             match u.int_in_range(0..=3)? {
-                0 => controller.update(&Update::NextNumber { name: "n".into() }),
-                1 => controller.update(&Update::PutKey {
+                0 => cluster.update(&Update::NextNumber { name: "n".into() }),
+                1 => cluster.update(&Update::PutKey {
                     name: format!("g.{}", u.int_in_range(0..=3)?),
-                    value: "v".repeat(u.int_in_range(1..=9_000)?) + &controller.token.to_string(),
+                    value: "v".repeat(u.int_in_range(1..=9_000)?) + &cluster.token.to_string(),
                     expected: None,
                 }),
-                _ => controller.configure(length),
+                _ => cluster.configure(length),
             }
-            copies.push((controller.all[0].1.len(), controller.all[0].0.state().machine.digest()));
+            history.push((cluster.controllers[0].1.len(), cluster.controllers[0].0.state().machine.digest()));
         }
-        let (_, batches) = controller.all.remove(0);
-        let (folder, mut coins) = (tempfile::tempdir().unwrap(), Coins(u.arbitrary()?));
-        let (store, mut heard) = open(folder.path(), 1);
+        let (_, batches) = cluster.controllers.remove(0);
+        let (folder, mut rng) = (tempfile::tempdir().unwrap(), Rng(u.arbitrary()?));
+        let (store, mut events) = open(folder.path(), 1);
         let mut before = image(folder.path());
         for (n, records) in (1..).zip(&batches) {
             assert!(store.write(StoreTree::Chain, n, records.clone()));
-            while !matches!(heard.blocking_recv(), Some(StoreEvent::Synced { chain, .. }) if chain == Some(n)) {}
+            while !matches!(events.blocking_recv(), Some(StoreEvent::Synced { chain, .. }) if chain == Some(n)) {}
             let after = image(folder.path());
             let last = n == batches.len() as u64;
             if last || u.ratio(1, 4)? {
-                let left = if last { after.clone() } else { torn(&before, &after, &mut coins) };
-                let rows = found(&left, 8);
-                assert!(rows.is_some() || !last, "all was there, and the disk is taken for empty");
-                let answered =
-                    copies.iter().filter(|(written, _)| *written < n as usize + usize::from(last)).count();
-                rows.into_iter().for_each(|rows| controller.starts_on(rows, &copies, answered));
+                let remaining = if last { after.clone() } else { torn(&before, &after, &mut rng) };
+                let rows = reopen(&remaining, 8);
+                assert!(rows.is_some() || !last, "the image was complete, but the store was replaced by an empty one");
+                let acknowledged =
+                    history.iter().filter(|(written, _)| *written < n as usize + usize::from(last)).count();
+                rows.into_iter().for_each(|rows| cluster.restart_on(rows, &history, acknowledged));
             }
             before = after;
         }
-        close((store, heard));
+        close((store, events));
         Ok(())
     })
     .budget_ms(4_000);
 }
 
-/// Another store is in its place once it is whole on the disk, and not before.
+/// A new store takes effect once it is completely on the disk, and not before.
 #[test]
-fn whatever_there_is_of_a_store_that_is_founded_anew_the_old_one_stays() {
-    let mut coins = Coins(7);
+fn an_incomplete_replacement_leaves_the_old_store_in_effect() {
+    let mut rng = Rng(7);
     let folder = tempfile::tempdir().unwrap();
-    let (store, heard) = open(folder.path(), 7);
+    let (store, events) = open(folder.path(), 7);
     let mut rows = Rows::new();
-    for (n, records) in (1..).zip(&written()[0]) {
-        put(&mut rows, records);
+    for (n, records) in (1..).zip(&recorded_batches()[0]) {
+        apply(&mut rows, records);
         assert!(store.write(StoreTree::Chain, n, records.clone()));
     }
-    close((store, heard));
+    close((store, events));
     let old = image(folder.path());
-    let mut left = rows.clone();
-    left.remove(&b"b"[..]);
-    let records: Vec<Record> = left
+    let mut new_rows = rows.clone();
+    new_rows.remove(&b"b"[..]);
+    let records: Vec<Record> = new_rows
         .iter()
         .map(|(key, value)| Record::Put {
             key: key.clone(),
             value: value.clone(),
         })
         .collect();
-    let founds = |folder: &Path| replace(folder, &inspect(folder).unwrap(), 9, &records).unwrap();
-    founds(folder.path());
+    let replace_store =
+        |folder: &Path| replace(folder, &inspect(folder).unwrap(), 9, &records).unwrap();
+    replace_store(folder.path());
     let new = image(folder.path());
-    let of = |image: &Image, from: &str, to: &str| -> Image {
+    let renamed = |image: &Image, from: &str, to: &str| -> Image {
         let files = image
             .iter()
             .filter_map(|(name, bytes)| Some((name.strip_prefix(from)?, bytes)));
@@ -412,18 +421,18 @@
             .map(|(name, bytes)| (format!("{to}{name}"), bytes.clone()))
             .collect()
     };
-    let making = of(&new, "store/", "store.making/");
+    let temporary = renamed(&new, "store/", "store.making/");
     for _ in 0..12 {
-        let mut all = torn(&Image::new(), &making, &mut coins);
+        let mut all = torn(&Image::new(), &temporary, &mut rng);
         all.extend(old.clone());
-        assert_eq!(found(&all, 8).as_ref(), Some(&rows));
+        assert_eq!(reopen(&all, 8).as_ref(), Some(&rows));
         let folder = tempfile::tempdir().unwrap();
-        lay(folder.path(), &all);
-        founds(folder.path());
+        write_image(folder.path(), &all);
+        replace_store(folder.path());
         assert_eq!(inspect(folder.path()).unwrap().identity, Some(9));
     }
-    // Whole, and not in its place yet.
-    let mut all = of(&new, "store/", "store.next/");
+    // Complete, but not yet at its final path.
+    let mut all = renamed(&new, "store/", "store.next/");
     all.extend(old.clone());
-    assert_eq!(found(&all, 8), Some(left));
+    assert_eq!(reopen(&all, 8), Some(new_rows));
 }
