--- a/crates/rookpulley-controller/src/api.rs
+++ b/crates/rookpulley-controller/src/api.rs
@@ -1,7 +1,7 @@
-//! The HTTP calls of instances, the operator and applications, and how their answers go out.
+//! The HTTP API for instances, operators and applications.
 
 use crate::inspect;
-use crate::request::{ApiRequest, request_tree};
+use crate::request::{ApiRequest, request_router};
 use crate::server::Server;
 use rookpulley_api::{Bounds, Call, Match, Reply, Router, RouterError, query_value};
 use rookpulley_control::{self as control, Content, Endpoint};
@@ -10,19 +10,19 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Answers calls on behalf of a controller.
+/// Answers API calls by means of a controller.
 pub struct Api {
     pub server: Rc<Server>,
-    tree: Router<ApiRequest>,
+    router: Router<ApiRequest>,
 }
 
 impl Api {
     pub fn new(server: Rc<Server>) -> Result<Rc<Self>, RouterError> {
-        let tree = request_tree()?;
-        Ok(Rc::new(Self { server, tree }))
+        let router = request_router()?;
+        Ok(Rc::new(Self { server, router }))
     }
 
-    /// Takes calls until it is told to stop.
+    /// Starts a task that serves calls until `stopped` becomes true.
     pub fn serve(
         self: &Rc<Self>,
         listener: TcpListener,
@@ -38,16 +38,18 @@
     }
 
     pub async fn answer(&self, call: Call) -> Reply {
-        let (request, reply) = match self.tree.lookup(&call.method, &call.path) {
-            Match::NotFound => (None, no_such_call()),
-            Match::WrongMethod => (None, wrong_method()),
-            Match::Found(request, name) => (Some(request), self.take(request, &name, call).await),
+        let (request, reply) = match self.router.lookup(&call.method, &call.path) {
+            Match::NotFound => (None, not_found()),
+            Match::WrongMethod => (None, method_not_allowed()),
+            Match::Found(request, name) => {
+                (Some(request), self.dispatch(request, &name, call).await)
+            }
         };
         self.server.metrics.count_call(request, reply.status);
         reply
     }
 
-    async fn take(&self, request: ApiRequest, name: &str, call: Call) -> Reply {
+    async fn dispatch(&self, request: ApiRequest, name: &str, call: Call) -> Reply {
         let endpoint = match request {
             ApiRequest::Call(endpoint) => endpoint,
             ApiRequest::Inspect(section) => return inspect::answer(&self.server, section, name),
@@ -63,7 +65,7 @@
             },
             Err(reply) => {
                 if endpoint == Endpoint::PutConfiguration {
-                    tracing::info!("calls: a configuration was refused: {:?}", reply.content);
+                    tracing::info!("calls: configuration rejected: {:?}", reply.content);
                 }
                 encode(reply)
             }
@@ -71,17 +73,17 @@
     }
 }
 
-/// There is nothing under this path.
-pub fn no_such_call() -> Reply {
+/// The reply for an unknown path.
+pub fn not_found() -> Reply {
     Reply::error(404, "there is no such call")
 }
 
-/// There is something under this path, but not by this method.
-pub fn wrong_method() -> Reply {
+/// The reply for a known path with another method.
+pub fn method_not_allowed() -> Reply {
     Reply::error(405, "there is no such call with this method")
 }
 
-/// Sends a call to the same path and query at another controller.
+/// Redirects a call to the same path and query at another controller.
 pub fn redirect(to: std::net::Ipv4Addr, port: u16, call: &Call) -> Reply {
     let query = if call.query.is_empty() {
         String::new()
--- a/crates/rookpulley-controller/src/api/tests.rs
+++ b/crates/rookpulley-controller/src/api/tests.rs
@@ -1,4 +1,4 @@
-use crate::inspect::tests::{call, shown, with_controller};
+use crate::inspect::tests::{call, inspected, with_controller};
 
 fn heartbeat(sequence: u64) -> String {
     format!(
@@ -8,12 +8,12 @@
     )
 }
 
-/// NEWS-22: some tasks never say `draining`, they send `DELETE` first, and a heartbeat may come seconds late.
+/// NEWS-22: some instances send `DELETE` without draining first, and their last heartbeats may arrive seconds later.
 #[test]
-fn an_instance_that_sends_delete_first_gets_no_more_requests_whatever_heartbeats_come_late() {
+fn late_heartbeats_do_not_revive_an_instance_after_delete() {
     with_controller(|api| async move {
         assert!(
-            shown(&api, "tasks/stamps")
+            inspected(&api, "tasks/stamps")
                 .await
                 .contains("\"standing\":\"live\"")
         );
@@ -21,30 +21,33 @@
             call(&api, "DELETE", "instances/i-41c0", "").await.status,
             200
         );
-        // One that was sent before the `DELETE` has a higher number than the last that came.
+        // A heartbeat sent before the `DELETE` may have a higher number than the last one received.
         for sequence in [1, 2, 7] {
             let late = call(&api, "PUT", "instances/i-41c0", &heartbeat(sequence)).await;
             assert_eq!(late.status / 100, 2, "{sequence}");
-            let tasks = shown(&api, "tasks/stamps").await;
+            let tasks = inspected(&api, "tasks/stamps").await;
             assert!(
                 !tasks.contains("\"standing\":\"live\""),
                 "{sequence}: {tasks}"
             );
         }
-        // The same again, as where its answer was lost.
+        // Repeats the `DELETE`, as after a lost response.
         assert_eq!(
             call(&api, "DELETE", "instances/i-41c0", "").await.status,
             200
         );
-        // It is in no table any more.
-        while !shown(&api, "tables/stamps").await.contains("\"lines\":0") {
+        // The instance is removed from the table.
+        while !inspected(&api, "tables/stamps")
+            .await
+            .contains("\"lines\":0")
+        {
             tokio::task::yield_now().await;
         }
-        // Another incarnation at the same address is not held back by it.
+        // A new incarnation at the same address is accepted.
         let next = call(&api, "PUT", "instances/i-41c1", &heartbeat(1)).await;
         assert_eq!(next.status, 200);
         assert!(
-            shown(&api, "tasks/stamps")
+            inspected(&api, "tasks/stamps")
                 .await
                 .contains("\"standing\":\"live\"")
         );
--- a/crates/rookpulley-controller/src/incarnation.rs
+++ b/crates/rookpulley-controller/src/incarnation.rs
@@ -1,5 +1,5 @@
-//! One incarnation of a controller with a disk: from the opening of its store until the process is to end, or the store
-//! can't be used any more.
+//! One incarnation of a controller with a disk: from opening its store until the process shuts down or the store becomes
+//! unusable.
 
 use crate::api::Api;
 use crate::server::{Server, StoreFailure};
@@ -16,38 +16,38 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 512;
 const TICK: Duration = Duration::from_millis(50);
-/// How often the log says how it stands, in ticks.
+/// Interval of the summaries in the log, in ticks.
 const SUMMARY_TICKS: u64 = 200;
 
-/// Why an incarnation is over.
-pub enum Ended {
-    /// The process is to end.
+/// Why an incarnation ended.
+pub enum IncarnationEnded {
+    /// The process shuts down.
     Stopped,
-    /// The other controllers hold something else; the store begins anew, and catches up from them.
+    /// The store diverged from the other controllers and is replaced by an empty one, which catches up from them.
     StoreDiscarded,
-    /// The store can't be used.
+    /// The store is unusable.
     StoreLost(StoreLoss),
 }
 
-/// A store that can't be used, and who else may take calls meanwhile.
+/// Why a store is unusable, and which controllers can take its calls.
 pub struct StoreLoss {
-    /// For the log.
-    pub why: String,
-    /// Members of the last view that was known.
+    /// The error, for the log.
+    pub reason: String,
+    /// The other members of the last known view.
     pub others: Vec<SocketAddrV4>,
 }
 
-/// Where a controller is called, and connected to.
+/// The listening sockets of a controller.
 pub struct Listeners {
     pub api: TcpListener,
     pub proxies: TcpListener,
     pub peers: TcpListener,
 }
 
-/// Listens for calls, proxies and other controllers.
+/// Opens the sockets for API calls, proxies and other controllers.
 pub fn listen(node: &Node, control: SocketAddrV4) -> miette::Result<Listeners> {
     let internal = |offset| SocketAddrV4::new(node.ip, node.internal_ports.0 + offset);
     Ok(Listeners {
@@ -57,10 +57,10 @@
     })
 }
 
-/// Listens at one address.
+/// Opens a listening socket.
 pub fn listen_at(at: SocketAddrV4) -> miette::Result<TcpListener> {
     let listener = connection::listen(SocketAddr::V4(at), BACKLOG).into_diagnostic();
-    listener.wrap_err_with(|| format!("controller: {at} can't be listened at"))
+    listener.wrap_err_with(|| format!("controller: can't listen at {at}"))
 }
 
 pub async fn run(
@@ -69,35 +69,35 @@
     folder: &Path,
     settings_file: PathBuf,
     signals: &mut Signals,
-) -> miette::Result<Ended> {
-    // Before the store is opened: who connects meanwhile waits, and isn't refused. At a start proxies that reach all
-    // controllers at once choose the same primary.
+) -> miette::Result<IncarnationEnded> {
+    // Listens before the store is opened, so that early connections wait instead of being refused. Proxies that reach all
+    // controllers at startup choose the same primary.
     let listeners = listen(node, control)?;
     let (sender, events) = tokio::sync::mpsc::unbounded_channel();
     let bootstrap = node
         .first_start
         .then(|| Bootstrap::new(node.ip, &node.seeds).encode());
-    let opening = Instant::now();
+    let opening_started = Instant::now();
     let opened = Store::open(folder, rand::random(), bootstrap.as_deref(), sender);
     let mut store = match opened {
         Ok(store) => store,
-        Err(why @ (StoreError::Folder(..) | StoreError::InUse(..))) => {
-            let why = why.to_string();
+        Err(error @ (StoreError::Folder(..) | StoreError::InUse(..))) => {
+            let reason = error.to_string();
             let others = Vec::new();
-            return Ok(Ended::StoreLost(StoreLoss { why, others }));
+            return Ok(IncarnationEnded::StoreLost(StoreLoss { reason, others }));
         }
-        Err(why) => return Err(why.into()),
+        Err(error) => return Err(error.into()),
     };
     let chain_rows = std::mem::take(&mut store.chain_rows);
-    let disk = if store.is_new {
-        " with an empty disk"
+    let store_note = if store.is_new {
+        " with an empty store"
     } else {
         ""
     };
-    let open_ms = opening.elapsed().as_millis();
+    let open_ms = opening_started.elapsed().as_millis();
     let server = Server::new(node.clone(), store, chain_rows, rand::random());
     tracing::info!(
-        "controller: {} begins{disk}; its store was opened in {open_ms} ms",
+        "controller: {} started{store_note}; store opened in {open_ms} ms",
         node.name
     );
 
@@ -105,30 +105,30 @@
     let api = Api::new(server.clone())?.serve(listeners.api, stopped);
     tokio::task::spawn_local(proxy_sessions::listen(server.clone(), listeners.proxies));
     tokio::task::spawn_local(peers::listen(server.clone(), listeners.peers));
-    server.hear_store(events);
+    server.process_store_events(events);
     tokio::task::spawn_local(connect_to_peers(server.clone()));
     tokio::task::spawn_local(tick(server.clone()));
-    let take_seeds = |seeds: &[SocketAddrV4]| server.discover_seeds(seeds);
+    let on_seeds = |seeds: &[SocketAddrV4]| server.discover_seeds(seeds);
     let failure = tokio::select! {
-        () = signals.wait(SettingsFile::new(settings_file), take_seeds) => None,
+        () = signals.wait(SettingsFile::new(settings_file), on_seeds) => None,
         failure = server.store_failure() => Some(failure),
     };
     match failure {
         None => {
             shutdown::leave_and_close(&server, stop, api).await;
-            Ok(Ended::Stopped)
+            Ok(IncarnationEnded::Stopped)
         }
-        Some(StoreFailure::Discarded) => Ok(Ended::StoreDiscarded),
-        Some(StoreFailure::Write(why)) => {
+        Some(StoreFailure::Discarded) => Ok(IncarnationEnded::StoreDiscarded),
+        Some(StoreFailure::Write(reason)) => {
             let others = server.other_members();
-            Ok(Ended::StoreLost(StoreLoss { why, others }))
+            Ok(IncarnationEnded::StoreLost(StoreLoss { reason, others }))
         }
     }
 }
 
 async fn connect_to_peers(server: Rc<Server>) {
     loop {
-        for ip in server.take_to_connect() {
+        for ip in server.take_pending_connects() {
             tokio::task::spawn_local(peers::keep_connected(server.clone(), ip));
         }
         server.connect.notified().await;
--- a/crates/rookpulley-controller/src/inspect.rs
+++ b/crates/rookpulley-controller/src/inspect.rs
@@ -1,7 +1,6 @@
-//! What operators may look at: how things look from this controller. Nothing here changes anything, and no answer grows
-//! beyond bounds.
+//! Read-only inspection of this controller for operators, with bounded replies.
 //!
-//! The names of fields stand on the operators' pages and don't change.
+//! The field names are part of the documented API and must not change.
 
 use crate::json::{number, object};
 use crate::request::Section;
@@ -12,10 +11,10 @@
 use rookpulley_registry::InstanceStatus;
 use tinyjson::JsonValue;
 
-/// So many rows go into an answer; `more` says how many it lacks.
+/// Maximum number of rows in a reply; `more` is the number of omitted ones.
 const MAX_ROWS: usize = 2_000;
 
-/// The answer to a look at one section. `service`: of this one alone; empty: of all.
+/// Answers a request for one section. A non-empty `service` restricts the rows to that service.
 pub fn answer(server: &Server, section: Section, service: &str) -> Reply {
     let now = server.now_ms();
     server.inspect(|controller| match section {
@@ -36,7 +35,7 @@
     JsonValue::String(text.to_string())
 }
 
-/// A number that JSON can't hold, in hexadecimal.
+/// A 64-bit number in hexadecimal, as JSON numbers are exact only up to 2^53.
 fn hex(n: u64) -> JsonValue {
     text(format_args!("{n:016x}"))
 }
@@ -49,7 +48,7 @@
     JsonValue::Number(ms.max(0.0).round())
 }
 
-/// The first rows, and how many more there are.
+/// The first rows, and the number of omitted ones.
 struct BoundedRows {
     rows: JsonValue,
     more: JsonValue,
@@ -77,7 +76,7 @@
     let count = status.members.len();
     let members = status.members.iter().enumerate();
     let members = members.map(|(position, report)| {
-        let part = part_in_chain(position, count);
+        let part = chain_role(position, count);
         member(report, part, report.member.id == here)
     });
     let members = JsonValue::Array(members.collect());
@@ -98,7 +97,7 @@
     ])
 }
 
-fn part_in_chain(position: usize, count: usize) -> &'static str {
+fn chain_role(position: usize, count: usize) -> &'static str {
     if count <= 1 {
         "alone"
     } else if position == 0 {
--- a/crates/rookpulley-controller/src/inspect/tests.rs
+++ b/crates/rookpulley-controller/src/inspect/tests.rs
@@ -29,7 +29,7 @@
     "nodeInfo":{"targetService":"stamps","configVersion":"v1","zone":"quay","capacitySlots":4},
     "currentStatus":{"lifecycleState":"available","callSequence":1,"coldRemainingMs":0}}"#;
 
-/// As callers do, it asks again where the answer is that nothing was done.
+/// Sends a request, and repeats it while the reply is 503.
 pub async fn call(api: &Api, method: &str, path: &str, body: &str) -> Reply {
     loop {
         let (method, path) = (method.into(), format!("/rookpulley/{path}"));
@@ -48,13 +48,14 @@
     }
 }
 
-pub async fn shown(api: &Api, part: &str) -> String {
+/// The reply to an inspection.
+pub async fn inspected(api: &Api, part: &str) -> String {
     let reply = call(api, "GET", &format!("show/{part}"), "").await;
     assert_eq!(reply.status, 200);
     String::from_utf8(reply.body).unwrap()
 }
 
-/// A controller alone, at work, with a task, a configuration and a proxy at home.
+/// Runs a scenario against a single controller with one instance, a configuration and a proxy that has it as primary.
 pub fn with_controller<F: Future<Output = ()>>(scenario: impl FnOnce(Rc<Api>) -> F) {
     let folder = tempfile::tempdir().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -65,13 +66,13 @@
         let (sender, events) = tokio::sync::mpsc::unbounded_channel();
         let store = Store::open(folder.path(), 7, Some(&[]), sender).unwrap();
         let server = Server::new(Node::parse(SETTINGS).unwrap(), store, Vec::new(), 11);
-        server.hear_store(events);
-        let to = server.clone();
+        server.process_store_events(events);
+        let ticked = server.clone();
         tokio::task::spawn_local(async move {
             let mut heartbeat = tokio::time::interval(std::time::Duration::from_millis(10));
             for round in 1.. {
                 heartbeat.tick().await;
-                to.tick(round);
+                ticked.tick(round);
             }
         });
         let api = Api::new(server.clone()).unwrap();
@@ -101,15 +102,15 @@
         let wait = std::time::Duration::from_secs(60);
         let stream = connection::connect(at, wait).await.unwrap();
         let outbox = Rc::new(RefCell::new(None));
-        let held = outbox.clone();
-        let open = move |to: connection::Outbox| {
-            assert!(to.send(&hello));
-            *held.borrow_mut() = Some(to);
+        let kept_open = outbox.clone();
+        let on_open = move |opened: connection::Outbox| {
+            assert!(opened.send(&hello));
+            *kept_open.borrow_mut() = Some(opened);
         };
         tokio::task::spawn_local(connection::run::<rookpulley_protocol::ControllerToProxy>(
             stream,
             None,
-            open,
+            on_open,
             |_| (),
         ));
         while server.inspect(|controller| {
@@ -122,8 +123,8 @@
     });
 }
 
-/// As a collector gets it.
-async fn over_a_socket(api: Rc<Api>, line: &str) -> String {
+/// Sends a request over a TCP connection, and returns the whole response.
+async fn request_over_tcp(api: Rc<Api>, line: &str) -> String {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut stream = tokio::net::TcpStream::connect(listener.local_addr().unwrap())
         .await
@@ -148,7 +149,7 @@
     answer
 }
 
-/// The names of all values and their types. A list counts by its first item.
+/// Collects the paths and types of all values. Of a list only the first item is taken.
 fn shape(at: &str, value: &JsonValue, into: &mut BTreeSet<String>) {
     match value {
         JsonValue::Object(fields) => {
@@ -164,7 +165,7 @@
 }
 
 #[test]
-fn what_is_shown_has_the_shape_that_the_operators_command_reads() {
+fn inspection_replies_have_the_shape_that_the_cli_reads() {
     with_controller(|api| async move {
         for (part, example) in [
             (
@@ -188,45 +189,49 @@
                 include_str!("../../../rookpulley-cli/tests/shown/ledger.json"),
             ),
         ] {
-            let (mut here, mut there) = (BTreeSet::new(), BTreeSet::new());
-            shape(part, &shown(&api, part).await.parse().unwrap(), &mut here);
-            shape(part, &example.parse().unwrap(), &mut there);
-            assert_eq!(here, there);
+            let (mut actual, mut expected) = (BTreeSet::new(), BTreeSet::new());
+            shape(
+                part,
+                &inspected(&api, part).await.parse().unwrap(),
+                &mut actual,
+            );
+            shape(part, &example.parse().unwrap(), &mut expected);
+            assert_eq!(actual, expected);
         }
     });
 }
 
 #[test]
-fn a_controller_shows_itself_its_tasks_its_proxies_and_what_it_keeps() {
+fn inspection_shows_the_chain_the_instances_the_proxies_and_the_state() {
     with_controller(|api| async move {
-        let has = |text: String, wanted: &[&str]| {
+        let contains_all = |text: String, wanted: &[&str]| {
             wanted
                 .iter()
                 .for_each(|w| assert!(text.contains(w), "{text}"))
         };
-        let alone = [
+        let single_controller = [
             "\"view\":1",
             "\"acting\":true",
             "\"inTouch\":true",
             "\"part\":\"alone\"",
             "\"here\":true",
         ];
-        has(shown(&api, "view").await, &alone);
-        has(
-            shown(&api, "tasks/stamps").await,
+        contains_all(inspected(&api, "view").await, &single_controller);
+        contains_all(
+            inspected(&api, "tasks/stamps").await,
             &["\"life\":\"i-41c0\"", "\"standing\":\"live\"", "\"more\":0"],
         );
-        has(shown(&api, "tasks/parcels").await, &["\"tasks\":[]"]);
-        has(
-            shown(&api, "tables/stamps").await,
+        contains_all(inspected(&api, "tasks/parcels").await, &["\"tasks\":[]"]);
+        contains_all(
+            inspected(&api, "tables/stamps").await,
             &["\"courier\":\"edge-quay-2\"", "\"lines\":1"],
         );
-        has(
-            shown(&api, "couriers").await,
+        contains_all(
+            inspected(&api, "couriers").await,
             &["\"home\":true", "\"config\":7"],
         );
-        has(
-            shown(&api, "ledger").await,
+        contains_all(
+            inspected(&api, "ledger").await,
             &["\"configVersion\":7", "\"locks\":0"],
         );
         assert_eq!(call(&api, "PUT", "show/view", "").await.status, 405);
@@ -235,7 +240,7 @@
 }
 
 #[test]
-fn an_answer_has_so_many_rows_and_says_how_many_it_lacks() {
+fn rows_of_a_reply_are_bounded_and_the_omitted_ones_counted() {
     let rows = |count: usize| super::bounded((0..count).map(|n| super::number(n as u64)));
     let first = rows(super::MAX_ROWS + 3);
     assert_eq!(
@@ -246,13 +251,13 @@
 }
 
 #[test]
-fn counters_tell_calls_by_kind_and_outcome_in_the_form_that_collectors_read() {
+fn metrics_count_calls_by_kind_and_outcome_in_the_prometheus_text_format() {
     with_controller(|api| async move {
         call(&api, "PUT", "cells/g1.a", r#"{"value":"x","active":3}"#).await;
         call(&api, "GET", "cells/g1.a", "").await;
         call(&api, "PUT", "configuration", "{").await;
         call(&api, "GET", "nothing", "").await;
-        let answer = over_a_socket(api, "GET /rookpulley/show/counters HTTP/1.1").await;
+        let answer = request_over_tcp(api, "GET /rookpulley/show/counters HTTP/1.1").await;
         let (head, page) = answer.split_once("\r\n\r\n").unwrap();
         assert!(
             head.contains("content-type: text/plain; version=0.0.4\r\n"),
@@ -271,16 +276,22 @@
             "rookpulley_office_couriers_at_home 1",
             "rookpulley_office_configuration_version 7",
         ] {
-            assert!(page.lines().any(|held| held == line), "{line}\n{page}");
+            assert!(
+                page.lines().any(|present| present == line),
+                "{line}\n{page}"
+            );
         }
-        // Each name is described once, before its first line.
-        let mut known = BTreeSet::new();
+        // Each metric is described once, before its first line.
+        let mut described = BTreeSet::new();
         for line in page.lines() {
             if let Some(of) = line.strip_prefix("# TYPE ") {
-                assert!(known.insert(of.split(' ').next().unwrap().to_string()));
+                assert!(described.insert(of.split(' ').next().unwrap().to_string()));
             } else if !line.starts_with('#') {
                 let (name, value) = line.rsplit_once(' ').unwrap();
-                assert!(known.contains(name.split('{').next().unwrap()), "{line}");
+                assert!(
+                    described.contains(name.split('{').next().unwrap()),
+                    "{line}"
+                );
                 assert!(value.parse::<f64>().is_ok(), "{line}");
             }
         }
--- a/crates/rookpulley-controller/src/main.rs
+++ b/crates/rookpulley-controller/src/main.rs
@@ -1,8 +1,8 @@
-//! The program that keeps control: heartbeats, configurations, coordination, tables.
+//! The controller process: heartbeats, configurations, coordination and routing tables.
 //!
-//! It is a thin shell. What is decided is decided in `rookpulley-control`; here are sockets, the store, the clock and
-//! signals. A machine with a disk runs `incarnation`s of a controller, and is on `standby` while its store can't be used;
-//! one without a disk runs `stateless`.
+//! All decisions are made in `rookpulley-control`; this program connects them to sockets, the store, the clock and
+//! signals. A machine with a disk runs an `incarnation` of a controller, and `standby` while its store is unusable. One
+//! without a disk runs `stateless`.
 
 mod api;
 mod incarnation;
@@ -17,7 +17,7 @@
 mod standby;
 mod stateless;
 
-use incarnation::Ended;
+use incarnation::IncarnationEnded;
 use miette::{IntoDiagnostic, WrapErr};
 use rookpulley_runtime::log;
 use rookpulley_settings::Node;
@@ -27,11 +27,11 @@
 use tokio::task::LocalSet;
 
 xflags::xflags! {
-    /// The control program of rookpulley. Its settings are read from the file that ROOKPULLEY_BOOT names.
+    /// The controller of rookpulley. It reads its settings from the file that ROOKPULLEY_BOOT names.
     cmd rookpulley-controller {
-        /// Reads the settings, prints them and ends.
+        /// Validates and prints the settings, then exits.
         optional --check
-        /// Prints lines of the ordinary path, too.
+        /// Also logs debug messages.
         optional --verbose
     }
 }
@@ -66,20 +66,20 @@
     };
     let mut signals = Signals::new()
         .into_diagnostic()
-        .wrap_err("ending: signals can't be heard")?;
+        .wrap_err("exiting: signal handlers can't be installed")?;
     let Some(folder) = node.data.clone() else {
         let run = stateless::run(&node, control, settings_file, &mut signals);
         return LocalSet::new().run_until(run).await;
     };
-    // A set of tasks for each incarnation: with the set all its tasks and sockets are gone.
+    // Each incarnation has its own task set: dropping it ends all its tasks and closes their sockets.
     loop {
         let set = LocalSet::new();
         let file = settings_file.clone();
         let run = incarnation::run(&node, control, &folder, file, &mut signals);
         let loss = match set.run_until(run).await? {
-            Ended::Stopped => return Ok(()),
-            Ended::StoreDiscarded => continue,
-            Ended::StoreLost(loss) => loss,
+            IncarnationEnded::Stopped => return Ok(()),
+            IncarnationEnded::StoreDiscarded => continue,
+            IncarnationEnded::StoreLost(loss) => loss,
         };
         drop(set);
         let set = LocalSet::new();
--- a/crates/rookpulley-controller/src/metrics.rs
+++ b/crates/rookpulley-controller/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges for collectors. Their names, labels and help stand on the operators' pages and don't change.
+//! Counters and gauges in the Prometheus text format. Names, labels and help texts are documented and must not change.
 
 use crate::request::ApiRequest;
 use rookpulley_chain::ChainStatus;
@@ -7,7 +7,7 @@
 use std::cell::Cell;
 use std::fmt::{Display, Write};
 
-/// Calls by what they ask for. The last two: a look at this controller, and nothing that there is.
+/// Values of the label `call`. The last two stand for inspections and for unknown calls.
 const CALLS: [&str; 13] = [
     "beat",
     "leave",
@@ -23,14 +23,14 @@
     "show",
     "none",
 ];
-const INSPECT: usize = CALLS.len() - 2;
-const NO_CALL: usize = CALLS.len() - 1;
+const INSPECT_CALL: usize = CALLS.len() - 2;
+const UNKNOWN_CALL: usize = CALLS.len() - 1;
 
 fn call_index(request: Option<ApiRequest>) -> usize {
     match request {
         Some(ApiRequest::Call(endpoint)) => endpoint_index(endpoint),
-        Some(ApiRequest::Inspect(_)) => INSPECT,
-        None => NO_CALL,
+        Some(ApiRequest::Inspect(_)) => INSPECT_CALL,
+        None => UNKNOWN_CALL,
     }
 }
 
@@ -50,7 +50,8 @@
     }
 }
 
-/// What became of a call: done; a no, as of a lock that another holds; wrong; not now; nobody knows.
+/// Values of the label `outcome`: success, a negative result such as a held lock, an invalid request, a temporary
+/// refusal, and an unknown outcome.
 const OUTCOMES: [&str; 5] = ["done", "no", "wrong", "later", "unknown"];
 
 fn outcome_index(status: u16) -> usize {
@@ -63,23 +64,23 @@
     }
 }
 
-/// What has happened here since this incarnation began.
+/// Counts of calls since the start of this incarnation.
 #[derive(Default)]
 pub struct Metrics {
     calls: [[Cell<u64>; OUTCOMES.len()]; CALLS.len()],
 }
 
 impl Metrics {
-    /// A call was answered. `request`: none where there is no such call, which is the caller's mistake.
+    /// Counts an answered call. An unknown call has no `request` and counts as invalid.
     pub fn count_call(&self, request: Option<ApiRequest>, status: u16) {
         let status = if request.is_none() { 400 } else { status };
         let outcomes = self.calls.get(call_index(request));
-        if let Some(count) = outcomes.and_then(|of| of.get(outcome_index(status))) {
+        if let Some(count) = outcomes.and_then(|counts| counts.get(outcome_index(status))) {
             count.set(count.get().wrapping_add(1));
         }
     }
 
-    /// All counters and gauges in the text form that collectors read.
+    /// Renders all counters and gauges.
     pub fn page(&self, controller: &Controller, now: f64) -> String {
         let mut page = Page(String::with_capacity(12 << 10));
         self.add_calls(&mut page);
@@ -103,11 +104,11 @@
     }
 }
 
-/// A page in the text form that collectors read.
+/// A page in the Prometheus text format.
 struct Page(String);
 
 impl Page {
-    /// Begins a name; its lines follow.
+    /// Writes the description of a metric, which must precede its lines.
     fn describe(&mut self, name: &str, kind: &str, help: &str) {
         // Writing into a string can't fail.
         _ = writeln!(self.0, "# HELP {name} {help}\n# TYPE {name} {kind}");
@@ -117,13 +118,13 @@
         _ = writeln!(self.0, "{name}{labels} {value}");
     }
 
-    /// A counter with a single line.
+    /// Writes a counter without labels.
     fn counter(&mut self, name: &str, help: &str, value: impl Display) {
         self.describe(name, "counter", help);
         self.line(name, "", value);
     }
 
-    /// A gauge with a single line.
+    /// Writes a gauge without labels.
     fn gauge(&mut self, name: &str, help: &str, value: impl Into<u64>) {
         self.describe(name, "gauge", help);
         self.line(name, "", value.into());
--- a/crates/rookpulley-controller/src/peers.rs
+++ b/crates/rookpulley-controller/src/peers.rs
@@ -1,7 +1,7 @@
-//! Connections between controllers. Each controller connects to every other; what it says goes on the connection that it
-//! made.
+//! Connections between controllers. Each controller connects to every other one, and sends its messages only on the
+//! connections that it opened.
 
-use crate::proxy_sessions::ACCEPT_RETRY;
+use crate::proxy_sessions::ACCEPT_RETRY_DELAY;
 use crate::server::Server;
 use rookpulley_control::PeerMessage;
 use rookpulley_runtime::{Backoff, connection};
@@ -12,13 +12,13 @@
 use tokio::sync::Notify;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// The pause before connecting again doubles with each failure.
+/// The delay before a reconnect doubles with each failure, within these bounds.
 const MIN_BACKOFF: Duration = Duration::from_millis(60);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// A controller says something every two seconds at least.
+/// Controllers send at least every two seconds.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Keeps a connection to the controller at this address until it isn't wanted any more.
+/// Keeps a connection to the controller at this address until the controller is no longer needed.
 pub async fn keep_connected(server: Rc<Server>, ip: Ipv4Addr) {
     let to = SocketAddr::from((ip, server.peer_port()));
     let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
@@ -31,13 +31,13 @@
         };
         if let Ok(stream) = connected {
             backoff.reset();
-            let open = |outbox| server.peer_connected(ip, outbox);
-            let why = connection::run::<()>(stream, None, open, |()| ()).await;
+            let on_open = |outbox| server.peer_connected(ip, outbox);
+            let reason = connection::run::<()>(stream, None, on_open, |()| ()).await;
             server.peer_disconnected(ip);
-            tracing::info!("peers: the connection to {ip} {why}");
+            tracing::info!("peers: the connection to {ip} {reason}");
         }
-        let pause = tokio::time::sleep(backoff.next_delay());
-        if unless_notified(pause, &is_alive).await.is_none() {
+        let delay = tokio::time::sleep(backoff.next_delay());
+        if unless_notified(delay, &is_alive).await.is_none() {
             backoff.reset();
         }
         if !server.is_peer_wanted(ip) {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Waits for something. None: the peer has said something meanwhile, so a new attempt reaches it at once.
+/// Waits for a future. Returns None if the peer has sent a message first, as a new attempt then succeeds at once.
 async fn unless_notified<T>(future: impl Future<Output = T>, is_alive: &Notify) -> Option<T> {
     tokio::select! {
         biased;
@@ -56,11 +56,11 @@
     }
 }
 
-/// Takes connections of other controllers.
+/// Accepts connections of other controllers.
 pub async fn listen(server: Rc<Server>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_RETRY).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         connection::configure(&stream, connection::USER_TIMEOUT);
@@ -70,15 +70,15 @@
 
 async fn serve(server: Rc<Server>, stream: TcpStream, from: SocketAddr) {
     let mut sender = None;
-    // Nothing is sent on this connection, but it ends with its outbox.
+    // Nothing is sent on this connection, but dropping the outbox would close it.
     let mut _outbox = None;
-    let open = |opened| _outbox = Some(opened);
-    let take = |message: PeerMessage| server.handle_peer_message(&mut sender, message);
-    let why = connection::run(stream, Some(SILENCE_TIMEOUT), open, take).await;
+    let on_open = |opened| _outbox = Some(opened);
+    let on_message = |message: PeerMessage| server.handle_peer_message(&mut sender, message);
+    let reason = connection::run(stream, Some(SILENCE_TIMEOUT), on_open, on_message).await;
     if let Some(id) = sender {
         server.peer_session_ended(id);
     }
-    tracing::debug!("peers: the connection from {from} {why}");
+    tracing::debug!("peers: the connection from {from} {reason}");
 }
 
 #[cfg(test)]
--- a/crates/rookpulley-controller/src/proxy_sessions.rs
+++ b/crates/rookpulley-controller/src/proxy_sessions.rs
@@ -1,7 +1,7 @@
-//! Connections of proxies, and of controllers without a disk.
+//! Incoming connections of proxies and stateless controllers.
 //!
-//! A proxy whose primary is another controller says nothing here for long; that it is there shows in what is written to
-//! it.
+//! They have no read timeout, as a proxy whose primary is another controller may stay silent for long. A lost
+//! connection is detected by the writes to it.
 
 use crate::server::{ClientSession, Server};
 use rookpulley_protocol::ProxyToController;
@@ -11,14 +11,14 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// After a connection could not be accepted.
-pub const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+/// Delay before the next attempt after a failed `accept`.
+pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Takes connections for as long as the listener is there.
+/// Accepts connections, and serves each in its own task.
 pub async fn listen(server: Rc<Server>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_RETRY).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         connection::configure(&stream, connection::USER_TIMEOUT);
@@ -29,8 +29,8 @@
 async fn serve(server: Rc<Server>, stream: TcpStream) {
     let outbox = RefCell::new(None);
     let session: RefCell<Option<ClientSession>> = RefCell::new(None);
-    let open = |opened| *outbox.borrow_mut() = Some(opened);
-    let take = |message: ProxyToController| {
+    let on_open = |opened| *outbox.borrow_mut() = Some(opened);
+    let on_message = |message: ProxyToController| {
         let mut session = session.borrow_mut();
         match (message, session.as_ref()) {
             (message, Some(session)) => server.handle_client_message(session, message),
@@ -45,10 +45,10 @@
             (_, None) => {}
         }
     };
-    let why = connection::run::<ProxyToController>(stream, None, open, take).await;
+    let reason = connection::run::<ProxyToController>(stream, None, on_open, on_message).await;
     if let Some(session) = session.into_inner() {
         server.client_disconnected(&session);
-        tracing::info!("proxies: the connection of {} {why}", session.name);
+        tracing::info!("proxies: the connection of {} {reason}", session.name);
     }
 }
 
--- a/crates/rookpulley-controller/src/proxy_sessions/tests.rs
+++ b/crates/rookpulley-controller/src/proxy_sessions/tests.rs
@@ -1,9 +1,9 @@
 use crate::inspect::tests::with_controller;
 
 #[test]
-fn a_proxy_with_too_much_waiting_is_disconnected_so_that_it_misses_nothing() {
+fn a_proxy_with_a_full_outbox_is_disconnected() {
     with_controller(|api| async move {
-        // Nothing is written meanwhile.
+        // Nothing is written to the socket between these ticks.
         (0..2_000).for_each(|_| api.server.tick(8));
         for _ in 0..10_000 {
             if api
@@ -14,6 +14,6 @@
             }
             tokio::task::yield_now().await;
         }
-        panic!("its connection goes on, without what was dropped");
+        panic!("the connection stays open although messages were dropped");
     });
 }
--- a/crates/rookpulley-controller/src/request.rs
+++ b/crates/rookpulley-controller/src/request.rs
@@ -1,36 +1,36 @@
-//! What may be asked of a controller over HTTP, by method and path.
+//! The routes of the controller's HTTP API.
 
 use rookpulley_api::{Router, RouterError};
 use rookpulley_control::Endpoint;
 
-/// What a call asks for.
+/// The request that a route stands for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ApiRequest {
-    /// Something of the gateway.
+    /// A call of the gateway.
     Call(Endpoint),
-    /// A look at this controller alone. Nothing is changed by it.
+    /// A read-only inspection of this controller.
     Inspect(Section),
 }
 
-/// A part of a controller that can be looked at.
+/// A part of the controller that can be inspected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Section {
-    /// The chain.
+    /// The chain's members and progress.
     View,
-    /// The instances.
+    /// The registered instances.
     Instances,
-    /// The tables of the proxies that it is primary for.
+    /// The routing tables of the proxies that have this controller as their primary.
     Tables,
-    /// The proxies that are connected.
+    /// The connected proxies.
     Proxies,
-    /// The replicated state.
+    /// The size of the replicated state.
     State,
-    /// Counters and gauges for collectors.
+    /// Counters and gauges in the Prometheus text format.
     Metrics,
 }
 
-/// All that may be asked for, by method and path.
-pub fn request_tree() -> Result<Router<ApiRequest>, RouterError> {
+/// Builds the router of all requests.
+pub fn request_router() -> Result<Router<ApiRequest>, RouterError> {
     let call = ApiRequest::Call;
     let inspect = ApiRequest::Inspect;
     Router::new(&[
--- a/crates/rookpulley-controller/src/server.rs
+++ b/crates/rookpulley-controller/src/server.rs
@@ -1,5 +1,5 @@
-//! A controller on sockets, disk and clock: what comes in goes to `rookpulley_control::Controller`, and what that wants
-//! is carried out.
+//! Connects `rookpulley_control::Controller` to sockets, the store and the clock: passes inputs to it and applies the
+//! effects that it returns.
 
 use crate::metrics::Metrics;
 use rookpulley_chain::Member;
@@ -17,37 +17,37 @@
 use std::time::Instant;
 use tokio::sync::{Notify, mpsc, oneshot};
 
-/// The connection to another controller.
+/// The outgoing connection to another controller.
 #[derive(Default)]
 struct PeerConnection {
-    /// Notified when the controller has sent something: no reason to wait before connecting again.
+    /// Notified when the peer has sent a message, so that a pending reconnection is tried at once.
     is_alive: Rc<Notify>,
-    /// None: there is no connection now.
+    /// None while disconnected.
     outbox: Option<Outbox>,
 }
 
-/// What effects are carried out on.
+/// The store and the connections that effects are applied to.
 struct Connections {
     store: Store,
     peers: BTreeMap<Ipv4Addr, PeerConnection>,
-    /// Controllers that became known and have no connection yet.
-    to_connect: Vec<Ipv4Addr>,
-    /// Of proxies and of controllers without a disk, by their numbers.
+    /// Newly discovered peers to connect to.
+    pending_connects: Vec<Ipv4Addr>,
+    /// Connections of proxies and stateless controllers, by number.
     clients: BTreeMap<u64, Outbox>,
-    /// Calls that wait for their answers, by their numbers.
+    /// Senders of the replies to pending calls, by token.
     calls: BTreeMap<u64, oneshot::Sender<Reply>>,
 }
 
-/// Why the store can't be used any more.
+/// Why the store became unusable.
 #[derive(Debug, PartialEq)]
 pub enum StoreFailure {
-    /// A write failed; why.
+    /// A write failed with this error.
     Write(String),
-    /// It differs from what all others hold, and was discarded.
+    /// Its content diverged from all other controllers, and it was discarded.
     Discarded,
 }
 
-/// Who has made a connection, and its number.
+/// The name of a connected client, and the number of its connection.
 pub struct ClientSession {
     pub name: String,
     pub connection: u64,
@@ -60,7 +60,7 @@
     started: Instant,
     controller: RefCell<Controller>,
     connections: RefCell<Connections>,
-    /// Notified when controllers became known that have no connection yet.
+    /// Notified when there are newly discovered peers to connect to.
     pub connect: Notify,
     pub metrics: Metrics,
     failure: RefCell<Option<StoreFailure>>,
@@ -68,7 +68,7 @@
 }
 
 impl Server {
-    /// `chain_rows`: what the store holds of the chain. `seed`: the incarnation.
+    /// `chain_rows` are the chain's rows in the store; `seed` is the number of the incarnation.
     pub fn new(node: Node, mut store: Store, chain_rows: Rows, seed: u64) -> Rc<Self> {
         let me = Member {
             id: store.identity,
@@ -89,7 +89,7 @@
         let connections = Connections {
             store,
             peers: BTreeMap::new(),
-            to_connect: Vec::new(),
+            pending_connects: Vec::new(),
             clients: BTreeMap::new(),
             calls: BTreeMap::new(),
         };
@@ -104,32 +104,32 @@
             failure: RefCell::default(),
             failed: Notify::new(),
         });
-        // Carries out what the start wants.
+        // Applies the effects of the start.
         server.step(|_, _| ());
         server
     }
 
-    /// Since the start, in milliseconds.
+    /// Milliseconds since the start of this incarnation.
     pub fn now_ms(&self) -> f64 {
         self.started.elapsed().as_secs_f64() * 1e3
     }
 
-    /// Where other controllers listen for controllers.
+    /// The port on which controllers listen for each other.
     pub fn peer_port(&self) -> u16 {
         self.me.address.port()
     }
 
-    /// A line for the log.
+    /// A one-line summary for the log.
     pub fn summary(&self) -> String {
         self.inspect(Controller::summary)
     }
 
-    /// Looks at the controller.
-    pub fn inspect<T>(&self, look: impl FnOnce(&Controller) -> T) -> T {
-        look(&self.controller.borrow())
+    /// Reads from the controller.
+    pub fn inspect<T>(&self, read: impl FnOnce(&Controller) -> T) -> T {
+        read(&self.controller.borrow())
     }
 
-    /// Hands something to the controller, and carries out what it wants.
+    /// Passes an input to the controller, and applies the resulting effects.
     fn step<T>(&self, input: impl FnOnce(&mut Controller, f64) -> T) -> T {
         let (result, effects) = {
             let mut controller = self.controller.borrow_mut();
@@ -137,17 +137,17 @@
             (result, controller.take_effects())
         };
         for effect in effects {
-            self.carry_out(effect);
+            self.apply_effect(effect);
         }
         result
     }
 
-    fn carry_out(&self, effect: Effect) {
+    fn apply_effect(&self, effect: Effect) {
         let mut connections = self.connections.borrow_mut();
         match effect {
             Effect::Connect(ip) => {
                 connections.peers.entry(ip).or_default();
-                connections.to_connect.push(ip);
+                connections.pending_connects.push(ip);
                 self.connect.notify_one();
             }
             Effect::PeerIsAlive(ip) => {
@@ -155,7 +155,7 @@
                     peer.is_alive.notify_waiters();
                 }
             }
-            // Where too much waits the connection ends: on the next one all is told anew, and nothing is missed.
+            // A full outbox closes the connection. The full state is sent again after a reconnect, so nothing is lost.
             Effect::SendToPeer { to, frame } => {
                 if let Some(peer) = connections.peers.get_mut(&to) {
                     peer.outbox.take_if(|outbox| !outbox.send_framed(frame));
@@ -167,7 +167,7 @@
                     connections.clients.remove(&connection);
                 }
             }
-            // A store that has ended has said so: see `hear_store`.
+            // A failed write is reported as a store event, see `process_store_events`.
             Effect::WriteChain { ticket, records } => {
                 _ = connections.store.write(StoreTree::Chain, ticket, records);
             }
@@ -178,7 +178,7 @@
             }
             Effect::Reply { token, reply } => {
                 if let Some(call) = connections.calls.remove(&token) {
-                    // Its caller may have gone.
+                    // The caller may have disconnected.
                     _ = call.send(reply);
                 }
             }
@@ -189,15 +189,15 @@
     }
 }
 
-/// Other controllers.
+/// Connections to other controllers.
 impl Server {
     pub fn discover_seeds(&self, seeds: &[SocketAddrV4]) {
         self.step(|controller, now| controller.discover_peers(now, seeds));
     }
 
-    /// Controllers that became known and have no connection yet.
-    pub fn take_to_connect(&self) -> Vec<Ipv4Addr> {
-        std::mem::take(&mut self.connections.borrow_mut().to_connect)
+    /// Returns and clears the newly discovered peers to connect to.
+    pub fn take_pending_connects(&self) -> Vec<Ipv4Addr> {
+        std::mem::take(&mut self.connections.borrow_mut().pending_connects)
     }
 
     pub fn peer_connected(&self, ip: Ipv4Addr, outbox: Outbox) {
@@ -214,7 +214,7 @@
         self.step(|controller, _| controller.peer_disconnected(ip));
     }
 
-    /// Notified when the controller at this address has sent something.
+    /// Returns a handle that is notified when the controller at this address has sent a message.
     pub fn peer_is_alive(&self, ip: Ipv4Addr) -> Rc<Notify> {
         let connections = self.connections.borrow();
         let peer = connections.peers.get(&ip);
@@ -230,26 +230,26 @@
         self.step(|controller, _| controller.forget_peer(ip));
     }
 
-    /// A message has come from another controller. `sender`: who said hello on this connection.
+    /// Handles a message of another controller. `sender` is the identity from the hello on this connection, if any.
     pub fn handle_peer_message(&self, sender: &mut Option<u64>, message: PeerMessage) {
         self.step(|controller, now| controller.handle_peer_message(now, sender, message));
     }
 
-    /// The connection on which a controller has sent is over.
+    /// The incoming connection of a controller was closed.
     pub fn peer_session_ended(&self, id: u64) {
         self.step(|controller, now| controller.peer_session_ended(now, id));
     }
 }
 
-/// The store, and calls.
+/// Store events and API calls.
 impl Server {
-    /// The others hold something else: the store is discarded, and the next incarnation catches up from them.
+    /// Discards a store whose content diverged from the other controllers. The next incarnation catches up from them.
     fn discard_store(&self) {
         let discarded = self.node.data.as_deref().map_or(Ok(()), Store::discard);
-        tracing::error!("store: differs from all others; given up {discarded:?}");
+        tracing::error!("store: diverged from all other controllers; discarding it: {discarded:?}");
         self.fail(match discarded {
             Ok(()) => StoreFailure::Discarded,
-            Err(why) => StoreFailure::Write(why.to_string()),
+            Err(error) => StoreFailure::Write(error.to_string()),
         });
     }
 
@@ -258,7 +258,7 @@
         self.failed.notify_one();
     }
 
-    /// Returns once the store can't be used any more. Nothing is acknowledged on its behalf after that.
+    /// Waits until the store becomes unusable. No write is acknowledged after that.
     pub async fn store_failure(&self) -> StoreFailure {
         loop {
             if let Some(failure) = self.failure.borrow_mut().take() {
@@ -268,7 +268,7 @@
         }
     }
 
-    /// The other members of the newest view that is known.
+    /// The addresses of the other members of the newest known view.
     pub fn other_members(&self) -> Vec<SocketAddrV4> {
         self.inspect(|controller| {
             let members = controller
@@ -280,8 +280,8 @@
         })
     }
 
-    /// Takes what the store says, for as long as it says anything.
-    pub fn hear_store(self: &Rc<Self>, mut events: mpsc::UnboundedReceiver<StoreEvent>) {
+    /// Starts a task that handles the events of the store until the store is closed.
+    pub fn process_store_events(self: &Rc<Self>, mut events: mpsc::UnboundedReceiver<StoreEvent>) {
         let server = self.clone();
         tokio::task::spawn_local(async move {
             while let Some(event) = events.recv().await {
@@ -302,13 +302,13 @@
                     controller.handle_synced(now, chain, instances, took_ms);
                 });
             }
-            StoreEvent::Failed(why) => {
-                self.fail(StoreFailure::Write(format!("a write failed ({why})")));
+            StoreEvent::Failed(error) => {
+                self.fail(StoreFailure::Write(format!("a write failed ({error})")));
             }
         }
     }
 
-    /// Has a call answered. None: the controller has dropped it.
+    /// Executes a call and waits for the reply. Returns None if the controller dropped the call.
     pub async fn call(&self, operation: Operation) -> Option<Reply> {
         let (sender, reply) = oneshot::channel();
         let token = self.step(|controller, _| controller.next_number());
@@ -322,9 +322,9 @@
     }
 }
 
-/// Proxies, and controllers without a disk.
+/// Connections of proxies and stateless controllers.
 impl Server {
-    /// Somebody has made a connection and says hello. None: the message is no hello.
+    /// Registers a client by its hello. Returns None if the message is not a hello.
     pub fn client_connected(
         &self,
         hello: ProxyToController,
@@ -350,7 +350,7 @@
                 self.step(|controller, now| {
                     controller.stateless_connected(now, connection, address, &controllers);
                 });
-                format!("the controller without a disk at {}", address.ip())
+                format!("the stateless controller at {}", address.ip())
             }
             _ => return None,
         };
@@ -377,25 +377,25 @@
     }
 }
 
-/// Time, and the end.
+/// Ticks and shutdown.
 impl Server {
-    /// To be called every 50 ms. `tick` counts the calls.
+    /// Must be called every 50 ms. `tick` is the number of the call.
     pub fn tick(&self, tick: u64) {
         self.step(|controller, now| controller.tick(now, tick));
     }
 
-    /// From now on others are to go on without this controller.
+    /// Prepares to leave the chain.
     pub fn begin_shutdown(&self) {
         self.step(|controller, _| controller.begin_shutdown());
     }
 
-    /// Asks the others to go on without this controller. True: they do.
+    /// Asks the other members to remove this controller from the chain. Returns true once it is no longer part of it.
     pub fn leave_chain(&self) -> bool {
         self.step(Controller::leave_chain)
     }
 }
 
-/// Nobody waits for a call's answer any more, once dropped.
+/// Cancels a call when dropped, as its caller no longer waits for the reply.
 struct CancelOnDrop<'a> {
     server: &'a Server,
     token: u64,
--- a/crates/rookpulley-controller/src/server/tests.rs
+++ b/crates/rookpulley-controller/src/server/tests.rs
@@ -2,7 +2,7 @@
 use crate::inspect::tests::with_controller;
 
 #[test]
-fn a_write_that_fails_ends_the_incarnation_and_not_the_process() {
+fn a_failed_write_ends_the_incarnation_but_not_the_process() {
     with_controller(|api| async move {
         let server = api.server.clone();
         server.handle_store_event(StoreEvent::Failed("no room".into()));
--- a/crates/rookpulley-controller/src/standby.rs
+++ b/crates/rookpulley-controller/src/standby.rs
@@ -1,9 +1,9 @@
-//! A controller whose store can't be used, on sockets and disk. What it does meanwhile decides
-//! `rookpulley_control::Standby`.
+//! Standby mode of a controller whose store is unusable: redirects calls and waits until the disk is writable again.
+//! `rookpulley_control::Standby` chooses the targets.
 
-use crate::api::{no_such_call, redirect, wrong_method};
+use crate::api::{method_not_allowed, not_found, redirect};
 use crate::incarnation::{StoreLoss, listen_at};
-use crate::request::{ApiRequest, request_tree};
+use crate::request::{ApiRequest, request_router};
 use crate::shutdown::{self, Signals};
 use miette::IntoDiagnostic;
 use rookpulley_api::{Bounds, Call, Match, Reply, Router, RouterError};
@@ -14,17 +14,17 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The file by which the disk is tested.
-const PROBE: &str = "room.probe";
-/// In seconds.
+/// The file written to test the disk.
+const PROBE_FILE: &str = "room.probe";
+/// Value of the `Retry-After` header, in seconds.
 const RETRY_AFTER: &str = "0.2";
 
-/// Why it is over.
+/// Why standby mode ended.
 #[derive(Debug, PartialEq)]
 pub enum StandbyEnded {
-    /// The process is to end.
+    /// The process shuts down.
     Stopped,
-    /// The store may be opened again.
+    /// The disk is writable, so the store can be opened again.
     StoreUsable,
 }
 
@@ -37,14 +37,14 @@
     signals: &mut Signals,
 ) -> miette::Result<StandbyEnded> {
     tracing::error!(
-        "store: {}; going on without it, calls are passed on",
-        loss.why
+        "store: {}; continuing without it, calls are redirected",
+        loss.reason
     );
     let (stop, stopped) = tokio::sync::watch::channel(false);
     let standby = Standby::new(node.ip, &loss.others, &node.seeds);
-    let calls = Redirects::new(standby, control.port()).into_diagnostic()?;
-    let calls = Rc::new(calls);
-    let handler = Rc::new(move |call: Call| std::future::ready(calls.answer(&call)));
+    let redirects = Redirects::new(standby, control.port()).into_diagnostic()?;
+    let redirects = Rc::new(redirects);
+    let handler = Rc::new(move |call: Call| std::future::ready(redirects.answer(&call)));
     let listener = listen_at(control)?;
     let bounds = Bounds::default();
     let api = tokio::task::spawn_local(rookpulley_api::serve(listener, bounds, stopped, handler));
@@ -54,13 +54,13 @@
             Ok(StandbyEnded::Stopped)
         }
         () = wait_for_disk(folder) => {
-            tracing::info!("store: there is room again");
+            tracing::info!("store: the disk is writable again");
             Ok(StandbyEnded::StoreUsable)
         }
     }
 }
 
-/// Returns once the disk takes what it must take.
+/// Waits until a test write to the disk succeeds.
 async fn wait_for_disk(folder: &Path) {
     loop {
         tokio::time::sleep(Standby::TEST_INTERVAL).await;
@@ -72,17 +72,18 @@
     }
 }
 
+/// Writes, syncs and removes a file of the required size.
 fn test_disk(folder: &Path) -> std::io::Result<()> {
-    let probe = folder.join(PROBE);
+    let probe = folder.join(PROBE_FILE);
     let written = std::fs::write(&probe, vec![0; Standby::REQUIRED_BYTES])
         .and_then(|()| std::fs::File::open(&probe)?.sync_all());
     let removed = std::fs::remove_file(&probe);
     written.and(removed)
 }
 
-/// Sends calls to other controllers.
+/// Redirects calls to other controllers.
 struct Redirects {
-    tree: Router<ApiRequest>,
+    router: Router<ApiRequest>,
     standby: Standby,
     control_port: u16,
 }
@@ -90,28 +91,28 @@
 impl Redirects {
     fn new(standby: Standby, control_port: u16) -> Result<Self, RouterError> {
         Ok(Self {
-            tree: request_tree()?,
+            router: request_router()?,
             standby,
             control_port,
         })
     }
 
     fn answer(&self, call: &Call) -> Reply {
-        match self.tree.lookup(&call.method, &call.path) {
-            Match::NotFound => return no_such_call(),
-            Match::WrongMethod => return wrong_method(),
-            // What could be looked at is of one controller alone.
-            Match::Found(ApiRequest::Inspect(_), _) => return not_now(),
+        match self.router.lookup(&call.method, &call.path) {
+            Match::NotFound => return not_found(),
+            Match::WrongMethod => return method_not_allowed(),
+            // Inspection shows a single controller, so it can't be redirected.
+            Match::Found(ApiRequest::Inspect(_), _) => return unavailable(),
             Match::Found(ApiRequest::Call(_), _) => {}
         }
         match self.standby.redirect(&call.path) {
             Some(to) => redirect(to, self.control_port, call),
-            None => not_now(),
+            None => unavailable(),
         }
     }
 }
 
-fn not_now() -> Reply {
+fn unavailable() -> Reply {
     let sentence =
         "not now: the store of this controller can't be used, see its log; nothing was done";
     Reply::error(503, sentence).with("Retry-After", RETRY_AFTER)
--- a/crates/rookpulley-controller/src/standby/tests.rs
+++ b/crates/rookpulley-controller/src/standby/tests.rs
@@ -6,7 +6,7 @@
 
 const CONTROL: &str = "127.0.5.1:8166";
 const OTHER_CONTROL: &str = "127.0.5.3:8166";
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn settings(data: &Path) -> Node {
     let text = format!(
@@ -27,8 +27,8 @@
     Node::parse(&text).unwrap()
 }
 
-/// None while nobody listens.
-async fn answered(call: &str) -> Option<String> {
+/// Sends a request, and returns the response, or None if the connection fails.
+async fn request(call: &str) -> Option<String> {
     let mut stream = TcpStream::connect(CONTROL).await.ok()?;
     stream
         .write_all(format!("{call} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").as_bytes())
@@ -39,24 +39,25 @@
     Some(answer)
 }
 
-async fn until(call: &str, begins: &str) -> String {
-    let begun = Instant::now();
+/// Repeats a request until the response starts with `prefix`.
+async fn wait_for_response(call: &str, prefix: &str) -> String {
+    let started = Instant::now();
     let mut last = None;
-    while begun.elapsed() < PATIENCE {
-        last = answered(call).await;
-        if let Some(answer) = last.take_if(|answer| answer.starts_with(begins)) {
+    while started.elapsed() < TIMEOUT {
+        last = request(call).await;
+        if let Some(answer) = last.take_if(|answer| answer.starts_with(prefix)) {
             return answer;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("{call}: no {begins}, but {last:?}");
+    panic!("{call}: expected {prefix}, got {last:?}");
 }
 
 #[test]
-fn a_controller_whose_store_cant_be_opened_passes_calls_on_until_it_can_and_never_ends() {
+fn a_controller_redirects_calls_until_its_store_can_be_opened() {
     let base = tempfile::tempdir().unwrap();
     let blocked = base.path().join("disk");
-    // Where a folder should be there is a file: whatever is tried below it is refused.
+    // A file in place of the parent folder makes every operation below it fail.
     std::fs::write(&blocked, "").unwrap();
     let node = settings(&blocked.join("data"));
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -64,39 +65,39 @@
         .build()
         .unwrap();
     runtime.block_on(async {
-        let trial = async {
-            let passed = until("PUT /rookpulley/instances/i-1?a=b", "HTTP/1.1 307").await;
+        let scenario = async {
+            let redirected = wait_for_response("PUT /rookpulley/instances/i-1?a=b", "HTTP/1.1 307").await;
             let to = "location: http://127.0.5.2:8166/rookpulley/instances/i-1?a=b";
-            assert!(passed.to_lowercase().contains(to), "{passed}");
-            until("GET /rookpulley/show/view", "HTTP/1.1 503").await;
-            until("GET /rookpulley/nothing", "HTTP/1.1 404").await;
+            assert!(redirected.to_lowercase().contains(to), "{redirected}");
+            wait_for_response("GET /rookpulley/show/view", "HTTP/1.1 503").await;
+            wait_for_response("GET /rookpulley/nothing", "HTTP/1.1 404").await;
             std::fs::remove_file(&blocked).unwrap();
             std::fs::create_dir_all(blocked.join("data")).unwrap();
-            until("GET /rookpulley/show/view", "HTTP/1.1 200").await;
+            wait_for_response("GET /rookpulley/show/view", "HTTP/1.1 200").await;
         };
         tokio::select! {
-            ended = crate::run(node.clone(), base.path().join("node.toml")) => panic!("it ended: {ended:?}"),
-            () = trial => {}
+            ended = crate::run(node.clone(), base.path().join("node.toml")) => panic!("the controller ended: {ended:?}"),
+            () = scenario => {}
         }
     });
 }
 
-/// How long it took from now until a connection came up.
-fn connected(to: &str) -> Duration {
-    let begun = Instant::now();
+/// Connects with retries, and returns how long it took.
+fn time_to_connect(to: &str) -> Duration {
+    let started = Instant::now();
     while std::net::TcpStream::connect(to).is_err() {
-        assert!(begun.elapsed() < PATIENCE, "nobody listens at {to}");
+        assert!(started.elapsed() < TIMEOUT, "no listener at {to}");
         std::thread::sleep(Duration::from_millis(5));
     }
-    begun.elapsed()
+    started.elapsed()
 }
 
 #[test]
-fn who_dials_while_the_store_is_being_opened_is_not_refused() {
+fn connections_are_accepted_while_the_store_is_opened() {
     let base = tempfile::tempdir().unwrap();
     let data = base.path().join("data");
     std::fs::create_dir_all(&data).unwrap();
-    // Another process has the store: it is asked for again and again for a second.
+    // The store is locked, so that opening it is retried for a second.
     let (sender, _events) = tokio::sync::mpsc::unbounded_channel();
     let held = rookpulley_store::Store::open(&data, 7, None, sender).unwrap();
     let mut node = settings(&data);
@@ -108,9 +109,9 @@
             .enable_all()
             .build()
             .unwrap();
-        runtime.block_on(async { tokio::time::timeout(PATIENCE, crate::run(node, file)).await })
+        runtime.block_on(async { tokio::time::timeout(TIMEOUT, crate::run(node, file)).await })
     });
-    let took = connected(OTHER_CONTROL);
+    let took = time_to_connect(OTHER_CONTROL);
     assert!(took < Duration::from_millis(800), "{took:?}");
     drop(held);
 }
--- a/crates/rookpulley-controller/src/stateless.rs
+++ b/crates/rookpulley-controller/src/stateless.rs
@@ -1,9 +1,9 @@
-//! The controller of a machine without a disk, on sockets and clock. It redirects calls, and keeps nothing.
+//! The controller of a machine without a disk. It redirects calls to controllers that have a store, and keeps no state.
 
-use crate::api::{no_such_call, redirect, wrong_method};
+use crate::api::{method_not_allowed, not_found, redirect};
 use crate::incarnation::{Listeners, listen};
-use crate::proxy_sessions::ACCEPT_RETRY;
-use crate::request::{ApiRequest, request_tree};
+use crate::proxy_sessions::ACCEPT_RETRY_DELAY;
+use crate::request::{ApiRequest, request_router};
 use crate::shutdown::{self, Signals};
 use miette::IntoDiagnostic;
 use rookpulley_api::{Bounds, Call, Match, Reply, Router, RouterError};
@@ -20,22 +20,22 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// A controller with a disk says something every 400 ms, another one every second.
+/// Controllers with a disk send at least every 400 ms, stateless ones every second.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The pause before connecting again doubles with each failure.
+/// The delay before a reconnect doubles with each failure, within these bounds.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 const TICK: Duration = Duration::from_secs(1);
-/// How often the log says how it stands, in ticks.
+/// Interval of the summaries in the log, in ticks.
 const SUMMARY_TICKS: u64 = 10;
-/// In seconds.
+/// Value of the `Retry-After` header, in seconds.
 const RETRY_AFTER: &str = "0.2";
 
 #[derive(Default)]
 struct Connections {
     controllers: BTreeMap<Ipv4Addr, connection::Outbox>,
-    /// Of proxies and other controllers without a disk, by their numbers.
+    /// Connections of proxies and other stateless controllers, by number.
     clients: BTreeMap<u64, connection::Outbox>,
 }
 
@@ -44,12 +44,13 @@
     connections: RefCell<Connections>,
     started: Instant,
     last_connection: Cell<u64>,
-    /// Where controllers listen for proxies.
+    /// The port on which controllers listen for proxies.
     proxy_port: u16,
     control_port: u16,
-    tree: Router<ApiRequest>,
-    /// Calls that were redirected, and those that nobody could take.
+    router: Router<ApiRequest>,
+    /// The number of redirected calls.
     redirected: Cell<u64>,
+    /// The number of calls refused because no controller was reachable.
     refused: Cell<u64>,
 }
 
@@ -61,12 +62,12 @@
 ) -> miette::Result<()> {
     let listeners = listen(node, control)?;
     tracing::info!(
-        "controller: {} begins, without a disk: calls are passed on",
+        "controller: {} started without a store; calls are redirected",
         node.name
     );
     if node.seeds.iter().all(|seed| *seed.ip() == node.ip) {
         tracing::warn!(
-            "controller: seedNodes names nobody else, so calls get 503 until a controller dials this one"
+            "controller: seedNodes lists no other controller, so calls get 503 until one connects to this node"
         );
     }
     let server = StatelessServer::new(node, control).into_diagnostic()?;
@@ -76,17 +77,17 @@
         proxies,
         peers,
     } = listeners;
-    let calls = server.clone();
-    let handler = Rc::new(move |call: Call| std::future::ready(calls.answer(&call)));
+    let redirects = server.clone();
+    let handler = Rc::new(move |call: Call| std::future::ready(redirects.answer(&call)));
     let bounds = Bounds::default();
     let api = tokio::task::spawn_local(rookpulley_api::serve(api, bounds, stopped, handler));
-    server.begin(proxies, peers);
-    let take_seeds = |seeds: &[SocketAddrV4]| {
+    server.spawn_tasks(proxies, peers);
+    let on_seeds = |seeds: &[SocketAddrV4]| {
         server.step(|controller, now| controller.set_seeds(now, seeds));
     };
     let file = SettingsFile::new(settings_file);
-    signals.wait(file, take_seeds).await;
-    tracing::info!("ending: {}", server.summary());
+    signals.wait(file, on_seeds).await;
+    tracing::info!("shutting down: {}", server.summary());
     shutdown::close(node, stop, api).await;
     Ok(())
 }
@@ -106,13 +107,13 @@
             last_connection: Cell::new(0),
             proxy_port: node.internal_ports.0,
             control_port: control.port(),
-            tree: request_tree()?,
+            router: request_router()?,
             redirected: Cell::new(0),
             refused: Cell::new(0),
         }))
     }
 
-    fn begin(self: &Rc<Self>, for_proxies: TcpListener, for_peers: TcpListener) {
+    fn spawn_tasks(self: &Rc<Self>, for_proxies: TcpListener, for_peers: TcpListener) {
         tokio::task::spawn_local(self.clone().accept(for_proxies, Self::serve_client));
         tokio::task::spawn_local(self.clone().accept(for_peers, Self::serve_peer));
         tokio::task::spawn_local(self.clone().tick());
@@ -138,10 +139,10 @@
         let summary = self.controller.borrow().summary(self.now_ms());
         let redirected = self.redirected.get();
         let refused = self.refused.get();
-        format!("{summary}; calls passed on {redirected}, refused {refused}")
+        format!("{summary}; calls redirected {redirected}, refused {refused}")
     }
 
-    /// Hands something to the controller, and carries out what it wants.
+    /// Passes an input to the controller, and applies the resulting effects.
     fn step<T>(self: &Rc<Self>, input: impl FnOnce(&mut StatelessController, f64) -> T) -> T {
         let (result, effects) = {
             let mut controller = self.controller.borrow_mut();
@@ -149,13 +150,13 @@
             (result, controller.take_effects())
         };
         for effect in effects {
-            self.carry_out(effect);
+            self.apply_effect(effect);
         }
         result
     }
 
-    /// Where too much waits a connection ends, and all is told anew on the next one.
-    fn carry_out(self: &Rc<Self>, effect: StatelessEffect) {
+    /// Applies one effect. A full outbox closes the connection; the state is sent again after a reconnect.
+    fn apply_effect(self: &Rc<Self>, effect: StatelessEffect) {
         let mut connections = self.connections.borrow_mut();
         match effect {
             StatelessEffect::Connect(ip) => {
@@ -177,15 +178,15 @@
         }
     }
 
-    /// Connects to one controller again and again for as long as somebody names it.
+    /// Keeps a connection to a controller until the controller is forgotten.
     async fn keep_connected(self: Rc<Self>, ip: Ipv4Addr) {
         let to = SocketAddr::from((ip, self.proxy_port));
         let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         loop {
             if let Ok(stream) = connection::connect(to, CONNECT_TIMEOUT).await {
-                let begun = Instant::now();
+                let connected = Instant::now();
                 self.serve_controller(stream, ip).await;
-                if begun.elapsed() > TICK {
+                if connected.elapsed() > TICK {
                     backoff.reset();
                 }
             }
@@ -197,17 +198,17 @@
     }
 
     async fn serve_controller(self: &Rc<Self>, stream: TcpStream, ip: Ipv4Addr) {
-        let open = |outbox| {
+        let on_open = |outbox| {
             self.connections.borrow_mut().controllers.insert(ip, outbox);
             self.step(|controller, now| controller.controller_connected(now, ip));
         };
-        let take = |message: ControllerToProxy| {
+        let on_message = |message: ControllerToProxy| {
             self.step(|controller, now| controller.handle_controller_message(now, ip, message));
         };
-        let why = connection::run(stream, Some(SILENCE_TIMEOUT), open, take).await;
+        let reason = connection::run(stream, Some(SILENCE_TIMEOUT), on_open, on_message).await;
         self.connections.borrow_mut().controllers.remove(&ip);
         self.step(|controller, _| controller.controller_disconnected(ip));
-        tracing::info!("peers: the connection to {ip} {why}");
+        tracing::info!("peers: the connection to {ip} {reason}");
     }
 
     async fn accept<F>(self: Rc<Self>, listener: TcpListener, serve: fn(Rc<Self>, TcpStream) -> F)
@@ -216,7 +217,7 @@
     {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             connection::configure(&stream, connection::USER_TIMEOUT);
@@ -224,14 +225,14 @@
         }
     }
 
-    /// A proxy, or another controller without a disk.
+    /// Serves a proxy or another stateless controller.
     async fn serve_client(self: Rc<Self>, stream: TcpStream) {
         let number = self.last_connection.get() + 1;
         self.last_connection.set(number);
-        let open = |outbox| {
+        let on_open = |outbox| {
             self.connections.borrow_mut().clients.insert(number, outbox);
         };
-        let take = |message: ProxyToController| {
+        let on_message = |message: ProxyToController| {
             let is_hello = matches!(
                 message,
                 ProxyToController::Hello(_) | ProxyToController::StatelessHello { .. }
@@ -240,29 +241,30 @@
                 self.step(|controller, _| controller.client_connected(number, &message));
             }
         };
-        connection::run(stream, None, open, take).await;
+        connection::run(stream, None, on_open, on_message).await;
         self.connections.borrow_mut().clients.remove(&number);
         self.step(|controller, _| controller.client_disconnected(number));
     }
 
-    /// A controller that has this address as a seed. It is connected to in turn, and stops to connect here.
+    /// Serves a controller that has this address as a seed. Its hello makes this controller connect to it, after which it
+    /// stops connecting here.
     async fn serve_peer(self: Rc<Self>, stream: TcpStream) {
-        // Nothing is sent on this connection, but it ends with its outbox.
+        // Nothing is sent on this connection, but dropping the outbox would close it.
         let mut _outbox = None;
-        let open = |opened| _outbox = Some(opened);
-        let take = |message: PeerMessage| {
+        let on_open = |opened| _outbox = Some(opened);
+        let on_message = |message: PeerMessage| {
             if let PeerMessage::Hello { from, .. } = message {
                 self.step(|controller, now| controller.handle_peer_hello(now, from));
             }
         };
-        connection::run(stream, Some(SILENCE_TIMEOUT), open, take).await;
+        connection::run(stream, Some(SILENCE_TIMEOUT), on_open, on_message).await;
     }
 
     fn answer(&self, call: &Call) -> Reply {
-        match self.tree.lookup(&call.method, &call.path) {
-            Match::NotFound => return no_such_call(),
-            Match::WrongMethod => return wrong_method(),
-            // What could be looked at is of one controller alone: whoever asks is to know of which.
+        match self.router.lookup(&call.method, &call.path) {
+            Match::NotFound => return not_found(),
+            Match::WrongMethod => return method_not_allowed(),
+            // Inspection shows a single controller, so the caller must choose one.
             Match::Found(ApiRequest::Inspect(_), _) => {
                 let sentence = "this office has no disk and nothing to show; ask one that has";
                 return Reply::error(404, sentence);
