--- a/crates/rookpulley-chain/tests/doubts.rs
+++ b/crates/rookpulley-chain/tests/doubts.rs
@@ -10,7 +10,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use twox_hash::XxHash64;
 use world::history::{Call, check};
-use world::names::{Ask, Names, Reply, body};
+use world::names::{Names, Operation, Reply, body};
 
 type Rows = BTreeMap<Vec<u8>, Vec<u8>>;
 
@@ -33,7 +33,7 @@
     }
 }
 
-fn put(rows: &mut Rows, record: &Record) {
+fn apply_record(rows: &mut Rows, record: &Record) {
     match record {
         Record::Put { key, value } => _ = rows.insert(key.clone(), value.clone()),
         Record::Delete { key } => _ = rows.remove(key),
@@ -46,12 +46,12 @@
     now: u64,
     rows: Rows,
     writes: Vec<(u64, Vec<Record>)>,
-    said: Vec<(u64, Message)>,
+    sent_messages: Vec<(u64, Message)>,
     outcomes: Vec<Outcome>,
 }
 
 impl Controller {
-    fn begin(id: u64, incarnation: u64, rows: Rows) -> Self {
+    fn start(id: u64, incarnation: u64, rows: Rows) -> Self {
         let kept = (!rows.is_empty()).then(|| PersistedState::read(rows.clone()));
         let boot = StartState {
             me: member(id, incarnation),
@@ -61,70 +61,70 @@
             persisted: kept,
         };
         let chain = Chain::start(0, boot, Names::default());
-        let (writes, said, outcomes) = (Vec::new(), Vec::new(), Vec::new());
+        let (writes, sent_messages, outcomes) = (Vec::new(), Vec::new(), Vec::new());
         Self {
             chain,
             now: 0,
             rows,
             writes,
-            said,
+            sent_messages,
             outcomes,
         }
     }
 
-    fn give(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         for effect in self.chain.handle(self.now, input) {
             match effect {
                 Effect::Write { ticket, records } => self.writes.push((ticket, records)),
-                Effect::Send { to, message } => self.said.push((to, message)),
+                Effect::Send { to, message } => self.sent_messages.push((to, message)),
                 Effect::Reply { outcome, .. } => self.outcomes.push(outcome),
                 _ => {}
             }
         }
     }
 
-    fn hear(&mut self, from: u64, message: Message) {
-        self.give(Input::Received { from, message });
+    fn receive(&mut self, from: u64, message: Message) {
+        self.handle(Input::Received { from, message });
     }
 
     /// All that waits is written, in order.
     fn sync(&mut self) {
         while !self.writes.is_empty() {
             let (ticket, records) = self.writes.remove(0);
-            records.iter().for_each(|r| put(&mut self.rows, r));
-            self.give(Input::Synced { ticket });
+            records.iter().for_each(|r| apply_record(&mut self.rows, r));
+            self.handle(Input::Synced { ticket });
         }
     }
 
-    fn play(&mut self, ms: u64) {
+    fn run(&mut self, ms: u64) {
         let until = self.now + ms;
         while self.now < until {
             self.now += 50;
-            self.give(Input::Tick);
+            self.handle(Input::Tick);
             self.sync();
         }
     }
 
     /// Answers its pings and questions as the other members would who have nothing to say.
-    fn with_others(&mut self, others: &[Member], ms: u64) {
+    fn run_with_peers(&mut self, others: &[Member], ms: u64) {
         let until = self.now + ms;
         while self.now < until {
-            self.play(50);
-            for (to, message) in std::mem::take(&mut self.said) {
+            self.run(50);
+            for (to, message) in std::mem::take(&mut self.sent_messages) {
                 let Some(other) = others.iter().find(|m| m.id == to) else {
                     continue;
                 };
-                let as_its = |mut status: MemberStatus| {
+                let for_peer = |mut status: MemberStatus| {
                     (status.member, status.installed, status.active) = (*other, 1, 0);
                     status
                 };
                 match message {
                     Message::Heartbeat { status, sent, .. } => {
                         let (echo, head_time_ms) = (Some(sent), None);
-                        self.hear(
+                        self.receive(
                             to,
                             Message::Heartbeat {
-                                status: as_its(status),
+                                status: for_peer(status),
                                 sent: 1,
                                 echo,
                                 head_time_ms,
@@ -138,12 +138,12 @@
                             .chain([&me])
                             .map(|m| Contact::from(*m))
                             .collect();
-                        let status = as_its(MemberStatus {
+                        let status = for_peer(MemberStatus {
                             decided: 1,
                             installed: 1,
                             ..MemberStatus::unknown(me)
                         });
-                        self.hear(
+                        self.receive(
                             to,
                             Message::StatusReply {
                                 query,
@@ -154,7 +154,7 @@
                             },
                         );
                     }
-                    other => self.said.push((to, other)),
+                    other => self.sent_messages.push((to, other)),
                 }
             }
         }
@@ -163,10 +163,10 @@
 
 /// The disk of a controller that has installed view 1 with these members, as its incarnation 1.
 fn disk_with_view(id: u64, ids: &[(u64, u64)]) -> Rows {
-    let mut controller = Controller::begin(id, 1, Rows::new());
+    let mut controller = Controller::start(id, 1, Rows::new());
     let first = ids[0].0;
     let source = first == id;
-    controller.hear(
+    controller.receive(
         first,
         Message::Learn {
             views: vec![view(1, ids)],
@@ -175,7 +175,7 @@
     if !source {
         let before = ids[ids.iter().position(|m| m.0 == id).unwrap() - 1].0;
         let (view, log) = (view(1, ids), Vec::new());
-        controller.hear(
+        controller.receive(
             before,
             Message::Install {
                 view,
@@ -195,13 +195,13 @@
     let rows = disk_with_view(1, &ids);
     let mut ballots = Vec::new();
     for incarnation in [7, 8] {
-        let mut controller = Controller::begin(1, incarnation, rows.clone());
+        let mut controller = Controller::start(1, incarnation, rows.clone());
         let others = [member(2, 1), member(3, 1)];
         others
             .iter()
-            .for_each(|m| controller.give(Input::PeerDiscovered { member: *m }));
-        controller.with_others(&others, 900);
-        let prepared = controller.said.iter().find_map(|(_, m)| match m {
+            .for_each(|m| controller.handle(Input::PeerDiscovered { member: *m }));
+        controller.run_with_peers(&others, 900);
+        let prepared = controller.sent_messages.iter().find_map(|(_, m)| match m {
             Message::Prepare { ballot, .. } => Some(*ballot),
             _ => None,
         });
@@ -217,17 +217,17 @@
 #[test]
 fn a_vote_is_never_on_the_disk_without_the_view_that_it_follows() {
     let ids = [(1, 1), (2, 1), (3, 1)];
-    let mut controller = Controller::begin(2, 1, disk_with_view(2, &ids));
+    let mut controller = Controller::start(2, 1, disk_with_view(2, &ids));
     controller.sync();
     // It votes for view 2, learns that it is decided, and votes for view 3.
-    controller.hear(
+    controller.receive(
         1,
         Message::Prepare {
             base: view(1, &ids),
             ballot: ballot(1),
         },
     );
-    controller.hear(
+    controller.receive(
         1,
         Message::Accept {
             ballot: ballot(1),
@@ -235,7 +235,7 @@
         },
     );
     controller.sync();
-    controller.hear(
+    controller.receive(
         1,
         Message::Prepare {
             base: view(2, &ids),
@@ -246,21 +246,23 @@
     let (_, votes) = controller
         .writes
         .iter()
-        .find(|(_, w)| w.iter().any(is_votes))
+        .find(|(_, w)| w.iter().any(is_vote_record))
         .cloned()
         .expect("votes");
-    votes.iter().for_each(|r| put(&mut controller.rows, r));
-    let mut again = Controller::begin(2, 2, controller.rows.clone());
-    again.hear(
+    votes
+        .iter()
+        .for_each(|r| apply_record(&mut controller.rows, r));
+    let mut restarted = Controller::start(2, 2, controller.rows.clone());
+    restarted.receive(
         3,
         Message::Prepare {
             base: view(1, &ids),
             ballot: ballot(5),
         },
     );
-    again.sync();
-    let promises = again
-        .said
+    restarted.sync();
+    let promises = restarted
+        .sent_messages
         .iter()
         .any(|(_, m)| matches!(m, Message::Promise { .. }));
     assert!(
@@ -268,14 +270,14 @@
         "it has forgotten what it voted for view 2, and votes again"
     );
     assert!(
-        again
-            .said
+        restarted
+            .sent_messages
             .iter()
             .any(|(_, m)| matches!(m, Message::Learn { .. }))
     );
 }
 
-fn is_votes(record: &Record) -> bool {
+fn is_vote_record(record: &Record) -> bool {
     matches!(record, Record::Put { key, .. } if key == b"p")
 }
 
@@ -283,15 +285,15 @@
 fn a_wiped_acceptor_is_asked_to_vote_for_an_older_view_and_says_nothing() {
     let ids = [(1, 1), (2, 1), (3, 1)];
     // The machine of member 2 has lost its disk: at its address lives member 22 now, which a later view takes in.
-    let mut controller = Controller::begin(22, 5, Rows::new());
-    controller.hear(
+    let mut controller = Controller::start(22, 5, Rows::new());
+    controller.receive(
         1,
         Message::Prepare {
             base: view(1, &ids),
             ballot: ballot(4),
         },
     );
-    controller.hear(
+    controller.receive(
         1,
         Message::Accept {
             ballot: ballot(4),
@@ -299,20 +301,20 @@
         },
     );
     controller.sync();
-    controller.hear(
+    controller.receive(
         1,
         Message::Learn {
             views: vec![view(3, &[(1, 1), (3, 1), (22, 5)])],
         },
     );
-    controller.hear(
+    controller.receive(
         3,
         Message::Prepare {
             base: view(1, &ids),
             ballot: ballot(6),
         },
     );
-    controller.hear(
+    controller.receive(
         3,
         Message::Accept {
             ballot: ballot(6),
@@ -321,10 +323,10 @@
     );
     controller.sync();
     let votes = |m: &Message| matches!(m, Message::Promise { .. } | Message::Accepted { .. });
-    assert!(controller.said.iter().all(|(_, m)| !votes(m)));
+    assert!(controller.sent_messages.iter().all(|(_, m)| !votes(m)));
     // For the view after the one that it is part of it does vote.
     let base = view(3, &[(1, 1), (3, 1), (22, 5)]);
-    controller.hear(
+    controller.receive(
         1,
         Message::Prepare {
             base,
@@ -332,16 +334,16 @@
         },
     );
     controller.sync();
-    assert!(controller.said.iter().any(|(_, m)| votes(m)));
+    assert!(controller.sent_messages.iter().any(|(_, m)| votes(m)));
 }
 
 #[test]
 fn a_view_that_is_on_its_way_to_the_disk_is_not_promised_to_be_left_out() {
     let ids = [(1, 1), (2, 1), (3, 1)];
-    let mut controller = Controller::begin(2, 1, Rows::new());
+    let mut controller = Controller::start(2, 1, Rows::new());
     controller.sync();
     let (view, log) = (view(1, &ids), Vec::new());
-    controller.hear(
+    controller.receive(
         1,
         Message::Install {
             view,
@@ -350,26 +352,26 @@
             log,
         },
     );
-    controller.hear(
+    controller.receive(
         3,
         Message::AbandonView {
             query: 1,
             number: 1,
         },
     );
-    controller.hear(3, Message::StatusRequest { query: 2 });
-    let abandoned = controller.said.iter().find_map(|(_, m)| match m {
+    controller.receive(3, Message::StatusRequest { query: 2 });
+    let abandoned = controller.sent_messages.iter().find_map(|(_, m)| match m {
         Message::StatusReply { abandoned, .. } => Some(*abandoned),
         _ => None,
     });
     assert_eq!(abandoned, Some(0));
     controller.sync();
-    let buried = controller.said.iter().find_map(|(_, m)| match m {
+    let abandon_reply = controller.sent_messages.iter().find_map(|(_, m)| match m {
         Message::ViewAbandoned { installed, .. } => Some(*installed),
         _ => None,
     });
     assert_eq!(
-        buried,
+        abandon_reply,
         Some(1),
         "who asks must learn that it has been installed"
     );
@@ -379,25 +381,25 @@
 fn what_a_source_holds_beyond_what_is_agreed_is_not_shown_before_the_view_is_at_work() {
     let two = [(1, 1), (2, 1)];
     // View 1 is at work, an update is taken and passed on, and nobody confirms it.
-    let mut controller = Controller::begin(1, 1, Rows::new());
-    controller.hear(
+    let mut controller = Controller::start(1, 1, Rows::new());
+    controller.receive(
         1,
         Message::Learn {
             views: vec![view(1, &two)],
         },
     );
     controller.sync();
-    controller.hear(2, Message::ViewActive { number: 1 });
-    controller.play(200);
+    controller.receive(2, Message::ViewActive { number: 1 });
+    controller.run(200);
     let call = Input::ClientRequest {
         token: 1,
         kind: RequestKind::Update,
-        body: body(1, Ask::Put { value: 5 }),
+        body: body(1, Operation::Put { value: 5 }),
     };
-    controller.give(call);
+    controller.handle(call);
     controller.sync();
-    assert!(controller.chain.state().given.is_empty());
-    controller.hear(
+    assert!(controller.chain.state().applied.is_empty());
+    controller.receive(
         2,
         Message::Learn {
             views: vec![view(2, &[(1, 1), (3, 1)])],
@@ -405,30 +407,34 @@
     );
     controller.sync();
     assert!(
-        controller.chain.state().given.is_empty(),
+        controller.chain.state().applied.is_empty(),
         "view 2 may be passed over and this update with it"
     );
-    let installs = controller.said.iter().rev().find_map(|(_, m)| match m {
-        Message::Install { log, .. } => Some(log.len()),
-        _ => None,
-    });
+    let installs = controller
+        .sent_messages
+        .iter()
+        .rev()
+        .find_map(|(_, m)| match m {
+            Message::Install { log, .. } => Some(log.len()),
+            _ => None,
+        });
     assert_eq!(installs, Some(1), "but it goes along");
 }
 
 #[test]
 fn a_call_that_lay_in_a_socket_while_its_controller_slept_is_refused() {
-    let mut controller = Controller::begin(1, 1, Rows::new());
-    controller.play(500);
+    let mut controller = Controller::start(1, 1, Rows::new());
+    controller.run(500);
     controller.now += 2_000;
     let call = |token| Input::ClientRequest {
         token,
         kind: RequestKind::Update,
-        body: body(1, Ask::Put { value: 5 }),
+        body: body(1, Operation::Put { value: 5 }),
     };
-    controller.give(call(1));
-    controller.give(Input::Tick);
+    controller.handle(call(1));
+    controller.handle(Input::Tick);
     controller.now += 20;
-    controller.give(call(2));
+    controller.handle(call(2));
     assert_eq!(controller.outcomes, [Outcome::Rejected, Outcome::Rejected]);
 }
 
@@ -455,33 +461,38 @@
 
 #[test]
 fn the_checker_of_histories_finds_what_is_wrong() {
-    let reply = |went, revision, value| Reply {
-        went,
+    let reply = |succeeded, revision, value| Reply {
+        succeeded,
         revision,
         value,
         stamp: 0,
     };
-    let call = |ask, asked, answered, reply| Call {
+    let call = |operation, called_at, answered, reply| Call {
         name: 0,
-        ask,
-        asked,
+        operation,
+        called_at,
         answered: Some((answered, reply)),
         refused: false,
     };
-    let put = |value, asked, answered, revision| {
+    let put = |value, called_at, answered, revision| {
         call(
-            Ask::Put { value },
-            asked,
+            Operation::Put { value },
+            called_at,
             answered,
             reply(true, revision, value),
         )
     };
-    let read = |asked, answered, revision, value| {
-        call(Ask::Read, asked, answered, reply(true, revision, value))
+    let read = |called_at, answered, revision, value| {
+        call(
+            Operation::Read,
+            called_at,
+            answered,
+            reply(true, revision, value),
+        )
     };
-    let lost = |value, asked| Call {
+    let lost = |value, called_at| Call {
         answered: None,
-        ..put(value, asked, 0, 0)
+        ..put(value, called_at, 0, 0)
     };
     assert!(check(&[put(7, 1, 4, 1), put(8, 2, 3, 2), read(5, 6, 2, 8)]).is_ok());
     assert!(
@@ -512,15 +523,15 @@
         check(&[put(7, 1, 2, 2), lost(6, 3)]).is_err(),
         "it was asked too late for that"
     );
-    let swap = |expected, asked, answered, went, revision| {
+    let swap = |expected, called_at, answered, succeeded, revision| {
         call(
-            Ask::Swap {
+            Operation::Swap {
                 expected,
-                value: asked,
+                value: called_at,
             },
-            asked,
+            called_at,
             answered,
-            reply(went, revision, 0),
+            reply(succeeded, revision, 0),
         )
     };
     assert!(
@@ -547,13 +558,13 @@
     Entry {
         seq,
         at_ms: 10 * seq,
-        body: body(0, Ask::Put { value }),
+        body: body(0, Operation::Put { value }),
         request,
     }
 }
 
 /// Of what waits to be written any may be lost: what a start finds is sound, and shows the beginning of this.
-fn loses_any_write(controller: &Controller, agreed: &[u64]) {
+fn check_any_lost_writes(controller: &Controller, agreed: &[u64]) {
     for kept in 0..1 << controller.writes.len() {
         let mut rows = controller.rows.clone();
         let there = controller
@@ -561,13 +572,19 @@
             .iter()
             .enumerate()
             .filter(|(n, _)| kept >> n & 1 == 1);
-        there.for_each(|(_, (_, records))| records.iter().for_each(|r| put(&mut rows, r)));
+        there.for_each(|(_, (_, records))| records.iter().for_each(|r| apply_record(&mut rows, r)));
         assert!(
             PersistedState::read(rows.clone()).is_sound(),
             "writes {kept:b}"
         );
-        let again = Controller::begin(2, 9, rows);
-        let shown: Vec<u64> = again.chain.state().given.iter().map(|g| g.value).collect();
+        let restarted = Controller::start(2, 9, rows);
+        let shown: Vec<u64> = restarted
+            .chain
+            .state()
+            .applied
+            .iter()
+            .map(|g| g.value)
+            .collect();
         assert!(agreed.starts_with(&shown), "writes {kept:b} show {shown:?}");
     }
 }
@@ -582,44 +599,48 @@
         log,
     };
     // With all that it begins with, and with a part of that.
-    let mut controller = Controller::begin(2, 1, Rows::new());
+    let mut controller = Controller::start(2, 1, Rows::new());
     controller.sync();
-    controller.hear(
+    controller.receive(
         1,
         install(view(1, &ids), 2, (1..=3).map(|n| entry(n, n)).collect()),
     );
-    loses_any_write(&controller, &[1, 2]);
-    let mut controller = Controller::begin(2, 1, Rows::new());
+    check_any_lost_writes(&controller, &[1, 2]);
+    let mut controller = Controller::start(2, 1, Rows::new());
     controller.sync();
-    controller.hear(
+    controller.receive(
         1,
         install(view(1, &ids), 4, (1..=2).map(|n| entry(n, n)).collect()),
     );
-    loses_any_write(&controller, &[1, 2]);
+    check_any_lost_writes(&controller, &[1, 2]);
     controller.sync();
-    let asked = controller.said.iter().rev().find_map(|(_, m)| match m {
-        Message::CatchUpRequest {
-            query, applied: 2, ..
-        } => Some(*query),
-        _ => None,
-    });
+    let query = controller
+        .sent_messages
+        .iter()
+        .rev()
+        .find_map(|(_, m)| match m {
+            Message::CatchUpRequest {
+                query, applied: 2, ..
+            } => Some(*query),
+            _ => None,
+        });
     let data = CatchUpData::Updates {
         committed: 4,
         entries: (3..=4).map(|n| entry(n, n)).collect(),
     };
-    controller.hear(
+    controller.receive(
         1,
         Message::CatchUpReply {
-            query: asked.expect("it asks for the rest"),
+            query: query.expect("it requests the remaining updates"),
             data,
         },
     );
-    loses_any_write(&controller, &[1, 2, 3, 4]);
+    check_any_lost_writes(&controller, &[1, 2, 3, 4]);
     controller.sync();
     assert_eq!(controller.chain.status(controller.now).installed, 1);
     // What was held of a view that was passed over has the place of what is agreed on.
-    let mut controller = Controller::begin(2, 1, disk_with_view(2, &ids));
-    controller.hear(
+    let mut controller = Controller::start(2, 1, disk_with_view(2, &ids));
+    controller.receive(
         1,
         Message::Append {
             view: 1,
@@ -629,11 +650,11 @@
         },
     );
     controller.sync();
-    controller.hear(
+    controller.receive(
         1,
         install(view(2, &[(3, 1), (1, 1), (2, 1)]), 1, vec![entry(1, 1)]),
     );
-    loses_any_write(&controller, &[1]);
+    check_any_lost_writes(&controller, &[1]);
 }
 
 /// A member that is started again may be the last that holds what was acknowledged behind the state that it is handed.
@@ -641,8 +662,8 @@
 fn what_a_member_holds_behind_a_state_that_comes_stays() {
     let ids = [(1, 1), (2, 1), (3, 1)];
     let entry = |seq: u64| entry(seq, seq);
-    let mut controller = Controller::begin(2, 1, Rows::new());
-    controller.hear(
+    let mut controller = Controller::start(2, 1, Rows::new());
+    controller.receive(
         1,
         Message::Install {
             view: view(1, &ids),
@@ -653,7 +674,7 @@
     );
     controller.sync();
     let entries = (1..=4).map(entry).collect();
-    controller.hear(
+    controller.receive(
         1,
         Message::Append {
             view: 1,
@@ -663,8 +684,8 @@
         },
     );
     controller.sync();
-    let mut controller = Controller::begin(2, 2, controller.rows);
-    controller.give(Input::PeerDiscovered {
+    let mut controller = Controller::start(2, 2, controller.rows);
+    controller.handle(Input::PeerDiscovered {
         member: member(3, 1),
     });
     let (installed, decided, active, last, committed) = (1, 1, 1, 4, 4);
@@ -677,12 +698,16 @@
         ..MemberStatus::unknown(member(3, 1))
     };
     for sent in 1..4 {
-        controller.play(100);
-        let echo = controller.said.iter().rev().find_map(|(_, m)| match m {
-            Message::Heartbeat { sent, .. } => Some(*sent),
-            _ => None,
-        });
-        controller.hear(
+        controller.run(100);
+        let echo = controller
+            .sent_messages
+            .iter()
+            .rev()
+            .find_map(|(_, m)| match m {
+                Message::Heartbeat { sent, .. } => Some(*sent),
+                _ => None,
+            });
+        controller.receive(
             3,
             Message::Heartbeat {
                 status: status.clone(),
@@ -692,10 +717,14 @@
             },
         );
     }
-    let query = controller.said.iter().rev().find_map(|(_, m)| match m {
-        Message::CatchUpRequest { query, .. } => Some(*query),
-        _ => None,
-    });
+    let query = controller
+        .sent_messages
+        .iter()
+        .rev()
+        .find_map(|(_, m)| match m {
+            Message::CatchUpRequest { query, .. } => Some(*query),
+            _ => None,
+        });
     let mut names = Names::default();
     (1..=2)
         .map(entry)
@@ -710,7 +739,7 @@
         checksum,
         bytes,
     };
-    controller.hear(
+    controller.receive(
         3,
         Message::CatchUpReply {
             query: query.expect("it asks for what it lacks"),
@@ -718,8 +747,8 @@
         },
     );
     controller.sync();
-    assert_eq!(controller.chain.state().given.len(), 2);
+    assert_eq!(controller.chain.state().applied.len(), 2);
     let holds = |controller: &Controller| controller.chain.status(controller.now).last;
     assert_eq!(holds(&controller), 4);
-    assert_eq!(holds(&Controller::begin(2, 3, controller.rows)), 4);
+    assert_eq!(holds(&Controller::start(2, 3, controller.rows)), 4);
 }
--- a/crates/rookpulley-chain/tests/restart.rs
+++ b/crates/rookpulley-chain/tests/restart.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use rand::RngExt;
-use world::{Trouble, World};
+use world::{Fault, World};
 
 /// From the start of the member that completes a majority until a view is decided, with messages of 1 to 7 ms and syncs
 /// of 5 ms: three messages until it is in contact, two for the statuses, two ballots of two messages and a sync; once more
@@ -32,31 +32,31 @@
     let controllers = 3 + (seed % 4) as usize;
     let losses = if controllers > 4 { 2 } else { 1 };
     let mut world = World::new(seed, controllers, losses);
-    (world.far_ms, world.pace_ms) = (6, 4);
-    world.play(3_000);
+    (world.max_delay_ms, world.call_interval_ms) = (6, 4);
+    world.run(3_000);
     let view_before = world.view_number();
-    world.strike(Trouble::KillAll { power: true });
-    world.play(700);
-    let mut stopped = world.places();
+    world.inject(Fault::KillAll { power: true });
+    world.run(700);
+    let mut stopped = world.nodes();
     for _ in 0..controllers / 2 + 1 {
         let gap = world.rng.random_range(gaps.clone());
-        world.play(gap);
+        world.run(gap);
         let next = world.rng.random_range(0..stopped.len());
         world.restart(stopped.swap_remove(next));
     }
     let since = world.now;
     while world.view_number() == view_before && world.now < since + 3_000 {
-        world.play(1);
+        world.run(1);
     }
     let decided_ms = world.now - since;
     let answers_before = world.took.len();
     while world.took.len() == answers_before && world.now < since + 3_000 {
-        world.play(1);
+        world.run(1);
     }
     let answered_ms = world.now - since;
     world.heal();
-    world.play(3_000);
-    world.must_answer();
+    world.run(3_000);
+    world.assert_updates_complete();
     Recovery {
         decided_ms,
         answered_ms,
--- a/crates/rookpulley-chain/tests/simulated.rs
+++ b/crates/rookpulley-chain/tests/simulated.rs
@@ -3,120 +3,129 @@
 
 mod world;
 
-use world::disk::DiskTrouble;
-use world::{Mutation, Trouble, World};
+use world::disk::DiskFault;
+use world::{Fault, Mutation, World};
 
 /// Random troubles, two of them at once or one in the midst of the other's mending.
 fn troubled(seed: u64, rounds: usize, mutation: Option<Mutation>) -> World {
     let (controllers, losses) = (3 + (seed % 4) as usize, if seed % 4 >= 2 { 2 } else { 1 });
-    let mut world = World::with(seed, controllers, losses, mutation);
-    world.held_up = seed.is_multiple_of(3);
-    world.far_ms = if seed.is_multiple_of(5) { 60 } else { 6 };
-    world.play(3_000);
+    let mut world = World::with_mutation(seed, controllers, losses, mutation);
+    world.process_stalls = seed.is_multiple_of(3);
+    world.max_delay_ms = if seed.is_multiple_of(5) { 60 } else { 6 };
+    world.run(3_000);
     for round in 0..rounds as u64 {
-        let first = world.draw_trouble(true);
+        let first = world.random_fault(true);
         let alone = matches!(
             first,
-            world::Trouble::Wipe { .. } | world::Trouble::Replace { .. }
+            world::Fault::Wipe { .. } | world::Fault::Replace { .. }
         );
-        world.strike(first);
+        world.inject(first);
         if (seed + round).is_multiple_of(2) {
             let gap = rand::RngExt::random_range(&mut world.rng, 0..1_400u64);
-            world.play(gap);
-            let second = world.draw_trouble(false);
+            world.run(gap);
+            let second = world.random_fault(false);
             let second = if alone {
-                world::Trouble::KillAll { power: true }
+                world::Fault::KillAll { power: true }
             } else {
                 second
             };
-            world.strike(second);
+            world.inject(second);
         }
         let lasts = rand::RngExt::random_range(&mut world.rng, 200..3_500u64);
-        world.play(lasts);
+        world.run(lasts);
         world.heal();
-        world.play(4_500);
+        world.run(4_500);
         world.check();
     }
-    world.held_up = false;
-    world.must_answer();
+    world.process_stalls = false;
+    world.assert_updates_complete();
     world
 }
 
 /// Trouble upon trouble, too quick for any mending to be finished: votes, proposals and installs are cut off anywhere.
 fn stormy(seed: u64, mutation: Option<Mutation>) -> World {
     let (controllers, losses) = (3 + (seed % 3) as usize, 1 + usize::from(seed % 3 == 2));
-    let mut world = World::with(seed, controllers, losses, mutation);
-    world.far_ms = if seed.is_multiple_of(2) { 60 } else { 6 };
-    world.play(2_000);
+    let mut world = World::with_mutation(seed, controllers, losses, mutation);
+    world.max_delay_ms = if seed.is_multiple_of(2) { 60 } else { 6 };
+    world.run(2_000);
     let mut disks = 1;
     for _ in 0..30 {
-        let mut trouble = world.draw_trouble(false);
+        let mut fault = world.random_fault(false);
         if disks > 0 && rand::RngExt::random_range(&mut world.rng, 0..12u32) == 0 {
             disks -= 1;
-            let places = world.places();
-            let at = places[rand::RngExt::random_range(&mut world.rng, 0..places.len())];
-            trouble = world::Trouble::Wipe { at };
+            let nodes = world.nodes();
+            let at = nodes[rand::RngExt::random_range(&mut world.rng, 0..nodes.len())];
+            fault = world::Fault::Wipe { at };
         }
-        world.strike(trouble);
+        world.inject(fault);
         let lasts = rand::RngExt::random_range(&mut world.rng, 20..900u64);
-        world.play(lasts);
+        world.run(lasts);
         if rand::RngExt::random_range(&mut world.rng, 0..2u32) == 0 {
             world.heal();
             let lasts = rand::RngExt::random_range(&mut world.rng, 20..900u64);
-            world.play(lasts);
+            world.run(lasts);
         }
     }
     world.heal();
-    world.play(5_000);
-    world.must_answer();
+    world.run(5_000);
+    world.assert_updates_complete();
     world
 }
 
 /// Troubles in the midst of fillings by pieces, of a state that is 160 or 320 KB long and moves on.
 fn filled(seed: u64, mutation: Option<Mutation>) -> World {
     let draw = |world: &mut World, most: u64| rand::RngExt::random_range(&mut world.rng, 0..most);
-    let mut world = World::bulky_with(
+    let mut world = World::with_padding_and_mutation(
         seed,
         3 + (seed % 2) as usize,
         20_000 << (seed / 2 % 2) as usize,
         mutation,
     );
     // More updates than are kept at hand.
-    (world.pace_ms, world.far_ms) = (1, 6);
-    world.play(6_500);
-    (world.pace_ms, world.far_ms) = (3, if seed.is_multiple_of(3) { 60 } else { 26 });
+    (world.call_interval_ms, world.max_delay_ms) = (1, 6);
+    world.run(6_500);
+    (world.call_interval_ms, world.max_delay_ms) =
+        (3, if seed.is_multiple_of(3) { 60 } else { 26 });
     for _ in 0..4 {
-        let places = world.places();
-        let at = places[draw(&mut world, places.len() as u64) as usize];
-        world.strike(Trouble::Wipe { at });
+        let nodes = world.nodes();
+        let at = nodes[draw(&mut world, nodes.len() as u64) as usize];
+        world.inject(Fault::Wipe { at });
         let gone = draw(&mut world, 900);
-        world.play(gone);
+        world.run(gone);
         world.heal();
         let filling = draw(&mut world, 700);
-        world.play(filling);
-        let trouble = match draw(&mut world, 4) {
-            0 => Trouble::Kill { at, power: true },
-            1 => Trouble::KillAll { power: true },
-            _ => world.draw_trouble(false),
+        world.run(filling);
+        let fault = match draw(&mut world, 4) {
+            0 => Fault::Kill { at, power: true },
+            1 => Fault::KillAll { power: true },
+            _ => world.random_fault(false),
         };
-        world.strike(trouble);
+        world.inject(fault);
         let lasts = draw(&mut world, 900);
-        world.play(lasts);
+        world.run(lasts);
         world.heal();
-        world.play(4_000);
+        world.run(4_000);
     }
-    world.must_answer();
+    world.assert_updates_complete();
     world
 }
 
 /// The longest pause between answers to updates when one trouble strikes a calm chain.
-fn pause_of(seed: u64, (held_up, far_ms): (bool, u64), trouble: impl Fn(&World) -> Trouble) -> u64 {
+fn pause_of(
+    seed: u64,
+    (process_stalls, max_delay_ms): (bool, u64),
+    fault: impl Fn(&World) -> Fault,
+) -> u64 {
     let mut world = World::new(seed, 3 + (seed % 3) as usize, 1);
-    (world.held_up, world.far_ms, world.pace_ms) = (held_up, far_ms, 4);
-    world.play(3_000 + seed % 140);
-    let (trouble, since) = (trouble(&world), world.now);
-    world.strike(trouble);
-    world.play(3_000);
+    (
+        world.process_stalls,
+        world.max_delay_ms,
+        world.call_interval_ms,
+    ) = (process_stalls, max_delay_ms, 4);
+    world.run(3_000 + seed % 140);
+    let (fault, since) = (fault(&world), world.now);
+    world.inject(fault);
+    world.run(3_000);
     world.check();
     world.longest_pause(since)
 }
@@ -127,29 +136,29 @@
     (at(0.5), at(0.99), at(1.0))
 }
 
-type Kind = (&'static str, fn(&World) -> Trouble);
+type Kind = (&'static str, fn(&World) -> Fault);
 
 const KINDS: [Kind; 8] = [
-    ("tail killed", |w| Trouble::Kill {
+    ("tail killed", |w| Fault::Kill {
         at: w.tail(),
         power: false,
     }),
-    ("tail without power", |w| Trouble::Kill {
+    ("tail without power", |w| Fault::Kill {
         at: w.tail(),
         power: true,
     }),
-    ("head killed", |w| Trouble::Kill {
+    ("head killed", |w| Fault::Kill {
         at: w.head(),
         power: false,
     }),
-    ("head without power", |w| Trouble::Kill {
+    ("head without power", |w| Fault::Kill {
         at: w.head(),
         power: true,
     }),
-    ("head frozen", |w| Trouble::Freeze { at: w.head() }),
+    ("head frozen", |w| Fault::Freeze { at: w.head() }),
     ("head speaks and does not hear", |w| {
         let head = w.head();
-        Trouble::Cut {
+        Fault::Cut {
             from: w.others(head),
             to: vec![head],
             both: false,
@@ -158,16 +167,16 @@
     }),
     ("head hears and does not speak", |w| {
         let head = w.head();
-        Trouble::Cut {
+        Fault::Cut {
             from: vec![head],
             to: w.others(head),
             both: false,
             held: true,
         }
     }),
-    ("disk 30 times slower", |w| Trouble::Disk {
+    ("disk 30 times slower", |w| Fault::Disk {
         at: w.tail(),
-        trouble: DiskTrouble::Slow,
+        fault: DiskFault::Slow,
     }),
 ];
 
@@ -180,30 +189,34 @@
         "disk 30 times slower, messages of 7 ms at most: {:?}",
         spread(pauses.collect())
     );
-    for held_up in [false, true] {
-        for (name, trouble) in KINDS {
-            let pauses = (0..300).map(|seed| pause_of(seed, (held_up, 25), trouble));
+    for process_stalls in [false, true] {
+        for (name, fault) in KINDS {
+            let pauses = (0..300).map(|seed| pause_of(seed, (process_stalls, 25), fault));
             let (median, most, worst) = spread(pauses.collect());
             println!(
-                "held up {held_up}: {name}: median {median} ms, 99 of 100 {most} ms, worst {worst} ms"
+                "held up {process_stalls}: {name}: median {median} ms, 99 of 100 {most} ms, worst {worst} ms"
             );
         }
         for power in [false, true] {
             let pauses = (0..300).map(|seed| {
                 let mut world = World::new(seed, 3 + (seed % 3) as usize, 1);
-                (world.held_up, world.far_ms, world.pace_ms) = (held_up, 25, 4);
-                world.play(3_000);
-                world.strike(Trouble::KillAll { power });
-                world.play(700);
+                (
+                    world.process_stalls,
+                    world.max_delay_ms,
+                    world.call_interval_ms,
+                ) = (process_stalls, 25, 4);
+                world.run(3_000);
+                world.inject(Fault::KillAll { power });
+                world.run(700);
                 let since = world.now;
                 world.heal();
-                world.play(3_000);
+                world.run(3_000);
                 world.check();
                 world.longest_pause(since)
             });
             let (median, most, worst) = spread(pauses.collect());
             println!(
-                "held up {held_up}: all killed, power {power}, since they are back: {median}, {most}, {worst} ms"
+                "held up {process_stalls}: all killed, power {power}, since they are back: {median}, {most}, {worst} ms"
             );
         }
     }
@@ -215,10 +228,14 @@
     let (mut views, mut minutes) = (0, 0);
     for seed in 0..60 {
         let mut world = World::new(seed, 3 + (seed % 3) as usize, 1);
-        (world.held_up, world.far_ms, world.pace_ms) = (true, 25, 20);
-        world.play(3_000);
+        (
+            world.process_stalls,
+            world.max_delay_ms,
+            world.call_interval_ms,
+        ) = (true, 25, 20);
+        world.run(3_000);
         let before = world.view_number();
-        world.play(60_000);
+        world.run(60_000);
         (views, minutes) = (views + world.view_number() - before, minutes + 1);
     }
     println!(
@@ -283,7 +300,7 @@
                     match std::panic::catch_unwind(|| run(seed, mutation)) {
                         Ok(world) => {
                             steps.fetch_add(world.steps, Ordering::Relaxed);
-                            calls.fetch_add(world.calls_tried() as u64, Ordering::Relaxed);
+                            calls.fetch_add(world.call_count() as u64, Ordering::Relaxed);
                             unknown.fetch_add(world.unknown, Ordering::Relaxed);
                         }
                         Err(_) => failed.lock().unwrap().push(seed),
@@ -319,17 +336,19 @@
 fn faults_put_in_on_purpose_are_found() {
     use Mutation::*;
     let older = [
-        SyncLeftOut,
-        TailAlone,
-        RefusedAfterAll,
-        VotesForgotten,
-        IdentityKept,
-        TriesNotKnown,
+        AckBeforeSync,
+        LocalTailReads,
+        UnknownReportedAsRejected,
+        VotesNotPersisted,
+        IdentityKeptAfterWipe,
+        RetriesNotDeduplicated,
     ];
-    for mutation in older
-        .into_iter()
-        .chain([FilledTooSoon, FilledBeyond, PiecesMixed, AgreedAhead])
-    {
+    for mutation in older.into_iter().chain([
+        CatchUpAckedBeforeSync,
+        CatchUpSendsUncommitted,
+        ChunksMixed,
+        CommitIndexAhead,
+    ]) {
         let calm = on_all_cores(seeds(), Some(mutation), |seed, mutation| {
             troubled(seed, 6, mutation)
         });
--- a/crates/rookpulley-chain/tests/world/disk.rs
+++ b/crates/rookpulley-chain/tests/world/disk.rs
@@ -1,6 +1,6 @@
-//! A simulated disk: batches that are whole, and any of those not yet synced may be missing after a loss of power.
+//! A simulated disk with atomic batches. After a power loss, any batch that was not yet synced may be missing.
 
-use super::faults::is_a_part;
+use super::faults::is_catch_up_write;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use rookpulley_chain::Record;
@@ -9,37 +9,37 @@
 pub type Rows = BTreeMap<Vec<u8>, Vec<u8>>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DiskTrouble {
-    /// Thirty times slower.
+pub enum DiskFault {
+    /// Writes take thirty times as long.
     Slow,
     Hangs,
-    /// Nothing can be written, nor can the store be opened.
-    Refuses,
-    /// The store can be opened, but nothing more is written.
+    /// Writes fail, and so does opening the store.
+    RejectsWrites,
+    /// The store opens, but writes fail.
     Full,
 }
 
 struct Batch {
-    begun: u64,
-    when: u64,
+    submitted_at: u64,
+    completes_at: u64,
     ticket: u64,
     records: Vec<Record>,
 }
 
-/// A row, what it was before, and what it became.
-type Part = (Vec<u8>, Option<Vec<u8>>, Option<Vec<u8>>);
+/// The key of a row, its previous value and its new value.
+type RowChange = (Vec<u8>, Option<Vec<u8>>, Option<Vec<u8>>);
 
 pub struct Disk {
     pub rows: Rows,
-    pub trouble: Option<DiskTrouble>,
-    /// It says of everything at once that it is synced, long before it is.
-    pub lies: bool,
-    /// It says of what its owner is filled with that it is synced, long before it is.
-    pub lies_of_parts: bool,
-    /// Till when such parts may still be lost, with what they took the place of.
-    parts: Vec<(u64, Vec<Part>)>,
+    pub fault: Option<DiskFault>,
+    /// Acknowledges every write immediately, long before it is synced.
+    pub acks_early: bool,
+    /// Acknowledges catch-up writes long before they are synced.
+    pub acks_catch_up_early: bool,
+    /// Catch-up writes that a power loss still undoes, each with the time until which that holds.
+    unsynced_catch_up: Vec<(u64, Vec<RowChange>)>,
     writing: VecDeque<Batch>,
-    /// What its owner makes of it: as the controller does, by how long writes take.
+    /// The health that the controller infers from write latency.
     pub slow: bool,
     quick: u32,
     judged: u64,
@@ -49,10 +49,10 @@
     pub fn new() -> Self {
         Self {
             rows: Rows::new(),
-            trouble: None,
-            lies: false,
-            lies_of_parts: false,
-            parts: Vec::new(),
+            fault: None,
+            acks_early: false,
+            acks_catch_up_early: false,
+            unsynced_catch_up: Vec::new(),
             writing: VecDeque::new(),
             slow: false,
             quick: 0,
@@ -60,53 +60,56 @@
         }
     }
 
-    /// A new process opens it.
+    /// Opens the disk in a new process.
     pub fn open(&mut self) {
         self.writing.clear();
         (self.slow, self.quick) = (false, 0);
     }
 
-    pub fn refuses(&self) -> bool {
-        matches!(self.trouble, Some(DiskTrouble::Refuses | DiskTrouble::Full))
+    pub fn rejects_writes(&self) -> bool {
+        matches!(self.fault, Some(DiskFault::RejectsWrites | DiskFault::Full))
     }
 
     pub fn write(&mut self, now: u64, ticket: u64, records: Vec<Record>) {
-        let takes = if self.trouble == Some(DiskTrouble::Slow) {
+        let duration = if self.fault == Some(DiskFault::Slow) {
             150
         } else {
             5
         };
-        let takes = if self.lies { 400 } else { takes };
-        // What waits while one sync is under way goes along with the next.
-        let when = match self.writing.front() {
-            Some(first) if first.when > now => {
-                let next = self.writing.iter().find(|b| b.when > first.when);
-                next.map_or(first.when + takes, |b| b.when)
+        let duration = if self.acks_early { 400 } else { duration };
+        // Writes submitted during a sync share the next one.
+        let completes_at = match self.writing.front() {
+            Some(first) if first.completes_at > now => {
+                let next = self
+                    .writing
+                    .iter()
+                    .find(|b| b.completes_at > first.completes_at);
+                next.map_or(first.completes_at + duration, |b| b.completes_at)
             }
-            _ => now + takes,
+            _ => now + duration,
         };
         self.writing.push_back(Batch {
-            begun: now,
-            when,
+            submitted_at: now,
+            completes_at,
             ticket,
             records,
         });
     }
 
-    /// The next ticket that is synced by now.
+    /// Applies the next batch that is synced by `now` and returns its ticket.
     pub fn synced(&mut self, now: u64) -> Option<u64> {
-        if self.trouble == Some(DiskTrouble::Hangs)
-            || self.writing.front().is_none_or(|b| b.when > now)
+        if self.fault == Some(DiskFault::Hangs)
+            || self.writing.front().is_none_or(|b| b.completes_at > now)
         {
             return None;
         }
         let batch = self.writing.pop_front()?;
-        self.quick = if now - batch.begun < 35 {
+        self.quick = if now - batch.submitted_at < 35 {
             self.quick + 1
         } else {
             0
         };
-        if self.lies_of_parts && is_a_part(&batch.records) {
+        if self.acks_catch_up_early && is_catch_up_write(&batch.records) {
             let row = |record: &Record| match record {
                 Record::Put { key, value } => (
                     key.clone(),
@@ -115,11 +118,11 @@
                 ),
                 Record::Delete { key } => (key.clone(), self.rows.get(key).cloned(), None),
             };
-            self.parts
+            self.unsynced_catch_up
                 .push((now + 400, batch.records.iter().map(row).collect()));
         }
         self.apply(batch.records);
-        self.parts.retain(|(until, _)| *until > now);
+        self.unsynced_catch_up.retain(|(until, _)| *until > now);
         Some(batch.ticket)
     }
 
@@ -132,14 +135,18 @@
         }
     }
 
-    /// Whether its owner's view of it changes. One that is slow and idle is probed.
-    pub fn judge(&mut self, now: u64) -> Option<bool> {
+    /// Returns whether the disk is slow, if that changed. Probes the disk when it is slow and idle.
+    pub fn check_latency(&mut self, now: u64) -> Option<bool> {
         if now > self.judged + 100 {
-            // Its owner was held up itself: that tells nothing of the disk.
-            self.writing.iter_mut().for_each(|b| b.begun = now);
+            // The process itself was stalled, so the elapsed time says nothing about the disk.
+            self.writing.iter_mut().for_each(|b| b.submitted_at = now);
         }
         self.judged = now;
-        let waits = self.writing.front().is_some_and(|b| now - b.begun > 60) && !self.lies;
+        let waits = self
+            .writing
+            .front()
+            .is_some_and(|b| now - b.submitted_at > 60)
+            && !self.acks_early;
         if waits {
             self.quick = 0;
         }
@@ -153,18 +160,18 @@
         })
     }
 
-    /// The process dies: what it had handed to its thread may be written up to any point.
-    pub fn dies(&mut self, rng: &mut ChaCha8Rng) {
+    /// Ends the process: a random prefix of the pending batches is written.
+    pub fn crash(&mut self, rng: &mut ChaCha8Rng) {
         let kept = rng.random_range(0..=self.writing.len());
         for batch in std::mem::take(&mut self.writing).into_iter().take(kept) {
             self.apply(batch.records);
         }
     }
 
-    /// Each later write is there or is missing; at times all are gone.
-    pub fn loses_power(&mut self, rng: &mut ChaCha8Rng) {
-        for (_, part) in std::mem::take(&mut self.parts) {
-            for (key, before, after) in part {
+    /// Cuts the power: each pending batch is written or lost independently, and sometimes all are lost.
+    pub fn lose_power(&mut self, rng: &mut ChaCha8Rng) {
+        for (_, changes) in std::mem::take(&mut self.unsynced_catch_up) {
+            for (key, before, after) in changes {
                 match before {
                     _ if self.rows.get(&key) != after.as_ref() => {}
                     Some(value) => _ = self.rows.insert(key, value),
--- a/crates/rookpulley-chain/tests/world/faults.rs
+++ b/crates/rookpulley-chain/tests/world/faults.rs
@@ -1,25 +1,25 @@
-//! Faults of a filling, put in on purpose: into what is said and into what is written.
+//! Injected catch-up faults, applied to messages and to writes.
 
 use rookpulley_chain::{CatchUpData, Entry, Message, Record};
 use std::collections::BTreeMap;
 use twox_hash::XxHash64;
 
-type Way = (usize, usize);
-type Pieces = Vec<Vec<u8>>;
+type Route = (usize, usize);
+type Chunks = Vec<Vec<u8>>;
 
-/// What went from controller to controller.
+/// State and entries transferred between controllers.
 #[derive(Default)]
-pub struct Handed {
-    /// By its identity: what a controller has said that it holds, whether that is agreed on or not.
+pub struct Transfers {
+    /// Recent entries that each controller sent or received, committed or not, by controller ID.
     held: BTreeMap<u64, BTreeMap<u64, Entry>>,
-    /// The states that are handed out, by who asked whom: up to which update, and what was handed out as its pieces.
-    now: BTreeMap<Way, (u64, Pieces)>,
-    before: BTreeMap<Way, Pieces>,
+    /// Snapshots in transfer by route: the sequence number and the chunks sent so far.
+    current: BTreeMap<Route, (u64, Chunks)>,
+    previous: BTreeMap<Route, Chunks>,
 }
 
-impl Handed {
-    /// Whoever says or hears this holds what is in it.
-    pub fn holds(&mut self, who: u64, message: &Message) {
+impl Transfers {
+    /// Records the entries of a message that `who` sent or received.
+    pub fn record(&mut self, who: u64, message: &Message) {
         if let Message::Append { entries, .. } | Message::Install { log: entries, .. } = message {
             let held = self.held.entry(who).or_default();
             held.extend(entries.iter().map(|entry| (entry.seq, entry.clone())));
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Behind the updates that are agreed on goes what else the sender holds.
-    pub fn beyond(&mut self, from: u64, message: &mut Message) {
+    /// Appends the sender's uncommitted entries to a catch-up reply.
+    pub fn append_uncommitted(&mut self, from: u64, message: &mut Message) {
         if let Message::CatchUpReply {
             data: CatchUpData::Updates { entries, .. },
             ..
@@ -42,9 +42,9 @@
         }
     }
 
-    /// Where a state is asked for anew because the one before can't be followed any more, its last piece is joined to
-    /// those of that one.
-    pub fn mix(&mut self, way: Way, message: &mut Message) {
+    /// Replaces all chunks but the last of a restarted snapshot transfer with those of the previous snapshot, and
+    /// recomputes the checksum.
+    pub fn mix_chunks(&mut self, route: Route, message: &mut Message) {
         let Message::CatchUpReply {
             data:
                 CatchUpData::SnapshotChunk {
@@ -60,37 +60,37 @@
         else {
             return;
         };
-        let now = self.now.entry(way).or_default();
-        if now.0 != *seq {
-            self.before.insert(way, std::mem::take(&mut now.1));
-            now.0 = *seq;
+        let current = self.current.entry(route).or_default();
+        if current.0 != *seq {
+            self.previous.insert(route, std::mem::take(&mut current.1));
+            current.0 = *seq;
         }
         let other = self
-            .before
-            .get(&way)
+            .previous
+            .get(&route)
             .and_then(|before| before.get(*chunk as usize));
         if let Some(other) =
             other.filter(|other| *chunk + 1 < *chunks && other.len() == bytes.len())
         {
             *bytes = other.clone();
         }
-        now.1.truncate(*chunk as usize);
-        now.1.push(bytes.clone());
-        if now.1.len() == *chunks as usize {
-            *checksum = XxHash64::oneshot(0, &now.1.concat());
+        current.1.truncate(*chunk as usize);
+        current.1.push(bytes.clone());
+        if current.1.len() == *chunks as usize {
+            *checksum = XxHash64::oneshot(0, &current.1.concat());
         }
     }
 }
 
-/// All that a write holds counts as agreed on.
-pub fn agree_ahead(records: &mut [Record]) {
-    let place = |record: &Record| match record {
+/// Advances the stored commit position to the last entry of the write.
+pub fn mark_all_committed(records: &mut [Record]) {
+    let entry_seq = |record: &Record| match record {
         Record::Put { key, .. } if key[0] == b'e' => {
             key[1..].try_into().ok().map(u64::from_be_bytes)
         }
         _ => None,
     };
-    let Some(last) = records.iter().filter_map(place).max() else {
+    let Some(last) = records.iter().filter_map(entry_seq).max() else {
         return;
     };
     for record in records {
@@ -103,8 +103,8 @@
     }
 }
 
-/// What another controller was filled with: without the view that follows it.
-pub fn is_a_part(records: &[Record]) -> bool {
+/// Whether the write stores catch-up data without installing a view.
+pub fn is_catch_up_write(records: &[Record]) -> bool {
     let puts = |kind: u8| {
         records
             .iter()
--- a/crates/rookpulley-chain/tests/world/mod.rs
+++ b/crates/rookpulley-chain/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! The simulated network: controllers with disks and clocks, lines between them, callers that keep what they saw.
+//! Deterministic simulation of controllers, their disks and clocks, the network, and clients that record their calls.
 
 #![allow(dead_code)]
 
@@ -7,10 +7,10 @@
 pub mod history;
 pub mod names;
 
-use disk::{Disk, DiskTrouble};
-use faults::Handed;
+use disk::{Disk, DiskFault};
+use faults::Transfers;
 use history::Call;
-use names::{Ask, Given, Names, Reply, body};
+use names::{AppliedUpdate, Names, Operation, Reply, body};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rookpulley_chain::{
@@ -23,7 +23,7 @@
 use std::rc::Rc;
 
 #[derive(Clone, Debug)]
-pub enum Trouble {
+pub enum Fault {
     Kill {
         at: usize,
         power: bool,
@@ -37,14 +37,14 @@
     Freeze {
         at: usize,
     },
-    /// What these say to those doesn't come. `held`: it comes late instead of never.
+    /// Blocks messages from one group to the other. With `held`, they are delayed instead of dropped.
     Cut {
         from: Vec<usize>,
         to: Vec<usize>,
         both: bool,
         held: bool,
     },
-    /// The lines between two end, with what was on its way; both dial again.
+    /// Breaks the connections between two controllers, losing some messages in flight. Both reconnect.
     Reset {
         a: usize,
         b: usize,
@@ -55,57 +55,57 @@
     },
     Disk {
         at: usize,
-        trouble: DiskTrouble,
+        fault: DiskFault,
     },
 }
 
-/// A fault put into the code's world on purpose: each must be found.
+/// A deliberate protocol violation that the checks must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// A sync is left out: what is said to be on the disk isn't yet.
-    SyncLeftOut,
-    /// The tail answers reads at once, without their passing the chain.
-    TailAlone,
-    /// A call that was handed on and not answered is told to be refused.
-    RefusedAfterAll,
-    /// Votes are not kept over a restart.
-    VotesForgotten,
-    /// A wiped machine goes on under its old identity.
-    IdentityKept,
-    /// A call that is tried again counts as a new one.
-    TriesNotKnown,
-    /// A filled controller goes on, into views too, before what it was filled with is on its disk.
-    FilledTooSoon,
-    /// Whoever fills another hands out what it holds beyond what is agreed on.
-    FilledBeyond,
-    /// A piece of another state is joined to those that came before, and the sum doesn't tell.
-    PiecesMixed,
-    /// The disk says of all that is held that it is agreed on.
-    AgreedAhead,
+    /// Writes are acknowledged before they are synced.
+    AckBeforeSync,
+    /// The tail answers reads immediately, without passing them through the chain.
+    LocalTailReads,
+    /// A forwarded call with an unknown outcome is reported as rejected.
+    UnknownReportedAsRejected,
+    /// Votes are lost on restart.
+    VotesNotPersisted,
+    /// A wiped machine keeps its identity.
+    IdentityKeptAfterWipe,
+    /// A retried call is treated as a new one.
+    RetriesNotDeduplicated,
+    /// Catch-up data is acknowledged before it is synced, so the controller may join a view without it.
+    CatchUpAckedBeforeSync,
+    /// Catch-up replies include uncommitted entries.
+    CatchUpSendsUncommitted,
+    /// Chunks of two snapshots are mixed, with a matching checksum.
+    ChunksMixed,
+    /// The stored commit position covers every stored entry.
+    CommitIndexAhead,
 }
 
-struct Place {
+struct Node {
     id: u64,
     address: SocketAddrV4,
     chain: Option<Chain<Names>>,
-    /// When it began, and what its steady clock said then.
-    born: u64,
+    /// The simulation time of the last start, and the reading of the monotonic clock at that time.
+    started_at: u64,
     clock: u64,
     disk: Disk,
-    asleep_until: u64,
+    frozen_until: u64,
     inbox: VecDeque<Input>,
-    ticked: bool,
-    /// It is started again when trouble heals; `true`: with an empty disk.
-    back: Option<bool>,
-    /// It ended by itself and is started again then.
-    again_at: Option<u64>,
+    tick_queued: bool,
+    /// Set if `heal` restarts it; `true` means with an empty disk.
+    restart_on_heal: Option<bool>,
+    /// When it restarts after exiting by itself.
+    restart_at: Option<u64>,
     lost_for_good: bool,
-    /// What changes the copy here.
-    rot: Rc<Cell<u64>>,
-    /// Of what it has applied, this much was compared.
-    compared: usize,
-    /// How far the view of that stands above those of the first founding, in millions.
-    founding: u64,
+    /// Shared with the replica's state; a nonzero value corrupts it.
+    corruption: Rc<Cell<u64>>,
+    /// How many of its applied updates were compared with the global order.
+    compared_up_to: usize,
+    /// The view number in millions, which refounding raises.
+    refound_epoch: u64,
 }
 
 pub struct World {
@@ -113,53 +113,53 @@
     pub now: u64,
     losses: usize,
     mutation: Option<Mutation>,
-    /// Processes are held up for 50 to 250 ms now and then, as on a shared core.
-    pub held_up: bool,
-    bulk: usize,
-    /// So many pieces of whole states were handed out.
-    pub pieces: u64,
-    handed: Handed,
-    /// A message takes up to so long.
-    pub far_ms: u64,
-    /// This controller loses power when it begins its nth write from here: it alone, or all with it.
+    /// Whether processes occasionally stall for 50 to 250 ms, as on a shared core.
+    pub process_stalls: bool,
+    padding: usize,
+    /// Snapshot chunks sent.
+    pub chunks_sent: u64,
+    transfers: Transfers,
+    /// The maximum extra delay of a message.
+    pub max_delay_ms: u64,
+    /// The controller that loses power, at which of its next writes, and whether all others lose power too.
     pub power_at_write: Option<(usize, u64, bool)>,
-    /// Milliseconds between two calls.
-    pub pace_ms: u64,
-    places: Vec<Place>,
-    /// On its way, by when it arrives: from, to, what.
-    wire: BTreeMap<(u64, u64), (usize, usize, Message)>,
+    pub call_interval_ms: u64,
+    nodes: Vec<Node>,
+    /// Messages in flight with source and destination, by arrival time and send order.
+    in_flight: BTreeMap<(u64, u64), (usize, usize, Message)>,
     sent: u64,
     last_arrival: BTreeMap<(usize, usize), u64>,
-    /// Lines that ended: until when they are down.
-    down: BTreeMap<(usize, usize), u64>,
+    /// Broken connections and when they are re-established.
+    disconnected: BTreeMap<(usize, usize), u64>,
     cuts: BTreeSet<(usize, usize)>,
     cut_at: u64,
     held: Vec<(usize, usize, Message)>,
-    hold: bool,
-    /// Those under way, by token: which controller, which of the calls.
-    open: BTreeMap<u64, (usize, usize)>,
+    delays_cut_messages: bool,
+    /// Calls in progress by token, with the controller and the index of the call.
+    pending_calls: BTreeMap<u64, (usize, usize)>,
     calls: Vec<Call>,
-    asked_ms: Vec<u64>,
-    /// Each view by its number, as any controller has learned it.
+    call_times_ms: Vec<u64>,
+    /// Every view that a controller has learned, by number.
     views: BTreeMap<u64, rookpulley_chain::View>,
-    /// The one order of all that went through, as any controller has shown it.
-    pub truth: Vec<Given>,
-    /// How far the ledger's time stood before ours at most, by when calls were made: it never runs faster.
+    /// The total order of successful updates, as applied by any controller.
+    pub global_order: Vec<AppliedUpdate>,
+    /// The smallest lead of an update's stamp over the time of its call. No later stamp may lead the simulation time by
+    /// more.
     ahead: i64,
-    placed: BTreeSet<u64>,
-    newest_ms: u64,
+    applied_values: BTreeSet<u64>,
+    latest_call_ms: u64,
     events: u64,
     seen: BTreeMap<u8, u64>,
-    /// When updates were answered, and how long they took.
-    /// How little any stamp was ahead of the asking.
+    /// As `ahead`, for answered updates.
     least_ahead: i64,
+    /// When each update was answered, and its latency.
     pub took: VecDeque<(u64, u64)>,
     pub steps: u64,
-    rotten: bool,
-    /// So many copies were found to be spoilt.
-    pub spoilt: u64,
+    corruption_injected: bool,
+    /// Stores discarded because their replica had diverged.
+    pub discarded_stores: u64,
     pub unknown: u64,
-    /// Answers that were lost with those who gave them.
+    /// Answers invalidated by refounding without the updates.
     pub forgotten: u64,
     pub log: Vec<String>,
 }
@@ -181,131 +181,135 @@
 
 impl World {
     pub fn new(seed: u64, controllers: usize, losses: usize) -> Self {
-        Self::with(seed, controllers, losses, None)
+        Self::with_mutation(seed, controllers, losses, None)
     }
 
-    pub fn with(seed: u64, controllers: usize, losses: usize, mutation: Option<Mutation>) -> Self {
+    pub fn with_mutation(
+        seed: u64,
+        controllers: usize,
+        losses: usize,
+        mutation: Option<Mutation>,
+    ) -> Self {
         let mut world = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             losses,
             mutation,
-            held_up: false,
-            bulk: 0,
-            pieces: 0,
-            handed: Handed::default(),
-            far_ms: 6,
+            process_stalls: false,
+            padding: 0,
+            chunks_sent: 0,
+            transfers: Transfers::default(),
+            max_delay_ms: 6,
             power_at_write: None,
-            pace_ms: 9,
-            places: Vec::new(),
-            wire: BTreeMap::new(),
+            call_interval_ms: 9,
+            nodes: Vec::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
             last_arrival: BTreeMap::new(),
-            down: BTreeMap::new(),
+            disconnected: BTreeMap::new(),
             cuts: BTreeSet::new(),
             cut_at: 0,
             held: Vec::new(),
-            hold: false,
-            open: BTreeMap::new(),
+            delays_cut_messages: false,
+            pending_calls: BTreeMap::new(),
             calls: Vec::new(),
-            asked_ms: Vec::new(),
+            call_times_ms: Vec::new(),
             views: BTreeMap::new(),
-            truth: Vec::new(),
+            global_order: Vec::new(),
             ahead: i64::MAX,
-            placed: BTreeSet::new(),
-            newest_ms: 0,
+            applied_values: BTreeSet::new(),
+            latest_call_ms: 0,
             events: 0,
             seen: BTreeMap::new(),
             least_ahead: i64::MAX,
             took: VecDeque::new(),
             steps: 0,
-            rotten: false,
-            spoilt: 0,
+            corruption_injected: false,
+            discarded_stores: 0,
             unknown: 0,
             forgotten: 0,
             log: Vec::new(),
         };
-        world.begin(controllers);
+        world.start_controllers(controllers);
         world
     }
 
-    /// With a state that is so many words long from the beginning.
-    pub fn bulky(seed: u64, controllers: usize, bulk: usize) -> Self {
-        Self::bulky_with(seed, controllers, bulk, None)
+    /// Starts with a state padded by this many 64-bit words.
+    pub fn with_padding(seed: u64, controllers: usize, padding: usize) -> Self {
+        Self::with_padding_and_mutation(seed, controllers, padding, None)
     }
 
-    pub fn bulky_with(
+    pub fn with_padding_and_mutation(
         seed: u64,
         controllers: usize,
-        bulk: usize,
+        padding: usize,
         mutation: Option<Mutation>,
     ) -> Self {
-        let mut world = Self::with(seed, 0, 1, mutation);
-        world.bulk = bulk;
-        world.begin(controllers);
+        let mut world = Self::with_mutation(seed, 0, 1, mutation);
+        world.padding = padding;
+        world.start_controllers(controllers);
         world
     }
 
-    fn begin(&mut self, controllers: usize) {
+    fn start_controllers(&mut self, controllers: usize) {
         for at in 0..controllers {
-            self.add();
+            self.add_node();
             self.start(at, at == 0);
         }
     }
 
-    fn add(&mut self) {
-        let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, self.places.len() as u8 + 1), 7);
+    fn add_node(&mut self) {
+        let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, self.nodes.len() as u8 + 1), 7);
         let mut disk = Disk::new();
-        disk.lies = self.mutation == Some(Mutation::SyncLeftOut);
-        disk.lies_of_parts = self.mutation == Some(Mutation::FilledTooSoon);
-        self.places.push(Place {
+        disk.acks_early = self.mutation == Some(Mutation::AckBeforeSync);
+        disk.acks_catch_up_early = self.mutation == Some(Mutation::CatchUpAckedBeforeSync);
+        self.nodes.push(Node {
             id: 0,
             address,
             chain: None,
-            born: 0,
+            started_at: 0,
             clock: 0,
             disk,
-            asleep_until: 0,
+            frozen_until: 0,
             inbox: VecDeque::new(),
-            ticked: false,
-            back: None,
-            again_at: None,
+            tick_queued: false,
+            restart_on_heal: None,
+            restart_at: None,
             lost_for_good: false,
-            rot: Rc::default(),
-            compared: 0,
-            founding: 0,
+            corruption: Rc::default(),
+            compared_up_to: 0,
+            refound_epoch: 0,
         });
     }
 
     fn start(&mut self, at: usize, founder: bool) {
         let (incarnation, seed) = (self.rng.random(), self.rng.random());
         let clock = self.rng.random_range(0..1_000_000_000u64);
-        let place = &mut self.places[at];
-        let fresh = !place.disk.rows.contains_key(&b"0id"[..]);
+        let node = &mut self.nodes[at];
+        let fresh = !node.disk.rows.contains_key(&b"0id"[..]);
         if fresh {
             let id: u64 = self.rng.random();
-            place
-                .disk
+            node.disk
                 .rows
                 .insert(b"0id".to_vec(), id.to_le_bytes().to_vec());
             if founder {
-                place.disk.rows.insert(b"0founder".to_vec(), Vec::new());
+                node.disk.rows.insert(b"0founder".to_vec(), Vec::new());
             }
         }
-        let founder = place.disk.rows.contains_key(&b"0founder"[..]);
-        place.id = u64::from_le_bytes(place.disk.rows[&b"0id"[..]].clone().try_into().unwrap());
-        if self.mutation == Some(Mutation::VotesForgotten) {
-            place.disk.rows.remove(&b"p"[..]);
+        let founder = node.disk.rows.contains_key(&b"0founder"[..]);
+        node.id = u64::from_le_bytes(node.disk.rows[&b"0id"[..]].clone().try_into().unwrap());
+        if self.mutation == Some(Mutation::VotesNotPersisted) {
+            node.disk.rows.remove(&b"p"[..]);
         }
-        let kept = (!fresh).then(|| PersistedState::read(place.disk.rows.clone()));
+        let kept = (!fresh).then(|| PersistedState::read(node.disk.rows.clone()));
         assert!(
             kept.as_ref().is_none_or(PersistedState::is_sound),
-            "controller {at} finds its disk spoilt"
+            "controller {at} finds an inconsistent store"
         );
         let me = Member {
-            id: place.id,
+            id: node.id,
             incarnation,
-            address: place.address,
+            address: node.address,
         };
         let boot = StartState {
             me,
@@ -314,69 +318,69 @@
             seed,
             persisted: kept,
         };
-        place.disk.open();
-        let names = Names::long(self.bulk);
-        place.rot = names.rot.clone();
-        (place.chain, place.born, place.clock) =
+        node.disk.open();
+        let names = Names::with_padding(self.padding);
+        node.corruption = names.corruption.clone();
+        (node.chain, node.started_at, node.clock) =
             (Some(Chain::start(clock, boot, names)), self.now, clock);
         (
-            place.asleep_until,
-            place.ticked,
-            place.compared,
-            place.again_at,
+            node.frozen_until,
+            node.tick_queued,
+            node.compared_up_to,
+            node.restart_at,
         ) = (0, false, 0, None);
-        place.inbox.clear();
-        // Everybody hears of it, and it of them, over lines that are new.
-        for other in (0..self.places.len()).filter(|o| *o != at) {
-            if self.places[other].chain.is_some() {
-                self.meet(at, other);
+        node.inbox.clear();
+        // Connect it with every running controller.
+        for other in (0..self.nodes.len()).filter(|o| *o != at) {
+            if self.nodes[other].chain.is_some() {
+                self.connect(at, other);
             }
         }
-        self.say(format!(
-            "controller {at} starts, id {:x}, life {incarnation:x}",
-            self.places[at].id
+        self.log_line(format!(
+            "controller {at} starts, id {:x}, incarnation {incarnation:x}",
+            self.nodes[at].id
         ));
     }
 
-    fn meet(&mut self, a: usize, b: usize) {
+    fn connect(&mut self, a: usize, b: usize) {
         for (who, of) in [(a, b), (b, a)] {
-            if !self.cuts.contains(&(of, who)) && self.places[of].chain.is_some() {
+            if !self.cuts.contains(&(of, who)) && self.nodes[of].chain.is_some() {
                 let member = self.member(of);
-                self.give(who, Input::PeerDiscovered { member });
+                self.deliver(who, Input::PeerDiscovered { member });
             }
         }
     }
 
     fn member(&self, at: usize) -> Member {
-        let place = &self.places[at];
-        let incarnation = place.chain.as_ref().map_or(0, |c| c.me().incarnation);
+        let node = &self.nodes[at];
+        let incarnation = node.chain.as_ref().map_or(0, |c| c.me().incarnation);
         Member {
-            id: place.id,
+            id: node.id,
             incarnation,
-            address: place.address,
+            address: node.address,
         }
     }
 
-    pub fn say(&mut self, line: String) {
+    pub fn log_line(&mut self, line: String) {
         self.log.push(format!("{:>6} {line}", self.now));
     }
 
-    fn give(&mut self, at: usize, input: Input) {
-        if self.places[at].chain.is_none() {
+    fn deliver(&mut self, at: usize, input: Input) {
+        if self.nodes[at].chain.is_none() {
             return;
         }
-        if self.places[at].asleep_until > self.now {
-            // A timer that has fired says so once.
+        if self.nodes[at].frozen_until > self.now {
+            // A frozen process has at most one tick queued.
             if !matches!(input, Input::Tick)
-                || !std::mem::replace(&mut self.places[at].ticked, true)
+                || !std::mem::replace(&mut self.nodes[at].tick_queued, true)
             {
-                self.places[at].inbox.push_back(input);
+                self.nodes[at].inbox.push_back(input);
             }
             return;
         }
         self.steps += 1;
-        let now = self.now - self.places[at].born + self.places[at].clock;
-        let Some(chain) = self.places[at].chain.as_mut() else {
+        let now = self.now - self.nodes[at].started_at + self.nodes[at].clock;
+        let Some(chain) = self.nodes[at].chain.as_mut() else {
             return;
         };
         let before = chain.view().map_or(0, |v| v.number);
@@ -386,14 +390,14 @@
                 .views
                 .entry(view.number)
                 .or_insert_with(|| view.clone());
-            assert_eq!(known, view, "two views have one number");
+            assert_eq!(known, view, "two views have the same number");
         }
-        let (mut ends, mut spoilt) = (false, false);
+        let (mut exits, mut discard) = (false, false);
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => {
                     if let Some(to) = self
-                        .places
+                        .nodes
                         .iter()
                         .position(|p| p.id == to && p.chain.is_some())
                     {
@@ -404,76 +408,77 @@
                     ticket,
                     mut records,
                 } => {
-                    ends |= self.places[at].disk.refuses();
-                    if self.mutation == Some(Mutation::AgreedAhead) {
-                        faults::agree_ahead(&mut records);
+                    exits |= self.nodes[at].disk.rejects_writes();
+                    if self.mutation == Some(Mutation::CommitIndexAhead) {
+                        faults::mark_all_committed(&mut records);
                     }
-                    self.places[at].disk.write(self.now, ticket, records);
-                    if self.places[at].disk.lies {
-                        self.give(at, Input::Synced { ticket });
+                    self.nodes[at].disk.write(self.now, ticket, records);
+                    if self.nodes[at].disk.acks_early {
+                        self.deliver(at, Input::Synced { ticket });
                     }
-                    if let Some((place, left, _)) = &mut self.power_at_write
-                        && *place == at
+                    if let Some((node, left, _)) = &mut self.power_at_write
+                        && *node == at
                     {
                         *left = left.saturating_sub(1);
                     }
                 }
                 Effect::Reply { token, outcome } => self.answered(token, outcome),
-                Effect::Log(line) => self.say(format!("controller {at}: {line}")),
+                Effect::Log(line) => self.log_line(format!("controller {at}: {line}")),
                 Effect::StateChanged => self.compare(at),
-                Effect::DiscardStore => spoilt = true,
+                Effect::DiscardStore => discard = true,
             }
         }
         if let Some((_, 0, all)) = self.power_at_write {
             self.power_at_write = None;
-            self.strike(if all {
-                Trouble::KillAll { power: true }
+            self.inject(if all {
+                Fault::KillAll { power: true }
             } else {
-                Trouble::Kill { at, power: true }
+                Fault::Kill { at, power: true }
             });
         }
-        if spoilt {
-            self.spoilt += 1;
+        if discard {
+            self.discarded_stores += 1;
             self.stop(at, false);
-            self.places[at].disk.rows.clear();
-            self.places[at].again_at = Some(self.now + 400);
+            self.nodes[at].disk.rows.clear();
+            self.nodes[at].restart_at = Some(self.now + 400);
         }
-        if ends {
-            self.say(format!("controller {at} ends: its disk refuses"));
+        if exits {
+            self.log_line(format!("controller {at} exits: its disk rejects writes"));
             self.stop(at, false);
-            self.places[at].again_at = Some(self.now + 400);
+            self.nodes[at].restart_at = Some(self.now + 400);
         }
     }
 
     fn send(&mut self, from: usize, to: usize, mut message: Message) {
-        if self.mutation == Some(Mutation::TriesNotKnown)
+        if self.mutation == Some(Mutation::RetriesNotDeduplicated)
             && let Message::Forward(ForwardedRequest { request, .. })
             | Message::Response { request, .. } = &mut message
             && request.attempt > 1
         {
-            // Under another name to the chain, under its own to who asked.
+            // The chain sees another incarnation; the response is mapped back for the caller.
             request.incarnation ^= 1 << 63;
         }
         match self.mutation {
-            Some(Mutation::FilledBeyond) => {
-                self.handed.holds(self.places[from].id, &message);
-                self.handed.beyond(self.places[from].id, &mut message);
+            Some(Mutation::CatchUpSendsUncommitted) => {
+                self.transfers.record(self.nodes[from].id, &message);
+                self.transfers
+                    .append_uncommitted(self.nodes[from].id, &mut message);
             }
-            Some(Mutation::PiecesMixed) => self.handed.mix((from, to), &mut message),
+            Some(Mutation::ChunksMixed) => self.transfers.mix_chunks((from, to), &mut message),
             _ => {}
         }
-        self.pieces += u64::from(matches!(
+        self.chunks_sent += u64::from(matches!(
             message,
             Message::CatchUpReply {
                 data: CatchUpData::SnapshotChunk { .. },
                 ..
             }
         ));
-        if self.down.contains_key(&(from, to)) {
+        if self.disconnected.contains_key(&(from, to)) {
             return;
         }
         if self.cuts.contains(&(from, to)) {
-            if self.hold {
+            if self.delays_cut_messages {
                 self.held.push((from, to, message));
             }
             return;
@@ -482,63 +487,69 @@
     }
 
     fn post(&mut self, from: usize, to: usize, message: Message) {
-        let late =
-            u64::from(self.rng.random_range(0..4u32) == 0) * self.rng.random_range(1..=self.far_ms);
+        let late = u64::from(self.rng.random_range(0..4u32) == 0)
+            * self.rng.random_range(1..=self.max_delay_ms);
         let last = self.last_arrival.entry((from, to)).or_insert(0);
         *last = (self.now + 1 + late).max(*last);
         let at = *last;
         self.sent += 1;
-        self.wire.insert((at, self.sent), (from, to, message));
+        self.in_flight.insert((at, self.sent), (from, to, message));
     }
 
-    /// What a controller shows must be part of the one order: nothing that is shown is ever taken back, given a second
-    /// time, or put behind what was asked long after it.
+    /// Checks that the updates applied by a controller extend the global order: none is undone, applied twice, or
+    /// ordered after an update that was requested much later.
     fn compare(&mut self, at: usize) {
-        let place = &mut self.places[at];
-        let Some(chain) = &place.chain else { return };
-        let founding = chain.view().map_or(0, |view| view.number / 1_000_000);
-        if std::mem::replace(&mut place.founding, founding) != founding {
-            // It has given way to a controller that founded anew, and may have shown what that one never held.
-            place.compared = 0;
+        let node = &mut self.nodes[at];
+        let Some(chain) = &node.chain else { return };
+        let refound_epoch = chain.view().map_or(0, |view| view.number / 1_000_000);
+        if std::mem::replace(&mut node.refound_epoch, refound_epoch) != refound_epoch {
+            // It joined a refounded chain, which may lack updates that it had applied.
+            node.compared_up_to = 0;
         }
-        let given = &chain.state().given;
-        let from = place.compared;
+        let applied = &chain.state().applied;
+        let from = node.compared_up_to;
         assert!(
-            given.len() >= from,
-            "controller {at} goes back from {from} to {}",
-            given.len()
+            applied.len() >= from,
+            "controller {at} went back from {from} to {} applied updates",
+            applied.len()
         );
-        for (place, one) in given.iter().enumerate().skip(from) {
-            match self.truth.get(place) {
+        for (index, update) in applied.iter().enumerate().skip(from) {
+            match self.global_order.get(index) {
                 Some(known) => {
-                    assert_eq!(known, one, "controller {at} shows another update {place}")
+                    assert_eq!(
+                        known, update,
+                        "controller {at} applied another update at index {index}"
+                    )
                 }
                 None => {
-                    self.truth.push(*one);
-                    let call = &self.calls[one.value as usize];
-                    let asked = self.asked_ms[one.value as usize];
-                    assert!(self.placed.insert(one.value), "{call:?} goes through twice");
-                    assert!(!call.refused, "{call:?} was refused");
+                    self.global_order.push(*update);
+                    let call = &self.calls[update.value as usize];
+                    let called_at = self.call_times_ms[update.value as usize];
+                    assert!(
+                        self.applied_values.insert(update.value),
+                        "{call:?} is applied twice"
+                    );
+                    assert!(!call.refused, "{call:?} was rejected but applied");
                     assert!(
-                        asked + 1_080 >= self.newest_ms,
-                        "{call:?} of {asked} goes through behind a call of {}",
-                        self.newest_ms
+                        called_at + 1_080 >= self.latest_call_ms,
+                        "{call:?} of {called_at} ms is ordered after a call of {} ms",
+                        self.latest_call_ms
                     );
-                    let stamp = one.stamp as i64;
+                    let stamp = update.stamp as i64;
                     assert!(
                         stamp - self.now as i64 <= self.ahead,
-                        "the ledger's time runs fast"
+                        "the replicated time runs fast"
                     );
-                    self.ahead = self.ahead.min(stamp - asked as i64);
-                    self.newest_ms = self.newest_ms.max(asked);
+                    self.ahead = self.ahead.min(stamp - called_at as i64);
+                    self.latest_call_ms = self.latest_call_ms.max(called_at);
                 }
             }
         }
-        self.places[at].compared = given.len();
+        self.nodes[at].compared_up_to = applied.len();
     }
 
     fn answered(&mut self, token: u64, outcome: Outcome) {
-        let Some((_, index)) = self.open.remove(&token) else {
+        let Some((_, index)) = self.pending_calls.remove(&token) else {
             return;
         };
         self.events += 1;
@@ -548,43 +559,43 @@
                 let reply = Reply::read(&bytes);
                 call.answered = Some((self.events, reply));
                 self.seen.insert(call.name, reply.revision);
-                if call.ask != Ask::Read {
-                    // Between two updates the ledger's time passes no faster than time does: else a hold ends early.
-                    let (asked, stamp) = (self.asked_ms[index] as i64, reply.stamp as i64);
+                if call.operation != Operation::Read {
+                    // A replicated clock that runs fast would expire locks early.
+                    let (called_at, stamp) = (self.call_times_ms[index] as i64, reply.stamp as i64);
                     let ahead = stamp - self.now as i64;
                     assert!(
                         ahead <= self.least_ahead,
-                        "the ledger's time runs {} ms fast",
+                        "the replicated time runs {} ms fast",
                         ahead - self.least_ahead
                     );
-                    self.least_ahead = self.least_ahead.min(stamp - asked);
+                    self.least_ahead = self.least_ahead.min(stamp - called_at);
                     self.took
-                        .push_back((self.now, self.now - self.asked_ms[index]));
-                    let shown = self.placed.contains(&(index as u64));
+                        .push_back((self.now, self.now - self.call_times_ms[index]));
+                    let shown = self.applied_values.contains(&(index as u64));
                     assert!(
-                        shown || !reply.went,
-                        "{call:?} is answered and nowhere shown"
+                        shown || !reply.succeeded,
+                        "{call:?} is answered but not applied"
                     );
                 }
             }
             Outcome::Rejected => call.refused = true,
             Outcome::Unknown => {
                 self.unknown += 1;
-                call.refused = self.mutation == Some(Mutation::RefusedAfterAll);
+                call.refused = self.mutation == Some(Mutation::UnknownReportedAsRejected);
             }
         }
-        if self.calls[index].refused && self.calls[index].ask != Ask::Read {
+        if self.calls[index].refused && self.calls[index].operation != Operation::Read {
             assert!(
-                !self.placed.contains(&(index as u64)),
-                "{:?} went through",
+                !self.applied_values.contains(&(index as u64)),
+                "{:?} was rejected but applied",
                 self.calls[index]
             );
         }
     }
 
     fn call(&mut self) {
-        let running: Vec<usize> = (0..self.places.len())
-            .filter(|a| self.places[*a].chain.is_some())
+        let running: Vec<usize> = (0..self.nodes.len())
+            .filter(|a| self.nodes[*a].chain.is_some())
             .collect();
         if !running.is_empty() {
             let controller = running[self.rng.random_range(0..running.len())];
@@ -596,192 +607,194 @@
         let name = self.rng.random_range(0..4u8);
         let index = self.calls.len();
         let value = index as u64;
-        let ask = match self.rng.random_range(0..6u32) {
-            0 | 1 => Ask::Read,
-            2 => Ask::Swap {
+        let operation = match self.rng.random_range(0..6u32) {
+            0 | 1 => Operation::Read,
+            2 => Operation::Swap {
                 expected: self.seen.get(&name).copied().unwrap_or(0),
                 value,
             },
-            _ => Ask::Put { value },
+            _ => Operation::Put { value },
         };
         self.events += 1;
         self.calls.push(Call {
             name,
-            ask,
-            asked: self.events,
+            operation,
+            called_at: self.events,
             answered: None,
             refused: false,
         });
-        self.asked_ms.push(self.now);
+        self.call_times_ms.push(self.now);
         let token = value + 1;
-        self.open.insert(token, (controller, index));
-        let kind = if ask == Ask::Read {
+        self.pending_calls.insert(token, (controller, index));
+        let kind = if operation == Operation::Read {
             RequestKind::Read
         } else {
             RequestKind::Update
         };
-        if kind == RequestKind::Read && self.mutation == Some(Mutation::TailAlone) {
-            return self.ask_the_tail(controller, token, name);
+        if kind == RequestKind::Read && self.mutation == Some(Mutation::LocalTailReads) {
+            return self.read_at_tail(controller, token, name);
         }
-        self.give(
+        self.deliver(
             controller,
             Input::ClientRequest {
                 token,
                 kind,
-                body: body(name, ask),
+                body: body(name, operation),
             },
         );
     }
 
-    fn ask_the_tail(&mut self, controller: usize, token: u64, name: u8) {
-        let tail = self.places[controller]
+    fn read_at_tail(&mut self, controller: usize, token: u64, name: u8) {
+        let tail = self.nodes[controller]
             .chain
             .as_ref()
             .and_then(|c| Some(c.view()?.tail()?.id));
-        let Some(tail) = self.places.iter().position(|p| Some(p.id) == tail) else {
+        let Some(tail) = self.nodes.iter().position(|p| Some(p.id) == tail) else {
             return;
         };
-        let there = &self.places[tail];
-        let heard = there.asleep_until <= self.now && !self.cuts.contains(&(controller, tail));
+        let there = &self.nodes[tail];
+        let heard = there.frozen_until <= self.now && !self.cuts.contains(&(controller, tail));
         if let Some(chain) = there
             .chain
             .as_ref()
             .filter(|_| heard && !self.cuts.contains(&(tail, controller)))
         {
-            let answer = chain.state().read(&body(name, Ask::Read));
+            let answer = chain.state().read(&body(name, Operation::Read));
             self.answered(token, Outcome::Completed(answer));
         }
     }
 
-    pub fn play(&mut self, ms: u64) {
+    pub fn run(&mut self, ms: u64) {
         for _ in 0..ms {
             self.now += 1;
-            while let Some((&(at, n), _)) = self.wire.first_key_value()
+            while let Some((&(at, n), _)) = self.in_flight.first_key_value()
                 && at <= self.now
             {
-                if let Some((from, to, message)) = self.wire.remove(&(at, n)) {
-                    let from = self.places[from].id;
-                    if self.mutation == Some(Mutation::FilledBeyond) {
-                        self.handed.holds(self.places[to].id, &message);
+                if let Some((from, to, message)) = self.in_flight.remove(&(at, n)) {
+                    let from = self.nodes[from].id;
+                    if self.mutation == Some(Mutation::CatchUpSendsUncommitted) {
+                        self.transfers.record(self.nodes[to].id, &message);
                     }
-                    self.judge_disk(to);
-                    self.give(to, Input::Received { from, message });
+                    self.check_disk(to);
+                    self.deliver(to, Input::Received { from, message });
                 }
             }
             let again: Vec<_> = self
-                .down
+                .disconnected
                 .extract_if(.., |_, until| *until <= self.now)
                 .collect();
             for ((a, b), _) in again {
-                if self.places[a].chain.is_some() && !self.cuts.contains(&(a, b)) {
+                if self.nodes[a].chain.is_some() && !self.cuts.contains(&(a, b)) {
                     let member = self.member(a);
-                    self.give(b, Input::PeerDiscovered { member });
+                    self.deliver(b, Input::PeerDiscovered { member });
                 }
             }
-            for at in 0..self.places.len() {
-                self.tend(at);
+            for at in 0..self.nodes.len() {
+                self.poll_node(at);
             }
-            if self.now.is_multiple_of(self.pace_ms) {
+            if self.now.is_multiple_of(self.call_interval_ms) {
                 self.call();
             }
-            if self.held_up && self.rng.random_range(0..400u32) == 0 {
-                let at = self.rng.random_range(0..self.places.len());
+            if self.process_stalls && self.rng.random_range(0..400u32) == 0 {
+                let at = self.rng.random_range(0..self.nodes.len());
                 let until = self.now + self.rng.random_range(50..250u64);
-                if self.places[at].asleep_until <= self.now {
-                    self.places[at].asleep_until = until;
+                if self.nodes[at].frozen_until <= self.now {
+                    self.nodes[at].frozen_until = until;
                 }
             }
         }
     }
 
-    fn tend(&mut self, at: usize) {
-        if self.places[at]
-            .again_at
+    fn poll_node(&mut self, at: usize) {
+        if self.nodes[at]
+            .restart_at
             .is_some_and(|when| when <= self.now)
         {
-            if self.places[at].disk.trouble == Some(DiskTrouble::Refuses) {
-                self.places[at].again_at = Some(self.now + 400);
+            if self.nodes[at].disk.fault == Some(DiskFault::RejectsWrites) {
+                self.nodes[at].restart_at = Some(self.now + 400);
             } else {
                 self.start(at, false);
             }
         }
-        if self.places[at].asleep_until == self.now {
+        if self.nodes[at].frozen_until == self.now {
             self.wake(at);
         }
-        while let Some(ticket) = self.places[at].disk.synced(self.now) {
-            if !self.places[at].disk.lies {
-                self.give(at, Input::Synced { ticket });
+        while let Some(ticket) = self.nodes[at].disk.synced(self.now) {
+            if !self.nodes[at].disk.acks_early {
+                self.deliver(at, Input::Synced { ticket });
             }
         }
-        if self.places[at].chain.is_some() && (self.now + 13 * at as u64).is_multiple_of(50) {
-            self.give(at, Input::Tick);
-            self.judge_disk(at);
+        if self.nodes[at].chain.is_some() && (self.now + 13 * at as u64).is_multiple_of(50) {
+            self.deliver(at, Input::Tick);
+            self.check_disk(at);
         }
     }
 
-    fn judge_disk(&mut self, at: usize) {
-        if self.places[at].asleep_until <= self.now
-            && self.places[at].chain.is_some()
-            && let Some(slow) = self.places[at].disk.judge(self.now)
+    fn check_disk(&mut self, at: usize) {
+        if self.nodes[at].frozen_until <= self.now
+            && self.nodes[at].chain.is_some()
+            && let Some(slow) = self.nodes[at].disk.check_latency(self.now)
         {
-            self.say(format!(
+            self.log_line(format!(
                 "controller {at}: its disk is {}",
                 if slow { "slow" } else { "quick" }
             ));
-            self.give(at, Input::DiskHealth { slow });
+            self.deliver(at, Input::DiskHealth { slow });
         }
     }
 
     fn wake(&mut self, at: usize) {
-        (self.places[at].asleep_until, self.places[at].ticked) = (0, false);
-        let mut waiting = std::mem::take(&mut self.places[at].inbox);
-        // Whether its timer or its sockets are looked at first is nobody's promise.
+        (self.nodes[at].frozen_until, self.nodes[at].tick_queued) = (0, false);
+        let mut waiting = std::mem::take(&mut self.nodes[at].inbox);
+        // The order of timers and sockets after a stall is unspecified.
         if self.rng.random_range(0..2u32) == 0
             && let Some(tick) = waiting.iter().position(|i| matches!(i, Input::Tick))
             && let Some(tick) = waiting.remove(tick)
         {
             waiting.push_front(tick);
         }
-        waiting.into_iter().for_each(|input| self.give(at, input));
+        waiting
+            .into_iter()
+            .for_each(|input| self.deliver(at, input));
     }
 
     fn stop(&mut self, at: usize, power: bool) {
         let lost: Vec<u64> = self
-            .open
+            .pending_calls
             .iter()
             .filter(|(_, c)| c.0 == at)
             .map(|(t, _)| *t)
             .collect();
-        lost.iter().for_each(|t| _ = self.open.remove(t));
-        let place = &mut self.places[at];
-        if place.chain.take().is_none() {
+        lost.iter().for_each(|t| _ = self.pending_calls.remove(t));
+        let node = &mut self.nodes[at];
+        if node.chain.take().is_none() {
             return;
         }
         if power {
-            place.disk.loses_power(&mut self.rng)
+            node.disk.lose_power(&mut self.rng)
         } else {
-            place.disk.dies(&mut self.rng)
+            node.disk.crash(&mut self.rng)
         }
-        if self.mutation != Some(Mutation::SyncLeftOut) {
-            place.disk.open();
+        if self.mutation != Some(Mutation::AckBeforeSync) {
+            node.disk.open();
         }
-        place.inbox.clear();
-        let id = place.id;
-        self.wire
+        node.inbox.clear();
+        let id = node.id;
+        self.in_flight
             .retain(|_, (from, to, _)| *to != at && !(power && *from == at));
         self.held.retain(|(from, to, _)| *to != at && *from != at);
         if !power {
-            for other in (0..self.places.len()).filter(|o| *o != at) {
-                self.give(other, Input::Disconnected { id });
+            for other in (0..self.nodes.len()).filter(|o| *o != at) {
+                self.deliver(other, Input::Disconnected { id });
             }
         }
     }
 
-    /// The lines between two end: some of what was on its way is lost, the end of it.
+    /// Breaks the connections between two controllers and drops the last messages in flight.
     fn reset(&mut self, a: usize, b: usize) {
         for (from, to) in [(a, b), (b, a)] {
             let on_its_way: Vec<_> = self
-                .wire
+                .in_flight
                 .iter()
                 .filter(|(_, w)| (w.0, w.1) == (from, to))
                 .map(|(key, _)| *key)
@@ -789,41 +802,41 @@
             let kept = self.rng.random_range(0..=on_its_way.len());
             on_its_way[kept..]
                 .iter()
-                .for_each(|key| _ = self.wire.remove(key));
+                .for_each(|key| _ = self.in_flight.remove(key));
             let until = self.now + self.rng.random_range(20..200u64);
-            self.down.insert((from, to), until);
-            let id = self.places[from].id;
-            self.give(to, Input::Disconnected { id });
+            self.disconnected.insert((from, to), until);
+            let id = self.nodes[from].id;
+            self.deliver(to, Input::Disconnected { id });
         }
     }
 
-    pub fn strike(&mut self, trouble: Trouble) {
-        self.say(format!("{trouble:?}"));
-        match trouble {
-            Trouble::Kill { at, power } => {
+    pub fn inject(&mut self, fault: Fault) {
+        self.log_line(format!("{fault:?}"));
+        match fault {
+            Fault::Kill { at, power } => {
                 self.stop(at, power);
-                self.places[at].back.get_or_insert(false);
+                self.nodes[at].restart_on_heal.get_or_insert(false);
             }
-            Trouble::KillAll { power } => {
-                for at in 0..self.places.len() {
-                    if self.places[at].chain.is_some() {
+            Fault::KillAll { power } => {
+                for at in 0..self.nodes.len() {
+                    if self.nodes[at].chain.is_some() {
                         self.stop(at, power);
-                        self.places[at].back.get_or_insert(false);
+                        self.nodes[at].restart_on_heal.get_or_insert(false);
                     }
                 }
             }
-            Trouble::Wipe { at } => {
+            Fault::Wipe { at } => {
                 self.stop(at, true);
-                self.places[at].back = Some(true);
+                self.nodes[at].restart_on_heal = Some(true);
             }
-            Trouble::Freeze { at } => self.places[at].asleep_until = u64::MAX,
-            Trouble::Cut {
+            Fault::Freeze { at } => self.nodes[at].frozen_until = u64::MAX,
+            Fault::Cut {
                 from,
                 to,
                 both,
                 held,
             } => {
-                (self.hold, self.cut_at) = (held, self.now);
+                (self.delays_cut_messages, self.cut_at) = (held, self.now);
                 for a in &from {
                     for b in to.iter().filter(|b| *b != a) {
                         self.cuts.insert((*a, *b));
@@ -833,113 +846,127 @@
                     }
                 }
             }
-            Trouble::Reset { a, b } => self.reset(a, b),
-            Trouble::Replace { at, orderly } => {
+            Fault::Reset { a, b } => self.reset(a, b),
+            Fault::Replace { at, orderly } => {
                 if orderly {
-                    self.add();
-                    self.start(self.places.len() - 1, false);
-                    self.play(1_500);
+                    self.add_node();
+                    self.start(self.nodes.len() - 1, false);
+                    self.run(1_500);
                 }
                 self.stop(at, !orderly);
-                self.places[at].lost_for_good = true;
+                self.nodes[at].lost_for_good = true;
                 if !orderly {
-                    self.add();
-                    self.start(self.places.len() - 1, false);
+                    self.add_node();
+                    self.start(self.nodes.len() - 1, false);
                 }
             }
-            Trouble::Disk { at, trouble } => self.places[at].disk.trouble = Some(trouble),
+            Fault::Disk { at, fault } => self.nodes[at].disk.fault = Some(fault),
         }
     }
 
-    /// The copy of a controller is no longer what it should be.
-    pub fn rots(&mut self, at: usize) {
-        self.say(format!("the copy of controller {at} rots"));
-        self.places[at].rot.set(1);
-        self.rotten = true;
+    /// Silently corrupts the state of a controller.
+    pub fn corrupt_state(&mut self, at: usize) {
+        self.log_line(format!("the state of controller {at} is corrupted"));
+        self.nodes[at].corruption.set(1);
+        self.corruption_injected = true;
     }
 
-    /// Stops, and nobody starts it again.
+    /// Stops a controller that `heal` does not restart.
     pub fn lose(&mut self, at: usize, power: bool) {
-        self.say(format!("controller {at} is lost"));
+        self.log_line(format!("controller {at} is lost for good"));
         self.stop(at, power);
-        (self.places[at].lost_for_good, self.places[at].back) = (true, None);
+        (self.nodes[at].lost_for_good, self.nodes[at].restart_on_heal) = (true, None);
     }
 
-    /// What was lost for good is there again, with what its disk held.
-    pub fn found_again(&mut self, at: usize) {
-        self.places[at].lost_for_good = false;
+    /// Restarts a lost controller with its disk intact.
+    pub fn restart_lost(&mut self, at: usize) {
+        self.nodes[at].lost_for_good = false;
         self.start(at, false);
     }
 
-    /// Another machine with an empty disk.
-    pub fn newcomer(&mut self) -> usize {
-        self.add();
-        let at = self.places.len() - 1;
+    /// Adds a controller with an empty disk and returns its index.
+    pub fn add_empty_node(&mut self) -> usize {
+        self.add_node();
+        let at = self.nodes.len() - 1;
         self.start(at, false);
         at
     }
 
-    /// An operator stops this controller, lets its store found anew and starts it.
+    /// Stops a controller, refounds the chain from its store and starts it.
     pub fn refound(&mut self, at: usize, power: bool) {
         self.stop(at, power);
         let id: u64 = self.rng.random();
-        let rows = &mut self.places[at].disk.rows;
+        let rows = &mut self.nodes[at].disk.rows;
         let kept = PersistedState::read(rows.clone());
         let was = u64::from_le_bytes(rows[&b"0id"[..]].clone().try_into().unwrap());
-        let (view, records) = kept.refounded(was, id).expect("its disk has a state");
+        let (view, records) = kept.refounded(was, id).expect("the store holds a state");
         rows.clear();
         rows.insert(b"0id".to_vec(), id.to_le_bytes().to_vec());
         for record in records {
             match record {
                 Record::Put { key, value } => _ = rows.insert(key, value),
-                Record::Delete { .. } => panic!("there is nothing to delete"),
+                Record::Delete { .. } => panic!("refounding deletes no rows"),
             }
         }
         assert_eq!(
             PersistedState::read(rows.clone()).status().log,
             kept.status().log
         );
-        self.say(format!("controller {at} founds view {} anew", view.number));
-        self.forget_what_lacks(&kept);
+        self.log_line(format!(
+            "controller {at} refounds the chain with view {}",
+            view.number
+        ));
+        self.forget_updates_missing_from(&kept);
         self.start(at, false);
     }
 
-    /// What this disk doesn't hold is gone, and so is what callers were told of it.
-    fn forget_what_lacks(&mut self, kept: &PersistedState) {
+    /// Removes updates that this store lacks from the global order, and the answers that depended on them.
+    fn forget_updates_missing_from(&mut self, kept: &PersistedState) {
         let shown = kept.status();
         let mut held = Names::default();
         assert!(held.restore(shown.snapshot.unwrap().bytes));
         for StoredUpdate { at_ms, body, .. } in shown.log {
-            // One that was tried again stands there twice.
+            // A retried update may be in the log twice.
             if !held
-                .given
+                .applied
                 .iter()
-                .any(|given| names::value(body) == given.value)
+                .any(|update| names::value(body) == update.value)
             {
                 held.apply(at_ms, body);
             }
         }
         let both = held
-            .given
+            .applied
             .iter()
-            .zip(&self.truth)
+            .zip(&self.global_order)
             .take_while(|(held, shown)| held == shown)
             .count();
-        self.truth.truncate(both);
+        self.global_order.truncate(both);
         let mut last = BTreeMap::<u8, u64>::new();
-        self.truth
+        self.global_order
+            .iter()
+            .for_each(|update| *last.entry(update.name).or_default() += 1);
+        self.applied_values = self
+            .global_order
             .iter()
-            .for_each(|given| *last.entry(given.name).or_default() += 1);
-        self.placed = self.truth.iter().map(|given| given.value).collect();
-        self.newest_ms = self
-            .truth
+            .map(|update| update.value)
+            .collect();
+        self.latest_call_ms = self
+            .global_order
             .iter()
-            .map(|given| self.asked_ms[given.value as usize])
+            .map(|update| self.call_times_ms[update.value as usize])
             .max()
             .unwrap_or(0);
-        // Only what is left tells how the ledger's time went.
-        let ahead = |given: &Given| given.stamp as i64 - self.asked_ms[given.value as usize] as i64;
-        self.ahead = self.truth.iter().map(ahead).min().unwrap_or(i64::MAX);
+        // Recompute the clock bounds from the remaining updates.
+        let ahead = |update: &AppliedUpdate| {
+            update.stamp as i64 - self.call_times_ms[update.value as usize] as i64
+        };
+        self.ahead = self
+            .global_order
+            .iter()
+            .map(ahead)
+            .min()
+            .unwrap_or(i64::MAX);
         self.least_ahead = self.ahead;
         for (value, call) in self.calls.iter_mut().enumerate() {
             let last = last.get(&call.name).copied().unwrap_or(0);
@@ -947,8 +974,11 @@
                 .answered
                 .is_some_and(|(_, reply)| reply.revision > last)
             {
-                // A try of it that the others passed over may be held here, and then it takes effect at last.
-                let here = held.given.iter().any(|given| given.value == value as u64);
+                // The store may hold another attempt of this call, which then takes effect.
+                let here = held
+                    .applied
+                    .iter()
+                    .any(|update| update.value == value as u64);
                 (call.answered, call.refused) = (None, !here);
                 self.forgotten += 1;
             }
@@ -958,114 +988,114 @@
         }
     }
 
-    /// What this controller shows, in order.
-    pub fn given(&self, at: usize) -> &[Given] {
-        self.places[at]
+    /// The updates applied by a controller, in order.
+    pub fn applied(&self, at: usize) -> &[AppliedUpdate] {
+        self.nodes[at]
             .chain
             .as_ref()
-            .map_or(&[], |chain| &chain.state().given)
+            .map_or(&[], |chain| &chain.state().applied)
     }
 
     pub fn running(&self) -> Vec<usize> {
-        (0..self.places.len())
-            .filter(|a| self.places[*a].chain.is_some())
+        (0..self.nodes.len())
+            .filter(|a| self.nodes[*a].chain.is_some())
             .collect()
     }
 
-    /// Those that haven't been lost for good.
-    pub fn places(&self) -> Vec<usize> {
-        (0..self.places.len())
-            .filter(|a| !self.places[*a].lost_for_good)
+    /// The controllers that are not lost for good.
+    pub fn nodes(&self) -> Vec<usize> {
+        (0..self.nodes.len())
+            .filter(|a| !self.nodes[*a].lost_for_good)
             .collect()
     }
 
-    /// `disks`: a disk may be lost by it.
-    pub fn draw_trouble(&mut self, disks: bool) -> Trouble {
-        let places = self.places();
-        let at = places[self.rng.random_range(0..places.len())];
+    /// Draws a random fault. With `disks`, it may wipe a disk or replace a machine.
+    pub fn random_fault(&mut self, disks: bool) -> Fault {
+        let nodes = self.nodes();
+        let at = nodes[self.rng.random_range(0..nodes.len())];
         let (coin, held) = (
             self.rng.random_range(0..2u32) == 0,
             self.rng.random_range(0..2u32) == 0,
         );
-        let others: Vec<usize> = places.iter().copied().filter(|o| *o != at).collect();
+        let others: Vec<usize> = nodes.iter().copied().filter(|o| *o != at).collect();
         match self.rng.random_range(0..if disks { 11u32 } else { 9 }) {
-            0 => Trouble::Kill { at, power: coin },
-            1 => Trouble::KillAll { power: coin },
-            2 => Trouble::Freeze { at },
-            3 => Trouble::Cut {
+            0 => Fault::Kill { at, power: coin },
+            1 => Fault::KillAll { power: coin },
+            2 => Fault::Freeze { at },
+            3 => Fault::Cut {
                 from: others,
                 to: vec![at],
                 both: coin,
                 held,
             },
-            4 => Trouble::Cut {
+            4 => Fault::Cut {
                 from: vec![at],
                 to: others,
                 both: coin,
                 held,
             },
             5 => {
-                let half = self.rng.random_range(1..places.len());
-                let (from, to) = places.split_at(half);
-                Trouble::Cut {
+                let half = self.rng.random_range(1..nodes.len());
+                let (from, to) = nodes.split_at(half);
+                Fault::Cut {
                     from: from.to_vec(),
                     to: to.to_vec(),
                     both: coin,
                     held,
                 }
             }
-            6 => Trouble::Reset {
+            6 => Fault::Reset {
                 a: at,
                 b: others[self.rng.random_range(0..others.len())],
             },
             7 | 8 => {
                 let all = [
-                    DiskTrouble::Slow,
-                    DiskTrouble::Hangs,
-                    DiskTrouble::Refuses,
-                    DiskTrouble::Full,
+                    DiskFault::Slow,
+                    DiskFault::Hangs,
+                    DiskFault::RejectsWrites,
+                    DiskFault::Full,
                 ];
-                Trouble::Disk {
+                Fault::Disk {
                     at,
-                    trouble: all[self.rng.random_range(0..all.len())],
+                    fault: all[self.rng.random_range(0..all.len())],
                 }
             }
-            9 => Trouble::Wipe { at },
-            _ => Trouble::Replace { at, orderly: coin },
+            9 => Fault::Wipe { at },
+            _ => Fault::Replace { at, orderly: coin },
         }
     }
 
-    /// All troubles end: the stopped start again, the frozen wake, the cut off hear again.
+    /// Ends all faults: restarts stopped controllers, wakes frozen ones and reconnects the network.
     pub fn heal(&mut self) {
-        self.say("all heals".into());
+        self.log_line("all faults end".into());
         let cuts = std::mem::take(&mut self.cuts);
         let late = self.now > self.cut_at + 2_500;
         for (from, to, message) in std::mem::take(&mut self.held) {
-            // What a cut held up for longer is lost with its line.
-            if !late && self.places[to].chain.is_some() {
+            // After a long cut, delayed messages are lost with the connection.
+            if !late && self.nodes[to].chain.is_some() {
                 self.post(from, to, message);
             }
         }
         for (a, b) in cuts {
-            if late || !self.hold {
+            if late || !self.delays_cut_messages {
                 self.reset(a, b)
             } else {
-                self.meet(a, b)
+                self.connect(a, b)
             }
         }
-        for at in 0..self.places.len() {
-            self.places[at].disk.trouble = None;
-            if self.places[at].asleep_until > self.now {
+        for at in 0..self.nodes.len() {
+            self.nodes[at].disk.fault = None;
+            if self.nodes[at].frozen_until > self.now {
                 self.wake(at);
             }
-            if let Some(wiped) = self.places[at].back.take() {
+            if let Some(wiped) = self.nodes[at].restart_on_heal.take() {
                 if wiped {
-                    let id = self.places[at].disk.rows.remove(&b"0id"[..]);
-                    self.places[at].disk.rows.clear();
-                    if self.mutation == Some(Mutation::IdentityKept)
+                    let id = self.nodes[at].disk.rows.remove(&b"0id"[..]);
+                    self.nodes[at].disk.rows.clear();
+                    if self.mutation == Some(Mutation::IdentityKeptAfterWipe)
                         && let Some(id) = id
                     {
-                        self.places[at].disk.rows.insert(b"0id".to_vec(), id);
+                        self.nodes[at].disk.rows.insert(b"0id".to_vec(), id);
                     }
                 }
                 self.start(at, false);
@@ -1073,9 +1103,9 @@
         }
     }
 
-    /// One of those that stopped starts again, with the disk that it had.
+    /// Restarts a stopped controller with its disk intact.
     pub fn restart(&mut self, at: usize) {
-        if self.places[at].back.take().is_some() {
+        if self.nodes[at].restart_on_heal.take().is_some() {
             self.start(at, false);
         }
     }
@@ -1086,35 +1116,35 @@
         }
     }
 
-    pub fn must_answer(&mut self) {
+    pub fn assert_updates_complete(&mut self) {
         let before = self.took.len();
-        self.play(1_000);
+        self.run(1_000);
         let answered = self.took.len() - before;
         if answered <= 25 {
             for at in self.running() {
-                let place = &self.places[at];
-                let now = self.now - place.born + place.clock;
-                let line = place.chain.as_ref().map(|c| format!("{:?}", c.status(now)));
-                self.say(format!("controller {at}: {line:?}"));
+                let node = &self.nodes[at];
+                let now = self.now - node.started_at + node.clock;
+                let line = node.chain.as_ref().map(|c| format!("{:?}", c.status(now)));
+                self.log_line(format!("controller {at}: {line:?}"));
             }
         }
         assert!(
             answered > 25,
-            "only {answered} updates of a second are answered"
+            "only {answered} updates were answered in one second"
         );
         let differ = self
             .log
             .iter()
             .any(|line| line.contains("state digests differ"));
         assert!(
-            self.rotten || !differ,
+            self.corruption_injected || !differ,
             "state digests differ without an injected fault"
         );
         self.check();
     }
 
-    fn newest(&self) -> rookpulley_chain::View {
-        let running = self.places.iter().filter(|p| p.asleep_until < u64::MAX);
+    fn latest_view(&self) -> rookpulley_chain::View {
+        let running = self.nodes.iter().filter(|p| p.frozen_until < u64::MAX);
         let views = running
             .filter_map(|p| p.chain.as_ref())
             .filter_map(|c| c.view());
@@ -1122,46 +1152,45 @@
     }
 
     fn at(&self, id: u64) -> usize {
-        self.places.iter().position(|p| p.id == id).unwrap()
+        self.nodes.iter().position(|p| p.id == id).unwrap()
     }
 
     pub fn head(&self) -> usize {
-        self.at(self.newest().members.first().unwrap().id)
+        self.at(self.latest_view().members.first().unwrap().id)
     }
 
     pub fn tail(&self) -> usize {
-        self.at(self.newest().members.last().unwrap().id)
+        self.at(self.latest_view().members.last().unwrap().id)
     }
 
     pub fn others(&self, at: usize) -> Vec<usize> {
-        self.places().into_iter().filter(|o| *o != at).collect()
+        self.nodes().into_iter().filter(|o| *o != at).collect()
     }
 
     pub fn identity(&self, at: usize) -> u64 {
-        self.places[at].id
+        self.nodes[at].id
     }
 
     pub fn view_number(&self) -> u64 {
-        self.newest().number
+        self.latest_view().number
     }
 
     pub fn members(&self) -> usize {
-        self.newest().members.len()
+        self.latest_view().members.len()
     }
 
-    pub fn shown(&self, at: usize) -> Option<rookpulley_chain::ChainStatus> {
-        let place = &self.places[at];
-        place
-            .chain
+    pub fn status(&self, at: usize) -> Option<rookpulley_chain::ChainStatus> {
+        let node = &self.nodes[at];
+        node.chain
             .as_ref()
-            .map(|c| c.status(self.now - place.born + place.clock))
+            .map(|c| c.status(self.now - node.started_at + node.clock))
     }
 
-    pub fn calls_tried(&self) -> usize {
+    pub fn call_count(&self) -> usize {
         self.calls.len()
     }
 
-    /// The longest pause between two answers to updates since then.
+    /// The longest interval without an answered update since that time, in milliseconds.
     pub fn longest_pause(&self, since: u64) -> u64 {
         let times: Vec<u64> = self
             .took
--- a/crates/rookpulley-chain/tests/world/names.rs
+++ b/crates/rookpulley-chain/tests/world/names.rs
@@ -1,4 +1,4 @@
-//! The state that the simulated chain keeps: names with a value and a revision, put or compared and put.
+//! The replicated state of the simulated chain: values with revisions by name, changed by put and compare-and-swap.
 
 use rookpulley_chain::State;
 use std::cell::Cell;
@@ -6,11 +6,11 @@
 use std::rc::Rc;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Operation {
     Put {
         value: u64,
     },
-    /// Goes through where the name has this revision.
+    /// Succeeds if the name is at the expected revision.
     Swap {
         expected: u64,
         value: u64,
@@ -20,10 +20,10 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reply {
-    pub went: bool,
+    pub succeeded: bool,
     pub revision: u64,
     pub value: u64,
-    /// The ledger's time of an update.
+    /// The replicated time at which the update was applied.
     pub stamp: u64,
 }
 
@@ -31,7 +31,7 @@
     pub fn read(bytes: &[u8]) -> Self {
         let word = |at: usize| u64::from_le_bytes(bytes[at..at + 8].try_into().unwrap());
         Self {
-            went: bytes[0] == 1,
+            succeeded: bytes[0] == 1,
             revision: word(1),
             value: word(9),
             stamp: word(17),
@@ -40,7 +40,7 @@
 
     fn bytes(self) -> Vec<u8> {
         [
-            &[u8::from(self.went)][..],
+            &[u8::from(self.succeeded)][..],
             &self.revision.to_le_bytes(),
             &self.value.to_le_bytes(),
             &self.stamp.to_le_bytes(),
@@ -49,11 +49,11 @@
     }
 }
 
-pub fn body(name: u8, ask: Ask) -> Vec<u8> {
-    let (kind, expected, value) = match ask {
-        Ask::Put { value } => (0, 0, value),
-        Ask::Swap { expected, value } => (1, expected, value),
-        Ask::Read => (2, 0, 0),
+pub fn body(name: u8, operation: Operation) -> Vec<u8> {
+    let (kind, expected, value) = match operation {
+        Operation::Put { value } => (0, 0, value),
+        Operation::Swap { expected, value } => (1, expected, value),
+        Operation::Read => (2, 0, 0),
     };
     [
         &[name, kind][..],
@@ -63,41 +63,41 @@
     .concat()
 }
 
-/// The value that an update puts.
+/// The value written by an update.
 pub fn value(body: &[u8]) -> u64 {
     u64::from_le_bytes(body[10..18].try_into().unwrap())
 }
 
-/// An update that went through, with the ledger's time.
+/// A successful update with its replicated time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Given {
+pub struct AppliedUpdate {
     pub name: u8,
     pub value: u64,
     pub stamp: u64,
 }
 
-/// All that went through, in order: enough to tell lost, doubled, reordered and revived updates.
+/// All successful updates in order, which reveals lost, duplicated, reordered and resurrected updates.
 #[derive(Clone, Default)]
 pub struct Names {
-    pub given: Vec<Given>,
+    pub applied: Vec<AppliedUpdate>,
     present: BTreeMap<u8, (u64, u64)>,
     stamp: u64,
-    /// So many words beside all that, to make the state long.
-    pub bulk: usize,
-    /// What has changed here and nowhere else, without anybody's doing.
-    pub rot: Rc<Cell<u64>>,
+    /// Extra 64-bit words in each snapshot, which make the state large.
+    pub padding: usize,
+    /// Nonzero once this replica is silently corrupted.
+    pub corruption: Rc<Cell<u64>>,
 }
 
 impl Names {
-    pub fn long(bulk: usize) -> Self {
+    pub fn with_padding(padding: usize) -> Self {
         Self {
-            bulk,
+            padding,
             ..Self::default()
         }
     }
 
-    fn give(&mut self, name: u8, value: u64, stamp: u64) -> u64 {
-        self.given.push(Given { name, value, stamp });
+    fn record_update(&mut self, name: u8, value: u64, stamp: u64) -> u64 {
+        self.applied.push(AppliedUpdate { name, value, stamp });
         let present = self.present.entry(name).or_default();
         *present = (present.0 + 1, value);
         present.0
@@ -112,7 +112,7 @@
     fn apply(&mut self, at_ms: u64, entry: &[u8]) -> Vec<u8> {
         assert!(
             at_ms >= self.stamp,
-            "the ledger's time falls from {} to {at_ms}",
+            "the replicated time goes back from {} to {at_ms}",
             self.stamp
         );
         self.stamp = at_ms;
@@ -121,7 +121,7 @@
         let (revision, _) = self.at(name);
         if swaps && revision != expected {
             return Reply {
-                went: false,
+                succeeded: false,
                 revision,
                 value: 0,
                 stamp: at_ms,
@@ -129,18 +129,18 @@
             .bytes();
         }
         Reply {
-            went: true,
-            revision: self.give(name, value, at_ms),
+            succeeded: true,
+            revision: self.record_update(name, value, at_ms),
             value,
             stamp: at_ms,
         }
         .bytes()
     }
 
-    fn read(&self, ask: &[u8]) -> Vec<u8> {
-        let (revision, value) = self.at(ask[0]);
+    fn read(&self, operation: &[u8]) -> Vec<u8> {
+        let (revision, value) = self.at(operation[0]);
         Reply {
-            went: true,
+            succeeded: true,
             revision,
             value,
             stamp: 0,
@@ -150,13 +150,13 @@
 
     fn snapshot(&self) -> Vec<u8> {
         let rows = self
-            .given
+            .applied
             .iter()
             .flat_map(|g| [u64::from(g.name), g.value, g.stamp]);
-        let bulk = (0..self.bulk as u64).map(|n| n ^ self.rot.get());
-        let head = [self.stamp, self.bulk as u64 ^ self.rot.get()];
+        let padding = (0..self.padding as u64).map(|n| n ^ self.corruption.get());
+        let head = [self.stamp, self.padding as u64 ^ self.corruption.get()];
         head.into_iter()
-            .chain(bulk)
+            .chain(padding)
             .chain(rows)
             .flat_map(u64::to_le_bytes)
             .collect()
@@ -166,23 +166,23 @@
         let mut words = bytes
             .chunks_exact(8)
             .map(|c| u64::from_le_bytes(c.try_into().unwrap()));
-        let (stamp, bulk) = (
+        let (stamp, padding) = (
             words.next().unwrap_or(0),
             words.next().unwrap_or(0) as usize,
         );
         *self = Self {
             stamp,
-            bulk,
-            rot: self.rot.clone(),
+            padding,
+            corruption: self.corruption.clone(),
             ..Self::default()
         };
-        if bulk > 0 && words.nth(bulk - 1) != Some(bulk as u64 - 1) {
+        if padding > 0 && words.nth(padding - 1) != Some(padding as u64 - 1) {
             return false;
         }
         while let (Some(name), Some(value), Some(stamp)) =
             (words.next(), words.next(), words.next())
         {
-            self.give(name as u8, value, stamp);
+            self.record_update(name as u8, value, stamp);
         }
         true
     }
