--- a/crates/rookpulley-chain/tests/doubts.rs
+++ b/crates/rookpulley-chain/tests/doubts.rs
@@ -1,4 +1,4 @@
-//! Single doubts, each shown on one controller by hand: what it says, and what its disk holds when it says it.
+//! Scenarios on one controller with hand-written messages, checking what it sends and what its disk holds at that time.
 
 mod world;
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// One controller; what it wants written waits until it is told to be synced.
+/// A controller whose writes stay pending until `sync`.
 struct Controller {
     chain: Chain<Names>,
     now: u64,
@@ -87,7 +87,7 @@
         self.handle(Input::Received { from, message });
     }
 
-    /// All that waits is written, in order.
+    /// Applies all pending writes in order and reports them as synced.
     fn sync(&mut self) {
         while !self.writes.is_empty() {
             let (ticket, records) = self.writes.remove(0);
@@ -105,13 +105,13 @@
         }
     }
 
-    /// Answers its pings and questions as the other members would who have nothing to say.
-    fn run_with_peers(&mut self, others: &[Member], ms: u64) {
+    /// Runs while answering heartbeats and status requests as idle peers would.
+    fn run_with_peers(&mut self, peers: &[Member], ms: u64) {
         let until = self.now + ms;
         while self.now < until {
             self.run(50);
             for (to, message) in std::mem::take(&mut self.sent_messages) {
-                let Some(other) = others.iter().find(|m| m.id == to) else {
+                let Some(other) = peers.iter().find(|m| m.id == to) else {
                     continue;
                 };
                 let for_peer = |mut status: MemberStatus| {
@@ -133,7 +133,7 @@
                     }
                     Message::StatusRequest { query } => {
                         let me = self.chain.me();
-                        let contacts = others
+                        let contacts = peers
                             .iter()
                             .chain([&me])
                             .map(|m| Contact::from(*m))
@@ -161,8 +161,8 @@
     }
 }
 
-/// The disk of a controller that has installed view 1 with these members, as its incarnation 1.
-fn disk_with_view(id: u64, ids: &[(u64, u64)]) -> Rows {
+/// The disk of a controller that installed view 1 with these members in its incarnation 1.
+fn disk_with_first_view(id: u64, ids: &[(u64, u64)]) -> Rows {
     let mut controller = Controller::start(id, 1, Rows::new());
     let first = ids[0].0;
     let source = first == id;
@@ -190,17 +190,17 @@
 }
 
 #[test]
-fn a_proposer_that_restarts_never_uses_a_ballot_twice() {
+fn a_restarted_proposer_never_reuses_a_ballot() {
     let ids = [(1, 1), (2, 1), (3, 1)];
-    let rows = disk_with_view(1, &ids);
+    let rows = disk_with_first_view(1, &ids);
     let mut ballots = Vec::new();
     for incarnation in [7, 8] {
         let mut controller = Controller::start(1, incarnation, rows.clone());
-        let others = [member(2, 1), member(3, 1)];
-        others
+        let peers = [member(2, 1), member(3, 1)];
+        peers
             .iter()
             .for_each(|m| controller.handle(Input::PeerDiscovered { member: *m }));
-        controller.run_with_peers(&others, 900);
+        controller.run_with_peers(&peers, 900);
         let prepared = controller.sent_messages.iter().find_map(|(_, m)| match m {
             Message::Prepare { ballot, .. } => Some(*ballot),
             _ => None,
@@ -215,11 +215,11 @@
 }
 
 #[test]
-fn a_vote_is_never_on_the_disk_without_the_view_that_it_follows() {
+fn a_vote_is_never_stored_without_the_preceding_view() {
     let ids = [(1, 1), (2, 1), (3, 1)];
-    let mut controller = Controller::start(2, 1, disk_with_view(2, &ids));
+    let mut controller = Controller::start(2, 1, disk_with_first_view(2, &ids));
     controller.sync();
-    // It votes for view 2, learns that it is decided, and votes for view 3.
+    // It votes for view 2, learns that view 2 is decided, and votes for view 3.
     controller.receive(
         1,
         Message::Prepare {
@@ -242,7 +242,7 @@
             ballot: ballot(1),
         },
     );
-    // Of the later writes a loss of power leaves only the one with the votes.
+    // After a power loss only the write with the vote remains.
     let (_, votes) = controller
         .writes
         .iter()
@@ -265,10 +265,7 @@
         .sent_messages
         .iter()
         .any(|(_, m)| matches!(m, Message::Promise { .. }));
-    assert!(
-        !promises,
-        "it has forgotten what it voted for view 2, and votes again"
-    );
+    assert!(!promises, "it forgot its vote for view 2 and votes again");
     assert!(
         restarted
             .sent_messages
@@ -282,9 +279,9 @@
 }
 
 #[test]
-fn a_wiped_acceptor_is_asked_to_vote_for_an_older_view_and_says_nothing() {
+fn a_wiped_acceptor_does_not_vote_on_views_before_its_own() {
     let ids = [(1, 1), (2, 1), (3, 1)];
-    // The machine of member 2 has lost its disk: at its address lives member 22 now, which a later view takes in.
+    // The machine of member 2 lost its disk and is now member 22, which joins in view 3.
     let mut controller = Controller::start(22, 5, Rows::new());
     controller.receive(
         1,
@@ -324,7 +321,7 @@
     controller.sync();
     let votes = |m: &Message| matches!(m, Message::Promise { .. } | Message::Accepted { .. });
     assert!(controller.sent_messages.iter().all(|(_, m)| !votes(m)));
-    // For the view after the one that it is part of it does vote.
+    // It does vote for the successor of the view that includes it.
     let base = view(3, &[(1, 1), (3, 1), (22, 5)]);
     controller.receive(
         1,
@@ -338,7 +335,7 @@
 }
 
 #[test]
-fn a_view_that_is_on_its_way_to_the_disk_is_not_promised_to_be_left_out() {
+fn a_view_being_written_is_not_abandoned() {
     let ids = [(1, 1), (2, 1), (3, 1)];
     let mut controller = Controller::start(2, 1, Rows::new());
     controller.sync();
@@ -373,14 +370,14 @@
     assert_eq!(
         abandon_reply,
         Some(1),
-        "who asks must learn that it has been installed"
+        "the requester must learn that the view is installed"
     );
 }
 
 #[test]
-fn what_a_source_holds_beyond_what_is_agreed_is_not_shown_before_the_view_is_at_work() {
+fn uncommitted_updates_of_a_source_are_not_applied_before_the_view_is_active() {
     let two = [(1, 1), (2, 1)];
-    // View 1 is at work, an update is taken and passed on, and nobody confirms it.
+    // In active view 1, an update is accepted and forwarded but never acknowledged.
     let mut controller = Controller::start(1, 1, Rows::new());
     controller.receive(
         1,
@@ -408,7 +405,7 @@
     controller.sync();
     assert!(
         controller.chain.state().applied.is_empty(),
-        "view 2 may be passed over and this update with it"
+        "view 2 may be abandoned together with this update"
     );
     let installs = controller
         .sent_messages
@@ -418,11 +415,11 @@
             Message::Install { log, .. } => Some(log.len()),
             _ => None,
         });
-    assert_eq!(installs, Some(1), "but it goes along");
+    assert_eq!(installs, Some(1), "the update is part of the install");
 }
 
 #[test]
-fn a_call_that_lay_in_a_socket_while_its_controller_slept_is_refused() {
+fn a_request_queued_while_the_controller_was_stalled_is_rejected() {
     let mut controller = Controller::start(1, 1, Rows::new());
     controller.run(500);
     controller.now += 2_000;
@@ -439,8 +436,8 @@
 }
 
 #[test]
-fn a_disk_whose_state_is_torn_is_not_sound() {
-    let rows = disk_with_view(2, &[(1, 1), (2, 1)]);
+fn a_store_with_missing_or_truncated_rows_is_not_sound() {
+    let rows = disk_with_first_view(2, &[(1, 1), (2, 1)]);
     assert!(PersistedState::read(rows.clone()).is_sound());
     assert!(PersistedState::read(Rows::new()).is_sound());
     let mut torn = rows.clone();
@@ -453,14 +450,14 @@
             row.truncate(row.len() / 2);
             assert!(
                 !PersistedState::read(torn).is_sound(),
-                "a torn {key:?} is taken for whole"
+                "a truncated row {key:?} is accepted"
             );
         }
     }
 }
 
 #[test]
-fn the_checker_of_histories_finds_what_is_wrong() {
+fn the_history_checker_detects_violations() {
     let reply = |succeeded, revision, value| Reply {
         succeeded,
         revision,
@@ -497,31 +494,31 @@
     assert!(check(&[put(7, 1, 4, 1), put(8, 2, 3, 2), read(5, 6, 2, 8)]).is_ok());
     assert!(
         check(&[put(7, 1, 2, 1), read(3, 4, 0, 0)]).is_err(),
-        "an old read"
+        "a stale read"
     );
     assert!(
         check(&[put(7, 1, 2, 2), put(8, 3, 4, 1)]).is_err(),
-        "against real time"
+        "an order that contradicts real time"
     );
     assert!(
         check(&[put(7, 1, 2, 1), put(8, 3, 4, 1)]).is_err(),
-        "one revision twice"
+        "a revision assigned twice"
     );
     assert!(
         check(&[put(7, 1, 2, 1), read(3, 4, 1, 9)]).is_err(),
-        "a value that nobody put"
+        "a value that was never written"
     );
     assert!(
         check(&[put(7, 1, 2, 2)]).is_err(),
-        "a revision that nobody got"
+        "a revision that matches no call"
     );
     assert!(
         check(&[lost(6, 1), put(7, 2, 3, 2), read(4, 5, 2, 7)]).is_ok(),
-        "one without an answer got it"
+        "an unanswered call has the missing revision"
     );
     assert!(
         check(&[put(7, 1, 2, 2), lost(6, 3)]).is_err(),
-        "it was asked too late for that"
+        "the unanswered call was made too late"
     );
     let swap = |expected, called_at, answered, succeeded, revision| {
         call(
@@ -544,7 +541,7 @@
     );
     assert!(
         check(&[put(70, 1, 2, 1), swap(0, 3, 4, true, 2)]).is_err(),
-        "a swap over a later revision"
+        "a swap with an outdated expected revision"
     );
 }
 
@@ -563,34 +560,39 @@
     }
 }
 
-/// Of what waits to be written any may be lost: what a start finds is sound, and shows the beginning of this.
+/// Checks that after losing any subset of the pending writes the store is consistent and its applied updates are a
+/// prefix of `agreed`.
 fn check_any_lost_writes(controller: &Controller, agreed: &[u64]) {
     for kept in 0..1 << controller.writes.len() {
         let mut rows = controller.rows.clone();
-        let there = controller
+        let surviving = controller
             .writes
             .iter()
             .enumerate()
             .filter(|(n, _)| kept >> n & 1 == 1);
-        there.for_each(|(_, (_, records))| records.iter().for_each(|r| apply_record(&mut rows, r)));
+        surviving
+            .for_each(|(_, (_, records))| records.iter().for_each(|r| apply_record(&mut rows, r)));
         assert!(
             PersistedState::read(rows.clone()).is_sound(),
             "writes {kept:b}"
         );
         let restarted = Controller::start(2, 9, rows);
-        let shown: Vec<u64> = restarted
+        let applied: Vec<u64> = restarted
             .chain
             .state()
             .applied
             .iter()
             .map(|g| g.value)
             .collect();
-        assert!(agreed.starts_with(&shown), "writes {kept:b} show {shown:?}");
+        assert!(
+            agreed.starts_with(&applied),
+            "with writes {kept:b}, {applied:?} is applied"
+        );
     }
 }
 
 #[test]
-fn a_view_is_never_on_the_disk_without_what_it_begins_with() {
+fn a_view_is_never_stored_without_its_initial_state() {
     let ids = [(1, 1), (2, 1), (3, 1)];
     let install = |view: View, committed: u64, log: Vec<Entry>| Message::Install {
         view,
@@ -598,7 +600,7 @@
         at_ms: 50,
         log,
     };
-    // With all that it begins with, and with a part of that.
+    // Install messages with the complete log, and with a part of it.
     let mut controller = Controller::start(2, 1, Rows::new());
     controller.sync();
     controller.receive(
@@ -638,8 +640,8 @@
     check_any_lost_writes(&controller, &[1, 2, 3, 4]);
     controller.sync();
     assert_eq!(controller.chain.status(controller.now).installed, 1);
-    // What was held of a view that was passed over has the place of what is agreed on.
-    let mut controller = Controller::start(2, 1, disk_with_view(2, &ids));
+    // Entries of an abandoned view occupy the sequence numbers of committed ones.
+    let mut controller = Controller::start(2, 1, disk_with_first_view(2, &ids));
     controller.receive(
         1,
         Message::Append {
@@ -657,9 +659,9 @@
     check_any_lost_writes(&controller, &[1]);
 }
 
-/// A member that is started again may be the last that holds what was acknowledged behind the state that it is handed.
+/// A restarted member may be the only holder of acknowledged updates beyond the snapshot that it receives.
 #[test]
-fn what_a_member_holds_behind_a_state_that_comes_stays() {
+fn updates_beyond_a_received_snapshot_are_kept() {
     let ids = [(1, 1), (2, 1), (3, 1)];
     let entry = |seq: u64| entry(seq, seq);
     let mut controller = Controller::start(2, 1, Rows::new());
@@ -742,13 +744,13 @@
     controller.receive(
         3,
         Message::CatchUpReply {
-            query: query.expect("it asks for what it lacks"),
+            query: query.expect("it requests the missing updates"),
             data,
         },
     );
     controller.sync();
     assert_eq!(controller.chain.state().applied.len(), 2);
-    let holds = |controller: &Controller| controller.chain.status(controller.now).last;
-    assert_eq!(holds(&controller), 4);
-    assert_eq!(holds(&Controller::start(2, 3, controller.rows)), 4);
+    let last_held = |controller: &Controller| controller.chain.status(controller.now).last;
+    assert_eq!(last_held(&controller), 4);
+    assert_eq!(last_held(&Controller::start(2, 3, controller.rows)), 4);
 }
--- a/crates/rookpulley-chain/tests/filling.rs
+++ b/crates/rookpulley-chain/tests/filling.rs
@@ -1,18 +1,18 @@
-//! How one that lacks much gets it while the chain goes on, and how copies that differ are found.
+//! Catch-up of lagging controllers during updates, and detection of diverged replicas.
 
 mod world;
 
 use world::disk::DiskFault;
 use world::{Fault, World};
 
-/// Some 480 KB: four pieces.
+/// About 480 KB: four snapshot chunks.
 const PADDING_WORDS: usize = 60_000;
 
 #[test]
-fn an_empty_machine_is_filled_while_updates_go_on() {
+fn an_empty_controller_catches_up_during_updates() {
     for seed in 0..2 {
         let mut world = World::with_padding(seed, 3, PADDING_WORDS);
-        // More updates than are kept at hand.
+        // More updates than the log retains.
         world.call_interval_ms = 1;
         world.run(8_000);
         (world.call_interval_ms, world.max_delay_ms) = (3, 26);
@@ -26,7 +26,7 @@
         assert_eq!(world.members(), 3);
         assert!(
             world.chunks_sent >= before + 4,
-            "the state went in {} pieces",
+            "the snapshot was sent in {} chunks",
             world.chunks_sent - before
         );
         let pause = world.longest_pause(since);
@@ -35,9 +35,9 @@
     }
 }
 
-/// The filling falls behind what is at hand, is cut off, and loses whom it asks: it begins again and comes to an end.
+/// The catch-up falls behind the retained log and loses its source; it must restart and complete.
 #[test]
-fn a_filling_that_is_cut_off_begins_again() {
+fn an_interrupted_catch_up_restarts() {
     for seed in 0..2 {
         let mut world = World::with_padding(seed, 4, PADDING_WORDS);
         world.call_interval_ms = 1;
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn one_that_was_away_for_a_while_gets_what_it_lacks_and_not_the_whole_state() {
+fn a_briefly_absent_controller_receives_updates_instead_of_a_snapshot() {
     for seed in 0..4 {
         let mut world = World::with_padding(seed, 3, PADDING_WORDS);
         world.run(3_000);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn one_that_has_been_away_for_very_long_is_filled_before_it_is_taken_in() {
+fn a_long_absent_controller_catches_up_before_it_joins() {
     for seed in 0..2 {
         let mut world = World::with_padding(seed, 4, 20_000);
         world.call_interval_ms = 2;
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_founder_that_loses_power_at_any_moment_founds_once() {
+fn a_founder_that_loses_power_at_any_time_founds_one_chain() {
     for moment in 1..40 {
         let mut world = World::new(moment, 3, 1);
         world.run(moment);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_copy_that_differs_from_all_others_is_begun_anew() {
+fn a_diverged_replica_is_discarded_and_rebuilt() {
     for seed in 0..3 {
         let mut world = World::with_padding(seed, 3, 10);
         world.call_interval_ms = 2;
@@ -156,9 +156,9 @@
     }
 }
 
-/// Which of two copies is the right one nobody can say, and one that can't be spared is not given up.
+/// With two replicas neither is known to be right, and a replica that the chain needs is not discarded.
 #[test]
-fn copies_that_differ_where_none_can_be_spared_are_told_of() {
+fn diverged_replicas_are_reported_when_none_can_be_discarded() {
     let mut world = World::with_padding(1, 2, 10);
     world.call_interval_ms = 2;
     world.run(2_000);
@@ -175,11 +175,11 @@
 }
 
 #[test]
-fn power_lost_at_every_write_of_a_filling_leaves_a_disk_that_opens() {
+fn power_loss_at_any_catch_up_write_leaves_a_consistent_store() {
     for nth in 1..=24 {
         let mut world = World::new(nth, 2 + (nth / 4 % 2) as usize, 1);
         world.call_interval_ms = 1;
-        // Some are filled by pieces: more updates than are kept at hand.
+        // The longer runs exceed the retained log, so catch-up sends a snapshot.
         world.run(if nth % 4 == 3 { 6_500 } else { 1_500 });
         (world.call_interval_ms, world.max_delay_ms) = (4, 15);
         let at = (nth / 8 % 2) as usize;
@@ -194,10 +194,10 @@
     }
 }
 
-/// The tail leaves the chain for a slow disk and is filled with what the next view agrees on. The head of the view
-/// before was cut off meanwhile, and holds something else in the places of that.
+/// The tail leaves the chain because of its slow disk and catches up with the next view, while the isolated head of the
+/// previous view holds other updates at the same sequence numbers.
 #[test]
-fn a_head_that_was_cut_off_takes_nothing_for_agreed_by_a_tail_that_has_moved_on() {
+fn an_isolated_head_commits_nothing_on_behalf_of_a_tail_in_a_later_view() {
     for seed in 0..16 {
         let mut world = World::new(seed, 5, 1);
         world.max_delay_ms = 60;
@@ -222,15 +222,15 @@
 }
 
 #[test]
-#[ignore = "prints how long a filling takes: cargo test --release -p rookpulley-chain --test filling -- --ignored --nocapture"]
-fn how_long_a_filling_takes_and_updates_pause() {
-    for (words, max_delay_ms) in [12_500, 125_000, 1_250_000]
+#[ignore = "prints catch-up times: cargo test --release -p rookpulley-chain --test filling -- --ignored --nocapture"]
+fn catch_up_times_and_update_pauses() {
+    for (padding_words, max_delay_ms) in [12_500, 125_000, 1_250_000]
         .into_iter()
         .flat_map(|w| [(w, 6), (w, 25)])
     {
-        let (mut filled, mut joined, mut pauses) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut caught_up, mut joined, mut pauses) = (Vec::new(), Vec::new(), Vec::new());
         for seed in 0..20 {
-            let mut world = World::with_padding(seed, 3, words);
+            let mut world = World::with_padding(seed, 3, padding_words);
             world.call_interval_ms = 1;
             world.run(6_500);
             (world.call_interval_ms, world.max_delay_ms) = (4, max_delay_ms);
@@ -245,7 +245,7 @@
             while world.applied(at).len() < first {
                 world.run(1);
             }
-            filled.push(world.now - since);
+            caught_up.push(world.now - since);
             while world.members() < 3 {
                 world.run(1);
             }
@@ -254,14 +254,18 @@
             pauses.push(world.longest_pause(since));
             world.assert_updates_complete();
         }
-        let worst = |all: &mut Vec<u64>| {
+        let median_and_worst = |all: &mut Vec<u64>| {
             all.sort_unstable();
             (all[all.len() / 2], all[all.len() - 1])
         };
-        let (filled, joined, pauses) = (worst(&mut filled), worst(&mut joined), worst(&mut pauses));
+        let (caught_up, joined, pauses) = (
+            median_and_worst(&mut caught_up),
+            median_and_worst(&mut joined),
+            median_and_worst(&mut pauses),
+        );
         println!(
-            "{} KB, messages of 1 to {} ms: median and worst: filled {filled:?} ms, taken in {joined:?}, pause {pauses:?}",
-            words * 8 / 1_000,
+            "{} KB, messages of 1 to {} ms: median and worst: caught up {caught_up:?} ms, joined {joined:?}, pause {pauses:?}",
+            padding_words * 8 / 1_000,
             max_delay_ms + 1
         );
     }
--- a/crates/rookpulley-chain/tests/hard_cases.rs
+++ b/crates/rookpulley-chain/tests/hard_cases.rs
@@ -1,6 +1,6 @@
-//! The hard cases, each by its name, on the simulated network and disks. Every run is checked by what callers saw:
-//! histories in order for each name, nothing acknowledged lost, nothing refused done, nothing done late or twice, and
-//! the ledger's time never fast.
+//! Specific fault sequences on simulated chains. Every run checks that call histories are linearizable, that no
+//! acknowledged update is lost, that no update is applied late, twice or after its rejection, and that the replicated
+//! time never runs fast.
 
 mod world;
 
@@ -8,7 +8,7 @@
 use world::disk::DiskFault;
 use world::{Fault, World};
 
-/// So many of each; `CHAIN_CASES=200` plays more.
+/// The number of seeds for each case, from `CHAIN_CASES` or 3.
 fn seeds() -> u64 {
     std::env::var("CHAIN_CASES")
         .ok()
@@ -16,20 +16,20 @@
         .unwrap_or(3)
 }
 
-fn calm(seed: u64, controllers: usize) -> World {
+fn healthy_chain(seed: u64, controllers: usize) -> World {
     let mut world = World::new(seed, controllers, 1);
     world.run(2_000 + 7 * seed);
     world
 }
 
-fn heals(world: &mut World) {
+fn recover(world: &mut World) {
     world.heal();
     world.run(4_000);
     world.assert_updates_complete();
 }
 
-/// Plays until an update has just been answered, and a little more.
-fn just_after_an_answer(world: &mut World, within_ms: u64) {
+/// Runs until an update is answered, and up to `within_ms` longer.
+fn run_until_just_after_an_answer(world: &mut World, within_ms: u64) {
     let before = world.took.len();
     while world.took.len() == before {
         world.run(1);
@@ -39,25 +39,25 @@
 }
 
 #[test]
-fn power_lost_within_4_ms_of_an_answer_on_the_machine_that_gave_it() {
+fn power_loss_of_the_tail_within_4_ms_of_an_answer() {
     for seed in 0..seeds() {
-        let mut world = calm(seed, 3);
-        just_after_an_answer(&mut world, 4);
+        let mut world = healthy_chain(seed, 3);
+        run_until_just_after_an_answer(&mut world, 4);
         world.inject(Fault::Kill {
             at: world.tail(),
             power: true,
         });
         world.run(1_800);
         world.assert_updates_complete();
-        heals(&mut world);
+        recover(&mut world);
     }
 }
 
 #[test]
-fn power_lost_within_4_ms_of_an_answer_on_two_machines() {
+fn power_loss_of_head_and_tail_within_4_ms_of_an_answer() {
     for seed in 0..seeds() {
-        let mut world = calm(seed, 3 + (seed % 2) as usize);
-        just_after_an_answer(&mut world, 4);
+        let mut world = healthy_chain(seed, 3 + (seed % 2) as usize);
+        run_until_just_after_an_answer(&mut world, 4);
         let (tail, head) = (world.tail(), world.head());
         world.inject(Fault::Kill {
             at: tail,
@@ -68,15 +68,15 @@
             power: true,
         });
         world.run(1_000);
-        heals(&mut world);
+        recover(&mut world);
     }
 }
 
 #[test]
-fn the_disk_wiped_within_4_ms_of_an_answer() {
+fn disk_wiped_within_4_ms_of_an_answer() {
     for seed in 0..seeds() {
-        let mut world = calm(seed, 3);
-        just_after_an_answer(&mut world, 4);
+        let mut world = healthy_chain(seed, 3);
+        run_until_just_after_an_answer(&mut world, 4);
         let at = if seed % 2 == 0 {
             world.tail()
         } else {
@@ -85,15 +85,15 @@
         world.inject(Fault::Wipe { at });
         world.run(1_800);
         world.assert_updates_complete();
-        heals(&mut world);
+        recover(&mut world);
     }
 }
 
 #[test]
-fn all_lose_power_at_once_right_after_an_answer() {
+fn power_loss_of_all_members_right_after_an_answer() {
     for seed in 0..seeds() {
-        let mut world = calm(seed, 3 + (seed % 3) as usize);
-        just_after_an_answer(&mut world, 4);
+        let mut world = healthy_chain(seed, 3 + (seed % 3) as usize);
+        run_until_just_after_an_answer(&mut world, 4);
         world.inject(Fault::KillAll { power: true });
         world.run(600);
         let since = world.now;
@@ -102,17 +102,17 @@
         let pause = world.longest_pause(since);
         assert!(
             pause < 300,
-            "all were back for {pause} ms before an update was answered"
+            "updates paused for {pause} ms after all restarted"
         );
-        heals(&mut world);
+        recover(&mut world);
     }
 }
 
 #[test]
-fn one_is_wiped_and_all_others_lose_power() {
+fn one_disk_wiped_and_power_loss_of_all_others() {
     for seed in 0..seeds() {
-        let mut world = calm(seed, 3 + (seed % 2) as usize);
-        just_after_an_answer(&mut world, 4);
+        let mut world = healthy_chain(seed, 3 + (seed % 2) as usize);
+        run_until_just_after_an_answer(&mut world, 4);
         let at = if seed % 2 == 0 {
             world.head()
         } else {
@@ -121,15 +121,15 @@
         world.inject(Fault::Wipe { at });
         world.inject(Fault::KillAll { power: true });
         world.run(600);
-        heals(&mut world);
+        recover(&mut world);
     }
 }
 
 #[test]
-fn the_last_two_of_a_view_and_one_of_them_wiped() {
+fn one_disk_of_a_view_of_two_wiped() {
     for seed in 0..seeds() {
-        let mut world = calm(seed, 3);
-        // A view of two is agreed on by both only, until it is seen that one of them is gone for good.
+        let mut world = healthy_chain(seed, 3);
+        // The successor of a view of two needs both votes until one disk is known to be lost.
         world.inject(Fault::Replace {
             at: world.tail(),
             orderly: false,
@@ -146,15 +146,15 @@
             },
         });
         world.run(500);
-        heals(&mut world);
+        recover(&mut world);
         assert_eq!(world.members(), 3);
     }
 }
 
 #[test]
-fn one_with_a_slow_disk_keeps_its_vote_and_is_taken_back_when_another_is_lost() {
+fn a_controller_with_a_slow_disk_keeps_its_vote_and_rejoins_when_another_is_lost() {
     for seed in 0..seeds() {
-        let mut world = calm(seed, 3);
+        let mut world = healthy_chain(seed, 3);
         let tail = world.tail();
         world.inject(Fault::Disk {
             at: tail,
@@ -162,7 +162,7 @@
         });
         world.run(1_000);
         assert_eq!(world.members(), 2);
-        // For good: what is left is one of the two, and the slow one.
+        // One of the two members stops; the other one and the slow one remain.
         let at = if seed % 2 == 0 {
             world.head()
         } else {
@@ -171,19 +171,19 @@
         world.inject(Fault::Kill { at, power: true });
         world.run(2_500);
         world.assert_updates_complete();
-        heals(&mut world);
+        recover(&mut world);
     }
 }
 
 #[test]
-fn one_left_out_for_a_short_silence_keeps_its_vote_when_another_is_lost() {
+fn a_controller_removed_after_a_short_freeze_keeps_its_vote_when_another_is_lost() {
     for seed in 0..seeds() {
-        let mut world = calm(seed, 3);
+        let mut world = healthy_chain(seed, 3);
         let tail = world.tail();
         world.inject(Fault::Freeze { at: tail });
         world.run(1_200);
         assert_eq!(world.members(), 2);
-        // It wakes, and in the same moment one of the two is gone.
+        // It wakes at the moment when one of the two members loses power.
         let at = if seed % 2 == 0 {
             world.head()
         } else {
@@ -193,14 +193,14 @@
         world.inject(Fault::Kill { at, power: true });
         world.run(2_000);
         world.assert_updates_complete();
-        heals(&mut world);
+        recover(&mut world);
     }
 }
 
 #[test]
-fn the_core_cut_in_two_and_joined_again_with_updates_on_both_sides() {
+fn a_partition_with_updates_on_both_sides_heals() {
     for seed in 0..2 * seeds() {
-        let mut world = calm(seed, 3 + (seed % 3) as usize);
+        let mut world = healthy_chain(seed, 3 + (seed % 3) as usize);
         let nodes = world.nodes();
         let (from, to) = nodes.split_at(1 + (seed as usize / 2) % (nodes.len() - 1));
         let (from, to) = if seed % 4 < 2 { (from, to) } else { (to, from) };
@@ -215,14 +215,14 @@
         if both || nodes.len() > 3 || from.len() == 1 {
             world.assert_updates_complete();
         }
-        heals(&mut world);
+        recover(&mut world);
     }
 }
 
 #[test]
-fn a_tail_that_is_cut_off_or_asleep_and_still_asked_answers_nothing_old() {
+fn an_isolated_or_frozen_tail_serves_no_stale_reads() {
     for seed in 0..2 * seeds() {
-        let mut world = calm(seed, 3 + (seed % 2) as usize);
+        let mut world = healthy_chain(seed, 3 + (seed % 2) as usize);
         let tail = world.tail();
         world.inject(match seed % 4 {
             0 => Fault::Freeze { at: tail },
@@ -250,16 +250,16 @@
             world.run(45);
         }
         world.assert_updates_complete();
-        heals(&mut world);
+        recover(&mut world);
     }
 }
 
 #[test]
-fn a_head_killed_between_its_sync_and_its_passing_on() {
+fn a_head_killed_between_sync_and_forwarding() {
     for seed in 0..2 * seeds() {
-        let mut world = calm(seed, 3);
+        let mut world = healthy_chain(seed, 3);
         let head = world.head();
-        // What it syncs from here on is passed to nobody.
+        // Updates that it syncs from here on are forwarded to nobody.
         world.inject(Fault::Cut {
             from: vec![head],
             to: world.others(head),
@@ -272,20 +272,20 @@
             power: seed % 2 == 0,
         });
         world.run(if seed % 3 == 0 { 100 } else { 1_800 });
-        heals(&mut world);
+        recover(&mut world);
     }
 }
 
 #[test]
-fn a_view_change_in_the_midst_of_another() {
+fn a_view_change_during_another() {
     for seed in 0..3 * seeds() {
-        let mut world = calm(seed, 4);
+        let mut world = healthy_chain(seed, 4);
         let (head, tail) = (world.head(), world.tail());
         world.inject(Fault::Kill {
             at: tail,
             power: true,
         });
-        // Any time within the next view's making: opinions, votes, installs.
+        // At any stage of the view change: status queries, votes or installs.
         world.run(540 + 11 * seed);
         world.inject(if seed % 2 == 0 {
             Fault::Kill {
@@ -296,14 +296,14 @@
             Fault::Freeze { at: head }
         });
         world.run(100 * seed);
-        heals(&mut world);
+        recover(&mut world);
     }
 }
 
 #[test]
-fn a_planned_and_an_unplanned_replacement_under_a_storm_of_updates() {
+fn planned_and_unplanned_replacements_under_heavy_updates() {
     for seed in 0..seeds() {
-        let mut world = calm(seed, 3);
+        let mut world = healthy_chain(seed, 3);
         world.call_interval_ms = 3;
         for orderly in [true, false] {
             let at = if seed % 2 == 0 {
@@ -318,12 +318,12 @@
         assert_eq!(world.members(), 3);
         world.inject(Fault::Wipe { at: world.head() });
         world.run(400);
-        heals(&mut world);
+        recover(&mut world);
     }
 }
 
 #[test]
-fn a_disk_that_is_slow_hangs_refuses_or_is_full_leaves_the_way_and_comes_back() {
+fn a_controller_with_a_faulty_disk_leaves_the_chain_and_rejoins() {
     for seed in 0..2 * seeds() {
         let all = [
             DiskFault::Slow,
@@ -331,7 +331,7 @@
             DiskFault::RejectsWrites,
             DiskFault::Full,
         ];
-        let mut world = calm(seed, 3 + (seed % 2) as usize);
+        let mut world = healthy_chain(seed, 3 + (seed % 2) as usize);
         let at = if seed % 8 < 4 {
             world.head()
         } else {
@@ -346,16 +346,16 @@
             "{fault:?}: updates paused for {pause} ms"
         );
         world.assert_updates_complete();
-        heals(&mut world);
+        recover(&mut world);
         assert_eq!(world.members(), world.nodes().len());
     }
 }
 
-/// One that is out of the chain for its slow disk still has a say: with it the others can lose one more.
+/// A controller removed for its slow disk still votes, so the chain survives another loss.
 #[test]
-fn a_slow_disk_and_then_one_machine_lost_are_mended() {
+fn the_chain_recovers_from_a_slow_disk_followed_by_a_lost_machine() {
     for seed in 0..2 * seeds() {
-        let mut world = calm(seed, 3);
+        let mut world = healthy_chain(seed, 3);
         let slow = if seed % 4 < 2 {
             world.head()
         } else {
@@ -377,16 +377,16 @@
             power: true,
         });
         world.run(2_500);
-        assert_eq!(world.members(), 2, "nobody mends the chain");
-        heals(&mut world);
+        assert_eq!(world.members(), 2, "the chain is not reconfigured");
+        recover(&mut world);
         assert_eq!(world.members(), 3);
     }
 }
 
 #[test]
-fn fewer_members_than_may_be_lost_and_one_more_acknowledge_nothing() {
+fn too_few_members_acknowledge_nothing() {
     for seed in 0..seeds() {
-        let mut world = calm(seed, 3);
+        let mut world = healthy_chain(seed, 3);
         let (head, tail) = (world.head(), world.tail());
         world.inject(Fault::Kill {
             at: tail,
@@ -398,14 +398,14 @@
         let before = world.took.len();
         world.run(3_000);
         assert_eq!(world.took.len(), before);
-        heals(&mut world);
+        recover(&mut world);
     }
 }
 
 #[test]
-fn one_that_speaks_and_does_not_hear_disturbs_nobody() {
+fn a_controller_that_sends_but_does_not_receive_causes_no_view_changes() {
     for seed in 0..seeds() {
-        let mut world = calm(seed, 4);
+        let mut world = healthy_chain(seed, 4);
         let at = (seed % 4) as usize;
         world.inject(Fault::Cut {
             from: world.others(at),
@@ -422,14 +422,14 @@
             world.view_number()
         );
         world.assert_updates_complete();
-        heals(&mut world);
+        recover(&mut world);
     }
 }
 
 #[test]
-fn lines_that_break_lose_what_was_on_its_way_and_nothing_else() {
+fn connection_resets_lose_only_messages_in_flight() {
     for seed in 0..seeds() {
-        let mut world = calm(seed, 3 + (seed % 2) as usize);
+        let mut world = healthy_chain(seed, 3 + (seed % 2) as usize);
         let before = world.view_number();
         for _ in 0..8 {
             let nodes = world.nodes();
@@ -451,9 +451,9 @@
 }
 
 #[test]
-fn the_ledgers_time_goes_on_over_a_fail_over_after_a_quiet_while() {
+fn the_replicated_time_advances_across_a_failover_after_an_idle_period() {
     for seed in 0..seeds() {
-        let mut world = calm(seed, 3);
+        let mut world = healthy_chain(seed, 3);
         let before = world.global_order.last().copied().unwrap();
         let since = world.now;
         world.call_interval_ms = 1_000_000;
@@ -465,30 +465,30 @@
         world.run(1_500);
         world.call_interval_ms = 9;
         world.assert_updates_complete();
-        let passed = world.global_order.last().unwrap().stamp - before.stamp;
-        let real = world.now - since;
-        // That it is never fast is checked with each update.
+        let advanced_ms = world.global_order.last().unwrap().stamp - before.stamp;
+        let elapsed_ms = world.now - since;
+        // `World` checks with each update that the replicated time does not run fast.
         assert!(
-            passed + 2_000 > real,
-            "of {real} ms the ledger has seen {passed}"
+            advanced_ms + 2_000 > elapsed_ms,
+            "the replicated time advanced {advanced_ms} ms in {elapsed_ms} ms"
         );
     }
 }
 
 #[test]
-fn power_lost_at_every_write_leaves_a_disk_that_opens() {
+fn power_loss_at_any_write_leaves_a_consistent_store() {
     for nth in 1..=40 {
         let mut world = World::new(nth, 3, 1);
         world.run(600);
         world.power_at_write = Some(((nth % 3) as usize, nth / 2 + 1, nth % 4 == 0));
         world.run(if nth % 2 == 0 { 400 } else { 60 });
-        // Other troubles make for views, installs and votes to be cut off.
+        // A second fault interrupts view changes, installs and votes.
         if nth > 20 {
             world.inject(Fault::Freeze {
                 at: ((nth + 1) % 3) as usize,
             });
             world.run(1_000);
         }
-        heals(&mut world);
+        recover(&mut world);
     }
 }
--- a/crates/rookpulley-chain/tests/restart.rs
+++ b/crates/rookpulley-chain/tests/restart.rs
@@ -1,19 +1,18 @@
-//! How soon a view is at work after all members have lost their power: they come back one by one, and a majority of them
-//! must not wait for anything but each other.
+//! Recovery time after all members lose power: a majority must activate a view without waiting for the other members.
 
 mod world;
 
 use rand::RngExt;
 use world::{Fault, World};
 
-/// From the start of the member that completes a majority until a view is decided, with messages of 1 to 7 ms and syncs
-/// of 5 ms: three messages until it is in contact, two for the statuses, two ballots of two messages and a sync; once more
-/// where the others are not yet in contact with each other. 600 runs took 105 ms at most.
+/// Limit from the start of the member that completes a majority until a view is decided. Messages take 1 to 7 ms and
+/// syncs 5 ms: three messages for contact, two for statuses, then two ballots of two messages and a sync each, repeated
+/// if the other members are not yet in contact with each other.
 const MAX_DECISION_MS: u64 = 120;
-/// Until an update is answered again: 152 ms at most in 600 runs.
+/// Limit until an update is answered.
 const MAX_ANSWER_MS: u64 = 200;
 
-/// So many seeds; `CHAIN_CASES=300` plays more.
+/// The number of seeds, from `CHAIN_CASES` or 12.
 fn seeds() -> u64 {
     std::env::var("CHAIN_CASES")
         .ok()
@@ -21,13 +20,13 @@
         .unwrap_or(12)
 }
 
-/// What passed since a majority was running, in milliseconds.
+/// Times since a majority was running.
 struct Recovery {
     decided_ms: u64,
     answered_ms: u64,
 }
 
-/// All lose power and come back in a random order, `gaps` apart. Those beyond a majority stay away.
+/// Cuts the power of all members and restarts a majority in random order, `gaps` apart. The others stay stopped.
 fn recover_with_a_majority(seed: u64, gaps: std::ops::Range<u64>) -> Recovery {
     let controllers = 3 + (seed % 4) as usize;
     let losses = if controllers > 4 { 2 } else { 1 };
@@ -63,7 +62,7 @@
     }
 }
 
-fn all_recover_in_time(gaps: &std::ops::Range<u64>) {
+fn assert_recovery_within_limits(gaps: &std::ops::Range<u64>) {
     let mut late = Vec::new();
     let mut worst = (0, 0);
     for seed in 0..seeds() {
@@ -79,11 +78,11 @@
 }
 
 #[test]
-fn a_majority_that_comes_back_one_by_one_decides_a_view_at_once() {
-    all_recover_in_time(&(30..300));
+fn a_majority_restarted_one_by_one_decides_a_view_promptly() {
+    assert_recovery_within_limits(&(30..300));
 }
 
 #[test]
-fn a_majority_that_comes_back_together_decides_a_view_at_once() {
-    all_recover_in_time(&(0..20));
+fn a_majority_restarted_together_decides_a_view_promptly() {
+    assert_recovery_within_limits(&(0..20));
 }
--- a/crates/rookpulley-chain/tests/simulated.rs
+++ b/crates/rookpulley-chain/tests/simulated.rs
@@ -1,13 +1,13 @@
-//! Whole systems of controllers on a simulated network: virtual time, seeded delays, kills, lost power, wiped and broken
-//! disks, freezes, cuts and resets. What callers saw is checked for each name to have an order.
+//! Randomized fault injection on simulated chains: crashes, power loss, disk faults, stalls, partitions and connection
+//! resets. The call history of each name must be linearizable.
 
 mod world;
 
 use world::disk::DiskFault;
 use world::{Fault, Mutation, World};
 
-/// Random troubles, two of them at once or one in the midst of the other's mending.
-fn troubled(seed: u64, rounds: usize, mutation: Option<Mutation>) -> World {
+/// Injects random faults, some of them in pairs, with full recovery between rounds.
+fn random_faults(seed: u64, rounds: usize, mutation: Option<Mutation>) -> World {
     let (controllers, losses) = (3 + (seed % 4) as usize, if seed % 4 >= 2 { 2 } else { 1 });
     let mut world = World::with_mutation(seed, controllers, losses, mutation);
     world.process_stalls = seed.is_multiple_of(3);
@@ -15,7 +15,7 @@
     world.run(3_000);
     for round in 0..rounds as u64 {
         let first = world.random_fault(true);
-        let alone = matches!(
+        let loses_disk = matches!(
             first,
             world::Fault::Wipe { .. } | world::Fault::Replace { .. }
         );
@@ -24,15 +24,15 @@
             let gap = rand::RngExt::random_range(&mut world.rng, 0..1_400u64);
             world.run(gap);
             let second = world.random_fault(false);
-            let second = if alone {
+            let second = if loses_disk {
                 world::Fault::KillAll { power: true }
             } else {
                 second
             };
             world.inject(second);
         }
-        let lasts = rand::RngExt::random_range(&mut world.rng, 200..3_500u64);
-        world.run(lasts);
+        let duration = rand::RngExt::random_range(&mut world.rng, 200..3_500u64);
+        world.run(duration);
         world.heal();
         world.run(4_500);
         world.check();
@@ -42,28 +42,28 @@
     world
 }
 
-/// Trouble upon trouble, too quick for any mending to be finished: votes, proposals and installs are cut off anywhere.
-fn stormy(seed: u64, mutation: Option<Mutation>) -> World {
+/// Injects faults faster than the chain can recover, which interrupts votes, proposals and installs at any point.
+fn rapid_faults(seed: u64, mutation: Option<Mutation>) -> World {
     let (controllers, losses) = (3 + (seed % 3) as usize, 1 + usize::from(seed % 3 == 2));
     let mut world = World::with_mutation(seed, controllers, losses, mutation);
     world.max_delay_ms = if seed.is_multiple_of(2) { 60 } else { 6 };
     world.run(2_000);
-    let mut disks = 1;
+    let mut wipes_left = 1;
     for _ in 0..30 {
         let mut fault = world.random_fault(false);
-        if disks > 0 && rand::RngExt::random_range(&mut world.rng, 0..12u32) == 0 {
-            disks -= 1;
+        if wipes_left > 0 && rand::RngExt::random_range(&mut world.rng, 0..12u32) == 0 {
+            wipes_left -= 1;
             let nodes = world.nodes();
             let at = nodes[rand::RngExt::random_range(&mut world.rng, 0..nodes.len())];
             fault = world::Fault::Wipe { at };
         }
         world.inject(fault);
-        let lasts = rand::RngExt::random_range(&mut world.rng, 20..900u64);
-        world.run(lasts);
+        let duration = rand::RngExt::random_range(&mut world.rng, 20..900u64);
+        world.run(duration);
         if rand::RngExt::random_range(&mut world.rng, 0..2u32) == 0 {
             world.heal();
-            let lasts = rand::RngExt::random_range(&mut world.rng, 20..900u64);
-            world.run(lasts);
+            let duration = rand::RngExt::random_range(&mut world.rng, 20..900u64);
+            world.run(duration);
         }
     }
     world.heal();
@@ -72,16 +72,16 @@
     world
 }
 
-/// Troubles in the midst of fillings by pieces, of a state that is 160 or 320 KB long and moves on.
-fn filled(seed: u64, mutation: Option<Mutation>) -> World {
-    let draw = |world: &mut World, most: u64| rand::RngExt::random_range(&mut world.rng, 0..most);
+/// Injects faults during snapshot transfers of a changing state of 160 or 320 KB.
+fn catch_up_faults(seed: u64, mutation: Option<Mutation>) -> World {
+    let draw = |world: &mut World, limit: u64| rand::RngExt::random_range(&mut world.rng, 0..limit);
     let mut world = World::with_padding_and_mutation(
         seed,
         3 + (seed % 2) as usize,
         20_000 << (seed / 2 % 2) as usize,
         mutation,
     );
-    // More updates than are kept at hand.
+    // More updates than the log retains.
     (world.call_interval_ms, world.max_delay_ms) = (1, 6);
     world.run(6_500);
     (world.call_interval_ms, world.max_delay_ms) =
@@ -90,19 +90,19 @@
         let nodes = world.nodes();
         let at = nodes[draw(&mut world, nodes.len() as u64) as usize];
         world.inject(Fault::Wipe { at });
-        let gone = draw(&mut world, 900);
-        world.run(gone);
+        let downtime = draw(&mut world, 900);
+        world.run(downtime);
         world.heal();
-        let filling = draw(&mut world, 700);
-        world.run(filling);
+        let delay = draw(&mut world, 700);
+        world.run(delay);
         let fault = match draw(&mut world, 4) {
             0 => Fault::Kill { at, power: true },
             1 => Fault::KillAll { power: true },
             _ => world.random_fault(false),
         };
         world.inject(fault);
-        let lasts = draw(&mut world, 900);
-        world.run(lasts);
+        let duration = draw(&mut world, 900);
+        world.run(duration);
         world.heal();
         world.run(4_000);
     }
@@ -110,8 +110,8 @@
     world
 }
 
-/// The longest pause between answers to updates when one trouble strikes a calm chain.
-fn pause_of(
+/// The longest pause between answered updates after one fault in a healthy chain.
+fn pause_after(
     seed: u64,
     (process_stalls, max_delay_ms): (bool, u64),
     fault: impl Fn(&World) -> Fault,
@@ -130,20 +130,20 @@
     world.longest_pause(since)
 }
 
-fn spread(mut pauses: Vec<u64>) -> (u64, u64, u64) {
+fn percentiles(mut pauses: Vec<u64>) -> (u64, u64, u64) {
     pauses.sort_unstable();
     let at = |part: f64| pauses[((pauses.len() - 1) as f64 * part) as usize];
     (at(0.5), at(0.99), at(1.0))
 }
 
-type Kind = (&'static str, fn(&World) -> Fault);
+type FaultCase = (&'static str, fn(&World) -> Fault);
 
-const KINDS: [Kind; 8] = [
+const FAULT_CASES: [FaultCase; 8] = [
     ("tail killed", |w| Fault::Kill {
         at: w.tail(),
         power: false,
     }),
-    ("tail without power", |w| Fault::Kill {
+    ("tail loses power", |w| Fault::Kill {
         at: w.tail(),
         power: true,
     }),
@@ -151,12 +151,12 @@
         at: w.head(),
         power: false,
     }),
-    ("head without power", |w| Fault::Kill {
+    ("head loses power", |w| Fault::Kill {
         at: w.head(),
         power: true,
     }),
     ("head frozen", |w| Fault::Freeze { at: w.head() }),
-    ("head speaks and does not hear", |w| {
+    ("head sends but does not receive", |w| {
         let head = w.head();
         Fault::Cut {
             from: w.others(head),
@@ -165,7 +165,7 @@
             held: true,
         }
     }),
-    ("head hears and does not speak", |w| {
+    ("head receives but does not send", |w| {
         let head = w.head();
         Fault::Cut {
             from: vec![head],
@@ -182,19 +182,19 @@
 
 #[test]
 #[ignore = "prints how long updates pause: cargo test --release -p rookpulley-chain -- --ignored --nocapture pauses"]
-fn pauses_by_what_is_lost() {
-    let slow = KINDS[KINDS.len() - 1].1;
-    let pauses = (0..300).map(|seed| pause_of(seed, (false, 6), slow));
+fn pauses_by_fault() {
+    let slow = FAULT_CASES[FAULT_CASES.len() - 1].1;
+    let pauses = (0..300).map(|seed| pause_after(seed, (false, 6), slow));
     println!(
-        "disk 30 times slower, messages of 7 ms at most: {:?}",
-        spread(pauses.collect())
+        "disk 30 times slower, messages of up to 7 ms: {:?}",
+        percentiles(pauses.collect())
     );
     for process_stalls in [false, true] {
-        for (name, fault) in KINDS {
-            let pauses = (0..300).map(|seed| pause_of(seed, (process_stalls, 25), fault));
-            let (median, most, worst) = spread(pauses.collect());
+        for (name, fault) in FAULT_CASES {
+            let pauses = (0..300).map(|seed| pause_after(seed, (process_stalls, 25), fault));
+            let (median, p99, worst) = percentiles(pauses.collect());
             println!(
-                "held up {process_stalls}: {name}: median {median} ms, 99 of 100 {most} ms, worst {worst} ms"
+                "process stalls {process_stalls}: {name}: median {median} ms, p99 {p99} ms, worst {worst} ms"
             );
         }
         for power in [false, true] {
@@ -214,17 +214,17 @@
                 world.check();
                 world.longest_pause(since)
             });
-            let (median, most, worst) = spread(pauses.collect());
+            let (median, p99, worst) = percentiles(pauses.collect());
             println!(
-                "held up {process_stalls}: all killed, power {power}, since they are back: {median}, {most}, {worst} ms"
+                "process stalls {process_stalls}: all killed, power loss {power}, since the restart: median {median} ms, p99 {p99} ms, worst {worst} ms"
             );
         }
     }
 }
 
 #[test]
-#[ignore = "prints how often a calm chain takes somebody for lost whose process is only held up"]
-fn false_suspicions_in_calm() {
+#[ignore = "prints how often a stalled process is mistaken for a lost one"]
+fn false_suspicions_without_faults() {
     let (mut views, mut minutes) = (0, 0);
     for seed in 0..60 {
         let mut world = World::new(seed, 3 + (seed % 3) as usize, 1);
@@ -239,42 +239,42 @@
         (views, minutes) = (views + world.view_number() - before, minutes + 1);
     }
     println!(
-        "{views} new views in {minutes} minutes of calm, each process held up for 50 to 250 ms every 2 s"
+        "{views} new views in {minutes} minutes without faults, while random processes stall for 50 to 250 ms"
     );
 }
 
-/// Plays seeds until one fails; that one is named.
-fn plays(seeds: std::ops::Range<u64>, run: impl Fn(u64)) {
+/// Runs the seeds in order and panics with the first one that fails.
+fn run_seeds(seeds: std::ops::Range<u64>, run: impl Fn(u64)) {
     for seed in seeds {
-        let played = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| run(seed)));
-        assert!(played.is_ok(), "seed {seed} fails");
+        let outcome = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| run(seed)));
+        assert!(outcome.is_ok(), "seed {seed} failed");
     }
 }
 
 #[test]
-fn whatever_is_lost_within_bounds_no_rule_breaks_and_calls_are_answered_again() {
-    plays(0..8, |seed| _ = troubled(seed, 4, None));
+fn random_faults_within_tolerance_preserve_linearizability_and_recovery() {
+    run_seeds(0..8, |seed| _ = random_faults(seed, 4, None));
 }
 
 #[test]
-fn trouble_upon_trouble_breaks_no_rule() {
-    plays(0..4, |seed| _ = stormy(seed, None));
+fn rapid_faults_preserve_linearizability() {
+    run_seeds(0..4, |seed| _ = rapid_faults(seed, None));
 }
 
 #[test]
-fn trouble_in_the_midst_of_fillings_breaks_no_rule() {
-    plays(0..2, |seed| _ = filled(seed, None));
+fn faults_during_catch_up_preserve_linearizability() {
+    run_seeds(0..2, |seed| _ = catch_up_faults(seed, None));
 }
 
-/// Seeds from the environment, `CHAIN_SEEDS=FROM..TO`, on all cores.
+/// The seeds from `CHAIN_SEEDS=FROM..TO`, or 0..200.
 fn seeds() -> std::ops::Range<u64> {
     let text = std::env::var("CHAIN_SEEDS").unwrap_or_default();
     let (from, to) = text.split_once("..").unwrap_or(("0", "200"));
     from.parse().unwrap()..to.parse().unwrap()
 }
 
-/// Runs them all, and gives the seeds that failed.
-fn on_all_cores(
+/// Runs the seeds on all cores and returns those that failed. With a mutation, stops at the first failure.
+fn run_on_all_cores(
     seeds: std::ops::Range<u64>,
     mutation: Option<Mutation>,
     run: impl Fn(u64, Option<Mutation>) -> World + Sync + std::panic::RefUnwindSafe,
@@ -312,7 +312,7 @@
     let mut failed = failed.into_inner().unwrap();
     failed.sort_unstable();
     println!(
-        "{mutation:?}: seeds {seeds:?}, {} steps, {} calls, {} without a clear answer, failed {failed:?}",
+        "{mutation:?}: seeds {seeds:?}, {} steps, {} calls, {} with unknown outcome, failed {failed:?}",
         steps.into_inner(),
         calls.into_inner(),
         unknown.into_inner()
@@ -322,20 +322,22 @@
 
 #[test]
 #[ignore = "long: CHAIN_SEEDS=0..3000 cargo test --release -p rookpulley-chain -- --ignored --nocapture"]
-fn thousands_of_seeds_break_no_rule() {
+fn thousands_of_seeds_preserve_linearizability() {
     assert_eq!(
-        on_all_cores(seeds(), None, |seed, mutation| troubled(seed, 6, mutation)),
+        run_on_all_cores(seeds(), None, |seed, mutation| random_faults(
+            seed, 6, mutation
+        )),
         []
     );
-    assert_eq!(on_all_cores(seeds(), None, stormy), []);
-    assert_eq!(on_all_cores(seeds(), None, filled), []);
+    assert_eq!(run_on_all_cores(seeds(), None, rapid_faults), []);
+    assert_eq!(run_on_all_cores(seeds(), None, catch_up_faults), []);
 }
 
 #[test]
-#[ignore = "long: says how soon each fault put in on purpose is found"]
-fn faults_put_in_on_purpose_are_found() {
+#[ignore = "long: prints the first seed that detects each mutation"]
+fn mutations_are_detected() {
     use Mutation::*;
-    let older = [
+    let protocol_mutations = [
         AckBeforeSync,
         LocalTailReads,
         UnknownReportedAsRejected,
@@ -343,18 +345,20 @@
         IdentityKeptAfterWipe,
         RetriesNotDeduplicated,
     ];
-    for mutation in older.into_iter().chain([
+    for mutation in protocol_mutations.into_iter().chain([
         CatchUpAckedBeforeSync,
         CatchUpSendsUncommitted,
         ChunksMixed,
         CommitIndexAhead,
     ]) {
-        let calm = on_all_cores(seeds(), Some(mutation), |seed, mutation| {
-            troubled(seed, 6, mutation)
+        let random = run_on_all_cores(seeds(), Some(mutation), |seed, mutation| {
+            random_faults(seed, 6, mutation)
         });
-        let storm = on_all_cores(seeds(), Some(mutation), stormy);
-        let filling = on_all_cores(seeds(), Some(mutation), filled);
-        let first = [calm.first(), storm.first(), filling.first()];
-        println!("{mutation:?}: found by seed, in storms by, in fillings by: {first:?}");
+        let rapid = run_on_all_cores(seeds(), Some(mutation), rapid_faults);
+        let catch_up = run_on_all_cores(seeds(), Some(mutation), catch_up_faults);
+        let first = [random.first(), rapid.first(), catch_up.first()];
+        println!(
+            "{mutation:?}: first detecting seed with random, rapid and catch-up faults: {first:?}"
+        );
     }
 }
--- a/crates/rookpulley-chain/tests/spare.rs
+++ b/crates/rookpulley-chain/tests/spare.rs
@@ -1,28 +1,27 @@
-//! What an operator is shown of the losses that a chain bears at the moment.
+//! The reported number of further losses that the chain tolerates.
 
 mod world;
 
 use world::World;
 
-/// What the first that runs shows; all that are in the chain show the same.
+/// The spare losses reported by the members, which must agree.
 fn spare(world: &World) -> usize {
-    let shown = world
+    let members = world
         .running()
         .into_iter()
         .filter_map(|at| world.status(at))
-        .filter(|shown| shown.acting);
-    let all: Vec<usize> = shown.map(|shown| shown.spare).collect();
+        .filter(|status| status.acting);
+    let all: Vec<usize> = members.map(|status| status.spare).collect();
     assert!(all.windows(2).all(|pair| pair[0] == pair[1]), "{all:?}");
     all.first().copied().unwrap_or(0)
 }
 
 #[test]
-fn as_many_as_are_shown_may_be_lost_and_updates_go_on() {
+fn updates_continue_after_as_many_losses_as_reported() {
     for seed in 0..6 {
         let mut world = World::new(seed, 5, 2);
         world.run(3_000);
         assert_eq!(spare(&world), 2, "seed {seed}");
-        // As many are lost at once.
         for at in [world.head(), world.tail()] {
             world.lose(at, true);
         }
