--- a/crates/rookpulley-chain/tests/model/main.rs
+++ b/crates/rookpulley-chain/tests/model/main.rs
@@ -1,18 +1,18 @@
-//! The view's protocol as a small model, and all states that it can reach within bounds. `docs/design/chain.md`, "The
-//! model", says what it holds and what it leaves out. What it says of views it asks of the real `View`.
+//! Explores all reachable states of a bounded model of the view protocol, using the real `View`.
+//! `docs/design/chain.md`, "The model", describes what it covers and what it leaves out.
 //!
-//! `cargo test --release -p rookpulley-chain --test model -- --ignored --nocapture` goes further than every build does.
+//! `cargo test --release -p rookpulley-chain --test model -- --ignored --nocapture` runs the wide bounds.
 
 mod rules;
 mod search;
 mod state;
 
-use rules::{Bounds, Broken, Fault, Model, Seen};
+use rules::{Bounds, Coverage, Fault, Model, Violation};
 use search::search;
 use std::time::Instant;
 
-/// Three members, three views, one update; nobody dies.
-const CALM: Bounds = Bounds {
+/// Three members, three views and one update, without crashes.
+const NO_FAULTS: Bounds = Bounds {
     first: 3,
     losses: 1,
     ballots: [1, 1],
@@ -21,35 +21,38 @@
     wipes: 0,
     reads: false,
     voters: false,
-    one_each: false,
+    one_view_per_ballot: false,
 };
-const CALM_WITH_READS: Bounds = Bounds {
+const NO_FAULTS_WITH_READS: Bounds = Bounds {
     reads: true,
-    ..CALM
+    ..NO_FAULTS
 };
-const CRASH: Bounds = Bounds { crashes: 1, ..CALM };
-/// Two members and a newcomer, so that the one that is left when a disk is lost must decide alone.
+const CRASH: Bounds = Bounds {
+    crashes: 1,
+    ..NO_FAULTS
+};
+/// Two members and one spare machine, so that after a lost disk the remaining member decides alone.
 const LOST_DISK: Bounds = Bounds {
     first: 2,
     wipes: 1,
     reads: true,
     voters: true,
-    ..CALM
+    ..NO_FAULTS
 };
-/// The same, and once the chain is mended another disk.
+/// As `LOST_DISK`, with a second disk lost once the chain has recovered.
 const SECOND_LOST_DISK: Bounds = Bounds {
     wipes: 2,
     reads: false,
     ..LOST_DISK
 };
-/// The agreement alone: several ballots for the second view, and nothing in it.
+/// Agreement only: several ballots for the second view, without updates.
 const VOTES: Bounds = Bounds {
     ballots: [2, 0],
     updates: 0,
     crashes: 1,
     wipes: 1,
-    one_each: true,
-    ..CALM
+    one_view_per_ballot: true,
+    ..NO_FAULTS
 };
 const VOTES_OF_TWO: Bounds = Bounds {
     first: 2,
@@ -57,187 +60,197 @@
     ..VOTES
 };
 /// One controller that may not acknowledge alone.
-const LONELY: Bounds = Bounds {
+const SINGLE_MEMBER: Bounds = Bounds {
     first: 1,
     reads: true,
-    ..CALM
+    ..NO_FAULTS
 };
 
-/// More than this is not meant to be looked through.
-const MOST: usize = 100_000_000;
+/// Limit on the number of explored states.
+const MAX_STATES: usize = 100_000_000;
 
-/// Looks through all there is: no rule is broken, and there are at least so many states.
-fn holds(name: &str, bounds: Bounds, tidies: bool, least: usize) -> Seen {
-    let (began, model) = (Instant::now(), Model::new(bounds, None, tidies));
-    let found = search(&model, MOST);
-    let (states, steps, longest, took) = (
+/// Asserts that no reachable state violates a rule and that at least `min_states` are reachable.
+fn explore_without_violation(
+    name: &str,
+    bounds: Bounds,
+    canonicalizes: bool,
+    min_states: usize,
+) -> Coverage {
+    let (started, model) = (Instant::now(), Model::new(bounds, None, canonicalizes));
+    let found = search(&model, MAX_STATES);
+    let (states, steps, longest, elapsed_s) = (
         found.states,
         found.steps,
         found.longest,
-        began.elapsed().as_secs_f64(),
+        started.elapsed().as_secs_f64(),
     );
-    println!("{name}: {states} states, {steps} steps, the longest way {longest}, {took:.1} s");
-    assert_eq!(found.broken, None, "{name}");
+    println!(
+        "{name}: {states} states, {steps} steps, the longest path {longest}, {elapsed_s:.1} s"
+    );
+    assert_eq!(found.violation, None, "{name}");
     assert!(
-        states >= least,
-        "{name}: {states} states are too few to show anything"
+        states >= min_states,
+        "{name}: {states} states are too few for a meaningful search"
     );
-    found.seen
+    found.coverage
 }
 
-/// A fault breaks a rule, whether or not states are put together. The tests above show that without it nothing breaks
-/// within the same bounds.
-fn caught(fault: Fault, bounds: Bounds, rule: Broken) {
-    for tidies in [true, false] {
-        let found = search(&Model::new(bounds, Some(fault), tidies), MOST);
-        let (broken, way) = found
-            .broken
-            .unwrap_or_else(|| panic!("{fault:?} is not found"));
+/// Asserts that an injected fault violates `rule`, with and without canonicalization of states.
+fn assert_detected(fault: Fault, bounds: Bounds, rule: Violation) {
+    for canonicalizes in [true, false] {
+        let found = search(&Model::new(bounds, Some(fault), canonicalizes), MAX_STATES);
+        let (violation, path) = found
+            .violation
+            .unwrap_or_else(|| panic!("{fault:?} is not detected"));
         println!(
-            "{fault:?}: {broken:?} after {} states, by {} steps: {way:?}",
+            "{fault:?}: {violation:?} after {} states, by {} steps: {path:?}",
             found.states,
-            way.len()
+            path.len()
         );
-        assert_eq!(broken, rule, "{fault:?}: {way:?}");
+        assert_eq!(violation, rule, "{fault:?}: {path:?}");
     }
 }
 
 #[test]
-fn rules_hold_whoever_crashes_and_whichever_view_is_dead() {
-    let seen = holds("a crash", CRASH, true, 300_000);
-    assert!(seen.third_view_holds_what_the_first_acknowledged);
-    assert!(seen.dead_view_passed_over);
-    assert!(seen.unfinished_update_carried_on);
-    assert!(seen.view_at_work_after_a_later_one);
+fn rules_hold_with_a_crash_and_abandoned_views() {
+    let coverage = explore_without_violation("a crash", CRASH, true, 300_000);
+    assert!(coverage.third_view_holds_updates_of_first);
+    assert!(coverage.abandoned_view_skipped);
+    assert!(coverage.unacknowledged_update_carried_over);
+    assert!(coverage.view_active_after_later_one);
 }
 
 #[test]
-fn rules_hold_whichever_disk_is_lost_and_reads_see_all_that_was_acknowledged() {
-    let seen = holds("a lost disk", LOST_DISK, true, 200_000);
-    assert!(seen.third_view_holds_what_the_first_acknowledged);
-    assert!(seen.decided_by_all_that_are_left);
-    assert!(seen.newcomer_at_work);
-    assert!(seen.read_in_a_later_view);
+fn rules_hold_with_a_lost_disk_and_reads_are_not_stale() {
+    let coverage = explore_without_violation("a lost disk", LOST_DISK, true, 200_000);
+    assert!(coverage.third_view_holds_updates_of_first);
+    assert!(coverage.decided_by_all_remaining);
+    assert!(coverage.new_member_active);
+    assert!(coverage.read_in_a_later_view);
 }
 
 #[test]
-fn rules_hold_whichever_disk_is_lost_after_the_chain_is_mended() {
-    let seen = holds("a second lost disk", SECOND_LOST_DISK, true, 10_000);
-    assert!(seen.at_work_after_a_second_loss && seen.third_view_holds_what_the_first_acknowledged);
+fn rules_hold_when_a_second_disk_is_lost_after_recovery() {
+    let coverage = explore_without_violation("a second lost disk", SECOND_LOST_DISK, true, 10_000);
+    assert!(coverage.active_after_second_loss && coverage.third_view_holds_updates_of_first);
 }
 
 #[test]
-fn one_view_a_number_whoever_proposes_crashes_and_loses_its_disk() {
-    let three = holds("two ballots of three", VOTES, true, 80_000);
-    let two = holds("three ballots of two", VOTES_OF_TWO, true, 180_000);
-    assert!(three.higher_ballot_bound_by_a_lower && two.higher_ballot_bound_by_a_lower);
-    assert!(two.decided_by_all_that_are_left);
+fn one_view_per_number_with_competing_ballots_a_crash_and_a_lost_disk() {
+    let three = explore_without_violation("two ballots of three", VOTES, true, 80_000);
+    let two = explore_without_violation("three ballots of two", VOTES_OF_TWO, true, 180_000);
+    assert!(three.higher_ballot_bound_by_lower && two.higher_ballot_bound_by_lower);
+    assert!(two.decided_by_all_remaining);
 }
 
 #[test]
-fn rules_hold_in_calm_and_a_lonely_controller_waits_for_others() {
-    let calm = holds("calm", CALM_WITH_READS, true, 50_000);
-    assert!(calm.read_in_a_later_view && calm.dead_view_passed_over);
-    let lonely = holds("a lonely controller", LONELY, true, 4_000);
-    assert!(lonely.read_in_a_later_view);
+fn rules_hold_without_faults_and_with_a_single_initial_member() {
+    let no_faults = explore_without_violation("no faults", NO_FAULTS_WITH_READS, true, 50_000);
+    assert!(no_faults.read_in_a_later_view && no_faults.abandoned_view_skipped);
+    let single = explore_without_violation("a single controller", SINGLE_MEMBER, true, 4_000);
+    assert!(single.read_in_a_later_view);
 }
 
 #[test]
-fn a_wiped_controller_under_its_old_identity_is_caught_where_a_second_disk_is_lost() {
-    let rule = Broken::ViewAtWorkWithoutWhatWasAcknowledged;
-    caught(Fault::WipedUnderItsOldIdentity, SECOND_LOST_DISK, rule);
+fn identity_kept_after_a_wipe_is_detected_when_a_second_disk_is_lost() {
+    let rule = Violation::ActiveViewMissesAcknowledged;
+    assert_detected(Fault::IdentityKeptAfterWipe, SECOND_LOST_DISK, rule);
 }
 
 #[test]
-fn votes_forgotten_at_a_restart_are_caught() {
-    caught(
-        Fault::VotesForgotten,
+fn votes_lost_on_restart_are_detected() {
+    assert_detected(
+        Fault::VotesNotPersisted,
         Bounds { wipes: 0, ..VOTES },
-        Broken::TwoViewsOfANumber,
+        Violation::ConflictingDecisions,
     );
 }
 
 #[test]
-fn a_wiped_controller_that_votes_under_its_old_identity_is_caught() {
-    caught(
-        Fault::WipedUnderItsOldIdentity,
+fn a_wiped_controller_that_votes_under_its_old_identity_is_detected() {
+    assert_detected(
+        Fault::IdentityKeptAfterWipe,
         Bounds {
             crashes: 0,
             ..VOTES
         },
-        Broken::TwoViewsOfANumber,
+        Violation::ConflictingDecisions,
     );
 }
 
 #[test]
-fn a_next_view_decided_by_any_group_is_caught() {
-    caught(Fault::AnyGroupDecides, VOTES, Broken::TwoViewsOfANumber);
+fn a_decision_without_a_quorum_is_detected() {
+    assert_detected(
+        Fault::AnyGroupDecides,
+        VOTES,
+        Violation::ConflictingDecisions,
+    );
 }
 
 #[test]
-fn a_source_that_has_not_installed_the_view_before_is_caught() {
-    caught(
-        Fault::SourceWithoutTheViewBefore,
-        CALM,
-        Broken::ViewAtWorkWithoutWhatWasAcknowledged,
+fn a_source_without_the_previous_view_is_detected() {
+    assert_detected(
+        Fault::SourceWithoutPreviousView,
+        NO_FAULTS,
+        Violation::ActiveViewMissesAcknowledged,
     );
 }
 
 #[test]
-fn a_view_taken_for_dead_without_a_promise_is_caught() {
-    caught(
-        Fault::DeadWithoutAPromise,
-        CALM,
-        Broken::ViewAtWorkWithoutWhatWasAcknowledged,
+fn a_view_abandoned_without_a_promise_is_detected() {
+    assert_detected(
+        Fault::AbandonedWithoutPromise,
+        NO_FAULTS,
+        Violation::ActiveViewMissesAcknowledged,
     );
 }
 
 #[test]
-fn an_update_acknowledged_before_all_have_synced_it_is_caught() {
+fn an_update_acknowledged_before_every_sync_is_detected() {
     let bounds = Bounds {
         ballots: [1, 0],
         ..CRASH
     };
-    caught(
-        Fault::AcknowledgedBeforeAllHaveSynced,
+    assert_detected(
+        Fault::AcknowledgedBeforeSync,
         bounds,
-        Broken::ViewAtWorkWithoutWhatWasAcknowledged,
+        Violation::ActiveViewMissesAcknowledged,
     );
 }
 
 #[test]
-fn a_member_that_takes_entries_of_a_view_it_has_left_is_caught() {
-    caught(
-        Fault::LeftAndStillTaking,
-        CALM,
-        Broken::AcknowledgedByAViewThatIsOver,
+fn entries_accepted_from_a_left_view_are_detected() {
+    assert_detected(
+        Fault::AppendsAcceptedFromLeftView,
+        NO_FAULTS,
+        Violation::AcknowledgedByObsoleteView,
     );
 }
 
 #[test]
-fn a_tail_that_reads_alone_is_caught() {
-    caught(
-        Fault::TailReadsAlone,
-        CALM_WITH_READS,
-        Broken::ReadWithoutWhatWasAcknowledged,
+fn local_reads_at_the_tail_are_detected() {
+    assert_detected(
+        Fault::LocalTailReads,
+        NO_FAULTS_WITH_READS,
+        Violation::StaleRead,
     );
 }
 
 #[test]
-fn a_source_that_applies_what_is_not_committed_is_caught() {
-    caught(
-        Fault::SourceAppliesAtOnce,
-        CALM,
-        Broken::AppliedAndNotAgreed,
+fn a_source_that_applies_uncommitted_updates_is_detected() {
+    assert_detected(
+        Fault::SourceAppliesUncommitted,
+        NO_FAULTS,
+        Violation::AppliedUncommitted,
     );
 }
 
 #[test]
-fn a_view_of_too_few_that_acknowledges_is_caught() {
-    caught(
-        Fault::TooFewAcknowledge,
-        LONELY,
-        Broken::AcknowledgedByTooFew,
+fn acknowledgements_by_too_few_members_are_detected() {
+    assert_detected(
+        Fault::TooFewMembersAcknowledge,
+        SINGLE_MEMBER,
+        Violation::AcknowledgedByTooFewMembers,
     );
 }
 
@@ -250,32 +263,32 @@
         voters: true,
         ..CRASH
     };
-    holds("a crash, states as they are", CRASH, false, 3_000_000);
-    let seen = holds("a crash and a lost disk", both, true, 6_000_000);
-    let all = Seen {
-        higher_ballot_bound_by_a_lower: true,
-        ..seen
+    explore_without_violation("a crash, without canonicalization", CRASH, false, 3_000_000);
+    let coverage = explore_without_violation("a crash and a lost disk", both, true, 6_000_000);
+    let all = Coverage {
+        higher_ballot_bound_by_lower: true,
+        ..coverage
     };
-    let whole = Seen {
-        third_view_holds_what_the_first_acknowledged: true,
-        dead_view_passed_over: true,
-        unfinished_update_carried_on: true,
-        decided_by_all_that_are_left: true,
+    let expected = Coverage {
+        third_view_holds_updates_of_first: true,
+        abandoned_view_skipped: true,
+        unacknowledged_update_carried_over: true,
+        decided_by_all_remaining: true,
         read_in_a_later_view: true,
-        newcomer_at_work: true,
-        // One disk is lost here; `rules_hold_whichever_disk_is_lost_after_the_chain_is_mended` has two.
-        at_work_after_a_second_loss: false,
-        view_at_work_after_a_later_one: true,
-        higher_ballot_bound_by_a_lower: true,
+        new_member_active: true,
+        // Only one disk is lost here; `rules_hold_when_a_second_disk_is_lost_after_recovery` covers two.
+        active_after_second_loss: false,
+        view_active_after_later_one: true,
+        higher_ballot_bound_by_lower: true,
     };
-    assert_eq!(all, whole);
-    holds(
-        "the same of two members",
+    assert_eq!(all, expected);
+    explore_without_violation(
+        "a crash and a lost disk, two members",
         Bounds { first: 2, ..both },
         true,
         2_000_000,
     );
-    holds(
+    explore_without_violation(
         "three ballots",
         Bounds {
             ballots: [3, 0],
@@ -284,7 +297,7 @@
         true,
         9_000_000,
     );
-    holds(
+    explore_without_violation(
         "two ballots for two views",
         Bounds {
             ballots: [2, 2],
@@ -293,7 +306,7 @@
         true,
         13_000_000,
     );
-    holds(
+    explore_without_violation(
         "two updates",
         Bounds { updates: 2, ..both },
         true,
--- a/crates/rookpulley-chain/tests/model/rules.rs
+++ b/crates/rookpulley-chain/tests/model/rules.rs
@@ -1,74 +1,75 @@
-//! What may happen next in a state, by the rules that the code has, and what must hold.
+//! Transitions of the model and the rules that must hold.
 //!
-//! A network that loses, delays, doubles and reorders is one where all that was ever told may be heard at any time, or
-//! never: what is told only grows, and nobody needs to hear it. So nothing here is sent; a member hears what stands in
-//! `State::told`, `slots` and `views`, one piece at a time. Clocks and suspicion are gone the same way: whatever the
-//! code does after a while may be done at once.
+//! A network that loses, delays, duplicates and reorders messages is modelled without sending any: announcements only
+//! accumulate in `State::announced`, `slots` and `views`, and a member may read any of them at any time, or never.
+//! Clocks and failure suspicion are left out in the same way: a step that the code takes after a timeout may be taken
+//! at once.
 //!
-//! Steps that nobody else can tell apart are one. That a smaller number of states still shows all that can go wrong:
-//! - A vote or a promise `never` is one step with its sync: nothing is told before, and a crash in between leaves what
-//!   a message that never came leaves.
-//! - So is the install of a view with its sync: in between the controller takes no part in any view, as if it hadn't heard.
-//! - An entry is synced, by all before and here, at the moment when that is told. Synced and not told is the same as
-//!   a crash after which it happens to be there: a crash keeps any beginning of what isn't synced.
-//! - A crash forgets all views above the one installed and the one voted after: they may be learned again at once, and
-//!   a new incarnation is named in none of them.
-//! - That a view is heard of by who isn't its source changes nothing but that the controller takes part in no earlier one,
-//!   and who takes no part is one whose turn doesn't come. So it is one step with what needs it: an install, a promise,
-//!   a vote.
-//! - Of a number with one ballot only, the vote is cast when it is counted, or when its disk is about to go: nothing
-//!   else depends on it. A first ballot needs no promises, since there is none below that they could tell of.
-//! - Proposers are nobody: what a ballot needs is what it was begun with and what was answered. A proposer that dies is
-//!   one that never goes on.
-//! - What nobody can hear any more, or use, is put back to nothing (`tidy`).
+//! Steps that no other controller can tell apart are merged. Why the smaller number of states still shows every
+//! violation:
+//! - A vote, or a promise not to install a view, is one step with its sync. Nothing is announced before, and a crash in
+//!   between is equivalent to a lost message.
+//! - So is the install of a view: in between, the controller takes part in no view, as if it had not received it.
+//! - An entry is synced, by all members up to this one, at the moment when that is announced. Synced but not announced
+//!   is equivalent to a crash that happens to keep it, as a crash may keep any prefix of the unsynced entries.
+//! - A crash forgets all views above the installed one and above the predecessor of the vote. They may be learned again
+//!   at once, and they do not include the new incarnation.
+//! - A controller other than the source that learns a view only stops taking part in earlier ones, which is equivalent
+//!   to not being scheduled. Learning is therefore merged with the install, promise or vote that requires it.
+//! - With a single ballot for a number, a vote is cast when it is counted or when its disk is lost; nothing else
+//!   depends on it. A first ballot needs no promises, since no lower ballot exists.
+//! - Proposers have no state: a ballot depends only on its proposal and the answers. A crashed proposer is one that
+//!   never continues.
+//! - State that no controller can observe or use any more is reset (`canonicalize`).
 
 use crate::state::{
-    Controller, IDS, Known, NUMBERS, PLACES, Read, SLOTS, Slot, State, Told, Views, Vote, bit,
-    member, place_of,
+    Announced, Controller, IDS, MACHINES, MAX_VIEWS, Read, SLOTS, Slot, State, ViewInfo, Views,
+    Vote, bit, machine_of, member,
 };
 use rookpulley_chain::View;
 use std::cell::{Cell, RefCell};
 
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// So many controllers are in the first view; the others are newcomers.
+    /// The number of controllers in the first view; the others may join later.
     pub first: usize,
     pub losses: usize,
-    /// For each number from two on, none if there is no such view.
-    pub ballots: [u8; NUMBERS - 1],
+    /// The number of ballots for each view number from two on; zero excludes the view.
+    pub ballots: [u8; MAX_VIEWS - 1],
     pub updates: u8,
     pub crashes: u8,
     pub wipes: u8,
     pub reads: bool,
     pub voters: bool,
-    /// Each ballot has but one view, another than the rest: which ones they are is nothing to the agreement.
-    pub one_each: bool,
+    /// Each ballot proposes a single view that differs from the others, since agreement does not depend on their
+    /// contents.
+    pub one_view_per_ballot: bool,
 }
 
-/// What may be wrong on purpose.
+/// A deliberate protocol violation that the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    VotesForgotten,
-    WipedUnderItsOldIdentity,
-    SourceWithoutTheViewBefore,
-    DeadWithoutAPromise,
-    AcknowledgedBeforeAllHaveSynced,
-    LeftAndStillTaking,
-    TailReadsAlone,
-    SourceAppliesAtOnce,
-    TooFewAcknowledge,
+    VotesNotPersisted,
+    IdentityKeptAfterWipe,
+    SourceWithoutPreviousView,
+    AbandonedWithoutPromise,
+    AcknowledgedBeforeSync,
+    AppendsAcceptedFromLeftView,
+    LocalTailReads,
+    SourceAppliesUncommitted,
+    TooFewMembersAcknowledge,
     AnyGroupDecides,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
-    TwoViewsOfANumber,
-    ViewAtWorkWithoutWhatWasAcknowledged,
-    AcknowledgedByAViewThatIsOver,
-    AcknowledgedByTooFew,
-    TwoOrders,
-    AppliedAndNotAgreed,
-    ReadWithoutWhatWasAcknowledged,
+pub enum Violation {
+    ConflictingDecisions,
+    ActiveViewMissesAcknowledged,
+    AcknowledgedByObsoleteView,
+    AcknowledgedByTooFewMembers,
+    ConflictingOrders,
+    AppliedUncommitted,
+    StaleRead,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,7 +84,7 @@
     Promise { place: u8, number: u8, ballot: u8 },
     Send { number: u8, ballot: u8, view: u16 },
     Accept { place: u8, number: u8, ballot: u8 },
-    Decide { number: u8, voices: u8 },
+    Decide { number: u8, voters: u8 },
     Learn { place: u8, number: u8 },
     Install { place: u8, number: u8 },
     Never { place: u8, number: u8 },
@@ -91,38 +92,38 @@
     Wipe { place: u8, voted: Option<u8> },
 }
 
-/// Turns that the search must have come by, or it has shown little.
+/// Situations that the search must reach to be meaningful.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
-    pub third_view_holds_what_the_first_acknowledged: bool,
-    pub dead_view_passed_over: bool,
-    pub unfinished_update_carried_on: bool,
-    pub decided_by_all_that_are_left: bool,
+pub struct Coverage {
+    pub third_view_holds_updates_of_first: bool,
+    pub abandoned_view_skipped: bool,
+    pub unacknowledged_update_carried_over: bool,
+    pub decided_by_all_remaining: bool,
     pub read_in_a_later_view: bool,
-    pub newcomer_at_work: bool,
-    pub at_work_after_a_second_loss: bool,
-    pub view_at_work_after_a_later_one: bool,
-    pub higher_ballot_bound_by_a_lower: bool,
+    pub new_member_active: bool,
+    pub active_after_second_loss: bool,
+    pub view_active_after_later_one: bool,
+    pub higher_ballot_bound_by_lower: bool,
 }
 
 pub struct Next {
     pub step: Step,
     pub state: State,
-    pub rule: Result<(), Broken>,
+    pub rule: Result<(), Violation>,
 }
 
 pub struct Model {
     pub bounds: Bounds,
     pub fault: Option<Fault>,
-    pub tidies: bool,
+    pub canonicalizes: bool,
     pub views: RefCell<Views>,
-    pub seen: Cell<Seen>,
+    pub coverage: Cell<Coverage>,
 }
 
-type Rule = Result<(), Broken>;
+type Rule = Result<(), Violation>;
 
 impl Model {
-    pub fn new(bounds: Bounds, fault: Option<Fault>, tidies: bool) -> Self {
+    pub fn new(bounds: Bounds, fault: Option<Fault>, canonicalizes: bool) -> Self {
         assert!(
             bounds
                 .ballots
@@ -134,13 +135,13 @@
         Self {
             bounds,
             fault,
-            tidies,
+            canonicalizes,
             views: RefCell::default(),
-            seen: Cell::default(),
+            coverage: Cell::default(),
         }
     }
 
-    /// The first view at work, with nothing in it.
+    /// The first view is active and has no updates.
     pub fn begin(&self) -> State {
         let mut state = State::default();
         for (place, controller) in state.controllers.iter_mut().enumerate() {
@@ -152,18 +153,18 @@
                 installed: within,
                 ..Controller::default()
             };
-            state.told[0][place].installed = within > 0;
+            state.announced[0][place].installed = within > 0;
         }
         let first = state.controllers.iter().enumerate().take(self.bounds.first);
         let members = first
             .map(|(place, controller)| member(place, controller))
             .collect();
-        state.views[0] = self.views.borrow_mut().keep(View {
+        state.views[0] = self.views.borrow_mut().intern(View {
             number: 1,
             members,
             voters: Vec::new(),
         });
-        state.at_work = 1;
+        state.active = 1;
         state
     }
 
@@ -171,10 +172,10 @@
         self.fault == Some(fault)
     }
 
-    fn note(&self, what: impl FnOnce(&mut Seen)) {
-        let mut seen = self.seen.get();
-        what(&mut seen);
-        self.seen.set(seen);
+    fn record_coverage(&self, what: impl FnOnce(&mut Coverage)) {
+        let mut coverage = self.coverage.get();
+        what(&mut coverage);
+        self.coverage.set(coverage);
     }
 
     fn ballots(&self, number: u8) -> u8 {
@@ -189,19 +190,24 @@
         }
     }
 
-    /// Where a ballot of a number lies.
+    /// The slot of a ballot for a view number.
     fn slot(&self, number: u8, ballot: u8) -> usize {
         let before: u8 = (2..number).map(|n| self.ballots(n)).sum();
         usize::from(before + ballot - 1)
     }
 
     /// The decided view of a number.
-    fn with_view<T>(&self, state: &State, number: u8, look: impl FnOnce(&Known) -> T) -> Option<T> {
+    fn with_view<T>(
+        &self,
+        state: &State,
+        number: u8,
+        look: impl FnOnce(&ViewInfo) -> T,
+    ) -> Option<T> {
         let at = *state.views.get(usize::from(number.checked_sub(1)?))?;
         self.views.borrow().get(at).map(look)
     }
 
-    /// The place among the members of a view, where it names this incarnation.
+    /// The position of this incarnation among the members of a view.
     fn names(&self, state: &State, place: usize, number: u8) -> Option<usize> {
         self.with_view(state, number, |v| v.names(&state.controllers[place]))?
     }
@@ -210,8 +216,8 @@
         self.with_view(state, number, |v| v.length).unwrap_or(0)
     }
 
-    /// The controller once it has heard of this view and of no later one. That its source hears of it is a step of its own.
-    fn hears(&self, state: &State, place: usize, number: u8) -> Option<Controller> {
+    /// The controller after it learned this view and no later one, if it may. The source learns it in a separate step.
+    fn after_learning(&self, state: &State, place: usize, number: u8) -> Option<Controller> {
         let controller = state.controllers[place];
         let decided = number > 0 && state.views[usize::from(number) - 1] != 0;
         let may = controller.known == number
@@ -224,10 +230,10 @@
         })
     }
 
-    /// The place among the members of a view in which this incarnation takes part.
+    /// The position in a view in which this incarnation takes part.
     fn acting(&self, state: &State, place: usize, number: u8) -> Option<usize> {
         let controller = &state.controllers[place];
-        let takes_part = if self.has(Fault::LeftAndStillTaking) {
+        let takes_part = if self.has(Fault::AppendsAcceptedFromLeftView) {
             controller.installed >= number
         } else {
             controller.installed == number && controller.known == number
@@ -246,39 +252,39 @@
         .unwrap_or(false)
     }
 
-    fn decides(&self, state: &State, number: u8, voices: u8) -> bool {
+    fn decides(&self, state: &State, number: u8, voters: u8) -> bool {
         if self.has(Fault::AnyGroupDecides) {
-            return voices != 0;
+            return voters != 0;
         }
         let Some(at) = state.views.get(usize::from(number) - 1) else {
             return false;
         };
-        self.views.borrow_mut().decides(*at, voices, state.lost)
+        self.views.borrow_mut().decides(*at, voters, state.lost)
     }
 
-    /// All that may happen next.
+    /// Adds all possible transitions to `next`.
     pub fn steps(&self, state: &State, next: &mut Vec<Next>) {
         let mut push = |step: Step, mut state: State, rule: Rule| {
-            let rule = rule.and_then(|()| self.all_applied_is_agreed(&state));
-            if rule.is_ok() && self.tidies {
-                self.tidy(&mut state);
+            let rule = rule.and_then(|()| self.applied_prefix_is_acknowledged(&state));
+            if rule.is_ok() && self.canonicalizes {
+                self.canonicalize(&mut state);
             }
             next.push(Next { step, state, rule });
         };
         let newest = state.views.iter().filter(|v| **v != 0).count() as u8;
-        for place in 0..PLACES {
+        for place in 0..MACHINES {
             for view in 1..=newest {
-                self.flow(state, place, view, &mut push);
+                self.replicate(state, place, view, &mut push);
             }
             for number in 2..=newest {
                 self.learn(state, place, number, &mut push);
                 self.install(state, place, number, &mut push);
-                self.never(state, place, number, &mut push);
+                self.abandoned(state, place, number, &mut push);
             }
             for number in 2..=newest + 1 {
                 self.vote(state, place, number, &mut push);
             }
-            self.trouble(state, place, &mut push);
+            self.crash_or_wipe(state, place, &mut push);
         }
         for number in 2..=newest + 1 {
             for ballot in 1..=self.ballots(number) {
@@ -291,7 +297,7 @@
 
     // ---- updates and reads ------------------------------------------------------------------
 
-    fn flow(
+    fn replicate(
         &self,
         state: &State,
         place: usize,
@@ -301,19 +307,22 @@
         let Some(at) = self.acting(state, place, view) else {
             return;
         };
-        let (controller, told) = (state.controllers[place], state.told[usize::from(view) - 1]);
+        let (controller, announced) = (
+            state.controllers[place],
+            state.announced[usize::from(view) - 1],
+        );
         let length = self.length(state, view);
-        let enough = length > self.bounds.losses || self.has(Fault::TooFewAcknowledge);
+        let enough = length > self.bounds.losses || self.has(Fault::TooFewMembersAcknowledge);
         let is_tail = at + 1 == length;
-        // Who hears that a later view is at work takes its own for one that was, as the code has it.
-        let takes = at == 0 && view <= state.at_work && enough;
+        // As in the code, a head that knows of a later active view assumes that its own was active.
+        let accepts_requests = at == 0 && view <= state.active && enough;
 
-        if takes && state.updates < self.bounds.updates {
+        if accepts_requests && state.updates < self.bounds.updates {
             let mut after = *state;
             after.updates += 1;
-            after.controllers[place].log.add(after.updates);
-            let rule = self.early(&mut after, place, view, is_tail);
-            tell(&mut after, place, view, at);
+            after.controllers[place].log.push(after.updates);
+            let rule = self.acknowledge_early(&mut after, place, view, is_tail);
+            announce(&mut after, place, view, at);
             push(
                 Step::Update {
                     place: place as u8,
@@ -323,13 +332,13 @@
                 rule,
             );
         }
-        if at > 0 && told[at - 1].log.count() > controller.log.count() {
+        if at > 0 && announced[at - 1].log.count() > controller.log.count() {
             let mut after = *state;
             after.controllers[place]
                 .log
-                .add(told[at - 1].log.at(controller.log.count()));
-            let rule = self.early(&mut after, place, view, is_tail);
-            tell(&mut after, place, view, at);
+                .push(announced[at - 1].log.at(controller.log.count()));
+            let rule = self.acknowledge_early(&mut after, place, view, is_tail);
+            announce(&mut after, place, view, at);
             push(
                 Step::Pass {
                     place: place as u8,
@@ -339,17 +348,18 @@
                 rule,
             );
         }
-        if controller.own < controller.log.count() && (at == 0 || told[at - 1].own > controller.own)
+        if controller.synced < controller.log.count()
+            && (at == 0 || announced[at - 1].synced > controller.synced)
         {
             let mut after = *state;
-            after.controllers[place].own += 1;
-            let to = after.controllers[place].own;
+            after.controllers[place].synced += 1;
+            let to = after.controllers[place].synced;
             let rule = if is_tail {
-                self.settle(&mut after, place, view, to)
+                self.acknowledge(&mut after, place, view, to)
             } else {
                 Ok(())
             };
-            tell(&mut after, place, view, at);
+            announce(&mut after, place, view, at);
             push(
                 Step::Sync {
                     place: place as u8,
@@ -359,12 +369,12 @@
                 rule,
             );
         }
-        // An older commit is one that came earlier.
-        let committed = told[length - 1].done.min(controller.log.count());
-        if !is_tail && committed > controller.done {
+        // Delayed commits are covered by earlier steps.
+        let committed = announced[length - 1].applied.min(controller.log.count());
+        if !is_tail && committed > controller.applied {
             let mut after = *state;
-            after.controllers[place].done = committed;
-            tell(&mut after, place, view, at);
+            after.controllers[place].applied = committed;
+            announce(&mut after, place, view, at);
             push(
                 Step::Commit {
                     place: place as u8,
@@ -375,30 +385,30 @@
             );
         }
         if self.bounds.reads {
-            self.read(state, place, (view, at, is_tail, takes), push);
+            self.read(state, place, (view, at, is_tail, accepts_requests), push);
         }
     }
 
-    fn early(&self, state: &mut State, place: usize, view: u8, is_tail: bool) -> Rule {
-        if !is_tail || !self.has(Fault::AcknowledgedBeforeAllHaveSynced) {
+    fn acknowledge_early(&self, state: &mut State, place: usize, view: u8, is_tail: bool) -> Rule {
+        if !is_tail || !self.has(Fault::AcknowledgedBeforeSync) {
             return Ok(());
         }
         let to = state.controllers[place].log.count();
-        self.settle(state, place, view, to)
+        self.acknowledge(state, place, view, to)
     }
 
-    /// A read that is asked as the head takes it sees the most acknowledged. One at a time: they don't touch each other,
-    /// and one that isn't answered is one that is never asked.
+    /// A read begins when the head accepts it, the strictest point. One read at a time suffices, since reads do not
+    /// interact and an unanswered read is equivalent to none.
     fn read(
         &self,
         state: &State,
         place: usize,
-        (view, at, is_tail, takes): (u8, usize, bool, bool),
+        (view, at, is_tail, accepts_requests): (u8, usize, bool, bool),
         push: &mut impl FnMut(Step, State, Rule),
     ) {
-        let alone = is_tail && self.has(Fault::TailReadsAlone);
-        let asked_at = if (takes && state.read.view == 0) || alone {
-            state.order.count()
+        let alone = is_tail && self.has(Fault::LocalTailReads);
+        let asked_at = if (accepts_requests && state.read.view == 0) || alone {
+            state.acknowledged.count()
         } else if at > 0 && state.read.view == view && usize::from(state.read.passed) + 1 == at {
             state.read.asked_at
         } else {
@@ -413,10 +423,12 @@
         let mut rule = Ok(());
         if is_tail {
             after.read = Read::default();
-            if state.controllers[place].done < asked_at {
-                rule = Err(Broken::ReadWithoutWhatWasAcknowledged);
+            if state.controllers[place].applied < asked_at {
+                rule = Err(Violation::StaleRead);
             }
-            self.note(|seen| seen.read_in_a_later_view |= view > 1 && asked_at > 0);
+            self.record_coverage(|coverage| {
+                coverage.read_in_a_later_view |= view > 1 && asked_at > 0
+            });
         }
         push(
             Step::Read {
@@ -428,45 +440,47 @@
         );
     }
 
-    /// The tail applies and acknowledges. What is new takes its place in the one order.
-    fn settle(&self, state: &mut State, place: usize, view: u8, to: u8) -> Rule {
+    /// The tail applies and acknowledges updates. New ones are appended to the global order.
+    fn acknowledge(&self, state: &mut State, place: usize, view: u8, to: u8) -> Rule {
         let controller = state.controllers[place];
-        for at in controller.done..to {
+        for at in controller.applied..to {
             let update = controller.log.at(at);
-            if at < state.order.count() {
-                if state.order.at(at) != update {
-                    return Err(Broken::TwoOrders);
+            if at < state.acknowledged.count() {
+                if state.acknowledged.at(at) != update {
+                    return Err(Violation::ConflictingOrders);
                 }
                 continue;
             }
-            if state.at_work > view {
-                return Err(Broken::AcknowledgedByAViewThatIsOver);
+            if state.active > view {
+                return Err(Violation::AcknowledgedByObsoleteView);
             }
             if self.length(state, view) <= self.bounds.losses {
-                return Err(Broken::AcknowledgedByTooFew);
+                return Err(Violation::AcknowledgedByTooFewMembers);
             }
-            if state.order.count() == 0 {
-                state.first_in = view;
+            if state.acknowledged.count() == 0 {
+                state.first_acknowledged_in = view;
             }
-            state.order.add(update);
+            state.acknowledged.push(update);
         }
-        state.controllers[place].done = controller.done.max(to);
+        state.controllers[place].applied = controller.applied.max(to);
         Ok(())
     }
 
-    fn all_applied_is_agreed(&self, state: &State) -> Rule {
-        let agreed =
-            |o: &Controller| o.done <= o.log.count() && o.log.first(o.done).begins(state.order);
+    fn applied_prefix_is_acknowledged(&self, state: &State) -> Rule {
+        let agreed = |o: &Controller| {
+            o.applied <= o.log.count() && o.log.first(o.applied).is_prefix_of(state.acknowledged)
+        };
         if state.controllers.iter().all(agreed) {
             Ok(())
         } else {
-            Err(Broken::AppliedAndNotAgreed)
+            Err(Violation::AppliedUncommitted)
         }
     }
 
-    // ---- a new view at work -----------------------------------------------------------------
+    // ---- activation of a new view -----------------------------------------------------------------
 
-    /// The source of a view hears of it, leaves the one before and takes stock. It may not have heard of views between.
+    /// The source learns a view, leaves its previous one and installs the new one with its own log. It may have missed
+    /// views in between.
     fn learn(
         &self,
         state: &State,
@@ -479,10 +493,10 @@
         }
         let mut after = *state;
         let controller = &mut after.controllers[place];
-        (controller.known, controller.installed, controller.own) =
+        (controller.known, controller.installed, controller.synced) =
             (number, number, controller.log.count());
-        if self.has(Fault::SourceAppliesAtOnce) {
-            controller.done = controller.log.count();
+        if self.has(Fault::SourceAppliesUncommitted) {
+            controller.applied = controller.log.count();
         }
         let rule = self.installed(&mut after, place, number, 0);
         push(
@@ -495,7 +509,7 @@
         );
     }
 
-    /// The others install what the one before them passes, the whole of it at once. What is applied here stays.
+    /// The other members install the complete log of their predecessor at once, keeping the updates they have applied.
     fn install(
         &self,
         state: &State,
@@ -503,31 +517,31 @@
         number: u8,
         push: &mut impl FnMut(Step, State, Rule),
     ) {
-        let Some(controller) = self.hears(state, place, number) else {
+        let Some(controller) = self.after_learning(state, place, number) else {
             return;
         };
-        if controller.installed >= number || controller.never >= number {
+        if controller.installed >= number || controller.abandoned >= number {
             return;
         }
         let Some(at) = self.names(state, place, number).filter(|at| *at > 0) else {
             return;
         };
-        let from = state.told[usize::from(number) - 1][at - 1];
+        let from = state.announced[usize::from(number) - 1][at - 1];
         if !from.installed {
             return;
         }
         let mut after = *state;
         let mut log = from.log;
-        if controller.done > from.done {
-            log = controller.log.first(controller.done);
-            (controller.done..from.log.count()).for_each(|at| log.add(from.log.at(at)));
+        if controller.applied > from.applied {
+            log = controller.log.first(controller.applied);
+            (controller.applied..from.log.count()).for_each(|at| log.push(from.log.at(at)));
         }
-        let (own, done) = (log.count(), controller.done.max(from.done));
+        let (synced, applied) = (log.count(), controller.applied.max(from.applied));
         after.controllers[place] = Controller {
             installed: number,
             log,
-            own,
-            done,
+            synced,
+            applied,
             ..controller
         };
         let rule = self.installed(&mut after, place, number, at);
@@ -541,55 +555,57 @@
         );
     }
 
-    /// With the tail the view is at work, and all that came with it is committed.
+    /// Once the tail installs a view, the view is active and the log that came with it is committed.
     fn installed(&self, state: &mut State, place: usize, number: u8, at: usize) -> Rule {
         let mut rule = Ok(());
         if at + 1 == self.length(state, number) {
             let log = state.controllers[place].log;
-            let newest = state.at_work;
-            state.at_work = newest.max(number);
-            if newest < number && !state.order.begins(log) {
-                return Err(Broken::ViewAtWorkWithoutWhatWasAcknowledged);
+            let newest = state.active;
+            state.active = newest.max(number);
+            if newest < number && !state.acknowledged.is_prefix_of(log) {
+                return Err(Violation::ActiveViewMissesAcknowledged);
             }
-            let before = state.order.count();
-            rule = self.settle(state, place, number, log.count());
+            let before = state.acknowledged.count();
+            rule = self.acknowledge(state, place, number, log.count());
             let newcomer = self.with_view(state, number, |v| {
-                v.view.members.iter().any(|m| m.id >= PLACES as u64)
+                v.view.members.iter().any(|m| m.id >= MACHINES as u64)
             });
-            self.note(|seen| {
-                seen.third_view_holds_what_the_first_acknowledged |=
-                    number == 3 && state.first_in == 1;
-                seen.dead_view_passed_over |= number == 3 && state.is_dead(2) && before > 0;
-                seen.unfinished_update_carried_on |= state.order.count() > before;
-                seen.newcomer_at_work |= newcomer == Some(true);
-                seen.at_work_after_a_second_loss |= state.wipes > 1 && before > 0;
-                seen.view_at_work_after_a_later_one |= newest > number;
+            self.record_coverage(|coverage| {
+                coverage.third_view_holds_updates_of_first |=
+                    number == 3 && state.first_acknowledged_in == 1;
+                coverage.abandoned_view_skipped |=
+                    number == 3 && state.is_abandoned(2) && before > 0;
+                coverage.unacknowledged_update_carried_over |= state.acknowledged.count() > before;
+                coverage.new_member_active |= newcomer == Some(true);
+                coverage.active_after_second_loss |= state.wipes > 1 && before > 0;
+                coverage.view_active_after_later_one |= newest > number;
             });
         }
-        tell(state, place, number, at);
+        announce(state, place, number, at);
         rule
     }
 
-    /// A member that hasn't installed a view promises never to. It matters to itself only where it still could.
-    fn never(
+    /// A member promises not to install a view that it has not installed.
+    fn abandoned(
         &self,
         state: &State,
         place: usize,
         number: u8,
         push: &mut impl FnMut(Step, State, Rule),
     ) {
-        let mut knows = number.max(state.controllers[place].known)..=NUMBERS as u8;
-        let Some(controller) = knows.find_map(|n| self.hears(state, place, n)) else {
+        let mut knows = number.max(state.controllers[place].known)..=MAX_VIEWS as u8;
+        let Some(controller) = knows.find_map(|n| self.after_learning(state, place, n)) else {
             return;
         };
-        let is_member = self.with_view(state, number, |v| v.holds(&controller)) == Some(true);
-        if !is_member || controller.installed >= number || state.is_dead(number) {
+        let is_member =
+            self.with_view(state, number, |v| v.has_identity(&controller)) == Some(true);
+        if !is_member || controller.installed >= number || state.is_abandoned(number) {
             return;
         }
         let mut after = *state;
-        after.dead |= bit(number - 1);
+        after.abandoned_views |= bit(number - 1);
         after.controllers[place] = Controller {
-            never: controller.never.max(number),
+            abandoned: controller.abandoned.max(number),
             ..controller
         };
         push(
@@ -604,9 +620,9 @@
 
     // ---- the agreement on the next view -----------------------------------------------------
 
-    /// Any view that could be proposed by who asks around now. Who is in it is anybody's choice, for anybody may be
-    /// taken for lost; its source must have installed the newest view that isn't dead. What was answered holds as the
-    /// ballot begins, and may be old when it is decided.
+    /// Begins a ballot with any view that the current statuses permit. The members are arbitrary, since any controller
+    /// may be suspected, but the source must have installed the newest view that is not abandoned. The statuses may be
+    /// outdated when the ballot is decided.
     fn propose(
         &self,
         state: &State,
@@ -616,32 +632,38 @@
     ) {
         let slot = self.slot(number, ballot);
         let before = number - 1;
-        let voices = self.voices(state, before, |_| true);
-        let knows = self.voices(state, before, |p| self.hears(state, p, before).is_some());
-        if state.slots[slot].wanted != 0 || state.views[usize::from(before) - 1] == 0 || knows == 0
+        let voters = self.voters_among(state, before, |_| true);
+        let knows = self.voters_among(state, before, |p| {
+            self.after_learning(state, p, before).is_some()
+        });
+        if state.slots[slot].proposed != 0
+            || state.views[usize::from(before) - 1] == 0
+            || knows == 0
         {
             return;
         }
         let decided = state.views[usize::from(number) - 1] != 0;
-        if (decided && self.ballots(number) == 1) || !self.decides(state, before, voices) {
+        if (decided && self.ballots(number) == 1) || !self.decides(state, before, voters) {
             return;
         }
         let mut views = Vec::new();
         for (source, controller) in state.controllers.iter().enumerate() {
-            let dead = |n: u8| {
-                state.is_dead(n) || (self.has(Fault::DeadWithoutAPromise) && n > state.at_work)
+            let is_abandoned = |n: u8| {
+                state.is_abandoned(n)
+                    || (self.has(Fault::AbandonedWithoutPromise) && n > state.active)
             };
-            let may = controller.installed > 0 && (controller.installed + 1..number).all(dead);
-            if !may && !self.has(Fault::SourceWithoutTheViewBefore) {
+            let may =
+                controller.installed > 0 && (controller.installed + 1..number).all(is_abandoned);
+            if !may && !self.has(Fault::SourceWithoutPreviousView) {
                 continue;
             }
-            for others in 0..1u8 << PLACES {
+            for others in 0..1u8 << MACHINES {
                 if others & bit(source as u8) == 0 {
                     self.views_with(state, number, source, others, &mut views);
                 }
             }
         }
-        if self.bounds.one_each {
+        if self.bounds.one_view_per_ballot {
             views = views
                 .into_iter()
                 .skip(usize::from(ballot) - 1)
@@ -651,7 +673,7 @@
         for view in views {
             let mut after = *state;
             let slot = &mut after.slots[slot];
-            slot.wanted = view;
+            slot.proposed = view;
             if ballot == 1 {
                 slot.sent = view;
             }
@@ -667,7 +689,7 @@
         }
     }
 
-    /// A source with these beside it, and without or with those as voters that are left out of it.
+    /// Views with this source and these other members, with and without the remaining acceptors as voters.
     fn views_with(&self, state: &State, number: u8, source: usize, others: u8, all: &mut Vec<u16>) {
         let Some(base) = self.with_view(state, number - 1, |v| v.view.clone()) else {
             return;
@@ -679,15 +701,15 @@
             .map(|(place, o)| member(place, o))
             .collect();
         let mut members = vec![there[source]];
-        // The order stays, newcomers come last.
+        // Members keep their order, and new ones come last.
         let mut rest: Vec<_> = there
             .iter()
-            .filter(|m| others & bit(place_of(m) as u8) != 0)
+            .filter(|m| others & bit(machine_of(m) as u8) != 0)
             .collect();
-        rest.sort_by_key(|m| base.position(m.id).unwrap_or(PLACES));
+        rest.sort_by_key(|m| base.position(m.id).unwrap_or(MACHINES));
         members.extend(rest);
-        let few = members.len() <= self.bounds.losses && members.len() < base.members.len();
-        if few {
+        let too_few = members.len() <= self.bounds.losses && members.len() < base.members.len();
+        if too_few {
             return;
         }
         let room = (2 * self.bounds.losses + 1).saturating_sub(members.len());
@@ -705,18 +727,18 @@
                 members: members.clone(),
                 voters,
             };
-            all.push(self.views.borrow_mut().keep(view));
+            all.push(self.views.borrow_mut().intern(view));
         }
     }
 
-    /// The identities of those in place that have a say after this view, as bits.
-    fn voices(&self, state: &State, number: u8, which: impl Fn(usize) -> bool) -> u8 {
-        let who = (0..PLACES).filter(|p| self.votes(state, *p, number) && which(*p));
+    /// The identities of the selected controllers that vote on the successor of this view, as a bit mask.
+    fn voters_among(&self, state: &State, number: u8, which: impl Fn(usize) -> bool) -> u8 {
+        let who = (0..MACHINES).filter(|p| self.votes(state, *p, number) && which(*p));
         who.map(|p| bit(state.controllers[p].id))
             .fold(0, |a, b| a | b)
     }
 
-    /// What is known of this number's votes, as `Chain::vote_for` has it.
+    /// The vote for this number, as in `Chain::acceptor_for`.
     fn vote_for(controller: &Controller, number: u8) -> Option<Vote> {
         let fresh = Vote {
             number,
@@ -729,7 +751,7 @@
         }
     }
 
-    /// Promises and accepts, of numbers with several ballots.
+    /// Promises and accepts, for numbers with several ballots.
     fn vote(
         &self,
         state: &State,
@@ -740,7 +762,7 @@
         if self.ballots(number) < 2 || !self.votes(state, place, number - 1) {
             return;
         }
-        let Some(controller) = self.hears(state, place, number - 1) else {
+        let Some(controller) = self.after_learning(state, place, number - 1) else {
             return;
         };
         let Some(vote) = Self::vote_for(&controller, number) else {
@@ -749,7 +771,7 @@
         for ballot in vote.promised.max(1)..=self.ballots(number) {
             let at = self.slot(number, ballot);
             let slot = state.slots[at];
-            if slot.wanted != 0 && ballot > 1 && promise(&slot, controller.id).is_none() {
+            if slot.proposed != 0 && ballot > 1 && promise(&slot, controller.id).is_none() {
                 let mut after = *state;
                 after.controllers[place] = Controller {
                     vote: Vote {
@@ -792,7 +814,7 @@
         }
     }
 
-    /// Some of those that promised, enough to decide, bind the proposal to what the highest ballot among them was for.
+    /// Sends the proposal for each quorum of promises, bound to the value of the highest ballot accepted among them.
     fn send(
         &self,
         state: &State,
@@ -801,7 +823,7 @@
         push: &mut impl FnMut(Step, State, Rule),
     ) {
         let slot = state.slots[self.slot(number, ballot)];
-        if slot.wanted == 0 || slot.sent != 0 {
+        if slot.proposed == 0 || slot.sent != 0 {
             return;
         }
         let promised = (0..IDS)
@@ -819,9 +841,9 @@
                 .max()
                 .filter(|b| *b > 0)
                 .map(|b| state.slots[self.slot(number, b)].sent);
-            let value = bound.unwrap_or(slot.wanted);
-            self.note(|seen| {
-                seen.higher_ballot_bound_by_a_lower |= bound.is_some_and(|b| b != slot.wanted)
+            let value = bound.unwrap_or(slot.proposed);
+            self.record_coverage(|coverage| {
+                coverage.higher_ballot_bound_by_lower |= bound.is_some_and(|b| b != slot.proposed)
             });
             if values.contains(&value) {
                 continue;
@@ -841,7 +863,7 @@
         }
     }
 
-    /// Of a number with one ballot: as many as are needed have voted by now. Who needn't have, may do so unseen.
+    /// For a number with one ballot, a minimal quorum votes in one step. Further votes have no effect.
     fn decide(&self, state: &State, number: u8, push: &mut impl FnMut(Step, State, Rule)) {
         if self.ballots(number) != 1 {
             return;
@@ -851,15 +873,16 @@
             return;
         }
         let can = |p: &usize| {
-            self.votes(state, *p, number - 1) && self.hears(state, *p, number - 1).is_some()
+            self.votes(state, *p, number - 1)
+                && self.after_learning(state, *p, number - 1).is_some()
         };
-        let can = (0..PLACES).filter(can).map(|p| bit(p as u8)).sum::<u8>();
+        let can = (0..MACHINES).filter(can).map(|p| bit(p as u8)).sum::<u8>();
         let enough = |group: u8| {
-            let voices = self.voices(state, number - 1, |p| group & bit(p as u8) != 0);
-            self.decides(state, number - 1, voices | state.slots[at].accepted)
+            let voters = self.voters_among(state, number - 1, |p| group & bit(p as u8) != 0);
+            self.decides(state, number - 1, voters | state.slots[at].accepted)
         };
         for group in (0..=can).filter(|group| group & !can == 0 && enough(*group)) {
-            let within = (0..PLACES).filter(|p| group & bit(*p as u8) != 0);
+            let within = (0..MACHINES).filter(|p| group & bit(*p as u8) != 0);
             if within.clone().any(|p| enough(group & !bit(p as u8))) {
                 continue;
             }
@@ -867,14 +890,14 @@
             for place in within {
                 after.slots[at].accepted |= bit(state.controllers[place].id);
                 after.controllers[place] = self
-                    .hears(state, place, number - 1)
+                    .after_learning(state, place, number - 1)
                     .unwrap_or(state.controllers[place]);
             }
             let rule = self.count_votes(&mut after, number);
             push(
                 Step::Decide {
                     number,
-                    voices: group,
+                    voters: group,
                 },
                 after,
                 rule,
@@ -891,36 +914,36 @@
             let majority = self
                 .with_view(state, number - 1, |v| v.majority)
                 .unwrap_or(0);
-            let few = slot.accepted.count_ones() < majority;
-            self.note(|seen| seen.decided_by_all_that_are_left |= few);
+            let too_few = slot.accepted.count_ones() < majority;
+            self.record_coverage(|coverage| coverage.decided_by_all_remaining |= too_few);
             let decided = &mut state.views[usize::from(number) - 1];
             if *decided != 0 && *decided != slot.sent {
-                return Err(Broken::TwoViewsOfANumber);
+                return Err(Violation::ConflictingDecisions);
             }
             *decided = slot.sent;
         }
         Ok(())
     }
 
-    // ---- what goes wrong --------------------------------------------------------------------
+    // ---- crashes and lost disks --------------------------------------------------------------------
 
-    fn trouble(&self, state: &State, place: usize, push: &mut impl FnMut(Step, State, Rule)) {
+    fn crash_or_wipe(&self, state: &State, place: usize, push: &mut impl FnMut(Step, State, Rule)) {
         let controller = state.controllers[place];
         if state.crashes < self.bounds.crashes {
-            for keeps in controller.own..=controller.log.count() {
+            for keeps in controller.synced..=controller.log.count() {
                 let mut after = *state;
                 after.crashes += 1;
                 let mut vote = controller.vote;
-                if self.has(Fault::VotesForgotten) {
+                if self.has(Fault::VotesNotPersisted) {
                     vote = Vote::default();
                 }
                 after.controllers[place] = Controller {
                     incarnation: controller.incarnation + 1,
                     known: controller.installed.max(vote.number.saturating_sub(1)),
-                    never: 0,
+                    abandoned: 0,
                     log: controller.log.first(keeps),
-                    own: keeps,
-                    done: controller.done.min(keeps),
+                    synced: keeps,
+                    applied: controller.applied.min(keeps),
                     vote,
                     ..controller
                 };
@@ -934,27 +957,28 @@
                 );
             }
         }
-        if state.wipes < self.bounds.wipes && (state.wipes == 0 || self.is_mended(state)) {
-            // With it goes what it may have said: nothing, or the one vote that was not yet counted.
+        if state.wipes < self.bounds.wipes && (state.wipes == 0 || self.is_recovered(state)) {
+            // Before the loss it may have cast the one vote that was not yet counted.
             let begun = |n: &u8| {
                 self.ballots(*n) == 1
                     && state.slots[self.slot(*n, 1)].sent != 0
                     && state.views[usize::from(*n) - 1] == 0
                     && self.votes(state, place, n - 1)
-                    && self.hears(state, place, n - 1).is_some()
+                    && self.after_learning(state, place, n - 1).is_some()
             };
-            for voted in std::iter::once(None).chain((2..=NUMBERS as u8).filter(begun).map(Some)) {
+            for voted in std::iter::once(None).chain((2..=MAX_VIEWS as u8).filter(begun).map(Some))
+            {
                 let mut after = *state;
                 after.wipes += 1;
                 if let Some(number) = voted {
                     after.slots[self.slot(number, 1)].accepted |= bit(controller.id);
                 }
                 let new = Controller {
-                    id: PLACES as u8 + state.wipes,
+                    id: MACHINES as u8 + state.wipes,
                     incarnation: 1,
                     ..Controller::default()
                 };
-                after.controllers[place] = if self.has(Fault::WipedUnderItsOldIdentity) {
+                after.controllers[place] = if self.has(Fault::IdentityKeptAfterWipe) {
                     Controller {
                         id: controller.id,
                         incarnation: controller.incarnation + 1,
@@ -964,8 +988,8 @@
                     after.lost |= bit(controller.id);
                     new
                 };
-                // One disk less may make the votes enough.
-                let mut several = (2..=NUMBERS as u8).filter(|n| self.ballots(*n) > 1);
+                // With a lost disk, fewer votes may suffice.
+                let mut several = (2..=MAX_VIEWS as u8).filter(|n| self.ballots(*n) > 1);
                 let rule = several.try_for_each(|n| self.count_votes(&mut after, n));
                 push(
                     Step::Wipe {
@@ -979,9 +1003,9 @@
         }
     }
 
-    /// After a loss the chain is as long as it must be again, of disks that are there: another one may be lost.
-    fn is_mended(&self, state: &State) -> bool {
-        self.with_view(state, state.at_work, |v| {
+    /// Whether the active view again has enough members, none with a lost disk, to tolerate another loss.
+    fn is_recovered(&self, state: &State) -> bool {
+        self.with_view(state, state.active, |v| {
             let kept = v
                 .view
                 .members
@@ -992,10 +1016,10 @@
         .unwrap_or(false)
     }
 
-    // ---- what is over -----------------------------------------------------------------------
+    // ---- canonicalization -----------------------------------------------------------------------
 
-    /// Whether this place among a view's members may yet take part in it.
-    fn may_act(&self, state: &State, number: u8, at: usize) -> bool {
+    /// Whether the member at this position of a view can still take part in it.
+    fn may_participate(&self, state: &State, number: u8, at: usize) -> bool {
         self.with_view(state, number, |v| {
             let controller = &state.controllers[v.places[at]];
             controller.known <= number && v.names(controller) == Some(at)
@@ -1003,32 +1027,32 @@
         .unwrap_or(false)
     }
 
-    /// Two states that differ only in what nobody can hear or use any more are one.
-    fn tidy(&self, state: &mut State) {
-        let newest = state.at_work;
-        for number in 1..=NUMBERS as u8 {
+    /// Merges states that differ only in what no controller can observe or use any more.
+    fn canonicalize(&self, state: &mut State) {
+        let newest = state.active;
+        for number in 1..=MAX_VIEWS as u8 {
             let at = usize::from(number) - 1;
             if state.views[at] == 0 {
                 continue;
             }
             let length = self.length(state, number);
-            let able: [bool; PLACES] =
-                std::array::from_fn(|m| m < length && self.may_act(state, number, m));
+            let able: [bool; MACHINES] =
+                std::array::from_fn(|m| m < length && self.may_participate(state, number, m));
             for m in 0..length {
-                // The tail tells all of them what is committed, the others only the next one.
+                // All members read the commits of the tail; other announcements are read by the successor only.
                 let heard = if m + 1 < length {
                     able[m + 1]
                 } else {
                     able[..m].contains(&true)
                 };
                 if !heard {
-                    state.told[at][m] = Told::default();
+                    state.announced[at][m] = Announced::default();
                 }
             }
             let settled = (number + 1..=newest).all(|n| self.ballots(n) == 1);
             if number < newest && settled {
-                // Nobody goes on from a view before the newest at work.
-                state.dead &= !bit(number - 1);
+                // No view continues from one before the newest active view.
+                state.abandoned_views &= !bit(number - 1);
             }
             if state.read.view == number
                 && able[usize::from(state.read.passed) + 1..length].contains(&false)
@@ -1039,33 +1063,38 @@
                 state.slots[self.slot(number, 1)] = Slot::default();
             }
         }
-        for place in 0..PLACES {
+        for place in 0..MACHINES {
             let controller = state.controllers[place];
             let named = self.names(state, place, controller.known).is_some();
-            if controller.never != controller.known
-                || controller.installed >= controller.never
+            if controller.abandoned != controller.known
+                || controller.installed >= controller.abandoned
                 || !named
             {
-                state.controllers[place].never = 0;
+                state.controllers[place].abandoned = 0;
             }
             let acts = controller.known == controller.installed
                 && self.names(state, place, controller.installed).is_some();
             if controller.installed < newest && !acts {
                 let controller = &mut state.controllers[place];
-                (controller.log, controller.own) =
-                    (controller.log.first(controller.done), controller.done);
+                (controller.log, controller.synced) =
+                    (controller.log.first(controller.applied), controller.applied);
             }
         }
     }
 }
 
-fn tell(state: &mut State, place: usize, view: u8, at: usize) {
-    let Controller { log, own, done, .. } = state.controllers[place];
-    state.told[usize::from(view) - 1][at] = Told {
+fn announce(state: &mut State, place: usize, view: u8, at: usize) {
+    let Controller {
+        log,
+        synced,
+        applied,
+        ..
+    } = state.controllers[place];
+    state.announced[usize::from(view) - 1][at] = Announced {
         installed: true,
         log,
-        own,
-        done,
+        synced,
+        applied,
     };
 }
 
--- a/crates/rookpulley-chain/tests/model/search.rs
+++ b/crates/rookpulley-chain/tests/model/search.rs
@@ -1,27 +1,27 @@
-//! All states that can be reached, breadth first, so that what breaks a rule is found on a shortest way.
+//! Breadth-first search of all reachable states, so that a violation is found on a shortest path.
 
-use crate::rules::{Broken, Model, Next, Seen, Step};
+use crate::rules::{Coverage, Model, Next, Step, Violation};
 use crate::state::State;
 use std::hash::{Hash, Hasher};
 
-pub struct Found {
+pub struct SearchResult {
     pub states: usize,
     pub steps: usize,
     pub longest: usize,
-    pub seen: Seen,
-    pub broken: Option<(Broken, Vec<Step>)>,
+    pub coverage: Coverage,
+    pub violation: Option<(Violation, Vec<Step>)>,
 }
 
-/// A fast sum: a clash costs a comparison and nothing else.
-struct Sum(u64);
+/// A fast hash function. A collision only costs a comparison.
+struct FastHasher(u64);
 
-impl Sum {
+impl FastHasher {
     fn mix(&mut self, word: u64) {
         self.0 = (self.0.rotate_left(5) ^ word).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     }
 }
 
-impl Hasher for Sum {
+impl Hasher for FastHasher {
     fn write(&mut self, bytes: &[u8]) {
         bytes.iter().for_each(|b| self.mix(u64::from(*b)));
     }
@@ -43,90 +43,93 @@
     }
 }
 
-/// The states with the step that led to each first, and where they lie by their sum.
-struct Table {
+/// The states, each with its first predecessor and step, and a hash index.
+struct StateTable {
     states: Vec<State>,
     from: Vec<(u32, Step)>,
-    cells: Vec<u32>,
+    slots: Vec<u32>,
 }
 
-impl Table {
+impl StateTable {
     fn begin(state: State) -> Self {
         let mut table = Self {
             states: Vec::new(),
             from: Vec::new(),
-            cells: vec![0; 1 << 16],
+            slots: vec![0; 1 << 16],
         };
-        table.add(state, (0, Step::Begin));
+        table.push(state, (0, Step::Begin));
         table
     }
 
-    fn cell(&self, state: &State) -> usize {
-        let mut sum = Sum(0);
+    fn slot_of(&self, state: &State) -> usize {
+        let mut sum = FastHasher(0);
         state.hash(&mut sum);
-        let mask = self.cells.len() - 1;
+        let mask = self.slots.len() - 1;
         let mut at = sum.finish() as usize & mask;
-        while self.cells[at] != 0 && self.states[self.cells[at] as usize - 1] != *state {
+        while self.slots[at] != 0 && self.states[self.slots[at] as usize - 1] != *state {
             at = (at + 1) & mask;
         }
         at
     }
 
-    fn add(&mut self, state: State, from: (u32, Step)) {
-        let cell = self.cell(&state);
-        if self.cells[cell] != 0 {
+    fn push(&mut self, state: State, from: (u32, Step)) {
+        let slot = self.slot_of(&state);
+        if self.slots[slot] != 0 {
             return;
         }
         self.states.push(state);
         self.from.push(from);
-        self.cells[cell] = self.states.len() as u32;
-        if self.states.len() * 2 > self.cells.len() {
-            self.cells = vec![0; self.cells.len() * 2];
+        self.slots[slot] = self.states.len() as u32;
+        if self.states.len() * 2 > self.slots.len() {
+            self.slots = vec![0; self.slots.len() * 2];
             for at in 0..self.states.len() {
-                let cell = self.cell(&self.states[at]);
-                self.cells[cell] = at as u32 + 1;
+                let slot = self.slot_of(&self.states[at]);
+                self.slots[slot] = at as u32 + 1;
             }
         }
     }
 
-    fn way_to(&self, mut at: usize) -> Vec<Step> {
-        let mut way = Vec::new();
+    fn path_to(&self, mut at: usize) -> Vec<Step> {
+        let mut path = Vec::new();
         while at > 0 {
             let (from, step) = self.from[at];
-            way.push(step);
+            path.push(step);
             at = from as usize;
         }
-        way.reverse();
-        way
+        path.reverse();
+        path
     }
 }
 
-/// Goes on until a rule is broken, all is seen, or there are so many states.
-pub fn search(model: &Model, most: usize) -> Found {
-    let mut table = Table::begin(model.begin());
-    let (mut at, mut steps, mut broken) = (0, 0, None);
+/// Explores until a rule is violated or no state is left, and panics beyond `max_states`.
+pub fn search(model: &Model, max_states: usize) -> SearchResult {
+    let mut table = StateTable::begin(model.begin());
+    let (mut at, mut steps, mut violation) = (0, 0, None);
     let mut next: Vec<Next> = Vec::new();
-    while at < table.states.len() && broken.is_none() {
-        assert!(table.states.len() <= most, "more than {most} states");
+    while at < table.states.len() && violation.is_none() {
+        assert!(
+            table.states.len() <= max_states,
+            "more than {max_states} states"
+        );
         model.steps(&table.states[at].clone(), &mut next);
         steps += next.len();
         for Next { step, state, rule } in next.drain(..) {
             if let Err(rule) = rule {
-                let mut way = table.way_to(at);
-                way.push(step);
-                broken = Some((rule, way));
+                let mut path = table.path_to(at);
+                path.push(step);
+                violation = Some((rule, path));
                 break;
             }
-            table.add(state, (at as u32, step));
+            table.push(state, (at as u32, step));
         }
         at += 1;
     }
-    let longest = table.way_to(table.states.len() - 1).len();
-    Found {
+    let longest = table.path_to(table.states.len() - 1).len();
+    SearchResult {
         states: table.states.len(),
         steps,
         longest,
-        seen: model.seen.get(),
-        broken,
+        coverage: model.coverage.get(),
+        violation,
     }
 }
--- a/crates/rookpulley-chain/tests/model/state.rs
+++ b/crates/rookpulley-chain/tests/model/state.rs
@@ -1,17 +1,17 @@
-//! What the model holds: three places with their controllers, the views, the votes that were told, and all that members of
-//! a view have ever told each other.
+//! Model state: three machines with their controllers, the decided views, the votes, and everything that members of a
+//! view have announced to each other.
 
 use rookpulley_chain::{Member, View};
 use std::collections::{BTreeSet, HashMap};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-pub const PLACES: usize = 3;
-/// Views are numbered from one to so many at most.
-pub const NUMBERS: usize = 3;
-/// Ballots for all numbers together.
+pub const MACHINES: usize = 3;
+/// The highest view number; views are numbered from one.
+pub const MAX_VIEWS: usize = 3;
+/// The number of ballots of all view numbers together.
 pub const SLOTS: usize = 4;
 
-/// Updates in their order: two bits for each, the first in the lowest. An update is 1, 2 or 3.
+/// A sequence of updates 1 to 3, with two bits each and the first in the lowest bits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Log(u8);
 
@@ -28,32 +28,32 @@
         Self(self.0 & ((1u16 << (2 * count)) - 1) as u8)
     }
 
-    pub fn add(&mut self, update: u8) {
+    pub fn push(&mut self, update: u8) {
         self.0 |= update << (2 * self.count());
     }
 
-    pub fn begins(self, whole: Self) -> bool {
+    pub fn is_prefix_of(self, whole: Self) -> bool {
         whole.first(self.count()) == self
     }
 }
 
-/// One controller, by its place. Of its votes only the newest number's are kept, as on the real disk.
+/// One controller. Only the vote for the newest view number is kept, as on a real disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Controller {
     pub id: u8,
     pub incarnation: u8,
-    /// The newest view known here, the one installed, the one that it promised never to install.
+    /// The newest known view, the installed view, and the view that it promised not to install.
     pub known: u8,
     pub installed: u8,
-    pub never: u8,
-    /// All that it holds, how much of it is synced, and how much applied.
+    pub abandoned: u8,
+    /// The log, and how much of it is synced and applied.
     pub log: Log,
-    pub own: u8,
-    pub done: u8,
+    pub synced: u8,
+    pub applied: u8,
     pub vote: Vote,
 }
 
-/// Ballots count from one, and none is zero.
+/// Ballots count from one; zero means none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Vote {
     pub number: u8,
@@ -61,28 +61,28 @@
     pub accepted: u8,
 }
 
-/// A proposal for one number under one ballot, and what was answered to it. Views are numbers in the table; identities
-/// are bits.
+/// A proposal for one view number under one ballot, with its answers. Views are indices into `Views`; sets of
+/// identities are bit masks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Slot {
-    pub wanted: u16,
+    pub proposed: u16,
     pub sent: u16,
     pub accepted: u8,
-    /// Three bits an identity: none, or one more than the ballot that it had accepted before.
+    /// Three bits for each identity: zero without a promise, else one more than the ballot it had accepted.
     pub promises: u16,
 }
 
-/// All that a member has told in one view: what it holds, up to where it and all before it have synced it, what it has
-/// applied.
+/// What a member has announced in one view: its log, how much of it all members up to this one have synced, and how
+/// much it has applied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Told {
+pub struct Announced {
     pub installed: bool,
     pub log: Log,
-    pub own: u8,
-    pub done: u8,
+    pub synced: u8,
+    pub applied: u8,
 }
 
-/// A read on its way: its view, how much was acknowledged when it was asked, the last member that it has passed.
+/// A read in progress: its view, how many updates were acknowledged when it began, and the last member it passed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Read {
     pub view: u8,
@@ -92,28 +92,28 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct State {
-    pub controllers: [Controller; PLACES],
-    /// Identities whose disks are gone.
+    pub controllers: [Controller; MACHINES],
+    /// Identities whose disks are lost, as a bit mask.
     pub lost: u8,
     pub crashes: u8,
     pub wipes: u8,
     pub updates: u8,
-    /// The decided view of each number, as its place in the table; none is zero.
-    pub views: [u16; NUMBERS],
+    /// The decided view of each number as an index into `Views`; zero means none.
+    pub views: [u16; MAX_VIEWS],
     pub slots: [Slot; SLOTS],
-    pub told: [[Told; PLACES]; NUMBERS],
-    /// The newest view that ever was at work; by bits, those that some member promised never to install.
-    pub at_work: u8,
-    pub dead: u8,
+    pub announced: [[Announced; MACHINES]; MAX_VIEWS],
+    /// The newest view that was ever active, and a bit mask of the views that a member promised not to install.
+    pub active: u8,
+    pub abandoned_views: u8,
     pub read: Read,
-    /// What was acknowledged, in its order, and the view that acknowledged the first of it.
-    pub order: Log,
-    pub first_in: u8,
+    /// The acknowledged updates in order, and the view that acknowledged the first one.
+    pub acknowledged: Log,
+    pub first_acknowledged_in: u8,
 }
 
 impl State {
-    pub fn is_dead(&self, number: u8) -> bool {
-        self.dead & bit(number - 1) != 0
+    pub fn is_abandoned(&self, number: u8) -> bool {
+        self.abandoned_views & bit(number - 1) != 0
     }
 }
 
@@ -130,7 +130,7 @@
     }
 }
 
-pub fn place_of(member: &Member) -> usize {
+pub fn machine_of(member: &Member) -> usize {
     member.address.ip().octets()[3].into()
 }
 
@@ -138,25 +138,25 @@
 pub const IDS: u8 = 5;
 const INCARNATIONS: usize = 4;
 
-/// What a view says of each identity and incarnation, asked once.
-pub struct Known {
+/// A view with its cached answers about each identity and incarnation.
+pub struct ViewInfo {
     pub view: View,
     pub majority: u32,
     pub length: usize,
-    /// Where the members are, by their place in the view.
+    /// The machine of each member, in view order.
     pub places: Vec<usize>,
-    /// Identities with a say in the next one, as bits.
+    /// Identities that vote on the next view, as a bit mask.
     pub voters: u8,
     at: [Option<u8>; IDS as usize],
     names: [[bool; INCARNATIONS]; IDS as usize],
 }
 
-impl Known {
+impl ViewInfo {
     fn of(view: View) -> Self {
         Self {
             majority: view.majority() as u32,
             length: view.members.len(),
-            places: view.members.iter().map(place_of).collect(),
+            places: view.members.iter().map(machine_of).collect(),
             voters: (0..IDS)
                 .filter(|id| view.is_acceptor((*id).into()))
                 .map(bit)
@@ -169,11 +169,11 @@
         }
     }
 
-    pub fn holds(&self, controller: &Controller) -> bool {
+    pub fn has_identity(&self, controller: &Controller) -> bool {
         self.at[usize::from(controller.id)].is_some()
     }
 
-    /// The place among the members, where this incarnation is one.
+    /// The position of this incarnation among the members.
     pub fn names(&self, controller: &Controller) -> Option<usize> {
         let id = usize::from(controller.id);
         self.at[id]
@@ -182,27 +182,27 @@
     }
 }
 
-/// Each view once, so that states stay small, and what `View::decides` said of it.
+/// Interned views, which keep states small, and cached results of `View::is_quorum`.
 #[derive(Default)]
 pub struct Views {
-    all: Vec<Known>,
+    all: Vec<ViewInfo>,
     numbers: HashMap<Vec<u64>, u16>,
     decides: HashMap<(u16, u8, u8), bool>,
 }
 
 impl Views {
-    pub fn get(&self, number: u16) -> Option<&Known> {
+    pub fn get(&self, number: u16) -> Option<&ViewInfo> {
         self.all.get(usize::from(number).wrapping_sub(1))
     }
 
-    pub fn keep(&mut self, view: View) -> u16 {
+    pub fn intern(&mut self, view: View) -> u16 {
         let who = view.acceptors().flat_map(|m| [m.id, m.incarnation]);
         let key = [view.number, view.members.len() as u64]
             .into_iter()
             .chain(who)
             .collect();
         *self.numbers.entry(key).or_insert_with(|| {
-            self.all.push(Known::of(view));
+            self.all.push(ViewInfo::of(view));
             self.all.len() as u16
         })
     }
