--- a/crates/rookpulley-chain/tests/model/rules.rs
+++ b/crates/rookpulley-chain/tests/model/rules.rs
@@ -87,7 +87,7 @@
     Decide { number: u8, voters: u8 },
     Learn { place: u8, number: u8 },
     Install { place: u8, number: u8 },
-    Never { place: u8, number: u8 },
+    Abandon { place: u8, number: u8 },
     Crash { place: u8, keeps: u8 },
     Wipe { place: u8, voted: Option<u8> },
 }
@@ -208,8 +208,8 @@
     }
 
     /// The position of this incarnation among the members of a view.
-    fn names(&self, state: &State, place: usize, number: u8) -> Option<usize> {
-        self.with_view(state, number, |v| v.names(&state.controllers[place]))?
+    fn position_of(&self, state: &State, place: usize, number: u8) -> Option<usize> {
+        self.with_view(state, number, |v| v.position_of(&state.controllers[place]))?
     }
 
     fn length(&self, state: &State, number: u8) -> usize {
@@ -223,7 +223,7 @@
         let may = controller.known == number
             || (controller.known < number
                 && decided
-                && self.names(state, place, number) != Some(0));
+                && self.position_of(state, place, number) != Some(0));
         may.then_some(Controller {
             known: number,
             ..controller
@@ -239,7 +239,7 @@
             controller.installed == number && controller.known == number
         };
         if takes_part {
-            self.names(state, place, number)
+            self.position_of(state, place, number)
         } else {
             None
         }
@@ -279,7 +279,7 @@
             for number in 2..=newest {
                 self.learn(state, place, number, &mut push);
                 self.install(state, place, number, &mut push);
-                self.abandoned(state, place, number, &mut push);
+                self.abandon(state, place, number, &mut push);
             }
             for number in 2..=newest + 1 {
                 self.vote(state, place, number, &mut push);
@@ -488,7 +488,9 @@
         number: u8,
         push: &mut impl FnMut(Step, State, Rule),
     ) {
-        if state.controllers[place].known >= number || self.names(state, place, number) != Some(0) {
+        if state.controllers[place].known >= number
+            || self.position_of(state, place, number) != Some(0)
+        {
             return;
         }
         let mut after = *state;
@@ -523,7 +525,7 @@
         if controller.installed >= number || controller.abandoned >= number {
             return;
         }
-        let Some(at) = self.names(state, place, number).filter(|at| *at > 0) else {
+        let Some(at) = self.position_of(state, place, number).filter(|at| *at > 0) else {
             return;
         };
         let from = state.announced[usize::from(number) - 1][at - 1];
@@ -586,7 +588,7 @@
     }
 
     /// A member promises not to install a view that it has not installed.
-    fn abandoned(
+    fn abandon(
         &self,
         state: &State,
         place: usize,
@@ -609,7 +611,7 @@
             ..controller
         };
         push(
-            Step::Never {
+            Step::Abandon {
                 place: place as u8,
                 number,
             },
@@ -1022,7 +1024,7 @@
     fn may_participate(&self, state: &State, number: u8, at: usize) -> bool {
         self.with_view(state, number, |v| {
             let controller = &state.controllers[v.places[at]];
-            controller.known <= number && v.names(controller) == Some(at)
+            controller.known <= number && v.position_of(controller) == Some(at)
         })
         .unwrap_or(false)
     }
@@ -1065,7 +1067,7 @@
         }
         for place in 0..MACHINES {
             let controller = state.controllers[place];
-            let named = self.names(state, place, controller.known).is_some();
+            let named = self.position_of(state, place, controller.known).is_some();
             if controller.abandoned != controller.known
                 || controller.installed >= controller.abandoned
                 || !named
@@ -1073,7 +1075,9 @@
                 state.controllers[place].abandoned = 0;
             }
             let acts = controller.known == controller.installed
-                && self.names(state, place, controller.installed).is_some();
+                && self
+                    .position_of(state, place, controller.installed)
+                    .is_some();
             if controller.installed < newest && !acts {
                 let controller = &mut state.controllers[place];
                 (controller.log, controller.synced) =
--- a/crates/rookpulley-chain/tests/model/state.rs
+++ b/crates/rookpulley-chain/tests/model/state.rs
@@ -148,7 +148,7 @@
     /// Identities that vote on the next view, as a bit mask.
     pub voters: u8,
     at: [Option<u8>; IDS as usize],
-    names: [[bool; INCARNATIONS]; IDS as usize],
+    includes: [[bool; INCARNATIONS]; IDS as usize],
 }
 
 impl ViewInfo {
@@ -162,7 +162,7 @@
                 .map(bit)
                 .sum(),
             at: std::array::from_fn(|id| view.position(id as u64).map(|at| at as u8)),
-            names: std::array::from_fn(|id| {
+            includes: std::array::from_fn(|id| {
                 std::array::from_fn(|incarnation| view.has_member(id as u64, incarnation as u64))
             }),
             view,
@@ -174,10 +174,10 @@
     }
 
     /// The position of this incarnation among the members.
-    pub fn names(&self, controller: &Controller) -> Option<usize> {
+    pub fn position_of(&self, controller: &Controller) -> Option<usize> {
         let id = usize::from(controller.id);
         self.at[id]
-            .filter(|_| self.names[id][usize::from(controller.incarnation)])
+            .filter(|_| self.includes[id][usize::from(controller.incarnation)])
             .map(usize::from)
     }
 }
