--- a/crates/rookpulley-devcluster/src/clients.rs
+++ b/crates/rookpulley-devcluster/src/clients.rs
@@ -1,9 +1,9 @@
-//! Clients: requests at a steady pace whatever becomes of those before, through all proxies in turn.
+//! Open-loop load: sends requests at a fixed rate through all proxies in turn, without waiting for earlier answers.
 
-use crate::operator::{FIRST, Kind, ROUTES, Route, SECOND};
+use crate::gateway_configuration::{FIRST, Kind, ROUTES, Route, SECOND};
 use crate::record::{Moment, Record, digest};
 use crate::task::{DEADLINE, REQUEST_ID, SIGNATURE};
-use crate::wire::{Line, Outcome};
+use crate::transport::{Connection, Outcome};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -15,15 +15,15 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, interval, sleep};
 
-const PACE: Duration = Duration::from_millis(14);
-/// A trial that goes on longer sends no more than this.
-pub const REQUESTS_MOST: u32 = 1_000;
-const PATIENCE: Duration = Duration::from_millis(2_500);
-const TRIES: u32 = 4;
-/// Connections kept at each proxy.
-const KEPT: usize = 12;
+const REQUEST_INTERVAL: Duration = Duration::from_millis(14);
+/// Upper bound on the requests of one trial.
+pub const MAX_REQUESTS: u32 = 1_000;
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
+const MAX_TRIES: u32 = 4;
+/// Idle connections kept open to each proxy.
+const MAX_IDLE_CONNECTIONS: usize = 12;
 
-/// What a client saw of one try.
+/// The result of one try as the client saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
     Answer {
@@ -37,7 +37,7 @@
 }
 
 impl Seen {
-    /// A word that nothing was run, whatever the request was.
+    /// Whether the status promises that the request was not executed.
     pub fn refused(&self) -> bool {
         matches!(
             self,
@@ -49,6 +49,7 @@
     }
 }
 
+/// One try of a request; a trial with --keep writes it to tries.txt.
 #[derive(Clone, Debug)]
 pub struct Try {
     pub id: String,
@@ -77,35 +78,35 @@
 
 pub struct Clients {
     proxies: Vec<SocketAddrV4>,
-    kept: Vec<RefCell<Vec<Line>>>,
+    idle_connections: Vec<RefCell<Vec<Connection>>>,
     record: Rc<Record>,
     pub tries: RefCell<Vec<Try>>,
     pub sent: Cell<u32>,
-    /// The version whose routes are asked for.
+    /// The configuration version whose routes are requested.
     version: Cell<u64>,
-    pub over: Cell<bool>,
+    pub stopped: Cell<bool>,
 }
 
 impl Clients {
     pub fn new(proxies: Vec<SocketAddrV4>, record: Rc<Record>) -> Rc<Self> {
-        let kept = proxies.iter().map(|_| RefCell::default()).collect();
+        let idle_connections = proxies.iter().map(|_| RefCell::default()).collect();
         Rc::new(Self {
             proxies,
-            kept,
+            idle_connections,
             record,
             tries: RefCell::default(),
             sent: Cell::new(0),
             version: Cell::new(FIRST),
-            over: Cell::new(false),
+            stopped: Cell::new(false),
         })
     }
 
-    /// Sends until it is over, and returns when every answer has come or is given up.
+    /// Sends requests until stopped, then waits until each has been answered or has timed out.
     pub async fn run(self: Rc<Self>) {
-        let mut pace = interval(PACE);
+        let mut ticks = interval(REQUEST_INTERVAL);
         let mut requests = JoinSet::new();
-        while !self.over.get() && self.sent.get() < REQUESTS_MOST {
-            pace.tick().await;
+        while !self.stopped.get() && self.sent.get() < MAX_REQUESTS {
+            ticks.tick().await;
             let number = self.sent.get();
             self.sent.set(number + 1);
             requests.spawn_local(self.clone().request(number));
@@ -122,33 +123,38 @@
         let Some(route) = routes.get(number as usize % routes.len().max(1)).copied() else {
             return;
         };
-        let until = Instant::now() + PATIENCE;
-        for again in 0..TRIES {
-            let (seen, wait) = self.one_try(number, again, route, until).await;
+        let deadline = Instant::now() + REQUEST_TIMEOUT;
+        for attempt in 0..MAX_TRIES {
+            let (seen, retry_after) = self.send_try(number, attempt, route, deadline).await;
             let failed = match seen {
                 Seen::Answer { status, .. } => status >= 500,
                 Seen::CutOff(_) | Seen::Nothing => true,
             };
-            let left = until.saturating_duration_since(Instant::now());
+            let remaining = deadline.saturating_duration_since(Instant::now());
             if !(seen.refused() || failed && route.kind.is_idempotent())
-                || left < Duration::from_millis(50)
+                || remaining < Duration::from_millis(50)
             {
                 return;
             }
-            // As long as the answer asks for, up to a third of what is left.
-            sleep(wait.unwrap_or(Duration::from_millis(20)).min(left / 3)).await;
+            // Honours Retry-After, up to a third of the remaining time.
+            sleep(
+                retry_after
+                    .unwrap_or(Duration::from_millis(20))
+                    .min(remaining / 3),
+            )
+            .await;
         }
     }
 
-    async fn one_try(
+    async fn send_try(
         &self,
         number: u32,
-        again: u32,
+        attempt: u32,
         route: &'static Route,
-        until: Instant,
+        deadline: Instant,
     ) -> (Seen, Option<Duration>) {
-        let proxy = (number + number / 5 + again) as usize % self.proxies.len().max(1);
-        let id = format!("{:016x}", digest((number, again)));
+        let proxy = (number + number / 5 + attempt) as usize % self.proxies.len().max(1);
+        let id = format!("{:016x}", digest((number, attempt)));
         let target = format!(
             "{}{}?part={number}&mark=%2e%2E",
             route.prefix,
@@ -161,30 +167,35 @@
             ),
             Kind::ReadOnly | Kind::Download => ("GET", String::new()),
         };
-        // A try after the first has a connection of its own.
-        let fresh = again > 0 || number.is_multiple_of(3);
-        let left = until.saturating_duration_since(Instant::now()).as_millis();
+        // Retries and every third request use a new connection.
+        let new_connection = attempt > 0 || number.is_multiple_of(3);
+        let remaining = deadline
+            .saturating_duration_since(Instant::now())
+            .as_millis();
         let mut request = Request::builder()
             .method(method)
             .uri(&target)
             .header(HOST, route.host);
         request = request
             .header(REQUEST_ID, &id)
-            .header(DEADLINE, left.to_string());
-        if fresh {
+            .header(DEADLINE, remaining.to_string());
+        if new_connection {
             request = request.header(CONNECTION, "close");
         }
         let sent = self.record.now();
         let body = Bytes::from(body);
-        let digested = digest(&body);
+        let body_digest = digest(&body);
         let outcome = match request.body(Full::new(body)) {
-            Ok(request) => self.exchange(proxy, request, fresh, until).await,
-            Err(_) => Outcome::Nothing,
+            Ok(request) => {
+                self.exchange(proxy, request, new_connection, deadline)
+                    .await
+            }
+            Err(_) => Outcome::NoAnswer,
         };
-        let mut wait = None;
+        let mut retry_after = None;
         let seen = match outcome {
-            Outcome::Whole(answer) => {
-                wait = answer
+            Outcome::Complete(answer) => {
+                retry_after = answer
                     .header(&RETRY_AFTER)
                     .and_then(|text| text.parse::<f64>().ok());
                 Seen::Answer {
@@ -194,8 +205,8 @@
                     body: digest(&answer.body),
                 }
             }
-            Outcome::CutOff(status) => Seen::CutOff(status),
-            Outcome::Nothing => Seen::Nothing,
+            Outcome::Truncated(status) => Seen::CutOff(status),
+            Outcome::NoAnswer => Seen::Nothing,
         };
         self.tries.borrow_mut().push(Try {
             id,
@@ -204,55 +215,60 @@
             route,
             method,
             target,
-            body: digested,
+            body: body_digest,
             sent,
             ended: self.record.now(),
             seen: seen.clone(),
         });
-        let wait = wait
-            .filter(|wait| (0.0..=60.0).contains(wait))
+        let retry_after = retry_after
+            .filter(|retry_after| (0.0..=60.0).contains(retry_after))
             .map(Duration::from_secs_f64);
-        (seen, wait)
+        (seen, retry_after)
     }
 
     async fn exchange(
         &self,
         proxy: usize,
         request: Request<Full<Bytes>>,
-        fresh: bool,
-        until: Instant,
+        new_connection: bool,
+        deadline: Instant,
     ) -> Outcome {
-        let (Some(to), Some(kept)) = (self.proxies.get(proxy), self.kept.get(proxy)) else {
-            return Outcome::Nothing;
+        let (Some(to), Some(idle_connections)) =
+            (self.proxies.get(proxy), self.idle_connections.get(proxy))
+        else {
+            return Outcome::NoAnswer;
         };
-        let mut line = None;
-        while let Some(one) = (!fresh).then(|| kept.borrow_mut().pop()).flatten() {
-            if one.open() {
-                line = Some(one);
+        let mut connection = None;
+        while let Some(candidate) = (!new_connection)
+            .then(|| idle_connections.borrow_mut().pop())
+            .flatten()
+        {
+            if candidate.is_open() {
+                connection = Some(candidate);
                 break;
             }
         }
-        let dialed = if line.is_none() {
-            Line::dial(*to).await
+        let opened = if connection.is_none() {
+            Connection::connect(*to).await
         } else {
             None
         };
-        let Some(mut line) = line.or(dialed) else {
-            return Outcome::Nothing;
+        let Some(mut connection) = connection.or(opened) else {
+            return Outcome::NoAnswer;
         };
-        let outcome = line.ask(request, until).await;
-        if !fresh
-            && matches!(outcome, Outcome::Whole(_))
-            && line.open()
-            && kept.borrow().len() < KEPT
+        let outcome = connection.send(request, deadline).await;
+        if !new_connection
+            && matches!(outcome, Outcome::Complete(_))
+            && connection.is_open()
+            && idle_connections.borrow().len() < MAX_IDLE_CONNECTIONS
         {
-            kept.borrow_mut().push(line);
+            idle_connections.borrow_mut().push(connection);
         }
         outcome
     }
 
-    /// Requests for the routes of the second version from now on.
-    pub fn use_second(&self) {
+    /// From now on also requests the routes that the second version adds.
+    pub fn use_second_version(&self) {
         self.version.set(SECOND);
     }
 }
--- a/crates/rookpulley-devcluster/src/cluster.rs
+++ b/crates/rookpulley-devcluster/src/cluster.rs
@@ -1,13 +1,13 @@
-//! A whole gateway with its tasks: brought up, looked after, ended in order.
+//! A complete gateway with its tasks: startup, supervision and ordered shutdown.
 
-use crate::caller::{Caller, once};
-use crate::environment::{Environment, MACHINES};
-use crate::faults::ClusterError;
-use crate::heartbeats::begin;
-use crate::operator::{FIRST, LETTERS, PARCELS, configuration};
-use crate::processes::{Processes, tails};
+use crate::control_client::{ControlClient, send_once};
+use crate::environment::{Environment, MACHINE_COUNT};
+use crate::errors::ClusterError;
+use crate::gateway_configuration::{FIRST, LETTERS, PARCELS, configuration};
+use crate::heartbeats::spawn_task;
+use crate::node_settings::{Role, ZONES};
+use crate::processes::{Processes, all_log_tails};
 use crate::record::Record;
-use crate::sheet::{Role, ZONES};
 use crate::task::{Stage, Task};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
@@ -15,14 +15,15 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// What must have come within this time of being asked for.
-pub const WITHIN: Duration = Duration::from_secs(12);
-/// How often a condition is looked at.
-const LOOK: Duration = Duration::from_millis(25);
-const ANSWERS: Duration = Duration::from_millis(500);
-/// Tasks of each service, with their slots.
+/// Time limit for each step that the cluster waits for.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(12);
+/// How often a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The slot counts of each service's tasks.
 const SERVICES: [(&str, &[usize]); 2] = [(LETTERS, &[4, 4, 3, 2]), (PARCELS, &[4, 3])];
 
+/// The processes and tasks of a running gateway.
 pub struct Cluster {
     pub environment: Environment,
     pub processes: Processes,
@@ -32,29 +33,30 @@
 
 impl Cluster {
     pub fn new(keep: bool, verbose: bool) -> Result<Self, ClusterError> {
-        let processes = Processes::find(verbose)?;
-        let environment = Environment::find(keep)?;
+        let processes = Processes::locate(verbose)?;
+        let environment = Environment::create(keep)?;
         Ok(Self {
             environment,
             processes,
             tasks: Vec::new(),
-            record: Rc::new(Record::begin()),
+            record: Rc::new(Record::start()),
         })
     }
 
-    /// Returns once all proxies say that they are ready.
+    /// Starts processes and tasks and returns once all proxies report that they are ready.
     pub async fn start(&mut self) -> Result<(), ClusterError> {
         self.processes.start_all(&self.environment)?;
         self.start_tasks().await?;
         self.configure(FIRST).await?;
-        for machine in 0..MACHINES {
-            let to = self.environment.readiness(machine);
+        for machine in 0..MACHINE_COUNT {
+            let address = self.environment.readiness(machine);
             let ready = || async move {
-                let answer = once(to, "GET", "/rookpulley/readiness", "", ANSWERS).await;
+                let answer =
+                    send_once(address, "GET", "/rookpulley/readiness", "", PROBE_TIMEOUT).await;
                 answer.is_some_and(|(status, _)| status == 200)
             };
-            self.wait(
-                &format!("that {} is ready", Role::Proxy.name(machine)),
+            self.wait_for(
+                &format!("{} to become ready", Role::Proxy.name(machine)),
                 ready,
             )
             .await?;
@@ -64,16 +66,20 @@
 
     async fn start_tasks(&mut self) -> Result<(), ClusterError> {
         for (service, tasks) in SERVICES {
-            for (at, slots) in tasks.iter().enumerate() {
+            for (index, slots) in tasks.iter().enumerate() {
                 let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
-                let listener = listener.map_err(ClusterError::system("a task can't listen"))?;
+                let listener =
+                    listener.map_err(ClusterError::system("cannot open a listener for a task"))?;
                 let port = listener
                     .local_addr()
-                    .map_err(ClusterError::system("a task can't listen"))?
+                    .map_err(ClusterError::system("cannot open a listener for a task"))?
                     .port();
                 let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
-                let incarnation = format!("i-{service}-{}-{port}", at + 1);
-                let zone = ZONES.get(at % MACHINES).copied().unwrap_or_default();
+                let incarnation = format!("i-{service}-{}-{port}", index + 1);
+                let zone = ZONES
+                    .get(index % MACHINE_COUNT)
+                    .copied()
+                    .unwrap_or_default();
                 let task = Task::new(
                     incarnation,
                     service,
@@ -82,95 +88,99 @@
                     *slots,
                     self.record.clone(),
                 );
-                begin(&task, listener, self.environment.controls());
+                spawn_task(&task, listener, self.environment.controls());
                 self.tasks.push(task);
             }
         }
         Ok(())
     }
 
-    /// The operator sends a version until it is acknowledged.
+    /// Sends a configuration version until a controller acknowledges it.
     pub async fn configure(&mut self, version: u64) -> Result<(), ClusterError> {
-        let caller = Caller::new(
+        let client = ControlClient::new(
             self.environment.controls(),
             version as usize,
             self.record.clone(),
         );
         let body = configuration(version);
         let sent = async {
-            let until = Instant::now() + WITHIN;
-            let reply = caller
-                .call("PUT", "/rookpulley/configuration", &body, until)
+            let deadline = Instant::now() + STEP_TIMEOUT;
+            let reply = client
+                .call("PUT", "/rookpulley/configuration", &body, deadline)
                 .await;
             reply.is_some_and(|reply| reply.status == 200)
         };
-        let taken = self.while_all_run(sent).await?;
-        if taken {
+        let accepted = self.while_processes_run(sent).await?;
+        if accepted {
             Ok(())
         } else {
-            Err(self.late(&format!("an acknowledgement of configuration {version}")))
+            Err(self.timed_out(&format!("the acknowledgement of configuration {version}")))
         }
     }
 
-    /// Does something that ends by itself, but no longer than the processes run.
-    async fn while_all_run<T>(&mut self, work: impl Future<Output = T>) -> Result<T, ClusterError> {
+    /// Runs a future to completion, or fails as soon as a process exits.
+    async fn while_processes_run<T>(
+        &mut self,
+        work: impl Future<Output = T>,
+    ) -> Result<T, ClusterError> {
         let mut work = std::pin::pin!(work);
         loop {
             tokio::select! {
                 done = work.as_mut() => return Ok(done),
-                () = sleep(LOOK) => self.processes.all_run(&self.environment)?,
+                () = sleep(POLL_INTERVAL) => self.processes.check_running(&self.environment)?,
             }
         }
     }
 
-    /// Looks at a condition until it holds.
-    pub async fn wait<F: Future<Output = bool>>(
+    /// Polls a condition until it holds or the step times out.
+    pub async fn wait_for<F: Future<Output = bool>>(
         &mut self,
         what: &str,
-        holds: impl Fn() -> F,
+        condition: impl Fn() -> F,
     ) -> Result<(), ClusterError> {
-        let until = Instant::now() + WITHIN;
-        while !self.while_all_run(holds()).await? {
-            if Instant::now() > until {
-                return Err(self.late(what));
+        let deadline = Instant::now() + STEP_TIMEOUT;
+        while !self.while_processes_run(condition()).await? {
+            if Instant::now() > deadline {
+                return Err(self.timed_out(what));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    fn late(&self, what: &str) -> ClusterError {
-        ClusterError::Late {
+    fn timed_out(&self, what: &str) -> ClusterError {
+        ClusterError::Timeout {
             what: what.into(),
-            seconds: WITHIN.as_secs(),
-            tails: tails(&self.environment),
+            seconds: STEP_TIMEOUT.as_secs(),
+            log_tails: all_log_tails(&self.environment),
         }
     }
 
-    /// The tasks take their leave, then the processes are told to end. Gives back what didn't go as it should.
-    pub async fn end(&mut self) -> Vec<String> {
-        let leaving = |task: &Rc<Task>| {
+    /// Drains the tasks, then terminates the processes. Returns a message for each failure.
+    pub async fn shut_down(&mut self) -> Vec<String> {
+        let begin_drain = |task: &Rc<Task>| {
             task.stage.send_if_modified(|stage| {
-                let begins = *stage == Stage::Available;
-                *stage = if begins { Stage::Draining } else { *stage };
-                begins
+                let changed = *stage == Stage::Available;
+                *stage = if changed { Stage::Draining } else { *stage };
+                changed
             });
         };
-        self.tasks.iter().for_each(leaving);
-        let until = Instant::now() + WITHIN;
-        while self.tasks.iter().any(|task| task.stage() != Stage::Gone) && Instant::now() < until {
-            sleep(LOOK).await;
+        self.tasks.iter().for_each(begin_drain);
+        let deadline = Instant::now() + STEP_TIMEOUT;
+        while self.tasks.iter().any(|task| task.stage() != Stage::Gone) && Instant::now() < deadline
+        {
+            sleep(POLL_INTERVAL).await;
         }
         let mut faults: Vec<String> = Vec::new();
-        while let Some((name, status)) = self.processes.ended() {
-            faults.push(format!("{name} had ended by itself ({status})"));
+        while let Some((name, status)) = self.processes.take_exited() {
+            faults.push(format!("{name} exited unexpectedly ({status})"));
         }
-        faults.extend(self.processes.end().await);
-        let unheard = self.record.unheard.borrow();
+        faults.extend(self.processes.terminate().await);
+        let unacknowledged = self.record.unacknowledged.borrow();
         faults.extend(
-            unheard
+            unacknowledged
                 .iter()
-                .map(|incarnation| format!("nobody acknowledged that {incarnation} left")),
+                .map(|incarnation| format!("no controller acknowledged that {incarnation} left")),
         );
         faults
     }
--- a/crates/rookpulley-devcluster/src/caller.rs
+++ b/crates/rookpulley-devcluster/src/control_client.rs
@@ -1,7 +1,7 @@
-//! Calls of the control plane: to one controller after another until one gives a clear answer.
+//! A client of the control plane that tries the controllers in turn until one answers conclusively.
 
 use crate::record::{Moment, Record};
-use crate::wire::{Line, Outcome};
+use crate::transport::{Connection, Outcome};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -14,22 +14,22 @@
 use tinyjson::JsonValue;
 use tokio::time::{Instant, sleep};
 
-/// A controller that says nothing for so long is passed over.
-pub const SILENCE: Duration = Duration::from_secs(1);
-const PAUSE: Duration = Duration::from_millis(20);
-const PAUSE_MOST: Duration = Duration::from_millis(160);
+/// How long one controller may take to answer before the next one is tried.
+pub const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(160);
 
-/// A clear answer.
+/// A conclusive answer: neither a server error nor a request to retry.
 pub struct Reply {
     pub status: u16,
     pub body: Bytes,
-    /// Of the call that was answered, not of those before it that weren't.
+    /// When the answered attempt was sent; earlier attempts don't count.
     pub sent: Moment,
-    pub got: Moment,
+    pub received: Moment,
 }
 
 impl Reply {
-    pub fn good(&self) -> bool {
+    pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// A field of the JSON object that an answer is.
+/// Reads one field of an answer that is a JSON object.
 pub fn field(answer: &[u8], name: &str) -> Option<JsonValue> {
     let value: JsonValue = std::str::from_utf8(answer).ok()?.parse().ok()?;
     value
@@ -57,15 +57,15 @@
         .cloned()
 }
 
-/// One call to one controller on a connection of its own.
-pub async fn once(
+/// Sends one call to one controller on a new connection.
+pub async fn send_once(
     to: SocketAddrV4,
     method: &str,
     path: &str,
     body: &str,
-    within: Duration,
+    timeout: Duration,
 ) -> Option<(u16, Bytes)> {
-    let until = Instant::now() + within;
+    let deadline = Instant::now() + timeout;
     let mut request = Request::builder()
         .method(method)
         .uri(path)
@@ -77,20 +77,21 @@
         .header(CONNECTION, "close")
         .body(Full::new(Bytes::from(body.to_owned())))
         .ok()?;
-    match Line::dial(to).await?.ask(request, until).await {
-        Outcome::Whole(answer) => Some((answer.status, answer.body)),
-        Outcome::CutOff(_) | Outcome::Nothing => None,
+    match Connection::connect(to).await?.send(request, deadline).await {
+        Outcome::Complete(answer) => Some((answer.status, answer.body)),
+        Outcome::Truncated(_) | Outcome::NoAnswer => None,
     }
 }
 
-pub struct Caller {
+/// Calls the controllers in turn, with exponential backoff.
+pub struct ControlClient {
     controllers: Vec<SocketAddrV4>,
     next: Cell<usize>,
     record: Rc<Record>,
 }
 
-impl Caller {
-    /// `first`: where it begins. Each call goes to another controller than the one before.
+impl ControlClient {
+    /// `first` is the index of the controller to start with. Every attempt goes to the next controller.
     pub fn new(controllers: Vec<SocketAddrV4>, first: usize, record: Rc<Record>) -> Self {
         Self {
             controllers,
@@ -100,50 +101,52 @@
     }
 
     fn next(&self) -> Option<SocketAddrV4> {
-        let place = self.next.replace(self.next.get().wrapping_add(1));
+        let index = self.next.replace(self.next.get().wrapping_add(1));
         self.controllers
-            .get(place % self.controllers.len().max(1))
+            .get(index % self.controllers.len().max(1))
             .copied()
     }
 
-    /// Sends the same call until the answer is clear or the time is over.
+    /// Repeats a call until an answer is conclusive or the deadline passes.
     pub async fn call(
         &self,
         method: &str,
         path: &str,
         body: &str,
-        until: Instant,
+        deadline: Instant,
     ) -> Option<Reply> {
-        self.call_within(method, path, body, SILENCE, until).await
+        self.call_with_timeout(method, path, body, REPLY_TIMEOUT, deadline)
+            .await
     }
 
-    pub async fn call_within(
+    pub async fn call_with_timeout(
         &self,
         method: &str,
         path: &str,
         body: &str,
-        silence: Duration,
-        until: Instant,
+        timeout: Duration,
+        deadline: Instant,
     ) -> Option<Reply> {
-        let mut pause = PAUSE;
+        let mut delay = RETRY_DELAY;
         loop {
             let controller = self.next()?;
             let sent = self.record.now();
-            let answer = once(controller, method, path, body, silence).await;
-            let clear = answer.filter(|(status, _)| *status < 500 && !matches!(status, 408 | 429));
-            if let Some((status, body)) = clear {
+            let answer = send_once(controller, method, path, body, timeout).await;
+            let conclusive =
+                answer.filter(|(status, _)| *status < 500 && !matches!(status, 408 | 429));
+            if let Some((status, body)) = conclusive {
                 return Some(Reply {
                     status,
                     body,
                     sent,
-                    got: self.record.now(),
+                    received: self.record.now(),
                 });
             }
-            if Instant::now() + pause >= until {
+            if Instant::now() + delay >= deadline {
                 return None;
             }
-            sleep(pause).await;
-            pause = (pause * 2).min(PAUSE_MOST);
+            sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 }
--- a/crates/rookpulley-devcluster/src/environment.rs
+++ b/crates/rookpulley-devcluster/src/environment.rs
@@ -1,97 +1,99 @@
-//! What a cluster stands on: three addresses of this machine, ports that are free on all of them, a folder.
+//! The resources of a cluster: three loopback addresses, ports that are free on all of them, and a temporary folder.
 
-use crate::faults::ClusterError;
+use crate::errors::ClusterError;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 use std::path::Path;
 use tempfile::TempDir;
 
-pub const MACHINES: usize = 3;
-/// Ports of the inner range, and of all that a cluster takes: the outer ones and the guard follow the inner ones.
-const INNER: u16 = 16;
-const BLOCK: u16 = 32;
-const LOWEST: u16 = 10_240;
-const HIGHEST: u16 = 60_000;
+pub const MACHINE_COUNT: usize = 3;
+/// Size of the internal port range and of the whole block; the public ports and the guard follow the internal ones.
+const INTERNAL_PORTS: u16 = 16;
+const BLOCK_SIZE: u16 = 32;
+const MIN_PORT: u16 = 10_240;
+const MAX_PORT: u16 = 60_000;
 
-/// The ports that all three machines use.
+/// A block of ports, the same on all three machines.
 pub struct Ports {
     first: u16,
-    /// Held as long as the cluster stands: another cluster that meets it looks further.
+    /// Reserves the block for the life of the cluster, so that another cluster skips it.
     _guard: TcpListener,
 }
 
 impl Ports {
-    pub fn inner(&self) -> (u16, u16) {
-        (self.first, self.first + INNER - 1)
+    pub fn internal(&self) -> (u16, u16) {
+        (self.first, self.first + INTERNAL_PORTS - 1)
     }
 
     pub fn front(&self) -> u16 {
-        self.first + INNER
+        self.first + INTERNAL_PORTS
     }
 
     pub fn readiness(&self) -> u16 {
-        self.first + INNER + 1
+        self.first + INTERNAL_PORTS + 1
     }
 
     pub fn control(&self) -> u16 {
-        self.first + INNER + 2
+        self.first + INTERNAL_PORTS + 2
     }
 
-    /// Looks for a block of free ports, from where the system's own next port says. It lies below the ports that
-    /// the system gives to outgoing connections, where it can: a killed controller's would be given away meanwhile.
-    fn find() -> Result<Self, ClusterError> {
-        let given =
+    /// Finds a block of free ports, starting at a position derived from an ephemeral port. Prefers ports below the
+    /// ephemeral range, so that a killed controller's port isn't reused by an outgoing connection.
+    fn allocate() -> Result<Self, ClusterError> {
+        let ephemeral =
             TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|listener| listener.local_addr());
-        let given = given
-            .map_err(ClusterError::system("no port is given"))?
+        let ephemeral = ephemeral
+            .map_err(ClusterError::system("cannot bind an ephemeral port"))?
             .port();
-        let own = own_ports()
-            .filter(|lowest| *lowest >= LOWEST + 8 * BLOCK)
-            .unwrap_or(HIGHEST);
-        let blocks = (own - LOWEST) / BLOCK;
-        let order = (0..blocks).map(|step| LOWEST + (given.wrapping_add(step) % blocks) * BLOCK);
-        order
+        let limit = ephemeral_port_start()
+            .filter(|lowest| *lowest >= MIN_PORT + 8 * BLOCK_SIZE)
+            .unwrap_or(MAX_PORT);
+        let blocks = (limit - MIN_PORT) / BLOCK_SIZE;
+        let candidates =
+            (0..blocks).map(|step| MIN_PORT + (ephemeral.wrapping_add(step) % blocks) * BLOCK_SIZE);
+        candidates
             .into_iter()
-            .find_map(Self::take)
+            .find_map(Self::try_reserve)
             .ok_or(ClusterError::NoPorts)
     }
 
-    fn take(first: u16) -> Option<Self> {
-        let guard = TcpListener::bind((Ipv4Addr::LOCALHOST, first + BLOCK - 1)).ok()?;
+    fn try_reserve(first: u16) -> Option<Self> {
+        let guard = TcpListener::bind((Ipv4Addr::LOCALHOST, first + BLOCK_SIZE - 1)).ok()?;
         let ports = Self {
             first,
             _guard: guard,
         };
-        let free = (0..MACHINES).all(|machine| {
+        let free = (0..MACHINE_COUNT).all(|machine| {
             (first..=ports.control())
-                .all(|port| TcpListener::bind((address(machine), port)).is_ok())
+                .all(|port| TcpListener::bind((machine_ip(machine), port)).is_ok())
         });
         free.then_some(ports)
     }
 }
 
-/// Where the ports begin that the system gives to outgoing connections.
-fn own_ports() -> Option<u16> {
+/// The lowest port of the system's ephemeral range.
+fn ephemeral_port_start() -> Option<u16> {
     let text = std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range").ok()?;
     text.split_whitespace().next()?.parse().ok()
 }
 
-fn address(machine: usize) -> Ipv4Addr {
+fn machine_ip(machine: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, 0, 0, machine as u8 + 1)
 }
 
-/// Removed with the cluster, unless it is to stay.
+/// The ports and the folder of a cluster. The folder is removed on drop unless it is kept.
 pub struct Environment {
     pub ports: Ports,
     folder: TempDir,
 }
 
 impl Environment {
-    pub fn find(keep: bool) -> Result<Self, ClusterError> {
-        let ports = Ports::find()?;
+    pub fn create(keep: bool) -> Result<Self, ClusterError> {
+        let ports = Ports::allocate()?;
         let folder = tempfile::Builder::new()
             .prefix("rookpulley-devcluster-")
             .tempdir();
-        let mut folder = folder.map_err(ClusterError::system("no temporary folder can be made"))?;
+        let mut folder =
+            folder.map_err(ClusterError::system("cannot create a temporary folder"))?;
         folder.disable_cleanup(keep);
         Ok(Self { ports, folder })
     }
@@ -101,22 +103,24 @@
     }
 
     pub fn ip(&self, machine: usize) -> Ipv4Addr {
-        address(machine)
+        machine_ip(machine)
     }
 
     pub fn front(&self, machine: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(address(machine), self.ports.front())
+        SocketAddrV4::new(machine_ip(machine), self.ports.front())
     }
 
     pub fn readiness(&self, machine: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(address(machine), self.ports.readiness())
+        SocketAddrV4::new(machine_ip(machine), self.ports.readiness())
     }
 
     pub fn control(&self, machine: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(address(machine), self.ports.control())
+        SocketAddrV4::new(machine_ip(machine), self.ports.control())
     }
 
     pub fn controls(&self) -> Vec<SocketAddrV4> {
-        (0..MACHINES).map(|machine| self.control(machine)).collect()
+        (0..MACHINE_COUNT)
+            .map(|machine| self.control(machine))
+            .collect()
     }
 }
--- a/crates/rookpulley-devcluster/src/operator.rs
+++ b/crates/rookpulley-devcluster/src/gateway_configuration.rs
@@ -1,4 +1,4 @@
-//! The operator of a cluster: the services, the routes, and the configuration that tells of them.
+//! The gateway configuration of a cluster: its services and routes, in two versions.
 
 use crate::task::{HEALTH, MAX_CONNECTIONS};
 
@@ -13,7 +13,7 @@
 }
 
 impl Kind {
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             Kind::ReadOnly => "read_only",
             Kind::Mutating => "mutating",
@@ -32,13 +32,13 @@
     pub host: &'static str,
     pub prefix: &'static str,
     pub kind: Kind,
-    /// Several: the requests are split by these weights.
+    /// Target services with their weights for the traffic split.
     pub targets: &'static [(&'static str, u32)],
-    /// The first version that has it.
+    /// The first configuration version with this route.
     pub since: u64,
 }
 
-/// Versions go up by uneven steps.
+/// The two versions; the numbers are deliberately not consecutive.
 pub const FIRST: u64 = 3;
 pub const SECOND: u64 = 8;
 
@@ -88,6 +88,7 @@
     },
 ];
 
+/// The configuration document of a version.
 pub fn configuration(version: u64) -> String {
     let services = [LETTERS, PARCELS].map(|name| {
         format!(
@@ -98,7 +99,7 @@
         let rules = ROUTES
             .iter()
             .filter(|route| route.host == host && route.since <= version)
-            .map(rule);
+            .map(path_rule);
         format!(
             r#"{{"hostname":"{host}","pathRules":[{}]}}"#,
             rules.collect::<Vec<_>>().join(",")
@@ -112,18 +113,18 @@
     )
 }
 
-fn rule(route: &Route) -> String {
+fn path_rule(route: &Route) -> String {
     let Route { name, prefix, .. } = route;
-    let kind = route.kind.word();
+    let kind = route.kind.as_str();
     let targets = match route.targets {
         [(service, _)] => format!(r#""targetService":"{service}""#),
         split => {
-            let shares = split.iter().map(|(service, weight)| {
+            let splits = split.iter().map(|(service, weight)| {
                 format!(r#"{{"targetService":"{service}","weight":{weight}}}"#)
             });
             format!(
                 r#""trafficSplit":[{}]"#,
-                shares.collect::<Vec<_>>().join(",")
+                splits.collect::<Vec<_>>().join(",")
             )
         }
     };
--- a/crates/rookpulley-devcluster/src/heartbeats.rs
+++ b/crates/rookpulley-devcluster/src/heartbeats.rs
@@ -1,8 +1,8 @@
-//! What a task tells the controllers: that it lives, that it drains, that it has left.
+//! Reports a task's lifecycle to the controllers: heartbeats, draining and leaving.
 
-use crate::caller::{SILENCE, field, once};
+use crate::control_client::{REPLY_TIMEOUT, field, send_once};
+use crate::node_settings::{DRAIN_MS, HEARTBEAT_MS};
 use crate::record::{Drain, digest};
-use crate::sheet::{DRAIN_MS, HEARTBEAT_MS};
 use crate::task::{self, Stage, Task};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -11,23 +11,23 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-const ACKNOWLEDGEMENT_MOST: usize = 4 << 10;
-/// A task that nobody acknowledges ends all the same.
-const UNHEARD: Duration = Duration::from_secs(5);
-/// How long a task serves beyond what it must: whoever still sends there then is seen.
+const MAX_ACKNOWLEDGEMENT_BYTES: usize = 4 << 10;
+/// How long a task waits for an acknowledgement of its draining or leaving before it stops anyway.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a task serves beyond the drain period, so that late requests are detected.
 const LINGER: Duration = Duration::from_millis(900);
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-struct Heartbeats {
+struct HeartbeatSender {
     task: Rc<Task>,
     controllers: Vec<SocketAddrV4>,
     next: usize,
-    /// Where a controller asked for later heartbeats, until one to it fails.
+    /// The endpoint that a controller requested for further heartbeats; dropped when a heartbeat to it fails.
     endpoint: Option<SocketAddrV4>,
     sequence: u64,
 }
 
-impl Heartbeats {
+impl HeartbeatSender {
     fn path(&self) -> String {
         format!("/rookpulley/instances/{}", self.task.incarnation)
     }
@@ -46,29 +46,29 @@
             task.zone,
             task.slots,
             self.sequence,
-            task.cold().as_millis(),
+            task.cold_remaining().as_millis(),
         )
     }
 
-    /// One heartbeat, to one controller after another.
+    /// Sends one heartbeat, trying the controllers in turn.
     async fn heartbeat(&mut self) -> bool {
         let path = self.path();
         for _ in 0..=self.controllers.len() {
             self.sequence += 1;
-            let asked = self.endpoint.take();
+            let preferred = self.endpoint.take();
             let listed = self
                 .controllers
                 .get(self.next % self.controllers.len().max(1))
                 .copied();
-            let Some(controller) = asked.or(listed) else {
+            let Some(controller) = preferred.or(listed) else {
                 return false;
             };
-            match once(controller, "PUT", &path, &self.body(), SILENCE).await {
-                Some((200..=299, answer)) if answer.len() <= ACKNOWLEDGEMENT_MOST => {
-                    self.endpoint = endpoint(&answer).or(asked);
+            match send_once(controller, "PUT", &path, &self.body(), REPLY_TIMEOUT).await {
+                Some((200..=299, answer)) if answer.len() <= MAX_ACKNOWLEDGEMENT_BYTES => {
+                    self.endpoint = endpoint(&answer).or(preferred);
                     return true;
                 }
-                _ if asked.is_some() => {}
+                _ if preferred.is_some() => {}
                 _ => self.next += 1,
             }
         }
@@ -77,15 +77,17 @@
 
     async fn leave(&self) -> bool {
         let path = self.path();
-        let given_up = Instant::now() + UNHEARD;
+        let deadline = Instant::now() + ACKNOWLEDGEMENT_TIMEOUT;
         for controller in self.controllers.iter().cycle().skip(self.next) {
-            if let Some((200..=299, _)) = once(*controller, "DELETE", &path, "", SILENCE).await {
+            if let Some((200..=299, _)) =
+                send_once(*controller, "DELETE", &path, "", REPLY_TIMEOUT).await
+            {
                 return true;
             }
-            if Instant::now() > given_up {
+            if Instant::now() > deadline {
                 break;
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
         false
     }
@@ -98,10 +100,10 @@
         .ok()
 }
 
-/// A task's whole incarnation as the controllers hear of it.
-pub async fn live(task: Rc<Task>, controllers: Vec<SocketAddrV4>) {
+/// Reports one incarnation of a task from its start until it has left.
+pub async fn run(task: Rc<Task>, controllers: Vec<SocketAddrV4>) {
     let next = digest(&task.incarnation) as usize % controllers.len().max(1);
-    let mut heartbeats = Heartbeats {
+    let mut heartbeats = HeartbeatSender {
         task: task.clone(),
         controllers,
         next,
@@ -110,15 +112,15 @@
     };
     let mut stage = task.stage.subscribe();
     while *stage.borrow_and_update() == Stage::Available {
-        let pause = if heartbeats.heartbeat().await {
+        let delay = if heartbeats.heartbeat().await {
             Duration::from_millis(HEARTBEAT_MS)
         } else {
-            PAUSE
+            RETRY_DELAY
         };
-        // A word that it is to drain is passed on at once.
-        _ = timeout(pause, stage.changed()).await;
+        // A stage change is reported at once.
+        _ = timeout(delay, stage.changed()).await;
     }
-    let given_up = Instant::now() + UNHEARD;
+    let deadline = Instant::now() + ACKNOWLEDGEMENT_TIMEOUT;
     let acknowledged = loop {
         if heartbeats.heartbeat().await {
             let (incarnation, now) = (task.incarnation.clone(), task.record.now());
@@ -128,10 +130,10 @@
             });
             break true;
         }
-        if Instant::now() > given_up {
+        if Instant::now() > deadline {
             break false;
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     };
     let serves_until = Instant::now() + Duration::from_millis(DRAIN_MS) + LINGER;
     while acknowledged && Instant::now() < serves_until {
@@ -141,15 +143,15 @@
     }
     if !heartbeats.leave().await {
         task.record
-            .unheard
+            .unacknowledged
             .borrow_mut()
             .push(task.incarnation.clone());
     }
     task.stage.send_replace(Stage::Gone);
 }
 
-/// Runs a task: its server, and what it tells the controllers.
-pub fn begin(task: &Rc<Task>, listener: TcpListener, controllers: Vec<SocketAddrV4>) {
+/// Spawns a task's server and its heartbeats.
+pub fn spawn_task(task: &Rc<Task>, listener: TcpListener, controllers: Vec<SocketAddrV4>) {
     spawn_local(task::serve(task.clone(), listener));
-    spawn_local(live(task.clone(), controllers));
+    spawn_local(run(task.clone(), controllers));
 }
--- a/crates/rookpulley-devcluster/src/main.rs
+++ b/crates/rookpulley-devcluster/src/main.rs
@@ -1,39 +1,39 @@
-//! A whole gateway on one machine against stand-in tasks: to be tried by hand, and to be tested from end to end.
+//! A complete gateway on one machine with stand-in tasks, for manual use and end-to-end tests.
 //!
-//! `environment`, `sheet` and `processes` start the controllers and proxies; `task` and `heartbeats` are the tasks, `operator` and
-//! `caller` the operator; `cluster` holds all of it together. `trial` runs `clients` and `coordination` against it,
-//! `judge` and `order` decide what comes of that.
+//! `environment`, `node_settings` and `processes` start the controllers and proxies; `task` and `heartbeats` implement
+//! the tasks; `gateway_configuration` and `control_client` configure the gateway; `cluster` combines them. `trial` runs
+//! `clients` and `coordination` against the cluster; `request_checks` and `coordination_checks` verify the results.
 
-/// Prints a line, also where nobody reads any more.
-macro_rules! tell {
+/// Prints a line and ignores errors such as a closed pipe.
+macro_rules! print_line {
     ($($line:tt)*) => {{
         use std::io::Write;
         _ = writeln!(std::io::stdout(), $($line)*);
     }};
 }
 
-mod caller;
 mod clients;
 mod cluster;
+mod control_client;
 mod coordination;
+mod coordination_checks;
 mod environment;
-mod faults;
+mod errors;
+mod gateway_configuration;
 mod heartbeats;
-mod judge;
-mod operator;
-mod order;
+mod node_settings;
 mod processes;
 mod record;
-mod sheet;
+mod request_checks;
 mod task;
 #[cfg(test)]
 mod tests;
+mod transport;
 mod trial;
-mod wire;
 
 use cluster::Cluster;
-use environment::MACHINES;
-use faults::ClusterError;
+use environment::MACHINE_COUNT;
+use errors::ClusterError;
 use std::process::ExitCode;
 use std::time::Duration;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -44,74 +44,76 @@
     /// Starts a gateway of three proxies and three controllers on 127.0.0.1, 127.0.0.2 and 127.0.0.3, with stand-in
     /// tasks, and serves until Ctrl-C.
     cmd rookpulley-devcluster {
-        /// Sends requests and calls itself, makes some trouble, checks what comes of it, prints a table, and ends with 0 or 1.
+        /// Generates load, injects failures, checks the results, prints a table, and exits with 0 or 1.
         optional --trial
-        /// Ends after so many seconds; --for means the same. A trial that isn't through by then has failed.
+        /// Stops after this many seconds; --for is an alias. A trial that has not finished by then fails.
         optional --seconds seconds: u64
-        /// The machine, 1 to 3, whose controller the trial kills; 1 where none is told.
+        /// The machine, 1 to 3, whose controller the trial kills; 1 by default.
         optional --kill machine: usize
-        /// Leaves the folder with the settings, logs and data of the processes.
+        /// Keeps the folder with the settings, logs and data of the processes.
         optional --keep
-        /// The processes log lines of the ordinary path, too.
+        /// Enables verbose logging in the processes.
         optional --verbose
     }
 }
 
-/// A trial that takes longer has failed, unless it is given more.
+/// Default time limit of a trial.
 const TRIAL_S: u64 = 60;
-/// A process that ended by itself starts again, as on real machines.
-const LOOK: Duration = Duration::from_millis(200);
+/// How often exited processes are looked for, to restart them as a service manager would.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 fn main() -> miette::Result<ExitCode> {
-    // `for` is a word of the language, so the parser can't have a flag of that name.
-    let said = std::env::args_os().skip(1).map(|word| {
-        if word == "--for" {
+    // xflags cannot define a flag named after the keyword `for`.
+    let arguments = std::env::args_os().skip(1).map(|argument| {
+        if argument == "--for" {
             "--seconds".into()
         } else {
-            word
+            argument
         }
     });
-    let flags = RookpulleyDevcluster::from_vec(said.collect()).unwrap_or_else(|fault| fault.exit());
+    let flags =
+        RookpulleyDevcluster::from_vec(arguments.collect()).unwrap_or_else(|fault| fault.exit());
     _ = miette::set_hook(Box::new(|_| {
         Box::new(miette::NarratableReportHandler::new())
     }));
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(ClusterError::system("the runtime can't be made"))?;
+    let runtime = runtime.map_err(ClusterError::system("cannot create the runtime"))?;
     Ok(tokio::task::LocalSet::new().block_on(&runtime, run(flags))?)
 }
 
-/// Ctrl-C, SIGTERM, and the end of the terminal.
-struct Stop([Signal; 3]);
+/// SIGINT, SIGTERM and SIGHUP.
+struct StopSignals([Signal; 3]);
 
-impl Stop {
-    fn hear() -> Result<Self, ClusterError> {
-        let hear = |kind| signal(kind).map_err(ClusterError::system("signals can't be heard"));
+impl StopSignals {
+    fn listen() -> Result<Self, ClusterError> {
+        let listen =
+            |kind| signal(kind).map_err(ClusterError::system("cannot install a signal handler"));
         Ok(Self([
-            hear(SignalKind::interrupt())?,
-            hear(SignalKind::terminate())?,
-            hear(SignalKind::hangup())?,
+            listen(SignalKind::interrupt())?,
+            listen(SignalKind::terminate())?,
+            listen(SignalKind::hangup())?,
         ]))
     }
 
-    async fn comes(&mut self) {
+    async fn received(&mut self) {
         let Self([interrupt, terminate, hangup]) = self;
         tokio::select! { _ = interrupt.recv() => {}, _ = terminate.recv() => {}, _ = hangup.recv() => {} }
     }
 }
 
-enum End {
+enum Completion {
     Trial(Trial),
-    Asked,
-    Over,
+    Stopped,
+    TimeLimit,
 }
 
 async fn run(flags: RookpulleyDevcluster) -> Result<ExitCode, ClusterError> {
-    let mut stop = Stop::hear()?;
+    let mut stop = StopSignals::listen()?;
     let mut cluster = Cluster::new(flags.keep, flags.verbose)?;
     let limit = flags.seconds.or(flags.trial.then_some(TRIAL_S));
-    let over = async {
+    let time_limit = async {
         match limit {
             Some(seconds) => sleep(Duration::from_secs(seconds)).await,
             None => std::future::pending().await,
@@ -119,92 +121,96 @@
     };
     let work = async {
         cluster.start().await?;
-        show(&cluster);
-        let machine = flags.kill.unwrap_or(1).clamp(1, MACHINES) - 1;
+        print_addresses(&cluster);
+        let machine = flags.kill.unwrap_or(1).clamp(1, MACHINE_COUNT) - 1;
         if flags.trial {
-            trial::run(&mut cluster, machine).await.map(End::Trial)
+            trial::run(&mut cluster, machine)
+                .await
+                .map(Completion::Trial)
         } else {
-            stay(&mut cluster).await
+            supervise(&mut cluster).await
         }
     };
     let ended = tokio::select! {
         ended = work => ended,
-        () = stop.comes() => Ok(End::Asked),
-        () = over => Ok(End::Over),
+        () = stop.received() => Ok(Completion::Stopped),
+        () = time_limit => Ok(Completion::TimeLimit),
     };
-    tell!("cluster: ending; the tasks leave, then the processes end");
+    print_line!("cluster: shutting down: draining the tasks, then terminating the processes");
     let faults = tokio::select! {
-        faults = cluster.end() => faults,
-        // Asked again: what still runs is killed as it is dropped.
-        () = stop.comes() => return Err(ClusterError::Stopped),
+        faults = cluster.shut_down() => faults,
+        // A second signal skips the ordered shutdown; processes still running are killed on drop.
+        () = stop.received() => return Err(ClusterError::Stopped),
     };
-    faults.iter().for_each(|fault| tell!("cluster: {fault}"));
+    faults
+        .iter()
+        .for_each(|fault| print_line!("cluster: {fault}"));
     if flags.keep {
-        tell!(
-            "cluster: settings, logs and data stay in {}",
+        print_line!(
+            "cluster: settings, logs and data are kept in {}",
             cluster.environment.folder().display()
         );
     }
-    let fine = match ended? {
-        End::Trial(trial) => {
-            report(&trial, &processes::warnings(cluster.environment.folder()));
+    let succeeded = match ended? {
+        Completion::Trial(trial) => {
+            print_report(&trial, &processes::warnings(cluster.environment.folder()));
             trial.passed()
         }
-        End::Asked | End::Over if flags.trial => {
-            tell!("trial: broken off, so it has failed");
+        Completion::Stopped | Completion::TimeLimit if flags.trial => {
+            print_line!("trial: interrupted before it finished, so it failed");
             false
         }
-        End::Asked | End::Over => true,
+        Completion::Stopped | Completion::TimeLimit => true,
     };
-    Ok(if fine && faults.is_empty() {
+    Ok(if succeeded && faults.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     })
 }
 
-/// Until something else ends it.
-async fn stay(cluster: &mut Cluster) -> Result<End, ClusterError> {
+/// Restarts exited processes until cancelled.
+async fn supervise(cluster: &mut Cluster) -> Result<Completion, ClusterError> {
     loop {
-        while let Some((name, status)) = cluster.processes.ended() {
-            tell!("cluster: {name} ended ({status}) and starts again");
+        while let Some((name, status)) = cluster.processes.take_exited() {
+            print_line!("cluster: {name} exited ({status}); restarting it");
             cluster.processes.start(&cluster.environment, &name)?;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn show(cluster: &Cluster) {
+fn print_addresses(cluster: &Cluster) {
     let environment = &cluster.environment;
-    tell!(
+    print_line!(
         "cluster: up; settings, logs and data are in {}",
         environment.folder().display()
     );
-    for machine in 0..MACHINES {
+    for machine in 0..MACHINE_COUNT {
         let (front, control) = (environment.front(machine), environment.control(machine));
-        tell!(
-            "cluster: machine {}: requests at {front}, calls at {control}",
+        print_line!(
+            "cluster: machine {}: proxy at {front}, controller at {control}",
             machine + 1
         );
     }
     for task in &cluster.tasks {
-        tell!(
+        print_line!(
             "cluster: task {} at {}, {} slots",
             task.incarnation,
             task.address,
             task.slots
         );
     }
-    tell!("try it:");
+    print_line!("try it:");
     let (front, control) = (environment.front(0), environment.control(0));
-    tell!(
+    print_line!(
         "    curl -i -H 'Host: letters.example' -H 'Request-Id: my-first' http://{front}/read/hello"
     );
-    tell!("    curl -i -X POST -d '{{}}' http://{control}/rookpulley/numbers/mine");
+    print_line!("    curl -i -X POST -d '{{}}' http://{control}/rookpulley/numbers/mine");
 }
 
-fn report(trial: &Trial, warnings: &[String]) {
-    tell!(
+fn print_report(trial: &Trial, warnings: &[String]) {
+    print_line!(
         "\n{:<70} {:>6} {:>6}",
         "what was checked",
         "looked",
@@ -212,20 +218,23 @@
     );
     for check in &trial.checks {
         let mark = if check.passed() { "" } else { "  <--" };
-        tell!(
+        print_line!(
             "{:<70} {:>6} {:>6}{mark}",
-            check.what,
-            check.looked,
+            check.name,
+            check.examined,
             check.faults
         );
     }
-    trial.lines.iter().for_each(|line| tell!("{line}"));
-    warnings.iter().for_each(|line| tell!("log: {line}"));
+    trial.lines.iter().for_each(|line| print_line!("{line}"));
+    warnings.iter().for_each(|line| print_line!("log: {line}"));
     for check in trial.checks.iter().filter(|check| !check.passed()) {
-        tell!("fault: {}", check.what);
-        check.told.iter().for_each(|fault| tell!("    {fault}"));
+        print_line!("fault: {}", check.name);
+        check
+            .fault_details
+            .iter()
+            .for_each(|fault| print_line!("    {fault}"));
     }
-    tell!(
+    print_line!(
         "trial: {}",
         if trial.passed() { "passed" } else { "FAILED" }
     );
--- a/crates/rookpulley-devcluster/src/sheet.rs
+++ b/crates/rookpulley-devcluster/src/node_settings.rs
@@ -1,16 +1,16 @@
-//! The settings file of each process.
+//! The settings of each process.
 
-use crate::environment::{Environment, MACHINES};
+use crate::environment::{Environment, MACHINE_COUNT};
 use rookpulley_settings::{Bounds, Limits, Listen, Node, Tolerance};
 
-pub const ZONES: [&str; MACHINES] = ["north-quay", "east-quay", "south-quay"];
+pub const ZONES: [&str; MACHINE_COUNT] = ["north-quay", "east-quay", "south-quay"];
 const REGION: &str = "harbour";
-/// Shorter than installations have it, so that a trial is soon through.
+/// Shorter than in a production installation, to keep trials short.
 pub const HEARTBEAT_MS: u64 = 400;
 pub const DRAIN_MS: u64 = 1_000;
 pub const CONFIG_APPLY_MS: u64 = 1_500;
-pub const GRACE_S: f64 = 6.0;
-/// For so long after a start a machine still counts as lost, so another loss would be one too many.
+pub const GRACE_PERIOD_S: f64 = 6.0;
+/// How long a machine counts as lost after its start; a second loss in this period would exceed the tolerance.
 pub const CATCH_UP_S: f64 = 4.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -22,21 +22,21 @@
 impl Role {
     pub const ALL: [Role; 2] = [Role::Controller, Role::Proxy];
 
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             Role::Proxy => "courier",
             Role::Controller => "office",
         }
     }
 
-    /// What its process on this machine is called, in settings, logs and all that is told.
+    /// The name of the role's process on a machine, in settings, logs and output.
     pub fn name(self, machine: usize) -> String {
-        format!("{}-{}", self.word(), machine + 1)
+        format!("{}-{}", self.as_str(), machine + 1)
     }
 }
 
-/// `first`: the whole gateway starts for the first time, with empty disks.
-pub fn sheet(environment: &Environment, machine: usize, role: Role, first: bool) -> Node {
+/// Builds the settings of a process. `first` marks the first start of the whole gateway, with empty disks.
+pub fn node_settings(environment: &Environment, machine: usize, role: Role, first: bool) -> Node {
     let name = role.name(machine);
     let (serves, listen) = match role {
         Role::Proxy => {
@@ -62,13 +62,13 @@
         ),
     };
     Node {
-        role: role.word().into(),
+        role: role.as_str().into(),
         class: "edge".into(),
         serves: vec![serves.into()],
         ip: environment.ip(machine),
         zone: ZONES.get(machine).copied().unwrap_or_default().into(),
         region: REGION.into(),
-        internal_ports: environment.ports.inner(),
+        internal_ports: environment.ports.internal(),
         seeds: environment.controls(),
         first_start: first,
         loss_counted: true,
@@ -90,7 +90,7 @@
         },
         bounds: Bounds {
             drain_ms: DRAIN_MS,
-            grace_period_s: GRACE_S,
+            grace_period_s: GRACE_PERIOD_S,
             catch_up_s: CATCH_UP_S,
             config_apply_ms: CONFIG_APPLY_MS,
             retry_budget_ratio: 0.2,
--- a/crates/rookpulley-devcluster/src/processes.rs
+++ b/crates/rookpulley-devcluster/src/processes.rs
@@ -1,8 +1,8 @@
-//! The controllers and proxies as processes: started, looked after, killed, ended.
+//! Starts, supervises, kills and terminates the controller and proxy processes.
 
-use crate::environment::{Environment, MACHINES};
-use crate::faults::ClusterError;
-use crate::sheet::{GRACE_S, Role, sheet};
+use crate::environment::{Environment, MACHINE_COUNT};
+use crate::errors::ClusterError;
+use crate::node_settings::{GRACE_PERIOD_S, Role, node_settings};
 use rustix::process::{Pid, Signal, kill_process};
 use std::fmt::Write;
 use std::fs::File;
@@ -12,10 +12,10 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, timeout_at};
 
-/// Of a log, so many lines are shown where something went wrong.
-const TAIL: usize = 6;
-/// What a process may take beyond its grace before it is killed.
-const BEYOND: Duration = Duration::from_secs(2);
+/// Lines of each log that an error message includes.
+const TAIL_LINES: usize = 6;
+/// Extra time after the grace period before a process is killed.
+const KILL_DELAY: Duration = Duration::from_secs(2);
 
 struct Process {
     name: String,
@@ -28,20 +28,21 @@
     controllers: PathBuf,
     proxies: PathBuf,
     verbose: bool,
-    all: Vec<Process>,
+    processes: Vec<Process>,
 }
 
-/// All controllers, then all proxies.
-fn places() -> impl Iterator<Item = (Role, usize)> {
+/// Every role on every machine: all controllers, then all proxies.
+fn all_nodes() -> impl Iterator<Item = (Role, usize)> {
     Role::ALL
         .into_iter()
-        .flat_map(|role| (0..MACHINES).map(move |machine| (role, machine)))
+        .flat_map(|role| (0..MACHINE_COUNT).map(move |machine| (role, machine)))
 }
 
-/// The program that stands beside this one.
-fn sibling(name: &str) -> Result<PathBuf, ClusterError> {
-    let own = std::env::current_exe()
-        .map_err(ClusterError::system("this program's own place is unknown"))?;
+/// The path of a program in the same folder as this one.
+fn sibling_program(name: &str) -> Result<PathBuf, ClusterError> {
+    let own = std::env::current_exe().map_err(ClusterError::system(
+        "cannot determine the path of this program",
+    ))?;
     let path = own.with_file_name(name);
     if path.is_file() {
         Ok(path)
@@ -51,12 +52,12 @@
 }
 
 impl Processes {
-    pub fn find(verbose: bool) -> Result<Self, ClusterError> {
+    pub fn locate(verbose: bool) -> Result<Self, ClusterError> {
         let (controllers, proxies) = (
-            sibling("rookpulley-controller")?,
-            sibling("rookpulley-proxy")?,
+            sibling_program("rookpulley-controller")?,
+            sibling_program("rookpulley-proxy")?,
         );
-        let all = places().map(|(role, machine)| {
+        let processes = all_nodes().map(|(role, machine)| {
             let name = role.name(machine);
             Process {
                 name,
@@ -69,41 +70,44 @@
             controllers,
             proxies,
             verbose,
-            all: all.collect(),
+            processes: processes.collect(),
         })
     }
 
     pub fn start_all(&mut self, environment: &Environment) -> Result<(), ClusterError> {
-        (0..self.all.len()).try_for_each(|place| self.start_at(environment, place, true))
+        (0..self.processes.len()).try_for_each(|index| self.start_index(environment, index, true))
     }
 
-    /// Starts one again, with its disk as it was left.
+    /// Restarts a process with its existing data.
     pub fn start(&mut self, environment: &Environment, name: &str) -> Result<(), ClusterError> {
-        let place = self.all.iter().position(|process| process.name == name);
-        place.map_or(Ok(()), |place| self.start_at(environment, place, false))
+        let index = self
+            .processes
+            .iter()
+            .position(|process| process.name == name);
+        index.map_or(Ok(()), |index| self.start_index(environment, index, false))
     }
 
-    fn start_at(
+    fn start_index(
         &mut self,
         environment: &Environment,
-        place: usize,
+        index: usize,
         first: bool,
     ) -> Result<(), ClusterError> {
-        let Some(process) = self.all.get_mut(place) else {
+        let Some(process) = self.processes.get_mut(index) else {
             return Ok(());
         };
-        let node = sheet(environment, process.machine, process.role, first);
+        let node = node_settings(environment, process.machine, process.role, first);
         let file = environment.folder().join(format!("{}.toml", process.name));
         std::fs::write(&file, node.to_string())
-            .map_err(ClusterError::system("settings can't be written"))?;
+            .map_err(ClusterError::system("cannot write a settings file"))?;
         let log = File::options()
             .create(true)
             .append(true)
-            .open(log_of(environment, &process.name));
-        let log = log.map_err(ClusterError::system("a log can't be written"))?;
-        let again = log
+            .open(log_path(environment, &process.name));
+        let log = log.map_err(ClusterError::system("cannot open a log file"))?;
+        let stderr_log = log
             .try_clone()
-            .map_err(ClusterError::system("a log can't be written"))?;
+            .map_err(ClusterError::system("cannot open a log file"))?;
         let program = if process.role == Role::Controller {
             &self.controllers
         } else {
@@ -119,44 +123,44 @@
         command
             .stdin(Stdio::null())
             .stdout(log)
-            .stderr(again)
+            .stderr(stderr_log)
             .kill_on_drop(true);
-        // A group of its own: Ctrl-C is for the cluster, which ends its processes in order.
+        // In its own process group, so that Ctrl-C reaches only the cluster, which terminates the processes in order.
         command.process_group(0);
         process.child = Some(
             command
                 .spawn()
-                .map_err(ClusterError::system("a program can't be started"))?,
+                .map_err(ClusterError::system("cannot start a program"))?,
         );
         Ok(())
     }
 
-    /// The first that ended by itself and how. It is no longer among those that run.
-    pub fn ended(&mut self) -> Option<(String, ExitStatus)> {
-        self.all.iter_mut().find_map(|process| {
+    /// Removes and returns the first process that has exited, with its status.
+    pub fn take_exited(&mut self) -> Option<(String, ExitStatus)> {
+        self.processes.iter_mut().find_map(|process| {
             let status = process.child.as_mut()?.try_wait().ok()??;
             process.child = None;
             Some((process.name.clone(), status))
         })
     }
 
-    /// The same as an error, with what it last said.
-    pub fn all_run(&mut self, environment: &Environment) -> Result<(), ClusterError> {
-        let Some((name, status)) = self.ended() else {
+    /// Fails with the last log lines if a process has exited.
+    pub fn check_running(&mut self, environment: &Environment) -> Result<(), ClusterError> {
+        let Some((name, status)) = self.take_exited() else {
             return Ok(());
         };
-        let tails = tail(environment, &name);
-        Err(ClusterError::Ended {
+        let log_tails = log_tail(environment, &name);
+        Err(ClusterError::Exited {
             name,
-            how: status.to_string(),
-            tails,
+            status: status.to_string(),
+            log_tails,
         })
     }
 
-    /// By SIGKILL.
+    /// Sends SIGKILL and waits for the exit.
     pub async fn kill(&mut self, name: &str) {
         let child = self
-            .all
+            .processes
             .iter_mut()
             .find(|process| process.name == name)
             .and_then(|p| p.child.take());
@@ -165,31 +169,32 @@
         }
     }
 
-    /// By SIGTERM, all at once, and by SIGKILL what takes longer than its grace. Gives back what didn't end well.
-    pub async fn end(&mut self) -> Vec<String> {
-        let mut ending = Vec::new();
-        for process in &mut self.all {
+    /// Sends SIGTERM to all processes, and SIGKILL to those that exceed the grace period. Returns a message for each
+    /// that did not exit successfully.
+    pub async fn terminate(&mut self) -> Vec<String> {
+        let mut terminating = Vec::new();
+        for process in &mut self.processes {
             let Some(child) = process.child.take() else {
                 continue;
             };
             let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
-            // A process that has ended already is told by how it ended.
+            // A signal to a process that has already exited may fail; its status is reported below.
             _ = pid.map(|pid| kill_process(pid, Signal::TERM));
-            ending.push((process.name.clone(), child));
+            terminating.push((process.name.clone(), child));
         }
-        let within = Duration::from_secs_f64(GRACE_S) + BEYOND;
-        let until = Instant::now() + within;
+        let limit = Duration::from_secs_f64(GRACE_PERIOD_S) + KILL_DELAY;
+        let deadline = Instant::now() + limit;
         let mut faults = Vec::new();
-        for (name, mut child) in ending {
-            match timeout_at(until, child.wait()).await {
+        for (name, mut child) in terminating {
+            match timeout_at(deadline, child.wait()).await {
                 Ok(Ok(status)) if status.success() => {}
-                Ok(Ok(status)) => faults.push(format!("{name} ended with {status}")),
-                Ok(Err(why)) => faults.push(format!("{name} can't be waited for: {why}")),
+                Ok(Ok(status)) => faults.push(format!("{name} exited with {status}")),
+                Ok(Err(error)) => faults.push(format!("cannot wait for {name}: {error}")),
                 Err(_) => {
                     _ = child.kill().await;
                     faults.push(format!(
-                        "{name} did not end within {} s of SIGTERM",
-                        within.as_secs()
+                        "{name} did not exit within {} s of SIGTERM",
+                        limit.as_secs()
                     ));
                 }
             }
@@ -198,33 +203,33 @@
     }
 }
 
-fn log_of(environment: &Environment, name: &str) -> PathBuf {
+fn log_path(environment: &Environment, name: &str) -> PathBuf {
     environment.folder().join(format!("{name}.log"))
 }
 
-/// The last lines that a process has said.
-fn tail(environment: &Environment, name: &str) -> String {
-    let text = std::fs::read(log_of(environment, name)).unwrap_or_default();
+/// The last lines of a process's log.
+fn log_tail(environment: &Environment, name: &str) -> String {
+    let text = std::fs::read(log_path(environment, name)).unwrap_or_default();
     let text = String::from_utf8_lossy(&text);
     let lines: Vec<&str> = text.lines().collect();
-    let mut shown = String::new();
+    let mut output = String::new();
     for line in lines
-        .get(lines.len().saturating_sub(TAIL)..)
+        .get(lines.len().saturating_sub(TAIL_LINES)..)
         .unwrap_or_default()
     {
-        _ = write!(shown, "\n    {name}: {line}");
+        _ = write!(output, "\n    {name}: {line}");
     }
-    shown
+    output
 }
 
-/// The last lines of all, to be shown where something was late.
-pub fn tails(environment: &Environment) -> String {
-    places()
-        .map(|(role, machine)| tail(environment, &role.name(machine)))
+/// The last log lines of all processes, for timeout errors.
+pub fn all_log_tails(environment: &Environment) -> String {
+    all_nodes()
+        .map(|(role, machine)| log_tail(environment, &role.name(machine)))
         .collect()
 }
 
-/// What all logs say above the ordinary, to be read after a trial.
+/// All log lines except those of the levels info and debug, sorted.
 pub fn warnings(folder: &Path) -> Vec<String> {
     let Ok(files) = std::fs::read_dir(folder) else {
         return Vec::new();
@@ -242,10 +247,10 @@
             .into_owned();
         let text = std::fs::read(&path).unwrap_or_default();
         let text = String::from_utf8_lossy(&text);
-        let loud = text
+        let notable = text
             .lines()
             .filter(|line| !line.starts_with("info ") && !line.starts_with("debug "));
-        found.extend(loud.map(|line| format!("{name}: {line}")));
+        found.extend(notable.map(|line| format!("{name}: {line}")));
     }
     found.sort();
     found
--- a/crates/rookpulley-devcluster/src/record.rs
+++ b/crates/rookpulley-devcluster/src/record.rs
@@ -1,20 +1,20 @@
-//! What the stand-in tasks saw, to be held against what the clients saw.
+//! What the stand-in tasks observed, for comparison with what the clients observed.
 
 use std::cell::RefCell;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::{Duration, Instant};
 
-/// Since the cluster began.
+/// Time since the cluster started.
 pub type Moment = Duration;
 
-/// The same value in every run, so that two sides can compare what they saw.
-pub fn digest(what: impl Hash) -> u64 {
+/// A deterministic hash, so that clients and tasks can compare what they sent and received.
+pub fn digest(value: impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
-    what.hash(&mut hasher);
+    value.hash(&mut hasher);
     hasher.finish()
 }
 
-/// What a task gives for a request that it runs.
+/// The answer of a task to a request that it executed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Given {
     pub status: u16,
@@ -22,7 +22,7 @@
     pub body: u64,
 }
 
-/// A request as it came to a task.
+/// A request as a task received it; a trial with --keep writes it to arrivals.txt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
     pub id: String,
@@ -32,38 +32,40 @@
     pub target: String,
     pub body: u64,
     pub at: Moment,
-    /// None: it was turned away.
+    /// None if the task rejected the request.
     pub given: Option<Given>,
-    /// The way in which it was turned away that counts for nothing: it was meant for another task.
+    /// Whether the request was addressed to another task; the route and drain checks skip it.
     pub foreign: bool,
 }
 
+/// An acknowledged drain of a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Drain {
     pub incarnation: String,
-    /// When the task had the acknowledgement in hand.
+    /// When the task received the acknowledgement.
     pub acknowledged: Moment,
 }
 
+/// Everything that the tasks observed in one run.
 pub struct Record {
-    began: Instant,
+    started: Instant,
     pub arrivals: RefCell<Vec<Arrival>>,
     pub drains: RefCell<Vec<Drain>>,
-    /// Incarnations that told of their leaving and got no answer.
-    pub unheard: RefCell<Vec<String>>,
+    /// Incarnations whose leaving no controller acknowledged.
+    pub unacknowledged: RefCell<Vec<String>>,
 }
 
 impl Record {
-    pub fn begin() -> Self {
+    pub fn start() -> Self {
         Self {
-            began: Instant::now(),
+            started: Instant::now(),
             arrivals: RefCell::default(),
             drains: RefCell::default(),
-            unheard: RefCell::default(),
+            unacknowledged: RefCell::default(),
         }
     }
 
     pub fn now(&self) -> Moment {
-        self.began.elapsed()
+        self.started.elapsed()
     }
 }
--- a/crates/rookpulley-devcluster/src/judge.rs
+++ b/crates/rookpulley-devcluster/src/request_checks.rs
@@ -1,82 +1,82 @@
-//! Holds what clients saw against what tasks saw. It decides alone: no clocks, no sockets.
+//! Compares what clients observed with what tasks observed, without clocks or I/O.
 
 use crate::clients::{Seen, Try};
-use crate::operator::SECOND;
+use crate::gateway_configuration::SECOND;
+use crate::node_settings::Role;
 use crate::record::{Arrival, Drain, Given, Moment};
-use crate::sheet::Role;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-/// Of the faults of one check, so many are told.
-const TOLD: usize = 5;
+/// How many faults of each check are described in the report.
+const MAX_FAULT_DETAILS: usize = 5;
 
-/// One line of the table.
+/// The result of one check, a row of the report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Check {
-    pub what: &'static str,
-    /// A check that looked at nothing has shown nothing.
-    pub looked: usize,
+    pub name: &'static str,
+    /// Number of cases examined; a check without cases fails.
+    pub examined: usize,
     pub faults: usize,
-    pub told: Vec<String>,
+    pub fault_details: Vec<String>,
 }
 
 impl Check {
-    pub fn new(what: &'static str) -> Self {
+    pub fn new(name: &'static str) -> Self {
         Self {
-            what,
-            looked: 0,
+            name,
+            examined: 0,
             faults: 0,
-            told: Vec::new(),
+            fault_details: Vec::new(),
         }
     }
 
-    pub fn look(&mut self, fine: bool, fault: impl FnOnce() -> String) {
-        self.looked += 1;
-        if !fine {
-            self.fault(fault());
+    pub fn examine(&mut self, valid: bool, fault: impl FnOnce() -> String) {
+        self.examined += 1;
+        if !valid {
+            self.add_fault(fault());
         }
     }
 
-    pub fn fault(&mut self, fault: String) {
+    pub fn add_fault(&mut self, fault: String) {
         self.faults += 1;
-        if self.told.len() < TOLD {
-            self.told.push(fault);
+        if self.fault_details.len() < MAX_FAULT_DETAILS {
+            self.fault_details.push(fault);
         }
     }
 
     pub fn passed(&self) -> bool {
-        self.looked > 0 && self.faults == 0
+        self.examined > 0 && self.faults == 0
     }
 }
 
-/// What there is to be judged of the requests.
-pub struct Requests<'a> {
+/// The observations that the request checks compare.
+pub struct RequestChecks<'a> {
     pub tries: &'a [Try],
     pub arrivals: &'a [Arrival],
     pub drains: &'a [Drain],
-    pub drain: Duration,
-    /// When the second version must hold everywhere.
-    pub second_holds: Option<Moment>,
+    pub drain_period: Duration,
+    /// When every proxy must have applied the second configuration version.
+    pub second_version_applies_at: Option<Moment>,
     pub retry_ratio: f64,
     pub retry_slack: f64,
 }
 
-impl Requests<'_> {
+impl RequestChecks<'_> {
     pub fn checks(&self) -> Vec<Check> {
         vec![
             self.served(),
-            self.once(),
-            self.promises(),
-            self.whole(),
-            self.own(),
-            self.unchanged(),
+            self.at_most_once(),
+            self.refusals(),
+            self.complete_and_signed(),
+            self.request_ids(),
+            self.unmodified(),
             self.routes(),
-            self.drained(),
-            self.budget(),
+            self.drains_respected(),
+            self.retry_budget(),
         ]
     }
 
-    fn runs(&self) -> impl Iterator<Item = (&Arrival, &Given)> {
+    fn executions(&self) -> impl Iterator<Item = (&Arrival, &Given)> {
         self.arrivals
             .iter()
             .filter_map(|arrival| Some((arrival, arrival.given.as_ref()?)))
@@ -90,7 +90,7 @@
     }
 
     fn served(&self) -> Check {
-        let mut check = Check::new("requests served, in the end 19 of 20 at least");
+        let mut check = Check::new("at least 19 of 20 requests are eventually served");
         let mut requests: BTreeMap<u32, Vec<&Try>> = BTreeMap::new();
         self.tries
             .iter()
@@ -98,29 +98,32 @@
         let unserved = requests
             .values()
             .filter(|tries| !tries.iter().any(|one| one.served()));
-        let unserved: Vec<String> = unserved.flatten().map(|one| described(one)).collect();
-        check.looked = requests.len();
+        let unserved: Vec<String> = unserved.flatten().map(|one| describe(one)).collect();
+        check.examined = requests.len();
         if unserved.len() * 20 > requests.len() {
-            unserved.into_iter().for_each(|fault| check.fault(fault));
+            unserved
+                .into_iter()
+                .for_each(|fault| check.add_fault(fault));
         }
         check
     }
 
-    fn once(&self) -> Check {
-        let mut check = Check::new("what may run once ran once at most");
+    fn at_most_once(&self) -> Check {
+        let mut check = Check::new("non-idempotent requests run at most once");
         let tries = self.tries_by_id();
-        let mut runs: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-        self.runs().for_each(|(arrival, _)| {
-            runs.entry(&arrival.id)
+        let mut executions: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
+        self.executions().for_each(|(arrival, _)| {
+            executions
+                .entry(&arrival.id)
                 .or_default()
                 .push(&arrival.incarnation)
         });
-        for (id, incarnations) in runs {
+        for (id, incarnations) in executions {
             if tries
                 .get(id)
                 .is_some_and(|one| !one.route.kind.is_idempotent())
             {
-                check.look(incarnations.len() == 1, || {
+                check.examine(incarnations.len() == 1, || {
                     format!("{id} ran at {}", incarnations.join(", "))
                 });
             }
@@ -128,10 +131,10 @@
         check
     }
 
-    fn promises(&self) -> Check {
-        let mut check = Check::new("what may run once and was refused never ran");
-        let ran: HashSet<&str> = self
-            .runs()
+    fn refusals(&self) -> Check {
+        let mut check = Check::new("refused non-idempotent requests never run");
+        let executed: HashSet<&str> = self
+            .executions()
             .map(|(arrival, _)| arrival.id.as_str())
             .collect();
         for one in self
@@ -139,18 +142,18 @@
             .iter()
             .filter(|one| !one.route.kind.is_idempotent())
         {
-            check.look(
-                !(one.seen.refused() && ran.contains(one.id.as_str())),
-                || described(one),
+            check.examine(
+                !(one.seen.refused() && executed.contains(one.id.as_str())),
+                || describe(one),
             );
         }
         check
     }
 
-    fn whole(&self) -> Check {
-        let mut check = Check::new("every success is whole and signed by the task that ran it");
+    fn complete_and_signed(&self) -> Check {
+        let mut check = Check::new("every success is complete and signed by the task that ran it");
         let mut given: HashMap<&str, Vec<&Given>> = HashMap::new();
-        self.runs()
+        self.executions()
             .for_each(|(arrival, one)| given.entry(&arrival.id).or_default().push(one));
         for one in self.tries.iter().filter(|one| one.served()) {
             let Seen::Answer {
@@ -162,36 +165,36 @@
             else {
                 continue;
             };
-            let same = |task: &&Given| {
+            let matches_answer = |task: &&Given| {
                 task.status == *status
                     && Some(&task.signature) == signature.as_ref()
                     && task.body == *body
             };
-            let fine = given
+            let valid = given
                 .get(one.id.as_str())
-                .is_some_and(|given| given.iter().any(same));
-            check.look(fine, || described(one));
+                .is_some_and(|given| given.iter().any(matches_answer));
+            check.examine(valid, || describe(one));
         }
         check
     }
 
-    fn own(&self) -> Check {
+    fn request_ids(&self) -> Check {
         let mut check = Check::new("every answer belongs to its request");
         for one in self.tries {
             if let Seen::Answer { id, .. } = &one.seen {
-                // An answer of the gateway's own names no request; a success without a name is no success.
-                let fine = id.as_ref().map_or(!one.served(), |id| *id == one.id);
-                check.look(fine, || format!("{} has the id {id:?}", described(one)));
+                // The gateway's own answers carry no request ID, but a success must carry one.
+                let valid = id.as_ref().map_or(!one.served(), |id| *id == one.id);
+                check.examine(valid, || format!("{} has the id {id:?}", describe(one)));
             }
         }
         check
     }
 
-    fn unchanged(&self) -> Check {
-        let mut check = Check::new("what reached a task is what a client sent");
+    fn unmodified(&self) -> Check {
+        let mut check = Check::new("requests reach tasks unmodified");
         let tries = self.tries_by_id();
         for arrival in self.arrivals {
-            let fine = tries.get(arrival.id.as_str()).is_some_and(|one| {
+            let valid = tries.get(arrival.id.as_str()).is_some_and(|one| {
                 (one.method, one.target.as_str(), one.body)
                     == (
                         arrival.method.as_str(),
@@ -199,7 +202,7 @@
                         arrival.body,
                     )
             });
-            check.look(fine, || {
+            check.examine(valid, || {
                 format!("{} {} as {}", arrival.method, arrival.target, arrival.id)
             });
         }
@@ -207,47 +210,48 @@
     }
 
     fn routes(&self) -> Check {
-        let mut check = Check::new("each request is handled by its route, new ones too");
+        let mut check = Check::new("each request follows its route, including new routes");
         let tries = self.tries_by_id();
         for arrival in self.arrivals.iter().filter(|arrival| !arrival.foreign) {
             if let Some(one) = tries.get(arrival.id.as_str()) {
-                let fine = one
+                let valid = one
                     .route
                     .targets
                     .iter()
                     .any(|(service, _)| *service == arrival.service);
-                check.look(fine, || {
-                    format!("{} went to {}", described(one), arrival.service)
+                check.examine(valid, || {
+                    format!("{} went to {}", describe(one), arrival.service)
                 });
             }
         }
         for one in self.tries {
-            let holds =
-                one.route.since < SECOND || self.second_holds.is_some_and(|at| one.sent > at);
-            let denied = matches!(
+            let applies = one.route.since < SECOND
+                || self
+                    .second_version_applies_at
+                    .is_some_and(|at| one.sent > at);
+            let rejected = matches!(
                 one.seen,
                 Seen::Answer {
                     status: 300..=499,
                     ..
                 }
             ) && !one.seen.refused();
-            if holds && denied {
-                check.fault(described(one));
+            if applies && rejected {
+                check.add_fault(describe(one));
             }
         }
         check
     }
 
-    fn drained(&self) -> Check {
-        let mut check =
-            Check::new("nothing reached a task too long after its drain was acknowledged");
+    fn drains_respected(&self) -> Check {
+        let mut check = Check::new("no request reaches a task after its drain period");
         for drain in self.drains {
-            let latest = drain.acknowledged + self.drain;
+            let latest = drain.acknowledged + self.drain_period;
             let late = |arrival: &&Arrival| {
                 arrival.incarnation == drain.incarnation && !arrival.foreign && arrival.at > latest
             };
             let late: Vec<&Arrival> = self.arrivals.iter().filter(late).collect();
-            check.look(late.is_empty(), || {
+            check.examine(late.is_empty(), || {
                 let after = late
                     .iter()
                     .map(|arrival| (arrival.at - drain.acknowledged).as_millis());
@@ -261,13 +265,13 @@
         check
     }
 
-    /// Over the whole trial, which is hardly longer than the window that the rule has.
-    fn budget(&self) -> Check {
-        let mut check = Check::new("further sends are within their budget");
-        let (mut first, mut further) = (HashSet::new(), BTreeMap::<&str, usize>::new());
+    /// Applies the retry budget to the whole trial, which is about as long as the budget's window.
+    fn retry_budget(&self) -> Check {
+        let mut check = Check::new("retries stay within their budget");
+        let (mut first, mut repeated) = (HashSet::new(), BTreeMap::<&str, usize>::new());
         for arrival in self.arrivals {
             if !first.insert(arrival.id.as_str()) {
-                *further.entry(arrival.service).or_default() += 1;
+                *repeated.entry(arrival.service).or_default() += 1;
             }
         }
         let services: HashSet<&str> = self
@@ -276,45 +280,45 @@
             .map(|arrival| arrival.service)
             .collect();
         for service in services {
-            let may = |one: &&Try| {
+            let targets_service = |one: &&Try| {
                 one.route
                     .targets
                     .iter()
                     .any(|(target, _)| *target == service)
             };
-            let requests = self.tries.iter().filter(may).count();
-            let most = requests as f64 * self.retry_ratio + self.retry_slack;
-            let sends = further.get(service).copied().unwrap_or(0);
-            check.look(sends as f64 <= most, || {
-                format!("{sends} for {service}, where {most:.0} are the most")
+            let requests = self.tries.iter().filter(targets_service).count();
+            let limit = requests as f64 * self.retry_ratio + self.retry_slack;
+            let retries = repeated.get(service).copied().unwrap_or(0);
+            check.examine(retries as f64 <= limit, || {
+                format!("{retries} retries for {service}, at most {limit:.0} allowed")
             });
         }
         check
     }
 
-    /// Of the successes, the time in the middle and the one that 1 of 100 exceed.
-    pub fn times(&self) -> (Duration, Duration) {
+    /// The median and the 99th percentile of the latency of successes.
+    pub fn latency_percentiles(&self) -> (Duration, Duration) {
         let served = self.tries.iter().filter(|one| one.served());
-        let mut times: Vec<Duration> = served
+        let mut latencies: Vec<Duration> = served
             .map(|one| one.ended.saturating_sub(one.sent))
             .collect();
-        times.sort();
-        let at = |share: usize| {
-            times
-                .get(times.len() * share / 100)
+        latencies.sort();
+        let at = |percent: usize| {
+            latencies
+                .get(latencies.len() * percent / 100)
                 .copied()
                 .unwrap_or_default()
         };
         (at(50), at(99))
     }
 
-    /// What came back, by kind, and how often.
+    /// Counts the tries by status or kind of failure.
     pub fn outcomes(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for one in self.tries {
             let name = match &one.seen {
                 Seen::Answer { status, .. } => status.to_string(),
-                Seen::CutOff(_) => "cut off".into(),
+                Seen::CutOff(_) => "truncated".into(),
                 Seen::Nothing => "no answer".into(),
             };
             *counts.entry(name).or_default() += 1;
@@ -323,17 +327,17 @@
     }
 }
 
-fn described(one: &Try) -> String {
+fn describe(one: &Try) -> String {
     let seen = match &one.seen {
         Seen::Answer { status, .. } => format!("got {status}"),
-        Seen::CutOff(status) => format!("got {status} and was cut off"),
+        Seen::CutOff(status) => format!("got {status} with a truncated body"),
         Seen::Nothing => "got no answer".into(),
     };
-    let took = one.ended.saturating_sub(one.sent).as_millis();
+    let duration_ms = one.ended.saturating_sub(one.sent).as_millis();
     let at = one.sent.as_secs_f64();
     let proxy = Role::Proxy.name(one.proxy);
     format!(
-        "{} at {at:.2} s by {proxy} ({}): {seen} after {took} ms",
+        "{} at {at:.2} s by {proxy} ({}): {seen} after {duration_ms} ms",
         one.id, one.route.name
     )
 }
--- a/crates/rookpulley-devcluster/src/task.rs
+++ b/crates/rookpulley-devcluster/src/task.rs
@@ -1,4 +1,4 @@
-//! A stand-in task: slots with a short queue, answers that can be told from those of every other task.
+//! A stand-in task: a fixed number of slots with a short queue, and answers signed by the task.
 
 use crate::record::{Arrival, Given, Moment, Record, digest};
 use bytes::Bytes;
@@ -20,13 +20,14 @@
 pub const HEALTH: &str = "/health";
 pub const MAX_CONNECTIONS: usize = 96;
 /// Requests that may wait for a slot.
-const QUEUE: usize = 8;
-/// For so long after its start a task takes twice as long over each request.
-const COLD: Duration = Duration::from_millis(1_500);
-const IDLE_S: u64 = 8;
-const BODY_MOST: usize = 1 << 20;
-const LARGE: usize = 96 << 10;
-const PATIENCE: Duration = Duration::from_secs(30);
+const QUEUE_LENGTH: usize = 8;
+/// How long after its start a task takes twice as long for each request.
+const COLD_PERIOD: Duration = Duration::from_millis(1_500);
+const IDLE_TIMEOUT_S: u64 = 8;
+const MAX_BODY_BYTES: usize = 1 << 20;
+const LARGE_BODY_BYTES: usize = 96 << 10;
+/// The time limit of a request without a deadline, and the upper bound for one with a deadline.
+const MAX_REQUEST_TIME: Duration = Duration::from_secs(30);
 
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
 pub const SIGNATURE: HeaderName = HeaderName::from_static("response-signature");
@@ -43,6 +44,7 @@
     Gone,
 }
 
+/// A stand-in for a task of a service behind the gateway.
 pub struct Task {
     pub incarnation: String,
     pub service: &'static str,
@@ -51,15 +53,15 @@
     pub slots: usize,
     pub stage: watch::Sender<Stage>,
     pub record: Rc<Record>,
-    born: Moment,
-    seats: Semaphore,
-    waiting: Cell<usize>,
+    started: Moment,
+    free_slots: Semaphore,
+    queued: Cell<usize>,
 }
 
-/// Leaves the queue also when its connection is closed meanwhile.
-struct InQueue<'a>(&'a Cell<usize>);
+/// Leaves the queue on drop, also when the connection closes while the request waits.
+struct QueueEntry<'a>(&'a Cell<usize>);
 
-impl Drop for InQueue<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
@@ -81,10 +83,10 @@
             address,
             slots,
             stage: watch::Sender::new(Stage::Available),
-            born: record.now(),
+            started: record.now(),
             record,
-            seats: Semaphore::new(slots),
-            waiting: Cell::new(0),
+            free_slots: Semaphore::new(slots),
+            queued: Cell::new(0),
         })
     }
 
@@ -92,21 +94,21 @@
         *self.stage.borrow()
     }
 
-    pub fn cold(&self) -> Duration {
-        (self.born + COLD).saturating_sub(self.record.now())
+    pub fn cold_remaining(&self) -> Duration {
+        (self.started + COLD_PERIOD).saturating_sub(self.record.now())
     }
 
-    async fn take(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    async fn handle(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
-        let until = Instant::now() + patience(&head.headers);
+        let deadline = Instant::now() + request_timeout(&head.headers);
         if head.method == Method::GET && head.uri.path() == HEALTH {
-            return self.health(until).await;
+            return self.health(deadline).await;
         }
         let Some(id) = head.headers.get(REQUEST_ID).cloned() else {
-            return turned_away(400, "no Request-Id");
+            return rejection(400, "no Request-Id");
         };
-        let Ok(body) = Limited::new(body, BODY_MOST).collect().await else {
-            return named(turned_away(400, "the body did not come to its end"), id);
+        let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
+            return with_request_id(rejection(400, "the body did not come to its end"), id);
         };
         let arrival = Arrival {
             id: String::from_utf8_lossy(id.as_bytes()).into_owned(),
@@ -120,63 +122,66 @@
             foreign: head
                 .headers
                 .get(TARGET)
-                .is_some_and(|meant| meant.as_bytes() != self.incarnation.as_bytes()),
+                .is_some_and(|instance| instance.as_bytes() != self.incarnation.as_bytes()),
         };
         let answer = if arrival.foreign {
             self.record.arrivals.borrow_mut().push(arrival);
-            self.signed_off(turned_away(421, "another task is meant"))
-        } else if let Some(_seat) = self.seat(until).await {
-            self.run(arrival, until).await
+            self.with_instance_id(rejection(421, "another task is meant"))
+        } else if let Some(_slot) = self.acquire_slot(deadline).await {
+            self.run(arrival, deadline).await
         } else {
             self.record.arrivals.borrow_mut().push(arrival);
-            let mut answer = turned_away(503, "full");
+            let mut answer = rejection(503, "full");
             answer
                 .headers_mut()
                 .insert(RETRY_AFTER, HeaderValue::from_static("0.05"));
             answer
         };
-        self.closing(named(answer, id))
+        self.with_connection_header(with_request_id(answer, id))
     }
 
-    async fn health(&self, until: Instant) -> Response<Full<Bytes>> {
-        let seat = self.seat(until).await;
-        let well = seat.is_some() && self.stage() == Stage::Available;
-        self.signed_off(answer(if well { 200 } else { 503 }, Bytes::new()))
+    async fn health(&self, deadline: Instant) -> Response<Full<Bytes>> {
+        let slot = self.acquire_slot(deadline).await;
+        let healthy = slot.is_some() && self.stage() == Stage::Available;
+        self.with_instance_id(answer(if healthy { 200 } else { 503 }, Bytes::new()))
     }
 
-    /// A slot, or none where too many wait or the time is over.
-    async fn seat(&self, until: Instant) -> Option<tokio::sync::SemaphorePermit<'_>> {
-        if let Ok(seat) = self.seats.try_acquire() {
-            return Some(seat);
+    /// Waits for a slot; returns None if the queue is full or the deadline passes.
+    async fn acquire_slot(&self, deadline: Instant) -> Option<tokio::sync::SemaphorePermit<'_>> {
+        if let Ok(slot) = self.free_slots.try_acquire() {
+            return Some(slot);
         }
-        if self.waiting.get() >= QUEUE {
+        if self.queued.get() >= QUEUE_LENGTH {
             return None;
         }
-        self.waiting.set(self.waiting.get() + 1);
-        let _waits = InQueue(&self.waiting);
-        timeout_at(until, self.seats.acquire()).await.ok()?.ok()
+        self.queued.set(self.queued.get() + 1);
+        let _entry = QueueEntry(&self.queued);
+        timeout_at(deadline, self.free_slots.acquire())
+            .await
+            .ok()?
+            .ok()
     }
 
-    async fn run(&self, mut arrival: Arrival, until: Instant) -> Response<Full<Bytes>> {
+    async fn run(&self, mut arrival: Arrival, deadline: Instant) -> Response<Full<Bytes>> {
         let large = arrival.target.starts_with("/fetch/");
         let line = format!(
             "{} by {} for {} {}\n",
             arrival.id, self.incarnation, arrival.method, arrival.target
         );
         let body = if large {
-            line.repeat(LARGE / line.len().max(1))
+            line.repeat(LARGE_BODY_BYTES / line.len().max(1))
         } else {
             line
         };
         let body = Bytes::from(body);
-        let usual = Duration::from_millis(4 + digest(&arrival.id) % 20);
-        let work = if self.cold().is_zero() {
-            usual
+        let base_time = Duration::from_millis(4 + digest(&arrival.id) % 20);
+        let work_time = if self.cold_remaining().is_zero() {
+            base_time
         } else {
-            usual * 2
+            base_time * 2
         };
-        let done = Instant::now() + work;
-        let status = if done <= until { 200 } else { 504 };
+        let done_at = Instant::now() + work_time;
+        let status = if done_at <= deadline { 200 } else { 504 };
         let signature = format!("{}.{:016x}", self.incarnation, digest((&arrival.id, &body)));
         let given = Given {
             status,
@@ -185,7 +190,7 @@
         };
         arrival.given = Some(given);
         self.record.arrivals.borrow_mut().push(arrival);
-        tokio::time::sleep_until(done.min(until)).await;
+        tokio::time::sleep_until(done_at.min(deadline)).await;
         if status != 200 {
             return answer(status, Bytes::from_static(b"the deadline is over\n"));
         }
@@ -196,22 +201,22 @@
         answer
     }
 
-    fn signed_off(&self, mut answer: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
+    fn with_instance_id(&self, mut answer: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
         if let Ok(incarnation) = HeaderValue::try_from(self.incarnation.as_str()) {
             answer.headers_mut().insert(INSTANCE, incarnation);
         }
         answer
     }
 
-    /// A task that leaves closes its connections, and now and then any task does.
-    fn closing(&self, mut answer: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
-        let now_and_then = digest(answer.headers().get(REQUEST_ID)).is_multiple_of(40);
-        let (name, value) = if now_and_then || self.stage() != Stage::Available {
+    /// Closes the connection if the task is draining, and otherwise after one answer in 40.
+    fn with_connection_header(&self, mut answer: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
+        let sampled = digest(answer.headers().get(REQUEST_ID)).is_multiple_of(40);
+        let (name, value) = if sampled || self.stage() != Stage::Available {
             (CONNECTION, HeaderValue::from_static("close"))
         } else {
             (
                 KEEP_ALIVE,
-                HeaderValue::try_from(format!("timeout={IDLE_S}"))
+                HeaderValue::try_from(format!("timeout={IDLE_TIMEOUT_S}"))
                     .unwrap_or(HeaderValue::from_static("")),
             )
         };
@@ -220,11 +225,13 @@
     }
 }
 
-fn patience(headers: &HeaderMap) -> Duration {
-    let told = headers
+fn request_timeout(headers: &HeaderMap) -> Duration {
+    let requested = headers
         .get(DEADLINE)
         .and_then(|value| value.to_str().ok()?.parse().ok());
-    told.map_or(PATIENCE, Duration::from_millis).min(PATIENCE)
+    requested
+        .map_or(MAX_REQUEST_TIME, Duration::from_millis)
+        .min(MAX_REQUEST_TIME)
 }
 
 fn answer(status: u16, body: Bytes) -> Response<Full<Bytes>> {
@@ -233,7 +240,7 @@
     answer
 }
 
-fn turned_away(status: u16, why: &'static str) -> Response<Full<Bytes>> {
+fn rejection(status: u16, why: &'static str) -> Response<Full<Bytes>> {
     let mut answer = answer(status, Bytes::from_static(why.as_bytes()));
     answer
         .headers_mut()
@@ -241,12 +248,12 @@
     answer
 }
 
-fn named(mut answer: Response<Full<Bytes>>, id: HeaderValue) -> Response<Full<Bytes>> {
+fn with_request_id(mut answer: Response<Full<Bytes>>, id: HeaderValue) -> Response<Full<Bytes>> {
     answer.headers_mut().insert(REQUEST_ID, id);
     answer
 }
 
-/// Serves until the task is gone. Its connections end with it.
+/// Serves until the task is gone and closes its connections then.
 pub async fn serve(task: Rc<Task>, listener: TcpListener) {
     let mut stage = task.stage.subscribe();
     let mut connections = JoinSet::new();
@@ -254,29 +261,29 @@
         tokio::select! {
             _ = stage.wait_for(|stage| *stage == Stage::Gone) => return,
             Some(_) = connections.join_next() => {}
-            taken = listener.accept() => match taken {
-                Ok((stream, _)) if connections.len() >= MAX_CONNECTIONS => reset(&stream),
-                Ok((stream, _)) => _ = connections.spawn_local(connection(task.clone(), stream)),
+            accepted = listener.accept() => match accepted {
+                Ok((stream, _)) if connections.len() >= MAX_CONNECTIONS => close_with_reset(&stream),
+                Ok((stream, _)) => _ = connections.spawn_local(serve_connection(task.clone(), stream)),
                 Err(_) => sleep(Duration::from_millis(20)).await,
             }
         }
     }
 }
 
-/// With nothing to linger for, closing resets.
-fn reset(stream: &TcpStream) {
+/// Sets a zero linger time, so that closing the stream resets the connection.
+fn close_with_reset(stream: &TcpStream) {
     _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-async fn connection(task: Rc<Task>, stream: TcpStream) {
+async fn serve_connection(task: Rc<Task>, stream: TcpStream) {
     _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let task = task.clone();
-        async move { Ok::<_, std::convert::Infallible>(task.take(request).await) }
+        async move { Ok::<_, std::convert::Infallible>(task.handle(request).await) }
     });
-    let idle = Duration::from_secs(IDLE_S);
+    let idle = Duration::from_secs(IDLE_TIMEOUT_S);
     let mut server = http1::Builder::new();
     server.timer(TokioTimer::new()).header_read_timeout(idle);
-    // A connection that breaks takes its request with it: that is what tasks do.
+    // A request is cancelled when its connection breaks, as in a real task.
     _ = server.serve_connection(TokioIo::new(stream), service).await;
 }
--- a/crates/rookpulley-devcluster/src/tests.rs
+++ b/crates/rookpulley-devcluster/src/tests.rs
@@ -1,13 +1,13 @@
-//! Each check must find what it is there for: a sound trial is spoilt in one way after the other.
+//! Guards against checks that miss faults: each case corrupts a valid history and expects exactly one failing check.
 
 use crate::clients::{Seen, Try};
-use crate::coordination::{Hold, Number, Put, Read, Told};
+use crate::coordination::{Hold, Number, Observations, Put, Read};
+use crate::coordination_checks;
 use crate::environment::Environment;
-use crate::judge::{Check, Requests};
-use crate::operator::{FIRST, LETTERS, PARCELS, ROUTES, SECOND, configuration};
-use crate::order;
+use crate::gateway_configuration::{FIRST, LETTERS, PARCELS, ROUTES, SECOND, configuration};
+use crate::node_settings::{Role, node_settings};
 use crate::record::{Arrival, Drain, Given, Moment};
-use crate::sheet::{Role, sheet};
+use crate::request_checks::{Check, RequestChecks};
 use rookpulley_settings::Node;
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
     drains: Vec<Drain>,
 }
 
-/// Requests on all routes in turn, one each 10 ms, all served by a task of its own service.
-fn sound() -> History {
+/// A valid history: one request every 10 ms, on all routes in turn, each served by its service.
+fn valid_history() -> History {
     let mut history = History {
         tries: Vec::new(),
         arrivals: Vec::new(),
@@ -78,25 +78,25 @@
     history
 }
 
-fn judged(history: &History) -> Vec<Check> {
-    let requests = Requests {
+fn checks_of(history: &History) -> Vec<Check> {
+    let requests = RequestChecks {
         tries: &history.tries,
         arrivals: &history.arrivals,
         drains: &history.drains,
-        drain: at(100),
-        second_holds: Some(at(0)),
+        drain_period: at(100),
+        second_version_applies_at: Some(at(0)),
         retry_ratio: 0.2,
         retry_slack: 1.0,
     };
     requests.checks()
 }
 
-/// What the checks that didn't pass are called.
+/// The names of the checks that failed.
 fn failed(checks: &[Check]) -> Vec<&'static str> {
     checks
         .iter()
         .filter(|check| !check.passed())
-        .map(|check| check.what)
+        .map(|check| check.name)
         .collect()
 }
 
@@ -110,27 +110,27 @@
 }
 
 #[test]
-fn a_sound_trial_passes_and_each_way_to_spoil_its_requests_is_found() {
-    assert_eq!(failed(&judged(&sound())), Vec::<&str>::new());
-    type Spoil = fn(&mut History);
-    // The second request of the five routes is one that may run once.
-    let cases: &[(&str, Spoil)] = &[
-        ("ran once at most", |h| {
+fn valid_requests_pass_and_each_corruption_is_detected() {
+    assert_eq!(failed(&checks_of(&valid_history())), Vec::<&str>::new());
+    type Corruption = fn(&mut History);
+    // The second of the five routes is not idempotent.
+    let cases: &[(&str, Corruption)] = &[
+        ("run at most once", |h| {
             h.arrivals.push(Arrival {
                 incarnation: "other".into(),
                 ..h.arrivals[1].clone()
             })
         }),
-        ("refused never ran", |h| h.tries[1].seen = seen(503)),
-        ("whole and signed", |h| match &mut h.tries[0].seen {
+        ("never run", |h| h.tries[1].seen = seen(503)),
+        ("complete and signed", |h| match &mut h.tries[0].seen {
             Seen::Answer { body, .. } => *body += 1,
             _ => unreachable!(),
         }),
-        ("whole and signed", |h| match &mut h.tries[0].seen {
+        ("complete and signed", |h| match &mut h.tries[0].seen {
             Seen::Answer { signature, .. } => *signature = None,
             _ => unreachable!(),
         }),
-        ("whole and signed", |h| {
+        ("complete and signed", |h| {
             h.arrivals[0].given = Some(Given {
                 status: 504,
                 signature: "sign-0".into(),
@@ -141,61 +141,62 @@
             Seen::Answer { id, .. } => *id = Some("id-5".into()),
             _ => unreachable!(),
         }),
-        ("what a client sent", |h| {
+        ("reach tasks unmodified", |h| {
             h.arrivals[0].target = "/read/../0".into()
         }),
-        ("what a client sent", |h| h.arrivals[1].body = 8),
-        ("what a client sent", |h| {
+        ("reach tasks unmodified", |h| h.arrivals[1].body = 8),
+        ("reach tasks unmodified", |h| {
             let mut smuggled = h.arrivals[0].clone();
             smuggled.id = "nobody's".into();
             h.arrivals.push(smuggled);
         }),
-        ("handled by its route", |h| h.arrivals[1].service = PARCELS),
-        ("handled by its route", |h| h.tries[4].seen = seen(404)),
-        ("too long after its drain", |h| {
+        ("follows its route", |h| h.arrivals[1].service = PARCELS),
+        ("follows its route", |h| h.tries[4].seen = seen(404)),
+        ("after its drain period", |h| {
             h.drains[0].incarnation = format!("life-{LETTERS}")
         }),
         ("within their budget", |h| {
-            let again: Vec<Arrival> = h
+            let repeated: Vec<Arrival> = h
                 .arrivals
                 .iter()
                 .filter(|one| one.method == "GET")
                 .cloned()
                 .collect();
-            h.arrivals.extend(again);
+            h.arrivals.extend(repeated);
         }),
-        ("requests served", |h| {
+        ("eventually served", |h| {
             h.tries
                 .iter_mut()
                 .step_by(10)
                 .for_each(|one| one.seen = Seen::Nothing)
         }),
     ];
-    for (what, spoil) in cases {
-        let mut history = sound();
-        spoil(&mut history);
-        let found = failed(&judged(&history));
+    for (name, corrupt) in cases {
+        let mut history = valid_history();
+        corrupt(&mut history);
+        let found = failed(&checks_of(&history));
         assert!(
-            found.len() == 1 && found[0].contains(what),
-            "{what}: {found:?}"
+            found.len() == 1 && found[0].contains(name),
+            "{name}: {found:?}"
         );
     }
 }
 
-fn told() -> Told {
-    let told = Told::default();
+/// Valid observations of the applications.
+fn valid_observations() -> Observations {
+    let observations = Observations::default();
     for n in 0..10u64 {
         let put = Put {
             name: format!("trial.{}", n % 2),
             value: format!("value-{n}"),
             revision: 2 * n + 1,
         };
-        told.numbers.borrow_mut().push(Number {
+        observations.numbers.borrow_mut().push(Number {
             sent: at(n * 10),
-            got: at(n * 10 + 5),
+            received: at(n * 10 + 5),
             value: n * 3 + 1,
         });
-        told.holds.borrow_mut().push(Hold {
+        observations.holds.borrow_mut().push(Hold {
             holder: n as usize % 2,
             fence: n + 1,
             sent: at(n * 10),
@@ -203,25 +204,28 @@
             until: at(n * 10 + 9),
         });
         let (value, revision) = (Some(put.value.clone()), put.revision);
-        told.reads.borrow_mut().push(Read {
+        observations.reads.borrow_mut().push(Read {
             put: put.clone(),
             value,
             revision,
         });
-        told.puts.borrow_mut().push(put.clone());
-        told.events.borrow_mut().push(put);
+        observations.puts.borrow_mut().push(put.clone());
+        observations.events.borrow_mut().push(put);
     }
-    told.events.borrow_mut().remove(0);
-    told.watched_from.set(1);
-    told.stale.set((3, 3));
-    told
+    observations.events.borrow_mut().remove(0);
+    observations.watched_from.set(1);
+    observations.stale.set((3, 3));
+    observations
 }
 
 #[test]
-fn each_way_to_spoil_what_applications_were_told_is_found() {
-    assert_eq!(failed(&order::checks(&told())), Vec::<&str>::new());
-    type Spoil = fn(&Told);
-    let cases: &[(&str, Spoil)] = &[
+fn valid_observations_pass_and_each_corruption_is_detected() {
+    assert_eq!(
+        failed(&coordination_checks::checks(&valid_observations())),
+        Vec::<&str>::new()
+    );
+    type Corruption = fn(&Observations);
+    let cases: &[(&str, Corruption)] = &[
         ("each number", |t| t.numbers.borrow_mut()[5].value = 2),
         ("each number", |t| t.numbers.borrow_mut()[5].value = 13),
         ("one holder", |t| t.holds.borrow_mut()[4].until = at(53)),
@@ -232,30 +236,32 @@
         ("reads back", |t| {
             t.reads.borrow_mut()[3].value = Some("value-1".into())
         }),
-        ("left behind", |t| t.stale.set((3, 2))),
+        ("outdated revision", |t| t.stale.set((3, 2))),
         ("the watch", |t| _ = t.events.borrow_mut().remove(4)),
         ("the watch", |t| t.events.borrow_mut().swap(4, 5)),
         ("the watch", |t| {
             t.events.borrow_mut()[4].value = "value-0".into()
         }),
-        ("every call", |t| t.odd.borrow_mut().push("GET: 418".into())),
+        ("every application call", |t| {
+            t.unexpected.borrow_mut().push("GET: 418".into())
+        }),
     ];
-    for (what, spoil) in cases {
-        let told = told();
-        spoil(&told);
-        let found = failed(&order::checks(&told));
+    for (name, corrupt) in cases {
+        let observations = valid_observations();
+        corrupt(&observations);
+        let found = failed(&coordination_checks::checks(&observations));
         assert!(
-            found.len() == 1 && found[0].contains(what),
-            "{what}: {found:?}"
+            found.len() == 1 && found[0].contains(name),
+            "{name}: {found:?}"
         );
     }
 }
 
 #[test]
-fn settings_and_configurations_are_what_the_programs_read() {
-    let environment = Environment::find(false).unwrap();
+fn settings_and_configurations_parse() {
+    let environment = Environment::create(false).unwrap();
     for (machine, role) in [(0, Role::Controller), (2, Role::Proxy)] {
-        let node = sheet(&environment, machine, role, true);
+        let node = node_settings(&environment, machine, role, true);
         assert_eq!(Node::parse(&node.to_string()).unwrap(), node);
     }
     for (version, routes) in [(FIRST, 4), (SECOND, 5)] {
@@ -269,12 +275,12 @@
 }
 
 #[test]
-fn two_grounds_share_no_port() {
+fn two_environments_share_no_port() {
     let (one, other) = (
-        Environment::find(false).unwrap(),
-        Environment::find(false).unwrap(),
+        Environment::create(false).unwrap(),
+        Environment::create(false).unwrap(),
     );
-    let (first, second) = (one.ports.inner(), other.ports.inner());
+    let (first, second) = (one.ports.internal(), other.ports.internal());
     assert!(
         first.1 + 3 < second.0 || second.1 + 3 < first.0,
         "{first:?} {second:?}"
--- a/crates/rookpulley-devcluster/src/trial.rs
+++ b/crates/rookpulley-devcluster/src/trial.rs
@@ -1,16 +1,16 @@
-//! A trial: clients and applications at work while a controller is killed, a route added and a task drained.
+//! A trial: runs clients and applications while a controller is killed, a route is added and a task is drained.
 
-use crate::caller::once;
 use crate::clients::Clients;
-use crate::cluster::{Cluster, WITHIN};
+use crate::cluster::{Cluster, STEP_TIMEOUT};
+use crate::control_client::send_once;
 use crate::coordination::Applications;
-use crate::environment::MACHINES;
-use crate::faults::ClusterError;
-use crate::judge::{Check, Requests};
-use crate::operator::{SECOND, configuration};
-use crate::order;
+use crate::coordination_checks;
+use crate::environment::MACHINE_COUNT;
+use crate::errors::ClusterError;
+use crate::gateway_configuration::{SECOND, configuration};
+use crate::node_settings::{CATCH_UP_S, CONFIG_APPLY_MS, DRAIN_MS, Role, node_settings};
 use crate::record::Moment;
-use crate::sheet::{CATCH_UP_S, CONFIG_APPLY_MS, DRAIN_MS, Role, sheet};
+use crate::request_checks::{Check, RequestChecks};
 use crate::task::Stage;
 use bytes::Bytes;
 use std::cell::Cell;
@@ -20,13 +20,15 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::timeout;
 
-/// Requests served before the first trouble, and sent until the end at least.
-const BEFORE: usize = 60;
-const REQUESTS_LEAST: u32 = 400;
-/// Requests for the new route that are waited for.
-const NEW_ROUTE: usize = 20;
-const ANSWERS: Duration = Duration::from_secs(1);
+/// Requests that must be served before the first failure is injected.
+const WARMUP_REQUESTS: usize = 60;
+/// Requests that a trial sends at least.
+const MIN_REQUESTS: u32 = 400;
+/// Requests that the new route must have served before the trial ends.
+const MIN_NEW_ROUTE_REQUESTS: usize = 20;
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// The results of a trial.
 pub struct Trial {
     pub checks: Vec<Check>,
     pub lines: Vec<String>,
@@ -38,25 +40,25 @@
     }
 }
 
-fn say(cluster: &Cluster, what: &str) {
-    tell!(
-        "trial: {:5.2} s  {what}",
+fn log_step(cluster: &Cluster, message: &str) {
+    print_line!(
+        "trial: {:5.2} s  {message}",
         cluster.record.now().as_secs_f64()
     );
 }
 
-/// Ends what it runs also where the trial is broken off.
-struct Beside(JoinHandle<()>);
+/// Aborts a background task on drop, also when the trial fails early.
+struct AbortOnDrop(JoinHandle<()>);
 
-impl Drop for Beside {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// `machine`: whose controller is killed.
+/// Runs the trial; `machine` is the one whose controller is killed.
 pub async fn run(cluster: &mut Cluster, machine: usize) -> Result<Trial, ClusterError> {
-    let proxies = (0..MACHINES)
+    let proxies = (0..MACHINE_COUNT)
         .map(|machine| cluster.environment.front(machine))
         .collect();
     let clients = Clients::new(proxies, cluster.record.clone());
@@ -64,43 +66,43 @@
         cluster.environment.controls(),
         cluster.record.clone(),
     ));
-    let (requests, calls) = (clients.clone(), applications.clone());
-    let mut load = Beside(spawn_local(requests.run()));
-    let mut control = Beside(spawn_local(async move { calls.run().await }));
-    let played = script(cluster, machine, &clients, &applications).await;
-    write_down(cluster, &clients);
-    let second_holds = played?;
-    clients.over.set(true);
-    applications.over.set(true);
-    say(cluster, "the last answers are waited for");
+    let (requests, api_clients) = (clients.clone(), applications.clone());
+    let mut load = AbortOnDrop(spawn_local(requests.run()));
+    let mut control = AbortOnDrop(spawn_local(async move { api_clients.run().await }));
+    let scenario = run_scenario(cluster, machine, &clients, &applications).await;
+    write_history(cluster, &clients);
+    let second_version_applies_at = scenario?;
+    clients.stopped.set(true);
+    applications.stopped.set(true);
+    log_step(cluster, "waiting for the last answers");
     let both = async { _ = tokio::join!(&mut load.0, &mut control.0) };
     let mut checks = Vec::new();
-    let mut through = Check::new("clients and applications come to their end");
-    through.look(timeout(WITHIN, both).await.is_ok(), || {
-        format!("not within {} s", WITHIN.as_secs())
+    let mut finished = Check::new("clients and applications finish in time");
+    finished.examine(timeout(STEP_TIMEOUT, both).await.is_ok(), || {
+        format!("still running after {} s", STEP_TIMEOUT.as_secs())
     });
-    let read_back = read_back(cluster).await;
+    let configurations = check_configurations(cluster).await;
 
     let (tries, record) = (clients.tries.borrow(), cluster.record.clone());
     let (arrivals, drains) = (record.arrivals.borrow(), record.drains.borrow());
-    let bounds = sheet(&cluster.environment, 0, Role::Proxy, false).bounds;
-    let requests = Requests {
+    let bounds = node_settings(&cluster.environment, 0, Role::Proxy, false).bounds;
+    let requests = RequestChecks {
         tries: &tries,
         arrivals: &arrivals,
         drains: &drains,
-        drain: Duration::from_millis(DRAIN_MS),
-        second_holds: Some(second_holds),
+        drain_period: Duration::from_millis(DRAIN_MS),
+        second_version_applies_at: Some(second_version_applies_at),
         retry_ratio: bounds.retry_budget_ratio,
         retry_slack: bounds.retry_budget_slack,
     };
     checks.extend(requests.checks());
-    checks.extend(order::checks(&applications.told));
-    checks.extend([read_back, through]);
-    let (usual, slowest) = requests.times();
+    checks.extend(coordination_checks::checks(&applications.observations));
+    checks.extend([configurations, finished]);
+    let (median, p99) = requests.latency_percentiles();
     let outcomes = requests
         .outcomes()
         .into_iter()
-        .map(|(what, count)| format!("{what}: {count}"));
+        .map(|(outcome, count)| format!("{outcome}: {count}"));
     let lines = vec![
         format!(
             "answers to {} tries: {}",
@@ -108,102 +110,107 @@
             outcomes.collect::<Vec<_>>().join(", ")
         ),
         format!(
-            "successes took {} ms in the middle, {} ms for 1 of 100",
-            usual.as_millis(),
-            slowest.as_millis()
+            "latency of successes: median {} ms, 99th percentile {} ms",
+            median.as_millis(),
+            p99.as_millis()
         ),
     ];
     Ok(Trial { checks, lines })
 }
 
-/// Gives back when the second version must hold everywhere.
-async fn script(
+/// Plays the scenario and returns when every proxy must have applied the second configuration version.
+async fn run_scenario(
     cluster: &mut Cluster,
     machine: usize,
     clients: &Rc<Clients>,
     applications: &Rc<Applications>,
 ) -> Result<Moment, ClusterError> {
     let controller = Role::Controller.name(machine);
-    say(
+    log_step(
         cluster,
-        "requests go through all proxies, applications call all controllers",
+        "sending requests through all proxies and calls to all controllers",
     );
     let served = |proxy: Option<usize>| {
         let tries = clients.tries.borrow();
         tries
             .iter()
-            .filter(|one| one.served() && proxy.is_none_or(|at| at == one.proxy))
+            .filter(|one| one.served() && proxy.is_none_or(|index| index == one.proxy))
             .count()
     };
     cluster
-        .wait("that every proxy serves", async || {
-            served(None) >= BEFORE && (0..MACHINES).all(|at| served(Some(at)) > 0)
+        .wait_for("every proxy to serve requests", async || {
+            served(None) >= WARMUP_REQUESTS
+                && (0..MACHINE_COUNT).all(|index| served(Some(index)) > 0)
         })
         .await?;
-    let told = &applications.told;
-    let hold_seen = async || !told.holds.borrow().is_empty() && !told.events.borrow().is_empty();
+    let observations = &applications.observations;
+    let coordinated = async || {
+        !observations.holds.borrow().is_empty() && !observations.events.borrow().is_empty()
+    };
     cluster
-        .wait("a lock held and a put seen by its watch", hold_seen)
+        .wait_for("a completed lock hold and a watch event", coordinated)
         .await?;
 
     let record = cluster.record.clone();
     let caught_up = Duration::from_secs_f64(CATCH_UP_S);
     cluster
-        .wait("the time by which all have caught up", async || {
+        .wait_for("the catch-up period of all machines to pass", async || {
             record.now() > caught_up
         })
         .await?;
 
     cluster.processes.kill(&controller).await;
     let killed = cluster.record.now();
-    say(cluster, &format!("{controller} is killed"));
-    let numbered = async || {
-        told.numbers
+    log_step(cluster, &format!("killed {controller}"));
+    let number_received = async || {
+        observations
+            .numbers
             .borrow()
             .iter()
             .any(|number| number.sent > killed)
     };
     cluster
-        .wait("a number from the controllers that are left", numbered)
+        .wait_for("a number from the remaining controllers", number_received)
         .await?;
-    let waited = cluster.record.now().saturating_sub(killed).as_millis();
-    say(
+    let elapsed_ms = cluster.record.now().saturating_sub(killed).as_millis();
+    log_step(
         cluster,
-        &format!("the controllers that are left answer, {waited} ms later"),
+        &format!("the remaining controllers answer after {elapsed_ms} ms"),
     );
 
     cluster.configure(SECOND).await?;
-    let holds = cluster.record.now() + Duration::from_millis(CONFIG_APPLY_MS);
-    say(
-        cluster,
-        &format!("configuration {SECOND} is acknowledged by them"),
-    );
+    let applies_at = cluster.record.now() + Duration::from_millis(CONFIG_APPLY_MS);
+    log_step(cluster, &format!("configuration {SECOND} is acknowledged"));
     cluster.processes.start(&cluster.environment, &controller)?;
-    say(cluster, &format!("{controller} starts again"));
+    log_step(cluster, &format!("restarted {controller}"));
     let (control, newest) = (
         cluster.environment.control(machine),
         (200, Bytes::from(configuration(SECOND))),
     );
-    let knows = async || held_by(control).await.as_ref() == Some(&newest);
+    let configuration_read = async || read_configuration(control).await.as_ref() == Some(&newest);
     cluster
-        .wait(
-            &format!("that {controller} is back and knows configuration {SECOND}"),
-            knows,
+        .wait_for(
+            &format!("{controller} to return configuration {SECOND}"),
+            configuration_read,
         )
         .await?;
-    say(cluster, &format!("{controller} is back and knows it"));
+    log_step(
+        cluster,
+        &format!("{controller} returns configuration {SECOND}"),
+    );
     cluster
-        .wait("the time by which the new route must hold", async || {
-            record.now() > holds
-        })
+        .wait_for(
+            "the deadline for applying the new route to pass",
+            async || record.now() > applies_at,
+        )
         .await?;
-    clients.use_second();
+    clients.use_second_version();
 
     let Some(task) = cluster.tasks.first().cloned() else {
-        return Ok(holds);
+        return Ok(applies_at);
     };
     task.stage.send_replace(Stage::Draining);
-    say(cluster, &format!("{} drains", task.incarnation));
+    log_step(cluster, &format!("draining {}", task.incarnation));
     let acknowledged = async || {
         record
             .drains
@@ -212,33 +219,33 @@
             .any(|drain| drain.incarnation == task.incarnation)
     };
     cluster
-        .wait("an acknowledgement of the drain", acknowledged)
+        .wait_for("the acknowledgement of the drain", acknowledged)
         .await?;
-    say(cluster, "its drain is acknowledged");
+    log_step(cluster, "the drain is acknowledged");
     cluster
-        .wait("the end of the task", async || task.stage() == Stage::Gone)
+        .wait_for("the task to leave", async || task.stage() == Stage::Gone)
         .await?;
-    say(cluster, "it has left");
+    log_step(cluster, "the task has left");
 
-    let new_route = Cell::new(0);
+    let new_route_served = Cell::new(0);
     let enough = async || {
         let tries = clients.tries.borrow();
-        new_route.set(
+        new_route_served.set(
             tries
                 .iter()
                 .filter(|one| one.served() && one.route.since == SECOND)
                 .count(),
         );
-        clients.sent.get() >= REQUESTS_LEAST && new_route.get() >= NEW_ROUTE
+        clients.sent.get() >= MIN_REQUESTS && new_route_served.get() >= MIN_NEW_ROUTE_REQUESTS
     };
     cluster
-        .wait("enough requests, some by the new route", enough)
+        .wait_for("enough requests, including some on the new route", enough)
         .await?;
-    Ok(holds)
+    Ok(applies_at)
 }
 
-/// Leaves what clients and tasks saw beside the logs, for whoever keeps the folder.
-fn write_down(cluster: &Cluster, clients: &Clients) {
+/// Writes what clients and tasks observed to files beside the logs, for inspection with --keep.
+fn write_history(cluster: &Cluster, clients: &Clients) {
     let lines = |items: Vec<String>| items.join("\n") + "\n";
     let tries = clients
         .tries
@@ -261,19 +268,26 @@
     }
 }
 
-/// The status and configuration that a controller gives back.
-async fn held_by(controller: SocketAddrV4) -> Option<(u16, Bytes)> {
-    once(controller, "GET", "/rookpulley/configuration", "", ANSWERS).await
+/// Reads a controller's configuration, with the status of the answer.
+async fn read_configuration(controller: SocketAddrV4) -> Option<(u16, Bytes)> {
+    send_once(
+        controller,
+        "GET",
+        "/rookpulley/configuration",
+        "",
+        READ_TIMEOUT,
+    )
+    .await
 }
 
-/// Every controller must give back the newest configuration as it was sent.
-async fn read_back(cluster: &Cluster) -> Check {
-    let mut check = Check::new("every controller reads the newest configuration back");
+/// Checks that every controller returns the newest configuration unchanged.
+async fn check_configurations(cluster: &Cluster) -> Check {
+    let mut check = Check::new("every controller returns the newest configuration");
     let sent = (200, Bytes::from(configuration(SECOND)));
     for (machine, controller) in cluster.environment.controls().into_iter().enumerate() {
-        let held = held_by(controller).await;
-        let status = held.as_ref().map(|(status, _)| *status);
-        check.look(held.as_ref() == Some(&sent), || {
+        let answer = read_configuration(controller).await;
+        let status = answer.as_ref().map(|(status, _)| *status);
+        check.examine(answer.as_ref() == Some(&sent), || {
             format!("{}: {status:?}", Role::Controller.name(machine))
         });
     }
--- a/crates/rookpulley-devcluster/tests/trial.rs
+++ b/crates/rookpulley-devcluster/tests/trial.rs
@@ -1,4 +1,4 @@
-//! The command as users start it, with the controllers and proxies of this very source.
+//! Runs the command with the controller and proxy built from this source tree.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,14 +8,14 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-const DEPOT: &str = env!("CARGO_BIN_EXE_rookpulley-devcluster");
+const DEVCLUSTER: &str = env!("CARGO_BIN_EXE_rookpulley-devcluster");
 
-/// Builds the programs of the other packages beside the cluster, which `cargo test` doesn't. Where they are built
-/// already this takes a moment.
-fn built() {
+/// Builds the controller and the proxy beside the cluster program, because `cargo test` does not build the binaries of
+/// other packages.
+fn build_programs() {
     static DONE: OnceLock<()> = OnceLock::new();
     DONE.get_or_init(|| {
-        // The test stands in TARGET/PROFILE/deps.
+        // The test binary is in TARGET/PROFILE/deps.
         let test = std::env::current_exe().unwrap();
         let folder = test.parent().and_then(Path::parent).unwrap();
         let profile = match folder.file_name().unwrap().to_str().unwrap() {
@@ -41,59 +41,59 @@
             .unwrap();
         assert!(
             done.success(),
-            "the controller and the proxy can't be built"
+            "building the controller and the proxy failed"
         );
     });
 }
 
-/// The cluster, with its folder in memory where this machine has a place for that: controllers sync what they are told, and
-/// the verdict must not hang on how busy the disk is.
+/// The command, with its temporary folder on a tmpfs if there is one: controllers sync their data, and the result must
+/// not depend on the load of the disk.
 fn cluster() -> Command {
     let mounts = std::fs::read_to_string("/proc/self/mounts").unwrap_or_default();
     let mut in_memory = mounts.lines().filter_map(|line| {
         let mut words = line.split(' ');
-        let (place, kind) = (words.nth(1)?, words.next()?);
-        (kind == "tmpfs").then_some(place)
+        let (folder, kind) = (words.nth(1)?, words.next()?);
+        (kind == "tmpfs").then_some(folder)
     });
-    let place = in_memory.find(|place| tempfile::tempdir_in(place).is_ok());
-    let mut command = Command::new(DEPOT);
-    if let Some(place) = place {
-        command.env("TMPDIR", place);
+    let folder = in_memory.find(|folder| tempfile::tempdir_in(folder).is_ok());
+    let mut command = Command::new(DEVCLUSTER);
+    if let Some(folder) = folder {
+        command.env("TMPDIR", folder);
     }
     command
 }
 
 #[test]
 fn a_trial_passes() {
-    built();
+    build_programs();
     let out = cluster().args(["--trial", "--for", "40"]).output().unwrap();
-    let said = String::from_utf8_lossy(&out.stdout);
-    let faults = String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.success(), "{said}\n{faults}");
+    let output = String::from_utf8_lossy(&out.stdout);
+    let errors = String::from_utf8_lossy(&out.stderr);
+    assert!(out.status.success(), "{output}\n{errors}");
     assert!(
-        said.contains("trial: passed") && faults.is_empty(),
-        "{said}\n{faults}"
+        output.contains("trial: passed") && errors.is_empty(),
+        "{output}\n{errors}"
     );
 }
 
 #[test]
-fn it_serves_until_it_is_told_to_end_and_leaves_nothing_behind() {
-    built();
+fn serves_until_terminated_and_removes_its_folder() {
+    build_programs();
     let mut cluster = cluster()
         .args(["--for", "40"])
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
-    let mut said = BufReader::new(cluster.stdout.take().unwrap())
+    let mut output = BufReader::new(cluster.stdout.take().unwrap())
         .lines()
         .map(Result::unwrap);
-    let mut line_with = |mark: &str| {
-        let line = said.find(|line| line.contains(mark));
-        line.unwrap_or_else(|| panic!("it said nothing of {mark:?}"))
+    let mut line_with = |text: &str| {
+        let line = output.find(|line| line.contains(text));
+        line.unwrap_or_else(|| panic!("no output line contains {text:?}"))
     };
     let folder = PathBuf::from(line_with("cluster: up").rsplit(' ').next().unwrap());
     assert!(folder.join("office-1.toml").is_file() && folder.join("courier-3.toml").is_file());
-    // The lines that it shows must do what they promise.
+    // The printed example request must work.
     let request = line_with("my-first");
     let address = request
         .split_once("http://")
@@ -110,11 +110,11 @@
     stream
         .write_all(format!("{head}Connection: close\r\n\r\n").as_bytes())
         .unwrap();
-    let mut back = String::new();
-    stream.read_to_string(&mut back).unwrap();
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
     assert!(
-        back.starts_with("HTTP/1.1 200 ") && back.contains("my-first by i-"),
-        "{back}"
+        response.starts_with("HTTP/1.1 200 ") && response.contains("my-first by i-"),
+        "{response}"
     );
 
     kill_process(Pid::from_child(&cluster), Signal::TERM).unwrap();
@@ -123,16 +123,16 @@
 }
 
 #[test]
-fn without_its_programs_it_says_what_to_build() {
-    // A link, as a copy may still be open for writing in another test's child when it is to be started.
-    let alone = tempfile::tempdir_in(Path::new(DEPOT).parent().unwrap()).unwrap();
-    let copy = alone.path().join("rookpulley-devcluster");
-    std::fs::hard_link(DEPOT, &copy).unwrap();
-    let out = Command::new(&copy).arg("--trial").output().unwrap();
-    let faults = String::from_utf8_lossy(&out.stderr);
+fn missing_programs_are_reported_with_the_build_command() {
+    // A hard link avoids ETXTBSY: a child of another test may still hold a copy open for writing.
+    let folder = tempfile::tempdir_in(Path::new(DEVCLUSTER).parent().unwrap()).unwrap();
+    let program = folder.path().join("rookpulley-devcluster");
+    std::fs::hard_link(DEVCLUSTER, &program).unwrap();
+    let out = Command::new(&program).arg("--trial").output().unwrap();
+    let errors = String::from_utf8_lossy(&out.stderr);
     assert!(!out.status.success());
     assert!(
-        faults.contains("rookpulley-controller isn't there") && faults.contains("cargo build"),
-        "{faults}"
+        errors.contains("rookpulley-controller does not exist") && errors.contains("cargo build"),
+        "{errors}"
     );
 }
