--- a/deploy/operators.star
+++ b/deploy/operators.star
@@ -1,11 +1,11 @@
-# What this assigner does beside the platform's protocol. What is not named here is off.
-# `rookpulley check deploy/operators.star` says what it switches on.
+# Optional features of this assigner beyond the platform's protocol. Features not listed here are disabled.
+# `rookpulley check deploy/operators.star` lists the enabled features.
 
-# Where operators reach it. Beyond loopback a token is a must: token_file = "/path/to/token".
+# The listen address of the operator API. Other than on loopback a token is required: token_file = "/path/to/token".
 address(listen = "127.0.0.1:3990")
 
-# So many versions are kept of each table, within so many megabytes for all.
+# Number of versions kept per table, and the total size limit of all versions.
 versions(keep = 8, megabytes = 16)
 
-# Lines on standard error: "text" or "json".
+# Format of the log on standard error: "text" or "json".
 log(form = "text")
