--- a/crates/rookpulley-cli/src/call.rs
+++ b/crates/rookpulley-cli/src/call.rs
@@ -1,4 +1,4 @@
-//! One call to an assigner's operators' address, or to a controller's control address.
+//! HTTP client for an assigner's operator API and a controller's control API.
 
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Bytes;
@@ -13,102 +13,122 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-const WITHIN: Duration = Duration::from_secs(15);
-const ANSWER_MOST: usize = 64 << 20;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
+/// Reasons why a command has no result.
 #[derive(Debug, thiserror::Error)]
-pub enum CannotAsk {
+pub enum CommandError {
     #[error(
-        "no assigner answers at {at}: {why}; is it started with --operators, and does the file name this address()?"
+        "no assigner answers at {address}: {cause}; check that it runs with --operators and that its operators' file sets this address()"
     )]
-    Unreachable { at: SocketAddr, why: String },
+    Unreachable { address: SocketAddr, cause: String },
     #[error("{0}")]
-    No(ApiError),
-    #[error("the answer from {at} can't be read: {why}; is another program there?")]
-    Unreadable { at: SocketAddr, why: String },
+    Rejected(ApiError),
     #[error(
-        "no controller answers at {at}: {why}; give its controlPlane address with --at, as its settings have it"
+        "invalid response from {address}: {cause}; check which program listens on this address"
     )]
-    NoController { at: SocketAddr, why: String },
+    InvalidResponse { address: SocketAddr, cause: String },
+    #[error(
+        "no controller answers at {address}: {cause}; set --at to the controlPlane address from its settings"
+    )]
+    ControllerUnreachable { address: SocketAddr, cause: String },
     #[error("{0}; {help}", help = miette::Diagnostic::help(.0).map(|help| help.to_string()).unwrap_or_default())]
     Store(InspectError),
-    #[error("the token file {} can't be read: {why}", file.display())]
-    Token { file: PathBuf, why: std::io::Error },
+    #[error("cannot read the token file {}: {cause}", file.display())]
+    Token {
+        file: PathBuf,
+        cause: std::io::Error,
+    },
 }
 
-impl CannotAsk {
-    /// The code that the command ends with.
-    pub fn code(&self) -> u8 {
+impl CommandError {
+    /// Exit code of the command.
+    pub fn exit_code(&self) -> u8 {
         match self {
-            Self::No(_) => 1,
+            Self::Rejected(_) => 1,
             Self::Unreachable { .. }
-            | Self::NoController { .. }
+            | Self::ControllerUnreachable { .. }
             | Self::Store(_)
-            | Self::Unreadable { .. }
+            | Self::InvalidResponse { .. }
             | Self::Token { .. } => 3,
         }
     }
 }
 
-pub struct Place {
-    at: SocketAddr,
+/// A server address with the bearer token for it, if any.
+pub struct Client {
+    address: SocketAddr,
     token: Option<String>,
 }
 
-impl Place {
-    pub fn of(at: SocketAddr, token_file: Option<&Path>) -> Result<Self, CannotAsk> {
+impl Client {
+    pub fn new(address: SocketAddr, token_file: Option<&Path>) -> Result<Self, CommandError> {
         let read = |file: &Path| {
             let text = std::fs::read_to_string(file);
-            let text = text.map_err(|why| CannotAsk::Token {
+            let text = text.map_err(|cause| CommandError::Token {
                 file: file.into(),
-                why,
+                cause,
             })?;
             Ok(text.lines().next().unwrap_or_default().trim().to_string())
         };
         Ok(Self {
-            at,
+            address,
             token: token_file.map(read).transpose()?,
         })
     }
 
-    /// The status and the answer; an answer that is an error is one here.
-    pub fn ask<T: serde::de::DeserializeOwned>(
+    /// Sends a request and returns the status and the decoded body. An `error` object in the body becomes `Rejected`.
+    pub fn request<T: serde::de::DeserializeOwned>(
         &self,
         method: &str,
         path: &str,
         body: Option<&Value>,
-    ) -> Result<(u16, T), CannotAsk> {
-        let unreachable = |why: String| CannotAsk::Unreachable { at: self.at, why };
-        let (status, bytes) = self.reach(method, path, body).map_err(unreachable)?;
-        let unreadable = |e: serde_json::Error| CannotAsk::Unreadable {
-            at: self.at,
-            why: e.to_string(),
+    ) -> Result<(u16, T), CommandError> {
+        let unreachable = |cause: String| CommandError::Unreachable {
+            address: self.address,
+            cause,
+        };
+        let (status, bytes) = self.exchange(method, path, body).map_err(unreachable)?;
+        let invalid_response = |e: serde_json::Error| CommandError::InvalidResponse {
+            address: self.address,
+            cause: e.to_string(),
         };
-        let mut value: Value = serde_json::from_slice(&bytes).map_err(unreadable)?;
+        let mut value: Value = serde_json::from_slice(&bytes).map_err(invalid_response)?;
         if !value["error"].is_null() {
-            let refusal: ApiError =
-                serde_json::from_value(value["error"].take()).map_err(unreadable)?;
-            return Err(CannotAsk::No(refusal));
+            let rejection: ApiError =
+                serde_json::from_value(value["error"].take()).map_err(invalid_response)?;
+            return Err(CommandError::Rejected(rejection));
         }
-        Ok((status, serde_json::from_value(value).map_err(unreadable)?))
+        Ok((
+            status,
+            serde_json::from_value(value).map_err(invalid_response)?,
+        ))
     }
 
-    pub fn unreadable(&self, why: String) -> CannotAsk {
-        CannotAsk::Unreadable { at: self.at, why }
+    /// Wraps a decoding failure with the server's address.
+    pub fn invalid_response(&self, cause: String) -> CommandError {
+        CommandError::InvalidResponse {
+            address: self.address,
+            cause,
+        }
     }
 
-    /// What a controller shows.
-    pub fn controller(&self, path: &str) -> Result<Bytes, CannotAsk> {
-        let (status, bytes) = self
-            .reach("GET", path, None)
-            .map_err(|why| CannotAsk::NoController { at: self.at, why })?;
+    /// Fetches a page from a controller. Any status other than 200 is an error.
+    pub fn get_from_controller(&self, path: &str) -> Result<Bytes, CommandError> {
+        let (status, bytes) = self.exchange("GET", path, None).map_err(|cause| {
+            CommandError::ControllerUnreachable {
+                address: self.address,
+                cause,
+            }
+        })?;
         match status {
             200 => Ok(bytes),
-            status => Err(self.unreadable(format!("its status is {status}"))),
+            status => Err(self.invalid_response(format!("unexpected status {status}"))),
         }
     }
 
-    fn reach(
+    fn exchange(
         &self,
         method: &str,
         path: &str,
@@ -118,18 +138,23 @@
             .enable_all()
             .build();
         let runtime = runtime.map_err(|e| e.to_string())?;
-        let answered =
-            runtime.block_on(async { timeout(WITHIN, self.call(method, path, body)).await });
-        answered.unwrap_or_else(|_| Err(format!("nothing came within {} s", WITHIN.as_secs())))
+        let result = runtime
+            .block_on(async { timeout(REQUEST_TIMEOUT, self.send(method, path, body)).await });
+        result.unwrap_or_else(|_| {
+            Err(format!(
+                "no response within {} s",
+                REQUEST_TIMEOUT.as_secs()
+            ))
+        })
     }
 
-    async fn call(
+    async fn send(
         &self,
         method: &str,
         path: &str,
         body: Option<&Value>,
     ) -> Result<(u16, Bytes), String> {
-        let socket = TcpStream::connect(self.at)
+        let socket = TcpStream::connect(self.address)
             .await
             .map_err(|e| e.to_string())?;
         let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(socket))
@@ -138,7 +163,7 @@
         let mut request = hyper::Request::builder()
             .method(method)
             .uri(path)
-            .header(HOST, self.at.to_string());
+            .header(HOST, self.address.to_string());
         if let Some(token) = &self.token {
             request = request.header(AUTHORIZATION, format!("Bearer {token}"));
         }
@@ -147,23 +172,23 @@
         }
         let body = Full::new(Bytes::from(body.map(Value::to_string).unwrap_or_default()));
         let request = request.body(body).map_err(|e| e.to_string())?;
-        let answer = async {
-            let answer = sender
+        let response = async {
+            let response = sender
                 .send_request(request)
                 .await
                 .map_err(|e| e.to_string())?;
-            let status = answer.status().as_u16();
-            let body = Limited::new(answer.into_body(), ANSWER_MOST)
+            let status = response.status().as_u16();
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
                 .collect()
                 .await;
             Ok((status, body.map_err(|e| e.to_string())?.to_bytes()))
         };
-        // The connection does its work beside the answer, and ends with it.
-        tokio::pin!(answer, connection);
+        // The connection must be polled for the response to make progress.
+        tokio::pin!(response, connection);
         tokio::select! {
-            answer = &mut answer => answer,
+            response = &mut response => response,
             ended = &mut connection => match ended {
-                Ok(()) => answer.await,
+                Ok(()) => response.await,
                 Err(e) => Err(e.to_string()),
             },
         }
--- a/crates/rookpulley-cli/src/gateway.rs
+++ b/crates/rookpulley-cli/src/gateway.rs
@@ -1,5 +1,5 @@
-//! Commands on the gateway: what its controllers show, checks of its files, where a request would go, what a disk holds
-//! and how a chain is founded anew with it.
+//! Gateway commands: controller status, file checks, route lookup, simulation, and inspection and recovery of a
+//! controller's store.
 
 mod check;
 mod explain;
@@ -7,25 +7,25 @@
 mod show;
 mod store;
 
-use crate::call::{CannotAsk, Place};
+use crate::call::{Client, CommandError};
 use clap::{Subcommand, ValueEnum};
 use std::path::PathBuf;
 
 #[derive(Subcommand)]
 pub enum Gateway {
-    /// Shows how things look from one controller; --at is its controlPlane address
+    /// Show the status as seen by one controller; --at is its controlPlane address
     ///
     /// Example: rookpulley gateway show view --at 10.4.0.10:8166
     Show {
-        part: Part,
-        /// Tasks or tables of this service alone
+        part: Topic,
+        /// Only the tasks or tables of this service
         #[arg(long)]
         service: Option<String>,
     },
-    /// Says whether a file can be used, and all the reasons why not; ends with 1 where it can't
+    /// Check whether a file is valid and list all faults; exits with 1 if it is invalid
     #[command(subcommand)]
     Check(Check),
-    /// Says which route of a configuration takes a request and which prefixes lost; ends with 1 where none does
+    /// Show which route matches a request and which shorter prefixes also match; exits with 1 if no route matches
     ///
     /// Example: rookpulley gateway explain configuration.json post.example /stamps/list
     Explain {
@@ -33,33 +33,33 @@
         host: String,
         path: String,
     },
-    /// Plays days of whole gateways in this process, and shows the first that breaks a rule; ends with 1 where one does
+    /// Simulate days of whole gateways and show the first that breaks a rule; exits with 1 if one does
     ///
-    /// No machine is needed or touched: controllers and proxies run by the code of the programs, on a simulated network. A
-    /// day that breaks a rule is shrunk to the fewest troubles that still break it.
+    /// Controllers and proxies run their production code in this process on a simulated network. A day that breaks a
+    /// rule is reduced to a small set of events that still breaks it.
     ///
     /// Example: rookpulley gateway hunt --seeds 0..2000
     Hunt {
-        /// The days to play, FROM..TO or one seed
+        /// Seeds of the days to simulate: FROM..TO or one seed
         #[arg(long, default_value = "0..200", value_parser = hunt::seeds)]
         seeds: std::ops::Range<u64>,
         #[arg(long, default_value_t = 4)]
         threads: usize,
-        /// Plays the day of this seed alone and prints all that was logged
+        /// Simulate only the day of this seed and print its log
         #[arg(long, conflicts_with = "seeds")]
         day: Option<u64>,
     },
-    /// The chain of the controllers
+    /// Inspect the replication chain of the controllers
     #[command(subcommand)]
     Chain(Chain),
-    /// A controller's store on disk, in place; only while no process uses it
+    /// Inspect or recover a controller's store on disk; no process may be using it
     #[command(subcommand)]
     Store(Store),
 }
 
 #[derive(Subcommand)]
 pub enum Chain {
-    /// Shows the chain as one controller sees it, as `show view` does; --at is its controlPlane address
+    /// Show the chain as seen by one controller, like `show view`; --at is its controlPlane address
     ///
     /// Example: rookpulley gateway chain show --at 10.4.0.10:8166
     Show,
@@ -67,99 +67,99 @@
 
 #[derive(Subcommand)]
 pub enum Store {
-    /// Shows what it holds
+    /// Show the contents of the store
     ///
     /// Example: rookpulley gateway store show /data/controller
     Show {
         /// The dataDirectory of the controller's settings
         folder: PathBuf,
     },
-    /// Says how far it reaches and all that is wrong with it; ends with 1 where something is
+    /// Check the store and show its latest view, update and configuration; exits with 1 if it has faults
     ///
     /// Example: rookpulley gateway store check /data/controller
     Check {
         /// The dataDirectory of the controller's settings
         folder: PathBuf,
     },
-    /// Lets it found the chain anew, where most controllers are gone for good; ends with 1 where it can't
+    /// Refound the chain from this store after the permanent loss of most controllers; exits with 1 if it can't
     ///
-    /// Without --yes it only says what it would do. The controller gets another identity and a view of its own and keeps
-    /// its state and its whole log; the store as it was is kept beside. Only on one controller that is left, the one whose
-    /// check shows the highest installed view and then the highest update: what the others acknowledged without it is
-    /// gone.
+    /// Without --yes it only shows what would change. The controller gets a new identity and a view with itself as the
+    /// only member, and keeps its state and its whole log; the previous store is kept next to the new one. Run this on
+    /// exactly one remaining controller: the one whose check shows the highest installed view and then the highest
+    /// update. Updates that the others acknowledged without it are lost.
     ///
     /// Example: rookpulley gateway store refound /data/controller --yes
     Refound {
         /// The dataDirectory of the controller's settings
         folder: PathBuf,
-        /// Do it
+        /// Write the changes
         #[arg(long)]
         yes: bool,
     },
 }
 
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
-pub enum Part {
-    /// Who is in the chain, and how it is
+pub enum Topic {
+    /// Members and status of the chain
     View,
-    /// Instances
+    /// Registered instances
     Tasks,
-    /// The tables that this controller publishes
+    /// Tables published by this controller
     Tables,
-    /// Proxies that are connected
+    /// Connected proxies
     #[value(name = "couriers")]
     Proxies,
-    /// What the chain replicates
+    /// Size and version of the replicated state
     #[value(name = "ledger")]
     State,
-    /// Counts since the controller began; collectors read them at /rookpulley/show/counters
+    /// Counters since the controller started; also at /rookpulley/show/counters for metrics collectors
     Counters,
 }
 
 #[derive(Subcommand)]
 pub enum Check {
-    /// The settings file of a process
+    /// Check the settings file of a process
     ///
     /// Example: rookpulley gateway check settings /etc/rookpulley/node.toml
     Settings { file: PathBuf },
-    /// The operator's configuration
+    /// Check the operator's configuration
     ///
     /// Example: rookpulley gateway check configuration configuration.json
     Configuration { file: PathBuf },
-    /// Which program runs where
+    /// Check the deployment file, which assigns programs to machines
     ///
     /// Example: rookpulley gateway check deploy deploy/system.toml
     Deploy { file: PathBuf },
 }
 
-/// What a command prints, and whether all is well.
+/// Runs a command. Returns its output and whether it succeeded.
 pub fn run(
-    what: &Gateway,
+    command: &Gateway,
     json: bool,
-    place: impl Fn() -> Result<Place, CannotAsk>,
-) -> Result<(String, bool), CannotAsk> {
-    Ok(match what {
+    client: impl Fn() -> Result<Client, CommandError>,
+) -> Result<(String, bool), CommandError> {
+    Ok(match command {
         Gateway::Show { part, service } => (
-            show::shown(json, &place()?, *part, service.as_deref().unwrap_or(""))?,
+            show::show(json, &client()?, *part, service.as_deref().unwrap_or(""))?,
             true,
         ),
-        Gateway::Check(Check::Settings { file }) => check::settings(file).told(json),
-        Gateway::Check(Check::Configuration { file }) => check::configuration(file).told(json),
-        Gateway::Check(Check::Deploy { file }) => check::deploy(file).told(json),
-        Gateway::Explain { file, host, path } => explain::explained(json, file, host, path),
+        Gateway::Check(Check::Settings { file }) => check::settings(file).render(json),
+        Gateway::Check(Check::Configuration { file }) => check::configuration(file).render(json),
+        Gateway::Check(Check::Deploy { file }) => check::deploy(file).render(json),
+        Gateway::Explain { file, host, path } => explain::explain(json, file, host, path),
         Gateway::Hunt {
             day: Some(seed), ..
-        } => hunt::day(json, *seed),
+        } => hunt::run_day(json, *seed),
         Gateway::Hunt {
             seeds,
             threads,
             day: None,
-        } => hunt::hunted(json, seeds.clone(), *threads),
-        Gateway::Chain(Chain::Show) => (show::shown(json, &place()?, Part::View, "")?, true),
-        Gateway::Store(Store::Show { folder }) => (store::shown(json, folder)?, true),
-        Gateway::Store(Store::Check { folder }) => store::check::checked(json, folder)?,
+        } => hunt::run_hunt(json, seeds.clone(), *threads),
+        Gateway::Chain(Chain::Show) => (show::show(json, &client()?, Topic::View, "")?, true),
+        Gateway::Store(Store::Show { folder }) => (store::show(json, folder)?, true),
+        Gateway::Store(Store::Check { folder }) => store::check::check(json, folder)?,
         Gateway::Store(Store::Refound { folder, yes }) => {
-            store::refound::refounded(json, folder, *yes)?
+            store::refound::refound(json, folder, *yes)?
         }
     })
 }
--- a/crates/rookpulley-cli/src/gateway/check.rs
+++ b/crates/rookpulley-cli/src/gateway/check.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a file: the place, what was found there, what to write instead.
+//! Checks files and reports each fault with its place, the value found and the value expected.
 
 use rookpulley_diagnostics::{Fault, FaultFormat, Faults, Position, pluralize};
 use rookpulley_routes::{MAX_BYTES, RouteTable};
@@ -9,33 +9,33 @@
 use std::io::Read;
 use std::path::{Path, PathBuf};
 
-/// How the faults of a file that can't be read are told: whole, as there is one.
-static FILE: FaultFormat = FaultFormat {
+/// Format for files that cannot be read: a single fault, never truncated.
+static FILE_FAULTS: FaultFormat = FaultFormat {
     max_faults: 1,
     max_chars: usize::MAX,
-    heading: |_| "the file can't be read".into(),
+    heading: |_| "the file cannot be read".into(),
     help: "name a file of this kind",
 };
 
-fn one(place: impl Display, found: impl Display, instead: impl Display) -> Faults {
-    Faults::one(&FILE, place, found, instead)
+fn file_fault(place: impl Display, found: impl Display, instead: impl Display) -> Faults {
+    Faults::one(&FILE_FAULTS, place, found, instead)
 }
 
 fn unreadable(why: &std::io::Error) -> Faults {
-    one(
+    file_fault(
         "the file",
         format!("unreadable ({why})"),
-        "the path of a file that you may read",
+        "the path of a readable file",
     )
 }
 
-fn untaken(error: SettingsError) -> Faults {
+fn settings_faults(error: SettingsError) -> Faults {
     match error {
-        SettingsError::Invalid(told) => told,
+        SettingsError::Invalid(faults) => faults,
         SettingsError::Unreadable { cause, .. } => unreadable(&cause),
         SettingsError::TooLong { bytes, max } => {
-            let instead = format!("at most {max}; it takes a few kilobytes");
-            one(
+            let instead = format!("at most {max}; a few kilobytes are usual");
+            file_fault(
                 "the file",
                 format!("over {} bytes long", bytes.min(max)),
                 instead,
@@ -45,69 +45,75 @@
             line,
             column,
             cause,
-        } => one(
+        } => file_fault(
             Position { line, column },
-            format!("no TOML ({})", cause.lines().collect::<Vec<_>>().join(", ")),
-            "one `field = value` a line, texts in quotes, tables under [name]",
+            format!(
+                "not TOML ({})",
+                cause.lines().collect::<Vec<_>>().join(", ")
+            ),
+            "one `field = value` per line, strings in quotes, tables under [name]",
         ),
-        SettingsError::PathNotSet => one("the file", "not named", "its path"),
+        SettingsError::PathNotSet => file_fault("the file", "not named", "its path"),
     }
 }
 
-/// What came of a check: a sentence on a good file, or all that is wrong with it.
-pub struct Checked {
+/// The result of a check: a summary of a valid file, or its faults.
+pub struct FileCheck {
     pub file: PathBuf,
-    pub verdict: Result<String, Faults>,
+    pub outcome: Result<String, Faults>,
 }
 
-impl Checked {
-    /// What is printed, and whether the file can be used.
-    pub fn told(&self, json: bool) -> (String, bool) {
-        let well = self.verdict.is_ok();
-        let said = if json {
-            self.said().to_string() + "\n"
+impl FileCheck {
+    /// Returns the output and whether the file is valid.
+    pub fn render(&self, json: bool) -> (String, bool) {
+        let valid = self.outcome.is_ok();
+        let output = if json {
+            self.to_json().to_string() + "\n"
         } else {
-            self.lines("write")
+            self.to_text("write")
         };
-        (said, well)
+        (output, valid)
     }
 
-    pub fn said(&self) -> Value {
-        match &self.verdict {
+    pub fn to_json(&self) -> Value {
+        match &self.outcome {
             Ok(what) => {
                 json!({"file": self.file, "ok": true, "what": what, "faults": [], "more": 0})
             }
-            Err(told) => {
+            Err(faults) => {
                 let each =
                     |f: &Fault| json!({"place": f.place, "found": f.found, "instead": f.instead});
-                let faults: Vec<Value> = told.faults.iter().map(each).collect();
-                json!({"file": self.file, "ok": false, "faults": faults, "more": told.omitted})
+                let items: Vec<Value> = faults.faults.iter().map(each).collect();
+                json!({"file": self.file, "ok": false, "faults": items, "more": faults.omitted})
             }
         }
     }
 
-    /// `mend` stands before what should be there.
-    pub fn lines(&self, mend: &str) -> String {
+    /// One line per fault; `advice` precedes the expected value.
+    pub fn to_text(&self, advice: &str) -> String {
         let file = self.file.display();
-        match &self.verdict {
+        match &self.outcome {
             Ok(what) => format!("{file}: {what}\n"),
-            Err(told) => {
+            Err(faults) => {
                 let line = |f: &Fault| {
-                    format!("{file}: {} is {}; {mend} {}\n", f.place, f.found, f.instead)
+                    format!(
+                        "{file}: {} is {}; {advice} {}\n",
+                        f.place, f.found, f.instead
+                    )
                 };
-                let more = if told.omitted > 0 {
-                    format!("{file}: and {} more\n", told.omitted)
+                let more = if faults.omitted > 0 {
+                    format!("{file}: and {} more\n", faults.omitted)
                 } else {
                     String::new()
                 };
-                told.faults.iter().map(line).collect::<String>() + &more
+                faults.faults.iter().map(line).collect::<String>() + &more
             }
         }
     }
 }
 
-pub fn settings(file: &Path) -> Checked {
-    let verdict = Node::read(file).map_err(untaken).map(|node| {
+pub fn settings(file: &Path) -> FileCheck {
+    let outcome = Node::read(file).map_err(settings_faults).map(|node| {
         let serves = if node.serves.is_empty() {
             "nobody".into()
         } else {
@@ -116,7 +122,7 @@
         let disk = match node.data {
             Some(_) => "a disk",
             None if node.serves("control_plane") => {
-                "no disk, so that its controller only passes calls on,"
+                "no disk, so that its controller only forwards calls,"
             }
             None => "no disk",
         };
@@ -127,30 +133,30 @@
             pluralize(node.seeds.len(), "seed")
         )
     });
-    Checked {
+    FileCheck {
         file: file.into(),
-        verdict,
+        outcome,
     }
 }
 
-pub fn deploy(file: &Path) -> Checked {
-    let verdict = Deploy::read(file).map_err(untaken).map(|deploy| {
+pub fn deploy(file: &Path) -> FileCheck {
+    let outcome = Deploy::read(file).map_err(settings_faults).map(|deploy| {
         let names: Vec<&str> = deploy.roles.keys().map(String::as_str).collect();
-        // Only the first machines of a zone have a disk, and the file doesn't say how many do.
-        let beyond = |role: &Role| role.apart || role.amount != Amount::Count(1);
-        let may: Vec<&str> = deploy
+        // Only the first machines of a zone have a disk, and the file does not say how many.
+        let may_lack_disk = |role: &Role| role.apart || role.amount != Amount::Count(1);
+        let diskless: Vec<&str> = deploy
             .roles
             .iter()
             .filter(|(_, role)| {
-                role.serves.iter().any(|whom| whom == "control_plane") && beyond(role)
+                role.serves.iter().any(|whom| whom == "control_plane") && may_lack_disk(role)
             })
             .map(|(name, _)| name.as_str())
             .collect();
-        let disks = match may.as_slice() {
+        let disks = match diskless.as_slice() {
             [] => String::new(),
-            may => format!(
-                "; on a machine without a disk, {} only passes calls on",
-                may.join(", ")
+            diskless => format!(
+                "; on a machine without a disk, {} only forwards calls",
+                diskless.join(", ")
             ),
         };
         format!(
@@ -159,44 +165,47 @@
             names.join(", ")
         )
     });
-    Checked {
+    FileCheck {
         file: file.into(),
-        verdict,
+        outcome,
     }
 }
 
-pub fn configuration(file: &Path) -> Checked {
-    let verdict = read(file).map(|book| {
-        let mut hosts: Vec<&str> = book.routes().map(|route| route.host.as_str()).collect();
+pub fn configuration(file: &Path) -> FileCheck {
+    let outcome = read(file).map(|route_table| {
+        let mut hosts: Vec<&str> = route_table
+            .routes()
+            .map(|route| route.host.as_str())
+            .collect();
         hosts.dedup();
         format!(
-            "version {}, {}, {}, {}; can be taken",
-            book.version,
-            pluralize(book.services.len(), "service"),
+            "version {}, {}, {}, {}; can be used",
+            route_table.version,
+            pluralize(route_table.services.len(), "service"),
             pluralize(hosts.len(), "host"),
-            pluralize(book.routes().len(), "route")
+            pluralize(route_table.routes().len(), "route")
         )
     });
-    Checked {
+    FileCheck {
         file: file.into(),
-        verdict,
+        outcome,
     }
 }
 
-/// What is wrong with a configuration that something else was to be told of.
-pub fn refused(file: &Path, faults: Faults) -> Checked {
-    Checked {
+/// The result for a configuration that is too faulty for the requested command.
+pub fn invalid_file(file: &Path, faults: Faults) -> FileCheck {
+    FileCheck {
         file: file.into(),
-        verdict: Err(faults),
+        outcome: Err(faults),
     }
 }
 
 pub fn read(file: &Path) -> Result<RouteTable, Faults> {
     let mut bytes = Vec::new();
     let opened = File::open(file).map_err(|why| unreadable(&why))?;
-    let most = MAX_BYTES as u64 + 1;
+    let limit = MAX_BYTES as u64 + 1;
     opened
-        .take(most)
+        .take(limit)
         .read_to_end(&mut bytes)
         .map_err(|why| unreadable(&why))?;
     RouteTable::read(&bytes)
--- a/crates/rookpulley-cli/src/gateway/explain.rs
+++ b/crates/rookpulley-cli/src/gateway/explain.rs
@@ -1,33 +1,33 @@
-//! Where a configuration sends a request, and why there.
+//! Explains which route of a configuration matches a request.
 
-use super::check::{read, refused};
+use super::check::{invalid_file, read};
 use crate::show::table;
 use rookpulley_diagnostics::pluralize;
 use rookpulley_routes::{Route, RouteKind, RouteTable};
 use serde_json::{Value, json};
 use std::path::Path;
 
-/// So many hosts or prefixes are named where none fits.
-const NAMED: usize = 12;
+/// Maximum number of hosts or prefixes listed when no route matches.
+const MAX_NAMES: usize = 12;
 
-/// The route that takes a request, and those with shorter prefixes that also begin the path, longest first.
-struct Found<'a> {
-    taken: Option<&'a Route>,
-    lost: Vec<&'a Route>,
+/// The route that matches a request, and the routes with shorter matching prefixes, longest first.
+struct RouteMatch<'a> {
+    matched: Option<&'a Route>,
+    shadowed: Vec<&'a Route>,
 }
 
-fn found<'a>(book: &'a RouteTable, host: &str, path: &str) -> Found<'a> {
-    let taken = book.route(host, path);
-    let begins =
+fn match_route<'a>(route_table: &'a RouteTable, host: &str, path: &str) -> RouteMatch<'a> {
+    let matched = route_table.route(host, path);
+    let is_prefix =
         |route: &&Route| route.host.eq_ignore_ascii_case(host) && path.starts_with(&route.prefix);
-    let mut lost: Vec<&Route> = book.routes().filter(begins).collect();
-    lost.retain(|route| taken.is_none_or(|taken| taken.prefix != route.prefix));
-    lost.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
-    Found { taken, lost }
+    let mut shadowed: Vec<&Route> = route_table.routes().filter(is_prefix).collect();
+    shadowed.retain(|route| matched.is_none_or(|matched| matched.prefix != route.prefix));
+    shadowed.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
+    RouteMatch { matched, shadowed }
 }
 
-/// The host without its port, the path without its query, as proxies take them.
-fn asked<'a>(host: &'a str, path: &'a str) -> (&'a str, &'a str) {
+/// Strips the port from the host and the query from the path, as proxies do.
+fn normalize_request<'a>(host: &'a str, path: &'a str) -> (&'a str, &'a str) {
     let host = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
@@ -35,19 +35,20 @@
     (host, path.split(['?', '#']).next().unwrap_or_default())
 }
 
-fn kind(kind: RouteKind) -> (&'static str, &'static str) {
+fn describe_kind(kind: RouteKind) -> (&'static str, &'static str) {
     match kind {
         RouteKind::ReadOnly => ("read_only", "may run more than once"),
-        RouteKind::Mutating => ("mutating", "runs once at most"),
-        RouteKind::Download => ("download", "may run more than once, answers are large"),
+        RouteKind::Mutating => ("mutating", "runs at most once"),
+        RouteKind::Download => ("download", "may run more than once, responses are large"),
     }
 }
 
-/// Services with their part of the requests.
-fn shares(book: &RouteTable, route: &Route) -> Vec<(String, f64)> {
+/// Target services with their share of the requests.
+fn traffic_shares(route_table: &RouteTable, route: &Route) -> Vec<(String, f64)> {
     let sum: f64 = route.targets.iter().map(|(_, weight)| weight).sum();
     let name = |at: usize| {
-        book.service(at)
+        route_table
+            .service(at)
             .map_or_else(String::new, |service| service.name.clone())
     };
     route
@@ -57,45 +58,48 @@
         .collect()
 }
 
-/// Why no route takes a request, and what there is.
-fn why_none(book: &RouteTable, host: &str, path: &str) -> (String, Vec<String>) {
-    let of_host: Vec<&Route> = book
+/// Why no route matches a request, and the existing hosts or prefixes.
+fn explain_mismatch(route_table: &RouteTable, host: &str, path: &str) -> (String, Vec<String>) {
+    let host_routes: Vec<&Route> = route_table
         .routes()
         .filter(|r| r.host.eq_ignore_ascii_case(host))
         .collect();
-    if of_host.is_empty() {
-        let mut hosts: Vec<String> = book.routes().map(|route| route.host.clone()).collect();
+    if host_routes.is_empty() {
+        let mut hosts: Vec<String> = route_table
+            .routes()
+            .map(|route| route.host.clone())
+            .collect();
         hosts.dedup();
-        return (format!("no host is named {host}; there are"), hosts);
+        return (format!("unknown host {host}; known hosts:"), hosts);
     }
     if !path.starts_with('/') {
         return (
-            "the path begins with no slash; prefixes are".into(),
-            prefixes(&of_host),
+            "the path does not start with a slash; known prefixes:".into(),
+            prefixes(&host_routes),
         );
     }
-    let lacks = of_host
+    let without_slash = host_routes
         .iter()
         .find(|route| route.prefix.strip_suffix('/') == Some(path));
-    let why = match lacks {
+    let why = match without_slash {
         Some(route) => {
             format!(
-                "{} lacks the slash that the prefix {} ends with; prefixes are",
+                "{} lacks the trailing slash of the prefix {}; known prefixes:",
                 path, route.prefix
             )
         }
-        None => format!("no prefix of {host} begins {path}; there are"),
+        None => format!("no prefix of {host} matches {path}; known prefixes:"),
     };
-    (why, prefixes(&of_host))
+    (why, prefixes(&host_routes))
 }
 
 fn prefixes(routes: &[&Route]) -> Vec<String> {
     routes.iter().map(|route| route.prefix.clone()).collect()
 }
 
-fn listed(names: &[String]) -> String {
-    let shown: Vec<&str> = names.iter().take(NAMED).map(String::as_str).collect();
-    let more = names.len().saturating_sub(NAMED);
+fn join_names(names: &[String]) -> String {
+    let shown: Vec<&str> = names.iter().take(MAX_NAMES).map(String::as_str).collect();
+    let more = names.len().saturating_sub(MAX_NAMES);
     let more = if more > 0 {
         format!(" and {more} more")
     } else {
@@ -108,68 +112,72 @@
     }
 }
 
-fn as_json(book: &RouteTable, route: &Route) -> Value {
-    let services = shares(book, route);
+fn route_json(route_table: &RouteTable, route: &Route) -> Value {
+    let services = traffic_shares(route_table, route);
     let services: Vec<Value> = services
         .iter()
         .map(|(name, share)| json!({"name": name, "share": share}))
         .collect();
-    json!({"name": route.name, "prefix": route.prefix, "kind": kind(route.kind).0, "services": services,
+    json!({"name": route.name, "prefix": route.prefix, "kind": describe_kind(route.kind).0, "services": services,
         "timeoutMs": route.timeout_ms, "targetLatencyMs": route.latency_target_ms, "priority": route.priority,
         "maxAttempts": route.max_attempts})
 }
 
-/// What is printed, and whether a route takes the request.
-pub fn explained(json: bool, file: &Path, host: &str, path: &str) -> (String, bool) {
-    let book = match read(file) {
-        Ok(book) => book,
-        Err(faults) => return refused(file, faults).told(json),
+/// Returns the output and whether a route matches the request.
+pub fn explain(json: bool, file: &Path, host: &str, path: &str) -> (String, bool) {
+    let route_table = match read(file) {
+        Ok(route_table) => route_table,
+        Err(faults) => return invalid_file(file, faults).render(json),
     };
-    let (host, path) = asked(host, path);
-    let Found { taken, lost } = found(&book, host, path);
+    let (host, path) = normalize_request(host, path);
+    let RouteMatch { matched, shadowed } = match_route(&route_table, host, path);
     if json {
-        let lost: Vec<Value> = lost
+        let shadowed: Vec<Value> = shadowed
             .iter()
             .map(|r| json!({"name": r.name, "prefix": r.prefix}))
             .collect();
-        let route = taken.map(|route| as_json(&book, route));
-        let why = taken
+        let route = matched.map(|route| route_json(&route_table, route));
+        let why = matched
             .is_none()
-            .then(|| why_none(&book, host, path))
-            .map(|(why, there)| json!([why, there]));
-        let said = json!({"configVersion": book.version, "host": host, "path": path, "route": route,
-            "lost": lost, "why": why});
-        return (said.to_string() + "\n", taken.is_some());
+            .then(|| explain_mismatch(&route_table, host, path))
+            .map(|(why, candidates)| json!([why, candidates]));
+        let output = json!({"configVersion": route_table.version, "host": host, "path": path, "route": route,
+            "lost": shadowed, "why": why});
+        return (output.to_string() + "\n", matched.is_some());
     }
-    let Some(route) = taken else {
-        let (why, there) = why_none(&book, host, path);
+    let Some(route) = matched else {
+        let (why, candidates) = explain_mismatch(&route_table, host, path);
         return (
-            format!("version {}: 404: {why} {}\n", book.version, listed(&there)),
+            format!(
+                "version {}: 404: {why} {}\n",
+                route_table.version,
+                join_names(&candidates)
+            ),
             false,
         );
     };
-    let (kind, means) = kind(route.kind);
-    let rows = shares(&book, route)
+    let (kind, description) = describe_kind(route.kind);
+    let rows = traffic_shares(&route_table, route)
         .into_iter()
         .map(|(name, share)| [name, format!("{:.1}%", 100.0 * share)]);
-    let mut said = format!(
-        "version {}: {} takes it, by the prefix {}\n{kind}: {means}\nat most {} a try and {} ms; aim {} ms; priority {}\n{}",
-        book.version,
+    let mut output = format!(
+        "version {}: route {} matches by the prefix {}\n{kind}: {description}\nat most {} per request; timeout {} ms; target latency {} ms; priority {}\n{}",
+        route_table.version,
         route.name,
         route.prefix,
-        pluralize(route.max_attempts as usize, "task"),
+        pluralize(route.max_attempts as usize, "instance"),
         route.timeout_ms,
         route.latency_target_ms,
         route.priority,
         table(["service", "share"], rows),
     );
-    for route in lost {
-        said += &format!(
-            "lost: {}, by the shorter prefix {}\n",
+    for route in shadowed {
+        output += &format!(
+            "not used: {}, with the shorter prefix {}\n",
             route.name, route.prefix
         );
     }
-    (said, true)
+    (output, true)
 }
 
 #[cfg(test)]
@@ -177,7 +185,7 @@
     use super::*;
 
     #[test]
-    fn the_longest_prefix_takes_a_request_and_all_others_that_begin_it_lose() {
+    fn longest_prefix_matches_and_shorter_ones_are_shadowed() {
         let property = |u: &mut arbtest::arbitrary::Unstructured| {
             let parts = ["", "a", "b", "a/b", "b/a", "a/b/a"];
             let mut rules = Vec::new();
@@ -200,28 +208,32 @@
                 .collect();
             let text = json!({"configVersion": 1, "services": [{"name": "s"}],
                 "hostnames": [{"hostname": "post.example", "pathRules": rules}]});
-            let book = RouteTable::read(text.to_string().as_bytes()).unwrap();
+            let route_table = RouteTable::read(text.to_string().as_bytes()).unwrap();
             for _ in 0..8 {
                 let path = format!(
                     "/{}{}",
                     u.choose(&parts)?,
                     u.choose(&["", "/", "/a", "/x", "a/"])?
                 );
-                let mut begin: Vec<&str> = prefixes
+                let mut matching: Vec<&str> = prefixes
                     .iter()
                     .map(String::as_str)
                     .filter(|prefix| path.starts_with(prefix))
                     .collect();
-                begin.sort_by_key(|prefix| std::cmp::Reverse(prefix.len()));
-                let found = found(&book, "POST.example", &path);
-                let order = found
-                    .taken
+                matching.sort_by_key(|prefix| std::cmp::Reverse(prefix.len()));
+                let route_match = match_route(&route_table, "POST.example", &path);
+                let order = route_match
+                    .matched
                     .iter()
-                    .chain(&found.lost)
+                    .chain(&route_match.shadowed)
                     .map(|route| route.prefix.as_str());
-                assert_eq!(order.collect::<Vec<_>>(), begin, "{path}");
-                if found.taken.is_none() {
-                    assert!(!why_none(&book, "post.example", &path).0.is_empty());
+                assert_eq!(order.collect::<Vec<_>>(), matching, "{path}");
+                if route_match.matched.is_none() {
+                    assert!(
+                        !explain_mismatch(&route_table, "post.example", &path)
+                            .0
+                            .is_empty()
+                    );
                 }
             }
             Ok(())
@@ -230,11 +242,14 @@
     }
 
     #[test]
-    fn a_host_goes_without_port_and_a_path_without_query() {
+    fn host_port_and_path_query_are_stripped() {
         assert_eq!(
-            asked("post.example:8161", "/a/b?c=/d/"),
+            normalize_request("post.example:8161", "/a/b?c=/d/"),
             ("post.example", "/a/b")
         );
-        assert_eq!(asked("post.example", "/"), ("post.example", "/"));
+        assert_eq!(
+            normalize_request("post.example", "/"),
+            ("post.example", "/")
+        );
     }
 }
--- a/crates/rookpulley-cli/src/gateway/hunt.rs
+++ b/crates/rookpulley-cli/src/gateway/hunt.rs
@@ -1,60 +1,60 @@
-//! Plays days of whole gateways in this process, and shows the first that breaks a rule, shrunk.
+//! Simulates days of whole gateways and shows the first that breaks a rule, reduced to fewer events.
 
 use rookpulley_simulator::{Breach, Day, Hunted, hunt, play, shrink};
 use serde_json::{Value, json};
 use std::fmt::Write;
 
-/// Seeds as they are given: FROM..TO, or one alone.
+/// Parses a range of seeds: FROM..TO or a single seed.
 pub fn seeds(text: &str) -> Result<std::ops::Range<u64>, String> {
     let number = |text: &str| {
         text.trim()
             .parse::<u64>()
-            .map_err(|_| format!("`{text}` is no whole number"))
+            .map_err(|_| format!("`{text}` is not an unsigned integer"))
     };
     let seeds = match text.split_once("..") {
         Some((from, to)) => number(from)?..number(to)?,
         None => number(text)?..number(text)?.saturating_add(1),
     };
     if seeds.is_empty() {
-        Err(format!("there is no seed in {text}: write FROM..TO"))
+        Err(format!("the seed range {text} is empty; write FROM..TO"))
     } else {
         Ok(seeds)
     }
 }
 
-/// What was found: the day as it was drawn, the rule, the day shrunk and what it breaks.
-struct Shrunk {
+/// A failing day: its original size and first breach, the shrunk day and its breaches.
+struct ShrunkFailure {
     seed: u64,
-    drawn: usize,
+    initial_events: usize,
     breach: Breach,
     day: Day,
-    played: u64,
+    shrink_runs: u64,
     breaches: Vec<Breach>,
 }
 
-fn shrunk(hunted: &Hunted) -> Option<Shrunk> {
+fn shrink_failure(hunted: &Hunted) -> Option<ShrunkFailure> {
     let found = hunted.found.as_ref()?;
     let breach = found.breaches.first()?.clone();
-    let (day, played) = shrink(&found.day, breach.rule, None);
+    let (day, shrink_runs) = shrink(&found.day, breach.rule, None);
     let breaches = play(&day, None).breaches;
-    Some(Shrunk {
+    Some(ShrunkFailure {
         seed: found.day.seed,
-        drawn: found.day.events.len(),
+        initial_events: found.day.events.len(),
         breach,
         day,
-        played,
+        shrink_runs,
         breaches,
     })
 }
 
-fn lines(breaches: &[Breach]) -> Vec<String> {
+fn breach_lines(breaches: &[Breach]) -> Vec<String> {
     breaches.iter().map(ToString::to_string).collect()
 }
 
-pub fn hunted(json: bool, seeds: std::ops::Range<u64>, threads: usize) -> (String, bool) {
+pub fn run_hunt(json: bool, seeds: std::ops::Range<u64>, threads: usize) -> (String, bool) {
     let hunted = hunt(seeds, threads, None);
-    let found = shrunk(&hunted);
-    let well = found.is_none();
+    let found = shrink_failure(&hunted);
+    let passed = found.is_none();
     if json {
         let found = found.map(|found| {
             let events: Vec<Value> = found
@@ -64,14 +64,14 @@
                 .map(|(at, it)| json!({"atMs": at, "what": format!("{it:?}")}))
                 .collect();
             json!({"seed": found.seed, "first": found.breach.to_string(), "happens": events,
-                   "breaches": lines(&found.breaches)})
+                   "breaches": breach_lines(&found.breaches)})
         });
         let value = json!({"days": hunted.days, "requests": hunted.requests, "served": hunted.served,
                            "calls": hunted.calls, "found": found});
-        return (format!("{value}\n"), well);
+        return (format!("{value}\n"), passed);
     }
     let mut text = format!(
-        "{} days: {} requests, {} served, {} calls of applications\n",
+        "{} days: {} requests, {} served, {} application calls\n",
         hunted.days, hunted.requests, hunted.served, hunted.calls
     );
     match found {
@@ -84,29 +84,29 @@
             );
             _ = writeln!(
                 text,
-                "of {} things that happen it needs {} ({} days played to see that):\n",
-                found.drawn,
+                "of its {} events, {} are needed ({} days simulated to find them):\n",
+                found.initial_events,
                 found.day.events.len(),
-                found.played
+                found.shrink_runs
             );
             _ = write!(text, "{}", found.day);
-            lines(&found.breaches)
+            breach_lines(&found.breaches)
                 .iter()
                 .for_each(|line| _ = writeln!(text, "{line}"));
         }
     }
-    (text, well)
+    (text, passed)
 }
 
-/// One day with its log.
-pub fn day(json: bool, seed: u64) -> (String, bool) {
+/// Simulates one day and prints its log.
+pub fn run_day(json: bool, seed: u64) -> (String, bool) {
     let day = Day::draw(seed);
     let played = play(&day, None);
-    let well = played.breaches.is_empty();
+    let passed = played.breaches.is_empty();
     if json {
         let value = json!({"seed": seed, "requests": played.requests, "served": played.served,
-                           "calls": played.calls, "breaches": lines(&played.breaches), "log": played.log});
-        return (format!("{value}\n"), well);
+                           "calls": played.calls, "breaches": breach_lines(&played.breaches), "log": played.log});
+        return (format!("{value}\n"), passed);
     }
     let mut text = format!("{day}\n");
     played
@@ -115,16 +115,16 @@
         .for_each(|line| _ = writeln!(text, "{line}"));
     _ = writeln!(
         text,
-        "\n{} requests, {} served, {} calls of applications",
+        "\n{} requests, {} served, {} application calls",
         played.requests, played.served, played.calls
     );
-    match well {
+    match passed {
         true => text.push_str("no rule broken\n"),
-        false => lines(&played.breaches)
+        false => breach_lines(&played.breaches)
             .iter()
             .for_each(|line| _ = writeln!(text, "{line}")),
     }
-    (text, well)
+    (text, passed)
 }
 
 #[cfg(test)]
@@ -132,7 +132,7 @@
     use super::*;
 
     #[test]
-    fn seeds_are_a_range_or_one() {
+    fn seeds_are_a_range_or_a_single_number() {
         assert_eq!((seeds("3..9"), seeds("7")), (Ok(3..9), Ok(7..8)));
         ["", "9..3", "a..3", "4..4"]
             .iter()
@@ -140,13 +140,13 @@
     }
 
     #[test]
-    fn a_hunt_says_how_much_it_played() {
-        let (text, well) = hunted(false, 0..1, 1);
+    fn hunt_reports_the_simulated_workload() {
+        let (text, passed) = run_hunt(false, 0..1, 1);
         assert!(
-            well && text.starts_with("1 days: ") && text.ends_with("no rule broken\n"),
+            passed && text.starts_with("1 days: ") && text.ends_with("no rule broken\n"),
             "{text}"
         );
-        let (text, _) = hunted(true, 0..1, 1);
+        let (text, _) = run_hunt(true, 0..1, 1);
         let value: Value = serde_json::from_str(&text).unwrap();
         assert!(
             value["requests"].as_u64() > Some(500) && value["found"].is_null(),
--- a/crates/rookpulley-cli/src/gateway/show.rs
+++ b/crates/rookpulley-cli/src/gateway/show.rs
@@ -1,30 +1,35 @@
-//! What a controller shows, as tables or as it was said.
+//! Shows the status pages of a controller as tables or as received JSON.
 
-use super::Part;
-use crate::call::{CannotAsk, Place};
+use super::Topic;
+use crate::call::{Client, CommandError};
 use crate::show::table;
 use percent_encoding::{NON_ALPHANUMERIC, utf8_percent_encode};
 use serde_json::{Map, Value, json};
 
-const PATH: &str = "/rookpulley/show";
+const BASE_PATH: &str = "/rookpulley/show";
 
-pub fn shown(json: bool, place: &Place, part: Part, service: &str) -> Result<String, CannotAsk> {
-    let name = match part {
-        Part::View => "view",
-        Part::Tasks => "tasks",
-        Part::Tables => "tables",
-        Part::Proxies => "couriers",
-        Part::State => "ledger",
-        Part::Counters => "counters",
+pub fn show(
+    json: bool,
+    client: &Client,
+    topic: Topic,
+    service: &str,
+) -> Result<String, CommandError> {
+    let name = match topic {
+        Topic::View => "view",
+        Topic::Tasks => "tasks",
+        Topic::Tables => "tables",
+        Topic::Proxies => "couriers",
+        Topic::State => "ledger",
+        Topic::Counters => "counters",
     };
-    let of = match part {
-        Part::Tasks | Part::Tables if !service.is_empty() => {
+    let suffix = match topic {
+        Topic::Tasks | Topic::Tables if !service.is_empty() => {
             format!("/{}", utf8_percent_encode(service, NON_ALPHANUMERIC))
         }
         _ => String::new(),
     };
-    let bytes = place.controller(&format!("{PATH}/{name}{of}"))?;
-    if part == Part::Counters {
+    let bytes = client.get_from_controller(&format!("{BASE_PATH}/{name}{suffix}"))?;
+    if topic == Topic::Counters {
         let counters = Counter::all(&String::from_utf8_lossy(&bytes));
         return Ok(if json {
             Counter::json(&counters)
@@ -32,21 +37,21 @@
             Counter::table(&counters)
         });
     }
-    let told: Value =
-        serde_json::from_slice(&bytes).map_err(|why| place.unreadable(why.to_string()))?;
+    let response: Value = serde_json::from_slice(&bytes)
+        .map_err(|error| client.invalid_response(error.to_string()))?;
     if json {
-        return Ok(told.to_string() + "\n");
+        return Ok(response.to_string() + "\n");
     }
-    Ok(match part {
-        Part::View => view(&told),
-        Part::Tasks => tasks(&told),
-        Part::Tables => tables(&told),
-        Part::Proxies => proxies(&told),
-        _ => state(&told),
+    Ok(match topic {
+        Topic::View => view(&response),
+        Topic::Tasks => tasks(&response),
+        Topic::Tables => tables(&response),
+        Topic::Proxies => proxies(&response),
+        _ => state(&response),
     })
 }
 
-/// A value as a table has it; one that isn't told is a dash.
+/// Formats a value for a table cell; a missing value is a dash.
 fn text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
@@ -64,43 +69,50 @@
     items.map(move |item| fields.map(|field| text(&item[field])))
 }
 
-fn more(told: &Value) -> String {
-    match told["more"].as_u64() {
-        Some(more) if more > 0 => format!("and {more} more; ask for one service by --service\n"),
+fn more(response: &Value) -> String {
+    match response["more"].as_u64() {
+        Some(more) if more > 0 => format!("and {more} more; select one service with --service\n"),
         _ => String::new(),
     }
 }
 
-fn ago(ms: &Value) -> String {
+fn seconds(ms: &Value) -> String {
     ms.as_f64()
         .map_or_else(|| "-".into(), |ms| format!("{:.1} s", ms / 1e3))
 }
 
-fn view(told: &Value) -> String {
+fn view(response: &Value) -> String {
     let either = |field: &str, yes, no| {
-        if told[field].as_bool() == Some(true) {
+        if response[field].as_bool() == Some(true) {
             yes
         } else {
             no
         }
     };
-    let work = match told["atWork"] == told["view"] {
-        true => "at work".to_string(),
-        false => format!("not at work (the last that was: {})", text(&told["atWork"])),
+    let activity = match response["atWork"] == response["view"] {
+        true => "serving".to_string(),
+        false => format!(
+            "not serving (last serving view: {})",
+            text(&response["atWork"])
+        ),
     };
-    let members = told["members"].as_array().into_iter().flatten().map(|one| {
-        let slow = one["diskSlow"]
-            .as_bool()
-            .map_or("-", |slow| if slow { "slow" } else { "quick" });
-        let heard = if one["here"].as_bool() == Some(true) {
-            "here".into()
-        } else {
-            ago(&one["heardMs"])
-        };
-        let [part, address, id, contact, applied] =
-            ["part", "address", "id", "inContact", "applied"].map(|field| text(&one[field]));
-        [part, address, id, contact, applied, slow.into(), heard]
-    });
+    let members = response["members"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .map(|item| {
+            let slow = item["diskSlow"]
+                .as_bool()
+                .map_or("-", |slow| if slow { "slow" } else { "quick" });
+            let last_heard = if item["here"].as_bool() == Some(true) {
+                "here".into()
+            } else {
+                seconds(&item["heardMs"])
+            };
+            let [part, address, id, contact, applied] =
+                ["part", "address", "id", "inContact", "applied"].map(|field| text(&item[field]));
+            [part, address, id, contact, applied, slow.into(), last_heard]
+        });
     let head = [
         "part",
         "address",
@@ -108,50 +120,50 @@
         "in contact",
         "update",
         "disk",
-        "heard before",
+        "last heard",
     ];
-    let losses = told["lossesBorne"].as_u64().unwrap_or(0);
-    let few = told["members"]
+    let losses = response["lossesBorne"].as_u64().unwrap_or(0);
+    let too_few = response["members"]
         .as_array()
         .is_none_or(|all| all.len() as u64 <= losses);
-    let few = match told["spareNow"].as_u64() {
-        _ if few => "; too few are left, nothing is acknowledged".to_string(),
-        // An older controller doesn't tell.
+    let availability = match response["spareNow"].as_u64() {
+        _ if too_few => "; too few are left, no update is acknowledged".to_string(),
+        // Older controllers do not report this field.
         None => String::new(),
         Some(0) => {
-            "; stop none of them now: with one less updates stand still until the chain is mended"
+            "; stop none of them now: with one fewer, updates stall until the chain is repaired"
                 .to_string()
         }
-        Some(spare) => format!("; now {spare} of them may be stopped"),
+        Some(spare) => format!("; {spare} of them may be stopped now"),
     };
     format!(
-        "{} of {}: view {}, {work}, {}, {}; update {} applied; the disk is {}\n{}losses borne: {losses}{few}\n",
-        text(&told["office"]),
-        text(&told["zone"]),
-        text(&told["view"]),
+        "{} of {}: view {}, {activity}, {}, {}; update {} applied; the disk is {}\n{}losses tolerated: {losses}{availability}\n",
+        text(&response["office"]),
+        text(&response["zone"]),
+        text(&response["view"]),
         either("acting", "acting", "idle"),
         either("inTouch", "in touch", "out of touch"),
-        text(&told["applied"]),
+        text(&response["applied"]),
         either("diskSlow", "slow", "quick"),
         table(head, members),
     )
 }
 
-fn tasks(told: &Value) -> String {
+fn tasks(response: &Value) -> String {
     let fields = [
         "service", "life", "address", "zone", "slots", "standing", "ageMs",
     ];
-    let mut rows: Vec<[String; 7]> = rows(&told["tasks"], fields).collect();
+    let mut rows: Vec<[String; 7]> = rows(&response["tasks"], fields).collect();
     for (row, task) in rows
         .iter_mut()
-        .zip(told["tasks"].as_array().into_iter().flatten())
+        .zip(response["tasks"].as_array().into_iter().flatten())
     {
-        row[6] = ago(&task["ageMs"]);
+        row[6] = seconds(&task["ageMs"]);
     }
     rows.sort();
     let live = rows.iter().filter(|row| row[5] == "live").count();
-    let settling = match told["settling"].as_bool() {
-        Some(true) => "; this controller has just begun, others may be there",
+    let settling = match response["settling"].as_bool() {
+        Some(true) => "; this controller has just started and may not know all instances yet",
         _ => "",
     };
     let head = [
@@ -161,17 +173,17 @@
         "zone",
         "slots",
         "is",
-        "heard before",
+        "last heard",
     ];
     let count = rows.len();
     format!(
         "{}{live} of {count} tasks live{settling}\n{}",
         table(head, rows.into_iter()),
-        more(told)
+        more(response)
     )
 }
 
-fn tables(told: &Value) -> String {
+fn tables(response: &Value) -> String {
     let fields = [
         "service",
         "courier",
@@ -180,40 +192,46 @@
         "lines",
         "mark",
     ];
-    let shown = table(
+    let output = table(
         ["service", "courier", "revision", "kept", "lines", "mark"],
-        rows(&told["tables"], fields),
+        rows(&response["tables"], fields),
     );
-    shown + &more(told)
+    output + &more(response)
 }
 
-fn proxies(told: &Value) -> String {
-    let all = told["couriers"].as_array().map_or(&[][..], Vec::as_slice);
-    let rows = all.iter().map(|one| {
-        let config = match one["config"].as_u64() {
+fn proxies(response: &Value) -> String {
+    let all = response["couriers"]
+        .as_array()
+        .map_or(&[][..], Vec::as_slice);
+    let rows = all.iter().map(|item| {
+        let config = match item["config"].as_u64() {
             Some(0) | None => "-".into(),
             Some(version) => version.to_string(),
         };
         [
-            text(&one["name"]),
-            text(&one["zone"]),
-            text(&one["home"]),
+            text(&item["name"]),
+            text(&item["zone"]),
+            text(&item["home"]),
             config,
         ]
     });
     let home = all
         .iter()
-        .filter(|one| one["home"].as_bool() == Some(true))
+        .filter(|item| item["home"].as_bool() == Some(true))
         .count();
-    let shown = table(["courier", "zone", "home here", "said it holds"], rows);
-    format!("{shown}{home} of {} at home\n{}", all.len(), more(told))
+    let output = table(["courier", "zone", "home here", "reported config"], rows);
+    format!(
+        "{output}{home} of {} at home\n{}",
+        all.len(),
+        more(response)
+    )
 }
 
-fn state(told: &Value) -> String {
+fn state(response: &Value) -> String {
     let names = [
         ("configuration version", "configVersion"),
         ("configuration bytes", "configurationBytes"),
-        ("ledger time ms", "atMs"),
+        ("state time ms", "atMs"),
         ("locks", "locks"),
         ("numbers", "numbers"),
         ("cells", "cells"),
@@ -226,11 +244,11 @@
         ["what", "is"],
         names
             .into_iter()
-            .map(|(name, field)| [name.into(), text(&told[field])]),
+            .map(|(name, field)| [name.into(), text(&response[field])]),
     )
 }
 
-/// A line of the text form.
+/// A sample in the Prometheus text format.
 struct Counter {
     name: String,
     labels: Vec<(String, String)>,
@@ -265,31 +283,35 @@
     }
 
     fn json(all: &[Self]) -> String {
-        let each = |one: &Self| {
-            let labels: Map<String, Value> = one
+        let each = |item: &Self| {
+            let labels: Map<String, Value> = item
                 .labels
                 .iter()
                 .map(|(name, value)| (name.clone(), json!(value)))
                 .collect();
-            json!({"name": one.name, "labels": labels, "value": one.value})
+            json!({"name": item.name, "labels": labels, "value": item.value})
         };
         json!({"counters": all.iter().map(each).collect::<Vec<_>>()}).to_string() + "\n"
     }
 
-    /// Those that are 0 go without a line.
+    /// Omits counters that are zero.
     fn table(all: &[Self]) -> String {
-        let told = all.iter().filter(|one| one.value != 0.0);
-        let rows = told.clone().map(|one| {
-            let labels: Vec<&str> = one.labels.iter().map(|(_, value)| value.as_str()).collect();
-            let name = one
+        let nonzero = all.iter().filter(|item| item.value != 0.0);
+        let rows = nonzero.clone().map(|item| {
+            let labels: Vec<&str> = item
+                .labels
+                .iter()
+                .map(|(_, value)| value.as_str())
+                .collect();
+            let name = item
                 .name
                 .strip_prefix("rookpulley_office_")
-                .unwrap_or(&one.name);
-            [name.to_string(), labels.join(" "), one.value.to_string()]
+                .unwrap_or(&item.name);
+            [name.to_string(), labels.join(" "), item.value.to_string()]
         });
-        let zero = all.len() - told.clone().count();
+        let zero = all.len() - nonzero.clone().count();
         format!(
-            "{}and {zero} that are 0\n",
+            "{}and {zero} counters that are 0\n",
             table(["counter", "of", "is"], rows)
         )
     }
--- a/crates/rookpulley-cli/src/gateway/store.rs
+++ b/crates/rookpulley-cli/src/gateway/store.rs
@@ -1,9 +1,9 @@
-//! What a controller's disk holds, read in place while no process uses it.
+//! Shows the contents of a controller's store, which no process may be using.
 
 pub mod check;
 pub mod refound;
 
-use crate::call::CannotAsk;
+use crate::call::CommandError;
 use crate::show::table;
 use rookpulley_chain::{PersistedState, StoredSnapshot, View};
 use rookpulley_diagnostics::pluralize;
@@ -13,13 +13,13 @@
 use serde_json::{Value, json};
 use std::path::Path;
 
-pub fn shown(json: bool, folder: &Path) -> Result<String, CannotAsk> {
-    let contents = inspect(folder).map_err(CannotAsk::Store)?;
-    let told = told(folder, contents);
+pub fn show(json: bool, folder: &Path) -> Result<String, CommandError> {
+    let contents = inspect(folder).map_err(CommandError::Store)?;
+    let value = to_json(folder, contents);
     Ok(if json {
-        told.to_string() + "\n"
+        value.to_string() + "\n"
     } else {
-        as_table(&told)
+        to_table(&value)
     })
 }
 
@@ -35,30 +35,30 @@
     format!("{n:016x}")
 }
 
-fn told(folder: &Path, contents: Contents) -> Value {
-    let kept = PersistedState::read(contents.chain_rows);
-    let chain = kept.status();
+fn to_json(folder: &Path, contents: Contents) -> Value {
+    let persisted = PersistedState::read(contents.chain_rows);
+    let chain = persisted.status();
     let snapshot = chain.snapshot.map(|StoredSnapshot { seq: update, at_ms, bytes }| {
-        let mut ledger = StateMachine::default();
-        match ledger.restore(bytes) {
+        let mut state_machine = StateMachine::default();
+        match state_machine.restore(bytes) {
             Ok(()) => {
-                let sizes = ledger.usage();
-                json!({"update": update, "atMs": at_ms, "bytes": bytes.len(), "configVersion": ledger.version(),
-                    "locks": sizes.locks, "numbers": sizes.counters, "cells": sizes.keys})
+                let usage = state_machine.usage();
+                json!({"update": update, "atMs": at_ms, "bytes": bytes.len(), "configVersion": state_machine.version(),
+                    "locks": usage.locks, "numbers": usage.counters, "cells": usage.keys})
             }
-            Err(why) => json!({"update": update, "atMs": at_ms, "bytes": bytes.len(), "why": why.to_string()}),
+            Err(error) => json!({"update": update, "atMs": at_ms, "bytes": bytes.len(), "why": error.to_string()}),
         }
     });
     let configurations: Vec<u64> = chain
         .log
         .iter()
-        .filter_map(|update| configuration(update.body))
+        .filter_map(|update| configuration_version(update.body))
         .collect();
-    let (mut noted, mut gone, mut unreadable) = (0, 0, 0);
+    let (mut recorded, mut gone, mut unreadable) = (0, 0, 0);
     for (_, value) in &contents.instance_rows {
         match postcard::from_bytes::<InstanceUpdate>(value) {
             Ok(InstanceUpdate::Gone { .. }) => gone += 1,
-            Ok(_) => noted += 1,
+            Ok(_) => recorded += 1,
             Err(_) => unreadable += 1,
         }
     }
@@ -66,7 +66,7 @@
         "folder": folder,
         "identity": contents.identity.map(hex),
         "bytesOnDisk": contents.bytes_on_disk,
-        "sound": kept.is_sound(),
+        "sound": persisted.is_sound(),
         "view": chain.views.last().map(view),
         "viewsKept": chain.views.iter().map(|view| view.number).collect::<Vec<_>>(),
         "installed": chain.installed,
@@ -75,11 +75,11 @@
         "snapshot": snapshot,
         "log": {"entries": chain.log.len(), "first": chain.log.first().map(|e| e.seq),
             "last": chain.log.last().map(|e| e.seq), "configVersions": configurations},
-        "lives": {"noted": noted, "gone": gone, "unreadable": unreadable},
+        "lives": {"noted": recorded, "gone": gone, "unreadable": unreadable},
     })
 }
 
-fn configuration(entry: &[u8]) -> Option<u64> {
+fn configuration_version(entry: &[u8]) -> Option<u64> {
     match Update::decode(entry) {
         Ok(Update::PutConfiguration { version, .. }) => Some(version),
         _ => None,
@@ -94,21 +94,21 @@
     format!("{} of {}", view["number"], all.join(" "))
 }
 
-fn as_table(told: &Value) -> String {
+fn to_table(store: &Value) -> String {
     let or_none = |value: &Value, text: String| if value.is_null() { "none".into() } else { text };
     let (view, vote, snapshot, log) = (
-        &told["view"],
-        &told["vote"],
-        &told["snapshot"],
-        &told["log"],
+        &store["view"],
+        &store["vote"],
+        &store["snapshot"],
+        &store["log"],
     );
-    let voted = match &vote["accepted"] {
+    let vote_text = match &vote["accepted"] {
         _ if vote["view"] == 0 => "none".into(),
         Value::Null => format!("for view {}; accepted none", vote["view"]),
         accepted => format!("for view {}; accepted {}", vote["view"], members(accepted)),
     };
     let state = match &snapshot["why"] {
-        Value::String(why) => format!("up to update {}: {why}", snapshot["update"]),
+        Value::String(error) => format!("up to update {}: {error}", snapshot["update"]),
         _ => format!(
             "up to update {}, {} bytes",
             snapshot["update"], snapshot["bytes"]
@@ -118,69 +118,70 @@
     let entries = match entries {
         0 => "0 entries".into(),
         n => {
-            let word = if n == 1 { "entry" } else { "entries" };
-            format!("{n} {word}, {} to {}", log["first"], log["last"])
+            let noun = if n == 1 { "entry" } else { "entries" };
+            format!("{n} {noun}, {} to {}", log["first"], log["last"])
         }
     };
-    let later: Vec<String> = log["configVersions"]
+    let log_versions: Vec<String> = log["configVersions"]
         .as_array()
         .into_iter()
         .flatten()
         .map(Value::to_string)
         .collect();
-    let later = match later.len() {
+    let log_versions = match log_versions.len() {
         0 => String::new(),
-        _ => format!("; in the log: {}", later.join(" ")),
+        _ => format!("; in the log: {}", log_versions.join(" ")),
     };
-    let held = snapshot["configVersion"]
+    let snapshot_version = snapshot["configVersion"]
         .as_u64()
         .filter(|version| *version > 0);
-    let held = held.map_or_else(|| "none".to_string(), |version| version.to_string());
+    let snapshot_version =
+        snapshot_version.map_or_else(|| "none".to_string(), |version| version.to_string());
     let count =
         |field: &str, what: &str| pluralize(snapshot[field].as_u64().unwrap_or(0) as usize, what);
-    let kept = [
+    let contents = [
         count("locks", "lock"),
         count("numbers", "number"),
         count("cells", "cell"),
     ]
     .join(", ");
-    let incarnations = &told["lives"];
-    let unreadable = match incarnations["unreadable"].as_u64() {
+    let instances = &store["lives"];
+    let unreadable = match instances["unreadable"].as_u64() {
         Some(0) | None => String::new(),
         Some(n) => format!(", {n} unreadable"),
     };
     let rows = [
         (
             "folder",
-            told["folder"].as_str().unwrap_or_default().to_string(),
+            store["folder"].as_str().unwrap_or_default().to_string(),
         ),
         (
             "identity",
-            told["identity"].as_str().unwrap_or("none").to_string(),
+            store["identity"].as_str().unwrap_or("none").to_string(),
         ),
-        ("bytes on disk", told["bytesOnDisk"].to_string()),
+        ("bytes on disk", store["bytesOnDisk"].to_string()),
         (
-            "sound",
-            if told["sound"] == true {
+            "consistent",
+            if store["sound"] == true {
                 "yes"
             } else {
-                "no: a controller begins it anew"
+                "no: a controller treats it as an empty disk"
             }
             .into(),
         ),
         ("view", or_none(view, members(view))),
-        ("installed view", told["installed"].to_string()),
-        ("never installs up to", told["neverUpTo"].to_string()),
-        ("vote", voted),
+        ("installed view", store["installed"].to_string()),
+        ("abandoned up to view", store["neverUpTo"].to_string()),
+        ("vote", vote_text),
         ("snapshot", or_none(snapshot, state)),
         ("log", entries),
-        ("configuration", held + &later),
-        ("keeps", or_none(snapshot, kept)),
+        ("configuration", snapshot_version + &log_versions),
+        ("state", or_none(snapshot, contents)),
         (
-            "lives noted",
+            "instances recorded",
             format!(
                 "{} and {} gone{unreadable}",
-                incarnations["noted"], incarnations["gone"]
+                instances["noted"], instances["gone"]
             ),
         ),
     ];
--- a/crates/rookpulley-cli/src/gateway/store/check.rs
+++ b/crates/rookpulley-cli/src/gateway/store/check.rs
@@ -1,7 +1,7 @@
-//! Whether a store is as a controller left it: how far it reaches, and all that is wrong with it.
+//! Checks a controller's store: its latest view, update and configuration, and its faults.
 
-use crate::call::CannotAsk;
-use crate::gateway::check::Checked;
+use crate::call::CommandError;
+use crate::gateway::check::FileCheck;
 use rookpulley_chain::{PersistedState, StoredSnapshot, StoredUpdate, find_inconsistencies};
 use rookpulley_diagnostics::{FaultFormat, Faults, pluralize};
 use rookpulley_registry::InstanceUpdate;
@@ -11,50 +11,50 @@
 use serde_json::{Value, json};
 use std::path::Path;
 
-static STORE: FaultFormat = FaultFormat {
+static STORE_FAULTS: FaultFormat = FaultFormat {
     max_faults: 64,
     max_chars: 160,
     heading: |faults| format!("{} in the store", pluralize(faults, "fault")),
-    help: "let the controller start and be filled by the others, or found the chain anew from a better store",
+    help: "start the controller so that the other members send it their state, or refound the chain from a better store",
 };
 
-/// A store that could be opened, with all that is wrong with it.
-pub struct Examined {
+/// A store that could be opened, with its faults.
+pub struct ExaminedStore {
     pub contents: Contents,
-    pub kept: PersistedState,
+    pub persisted: PersistedState,
     pub faults: Faults,
-    /// Its state is whole and this build reads it: a controller that starts with it is a possible source.
+    /// The state is complete and readable by this build, so a controller that starts with it can be a recovery source.
     pub usable: bool,
-    /// The newest configuration that it holds, also one in the log.
+    /// The newest configuration version in the snapshot or the log.
     configuration: u64,
 }
 
-/// Examines a store. One that can't be opened is at fault itself.
-pub fn examined(folder: &Path) -> Result<Result<Examined, Faults>, CannotAsk> {
+/// Opens a store and looks for faults. A corrupted store that cannot be opened counts as one fault.
+pub fn examine(folder: &Path) -> Result<Result<ExaminedStore, Faults>, CommandError> {
     match inspect(folder) {
-        Ok(contents) => Ok(Ok(Examined::of(contents))),
-        Err(InspectError::Corrupted(_, why)) => {
-            let found = format!("spoilt ({why})");
+        Ok(contents) => Ok(Ok(ExaminedStore::new(contents))),
+        Err(InspectError::Corrupted(_, error)) => {
+            let found = format!("corrupted ({error})");
             Ok(Err(Faults::one(
-                &STORE,
+                &STORE_FAULTS,
                 "the store",
                 found,
                 "one that can be opened",
             )))
         }
-        Err(why) => Err(CannotAsk::Store(why)),
+        Err(error) => Err(CommandError::Store(error)),
     }
 }
 
-impl Examined {
-    fn of(contents: Contents) -> Self {
-        let kept = PersistedState::read(contents.chain_rows.iter().cloned());
-        let mut faults = Faults::new(&STORE);
+impl ExaminedStore {
+    fn new(contents: Contents) -> Self {
+        let persisted = PersistedState::read(contents.chain_rows.iter().cloned());
+        let mut faults = Faults::new(&STORE_FAULTS);
         if contents.identity.is_none() {
             faults.add(
                 "the identity",
                 "missing",
-                "there since the controller's first start",
+                "present since the controller's first start",
             );
         }
         for inconsistency in find_inconsistencies(&contents.chain_rows, contents.identity) {
@@ -64,46 +64,46 @@
                 inconsistency.expected,
             );
         }
-        let chain = kept.status();
-        let (mut ledger, mut usable) = (
+        let chain = persisted.status();
+        let (mut state_machine, mut usable) = (
             StateMachine::default(),
-            kept.is_sound() && contents.identity.is_some(),
+            persisted.is_sound() && contents.identity.is_some(),
         );
         if let Some(StoredSnapshot {
             seq: update, bytes, ..
         }) = chain.snapshot
         {
-            if let Err(why) = ledger.restore(bytes) {
-                let found = format!("up to update {update} and unreadable ({why})");
+            if let Err(error) = state_machine.restore(bytes) {
+                let found = format!("up to update {update} and unreadable ({error})");
                 faults.add("snapshot", found, "one that this build wrote");
                 usable = false;
             }
-            if let Some((version, body)) = ledger.configuration() {
-                of_configuration(&mut faults, format!("configuration {version}"), body);
+            if let Some((version, body)) = state_machine.configuration() {
+                add_configuration_faults(&mut faults, format!("configuration {version}"), body);
             }
         }
-        let mut configuration = ledger.version();
+        let mut configuration = state_machine.version();
         for StoredUpdate { seq, body, .. } in &chain.log {
             match Update::decode(body) {
                 Ok(Update::PutConfiguration { version, body }) => {
                     configuration = configuration.max(version);
                     let place = format!("configuration {version} in update {seq}");
-                    of_configuration(&mut faults, place, &body);
+                    add_configuration_faults(&mut faults, place, &body);
                 }
                 Ok(_) => {}
-                Err(why) => {
-                    let found = format!("unreadable ({why})");
+                Err(error) => {
+                    let found = format!("unreadable ({error})");
                     faults.add(format!("update {seq}"), found, "one that this build knows");
                 }
             }
         }
         for (incarnation, value) in &contents.instance_rows {
             if postcard::from_bytes::<InstanceUpdate>(value).is_err() {
-                let place = format!("the note on task {}", incarnation.escape_ascii());
+                let place = format!("the record of instance {}", incarnation.escape_ascii());
                 faults.add(
                     place,
                     format!("unreadable ({} bytes)", value.len()),
-                    "what was heard of it",
+                    "an instance update",
                 );
             }
         }
@@ -111,35 +111,35 @@
             usable,
             faults,
             configuration,
-            kept,
+            persisted,
             contents,
         }
     }
 
-    /// The last update that it holds.
+    /// The last update in the log, or that of the snapshot if the log is empty.
     pub fn update(&self) -> u64 {
-        let chain = self.kept.status();
+        let chain = self.persisted.status();
         let snapshot = chain.snapshot.map_or(0, |snapshot| snapshot.seq);
         chain.log.last().map_or(snapshot, |update| update.seq)
     }
 
     fn newest(&self) -> u64 {
-        self.kept
+        self.persisted
             .status()
             .views
             .last()
             .map_or(0, |view| view.number)
     }
 
-    fn reaches(&self) -> String {
-        let goes_on = match (self.usable, self.kept.is_sound()) {
-            (true, _) => "a controller goes on with it",
-            (_, true) => "a controller starts with it, and its state is no source",
-            _ => "unsound, a controller begins it anew as an empty disk",
+    fn extent(&self) -> String {
+        let startup = match (self.usable, self.persisted.is_sound()) {
+            (true, _) => "a controller resumes from it",
+            (_, true) => "a controller starts with it, but its state is not a recovery source",
+            _ => "inconsistent, a controller treats it as an empty disk",
         };
         format!(
-            "installed view {} (newest known {}), update {}, configuration {}; {goes_on}",
-            self.kept.status().installed,
+            "installed view {} (newest known {}), update {}, configuration {}; {startup}",
+            self.persisted.status().installed,
             self.newest(),
             self.update(),
             self.configuration
@@ -147,68 +147,68 @@
     }
 
     fn as_json(&self) -> Value {
-        json!({"installed": self.kept.status().installed, "view": self.newest(), "update": self.update(),
-            "configVersion": self.configuration, "sound": self.kept.is_sound(), "usable": self.usable})
+        json!({"installed": self.persisted.status().installed, "view": self.newest(), "update": self.update(),
+            "configVersion": self.configuration, "sound": self.persisted.is_sound(), "usable": self.usable})
     }
 }
 
-fn of_configuration(faults: &mut Faults, place: String, body: &[u8]) {
-    let Err(told) = RouteTable::read(body) else {
+fn add_configuration_faults(faults: &mut Faults, place: String, body: &[u8]) {
+    let Err(invalid) = RouteTable::read(body) else {
         return;
     };
-    for fault in told.faults {
+    for fault in invalid.faults {
         faults.add(
             format!("{place}, {}", fault.place),
             fault.found,
             fault.instead,
         );
     }
-    faults.omitted += told.omitted;
+    faults.omitted += invalid.omitted;
 }
 
-/// What is printed of an examined store, and whether nothing is wrong with it. `refused`: why something else that was
-/// asked of it isn't done.
-pub fn told(
+/// Formats the result of a check and returns whether the store has no faults. `rejection` is the reason why another
+/// requested operation was not performed.
+pub fn render(
     json: bool,
     folder: &Path,
-    examined: &Result<Examined, Faults>,
-    refused: Option<&str>,
+    examined: &Result<ExaminedStore, Faults>,
+    rejection: Option<&str>,
 ) -> (String, bool) {
-    let (faults, reaches) = match examined {
-        Ok(store) => (&store.faults, Some((store.reaches(), store.as_json()))),
+    let (faults, extent) = match examined {
+        Ok(store) => (&store.faults, Some((store.extent(), store.as_json()))),
         Err(faults) => (faults, None),
     };
-    let what = reaches
+    let what = extent
         .as_ref()
         .map_or(String::new(), |(what, _)| what.clone());
-    let verdict = if faults.is_empty() {
+    let outcome = if faults.is_empty() {
         Ok(what.clone())
     } else {
         Err(faults.clone())
     };
-    let checked = Checked {
+    let file_check = FileCheck {
         file: folder.into(),
-        verdict,
+        outcome,
     };
-    let well = checked.verdict.is_ok();
+    let valid = file_check.outcome.is_ok();
     if json {
-        let mut said = checked.said();
-        said["reaches"] = reaches.map_or(Value::Null, |(_, reaches)| reaches);
-        if let Some(why) = refused {
-            (said["done"], said["refused"]) = (false.into(), why.into());
+        let mut output = file_check.to_json();
+        output["reaches"] = extent.map_or(Value::Null, |(_, extent)| extent);
+        if let Some(error) = rejection {
+            (output["done"], output["refused"]) = (false.into(), error.into());
         }
-        return (said.to_string() + "\n", well);
+        return (output.to_string() + "\n", valid);
     }
-    let mut lines = checked.lines("it should be");
-    if !well && !what.is_empty() {
+    let mut lines = file_check.to_text("it should be");
+    if !valid && !what.is_empty() {
         lines += &format!("{}: {what}\n", folder.display());
     }
-    lines += &refused.map_or(String::new(), |why| {
-        format!("{}: {why}\n", folder.display())
+    lines += &rejection.map_or(String::new(), |error| {
+        format!("{}: {error}\n", folder.display())
     });
-    (lines, well)
+    (lines, valid)
 }
 
-pub fn checked(json: bool, folder: &Path) -> Result<(String, bool), CannotAsk> {
-    Ok(told(json, folder, &examined(folder)?, None))
+pub fn check(json: bool, folder: &Path) -> Result<(String, bool), CommandError> {
+    Ok(render(json, folder, &examine(folder)?, None))
 }
--- a/crates/rookpulley-cli/src/gateway/store/refound.rs
+++ b/crates/rookpulley-cli/src/gateway/store/refound.rs
@@ -1,8 +1,8 @@
-//! The way out when most members of the newest view are gone for good: one store that is left founds the chain anew.
+//! Recovers from the permanent loss of most members of the newest view: one remaining store refounds the chain.
 
-use super::check::{Examined, examined, told};
+use super::check::{ExaminedStore, examine, render};
 use super::{hex, members, view};
-use crate::call::CannotAsk;
+use crate::call::CommandError;
 use crate::show::table;
 use rookpulley_chain::{Record, View};
 use rookpulley_store::{replace, replaced_store};
@@ -10,76 +10,77 @@
 use std::hash::{BuildHasher, RandomState};
 use std::path::Path;
 
-/// What becomes of a store.
-struct Founding<'a> {
-    store: &'a Examined,
-    was: u64,
-    is: u64,
+/// A planned replacement of a store.
+struct Refounding<'a> {
+    store: &'a ExaminedStore,
+    old_identity: u64,
+    new_identity: u64,
     view: View,
     records: Vec<Record>,
 }
 
-/// None: there is no state to found with.
-fn founding(store: &Examined) -> Option<Founding<'_>> {
-    let was = store.contents.identity.filter(|_| store.usable)?;
-    let is = RandomState::new().hash_one(was);
-    let (view, records) = store.kept.refounded(was, is)?;
-    Some(Founding {
+/// Plans the replacement. `None` if the store has no usable state.
+fn refounding(store: &ExaminedStore) -> Option<Refounding<'_>> {
+    let old_identity = store.contents.identity.filter(|_| store.usable)?;
+    let new_identity = RandomState::new().hash_one(old_identity);
+    let (view, records) = store.persisted.refounded(old_identity, new_identity)?;
+    Some(Refounding {
         store,
-        was,
-        is,
+        old_identity,
+        new_identity,
         view,
         records,
     })
 }
 
-pub fn refounded(json: bool, folder: &Path, yes: bool) -> Result<(String, bool), CannotAsk> {
-    let examined = examined(folder)?;
-    let Some(founding) = examined.as_ref().ok().and_then(founding) else {
-        let refused = "it holds no state that a chain could be founded with; nothing was written";
-        let (said, _) = told(json, folder, &examined, Some(refused));
-        return Ok((said, false));
+pub fn refound(json: bool, folder: &Path, yes: bool) -> Result<(String, bool), CommandError> {
+    let examined = examine(folder)?;
+    let Some(refounding) = examined.as_ref().ok().and_then(refounding) else {
+        let refused =
+            "it holds no state from which the chain could be refounded; nothing was written";
+        let (output, _) = render(json, folder, &examined, Some(refused));
+        return Ok((output, false));
     };
     if yes {
         replace(
             folder,
-            &founding.store.contents,
-            founding.is,
-            &founding.records,
+            &refounding.store.contents,
+            refounding.new_identity,
+            &refounding.records,
         )
-        .map_err(CannotAsk::Store)?;
+        .map_err(CommandError::Store)?;
     }
-    let said = if json {
-        founding.as_json(folder, yes).to_string() + "\n"
+    let output = if json {
+        refounding.as_json(folder, yes).to_string() + "\n"
     } else {
-        founding.text(folder, yes)
+        refounding.text(folder, yes)
     };
-    Ok((said, true))
+    Ok((output, true))
 }
 
-impl Founding<'_> {
+impl Refounding<'_> {
     fn as_json(&self, folder: &Path, done: bool) -> Value {
-        let chain = self.store.kept.status();
-        // Before it is done another identity is minted each time, and another number goes with it.
-        let minted = |value: Value| if done { value } else { Value::Null };
+        let chain = self.store.persisted.status();
+        // Each dry run draws a new random identity and view number, so they are omitted until the store is written.
+        let if_done = |value: Value| if done { value } else { Value::Null };
         json!({
             "folder": folder,
             "done": done,
-            "identity": {"was": hex(self.was), "is": minted(hex(self.is).into())},
-            "view": {"was": chain.views.last().map(view), "is": minted(view(&self.view))},
+            "identity": {"was": hex(self.old_identity), "is": if_done(hex(self.new_identity).into())},
+            "view": {"was": chain.views.last().map(view), "is": if_done(view(&self.view))},
             "installed": chain.installed,
             "update": self.store.update(),
             "log": {"entries": chain.log.len(), "first": chain.log.first().map(|e| e.seq)},
-            "before": minted(json!(replaced_store(folder))),
+            "before": if_done(json!(replaced_store(folder))),
         })
     }
 
     fn text(&self, folder: &Path, done: bool) -> String {
-        let chain = self.store.kept.status();
-        let known = chain
+        let chain = self.store.persisted.status();
+        let known_view = chain
             .views
             .last()
-            .map_or_else(|| "none".into(), |known| members(&view(known)));
+            .map_or_else(|| "none".into(), |known_view| members(&view(known_view)));
         let address = self
             .view
             .head()
@@ -87,48 +88,52 @@
             .unwrap_or_default();
         let number = match done {
             true => self.view.number.to_string(),
-            false => format!("far above {}", self.store.kept.newest()),
+            false => format!("far above {}", self.store.persisted.newest()),
         };
         let vote = if chain.acceptor == 0 {
             "none".into()
         } else {
             format!("for view {}", chain.acceptor)
         };
-        let keeps = format!("up to {}", self.store.update());
+        let updates = format!("up to {}", self.store.update());
         let rows = [
             (
                 "identity",
-                hex(self.was),
-                if done { hex(self.is) } else { "another".into() },
+                hex(self.old_identity),
+                if done {
+                    hex(self.new_identity)
+                } else {
+                    "new".into()
+                },
             ),
-            ("view", known, format!("{number}, of {address} alone")),
+            ("view", known_view, format!("{number}, of {address} alone")),
             (
                 "installed view",
                 chain.installed.to_string(),
                 "the new one".into(),
             ),
             (
-                "never installs up to",
+                "abandoned up to view",
                 chain.abandoned.to_string(),
                 "0".into(),
             ),
             ("vote", vote, "none".into()),
-            ("updates", keeps.clone(), keeps),
+            ("updates", updates.clone(), updates),
         ];
         let head = if done {
             ["what", "was", "is"]
         } else {
             ["what", "is", "would be"]
         };
-        let mut said = table(
+        let mut output = table(
             head,
             rows.into_iter()
-                .map(|(what, was, is)| [what.to_string(), was, is]),
+                .map(|(what, before, after)| [what.to_string(), before, after]),
         );
         if let (Some(first), Some(last)) = (chain.log.first(), chain.log.last()) {
             let (first, last) = (first.seq, last.seq);
-            said += &format!(
-                "updates {first} to {last} are its log: the last may not have been acknowledged, and are kept\n"
+            output += &format!(
+                "the log holds updates {first} to {last}: the last of them may not have been acknowledged, but they are kept\n"
             );
         }
         if chain
@@ -136,16 +141,16 @@
             .last()
             .is_some_and(|newest| newest.number > chain.installed)
         {
-            said += "a newer view than the one installed here was decided: what it acknowledged is not here\n";
+            output += "a view newer than the one installed here was decided: updates acknowledged in it are missing here\n";
         }
-        said += "what the others acknowledged without this controller is gone; do this on one controller alone\n";
-        said += &match done {
+        output += "updates that the others acknowledged without this controller are lost; refound on one controller only\n";
+        output += &match done {
             true => format!(
-                "done; the store as it was is in {}\n",
+                "done; the previous store is in {}\n",
                 replaced_store(folder).display()
             ),
-            false => "nothing was written; with --yes it is done\n".to_string(),
+            false => "nothing was written; run again with --yes to write the changes\n".to_string(),
         };
-        said
+        output
     }
 }
--- a/crates/rookpulley-cli/src/main.rs
+++ b/crates/rookpulley-cli/src/main.rs
@@ -1,11 +1,11 @@
-//! The command `rookpulley`: what operators ask a running assigner or the gateway, and checks of their files.
+//! The operator command `rookpulley`: requests to a running assigner or gateway, and checks of their files.
 
 mod call;
 mod gateway;
 mod servers;
 mod show;
 
-use call::{CannotAsk, Place};
+use call::{Client, CommandError};
 use clap::{Parser, Subcommand};
 use rookpulley_operators::api::{DiffList, HolderList, RollbackList, VersionList};
 use rookpulley_operators::file;
@@ -14,19 +14,19 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Asks a running assigner which versions of its tables there are and who holds them, and takes tables back
-/// to earlier ones.
+/// Shows the table versions of a running assigner and which dispatchers hold them, rolls tables back, and
+/// inspects server files and the gateway.
 ///
-/// The assigner answers at its operators' address, which its operators' file names:
+/// The assigner serves its API at its operators' address, which is set in its operators' file:
 ///
 ///     address(listen = "127.0.0.1:3990")
 ///     versions(keep = 8)
 ///
-/// Ends with 0 where all is well, 1 where the answer is no (each command says when), 2 for a command line
-/// that can't be used, 3 where the assigner can't be asked.
+/// Exit codes: 0 on success, 1 on a negative result (see each command), 2 for an invalid command line, 3 if the
+/// server or the store cannot be read.
 #[derive(Parser)]
 #[command(version, verbatim_doc_comment, arg_required_else_help = true)]
-struct Given {
+struct Cli {
     /// The operators' address of the assigner; for `gateway show` the controlPlane address of a controller
     #[arg(
         long,
@@ -36,7 +36,7 @@
         value_name = "ADDRESS"
     )]
     at: SocketAddr,
-    /// The file that holds the assigner's token
+    /// File with the assigner's access token
     #[arg(
         long,
         global = true,
@@ -44,52 +44,52 @@
         value_name = "FILE"
     )]
     token_file: Option<PathBuf>,
-    /// Writes the answer as one JSON object
+    /// Print the result as one JSON object
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Lists the kept versions, by table, oldest first
+enum Command {
+    /// List the retained versions by table, oldest first
     ///
     /// Example: rookpulley versions --table 3
     Versions {
-        /// Of one table alone
+        /// Only this table
         #[arg(long)]
         table: Option<u16>,
     },
-    /// Shows which dispatcher holds which version of its tables
+    /// Show which version of its tables each dispatcher holds
     ///
     /// Example: rookpulley holders --check && echo all in step
     Holders {
-        /// Ends with 1 unless every joined dispatcher is in step
+        /// Exit with 1 unless every joined dispatcher is in step
         #[arg(long)]
         check: bool,
     },
-    /// Shows the lines that differ between two kept versions; ends with 1 where some do
+    /// Show the lines that differ between two retained versions; exits with 1 if any differ
     ///
     /// Example: rookpulley diff n0~18f3a2c41b7e0042~17 n0~18f3a2c41b7e0042~23
     Diff { from: String, to: String },
-    /// Goes back to an earlier version; ends with 1 where no table could
+    /// Roll back to an earlier version; exits with 1 if no table was rolled back
     ///
-    /// Its lines are published less every server that is drained, gone, struck or too cold, until released or
-    /// tainted.
+    /// Publishes the version's lines without servers that are drained, gone, struck or too cold, until the rollback
+    /// is released or the version is tainted.
     ///
     /// Example: rookpulley rollback n0~18f3a2c41b7e0042~17 --all
     Rollback {
-        /// As `versions` shows it
+        /// A version as listed by `versions`
         to: String,
-        /// All tables as they were when that version was the newest
+        /// Roll back all tables to their state when that version was the newest
         #[arg(long, conflicts_with = "table")]
         all: bool,
-        /// Refused unless the version is of this table
+        /// Reject the request unless the version belongs to this table
         #[arg(long)]
         table: Option<u16>,
     },
-    /// Ends ways back: the assigner's own lines are published again; ends with 1 where none was held
+    /// End rollbacks and publish the assigner's own lines again; exits with 1 if no rollback was active
     ///
     /// Example: rookpulley release --all
     #[command(group = clap::ArgGroup::new("which").required(true))]
@@ -99,84 +99,84 @@
         #[arg(long, group = "which")]
         all: bool,
     },
-    /// Server files: check, plan, seal, show, write
+    /// Check, plan, seal, show and write server files
     #[command(subcommand)]
     Servers(servers::Servers),
-    /// The gateway: show, check, explain, hunt, chain, store
+    /// Inspect and check the gateway
     #[command(subcommand)]
     Gateway(gateway::Gateway),
-    /// Reads an operators' file and says what it switches on; ends with 1 where it can't be used
+    /// Check an operators' file and show what it enables; exits with 1 if it is invalid
     ///
     /// Example: rookpulley check deploy/operators.star
     Check { file: PathBuf },
 }
 
-fn ask(given: &Given) -> Result<ExitCode, CannotAsk> {
-    let place = || Place::of(given.at, given.token_file.as_deref());
-    let (said, code) = match &given.what {
-        What::Versions { table } => {
+fn execute(cli: &Cli) -> Result<ExitCode, CommandError> {
+    let client = || Client::new(cli.at, cli.token_file.as_deref());
+    let (output, success) = match &cli.command {
+        Command::Versions { table } => {
             let path = table.map_or("/v1/versions".to_string(), |t| {
                 format!("/v1/versions?table={t}")
             });
-            let (_, list) = place()?.ask::<VersionList>("GET", &path, None)?;
+            let (_, list) = client()?.request::<VersionList>("GET", &path, None)?;
             (
-                show::either(given.json, &list, || show::versions(&list)),
+                show::json_or_text(cli.json, &list, || show::versions(&list)),
                 true,
             )
         }
-        What::Holders { check } => {
-            let (_, list) = place()?.ask::<HolderList>("GET", "/v1/holders", None)?;
+        Command::Holders { check } => {
+            let (_, list) = client()?.request::<HolderList>("GET", "/v1/holders", None)?;
             let in_step = list
                 .holders
                 .iter()
                 .filter(|h| h.joined)
                 .all(|h| h.judged == "in step");
             (
-                show::either(given.json, &list, || show::holders(&list)),
+                show::json_or_text(cli.json, &list, || show::holders(&list)),
                 !check || in_step,
             )
         }
-        What::Diff { from, to } => {
+        Command::Diff { from, to } => {
             let mut query = form_urlencoded::Serializer::new(String::new());
             let query = query
                 .append_pair("from", from)
                 .append_pair("to", to)
                 .finish();
             let path = format!("/v1/diff?{query}");
-            let (_, list) = place()?.ask::<DiffList>("GET", &path, None)?;
+            let (_, list) = client()?.request::<DiffList>("GET", &path, None)?;
             (
-                show::either(given.json, &list, || show::diff(&list)),
+                show::json_or_text(cli.json, &list, || show::diff(&list)),
                 list.lines.is_empty(),
             )
         }
-        What::Rollback { to, all, table } => {
+        Command::Rollback { to, all, table } => {
             let body = json!({"to": to, "all": all, "table": table});
             let (status, list) =
-                place()?.ask::<RollbackList>("POST", "/v1/rollback", Some(&body))?;
+                client()?.request::<RollbackList>("POST", "/v1/rollback", Some(&body))?;
             (
-                show::either(given.json, &list, || show::back(&list)),
+                show::json_or_text(cli.json, &list, || show::rollback(&list)),
                 status == 200,
             )
         }
-        What::Release { table, all } => {
+        Command::Release { table, all } => {
             let body: Value = if *all {
                 json!({"all": true})
             } else {
                 json!({"table": table})
             };
             let (status, list) =
-                place()?.ask::<RollbackList>("POST", "/v1/release", Some(&body))?;
+                client()?.request::<RollbackList>("POST", "/v1/release", Some(&body))?;
             (
-                show::either(given.json, &list, || show::back(&list)),
+                show::json_or_text(cli.json, &list, || show::rollback(&list)),
                 status == 200,
             )
         }
-        What::Servers(what) => servers::run(what, given.json, place)?,
-        What::Gateway(what) => gateway::run(what, given.json, place)?,
-        What::Check { file } => return Ok(check(given.json, file)),
+        Command::Servers(command) => servers::run(command, cli.json, client)?,
+        Command::Gateway(command) => gateway::run(command, cli.json, client)?,
+        Command::Check { file } => return Ok(check(cli.json, file)),
     };
-    print!("{said}");
-    Ok(if code {
+    print!("{output}");
+    Ok(if success {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(1)
@@ -189,14 +189,14 @@
             print!("{}", show::operators(json, &operators));
             ExitCode::SUCCESS
         }
-        Err(bad) => {
+        Err(error) => {
             if json {
                 println!(
                     "{}",
-                    json!({"error": {"what": bad.what, "file": bad.file, "at": bad.at}})
+                    json!({"error": {"what": error.what, "file": error.file, "at": error.at}})
                 );
             } else {
-                eprintln!("rookpulley: {bad}");
+                eprintln!("rookpulley: {error}");
             }
             ExitCode::from(1)
         }
@@ -204,16 +204,16 @@
 }
 
 fn main() -> ExitCode {
-    let given = Given::parse();
-    match ask(&given) {
+    let cli = Cli::parse();
+    match execute(&cli) {
         Ok(code) => code,
-        Err(why) => {
-            if given.json {
-                println!("{}", json!({"error": {"what": why.to_string()}}));
+        Err(error) => {
+            if cli.json {
+                println!("{}", json!({"error": {"what": error.to_string()}}));
             } else {
-                eprintln!("rookpulley: {why}");
+                eprintln!("rookpulley: {error}");
             }
-            ExitCode::from(why.code())
+            ExitCode::from(error.exit_code())
         }
     }
 }
--- a/crates/rookpulley-cli/src/servers.rs
+++ b/crates/rookpulley-cli/src/servers.rs
@@ -1,6 +1,6 @@
-//! Commands on server files: what is wrong with one, what it would change, and files written by the program.
+//! Server file commands: check, plan, seal, show and write.
 
-use crate::call::{CannotAsk, Place};
+use crate::call::{Client, CommandError};
 use crate::show;
 use clap::Subcommand;
 use rookpulley_files::{read, read_bytes, render, with_seal};
@@ -14,19 +14,19 @@
 
 #[derive(Subcommand)]
 pub enum Servers {
-    /// Says whether a server file can be taken, and all the reasons why not; ends with 1 where it can't
+    /// Check whether a server file is valid and list all faults; exits with 1 if it is invalid
     ///
     /// Example: rookpulley servers check servers.star --config deploy/example.json
     Check {
         file: PathBuf,
-        /// The assigner's configuration, for its zones, kinds of machine and request kinds
+        /// The assigner's configuration, which defines zones, machine types and request kinds
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
-        /// The file that is in force, for what may change at once
+        /// The current file, to check that the change is allowed in one step
         #[arg(long, value_name = "FILE")]
         against: Option<PathBuf>,
     },
-    /// Shows what a server file would change, against a running assigner or another file
+    /// Show what a server file would change, compared with a running assigner or another file
     ///
     /// Example: rookpulley servers plan servers.star --against servers.old.star
     Plan {
@@ -34,16 +34,16 @@
         #[arg(long, value_name = "FILE")]
         against: Option<PathBuf>,
     },
-    /// Puts a fitting closing statement on a file that was edited, in one step
+    /// Update the closing statement of an edited file atomically
     ///
     /// Example: rookpulley servers seal servers.star
     Seal { file: PathBuf },
-    /// Shows the list that a running assigner holds, its age, and why the file's newest state is not taken; ends
-    /// with 1 where it is not
+    /// Show the list that a running assigner uses, its age, and why the file's latest content was not accepted;
+    /// exits with 1 if it was not
     ///
     /// Example: rookpulley servers show
     Show,
-    /// Writes a complete file from the list that a running assigner holds
+    /// Print a complete file with the list that a running assigner uses
     ///
     /// Example: rookpulley servers write > servers.star
     Write,
@@ -54,28 +54,28 @@
     read(file, &bytes).map_err(|e| e.with_file_name(file))
 }
 
-/// What the configuration says of the deployment.
-fn facts(config: &Path) -> Result<Deployment, String> {
-    let wrong = |what: String| format!("{}: {what}", config.display());
-    let text = std::fs::read_to_string(config).map_err(|e| wrong(e.to_string()))?;
-    let told: Value = serde_json::from_str(&text).map_err(|e| wrong(e.to_string()))?;
-    let settings = &told["settings"];
-    let start = rookpulley_start::read_value(0, settings).map_err(|e| wrong(e.to_string()))?;
+/// Reads the deployment's zones and machine types from the assigner's configuration.
+fn load_deployment(config: &Path) -> Result<Deployment, String> {
+    let with_path = |what: String| format!("{}: {what}", config.display());
+    let text = std::fs::read_to_string(config).map_err(|e| with_path(e.to_string()))?;
+    let document: Value = serde_json::from_str(&text).map_err(|e| with_path(e.to_string()))?;
+    let settings = &document["settings"];
+    let start = rookpulley_start::read_value(0, settings).map_err(|e| with_path(e.to_string()))?;
     let front =
-        rookpulley_start::read_front_settings(settings).map_err(|e| wrong(e.to_string()))?;
+        rookpulley_start::read_front_settings(settings).map_err(|e| with_path(e.to_string()))?;
     Ok(Deployment::from_start(&start, &front.machines))
 }
 
-fn verdict(
+fn format_check(
     json: bool,
     file: &Path,
     list: Result<&Candidate, &String>,
-    refused: &Rejection,
+    rejection: &Rejection,
 ) -> (String, bool) {
-    let well = list.is_ok() && refused.is_empty();
+    let valid = list.is_ok() && rejection.is_empty();
     let reasons: Vec<Value> = match list {
         Err(why) => vec![json!({"what": why})],
-        Ok(_) => refused
+        Ok(_) => rejection
             .reasons
             .iter()
             .map(|(at, why)| json!({"what": why.to_string(), "at": at}))
@@ -86,15 +86,15 @@
             list.ok().map(|l| l.generation),
             list.ok().map(|l| l.entries.len()),
         );
-        let said = json!({"file": file, "ok": well, "generation": generation, "servers": servers,
-            "reasons": reasons, "more": refused.more});
-        return (said.to_string() + "\n", well);
+        let output = json!({"file": file, "ok": valid, "generation": generation, "servers": servers,
+            "reasons": reasons, "more": rejection.more});
+        return (output.to_string() + "\n", valid);
     }
-    let said = match list {
+    let output = match list {
         Err(why) => why.clone() + "\n",
-        Ok(list) if well => {
+        Ok(list) if valid => {
             format!(
-                "{}: generation {}, {} servers, can be taken\n",
+                "{}: generation {}, {} servers, can be used\n",
                 file.display(),
                 list.generation,
                 list.entries.len()
@@ -102,65 +102,69 @@
         }
         Ok(_) => {
             let line = |(at, why): &(_, rookpulley_lists::Reason)| {
-                let bad = FileError {
+                let error = FileError {
                     file: file.into(),
                     at: *at,
                     what: why.to_string(),
                 };
-                format!("{bad}\n")
+                format!("{error}\n")
             };
-            let more = if refused.more > 0 {
-                format!("and {} more\n", refused.more)
+            let more = if rejection.more > 0 {
+                format!("and {} more\n", rejection.more)
             } else {
                 String::new()
             };
-            refused.reasons.iter().map(line).collect::<String>() + &more
+            rejection.reasons.iter().map(line).collect::<String>() + &more
         }
     };
-    (said, well)
+    (output, valid)
 }
 
 fn check(json: bool, file: &Path, config: Option<&Path>, against: Option<&Path>) -> (String, bool) {
-    let mut refused = Rejection::default();
+    let mut rejection = Rejection::default();
     let checked = load(file).and_then(|list| {
-        let facts = config.map_or_else(|| Ok(Deployment::from_list(&list)), facts)?;
-        validate_list(show::unix_ms(), &list, &facts, &mut refused);
-        if let Some(held) = against {
-            validate_change(&list, &load(held)?, &mut refused);
+        let deployment =
+            config.map_or_else(|| Ok(Deployment::from_list(&list)), load_deployment)?;
+        validate_list(show::unix_ms(), &list, &deployment, &mut rejection);
+        if let Some(current) = against {
+            validate_change(&list, &load(current)?, &mut rejection);
         }
         Ok(list)
     });
-    verdict(json, file, checked.as_ref(), &refused)
+    format_check(json, file, checked.as_ref(), &rejection)
 }
 
 fn seal(file: &Path) -> Result<String, String> {
-    let wrong = |e: std::io::Error| format!("{}: {e}", file.display());
-    let text = std::fs::read_to_string(file).map_err(wrong)?;
-    let after = with_seal(file, &text).map_err(|e| e.to_string())?;
-    if after == text {
-        return Ok(format!("{}: sealed already\n", file.display()));
+    let with_path = |e: std::io::Error| format!("{}: {e}", file.display());
+    let text = std::fs::read_to_string(file).map_err(with_path)?;
+    let sealed = with_seal(file, &text).map_err(|e| e.to_string())?;
+    if sealed == text {
+        return Ok(format!("{}: already sealed\n", file.display()));
     }
-    // Through links, to a file beside the one meant, which then takes its place whole.
-    let place = std::fs::canonicalize(file).map_err(wrong)?;
-    let folder = place.parent().unwrap_or(Path::new("/"));
-    let mut beside = tempfile::NamedTempFile::new_in(folder).map_err(wrong)?;
-    beside
-        .write_all(after.as_bytes())
-        .and_then(|()| beside.as_file().sync_all())
-        .map_err(wrong)?;
-    let rights = std::fs::metadata(&place).map_err(wrong)?.permissions();
-    beside.as_file().set_permissions(rights).map_err(wrong)?;
-    beside.persist(&place).map_err(|e| wrong(e.error))?;
+    // Resolves symbolic links, then writes a temporary file and renames it over the target.
+    let target = std::fs::canonicalize(file).map_err(with_path)?;
+    let folder = target.parent().unwrap_or(Path::new("/"));
+    let mut temporary = tempfile::NamedTempFile::new_in(folder).map_err(with_path)?;
+    temporary
+        .write_all(sealed.as_bytes())
+        .and_then(|()| temporary.as_file().sync_all())
+        .map_err(with_path)?;
+    let permissions = std::fs::metadata(&target).map_err(with_path)?.permissions();
+    temporary
+        .as_file()
+        .set_permissions(permissions)
+        .map_err(with_path)?;
+    temporary.persist(&target).map_err(|e| with_path(e.error))?;
     Ok(format!(
         "{}: {}",
         file.display(),
-        after.lines().last().unwrap_or_default()
+        sealed.lines().last().unwrap_or_default()
     ) + "\n")
 }
 
-/// The list that an assigner holds, as a file has it.
-fn held(place: &Place) -> Result<(ServerList, Candidate), CannotAsk> {
-    let (_, list) = place.ask::<ServerList>("GET", "/v1/servers", None)?;
+/// Fetches the assigner's server list and converts it to the form of a file.
+fn fetch_servers(client: &Client) -> Result<(ServerList, Candidate), CommandError> {
+    let (_, list) = client.request::<ServerList>("GET", "/v1/servers", None)?;
     let entries = list.servers.iter().map(|s| Entry {
         name: s.server.clone(),
         address: s.address.clone(),
@@ -180,7 +184,7 @@
     Ok((list, candidate))
 }
 
-fn changes(change: Change) -> &'static str {
+fn change_name(change: Change) -> &'static str {
     match change {
         Change::Added => "added",
         Change::DroppedServing => "dropped: drained first",
@@ -192,30 +196,30 @@
     }
 }
 
-fn planned(json: bool, file: &Path, list: &Candidate, before: &Candidate) -> String {
+fn format_plan(json: bool, file: &Path, list: &Candidate, before: &Candidate) -> String {
     let rows = plan(before, list);
-    let (had, has) = (
+    let (capacity_before, capacity_after) = (
         capacity(before.entries.iter()),
         capacity(list.entries.iter()),
     );
     if json {
         let row = |p: &Planned| {
             let ([from, to], [was, is]) = (p.weights, p.shares);
-            json!({"server": p.name, "what": changes(p.change), "from": from, "to": to,
+            json!({"server": p.name, "what": change_name(p.change), "from": from, "to": to,
                 "share_from": was, "share_to": is})
         };
         let rows: Vec<Value> = rows.iter().map(row).collect();
-        let said = json!({"file": file, "generation_from": before.generation, "generation_to": list.generation,
-            "capacity_from": had, "capacity_to": has, "servers": rows});
-        return said.to_string() + "\n";
+        let output = json!({"file": file, "generation_from": before.generation, "generation_to": list.generation,
+            "capacity_from": capacity_before, "capacity_to": capacity_after, "servers": rows});
+        return output.to_string() + "\n";
     }
     let weight = |w: Option<f64>| w.map_or("-".to_string(), |w| w.to_string());
-    let shown = rows.iter().map(|p| {
+    let table_rows = rows.iter().map(|p| {
         let [from, to] = p.weights.map(weight);
         let [was, is] = p.shares.map(|s| format!("{:.1}%", 100.0 * s));
         [
             p.name.clone(),
-            changes(p.change).to_string(),
+            change_name(p.change).to_string(),
             from,
             to,
             was,
@@ -226,27 +230,28 @@
     let table = if rows.is_empty() {
         "no server changes\n".into()
     } else {
-        show::table(head, shown)
+        show::table(head, table_rows)
     };
     format!(
-        "generation {} -> {}, capacity {had} -> {has}\n{table}",
+        "generation {} -> {}, capacity {capacity_before} -> {capacity_after}\n{table}",
         before.generation, list.generation
     )
 }
 
-fn shown(list: &ServerList) -> String {
-    let generation =
-        list.generation
-            .map_or("none taken yet, discovery's list counts".to_string(), |g| {
-                format!(
-                    "generation {g}, taken {:.0} s ago",
-                    list.age_ms.unwrap_or(0.0) / 1e3
-                )
-            });
-    let not = list
+fn format_servers(list: &ServerList) -> String {
+    let generation = list.generation.map_or(
+        "no file accepted yet, using the list from discovery".to_string(),
+        |g| {
+            format!(
+                "generation {g}, accepted {:.0} s ago",
+                list.age_ms.unwrap_or(0.0) / 1e3
+            )
+        },
+    );
+    let rejection = list
         .not_taken
         .as_ref()
-        .map_or(String::new(), |why| format!("not taken: {why}\n"));
+        .map_or(String::new(), |why| format!("not accepted: {why}\n"));
     let rows = list.servers.iter().map(|s| {
         [
             s.server.clone(),
@@ -259,50 +264,53 @@
     });
     let head = ["server", "address", "zone", "machine", "weight", "is"];
     format!(
-        "{}: {generation}\n{not}{}",
+        "{}: {generation}\n{rejection}{}",
         list.file,
         show::table(head, rows)
     )
 }
 
-fn failed(why: String) -> CannotAsk {
-    CannotAsk::No(ApiError::new(400, why, None))
+fn rejected(why: String) -> CommandError {
+    CommandError::Rejected(ApiError::new(400, why, None))
 }
 
-/// What a command prints, and whether all is well.
+/// Runs a command. Returns its output and whether it succeeded.
 pub fn run(
-    what: &Servers,
+    command: &Servers,
     json: bool,
-    place: impl Fn() -> Result<Place, CannotAsk>,
-) -> Result<(String, bool), CannotAsk> {
-    Ok(match what {
+    client: impl Fn() -> Result<Client, CommandError>,
+) -> Result<(String, bool), CommandError> {
+    Ok(match command {
         Servers::Check {
             file,
             config,
             against,
         } => check(json, file, config.as_deref(), against.as_deref()),
         Servers::Seal { file } => {
-            let said = seal(file).map_err(failed)?;
-            let object = || json!({"ok": true, "what": said.trim_end()}).to_string() + "\n";
-            (if json { object() } else { said }, true)
+            let output = seal(file).map_err(rejected)?;
+            let object = || json!({"ok": true, "what": output.trim_end()}).to_string() + "\n";
+            (if json { object() } else { output }, true)
         }
         Servers::Plan { file, against } => {
             let before = match against {
                 Some(other) => load(other),
-                None => Ok(held(&place()?)?.1),
+                None => Ok(fetch_servers(&client()?)?.1),
             };
-            let list = load(file).map_err(failed)?;
-            (planned(json, file, &list, &before.map_err(failed)?), true)
+            let list = load(file).map_err(rejected)?;
+            (
+                format_plan(json, file, &list, &before.map_err(rejected)?),
+                true,
+            )
         }
         Servers::Show => {
-            let (list, _) = held(&place()?)?;
+            let (list, _) = fetch_servers(&client()?)?;
             (
-                show::either(json, &list, || shown(&list)),
+                show::json_or_text(json, &list, || format_servers(&list)),
                 list.not_taken.is_none(),
             )
         }
         Servers::Write => {
-            let (_, mut list) = held(&place()?)?;
+            let (_, mut list) = fetch_servers(&client()?)?;
             list.generation += 1;
             (render(&list), true)
         }
--- a/crates/rookpulley-cli/src/show.rs
+++ b/crates/rookpulley-cli/src/show.rs
@@ -1,4 +1,4 @@
-//! Answers as tables for people, or as JSON.
+//! Formats API responses as text tables or JSON.
 
 use comfy_table::{Table, presets};
 use rookpulley_operators::OperatorSettings;
@@ -8,10 +8,14 @@
 use serde_json::json;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-pub fn either<T: Serialize>(json: bool, answer: &T, text: impl FnOnce() -> String) -> String {
-    // Plain values of text and numbers: writing them to memory has no way to fail.
+pub fn json_or_text<T: Serialize>(
+    json: bool,
+    response: &T,
+    text: impl FnOnce() -> String,
+) -> String {
+    // Serializing plain strings and numbers to memory cannot fail.
     if json {
-        serde_json::to_string(answer).unwrap_or_default() + "\n"
+        serde_json::to_string(response).unwrap_or_default() + "\n"
     } else {
         text()
     }
@@ -28,8 +32,8 @@
         .collect()
 }
 
-fn yes(yes: bool) -> String {
-    if yes { "yes".into() } else { String::new() }
+fn yes_or_blank(value: bool) -> String {
+    if value { "yes".into() } else { String::new() }
 }
 
 pub fn unix_ms() -> f64 {
@@ -40,7 +44,7 @@
         * 1e3
 }
 
-fn ago(at_ms: f64) -> String {
+fn elapsed(at_ms: f64) -> String {
     let seconds = (unix_ms() - at_ms).max(0.0) / 1e3;
     match seconds {
         s if s < 120.0 => format!("{s:.0} s"),
@@ -56,20 +60,14 @@
             v.version.clone(),
             number,
             v.lines.to_string(),
-            ago(v.issued_ms),
-            yes(v.newest),
-            yes(v.in_use),
+            elapsed(v.issued_ms),
+            yes_or_blank(v.newest),
+            yes_or_blank(v.in_use),
             v.digest.clone(),
         ]
     });
     let head = [
-        "version",
-        "table",
-        "lines",
-        "issued before",
-        "newest",
-        "in use",
-        "digest",
+        "version", "table", "lines", "age", "newest", "in use", "digest",
     ];
     format!(
         "{}, started as {}\n{}",
@@ -80,7 +78,7 @@
 }
 
 pub fn holders(list: &HolderList) -> String {
-    let none = || "-".to_string();
+    let dash = || "-".to_string();
     let rows = list.holders.iter().map(|h| {
         [
             h.dispatcher.to_string(),
@@ -91,15 +89,15 @@
             },
             h.kinds.join(" "),
             h.table.to_string(),
-            h.told.clone().unwrap_or_else(none),
-            h.confirmed.clone().unwrap_or_else(none),
+            h.told.clone().unwrap_or_else(dash),
+            h.confirmed.clone().unwrap_or_else(dash),
             if h.speaks {
-                h.claimed.clone().unwrap_or_else(none)
+                h.claimed.clone().unwrap_or_else(dash)
             } else {
-                "marks alone".into()
+                "acks only".into()
             },
-            h.waits_ms.map_or_else(none, |ms| format!("{ms:.0} ms")),
-            yes(h.back),
+            h.waits_ms.map_or_else(dash, |ms| format!("{ms:.0} ms")),
+            yes_or_blank(h.back),
         ]
     });
     let head = [
@@ -111,7 +109,7 @@
         "confirmed",
         "claimed",
         "waits",
-        "held back",
+        "rolled back",
     ];
     let joined: Vec<_> = list.holders.iter().filter(|h| h.joined).collect();
     let in_step = joined.iter().filter(|h| h.judged == "in step").count();
@@ -142,7 +140,7 @@
     }
 }
 
-pub fn back(list: &RollbackList) -> String {
+pub fn rollback(list: &RollbackList) -> String {
     let rows = list.tables.iter().map(|b| {
         let usable = b.usable.zip(b.of).map_or(String::new(), |(usable, of)| {
             format!("{usable} of {of} lines")
@@ -158,7 +156,7 @@
 }
 
 pub fn operators(json: bool, operators: &OperatorSettings) -> String {
-    let form = if operators.log == LogFormat::Json {
+    let log_format = if operators.log == LogFormat::Json {
         "json"
     } else {
         "text"
@@ -172,7 +170,7 @@
     if json {
         let keep = versions.map(|v| json!({"keep": v.per_table, "bytes": v.bytes}));
         return json!({"address": address, "token_file": token, "versions": keep, "servers": operators.servers,
-            "log": form})
+            "log": log_format})
         .to_string() + "\n";
     }
     let off = || "off".to_string();
@@ -192,7 +190,7 @@
                 .as_ref()
                 .map_or_else(off, |f| f.display().to_string()),
         ],
-        ["log".to_string(), form.to_string()],
+        ["log".to_string(), log_format.to_string()],
     ];
     table(["what", "is"], rows.into_iter())
 }
--- a/crates/rookpulley-cli/tests/command.rs
+++ b/crates/rookpulley-cli/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command against an operators' address that answers by script.
+//! Tests the command against an operator API with scripted responses.
 
 use assert_cmd::Command;
 use rookpulley_operators::api::{
@@ -116,10 +116,10 @@
     }
 }
 
-/// An address on a thread of its own, and the asks that came to it.
-fn answering(token: Option<&'static str>) -> (SocketAddr, Receiver<ApiRequest>) {
-    let (tell_place, place) = channel();
-    let (tell, asked) = channel();
+/// Starts a server on its own thread. Returns its address and the requests that it receives.
+fn start_server(token: Option<&'static str>) -> (SocketAddr, Receiver<ApiRequest>) {
+    let (address_sender, address_receiver) = channel();
+    let (request_sender, requests) = channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -127,22 +127,22 @@
             .unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-            tell_place.send(listener.local_addr().unwrap()).unwrap();
-            let (sender, mut asks) = tokio::sync::mpsc::channel(4);
+            address_sender.send(listener.local_addr().unwrap()).unwrap();
+            let (sender, mut received) = tokio::sync::mpsc::channel(4);
             tokio::task::spawn_local(server::serve(
                 listener,
                 token.map(Token::from_text),
                 sender,
                 Rc::new(|_| ()),
             ));
-            while let Some(a) = asks.recv().await {
+            while let Some(a) = received.recv().await {
                 let answered = answer(&a.ask);
-                // The test may have ended.
-                _ = (tell.send(a.ask), a.answer.send(answered));
+                // The receiver is gone if the test has ended.
+                _ = (request_sender.send(a.ask), a.answer.send(answered));
             }
         });
     });
-    (place.recv().unwrap(), asked)
+    (address_receiver.recv().unwrap(), requests)
 }
 
 fn run(at: SocketAddr, args: &[&str]) -> (i32, String, String) {
@@ -164,8 +164,8 @@
 }
 
 #[test]
-fn answers_are_shown_as_tables_and_end_with_codes_for_scripts() {
-    let (at, asked) = answering(None);
+fn responses_become_tables_and_exit_codes() {
+    let (at, requests) = start_server(None);
     for (args, code, wanted) in [
         (
             &["versions"][..],
@@ -180,7 +180,7 @@
                 "in step",
                 "behind",
                 "left",
-                "marks alone",
+                "acks only",
                 "240 ms",
                 "1 of 2 tables in step at n0",
             ],
@@ -204,10 +204,10 @@
         );
         assert!(err.is_empty(), "{err}");
     }
-    let asks: Vec<ApiRequest> = asked.try_iter().collect();
-    assert_eq!(asks[1], ApiRequest::Versions { table: Some(0) });
+    let received: Vec<ApiRequest> = requests.try_iter().collect();
+    assert_eq!(received[1], ApiRequest::Versions { table: Some(0) });
     assert_eq!(
-        asks[7],
+        received[7],
         ApiRequest::Rollback {
             to: NEW.into(),
             table: None,
@@ -215,7 +215,7 @@
         }
     );
     assert_eq!(
-        (&asks[8], &asks[9]),
+        (&received[8], &received[9]),
         (
             &ApiRequest::Release { table: None },
             &ApiRequest::Release { table: Some(3) }
@@ -224,8 +224,8 @@
 }
 
 #[test]
-fn json_holds_what_the_address_said() {
-    let (at, _asked) = answering(None);
+fn json_output_is_one_object() {
+    let (at, _requests) = start_server(None);
     for args in [
         &["versions"][..],
         &["holders"],
@@ -234,16 +234,16 @@
         &["release", "--all"],
     ] {
         let (_, out, _) = run(at, &[&["--json"], args].concat());
-        let said: Value = serde_json::from_str(&out).expect(&out);
+        let json: Value = serde_json::from_str(&out).expect(&out);
         assert!(
-            said.is_object() && said["error"].is_null() && out.lines().count() == 1,
+            json.is_object() && json["error"].is_null() && out.lines().count() == 1,
             "{out}"
         );
     }
     let (code, out, _) = run(at, &["--json", "rollback", "n0~00000000000000aa~9"]);
-    let said: Value = serde_json::from_str(&out).unwrap();
+    let json: Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
-        (code, said["error"]["what"].as_str()),
+        (code, json["error"]["what"].as_str()),
         (
             1,
             Some("n0~00000000000000aa~9 was never issued; see versions")
@@ -252,8 +252,8 @@
 }
 
 #[test]
-fn who_cannot_ask_hears_why_and_what_to_do() {
-    let (at, _asked) = answering(Some("a-token-of-some-length"));
+fn connection_and_token_errors_are_explained() {
+    let (at, _requests) = start_server(Some("a-token-of-some-length"));
     let (code, _, err) = run(at, &["holders"]);
     assert!(
         code == 1 && err.contains("the token is missing or wrong"),
@@ -266,7 +266,7 @@
     std::fs::remove_file(&file).unwrap();
     let (code, _, err) = run(at, &["holders", "--token-file", file.to_str().unwrap()]);
     assert!(code == 3 && err.contains("token file"), "{code} {err}");
-    // Nobody listens there: the listener of a port just given back.
+    // A port that was just released, so nothing listens on it.
     let gone = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn every_command_shows_an_example_in_its_help() {
+fn every_command_help_has_an_example() {
     let at = "127.0.0.1:1".parse().unwrap();
     for what in [
         "versions", "holders", "diff", "rollback", "release", "check",
@@ -298,13 +298,13 @@
     }
     let (_, out, _) = run(at, &["--help"]);
     assert!(
-        out.contains("operators' address") && out.contains("Ends with 0"),
+        out.contains("operators' address") && out.contains("Exit codes: 0 on success"),
         "{out}"
     );
 }
 
 #[test]
-fn the_operators_file_in_the_repository_can_be_used() {
+fn operators_file_of_the_repository_is_valid() {
     let at = "127.0.0.1:1".parse().unwrap();
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operators.star");
     let (code, out, _) = run(at, &["check", file]);
@@ -320,8 +320,8 @@
 }
 
 #[test]
-fn server_files_are_written_edited_sealed_checked_and_planned() {
-    let (at, _asked) = answering(None);
+fn server_files_can_be_written_sealed_checked_and_planned() {
+    let (at, _requests) = start_server(None);
     let folder = tempfile::tempdir().unwrap();
     let path = |name: &str| folder.path().join(name).to_str().unwrap().to_string();
     let (file, old) = (path("servers.star"), path("old.star"));
@@ -333,10 +333,10 @@
     std::fs::write(&old, &text).unwrap();
     let (code, out, _) = run(at, &["servers", "check", &old]);
     assert!(
-        code == 0 && out.contains("generation 5, 3 servers, can be taken"),
+        code == 0 && out.contains("generation 5, 3 servers, can be used"),
         "{out}"
     );
-    // Edited by hand: not whole until it is sealed.
+    // An edited file is rejected until its closing statement is updated.
     let edited = text
         .replace("generation(5)", "generation(6)")
         .replace("weight = 1.0)", "weight = 0.25)");
@@ -351,14 +351,14 @@
         at,
         &["--json", "servers", "check", &file, "--against", &old],
     );
-    let said: Value = serde_json::from_str(&out).unwrap();
+    let json: Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
-        (code, said["ok"].as_bool(), said["generation"].as_u64()),
+        (code, json["ok"].as_bool(), json["generation"].as_u64()),
         (1, Some(false), Some(6)),
         "{out}"
     );
     assert!(
-        said["reasons"][0]["what"]
+        json["reasons"][0]["what"]
             .as_str()
             .unwrap()
             .contains("write loss(0.75)"),
@@ -372,16 +372,16 @@
         "{out}"
     );
     let (code, out, _) = run(at, &["--json", "servers", "plan", &file]);
-    let said: Value = serde_json::from_str(&out).unwrap();
+    let json: Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
         (
             code,
-            said["generation_from"].as_u64(),
-            said["servers"][0]["to"].as_f64()
+            json["generation_from"].as_u64(),
+            json["servers"][0]["to"].as_f64()
         ),
         (0, Some(4), Some(0.25))
     );
-    // Against the deployment's own zones and machines.
+    // Checks against the zones and machine types of a deployment.
     let config = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/example.json");
     let (code, out, err) = run(at, &["servers", "check", &old, "--config", config]);
     assert_eq!(code, 0, "{out}{err}");
@@ -396,8 +396,8 @@
     let (code, out, _) = run(at, &["servers", "show"]);
     assert!(
         code == 1
-            && out.contains("generation 4, taken 9 s ago")
-            && out.contains("not taken: its seal"),
+            && out.contains("generation 4, accepted 9 s ago")
+            && out.contains("not accepted: its seal"),
         "{out}"
     );
     let (code, _, err) = run(at, &["servers", "seal", &path("nothing.star")]);
--- a/crates/rookpulley-cli/tests/gateway.rs
+++ b/crates/rookpulley-cli/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The commands on the gateway, against a controller that answers by script, files, and a store on disk.
+//! Tests the gateway commands against a scripted controller, files and a store on disk.
 
 use assert_cmd::Command;
 use rookpulley_chain::{
@@ -28,7 +28,7 @@
     )
 }
 
-/// Whether these stand there one after the other.
+/// Whether the text contains these parts in this order.
 fn in_order(text: &str, wanted: &[&str]) -> bool {
     let mut rest = text;
     wanted.iter().all(|word| {
@@ -38,7 +38,7 @@
     })
 }
 
-/// A controller on a thread of its own.
+/// Starts a controller with scripted responses on its own thread.
 fn controller() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -74,18 +74,18 @@
 }
 
 #[test]
-fn what_a_controller_shows_becomes_tables_or_json() {
+fn controller_status_becomes_tables_or_json() {
     let at = controller().to_string();
     let at = at.as_str();
     for (args, wanted) in [
         (
             &["view"][..],
             &[
-                "edge-quay-1 of quay: view 6, at work, acting, in touch; update 1204 applied; the disk is quick",
+                "edge-quay-1 of quay: view 6, serving, acting, in touch; update 1204 applied; the disk is quick",
                 "head    10.4.0.10:7731  5f0c1be2a9d47731  yes         1204    quick  here",
                 "middle  10.5.0.10:7731  90b2e7c4410fd8a6  yes         1204    slow   0.1 s",
                 "tail    10.6.0.10:7731  e3318a05c96b7f42  no          -       -      -",
-                "losses borne: 1; stop none of them now: with one less updates stand still until the chain is mended\n",
+                "losses tolerated: 1; stop none of them now: with one fewer, updates stall until the chain is repaired\n",
             ][..],
         ),
         (
@@ -98,7 +98,7 @@
         ),
         (
             &["tasks", "--service", "letters +"],
-            &["0 of 0 tasks live; this controller has just begun"],
+            &["0 of 0 tasks live; this controller has just started"],
         ),
         (
             &["tables"],
@@ -123,7 +123,7 @@
                 "sync_seconds_total",
                 "3.25",
                 "in_touch",
-                "and 1 that are 0",
+                "and 1 counters that are 0",
             ],
         ),
     ] {
@@ -139,25 +139,25 @@
     );
     for part in ["view", "tasks", "tables", "couriers", "ledger", "counters"] {
         let (code, out, _) = run(&["show", part, "--at", at, "--json"]);
-        let said: Value = serde_json::from_str(&out).expect(&out);
+        let json: Value = serde_json::from_str(&out).expect(&out);
         assert!(
-            code == 0 && said.is_object() && out.lines().count() == 1,
+            code == 0 && json.is_object() && out.lines().count() == 1,
             "{out}"
         );
     }
     let (_, out, _) = run(&["show", "counters", "--at", at, "--json"]);
-    let said: Value = serde_json::from_str(&out).unwrap();
+    let json: Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
         (
-            &said["counters"][0]["labels"]["call"],
-            &said["counters"][0]["value"]
+            &json["counters"][0]["labels"]["call"],
+            &json["counters"][0]["value"]
         ),
         (&"beat".into(), &8120.0.into())
     );
 }
 
 #[test]
-fn who_asks_no_controller_hears_where_to_ask() {
+fn controller_errors_are_explained() {
     let gone = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -176,7 +176,7 @@
         "--at",
         &controller().to_string(),
     ]);
-    assert!(code == 3 && err.contains("its status is 404"), "{err}");
+    assert!(code == 3 && err.contains("unexpected status 404"), "{err}");
     assert_eq!(run(&["show", "secrets"]).0, 2);
 }
 
@@ -200,14 +200,14 @@
   {"name":"r-stamps","pathPrefix":"/stamps/","routeKind":"mutating","timeoutMs":2000,"targetService":"stamps","maxAttempts":1},
   {"name":"r-all","pathPrefix":"/","routeKind":"download","timeoutMs":9000,"targetService":"parcels","maxAttempts":3}]}]}"#;
 
-fn written(folder: &Path, name: &str, text: &str) -> String {
+fn write_file(folder: &Path, name: &str, text: &str) -> String {
     let file = folder.join(name);
     std::fs::write(&file, text).unwrap();
     file.to_str().unwrap().into()
 }
 
 #[test]
-fn files_are_checked_with_a_place_what_was_found_and_what_to_write() {
+fn file_faults_have_place_found_and_expected_value() {
     let folder = tempfile::tempdir().unwrap();
     let deployed = include_str!("../../../deploy/system.toml");
     let (diskless, share) = (
@@ -223,26 +223,26 @@
         (
             "settings",
             &diskless,
-            "edge-quay-1 of quay serves control_plane, has no disk, so that its controller only passes calls on, and 1 \
+            "edge-quay-1 of quay serves control_plane, has no disk, so that its controller only forwards calls, and 1 \
              seed; can be used\n",
         ),
         (
             "deploy",
             &share,
-            "2 roles (courier, office); can be used; on a machine without a disk, office only passes calls on\n",
+            "2 roles (courier, office); can be used; on a machine without a disk, office only forwards calls\n",
         ),
         (
             "configuration",
             CONFIGURATION,
-            "version 7, 2 services, 1 host, 3 routes; can be taken\n",
+            "version 7, 2 services, 1 host, 3 routes; can be used\n",
         ),
         (
             "deploy",
             deployed,
-            "2 roles (courier, office); can be used; on a machine without a disk, office only passes calls on\n",
+            "2 roles (courier, office); can be used; on a machine without a disk, office only forwards calls\n",
         ),
     ] {
-        let file = written(folder.path(), what, text);
+        let file = write_file(folder.path(), what, text);
         assert_eq!(
             run(&["check", what, &file]),
             (0, format!("{file}: {wanted}"), String::new())
@@ -261,7 +261,7 @@
             SETTINGS,
             "[7730,7745]",
             "[7730,",
-            "line 7, column 11 is no TOML",
+            "line 7, column 11 is not TOML",
         ),
         (
             "configuration",
@@ -293,16 +293,16 @@
         ),
     ] {
         assert!(text.contains(was), "{was}");
-        let file = written(folder.path(), "bad", &text.replacen(was, is, 1));
+        let file = write_file(folder.path(), "bad", &text.replacen(was, is, 1));
         let (code, out, err) = run(&["check", what, &file]);
         assert!(
             code == 1 && out.starts_with(&file) && out.contains(wanted) && err.is_empty(),
             "{out}{err}"
         );
         let (code, out, _) = run(&["--json", "check", what, &file]);
-        let said: Value = serde_json::from_str(&out).unwrap();
-        assert_eq!((code, &said["ok"]), (1, &false.into()));
-        let fault = &said["faults"][0];
+        let json: Value = serde_json::from_str(&out).unwrap();
+        assert_eq!((code, &json["ok"]), (1, &false.into()));
+        let fault = &json["faults"][0];
         assert!(
             ["place", "found", "instead"]
                 .iter()
@@ -320,70 +320,70 @@
 }
 
 #[test]
-fn a_request_is_explained_with_its_route_its_shares_and_the_prefixes_that_lost() {
+fn explain_shows_route_shares_and_shadowed_prefixes() {
     let folder = tempfile::tempdir().unwrap();
-    let file = written(folder.path(), "configuration.json", CONFIGURATION);
+    let file = write_file(folder.path(), "configuration.json", CONFIGURATION);
     let explain = |host: &str, path: &str| run(&["explain", &file, host, path]);
     let (code, out, _) = explain("Post.example:8161", "/stamps/list/4?all=1");
     let wanted = [
-        "version 7: r-list takes it, by the prefix /stamps/list/\n",
+        "version 7: route r-list matches by the prefix /stamps/list/\n",
         "read_only: may run more than once\n",
-        "at most 2 tasks a try and 900 ms; aim 250 ms; priority 2\n",
+        "at most 2 instances per request; timeout 900 ms; target latency 250 ms; priority 2\n",
         "stamps   90.0%\n",
         "parcels  10.0%\n",
-        "lost: r-stamps, by the shorter prefix /stamps/\n",
-        "lost: r-all, by the shorter prefix /\n",
+        "not used: r-stamps, with the shorter prefix /stamps/\n",
+        "not used: r-all, with the shorter prefix /\n",
     ];
     assert!(code == 0 && in_order(&out, &wanted), "{out}");
     let (code, out, _) = run(&["--json", "explain", &file, "post.example", "/stamps/4"]);
-    let said: Value = serde_json::from_str(&out).unwrap();
+    let json: Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
-        (code, &said["route"]["name"], &said["lost"][0]["prefix"]),
+        (code, &json["route"]["name"], &json["lost"][0]["prefix"]),
         (0, &"r-stamps".into(), &"/".into())
     );
     let (code, out, _) = explain("parcel.example", "/");
     assert!(
-        code == 1 && out.contains("404: no host is named parcel.example; there are post.example"),
+        code == 1 && out.contains("404: unknown host parcel.example; known hosts: post.example"),
         "{out}"
     );
     let fewer = CONFIGURATION.replace("\"pathPrefix\":\"/\"", "\"pathPrefix\":\"/rest/\"");
-    let file = written(folder.path(), "fewer.json", &fewer);
+    let file = write_file(folder.path(), "fewer.json", &fewer);
     let (code, out, _) = run(&["explain", &file, "post.example", "/rest"]);
     assert!(
-        code == 1 && out.contains("/rest lacks the slash that the prefix /rest/ ends with"),
+        code == 1 && out.contains("/rest lacks the trailing slash of the prefix /rest/"),
         "{out}"
     );
-    let bad = written(folder.path(), "bad.json", "{");
+    let bad = write_file(folder.path(), "bad.json", "{");
     assert_eq!(run(&["explain", &bad, "post.example", "/"]).0, 1);
 }
 
-/// A controller alone on its store.
-struct Alone {
+/// A chain with one controller and its store.
+struct SingleController {
     store: Store,
-    heard: tokio::sync::mpsc::UnboundedReceiver<StoreEvent>,
+    events: tokio::sync::mpsc::UnboundedReceiver<StoreEvent>,
     rows: BTreeMap<Vec<u8>, Vec<u8>>,
     chain: Chain<ReplicatedState>,
     now: u64,
-    done: usize,
+    completed: usize,
 }
 
-impl Alone {
+impl SingleController {
     fn open(folder: &Path, incarnation: u64) -> Self {
-        let (said, heard) = tokio::sync::mpsc::unbounded_channel();
-        let mut store = Store::open(folder, 0x5f0c_1be2_a9d4_7731, None, said).unwrap();
+        let (sender, events) = tokio::sync::mpsc::unbounded_channel();
+        let mut store = Store::open(folder, 0x5f0c_1be2_a9d4_7731, None, sender).unwrap();
         let rows = BTreeMap::from_iter(std::mem::take(&mut store.chain_rows));
-        let chain = Self::begin(&store, &rows, incarnation);
+        let chain = Self::start_chain(&store, &rows, incarnation);
         Self {
             store,
-            heard,
+            events,
             rows,
             chain,
             now: 0,
-            done: 0,
+            completed: 0,
         }
     }
 
-    fn begin(
+    fn start_chain(
         store: &Store,
         rows: &BTreeMap<Vec<u8>, Vec<u8>>,
         incarnation: u64,
@@ -404,13 +404,13 @@
         Chain::start(0, boot, ReplicatedState::default())
     }
 
-    /// Another incarnation on the same store: with its view goes a snapshot of all before.
-    fn again(&mut self, incarnation: u64) {
-        self.chain = Self::begin(&self.store, &self.rows, incarnation);
+    /// Restarts the chain as a new incarnation, which stores a snapshot with its view.
+    fn restart(&mut self, incarnation: u64) {
+        self.chain = Self::start_chain(&self.store, &self.rows, incarnation);
         self.now = 0;
     }
 
-    /// To the rows; all of them go to the disk at the end.
+    /// Applies records to the rows in memory; `close` writes them to disk.
     fn write(&mut self, records: Vec<Record>) {
         for record in records {
             match record {
@@ -420,20 +420,20 @@
         }
     }
 
-    /// Plays on until these updates are answered.
-    fn answers(&mut self, bodies: impl IntoIterator<Item = Vec<u8>>) {
+    /// Runs the chain until it has completed these updates.
+    fn submit(&mut self, bodies: impl IntoIterator<Item = Vec<u8>>) {
         let mut bodies = bodies.into_iter();
-        let (mut due, mut asked) = (bodies.next(), self.done);
-        while due.is_some() || self.done < asked {
+        let (mut next_body, mut submitted) = (bodies.next(), self.completed);
+        while next_body.is_some() || self.completed < submitted {
             self.now += 50;
-            assert!(self.now < 60_000, "nothing is answered");
+            assert!(self.now < 60_000, "no update was completed");
             let mut effects = self.chain.handle(self.now, Input::Tick);
             if self.chain.serving(self.now)
-                && self.done == asked
-                && let Some(body) = due
+                && self.completed == submitted
+                && let Some(body) = next_body
             {
-                asked += 1;
-                due = bodies.next();
+                submitted += 1;
+                next_body = bodies.next();
                 let call = Input::ClientRequest {
                     token: self.now,
                     kind: RequestKind::Update,
@@ -452,7 +452,7 @@
                         Effect::Reply {
                             outcome: Outcome::Completed(_),
                             ..
-                        } => self.done += 1,
+                        } => self.completed += 1,
                         _ => {}
                     }
                 }
@@ -461,7 +461,7 @@
         }
     }
 
-    fn note(&self, incarnation: &str, value: Vec<u8>) {
+    fn record_instance(&self, incarnation: &str, value: Vec<u8>) {
         let record = Record::Put {
             key: incarnation.into(),
             value,
@@ -472,7 +472,7 @@
     fn close(self) {
         let Self {
             store,
-            mut heard,
+            mut events,
             rows,
             ..
         } = self;
@@ -482,11 +482,11 @@
             .collect();
         assert!(store.write(StoreTree::Chain, 1, all));
         drop(store);
-        while heard.blocking_recv().is_some() {}
+        while events.blocking_recv().is_some() {}
     }
 }
 
-fn configured(version: u64, body: &str) -> Vec<u8> {
+fn put_configuration(version: u64, body: &str) -> Vec<u8> {
     let body = body.replace(
         "\"configVersion\":7",
         &format!("\"configVersion\":{version}"),
@@ -498,9 +498,9 @@
     .encode()
 }
 
-/// With configuration 7 in its snapshot, 8 in its log, a note on a task, and whatever is done to it.
-fn a_store(folder: &Path, then: impl FnOnce(&mut Alone)) {
-    let mut controller = Alone::open(folder, 3);
+/// Creates a store with configuration 7 in its snapshot, 8 in its log and an instance record, then applies `then`.
+fn create_store(folder: &Path, then: impl FnOnce(&mut SingleController)) {
+    let mut controller = SingleController::open(folder, 3);
     let cell = |n: u64| {
         Update::PutKey {
             name: format!("g/{}", n % 9),
@@ -509,23 +509,29 @@
         }
         .encode()
     };
-    controller.answers(std::iter::once(configured(7, CONFIGURATION)).chain((1..600).map(cell)));
-    controller.again(4);
-    controller.answers([configured(8, CONFIGURATION), cell(7), cell(8), cell(9)]);
+    controller
+        .submit(std::iter::once(put_configuration(7, CONFIGURATION)).chain((1..600).map(cell)));
+    controller.restart(4);
+    controller.submit([
+        put_configuration(8, CONFIGURATION),
+        cell(7),
+        cell(8),
+        cell(9),
+    ]);
     let gone = InstanceUpdate::Gone {
         incarnation: "i-9be7".into(),
         age_ms: 0.0,
     };
-    controller.note("i-9be7", postcard::to_allocvec(&gone).unwrap());
+    controller.record_instance("i-9be7", postcard::to_allocvec(&gone).unwrap());
     then(&mut controller);
     controller.close();
 }
 
-/// What a command says of a store, once nobody has it any more.
-fn of_store(args: &[&str]) -> (i32, String, String) {
+/// Runs a store command, and retries while the store is still in use.
+fn run_store_command(args: &[&str]) -> (i32, String, String) {
     loop {
         match run(&[&["store"], args].concat()) {
-            // With --json it is told where the answer would be.
+            // With --json the error is on standard output.
             (3, out, err) if format!("{out}{err}").contains("is in use by a process") => {
                 std::thread::yield_now()
             }
@@ -535,19 +541,19 @@
 }
 
 #[test]
-fn a_store_that_nobody_uses_shows_what_it_holds_and_one_in_use_is_left_alone() {
+fn unused_store_is_shown_and_store_in_use_is_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().to_str().unwrap();
     for what in ["show", "check", "refound"] {
-        // Nothing is there, then something that is no store.
+        // First an empty folder, then one with an unrelated file.
         for _ in 0..2 {
             let (code, _, err) = run(&["store", what, path]);
             let wanted = ["there is no controller's store", "dataDirectory"];
             assert!(code == 3 && in_order(&err, &wanted), "{err}");
-            written(folder.path(), "letter", "none of ours");
+            write_file(folder.path(), "letter", "none of ours");
         }
     }
-    a_store(folder.path(), |_| {
+    create_store(folder.path(), |_| {
         for what in ["show", "check", "refound"] {
             let (code, _, err) = run(&["store", what, path]);
             assert!(
@@ -556,11 +562,11 @@
             );
         }
     });
-    let (code, out, err) = of_store(&["show", path]);
+    let (code, out, err) = run_store_command(&["show", path]);
     let wanted = [
         "identity",
         "5f0c1be2a9d47731\n",
-        "sound",
+        "consistent",
         "yes\n",
         "view",
         "2 of 10.4.0.10:7731\n",
@@ -573,19 +579,19 @@
         " to 604\n",
         "configuration",
         "7; in the log: 8\n",
-        "keeps",
+        "state",
         "9 cells\n",
-        "lives noted",
+        "instances recorded",
         "0 and 1 gone\n",
     ];
     assert!(code == 0 && in_order(&out, &wanted), "{out}{err}");
-    let (_, out, _) = of_store(&["show", path, "--json"]);
-    let said: Value = serde_json::from_str(&out).unwrap();
+    let (_, out, _) = run_store_command(&["show", path, "--json"]);
+    let json: Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
         (
-            &said["view"]["members"][0]["address"],
-            &said["lives"]["gone"],
-            &said["log"]["last"]
+            &json["view"]["members"][0]["address"],
+            &json["lives"]["gone"],
+            &json["log"]["last"]
         ),
         (&"10.4.0.10:7731".into(), &1.into(), &604.into())
     );
@@ -598,22 +604,22 @@
     }
 }
 
-fn keyed(kind: u8, number: u64) -> Vec<u8> {
+fn row_key(kind: u8, number: u64) -> Vec<u8> {
     [&[kind][..], &number.to_be_bytes()].concat()
 }
 
 #[test]
-fn a_store_is_checked_with_how_far_it_reaches_and_all_that_is_wrong_with_it() {
-    type Spoil = fn(&mut Alone);
-    let whole = "installed view 2 (newest known 2), update 604, configuration 8; a controller goes on with it\n";
-    let unsound = "; unsound, a controller begins it anew as an empty disk\n";
-    let cases: [(Spoil, i32, &[&str]); 8] = [
+fn store_check_reports_extent_and_faults() {
+    type Damage = fn(&mut SingleController);
+    let whole = "installed view 2 (newest known 2), update 604, configuration 8; a controller resumes from it\n";
+    let unsound = "; inconsistent, a controller treats it as an empty disk\n";
+    let cases: [(Damage, i32, &[&str]); 8] = [
         (|_| {}, 0, &[whole]),
         (
             |controller| {
-                let mut piece = controller.rows[&keyed(b's', 0)].clone();
+                let mut piece = controller.rows[&row_key(b's', 0)].clone();
                 piece[40] ^= 1;
-                controller.write(vec![put(&keyed(b's', 0), piece)]);
+                controller.write(vec![put(&row_key(b's', 0), piece)]);
             },
             1,
             &[
@@ -625,18 +631,18 @@
         (
             |controller| {
                 controller.write(vec![Record::Delete {
-                    key: keyed(b'e', 602),
+                    key: row_key(b'e', 602),
                 }])
             },
             1,
             &[
                 "log is missing update 602, with 2 later ones present; it should be complete from update ",
-                // What was agreed on is not all there: it can be no source.
-                "installed view 0 (newest known 2), update 601, configuration 8; a controller goes on with it\n",
+                // The log is incomplete, so the store cannot be a recovery source.
+                "installed view 0 (newest known 2), update 601, configuration 8; a controller resumes from it\n",
             ],
         ),
         (
-            |controller| controller.write(vec![put(&keyed(b'v', 2), [255]), put(b"n", [])]),
+            |controller| controller.write(vec![put(&row_key(b'v', 2), [255]), put(b"n", [])]),
             1,
             &[
                 "row n is unreadable (0 bytes); it should be an integer\n",
@@ -663,7 +669,7 @@
         ),
         (
             |controller| {
-                controller.answers([configured(
+                controller.submit([put_configuration(
                     9,
                     &CONFIGURATION.replace("\"stamps\"}", "\"\"}"),
                 )])
@@ -671,100 +677,101 @@
             1,
             &[
                 "configuration 9 in update 605, services[0].name is \"\"; it should be",
-                "configuration 9; a controller goes on with it\n",
+                "configuration 9; a controller resumes from it\n",
             ],
         ),
         (
-            |controller| controller.note("i-41c0", vec![9, 9]),
+            |controller| controller.record_instance("i-41c0", vec![9, 9]),
             1,
             &[
-                "the note on task i-41c0 is unreadable (2 bytes); it should be what was heard of it\n",
+                "the record of instance i-41c0 is unreadable (2 bytes); it should be an instance update\n",
                 whole,
             ],
         ),
     ];
-    for (spoil, code, wanted) in cases {
+    for (damage, code, wanted) in cases {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().to_str().unwrap();
-        a_store(folder.path(), spoil);
-        let (ended, out, err) = of_store(&["check", path]);
+        create_store(folder.path(), damage);
+        let (ended, out, err) = run_store_command(&["check", path]);
         assert!(
             ended == code && in_order(&out, wanted) && err.is_empty(),
             "{wanted:?}: {out}{err}"
         );
         assert!(out.lines().all(|line| line.starts_with(path)), "{out}");
-        let (ended, out, _) = of_store(&["check", path, "--json"]);
-        let said: Value = serde_json::from_str(&out).unwrap();
-        assert_eq!((ended, said["ok"] == true), (code, code == 0));
+        let (ended, out, _) = run_store_command(&["check", path, "--json"]);
+        let json: Value = serde_json::from_str(&out).unwrap();
+        assert_eq!((ended, json["ok"] == true), (code, code == 0));
         assert_eq!(
-            said["reaches"]["installed"] == 2,
+            json["reaches"]["installed"] == 2,
             !wanted[0].starts_with("log"),
             "{out}"
         );
-        assert_eq!(said["faults"][0]["place"].is_string(), code == 1, "{out}");
+        assert_eq!(json["faults"][0]["place"].is_string(), code == 1, "{out}");
     }
     let folder = tempfile::tempdir().unwrap();
     std::fs::create_dir(folder.path().join("store")).unwrap();
-    written(folder.path(), "store/db", "neither this");
-    written(folder.path(), "store/conf", "nor this is of a store");
-    let (code, out, _) = of_store(&["check", folder.path().to_str().unwrap()]);
+    write_file(folder.path(), "store/db", "neither this");
+    write_file(folder.path(), "store/conf", "nor this is of a store");
+    let (code, out, _) = run_store_command(&["check", folder.path().to_str().unwrap()]);
     assert!(
-        code == 1 && out.contains(": the store is spoilt ("),
+        code == 1 && out.contains(": the store is corrupted ("),
         "{out}"
     );
 }
 
 #[test]
-fn a_store_founds_the_chain_anew_with_all_that_it_holds_and_only_where_it_is_told_to() {
+fn refound_keeps_the_state_and_writes_only_with_yes() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().to_str().unwrap();
-    a_store(folder.path(), |controller| {
+    create_store(folder.path(), |controller| {
         controller.write(vec![put(b"n", [1])])
     });
-    // Opening a store in place may round its file up: what it holds is the same.
+    // Opening a store may change its file size but not its contents.
     let holds = || {
-        let mut said: Value = serde_json::from_str(&of_store(&["show", path, "--json"]).1).unwrap();
-        said.as_object_mut().unwrap().remove("bytesOnDisk").unwrap();
-        said
+        let mut json: Value =
+            serde_json::from_str(&run_store_command(&["show", path, "--json"]).1).unwrap();
+        json.as_object_mut().unwrap().remove("bytesOnDisk").unwrap();
+        json
     };
     let before = holds();
-    let (code, out, _) = of_store(&["refound", path]);
+    let (code, out, _) = run_store_command(&["refound", path]);
     let wanted = [
         "is                   would be\n",
-        "5f0c1be2a9d47731     another\n",
+        "5f0c1be2a9d47731     new\n",
         "2 of 10.4.0.10:7731  far above 2, of 10.4.0.10:7731 alone\n",
         "up to 604            up to 604\n",
-        " to 604 are its log: the last may not have been acknowledged, and are kept\n",
-        "what the others acknowledged without this controller is gone; do this on one controller alone\n",
-        "nothing was written; with --yes it is done\n",
+        " to 604: the last of them may not have been acknowledged, but they are kept\n",
+        "updates that the others acknowledged without this controller are lost; refound on one controller only\n",
+        "nothing was written; run again with --yes to write the changes\n",
     ];
     assert!(code == 0 && in_order(&out, &wanted), "{out}");
-    let (_, out, _) = of_store(&["refound", path, "--json"]);
-    let said: Value = serde_json::from_str(&out).unwrap();
+    let (_, out, _) = run_store_command(&["refound", path, "--json"]);
+    let json: Value = serde_json::from_str(&out).unwrap();
     assert!(
-        said["done"] == false && said["view"]["is"].is_null() && said["update"] == 604,
+        json["done"] == false && json["view"]["is"].is_null() && json["update"] == 604,
         "{out}"
     );
     assert_eq!(holds(), before);
 
-    let (code, out, _) = of_store(&["refound", path, "--yes", "--json"]);
-    let said: Value = serde_json::from_str(&out).unwrap();
-    let number = said["view"]["is"]["number"].as_u64().unwrap();
+    let (code, out, _) = run_store_command(&["refound", path, "--yes", "--json"]);
+    let json: Value = serde_json::from_str(&out).unwrap();
+    let number = json["view"]["is"]["number"].as_u64().unwrap();
     assert!(
-        code == 0 && said["done"] == true && number % 1_000_000 == 2 && number > 2,
+        code == 0 && json["done"] == true && number % 1_000_000 == 2 && number > 2,
         "{out}"
     );
     assert!(folder.path().join("store.before/db").is_file());
-    let (code, out, _) = of_store(&["check", path]);
+    let (code, out, _) = run_store_command(&["check", path]);
     let reaches = format!(
-        "installed view {number} (newest known {number}), update 604, configuration 8; a controller goes on with it\n"
+        "installed view {number} (newest known {number}), update 604, configuration 8; a controller resumes from it\n"
     );
     assert!(code == 0 && out.contains(&reaches), "{out}");
-    let (_, out, _) = of_store(&["show", path, "--json"]);
+    let (_, out, _) = run_store_command(&["show", path, "--json"]);
     let (was, is): (Value, Value) = (before, serde_json::from_str(&out).unwrap());
     assert_eq!(
         (&is["identity"], &is["view"]),
-        (&said["identity"]["is"], &said["view"]["is"])
+        (&json["identity"]["is"], &json["view"]["is"])
     );
     assert_ne!(is["identity"], was["identity"]);
     for kept in ["snapshot", "log", "lives"] {
@@ -774,16 +781,16 @@
         (&was["neverUpTo"], &is["neverUpTo"]),
         (&1.into(), &0.into())
     );
-    // What it took the place of is not overwritten by another one.
-    let (code, _, err) = of_store(&["refound", path, "--yes"]);
+    // A second run does not overwrite the previous store.
+    let (code, _, err) = run_store_command(&["refound", path, "--yes"]);
     assert!(
         code == 3 && in_order(&err, &["store.before is there", "move it elsewhere"]),
         "{err}"
     );
 
-    // It goes to work by itself, under another identity, with all that was there.
-    let mut controller = Alone::open(folder.path(), 5);
-    controller.answers([configured(9, CONFIGURATION)]);
+    // The refounded controller serves alone under its new identity with the previous state.
+    let mut controller = SingleController::open(folder.path(), 5);
+    controller.submit([put_configuration(9, CONFIGURATION)]);
     let held = &controller.chain.state().machine;
     assert_eq!((held.version(), held.usage().keys), (9, 9));
     assert_eq!(controller.chain.view().unwrap().number, number + 1);
@@ -791,13 +798,13 @@
 }
 
 #[test]
-fn a_store_without_a_whole_state_founds_nothing() {
-    let unsound = |controller: &mut Alone| {
+fn store_without_complete_state_is_not_refounded() {
+    let unsound = |controller: &mut SingleController| {
         controller.write(vec![Record::Delete {
-            key: keyed(b's', 0),
+            key: row_key(b's', 0),
         }])
     };
-    let empty = |controller: &mut Alone| {
+    let empty = |controller: &mut SingleController| {
         let gone: Vec<Record> = controller
             .rows
             .keys()
@@ -805,23 +812,26 @@
             .collect();
         controller.write(gone);
     };
-    for (spoil, why) in [
-        (unsound as fn(&mut Alone), "snapshot is 0 bytes long"),
+    for (damage, why) in [
+        (
+            unsound as fn(&mut SingleController),
+            "snapshot is 0 bytes long",
+        ),
         (empty, "installed view 0"),
     ] {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().to_str().unwrap();
-        a_store(folder.path(), spoil);
-        let (code, out, _) = of_store(&["refound", path, "--yes"]);
+        create_store(folder.path(), damage);
+        let (code, out, _) = run_store_command(&["refound", path, "--yes"]);
         let wanted = [
             why,
-            "no state that a chain could be founded with; nothing was written\n",
+            "no state from which the chain could be refounded; nothing was written\n",
         ];
         assert!(code == 1 && in_order(&out, &wanted), "{out}");
-        let (_, out, _) = of_store(&["refound", path, "--yes", "--json"]);
-        let said: Value = serde_json::from_str(&out).unwrap();
+        let (_, out, _) = run_store_command(&["refound", path, "--yes", "--json"]);
+        let json: Value = serde_json::from_str(&out).unwrap();
         assert!(
-            said["done"] == false && said["refused"].is_string(),
+            json["done"] == false && json["refused"].is_string(),
             "{out}"
         );
         assert!(!folder.path().join("store.before").exists());
@@ -829,7 +839,7 @@
 }
 
 #[test]
-fn every_command_on_the_gateway_shows_an_example_in_its_help() {
+fn every_gateway_command_help_has_an_example() {
     let all = [
         "show",
         "explain",
