--- a/crates/rookpulley-cli/src/gateway/show.rs
+++ b/crates/rookpulley-cli/src/gateway/show.rs
@@ -168,11 +168,11 @@
     };
     let head = [
         "service",
-        "life",
+        "instance",
         "address",
         "zone",
         "slots",
-        "is",
+        "status",
         "last heard",
     ];
     let count = rows.len();
@@ -241,7 +241,7 @@
         ("history bytes", "historyBytes"),
     ];
     table(
-        ["what", "is"],
+        ["name", "value"],
         names
             .into_iter()
             .map(|(name, field)| [name.into(), text(&response[field])]),
@@ -312,7 +312,7 @@
         let zero = all.len() - nonzero.clone().count();
         format!(
             "{}and {zero} counters that are 0\n",
-            table(["counter", "of", "is"], rows)
+            table(["counter", "labels", "value"], rows)
         )
     }
 }
--- a/crates/rookpulley-cli/src/gateway/store.rs
+++ b/crates/rookpulley-cli/src/gateway/store.rs
@@ -186,7 +186,7 @@
         ),
     ];
     table(
-        ["what", "is"],
+        ["name", "value"],
         rows.into_iter().map(|(name, is)| [name.to_string(), is]),
     )
 }
--- a/crates/rookpulley-cli/src/gateway/store/refound.rs
+++ b/crates/rookpulley-cli/src/gateway/store/refound.rs
@@ -121,9 +121,9 @@
             ("updates", updates.clone(), updates),
         ];
         let head = if done {
-            ["what", "was", "is"]
+            ["name", "before", "after"]
         } else {
-            ["what", "is", "would be"]
+            ["name", "current", "planned"]
         };
         let mut output = table(
             head,
--- a/crates/rookpulley-cli/src/servers.rs
+++ b/crates/rookpulley-cli/src/servers.rs
@@ -226,7 +226,14 @@
             is,
         ]
     });
-    let head = ["server", "is", "weight", "then", "share", "then"];
+    let head = [
+        "server",
+        "change",
+        "weight",
+        "new weight",
+        "share",
+        "new share",
+    ];
     let table = if rows.is_empty() {
         "no server changes\n".into()
     } else {
@@ -262,7 +269,7 @@
             s.stage.clone(),
         ]
     });
-    let head = ["server", "address", "zone", "machine", "weight", "is"];
+    let head = ["server", "address", "zone", "machine", "weight", "status"];
     format!(
         "{}: {generation}\n{rejection}{}",
         list.file,
--- a/crates/rookpulley-cli/src/show.rs
+++ b/crates/rookpulley-cli/src/show.rs
@@ -102,10 +102,10 @@
     });
     let head = [
         "dispatcher",
-        "is",
+        "status",
         "kinds",
         "table",
-        "told",
+        "last sent",
         "confirmed",
         "claimed",
         "waits",
@@ -152,7 +152,7 @@
             b.why.clone().unwrap_or_default(),
         ]
     });
-    table(["table", "is", "usable", "why"], rows)
+    table(["table", "status", "usable", "reason"], rows)
 }
 
 pub fn operators(json: bool, operators: &OperatorSettings) -> String {
@@ -192,5 +192,5 @@
         ],
         ["log".to_string(), log_format.to_string()],
     ];
-    table(["what", "is"], rows.into_iter())
+    table(["setting", "value"], rows.into_iter())
 }
