--- a/crates/rookpulley-cli/src/call.rs
+++ b/crates/rookpulley-cli/src/call.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Reasons why a command has no result.
@@ -32,7 +32,7 @@
     #[error(
         "no controller answers at {address}: {cause}; set --at to the controlPlane address from its settings"
     )]
-    ControllerUnreachable { address: SocketAddr, cause: String },
+    NoController { address: SocketAddr, cause: String },
     #[error("{0}; {help}", help = miette::Diagnostic::help(.0).map(|help| help.to_string()).unwrap_or_default())]
     Store(InspectError),
     #[error("cannot read the token file {}: {cause}", file.display())]
@@ -48,7 +48,7 @@
         match self {
             Self::Rejected(_) => 1,
             Self::Unreachable { .. }
-            | Self::ControllerUnreachable { .. }
+            | Self::NoController { .. }
             | Self::Store(_)
             | Self::InvalidResponse { .. }
             | Self::Token { .. } => 3,
@@ -116,12 +116,12 @@
 
     /// Fetches a page from a controller. Any status other than 200 is an error.
     pub fn get_from_controller(&self, path: &str) -> Result<Bytes, CommandError> {
-        let (status, bytes) = self.exchange("GET", path, None).map_err(|cause| {
-            CommandError::ControllerUnreachable {
-                address: self.address,
-                cause,
-            }
-        })?;
+        let (status, bytes) =
+            self.exchange("GET", path, None)
+                .map_err(|cause| CommandError::NoController {
+                    address: self.address,
+                    cause,
+                })?;
         match status {
             200 => Ok(bytes),
             status => Err(self.invalid_response(format!("unexpected status {status}"))),
@@ -138,14 +138,9 @@
             .enable_all()
             .build();
         let runtime = runtime.map_err(|e| e.to_string())?;
-        let result = runtime
-            .block_on(async { timeout(REQUEST_TIMEOUT, self.send(method, path, body)).await });
-        result.unwrap_or_else(|_| {
-            Err(format!(
-                "no response within {} s",
-                REQUEST_TIMEOUT.as_secs()
-            ))
-        })
+        let result =
+            runtime.block_on(async { timeout(TIMEOUT, self.send(method, path, body)).await });
+        result.unwrap_or_else(|_| Err(format!("no response within {} s", TIMEOUT.as_secs())))
     }
 
     async fn send(
