--- a/crates/rookpulley-cli/src/gateway/show.rs
+++ b/crates/rookpulley-cli/src/gateway/show.rs
@@ -90,9 +90,9 @@
         }
     };
     let activity = match response["atWork"] == response["view"] {
-        true => "serving".to_string(),
+        true => "active".to_string(),
         false => format!(
-            "not serving (last serving view: {})",
+            "not active (last active view: {})",
             text(&response["atWork"])
         ),
     };
