--- a/crates/rookpulley-registry/src/heartbeat.rs
+++ b/crates/rookpulley-registry/src/heartbeat.rs
@@ -46,24 +46,24 @@
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum HeartbeatError {
     /// The path contains no valid incarnation id.
-    #[error("the request path contains no valid incarnation id")]
+    #[error("the path of the beat holds no id of a task's life")]
     #[diagnostic(help(
-        "use /rookpulley/instances/ID with an ID of 1 to {MAX_NAME_BYTES} printable ASCII characters"
+        "write /rookpulley/instances/ID with 1 to {MAX_NAME_BYTES} visible ASCII characters"
     ))]
     IncarnationId,
     /// The body exceeds the size limit; holds its length in bytes.
-    #[error("the heartbeat body has {0} bytes")]
-    #[diagnostic(help("send one JSON object of at most {MAX_BYTES} bytes"))]
+    #[error("the body of the beat has {0} bytes")]
+    #[diagnostic(help("write one JSON object of at most {MAX_BYTES} bytes"))]
     TooLong(usize),
     /// The body is not a JSON object; holds the reason.
-    #[error("invalid heartbeat body: {0}")]
+    #[error("the body of the beat can't be read: {0}")]
     #[diagnostic(help(
-        "send one JSON object in UTF-8 with the objects nodeInfo and currentStatus"
+        "write one JSON object, in UTF-8, with the parts nodeInfo and currentStatus"
     ))]
     Json(String),
     /// A field is missing or invalid.
-    #[error("invalid heartbeat: `{field}` is {found}")]
-    #[diagnostic(help("set `{field}` to {expected}"))]
+    #[error("in the beat, `{field}` is {found}")]
+    #[diagnostic(help("write {expected} as `{field}`"))]
     Field {
         /// Name of the field.
         field: &'static str,
@@ -97,9 +97,9 @@
         let found = match self.find(field) {
             None => "missing",
             Some(JsonValue::Null) => "null",
-            Some(JsonValue::String(_)) => "an invalid string",
-            Some(JsonValue::Number(_)) => "an invalid number",
-            Some(_) => "of the wrong type",
+            Some(JsonValue::String(_)) => "a text that won't do",
+            Some(JsonValue::Number(_)) => "a number that won't do",
+            Some(_) => "of another type",
         };
         HeartbeatError::Field {
             field,
@@ -112,7 +112,7 @@
         let text = self.find(field).and_then(|value| value.get::<String>());
         text.filter(|text| (1..=MAX_NAME_BYTES).contains(&text.len()))
             .cloned()
-            .ok_or_else(|| self.error(field, "a string of 1 to 128 bytes"))
+            .ok_or_else(|| self.error(field, "a text of at most 128 bytes"))
     }
 
     /// Returns an empty string if the field is missing or empty.
@@ -133,7 +133,7 @@
     fn integer(&self, field: &'static str, min: f64, max: f64) -> Result<f64, HeartbeatError> {
         self.number(field)
             .filter(|n| n.fract() == 0.0 && (min..=max).contains(n))
-            .ok_or_else(|| self.error(field, "an integer in the valid range"))
+            .ok_or_else(|| self.error(field, "a whole number in its range"))
     }
 
     fn address(&self, field: &'static str) -> Result<SocketAddrV4, HeartbeatError> {
@@ -142,7 +142,7 @@
             .filter(|address: &SocketAddrV4| address.port() != 0)
             .ok_or(HeartbeatError::Field {
                 field,
-                found: "not a valid address",
+                found: "no address",
                 expected: "an IPv4 address and a port",
             })
     }
@@ -176,7 +176,7 @@
         })?;
         let top = value
             .get::<Object>()
-            .ok_or_else(|| HeartbeatError::Json("not a JSON object".into()))?;
+            .ok_or_else(|| HeartbeatError::Json("it is no JSON object".into()))?;
         let node = Section::new(top, "nodeInfo");
         let status = Section::new(top, "currentStatus");
         let address = status.address("address")?;
