--- a/crates/rookpulley-operators/src/api.rs
+++ b/crates/rookpulley-operators/src/api.rs
@@ -248,7 +248,7 @@
                 let invalid = || {
                     ApiError::new(
                         400,
-                        format!("table {text:?} is not a number"),
+                        format!("table {text:?} is no number"),
                         Some("write table=0"),
                     )
                 };
@@ -291,7 +291,7 @@
             match (request.table, request.all) {
                 (Some(_), true) | (None, false) => Err(ApiError::new(
                     400,
-                    "one of table and all is required",
+                    "one of table and all is wanted",
                     Some("write {\"all\":true}"),
                 )),
                 (table, _) => Ok(ApiRequest::Release { table }),
@@ -299,12 +299,12 @@
         }
         (_, "/v1/versions" | "/v1/holders" | "/v1/diff" | "/v1/servers") => Err(ApiError::new(
             405,
-            format!("{method} is not allowed for {path}"),
+            format!("{method} is not for {path}"),
             Some("use GET"),
         )),
         (_, "/v1/rollback" | "/v1/release") => Err(ApiError::new(
             405,
-            format!("{method} is not allowed for {path}"),
+            format!("{method} is not for {path}"),
             Some("use POST"),
         )),
         _ => {
--- a/crates/rookpulley-operators/src/server.rs
+++ b/crates/rookpulley-operators/src/server.rs
@@ -67,7 +67,7 @@
     count: &CounterFn,
 ) {
     let service = service_fn(async |request: Request<Incoming>| {
-        let timed_out = || ApiError::new(503, "no response in time", Some("retry the request"));
+        let timed_out = || ApiError::new(503, "no answer in time", Some("ask again"));
         let answer = timeout(CALL_TIMEOUT, handle_call(request, token, asks)).await;
         let answer = answer.unwrap_or_else(|_| Err(timed_out()));
         let answer = answer.unwrap_or_else(|refusal| ApiResponse::Refused { refusal });
@@ -126,7 +126,7 @@
     if token.is_none() && !is_loopback_host {
         return Err(ApiError::new(
             403,
-            format!("{host:?} is not a loopback address"),
+            format!("{host:?} is no loopback address"),
             Some("call 127.0.0.1"),
         ));
     }
@@ -138,7 +138,7 @@
     if head.method == hyper::Method::POST && !is_json {
         return Err(ApiError::new(
             415,
-            "the body is not JSON",
+            "the body is no JSON",
             Some("send Content-Type: application/json"),
         ));
     }
@@ -146,7 +146,7 @@
     let body_error = |_| {
         ApiError::new(
             413,
-            format!("the body is over {MAX_BODY_BYTES} bytes or was cut short"),
+            format!("the body is over {MAX_BODY_BYTES} bytes or broke off"),
             None,
         )
     };
@@ -154,7 +154,7 @@
     let (path, query) = (head.uri.path(), head.uri.query().unwrap_or_default());
     let ask: ApiRequest = api::parse(head.method.as_str(), path, query, &body)?;
     let (answer, received) = oneshot::channel();
-    let shutting_down = || ApiError::new(503, "the assigner is shutting down", None);
+    let shutting_down = || ApiError::new(503, "the assigner ends", None);
     asks.send(PendingRequest { ask, answer })
         .await
         .map_err(|_| shutting_down())?;
