--- a/crates/rookpulley-versions/src/history.rs
+++ b/crates/rookpulley-versions/src/history.rs
@@ -54,7 +54,7 @@
     #[error("{version} was issued by another assigner; ask {} for it", version.issuer.assigner)]
     OtherAssigner { version: Version },
     #[error(
-        "{version} is of an earlier start of this assigner; versions are not kept across starts, and the current start is {start:016x}"
+        "{version} is of an earlier start of this assigner, which kept nothing; this one began at {start:016x}"
     )]
     OtherStart { version: Version, start: u64 },
     #[error("{version} was never issued; the newest number is {newest}")]
--- a/crates/rookpulley-versions/src/version.rs
+++ b/crates/rookpulley-versions/src/version.rs
@@ -40,7 +40,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "{text:?} is not a version: {reason}; write it as `versions` shows it, such as n0~18f3a2c41b7e0042~17"
+    "{text:?} is no version: {reason}; write it as `versions` shows it, such as n0~18f3a2c41b7e0042~17"
 )]
 pub struct ParseVersionError {
     pub text: String,
@@ -59,14 +59,14 @@
         let (number, start, assigner) = (parts.next(), parts.next(), parts.next());
         let assigner = assigner
             .filter(|a| !a.is_empty())
-            .ok_or(error("it does not have three parts"))?;
+            .ok_or(error("it has no three parts"))?;
         let start = start.filter(|s| s.len() == 16 && !s.starts_with('+'));
         let start = start.and_then(|s| u64::from_str_radix(s, 16).ok());
         let start = start.ok_or(error("its start is not 16 hexadecimal digits"))?;
         let number = number.filter(|n| n.bytes().all(|b| b.is_ascii_digit()));
         let number = number
             .and_then(|n| n.parse().ok())
-            .ok_or(error("its number is not a whole number"))?;
+            .ok_or(error("its number is no whole number"))?;
         Ok(Self {
             issuer: Arc::new(Issuer {
                 assigner: assigner.into(),
@@ -93,7 +93,7 @@
                 };
                 let number = number
                     .parse()
-                    .map_err(|_| error("its number is not a whole number"))?;
+                    .map_err(|_| error("its number is no whole number"))?;
                 Ok(Self {
                     issuer: of.issuer.clone(),
                     number,
