--- a/crates/rookpulley-store/examples/fill_time.rs
+++ b/crates/rookpulley-store/examples/fill_time.rs
@@ -168,7 +168,7 @@
                 Effect::Reply { token, outcome } => {
                     _ = pending.remove(&token).map(|sender| sender.send(outcome))
                 }
-                Effect::Log(line) if line.contains("filled") => {
+                Effect::Log(line) if line.contains("restored a snapshot up to update") => {
                     _ = progress.send(Progress::CaughtUp)
                 }
                 _ => {}
