--- a/crates/rookpulley-routes/src/faults.rs
+++ b/crates/rookpulley-routes/src/faults.rs
@@ -6,5 +6,5 @@
     max_faults: 16,
     max_chars: 80,
     heading: |_| "the configuration is invalid".into(),
-    help: "correct the listed errors and send the complete configuration again",
+    help: "mend the places named and send the whole configuration again",
 };
--- a/crates/rookpulley-routes/src/json.rs
+++ b/crates/rookpulley-routes/src/json.rs
@@ -48,12 +48,12 @@
         ),
         (JsonError::NotUtf8(e), _) | (_, Err(e)) => fault(
             after(e.valid_up_to()),
-            "invalid UTF-8",
-            "the complete configuration as JSON in UTF-8",
+            "no UTF-8",
+            "the whole configuration as JSON in UTF-8",
         ),
         (JsonError::TooDeep { offset }, _) => fault(
             after(offset),
-            "nested too deeply",
+            "nested too deep",
             format!("at most {MAX_DEPTH} levels"),
         ),
         (JsonError::TooManyValues { offset }, _) => fault(
@@ -73,17 +73,17 @@
     let message = e.to_string();
     let cause = message
         .split_once(": ")
-        .map_or("syntax error", |(_, cause)| cause);
+        .map_or("no JSON", |(_, cause)| cause);
     if cause.starts_with("Unexpected EOF") {
         fault(
             place,
-            "an unexpected end of input",
-            "the complete configuration; this one is truncated",
+            "where the text ends too soon",
+            "the whole configuration; this one was cut short",
         )
     } else {
         fault(
             place,
-            format!("invalid JSON ({cause})"),
+            format!("no JSON ({cause})"),
             "one JSON object and nothing after it",
         )
     }
--- a/crates/rookpulley-routes/src/read.rs
+++ b/crates/rookpulley-routes/src/read.rs
@@ -16,7 +16,7 @@
 /// Upper limit of configured times.
 const DAY_MS: f64 = 86_400_000.0;
 const POSITIVE_MS: &str = "a number of milliseconds above 0";
-const WEIGHT: &str = "a number of at least 0";
+const WEIGHT: &str = "a number from 0 on";
 
 impl RouteTable {
     /// Parses a configuration. Does not retain `bytes`.
@@ -115,7 +115,7 @@
     }
     let version = root
         .field("configVersion")
-        .required_integer(1, "an integer from 1 to 9007199254740991")?;
+        .required_integer(1, "a whole number from 1 to 9007199254740991")?;
     let limits = limits(root.field("limits"));
     let (services, indices) = services(root.field("services"));
     let known = cached_rules(&services, earlier);
@@ -155,7 +155,7 @@
     }
     let version = root
         .field("configVersion")
-        .required_integer(1, "an integer from 1 to 9007199254740991");
+        .required_integer(1, "a whole number from 1 to 9007199254740991");
     let limits = limits(root.field("limits"));
     let (services, indices) = services(root.field("services"));
     let mut routes = Routes::default();
@@ -180,7 +180,7 @@
     let integer = |field: &'static str, default: u64| {
         limits
             .field(field)
-            .integer(1, "an integer above 0")
+            .integer(1, "a whole number above 0")
             .unwrap_or(default)
     };
     let defaults = Limits::default();
@@ -202,17 +202,17 @@
             .filter(|path| !path.is_empty())
             .unwrap_or("/health");
         if !health_path.starts_with('/') {
-            health.record_fault(format!("{health_path:?}"), "a path that starts with \"/\"");
+            health.record_fault(format!("{health_path:?}"), "a path that begins with \"/\"");
         }
         let connections = service
             .field("maxConnections")
-            .integer(0, "an integer of at least 0")
+            .integer(0, "a whole number from 0 on")
             .unwrap_or(0);
         let Some(name) = name else { continue };
         match indices.entry(name.to_string()) {
             Entry::Occupied(before) => service.field("name").record_fault(
-                format!("{name:?}, the same as services[{}].name", before.get()),
-                "a unique service name",
+                format!("{name:?}, as is services[{}].name", before.get()),
+                "each service once, under a name of its own",
             ),
             Entry::Vacant(place) => _ = place.insert(services.len()),
         }
@@ -247,10 +247,10 @@
                         let (host, before) = before.get();
                         rule.field("pathPrefix").record_fault(
                             format!(
-                                "{:?}, the same as in hostnames[{host}].pathRules[{before}]",
+                                "{:?}, as it is in hostnames[{host}].pathRules[{before}]",
                                 route.prefix
                             ),
-                            "a prefix that is unique for the host",
+                            "each prefix of a host once",
                         );
                     }
                     Entry::Vacant(place) => _ = place.insert((at, rule_at)),
@@ -264,13 +264,13 @@
 fn route(rule: Value, host: &str, indices: &HashMap<String, usize>) -> Option<Route> {
     let prefix = rule.field("pathPrefix");
     let prefix = prefix
-        .required_string("a path that starts and ends with \"/\"")
+        .required_string("a path that begins and ends with \"/\"")
         .filter(|text| {
             let fits = text.starts_with('/') && text.ends_with('/');
             if !fits {
                 prefix.record_fault(
                     format!("{text:?}"),
-                    "a path that starts and ends with \"/\"",
+                    "a path that begins and ends with \"/\"",
                 );
             }
             fits
@@ -285,11 +285,11 @@
         .number("a number of milliseconds", |ms| ms >= 0.0);
     let priority = rule
         .field("priority")
-        .integer(0, "an integer, 0 for the highest priority")
+        .integer(0, "a whole number, 0 for the highest")
         .unwrap_or(0);
     let attempts = rule
         .field("maxAttempts")
-        .required_integer(1, "an integer of at least 1");
+        .required_integer(1, "a whole number of tasks, at least 1");
     let targets = targets(rule, indices);
 
     let (prefix, timeout) = (prefix?, timeout?.min(DAY_MS));
@@ -338,12 +338,12 @@
         return Some(vec![(service(single, indices)?, 1.0)]);
     }
     if named.is_some() {
-        split.record_fault("set together with targetService", "only one of the two");
+        split.record_fault("there beside targetService", "one of the two");
     }
     if shares.is_empty() {
         single.record_fault(
-            "missing, and trafficSplit is empty",
-            "the name of a service, or a trafficSplit",
+            "missing, and trafficSplit names no service",
+            "the name of a service, or fill trafficSplit",
         );
         return None;
     }
@@ -373,8 +373,8 @@
         Some(shares)
     } else {
         split.record_fault(
-            format!("a list of weights with the sum {sum}"),
-            "weights with a finite sum above 0",
+            format!("a list of weights that add up to {sum}"),
+            "weights with a sum above 0",
         );
         None
     }
@@ -385,8 +385,8 @@
     let index = indices.get(text).copied();
     if index.is_none() {
         name.record_fault(
-            format!("{text:?}, which is not a known service"),
-            "the name of a service listed under services",
+            format!("{text:?}, which is no service"),
+            "a name that stands under services",
         );
     }
     index
--- a/crates/rookpulley-routes/src/values.rs
+++ b/crates/rookpulley-routes/src/values.rs
@@ -87,13 +87,13 @@
 
     /// Whether this is an object; records a fault otherwise.
     pub fn require_object(&self) -> bool {
-        self.required("an object", |json| json.get::<HashMap<_, _>>())
+        self.required("an object in { }", |json| json.get::<HashMap<_, _>>())
             .is_some()
     }
 
     /// The items of a list; records a fault if this is not a list.
     pub fn items(&'a self) -> impl Iterator<Item = Value<'a>> {
-        let items = self.required("a list", |json| json.get::<Vec<_>>());
+        let items = self.required("a list in [ ]", |json| json.get::<Vec<_>>());
         items
             .into_iter()
             .flatten()
@@ -143,7 +143,9 @@
     }
 
     pub fn string(&self) -> Option<&'a str> {
-        self.take("a string", |json| Some(json.get::<String>()?.as_str()))
+        self.take("a text in quotes", |json| {
+            Some(json.get::<String>()?.as_str())
+        })
     }
 
     pub fn required_number(&self, expected: &str, fits: impl FnOnce(f64) -> bool) -> Option<f64> {
