--- a/crates/rookpulley-simulator/src/day.rs
+++ b/crates/rookpulley-simulator/src/day.rs
@@ -1,62 +1,63 @@
-//! A day: how large the gateway is, what its users do, and what happens to it. All of it is drawn from a seed.
+//! A simulation scenario: the size of the gateway, its load and its scheduled events. Scenarios can be drawn from a seed.
 
 mod draw;
 
 use crate::event::Event;
 use std::fmt;
 
-/// The first configuration and the tasks' first heartbeats are given so long before traffic; after the last fault the
-/// day goes on calmly for so long.
+/// Time before traffic starts, for the first configuration and heartbeats.
 pub const BEGINS_MS: u64 = 2_500;
+/// Time without faults at the end of a drawn scenario.
 pub const CALM_MS: u64 = 11_000;
 
-/// What is unlike other days: drawn days have nothing of it.
+/// Overrides for specific tests. Drawn scenarios use the defaults.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Shape {
-    /// Clients that are refused come again at once, whatever they are told, and more often.
+    /// Rejected clients ignore the retry delay, retry at once and retry more often.
     pub impatient: bool,
-    /// Clients never come a second time.
+    /// Clients never retry.
     pub once: bool,
-    /// The first zone has a tenth of the tasks. It has as many clients as any other.
+    /// The first zone has a tenth of the tasks but an equal share of the clients.
     pub lopsided: bool,
-    /// What tasks take for a request; otherwise 4 to 30 ms, each its own.
+    /// Range of the service time; by default each task draws one from 4 to 30 ms.
     pub work_ms: Option<(u64, u64)>,
-    /// What they do at once; otherwise two to six, each its own.
+    /// Concurrent requests per task; by default each task draws two to six.
     pub slots: Option<usize>,
-    /// Tasks are never cold.
+    /// Tasks start warmed up.
     pub warm: bool,
-    /// The tries that routes allow; otherwise one to three, each its own.
+    /// Attempts that each route allows; by default each route draws one to three.
     pub attempts: Option<u32>,
 }
 
-/// A day of a gateway.
+/// A scenario for one simulated gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Day {
     pub seed: u64,
     pub controllers: usize,
-    /// Machines behind the controllers whose controller has no disk, and whether they come first among the seeds.
+    /// Machines after the controllers that run a stateless controller.
     pub stateless_controllers: usize,
+    /// Whether the stateless controllers come first in the seed list.
     pub stateless_seeds: bool,
     pub proxies: usize,
     pub zones: usize,
     pub losses: u32,
     pub services: usize,
     pub tasks: usize,
-    /// Clients' requests in a second.
+    /// Client requests per second.
     pub rate: u32,
     pub apps: usize,
     pub retry_ratio: f64,
     pub retry_slack: f64,
-    /// Processes stand still for a moment now and then, as on a shared core.
+    /// Processes pause briefly at random, as on a shared CPU core.
     pub held_up: bool,
     pub shape: Shape,
     pub length_ms: u64,
-    /// By when they happen, in milliseconds.
+    /// Scheduled events and their times in milliseconds.
     pub events: Vec<(u64, Event)>,
 }
 
 impl Day {
-    /// A day of a middling gateway to which nothing happens yet.
+    /// A medium-sized gateway without events.
     pub fn calm(seed: u64) -> Day {
         Day {
             seed,
--- a/crates/rookpulley-simulator/src/day/draw.rs
+++ b/crates/rookpulley-simulator/src/day/draw.rs
@@ -1,19 +1,19 @@
-//! Days drawn from a seed.
+//! Random scenarios drawn from a seed.
 
 use super::{CALM_MS, Day, Shape};
 use crate::event::{BadTask, Closing, Event};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Between what loses a disk and any other loss in the core there is so much: the one that lost it has caught up.
+/// Least time between a disk loss and another controller fault, so that the controller can catch up.
 const CATCHES_UP_MS: u64 = 9_000;
 const LENGTH_MS: u64 = 30_000;
-/// From here on the day goes on calmly.
+/// Time of the last scheduled fault, except for the closing event.
 const LAST_MS: u64 = LENGTH_MS - CALM_MS;
 const CLOSING_MS: u64 = LAST_MS + 1_000;
 
 impl Day {
-    /// The day of a seed.
+    /// Draws the scenario of a seed.
     pub fn draw(seed: u64) -> Day {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xd417);
         let mut day = Day::draw_size(seed, &mut rng);
@@ -29,7 +29,7 @@
     fn draw_size(seed: u64, rng: &mut ChaCha8Rng) -> Day {
         let controllers = rng.random_range(3..=5usize);
         let proxies = rng.random_range(6..=12usize).max(controllers);
-        // Drawn apart: the days without them stay as they were.
+        // A separate generator keeps all other draws of a seed unchanged.
         let mut apart = ChaCha8Rng::seed_from_u64(seed ^ 0xa446);
         let some = if apart.random_range(0..4u32) == 0 {
             apart.random_range(1..=3)
@@ -65,7 +65,7 @@
         }
     }
 
-    /// On some days a machine of the core loses its disk. When it does.
+    /// Draws a disk loss of a controller in some scenarios and returns its time.
     fn draw_disk_loss(&mut self, rng: &mut ChaCha8Rng) -> Option<u64> {
         if rng.random_range(0..3u32) != 0 {
             return None;
@@ -86,7 +86,7 @@
                 down_ms: rng.random_range(200..2_000),
             },
         };
-        // At times all others lose power with it.
+        // In some of these cases all machines lose power as well.
         if matches!(event, Event::Wipe { .. }) && rng.random_range(0..3u32) == 0 {
             let down_ms = rng.random_range(200..900);
             self.events.push((at, Event::Dark { down_ms }));
@@ -95,7 +95,7 @@
         Some(at)
     }
 
-    /// Faults of machines and of the network. On some days all comes upon each other.
+    /// Draws machine and network faults. Some scenarios have many overlapping faults.
     fn draw_faults(&mut self, rng: &mut ChaCha8Rng, disk_lost_ms: Option<u64>) {
         let most = if rng.random_range(0..4u32) == 0 {
             16
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Some days end with a fault right after an acknowledgement.
+    /// Adds a fault right after an acknowledged change to some scenarios.
     fn draw_closing(&mut self, rng: &mut ChaCha8Rng) {
         if rng.random_range(0..3u32) != 0 {
             return;
--- a/crates/rookpulley-simulator/src/judge.rs
+++ b/crates/rookpulley-simulator/src/judge.rs
@@ -1,4 +1,4 @@
-//! Holds what those outside saw against the rules. It knows nothing of what went on inside.
+//! Checks the externally visible record of a simulation against the rules. It has no access to internal state.
 
 mod apps;
 mod requests;
@@ -9,6 +9,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
+/// The rule that was violated. The variant names appear in the reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     Mixed,
@@ -24,9 +25,9 @@
     One,
     Order,
     Stale,
-    /// An order of the operator that was never acknowledged, or a proper one refused.
+    /// A valid configuration change was rejected or never acknowledged.
     Acks,
-    /// After the last fault requests are served again.
+    /// Too few requests succeed after the last fault.
     Recover,
     Fault,
 }
@@ -45,52 +46,57 @@
     }
 }
 
-pub const CONTACT: Us = 3 * S;
-pub const APPLY: Us = 2_500 * MS;
-pub const DOWNGRADE: Us = 250 * MS;
-/// Of each rule so many breaches are told.
-const TOLD: usize = 4;
+/// How long a machine must be free of faults and partitions to count as in contact.
+pub const CONTACT_TIMEOUT: Us = 3 * S;
+/// Time allowed to apply an acknowledged configuration.
+pub const APPLY_LIMIT: Us = 2_500 * MS;
+/// Time during which a proxy may still use an older configuration than it used before.
+pub const DOWNGRADE_SLACK: Us = 250 * MS;
+/// Limits the reported breaches of each rule.
+const MAX_REPORTS_PER_RULE: usize = 4;
 
-pub(crate) struct Judge<'a> {
+pub(crate) struct RuleChecker<'a> {
     record: &'a Record,
     day: &'a Day,
     breaches: Vec<Breach>,
-    told: BTreeMap<Rule, usize>,
+    report_counts: BTreeMap<Rule, usize>,
     core: Vec<Us>,
 }
 
+/// Checks all rules and returns the breaches.
 pub fn judge(record: &Record, day: &Day) -> Vec<Breach> {
     let mut core = record.faults.core.clone();
     core.sort_unstable();
-    let mut judge = Judge {
+    let mut checker = RuleChecker {
         record,
         day,
         breaches: Vec::new(),
-        told: BTreeMap::new(),
+        report_counts: BTreeMap::new(),
         core,
     };
-    judge.requests();
-    judge.drains();
-    judge.configurations();
-    judge.configuration_reads();
-    judge.budget();
-    judge.losses();
-    judge.recovery();
-    judge.locks();
-    judge.numbers();
-    judge.cells();
-    judge.watches();
+    checker.check_requests();
+    checker.check_drains();
+    checker.check_configurations();
+    checker.check_configuration_reads();
+    checker.check_retry_budget();
+    checker.check_shutdown_losses();
+    checker.check_recovery();
+    checker.check_locks();
+    checker.check_numbers();
+    checker.check_keys();
+    checker.check_watches();
     for fault in &record.program_faults {
-        judge.breach(Rule::Fault, 0, || fault.clone());
+        checker.breach(Rule::Fault, 0, || fault.clone());
     }
-    judge.breaches
+    checker.breaches
 }
 
-impl Judge<'_> {
+impl RuleChecker<'_> {
+    /// Reports a breach, unless its rule has reached the limit.
     pub(crate) fn breach(&mut self, rule: Rule, at: Us, what: impl FnOnce() -> String) {
-        let told = self.told.entry(rule).or_default();
-        *told += 1;
-        if *told <= TOLD {
+        let count = self.report_counts.entry(rule).or_default();
+        *count += 1;
+        if *count <= MAX_REPORTS_PER_RULE {
             self.breaches.push(Breach {
                 rule,
                 at_ms: at / MS,
@@ -99,46 +105,49 @@
         }
     }
 
-    /// The core was settled all the while up to this moment.
-    fn settled(&self, at: Us) -> bool {
-        let since = at.saturating_sub(CONTACT);
+    /// Whether no controller fault occurred within the contact timeout before `at`.
+    fn core_is_stable(&self, at: Us) -> bool {
+        let since = at.saturating_sub(CONTACT_TIMEOUT);
         let first = self.core.partition_point(|moment| *moment < since);
         self.core.get(first).is_none_or(|moment| *moment > at)
     }
 
     fn is_core(&self, machine: usize) -> bool {
-        // Who came later in the place of another is of the core, too.
+        // Replacement machines have the highest indexes and also run controllers.
         machine < self.day.controllers || machine >= self.day.proxies.max(self.day.controllers)
     }
 
-    /// A machine of the core that reaches more than half of it, at this moment.
-    fn reaches_most(&self, machine: usize, at: Us) -> bool {
-        let since = at.saturating_sub(CONTACT);
+    /// Whether `machine` could reach a majority of the controllers throughout the contact timeout before `at`.
+    fn reaches_core_majority(&self, machine: usize, at: Us) -> bool {
+        let since = at.saturating_sub(CONTACT_TIMEOUT);
         let away = (0..self.day.controllers)
-            .filter(|other| *other != machine && self.cut(machine, *other, since, at));
+            .filter(|other| *other != machine && self.was_partitioned(machine, *other, since, at));
         (self.day.controllers - away.count()) * 2 > self.day.controllers
     }
 
-    fn cut(&self, a: usize, b: usize, since: Us, at: Us) -> bool {
+    /// Whether a partition between the machines overlaps the interval.
+    fn was_partitioned(&self, a: usize, b: usize, since: Us, at: Us) -> bool {
         self.record.faults.cuts.iter().any(|(x, y, from, until)| {
             ((*x, *y) == (a, b) || (*x, *y) == (b, a)) && *from <= at && *until >= since
         })
     }
 
-    pub(crate) fn in_touch(&self, machine: usize, at: Us) -> bool {
-        let since = at.saturating_sub(CONTACT);
-        let calm = !self
+    /// Whether `machine` had no fault and could reach the controllers throughout the contact timeout before `at`.
+    pub(crate) fn in_contact(&self, machine: usize, at: Us) -> bool {
+        let since = at.saturating_sub(CONTACT_TIMEOUT);
+        let undisturbed = !self
             .record
             .faults
             .machine
             .iter()
             .any(|(of, from, until)| *of == machine && *from <= at && *until >= since);
-        calm && self.settled(at)
+        undisturbed
+            && self.core_is_stable(at)
             && (0..self.day.controllers).all(|core| {
                 core == machine
-                    || !self.cut(machine, core, since, at)
-                    || !self.reaches_most(core, at)
+                    || !self.was_partitioned(machine, core, since, at)
+                    || !self.reaches_core_majority(core, at)
             })
-            && (!self.is_core(machine) || self.reaches_most(machine, at))
+            && (!self.is_core(machine) || self.reaches_core_majority(machine, at))
     }
 }
--- a/crates/rookpulley-simulator/src/judge/apps.rs
+++ b/crates/rookpulley-simulator/src/judge/apps.rs
@@ -1,6 +1,6 @@
-//! The rules on locks, numbers and small keys.
+//! Checks of locks, number sequences, keys and watches.
 
-use super::{Judge, Rule};
+use super::{Rule, RuleChecker};
 use crate::Us;
 use crate::record::{AppCall, Asked, Got};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,8 +9,8 @@
     name.split_inclusive('.').next().unwrap_or(name)
 }
 
-/// A put with the revision that it got.
-struct Placed<'a> {
+/// An acknowledged put and its revision.
+struct AcknowledgedPut<'a> {
     call: &'a AppCall,
     value: &'a str,
     active: Option<u64>,
@@ -18,8 +18,8 @@
     done: Us,
 }
 
-impl<'a> Judge<'a> {
-    pub fn locks(&mut self) {
+impl<'a> RuleChecker<'a> {
+    pub fn check_locks(&mut self) {
         let holds = &self.record.holds;
         for (at, hold) in holds.iter().enumerate() {
             for other in holds.iter().skip(at + 1) {
@@ -30,7 +30,7 @@
                 if from < until {
                     self.breach(Rule::One, from, || {
                         format!(
-                            "apps {} and {} both hold {}",
+                            "apps {} and {} hold lock {} at the same time",
                             hold.app, other.app, hold.lock
                         )
                     });
@@ -44,7 +44,7 @@
                 if before || first.fence == second.fence {
                     self.breach(Rule::One, second.from, || {
                         format!(
-                            "fence {} of {} follows {}",
+                            "fence {} of lock {} was issued after {}",
                             second.fence, hold.lock, first.fence
                         )
                     });
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Each is above all that were given before its call was sent.
-    fn rises(&mut self, what: &str, given: &[(Us, Us, u64)]) {
+    /// Checks that values are unique and that each exceeds all values returned before its call was sent.
+    fn check_increasing(&mut self, what: &str, given: &[(Us, Us, u64)]) {
         let mut unique = BTreeSet::new();
         for (sent, done, value) in given {
             if !unique.insert(*value) {
                 self.breach(Rule::Order, *done, || {
-                    format!("{value} of {what} is given twice")
+                    format!("{what}: value {value} was returned twice")
                 });
             }
             let before = given
@@ -69,13 +69,13 @@
                 .max();
             if before.is_some_and(|before| before >= *value) {
                 self.breach(Rule::Order, *done, || {
-                    format!("{value} of {what} follows {before:?}")
+                    format!("{what}: value {value} was returned after {before:?}")
                 });
             }
         }
     }
 
-    pub fn numbers(&mut self) {
+    pub fn check_numbers(&mut self) {
         let mut given: BTreeMap<&str, Vec<(Us, Us, u64)>> = BTreeMap::new();
         for call in &self.record.calls {
             if let (Got::Number(value), Some(done)) = (&call.got, call.done) {
@@ -86,7 +86,7 @@
             }
         }
         for (name, given) in given {
-            self.rises(name, &given);
+            self.check_increasing(name, &given);
         }
         for number in &self.record.last {
             let call = &self.record.calls[*number];
@@ -94,7 +94,7 @@
                 let at = self.record.end;
                 self.breach(Rule::Lost, at, || {
                     format!(
-                        "{:?} of {} is not answered at the end: {:?}",
+                        "{:?} of {} did not succeed by the end: {:?}",
                         call.asked, call.name, call.got
                     )
                 });
@@ -102,22 +102,24 @@
         }
     }
 
-    fn placed(&self) -> Vec<Placed<'a>> {
+    fn acknowledged_puts(&self) -> Vec<AcknowledgedPut<'a>> {
         let one = |call: &'a AppCall| match (&call.asked, &call.got, call.done) {
-            (Asked::Put { value, active }, Got::Revision(revision), Some(done)) => Some(Placed {
-                call,
-                value,
-                active: *active,
-                revision: *revision,
-                done,
-            }),
+            (Asked::Put { value, active }, Got::Revision(revision), Some(done)) => {
+                Some(AcknowledgedPut {
+                    call,
+                    value,
+                    active: *active,
+                    revision: *revision,
+                    done,
+                })
+            }
             _ => None,
         };
         self.record.calls.iter().filter_map(one).collect()
     }
 
-    /// What was shown: by whom, of which key, what value under which revision.
-    fn shown(&self) -> Vec<(Us, String, String, u64)> {
+    /// Lists the values observed by reads and watches: time, key, value and revision.
+    fn observed_values(&self) -> Vec<(Us, String, String, u64)> {
         let mut shown = Vec::new();
         for call in &self.record.calls {
             if let (Got::Read(Some((value, revision))), Some(done)) = (&call.got, call.done) {
@@ -133,19 +135,19 @@
         shown
     }
 
-    pub fn cells(&mut self) {
-        let placed = self.placed();
+    pub fn check_keys(&mut self) {
+        let puts = self.acknowledged_puts();
         let mut groups: BTreeMap<&str, Vec<(Us, Us, u64)>> = BTreeMap::new();
-        for put in &placed {
+        for put in &puts {
             let group = groups.entry(group_of(&put.call.name)).or_default();
             group.push((put.call.sent, put.done, put.revision));
         }
         for (group, given) in groups {
-            self.rises(group, &given);
+            self.check_increasing(group, &given);
         }
-        for put in &placed {
+        for put in &puts {
             let Some(active) = put.active else { continue };
-            let between = placed.iter().find(|other| {
+            let between = puts.iter().find(|other| {
                 other.call.name == put.call.name
                     && other.revision > active
                     && other.revision < put.revision
@@ -153,7 +155,7 @@
             if let Some(other) = between {
                 self.breach(Rule::Order, put.done, || {
                     format!(
-                        "{} at {} goes over {} of {}",
+                        "revision {} expected revision {} but overwrote {} of key {}",
                         put.revision, active, other.revision, put.call.name
                     )
                 });
@@ -164,44 +166,44 @@
                 continue;
             };
             let revision = read.as_ref().map_or(0, |(_, revision)| *revision);
-            let its = placed
+            let its = puts
                 .iter()
                 .filter(|put| put.call.name == call.name && put.done < call.sent);
             let newest = its.map(|put| put.revision).max().unwrap_or(0);
             if revision < newest {
                 self.breach(Rule::Stale, done, || {
                     format!(
-                        "{} is read at {revision}, {newest} was put before",
+                        "key {} was read at revision {revision} after revision {newest} was acknowledged",
                         call.name
                     )
                 });
             }
         }
-        self.values(&placed);
+        self.check_values(&puts);
     }
 
-    fn values(&mut self, placed: &[Placed]) {
+    fn check_values(&mut self, acknowledged: &[AcknowledgedPut]) {
         let mut puts: BTreeMap<&str, &AppCall> = BTreeMap::new();
         for call in &self.record.calls {
             if let Asked::Put { value, .. } = &call.asked {
                 puts.insert(value, call);
             }
         }
-        let mut revisions: BTreeMap<String, u64> = placed
+        let mut revisions: BTreeMap<String, u64> = acknowledged
             .iter()
             .map(|put| (put.value.to_string(), put.revision))
             .collect();
-        for (at, name, value, revision) in self.shown() {
+        for (at, name, value, revision) in self.observed_values() {
             let Some(put) = puts.get(value.as_str()).filter(|put| put.name == name) else {
                 self.breach(Rule::Mixed, at, || {
-                    format!("{name} shows {value}, which nobody put there")
+                    format!("key {name} has value {value}, which was never written to it")
                 });
                 continue;
             };
             let known = *revisions.entry(value.clone()).or_insert(revision);
             if known != revision {
                 self.breach(Rule::Mixed, at, || {
-                    format!("{value} stands under {known} and {revision}")
+                    format!("value {value} was reported with revisions {known} and {revision}")
                 });
             }
             let turned_away = matches!(put.got, Got::Conflict(_) | Got::No(_) | Got::Nothing)
@@ -210,7 +212,7 @@
             if turned_away {
                 let got = put.got.clone();
                 self.breach(Rule::Refused, at, || {
-                    format!("{name} shows {value}, whose put got {got:?}")
+                    format!("key {name} has value {value}, but its put returned {got:?}")
                 });
             }
         }
@@ -226,19 +228,22 @@
                 || its.clone().any(|put| put.unclear || put.done.is_none());
             if !known {
                 self.breach(Rule::Mixed, done, || {
-                    format!("{} conflicts with {revision}", call.name)
+                    format!(
+                        "put of key {} conflicts with unknown revision {revision}",
+                        call.name
+                    )
                 });
             }
         }
     }
 
-    pub fn watches(&mut self) {
-        let placed = self.placed();
+    pub fn check_watches(&mut self) {
+        let puts = self.acknowledged_puts();
         for part in &self.record.watches {
             if part.status != 200 {
                 if part.status == 410 {
                     self.breach(Rule::Lost, part.sent, || {
-                        format!("a watch of {} gets 410", part.group)
+                        format!("watch of group {} returned 410", part.group)
                     });
                 }
                 continue;
@@ -250,11 +255,14 @@
                 .all(|event| event.2 > part.after && event.2 <= part.revision);
             if !rising || !inside || part.revision < part.after {
                 self.breach(Rule::Order, part.sent, || {
-                    format!("a watch of {} goes astray", part.group)
+                    format!(
+                        "watch of group {} returned events out of order or out of range",
+                        part.group
+                    )
                 });
             }
             if part.after == 0 {
-                let its = placed
+                let its = puts
                     .iter()
                     .filter(|put| group_of(&put.call.name) == part.group);
                 let before = its
@@ -263,12 +271,12 @@
                     .max();
                 if before.is_some_and(|before| before > part.revision) {
                     self.breach(Rule::Stale, part.sent, || {
-                        format!("a watch of {} begins late", part.group)
+                        format!("watch of group {} started at a stale revision", part.group)
                     });
                 }
                 continue;
             }
-            let its = placed.iter().filter(|put| {
+            let its = puts.iter().filter(|put| {
                 group_of(&put.call.name) == part.group
                     && put.revision > part.after
                     && put.revision <= part.revision
@@ -278,7 +286,7 @@
             if let Some(put) = skipped.take(1).next() {
                 self.breach(Rule::Order, part.sent, || {
                     format!(
-                        "a watch of {} skips {} between {} and {}",
+                        "watch of group {} skipped revision {} between {} and {}",
                         part.group, put.revision, part.after, part.revision
                     )
                 });
--- a/crates/rookpulley-simulator/src/judge/requests.rs
+++ b/crates/rookpulley-simulator/src/judge/requests.rs
@@ -1,6 +1,6 @@
-//! The rules on requests, drains, configurations and further tries.
+//! Checks of requests, drains, configurations, retry budgets and recovery.
 
-use super::{APPLY, CONTACT, DOWNGRADE, Judge, Rule};
+use super::{APPLY_LIMIT, CONTACT_TIMEOUT, DOWNGRADE_SLACK, Rule, RuleChecker};
 use crate::controllers::DRAIN_MS;
 use crate::proxies::GRACE;
 use crate::record::{Arrival, Ended, Put, Try};
@@ -9,11 +9,11 @@
 
 const WINDOW: Us = 10 * S;
 const LOSS_SLACK: Us = 200 * MS;
-/// Promises that nothing ran.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// Statuses that guarantee that the request was not executed.
+const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// So many requests on routes that were added later tell something.
-const LATER_LEAST: usize = 20;
+/// Fewest requests on later routes for which success rates are compared.
+const MIN_LATER_REQUESTS: usize = 20;
 
 #[derive(Debug, Default)]
 struct Served {
@@ -21,8 +21,8 @@
     served: usize,
 }
 
-impl<'a> Judge<'a> {
-    fn by_request(&self) -> HashMap<usize, Vec<&'a Arrival>> {
+impl<'a> RuleChecker<'a> {
+    fn arrivals_by_attempt(&self) -> HashMap<usize, Vec<&'a Arrival>> {
         let mut by: HashMap<usize, Vec<&Arrival>> = HashMap::new();
         self.record
             .arrivals
@@ -35,16 +35,16 @@
         self.record.puts.iter().filter(|put| put.valid)
     }
 
-    /// Whether it may run once only, by whichever configuration it was handled: below another route's prefix a new one
-    /// may be of another kind.
-    fn once(&self, try_: &Try) -> bool {
+    /// Whether no configuration known by then allows this attempt to be repeated. A later route with a longer prefix can
+    /// have a different kind.
+    fn runs_at_most_once(&self, try_: &Try) -> bool {
         let known = self.valid().filter(|put| put.sent <= try_.ended_us());
         let mut routes = known.filter_map(|put| put.config.route(&try_.host, &try_.path));
         !try_.kind.is_idempotent() && routes.all(|route| !route.kind.is_idempotent())
     }
 
-    pub fn requests(&mut self) {
-        let by = self.by_request();
+    pub fn check_requests(&mut self) {
+        let by = self.arrivals_by_attempt();
         for (index, try_) in self.record.tries.iter().enumerate() {
             let at = try_.ended_us().min(self.record.end);
             let arrivals = by.get(&index).map_or(&[][..], Vec::as_slice);
@@ -54,10 +54,13 @@
                 .collect();
             if arrivals.iter().any(|arrival| arrival.path != try_.path) {
                 self.breach(Rule::Unasked, at, || {
-                    format!("try {index} of {} arrives as another", try_.path)
+                    format!(
+                        "attempt {index} of path {} arrived with a different path",
+                        try_.path
+                    )
                 });
             }
-            let once = self.once(try_);
+            let once = self.runs_at_most_once(try_);
             if once && ran.len() > 1 {
                 let runs: Vec<String> = ran
                     .iter()
@@ -65,21 +68,24 @@
                         let run = arrival.ran.as_ref();
                         let status = run.map_or(0, |run| run.status);
                         format!(
-                            "{} from {} ms on, its answer {status}",
+                            "{} starting at {} ms with status {status}",
                             arrival.incarnation,
                             arrival.at / MS
                         )
                     })
                     .collect();
                 self.breach(Rule::Twice, at, || {
-                    format!("try {index} runs at {}", runs.join(", "))
+                    format!(
+                        "non-idempotent attempt {index} was executed more than once: {}",
+                        runs.join(", ")
+                    )
                 });
             }
             let status = try_.status();
-            if once && PROMISES.contains(&status) && !ran.is_empty() {
+            if once && NOT_EXECUTED_STATUSES.contains(&status) && !ran.is_empty() {
                 let incarnation = &ran[0].incarnation;
                 self.breach(Rule::Refused, at, || {
-                    format!("try {index} gets {status} and runs at {incarnation}")
+                    format!("attempt {index} returned {status} but was executed by {incarnation}")
                 });
             }
             if let Some((_, Ended::Told(told))) = &try_.ended
@@ -94,7 +100,7 @@
                     });
                 if !good || !told.whole {
                     self.breach(Rule::Mixed, at, || {
-                        format!("try {index} gets what no task gave it")
+                        format!("attempt {index} received a response that no task sent or an incomplete one")
                     });
                 }
             }
@@ -106,7 +112,7 @@
                 if !ever {
                     self.breach(Rule::Route, arrival.at, || {
                         format!(
-                            "try {index} of {}{} runs at {}",
+                            "attempt {index} of {}{} was executed by {}, which no configuration allows",
                             try_.host, try_.path, arrival.incarnation
                         )
                     });
@@ -115,7 +121,7 @@
         }
     }
 
-    pub fn drains(&mut self) {
+    pub fn check_drains(&mut self) {
         let mut drained: BTreeMap<&str, Vec<(Us, usize)>> = BTreeMap::new();
         for drain in &self.record.drains {
             drained
@@ -135,7 +141,7 @@
             let late = |at: &Us| arrival.at > *at + DRAIN_MS * MS;
             let Some((at, by)) = acks
                 .iter()
-                .find(|(at, by)| late(at) && self.in_touch(*by, *at))
+                .find(|(at, by)| late(at) && self.in_contact(*by, *at))
             else {
                 continue;
             };
@@ -147,14 +153,14 @@
                 .any(|(machine, task, from, until)| {
                     (*machine, *task) == (arrival.machine, arrival.task)
                         && *from <= arrival.at
-                        && *until + CONTACT >= arrival.at
+                        && *until + CONTACT_TIMEOUT >= arrival.at
                 });
             let machine = arrival.machine;
             let took = self.record.tries[arrival.request].sent_us;
-            if !held && self.in_touch(machine, arrival.at) && self.in_touch(machine, took) {
+            if !held && self.in_contact(machine, arrival.at) && self.in_contact(machine, took) {
                 self.breach(Rule::Drain, arrival.at, || {
                     format!(
-                        "try {} from machine {machine} comes to {} {} ms after machine {by} acknowledged",
+                        "attempt {} from machine {machine} reached {} {} ms after machine {by} acknowledged its drain",
                         arrival.request,
                         arrival.incarnation,
                         (arrival.at - at) / MS
@@ -164,8 +170,11 @@
         }
     }
 
-    /// How a try was handled: by a service, or by none.
-    fn handled(&self, by: &HashMap<usize, Vec<&Arrival>>) -> Vec<(Us, usize, Option<usize>)> {
+    /// Lists the outcome of each routed attempt: time, attempt and executing service, or none for a 404.
+    fn routing_outcomes(
+        &self,
+        by: &HashMap<usize, Vec<&Arrival>>,
+    ) -> Vec<(Us, usize, Option<usize>)> {
         let mut all = Vec::new();
         for (index, try_) in self.record.tries.iter().enumerate() {
             let arrivals = by
@@ -189,9 +198,9 @@
         }
     }
 
-    pub fn configurations(&mut self) {
-        let by = self.by_request();
-        let handled = self.handled(&by);
+    pub fn check_configurations(&mut self) {
+        let by = self.arrivals_by_attempt();
+        let handled = self.routing_outcomes(&by);
         let mut floors: HashMap<(usize, u32), Vec<(Us, u64)>> = HashMap::new();
         let (mut denied, mut proper) = (0usize, 0usize);
         for (at, index, service) in handled {
@@ -205,16 +214,17 @@
             let (least, most) = (versions.clone().min(), versions.max());
             let acked = known
                 .iter()
-                .filter(|put| put.acked.is_some_and(|acked| acked + APPLY <= sent));
+                .filter(|put| put.acked.is_some_and(|acked| acked + APPLY_LIMIT <= sent));
             let newest = acked.map(|put| put.config.version).max().unwrap_or(0);
-            let touched = self.in_touch(try_.machine, sent) && self.in_touch(try_.machine, at);
-            let how = service.map_or("refused".into(), |service| {
-                format!("run by service {service}")
+            let in_contact =
+                self.in_contact(try_.machine, sent) && self.in_contact(try_.machine, at);
+            let how = service.map_or("rejected".into(), |service| {
+                format!("executed by service {service}")
             });
-            if most.is_some_and(|most| most < newest) && touched {
+            if most.is_some_and(|most| most < newest) && in_contact {
                 self.breach(Rule::Config, at, || {
                     format!(
-                        "try {index} of {} is {how} by version {} at most at machine {}, {newest} is acknowledged",
+                        "attempt {index} of {} was {how} under version {} or older at machine {}, after version {newest} was acknowledged",
                         try_.path,
                         most.unwrap_or(0),
                         try_.machine
@@ -222,13 +232,13 @@
                 });
             }
             proper += 1;
-            denied += usize::from(service.is_none() && most.is_none() && touched);
+            denied += usize::from(service.is_none() && most.is_none() && in_contact);
             let floors = floors
                 .entry((try_.machine, try_.process_incarnation))
                 .or_default();
             let floor = floors
                 .iter()
-                .filter(|(seen, _)| seen + DOWNGRADE < sent)
+                .filter(|(seen, _)| seen + DOWNGRADE_SLACK < sent)
                 .map(|(_, v)| *v)
                 .max();
             if let (Some(floor), Some(most)) = (floor, most)
@@ -236,7 +246,7 @@
             {
                 self.breach(Rule::Config, at, || {
                     format!(
-                        "machine {} goes back: try {index} is {how} by {most}, {floor} was seen",
+                        "machine {} reverted its configuration: attempt {index} was {how} under version {most} after version {floor}",
                         try_.machine
                     )
                 });
@@ -249,15 +259,15 @@
         }
         if denied > 5 + proper / 500 {
             self.breach(Rule::Denied, 0, || {
-                format!("{denied} proper requests get 404")
+                format!("{denied} valid requests returned 404")
             });
         }
-        self.later_routes();
-        self.orders();
+        self.check_later_routes();
+        self.check_changes();
     }
 
-    /// Routes that were added later are served about as often as the first ones, by machines in touch.
-    fn later_routes(&mut self) {
+    /// Checks that machines in contact serve later routes at a rate comparable to the initial routes.
+    fn check_later_routes(&mut self) {
         let Some(first) = self.valid().next() else {
             return;
         };
@@ -267,11 +277,12 @@
             .record
             .tries
             .iter()
-            .filter(|try_| self.in_touch(try_.machine, try_.sent_us))
+            .filter(|try_| self.in_contact(try_.machine, try_.sent_us))
         {
-            let holds = self
-                .valid()
-                .filter(|put| put.acked.is_some_and(|acked| acked + APPLY <= try_.sent_us));
+            let holds = self.valid().filter(|put| {
+                put.acked
+                    .is_some_and(|acked| acked + APPLY_LIMIT <= try_.sent_us)
+            });
             let newest = holds.max_by_key(|put| put.config.version);
             let Some(route) = newest.and_then(|put| put.config.route(&try_.host, &try_.path))
             else {
@@ -286,31 +297,31 @@
             of.served += usize::from(try_.served());
         }
         let seldom = of_later.served * of_first.asked * 4 < of_first.served * of_later.asked;
-        if of_later.asked >= LATER_LEAST && seldom {
+        if of_later.asked >= MIN_LATER_REQUESTS && seldom {
             let end = self.record.end;
             self.breach(Rule::Config, end, || {
-                format!("routes added later are served {of_later:?}, the first ones {of_first:?}")
+                format!("success on later routes: {of_later:?}, on initial routes: {of_first:?}")
             });
         }
     }
 
-    fn orders(&mut self) {
+    fn check_changes(&mut self) {
         for (number, put) in self.record.puts.iter().enumerate() {
             let version = put.config.version;
             match (put.valid, put.acked, put.refused) {
                 (false, Some(at), _) => {
                     self.breach(Rule::Config, at, || {
-                        format!("put {number} is invalid and acknowledged")
+                        format!("invalid put {number} was acknowledged")
                     });
                 }
                 (true, _, Some(status)) => {
                     self.breach(Rule::Acks, put.sent, || {
-                        format!("put {number} of version {version} gets {status}")
+                        format!("put {number} of version {version} returned {status}")
                     });
                 }
                 (true, None, None) if put.sent + 8 * S < self.record.end => {
                     self.breach(Rule::Acks, put.sent, || {
-                        format!("put {number} of version {version} is never acknowledged")
+                        format!("put {number} of version {version} was never acknowledged")
                     });
                 }
                 _ => {}
@@ -324,7 +335,7 @@
         let end = self.record.end;
         match &self.record.read_back {
             None => self.breach(Rule::Lost, end, || {
-                "the configuration can't be read back".into()
+                "the configuration could not be read at the end".into()
             }),
             Some(body) => {
                 let held = self
@@ -334,21 +345,24 @@
                     .max();
                 if held.is_none_or(|held| held < newest) {
                     self.breach(Rule::Lost, end, || {
-                        format!("version {held:?} is read back, {newest} was acknowledged")
+                        format!("version {held:?} was read at the end, but version {newest} was acknowledged")
                     });
                 }
             }
         }
     }
 
-    /// Any machine, in touch or not, answers a read with no older version than one that was acknowledged long enough
-    /// before it (NEWS-22, CONFIG).
-    pub fn configuration_reads(&mut self) {
+    /// Checks that no machine, in contact or not, returns an older configuration than one acknowledged at least the apply
+    /// limit before the read (NEWS-22, CONFIG).
+    pub fn check_configuration_reads(&mut self) {
         for read in &self.record.reads {
             let Some(body) = &read.body else {
                 continue;
             };
-            let is_due = |put: &&Put| put.acked.is_some_and(|acked| acked + APPLY <= read.sent);
+            let is_due = |put: &&Put| {
+                put.acked
+                    .is_some_and(|acked| acked + APPLY_LIMIT <= read.sent)
+            };
             let version = |put: &Put| put.config.version;
             let newest = self.valid().filter(is_due).map(version).max();
             let held = self.valid().filter(|put| put.body == *body);
@@ -356,13 +370,13 @@
             if held < newest {
                 self.breach(Rule::Config, read.sent, || {
                     let machine = read.machine;
-                    format!("machine {machine} reads version {held:?}, {newest:?} was acknowledged")
+                    format!("machine {machine} returned version {held:?} after version {newest:?} was acknowledged")
                 });
             }
         }
     }
 
-    pub fn budget(&mut self) {
+    pub fn check_retry_budget(&mut self) {
         let mut seen: HashMap<usize, u32> = HashMap::new();
         let mut extras: BTreeMap<usize, Vec<Us>> = BTreeMap::new();
         let mut order: Vec<&Arrival> = self.record.arrivals.iter().collect();
@@ -402,7 +416,7 @@
                 if count as f64 > allowed {
                     self.breach(Rule::Budget, *at, || {
                         format!(
-                            "service {service} gets {count} further tries, {allowed:.1} are allowed"
+                            "service {service} received {count} retries; the budget allows {allowed:.1}"
                         )
                     });
                     break;
@@ -411,9 +425,9 @@
         }
     }
 
-    /// Planned work, where nothing unplanned happens meanwhile.
-    pub fn losses(&mut self) {
-        let by = self.by_request();
+    /// Checks that an orderly shutdown loses no request in the absence of unplanned faults.
+    pub fn check_shutdown_losses(&mut self) {
+        let by = self.arrivals_by_attempt();
         for (machine, term) in self.record.terms.clone() {
             for (index, try_) in self.record.tries.iter().enumerate() {
                 let Some((ended, Ended::Closed)) = &try_.ended else {
@@ -423,12 +437,12 @@
                 if try_.machine != machine || ended < term || ended > term + GRACE + S {
                     continue;
                 }
-                let calm = !self
+                let undisturbed = !self
                     .record
                     .faults
                     .unplanned
                     .iter()
-                    .any(|(from, until)| *from <= ended && *until + CONTACT >= sent);
+                    .any(|(from, until)| *from <= ended && *until + CONTACT_TIMEOUT >= sent);
                 let arrivals = by.get(&index).map_or(&[][..], Vec::as_slice);
                 let passed = !arrivals.is_empty() || ended > sent + LOSS_SLACK;
                 let excused = arrivals.iter().any(|arrival| {
@@ -438,10 +452,10 @@
                                 && run.begun < term + GRACE
                         })
                 });
-                if calm && passed && !excused && ended < sent + try_.deadline {
+                if undisturbed && passed && !excused && ended < sent + try_.deadline {
                     self.breach(Rule::Lost, ended, || {
                         format!(
-                            "try {index} is cut off at machine {machine}, which was told to end"
+                            "attempt {index} was cut off during the orderly shutdown of machine {machine}"
                         )
                     });
                 }
@@ -449,7 +463,7 @@
         }
     }
 
-    pub fn recovery(&mut self) {
+    pub fn check_recovery(&mut self) {
         let (from, to) = (
             self.record.end.saturating_sub(4 * S),
             self.record.end.saturating_sub(1_500 * MS),
@@ -464,7 +478,7 @@
         if good * 4 < served.len() * 3 {
             let of = served.len();
             self.breach(Rule::Recover, from, || {
-                format!("{good} of {of} requests are served at the end")
+                format!("{good} of {of} requests were served after the last fault")
             });
         }
     }
--- a/crates/rookpulley-simulator/src/record.rs
+++ b/crates/rookpulley-simulator/src/record.rs
@@ -1,23 +1,23 @@
-//! What those outside saw: clients, tasks, operators, applications, and the platform that made the faults.
+//! The externally visible record of a simulation: clients, tasks, operators, applications and injected faults.
 
 use crate::Us;
 use crate::clients::Told;
 use rookpulley_routes::RouteKind;
 use std::collections::BTreeMap;
 
-/// How a client's try ended.
+/// How a client's attempt ended.
 #[derive(Clone, Debug)]
 pub enum Ended {
     Told(Told),
-    /// The connection ended before anything was read.
+    /// The connection closed before the request was read.
     Unread,
     Closed,
-    /// It wasn't read for long.
+    /// The client gave up because the request was not read in time.
     GivenUp,
     Late,
 }
 
-/// One try of a client.
+/// One attempt of a client request.
 #[derive(Clone, Debug)]
 pub struct Try {
     pub request: usize,
@@ -64,7 +64,7 @@
 /// A request at a task.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The number of the client's try, as its id says.
+    /// The index of the client's attempt, taken from the request ID.
     pub request: usize,
     pub incarnation: String,
     pub service: usize,
@@ -72,7 +72,7 @@
     pub machine: usize,
     pub task: usize,
     pub path: String,
-    /// Another incarnation was meant: 421.
+    /// The request was addressed to another incarnation and got 421.
     pub stranger: bool,
     pub ran: Option<Run>,
     pub broke_off: bool,
@@ -104,7 +104,7 @@
 }
 
 impl Config {
-    /// The longest prefix that begins the path.
+    /// Returns the route with the longest matching prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let fits = self
             .routes
@@ -164,11 +164,11 @@
     pub sent: Us,
     pub done: Option<Us>,
     pub got: Got,
-    /// Some try of it had no clear answer.
+    /// At least one attempt had an indeterminate result.
     pub unclear: bool,
 }
 
-/// A lock as its holder sees it.
+/// A lock as its holder observes it.
 #[derive(Clone, Debug)]
 pub struct Hold {
     pub app: usize,
@@ -189,27 +189,26 @@
     pub sent: Us,
 }
 
-/// Faults that the platform made, as far as the rules ask for it.
+/// The injected faults that the rules take into account.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformFaults {
-    /// Moments that unsettle the core.
+    /// Times of faults that affect the controllers.
     pub core: Vec<Us>,
-    /// On one machine, from when to when.
+    /// Faults of one machine: machine, start and end.
     pub machine: Vec<(usize, Us, Us)>,
-    /// A link that doesn't carry, in some direction: a machine and another machine.
+    /// Partitions in at least one direction: two machines, start and end.
     pub cuts: Vec<(usize, usize, Us, Us)>,
-    /// The same with a task's place.
+    /// Partitions between a machine and a task: machine, task, start and end.
     pub task_cuts: Vec<(usize, usize, Us, Us)>,
-    /// Unplanned ones, of any kind.
+    /// Unplanned faults of any kind: start and end.
     pub unplanned: Vec<(Us, Us)>,
 }
 
-/// A read of the configuration amid the day, at one controller.
+/// A configuration read at one controller during the run.
 pub struct ConfigurationRead {
     pub sent: Us,
-    /// The machine that was asked.
     pub machine: usize,
-    /// None: the answer names no configuration.
+    /// `None` if the response contains no configuration.
     pub body: Option<Vec<u8>>,
 }
 
@@ -227,10 +226,10 @@
     pub holds: Vec<Hold>,
     pub watches: Vec<WatchPart>,
     pub faults: PlatformFaults,
-    /// When a machine was told to end in order.
+    /// Orderly shutdowns: machine and time of the signal.
     pub terms: Vec<(usize, Us)>,
     pub incarnations: BTreeMap<String, usize>,
-    /// Ends by themselves and what else must not happen.
+    /// Unexpected exits and other program faults.
     pub program_faults: Vec<String>,
     pub wires: crate::tasks::Wires,
     pub end: Us,
--- a/crates/rookpulley-simulator/src/seen.rs
+++ b/crates/rookpulley-simulator/src/seen.rs
@@ -1,44 +1,44 @@
-//! What of a day tells whether a mechanism did its work: what was served, refused and sent, and when.
+//! Summaries of a simulation for tests: requests served, attempts rejected and attempts that reached tasks.
 
 use crate::MS;
 use crate::record::{Ended, Record};
 use rookpulley_routes::RouteKind;
 use std::collections::BTreeMap;
 
-/// A client's request with all its tries.
+/// A client request with all its attempts.
 #[derive(Clone, Debug)]
 pub struct Asked {
     pub at_ms: u64,
     pub kind: RouteKind,
     pub zone: usize,
     pub tries: u32,
-    /// No route led anywhere: whoever asks for what was dropped gets that.
+    /// An attempt returned 404 because no route matched.
     pub unknown: bool,
     pub served_ms: Option<u64>,
 }
 
-/// A try that was told 503.
+/// An attempt that returned 503.
 #[derive(Clone, Copy, Debug)]
 pub struct Refused {
     pub at_ms: u64,
     pub took_ms: u64,
-    /// When its client is to come back.
+    /// The retry delay in the response.
     pub again_ms: Option<f64>,
 }
 
-/// A try at a task.
+/// An attempt that reached a task.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrived {
     pub at_ms: u64,
     pub service: usize,
     pub place: usize,
     pub machine: usize,
-    /// Of its request, it was not the first.
+    /// An earlier arrival has the same request number.
     pub further: bool,
-    /// Another incarnation was meant.
+    /// The request was addressed to another incarnation.
     pub stranger: bool,
     pub ran: bool,
-    /// The task's answer; 0: none, or it turned the try away.
+    /// The status of the executed request, or 0 if it was not executed.
     pub status: u16,
 }
 
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The part that was served of what came from then to then, as far as it fits.
+    /// The served share of the matching requests first sent within the interval; requests without a route are excluded.
     pub fn share(&self, from_ms: u64, to_ms: u64, fits: impl Fn(&Asked) -> bool) -> f64 {
         let within = |of: &&Asked| (from_ms..to_ms).contains(&of.at_ms) && !of.unknown && fits(of);
         let (served, all) = self
@@ -116,7 +116,7 @@
         served as f64 / f64::max(f64::from(all), 1.0)
     }
 
-    /// What came to tasks from then to then.
+    /// The attempts that reached tasks within the interval.
     pub fn came(&self, from_ms: u64, to_ms: u64) -> impl Iterator<Item = &Arrived> {
         self.arrived
             .iter()
