--- a/crates/rookpulley-simulator/src/apps.rs
+++ b/crates/rookpulley-simulator/src/apps.rs
@@ -121,7 +121,7 @@
             sent: self.now,
             done: None,
             got: Got::Nothing,
-            unclear: false,
+            indeterminate: false,
         });
         self.apps[app].call = Some(number);
         self.call(Who::App(app), endpoint, name, body, Vec::new(), (WITHIN, 0));
@@ -283,7 +283,7 @@
             _ => {}
         }
         let of = &mut self.record.calls[number];
-        (of.done, of.got, of.unclear) = (Some(now), got, call.unclear);
+        (of.done, of.got, of.indeterminate) = (Some(now), got, call.indeterminate);
         let us = self.rng.random_range(10..160u64) * MS;
         self.after(us, None, What::App(app));
     }
@@ -338,7 +338,7 @@
                 sent: self.now,
                 done: None,
                 got: Got::Nothing,
-                unclear: false,
+                indeterminate: false,
             });
             self.record.last.push(number);
             self.call(
@@ -381,6 +381,6 @@
             (None, _) => Got::Nothing,
         };
         let of = &mut self.record.calls[number];
-        (of.done, of.got, of.unclear) = (Some(self.now), got, call.unclear);
+        (of.done, of.got, of.indeterminate) = (Some(self.now), got, call.indeterminate);
     }
 }
--- a/crates/rookpulley-simulator/src/callers.rs
+++ b/crates/rookpulley-simulator/src/callers.rs
@@ -37,7 +37,7 @@
     pub attempt: u32,
     pub machine: usize,
     /// Some try had no clear answer.
-    pub unclear: bool,
+    pub indeterminate: bool,
     pub until_us: Us,
     /// So long each try is waited for.
     pub patience: Us,
@@ -94,7 +94,7 @@
                 sent_us: now,
                 attempt: 0,
                 machine,
-                unclear: false,
+                indeterminate: false,
                 until_us: now + within,
                 patience: SECOND + patience,
             },
@@ -215,13 +215,13 @@
     }
 
     /// To another controller after a pause that grows, or given up.
-    fn unanswered(&mut self, call: u64, unclear: bool) {
+    fn unanswered(&mut self, call: u64, indeterminate: bool) {
         let core = self.callable();
         let now = self.now;
         let Some(of) = self.calls.get_mut(&call) else {
             return;
         };
-        of.unclear |= unclear;
+        of.indeterminate |= indeterminate;
         // What comes back later is not waited for.
         of.attempt += 1;
         let place = core
--- a/crates/rookpulley-simulator/src/clients.rs
+++ b/crates/rookpulley-simulator/src/clients.rs
@@ -9,7 +9,7 @@
 
 /// What a client hears.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct ClientResponse {
     /// 0: nothing, the connection ended.
     pub status: u16,
     pub signature: u64,
@@ -18,9 +18,9 @@
     pub whole: bool,
 }
 
-impl Told {
-    pub fn own(status: u16, retry_after_ms: Option<f64>) -> Told {
-        Told {
+impl ClientResponse {
+    pub fn own(status: u16, retry_after_ms: Option<f64>) -> ClientResponse {
+        ClientResponse {
             status,
             signature: 0,
             body: 0,
@@ -137,7 +137,7 @@
         let left = of.until.saturating_sub(now);
         of.deadline = left;
         let Some(machine) = machine else {
-            self.ends(index, Ended::Unread);
+            self.ends(index, Ended::ClosedUnread);
             return;
         };
         of.machine = machine;
@@ -159,9 +159,9 @@
             } else {
                 S
             };
-            let told = Told {
+            let told = ClientResponse {
                 whole: false,
-                ..Told::own(0, None)
+                ..ClientResponse::own(0, None)
             };
             self.after(
                 us,
@@ -178,9 +178,9 @@
     pub fn not_read(&mut self, process: usize, index: usize) {
         let host = self.host_of(process);
         let us = if self.powered(host) { MS } else { S };
-        let told = Told {
+        let told = ClientResponse {
             whole: false,
-            ..Told::own(0, None)
+            ..ClientResponse::own(0, None)
         };
         self.after(
             us,
@@ -201,20 +201,20 @@
             (of.machine, of.process_incarnation, of.read_us.is_some());
         let process = self.process_of(machine, false);
         let zone = of.zone;
-        self.ends(index, if read { Ended::Late } else { Ended::GivenUp });
+        self.ends(index, if read { Ended::Late } else { Ended::Abandoned });
         let us = self.delay(Host::Outside(zone), Host::Machine(machine));
         self.after(us, Some((process, incarnation)), What::ClientClosed(index));
     }
 
-    pub fn client_hears(&mut self, index: usize, told: Told) {
+    pub fn client_hears(&mut self, index: usize, told: ClientResponse) {
         if self.record.tries[index].ended.is_some() {
             return;
         }
         let read = self.record.tries[index].read_us.is_some();
         let ended = match (told.status, read) {
-            (0, false) => Ended::Unread,
+            (0, false) => Ended::ClosedUnread,
             (0, true) => Ended::Closed,
-            _ => Ended::Told(told),
+            _ => Ended::Response(told),
         };
         self.ends(index, ended);
     }
@@ -225,17 +225,17 @@
         let of = &mut self.record.tries[index];
         let repeatable = of.kind.is_idempotent();
         let retry_ms = match &ended {
-            Ended::Told(told) => told.retry_after_ms.unwrap_or(0.0),
+            Ended::Response(told) => told.retry_after_ms.unwrap_or(0.0),
             _ => 0.0,
         };
         let again = match &ended {
-            Ended::Told(told) => match told.status {
+            Ended::Response(told) => match told.status {
                 200..=299 | 400 | 401 | 404 | 413 | 431 => false,
                 408 | 421 | 429 | 503 => true,
                 _ => repeatable,
             },
-            Ended::Unread => true,
-            Ended::Closed | Ended::GivenUp => repeatable,
+            Ended::ClosedUnread => true,
+            Ended::Closed | Ended::Abandoned => repeatable,
             Ended::Late => false,
         };
         of.ended = Some((now, ended));
--- a/crates/rookpulley-simulator/src/controllers.rs
+++ b/crates/rookpulley-simulator/src/controllers.rs
@@ -1,6 +1,6 @@
 //! A controller's process: the controller with a simulated store, lines and callers round it.
 
-use crate::net::unframed;
+use crate::net::decode_frame;
 use crate::world::{Core, Mutation, What, World};
 use crate::{MS, S, Us};
 use rand::RngExt;
@@ -235,7 +235,7 @@
     }
 
     fn reply(&mut self, process: usize, call: u64, attempt: u32, mut reply: Reply) {
-        if self.mutation == Some(Mutation::RefusedAfterAll) && reply.status == 504 {
+        if self.mutation == Some(Mutation::RejectAppliedCalls) && reply.status == 504 {
             reply.status = 503;
         }
         let (from, to) = (self.host_of(process), self.caller_host(call));
@@ -271,7 +271,7 @@
             }
             What::Dialed { ip, up } => self.controller_dialed(process, ip, up),
             What::Line { line, side, bytes } => {
-                if let Some(bytes) = self.heard_line(line, side, bytes) {
+                if let Some(bytes) = self.receive_line(line, side, bytes) {
                     self.controller_hears(process, line, &bytes);
                 }
             }
@@ -366,8 +366,8 @@
         let Some(of) = self.lines.get(&line) else {
             return;
         };
-        if self.keeps_control(of.ends[0].0) {
-            let Some(message) = unframed::<PeerMessage>(bytes) else {
+        if self.is_stateful_controller(of.ends[0].0) {
+            let Some(message) = decode_frame::<PeerMessage>(bytes) else {
                 return;
             };
             let mut who = of.who;
@@ -380,7 +380,7 @@
                 .for_each(|of| of.who = who);
             return;
         }
-        let (Some(up), known) = (unframed::<ProxyToController>(bytes), of.proxy.clone()) else {
+        let (Some(up), known) = (decode_frame::<ProxyToController>(bytes), of.proxy.clone()) else {
             return;
         };
         match (up, known) {
@@ -503,7 +503,7 @@
         let operation = match parsed {
             Ok(operation) => self.mutated(operation),
             Err(_)
-                if self.mutation == Some(Mutation::TakesInvalid)
+                if self.mutation == Some(Mutation::AcceptInvalidConfiguration)
                     && endpoint == Endpoint::PutConfiguration =>
             {
                 Operation::Update(Update::PutConfiguration {
@@ -513,7 +513,9 @@
             }
             Err(reply) => return self.reply(process, call, attempt, reply),
         };
-        if self.mutation == Some(Mutation::RepeatRefused) && self.repeats(process, &operation) {
+        if self.mutation == Some(Mutation::RejectRepeatedConfiguration)
+            && self.repeats(process, &operation)
+        {
             let refused = Reply {
                 status: 409,
                 retry_after: None,
@@ -521,7 +523,7 @@
             };
             return self.reply(process, call, attempt, refused);
         }
-        if self.mutation == Some(Mutation::ReadsAlone)
+        if self.mutation == Some(Mutation::LocalReads)
             && let Operation::Read(query @ (Query::Key { .. } | Query::Configuration)) = &operation
         {
             let reply = self.read_alone(process, query);
@@ -545,7 +547,7 @@
                 name,
                 holder,
                 lease_ms,
-            }) if self.mutation == Some(Mutation::LocksShort) => {
+            }) if self.mutation == Some(Mutation::ShortLocks) => {
                 Operation::Update(Update::AcquireLock {
                     name,
                     holder,
--- a/crates/rookpulley-simulator/src/day.rs
+++ b/crates/rookpulley-simulator/src/day.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 /// Time before traffic starts, for the first configuration and heartbeats.
-pub const BEGINS_MS: u64 = 2_500;
+pub const WARM_UP_MS: u64 = 2_500;
 /// Time without faults at the end of a drawn scenario.
 pub const CALM_MS: u64 = 11_000;
 
@@ -18,7 +18,7 @@
     /// Clients never retry.
     pub once: bool,
     /// The first zone has a tenth of the tasks but an equal share of the clients.
-    pub lopsided: bool,
+    pub uneven_zones: bool,
     /// Range of the service time; by default each task draws one from 4 to 30 ms.
     pub work_ms: Option<(u64, u64)>,
     /// Concurrent requests per task; by default each task draws two to six.
--- a/crates/rookpulley-simulator/src/day/draw.rs
+++ b/crates/rookpulley-simulator/src/day/draw.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Least time between a disk loss and another controller fault, so that the controller can catch up.
-const CATCHES_UP_MS: u64 = 9_000;
+const CATCH_UP_MS: u64 = 9_000;
 const LENGTH_MS: u64 = 30_000;
 /// Time of the last scheduled fault, except for the closing event.
 const LAST_MS: u64 = LENGTH_MS - CALM_MS;
@@ -105,7 +105,7 @@
         for _ in 0..rng.random_range(1..=most) {
             let at = rng.random_range(4_000..LAST_MS - 2_000);
             let event = self.draw_fault(rng);
-            let is_close = disk_lost_ms.is_some_and(|lost| at.abs_diff(lost) < CATCHES_UP_MS);
+            let is_close = disk_lost_ms.is_some_and(|lost| at.abs_diff(lost) < CATCH_UP_MS);
             if !(is_close && event.touches_core(self.controllers)) {
                 self.events.push((at, event));
             }
@@ -150,7 +150,7 @@
         };
         if matches!(how, Closing::Disks { .. }) {
             let controllers = self.controllers;
-            let is_close = |at: u64| at + CATCHES_UP_MS > CLOSING_MS;
+            let is_close = |at: u64| at + CATCH_UP_MS > CLOSING_MS;
             self.events
                 .retain(|(at, event)| !(is_close(*at) && event.touches_core(controllers)));
         }
--- a/crates/rookpulley-simulator/src/disk.rs
+++ b/crates/rookpulley-simulator/src/disk.rs
@@ -1,4 +1,4 @@
-//! The disk of a controller: batches that are whole, of which the one under way may be there or missing after an end.
+//! Simulated controller disk: batches are atomic, and a crash keeps or loses the batch being written.
 
 use crate::{MS, Us};
 use rand::RngExt;
@@ -20,7 +20,7 @@
     records: Vec<Record>,
 }
 
-/// What the store says once a batch is synced.
+/// The completion of a synced batch.
 pub struct Synced {
     pub chain: Option<u64>,
     pub instances: Option<u64>,
@@ -34,7 +34,7 @@
     pub chain: Rows,
     pub instances: Rows,
     pub fault: Option<DiskFault>,
-    /// It says of everything at once that it is synced, long before it is.
+    /// Reports writes as synced immediately.
     pub lies: bool,
     waiting: Vec<Job>,
     under_way: Option<(Us, Vec<Job>)>,
@@ -65,7 +65,7 @@
         });
     }
 
-    /// Begins what waits, if nothing is under way; gives how long it takes.
+    /// Starts writing the pending batch if the disk is idle, and returns the write time.
     pub fn begin(&mut self, now: Us) -> Option<Us> {
         if self.under_way.is_some() || self.waiting.is_empty() {
             return None;
@@ -96,7 +96,7 @@
         Some(synced)
     }
 
-    /// The process ends, or the power: what is under way may be there or not.
+    /// Handles the end of the process or a power loss: drops pending writes and keeps or loses the current ones.
     pub fn ends(&mut self, rng: &mut ChaCha8Rng) {
         self.waiting.clear();
         let there = [
--- a/crates/rookpulley-simulator/src/event.rs
+++ b/crates/rookpulley-simulator/src/event.rs
@@ -1,23 +1,23 @@
-//! What can happen on a day: faults of machines, of the network and of tasks, and what operators do.
+//! Scenario events: machine, network and task faults, and operator actions.
 
 use rookpulley_routes::RouteKind;
 
-/// Something that happens at a moment of a day.
+/// A scheduled event. Its debug form appears in reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A machine's processes end and are started again. `power`: what was not synced may be gone.
+    /// Kills the processes of a machine and restarts them. With `power`, unsynced data can be lost.
     Kill {
         machine: usize,
         power: bool,
         down_ms: u64,
     },
-    /// Only its controller ends, or only its proxy.
+    /// Kills only the controller or only the proxy.
     KillOne {
         machine: usize,
         controller: bool,
         down_ms: u64,
     },
-    /// A machine of the core loses power and its disk.
+    /// A machine that runs a controller loses power and its disk.
     Wipe {
         machine: usize,
         down_ms: u64,
@@ -26,33 +26,33 @@
         machine: usize,
         ms: u64,
     },
-    /// What these machines say to all others, to controllers and tasks, doesn't come; `both`: nor the other way.
+    /// Blocks traffic from these machines to all other machines and tasks, and with `both` the reverse direction too.
     Cut {
         machines: Vec<usize>,
         both: bool,
         ms: u64,
     },
-    /// What others say to these machines doesn't come.
+    /// Blocks traffic from all other machines and tasks to these machines.
     Deaf {
         machines: Vec<usize>,
         ms: u64,
     },
-    /// One machine doesn't reach the tasks of a zone.
+    /// Partitions one machine from the tasks of a zone.
     CutTasks {
         machine: usize,
         zone: usize,
         ms: u64,
     },
-    /// All connections of a machine are reset.
+    /// Resets all connections of a machine.
     Reset {
         machine: usize,
     },
-    /// Packets of a machine are lost now and then.
+    /// Adds packet loss at a machine.
     Lossy {
         machine: usize,
         ms: u64,
     },
-    /// The whole core is killed at one moment.
+    /// Kills all machines that run a controller at the same time.
     Herd {
         power: bool,
         down_ms: u64,
@@ -66,20 +66,20 @@
         hangs: bool,
         ms: u64,
     },
-    /// The time of day jumps. Nothing that decides is told it.
+    /// Steps the wall clock, which must not affect any decision.
     ClockStep {
         machine: usize,
         by_s: i64,
     },
-    /// SIGTERM to a machine's processes, and a start.
+    /// Shuts down the processes of a machine with SIGTERM and restarts them.
     Term {
         machine: usize,
     },
-    /// The same for one machine after the other.
+    /// Shuts down one machine after another.
     RollingRestart {
         pause_ms: u64,
     },
-    /// Another machine with the same roles comes, and this one goes for good.
+    /// Replaces a machine with a new one that has the same roles.
     Replace {
         machine: usize,
         orderly: bool,
@@ -91,105 +91,105 @@
     DrainTasks {
         share: u32,
     },
-    /// Tasks of a service answer badly for a while.
+    /// Makes the tasks of a service misbehave for a while.
     BadTasks {
         service: usize,
         how: BadTask,
         ms: u64,
     },
-    /// The same of these places alone.
+    /// Makes only the tasks at these indexes misbehave.
     BadPlaces {
         places: Vec<usize>,
         how: BadTask,
         ms: u64,
     },
-    /// So many tasks of a service are replaced, one after the other: another begins at a new address, and the oldest
-    /// drains for good. `bad`: how the new ones answer.
+    /// Replaces `count` tasks of a service one by one: a new task starts at a new address and the oldest one drains.
+    /// `bad`: how the new tasks misbehave.
     Release {
         service: usize,
         count: u32,
         pause_ms: u64,
         bad: Option<BadTask>,
     },
-    /// Tasks of these places end, and their addresses go to another service's at once.
+    /// Ends these tasks and reuses their addresses at once for tasks of another service.
     PassOn {
         places: Vec<usize>,
     },
-    /// These machines and all others don't hear each other; tasks and clients they reach.
+    /// Partitions these machines from all other machines, but not from tasks and clients.
     CutControllers {
         machines: Vec<usize>,
         ms: u64,
     },
-    /// These machines of the core and its others don't hear each other; all other machines, tasks and clients they reach.
+    /// Partitions these controller machines from the other controller machines only.
     CutCore {
         machines: Vec<usize>,
         ms: u64,
     },
-    /// Most answers to operators are lost: the same order is sent again to another controller.
+    /// Loses most responses to operators, who then retry at another controller.
     LoseAnswers {
         ms: u64,
     },
-    /// Clients come that much more often.
+    /// Multiplies the request rate.
     Burst {
         times: u32,
         ms: u64,
     },
     /// The operator changes the configuration.
     Change,
-    /// The routes of a kind get another service as their only target.
+    /// Changes all routes of a kind to another service as their only target.
     Retarget {
         kind: RouteKind,
     },
-    /// Two operators change it at the same moment at two controllers.
+    /// Two operators change the configuration concurrently at two controllers.
     Race,
-    /// Several changes, one right after the other.
+    /// Several changes in quick succession.
     Storm {
         count: u32,
     },
     Invalid,
-    /// An earlier change arrives again.
+    /// Repeats an earlier change.
     Again,
     /// The operator reads the configuration at each controller.
     ReadEverywhere,
-    /// A change, and what strikes at the moment that it is acknowledged.
+    /// A change, followed by a fault as soon as it is acknowledged.
     Closing {
         how: Closing,
     },
 }
 
-/// What strikes at the moment that a change is acknowledged.
+/// The fault that follows an acknowledged change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Closing {
     /// All machines lose power.
     Dark,
     /// All processes are killed.
     Killed,
-    /// As many machines of the core as may be lost lose their disks; at times all others lose power with them.
+    /// As many controllers as the gateway tolerates lose their disks. With `others`, all machines lose power as well.
     Disks { others: bool },
 }
 
-/// How a task answers badly.
+/// How a task misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BadTask {
-    /// No answer comes.
+    /// Sends no response.
     Mute,
-    /// Answers break off.
+    /// Sends truncated responses.
     Cuts,
-    /// Bytes that are no answer, or another request's answer in the place of the next.
+    /// Sends invalid bytes or the response of another request.
     Garbles,
-    /// Everything takes ten times as long.
+    /// Takes ten times as long.
     Slow,
-    /// They turn most requests away.
+    /// Rejects most requests.
     Sheds,
     Fails,
-    /// Two requests of five fail.
+    /// Fails two of five requests.
     Errs,
-    /// All fail, in no time.
+    /// Fails every request immediately.
     Quick,
 }
 
 impl Event {
-    /// Whether a machine of the core may be lost by it.
+    /// Whether the event can make a controller unavailable.
     pub fn touches_core(&self, controllers: usize) -> bool {
         match self {
             Event::Kill { machine, .. }
--- a/crates/rookpulley-simulator/src/faults.rs
+++ b/crates/rookpulley-simulator/src/faults.rs
@@ -1,6 +1,6 @@
-//! Carries out what happens on a day, and ends it when its time is over.
+//! Applies scenario events and ends timed faults.
 //!
-//! The files under `faults/` hold one kind of fault each; each tells the record what the judge must know of it.
+//! Each submodule handles one kind of fault and records what the rules need to know about it.
 
 mod machines;
 mod network;
@@ -12,27 +12,27 @@
 use machines::Processes;
 use rand::RngExt;
 
-/// What is over after a while.
+/// How a timed fault ends.
 pub enum Recovery {
-    /// Hosts that were cut from each other hear each other. `core`: machines of the core were.
+    /// Heals a partition. `core`: it separated controller machines.
     Cut { core: bool },
-    /// No more packets are lost.
+    /// Ends packet loss.
     Lossy,
-    /// This machine's disk is well.
+    /// Ends the disk fault of this machine.
     Disk(usize),
-    /// All tasks answer properly.
+    /// Ends the misbehaviour of all tasks.
     Tasks,
 }
 
 impl World {
-    /// What the day has at this position.
+    /// Applies the event at this index of the schedule.
     pub fn play_event(&mut self, index: usize) {
         if let Some((_, event)) = self.day.events.get(index).cloned() {
             self.apply_event(event, index);
         }
     }
 
-    /// `index`: its position in the day, for what the operator does.
+    /// Applies an event. `index` is its position in the schedule, which operator actions use.
     pub fn apply_event(&mut self, event: Event, index: usize) {
         self.say(|| format!("-- {event:?}"));
         match event {
@@ -56,7 +56,7 @@
             Event::RollingRestart { pause_ms } => self.roll(0, pause_ms),
             Event::Replace { machine, orderly } => self.replace(machine, orderly),
             Event::Cut { machines, both, ms } => self.cut_machines(&machines, both, ms),
-            Event::Deaf { machines, ms } => self.deafen(&machines, ms),
+            Event::Deaf { machines, ms } => self.block_incoming(&machines, ms),
             Event::CutTasks { machine, zone, ms } => self.cut_tasks(machine, zone, ms),
             Event::CutControllers { machines, ms } => {
                 let all = (0..self.machines.len()).collect();
@@ -74,9 +74,9 @@
             Event::BadTasks { service, how, ms } => {
                 let is_its = |task: &usize| self.tasks[*task].service == service;
                 let places = (0..self.tasks.len()).filter(is_its).collect();
-                self.spoil_tasks(places, how, ms);
+                self.misbehave(places, how, ms);
             }
-            Event::BadPlaces { places, how, ms } => self.spoil_tasks(places, how, ms),
+            Event::BadPlaces { places, how, ms } => self.misbehave(places, how, ms),
             Event::Release {
                 service,
                 count,
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Has a fault end after a while.
+    /// Schedules the end of a fault.
     fn recover_in(&mut self, ms: u64, number: u64, recovery: Recovery) {
         self.recoveries.insert(number, recovery);
         self.after(ms * MS, None, What::Recover(number));
     }
 
-    /// A fault is over.
+    /// Ends a fault.
     pub fn recover(&mut self, number: u64) {
         match self.recoveries.remove(&number) {
             Some(Recovery::Cut { core }) => {
@@ -110,19 +110,19 @@
                 if core {
                     self.note_core_fault();
                 }
-                self.let_go();
+                self.release_delayed();
             }
             Some(Recovery::Lossy) => _ = self.net.lossy.remove(&number),
             Some(Recovery::Disk(machine)) => self.machines[machine].disk.fault = None,
-            // A place may have gone to another service meanwhile.
+            // A task index can belong to another service by now, so all are cleared.
             Some(Recovery::Tasks) => self.tasks.iter_mut().for_each(|task| task.bad = None),
             None => {}
         }
     }
 
-    /// A change was just acknowledged.
+    /// Applies the closing fault right after a change was acknowledged.
     pub fn close(&mut self, how: Closing) {
-        self.say(|| format!("-- {how:?} strikes"));
+        self.say(|| format!("-- closing fault: {how:?}"));
         match how {
             Closing::Dark => self.power_off_all(900),
             Closing::Killed => {
@@ -143,9 +143,9 @@
     }
 }
 
-/// What the judge must know.
+/// Records faults for the rules.
 impl World {
-    /// Something unplanned goes on for so long.
+    /// Records an unplanned fault of the given duration.
     fn note_unplanned(&mut self, ms: u64) {
         self.record
             .faults
@@ -153,19 +153,18 @@
             .push((self.now, self.now + ms * MS));
     }
 
-    /// The core is unsettled now.
+    /// Records a fault that affects the controllers now.
     fn note_core_fault(&mut self) {
         self.record.faults.core.push(self.now);
     }
 
-    /// On a machine, for so long; it may unsettle the core at both ends.
+    /// Records a machine fault; on a controller machine also as a controller fault for the whole duration.
     fn note_machine_fault(&mut self, machine: usize, ms: u64) {
         let (now, until) = (self.now, self.now + ms * MS);
         self.record.faults.machine.push((machine, now, until));
         self.note_unplanned(ms);
         if self.machines[machine].core {
             self.record.faults.core.extend([now, until]);
-            // What is slow all the while leaves it unsettled all the while.
             let mut at = now;
             while at < until {
                 self.record.faults.core.push(at);
--- a/crates/rookpulley-simulator/src/faults/machines.rs
+++ b/crates/rookpulley-simulator/src/faults/machines.rs
@@ -1,4 +1,4 @@
-//! Faults of machines, and restarts: kills, losses of power and disks, freezes, SIGTERM, replacements.
+//! Machine faults and restarts: kills, power and disk losses, freezes, SIGTERM and replacements.
 
 use super::Recovery;
 use crate::disk::DiskFault;
@@ -7,7 +7,7 @@
 use crate::{MS, S, Us};
 use rand::RngExt;
 
-/// A machine's processes that are hit.
+/// The processes of a machine that a fault affects.
 #[derive(Clone, Copy)]
 pub struct Processes {
     pub controller: bool,
@@ -56,7 +56,7 @@
             }
         }
         if power {
-            self.forget_held(machine);
+            self.drop_delayed(machine);
         }
         self.after(
             down_ms * MS,
@@ -96,7 +96,7 @@
         }
         for process in [2 * machine, 2 * machine + 1] {
             if self.running(process) {
-                self.processes[process].asleep = true;
+                self.processes[process].paused = true;
                 self.after(ms * MS, None, What::Wake { process });
             }
         }
@@ -122,7 +122,7 @@
                 continue;
             }
             let incarnation = self.processes[process].incarnation;
-            self.processes[process].termed = true;
+            self.processes[process].terminating = true;
             match is_controller {
                 true => self.term_controller(process),
                 false => self.term_proxy(process),
@@ -138,7 +138,7 @@
         }
     }
 
-    /// A proxy after the other; of the controllers only the first one's machine.
+    /// Restarts the proxies one after another, and the controller of the first machine.
     pub fn roll(&mut self, machine: usize, pause_ms: u64) {
         if machine >= self.machines.len() {
             return;
@@ -185,14 +185,14 @@
         self.after(GRACE + 100 * MS, None, What::Gone { machine });
     }
 
-    /// It goes for good.
+    /// Removes the machine permanently.
     pub fn retired(&mut self, machine: usize, power: bool) {
         for process in [2 * machine, 2 * machine + 1] {
             self.stop(process, power);
         }
         self.machines[machine].gone = true;
         self.machines[machine].power = false;
-        self.forget_held(machine);
+        self.drop_delayed(machine);
         self.record
             .faults
             .machine
@@ -200,13 +200,15 @@
         self.record.faults.core.push(self.now);
     }
 
-    /// A process that ended in order is started again, unless its machine goes.
-    pub fn ended_in_order(&mut self, process: usize) {
+    /// Restarts a process after an orderly shutdown, unless its machine is being removed.
+    pub fn restart_after_shutdown(&mut self, process: usize) {
         let (machine, controller) = (
             self.processes[process].machine,
             self.processes[process].is_controller,
         );
-        if std::mem::take(&mut self.processes[process].termed) && !self.machines[machine].leaves {
+        if std::mem::take(&mut self.processes[process].terminating)
+            && !self.machines[machine].leaves
+        {
             self.after(
                 300 * MS,
                 None,
--- a/crates/rookpulley-simulator/src/faults/network.rs
+++ b/crates/rookpulley-simulator/src/faults/network.rs
@@ -1,4 +1,4 @@
-//! Faults of the network: hosts that don't hear each other, connections that are reset, packets that are lost.
+//! Network faults: partitions, connection resets and packet loss.
 
 use super::Recovery;
 use crate::MS;
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl World {
-    /// What these machines say to all other hosts doesn't come; `both`: nor the other way.
+    /// Blocks traffic from these machines to all other hosts, and with `both` the reverse direction too.
     pub(super) fn cut_machines(&mut self, machines: &[usize], both: bool, ms: u64) {
         let (these, others) = self.sides(machines);
         self.cut(&these, &others, ms);
@@ -16,8 +16,8 @@
         }
     }
 
-    /// What other hosts say to these machines doesn't come.
-    pub(super) fn deafen(&mut self, machines: &[usize], ms: u64) {
+    /// Blocks traffic from all other hosts to these machines.
+    pub(super) fn block_incoming(&mut self, machines: &[usize], ms: u64) {
         let (these, others) = self.sides(machines);
         self.cut(&others, &these, ms);
     }
@@ -29,7 +29,7 @@
         self.cut_both_ways(&these, &tasks, ms);
     }
 
-    /// These machines and the others of `all` don't hear each other.
+    /// Partitions these machines from the others in `all`.
     pub(super) fn cut_among(&mut self, machines: &[usize], all: Vec<usize>, ms: u64) {
         let others = all
             .into_iter()
@@ -57,7 +57,7 @@
         self.recover_in(ms, number, Recovery::Lossy);
     }
 
-    /// These machines, and all other machines with all tasks.
+    /// Splits the hosts into these machines and all other machines and tasks.
     fn sides(&self, machines: &[usize]) -> (BTreeSet<Host>, BTreeSet<Host>) {
         let these: BTreeSet<Host> = machines
             .iter()
--- a/crates/rookpulley-simulator/src/faults/tasks.rs
+++ b/crates/rookpulley-simulator/src/faults/tasks.rs
@@ -1,4 +1,4 @@
-//! Faults of tasks, releases, and clients that come all at once.
+//! Task faults, releases and bursts of requests.
 
 use super::Recovery;
 use crate::MS;
@@ -6,11 +6,11 @@
 use crate::world::World;
 use rand::RngExt;
 
-/// A share of tasks is so many of these.
+/// Denominator of the share of affected tasks.
 const SHARES: u32 = 8;
-/// A release with tasks that answer badly is unplanned for so long.
+/// How long a release of misbehaving tasks counts as an unplanned fault.
 const BAD_RELEASE_MS: u64 = 3_000;
-/// What a burst leaves behind lasts so much longer.
+/// How long the after-effects of a burst count as an unplanned fault.
 const AFTER_BURST_MS: u64 = 5_000;
 
 impl World {
@@ -31,8 +31,8 @@
         }
     }
 
-    /// These tasks answer badly for a while.
-    pub(super) fn spoil_tasks(&mut self, tasks: Vec<usize>, how: BadTask, ms: u64) {
+    /// Makes these tasks misbehave for a while.
+    pub(super) fn misbehave(&mut self, tasks: Vec<usize>, how: BadTask, ms: u64) {
         self.note_unplanned(ms);
         for task in tasks {
             self.tasks[task].bad = Some(how);
--- a/crates/rookpulley-simulator/src/hunt.rs
+++ b/crates/rookpulley-simulator/src/hunt.rs
@@ -1,4 +1,4 @@
-//! Plays day after day until one breaks a rule, and shrinks that day to the fewest faults that still do.
+//! Searches seeds for a scenario that breaks a rule and reduces it to a minimal failing one.
 
 use crate::day::Day;
 use crate::judge::{Breach, Rule};
@@ -7,16 +7,16 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A day that broke a rule.
+/// A scenario that broke a rule.
 #[derive(Clone, Debug)]
 pub struct Found {
     pub day: Day,
     pub breaches: Vec<Breach>,
-    /// So many days were played before it was found.
+    /// Number of scenarios simulated so far, including this one.
     pub days: u64,
 }
 
-/// What came of a hunt: all that was played, and the day of the lowest seed that failed.
+/// The totals of a search and the failing scenario with the lowest seed.
 #[derive(Clone, Debug, Default)]
 pub struct Hunted {
     pub days: u64,
@@ -27,8 +27,8 @@
     pub found: Option<Found>,
 }
 
-/// Plays the days of these seeds on so many threads; ends with the first that fails, of a mutation with the first that
-/// breaks its rule.
+/// Simulates the scenarios of these seeds in parallel until one fails. With a mutation, only breaches of the rule that
+/// the mutation targets count.
 pub fn hunt(seeds: Range<u64>, threads: usize, mutation: Option<Mutation>) -> Hunted {
     let next = AtomicU64::new(seeds.start);
     let all = Mutex::new(Hunted::default());
@@ -69,8 +69,8 @@
     all.into_inner().unwrap_or_default()
 }
 
-/// The fewest faults of a day that still break the rule, as far as leaving out one or several at a time finds them.
-/// Gives the day, and how often it was played.
+/// Reduces a scenario by removing events while the rule is still broken. Returns the scenario and the number of
+/// simulations.
 pub fn shrink(day: &Day, rule: Rule, mutation: Option<Mutation>) -> (Day, u64) {
     let mut played = 0;
     let mut still = |day: &Day| {
--- a/crates/rookpulley-simulator/src/judge/apps.rs
+++ b/crates/rookpulley-simulator/src/judge/apps.rs
@@ -208,7 +208,7 @@
             }
             let turned_away = matches!(put.got, Got::Conflict(_) | Got::No(_) | Got::Nothing)
                 && put.done.is_some()
-                && !put.unclear;
+                && !put.indeterminate;
             if turned_away {
                 let got = put.got.clone();
                 self.breach(Rule::Refused, at, || {
@@ -225,7 +225,9 @@
             });
             let known = *revision == 0
                 || its.clone().any(|put| put.got == Got::Revision(*revision))
-                || its.clone().any(|put| put.unclear || put.done.is_none());
+                || its
+                    .clone()
+                    .any(|put| put.indeterminate || put.done.is_none());
             if !known {
                 self.breach(Rule::Mixed, done, || {
                     format!(
--- a/crates/rookpulley-simulator/src/judge/requests.rs
+++ b/crates/rookpulley-simulator/src/judge/requests.rs
@@ -88,7 +88,7 @@
                     format!("attempt {index} returned {status} but was executed by {incarnation}")
                 });
             }
-            if let Some((_, Ended::Told(told))) = &try_.ended
+            if let Some((_, Ended::Response(told))) = &try_.ended
                 && try_.served()
             {
                 let good = ran
@@ -133,7 +133,7 @@
             .record
             .arrivals
             .iter()
-            .filter(|arrival| !arrival.stranger)
+            .filter(|arrival| !arrival.misdirected)
         {
             let Some(acks) = drained.get(arrival.incarnation.as_str()) else {
                 continue;
@@ -446,7 +446,7 @@
                 let arrivals = by.get(&index).map_or(&[][..], Vec::as_slice);
                 let passed = !arrivals.is_empty() || ended > sent + LOSS_SLACK;
                 let excused = arrivals.iter().any(|arrival| {
-                    arrival.broke_off
+                    arrival.interrupted
                         || arrival.ran.as_ref().is_some_and(|run| {
                             run.ended.unwrap_or(Us::MAX) > term + GRACE / 2
                                 && run.begun < term + GRACE
--- a/crates/rookpulley-simulator/src/lib.rs
+++ b/crates/rookpulley-simulator/src/lib.rs
@@ -1,10 +1,10 @@
-//! Whole gateways in one process, on a simulated network: controllers and proxies by the code that decides in the
-//! programs, everything round them by stand-ins. `docs/design/drill.md` says what is simulated and what isn't.
+//! Deterministic simulation of whole gateways in one process: the decision logic of controllers and proxies runs
+//! unchanged on a simulated network, with simulated surroundings. `docs/design/drill.md` describes the scope.
 //!
-//! `day` draws a day from a seed, an `event` is what happens at a moment of it, `world` plays it and `faults` carries its
-//! events out: `net` carries what is said, `disk`, `controllers`, `stateless_controllers` and `proxies` stand in for the
-//! programs' shells, `tasks`, `clients`, `operator` and `apps` for those outside. What those outside saw stands in `record`;
-//! `judge` holds it against the rules and knows nothing else. `hunt` plays many days and shrinks one that fails.
+//! `day` defines scenarios and draws them from a seed, `event` their events, `world` runs them and `faults` applies the
+//! events. `net` simulates the network; `disk`, `controllers`, `stateless_controllers` and `proxies` replace the I/O layers
+//! of the programs; `tasks`, `clients`, `operator` and `apps` simulate external parties, whose observations are kept in
+//! `record`. `judge` checks only this record against the rules. `hunt` searches seeds and reduces failing scenarios.
 
 mod apps;
 mod callers;
@@ -29,7 +29,7 @@
 pub use event::{BadTask, Closing, Event};
 pub use hunt::{Found, Hunted, hunt, shrink};
 pub use judge::{Breach, Rule};
-pub use seen::{Arrived, Asked, Refused, Seen};
+pub use seen::{Asked, Refused, Seen, TaskArrival};
 pub use world::{Mutation, Played, play};
 
 /// Simulated time, in microseconds.
--- a/crates/rookpulley-simulator/src/net.rs
+++ b/crates/rookpulley-simulator/src/net.rs
@@ -1,4 +1,4 @@
-//! What is said between hosts: it takes its time, keeps its order on a line, and may be held up, lost or cut off.
+//! Simulated network with latency, partitions, packet loss and ordered connections.
 
 use crate::world::{What, World};
 use crate::{MS, Us};
@@ -9,28 +9,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Host {
     Machine(usize),
-    /// The place of a task.
+    /// The index of a task.
     Task(usize),
-    /// Clients, operators, applications: no cut reaches them.
+    /// Clients, operators and applications in a zone; partitions do not affect them.
     Outside(usize),
 }
 
-/// What isn't confirmed for so long ends a line, and so does silence where something must be said.
-const UNHEARD: Us = 2_500 * MS;
-const LOOK: Us = 250 * MS;
+/// Limit on unacknowledged data, and on silence where it is monitored, before a connection is closed.
+const UNACKNOWLEDGED_LIMIT: Us = 2_500 * MS;
+const CHECK_INTERVAL: Us = 250 * MS;
 
 type Held = (Host, Host, Option<(usize, u32)>, What);
 
 #[derive(Default)]
 pub struct Net {
-    /// What these say to those doesn't come.
+    /// Partitions: traffic from the first set to the second is blocked.
     pub cuts: BTreeMap<u64, (BTreeSet<Host>, BTreeSet<Host>)>,
     pub lossy: BTreeMap<u64, Host>,
     held: Vec<Held>,
 }
 
-/// The one message in a frame.
-pub fn unframed<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Option<T> {
+/// Decodes a frame that contains one message.
+pub fn decode_frame<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     let mut frames = FrameDecoder::default();
     frames.push(bytes);
     frames.decode_next().ok().flatten()
@@ -48,22 +48,24 @@
     }
 }
 
-/// A line between two of our processes. Side 0 dialed it.
+/// A connection between two gateway processes. Side 0 opened it.
 pub struct Line {
     pub ends: [(usize, u32); 2],
-    /// Whether that side still has it open.
+    /// Whether each side is open.
     pub open: [bool; 2],
-    /// Of what goes out from that side: when the last of it arrives, what a cut holds up, since when nothing of it is
-    /// confirmed.
+    /// Arrival time of the last message sent by each side.
     last: [Us; 2],
+    /// Messages of each side that a partition delays.
     held: [VecDeque<Vec<u8>>; 2],
+    /// Since when data of each side is unacknowledged.
     stuck: [Option<Us>; 2],
-    /// When that side last heard something.
+    /// When each side last received a message.
     heard: [Us; 2],
-    /// Whether that side hangs up on silence.
+    /// Whether each side closes the connection on silence.
     quiet: [bool; 2],
-    /// Between controllers: who said hello. From a proxy: its name and the controller's number for it.
+    /// Between controllers: the identity in the hello message.
     pub who: Option<u64>,
+    /// From a proxy: its name and the connection number assigned by the controller.
     pub proxy: Option<(String, u64)>,
 }
 
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Something that stands alone, such as a request.
+    /// Sends a message outside any connection, such as a request.
     pub fn post(&mut self, from: Host, to: Host, process: Option<(usize, u32)>, what: What) {
         if self.net.cut(from, to) {
             return self.net.held.push((from, to, process, what));
@@ -115,8 +117,8 @@
         }
     }
 
-    /// What a cut held up comes now.
-    pub fn let_go(&mut self) {
+    /// Sends delayed messages whose partition has ended.
+    pub fn release_delayed(&mut self) {
         let held = std::mem::take(&mut self.net.held);
         for (from, to, process, what) in held {
             if self.powered(from) {
@@ -148,15 +150,15 @@
         }
     }
 
-    /// Machines without power lose what they had to say.
-    pub fn forget_held(&mut self, machine: usize) {
+    /// Drops delayed messages from and to a machine that lost power.
+    pub fn drop_delayed(&mut self, machine: usize) {
         let host = Host::Machine(machine);
         self.net
             .held
             .retain(|(from, to, ..)| *from != host && *to != host);
     }
 
-    // ---- lines ------------------------------------------------------------------------------
+    // ---- connections ------------------------------------------------------------------------------
 
     pub fn open_line(&mut self, from: (usize, u32), to: (usize, u32), quiet: [bool; 2]) -> u64 {
         let line = self.number();
@@ -176,7 +178,7 @@
             },
         );
         for (side, end) in [from, to].into_iter().enumerate() {
-            self.after(LOOK, Some(end), What::LineCheck { line, side });
+            self.after(CHECK_INTERVAL, Some(end), What::LineCheck { line, side });
         }
         line
     }
@@ -220,8 +222,8 @@
         );
     }
 
-    /// What came on a line, if it came.
-    pub fn heard_line(&mut self, line: u64, side: usize, bytes: Vec<u8>) -> Option<Vec<u8>> {
+    /// Receives a message on a connection, unless the side is closed or a partition delays it.
+    pub fn receive_line(&mut self, line: u64, side: usize, bytes: Vec<u8>) -> Option<Vec<u8>> {
         let of = self.lines.get(&line)?;
         let (from, to) = (
             self.host_of(of.ends[1 - side].0),
@@ -230,7 +232,7 @@
         let cut = self.net.cut(from, to);
         let now = self.now;
         if !self.lines.get(&line)?.open[side] {
-            // A reset goes back.
+            // A closed side answers with a reset.
             let end = self.lines.get(&line)?.ends[1 - side];
             if !self.net.cut(to, from) {
                 let us = self.delay(to, from);
@@ -255,16 +257,16 @@
         Some(bytes)
     }
 
-    /// Whether this side gives the line up now: what it said isn't confirmed, or it hears nothing.
+    /// Whether this side must close the connection: unacknowledged data, silence or a reset.
     pub fn check_line(&mut self, line: u64, side: usize) -> bool {
         let now = self.now;
         let Some(of) = self.lines.get(&line).filter(|of| of.open[side]) else {
             return false;
         };
         let (here, there) = (of.ends[side], of.ends[1 - side]);
-        let unheard = of.stuck[side].is_some_and(|since| now - since > UNHEARD);
-        let quiet = of.quiet[side] && now - of.heard[side] > UNHEARD;
-        // The other side has another incarnation: it answers with a reset.
+        let unheard = of.stuck[side].is_some_and(|since| now - since > UNACKNOWLEDGED_LIMIT);
+        let quiet = of.quiet[side] && now - of.heard[side] > UNACKNOWLEDGED_LIMIT;
+        // The peer process has restarted and answers with a reset.
         let reset = !of.open[1 - side]
             && self.processes[there.0].incarnation != there.1
             && self.powered(self.host_of(there.0))
@@ -274,11 +276,11 @@
         if unheard || quiet || reset {
             return true;
         }
-        self.after(LOOK, Some(here), What::LineCheck { line, side });
+        self.after(CHECK_INTERVAL, Some(here), What::LineCheck { line, side });
         false
     }
 
-    /// This side ends a line; the other one learns of it if it can.
+    /// Closes one side of a connection and notifies the other side if it is reachable.
     pub fn end_line(&mut self, line: u64, side: usize, quiet: bool) {
         let Some(of) = self.lines.get_mut(&line) else {
             return;
@@ -307,7 +309,7 @@
         }
     }
 
-    /// All lines of a process that ends.
+    /// Closes all connections of a process.
     pub fn end_lines(&mut self, process: usize, quiet: bool) {
         let its: Vec<(u64, usize)> = self
             .lines
@@ -322,7 +324,7 @@
             .for_each(|(line, side)| self.end_line(line, side, quiet));
     }
 
-    /// The lines of a machine are reset, both sides learn of it.
+    /// Resets all connections of a machine and notifies both sides.
     pub fn reset_lines(&mut self, machine: usize) {
         let its = |process: usize| process / 2 == machine;
         let lines: Vec<u64> = self
@@ -345,7 +347,7 @@
         }
     }
 
-    /// A process dials another one: true where it listens, after the way there and back.
+    /// Opens a connection; the result arrives after one round trip or the timeout.
     pub fn dial(&mut self, process: usize, ip: std::net::Ipv4Addr, within: Us) {
         let Some(me) = self.address(process) else {
             return;
--- a/crates/rookpulley-simulator/src/proxies.rs
+++ b/crates/rookpulley-simulator/src/proxies.rs
@@ -5,8 +5,8 @@
 mod controllers;
 mod requests;
 
-use crate::clients::Told;
-use crate::net::{Host, unframed};
+use crate::clients::ClientResponse;
+use crate::net::{Host, decode_frame};
 use crate::tasks::{Answer, UpstreamRequest};
 use crate::world::{Core, Mutation, What, World};
 use crate::{MS, S, Us};
@@ -110,7 +110,7 @@
     fn new_state(&mut self, machine: usize) -> ProxyState {
         let seeds = self.seeds().iter().map(|seed| *seed.ip()).collect();
         let (mut ratio, mut slack) = (self.day.retry_ratio, self.day.retry_slack);
-        if self.mutation == Some(Mutation::FreeTries) {
+        if self.mutation == Some(Mutation::UnlimitedRetries) {
             (ratio, slack) = (50.0, 1e6);
         }
         let zone = format!("zone-{}", self.machines[machine].zone);
@@ -211,11 +211,11 @@
     fn spoil_report(&self, report: &mut LoadReport) {
         for of in &mut report.services {
             match self.mutation {
-                Some(Mutation::FailuresUntold) => of
+                Some(Mutation::OmitFailureReports) => of
                     .instances
                     .iter_mut()
                     .for_each(|instance| instance.failed = 0),
-                Some(Mutation::FailuresSpread) => {
+                Some(Mutation::SpreadFailures) => {
                     let (bad, tries) = of.instances.iter().fold((0, 0), |(b, t), instance| {
                         (b + instance.failed, t + instance.attempts)
                     });
@@ -232,7 +232,7 @@
 
     pub fn proxy_ready(&self, machine: usize) -> bool {
         let process = &self.processes[self.process_of(machine, false)];
-        !process.asleep
+        !process.paused
             && matches!(&process.core, Some(Core::Proxy(proxy)) if proxy.state.is_ready())
     }
 
@@ -242,7 +242,7 @@
             What::Dial(ip) => self.dial(process, ip, DIAL_WITHIN),
             What::Dialed { ip, up } => self.proxy_dialed(process, ip, up),
             What::Line { line, side, bytes } => {
-                if let Some(bytes) = self.heard_line(line, side, bytes) {
+                if let Some(bytes) = self.receive_line(line, side, bytes) {
                     self.proxy_hears(process, line, bytes);
                 }
             }
@@ -303,7 +303,7 @@
             me,
             What::Tick,
         );
-        if self.mutation == Some(Mutation::GoesBack) && tick == 48 {
+        if self.mutation == Some(Mutation::RevertConfiguration) && tick == 48 {
             self.go_back(process);
         }
     }
@@ -325,7 +325,7 @@
         );
         (proxy.state.endpoints, proxy.state.is_shutting_down) = (before.endpoints, is_ending);
         proxy.gone_back = true;
-        if let Some(down) = unframed::<ControllerToProxy>(&first) {
+        if let Some(down) = decode_frame::<ControllerToProxy>(&first) {
             proxy
                 .state
                 .handle_controller_message(clock, Ipv4Addr::LOCALHOST, down);
@@ -335,7 +335,7 @@
 
     pub fn term_proxy(&mut self, process: usize) {
         let now = self.now;
-        if self.mutation == Some(Mutation::EndsAtOnce) {
+        if self.mutation == Some(Mutation::ImmediateExit) {
             return self.stop(process, false);
         }
         if let Some(proxy) = self.proxy(process)
@@ -373,9 +373,9 @@
             if quiet {
                 continue;
             }
-            let told = Told {
+            let told = ClientResponse {
                 whole: false,
-                ..Told::own(0, None)
+                ..ClientResponse::own(0, None)
             };
             self.post(
                 from,
@@ -418,9 +418,9 @@
         };
         let works: Vec<usize> = proxy.works.keys().copied().collect();
         for request in works {
-            let told = Told {
+            let told = ClientResponse {
                 whole: false,
-                ..Told::own(0, None)
+                ..ClientResponse::own(0, None)
             };
             self.post(
                 from,
--- a/crates/rookpulley-simulator/src/proxies/attempts.rs
+++ b/crates/rookpulley-simulator/src/proxies/attempts.rs
@@ -45,7 +45,7 @@
             } => {
                 let head = ResponseHead {
                     status: *status,
-                    has_request_id: *own || mutation == Some(Mutation::AnyAnswer),
+                    has_request_id: *own || mutation == Some(Mutation::AcceptAnyResponse),
                     not_executed: *not_executed,
                     is_signed: *stamped,
                     is_encoded: false,
@@ -70,7 +70,7 @@
             }
         };
         let end = match (end, mutation) {
-            (AttemptEnd::Outcome(AttemptOutcome::Interrupted), Some(Mutation::BrokenIsUnsent)) => {
+            (AttemptEnd::Outcome(AttemptOutcome::Interrupted), Some(Mutation::BrokenAsUnsent)) => {
                 AttemptEnd::Outcome(AttemptOutcome::Unsent)
             }
             (end, _) => end,
@@ -81,7 +81,7 @@
                 Answer::Head {
                     signature, body, ..
                 },
-            ) => Some(Told {
+            ) => Some(ClientResponse {
                 status,
                 signature,
                 body,
@@ -151,10 +151,10 @@
         process: usize,
         request: usize,
         end: AttemptEnd,
-        passed: Option<Told>,
+        passed: Option<ClientResponse>,
     ) {
         let status = passed.as_ref().map(|told| told.status);
-        let nothing_learnt = self.mutation == Some(Mutation::NothingLearnt);
+        let nothing_learnt = self.mutation == Some(Mutation::IgnoreOutcomes);
         let then = self.with_work(process, request, |work, state, now| {
             let route: &RouteDecision = work.lifecycle.route();
             let (service, incarnation) = (
@@ -181,11 +181,13 @@
         match (then, passed) {
             (AfterAttempt::Retry, _) => self.go(process, request),
             (AfterAttempt::Forward, Some(told)) => self.tell(process, request, told),
-            (AfterAttempt::Forward, None) => self.tell(process, request, Told::own(502, None)),
+            (AfterAttempt::Forward, None) => {
+                self.tell(process, request, ClientResponse::own(502, None))
+            }
             (AfterAttempt::Respond(local), _) => self.tell(
                 process,
                 request,
-                Told::own(local.status, local.retry_after_ms),
+                ClientResponse::own(local.status, local.retry_after_ms),
             ),
         }
     }
--- a/crates/rookpulley-simulator/src/proxies/connections.rs
+++ b/crates/rookpulley-simulator/src/proxies/connections.rs
@@ -157,10 +157,10 @@
         };
         let of = &self.record.tries[request];
         let mut path = of.path.clone();
-        if self.mutation == Some(Mutation::OtherPath) && self.chance(200) {
+        if self.mutation == Some(Mutation::RewritePath) && self.chance(200) {
             path.push('x');
         }
-        let meant = if self.mutation == Some(Mutation::NobodyMeant) {
+        let meant = if self.mutation == Some(Mutation::OmitTargetInstance) {
             String::new()
         } else {
             to.incarnation.clone()
--- a/crates/rookpulley-simulator/src/proxies/controllers.rs
+++ b/crates/rookpulley-simulator/src/proxies/controllers.rs
@@ -47,7 +47,7 @@
             return;
         };
         let ip = self.machines[self.processes[of.ends[1].0].machine].ip;
-        let Some(mut down) = unframed::<ControllerToProxy>(&bytes) else {
+        let Some(mut down) = decode_frame::<ControllerToProxy>(&bytes) else {
             return;
         };
         if let ControllerToProxy::Table { entries: lines, .. } = &mut down {
@@ -57,8 +57,8 @@
             );
             let near = lines.iter().any(|line| line.zone == zone);
             match self.mutation {
-                Some(Mutation::OwnZoneAlone) if near => lines.retain(|line| line.zone == zone),
-                Some(Mutation::TaintedBare)
+                Some(Mutation::LocalZoneOnly) if near => lines.retain(|line| line.zone == zone),
+                Some(Mutation::OmitTaintedRows)
                     if self.log.iter().any(|line| line.contains("all tainted")) =>
                 {
                     lines.clear();
@@ -67,7 +67,7 @@
             }
         }
         let missed = match (&mut down, self.mutation) {
-            (ControllerToProxy::Table { .. }, Some(Mutation::TablesMissed)) => {
+            (ControllerToProxy::Table { .. }, Some(Mutation::SkipTables)) => {
                 self.now > 5 * S
                     && self
                         .proxy(process)
@@ -75,26 +75,26 @@
             }
             (
                 ControllerToProxy::InstancesGone { .. } | ControllerToProxy::Table { .. },
-                Some(Mutation::DrainsUnheard),
+                Some(Mutation::IgnoreDrains),
             ) => {
                 self.now > 3 * S
                     && self
                         .proxy(process)
                         .is_some_and(|proxy| proxy.state.is_ready())
             }
-            (ControllerToProxy::Configuration { .. }, Some(Mutation::ConfigurationsMissed)) => {
+            (ControllerToProxy::Configuration { .. }, Some(Mutation::SkipConfigurations)) => {
                 self.proxy(process)
                     .is_some_and(|c| c.state.configuration_version() > 0)
                     && !self.chance(4)
             }
-            (ControllerToProxy::Configuration { .. }, Some(Mutation::GoesBack)) => {
+            (ControllerToProxy::Configuration { .. }, Some(Mutation::RevertConfiguration)) => {
                 let proxy = self.proxy(process);
                 proxy.is_some_and(|proxy| {
                     proxy.first.get_or_insert(bytes);
                     proxy.gone_back
                 })
             }
-            (_, Some(Mutation::HomePresumedInTouch)) => {
+            (_, Some(Mutation::AssumeHomeInContact)) => {
                 if let ControllerToProxy::Status { in_touch, .. } = &mut down {
                     *in_touch = true;
                 }
@@ -126,7 +126,7 @@
                 dialer.pause = PAUSE;
             }
         }
-        let alone = self.mutation == Some(Mutation::AloneTakesAll)
+        let alone = self.mutation == Some(Mutation::FullSlackWithoutContact)
             && self
                 .proxy(process)
                 .is_some_and(|c| c.dialers.values().all(|dialer| dialer.line.is_none()));
--- a/crates/rookpulley-simulator/src/proxies/requests.rs
+++ b/crates/rookpulley-simulator/src/proxies/requests.rs
@@ -35,9 +35,11 @@
                 }
                 self.go(process, try_);
             }
-            Some(Err(local)) => {
-                self.tell(process, try_, Told::own(local.status, local.retry_after_ms))
-            }
+            Some(Err(local)) => self.tell(
+                process,
+                try_,
+                ClientResponse::own(local.status, local.retry_after_ms),
+            ),
             None => {}
         }
     }
@@ -57,21 +59,21 @@
         now.is_some() && first.map(|route| route.name) != now.map(|route| route.name)
     }
 
-    pub(super) fn tell(&mut self, process: usize, try_: usize, mut told: Told) {
-        if self.mutation == Some(Mutation::PromisesAll) && matches!(told.status, 502 | 504) {
+    pub(super) fn tell(&mut self, process: usize, try_: usize, mut told: ClientResponse) {
+        if self.mutation == Some(Mutation::AlwaysNotExecuted) && matches!(told.status, 502 | 504) {
             told.status = 503;
         }
-        if self.mutation == Some(Mutation::LaterRoutesFail)
+        if self.mutation == Some(Mutation::FailLaterRoutes)
             && told.status == 200
             && self.on_later_route(try_)
         {
             told.status = 502;
         }
-        if self.mutation == Some(Mutation::NoTimeTold) {
+        if self.mutation == Some(Mutation::OmitRetryAfter) {
             told.retry_after_ms = None;
         }
         let mut late = 0;
-        if told.status == 503 && self.mutation == Some(Mutation::RefusedLate) {
+        if told.status == 503 && self.mutation == Some(Mutation::LateRejections) {
             let of = &self.record.tries[try_];
             late = (of.sent_us + of.deadline).saturating_sub(self.now + 30 * MS);
         }
@@ -100,14 +102,14 @@
             NextStep::Respond(local) => self.tell(
                 process,
                 request,
-                Told::own(local.status, local.retry_after_ms),
+                ClientResponse::own(local.status, local.retry_after_ms),
             ),
             NextStep::Attempt {
                 pick,
                 to,
                 check_at_ms,
             } => {
-                let uncounted = self.mutation == Some(Mutation::NothingCounted);
+                let uncounted = self.mutation == Some(Mutation::IgnoreOutcomesAndLoad);
                 self.with_work(process, request, |work, state, now| {
                     (work.pick, work.to, work.began_ms) = (Some(pick), Some(to), now);
                     if uncounted {
--- a/crates/rookpulley-simulator/src/record.rs
+++ b/crates/rookpulley-simulator/src/record.rs
@@ -1,19 +1,19 @@
 //! The externally visible record of a simulation: clients, tasks, operators, applications and injected faults.
 
 use crate::Us;
-use crate::clients::Told;
+use crate::clients::ClientResponse;
 use rookpulley_routes::RouteKind;
 use std::collections::BTreeMap;
 
 /// How a client's attempt ended.
 #[derive(Clone, Debug)]
 pub enum Ended {
-    Told(Told),
+    Response(ClientResponse),
     /// The connection closed before the request was read.
-    Unread,
+    ClosedUnread,
     Closed,
     /// The client gave up because the request was not read in time.
-    GivenUp,
+    Abandoned,
     Late,
 }
 
@@ -38,7 +38,7 @@
 impl Try {
     pub fn status(&self) -> u16 {
         match &self.ended {
-            Some((_, Ended::Told(told))) => told.status,
+            Some((_, Ended::Response(told))) => told.status,
             _ => 0,
         }
     }
@@ -73,9 +73,9 @@
     pub task: usize,
     pub path: String,
     /// The request was addressed to another incarnation and got 421.
-    pub stranger: bool,
+    pub misdirected: bool,
     pub ran: Option<Run>,
-    pub broke_off: bool,
+    pub interrupted: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -165,7 +165,7 @@
     pub done: Option<Us>,
     pub got: Got,
     /// At least one attempt had an indeterminate result.
-    pub unclear: bool,
+    pub indeterminate: bool,
 }
 
 /// A lock as its holder observes it.
--- a/crates/rookpulley-simulator/src/seen.rs
+++ b/crates/rookpulley-simulator/src/seen.rs
@@ -23,12 +23,12 @@
     pub at_ms: u64,
     pub took_ms: u64,
     /// The retry delay in the response.
-    pub again_ms: Option<f64>,
+    pub retry_after_ms: Option<f64>,
 }
 
 /// An attempt that reached a task.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrived {
+pub struct TaskArrival {
     pub at_ms: u64,
     pub service: usize,
     pub place: usize,
@@ -36,7 +36,7 @@
     /// An earlier arrival has the same request number.
     pub further: bool,
     /// The request was addressed to another incarnation.
-    pub stranger: bool,
+    pub misdirected: bool,
     pub ran: bool,
     /// The status of the executed request, or 0 if it was not executed.
     pub status: u16,
@@ -46,7 +46,7 @@
 pub struct Seen {
     pub asked: Vec<Asked>,
     pub refused: Vec<Refused>,
-    pub arrived: Vec<Arrived>,
+    pub arrived: Vec<TaskArrival>,
 }
 
 impl Seen {
@@ -70,14 +70,14 @@
             if of.served() {
                 one.served_ms = Some(of.ended_us() / MS);
             }
-            if let Some((at, Ended::Told(told))) = &of.ended
+            if let Some((at, Ended::Response(told))) = &of.ended
                 && told.status == 503
             {
-                let (took_ms, again_ms) = ((at - of.sent_us) / MS, told.retry_after_ms);
+                let (took_ms, retry_after_ms) = ((at - of.sent_us) / MS, told.retry_after_ms);
                 refused.push(Refused {
                     at_ms: at / MS,
                     took_ms,
-                    again_ms,
+                    retry_after_ms,
                 });
             }
         }
@@ -85,13 +85,13 @@
         let arrived = record.arrivals.iter().map(|of| {
             let count = known.entry(of.request).or_default();
             *count += 1;
-            Arrived {
+            TaskArrival {
                 at_ms: of.at / MS,
                 service: of.service,
                 place: of.task,
                 machine: of.machine,
                 further: *count > 1,
-                stranger: of.stranger,
+                misdirected: of.misdirected,
                 ran: of.ran.is_some(),
                 status: of.ran.as_ref().map_or(0, |run| run.status),
             }
@@ -117,7 +117,7 @@
     }
 
     /// The attempts that reached tasks within the interval.
-    pub fn came(&self, from_ms: u64, to_ms: u64) -> impl Iterator<Item = &Arrived> {
+    pub fn came(&self, from_ms: u64, to_ms: u64) -> impl Iterator<Item = &TaskArrival> {
         self.arrived
             .iter()
             .filter(move |of| (from_ms..to_ms).contains(&of.at_ms))
--- a/crates/rookpulley-simulator/src/stateless_controllers.rs
+++ b/crates/rookpulley-simulator/src/stateless_controllers.rs
@@ -1,6 +1,6 @@
 //! The controller of a machine without a disk: the stateless controller with simulated lines and callers round it.
 
-use crate::net::unframed;
+use crate::net::decode_frame;
 use crate::world::{Core, What, World};
 use crate::{MS, S, Us};
 use rookpulley_control::{
@@ -117,7 +117,7 @@
             What::Dial(ip) => self.dial(process, ip, DIAL_WITHIN),
             What::Dialed { ip, up } => self.stateless_dialed(process, ip, up),
             What::Line { line, side, bytes } => {
-                if let Some(bytes) = self.heard_line(line, side, bytes) {
+                if let Some(bytes) = self.receive_line(line, side, bytes) {
                     self.stateless_hears(process, line, side, &bytes);
                 }
             }
@@ -181,20 +181,20 @@
         let other = of.ends[1 - side].0;
         let ip = self.machines[self.processes[other].machine].ip;
         if side == 0 {
-            let Some(down) = unframed::<ControllerToProxy>(bytes) else {
+            let Some(down) = decode_frame::<ControllerToProxy>(bytes) else {
                 return;
             };
             self.with_stateless(process, |stateless, now| {
                 stateless.handle_controller_message(now, ip, down)
             });
-        } else if self.keeps_control(other) {
-            let Some(PeerMessage::Hello { from, .. }) = unframed(bytes) else {
+        } else if self.is_stateful_controller(other) {
+            let Some(PeerMessage::Hello { from, .. }) = decode_frame(bytes) else {
                 return;
             };
             self.with_stateless(process, |stateless, now| {
                 stateless.handle_peer_hello(now, from)
             });
-        } else if let Some(up) = unframed::<ProxyToController>(bytes) {
+        } else if let Some(up) = decode_frame::<ProxyToController>(bytes) {
             self.with_stateless(process, |stateless, _| {
                 stateless.client_connected(line, &up)
             });
--- a/crates/rookpulley-simulator/src/tasks.rs
+++ b/crates/rookpulley-simulator/src/tasks.rs
@@ -116,7 +116,7 @@
         let place = self.tasks.len();
         let shape = self.day.shape.clone();
         let mut zone = self.rng.random_range(0..self.day.zones);
-        if shape.lopsided {
+        if shape.uneven_zones {
             zone = if place.is_multiple_of(10) {
                 0
             } else {
@@ -372,12 +372,12 @@
         self.say(|| format!("task {task}: {name} ends"));
         if crash != Some(true) {
             for job in jobs {
-                self.record.arrivals[job.arrival].broke_off = true;
+                self.record.arrivals[job.arrival].interrupted = true;
                 self.answer(task, &job.sent, Answer::Reset { unread: false });
             }
         } else {
             jobs.iter()
-                .for_each(|job| self.record.arrivals[job.arrival].broke_off = true);
+                .for_each(|job| self.record.arrivals[job.arrival].interrupted = true);
         }
     }
 
@@ -462,7 +462,7 @@
             return self.answer(task, &sent, Answer::Reset { unread: false });
         }
         let name = incarnation_name(task, incarnation);
-        let stranger = !sent.meant.is_empty() && sent.meant != name;
+        let misdirected = !sent.meant.is_empty() && sent.meant != name;
         let arrival = Arrival {
             request: sent.request,
             incarnation: name,
@@ -471,13 +471,13 @@
             machine: self.processes[sent.from.0].machine,
             task,
             path: sent.path.clone(),
-            stranger,
+            misdirected,
             ran: None,
-            broke_off: false,
+            interrupted: false,
         };
         self.record.arrivals.push(arrival);
         let arrival = self.record.arrivals.len() - 1;
-        if stranger {
+        if misdirected {
             return self.turn_away(task, &sent, 421);
         }
         let sheds = self.tasks[task].bad == Some(BadTask::Sheds) && !self.chance(4);
@@ -593,11 +593,11 @@
         let (mut signature, mut body) = (signature, body);
         match bad {
             Some(BadTask::Mute) if !self.chance(3) => {
-                self.record.arrivals[job.arrival].broke_off = true;
+                self.record.arrivals[job.arrival].interrupted = true;
                 return;
             }
             Some(BadTask::Cuts) if !self.chance(3) => {
-                self.record.arrivals[job.arrival].broke_off = true;
+                self.record.arrivals[job.arrival].interrupted = true;
                 if self.chance(2) {
                     return self.answer(task, &job.sent, Answer::Reset { unread: false });
                 }
@@ -611,7 +611,7 @@
                 } else {
                     sized = false;
                 }
-                self.record.arrivals[job.arrival].broke_off = true;
+                self.record.arrivals[job.arrival].interrupted = true;
             }
             _ => {}
         }
--- a/crates/rookpulley-simulator/src/world.rs
+++ b/crates/rookpulley-simulator/src/world.rs
@@ -1,10 +1,10 @@
-//! The day's clock and all that stands on it.
+//! The simulated clock, the event queue and the state of the simulation.
 
 use crate::apps::{App, Watcher};
 use crate::callers::Call;
 use crate::clients::Clients;
 use crate::controllers::ControllerProcess;
-use crate::day::{BEGINS_MS, Day};
+use crate::day::{Day, WARM_UP_MS};
 use crate::disk::Disk;
 use crate::event::{Closing, Event};
 use crate::faults::Recovery;
@@ -22,116 +22,116 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 
-/// A fault put in on purpose: each must be found.
+/// A deliberate defect that the rules or tests must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// A try that broke off counts as one that never left.
-    BrokenIsUnsent,
-    /// Clients are told 503 where something may have run.
-    PromisesAll,
-    /// An answer is passed on whosever it is.
-    AnyAnswer,
-    /// Tasks are not told which of them is meant.
-    NobodyMeant,
-    /// A task gets its request with another path.
-    OtherPath,
-    /// Proxies don't hear of drains, and their tables don't change either.
-    DrainsUnheard,
-    /// Proxies miss most configurations.
-    ConfigurationsMissed,
-    /// A proxy takes up its first configuration again amid its incarnation.
-    GoesBack,
-    /// An invalid configuration is taken.
-    TakesInvalid,
-    /// Further tries cost nothing.
-    FreeTries,
-    /// A sync is left out.
-    SyncLeftOut,
-    /// A controller reads from its own copy, without the chain.
-    ReadsAlone,
-    /// What may have taken effect is told to be refused.
-    RefusedAfterAll,
-    /// A lock is kept for its holder half as long as promised.
-    LocksShort,
-    /// A proxy ends at SIGTERM with requests at work.
-    EndsAtOnce,
-
-    // What these spoil is no rule: `tests/round.rs` sees it in what is served, refused and sent.
-    /// Proxies report no failure of a task.
-    FailuresUntold,
-    /// Proxies report the failures of one task as those of all.
-    FailuresSpread,
-    /// Proxies learn nothing from how a try ended.
-    NothingLearnt,
-    /// The same, and they don't know what they have under way: all tasks look alike.
-    NothingCounted,
-    /// A proxy that is out of touch with all controllers takes the whole slack for its own.
-    AloneTakesAll,
-    /// Refusals name no time to come back.
-    NoTimeTold,
-    /// Refusals come when the request's time is over.
-    RefusedLate,
-    /// Proxies use the tasks of their own zone alone, where there are any.
-    OwnZoneAlone,
-    /// Controllers give out no line of a table whose revisions are all tainted.
-    TaintedBare,
-    /// Proxies take no table after their first ones.
-    TablesMissed,
-
-    // What `tests/worst_days.rs` must find.
-    /// A proxy hears its home alone, and takes it to be in touch whatever it says.
-    HomePresumedInTouch,
-    /// A configuration whose version is not above the one held is refused.
-    RepeatRefused,
-    /// Proxies fail what comes on routes that the first configuration didn't have.
-    LaterRoutesFail,
+    /// Treats a broken attempt as never sent.
+    BrokenAsUnsent,
+    /// Returns 503 although the request may have been executed.
+    AlwaysNotExecuted,
+    /// Forwards responses that belong to other requests.
+    AcceptAnyResponse,
+    /// Omits the target instance from requests.
+    OmitTargetInstance,
+    /// Forwards a request with a different path.
+    RewritePath,
+    /// Proxies receive neither drains nor the resulting table changes.
+    IgnoreDrains,
+    /// Proxies skip most configurations.
+    SkipConfigurations,
+    /// A proxy reverts to its first configuration without a restart.
+    RevertConfiguration,
+    /// Accepts an invalid configuration.
+    AcceptInvalidConfiguration,
+    /// Does not charge retries to the budget.
+    UnlimitedRetries,
+    /// Acknowledges writes without a sync.
+    SkipSync,
+    /// A controller reads its local copy without the chain.
+    LocalReads,
+    /// Reports calls that may have taken effect as rejected.
+    RejectAppliedCalls,
+    /// Expires locks after half their duration.
+    ShortLocks,
+    /// A proxy exits at SIGTERM with requests in flight.
+    ImmediateExit,
+
+    // These break no rule; `tests/round.rs` detects them by their effect on the traffic.
+    /// Proxies do not report task failures.
+    OmitFailureReports,
+    /// Proxies attribute the failures of one task to all tasks.
+    SpreadFailures,
+    /// Proxies ignore the outcomes of attempts.
+    IgnoreOutcomes,
+    /// Proxies ignore outcomes and requests in flight.
+    IgnoreOutcomesAndLoad,
+    /// A proxy without contact to any controller uses the whole retry slack.
+    FullSlackWithoutContact,
+    /// Rejections have no retry delay.
+    OmitRetryAfter,
+    /// Rejections are sent only at the request deadline.
+    LateRejections,
+    /// Proxies use only tasks of their own zone if it has any.
+    LocalZoneOnly,
+    /// Controllers distribute no rows of a table whose revisions are all tainted.
+    OmitTaintedRows,
+    /// Proxies ignore table updates after the first.
+    SkipTables,
+
+    // `tests/worst_days.rs` detects these.
+    /// A proxy listens only to its home controller and assumes that it is in contact.
+    AssumeHomeInContact,
+    /// Rejects a configuration unless its version is higher than the current one.
+    RejectRepeatedConfiguration,
+    /// Proxies fail requests on routes added after the first configuration.
+    FailLaterRoutes,
 }
 
 impl Mutation {
     pub const ALL: [Mutation; 15] = [
-        Mutation::BrokenIsUnsent,
-        Mutation::PromisesAll,
-        Mutation::AnyAnswer,
-        Mutation::NobodyMeant,
-        Mutation::OtherPath,
-        Mutation::DrainsUnheard,
-        Mutation::ConfigurationsMissed,
-        Mutation::GoesBack,
-        Mutation::TakesInvalid,
-        Mutation::FreeTries,
-        Mutation::SyncLeftOut,
-        Mutation::ReadsAlone,
-        Mutation::RefusedAfterAll,
-        Mutation::LocksShort,
-        Mutation::EndsAtOnce,
+        Mutation::BrokenAsUnsent,
+        Mutation::AlwaysNotExecuted,
+        Mutation::AcceptAnyResponse,
+        Mutation::OmitTargetInstance,
+        Mutation::RewritePath,
+        Mutation::IgnoreDrains,
+        Mutation::SkipConfigurations,
+        Mutation::RevertConfiguration,
+        Mutation::AcceptInvalidConfiguration,
+        Mutation::UnlimitedRetries,
+        Mutation::SkipSync,
+        Mutation::LocalReads,
+        Mutation::RejectAppliedCalls,
+        Mutation::ShortLocks,
+        Mutation::ImmediateExit,
     ];
 }
 
 impl Mutation {
-    /// The rule that it breaks, if it breaks one.
+    /// The rule that the defect breaks, if any.
     pub fn breaks(self) -> Option<Rule> {
         let rule = match self {
-            Mutation::BrokenIsUnsent => Rule::Twice,
-            Mutation::PromisesAll | Mutation::RefusedAfterAll => Rule::Refused,
-            Mutation::AnyAnswer => Rule::Mixed,
-            Mutation::NobodyMeant => Rule::Route,
-            Mutation::OtherPath => Rule::Unasked,
-            Mutation::DrainsUnheard => Rule::Drain,
-            Mutation::ConfigurationsMissed | Mutation::GoesBack | Mutation::TakesInvalid => {
-                Rule::Config
-            }
-            Mutation::FreeTries => Rule::Budget,
-            Mutation::SyncLeftOut => Rule::Order,
-            Mutation::ReadsAlone => Rule::Stale,
-            Mutation::LocksShort => Rule::One,
-            Mutation::EndsAtOnce => Rule::Lost,
+            Mutation::BrokenAsUnsent => Rule::Twice,
+            Mutation::AlwaysNotExecuted | Mutation::RejectAppliedCalls => Rule::Refused,
+            Mutation::AcceptAnyResponse => Rule::Mixed,
+            Mutation::OmitTargetInstance => Rule::Route,
+            Mutation::RewritePath => Rule::Unasked,
+            Mutation::IgnoreDrains => Rule::Drain,
+            Mutation::SkipConfigurations
+            | Mutation::RevertConfiguration
+            | Mutation::AcceptInvalidConfiguration => Rule::Config,
+            Mutation::UnlimitedRetries => Rule::Budget,
+            Mutation::SkipSync => Rule::Order,
+            Mutation::LocalReads => Rule::Stale,
+            Mutation::ShortLocks => Rule::One,
+            Mutation::ImmediateExit => Rule::Lost,
             _ => return None,
         };
         Some(rule)
     }
 }
 
-/// How a day went.
+/// The result of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Played {
     pub breaches: Vec<Breach>,
@@ -139,9 +139,9 @@
     pub requests: usize,
     pub served: usize,
     pub calls: usize,
-    /// Reads amid the day that were answered with a configuration.
+    /// Reads during the run that returned a configuration.
     pub configurations_read: usize,
-    /// What clients and tasks saw.
+    /// Observations of clients and tasks.
     pub seen: Seen,
     /// The last lines that were logged.
     pub log: VecDeque<String>,
@@ -149,7 +149,7 @@
 
 #[derive(Debug)]
 pub enum What {
-    // To a controller or a proxy.
+    // Delivered to a controller or a proxy.
     Tick,
     Dial(Ipv4Addr),
     Dialed {
@@ -169,7 +169,7 @@
         line: u64,
         side: usize,
     },
-    // To a controller.
+    // Delivered to a controller.
     Synced,
     Lied {
         of_chain: bool,
@@ -180,7 +180,7 @@
         call: u64,
         attempt: u32,
     },
-    // To a proxy.
+    // Delivered to a proxy.
     Request(usize),
     ClientClosed(usize),
     WireUp {
@@ -203,7 +203,7 @@
         wire: u64,
         answer: crate::tasks::Answer,
     },
-    // To those outside.
+    // Delivered to simulated external parties.
     Arrive(crate::tasks::UpstreamRequest),
     Dropped {
         task: usize,
@@ -239,13 +239,13 @@
     Send(usize),
     ClientAnswer {
         try_: usize,
-        answer: crate::clients::Told,
+        answer: crate::clients::ClientResponse,
     },
     ClientLate {
         try_: usize,
     },
     Readiness,
-    /// The caller is sent to this machine.
+    /// The call is redirected to this machine.
     Redirected {
         call: u64,
         attempt: u32,
@@ -268,9 +268,9 @@
     Operate(usize),
     ReadBack,
     AppsEnd,
-    /// What the day has at this position.
+    /// The scheduled event at this index.
     Event(usize),
-    /// The rest of an event that goes on.
+    /// An event applied directly rather than from the schedule.
     Immediate(Event),
     Recover(u64),
     Start {
@@ -300,7 +300,7 @@
 
 #[derive(Debug)]
 pub struct QueuedEvent {
-    /// A process and its incarnation; none: somebody outside.
+    /// The receiving process and its incarnation, or `None` for external parties.
     pub to: Option<(usize, u32)>,
     pub what: What,
 }
@@ -317,11 +317,11 @@
     pub is_controller: bool,
     pub incarnation: u32,
     pub core: Option<Core>,
-    pub born: Us,
-    pub asleep: bool,
+    pub started_at: Us,
+    pub paused: bool,
     pub inbox: VecDeque<QueuedEvent>,
-    /// It was told to end.
-    pub termed: bool,
+    /// It has received SIGTERM.
+    pub terminating: bool,
 }
 
 pub struct Machine {
@@ -332,7 +332,7 @@
     pub stateless: bool,
     pub power: bool,
     pub gone: bool,
-    /// It is to go once its processes have ended.
+    /// The machine is removed once its processes have ended.
     pub leaves: bool,
     pub disk: Disk,
     pub readiness_missed: u32,
@@ -359,15 +359,15 @@
     pub next: u64,
     pub steps: u64,
     pub burst: (u32, Us),
-    /// Until then most answers to operators are lost.
+    /// Until then, most responses to operators are lost.
     pub answers_lost_until: Us,
     pub log: VecDeque<String>,
     pub recoveries: BTreeMap<u64, Recovery>,
-    /// What strikes as soon as this put is acknowledged.
+    /// The fault to apply once this put is acknowledged.
     pub closing: Option<(usize, Closing)>,
 }
 
-const LOGGED: usize = 4_000;
+const MAX_LOG_LINES: usize = 4_000;
 
 pub fn play(day: &Day, mutation: Option<Mutation>) -> Played {
     let mut world = World::new(day, mutation);
@@ -429,7 +429,7 @@
         world.begin_tasks();
         world.begin_operator();
         world.begin_apps();
-        world.after(BEGINS_MS * MS, None, What::Client);
+        world.after(WARM_UP_MS * MS, None, What::Client);
         world.after(S, None, What::Readiness);
         let moments: Vec<u64> = day.events.iter().map(|(at, _)| *at).collect();
         for (index, at) in moments.into_iter().enumerate() {
@@ -456,7 +456,7 @@
     }
 
     pub fn say(&mut self, line: impl FnOnce() -> String) {
-        if self.log.len() >= LOGGED {
+        if self.log.len() >= MAX_LOG_LINES {
             self.log.pop_front();
         }
         let line = line();
@@ -488,7 +488,7 @@
     pub fn add_machine(&mut self, core: bool) -> usize {
         let machine = self.machines.len();
         let ip = Ipv4Addr::new(10, 1, (machine / 200) as u8, (machine % 200) as u8 + 10);
-        let disk = Disk::new(self.mutation == Some(Mutation::SyncLeftOut));
+        let disk = Disk::new(self.mutation == Some(Mutation::SkipSync));
         self.machines.push(Machine {
             ip,
             zone: machine % self.day.zones,
@@ -506,10 +506,10 @@
                 is_controller,
                 incarnation: 0,
                 core: None,
-                born: 0,
-                asleep: false,
+                started_at: 0,
+                paused: false,
                 inbox: VecDeque::new(),
-                termed: false,
+                terminating: false,
             });
         }
         machine
@@ -524,7 +524,7 @@
     }
 
     /// A controller with a disk.
-    pub fn keeps_control(&self, process: usize) -> bool {
+    pub fn is_stateful_controller(&self, process: usize) -> bool {
         let process = &self.processes[process];
         process.is_controller && !self.machines[process.machine].stateless
     }
@@ -544,9 +544,9 @@
         Host::Machine(self.processes[process].machine)
     }
 
-    /// The steady clock of a process.
+    /// The monotonic clock of a process in milliseconds.
     pub fn clock(&self, process: usize) -> f64 {
-        (self.now - self.processes[process].born) as f64 / 1e3
+        (self.now - self.processes[process].started_at) as f64 / 1e3
     }
 
     pub fn start_machine(&mut self, machine: usize, first: bool) {
@@ -565,24 +565,28 @@
             .started(self.now, machine, self.machines[machine].core);
     }
 
-    /// A new incarnation of a process.
+    /// Starts a new incarnation of a process.
     pub fn begin(&mut self, process: usize, core: Core) {
         let now = self.now;
         let process = &mut self.processes[process];
         process.incarnation += 1;
-        (process.core, process.born, process.asleep, process.termed) =
-            (Some(core), now, false, false);
+        (
+            process.core,
+            process.started_at,
+            process.paused,
+            process.terminating,
+        ) = (Some(core), now, false, false);
         process.inbox.clear();
     }
 
-    /// The end of a process. `quiet`: nobody is told, as without power.
+    /// Ends a process. `quiet`: peers are not notified, as after a power loss.
     pub fn stop(&mut self, process: usize, quiet: bool) {
         let Some(core) = self.processes[process].core.take() else {
             return;
         };
         let incarnation = self.processes[process].incarnation;
         self.processes[process].inbox.clear();
-        self.processes[process].asleep = false;
+        self.processes[process].paused = false;
         let machine = self.processes[process].machine;
         self.end_lines(process, quiet);
         match core {
@@ -593,7 +597,7 @@
             Core::StatelessController(_) => {}
             Core::Proxy(proxy) => self.proxy_ended(process, incarnation, proxy, quiet),
         }
-        self.ended_in_order(process);
+        self.restart_after_shutdown(process);
     }
 
     fn hand(&mut self, event: QueuedEvent) {
@@ -602,9 +606,9 @@
         };
         let at = &mut self.processes[process];
         if at.incarnation != incarnation || at.core.is_none() {
-            return self.undelivered(process, event.what);
+            return self.handle_undelivered(process, event.what);
         }
-        if at.asleep {
+        if at.paused {
             at.inbox.push_back(event);
             return;
         }
@@ -618,15 +622,15 @@
     }
 
     pub fn wake(&mut self, process: usize) {
-        if !std::mem::take(&mut self.processes[process].asleep) {
+        if !std::mem::take(&mut self.processes[process].paused) {
             return;
         }
         let inbox = std::mem::take(&mut self.processes[process].inbox);
         inbox.into_iter().for_each(|event| self.hand(event));
     }
 
-    /// It came to a process that is no longer there.
-    fn undelivered(&mut self, process: usize, what: What) {
+    /// Handles a message to a process that has ended.
+    fn handle_undelivered(&mut self, process: usize, what: What) {
         match what {
             What::Request(try_) => self.not_read(process, try_),
             What::Call { call, attempt } => self.call_not_heard(process, call, attempt),
@@ -695,16 +699,16 @@
                 process,
                 incarnation,
             } if self.processes[process].incarnation == incarnation => self.stop(process, false),
-            What::Held => self.hold_up(),
+            What::Held => self.pause_random_process(),
             _ => {}
         }
     }
 
-    /// Some process stands still for a moment.
-    fn hold_up(&mut self) {
+    /// Pauses a random process briefly.
+    fn pause_random_process(&mut self) {
         let process = self.rng.random_range(0..self.processes.len());
-        if self.running(process) && !self.processes[process].asleep {
-            self.processes[process].asleep = true;
+        if self.running(process) && !self.processes[process].paused {
+            self.processes[process].paused = true;
             let us = self.rng.random_range(20..220u64) * MS;
             self.after(us, None, What::Wake { process });
         }
--- a/crates/rookpulley-simulator/tests/common/mod.rs
+++ b/crates/rookpulley-simulator/tests/common/mod.rs
@@ -1,26 +1,26 @@
-//! A scripted day, played for several seeds, and the mutations that it must find.
+//! Runs a scripted scenario with several seeds and checks that it detects the given mutations.
 
 use rookpulley_simulator::{Day, Mutation, Played, play};
 
 pub const SEEDS: std::ops::Range<u64> = 0..4;
 
-/// What is wrong with a day that broke no rule; None: nothing.
-pub type Wrong = fn(&Played) -> Option<String>;
+/// An additional check of a run that broke no rule; returns a description of the failure.
+pub type Check = fn(&Played) -> Option<String>;
 
-/// The case holds for all seeds, and each of these faults is found by one of them.
-pub fn case(day: fn(u64) -> Day, wrong: Wrong, mutations: &[Mutation]) {
+/// Asserts that all seeds pass without a mutation and that each mutation makes at least one seed fail.
+pub fn case(day: fn(u64) -> Day, check: Check, mutations: &[Mutation]) {
     let failed = |seed: u64, mutation| {
         let played = play(&day(seed), mutation);
         let rules: Vec<String> = played.breaches.iter().map(ToString::to_string).collect();
         if rules.is_empty() {
-            wrong(&played)
+            check(&played)
         } else {
             Some(rules.join("; "))
         }
     };
     for seed in SEEDS {
-        if let Some(wrong) = failed(seed, None) {
-            panic!("seed {seed}: {wrong}\n{}", day(seed));
+        if let Some(failure) = failed(seed, None) {
+            panic!("seed {seed}: {failure}\n{}", day(seed));
         }
     }
     for mutation in mutations {
--- a/crates/rookpulley-simulator/tests/days.rs
+++ b/crates/rookpulley-simulator/tests/days.rs
@@ -1,4 +1,4 @@
-//! Days of whole gateways, drawn from seeds.
+//! Random scenarios of whole gateways.
 
 use rookpulley_simulator::{Day, Event, Mutation, hunt, play, shrink};
 use std::path::{Path, PathBuf};
@@ -35,7 +35,7 @@
         );
     }
     assert_eq!(hunted.days, 24);
-    // What isn't served breaks no rule, but then little was tried.
+    // Unserved requests break no rule, so require that most were served.
     assert!(
         hunted.served * 10 > hunted.requests * 7 && hunted.calls > 24 * 200,
         "{hunted:?}"
@@ -65,9 +65,9 @@
 
 #[test]
 fn a_day_that_fails_is_shrunk_to_what_it_needs() {
-    let mutation = Some(Mutation::SyncLeftOut);
-    let rule = Mutation::SyncLeftOut.breaks().unwrap();
-    // Which day fails first hangs on what is drawn: one that has something to leave out.
+    let mutation = Some(Mutation::SkipSync);
+    let rule = Mutation::SkipSync.breaks().unwrap();
+    // Find a failing scenario with enough events to remove.
     let much = |from: u64| {
         hunt(from..60, 4, mutation)
             .found
@@ -75,7 +75,7 @@
     };
     let found = (0..60).step_by(4).find_map(much).unwrap();
     let (day, _) = shrink(&found.day, rule, mutation);
-    // What was not synced is lost with the power, and nothing is left that could be left out.
+    // A power loss must remain, and removing any further event must hide the failure.
     let told = day.to_string();
     assert!(day.events.len() < found.day.events.len(), "{told}");
     for at in 0..day.events.len() {
@@ -125,7 +125,7 @@
     assert!(lines.eq(&calm.log));
 }
 
-/// The sources of a package that decides or keeps, without their tests.
+/// The sources, without unit tests, of packages whose declared role is `decides` or `keeps`.
 fn deciding() -> Vec<(PathBuf, String)> {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
     let mut packages: Vec<PathBuf> = std::fs::read_dir(crates)
@@ -165,7 +165,7 @@
 #[test]
 fn what_decides_has_no_clock_no_socket_and_no_file() {
     let sources = deciding();
-    // The controller, the satchel and what they stand on.
+    // Guards against a search that finds too few sources.
     assert!(sources.len() > 60, "{}", sources.len());
     for (path, code) in sources {
         for word in [
--- a/crates/rookpulley-simulator/tests/worst_days.rs
+++ b/crates/rookpulley-simulator/tests/worst_days.rs
@@ -1,13 +1,13 @@
-//! Control and state on the worst days: one scripted day for each point of `docs/design/control.md`, played for several
-//! seeds, judged from outside like any other day, and mutations that the same day must find.
+//! Scripted scenarios with severe faults, one for each guarantee in `docs/design/control.md`. Each runs with several seeds
+//! and must detect the given mutations.
 
 mod common;
 
 use common::case;
 use rookpulley_simulator::{BadTask, Closing, Day, Event, Mutation, Played, play};
 
-/// Five controllers of which two may be lost, with applications, and changes and drains all the while.
-fn five(seed: u64) -> Day {
+/// Five controllers that tolerate two losses, with applications.
+fn five_controllers(seed: u64) -> Day {
     let mut day = Day::calm(seed);
     (day.controllers, day.losses, day.proxies, day.zones) = (5, 2, 12, 3);
     (day.services, day.tasks, day.apps, day.rate) = (2, 16, 6, 120);
@@ -21,26 +21,26 @@
     day
 }
 
-/// The same again and again, from one moment to another.
-fn each(from_ms: u64, to_ms: u64, pause_ms: u64, event: &Event) -> Vec<(u64, Event)> {
+/// Repeats an event at a fixed interval.
+fn repeat(from_ms: u64, to_ms: u64, pause_ms: u64, event: &Event) -> Vec<(u64, Event)> {
     (from_ms..to_ms)
         .step_by(pause_ms as usize)
         .map(|at| (at, event.clone()))
         .collect()
 }
 
-/// Two of the core, others with each seed.
-fn two(seed: u64) -> Vec<usize> {
+/// Two controllers that depend on the seed.
+fn two_controllers(seed: u64) -> Vec<usize> {
     vec![(seed % 5) as usize, ((seed + 2) % 5) as usize]
 }
 
-fn little_served(played: &Played) -> Option<String> {
+fn check_served(played: &Played) -> Option<String> {
     let (served, requests) = (played.served, played.requests);
     (served * 10 < requests * 8).then(|| format!("{served} of {requests} requests are served"))
 }
 
-/// An order or a call of an application had no clear answer on every second try, or hardly any came through.
-fn few_calls(played: &Played, least: usize) -> Option<String> {
+/// Fails if fewer than `least` application calls were made.
+fn check_calls(played: &Played, least: usize) -> Option<String> {
     (played.calls < least).then(|| format!("{} calls were answered", played.calls))
 }
 
@@ -48,26 +48,26 @@
 fn a_controller_cut_off_for_twenty_seconds_from_the_others_alone_answers_nothing_old() {
     fn day(seed: u64) -> Day {
         let cut = Event::CutCore {
-            machines: two(seed),
+            machines: two_controllers(seed),
             ms: 20_000,
         };
-        let day = with(five(seed), vec![(8_000, cut)]);
-        let day = with(day, each(5_000, 33_000, 1_300, &Event::Change));
+        let day = with(five_controllers(seed), vec![(8_000, cut)]);
+        let day = with(day, repeat(5_000, 33_000, 1_300, &Event::Change));
         with(
             day,
-            each(9_500, 30_000, 6_000, &Event::DrainTasks { share: 1 }),
+            repeat(9_500, 30_000, 6_000, &Event::DrainTasks { share: 1 }),
         )
     }
-    fn wrong(played: &Played) -> Option<String> {
-        little_served(played).or(few_calls(played, 1_000))
+    fn check(played: &Played) -> Option<String> {
+        check_served(played).or(check_calls(played, 1_000))
     }
     case(
         day,
-        wrong,
+        check,
         &[
-            Mutation::HomePresumedInTouch,
-            Mutation::ReadsAlone,
-            Mutation::DrainsUnheard,
+            Mutation::AssumeHomeInContact,
+            Mutation::LocalReads,
+            Mutation::IgnoreDrains,
         ],
     );
 }
@@ -75,11 +75,11 @@
 #[test]
 fn a_controller_cut_off_from_all_or_frozen_for_twenty_seconds_begins_again_with_the_newest_state() {
     fn day(seed: u64) -> Day {
-        let first = two(seed)[0];
-        let mut day = five(seed);
+        let first = two_controllers(seed)[0];
+        let mut day = five_controllers(seed);
         day.length_ms = 70_000;
         let both = Event::Cut {
-            machines: two(seed),
+            machines: two_controllers(seed),
             both: true,
             ms: 20_000,
         };
@@ -100,25 +100,31 @@
                 ),
             ],
         );
-        // Cut a second time before it has caught up.
+        // Partition it again before it has caught up.
         let day = with(day, vec![(49_400, deaf)]);
-        with(day, each(5_000, 54_000, 900, &Event::Change))
+        with(day, repeat(5_000, 54_000, 900, &Event::Change))
     }
-    fn wrong(played: &Played) -> Option<String> {
-        few_calls(played, 1_000)
+    fn check(played: &Played) -> Option<String> {
+        check_calls(played, 1_000)
     }
-    case(day, wrong, &[Mutation::ReadsAlone]);
+    case(day, check, &[Mutation::LocalReads]);
 }
 
 #[test]
 fn an_order_sent_again_after_lost_answers_failovers_and_wipes_is_acknowledged_and_two_at_once_leave_one()
  {
     fn day(seed: u64) -> Day {
-        let machine = two(seed)[0];
-        let day = with(five(seed), each(5_000, 36_000, 1_700, &Event::Race));
-        let day = with(day, each(5_800, 36_000, 2_300, &Event::Again));
-        let day = with(day, each(6_100, 36_000, 3_100, &Event::Storm { count: 8 }));
-        let day = with(day, each(6_600, 36_000, 4_700, &Event::Invalid));
+        let machine = two_controllers(seed)[0];
+        let day = with(
+            five_controllers(seed),
+            repeat(5_000, 36_000, 1_700, &Event::Race),
+        );
+        let day = with(day, repeat(5_800, 36_000, 2_300, &Event::Again));
+        let day = with(
+            day,
+            repeat(6_100, 36_000, 3_100, &Event::Storm { count: 8 }),
+        );
+        let day = with(day, repeat(6_600, 36_000, 4_700, &Event::Invalid));
         with(
             day,
             vec![
@@ -148,16 +154,16 @@
             ],
         )
     }
-    fn wrong(played: &Played) -> Option<String> {
-        few_calls(played, 1_000)
+    fn check(played: &Played) -> Option<String> {
+        check_calls(played, 1_000)
     }
     case(
         day,
-        wrong,
+        check,
         &[
-            Mutation::RepeatRefused,
-            Mutation::SyncLeftOut,
-            Mutation::TakesInvalid,
+            Mutation::RejectRepeatedConfiguration,
+            Mutation::SkipSync,
+            Mutation::AcceptInvalidConfiguration,
         ],
     );
 }
@@ -165,8 +171,11 @@
 #[test]
 fn routes_that_are_added_again_and_again_are_served_as_the_first_ones_are() {
     fn day(seed: u64) -> Day {
-        let machine = two(seed)[0];
-        let mut day = with(five(seed), each(5_000, 36_000, 500, &Event::Change));
+        let machine = two_controllers(seed)[0];
+        let mut day = with(
+            five_controllers(seed),
+            repeat(5_000, 36_000, 500, &Event::Change),
+        );
         day.rate = 240;
         let killed = Event::KillOne {
             machine,
@@ -183,22 +192,22 @@
     }
     case(
         day,
-        little_served,
-        &[Mutation::LaterRoutesFail, Mutation::ConfigurationsMissed],
+        check_served,
+        &[Mutation::FailLaterRoutes, Mutation::SkipConfigurations],
     );
 }
 
 #[test]
 fn a_second_loss_after_a_repair_loses_nothing_that_was_acknowledged() {
     fn day(seed: u64) -> Day {
-        let (first, second) = (two(seed)[0], two(seed)[1]);
-        let mut day = five(seed);
+        let (first, second) = (two_controllers(seed)[0], two_controllers(seed)[1]);
+        let mut day = five_controllers(seed);
         day.length_ms = 80_000;
-        let day = with(day, each(5_000, 62_000, 800, &Event::Change));
+        let day = with(day, repeat(5_000, 62_000, 800, &Event::Change));
         with(
             day,
             vec![
-                // Two at once, filled by those that are left; then one of those, and the first again.
+                // Two controllers fail together and recover from the rest; then one of the rest and the first fail.
                 (
                     8_000,
                     Event::Wipe {
@@ -227,7 +236,7 @@
                         down_ms: 600,
                     },
                 ),
-                // One is replaced in order, and all lose power while another is empty.
+                // One controller is replaced in order; all lose power while another has an empty disk.
                 (
                     32_000,
                     Event::Replace {
@@ -252,19 +261,19 @@
             ],
         )
     }
-    fn wrong(played: &Played) -> Option<String> {
-        few_calls(played, 1_000)
+    fn check(played: &Played) -> Option<String> {
+        check_calls(played, 1_000)
     }
-    case(day, wrong, &[Mutation::SyncLeftOut]);
+    case(day, check, &[Mutation::SkipSync]);
 }
 
 #[test]
 fn a_controller_that_missed_hundreds_of_changes_catches_up_while_they_go_on_and_then_answers() {
     fn day(seed: u64) -> Day {
-        let machine = two(seed)[0];
-        let mut day = five(seed);
+        let machine = two_controllers(seed)[0];
+        let mut day = five_controllers(seed);
         (day.length_ms, day.apps) = (60_000, 24);
-        let day = with(day, each(5_000, 45_000, 160, &Event::Storm { count: 2 }));
+        let day = with(day, repeat(5_000, 45_000, 160, &Event::Storm { count: 2 }));
         with(
             day,
             vec![
@@ -276,7 +285,7 @@
                         down_ms: 20_000,
                     },
                 ),
-                // The one that is likely to fill it, amid that.
+                // Interrupt the likely source of its catch-up.
                 (
                     27_150,
                     Event::Kill {
@@ -289,21 +298,21 @@
             ],
         )
     }
-    fn wrong(played: &Played) -> Option<String> {
+    fn check(played: &Played) -> Option<String> {
         let views = played
             .log
             .iter()
             .filter(|line| line.contains("is active"))
             .count();
-        little_served(played).or((views == 0).then(|| "no view became active".into()))
+        check_served(played).or((views == 0).then(|| "no view became active".into()))
     }
     case(
         day,
-        wrong,
+        check,
         &[
-            Mutation::ReadsAlone,
-            Mutation::ConfigurationsMissed,
-            Mutation::GoesBack,
+            Mutation::LocalReads,
+            Mutation::SkipConfigurations,
+            Mutation::RevertConfiguration,
         ],
     );
 }
@@ -311,7 +320,7 @@
 #[test]
 fn an_answer_goes_to_its_own_request_and_what_runs_once_leaves_once() {
     fn day(seed: u64) -> Day {
-        let mut day = five(seed);
+        let mut day = five_controllers(seed);
         day.rate = 300;
         let (service, ms) = (0, 5_000);
         with(
@@ -381,28 +390,28 @@
             ],
         )
     }
-    fn wrong(played: &Played) -> Option<String> {
-        few_calls(played, 1_000)
+    fn check(played: &Played) -> Option<String> {
+        check_calls(played, 1_000)
     }
     let mutations = [
-        Mutation::AnyAnswer,
-        Mutation::BrokenIsUnsent,
-        Mutation::NobodyMeant,
-        Mutation::PromisesAll,
+        Mutation::AcceptAnyResponse,
+        Mutation::BrokenAsUnsent,
+        Mutation::OmitTargetInstance,
+        Mutation::AlwaysNotExecuted,
     ];
-    case(day, wrong, &mutations);
+    case(day, check, &mutations);
 }
 
-/// Six controllers before ninety proxies lose two disks, are cut in two for long, and lose two others.
-fn six_before_ninety(seed: u64) {
-    let mut day = five(seed);
+/// Six controllers serve ninety proxies, lose two disks, are partitioned for long and lose two more.
+fn six_controllers_ninety_proxies(seed: u64) {
+    let mut day = five_controllers(seed);
     (day.controllers, day.proxies, day.tasks, day.length_ms) = (6, 90, 40, 90_000);
     let machine = (seed % 6) as usize;
     let lost = |by: usize| Event::Wipe {
         machine: (machine + by) % 6,
         down_ms: 600,
     };
-    let day = with(day, each(5_000, 72_000, 700, &Event::Change));
+    let day = with(day, repeat(5_000, 72_000, 700, &Event::Change));
     let cut = Event::CutCore {
         machines: vec![machine, (machine + 3) % 6],
         ms: 20_000,
@@ -427,7 +436,7 @@
 
 #[test]
 fn six_controllers_before_ninety_proxies_bear_the_loss_of_two_again_and_again() {
-    six_before_ninety(0);
+    six_controllers_ninety_proxies(0);
 }
 
 #[test]
@@ -435,7 +444,7 @@
 fn six_controllers_before_ninety_proxies_on_many_seeds() {
     let text = std::env::var("WORST_SEEDS").unwrap_or_default();
     let (from, to) = text.split_once("..").unwrap_or(("0", "4"));
-    (from.parse::<u64>().unwrap()..to.parse().unwrap()).for_each(six_before_ninety);
+    (from.parse::<u64>().unwrap()..to.parse().unwrap()).for_each(six_controllers_ninety_proxies);
 }
 
 #[test]
@@ -443,7 +452,7 @@
 {
     fn day(seed: u64) -> Day {
         let halves = Event::CutCore {
-            machines: two(seed),
+            machines: two_controllers(seed),
             ms: 7_000,
         };
         let power_lost = Event::Dark { down_ms: 600 };
@@ -454,19 +463,19 @@
         let faults = vec![
             (8_000, halves),
             (19_000, power_lost.clone()),
-            // Again before all are in contact, and once more by a kill.
+            // Repeat before all are in contact, then with a kill.
             (20_300, power_lost),
             (28_000, killed.clone()),
             (28_900, killed),
         ];
-        let day = with(five(seed), faults);
-        let day = with(day, each(5_000, 34_000, 700, &Event::Change));
-        with(day, each(5_300, 34_000, 250, &Event::ReadEverywhere))
+        let day = with(five_controllers(seed), faults);
+        let day = with(day, repeat(5_000, 34_000, 700, &Event::Change));
+        with(day, repeat(5_300, 34_000, 250, &Event::ReadEverywhere))
     }
-    fn wrong(played: &Played) -> Option<String> {
+    fn check(played: &Played) -> Option<String> {
         let few_reads = played.configurations_read < 100;
         let reads = || format!("{} reads show a configuration", played.configurations_read);
-        few_calls(played, 1_000).or_else(|| few_reads.then(reads))
+        check_calls(played, 1_000).or_else(|| few_reads.then(reads))
     }
-    case(day, wrong, &[Mutation::ReadsAlone, Mutation::SyncLeftOut]);
+    case(day, check, &[Mutation::LocalReads, Mutation::SkipSync]);
 }
