--- a/crates/rookpulley-simulator/src/callers.rs
+++ b/crates/rookpulley-simulator/src/callers.rs
@@ -1,4 +1,4 @@
-//! Calls from outside to controllers: who gets no clear answer goes to another one, with the same call.
+//! Calls to controllers. A call without a definite response is repeated at another controller.
 
 use crate::net::Host;
 use crate::operator::configuration_of;
@@ -15,14 +15,14 @@
         draining: bool,
         leaving: bool,
     },
-    /// Which put of the operator's.
+    /// An operator put, by its index in the record.
     Operator(usize),
     ReadBack,
-    /// A read amid the day, with its number in the record.
+    /// A configuration read during the run, by its index in the record.
     Read(usize),
     App(usize),
     Watcher(usize),
-    /// A read at the end of the day, with its number in the record.
+    /// An application call at the end of the run, by its index in the record.
     Last(usize),
 }
 
@@ -36,16 +36,16 @@
     pub sent_us: Us,
     pub attempt: u32,
     pub machine: usize,
-    /// Some try had no clear answer.
+    /// At least one attempt had an indeterminate result.
     pub indeterminate: bool,
     pub until_us: Us,
-    /// So long each try is waited for.
-    pub patience: Us,
+    /// Timeout of each attempt.
+    pub attempt_timeout: Us,
 }
 
 const SECOND: Us = S;
-/// While answers are lost, one of so many comes through.
-const LOST_ANSWERS: u32 = 4;
+/// While responses are lost, one in this many is delivered.
+const DELIVERED_ONE_IN: u32 = 4;
 
 impl World {
     pub fn call(
@@ -55,7 +55,7 @@
         name: &str,
         body: String,
         query: Vec<(&'static str, String)>,
-        (within, patience): (Us, Us),
+        (within, attempt_timeout): (Us, Us),
     ) -> u64 {
         let core: Vec<usize> = self.callable();
         let machine = core[self.rng.random_range(0..core.len())];
@@ -65,7 +65,7 @@
             name,
             body,
             query,
-            (within, patience),
+            (within, attempt_timeout),
             machine,
         )
     }
@@ -78,7 +78,7 @@
         name: &str,
         body: String,
         query: Vec<(&'static str, String)>,
-        (within, patience): (Us, Us),
+        (within, attempt_timeout): (Us, Us),
         machine: usize,
     ) -> u64 {
         let (call, now) = (self.number(), self.now);
@@ -96,14 +96,14 @@
                 machine,
                 indeterminate: false,
                 until_us: now + within,
-                patience: SECOND + patience,
+                attempt_timeout: SECOND + attempt_timeout,
             },
         );
         self.send_call(call);
         call
     }
 
-    /// The list that callers choose from: machines with a controller, up or not.
+    /// The machines with any controller, running or not, from which callers choose.
     pub fn callable(&self) -> Vec<usize> {
         let serves = |m: &usize| self.machines[*m].core || self.machines[*m].stateless;
         (0..self.machines.len())
@@ -111,7 +111,7 @@
             .collect()
     }
 
-    /// Those with a disk.
+    /// The machines with a stateful controller.
     pub fn core(&self) -> Vec<usize> {
         (0..self.machines.len())
             .filter(|m| self.machines[*m].core && !self.machines[*m].gone)
@@ -133,13 +133,13 @@
         };
         of.attempt += 1;
         of.sent_us = now;
-        let (attempt, machine, patience) = (of.attempt, of.machine, of.patience);
-        self.after(patience, None, What::CallLate { call, attempt });
+        let (attempt, machine, attempt_timeout) = (of.attempt, of.machine, of.attempt_timeout);
+        self.after(attempt_timeout, None, What::CallLate { call, attempt });
         let process = self.process_of(machine, true);
         let to = Host::Machine(machine);
         match self.address(process) {
             Some(to_process) => self.post(from, to, Some(to_process), What::Call { call, attempt }),
-            // Nobody listens.
+            // The connection is refused.
             None if self.powered(to) && !self.net.cut_either(from, to) => {
                 let us = self.delay(from, to) + self.delay(to, from);
                 self.after(
@@ -156,7 +156,7 @@
         }
     }
 
-    /// It came where nobody is any more, or nobody listens: a reset, and nothing was done.
+    /// Answers a call to a process that has ended or does not listen with a reset.
     pub fn call_not_heard(&mut self, process: usize, call: u64, attempt: u32) {
         let (from, to) = (self.host_of(process), self.caller_host(call));
         if self.powered(from) {
@@ -183,7 +183,7 @@
         }
     }
 
-    /// A controller without a disk names another one; that is followed at once.
+    /// Follows the redirect of a stateless controller at once.
     pub fn redirected(&mut self, call: u64, attempt: u32, machine: usize) {
         if let Some(of) = self.calls.get_mut(&call).filter(|of| of.attempt == attempt) {
             of.machine = machine;
@@ -196,7 +196,7 @@
             return;
         };
         let answer_lost = matches!(of.who, Who::Operator(_)) && self.now < self.answers_lost_until;
-        if answer_lost && !self.chance(LOST_ANSWERS) {
+        if answer_lost && !self.chance(DELIVERED_ONE_IN) {
             return;
         }
         match reply {
@@ -214,7 +214,7 @@
         }
     }
 
-    /// To another controller after a pause that grows, or given up.
+    /// Retries at the next controller after a growing pause, or gives up at the deadline.
     fn unanswered(&mut self, call: u64, indeterminate: bool) {
         let core = self.callable();
         let now = self.now;
@@ -222,7 +222,7 @@
             return;
         };
         of.indeterminate |= indeterminate;
-        // What comes back later is not waited for.
+        // Late responses to the previous attempt are ignored.
         of.attempt += 1;
         let place = core
             .iter()
--- a/crates/rookpulley-simulator/src/clients.rs
+++ b/crates/rookpulley-simulator/src/clients.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for clients and for the platform that brings them to proxies.
+//! Simulated clients and the platform load balancer that selects proxies by readiness.
 
 use crate::net::Host;
 use crate::record::{Ended, Try};
@@ -7,10 +7,10 @@
 use rand::RngExt;
 use rookpulley_routes::RouteKind;
 
-/// What a client hears.
+/// A response as the client receives it.
 #[derive(Clone, Debug)]
 pub struct ClientResponse {
-    /// 0: nothing, the connection ended.
+    /// 0 if the connection closed without a response.
     pub status: u16,
     pub signature: u64,
     pub body: u64,
@@ -39,8 +39,8 @@
     (a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b).wrapping_mul(0xd6e8_feb8_6659_fd93) ^ (a >> 7)
 }
 
-const TRIES: u32 = 4;
-const IMPATIENT_TRIES: u32 = 12;
+const MAX_ATTEMPTS: u32 = 4;
+const MAX_IMPATIENT_ATTEMPTS: u32 = 12;
 
 impl World {
     // ---- the platform -----------------------------------------------------------------------
@@ -148,7 +148,7 @@
             self.record.tries[index].process_incarnation = address.1;
             let us = 2 * self.delay(from, to);
             self.after(us, Some(address), What::Request(index));
-            // A repeatable one that isn't read is given up after a while.
+            // Clients abandon idempotent requests that are not read in time.
             self.after(left, None, What::ClientLate { try_: index });
             if self.record.tries[index].kind.is_idempotent() {
                 self.after((left / 3).min(S), None, What::ClientLate { try_: index });
@@ -159,7 +159,7 @@
             } else {
                 S
             };
-            let told = ClientResponse {
+            let response = ClientResponse {
                 whole: false,
                 ..ClientResponse::own(0, None)
             };
@@ -168,17 +168,17 @@
                 None,
                 What::ClientAnswer {
                     try_: index,
-                    answer: told,
+                    answer: response,
                 },
             );
         }
     }
 
-    /// It came where nobody is any more: the client sees a reset, or nothing.
+    /// Handles a request to a proxy that has ended: the client sees a reset or, without power, a timeout.
     pub fn not_read(&mut self, process: usize, index: usize) {
         let host = self.host_of(process);
         let us = if self.powered(host) { MS } else { S };
-        let told = ClientResponse {
+        let response = ClientResponse {
             whole: false,
             ..ClientResponse::own(0, None)
         };
@@ -187,7 +187,7 @@
             None,
             What::ClientAnswer {
                 try_: index,
-                answer: told,
+                answer: response,
             },
         );
     }
@@ -206,30 +206,30 @@
         self.after(us, Some((process, incarnation)), What::ClientClosed(index));
     }
 
-    pub fn client_hears(&mut self, index: usize, told: ClientResponse) {
+    pub fn client_hears(&mut self, index: usize, response: ClientResponse) {
         if self.record.tries[index].ended.is_some() {
             return;
         }
         let read = self.record.tries[index].read_us.is_some();
-        let ended = match (told.status, read) {
+        let ended = match (response.status, read) {
             (0, false) => Ended::ClosedUnread,
             (0, true) => Ended::Closed,
-            _ => Ended::Response(told),
+            _ => Ended::Response(response),
         };
         self.ends(index, ended);
     }
 
-    /// A try is over; another follows where it may.
+    /// Ends an attempt and schedules the next one if a retry is allowed.
     fn ends(&mut self, index: usize, ended: Ended) {
         let now = self.now;
         let of = &mut self.record.tries[index];
         let repeatable = of.kind.is_idempotent();
         let retry_ms = match &ended {
-            Ended::Response(told) => told.retry_after_ms.unwrap_or(0.0),
+            Ended::Response(response) => response.retry_after_ms.unwrap_or(0.0),
             _ => 0.0,
         };
         let again = match &ended {
-            Ended::Response(told) => match told.status {
+            Ended::Response(response) => match response.status {
                 200..=299 | 400 | 401 | 404 | 413 | 431 => false,
                 408 | 421 | 429 | 503 => true,
                 _ => repeatable,
@@ -241,16 +241,16 @@
         of.ended = Some((now, ended));
         let left = of.until.saturating_sub(now);
         let (impatient, once) = (self.day.shape.impatient, self.day.shape.once);
-        let tries = match (impatient, once) {
+        let max_attempts = match (impatient, once) {
             (_, true) => 1,
-            (true, _) => IMPATIENT_TRIES,
-            _ => TRIES,
+            (true, _) => MAX_IMPATIENT_ATTEMPTS,
+            _ => MAX_ATTEMPTS,
         };
-        if !again || of.number >= tries || left < 20 * MS {
+        if !again || of.number >= max_attempts || left < 20 * MS {
             return;
         }
-        let told = if impatient { 0.0 } else { retry_ms };
-        let pause = ((told * 1e3) as Us).min(left / 3).max(10 * MS);
+        let delay_ms = if impatient { 0.0 } else { retry_ms };
+        let pause = ((delay_ms * 1e3) as Us).min(left / 3).max(10 * MS);
         let next = Try {
             number: of.number + 1,
             read_us: None,
