--- a/crates/rookpulley-simulator/src/seen.rs
+++ b/crates/rookpulley-simulator/src/seen.rs
@@ -1,44 +1,44 @@
-//! What of a day tells whether a mechanism did its work: what was served, refused and sent, and when.
+//! Summaries of a simulation for tests: requests served, attempts rejected and attempts that reached tasks.
 
 use crate::MS;
 use crate::record::{Ended, Record};
 use rookpulley_routes::RouteKind;
 use std::collections::BTreeMap;
 
-/// A client's request with all its tries.
+/// A client request with all its attempts.
 #[derive(Clone, Debug)]
 pub struct Asked {
     pub at_ms: u64,
     pub kind: RouteKind,
     pub zone: usize,
     pub tries: u32,
-    /// No route led anywhere: whoever asks for what was dropped gets that.
+    /// An attempt returned 404 because no route matched.
     pub unknown: bool,
     pub served_ms: Option<u64>,
 }
 
-/// A try that was told 503.
+/// An attempt that returned 503.
 #[derive(Clone, Copy, Debug)]
 pub struct Refused {
     pub at_ms: u64,
     pub took_ms: u64,
-    /// When its client is to come back.
-    pub again_ms: Option<f64>,
+    /// The retry delay in the response.
+    pub retry_after_ms: Option<f64>,
 }
 
-/// A try at a task.
+/// An attempt that reached a task.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrived {
+pub struct TaskArrival {
     pub at_ms: u64,
     pub service: usize,
     pub place: usize,
     pub machine: usize,
-    /// Of its request, it was not the first.
+    /// An earlier arrival has the same request number.
     pub further: bool,
-    /// Another incarnation was meant.
-    pub stranger: bool,
+    /// The request was addressed to another incarnation.
+    pub misdirected: bool,
     pub ran: bool,
-    /// The task's answer; 0: none, or it turned the try away.
+    /// The status of the executed request, or 0 if it was not executed.
     pub status: u16,
 }
 
@@ -46,7 +46,7 @@
 pub struct Seen {
     pub asked: Vec<Asked>,
     pub refused: Vec<Refused>,
-    pub arrived: Vec<Arrived>,
+    pub arrived: Vec<TaskArrival>,
 }
 
 impl Seen {
@@ -70,14 +70,14 @@
             if of.served() {
                 one.served_ms = Some(of.ended_us() / MS);
             }
-            if let Some((at, Ended::Told(told))) = &of.ended
+            if let Some((at, Ended::Response(told))) = &of.ended
                 && told.status == 503
             {
-                let (took_ms, again_ms) = ((at - of.sent_us) / MS, told.retry_after_ms);
+                let (took_ms, retry_after_ms) = ((at - of.sent_us) / MS, told.retry_after_ms);
                 refused.push(Refused {
                     at_ms: at / MS,
                     took_ms,
-                    again_ms,
+                    retry_after_ms,
                 });
             }
         }
@@ -85,13 +85,13 @@
         let arrived = record.arrivals.iter().map(|of| {
             let count = known.entry(of.request).or_default();
             *count += 1;
-            Arrived {
+            TaskArrival {
                 at_ms: of.at / MS,
                 service: of.service,
                 place: of.task,
                 machine: of.machine,
                 further: *count > 1,
-                stranger: of.stranger,
+                misdirected: of.misdirected,
                 ran: of.ran.is_some(),
                 status: of.ran.as_ref().map_or(0, |run| run.status),
             }
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The part that was served of what came from then to then, as far as it fits.
+    /// The served share of the matching requests first sent within the interval; requests without a route are excluded.
     pub fn share(&self, from_ms: u64, to_ms: u64, fits: impl Fn(&Asked) -> bool) -> f64 {
         let within = |of: &&Asked| (from_ms..to_ms).contains(&of.at_ms) && !of.unknown && fits(of);
         let (served, all) = self
@@ -116,8 +116,8 @@
         served as f64 / f64::max(f64::from(all), 1.0)
     }
 
-    /// What came to tasks from then to then.
-    pub fn came(&self, from_ms: u64, to_ms: u64) -> impl Iterator<Item = &Arrived> {
+    /// The attempts that reached tasks within the interval.
+    pub fn came(&self, from_ms: u64, to_ms: u64) -> impl Iterator<Item = &TaskArrival> {
         self.arrived
             .iter()
             .filter(move |of| (from_ms..to_ms).contains(&of.at_ms))
