--- a/crates/rookpulley-files/src/read.rs
+++ b/crates/rookpulley-files/src/read.rs
@@ -30,16 +30,18 @@
 /// Why a file was rejected. No part of a rejected file is used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ReadError {
-    #[error("byte {0} is not valid UTF-8")]
+    #[error("byte {0} is no UTF-8 text")]
     NotUtf8(usize),
     /// The closing statement is missing: the file is incomplete or still being written.
-    #[error("the closing statement is missing: the file is incomplete or still being written; {0}")]
+    #[error(
+        "it does not end with its closing statement: it was cut off or is still being written; {0}"
+    )]
     MissingClosing(String),
     #[error(
-        "its seal {said:?} does not fit the content: the file was changed after sealing or is being overwritten; {remedy}"
+        "its seal is {said:?} and does not fit: it was changed since, or is being written over; {remedy}"
     )]
     SealMismatch { said: String, remedy: String },
-    #[error("it says {said} servers but lists {found}; {remedy}")]
+    #[error("it says {said} servers and names {found}; {remedy}")]
     CountMismatch {
         said: usize,
         found: usize,
@@ -62,9 +64,7 @@
 /// Suggests the closing statement for a file that is complete.
 fn remedy(body: &str, servers: usize) -> String {
     let closing = closing_statement(body, servers);
-    format!(
-        "if the file is complete, write {closing} as the last line, or run `rookpulley servers seal`"
-    )
+    format!("where it is whole, write {closing} as the last line, or run `rookpulley servers seal`")
 }
 
 /// The seal of the text before the closing statement: 48 bits of its BLAKE3 hash. It detects accidental changes and
@@ -104,7 +104,7 @@
 fn started(value: Value) -> anyhow::Result<f64> {
     let wrong = || {
         anyhow::anyhow!(
-            "started = {value} is not a time; write \"2026-12-01T10:00:00Z\", or Unix milliseconds"
+            "started = {value} is no time; write \"2026-12-01T10:00:00Z\", or Unix milliseconds"
         )
     };
     if let Some(text) = value.unpack_str() {
@@ -127,7 +127,7 @@
     ) -> anyhow::Result<NoneType> {
         let number: u64 = number.to_string().parse().map_err(|_| {
             anyhow::anyhow!(
-                "generation({number}) is not a non-negative whole number; write the previous one plus 1"
+                "generation({number}) is no whole number from 0 on; write one more than before"
             )
         })?;
         set_once(
@@ -159,7 +159,7 @@
     ) -> anyhow::Result<NoneType> {
         let started_ms = started.map(self::started).transpose()?.unwrap_or(0.0);
         let bay = u16::try_from(bay)
-            .map_err(|_| anyhow::anyhow!("bay = {bay}; write a number from 0 to 65535"))?;
+            .map_err(|_| anyhow::anyhow!("bay = {bay}; write a figure from 0 to 65535"))?;
         let place = eval.call_stack_top_location().as_ref().map(line_and_column);
         let entry = Entry {
             name: name.into(),
@@ -207,8 +207,7 @@
     let missing = || FileError {
         file: file.into(),
         at: Some((1, 1)),
-        what: "generation() is missing; write generation(1), and increase it with every change"
-            .into(),
+        what: "generation() is missing; write generation(1), and one more with every change".into(),
     };
     let generation = found.generation.ok_or_else(missing)?;
     Ok(Candidate {
@@ -226,7 +225,8 @@
         let hint = evaluate(file, before)
             .ok()
             .map(|f| remedy(before, f.candidate.entries.len()));
-        let hint = hint.unwrap_or_else(|| "the file is not used until it is complete".into());
+        let hint =
+            hint.unwrap_or_else(|| "nothing of it is used until it has its last line".into());
         return Err(ReadError::MissingClosing(hint));
     };
     let closing = evaluate(file, last)?.end.unwrap_or_default();
--- a/crates/rookpulley-files/src/watch.rs
+++ b/crates/rookpulley-files/src/watch.rs
@@ -34,7 +34,7 @@
     let metadata = std::fs::metadata(path).map_err(|e| e.to_string())?;
     // Opening or reading a pipe or device may block forever.
     if !metadata.is_file() {
-        return Err("it is not a regular file".into());
+        return Err("it is no plain file".into());
     }
     Ok((
         metadata.dev(),
--- a/crates/rookpulley-files/tests/files.rs
+++ b/crates/rookpulley-files/tests/files.rs
@@ -130,11 +130,11 @@
         ),
         (
             sealed_body(&format!("generation(1)\n{one}"), 2),
-            "says 2 servers but lists 1; if the file is complete, write end(servers = 1",
+            "says 2 servers and names 1; where it is whole, write end(servers = 1",
         ),
         (
             format!("generation(1)\n{one}end(servers = 1, seal = \"AAAAAAAA\")"),
-            "its seal \"AAAAAAAA\" does not fit",
+            "its seal is \"AAAAAAAA\" and does not fit",
         ),
         (
             format!("generation(1)\n{one}"),
@@ -142,7 +142,7 @@
         ),
         (
             sealed_body("generation(-1)\n", 0),
-            "servers.star:1:1: generation(-1) is not a non-negative whole number",
+            "servers.star:1:1: generation(-1) is no whole number",
         ),
         (
             sealed_body("generation(1)\ngeneration(2)\n", 0),
@@ -161,7 +161,7 @@
         ),
         (
             sealed_body("generation(1)\nservers(\"s-1\")\n", 1),
-            "the available functions are generation(), loss(), server() and end()",
+            "the file knows generation(), loss(), server() and end()",
         ),
         (
             sealed_body(
@@ -171,7 +171,7 @@
                 ),
                 1,
             ),
-            "is not a time; write \"2026-12-01T10:00:00Z\"",
+            "is no time; write \"2026-12-01T10:00:00Z\"",
         ),
         (
             sealed_body("generation(1)\nfor a in []:\n  pass\n", 0),
@@ -191,7 +191,7 @@
     let message = read(Path::new(FILE), b"generation(1)\n# \xff\n")
         .unwrap_err()
         .to_string();
-    assert_eq!(message, "byte 16 is not valid UTF-8");
+    assert_eq!(message, "byte 16 is no UTF-8 text");
 }
 
 #[test]
--- a/crates/rookpulley-files/tests/watch.rs
+++ b/crates/rookpulley-files/tests/watch.rs
@@ -127,7 +127,7 @@
         std::fs::write(&file, b"\xff\xfe").unwrap();
         let mut not_text = false;
         while !not_text {
-            not_text = matches!(found.recv().await.unwrap(), Found::Rejected(why) if why.contains("not valid UTF-8"));
+            not_text = matches!(found.recv().await.unwrap(), Found::Rejected(why) if why.contains("no UTF-8"));
         }
         std::fs::write(&file, text(2)).unwrap();
         assert_eq!(next_generation(&mut found, &mut rejected).await, 2);
--- a/crates/rookpulley-lists/src/candidate.rs
+++ b/crates/rookpulley-lists/src/candidate.rs
@@ -98,25 +98,25 @@
 /// Why a list is rejected. Each message states the remedy.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Reason {
-    #[error("the list is empty; add a server, or stop following this file")]
+    #[error("it names no server; write one, or stop following this file")]
     EmptyList,
-    #[error("generation {offered} is older than the current {held}; write generation({}) or more", held + 1)]
+    #[error("generation {offered} is older than {held}, which is held; write generation({}) or more", held + 1)]
     OlderGeneration { offered: u64, held: u64 },
-    #[error("generation {held} was accepted with different content; write generation({})", held + 1)]
+    #[error("generation {held} was taken with other lines; write generation({})", held + 1)]
     GenerationReused { held: u64 },
-    #[error("{name:?} is listed twice, first at line {first}; write it once")]
+    #[error("{name:?} stands twice, first at line {first}; write it once")]
     DuplicateName { name: String, first: usize },
     #[error(
-        "{name:?} has the same address {address} as {other:?}; list the server once, or correct the address"
+        "{name:?} has the address {address} of {other:?}; write one name for it, or its own address"
     )]
     DuplicateAddress {
         name: String,
         address: String,
         other: String,
     },
-    #[error("{name:?} is not a valid name; write 1 to 200 printable characters without spaces")]
+    #[error("{name:?} is no name; write 1 to 200 printable characters without spaces")]
     InvalidName { name: String },
-    #[error("{name:?} has the invalid address {address:?}; write one such as \"10.0.0.1:8000\"")]
+    #[error("{name:?} has the address {address:?}; write one such as \"10.0.0.1:8000\"")]
     InvalidAddress { name: String, address: String },
     #[error("{name:?} is of zone {zone:?}; write one of {known}")]
     UnknownZone {
@@ -130,25 +130,25 @@
         machine: String,
         known: String,
     },
-    #[error("{name:?} has the weight {weight}; write a number from 0 to {MAX_WEIGHT}")]
+    #[error("{name:?} has the weight {weight}; write a figure from 0 to {MAX_WEIGHT}")]
     InvalidWeight { name: String, weight: f64 },
+    #[error("{name:?} starts at {started_ms:.0}, which is to come; write when it last started")]
+    FutureStart { name: String, started_ms: f64 },
     #[error(
-        "{name:?} has the start {started_ms:.0}, which is in the future; write the time of its last start"
+        "{name:?} was drained; write started = {least_ms:.0} or later once it has started anew"
     )]
-    FutureStart { name: String, started_ms: f64 },
-    #[error("{name:?} was drained; write started = {least_ms:.0} or later once it has restarted")]
     AlreadyDrained { name: String, least_ms: f64 },
-    #[error("every weight is 0; write a weight above 0 for the servers that should serve")]
+    #[error("every weight is 0; write a weight above 0 for those that are to serve")]
     ZeroWeight,
     #[error("every weight of zone {0:?} is 0; write a weight above 0 there, or drains = True")]
     ZeroWeightZone(String),
-    #[error("no server is left for {kind}{}; keep at least one that serves it", from.as_ref().map(|z| format!(" from zone {z:?}")).unwrap_or_default())]
+    #[error("no server is left for {kind}{}; keep one that serves it", from.as_ref().map(|z| format!(" from zone {z:?}")).unwrap_or_default())]
     Unserved { kind: String, from: Option<String> },
     #[error(
-        "the list removes {loss:.2} of the capacity at once, but {max_loss:.2} is allowed; write loss({loss:.2}) if this is intended"
+        "it takes away {loss:.2} of the capacity at once, {max_loss:.2} are allowed; write loss({loss:.2}) if that is meant"
     )]
     CapacityLoss { loss: f64, max_loss: f64 },
-    #[error("loss({0}) is out of range; write a number from 0 to 1")]
+    #[error("loss({0}) is no part of the whole; write a figure from 0 to 1")]
     InvalidLoss(f64),
 }
 
--- a/crates/rookpulley-lists/tests/lists.rs
+++ b/crates/rookpulley-lists/tests/lists.rs
@@ -61,7 +61,7 @@
 #[test]
 fn invalid_lists_are_rejected_with_position_and_remedy_and_change_nothing() {
     let cases: Vec<(Candidate, &str)> = vec![
-        (changed_list(2, |c| c.entries.clear()), "the list is empty"),
+        (changed_list(2, |c| c.entries.clear()), "it names no server"),
         (
             changed_list(2, |c| c.entries.iter_mut().for_each(|e| e.weight = 0.0)),
             "every weight is 0",
@@ -74,7 +74,7 @@
         ),
         (
             changed_list(2, |c| c.entries[1].weight = -1.0),
-            "3:1: \"s-2\" has the weight -1; write a number from 0",
+            "3:1: \"s-2\" has the weight -1; write a figure from 0",
         ),
         (
             changed_list(2, |c| c.entries[1].weight = f64::NAN),
@@ -90,15 +90,15 @@
         ),
         (
             changed_list(2, |c| c.entries[1].name = "s-1".into()),
-            "3:1: \"s-1\" is listed twice, first at line 2",
+            "3:1: \"s-1\" stands twice, first at line 2",
         ),
         (
             changed_list(2, |c| c.entries[1].address = "10.0.0.1:80".into()),
-            "has the same address 10.0.0.1:80 as \"s-1\"",
+            "has the address 10.0.0.1:80 of \"s-1\"",
         ),
         (
             changed_list(2, |c| c.entries[1].address = "nowhere".into()),
-            "has the invalid address \"nowhere\"; write one such as",
+            "has the address \"nowhere\"; write one such as",
         ),
         (
             changed_list(2, |c| c.entries[1].zone = "z".into()),
@@ -110,11 +110,11 @@
         ),
         (
             changed_list(2, |c| c.entries[1].name = "s 2".into()),
-            "is not a valid name",
+            "is no name",
         ),
         (
             changed_list(2, |c| c.entries[1].started_ms = NOW * 2.0),
-            "which is in the future",
+            "which is to come",
         ),
         (
             changed_list(2, |c| _ = c.entries.drain(..2)),
@@ -122,19 +122,19 @@
         ),
         (
             changed_list(2, |c| _ = c.entries.drain(1..)),
-            "removes 0.75 of the capacity at once, but 0.50 is allowed; write loss(0.75)",
+            "takes away 0.75 of the capacity at once, 0.50 are allowed; write loss(0.75)",
         ),
         (
             changed_list(2, |c| c.loss = Some(7.0)),
-            "loss(7) is out of range",
+            "loss(7) is no part",
         ),
         (
             changed_list(0, |_| ()),
-            "generation 0 is older than the current 1; write generation(2)",
+            "generation 0 is older than 1, which is held; write generation(2)",
         ),
         (
             changed_list(1, |c| c.entries[0].weight = 2.0),
-            "generation 1 was accepted with different content; write generation(2)",
+            "generation 1 was taken with other lines; write generation(2)",
         ),
     ];
     let accepted_list = accepted_list();
--- a/crates/rookpulley-operators/src/script.rs
+++ b/crates/rookpulley-operators/src/script.rs
@@ -40,7 +40,9 @@
 pub fn set_once<T>(slot: &mut Option<T>, name: &str, value: T) -> anyhow::Result<()> {
     match slot.replace(value) {
         None => Ok(()),
-        Some(_) => Err(anyhow::anyhow!("{name}() is called twice; call it once")),
+        Some(_) => Err(anyhow::anyhow!(
+            "{name}() is called twice; write one call for it"
+        )),
     }
 }
 
@@ -83,7 +85,7 @@
     // For an unknown name, list the functions that exist.
     let what = match what.lines().next().unwrap_or_default() {
         text if text.starts_with("Variable `") && text.contains("not found") => {
-            format!("{text}; the available functions are {function_names}")
+            format!("{text}; the file knows {function_names}")
         }
         text => text.to_string(),
     };
@@ -106,7 +108,7 @@
     };
     if text.len() > settings.max_bytes {
         return Err(without_position(format!(
-            "{} bytes are too many; the maximum is {}",
+            "{} bytes are too many; {} are the most",
             text.len(),
             settings.max_bytes
         )));
