--- a/crates/rookpulley-assigner/src/operators.rs
+++ b/crates/rookpulley-assigner/src/operators.rs
@@ -1,17 +1,18 @@
-//! What operators ask while the assigner runs: answers from the book, and ways back, which the module decides.
+//! The operator API: queries that the version manager answers, and rollbacks, which the decision
+//! module accepts or refuses.
 
-use crate::CannotRun;
-use crate::driver::{Event, Front, unix_ms};
+use crate::StartError;
+use crate::driver::{Context, Event, unix_ms};
 use crate::messages::server_id;
-use crate::orders::{Orders, places};
-use crate::servers::Servers;
+use crate::orders::{Orders, kinds_in};
+use crate::server_file::ServerFile;
 use rookpulley::interface::{ChannelLimits, Input, RollbackStatus, TableId};
-use rookpulley_operators::address;
-use rookpulley_operators::asks::{
-    Answer, Ask, Asked, BackList, BackRow, DiffList, DiffRow, HolderList, HolderRow, Refusal,
-    VersionList, VersionRow,
+use rookpulley_operators::api::{
+    ApiError, ApiRequest, ApiResponse, DiffList, DiffRow, HolderList, HolderRow, PendingRequest,
+    RollbackList, RollbackRow, VersionList, VersionRow,
 };
-use rookpulley_operators::file::{Reach, Token};
+use rookpulley_operators::file::{ListenSettings, Token};
+use rookpulley_operators::server;
 use rookpulley_versions::version::start_id;
 use rookpulley_versions::{
     AckTimeouts, Delta, History, Issuer, RetentionLimits, SyncState, Version, VersionManager,
@@ -23,59 +24,63 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 
-/// So many asks wait at once at most.
-const ASKS: usize = 16;
+/// Capacity of the request queue.
+const REQUEST_QUEUE: usize = 16;
 
-/// The operators' address, held and not served yet.
-pub struct Asking {
+/// The bound listener of the operator API.
+pub struct OperatorApi {
     listener: TcpListener,
     token: Option<Token>,
 }
 
-impl Asking {
-    /// Nothing is opened where the operators' file names no address.
-    pub async fn bind(reach: Option<&Reach>) -> Result<Option<Self>, CannotRun> {
-        let Some(Reach {
-            listen: place,
+impl OperatorApi {
+    /// Returns `None` if the operators file configures no address.
+    pub async fn bind(reach: Option<&ListenSettings>) -> Result<Option<Self>, StartError> {
+        let Some(ListenSettings {
+            listen: address,
             token_file,
         }) = reach
         else {
             return Ok(None);
         };
         let token = token_file.as_deref().map(Token::load).transpose()?;
-        let why = |why| CannotRun::Address {
-            what: "the operators' address",
-            place: *place,
-            why,
+        let bind_error = |error| StartError::Address {
+            what: "operator address",
+            address: *address,
+            error,
         };
-        let listener = TcpListener::bind(place).await.map_err(why)?;
+        let listener = TcpListener::bind(address).await.map_err(bind_error)?;
         Ok(Some(Self { listener, token }))
     }
 
-    pub fn place(&self) -> Option<SocketAddr> {
+    pub fn address(&self) -> Option<SocketAddr> {
         self.listener.local_addr().ok()
     }
 
-    /// Serves from now on. Called within a `LocalSet`.
-    pub fn begin(self, front: &Rc<Front>) {
-        let (sender, mut asks) = mpsc::channel::<Asked>(ASKS);
-        let counted = front.clone();
-        let count: address::Count = Rc::new(move |what| counted.counters.one(what));
-        tokio::task::spawn_local(address::serve(self.listener, self.token, sender, count));
-        let front = front.clone();
+    /// Starts serving. Must be called within a `LocalSet`.
+    pub fn spawn(self, ctx: &Rc<Context>) {
+        let (sender, mut requests) = mpsc::channel::<PendingRequest>(REQUEST_QUEUE);
+        let counters_ctx = ctx.clone();
+        let count_call: server::CounterFn = Rc::new(move |what| counters_ctx.counters.inc(what));
+        tokio::task::spawn_local(server::serve(self.listener, self.token, sender, count_call));
+        let ctx = ctx.clone();
         tokio::task::spawn_local(async move {
-            while let Some(asked) = asks.recv().await {
-                front.tell(Event::Asked(asked)).await;
+            while let Some(request) = requests.recv().await {
+                ctx.send(Event::OperatorRequest(request)).await;
             }
         });
     }
 }
 
-/// The book of one start. The start's name must never come again, also where the seed of the configuration
-/// does: its part of chance is the process's own.
-pub fn book(name: &str, keep: RetentionLimits, channel: &ChannelLimits) -> VersionManager {
-    let chance = RandomState::new().hash_one(std::process::id()) as u32;
-    let start = start_id(unix_ms(), chance);
+/// Creates the version manager. The id of this start must be unique even if the configured seed is
+/// reused, so its random part comes from the process.
+pub fn version_manager(
+    name: &str,
+    keep: RetentionLimits,
+    channel: &ChannelLimits,
+) -> VersionManager {
+    let random = RandomState::new().hash_one(std::process::id()) as u32;
+    let start = start_id(unix_ms(), random);
     VersionManager::new(
         Issuer {
             assigner: name.into(),
@@ -87,29 +92,29 @@
     )
 }
 
-/// Ways back that the module has been asked for, and whom to answer.
-struct Waiting {
+/// Rollbacks or releases requested from the module, and the channel for the response.
+struct PendingRollback {
     tables: BTreeSet<TableId>,
     releases: bool,
-    rows: Vec<BackRow>,
-    answer: oneshot::Sender<Answer>,
+    rows: Vec<RollbackRow>,
+    answer: oneshot::Sender<ApiResponse>,
 }
 
 #[derive(Default)]
-pub struct WaysBack {
-    waiting: Vec<Waiting>,
-    /// Tables that an operator holds back.
+pub struct Rollbacks {
+    pending: Vec<PendingRollback>,
+    /// Tables that are held at an earlier version.
     pub held: BTreeSet<TableId>,
 }
 
-fn refused(status: u16, what: impl Into<String>, instead: &str) -> Answer {
-    Answer::Refused {
-        refusal: Refusal::new(status, what, Some(instead)),
+fn refusal(status: u16, what: impl Into<String>, instead: &str) -> ApiResponse {
+    ApiResponse::Refused {
+        refusal: ApiError::new(status, what, Some(instead)),
     }
 }
 
-fn row(table: TableId, what: &RollbackStatus) -> BackRow {
-    let blank = BackRow {
+fn rollback_row(table: TableId, what: &RollbackStatus) -> RollbackRow {
+    let blank = RollbackRow {
         table,
         what: String::new(),
         why: None,
@@ -117,18 +122,18 @@
         of: None,
     };
     match what {
-        RollbackStatus::Held { lines, of } => BackRow {
+        RollbackStatus::Held { lines, of } => RollbackRow {
             what: "held".into(),
             usable: Some(*lines),
             of: Some(*of),
             ..blank
         },
-        RollbackStatus::Refused(why) => BackRow {
+        RollbackStatus::Refused(why) => RollbackRow {
             what: "refused".into(),
             why: Some(why.to_string()),
             ..blank
         },
-        RollbackStatus::Ended(why) => BackRow {
+        RollbackStatus::Ended(why) => RollbackRow {
             what: "ended".into(),
             why: Some(why.to_string()),
             ..blank
@@ -136,47 +141,54 @@
     }
 }
 
-impl WaysBack {
-    /// Answers an ask at once, or gives what the module is to be told for it.
-    pub fn take(
+impl Rollbacks {
+    /// Answers a request immediately, or returns the inputs that it requires.
+    pub fn handle(
         &mut self,
         now: f64,
-        asked: Asked,
+        request: PendingRequest,
         orders: &Orders,
-        servers: Option<&Servers>,
+        servers: Option<&ServerFile>,
     ) -> Vec<Input> {
-        let Asked { ask, answer } = asked;
-        let off = |what: &str, word: &str| {
-            refused(
+        let PendingRequest { ask, answer } = request;
+        let disabled = |what: &str, setting: &str| {
+            refusal(
                 409,
                 what,
-                &format!("write {word} into the operators' file and start the assigner anew"),
+                &format!("write {setting} into the operators' file and start the assigner anew"),
             )
         };
-        let said = match (ask, &orders.book, servers) {
-            (Ask::Servers, _, Some(servers)) => Ok(Answer::Servers(servers.shown(now))),
-            (Ask::Servers, ..) => Ok(off("no file lists the servers here", "servers(file = ...)")),
-            (_, None, _) => Ok(off("versions are not kept here", "versions()")),
-            (Ask::Versions { table }, Some(book), _) => Ok(versions(&book.history, table)),
-            (Ask::Holders, Some(book), _) => Ok(holders(now, book, orders, &self.held)),
-            (Ask::Diff { from, to }, Some(book), _) => Ok(diff(&book.history, &from, &to)),
-            (Ask::Rollback { to, table, all }, Some(book), _) => go_back(book, &to, table, all),
-            (Ask::Release { table: Some(table) }, ..) => {
+        let outcome = match (ask, &orders.manager, servers) {
+            (ApiRequest::Servers, _, Some(servers)) => {
+                Ok(ApiResponse::Servers(servers.snapshot(now)))
+            }
+            (ApiRequest::Servers, ..) => Ok(disabled(
+                "no file lists the servers here",
+                "servers(file = ...)",
+            )),
+            (_, None, _) => Ok(disabled("versions are not kept here", "versions()")),
+            (ApiRequest::Versions { table }, Some(mgr), _) => Ok(versions(&mgr.history, table)),
+            (ApiRequest::Holders, Some(mgr), _) => Ok(holders(now, mgr, orders, &self.held)),
+            (ApiRequest::Diff { from, to }, Some(mgr), _) => Ok(diff(&mgr.history, &from, &to)),
+            (ApiRequest::Rollback { to, table, all }, Some(mgr), _) => {
+                rollback(mgr, &to, table, all)
+            }
+            (ApiRequest::Release { table: Some(table) }, ..) => {
                 Err(vec![Input::ReleaseRollback { table }])
             }
-            (Ask::Release { .. }, ..) if self.held.is_empty() => {
-                Ok(refused(409, "no table is held back", "see holders"))
+            (ApiRequest::Release { .. }, ..) if self.held.is_empty() => {
+                Ok(refusal(409, "no table is held back", "see holders"))
             }
-            (Ask::Release { .. }, ..) => Err(self
+            (ApiRequest::Release { .. }, ..) => Err(self
                 .held
                 .iter()
                 .map(|table| Input::ReleaseRollback { table: *table })
                 .collect()),
         };
-        match said {
-            Ok(now_known) => {
-                // Whoever asked may have gone.
-                _ = answer.send(now_known);
+        match outcome {
+            Ok(response) => {
+                // The client may have disconnected.
+                _ = answer.send(response);
                 Vec::new()
             }
             Err(inputs) => {
@@ -190,7 +202,7 @@
                     .iter()
                     .any(|i| matches!(i, Input::ReleaseRollback { .. }));
                 let tables = inputs.iter().filter_map(table).collect();
-                self.waiting.push(Waiting {
+                self.pending.push(PendingRollback {
                     tables,
                     releases,
                     rows: Vec::new(),
@@ -201,33 +213,34 @@
         }
     }
 
-    /// What the module made of a way back; whoever waits for no further table is answered.
-    pub fn hear(&mut self, table: TableId, what: &RollbackStatus) {
+    /// Records the outcome of a rollback and answers requests that have no more tables pending.
+    pub fn record_status(&mut self, table: TableId, what: &RollbackStatus) {
         match what {
             RollbackStatus::Held { .. } => _ = self.held.insert(table),
             RollbackStatus::Ended(_) => _ = self.held.remove(&table),
             RollbackStatus::Refused(_) => {}
         }
         let ended = matches!(what, RollbackStatus::Ended(_));
-        let waits = |w: &&mut Waiting| w.tables.contains(&table) && (w.releases || !ended);
-        let Some(waiting) = self.waiting.iter_mut().find(waits) else {
+        let is_waiting =
+            |w: &&mut PendingRollback| w.tables.contains(&table) && (w.releases || !ended);
+        let Some(pending) = self.pending.iter_mut().find(is_waiting) else {
             return;
         };
-        waiting.tables.remove(&table);
-        waiting.rows.push(row(table, what));
-        for done in self.waiting.extract_if(.., |w| w.tables.is_empty()) {
+        pending.tables.remove(&table);
+        pending.rows.push(rollback_row(table, what));
+        for done in self.pending.extract_if(.., |w| w.tables.is_empty()) {
             _ = done
                 .answer
-                .send(Answer::Back(BackList { tables: done.rows }));
+                .send(ApiResponse::Back(RollbackList { tables: done.rows }));
         }
     }
 }
 
-fn versions(history: &History, table: Option<TableId>) -> Answer {
-    let kept = history
+fn versions(history: &History, table: Option<TableId>) -> ApiResponse {
+    let retained = history
         .all()
         .filter(|(id, _)| table.is_none_or(|t| t == *id));
-    let rows = kept.map(|(id, issued)| VersionRow {
+    let rows = retained.map(|(id, issued)| VersionRow {
         version: issued.version.to_string(),
         table: id,
         digest: issued.table.digest().to_string(),
@@ -241,15 +254,15 @@
         issuer.assigner.to_string(),
         format!("{:016x}", issuer.start),
     );
-    Answer::Versions(VersionList {
+    ApiResponse::Versions(VersionList {
         assigner,
         start,
         versions: rows.collect(),
     })
 }
 
-fn judged(judged: SyncState) -> &'static str {
-    match judged {
+fn sync_state_name(state: SyncState) -> &'static str {
+    match state {
         SyncState::Unknown => "unknown",
         SyncState::Behind => "behind",
         SyncState::InSync => "in step",
@@ -260,15 +273,15 @@
 
 fn holders(
     now: f64,
-    book: &VersionManager,
+    mgr: &VersionManager,
     orders: &Orders,
     held_back: &BTreeSet<TableId>,
-) -> Answer {
-    let named = |n: Option<u64>| n.map(|n| book.history.version(n).to_string());
+) -> ApiResponse {
+    let named = |n: Option<u64>| n.map(|n| mgr.history.version(n).to_string());
     let mut holders = Vec::new();
-    for (dispatcher, entry) in book.deliveries.entries() {
+    for (dispatcher, entry) in mgr.deliveries.entries() {
         for (table, held) in entry.tables() {
-            let kinds = places(book.kinds_of(dispatcher, table));
+            let kinds = kinds_in(mgr.kinds_of(dispatcher, table));
             holders.push(HolderRow {
                 dispatcher,
                 joined: entry.joined,
@@ -277,7 +290,7 @@
                     .filter_map(|k| orders.kinds().get(k).cloned())
                     .collect(),
                 table,
-                judged: judged(held.sync_state).into(),
+                judged: sync_state_name(held.sync_state).into(),
                 told: named(held.sent),
                 confirmed: named(held.confirmed),
                 claimed: held
@@ -292,21 +305,21 @@
             });
         }
     }
-    Answer::Holders(HolderList {
-        assigner: book.history.issuer().assigner.to_string(),
+    ApiResponse::Holders(HolderList {
+        assigner: mgr.history.issuer().assigner.to_string(),
         holders,
     })
 }
 
-fn diff(history: &History, from: &str, to: &str) -> Answer {
+fn diff(history: &History, from: &str, to: &str) -> ApiResponse {
     let find = |text: &str| {
         let version: Version = text
             .parse()
-            .map_err(|e| refused(400, format!("{e}"), "see versions"))?;
+            .map_err(|e| refusal(400, format!("{e}"), "see versions"))?;
         let found = history
             .find(&version)
-            .map_err(|e| refused(404, format!("{e}"), "see versions"))?;
-        Ok::<_, Answer>(found.1.table.clone())
+            .map_err(|e| refusal(404, format!("{e}"), "see versions"))?;
+        Ok::<_, ApiResponse>(found.1.table.clone())
     };
     let (a, b) = match (find(from), find(to)) {
         (Ok(a), Ok(b)) => (a, b),
@@ -320,7 +333,7 @@
     };
     let lines = delta.changes.iter().map(|(name, _)| row(name)).collect();
     let (delta_bytes, whole_bytes) = (delta.canonical_len(), b.canonical_len());
-    Answer::Diff(DiffList {
+    ApiResponse::Diff(DiffList {
         from: from.into(),
         to: to.into(),
         lines,
@@ -329,24 +342,24 @@
     })
 }
 
-fn go_back(
-    book: &VersionManager,
+fn rollback(
+    mgr: &VersionManager,
     to: &str,
     table: Option<TableId>,
     all: bool,
-) -> Result<Answer, Vec<Input>> {
+) -> Result<ApiResponse, Vec<Input>> {
     let version: Version = match to.parse() {
         Ok(version) => version,
-        Err(e) => return Ok(refused(400, format!("{e}"), "see versions")),
+        Err(e) => return Ok(refusal(400, format!("{e}"), "see versions")),
     };
-    let ways = match book.rollback_tables(&version, table, all) {
-        Ok(ways) => ways,
-        Err(e) => return Ok(refused(404, format!("{e}"), "see versions")),
+    let tables = match mgr.rollback_tables(&version, table, all) {
+        Ok(tables) => tables,
+        Err(e) => return Ok(refusal(404, format!("{e}"), "see versions")),
     };
     let lines = |table: &rookpulley_versions::Table| {
         table.lines().map(|(n, w)| (server_id(n), w)).collect()
     };
-    Err(ways
+    Err(tables
         .iter()
         .map(|(id, table)| Input::Rollback {
             table: *id,
--- a/crates/rookpulley-assigner/tests/versions.rs
+++ b/crates/rookpulley-assigner/tests/versions.rs
@@ -1,19 +1,19 @@
-//! Versions on sockets: two assigners, dispatchers and discovery on loopback, with links between them that
-//! lose, double, delay, reorder and cut, and operators who go back at random moments.
+//! Table versions on loopback sockets: two assigners and their dispatchers over links that lose,
+//! duplicate, delay, reorder and cut messages, with rollbacks at random times.
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::Bytes;
 use hyper_util::rt::TokioIo;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rookpulley_assigner::driver::Front;
+use rookpulley_assigner::driver::Context;
 use rookpulley_assigner::{Assigner, Signals, config};
-use rookpulley_operators::Operators;
-use rookpulley_operators::asks::{HolderList, HolderRow, VersionList};
+use rookpulley_operators::OperatorSettings;
+use rookpulley_operators::api::{HolderList, HolderRow, VersionList};
 use rookpulley_operators::file;
-use rookpulley_standin::discovery::Agent;
-use rookpulley_standin::lists::{server, serving, told};
-use rookpulley_standin::wire::{LONG, Wire, names};
+use rookpulley_standin::client::{EVENT_TIMEOUT, TestClient, withdraws};
+use rookpulley_standin::discovery::DiscoveryServer;
+use rookpulley_standin::lists::{assigner_config, server, serving};
 use rookpulley_standin::{Checker, Dispatcher, Faults, Link};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -25,48 +25,55 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-fn on_sockets<T>(test: impl Future<Output = T>) -> T {
+fn run_local<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     LocalSet::new().block_on(&runtime.unwrap(), async {
-        timeout(2 * LONG, test).await.expect("it hangs")
+        timeout(2 * EVENT_TIMEOUT, test)
+            .await
+            .expect("test timed out")
     })
 }
 
 struct Running {
-    place: SocketAddr,
+    address: SocketAddr,
     operators: SocketAddr,
-    front: Rc<Front>,
+    ctx: Rc<Context>,
 }
 
-fn switched_on() -> Operators {
+fn operators_with_versions() -> OperatorSettings {
     let text = "address(listen = \"127.0.0.1:0\")\nversions(keep = 24, megabytes = 8)\n";
     file::read(Path::new("operators.star"), text).unwrap()
 }
 
-async fn run(told: &Value) -> Running {
-    let told = config::read(&told.to_string()).unwrap();
+async fn run(config: &Value) -> Running {
+    let config = config::parse(&config.to_string()).unwrap();
     let signals = Signals::take().unwrap();
-    let assigner = Assigner::bind(told, "no file".into(), signals, &switched_on())
-        .await
-        .unwrap();
-    let (place, operators) = (
-        assigner.places().0.unwrap(),
-        assigner.operators_place().unwrap(),
+    let assigner = Assigner::bind(
+        config,
+        "no file".into(),
+        signals,
+        &operators_with_versions(),
+    )
+    .await
+    .unwrap();
+    let (address, operators) = (
+        assigner.addresses().0.unwrap(),
+        assigner.operators_address().unwrap(),
     );
-    let front = assigner.front.clone();
+    let ctx = assigner.ctx.clone();
     spawn_local(assigner.serve());
     Running {
-        place,
+        address,
         operators,
-        front,
+        ctx,
     }
 }
 
-/// Calls the operators' address.
-async fn call(place: SocketAddr, method: &str, path: &str, body: Value) -> (u16, Value) {
-    let socket = TcpStream::connect(place).await.unwrap();
+/// Sends a request to the operator API.
+async fn call(address: SocketAddr, method: &str, path: &str, body: Value) -> (u16, Value) {
+    let socket = TcpStream::connect(address).await.unwrap();
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(socket))
         .await
         .unwrap();
@@ -96,8 +103,8 @@
         serde_json::from_value(list).unwrap()
     }
 
-    /// Waits until all its joined dispatchers are judged so.
-    async fn until_all(&self, judged: &str, count: usize) -> Vec<HolderRow> {
+    /// Waits until there are `count` rows of joined dispatchers, all in this state.
+    async fn wait_for_state(&self, state: &str, count: usize) -> Vec<HolderRow> {
         let wait = async {
             loop {
                 let rows: Vec<_> = self
@@ -106,15 +113,15 @@
                     .into_iter()
                     .filter(|r| r.joined)
                     .collect();
-                if rows.len() == count && rows.iter().all(|r| r.judged == judged) {
+                if rows.len() == count && rows.iter().all(|r| r.judged == state) {
                     return rows;
                 }
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        match timeout(LONG / 2, wait).await {
+        match timeout(EVENT_TIMEOUT / 2, wait).await {
             Ok(rows) => rows,
-            Err(_) => panic!("not all {count} are {judged}: {:#?}", self.holders().await),
+            Err(_) => panic!("not all {count} are {state}: {:#?}", self.holders().await),
         }
     }
 }
@@ -123,28 +130,28 @@
 const SERVERS: u32 = 8;
 const GRACE_MS: f64 = 3_500.0;
 
-/// Two request kinds that go to servers of all zones, a few dispatchers and a short channel.
+/// Two request kinds served in all zones, a few dispatchers and a short transit time.
 fn settings(discovery: SocketAddr, name: &str, dispatchers: u32) -> Value {
-    let mut told = told(discovery);
-    (told["name"], told["known"]["endpoints"]) = (json!(name), json!(serving(1..=SERVERS)));
-    told["limits"]["sockets"] = json!(512);
-    // One kind keeps to a kind of machine, though all servers are of it: so each has a table of its own.
-    told["settings"]["categories"][1]["only_kinds"] = json!([0]);
-    told["settings"]["family_info"]["agents"] = json!(dispatchers);
-    told["settings"]["family_info"]["push_delay_max_us"] = json!(80_000);
-    told["settings"]["family_info"]["transit_us"] = json!(20_000);
-    told["settings"]["rules"]["drain_grace_us"] = json!(3_000_000);
-    told["settings"]["limits"]["peers"] = json!(false);
-    told
+    let mut config = assigner_config(discovery);
+    (config["name"], config["known"]["endpoints"]) = (json!(name), json!(serving(1..=SERVERS)));
+    config["limits"]["sockets"] = json!(512);
+    // One kind is bound to the only machine type, which gives each kind its own table.
+    config["settings"]["categories"][1]["only_kinds"] = json!([0]);
+    config["settings"]["family_info"]["agents"] = json!(dispatchers);
+    config["settings"]["family_info"]["push_delay_max_us"] = json!(80_000);
+    config["settings"]["family_info"]["transit_us"] = json!(20_000);
+    config["settings"]["rules"]["drain_grace_us"] = json!(3_000_000);
+    config["settings"]["limits"]["peers"] = json!(false);
+    config
 }
 
-const TROUBLE: Faults = Faults {
-    lose: 0.12,
-    double: 0.06,
+const FAULTS: Faults = Faults {
+    drop: 0.12,
+    duplicate: 0.06,
     delay: 0.3,
-    late_ms: 60.0,
-    cut: 0.02,
-    cut_pause_ms: 2_500.0,
+    max_delay_ms: 60.0,
+    disconnect: 0.02,
+    min_disconnect_interval_ms: 2_500.0,
 };
 
 #[derive(Debug, Default)]
@@ -161,43 +168,47 @@
     same: u64,
 }
 
-/// Whether ledgers, dispatchers and checker say the same of every table, byte for byte.
-async fn agree(
+/// Checks that assigners, dispatchers and checker agree on every table.
+async fn check_agreement(
     assigners: &[Running],
     dispatchers: &[Rc<Dispatcher>],
     checker: &RefCell<Checker>,
 ) -> Result<(), String> {
     for assigner in assigners {
         let rows = assigner.holders().await;
-        let kept = assigner.versions().await;
+        let known = assigner.versions().await;
         for row in rows.into_iter().filter(|r| r.joined) {
-            let who = format!("dispatcher {}, {:?}", row.dispatcher, row.kinds);
-            let told = row.told.clone().ok_or(format!("{who} was told nothing"))?;
-            let version = kept
+            let label = format!("dispatcher {}, {:?}", row.dispatcher, row.kinds);
+            let sent = row
+                .told
+                .clone()
+                .ok_or(format!("{label} was sent nothing"))?;
+            let version = known
                 .versions
                 .iter()
-                .find(|v| v.version == told)
-                .ok_or(format!("{told} unknown"))?;
+                .find(|v| v.version == sent)
+                .ok_or(format!("{sent} unknown"))?;
             let dispatcher = &dispatchers[usize::from(row.dispatcher)];
             let held = &dispatcher.tables()[&row.kinds[0]];
             if rookpulley_standin::checker::digest(held) != version.digest
                 || row.judged != "in step"
             {
                 return Err(format!(
-                    "{who} is {} and holds {held:?}, told {version:?}",
+                    "{label} is {} and holds {held:?}, sent {version:?}",
                     row.judged
                 ));
             }
             if !row.speaks {
                 continue;
             }
-            let must = checker.borrow().must_hold(dispatcher.id);
-            let found = must.iter().find(|(name, ..)| *name == version.version);
-            let (_, digest, lines) =
-                found.ok_or(format!("{who}: {version:?} never reached it: {must:?}"))?;
+            let expected = checker.borrow().expected_tables(dispatcher.id);
+            let found = expected.iter().find(|(name, ..)| *name == version.version);
+            let (_, digest, lines) = found.ok_or(format!(
+                "{label}: {version:?} never reached it: {expected:?}"
+            ))?;
             if (digest, lines) != (&version.digest, held) {
                 return Err(format!(
-                    "{who} holds {held:?}, by the sockets it must hold {lines:?}"
+                    "{label} holds {held:?}, but the traffic implies {lines:?}"
                 ));
             }
             if !dispatcher
@@ -206,7 +217,7 @@
                 .any(|v| *v == version.version)
             {
                 return Err(format!(
-                    "{who} names {:?}, told {version:?}",
+                    "{label} names {:?}, sent {version:?}",
                     dispatcher.versions()
                 ));
             }
@@ -215,54 +226,66 @@
     Ok(())
 }
 
-/// One run: four seconds of trouble, then quiet links, then the checks.
-async fn play(seed: u64) -> Result<Tally, String> {
-    const SPEAKING: u64 = 24;
+/// One run: four seconds with faults, then clean links, then the checks.
+async fn run_seed(seed: u64) -> Result<Tally, String> {
+    const VERSIONED: u64 = 24;
     const PLAIN: u64 = 4;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let agent = Agent::new().await;
-    let all = (SPEAKING + PLAIN) as u32;
+    let agent = DiscoveryServer::new().await;
+    let all = (VERSIONED + PLAIN) as u32;
     let assigners = [
-        run(&settings(agent.place, "n0", all)).await,
-        run(&settings(agent.place, "n1", all)).await,
+        run(&settings(agent.address, "n0", all)).await,
+        run(&settings(agent.address, "n1", all)).await,
     ];
     let checker = Rc::new(RefCell::new(Checker::new(GRACE_MS)));
-    let see = checker.clone();
-    let seen: Rc<dyn Fn(_)> = Rc::new(move |what| see.borrow_mut().see(what));
+    let observer = checker.clone();
+    let observe: Rc<dyn Fn(_)> = Rc::new(move |what| observer.borrow_mut().observe(what));
     let streams = Rc::new(Cell::new(0));
     let mut links = Vec::new();
     for (n, assigner) in assigners.iter().enumerate() {
         let seed = seed << 4 | n as u64;
         links.push(
-            Link::open(assigner.place, seed, TROUBLE, streams.clone(), seen.clone())
-                .await
-                .unwrap(),
+            Link::open(
+                assigner.address,
+                seed,
+                FAULTS,
+                streams.clone(),
+                observe.clone(),
+            )
+            .await
+            .unwrap(),
         );
     }
-    // What the platform's dispatchers speak runs on streams that lose nothing.
+    // Dispatchers without versions rely on streams that lose nothing.
     let mut clean = Vec::new();
     for assigner in &assigners {
         let faults = Faults {
-            cut: 0.02,
-            cut_pause_ms: 1_000.0,
+            disconnect: 0.02,
+            min_disconnect_interval_ms: 1_000.0,
             ..Faults::default()
         };
         clean.push(
-            Link::open(assigner.place, seed, faults, streams.clone(), seen.clone())
-                .await
-                .unwrap(),
+            Link::open(
+                assigner.address,
+                seed,
+                faults,
+                streams.clone(),
+                observe.clone(),
+            )
+            .await
+            .unwrap(),
         );
     }
     let mut dispatchers = Vec::new();
-    for id in 0..SPEAKING + PLAIN {
-        let speaks = id < SPEAKING;
-        let dispatcher = Dispatcher::new(id, "a", &KINDS, speaks, seed, seen.clone());
-        let through = if speaks { &links } else { &clean };
-        let mut places = [through[0].place, through[1].place];
-        places.rotate_left((id % 2) as usize);
-        dispatcher.dial(&places);
+    for id in 0..VERSIONED + PLAIN {
+        let versioned = id < VERSIONED;
+        let dispatcher = Dispatcher::new(id, "a", &KINDS, versioned, seed, observe.clone());
+        let route = if versioned { &links } else { &clean };
+        let mut addresses = [route[0].address, route[1].address];
+        addresses.rotate_left((id % 2) as usize);
+        dispatcher.set_assigners(&addresses);
         dispatcher.run();
-        dispatcher.route(10);
+        dispatcher.route_requests(10);
         dispatchers.push(dispatcher);
     }
     let mut tally = Tally::default();
@@ -275,8 +298,8 @@
                 let n = rng.random_range(1..=SERVERS);
                 if !drained.contains(&n) {
                     drained.push(n);
-                    agent.say(index, false, &[server(n, "DRAINING", 0.0)]);
-                    checker.borrow_mut().drains(&format!("s-{n}"));
+                    agent.publish(index, false, &[server(n, "DRAINING", 0.0)]);
+                    checker.borrow_mut().record_drain(&format!("s-{n}"));
                 }
             }
             2 if !drained.is_empty() && rng.random_range(0..2) == 0 => {
@@ -284,29 +307,29 @@
                 let unix = std::time::SystemTime::now()
                     .duration_since(std::time::UNIX_EPOCH)
                     .unwrap();
-                checker.borrow_mut().starts(&format!("s-{n}"));
-                agent.say(
+                checker.borrow_mut().record_restart(&format!("s-{n}"));
+                agent.publish(
                     index,
                     false,
                     &[server(n, "SERVING", unix.as_secs_f64() * 1e3)],
                 );
             }
             3 | 4 => {
-                // A new weight: a change of the list that is neither a drain nor a start.
+                // A weight change, which is neither a drain nor a start.
                 let n = rng.random_range(1..=SERVERS);
                 if !drained.contains(&n) {
                     let mut line = server(n, "SERVING", 0.0);
                     line["weight"] = json!([1.0, 1.5, 2.0][rng.random_range(0..3)]);
-                    agent.say(index, false, &[line]);
+                    agent.publish(index, false, &[line]);
                 }
             }
             5..=8 => {
                 let assigner = &assigners[rng.random_range(0..2)];
-                let kept = assigner.versions().await.versions;
-                if kept.is_empty() {
+                let known = assigner.versions().await.versions;
+                if known.is_empty() {
                     continue;
                 }
-                let to = &kept[rng.random_range(0..kept.len())].version;
+                let to = &known[rng.random_range(0..known.len())].version;
                 let all = rng.random_range(0..2) == 0;
                 let (_, answer) = call(
                     assigner.operators,
@@ -331,18 +354,18 @@
             }
         }
     }
-    // The links lose nothing any more; who was cut off joins again and stays.
+    // Stop the faults; disconnected dispatchers rejoin and stay.
     links
         .iter()
         .chain(&clean)
-        .for_each(|link| link.set(Faults::default()));
-    dispatchers.iter().for_each(|d| d.rest());
+        .for_each(|link| link.set_faults(Faults::default()));
+    dispatchers.iter().for_each(|d| d.stay_on_assigner());
     let settled = async {
         loop {
             let (a, b) = (assigners[0].holders().await, assigners[1].holders().await);
             let joined: Vec<_> = a.iter().chain(&b).filter(|r| r.joined).collect();
             let tables: usize = joined.len();
-            // Each dispatcher is joined to one assigner, with one table for its kinds or one each.
+            // Each dispatcher is joined to one assigner, with one row per kind.
             let at = |id: u64| {
                 joined
                     .iter()
@@ -350,7 +373,7 @@
                     .count()
             };
             if tables > 0
-                && (0..SPEAKING + PLAIN).all(|id| at(id) == KINDS.len())
+                && (0..VERSIONED + PLAIN).all(|id| at(id) == KINDS.len())
                 && joined.iter().all(|r| r.judged == "in step")
             {
                 return;
@@ -364,18 +387,18 @@
         rows.retain(|r| r.joined && r.judged != "in step");
         return Err(format!("not all in step: {rows:#?}"));
     }
-    // Servers that ramp change tables now and then: what is asked in between is asked again.
-    let late = Instant::now() + Duration::from_secs(8);
-    while let Err(why) = agree(&assigners, &dispatchers, &checker).await {
-        if Instant::now() > late {
+    // Ramping servers still change tables, so repeat the check if it ran during a change.
+    let deadline = Instant::now() + Duration::from_secs(8);
+    while let Err(why) = check_agreement(&assigners, &dispatchers, &checker).await {
+        if Instant::now() > deadline {
             return Err(why);
         }
         sleep(Duration::from_millis(50)).await;
     }
     let checker = checker.borrow();
-    if !checker.broken.is_empty() {
+    if !checker.violations.is_empty() {
         return Err(checker
-            .broken
+            .violations
             .iter()
             .take(3)
             .cloned()
@@ -383,33 +406,37 @@
             .join("; "));
     }
     for link in links.iter().chain(&clean) {
-        tally.lost += link.lost.get();
-        tally.doubled += link.doubled.get();
-        tally.cuts += link.cuts.get();
+        tally.lost += link.dropped.get();
+        tally.doubled += link.duplicated.get();
+        tally.cuts += link.disconnects.get();
     }
     tally.refused = dispatchers.iter().map(|d| d.refused.get()).sum();
-    (tally.routed, tally.whole, tally.deltas, tally.same) =
-        (checker.routed, checker.whole, checker.deltas, checker.same);
+    (tally.routed, tally.whole, tally.deltas, tally.same) = (
+        checker.routed,
+        checker.full_updates,
+        checker.deltas,
+        checker.unchanged,
+    );
     Ok(tally)
 }
 
-/// 40 seeds, a few at a time. `SEED=n` plays one alone.
+/// Runs 40 seeds, ten at a time. `SEED=n` runs a single one.
 #[test]
-fn two_assigners_lossy_links_and_forced_rollbacks_end_on_known_versions() {
-    const AT_ONCE: usize = 10;
-    let only: Option<u64> = std::env::var("SEED").ok().and_then(|s| s.parse().ok());
-    let seeds: Vec<u64> = only.map_or((0..40).collect(), |seed| vec![seed]);
+fn rollbacks_over_lossy_links_converge_to_known_versions() {
+    const PARALLEL: usize = 10;
+    let single: Option<u64> = std::env::var("SEED").ok().and_then(|s| s.parse().ok());
+    let seeds: Vec<u64> = single.map_or((0..40).collect(), |seed| vec![seed]);
     let mut failed = Vec::new();
-    let mut sums = Tally::default();
-    for wave in seeds.chunks(AT_ONCE) {
-        let runs: Vec<_> = wave
+    let mut totals = Tally::default();
+    for batch in seeds.chunks(PARALLEL) {
+        let runs: Vec<_> = batch
             .iter()
             .map(|seed| {
                 (
                     *seed,
                     std::thread::spawn({
                         let seed = *seed;
-                        move || on_sockets(play(seed))
+                        move || run_local(run_seed(seed))
                     }),
                 )
             })
@@ -417,59 +444,61 @@
         for (seed, run) in runs {
             match run.join() {
                 Ok(Ok(t)) => {
-                    sums.rollbacks += t.rollbacks;
-                    sums.held += t.held;
-                    sums.lost += t.lost;
-                    sums.doubled += t.doubled;
-                    sums.cuts += t.cuts;
-                    sums.refused += t.refused;
-                    sums.routed += t.routed;
-                    sums.whole += t.whole;
-                    sums.deltas += t.deltas;
-                    sums.same += t.same;
+                    totals.rollbacks += t.rollbacks;
+                    totals.held += t.held;
+                    totals.lost += t.lost;
+                    totals.doubled += t.doubled;
+                    totals.cuts += t.cuts;
+                    totals.refused += t.refused;
+                    totals.routed += t.routed;
+                    totals.whole += t.whole;
+                    totals.deltas += t.deltas;
+                    totals.same += t.same;
                 }
                 Ok(Err(why)) => failed.push(format!("seed {seed} (alone: SEED={seed}): {why}")),
                 Err(_) => failed.push(format!("seed {seed} (alone: SEED={seed}) panicked")),
             }
         }
     }
-    println!("{sums:?}");
+    println!("{totals:?}");
     assert!(
         failed.is_empty(),
         "{} seeds fail:\n{}",
         failed.len(),
         failed.join("\n")
     );
-    let met = [
-        sums.rollbacks,
-        sums.held,
-        sums.lost,
-        sums.doubled,
-        sums.cuts,
-        sums.refused,
-        sums.deltas,
-        sums.same,
+    let events = [
+        totals.rollbacks,
+        totals.held,
+        totals.lost,
+        totals.doubled,
+        totals.cuts,
+        totals.refused,
+        totals.deltas,
+        totals.same,
     ];
     assert!(
-        only.is_some() || met.iter().all(|n| *n > 20),
-        "too little was met: {sums:?}"
+        single.is_some() || events.iter().all(|n| *n > 20),
+        "too few events: {totals:?}"
     );
 }
 
-// ---- By hand ------------------------------------------------------------------------------
+// ---- Manual proxies -----------------------------------------------------------------------
 
-/// One assigner, two dispatchers that are told by hand, and discovery.
-fn by_hand<F: Future<Output = ()>>(test: impl FnOnce(Running, Agent, Wire) -> F) {
-    on_sockets(async {
-        let agent = Agent::new().await;
-        let running = run(&settings(agent.place, "n0", 4)).await;
-        let mut proxy = Wire::join(running.place, 0, true).await;
-        proxy.table().await;
+/// Runs a test with one assigner, discovery and one proxy that the test controls.
+fn with_manual_proxy<F: Future<Output = ()>>(
+    test: impl FnOnce(Running, DiscoveryServer, TestClient) -> F,
+) {
+    run_local(async {
+        let agent = DiscoveryServer::new().await;
+        let running = run(&settings(agent.address, "n0", 4)).await;
+        let mut proxy = TestClient::join(running.address, 0, true).await;
+        proxy.wait_for_table().await;
         test(running, agent, proxy).await;
     });
 }
 
-async fn back(running: &Running, to: &str, all: bool) -> (u16, Value) {
+async fn request_rollback(running: &Running, to: &str, all: bool) -> (u16, Value) {
     call(
         running.operators,
         "POST",
@@ -480,53 +509,53 @@
 }
 
 #[test]
-fn one_that_answers_marks_alone_is_in_step_by_them_and_unknown_once_it_falls_silent() {
-    by_hand(|running, agent, mut proxy| async move {
-        let rows = running.until_all("in step", 2).await;
+fn proxy_without_versions_is_tracked_by_its_acknowledgements() {
+    with_manual_proxy(|running, agent, mut proxy| async move {
+        let rows = running.wait_for_state("in step", 2).await;
         assert!(
             rows.iter()
                 .all(|r| !r.speaks && r.claimed.is_none() && r.told == r.confirmed)
         );
-        // It hears of a change and answers nothing from now on.
-        agent.say(101, false, &[server(1, "DRAINING", 0.0)]);
-        let listen = async { while proxy.hear().await.is_some_and(|m| m["out"].is_null()) {} };
-        timeout(LONG, listen).await.unwrap();
-        running.until_all("lost", 2).await;
+        // The proxy receives a change and acknowledges nothing from now on.
+        agent.publish(101, false, &[server(1, "DRAINING", 0.0)]);
+        let listen = async { while proxy.receive().await.is_some_and(|m| m["out"].is_null()) {} };
+        timeout(EVENT_TIMEOUT, listen).await.unwrap();
+        running.wait_for_state("lost", 2).await;
         assert_eq!(
-            running.front.counters.get("tables owed"),
+            running.ctx.counters.get("tables owed"),
             0,
-            "on the platform's streams nothing is sent again"
+            "nothing is resent to proxies without versions"
         );
     });
 }
 
 #[test]
-fn a_rollback_never_sends_to_a_drained_server_and_outlives_newer_lists() {
-    by_hand(|running, agent, mut proxy| async move {
+fn rollback_excludes_drained_servers_and_survives_newer_lists() {
+    with_manual_proxy(|running, agent, mut proxy| async move {
         let first = running.versions().await.versions[0].version.clone();
-        agent.say(101, false, &[server(2, "DRAINING", 0.0)]);
-        proxy.until("s-2 shut out", names("s-2")).await;
-        let (status, answer) = back(&running, &first, false).await;
+        agent.publish(101, false, &[server(2, "DRAINING", 0.0)]);
+        proxy.wait_for("s-2 withdrawn", withdraws("s-2")).await;
+        let (status, answer) = request_rollback(&running, &first, false).await;
         assert_eq!(
             (status, &answer["tables"][0]["what"]),
             (200, &json!("held")),
             "{answer}"
         );
         assert_eq!(answer["tables"][0]["usable"], json!(SERVERS - 1));
-        // A newer list: a drain among it acts at once, a new server stays out of what is held.
+        // A newer list: its drain applies at once, its new server stays out of the held table.
         let unix = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .unwrap();
         let fresh = server(9, "SERVING", unix.as_secs_f64() * 1e3 - 60_000.0);
-        agent.say(102, false, &[server(3, "DRAINING", 0.0)]);
-        proxy.until("s-3 shut out", names("s-3")).await;
-        agent.say(103, false, &[fresh]);
+        agent.publish(102, false, &[server(3, "DRAINING", 0.0)]);
+        proxy.wait_for("s-3 withdrawn", withdraws("s-3")).await;
+        agent.publish(103, false, &[fresh]);
         proxy
-            .until("s-9 in the other table", |m| {
+            .wait_for("s-9 in the other table", |m| {
                 m["lines"].to_string().contains("s-9")
             })
             .await;
-        let rows = running.until_all("in step", 2).await;
+        let rows = running.wait_for_state("in step", 2).await;
         let held: Vec<_> = rows.iter().filter(|r| r.back).collect();
         assert_eq!(held.len(), 1);
         let newest = held[0].told.clone().unwrap();
@@ -537,13 +566,13 @@
             Value::Null,
         )
         .await;
-        let gone: Vec<&str> = diff["lines"]
+        let removed: Vec<&str> = diff["lines"]
             .as_array()
             .unwrap()
             .iter()
             .map(|l| l["server"].as_str().unwrap())
             .collect();
-        assert_eq!(gone, ["s-2", "s-3"], "{diff}");
+        assert_eq!(removed, ["s-2", "s-3"], "{diff}");
         let (status, _) = call(
             running.operators,
             "POST",
@@ -553,7 +582,7 @@
         .await;
         assert_eq!(status, 200);
         proxy
-            .until("s-9 in its own lines again", |m| {
+            .wait_for("s-9 in the released table", |m| {
                 m["lines"].to_string().contains("s-9")
             })
             .await;
@@ -564,13 +593,13 @@
             json!({"all": true}),
         )
         .await;
-        assert_eq!(status, 409, "nothing is held any more");
+        assert_eq!(status, 409, "nothing is held");
     });
 }
 
 #[test]
-fn what_can_not_be_gone_back_to_is_refused_with_the_reason() {
-    by_hand(|running, agent, mut proxy| async move {
+fn impossible_rollbacks_are_refused_with_a_reason() {
+    with_manual_proxy(|running, agent, mut proxy| async move {
         let first = running.versions().await.versions[0].version.clone();
         let (start, _) = first.rsplit_once('~').unwrap();
         for (to, status, why) in [
@@ -579,18 +608,18 @@
             ("n0~0000000000000001~1".to_string(), 404, "an earlier start"),
             ("yesterday".to_string(), 400, "write it as"),
         ] {
-            let (got, answer) = back(&running, &to, false).await;
+            let (got, answer) = request_rollback(&running, &to, false).await;
             assert!(
                 got == status && answer.to_string().contains(why),
                 "{got} {answer}"
             );
         }
-        // All its servers drain; others come in their place.
+        // All servers of the version drain and are replaced by others.
         let mut lines: Vec<Value> = (1..=SERVERS).map(|n| server(n, "DRAINING", 0.0)).collect();
         lines.extend((11..=14).map(|n| server(n, "SERVING", 1.0)));
-        agent.say(101, false, &lines);
-        proxy.until("s-1 shut out", names("s-1")).await;
-        let (status, answer) = back(&running, &first, true).await;
+        agent.publish(101, false, &lines);
+        proxy.wait_for("s-1 withdrawn", withdraws("s-1")).await;
+        let (status, answer) = request_rollback(&running, &first, true).await;
         assert_eq!(status, 409, "{answer}");
         let rows = answer["tables"].as_array().unwrap();
         assert!(
@@ -603,60 +632,61 @@
 }
 
 #[test]
-fn a_dispatcher_that_comes_over_with_the_same_table_is_not_sent_it_again() {
-    on_sockets(async {
-        let agent = Agent::new().await;
-        let one = run(&settings(agent.place, "n0", 4)).await;
-        let other = run(&settings(agent.place, "n1", 4)).await;
+fn unchanged_tables_are_not_resent_after_a_failover() {
+    run_local(async {
+        let agent = DiscoveryServer::new().await;
+        let one = run(&settings(agent.address, "n0", 4)).await;
+        let other = run(&settings(agent.address, "n1", 4)).await;
         let checker = Rc::new(RefCell::new(Checker::new(GRACE_MS)));
-        let see = checker.clone();
+        let observer = checker.clone();
         let streams = Rc::new(Cell::new(0));
-        let seen: Rc<dyn Fn(_)> = Rc::new(move |what| see.borrow_mut().see(what));
+        let observe: Rc<dyn Fn(_)> = Rc::new(move |what| observer.borrow_mut().observe(what));
         let mut links = Vec::new();
         for at in [&one, &other] {
             let link = Link::open(
-                at.place,
+                at.address,
                 1,
                 Faults::default(),
                 streams.clone(),
-                seen.clone(),
+                observe.clone(),
             )
             .await
             .unwrap();
             links.push(link);
         }
-        let dispatcher = Dispatcher::new(0, "a", &KINDS, true, 1, seen);
-        dispatcher.dial(&[links[0].place, links[1].place]);
+        let dispatcher = Dispatcher::new(0, "a", &KINDS, true, 1, observe);
+        dispatcher.set_assigners(&[links[0].address, links[1].address]);
         dispatcher.run();
-        one.until_all("in step", KINDS.len()).await;
-        let whole = checker.borrow().whole;
-        assert_eq!((whole, checker.borrow().same), (2, 0));
-        // Cut off, it comes to the other with both tables.
-        links[0].cut_all();
-        let rows = other.until_all("in step", KINDS.len()).await;
+        one.wait_for_state("in step", KINDS.len()).await;
+        let whole = checker.borrow().full_updates;
+        assert_eq!((whole, checker.borrow().unchanged), (2, 0));
+        // After the cut it joins the other assigner with both tables.
+        links[0].disconnect_all();
+        let rows = other.wait_for_state("in step", KINDS.len()).await;
         assert!(
             rows.iter()
                 .all(|r| r.told.as_ref().unwrap().starts_with("n1~"))
         );
         let checker = checker.borrow();
-        assert_eq!(checker.whole, whole, "no table was sent again");
-        assert!(checker.same >= 2 && checker.broken.is_empty());
+        assert_eq!(checker.full_updates, whole, "no table was resent");
+        assert!(checker.unchanged >= 2 && checker.violations.is_empty());
         drop(agent);
     });
 }
 
-/// The program itself, with or without an operators' file: its lines, and how many descriptors it holds.
+/// Runs the executable with an optional operators file. Returns its log lines and the number of its
+/// open descriptors.
 fn program(operators: Option<&str>) -> (Vec<String>, usize) {
     use std::io::{BufRead, BufReader};
     use std::process::{Command, Stdio};
     let folder = tempfile::tempdir().unwrap();
-    // Nobody listens there: the watch breaks again and again, which is one line after the other.
-    let gone = std::net::TcpListener::bind("127.0.0.1:0")
+    // Nothing listens on this port, so each failed watch logs a line.
+    let closed_port = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     let config = folder.path().join("config.json");
-    std::fs::write(&config, settings(gone, "n0", 4).to_string()).unwrap();
+    std::fs::write(&config, settings(closed_port, "n0", 4).to_string()).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_rookpulley-assigner"));
     command
         .env("PROXY_CONFIG", &config)
@@ -672,7 +702,7 @@
         .lines()
         .map(Result::unwrap);
     let lines: Vec<String> = lines.take(3).collect();
-    // Between two dials of the watch: the fewest of many counts.
+    // The minimum of many samples excludes sockets of connection attempts.
     let count = |_| {
         std::fs::read_dir(format!("/proc/{}/fd", child.id()))
             .unwrap()
@@ -685,7 +715,7 @@
 }
 
 #[test]
-fn what_is_off_costs_no_descriptor_and_lines_are_text_or_json() {
+fn disabled_features_open_no_descriptor_and_logs_are_text_or_json() {
     let (plain, off) = program(None);
     assert!(
         plain[0].starts_with("n0 start: listening at 127.0.0.1:"),
@@ -695,7 +725,7 @@
     assert_eq!(off, empty);
     let all = "address(listen = \"127.0.0.1:0\")\nversions()\nlog(form = \"json\")\n";
     let (lines, on) = program(Some(all));
-    assert_eq!(on, off + 1, "the operators' address");
+    assert_eq!(on, off + 1, "the operator API");
     for line in &lines {
         let said: Value = serde_json::from_str(line).expect(line);
         assert!(
@@ -705,7 +735,7 @@
     }
     let (lines, _) = program(Some("versions(keep = 1)\n"));
     assert!(
-        lines[0].contains("operators.star:1:1: keep = 1 is out of range; write a figure"),
+        lines[0].contains("operators.star:1:1: keep = 1 is out of range; write a number"),
         "{lines:?}"
     );
 }
--- a/crates/rookpulley-chain/tests/refounded.rs
+++ b/crates/rookpulley-chain/tests/refounded.rs
@@ -1,10 +1,10 @@
-//! The majority of a view is gone for good, and the store of one that is left founds anew.
+//! Refounding from the store of a survivor after a majority of a view is lost for good.
 
 mod world;
 
-use world::{Trouble, World};
+use world::{Fault, World};
 
-/// So many of each; `CHAIN_CASES=200` plays more.
+/// The number of seeds for each case, from `CHAIN_CASES` or 3.
 fn seeds() -> u64 {
     std::env::var("CHAIN_CASES")
         .ok()
@@ -12,167 +12,173 @@
         .unwrap_or(3)
 }
 
-fn calm(seed: u64, controllers: usize, losses: usize) -> World {
+fn healthy_chain(seed: u64, controllers: usize, losses: usize) -> World {
     let mut world = World::new(seed, controllers, losses);
-    world.play(2_000 + 7 * seed);
+    world.run(2_000 + 7 * seed);
     assert_eq!(world.members(), controllers);
     world
 }
 
-/// All that run show the same, and nothing acknowledged is missing.
-fn in_step(world: &mut World, members: usize) {
-    world.must_answer();
-    world.pace_ms = 1_000_000;
-    world.play(2_000);
-    world.pace_ms = 9;
+/// Asserts that all running members have applied the same updates, and that no acknowledged one is missing.
+fn assert_replicas_match(world: &mut World, members: usize) {
+    world.assert_updates_complete();
+    world.call_interval_ms = 1_000_000;
+    world.run(2_000);
+    world.call_interval_ms = 9;
     assert_eq!((world.members(), world.running().len()), (members, members));
     for at in world.running() {
         assert!(
-            world.given(at) == world.truth,
-            "controller {at} shows something else"
+            world.applied(at) == world.global_order,
+            "controller {at} has applied other updates"
         );
     }
     world.check();
 }
 
 #[test]
-fn one_of_three_founds_anew_and_empty_ones_join_it() {
+fn one_of_three_refounds_and_empty_controllers_join() {
     for seed in 0..2 * seeds() {
-        let mut world = calm(seed, 3, 1);
-        let left = (seed % 3) as usize;
+        let mut world = healthy_chain(seed, 3, 1);
+        let survivor = (seed % 3) as usize;
         world
-            .others(left)
+            .others(survivor)
             .into_iter()
             .for_each(|at| world.lose(at, seed % 2 == 0));
-        world.play(2_000 * (seed % 2));
+        world.run(2_000 * (seed % 2));
         let before = world.took.len();
-        world.refound(left, seed % 4 < 2);
-        assert_eq!(world.forgotten, 0, "all members have what was acknowledged");
-        world.play(700);
-        let shown = world.shown(left).unwrap();
+        world.refound(survivor, seed % 4 < 2);
+        assert_eq!(
+            world.forgotten, 0,
+            "every member holds all acknowledged updates"
+        );
+        world.run(700);
+        let status = world.status(survivor).unwrap();
         assert!(
-            shown.acting && shown.in_touch && shown.view == shown.active,
-            "{shown:?}"
+            status.acting && status.in_touch && status.view == status.active,
+            "{status:?}"
         );
-        assert!(shown.view >= 1_000_000 && world.members() == 1);
+        assert!(status.view >= 1_000_000 && world.members() == 1);
         assert_eq!(
             world.took.len(),
             before,
-            "alone it may not acknowledge anything"
+            "a single member must not acknowledge updates"
         );
-        world.newcomer();
-        world.play(1_500);
-        world.must_answer();
-        world.newcomer();
-        world.play(1_500);
-        in_step(&mut world, 3);
+        world.add_empty_node();
+        world.run(1_500);
+        world.assert_updates_complete();
+        world.add_empty_node();
+        world.run(1_500);
+        assert_replicas_match(&mut world, 3);
     }
 }
 
 #[test]
-fn one_of_five_founds_anew_old_ones_give_way_and_troubles_are_borne_as_ever() {
+fn one_of_five_refounds_old_members_rejoin_and_faults_are_tolerated() {
     for seed in 0..seeds() {
-        let mut world = calm(seed, 5, 2);
-        let left = (seed % 5) as usize;
-        let others = world.others(left);
+        let mut world = healthy_chain(seed, 5, 2);
+        let survivor = (seed % 5) as usize;
+        let others = world.others(survivor);
         let (gone, old) = others.split_at(3);
         gone.iter().for_each(|at| world.lose(*at, seed % 2 == 0));
         old.iter().for_each(|at| world.lose(*at, true));
-        world.refound(left, true);
+        world.refound(survivor, true);
         assert_eq!(world.forgotten, 0);
-        // One that runs on, with its vote for the view after the old one, and one that comes back much later.
-        old.iter().for_each(|at| world.found_again(*at));
-        world.newcomer();
-        world.play(2_500);
-        world.must_answer();
-        world.found_again(gone[0]);
-        world.play(1_500);
-        in_step(&mut world, 4);
+        // One old member returns now, with its vote for the successor of the old view, and another one much later.
+        old.iter().for_each(|at| world.restart_lost(*at));
+        world.add_empty_node();
+        world.run(2_500);
+        world.assert_updates_complete();
+        world.restart_lost(gone[0]);
+        world.run(1_500);
+        assert_replicas_match(&mut world, 4);
         for _ in 0..3 {
-            let trouble = world.draw_trouble(true);
-            world.strike(trouble);
-            world.play(2_000);
+            let fault = world.random_fault(true);
+            world.inject(fault);
+            world.run(2_000);
             world.heal();
-            world.play(4_000);
+            world.run(4_000);
             world.check();
         }
-        in_step(&mut world, 4);
+        assert_replicas_match(&mut world, 4);
     }
 }
 
-/// The one that founds anew was cut off for a while: the two others went on, and what they acknowledged is gone with
-/// them. One of them comes back holding it.
-fn behind(seed: u64) -> (World, usize, usize) {
-    let mut world = calm(seed, 3, 1);
-    let (left, others) = ((seed % 3) as usize, world.others((seed % 3) as usize));
-    world.strike(Trouble::Cut {
-        from: vec![left],
+/// Isolates one controller while the two others acknowledge more updates, then loses one of the two. Returns the
+/// isolated controller, which will be refounded, and the one that still holds the later updates.
+fn with_lagging_survivor(seed: u64) -> (World, usize, usize) {
+    let mut world = healthy_chain(seed, 3, 1);
+    let (survivor, others) = ((seed % 3) as usize, world.others((seed % 3) as usize));
+    world.inject(Fault::Cut {
+        from: vec![survivor],
         to: others.clone(),
         both: true,
         held: false,
     });
-    world.pace_ms = 3;
-    world.play(6_000);
-    world.pace_ms = 9;
-    let later = others[(seed / 3 % 2) as usize];
+    world.call_interval_ms = 3;
+    world.run(6_000);
+    world.call_interval_ms = 9;
+    let ahead = others[(seed / 3 % 2) as usize];
     others
         .iter()
-        .filter(|at| **at != later)
+        .filter(|at| **at != ahead)
         .for_each(|at| world.lose(*at, true));
-    (world, left, later)
+    (world, survivor, ahead)
 }
 
 #[test]
-fn one_that_comes_back_holding_more_does_not_bring_it_back() {
+fn a_returning_member_does_not_restore_forgotten_updates() {
     for seed in 0..2 * seeds() {
-        let (mut world, left, later) = behind(seed);
-        world.lose(later, seed % 2 == 0);
+        let (mut world, survivor, ahead) = with_lagging_survivor(seed);
+        world.lose(ahead, seed % 2 == 0);
         world.heal();
-        world.refound(left, true);
+        world.refound(survivor, true);
         assert!(world.forgotten > 500, "{}", world.forgotten);
-        world.play(300);
-        world.found_again(later);
-        world.play(1_000);
+        world.run(300);
+        world.restart_lost(ahead);
+        world.run(1_000);
         assert_eq!(world.members(), 2);
-        world.newcomer();
-        world.play(1_500);
-        in_step(&mut world, 3);
+        world.add_empty_node();
+        world.run(1_500);
+        assert_replicas_match(&mut world, 3);
     }
 }
 
 #[test]
-fn one_that_ran_all_the_while_out_of_reach_gives_way_once_it_hears() {
+fn an_unreachable_old_member_joins_the_refounded_chain_on_contact() {
     for seed in 0..2 * seeds() {
-        let (mut world, left, later) = behind(seed);
-        world.play(100);
-        world.refound(left, seed % 2 == 0);
+        let (mut world, survivor, ahead) = with_lagging_survivor(seed);
+        world.run(100);
+        world.refound(survivor, seed % 2 == 0);
         assert!(world.forgotten > 500, "{}", world.forgotten);
-        let held = world.given(later).len();
-        world.play(1_000);
-        assert!(!world.shown(later).unwrap().in_touch, "it is one of two");
+        let held = world.applied(ahead).len();
+        world.run(1_000);
+        assert!(
+            !world.status(ahead).unwrap().in_touch,
+            "it has lost its majority"
+        );
         world.heal();
-        world.play(2_000);
-        assert!(world.members() == 2 && world.given(later).len() < held);
-        world.newcomer();
-        world.play(1_500);
-        in_step(&mut world, 3);
+        world.run(2_000);
+        assert!(world.members() == 2 && world.applied(ahead).len() < held);
+        world.add_empty_node();
+        world.run(1_500);
+        assert_replicas_match(&mut world, 3);
     }
 }
 
 #[test]
-fn of_two_that_were_founded_anew_by_mistake_one_gives_way() {
+fn of_two_chains_refounded_by_mistake_one_is_abandoned() {
     for seed in 0..2 * seeds() {
-        let mut world = calm(seed, 3, 1);
-        world.pace_ms = 1_000_000;
-        world.play(1_000);
+        let mut world = healthy_chain(seed, 3, 1);
+        world.call_interval_ms = 1_000_000;
+        world.run(1_000);
         (0..3).for_each(|at| world.lose(at, true));
         let both = [(seed % 3) as usize, ((seed + 1) % 3) as usize];
         both.iter().for_each(|at| world.refound(*at, true));
-        world.pace_ms = 9;
-        world.play(1_500);
+        world.call_interval_ms = 9;
+        world.run(1_500);
         assert_eq!(world.members(), 2);
-        world.newcomer();
-        world.play(1_500);
-        in_step(&mut world, 3);
+        world.add_empty_node();
+        world.run(1_500);
+        assert_replicas_match(&mut world, 3);
     }
 }
--- a/crates/rookpulley-cli/tests/command.rs
+++ b/crates/rookpulley-cli/tests/command.rs
@@ -1,12 +1,12 @@
-//! The command against an operators' address that answers by script.
+//! Tests the command against an operator API with scripted responses.
 
 use assert_cmd::Command;
-use rookpulley_operators::address;
-use rookpulley_operators::asks::{
-    Answer, Ask, BackList, BackRow, DiffList, DiffRow, HolderList, HolderRow, Refusal, ServerList,
-    ServerRow, VersionList, VersionRow,
+use rookpulley_operators::api::{
+    ApiError, ApiRequest, ApiResponse, DiffList, DiffRow, HolderList, HolderRow, RollbackList,
+    RollbackRow, ServerList, ServerRow, VersionList, VersionRow,
 };
 use rookpulley_operators::file::Token;
+use rookpulley_operators::server;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,7 +31,7 @@
     }
 }
 
-fn answer(ask: &Ask) -> Answer {
+fn answer(ask: &ApiRequest) -> ApiResponse {
     let row = |version: &str, newest| VersionRow {
         version: version.into(),
         table: 0,
@@ -41,7 +41,7 @@
         newest,
         in_use: newest,
     };
-    let back = |table, what: &str| BackRow {
+    let back = |table, what: &str| RollbackRow {
         table,
         what: what.into(),
         why: None,
@@ -49,30 +49,30 @@
         of: Some(4),
     };
     match ask {
-        Ask::Versions { .. } => Answer::Versions(VersionList {
+        ApiRequest::Versions { .. } => ApiResponse::Versions(VersionList {
             assigner: "n0".into(),
             start: "00000000000000aa".into(),
             versions: vec![row(OLD, false), row(NEW, true)],
         }),
-        Ask::Holders => {
+        ApiRequest::Holders => {
             let holders = vec![
                 holder(0, true, "in step"),
                 holder(1, true, "behind"),
                 holder(2, false, "unknown"),
             ];
-            Answer::Holders(HolderList {
+            ApiResponse::Holders(HolderList {
                 assigner: "n0".into(),
                 holders,
             })
         }
-        Ask::Diff { from, to } => {
+        ApiRequest::Diff { from, to } => {
             let lines = vec![DiffRow {
                 server: "s-1".into(),
                 from: Some(1.0),
                 to: None,
             }];
             let lines = if from == to { Vec::new() } else { lines };
-            Answer::Diff(DiffList {
+            ApiResponse::Diff(DiffList {
                 from: from.clone(),
                 to: to.clone(),
                 lines,
@@ -80,17 +80,18 @@
                 whole_bytes: 80,
             })
         }
-        Ask::Rollback { to, .. } if to == OLD => Answer::Back(BackList {
+        ApiRequest::Rollback { to, .. } if to == OLD => ApiResponse::Back(RollbackList {
             tables: vec![back(0, "held")],
         }),
-        Ask::Rollback { to, .. } if to == NEW => Answer::Back(BackList {
+        ApiRequest::Rollback { to, .. } if to == NEW => ApiResponse::Back(RollbackList {
             tables: vec![back(0, "refused")],
         }),
-        Ask::Rollback { to, .. } => {
-            let refusal = Refusal::new(404, format!("{to} was never issued"), Some("see versions"));
-            Answer::Refused { refusal }
+        ApiRequest::Rollback { to, .. } => {
+            let refusal =
+                ApiError::new(404, format!("{to} was never issued"), Some("see versions"));
+            ApiResponse::Refused { refusal }
         }
-        Ask::Servers => {
+        ApiRequest::Servers => {
             let row = |n: u32, stage: &str| ServerRow {
                 server: format!("s-{n}"),
                 address: format!("10.0.0.{n}:80"),
@@ -101,7 +102,7 @@
                 stage: stage.into(),
                 started_ms: 0.0,
             };
-            Answer::Servers(ServerList {
+            ApiResponse::Servers(ServerList {
                 file: "servers.star".into(),
                 generation: Some(4),
                 age_ms: Some(9_000.0),
@@ -109,16 +110,16 @@
                 servers: vec![row(1, "ready"), row(2, "draining"), row(3, "ready")],
             })
         }
-        Ask::Release { .. } => Answer::Back(BackList {
+        ApiRequest::Release { .. } => ApiResponse::Back(RollbackList {
             tables: vec![back(0, "ended")],
         }),
     }
 }
 
-/// An address on a thread of its own, and the asks that came to it.
-fn answering(token: Option<&'static str>) -> (SocketAddr, Receiver<Ask>) {
-    let (tell_place, place) = channel();
-    let (tell, asked) = channel();
+/// Starts a server on its own thread. Returns its address and the requests that it receives.
+fn start_server(token: Option<&'static str>) -> (SocketAddr, Receiver<ApiRequest>) {
+    let (address_sender, address_receiver) = channel();
+    let (request_sender, requests) = channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -126,22 +127,22 @@
             .unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-            tell_place.send(listener.local_addr().unwrap()).unwrap();
-            let (sender, mut asks) = tokio::sync::mpsc::channel(4);
-            tokio::task::spawn_local(address::serve(
+            address_sender.send(listener.local_addr().unwrap()).unwrap();
+            let (sender, mut received) = tokio::sync::mpsc::channel(4);
+            tokio::task::spawn_local(server::serve(
                 listener,
-                token.map(Token::of),
+                token.map(Token::from_text),
                 sender,
                 Rc::new(|_| ()),
             ));
-            while let Some(a) = asks.recv().await {
+            while let Some(a) = received.recv().await {
                 let answered = answer(&a.ask);
-                // The test may have ended.
-                _ = (tell.send(a.ask), a.answer.send(answered));
+                // The receiver is gone if the test has ended.
+                _ = (request_sender.send(a.ask), a.answer.send(answered));
             }
         });
     });
-    (place.recv().unwrap(), asked)
+    (address_receiver.recv().unwrap(), requests)
 }
 
 fn run(at: SocketAddr, args: &[&str]) -> (i32, String, String) {
@@ -163,8 +164,8 @@
 }
 
 #[test]
-fn answers_are_shown_as_tables_and_end_with_codes_for_scripts() {
-    let (at, asked) = answering(None);
+fn responses_become_tables_and_exit_codes() {
+    let (at, requests) = start_server(None);
     for (args, code, wanted) in [
         (
             &["versions"][..],
@@ -179,7 +180,7 @@
                 "in step",
                 "behind",
                 "left",
-                "marks alone",
+                "acks only",
                 "240 ms",
                 "1 of 2 tables in step at n0",
             ],
@@ -203,28 +204,28 @@
         );
         assert!(err.is_empty(), "{err}");
     }
-    let asks: Vec<Ask> = asked.try_iter().collect();
-    assert_eq!(asks[1], Ask::Versions { table: Some(0) });
+    let received: Vec<ApiRequest> = requests.try_iter().collect();
+    assert_eq!(received[1], ApiRequest::Versions { table: Some(0) });
     assert_eq!(
-        asks[7],
-        Ask::Rollback {
+        received[7],
+        ApiRequest::Rollback {
             to: NEW.into(),
             table: None,
             all: true
         }
     );
     assert_eq!(
-        (&asks[8], &asks[9]),
+        (&received[8], &received[9]),
         (
-            &Ask::Release { table: None },
-            &Ask::Release { table: Some(3) }
+            &ApiRequest::Release { table: None },
+            &ApiRequest::Release { table: Some(3) }
         )
     );
 }
 
 #[test]
-fn json_holds_what_the_address_said() {
-    let (at, _asked) = answering(None);
+fn json_output_is_one_object() {
+    let (at, _requests) = start_server(None);
     for args in [
         &["versions"][..],
         &["holders"],
@@ -233,16 +234,16 @@
         &["release", "--all"],
     ] {
         let (_, out, _) = run(at, &[&["--json"], args].concat());
-        let said: Value = serde_json::from_str(&out).expect(&out);
+        let json: Value = serde_json::from_str(&out).expect(&out);
         assert!(
-            said.is_object() && said["error"].is_null() && out.lines().count() == 1,
+            json.is_object() && json["error"].is_null() && out.lines().count() == 1,
             "{out}"
         );
     }
     let (code, out, _) = run(at, &["--json", "rollback", "n0~00000000000000aa~9"]);
-    let said: Value = serde_json::from_str(&out).unwrap();
+    let json: Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
-        (code, said["error"]["what"].as_str()),
+        (code, json["error"]["what"].as_str()),
         (
             1,
             Some("n0~00000000000000aa~9 was never issued; see versions")
@@ -251,8 +252,8 @@
 }
 
 #[test]
-fn who_cannot_ask_hears_why_and_what_to_do() {
-    let (at, _asked) = answering(Some("a-token-of-some-length"));
+fn connection_and_token_errors_are_explained() {
+    let (at, _requests) = start_server(Some("a-token-of-some-length"));
     let (code, _, err) = run(at, &["holders"]);
     assert!(
         code == 1 && err.contains("the token is missing or wrong"),
@@ -265,7 +266,7 @@
     std::fs::remove_file(&file).unwrap();
     let (code, _, err) = run(at, &["holders", "--token-file", file.to_str().unwrap()]);
     assert!(code == 3 && err.contains("token file"), "{code} {err}");
-    // Nobody listens there: the listener of a port just given back.
+    // A port that was just released, so nothing listens on it.
     let gone = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -284,7 +285,7 @@
 }
 
 #[test]
-fn every_command_shows_an_example_in_its_help() {
+fn every_command_help_has_an_example() {
     let at = "127.0.0.1:1".parse().unwrap();
     for what in [
         "versions", "holders", "diff", "rollback", "release", "check",
@@ -297,13 +298,13 @@
     }
     let (_, out, _) = run(at, &["--help"]);
     assert!(
-        out.contains("operators' address") && out.contains("Ends with 0"),
+        out.contains("operators' address") && out.contains("Exit codes: 0 on success"),
         "{out}"
     );
 }
 
 #[test]
-fn the_operators_file_in_the_repository_can_be_used() {
+fn operators_file_of_the_repository_is_valid() {
     let at = "127.0.0.1:1".parse().unwrap();
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operators.star");
     let (code, out, _) = run(at, &["check", file]);
@@ -319,8 +320,8 @@
 }
 
 #[test]
-fn server_files_are_written_edited_sealed_checked_and_planned() {
-    let (at, _asked) = answering(None);
+fn server_files_can_be_written_sealed_checked_and_planned() {
+    let (at, _requests) = start_server(None);
     let folder = tempfile::tempdir().unwrap();
     let path = |name: &str| folder.path().join(name).to_str().unwrap().to_string();
     let (file, old) = (path("servers.star"), path("old.star"));
@@ -332,10 +333,10 @@
     std::fs::write(&old, &text).unwrap();
     let (code, out, _) = run(at, &["servers", "check", &old]);
     assert!(
-        code == 0 && out.contains("generation 5, 3 servers, can be taken"),
+        code == 0 && out.contains("generation 5, 3 servers, can be used"),
         "{out}"
     );
-    // Edited by hand: not whole until it is sealed.
+    // An edited file is rejected until its closing statement is updated.
     let edited = text
         .replace("generation(5)", "generation(6)")
         .replace("weight = 1.0)", "weight = 0.25)");
@@ -350,14 +351,14 @@
         at,
         &["--json", "servers", "check", &file, "--against", &old],
     );
-    let said: Value = serde_json::from_str(&out).unwrap();
+    let json: Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
-        (code, said["ok"].as_bool(), said["generation"].as_u64()),
+        (code, json["ok"].as_bool(), json["generation"].as_u64()),
         (1, Some(false), Some(6)),
         "{out}"
     );
     assert!(
-        said["reasons"][0]["what"]
+        json["reasons"][0]["what"]
             .as_str()
             .unwrap()
             .contains("write loss(0.75)"),
@@ -371,16 +372,16 @@
         "{out}"
     );
     let (code, out, _) = run(at, &["--json", "servers", "plan", &file]);
-    let said: Value = serde_json::from_str(&out).unwrap();
+    let json: Value = serde_json::from_str(&out).unwrap();
     assert_eq!(
         (
             code,
-            said["generation_from"].as_u64(),
-            said["servers"][0]["to"].as_f64()
+            json["generation_from"].as_u64(),
+            json["servers"][0]["to"].as_f64()
         ),
         (0, Some(4), Some(0.25))
     );
-    // Against the deployment's own zones and machines.
+    // Checks against the zones and machine types of a deployment.
     let config = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/example.json");
     let (code, out, err) = run(at, &["servers", "check", &old, "--config", config]);
     assert_eq!(code, 0, "{out}{err}");
@@ -395,8 +396,8 @@
     let (code, out, _) = run(at, &["servers", "show"]);
     assert!(
         code == 1
-            && out.contains("generation 4, taken 9 s ago")
-            && out.contains("not taken: its seal"),
+            && out.contains("generation 4, accepted 9 s ago")
+            && out.contains("not accepted: its seal"),
         "{out}"
     );
     let (code, _, err) = run(at, &["servers", "seal", &path("nothing.star")]);
--- a/crates/rookpulley-control/src/watches.rs
+++ b/crates/rookpulley-control/src/watches.rs
@@ -1,24 +1,24 @@
-//! Calls that wait for a put in a group.
+//! Pending watches for puts in a group of keys.
 
 use crate::reply::Reply;
 use rookpulley_state::{StateMachine, WatchResult};
 use std::collections::BTreeMap;
 
 const MAX_EVENTS: usize = 1_000;
-/// A watch that waits is looked at so often: this controller may be out of touch by then.
+/// Interval at which a pending watch is checked, because this controller may go out of touch.
 const CHECK_INTERVAL_MS: f64 = 500.0;
 
 struct Watch {
     group: String,
     after: u64,
-    until_ms: f64,
+    deadline_ms: f64,
     next_check_ms: f64,
 }
 
-/// All watches that wait.
+/// All pending watches.
 #[derive(Default)]
 pub(crate) struct Watches {
-    /// By the number of the call.
+    /// By request token.
     waiting: BTreeMap<u64, Watch>,
 }
 
@@ -27,7 +27,7 @@
         let watch = Watch {
             group,
             after,
-            until_ms: now + wait_ms as f64,
+            deadline_ms: now + wait_ms as f64,
             next_check_ms: now,
         };
         self.waiting.insert(token, watch);
@@ -37,7 +37,8 @@
         self.waiting.remove(&token);
     }
 
-    /// The watches that are answered now. `has_changed`: the state has; else only those are looked at whose time has come.
+    /// Removes the watches that can be answered and returns their replies. Unless the state has changed, only watches
+    /// whose next check is due are examined.
     pub fn take_due(
         &mut self,
         now: f64,
@@ -50,7 +51,7 @@
             if !has_changed && now < watch.next_check_ms {
                 return true;
             }
-            watch.next_check_ms = watch.until_ms.min(now + CHECK_INTERVAL_MS);
+            watch.next_check_ms = watch.deadline_ms.min(now + CHECK_INTERVAL_MS);
             let Some(reply) = watch.reply(now, is_serving, state) else {
                 return true;
             };
@@ -62,14 +63,14 @@
 }
 
 impl Watch {
-    /// None: it waits on.
+    /// Returns the reply, or `None` while the watch has to wait.
     fn reply(&self, now: f64, is_serving: bool, state: &StateMachine) -> Option<Reply> {
         match state.watch(&self.group, self.after, MAX_EVENTS) {
             WatchResult::CurrentRevision { revision } => Some(Reply::events(Vec::new(), revision)),
             WatchResult::TooOld => Some(Reply::too_old()),
             WatchResult::Events { events, revision } => Some(Reply::events(events, revision)),
             WatchResult::NoEvents { .. } if !is_serving => Some(Reply::not_in_touch()),
-            WatchResult::NoEvents { revision } if now >= self.until_ms => {
+            WatchResult::NoEvents { revision } if now >= self.deadline_ms => {
                 Some(Reply::events(Vec::new(), revision.max(self.after)))
             }
             WatchResult::NoEvents { .. } => None,
--- a/crates/rookpulley-diagnostics/src/json.rs
+++ b/crates/rookpulley-diagnostics/src/json.rs
@@ -1,65 +1,65 @@
-//! Bytes become JSON values. What would cost too much stack or memory is refused before it is built.
+//! Parses JSON. Input that would take too much stack or memory is rejected before any value is built.
 
 use tinyjson::{JsonParseError, JsonValue};
 
-/// The most that a text of JSON may have.
+/// Limits on a JSON document.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    pub bytes: usize,
+pub struct JsonLimits {
+    pub max_bytes: usize,
     pub nesting: Nesting,
-    /// Each value costs some hundred bytes at worst, whatever it takes on the wire.
-    pub values: usize,
+    /// A parsed value takes up to about 100 bytes, however short its text is.
+    pub max_values: usize,
 }
 
-/// The parser calls itself for each value within a value: no text is without this bound.
+/// The limit on nesting, which is required because the parser is recursive.
 #[derive(Clone, Copy, Debug)]
 pub enum Nesting {
     Levels(usize),
-    /// Opening brackets in all, also those in quotes.
+    /// The total number of opening brackets, including those in strings.
     Brackets(usize),
 }
 
-/// Why bytes are no value. `at` is the byte that was one too many.
+/// Why a document was rejected. `offset` is that of the byte that exceeds the limit.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
-pub enum Unread {
+pub enum JsonError {
     #[error("too many bytes")]
     #[diagnostic(help("send fewer"))]
-    Long,
+    TooLong,
     #[error("nested too deep")]
     #[diagnostic(help("send a flatter value"))]
-    Deep { at: usize },
+    TooDeep { offset: usize },
     #[error("too many values")]
     #[diagnostic(help("send a value of fewer parts"))]
-    Many { at: usize },
+    TooManyValues { offset: usize },
     #[error(transparent)]
     #[diagnostic(help("send UTF-8"))]
     NotUtf8(#[from] std::str::Utf8Error),
-    /// The parser's own words, which show the input around the place.
+    /// The message of the parser, which quotes the input around the error.
     #[error(transparent)]
     #[diagnostic(help("send one whole JSON value"))]
-    NoJson(#[from] JsonParseError),
+    Syntax(#[from] JsonParseError),
 }
 
-/// The value that these bytes are. The first bound that they break is told before what else is wrong with them.
-pub fn read(bytes: &[u8], bounds: Bounds) -> Result<JsonValue, Unread> {
-    if bytes.len() > bounds.bytes {
-        return Err(Unread::Long);
+/// Parses one JSON value. A limit that is exceeded is reported before encoding and syntax errors.
+pub fn parse_json(bytes: &[u8], limits: JsonLimits) -> Result<JsonValue, JsonError> {
+    if bytes.len() > limits.max_bytes {
+        return Err(JsonError::TooLong);
     }
-    weigh(bytes, bounds)?;
+    check_limits(bytes, limits)?;
     Ok(std::str::from_utf8(bytes)?.parse()?)
 }
 
-/// Counts depth and values, without building any.
-fn weigh(bytes: &[u8], bounds: Bounds) -> Result<(), Unread> {
-    let deepest = match bounds.nesting {
+/// Checks the limits on depth and number of values without building any value.
+fn check_limits(bytes: &[u8], limits: JsonLimits) -> Result<(), JsonError> {
+    let max_depth = match limits.nesting {
         Nesting::Levels(most) => most,
-        Nesting::Brackets(most) => match bracket(bytes, most) {
-            Some(at) => return Err(Unread::Deep { at }),
+        Nesting::Brackets(most) => match nth_bracket(bytes, most) {
+            Some(offset) => return Err(JsonError::TooDeep { offset }),
             None => most,
         },
     };
     let (mut depth, mut values, mut quoted, mut escaped) = (0usize, 1usize, false, false);
-    for (at, byte) in bytes.iter().enumerate() {
+    for (offset, byte) in bytes.iter().enumerate() {
         match byte {
             _ if escaped => escaped = false,
             b'\\' if quoted => escaped = true,
@@ -70,18 +70,18 @@
             b',' => values += 1,
             _ => {}
         }
-        if depth > deepest {
-            return Err(Unread::Deep { at });
+        if depth > max_depth {
+            return Err(JsonError::TooDeep { offset });
         }
-        if values > bounds.values {
-            return Err(Unread::Many { at });
+        if values > limits.max_values {
+            return Err(JsonError::TooManyValues { offset });
         }
     }
     Ok(())
 }
 
-/// Where the opening bracket stands that has so many before it.
-fn bracket(bytes: &[u8], before: usize) -> Option<usize> {
+/// The offset of the opening bracket that is preceded by `before` others.
+fn nth_bracket(bytes: &[u8], before: usize) -> Option<usize> {
     let opening = bytes
         .iter()
         .enumerate()
@@ -93,39 +93,42 @@
 mod tests {
     use super::*;
 
-    const FLAT: Bounds = Bounds {
-        bytes: 40,
+    const FLAT: JsonLimits = JsonLimits {
+        max_bytes: 40,
         nesting: Nesting::Levels(2),
-        values: 6,
+        max_values: 6,
     };
 
     #[test]
-    fn bounds_hold_before_anything_is_built_and_signs_in_quotes_count_only_as_brackets() {
-        let read = |text: &str| super::read(text.as_bytes(), FLAT);
+    fn limits_apply_before_parsing_and_strings_count_only_toward_the_bracket_limit() {
+        let read = |text: &str| super::parse_json(text.as_bytes(), FLAT);
         assert!(read(r#"[["\"[[,,,,,,"],[]]"#).is_ok());
-        assert!(matches!(read("[[[]]]"), Err(Unread::Deep { at: 2 })));
+        assert!(matches!(
+            read("[[[]]]"),
+            Err(JsonError::TooDeep { offset: 2 })
+        ));
         assert!(matches!(
             read("[1,2,3,4,5,6]"),
-            Err(Unread::Many { at: 10 })
+            Err(JsonError::TooManyValues { offset: 10 })
         ));
-        assert!(matches!(read(&" ".repeat(41)), Err(Unread::Long)));
-        assert!(matches!(read("[1"), Err(Unread::NoJson(_))));
+        assert!(matches!(read(&" ".repeat(41)), Err(JsonError::TooLong)));
+        assert!(matches!(read("[1"), Err(JsonError::Syntax(_))));
         assert!(matches!(
-            super::read(b"\"\xff\"", FLAT),
-            Err(Unread::NotUtf8(_))
+            super::parse_json(b"\"\xff\"", FLAT),
+            Err(JsonError::NotUtf8(_))
         ));
         assert!(matches!(
-            super::read(b"[[[\xff", FLAT),
-            Err(Unread::Deep { at: 2 })
+            super::parse_json(b"[[[\xff", FLAT),
+            Err(JsonError::TooDeep { offset: 2 })
         ));
-        let counted = Bounds {
+        let counted = JsonLimits {
             nesting: Nesting::Brackets(2),
             ..FLAT
         };
-        assert!(super::read(b"[[]]", counted).is_ok());
+        assert!(super::parse_json(b"[[]]", counted).is_ok());
         assert!(matches!(
-            super::read(b"[[\"[\"]]", counted),
-            Err(Unread::Deep { at: 3 })
+            super::parse_json(b"[[\"[\"]]", counted),
+            Err(JsonError::TooDeep { offset: 3 })
         ));
     }
 }
--- a/crates/rookpulley-diagnostics/src/shown.rs
+++ b/crates/rookpulley-diagnostics/src/shown.rs
@@ -1,17 +1,17 @@
-//! The words of faults: a place in a text, a value, a count.
+//! Text for faults: a position in a document, a value, a count.
 
 use std::fmt::{self, Display, Formatter};
 use tinyjson::JsonValue;
 
-/// A place in a text, both from 1 on.
+/// A position in a document; lines and columns start at 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Place {
+pub struct Position {
     pub line: usize,
     pub column: usize,
 }
 
-impl Place {
-    /// The place of the byte that follows these.
+impl Position {
+    /// The position of the byte that follows `before`.
     pub fn after(before: &[u8]) -> Self {
         let last = before
             .rsplit(|byte| *byte == b'\n')
@@ -25,29 +25,30 @@
     }
 }
 
-impl Display for Place {
+impl Display for Position {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         write!(f, "line {}, column {}", self.line, self.column)
     }
 }
 
-/// A value as a fault shows it. What holds fields is `holder` in the words of its text, such as "an object". Of a
-/// text the first letters alone are told, up to `shown`: the quotes around them let `Faults` see that there is more.
-pub fn said(value: &JsonValue, holder: &str, shown: usize) -> String {
+/// Formats a value for a fault. `holder` is the name of an object in the format at hand, such as "a table" in TOML.
+/// A string is cut to `limit` characters; with its quotes it still exceeds the limit, so `Faults` marks the cut.
+pub fn describe(value: &JsonValue, holder: &str, limit: usize) -> String {
     match value {
         JsonValue::Null => "null".into(),
         JsonValue::Boolean(flag) => flag.to_string(),
         JsonValue::Number(number) => number.to_string(),
-        JsonValue::String(text) => format!("{:?}", text.chars().take(shown).collect::<String>()),
+        JsonValue::String(text) => format!("{:?}", text.chars().take(limit).collect::<String>()),
         JsonValue::Array(items) => format!("a list of {}", items.len()),
         JsonValue::Object(fields) => format!("{holder} of {}", fields.len()),
     }
 }
 
-pub fn counted(count: usize, what: &str) -> String {
+/// A count with its noun, which takes a plural `s` unless the count is 1.
+pub fn pluralize(count: usize, noun: &str) -> String {
     if count == 1 {
-        format!("1 {what}")
+        format!("1 {noun}")
     } else {
-        format!("{count} {what}s")
+        format!("{count} {noun}s")
     }
 }
--- a/crates/rookpulley-operators/src/script.rs
+++ b/crates/rookpulley-operators/src/script.rs
@@ -1,7 +1,7 @@
-//! Scripts in Starlark that hold names, plain values and calls (`plain` says why no more), bounded in size, depth
-//! and calls. What the calls say is gathered in a value of the caller's.
+//! Runs Starlark scripts limited to the constructs that `subset` allows, with bounds on size, nesting and calls. The
+//! functions that a script calls record their arguments in a value of the caller's type.
 
-use crate::plain;
+use crate::subset;
 use starlark::any::AnyLifetime;
 use starlark::codemap::FileSpan;
 use starlark::environment::{Globals, GlobalsBuilder, Module};
@@ -11,32 +11,34 @@
 use starlark_syntax::syntax::module::AstModuleFields;
 use std::path::{Path, PathBuf};
 
-const HEAP_MOST: usize = 256 << 20;
-const DEPTH_MOST: usize = 50;
-/// The parser goes as deep as a script nests: enough for one of 16 KiB that does so at every letter, and longer
-/// ones are looked over first. What is not touched costs nothing.
-const STACK: usize = 256 << 20;
-const LOOKED_OVER: usize = 16 * 1024;
+const MAX_HEAP_BYTES: usize = 256 << 20;
+const MAX_DEPTH: usize = 50;
+/// The stack of the thread that parses. The parser recurses once per nesting level: this is enough for a script of
+/// `SCAN_ABOVE_BYTES` that nests at every character. Longer scripts are scanned for nesting first.
+const STACK_BYTES: usize = 256 << 20;
+const SCAN_ABOVE_BYTES: usize = 16 * 1024;
 
-/// What a kind of script may say, and how much of it.
+/// The functions that a kind of script may call, and its limits.
 #[derive(Clone, Copy)]
-pub struct Vocabulary {
-    pub words: fn(&mut GlobalsBuilder),
-    /// The calls there are, as errors name them.
-    pub known: &'static str,
-    pub bytes: usize,
-    pub calls: u64,
+pub struct ScriptSettings {
+    pub functions: fn(&mut GlobalsBuilder),
+    /// The names of the functions, for error messages.
+    pub function_names: &'static str,
+    pub max_bytes: usize,
+    pub max_ticks: u64,
 }
 
-/// What the calls of this script have said so far.
-pub fn said<'s, 'e, S: AnyLifetime<'e>>(eval: &'s Evaluator<'_, '_, 'e>) -> anyhow::Result<&'s S> {
+/// The value in which the script's calls record their arguments.
+pub fn collector<'s, 'e, S: AnyLifetime<'e>>(
+    eval: &'s Evaluator<'_, '_, 'e>,
+) -> anyhow::Result<&'s S> {
     let said = eval.extra.and_then(|extra| extra.downcast_ref::<S>());
     said.ok_or_else(|| anyhow::anyhow!("called outside its script"))
 }
 
-/// Fills a place that may be filled once.
-pub fn once<T>(place: &mut Option<T>, name: &str, value: T) -> anyhow::Result<()> {
-    match place.replace(value) {
+/// Sets a value that a script may set only once.
+pub fn set_once<T>(slot: &mut Option<T>, name: &str, value: T) -> anyhow::Result<()> {
+    match slot.replace(value) {
         None => Ok(()),
         Some(_) => Err(anyhow::anyhow!(
             "{name}() is called twice; write one call for it"
@@ -44,27 +46,27 @@
     }
 }
 
-/// Line and column of a span's begin, both from 1.
-pub fn place_of(span: &FileSpan) -> (usize, usize) {
+/// The line and column where a span begins, both counted from 1.
+pub fn line_and_column(span: &FileSpan) -> (usize, usize) {
     let from = span.resolve_span().begin;
     (from.line + 1, from.column + 1)
 }
 
-/// What is wrong with the file, and where.
+/// An error in a file, with its position where known.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{}{}: {what}", file.display(), place(*at))]
-pub struct BadFile {
+#[error("{}{}: {what}", file.display(), format_position(*at))]
+pub struct FileError {
     pub file: PathBuf,
-    /// Line and column, both from 1.
+    /// Line and column, both counted from 1.
     pub at: Option<(usize, usize)>,
     pub what: String,
 }
 
-fn place(at: Option<(usize, usize)>) -> String {
+fn format_position(at: Option<(usize, usize)>) -> String {
     at.map_or(String::new(), |(line, column)| format!(":{line}:{column}"))
 }
 
-/// Wider than what a script may hold, so that `plain` and not the parser says what to write instead.
+/// Accepts more than scripts may use, so that `subset` can reject a construct with advice on what to write instead.
 const DIALECT: Dialect = Dialect {
     enable_def: true,
     enable_lambda: true,
@@ -77,54 +79,54 @@
     ..Dialect::Standard
 };
 
-fn wrong(file: &Path, error: &starlark::Error, known: &str) -> BadFile {
-    let at = error.span().map(place_of);
+fn script_error(file: &Path, error: &starlark::Error, function_names: &str) -> FileError {
+    let at = error.span().map(line_and_column);
     let what = format!("{}", error.without_diagnostic());
-    // What a script may not use at all is told by what to write instead.
+    // For an unknown name, list the functions that exist.
     let what = match what.lines().next().unwrap_or_default() {
         text if text.starts_with("Variable `") && text.contains("not found") => {
-            format!("{text}; the file knows {known}")
+            format!("{text}; the file knows {function_names}")
         }
         text => text.to_string(),
     };
-    BadFile {
+    FileError {
         file: file.into(),
         at,
         what,
     }
 }
 
-/// Runs a script and gives what its calls said. `file` is named in errors only.
-pub fn run<S>(file: &Path, text: &str, vocabulary: &Vocabulary) -> Result<S, BadFile>
+/// Runs a script and returns what its calls recorded. `file` is used only in error messages.
+pub fn run<S>(file: &Path, text: &str, settings: &ScriptSettings) -> Result<S, FileError>
 where
     S: Default + Send + for<'e> AnyLifetime<'e>,
 {
-    let plain = |what: String| BadFile {
+    let without_position = |what: String| FileError {
         file: file.into(),
         at: None,
         what,
     };
-    if text.len() > vocabulary.bytes {
-        return Err(plain(format!(
+    if text.len() > settings.max_bytes {
+        return Err(without_position(format!(
             "{} bytes are too many; {} are the most",
             text.len(),
-            vocabulary.bytes
+            settings.max_bytes
         )));
     }
-    if text.len() > LOOKED_OVER {
-        plain::look_over(text).map_err(|(line, what)| BadFile {
+    if text.len() > SCAN_ABOVE_BYTES {
+        subset::scan(text).map_err(|(line, what)| FileError {
             file: file.into(),
             at: Some((line, 1)),
             what,
         })?;
     }
     std::thread::scope(|scope| {
-        let thread = std::thread::Builder::new().stack_size(STACK);
-        let reading = thread.spawn_scoped(scope, || evaluate(file, text, vocabulary));
-        let reading = reading.map_err(|e| plain(format!("can't be evaluated: {e}")))?;
-        reading
+        let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
+        let worker = thread.spawn_scoped(scope, || evaluate(file, text, settings));
+        let worker = worker.map_err(|e| without_position(format!("can't be evaluated: {e}")))?;
+        worker
             .join()
-            .unwrap_or_else(|_| Err(plain("can't be evaluated".into())))
+            .unwrap_or_else(|_| Err(without_position("can't be evaluated".into())))
     })
 }
 
@@ -134,46 +136,46 @@
     builder.set("None", NoneType);
 }
 
-fn evaluate<S>(file: &Path, text: &str, vocabulary: &Vocabulary) -> Result<S, BadFile>
+fn evaluate<S>(file: &Path, text: &str, settings: &ScriptSettings) -> Result<S, FileError>
 where
     S: Default + for<'e> AnyLifetime<'e>,
 {
-    let plain = |what: String| BadFile {
+    let without_position = |what: String| FileError {
         file: file.into(),
         at: None,
         what,
     };
-    let (name, known) = (file.display().to_string(), vocabulary.known);
-    let script =
-        AstModule::parse(&name, text.into(), &DIALECT).map_err(|e| wrong(file, &e, known))?;
-    plain::statement(script.statement(), DEPTH_MOST).map_err(|e| {
-        let at = Some(place_of(&script.codemap().file_span(e.span)));
-        BadFile {
+    let (name, function_names) = (file.display().to_string(), settings.function_names);
+    let script = AstModule::parse(&name, text.into(), &DIALECT)
+        .map_err(|e| script_error(file, &e, function_names))?;
+    subset::check_statement(script.statement(), MAX_DEPTH).map_err(|e| {
+        let at = Some(line_and_column(&script.codemap().file_span(e.span)));
+        FileError {
             file: file.into(),
             at,
-            what: e.what,
+            what: e.message,
         }
     })?;
     let globals: Globals = GlobalsBuilder::new()
         .with(constants)
-        .with(vocabulary.words)
+        .with(settings.functions)
         .build();
     let said = S::default();
     Module::with_temp_heap(|module| {
         let mut eval = Evaluator::new(&module);
         eval.extra = Some(&said);
-        let bounds = [
-            eval.set_max_tick_count(vocabulary.calls),
-            eval.set_max_heap_size(HEAP_MOST),
-            eval.set_max_callstack_size(DEPTH_MOST),
+        let limits = [
+            eval.set_max_tick_count(settings.max_ticks),
+            eval.set_max_heap_size(MAX_HEAP_BYTES),
+            eval.set_max_callstack_size(MAX_DEPTH),
         ];
-        bounds
+        limits
             .into_iter()
             .collect::<anyhow::Result<()>>()
-            .map_err(|e| plain(e.to_string()))?;
+            .map_err(|e| without_position(e.to_string()))?;
         eval.eval_module(script, &globals)
             .map(|_| ())
-            .map_err(|e| wrong(file, &e, known))
+            .map_err(|e| script_error(file, &e, function_names))
     })?;
     Ok(said)
 }
--- a/crates/rookpulley-routes/src/values.rs
+++ b/crates/rookpulley-routes/src/values.rs
@@ -1,7 +1,7 @@
 //! Typed access to the fields of a JSON value. Invalid fields are recorded as faults with their path.
 
 use crate::faults::CONFIGURATION;
-use rookpulley_diagnostics::{Faults, said};
+use rookpulley_diagnostics::{Faults, describe};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::fmt::{self, Display, Formatter};
@@ -87,13 +87,13 @@
 
     /// Whether this is an object; records a fault otherwise.
     pub fn require_object(&self) -> bool {
-        self.required("an object", |json| json.get::<HashMap<_, _>>())
+        self.required("an object in { }", |json| json.get::<HashMap<_, _>>())
             .is_some()
     }
 
     /// The items of a list; records a fault if this is not a list.
     pub fn items(&'a self) -> impl Iterator<Item = Value<'a>> {
-        let items = self.required("a list", |json| json.get::<Vec<_>>());
+        let items = self.required("a list in [ ]", |json| json.get::<Vec<_>>());
         items
             .into_iter()
             .flatten()
@@ -114,7 +114,10 @@
         let json = self.json?;
         let converted = convert(json);
         if converted.is_none() {
-            self.record_fault(said(json, "an object", CONFIGURATION.shown), expected);
+            self.record_fault(
+                describe(json, "an object", CONFIGURATION.max_chars),
+                expected,
+            );
         }
         converted
     }
@@ -140,7 +143,9 @@
     }
 
     pub fn string(&self) -> Option<&'a str> {
-        self.take("a string", |json| Some(json.get::<String>()?.as_str()))
+        self.take("a text in quotes", |json| {
+            Some(json.get::<String>()?.as_str())
+        })
     }
 
     pub fn required_number(&self, expected: &str, fits: impl FnOnce(f64) -> bool) -> Option<f64> {
--- a/crates/rookpulley-routes/tests/changes.rs
+++ b/crates/rookpulley-routes/tests/changes.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_routes::{Route, RouteTable};
-use rookpulley_samples::plays;
+use rookpulley_samples::run_cases;
 use std::cell::Cell;
 use std::fmt::Write;
 
@@ -86,7 +86,7 @@
 #[test]
 fn incremental_parsing_agrees_with_complete_parsing() {
     let (good, shared) = (Cell::new(0), Cell::new(0));
-    plays(3_000, 1_024, |u| {
+    run_cases(3_000, 1_024, |u| {
         let (earlier, later) = (random_configuration(u, 3)?, random_configuration(u, 4)?);
         // Compared only if valid: the escaped name shifts the positions of syntax errors.
         let alone = describe(RouteTable::read(later.as_bytes()));
--- a/crates/rookpulley-routes/tests/route_table.rs
+++ b/crates/rookpulley-routes/tests/route_table.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use rookpulley_routes::{Faults, Limits, RouteKind, RouteTable};
-use rookpulley_samples::plays;
+use rookpulley_samples::run_cases;
 
 /// A small configuration that uses every field.
 const COMPLETE: &str = r#"{
@@ -114,7 +114,7 @@
                 .collect::<String>()
         ))
     }
-    plays(300, 4_096, |u| {
+    run_cases(300, 4_096, |u| {
         let (hosts, mut seen, mut entries) =
             (["x.example", "Y.example", "x"], Vec::new(), Vec::new());
         for host in hosts {
@@ -188,7 +188,7 @@
 
 #[test]
 fn corrupted_configuration_never_panics_and_accepted_ones_satisfy_the_invariants() {
-    plays(3_000, 256, |u| {
+    run_cases(3_000, 256, |u| {
         let mut bytes = COMPLETE.as_bytes().to_vec();
         for _ in 0..u.int_in_range(1..=6)? {
             let at = u.choose_index(bytes.len())?;
@@ -247,43 +247,43 @@
             "\"configVersion\": 12,",
             "",
             "configVersion".to_string(),
-            "an integer",
+            "a whole number",
         ),
         (
             "Version\": 12",
             "Version\": 0",
             "configVersion".into(),
-            "an integer",
+            "a whole number",
         ),
         (
             "Version\": 12",
             "Version\": -3",
             "configVersion".into(),
-            "an integer",
+            "a whole number",
         ),
         (
             "Version\": 12",
             "Version\": 1.5",
             "configVersion".into(),
-            "an integer",
+            "a whole number",
         ),
         (
             "Version\": 12",
             "Version\": \"12\"",
             "configVersion".into(),
-            "an integer",
+            "a whole number",
         ),
         (
             "Version\": 12",
             "Version\": 9007199254740993",
             "configVersion".into(),
-            "an integer",
+            "a whole number",
         ),
         (
             "Version\": 12",
             "Version\": 1e400",
             "configVersion".into(),
-            "an integer",
+            "a whole number",
         ),
         (
             "\"targetService\": \"stamps\", \"max",
@@ -301,7 +301,7 @@
             "\"targetService\": \"stamps\", \"max",
             "\"targetService\": 4, \"max",
             format!("{SELL}.targetService"),
-            "a string",
+            "a text",
         ),
         (
             "\"targetService\": \"stamps\", \"max",
@@ -325,25 +325,25 @@
             "\"weight\": 3}, {\"targetService\": \"stamps\", \"weight\": 1",
             "\"weight\": 0}, {\"targetService\": \"stamps\", \"weight\": 0",
             format!("{TRACK}.trafficSplit"),
-            "a finite sum above 0",
+            "a sum above 0",
         ),
         (
             "\"weight\": 3",
             "\"weight\": -3",
             format!("{TRACK}.trafficSplit[0].weight"),
-            "at least 0",
+            "from 0 on",
         ),
         (
             "\"weight\": 3",
             "\"weight\": 1e999",
             format!("{TRACK}.trafficSplit[0].weight"),
-            "at least 0",
+            "from 0 on",
         ),
         (
             "\"weight\": 3}, {\"targetService\": \"stamps\", \"weight\": 1",
             "\"weight\": 1e308}, {\"targetService\": \"stamps\", \"weight\": 1e308",
             format!("{TRACK}.trafficSplit"),
-            "a finite sum above 0",
+            "a sum above 0",
         ),
         (
             "{\"targetService\": \"parcels\", \"weight\"",
@@ -391,7 +391,7 @@
             "\"priority\": 1",
             "\"priority\": true",
             format!("{SELL}.priority"),
-            "an integer",
+            "a whole number",
         ),
         (
             "\"mutating\"",
@@ -415,31 +415,31 @@
             "\"/sell/\"",
             "\"/sell\"",
             format!("{SELL}.pathPrefix"),
-            "starts and ends",
+            "begins and ends",
         ),
         (
             "\"/sell/\"",
             "\"sell/\"",
             format!("{SELL}.pathPrefix"),
-            "starts and ends",
+            "begins and ends",
         ),
         (
             "\"/track/\"",
             "\"/sell/\"",
             format!("{TRACK}.pathPrefix"),
-            "unique",
+            "once",
         ),
         (
             "\"depot.example\", \"pathRules\": [\n      {\"pathPrefix\": \"/\"",
             "\"POST.example\", \"pathRules\": [\n      {\"pathPrefix\": \"/track/\"",
             "hostnames[1].pathRules[0].pathPrefix".into(),
-            "unique",
+            "once",
         ),
         (
             "\"name\": \"parcels\"",
             "\"name\": \"stamps\"",
             "services[1].name".into(),
-            "unique",
+            "once",
         ),
         (
             "{\"name\": \"parcels\"",
@@ -453,7 +453,7 @@
             "\"maxHeaderBytes\": 9000",
             "\"maxHeaderBytes\": \"many\"",
             "limits.maxHeaderBytes".into(),
-            "an integer",
+            "a whole number",
         ),
         (
             "\"configVersion\": 12",
@@ -488,7 +488,7 @@
         r#"{{"configVersion":1,"services":[{names}],"hostnames":[]}}"#
     ))
     .unwrap_err();
-    assert_eq!((faults.faults.len(), faults.untold), (16, 84));
+    assert_eq!((faults.faults.len(), faults.omitted), (16, 84));
     assert!(faults.to_string().ends_with("And 84 more"));
 }
 
@@ -526,7 +526,7 @@
 
 #[test]
 fn services_are_selected_by_weight_and_never_at_weight_0() {
-    plays(200, 512, |u| {
+    run_cases(200, 512, |u| {
         let weights: Vec<u32> = (0..u.int_in_range(1..=5)?)
             .map(|_| u.int_in_range(0..=9))
             .collect::<Result<_>>()?;
--- a/crates/rookpulley-settings/src/faults.rs
+++ b/crates/rookpulley-settings/src/faults.rs
@@ -1,24 +1,26 @@
-//! Why a settings file is not taken. All that is wrong with it is told at once.
+//! Reasons for rejecting a settings file. All faults of a file are reported at once.
 
-use rookpulley_diagnostics::{Faults, Manner, counted};
+use rookpulley_diagnostics::{FaultFormat, Faults, pluralize};
 use std::path::PathBuf;
 
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum SettingsError {
-    #[error("no settings file is named")]
+    #[error("no settings file is configured")]
     #[diagnostic(help("set ROOKPULLEY_BOOT to the path of the settings file"))]
-    NotTold,
+    PathNotSet,
     #[error("the settings file {} can't be read: {cause}", path.display())]
-    #[diagnostic(help("let ROOKPULLEY_BOOT name a file that this user may read"))]
+    #[diagnostic(help("set ROOKPULLEY_BOOT to a file that this user may read"))]
     Unreadable {
         path: PathBuf,
         cause: std::io::Error,
     },
-    #[error("the settings have {bytes} bytes; {most} are the most")]
-    #[diagnostic(help("keep to the fields that the deployment's page names"))]
-    TooLong { bytes: u64, most: u64 },
-    #[error("the settings are no TOML, line {line}, column {column}: {cause}")]
-    #[diagnostic(help("write one `field = value` a line, texts in quotes, tables under [name]"))]
+    #[error("the settings file has {bytes} bytes, the maximum is {max}")]
+    #[diagnostic(help("remove what is not a documented field"))]
+    TooLong { bytes: u64, max: u64 },
+    #[error("the settings file is not valid TOML, line {line}, column {column}: {cause}")]
+    #[diagnostic(help(
+        "write one `field = value` per line, strings in quotes, tables under [name]"
+    ))]
     NotToml {
         line: usize,
         column: usize,
@@ -26,12 +28,12 @@
     },
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Faulty(#[from] Faults),
+    Invalid(#[from] Faults),
 }
 
-pub(crate) static SETTINGS: Manner = Manner {
-    told: 40,
-    shown: 100,
-    heading: |faults| format!("{} of the settings can't be used", counted(faults, "field")),
-    help: "mend the fields named and send SIGHUP, or start the process again",
+pub(crate) static SETTINGS: FaultFormat = FaultFormat {
+    max_faults: 40,
+    max_chars: 100,
+    heading: |faults| format!("the settings have {}", pluralize(faults, "invalid field")),
+    help: "correct these fields and send SIGHUP, or restart the process",
 };
--- a/crates/rookpulley-state/tests/state_machine/main.rs
+++ b/crates/rookpulley-state/tests/state_machine/main.rs
@@ -5,7 +5,7 @@
 mod model;
 mod regressions;
 
-use rookpulley_samples::plays;
+use rookpulley_samples::run_cases;
 use rookpulley_state::{Answer, StateMachine, Update};
 
 fn acquire(
--- a/crates/rookpulley-state/tests/state_machine/regressions.rs
+++ b/crates/rookpulley-state/tests/state_machine/regressions.rs
@@ -140,7 +140,7 @@
 
 #[test]
 fn updates_round_trip_and_arbitrary_bytes_are_harmless() {
-    super::plays(300, 3_000, |u| {
+    super::run_cases(300, 3_000, |u| {
         let bytes: Vec<u8> = u.arbitrary()?;
         let mut state = StateMachine::default();
         put(&mut state, 5, "g.k", "v", None);
